--- a/crates/gateway/src/lessons.rs
+++ b/crates/gateway/src/lessons.rs
@@ -99,6 +99,9 @@
     Ok((Lessons { classes, engines, level: told.level }, age))
 }
 
+#[cfg(test)]
+mod golden;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- /dev/null
+++ b/crates/gateway/src/lessons/golden.rs
@@ -0,0 +1,74 @@
+//! Fingerprints, checkpoints and counters as an earlier version wrote them.
+
+use super::*;
+use crate::counters::Counters;
+use crate::sharing::classes_print;
+use eideryard::interface::{ClassLesson, EngineLesson};
+use eideryard_settings::{settings, Tree};
+use eideryard_standin::golden;
+
+/// Every setting that there is.
+const SETTINGS: &str = r#"{
+    "az": 1, "discovery": "ask", "kinds": ["node-12", "node-8"], "zones": ["hall-1", "hall-2"],
+    "peers-total": 3, "self-index": 2, "tick-us": 5000, "over-share-worth": 0.25,
+    "tariffs": {"cross-zone": 0.02, "probe": 0.001},
+    "report": {"fields": ["concurrent"], "source": "on_probe"},
+    "extra": {"class-waits": [false, true, false], "is-load": [true, false, false], "kind-cores": [12, 8],
+              "kind-memory-mb": [24576.0, 16384.0], "largest-share": 0.4, "note-period-us": 500000,
+              "threads-by-class": [1, 2, 2]},
+    "grades": [
+        {"aim-stretch": 1.5, "aim-us": 800000, "deadline-us": 4000000, "group": "all", "name": "lookup",
+         "repeat": "token", "window-us": 5000000.0, "kinds-only": [0], "zones-only": [0, 1]},
+        {"aim-us": 1500000, "deadline-us": 15000000, "name": "report", "repeat": "pure", "group": "zone",
+         "value": 7.5},
+        {"aim-us": 1500000, "deadline-us": 9000000, "name": "load", "repeat": "side_effect",
+         "sequential": true}
+    ],
+    "limits": {"max-attempts": 4, "may-cancel": true, "may-duplicate": true, "probes": true,
+               "retry-after": true, "max-retry-after-us": 500000},
+    "orgs": [{"name": "reefer", "quota-rps": 99.0}],
+    "rules": {"fall-multiple": 2.0, "fall-us": 1000000, "start-capacity": 0.4, "warm-within-us": 15000000,
+              "order-pause-us": 20000, "ask-every-us": 8000000, "further-ratio": 0.1, "spare-attempts": 5,
+              "ratio-span-us": 1000000}
+}"#;
+
+fn sample() -> Settings {
+    settings(&Tree::from_json(&serde_json::from_str(SETTINGS).unwrap())).unwrap()
+}
+
+#[test]
+fn fingerprints_of_settings_and_classes_are_as_before() {
+    let every = sample();
+    let few = settings(&Tree::from_json(&serde_json::json!({}))).unwrap();
+    let text = format!(
+        "settings {:016x}\nsettings without anything {:016x}\nclasses {:016x}\n",
+        print_of(&every),
+        print_of(&few),
+        classes_print(&every.classes)
+    );
+    golden::check("fingerprints.txt", text.as_bytes());
+}
+
+#[test]
+fn a_checkpoint_is_written_and_read_as_before() {
+    let class = |memory_mb| ClassLesson { work_ratio: 1.5, memory_ratio: 0.7, work: 9.0, memory_mb };
+    let engine = EngineLesson { engine: 7, booted_at: 5, stretch: 1.2, best: 0.9, bad: 0.1, others: 3.0 };
+    let lessons = Lessons { classes: vec![class(Some(3.0)), class(None)], engines: vec![engine], level: 0.5 };
+    let fingerprint = print_of(&sample());
+    golden::check("checkpoint.bin", &to_bytes(&lessons, 100, fingerprint));
+    let stored = std::fs::read(golden::path("checkpoint.bin")).unwrap();
+    assert_eq!(from_bytes(&stored, 130, fingerprint), Ok((lessons, 30)));
+}
+
+#[test]
+fn counters_are_printed_as_before() {
+    let text = format!(
+        "{}\n{:?}\n{:?}\n{:?}\n{:?}\n",
+        Counters::default(),
+        crate::keeping::Counted::default(),
+        crate::spooling::Spooled::default(),
+        eideryard_replica::core::Counted::default(),
+        eideryard_ownership::core::Counted::default(),
+    );
+    golden::check("counters.txt", text.as_bytes());
+}
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod client;
 pub mod cores;
 pub mod engine;
+pub mod golden;
 pub mod history;
 pub mod ledger;
 pub mod place;
