--- a/crates/command/src/records.rs
+++ b/crates/command/src/records.rs
@@ -1,8 +1,8 @@
 //! `eideryard records`: what is in records, and whether it is whole.
 
-use eideryard_record::entry::EntryRef;
 use eideryard_record::reader::What;
 use eideryard_record::tally::Counted;
+use eideryard_record::text::EntryText;
 use eideryard_record::{Entry, Host, Merged};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeSet;
@@ -154,11 +154,9 @@
                 writeln!(out, "{seconds}.{micros:06} {name} -- something before this can't be read")
             }
             What::Entry(entry) if !wanted(told.source, entry) => Ok(()),
-            What::Entry(entry) => match entry.as_ref() {
-                EntryRef::In(event) => writeln!(out, "{seconds}.{micros:06} {name} in {event:?}"),
-                EntryRef::Out(action) => writeln!(out, "{seconds}.{micros:06} {name} out {action:?}"),
-                EntryRef::Host(host) => writeln!(out, "{seconds}.{micros:06} {name} host {host:?}"),
-            },
+            What::Entry(entry) => {
+                writeln!(out, "{seconds}.{micros:06} {name} {}", EntryText(entry.as_ref()))
+            }
         };
         match written {
             // Whoever read this has seen enough.
--- a/crates/command/src/store.rs
+++ b/crates/command/src/store.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use eideryard_ledger::entry;
+use eideryard_ledger::{entry, Intent, Place};
 use eideryard_store::recovery::Recovered;
 use eideryard_store::{Directory, Plan, Store, Trust};
 
@@ -50,11 +50,20 @@
     }
 }
 
+/// An intent as `eideryard store dump` prints it; the names in it are an interface.
+fn intent_text(intent: &Intent) -> String {
+    let Intent { since, place: Place { zone, cell }, out, ran, until } = intent;
+    format!(
+        "Intent {{ since: {since}, place: Place {{ zone: {zone}, cell: {cell} }}, out: {out}, ran: {ran}, \
+         until: {until} }}"
+    )
+}
+
 pub fn dump(directory: &Path) -> Result<(), String> {
     for (key, value) in &recovered(directory)?.keys {
         let name: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
         match entry::from_bytes(&value.bytes).filter(|_| key.starts_with(entry::prefix())) {
-            Some(intent) => println!("{name} {intent:?}"),
+            Some(intent) => println!("{name} {}", intent_text(&intent)),
             None => println!("{name} {} bytes until {}", value.bytes.len(), value.until_ms),
         }
     }
--- a/crates/fleet-rig/src/scale/voters.rs
+++ b/crates/fleet-rig/src/scale/voters.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use eideryard_gateway::links::{classes_print, Said};
+use eideryard_gateway::links::{classes_fingerprint, Said};
 use eideryard_peers::hub::Hub;
 use eideryard_peers::{Heard, Hello, Plan};
 use eideryard_standin::ledger::Answers;
@@ -123,7 +123,7 @@
             fleet: FLEET.into(),
             name: format!("h{number}"),
             keepers: (0..VOTERS).map(|at| format!("g{at}")).collect(),
-            classes: classes_print(&settings.classes),
+            classes: classes_fingerprint(&settings.classes),
             identity: number as u64 + 1,
             start: 1,
         };
--- a/crates/fleet-rig/tests/golden.rs
+++ b/crates/fleet-rig/tests/golden.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use eideryard_engine_line as engine_line;
-use eideryard_gateway::links::{classes_print, Said};
+use eideryard_gateway::links::{classes_fingerprint, Said};
 use eideryard_ledger::{entry as intents, Intent, Place};
 use eideryard_msgpack_rpc as rpc;
 use eideryard_ownership::{self as owners, Task, Token};
@@ -199,7 +199,7 @@
         fleet: "north".into(),
         name: "g2".into(),
         keepers: vec!["g2".into(), "g3".into(), "n0".into()],
-        classes: classes_print(&classes()),
+        classes: classes_fingerprint(&classes()),
         identity: 7,
         start: 1,
     };
--- /dev/null
+++ b/crates/gateway/src/fingerprints.rs
@@ -0,0 +1,163 @@
+//! Fingerprints of settings, by which a gateway recognizes data that was made under the same ones.
+//!
+//! Two formats that outlive the process rest on them: the checkpoint in the store, and the handshake of
+//! gateways. Each hashes a text whose names are fixed here and are not the names of types and fields.
+
+use std::fmt::{self, Debug, Formatter};
+use std::hash::Hasher;
+
+use eideryard::interface::{AttemptBudget, Class, Discovery, Effect, Kind, Scope, Settings, Tenant};
+use siphasher::sip::SipHasher13;
+
+#[cfg(test)]
+mod tests;
+
+/// The byte that ends a text in the hash.
+const END_OF_TEXT: u8 = 0xff;
+
+/// A fingerprint of all settings: SipHash-1-3 with a key of zeros.
+pub fn settings_fingerprint(settings: &Settings) -> u64 {
+    let text = format!("{:?}", SettingsText(settings));
+    let mut hasher = SipHasher13::new();
+    hasher.write(text.as_bytes());
+    hasher.write_u8(END_OF_TEXT);
+    hasher.finish()
+}
+
+/// A fingerprint of the classes that intents are kept for: their places, effects, scopes and windows.
+pub fn classes_fingerprint(classes: &[Class]) -> u64 {
+    let kept = classes.iter().enumerate().filter(|(_, class)| class.effect != Effect::Safe);
+    let lines: Vec<String> = kept
+        .map(|(index, class)| {
+            let (effect, scope) = (effect_name(class.effect), scope_name(class.scope));
+            format!("{index} {effect} {scope} {}", class.window)
+        })
+        .collect();
+    let hash = blake3::hash(lines.join("\n").as_bytes());
+    hash.as_bytes()[..8].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+}
+
+fn effect_name(effect: Effect) -> &'static str {
+    match effect {
+        Effect::Safe => "Safe",
+        Effect::Keyed => "Keyed",
+        Effect::Unsafe => "Unsafe",
+    }
+}
+
+fn scope_name(scope: Scope) -> &'static str {
+    match scope {
+        Scope::All => "All",
+        Scope::Zone => "Zone",
+        Scope::Cell => "Cell",
+    }
+}
+
+fn discovery_name(discovery: Discovery) -> &'static str {
+    match discovery {
+        Discovery::Push => "Push",
+        Discovery::Ask => "Ask",
+    }
+}
+
+/// A name that is written without quotes.
+struct Bare(&'static str);
+
+impl Debug for Bare {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        f.write_str(self.0)
+    }
+}
+
+struct SettingsText<'a>(&'a Settings);
+
+impl Debug for SettingsText<'_> {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let settings = self.0;
+        let classes: Vec<ClassText> = settings.classes.iter().map(ClassText).collect();
+        let tenants: Vec<TenantText> = settings.tenants.iter().map(TenantText).collect();
+        let kinds: Vec<KindText> = settings.kinds.iter().map(KindText).collect();
+        let budget = settings.attempt_budget.as_ref().map(BudgetText);
+        f.debug_struct("Settings")
+            .field("classes", &classes)
+            .field("tenants", &tenants)
+            .field("kinds", &kinds)
+            .field("peers", &settings.peers)
+            .field("index", &settings.index)
+            .field("zone", &settings.zone)
+            .field("tick", &settings.tick)
+            .field("discovery", &Bare(discovery_name(settings.discovery)))
+            .field("note_period", &settings.note_period)
+            .field("largest_share", &settings.largest_share)
+            .field("max_attempts", &settings.max_attempts)
+            .field("may_cancel", &settings.may_cancel)
+            .field("may_duplicate", &settings.may_duplicate)
+            .field("may_probe", &settings.may_probe)
+            .field("counts_by_probe", &settings.counts_by_probe)
+            .field("may_advise", &settings.may_advise)
+            .field("max_advice", &settings.max_advice)
+            .field("fall_multiple", &settings.fall_multiple)
+            .field("fall_window", &settings.fall_window)
+            .field("start_capacity", &settings.start_capacity)
+            .field("warm_within", &settings.warm_within)
+            .field("order_pause", &settings.order_pause)
+            .field("attempt_budget", &budget)
+            .field("ask_every", &settings.ask_every)
+            .field("over_share_worth", &settings.over_share_worth)
+            .field("cross_zone_tariff", &settings.cross_zone_tariff)
+            .field("probe_tariff", &settings.probe_tariff)
+            .finish()
+    }
+}
+
+struct ClassText<'a>(&'a Class);
+
+impl Debug for ClassText<'_> {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let class = self.0;
+        f.debug_struct("Class")
+            .field("aim", &class.aim)
+            .field("aim_stretch", &class.aim_stretch)
+            .field("worth", &class.worth)
+            .field("effect", &Bare(effect_name(class.effect)))
+            .field("scope", &Bare(scope_name(class.scope)))
+            .field("window", &class.window)
+            .field("ordered", &class.ordered)
+            .field("zones_only", &class.zones_only)
+            .field("kinds_only", &class.kinds_only)
+            .field("threads", &class.threads)
+            .field("is_load", &class.is_load)
+            .field("waits_for_load", &class.waits_for_load)
+            .finish()
+    }
+}
+
+struct TenantText<'a>(&'a Tenant);
+
+impl Debug for TenantText<'_> {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Tenant").field("quota_per_s", &self.0.quota_per_s).finish()
+    }
+}
+
+struct KindText<'a>(&'a Kind);
+
+impl Debug for KindText<'_> {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let kind = self.0;
+        f.debug_struct("Kind").field("cores", &kind.cores).field("memory_mb", &kind.memory_mb).finish()
+    }
+}
+
+struct BudgetText<'a>(&'a AttemptBudget);
+
+impl Debug for BudgetText<'_> {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let budget = self.0;
+        f.debug_struct("AttemptBudget")
+            .field("span", &budget.span)
+            .field("ratio", &budget.ratio)
+            .field("spare", &budget.spare)
+            .finish()
+    }
+}
--- a/crates/gateway/src/lessons/golden.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::counters::Counters;
-use crate::sharing::classes_print;
-use eideryard::interface::{ClassLesson, EngineLesson};
+use crate::lessons::{from_bytes, to_bytes};
+use eideryard::interface::{ClassLesson, EngineLesson, Lessons};
 use eideryard_settings::{settings, Tree};
 use eideryard_standin::golden;
 
@@ -42,9 +42,9 @@
     let few = settings(&Tree::from_json(&serde_json::json!({}))).unwrap();
     let text = format!(
         "settings {:016x}\nsettings without anything {:016x}\nclasses {:016x}\n",
-        print_of(&every),
-        print_of(&few),
-        classes_print(&every.classes)
+        settings_fingerprint(&every),
+        settings_fingerprint(&few),
+        classes_fingerprint(&every.classes)
     );
     golden::check("fingerprints.txt", text.as_bytes());
 }
@@ -54,7 +54,7 @@
     let class = |memory_mb| ClassLesson { work_ratio: 1.5, memory_ratio: 0.7, work: 9.0, memory_mb };
     let engine = EngineLesson { engine: 7, booted_at: 5, stretch: 1.2, best: 0.9, bad: 0.1, others: 3.0 };
     let lessons = Lessons { classes: vec![class(Some(3.0)), class(None)], engines: vec![engine], level: 0.5 };
-    let fingerprint = print_of(&sample());
+    let fingerprint = settings_fingerprint(&sample());
     golden::check("checkpoint.bin", &to_bytes(&lessons, 100, fingerprint));
     let stored = std::fs::read(golden::path("checkpoint.bin")).unwrap();
     assert_eq!(from_bytes(&stored, 130, fingerprint), Ok((lessons, 30)));
--- a/crates/gateway/src/keeping.rs
+++ b/crates/gateway/src/keeping.rs
@@ -14,6 +14,7 @@
 use eideryard_store::worker::Worker;
 use eideryard_store::{Batch, Directory, Found, Plan, Store, Trust};
 
+use crate::fingerprints::settings_fingerprint;
 use crate::lessons;
 use crate::sharing::{self, Sharing};
 use crate::status::Status;
@@ -193,7 +194,7 @@
         );
         let (waiting, places, counted) = Default::default();
         let windows: Vec<Micros> = settings.classes.iter().map(|class| class.window).collect();
-        let settings_print = lessons::print_of(settings);
+        let settings_print = settings_fingerprint(settings);
         let (ledger, worker, found, shared) = match opened {
             Ok((store, told)) => {
                 let kept = store.prefix(entry::prefix());
--- a/crates/gateway/src/lessons.rs
+++ b/crates/gateway/src/lessons.rs
@@ -1,9 +1,7 @@
 //! What the module has learned, as bytes in the store and back, with when it was and under which settings.
 //! What of it still counts the module decides.
 
-use std::hash::{DefaultHasher, Hash, Hasher};
-
-use eideryard::interface::{ClassLesson, EngineLesson, Lessons, Micros, Settings};
+use eideryard::interface::{ClassLesson, EngineLesson, Lessons, Micros};
 use serde::{Deserialize, Serialize};
 
 /// A checkpoint is written this often, while anything happens.
@@ -45,13 +43,6 @@
     }
 }
 
-/// The same for the same settings and the same build.
-pub fn print_of(settings: &Settings) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    format!("{settings:?}").hash(&mut hasher);
-    hasher.finish()
-}
-
 pub fn to_bytes(lessons: &Lessons, at: Micros, settings: u64) -> Vec<u8> {
     let class = |own: &ClassLesson| (own.work_ratio, own.memory_ratio, own.work, own.memory_mb);
     let engine = |own: &EngineLesson| (own.engine, own.booted_at, own.stretch, own.best, own.bad, own.others);
@@ -99,9 +90,6 @@
     Ok((Lessons { classes, engines, level: told.level }, age))
 }
 
-#[cfg(test)]
-mod golden;
-
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,6 +10,7 @@
 mod counters;
 mod deadlines;
 mod engines;
+mod fingerprints;
 mod gateway;
 mod keeping;
 mod lessons;
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use eideryard::interface::{Class, Earlier, Effect, Micros, Settings};
+use eideryard::interface::{Earlier, Effect, Micros, Settings};
 use eideryard_ledger::state::SLACK;
 use eideryard_ledger::{Intent, Place};
 use eideryard_operator::FleetPlan;
@@ -22,6 +22,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
+use crate::fingerprints::classes_fingerprint;
 use crate::keeping::Shared;
 use crate::owning::{Owning, Todo};
 
@@ -29,7 +30,7 @@
 mod status;
 mod translation;
 
-pub use translation::{classes_print, earlier};
+pub use translation::earlier;
 use translation::{of_end, place_of, to_end, told};
 
 /// The store's key under which a keeper remembers that it votes, and the identity that it voted under.
@@ -123,7 +124,7 @@
             fleet: plan.name.clone(),
             name: name.to_string(),
             keepers: keepers.clone(),
-            classes: classes_print(&settings.classes),
+            classes: classes_fingerprint(&settings.classes),
             identity: origin.identity,
             start: origin.start,
         };
--- a/crates/gateway/src/sharing/translation.rs
+++ b/crates/gateway/src/sharing/translation.rs
@@ -16,16 +16,6 @@
     }
 }
 
-/// A fingerprint of the classes that intents are kept for: their places, effects, scopes and windows.
-pub fn classes_print(classes: &[Class]) -> u64 {
-    let said = classes.iter().enumerate().filter(|(_, class)| class.effect != Effect::Safe);
-    let said: Vec<String> = said
-        .map(|(at, class)| format!("{at} {:?} {:?} {}", class.effect, class.scope, class.window))
-        .collect();
-    let hash = blake3::hash(said.join("\n").as_bytes());
-    hash.as_bytes()[..8].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
-}
-
 /// As the module is told: nothing is known of one that may have run at several places.
 pub fn earlier(told: &Told) -> Vec<Earlier> {
     let of = |(place, since): &(Option<Place>, Micros)| match place {
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`codec`] turns entries into bytes and back, [`frame`] wraps batches of them with checksums, both without
 //! I/O. [`tally`] counts entries to [`totals`], the same way where they are written, left out or read.
 //! [`recorder`] is the event loop's side, which never waits; [`writer`] is the thread behind it; [`reader`]
-//! merges any number of records by time and gets over damage.
+//! merges any number of records by time and gets over damage. [`text`] prints entries.
 //!
 //! Bounds: a recorder holds [`recorder::BATCHES`] buffers of [`recorder::BATCH`] bytes and nothing else that
 //! grows; a reader holds one buffer of [`frame::MOST_PAYLOAD`] and a little for each segment file.
@@ -16,6 +16,7 @@
 pub mod reader;
 pub mod recorder;
 pub mod tally;
+pub mod text;
 pub mod totals;
 pub mod writer;
 
