--- a/crates/background/benches/deadlines.rs
+++ b/crates/background/benches/deadlines.rs
@@ -20,14 +20,18 @@
 fn wheel_set_and_take_back(bencher: Bencher, size: usize) {
     let mut rng = fastrand::Rng::with_seed(1);
     let mut wheel = Wheel::new(0);
-    let mut timers: Vec<_> = (0..size).map(|n| wheel.set(rng.u64(0..MINUTE), n)).collect();
-    bencher.counter(ItemsCount::new(OPERATIONS)).bench_local(|| {
-        for _ in 0..OPERATIONS {
-            let place = rng.usize(0..size);
-            wheel.take_back(timers[place]);
-            timers[place] = wheel.set(rng.u64(0..MINUTE), place);
-        }
-    });
+    let mut timers: Vec<_> = (0..size)
+        .map(|n| wheel.set(rng.u64(0..MINUTE), n))
+        .collect();
+    bencher
+        .counter(ItemsCount::new(OPERATIONS))
+        .bench_local(|| {
+            for _ in 0..OPERATIONS {
+                let place = rng.usize(0..size);
+                wheel.take_back(timers[place]);
+                timers[place] = wheel.set(rng.u64(0..MINUTE), place);
+            }
+        });
 }
 
 #[divan::bench(args = SIZES, sample_count = 50)]
@@ -39,14 +43,18 @@
         map.insert((at, number), what);
         (at, number)
     };
-    let mut timers: Vec<_> = (0..size).map(|n| set(&mut map, rng.u64(0..MINUTE), n)).collect();
-    bencher.counter(ItemsCount::new(OPERATIONS)).bench_local(|| {
-        for _ in 0..OPERATIONS {
-            let place = rng.usize(0..size);
-            map.remove(&timers[place]);
-            timers[place] = set(&mut map, rng.u64(0..MINUTE), place);
-        }
-    });
+    let mut timers: Vec<_> = (0..size)
+        .map(|n| set(&mut map, rng.u64(0..MINUTE), n))
+        .collect();
+    bencher
+        .counter(ItemsCount::new(OPERATIONS))
+        .bench_local(|| {
+            for _ in 0..OPERATIONS {
+                let place = rng.usize(0..size);
+                map.remove(&timers[place]);
+                timers[place] = set(&mut map, rng.u64(0..MINUTE), place);
+            }
+        });
 }
 
 /// All fire, in steps of 4 ms as looks at the sockets come.
@@ -77,7 +85,9 @@
         .counter(ItemsCount::new(size))
         .with_inputs(|| {
             let mut rng = fastrand::Rng::with_seed(1);
-            (0..size).map(|n| ((rng.u64(0..MINUTE), n), n)).collect::<BTreeMap<_, _>>()
+            (0..size)
+                .map(|n| ((rng.u64(0..MINUTE), n), n))
+                .collect::<BTreeMap<_, _>>()
         })
         .bench_local_values(|mut map| {
             let mut fired = 0;
--- a/crates/background/src/scheduler.rs
+++ b/crates/background/src/scheduler.rs
@@ -30,7 +30,12 @@
 }
 
 impl Urgency {
-    pub const ALL: [Urgency; 4] = [Urgency::Room, Urgency::Expiry, Urgency::Tidy, Urgency::Verify];
+    pub const ALL: [Urgency; 4] = [
+        Urgency::Room,
+        Urgency::Expiry,
+        Urgency::Tidy,
+        Urgency::Verify,
+    ];
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -63,7 +68,13 @@
 impl<W> Scheduler<W> {
     pub fn new(budget: Budget, now: Micros) -> Self {
         let waiting = Default::default();
-        Scheduler { budget, waiting, allowance: budget.bytes_per_s * BURST, filled_at: now, used: 0 }
+        Scheduler {
+            budget,
+            waiting,
+            allowance: budget.bytes_per_s * BURST,
+            filled_at: now,
+            used: 0,
+        }
     }
 
     /// Takes work to be done, or gives it back where too much waits already.
@@ -72,7 +83,12 @@
         if waiting.len() >= MOST_WAITING {
             return Err(what);
         }
-        waiting.push_back(Job { urgency, what, bytes, offered_at: now });
+        waiting.push_back(Job {
+            urgency,
+            what,
+            bytes,
+            offered_at: now,
+        });
         Ok(())
     }
 
@@ -94,12 +110,24 @@
         if self.used >= self.budget.look || self.allowance < 0.0 {
             return None;
         }
-        let starving =
-            |queue: &VecDeque<Job<W>>| queue.front().is_some_and(|job| job.offered_at + STARVES <= now);
-        let urgency = Urgency::ALL.into_iter().filter(|urgency| starving(&self.waiting[*urgency as usize]));
-        let oldest =
-            urgency.min_by_key(|urgency| self.waiting[*urgency as usize].front().map(|job| job.offered_at));
-        let first = || Urgency::ALL.into_iter().find(|urgency| !self.waiting[*urgency as usize].is_empty());
+        let starving = |queue: &VecDeque<Job<W>>| {
+            queue
+                .front()
+                .is_some_and(|job| job.offered_at + STARVES <= now)
+        };
+        let urgency = Urgency::ALL
+            .into_iter()
+            .filter(|urgency| starving(&self.waiting[*urgency as usize]));
+        let oldest = urgency.min_by_key(|urgency| {
+            self.waiting[*urgency as usize]
+                .front()
+                .map(|job| job.offered_at)
+        });
+        let first = || {
+            Urgency::ALL
+                .into_iter()
+                .find(|urgency| !self.waiting[*urgency as usize].is_empty())
+        };
         let urgency = oldest.or_else(first)?;
         let job = self.waiting[urgency as usize].pop_front()?;
         self.allowance -= job.bytes as f64;
--- a/crates/background/src/wheel.rs
+++ b/crates/background/src/wheel.rs
@@ -43,7 +43,10 @@
     last: u32,
 }
 
-const EMPTY: List = List { first: NONE, last: NONE };
+const EMPTY: List = List {
+    first: NONE,
+    last: NONE,
+};
 
 pub struct Wheel<T> {
     entries: Slab<Entry<T>>,
@@ -86,7 +89,16 @@
         self.generation = self.generation.wrapping_add(1);
         self.set += 1;
         let (generation, order) = (self.generation, self.set);
-        let entry = Entry { generation, tick, order, level: 0, place: 0, before: NONE, after: NONE, what };
+        let entry = Entry {
+            generation,
+            tick,
+            order,
+            level: 0,
+            place: 0,
+            before: NONE,
+            after: NONE,
+            what,
+        };
         let slot = self.entries.insert(entry) as u32;
         self.link(slot);
         Timer { slot, generation }
@@ -123,8 +135,12 @@
 
     fn unlink(&mut self, slot: u32) {
         let entry = &self.entries[slot as usize];
-        let (level, place, before, after) =
-            (entry.level as usize, entry.place as usize, entry.before, entry.after);
+        let (level, place, before, after) = (
+            entry.level as usize,
+            entry.place as usize,
+            entry.before,
+            entry.after,
+        );
         match before {
             NONE => self.levels[level][place].first = after,
             before => self.entries[before as usize].after = after,
--- a/crates/background/tests/model.rs
+++ b/crates/background/tests/model.rs
@@ -68,19 +68,37 @@
 
 #[test]
 fn urgent_work_goes_first_and_none_starves() {
-    let mut scheduler = Scheduler::new(Budget { look: 1000, bytes_per_s: 1e9 }, 0);
+    let mut scheduler = Scheduler::new(
+        Budget {
+            look: 1000,
+            bytes_per_s: 1e9,
+        },
+        0,
+    );
     scheduler.offer(0, Urgency::Verify, "old", 10).unwrap();
     scheduler.offer(5, Urgency::Tidy, "tidy", 10).unwrap();
     scheduler.offer(9, Urgency::Room, "room", 10).unwrap();
     assert_eq!(scheduler.next(10).unwrap().what, "room");
-    scheduler.offer(9_999_000, Urgency::Room, "room again", 10).unwrap();
-    assert_eq!(scheduler.next(10_000_001).unwrap().what, "old", "it has waited for too long");
+    scheduler
+        .offer(9_999_000, Urgency::Room, "room again", 10)
+        .unwrap();
+    assert_eq!(
+        scheduler.next(10_000_001).unwrap().what,
+        "old",
+        "it has waited for too long"
+    );
     assert_eq!(scheduler.next(10_000_001).unwrap().what, "room again");
 }
 
 #[test]
 fn a_look_and_a_second_have_their_budgets() {
-    let mut scheduler = Scheduler::new(Budget { look: 100, bytes_per_s: 1000.0 }, 0);
+    let mut scheduler = Scheduler::new(
+        Budget {
+            look: 100,
+            bytes_per_s: 1000.0,
+        },
+        0,
+    );
     (0..100).for_each(|n| scheduler.offer(0, Urgency::Tidy, n, 100).unwrap());
     let mut done = 0;
     for _ in 0..50 {
@@ -90,7 +108,10 @@
             done += 1;
         }
     }
-    assert_eq!(done, 3, "a quarter of a second's bytes may be saved up, and one job more begun");
+    assert_eq!(
+        done, 3,
+        "a quarter of a second's bytes may be saved up, and one job more begun"
+    );
     let mut looks = Vec::new();
     for second in 1..=5u64 {
         scheduler.look();
@@ -101,14 +122,31 @@
         }
         looks.push(count);
     }
-    assert!(looks.iter().all(|count| *count <= 3), "no look takes more than its time: {looks:?}");
+    assert!(
+        looks.iter().all(|count| *count <= 3),
+        "no look takes more than its time: {looks:?}"
+    );
     assert!(scheduler.due(5_000_000).is_some());
 }
 
 #[test]
 fn what_is_too_much_is_given_back() {
-    let mut scheduler = Scheduler::new(Budget { look: 1, bytes_per_s: 1.0 }, 0);
-    let taken = (0..70_000).filter(|n| scheduler.offer(0, Urgency::Verify, *n, 1).is_ok()).count();
-    assert_eq!((taken, scheduler.waiting(Urgency::Verify)), (65_536, 65_536));
-    assert!(scheduler.offer(0, Urgency::Room, 0, 1).is_ok(), "each urgency has its own bound");
+    let mut scheduler = Scheduler::new(
+        Budget {
+            look: 1,
+            bytes_per_s: 1.0,
+        },
+        0,
+    );
+    let taken = (0..70_000)
+        .filter(|n| scheduler.offer(0, Urgency::Verify, *n, 1).is_ok())
+        .count();
+    assert_eq!(
+        (taken, scheduler.waiting(Urgency::Verify)),
+        (65_536, 65_536)
+    );
+    assert!(
+        scheduler.offer(0, Urgency::Room, 0, 1).is_ok(),
+        "each urgency has its own bound"
+    );
 }
--- a/crates/bulletin/src/http.rs
+++ b/crates/bulletin/src/http.rs
@@ -78,11 +78,15 @@
                     };
                 }
                 Part::ChunkHead | Part::ChunkEnd => {
-                    let Some((line, used)) = self.line(bytes)? else { return Ok(()) };
+                    let Some((line, used)) = self.line(bytes)? else {
+                        return Ok(());
+                    };
                     bytes = &bytes[used..];
                     self.part = match self.part {
                         Part::ChunkEnd if line.is_empty() => Part::ChunkHead,
-                        Part::ChunkEnd => return Err(Malformed("a chunk is longer than it said".into())),
+                        Part::ChunkEnd => {
+                            return Err(Malformed("a chunk is longer than it said".into()))
+                        }
                         _ => match chunk_size(&line)? {
                             0 => Part::Over,
                             size => Part::Chunk(size),
@@ -99,11 +103,13 @@
     /// The head, once it is whole: how many of `bytes` belong to it.
     fn head(&mut self, bytes: &[u8]) -> Result<Option<usize>, Malformed> {
         let before = self.begun.len();
-        self.begun.extend_from_slice(&bytes[..bytes.len().min(MOST_HEAD + 1 - before)]);
+        self.begun
+            .extend_from_slice(&bytes[..bytes.len().min(MOST_HEAD + 1 - before)]);
         let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let parsed =
-            response.parse(&self.begun).map_err(|e| Malformed(format!("the response's head: {e}")))?;
+        let parsed = response
+            .parse(&self.begun)
+            .map_err(|e| Malformed(format!("the response's head: {e}")))?;
         let httparse::Status::Complete(length) = parsed else {
             return match self.begun.len() > MOST_HEAD {
                 true => Err(Malformed("the response's head is too long".into())),
@@ -111,13 +117,22 @@
             };
         };
         if response.code != Some(200) {
-            return Err(Malformed(format!("the bulletin answered {}", response.code.unwrap_or(0))));
+            return Err(Malformed(format!(
+                "the bulletin answered {}",
+                response.code.unwrap_or(0)
+            )));
         }
         let header = |name: &str| {
-            let found = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
-            found.and_then(|header| std::str::from_utf8(header.value).ok()).map(str::trim)
+            let found = response
+                .headers
+                .iter()
+                .find(|header| header.name.eq_ignore_ascii_case(name));
+            found
+                .and_then(|header| std::str::from_utf8(header.value).ok())
+                .map(str::trim)
         };
-        let chunked = header("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case("chunked"));
+        let chunked =
+            header("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case("chunked"));
         self.part = match (chunked, header("content-length")) {
             (true, _) => Part::ChunkHead,
             (false, None) => Part::Plain,
@@ -152,9 +167,17 @@
 }
 
 fn chunk_size(line: &[u8]) -> Result<u64, Malformed> {
-    let digits = line.split(|&byte| byte == b';').next().unwrap_or(&[]).trim_ascii();
+    let digits = line
+        .split(|&byte| byte == b';')
+        .next()
+        .unwrap_or(&[])
+        .trim_ascii();
     let text = std::str::from_utf8(digits).unwrap_or("");
     let plain = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let size = if plain { u64::from_str_radix(text, 16).ok() } else { None };
+    let size = if plain {
+        u64::from_str_radix(text, 16).ok()
+    } else {
+        None
+    };
     size.ok_or_else(|| Malformed("a chunk has no size".into()))
 }
--- a/crates/bulletin/src/sse.rs
+++ b/crates/bulletin/src/sse.rs
@@ -43,8 +43,13 @@
 
     fn end_line(&mut self, heard: &mut Vec<Heard>) -> Result<(), Malformed> {
         let mut line = std::mem::take(&mut self.line);
-        let text = std::str::from_utf8(&line).map_err(|_| Malformed("a line is not UTF-8".into()))?;
-        let text = if self.begun { text } else { text.trim_start_matches('\u{feff}') };
+        let text =
+            std::str::from_utf8(&line).map_err(|_| Malformed("a line is not UTF-8".into()))?;
+        let text = if self.begun {
+            text
+        } else {
+            text.trim_start_matches('\u{feff}')
+        };
         self.begun = true;
         match text.split_once(':') {
             None if text.is_empty() => self.end_event(heard),
--- a/crates/bulletin/tests/reader.rs
+++ b/crates/bulletin/tests/reader.rs
@@ -9,18 +9,30 @@
 fn heard() -> Vec<Heard> {
     vec![
         Heard::Comment,
-        Heard::Event { id: Some(41), data: EVENT.into() },
+        Heard::Event {
+            id: Some(41),
+            data: EVENT.into(),
+        },
         Heard::Comment,
-        Heard::Event { id: None, data: "two\nlines".into() },
+        Heard::Event {
+            id: None,
+            data: "two\nlines".into(),
+        },
     ]
 }
 
 fn chunked(body: &str, size: usize) -> String {
-    let chunks = body
-        .as_bytes()
-        .chunks(size)
-        .map(|c| format!("{:x};x=y\r\n{}\r\n", c.len(), std::str::from_utf8(c).unwrap()));
-    format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n", chunks.collect::<String>())
+    let chunks = body.as_bytes().chunks(size).map(|c| {
+        format!(
+            "{:x};x=y\r\n{}\r\n",
+            c.len(),
+            std::str::from_utf8(c).unwrap()
+        )
+    });
+    format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n",
+        chunks.collect::<String>()
+    )
 }
 
 fn read(response: &str, piece: usize) -> Result<(Vec<Heard>, bool), Malformed> {
@@ -33,11 +45,26 @@
 
 #[test]
 fn plain_sized_and_chunked_bodies_are_read_in_pieces_of_any_length() {
-    let plain = format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n{}", body());
-    let sized = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body().len(), body());
+    let plain = format!(
+        "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n{}",
+        body()
+    );
+    let sized = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
+        body().len(),
+        body()
+    );
     for piece in [1, 2, 3, 7, 64, 10_000] {
-        assert_eq!(read(&plain, piece), Ok((heard(), false)), "plain, by {piece}");
-        assert_eq!(read(&sized, piece), Ok((heard(), true)), "sized, by {piece}");
+        assert_eq!(
+            read(&plain, piece),
+            Ok((heard(), false)),
+            "plain, by {piece}"
+        );
+        assert_eq!(
+            read(&sized, piece),
+            Ok((heard(), true)),
+            "sized, by {piece}"
+        );
         for size in [1, 5, 4096] {
             assert_eq!(
                 read(&chunked(&body(), size), piece),
@@ -65,7 +92,9 @@
         "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
         &long,
     ];
-    cases.iter().for_each(|response| assert!(read(response, 1000).is_err(), "{response}"));
+    cases
+        .iter()
+        .for_each(|response| assert!(read(response, 1000).is_err(), "{response}"));
     let endless = format!("HTTP/1.1 200 OK\r\n\r\ndata: {}", "x".repeat(MOST_EVENT));
     assert!(read(&endless, 65_536).is_err());
 }
@@ -101,17 +130,37 @@
         (item.no, listed.host.as_str(), listed.block, listed.health),
         (41, "s-00c41f7a", 2, State::Up)
     );
-    assert_eq!(Item::read(r#"{"no":42,"weather":"fair"}"#).unwrap().roster, None);
-    for wrong in ["", "{}", r#"{"no":-1}"#, r#"{"no":1,"roster":{"hosts":[{"host":"x","health":"odd"}]}}"#] {
+    assert_eq!(
+        Item::read(r#"{"no":42,"weather":"fair"}"#).unwrap().roster,
+        None
+    );
+    for wrong in [
+        "",
+        "{}",
+        r#"{"no":-1}"#,
+        r#"{"no":1,"roster":{"hosts":[{"host":"x","health":"odd"}]}}"#,
+    ] {
         assert!(Item::read(wrong).is_err(), "{wrong}");
     }
     let known = serde_json::from_str(&format!(r#"{{"no":41,"items":[{EVENT}]}}"#)).unwrap();
-    assert_eq!(Known::read(&known).unwrap(), Known { no: 41, items: vec![item] });
+    assert_eq!(
+        Known::read(&known).unwrap(),
+        Known {
+            no: 41,
+            items: vec![item]
+        }
+    );
 }
 
 #[test]
 fn the_request_names_the_last_event() {
     let text = request("127.0.0.1:4222", 41);
-    assert!(text.starts_with("GET /bulletins HTTP/1.1\r\nHost: 127.0.0.1:4222\r\n"), "{text}");
-    assert!(text.contains("\r\nLast-Event-ID: 41\r\n") && text.ends_with("\r\n\r\n"), "{text}");
+    assert!(
+        text.starts_with("GET /bulletins HTTP/1.1\r\nHost: 127.0.0.1:4222\r\n"),
+        "{text}"
+    );
+    assert!(
+        text.contains("\r\nLast-Event-ID: 41\r\n") && text.ends_with("\r\n\r\n"),
+        "{text}"
+    );
 }
--- a/crates/command/benches/cpu.rs
+++ b/crates/command/benches/cpu.rs
@@ -28,7 +28,11 @@
     let directory = tempfile::tempdir().expect("a directory");
     let operator = directory.path().join("operator.conf");
     let records = directory.path().join("records");
-    let text = if record { format!("record-dir \"{}\"\n", records.display()) } else { String::new() };
+    let text = if record {
+        format!("record-dir \"{}\"\n", records.display())
+    } else {
+        String::new()
+    };
     std::fs::write(&operator, text).expect("a file");
     let programs = Programs {
         program: env!("CARGO_BIN_EXE_eideryard").into(),
@@ -41,7 +45,10 @@
     let ending = &played.endings[0];
     let counters = ending.counters.as_ref().expect("it ends by itself");
     let served = counters["served"] as f64 / counters["taken"] as f64;
-    assert!(played.ledger.breaks == 0 && served > 0.95, "{served:.3} of all are served: {counters:?}");
+    assert!(
+        played.ledger.breaks == 0 && served > 0.95,
+        "{served:.3} of all are served: {counters:?}"
+    );
     ending.cpu.as_secs_f64() * 1e3 / counters["taken"] as f64
 }
 
@@ -56,7 +63,11 @@
         let order = [number % 2 == 0, number % 2 == 1];
         let first = round(order[0]);
         let second = round(order[1]);
-        let (with, without) = if order[0] { (first, second) } else { (second, first) };
+        let (with, without) = if order[0] {
+            (first, second)
+        } else {
+            (second, first)
+        };
         println!(
             "round {number}: {with:.4} ms a request with the record, {without:.4} without, ratio {:.3}",
             with / without
@@ -64,5 +75,8 @@
         ratios.push(with / without);
     }
     ratios.sort_by(f64::total_cmp);
-    println!("median ratio {:.3}", (ratios[ROUNDS / 2 - 1] + ratios[ROUNDS / 2]) / 2.0);
+    println!(
+        "median ratio {:.3}",
+        (ratios[ROUNDS / 2 - 1] + ratios[ROUNDS / 2]) / 2.0
+    );
 }
--- a/crates/command/benches/day.rs
+++ b/crates/command/benches/day.rs
@@ -32,7 +32,10 @@
         std::thread::sleep(Duration::from_millis(2));
     }
     let took = began.elapsed().as_secs_f64();
-    println!("{what}: {took:.2} s, {:.1} million entries a second, {memory} MB", ENTRIES as f64 / took / 1e6);
+    println!(
+        "{what}: {took:.2} s, {:.1} million entries a second, {memory} MB",
+        ENTRIES as f64 / took / 1e6
+    );
 }
 
 fn main() {
@@ -42,8 +45,12 @@
     }
     let directory = tempfile::tempdir().expect("a directory");
     let records = directory.path().join("records");
-    let plan = eideryard_record::Plan { budget: 1 << 30, ..plan("g1", 8 << 20) };
-    let mut recorder = Recorder::start(plan, Box::new(Directory(records.clone()))).expect("a thread");
+    let plan = eideryard_record::Plan {
+        budget: 1 << 30,
+        ..plan("g1", 8 << 20)
+    };
+    let mut recorder =
+        Recorder::start(plan, Box::new(Directory(records.clone()))).expect("a thread");
     let (mut written, mut number) = (0, 100);
     while written < ENTRIES {
         for (at, entry) in served(number) {
@@ -64,5 +71,8 @@
     run("verify", &["records", "verify", &records]);
     run("report", &["report", &records, "--out", &page]);
     let part = ["--from", "1796147875", "--to", "1796147935"];
-    run("report of a minute", &[&["report", &records, "--out", &page][..], &part].concat());
+    run(
+        "report of a minute",
+        &[&["report", &records, "--out", &page][..], &part].concat(),
+    );
 }
--- a/crates/command/benches/spool.rs
+++ b/crates/command/benches/spool.rs
@@ -21,7 +21,9 @@
 fn engine(engine: Engine, pages: usize) -> Holds {
     let holds = Holds::default();
     let own = holds.clone();
-    let page: String = (0..150).map(|row| format!("some\t{row}\ttext of a row that is read\n")).collect();
+    let page: String = (0..150)
+        .map(|row| format!("some\t{row}\ttext of a row that is read\n"))
+        .collect();
     std::thread::spawn(move || {
         while let Ok(mut end) = engine.accept() {
             let (holds, page) = (own.clone(), page.clone());
@@ -32,9 +34,16 @@
                     let _ = match command.verb() {
                         "serve" => {
                             begun.insert(id.clone(), Instant::now());
-                            end.answer(&id, "OK", &format!("count={pages},ticks=5,footprint=12"), &page)
+                            end.answer(
+                                &id,
+                                "OK",
+                                &format!("count={pages},ticks=5,footprint=12"),
+                                &page,
+                            )
+                        }
+                        "read" => {
+                            end.answer(&id, "ROWS", &format!("pos={}", command.words[2]), &page)
                         }
-                        "read" => end.answer(&id, "ROWS", &format!("pos={}", command.words[2]), &page),
                         "release" => {
                             let held = begun.remove(&id).map(|at: Instant| at.elapsed());
                             holds.lock().expect("no panic").extend(held);
@@ -50,9 +59,16 @@
 }
 
 fn next(client: &mut Client) -> Option<(usize, String, bool)> {
-    let Ok(Answer::Part { body, fields, .. }) = client.answer() else { return None };
-    let field =
-        |name: &str| fields.iter().find(|(own, _)| own == name).map(|(_, v)| v.clone()).unwrap_or_default();
+    let Ok(Answer::Part { body, fields, .. }) = client.answer() else {
+        return None;
+    };
+    let field = |name: &str| {
+        fields
+            .iter()
+            .find(|(own, _)| own == name)
+            .map(|(_, v)| v.clone())
+            .unwrap_or_default()
+    };
     Some((body.len(), field("token"), field("more") == "1"))
 }
 
@@ -60,8 +76,12 @@
 fn read(client: &mut Client, id: &str, rate: Option<f64>, stop: &AtomicBool) -> usize {
     let mut fields = fields(id, "15000");
     fields.push(("p", "1"));
-    client.call(1, "report", &fields, QUERY).expect("the gateway reads");
-    let Some((mut sum, mut token, mut more)) = next(client) else { return 0 };
+    client
+        .call(1, "report", &fields, QUERY)
+        .expect("the gateway reads");
+    let Some((mut sum, mut token, mut more)) = next(client) else {
+        return 0;
+    };
     let (mut number, mut last) = (1, sum);
     while more && !stop.load(Ordering::Relaxed) {
         if let Some(rate) = rate {
@@ -71,8 +91,12 @@
             }
         }
         number += 1;
-        client.ask(number, "page", &[("token", &token), ("i", id)]).expect("the gateway reads");
-        let Some((bytes, following, goes_on)) = next(client) else { return sum };
+        client
+            .ask(number, "page", &[("token", &token), ("i", id)])
+            .expect("the gateway reads");
+        let Some((bytes, following, goes_on)) = next(client) else {
+            return sum;
+        };
         (sum, last, token, more) = (sum + bytes, bytes, following, goes_on);
     }
     sum
@@ -102,8 +126,9 @@
     let readers: Vec<_> = (0..RESULTS)
         .map(|number| {
             let (mut client, stop) = (gateway.client(), stop.clone());
-            let thread =
-                std::thread::spawn(move || read(&mut client, &format!("{:016x}", number + 1), rate, &stop));
+            let thread = std::thread::spawn(move || {
+                read(&mut client, &format!("{:016x}", number + 1), rate, &stop)
+            });
             // One after the other, so that each hold is that of one result.
             std::thread::sleep(Duration::from_millis(40));
             thread
@@ -114,7 +139,10 @@
     let mut holds = holds.lock().expect("no panic").clone();
     holds.sort();
     let (median, most) = (percentile(&holds, 0.5), percentile(&holds, 0.99));
-    println!("{name}: {} results, engine held for {median:.2} ms (median), {most:.2} ms (99%)", holds.len());
+    println!(
+        "{name}: {} results, engine held for {median:.2} ms (median), {most:.2} ms (99%)",
+        holds.len()
+    );
     (median, most)
 }
 
@@ -127,7 +155,12 @@
         .map(|number| {
             let (mut client, stop) = (gateway.client(), stop.clone());
             std::thread::spawn(move || {
-                read(&mut client, &format!("{:016x}", 0xbb00_0000 + number), Some(1024.0), &stop)
+                read(
+                    &mut client,
+                    &format!("{:016x}", 0xbb00_0000 + number),
+                    Some(1024.0),
+                    &stop,
+                )
             })
         })
         .collect();
@@ -167,7 +200,11 @@
     let fast = hold("fast readers", None);
     for (name, rate) in [("1 MB/s", 1e6), ("10 KB/s", 1e4), ("1 KB/s", 1e3)] {
         let (median, most) = hold(name, Some(rate));
-        println!("  against fast ones: median {:.2}, 99% {:.2}", median / fast.0, most / fast.1);
+        println!(
+            "  against fast ones: median {:.2}, 99% {:.2}",
+            median / fast.0,
+            most / fast.1
+        );
     }
     for round in 1..=3 {
         let (without, with) = (throughput(0), throughput(300));
--- a/crates/command/src/check.rs
+++ b/crates/command/src/check.rs
@@ -31,12 +31,18 @@
     }
     if let Err(e) = serde_json::from_str::<serde_json::Value>(&text) {
         let (line, column) = (e.line(), e.column());
-        return Err(format!("{name}:{line}:{column}: {e}; expected JSON, as the platform writes it"));
+        return Err(format!(
+            "{name}:{line}:{column}: {e}; expected JSON, as the platform writes it"
+        ));
     }
-    Config::read(&text).map(|_| "configuration").map_err(|message| {
-        let (line, column) = place(&text, &message);
-        format!("{name}:{line}:{column}: {message}; see docs/operating for what each member holds")
-    })
+    Config::read(&text)
+        .map(|_| "configuration")
+        .map_err(|message| {
+            let (line, column) = place(&text, &message);
+            format!(
+                "{name}:{line}:{column}: {message}; see docs/operating for what each member holds"
+            )
+        })
 }
 
 /// Where the member stands that a message names in quotes, as far as it does: its last part that the text
@@ -52,11 +58,16 @@
             from += starts.take(item + 1).last().unwrap_or(0);
             continue;
         }
-        let Some(at) = text[from..].find(&format!("\"{part}\"")) else { break };
+        let Some(at) = text[from..].find(&format!("\"{part}\"")) else {
+            break;
+        };
         from += at;
         found = Some(from);
     }
     let at = found.unwrap_or(0);
     let line_start = text[..at].rfind('\n').map_or(0, |end| end + 1);
-    (text[..at].matches('\n').count() + 1, text[line_start..at].chars().count() + 1)
+    (
+        text[..at].matches('\n').count() + 1,
+        text[line_start..at].chars().count() + 1,
+    )
 }
--- a/crates/command/src/fleet.rs
+++ b/crates/command/src/fleet.rs
@@ -16,7 +16,10 @@
 fn read(directory: &Path) -> Result<Value, String> {
     let path = directory.join("STATUS");
     let wrong = |e: &dyn std::fmt::Display| {
-        format!("{}: {e}; name the store-dir of a gateway whose file has 'fleet'", path.display())
+        format!(
+            "{}: {e}; name the store-dir of a gateway whose file has 'fleet'",
+            path.display()
+        )
     };
     let text = std::fs::read(&path).map_err(|e| wrong(&e))?;
     serde_json::from_slice(&text).map_err(|e| wrong(&e))
@@ -24,14 +27,26 @@
 
 fn names(told: &Value, state: &str) -> Vec<String> {
     let peers = told["peers"].as_object().into_iter().flatten();
-    peers.filter(|(_, own)| own["state"] == state).map(|(name, _)| name.clone()).collect()
+    peers
+        .filter(|(_, own)| own["state"] == state)
+        .map(|(name, _)| name.clone())
+        .collect()
 }
 
 /// One line for each gateway, and what is wrong below it.
 pub fn status(directories: &[PathBuf]) -> Result<(), String> {
     println!(
         "{:<12} {:<9} {:<9} {:<8} {:>7} {:>7} {:>8} {:>8} {:>7} {:>7}",
-        "gateway", "as", "majority", "seen", "copies", "lagging", "claims", "earlier", "refused", "mended"
+        "gateway",
+        "as",
+        "majority",
+        "seen",
+        "copies",
+        "lagging",
+        "claims",
+        "earlier",
+        "refused",
+        "mended"
     );
     let mut apart = Vec::new();
     for directory in directories {
@@ -43,8 +58,16 @@
             (true, true) => "votes",
             (true, false) => "catch-up",
         };
-        let majority = if told["majority"] == true { "yes" } else { "NO" };
-        let seen = if age > OLD_MS { format!("{} s ago", age / 1000) } else { "now".into() };
+        let majority = if told["majority"] == true {
+            "yes"
+        } else {
+            "NO"
+        };
+        let seen = if age > OLD_MS {
+            format!("{} s ago", age / 1000)
+        } else {
+            "now".into()
+        };
         let count = |name: &str| told[name].as_u64().unwrap_or(0);
         println!(
             "{name:<12} {role:<9} {majority:<9} {seen:<8} {:>7} {:>7} {:>8} {:>8} {:>7} {:>7}",
@@ -62,7 +85,10 @@
             }
         }
         for (peer, why) in told["turned"].as_object().into_iter().flatten() {
-            println!("    no link with {peer}: {}", why.as_str().unwrap_or_default());
+            println!(
+                "    no link with {peer}: {}",
+                why.as_str().unwrap_or_default()
+            );
         }
         apart.extend((told["majority"] != true).then(|| name.to_string()));
     }
@@ -101,13 +127,19 @@
     }
     // Of each task the greatest term that any of them knows, and who held it.
     let mut terms: std::collections::BTreeMap<u64, (u64, u64)> = Default::default();
-    for term in told.iter().filter_map(|own| own["terms"].as_array()).flatten() {
+    for term in told
+        .iter()
+        .filter_map(|own| own["terms"].as_array())
+        .flatten()
+    {
         let number = |at: usize| term[at].as_u64().unwrap_or(0);
         let known = terms.entry(number(0)).or_default();
         *known = (number(1), number(2)).max(*known);
     }
     for (task, (term, owner)) in terms {
-        let holds = told.iter().find(|own| own["owner"].as_str() == Some(&format!("{owner:016x}")));
+        let holds = told
+            .iter()
+            .find(|own| own["owner"].as_str() == Some(&format!("{owner:016x}")));
         let of = holds.map_or_else(|| format!("another ({owner:016x})"), name);
         println!("probe {task:08x}: term {term}, {of}");
     }
@@ -122,22 +154,37 @@
         if told["keeper"] != true {
             continue;
         }
-        let found = eideryard_store::look(directory).map_err(|e| format!("{}: {e}", directory.display()))?;
-        let keys = found.keys.iter().map(|(key, value)| (&key[..], &value.bytes[..]));
+        let found = eideryard_store::look(directory)
+            .map_err(|e| format!("{}: {e}", directory.display()))?;
+        let keys = found
+            .keys
+            .iter()
+            .map(|(key, value)| (&key[..], &value.bytes[..]));
         keepers.push((told["name"].as_str().unwrap_or("?").to_string(), held(keys)));
     }
     if keepers.len() < 2 {
-        return Err("copies are compared between keepers: name the store-dir of two or more".into());
+        return Err(
+            "copies are compared between keepers: name the store-dir of two or more".into(),
+        );
     }
     let all: Vec<Held> = keepers.iter().map(|(_, held)| held.clone()).collect();
     let (compared, differ) = compare(&all, now_ms());
-    println!("{compared} keys at {} keepers, {} differ", keepers.len(), differ.len());
+    println!(
+        "{compared} keys at {} keepers, {} differ",
+        keepers.len(),
+        differ.len()
+    );
     for own in &differ {
         let key: String = own.key.iter().map(|byte| format!("{byte:02x}")).collect();
         for ((name, _), lacks) in keepers.iter().zip(&own.lacks) {
             for (origin, had) in lacks {
-                let of = format!("what start {} of {:016x} said", origin.start, origin.identity);
-                let had = had.map_or("nothing of it".into(), |version| format!("version {version}"));
+                let of = format!(
+                    "what start {} of {:016x} said",
+                    origin.start, origin.identity
+                );
+                let had = had.map_or("nothing of it".into(), |version| {
+                    format!("version {version}")
+                });
                 println!("{key}: {name} has {had} of {of}, others have more");
             }
         }
--- a/crates/command/src/logger.rs
+++ b/crates/command/src/logger.rs
@@ -26,26 +26,47 @@
 /// goes before the operator's file; what neither names is logged from info on.
 pub fn start(named: Option<&str>, log: &Log) {
     let json = log.json;
-    let guard = move || Guard { sink: Stderr, lines: &LINES, json };
+    let guard = move || Guard {
+        sink: Stderr,
+        lines: &LINES,
+        json,
+    };
     let levels = levels(named, log);
     let layer = tracing_subscriber::fmt::layer();
     // It fails only where a logger is set already, which then stays.
     let _ = match json {
         true => {
-            let layer = layer.json().flatten_event(true).with_current_span(false).with_span_list(true);
-            tracing_subscriber::registry().with(layer.with_writer(guard)).with(levels).try_init()
+            let layer = layer
+                .json()
+                .flatten_event(true)
+                .with_current_span(false)
+                .with_span_list(true);
+            tracing_subscriber::registry()
+                .with(layer.with_writer(guard))
+                .with(levels)
+                .try_init()
         }
         false => {
             let layer = layer.with_ansi(false).event_format(Text).with_writer(guard);
-            tracing_subscriber::registry().with(layer).with(levels).try_init()
+            tracing_subscriber::registry()
+                .with(layer)
+                .with(levels)
+                .try_init()
         }
     };
 }
 
 fn levels(named: Option<&str>, log: &Log) -> Targets {
     let level = |text: &str| text.parse::<LevelFilter>().ok();
-    let usual = log.level.as_deref().and_then(level).unwrap_or(LevelFilter::INFO);
-    let targets = log.targets.iter().filter_map(|(target, text)| Some((target.clone(), level(text)?)));
+    let usual = log
+        .level
+        .as_deref()
+        .and_then(level)
+        .unwrap_or(LevelFilter::INFO);
+    let targets = log
+        .targets
+        .iter()
+        .filter_map(|(target, text)| Some((target.clone(), level(text)?)));
     let own = Targets::new().with_default(usual).with_targets(targets);
     named.and_then(|named| named.parse().ok()).unwrap_or(own)
 }
@@ -64,7 +85,9 @@
         mut out: Writer<'_>,
         event: &Event,
     ) -> fmt::Result {
-        let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let at = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let level = match *event.metadata().level() {
             Level::ERROR => "error",
             Level::WARN => "warn",
@@ -73,10 +96,19 @@
             Level::TRACE => "trace",
         };
         write!(out, "{}.{:03} {level} ", at.as_secs(), at.subsec_millis())?;
-        for span in context.event_scope().into_iter().flat_map(|scope| scope.from_root()) {
+        for span in context
+            .event_scope()
+            .into_iter()
+            .flat_map(|scope| scope.from_root())
+        {
             let extensions = span.extensions();
             let fields = extensions.get::<tracing_subscriber::fmt::FormattedFields<N>>();
-            write!(out, "{}{{{}}} ", span.name(), fields.map_or("", |fields| fields.fields.as_str()))?;
+            write!(
+                out,
+                "{}{{{}}} ",
+                span.name(),
+                fields.map_or("", |fields| fields.fields.as_str())
+            )?;
         }
         context.format_fields(out.by_ref(), event)?;
         writeln!(out)
@@ -95,7 +127,10 @@
     fn is_ready(&self) -> bool {
         let stderr = rustix::stdio::stderr();
         let mut wanted = [PollFd::new(&stderr, PollFlags::OUT)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let at_once = Timespec {
+            tv_sec: 0,
+            tv_nsec: 0,
+        };
         poll(&mut wanted, Some(&at_once)).is_ok() && wanted[0].revents().contains(PollFlags::OUT)
     }
 
@@ -113,7 +148,11 @@
 
 impl Lines {
     const fn new() -> Self {
-        Lines { dropped: AtomicU64::new(0), second: AtomicU64::new(0), lines: AtomicU64::new(0) }
+        Lines {
+            dropped: AtomicU64::new(0),
+            second: AtomicU64::new(0),
+            lines: AtomicU64::new(0),
+        }
     }
 
     /// Whether one more may be written in this second.
@@ -145,7 +184,11 @@
                     line.len()
                 )
             };
-            return if short { line.to_vec() } else { instead().into_bytes() };
+            return if short {
+                line.to_vec()
+            } else {
+                instead().into_bytes()
+            };
         }
         let text = String::from_utf8_lossy(line);
         let mut text = text.trim_end_matches('\n').replace(['\n', '\r'], " ");
@@ -171,7 +214,10 @@
 impl<S: Sink> Write for Guard<S> {
     /// Called once for each line, with all of it.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let second = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+        let second = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs();
         if !self.lines.take(second) || !self.sink.is_ready() {
             self.lines.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(line.len());
@@ -217,7 +263,11 @@
     fn lines_that_would_wait_or_are_too_many_are_dropped_and_counted() {
         static OWN: Lines = Lines::new();
         let pipe = Pipe::default();
-        let mut guard = Guard { sink: pipe.clone(), lines: &OWN, json: false };
+        let mut guard = Guard {
+            sink: pipe.clone(),
+            lines: &OWN,
+            json: false,
+        };
         guard.sink.full = true;
         guard.write_all(b"waits\n").unwrap();
         guard.sink.full = false;
@@ -238,10 +288,15 @@
 
     #[test]
     fn the_environment_goes_before_the_operators_file_and_targets_before_the_rest() {
-        let log =
-            Log { level: Some("warn".into()), targets: vec![("record".into(), "debug".into())], json: false };
+        let log = Log {
+            level: Some("warn".into()),
+            targets: vec![("record".into(), "debug".into())],
+            json: false,
+        };
         let own = levels(None, &log);
-        assert!(own.would_enable("record", &Level::DEBUG) && !own.would_enable("gateway", &Level::INFO));
+        assert!(
+            own.would_enable("record", &Level::DEBUG) && !own.would_enable("gateway", &Level::INFO)
+        );
         assert!(levels(Some("debug"), &log).would_enable("gateway", &Level::DEBUG));
         assert!(levels(Some("nonsense=="), &log).would_enable("gateway", &Level::WARN));
         assert!(!levels(None, &Log::default()).would_enable("gateway", &Level::DEBUG));
--- a/crates/command/src/main.rs
+++ b/crates/command/src/main.rs
@@ -38,7 +38,11 @@
         Command::Console { directories, at } => {
             view::moment(&directories, at).and_then(|at| eideryard_console::run(&directories, at))
         }
-        Command::Report { directories, out, span } => view::fold(&directories, span).and_then(|view| {
+        Command::Report {
+            directories,
+            out,
+            span,
+        } => view::fold(&directories, span).and_then(|view| {
             let page = eideryard_report::page(&view);
             std::fs::write(&out, page).map_err(|e| format!("{}: {e}", out.display()))?;
             println!("{}", eideryard_report::story::headline(&view));
@@ -69,7 +73,10 @@
 /// The gateway itself: what fails goes to its log.
 fn run(operator: Option<&str>) -> ExitCode {
     let operator = operator.map_or_else(|| Ok(Operator::default()), Operator::from_file);
-    let log = operator.as_ref().map(|operator| operator.log.clone()).unwrap_or_default();
+    let log = operator
+        .as_ref()
+        .map(|operator| operator.log.clone())
+        .unwrap_or_default();
     logger::start(std::env::var("EIDERYARD_LOG").ok().as_deref(), &log);
     let served = operator.and_then(|operator| {
         let config = eideryard_gateway::config::Config::from_environment()?;
--- a/crates/command/src/moment.rs
+++ b/crates/command/src/moment.rs
@@ -24,7 +24,10 @@
     if !(2..=3).contains(&parts.len()) {
         return Err(wrong());
     }
-    for (part, (unit, most)) in parts.iter().zip([(3600.0, 24.0), (60.0, 60.0), (1.0, 60.0)]) {
+    for (part, (unit, most)) in parts
+        .iter()
+        .zip([(3600.0, 24.0), (60.0, 60.0), (1.0, 60.0)])
+    {
         let value: f64 = part.parse().map_err(|_| wrong())?;
         if !(0.0..most).contains(&value) {
             return Err(wrong());
@@ -50,10 +53,18 @@
 
     #[test]
     fn times_are_read_and_wrong_ones_named() {
-        assert_eq!(parse("05:07").unwrap().on_day_of(3 * DAY + 5), 3 * DAY + 18_420_000_000);
+        assert_eq!(
+            parse("05:07").unwrap().on_day_of(3 * DAY + 5),
+            3 * DAY + 18_420_000_000
+        );
         assert_eq!(parse("05:07:02.5").unwrap(), Moment::OfDay(18_422_500_000));
-        assert_eq!(parse("1796147675.5").unwrap().on_day_of(0), 1_796_147_675_500_000);
-        for wrong in ["", "5", "25:00", "05:60", "05:07:61", "a:b", "1:2:3:4", "-1", "nan", "1e300", "05:"] {
+        assert_eq!(
+            parse("1796147675.5").unwrap().on_day_of(0),
+            1_796_147_675_500_000
+        );
+        for wrong in [
+            "", "5", "25:00", "05:60", "05:07:61", "a:b", "1:2:3:4", "-1", "nan", "1e300", "05:",
+        ] {
             assert!(wrong == "5" || parse(wrong).is_err(), "{wrong}");
         }
     }
--- a/crates/command/src/records.rs
+++ b/crates/command/src/records.rs
@@ -48,11 +48,20 @@
     /// Counters that the gateway and its record give different figures for.
     fn differences(&self) -> Vec<String> {
         let own = self.own.as_deref().unwrap_or_default();
-        let told = |name: &str| own.iter().find(|(own, _)| own == name).map(|(_, value)| *value);
+        let told = |name: &str| {
+            own.iter()
+                .find(|(own, _)| own == name)
+                .map(|(_, value)| *value)
+        };
         let pairs = self.counted.tally.totals.pairs();
-        let differ = pairs
-            .filter_map(|(name, value)| told(name).filter(|own| *own != value).map(|o| (name, value, o)));
-        differ.map(|(name, value, own)| format!("{name}: {value} recorded, {own} counted")).collect()
+        let differ = pairs.filter_map(|(name, value)| {
+            told(name)
+                .filter(|own| *own != value)
+                .map(|o| (name, value, o))
+        });
+        differ
+            .map(|(name, value, own)| format!("{name}: {value} recorded, {own} counted"))
+            .collect()
     }
 }
 
@@ -69,7 +78,8 @@
     let (merged, starts) = read(directories)?;
     let mut wrong = 0;
     for (source, start) in merged.sources().iter().zip(&starts) {
-        let (entries, bytes, gaps, missing) = (start.entries, source.bytes, start.gaps, start.missing);
+        let (entries, bytes, gaps, missing) =
+            (start.entries, source.bytes, start.gaps, start.missing);
         println!(
             "{} {:016x}: {entries} entries in {bytes} bytes, {gaps} gaps that left out {missing}",
             source.name, source.epoch
@@ -81,12 +91,20 @@
             }
             Some(_) => {
                 wrong += 1;
-                start.differences().iter().for_each(|line| println!("  DIFFERS: {line}"));
+                start
+                    .differences()
+                    .iter()
+                    .for_each(|line| println!("  DIFFERS: {line}"));
             }
         }
     }
-    let problems: Vec<String> = merged.problems().map(|(_, problem)| problem.to_string()).collect();
-    problems.iter().for_each(|problem| println!("skipped: {problem}"));
+    let problems: Vec<String> = merged
+        .problems()
+        .map(|(_, problem)| problem.to_string())
+        .collect();
+    problems
+        .iter()
+        .for_each(|problem| println!("skipped: {problem}"));
     match wrong + problems.len() {
         0 => Ok(()),
         count => Err(format!("{count} things are wrong with these records")),
@@ -102,7 +120,12 @@
             let mut object = Map::new();
             object.insert("name".into(), json!(source.name));
             object.insert("epoch".into(), json!(source.epoch));
-            object.extend(tally.totals.pairs().map(|(name, value)| (name.to_string(), json!(value))));
+            object.extend(
+                tally
+                    .totals
+                    .pairs()
+                    .map(|(name, value)| (name.to_string(), json!(value))),
+            );
             object.insert("open".into(), json!(tally.open()));
             object.insert("ended".into(), json!(start.own.is_some()));
             object.insert("gaps".into(), json!(start.gaps));
@@ -110,9 +133,18 @@
             object.insert("exact".into(), json!(!start.damaged));
             Value::Object(object).to_string()
         } else {
-            let pairs: Vec<String> =
-                tally.totals.pairs().map(|(name, value)| format!("{name}={value}")).collect();
-            format!("{} {:016x} {} open={}", source.name, source.epoch, pairs.join(" "), tally.open())
+            let pairs: Vec<String> = tally
+                .totals
+                .pairs()
+                .map(|(name, value)| format!("{name}={value}"))
+                .collect();
+            format!(
+                "{} {:016x} {} open={}",
+                source.name,
+                source.epoch,
+                pairs.join(" "),
+                tally.open()
+            )
         };
         writeln!(out, "{line}").map_err(|e| e.to_string())?;
     }
@@ -134,8 +166,14 @@
             Entry::Host(Host::Open(open)) => Some(&open.offer),
             _ => None,
         };
-        known.extend(offered.filter(|offer| offer.id == wanted).map(|offer| (source, offer.request)));
-        entry.request().is_some_and(|request| known.contains(&(source, request)))
+        known.extend(
+            offered
+                .filter(|offer| offer.id == wanted)
+                .map(|offer| (source, offer.request)),
+        );
+        entry
+            .request()
+            .is_some_and(|request| known.contains(&(source, request)))
     })?;
     match known.is_empty() {
         true => Err(format!("no record tells of {id}")),
@@ -143,7 +181,10 @@
     }
 }
 
-fn print(directories: &[PathBuf], mut wanted: impl FnMut(usize, &Entry) -> bool) -> Result<(), String> {
+fn print(
+    directories: &[PathBuf],
+    mut wanted: impl FnMut(usize, &Entry) -> bool,
+) -> Result<(), String> {
     let mut merged = Merged::open(directories).map_err(|e| e.to_string())?;
     let mut out = BufWriter::new(std::io::stdout().lock());
     while let Some(told) = merged.next().map_err(|e| e.to_string())? {
@@ -151,11 +192,18 @@
         let (seconds, micros) = (told.at / 1_000_000, told.at % 1_000_000);
         let written = match &told.what {
             What::Damaged => {
-                writeln!(out, "{seconds}.{micros:06} {name} -- something before this can't be read")
+                writeln!(
+                    out,
+                    "{seconds}.{micros:06} {name} -- something before this can't be read"
+                )
             }
             What::Entry(entry) if !wanted(told.source, entry) => Ok(()),
             What::Entry(entry) => {
-                writeln!(out, "{seconds}.{micros:06} {name} {}", EntryText(entry.as_ref()))
+                writeln!(
+                    out,
+                    "{seconds}.{micros:06} {name} {}",
+                    EntryText(entry.as_ref())
+                )
             }
         };
         match written {
--- a/crates/command/src/store.rs
+++ b/crates/command/src/store.rs
@@ -11,13 +11,18 @@
 const ANY_BUDGET: u64 = 1 << 44;
 
 fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 fn recovered(directory: &Path) -> Result<Recovered, String> {
     let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", directory.display());
     if !directory.is_dir() {
-        return Err(wrong(&"no such directory; name the one that store-dir names"));
+        return Err(wrong(
+            &"no such directory; name the one that store-dir names",
+        ));
     }
     eideryard_store::look(directory).map_err(|e| wrong(&e))
 }
@@ -36,7 +41,10 @@
         found.last
     );
     if found.torn > 0 {
-        println!("{} bytes at the end were never whole: nobody was told that they were durable", found.torn);
+        println!(
+            "{} bytes at the end were never whole: nobody was told that they were durable",
+            found.torn
+        );
     }
     match found.damaged {
         None => {
@@ -52,7 +60,13 @@
 
 /// An intent as `eideryard store dump` prints it; the names in it are an interface.
 fn intent_text(intent: &Intent) -> String {
-    let Intent { since, place: Place { zone, cell }, out, ran, until } = intent;
+    let Intent {
+        since,
+        place: Place { zone, cell },
+        out,
+        ran,
+        until,
+    } = intent;
     format!(
         "Intent {{ since: {since}, place: Place {{ zone: {zone}, cell: {cell} }}, out: {out}, ran: {ran}, \
          until: {until} }}"
@@ -64,7 +78,11 @@
         let name: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
         match entry::from_bytes(&value.bytes).filter(|_| key.starts_with(entry::prefix())) {
             Some(intent) => println!("{name} {}", intent_text(&intent)),
-            None => println!("{name} {} bytes until {}", value.bytes.len(), value.until_ms),
+            None => println!(
+                "{name} {} bytes until {}",
+                value.bytes.len(),
+                value.until_ms
+            ),
         }
     }
     Ok(())
@@ -76,8 +94,8 @@
         return Err(wrong(&"no store is there"));
     }
     let files = Box::new(Directory::new(directory));
-    let (mut store, found) =
-        Store::open(files, Plan { budget: ANY_BUDGET }, now_ms(), now_ms()).map_err(|e| wrong(&e))?;
+    let (mut store, found) = Store::open(files, Plan { budget: ANY_BUDGET }, now_ms(), now_ms())
+        .map_err(|e| wrong(&e))?;
     if !matches!(found.trust, Trust::Whole) {
         println!(
             "it was not whole ({:?}): the gateway that starts with it begins as a stranger",
@@ -86,6 +104,10 @@
     }
     let before = store.bytes();
     store.rescue(now_ms()).map_err(|e| wrong(&e))?;
-    println!("{} keys; {before} bytes are {} now", store.len(), store.bytes());
+    println!(
+        "{} keys; {before} bytes are {} now",
+        store.len(),
+        store.bytes()
+    );
     Ok(())
 }
--- a/crates/command/src/view.rs
+++ b/crates/command/src/view.rs
@@ -9,7 +9,9 @@
 /// A time on the last day that records tell of.
 pub fn moment(directories: &[PathBuf], at: Option<Moment>) -> Result<Option<u64>, String> {
     let Some(at) = at else { return Ok(None) };
-    let last = Merged::open(directories).and_then(|merged| merged.last_at()).map_err(|e| e.to_string())?;
+    let last = Merged::open(directories)
+        .and_then(|merged| merged.last_at())
+        .map_err(|e| e.to_string())?;
     Ok(Some(at.on_day_of(last)))
 }
 
--- a/crates/command/tests/closing.rs
+++ b/crates/command/tests/closing.rs
@@ -20,25 +20,36 @@
 fn what_a_client_says_after_the_shutdown_of_its_connection_is_not_sent_on() {
     let (_bulletin, engines, mut gateway, mut client) = up();
     let (mut end, serve) = called(&mut client, &engines[0]);
-    end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n").unwrap();
-    assert!(matches!(client.answer().unwrap(), Answer::Result { id: 1, .. }));
+    end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
+        .unwrap();
+    assert!(matches!(
+        client.answer().unwrap(),
+        Answer::Result { id: 1, .. }
+    ));
     gateway.terminate();
     assert_eq!(is_over(&mut client), ErrorKind::UnexpectedEof);
-    client.call(2, "report", &fields(SECOND, "15000"), QUERY).unwrap();
+    client
+        .call(2, "report", &fields(SECOND, "15000"), QUERY)
+        .unwrap();
     // The process still stands, so what came is read, and the end of the stream stays what it was.
     gateway.until("bytes_in", both_calls());
     assert_eq!(is_over(&mut client), ErrorKind::UnexpectedEof);
     drop(client);
     let (status, counted) = gateway.ended();
     assert!(status.success(), "{status}");
-    assert_eq!((counted["taken"], counted["sent"], counted["served"]), (1, 1, 1));
+    assert_eq!(
+        (counted["taken"], counted["sent"], counted["served"]),
+        (1, 1, 1)
+    );
 }
 
 /// What the client of the test above has written in all.
 fn both_calls() -> u64 {
     let calls = [(1, "0000000000000001"), (2, SECOND)];
     calls
-        .map(|(number, id)| standin::call(number, "report", &fields(id, "15000"), QUERY).len() as u64)
+        .map(|(number, id)| {
+            standin::call(number, "report", &fields(id, "15000"), QUERY).len() as u64
+        })
         .iter()
         .sum()
 }
@@ -58,8 +69,12 @@
     slow.write_raw(&call[call.len() / 2..]).unwrap();
     let mut end = engines[0].accept().unwrap();
     let serve = next(&mut end, "serve");
-    end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n").unwrap();
-    assert!(matches!(slow.answer().unwrap(), Answer::Result { id: 1, .. }));
+    end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
+        .unwrap();
+    assert!(matches!(
+        slow.answer().unwrap(),
+        Answer::Result { id: 1, .. }
+    ));
     assert_eq!(is_over(&mut slow), ErrorKind::UnexpectedEof);
     drop(resting);
     let (status, counted) = gateway.ended();
@@ -89,8 +104,12 @@
     gateway.go_on();
     let mut end = engines[0].accept().unwrap();
     let serve = next(&mut end, "serve");
-    end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n").unwrap();
-    assert!(matches!(client.answer().unwrap(), Answer::Result { id: 1, .. }));
+    end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
+        .unwrap();
+    assert!(matches!(
+        client.answer().unwrap(),
+        Answer::Result { id: 1, .. }
+    ));
 }
 
 /// Signals in all the orders that a supervisor may send them in, at once, with a request open.
@@ -108,13 +127,22 @@
         gateway.pause();
         order.iter().for_each(|signal| gateway.signal(*signal));
         let mut late = gateway.client();
-        late.call(2, "report", &fields(SECOND, "15000"), QUERY).unwrap();
-        end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n").unwrap();
+        late.call(2, "report", &fields(SECOND, "15000"), QUERY)
+            .unwrap();
+        end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
+            .unwrap();
         gateway.go_on();
         let second = next(&mut end, "serve");
-        end.answer(second.id(), "OK", "count=1", "a\tb\tc\n").unwrap();
-        assert!(matches!(client.answer().unwrap(), Answer::Result { id: 1, .. }));
-        assert!(matches!(late.answer().unwrap(), Answer::Result { id: 2, .. }));
+        end.answer(second.id(), "OK", "count=1", "a\tb\tc\n")
+            .unwrap();
+        assert!(matches!(
+            client.answer().unwrap(),
+            Answer::Result { id: 1, .. }
+        ));
+        assert!(matches!(
+            late.answer().unwrap(),
+            Answer::Result { id: 2, .. }
+        ));
         drop((client, late));
         let (status, counted) = gateway.ended();
         assert!(status.success(), "{order:?}: {status}");
@@ -138,11 +166,20 @@
     gateway.pause();
     let mut new = gateway.client();
     new.ask_health(1).unwrap();
-    idle[0].call(2, "report", &fields(SECOND, "15000"), QUERY).unwrap();
+    idle[0]
+        .call(2, "report", &fields(SECOND, "15000"), QUERY)
+        .unwrap();
     gateway.go_on();
-    assert!(matches!(idle[0].answer().unwrap(), Answer::Result { id: 2, .. }));
+    assert!(matches!(
+        idle[0].answer().unwrap(),
+        Answer::Result { id: 2, .. }
+    ));
     assert_eq!(new.answer().unwrap(), Answer::Health { id: 1, well: true });
-    assert_eq!(is_over(&mut idle[1]), ErrorKind::UnexpectedEof, "the next one gives way");
+    assert_eq!(
+        is_over(&mut idle[1]),
+        ErrorKind::UnexpectedEof,
+        "the next one gives way"
+    );
 }
 
 /// A client that doesn't read is told that its answers end, and what it says meanwhile resets nothing.
@@ -157,7 +194,8 @@
     let mut number = 0u64;
     while gateway.counters()["deaf"] == 0 {
         let id = format!("{number:016x}");
-        deaf.call(number, "report", &fields(&id, "15000"), QUERY).unwrap();
+        deaf.call(number, "report", &fields(&id, "15000"), QUERY)
+            .unwrap();
         number += 1;
         while number.is_multiple_of(32) && gateway.counters()["open"] > 0 {}
     }
@@ -170,7 +208,11 @@
             Err(e) => break e.kind(),
         }
     };
-    assert_ne!(last, ErrorKind::ConnectionReset, "after {served} of {number} answers");
+    assert_ne!(
+        last,
+        ErrorKind::ConnectionReset,
+        "after {served} of {number} answers"
+    );
 }
 
 /// Idle clients hold all that they may, the bulletin can't be reached, and the system gives no descriptor beyond the
@@ -184,11 +226,16 @@
     let address = bulletin.address();
     drop(bulletin);
     let mut gateway = Running::start_within(&few, LIMIT);
-    engines.drain(..).for_each(|engine| engine.answer_all(1, "a\tb\tc\n".into()));
+    engines
+        .drain(..)
+        .for_each(|engine| engine.answer_all(1, "a\tb\tc\n".into()));
     let ask = |_| {
         let mut client = gateway.client();
         client.ask_health(1).unwrap();
-        assert_eq!(client.answer().unwrap(), Answer::Health { id: 1, well: true });
+        assert_eq!(
+            client.answer().unwrap(),
+            Answer::Health { id: 1, well: true }
+        );
         client
     };
     let mut idle: Vec<Client> = (0..2 * LIMIT).map(ask).collect();
@@ -196,13 +243,32 @@
         let id = format!("{number:016x}");
         let statement = format!("SELECT * FROM sales_{number}.orders");
         let client = idle.last_mut().unwrap();
-        client.call(number, "report", &fields(&id, "15000"), statement.as_bytes()).unwrap();
-        assert!(matches!(client.answer().unwrap(), Answer::Result { .. }), "{number}");
+        client
+            .call(
+                number,
+                "report",
+                &fields(&id, "15000"),
+                statement.as_bytes(),
+            )
+            .unwrap();
+        assert!(
+            matches!(client.answer().unwrap(), Answer::Result { .. }),
+            "{number}"
+        );
     }
     let bulletin = Bulletin::listen(&address.to_string()).unwrap();
     let mut stream = bulletin.accept().unwrap();
-    stream.event(2, r#"{"no":2,"roster":{"seq":2,"hosts":[]}}"#).unwrap();
+    stream
+        .event(2, r#"{"no":2,"roster":{"seq":2,"hosts":[]}}"#)
+        .unwrap();
     gateway.until("list_events", 1);
     let counted = gateway.counters();
-    assert_eq!((counted["served"], counted["dials_short"], counted["no_connection"]), (12, 0, 0));
+    assert_eq!(
+        (
+            counted["served"],
+            counted["dials_short"],
+            counted["no_connection"]
+        ),
+        (12, 0, 0)
+    );
 }
--- a/crates/command/tests/common/mod.rs
+++ b/crates/command/tests/common/mod.rs
@@ -20,8 +20,11 @@
 
 /// A configuration with one class of each effect and the engines given.
 pub fn config(bulletin: SocketAddr, engines: &[SocketAddr]) -> Value {
-    let hosts: Vec<Value> =
-        engines.iter().enumerate().map(|(n, at)| host(&format!("s-{n}"), *at, "up")).collect();
+    let hosts: Vec<Value> = engines
+        .iter()
+        .enumerate()
+        .map(|(n, at)| host(&format!("s-{n}"), *at, "up"))
+        .collect();
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "aim-us": 1_000_000, "aim-stretch": 2.0, "deadline-us": 20_000_000, "value": 1.0,
                "repeat": repeat, "group": "all", "window-us": 15_000_000})
@@ -88,7 +91,13 @@
     fn launched_by(config: &Value, operator: &str, descriptors: Option<u64>) -> Self {
         let (child, log, config) = launch(config, operator, descriptors);
         let address = "127.0.0.1:0".parse().expect("an address");
-        Running { child, config, address, log, counted: None }
+        Running {
+            child,
+            config,
+            address,
+            log,
+            counted: None,
+        }
     }
 
     pub fn listens(&mut self) {
@@ -105,8 +114,10 @@
     /// The next line of the log that holds a text.
     pub fn line_with(&mut self, text: &str) -> String {
         loop {
-            let line =
-                self.log.recv_timeout(PATIENCE).unwrap_or_else(|e| panic!("no line with '{text}': {e}"));
+            let line = self
+                .log
+                .recv_timeout(PATIENCE)
+                .unwrap_or_else(|e| panic!("no line with '{text}': {e}"));
             if line.contains(text) {
                 return line;
             }
@@ -163,7 +174,9 @@
     fn compare(&mut self, records: &std::path::Path) {
         let last = std::iter::from_fn(|| self.log.recv_timeout(PATIENCE).ok());
         let last = last.filter(|line| line.contains("counters:")).last();
-        let Some(counted) = last.or(self.counted.take()).map(|line| counters(&line)) else { return };
+        let Some(counted) = last.or(self.counted.take()).map(|line| counters(&line)) else {
+            return;
+        };
         let mut tally = Command::new(env!("CARGO_BIN_EXE_eideryard"));
         tally.args(["records", "tally", "--json"]).arg(records);
         let told = tally.output().expect("the program runs").stdout;
@@ -171,7 +184,11 @@
         let mut compared = 0;
         for (name, value) in told.as_object().expect("an object") {
             if let Some(own) = counted.get(name) {
-                assert_eq!(value.as_u64(), Some(*own), "{name} as recorded and as counted");
+                assert_eq!(
+                    value.as_u64(),
+                    Some(*own),
+                    "{name} as recorded and as counted"
+                );
                 compared += 1;
             }
         }
@@ -208,17 +225,28 @@
     config.with_extension("records")
 }
 
-fn launch(config: &Value, more: &str, descriptors: Option<u64>) -> (Child, Receiver<String>, PathBuf) {
+fn launch(
+    config: &Value,
+    more: &str,
+    descriptors: Option<u64>,
+) -> (Child, Receiver<String>, PathBuf) {
     let number = STARTED.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("eideryard-{}-{number}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).expect("a file for the configuration");
     let operator = path.with_extension("conf");
-    std::fs::write(&operator, format!("record-dir \"{}\"\n{more}", record_of(&path).display()))
-        .expect("a file");
+    std::fs::write(
+        &operator,
+        format!("record-dir \"{}\"\n{more}", record_of(&path).display()),
+    )
+    .expect("a file");
     // The shell sets the limit and becomes the program.
     let limit = descriptors.map_or(String::new(), |limit| format!("ulimit -n {limit}; "));
     let mut child = Command::new("/bin/sh")
-        .args(["-c", &format!("{limit}exec \"$0\" \"$@\""), env!("CARGO_BIN_EXE_eideryard")])
+        .args([
+            "-c",
+            &format!("{limit}exec \"$0\" \"$@\""),
+            env!("CARGO_BIN_EXE_eideryard"),
+        ])
         .arg("--operator")
         .arg(&operator)
         .env("EDGE_CONFIG", &path)
@@ -246,11 +274,22 @@
 }
 
 fn counters(line: &str) -> BTreeMap<String, u64> {
-    let pairs = line.split([' ', ';']).filter_map(|word| word.split_once('='));
-    let counted: BTreeMap<String, u64> =
-        pairs.filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?))).collect();
-    let ended =
-        ["served", "refused", "failed", "invalid", "forgotten", "lost", "open"].map(|name| counted[name]);
+    let pairs = line
+        .split([' ', ';'])
+        .filter_map(|word| word.split_once('='));
+    let counted: BTreeMap<String, u64> = pairs
+        .filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?)))
+        .collect();
+    let ended = [
+        "served",
+        "refused",
+        "failed",
+        "invalid",
+        "forgotten",
+        "lost",
+        "open",
+    ]
+    .map(|name| counted[name]);
     assert_eq!(counted["taken"], ended.iter().sum::<u64>(), "{line}");
     counted
 }
@@ -258,7 +297,12 @@
 /// Stand-ins for one bulletin and so many engines.
 pub fn stand_ins(engines: usize) -> (Bulletin, Vec<Engine>) {
     let bulletin = Bulletin::listen("127.0.0.1:0").expect("a port");
-    (bulletin, (0..engines).map(|_| Engine::listen("127.0.0.1:0").expect("a port")).collect())
+    (
+        bulletin,
+        (0..engines)
+            .map(|_| Engine::listen("127.0.0.1:0").expect("a port"))
+            .collect(),
+    )
 }
 
 pub fn addresses(engines: &[Engine]) -> Vec<SocketAddr> {
@@ -267,13 +311,21 @@
 
 /// The usual fields of a request.
 pub fn fields<'a>(id: &'a str, wait_ms: &'a str) -> Vec<(&'a str, &'a str)> {
-    vec![("i", id), ("d", wait_ms), ("t", "acme"), ("h", "80.0"), ("ram", "96")]
+    vec![
+        ("i", id),
+        ("d", wait_ms),
+        ("t", "acme"),
+        ("h", "80.0"),
+        ("ram", "96"),
+    ]
 }
 
 /// The next command of a kind; others are passed over.
 pub fn next(end: &mut EngineEnd, verb: &str) -> standin::Command {
     loop {
-        let command = end.command().unwrap_or_else(|e| panic!("no '{verb}' from the gateway: {e}"));
+        let command = end
+            .command()
+            .unwrap_or_else(|e| panic!("no '{verb}' from the gateway: {e}"));
         if command.verb() == verb {
             return command;
         }
@@ -290,7 +342,9 @@
 
 /// The client's first query, as the engine gets it.
 pub fn called(client: &mut Client, engine: &Engine) -> (EngineEnd, standin::Command) {
-    client.call(1, "report", &fields("0000000000000001", "15000"), QUERY).expect("the gateway reads");
+    client
+        .call(1, "report", &fields("0000000000000001", "15000"), QUERY)
+        .expect("the gateway reads");
     let mut end = engine.accept().expect("the gateway dials");
     let serve = next(&mut end, "serve");
     (end, serve)
--- a/crates/command/tests/drawn.rs
+++ b/crates/command/tests/drawn.rs
@@ -22,8 +22,10 @@
     let (mut grades, mut asked) = (Vec::new(), Vec::new());
     for number in 0..count {
         let name = format!("g{number}-{:04x}", rng.u16(..));
-        let (effect, wait) =
-            (pick(rng, &["pure", "token", "side_effect"]), pick(rng, &[100, 700, 5_000, 20_000]));
+        let (effect, wait) = (
+            pick(rng, &["pure", "token", "side_effect"]),
+            pick(rng, &[100, 700, 5_000, 20_000]),
+        );
         grades.push(json!({
             "name": name, "aim-us": wait * pick(rng, &[100, 500, 1_000]), "aim-stretch": 2.0, "value": rng.f64() * 10.0,
             "deadline-us": wait * 1000, "repeat": effect, "group": pick(rng, &["all", "zone", "cell"]),
@@ -63,7 +65,9 @@
         let (bulletin, engines) = stand_ins(2);
         let (own, classes) = drawn(&mut rng, config(bulletin.address(), &addresses(&engines)));
         let gateway = Running::start(&own);
-        engines.into_iter().for_each(|engine| engine.answer_all(1, "a\tb\tc\n".into()));
+        engines
+            .into_iter()
+            .for_each(|engine| engine.answer_all(1, "a\tb\tc\n".into()));
         let mut client = gateway.client();
         let mut served = vec![0; classes.len()];
         for number in 1..=ASKED {
@@ -72,11 +76,21 @@
             let (id, wait) = (format!("{:016x}", seed << 32 | number), wait.to_string());
             let key = format!("{:032x}", u128::from(number));
             let work = if wait == "100" { "20.0" } else { "200.0" };
-            let mut fields =
-                vec![("i", id.as_str()), ("d", &wait), ("t", "some"), ("h", work), ("ram", "20")];
+            let mut fields = vec![
+                ("i", id.as_str()),
+                ("d", &wait),
+                ("t", "some"),
+                ("h", work),
+                ("ram", "20"),
+            ];
             fields.extend(keyed.then_some(("k", key.as_str())));
-            client.call(number, name, &fields, b"SELECT * FROM sales_3.orders").unwrap();
-            match client.answer().unwrap_or_else(|e| panic!("seed {seed}, {number} of {name}: {e}\n{own}")) {
+            client
+                .call(number, name, &fields, b"SELECT * FROM sales_3.orders")
+                .unwrap();
+            match client
+                .answer()
+                .unwrap_or_else(|e| panic!("seed {seed}, {number} of {name}: {e}\n{own}"))
+            {
                 Answer::Result { id, .. } if id == number => served[at] += 1,
                 // A wait as short as a look at the sockets may end before its answer is there.
                 Answer::Error { id, .. } if id == number && wait == "100" => served[at] += 1,
@@ -84,12 +98,21 @@
             }
         }
         let asked = ASKED.min(classes.len() as u64) as usize;
-        assert!(served[..asked.min(served.len())].iter().all(|count| *count > 0), "seed {seed}: {served:?}");
+        assert!(
+            served[..asked.min(served.len())]
+                .iter()
+                .all(|count| *count > 0),
+            "seed {seed}: {served:?}"
+        );
         drop(client);
         let mut gateway = gateway;
         gateway.terminate();
         let (status, counted) = gateway.ended();
         assert!(status.success(), "seed {seed}: {status}");
-        assert_eq!((counted["taken"], counted["open"], counted["lost"]), (ASKED, 0, 0), "seed {seed}");
+        assert_eq!(
+            (counted["taken"], counted["open"], counted["lost"]),
+            (ASKED, 0, 0),
+            "seed {seed}"
+        );
     }
 }
--- a/crates/command/tests/effects.rs
+++ b/crates/command/tests/effects.rs
@@ -30,7 +30,12 @@
         given.push(("k", KEY));
     }
     client.call(1, class, &given, QUERY).unwrap();
-    Stage { _bulletin: bulletin, engine: engines.remove(0), gateway, client }
+    Stage {
+        _bulletin: bulletin,
+        engine: engines.remove(0),
+        gateway,
+        client,
+    }
 }
 
 impl Stage {
@@ -44,14 +49,20 @@
     fn repeated(mut self, sent: u64) {
         let mut end = self.begun();
         end.answer(ID, "OK", "count=1", "a\tb\tc\n").unwrap();
-        assert!(matches!(self.client.answer().unwrap(), Answer::Result { id: 1, .. }));
+        assert!(matches!(
+            self.client.answer().unwrap(),
+            Answer::Result { id: 1, .. }
+        ));
         assert_eq!(self.gateway.counters()["sent"], sent);
     }
 
     /// It has failed, and nothing came a second time.
     fn failed(mut self) {
         let answer = self.client.answer().unwrap();
-        assert!(matches!(&answer, Answer::Error { id: 1, word, .. } if word == "Failed"), "{answer:?}");
+        assert!(
+            matches!(&answer, Answer::Error { id: 1, word, .. } if word == "Failed"),
+            "{answer:?}"
+        );
         assert_eq!(self.gateway.counters()["sent"], 1);
     }
 }
@@ -76,7 +87,8 @@
         let soon = |own: &mut Value| own["settings"]["limits"]["dial-timeout-us"] = json!(100_000);
         let mut stage = asked(class, "15000", soon);
         let mut end = stage.begun();
-        end.write_raw(format!("{ID} OK count=1 4000\r\na\tb").as_bytes()).unwrap();
+        end.write_raw(format!("{ID} OK count=1 4000\r\na\tb").as_bytes())
+            .unwrap();
         if class == "change" {
             stage.failed();
         } else {
@@ -93,15 +105,24 @@
         let mut stage = asked(class, "15000", |_| ());
         let mut end = stage.begun();
         end.answer(ID, "BUSY", "-", "").unwrap();
-        let mut again =
-            stage.engine.accept().unwrap_or_else(|e| panic!("{class}: {e} {:?}", stage.gateway.counters()));
+        let mut again = stage
+            .engine
+            .accept()
+            .unwrap_or_else(|e| panic!("{class}: {e} {:?}", stage.gateway.counters()));
         assert_eq!(next(&mut again, "serve").id(), ID);
         end.answer(ID, "BUSY", "-", "").unwrap();
         end.answer(ID, "OK", "count=1", "x\ty\tz\n").unwrap();
         stage.gateway.until("full", 1);
         again.answer(ID, "OK", "count=1", "a\tb\tc\n").unwrap();
         let answer = stage.client.answer().unwrap();
-        assert_eq!(answer, Answer::Result { id: 1, body: b"a\tb\tc\n".to_vec() }, "{class}");
+        assert_eq!(
+            answer,
+            Answer::Result {
+                id: 1,
+                body: b"a\tb\tc\n".to_vec()
+            },
+            "{class}"
+        );
         assert_eq!(stage.gateway.counters()["sent"], 2);
     }
 }
@@ -112,12 +133,17 @@
     for class in CLASSES {
         let nobody = common::standin::unused_address();
         let mut stage = asked(class, "15000", |own| {
-            let hosts = own["known"]["items"][0]["roster"]["hosts"].as_array_mut().unwrap();
+            let hosts = own["known"]["items"][0]["roster"]["hosts"]
+                .as_array_mut()
+                .unwrap();
             hosts.push(host("s-nobody", nobody, "up"));
         });
         let mut end = stage.begun();
         end.answer(ID, "OK", "count=1", "a\tb\tc\n").unwrap();
-        assert!(matches!(stage.client.answer().unwrap(), Answer::Result { id: 1, .. }));
+        assert!(matches!(
+            stage.client.answer().unwrap(),
+            Answer::Result { id: 1, .. }
+        ));
         let counted = stage.gateway.counters();
         assert_eq!(counted["sent"], 1 + counted["no_connection"]);
     }
@@ -127,7 +153,11 @@
 /// after it changes nothing.
 #[test]
 fn an_engine_that_hangs_past_the_wait() {
-    for (class, word) in [("report", "TryLater"), ("load", "TryLater"), ("change", "Failed")] {
+    for (class, word) in [
+        ("report", "TryLater"),
+        ("load", "TryLater"),
+        ("change", "Failed"),
+    ] {
         let mut stage = asked(class, "500", |_| ());
         let mut end = stage.begun();
         let answer = stage.client.answer().unwrap();
@@ -137,7 +167,11 @@
         );
         end.answer(ID, "OK", "count=1", "a\tb\tc\n").unwrap();
         stage.client.ask_health(2).unwrap();
-        assert_eq!(stage.client.answer().unwrap(), Answer::Health { id: 2, well: true }, "no second answer");
+        assert_eq!(
+            stage.client.answer().unwrap(),
+            Answer::Health { id: 2, well: true },
+            "no second answer"
+        );
         assert_eq!(stage.gateway.counters()["sent"], 1);
     }
 }
@@ -152,9 +186,14 @@
     configured["settings"]["extra"]["note-period-us"] = json!(50_000);
     let mut gateway = Running::start(&configured);
     let mut client = gateway.client();
-    client.call(1, "change", &fields(ID, "3000"), QUERY).unwrap();
+    client
+        .call(1, "change", &fields(ID, "3000"), QUERY)
+        .unwrap();
     let answer = client.answer().unwrap();
-    assert!(matches!(&answer, Answer::Error { id: 1, word, .. } if word == "Failed"), "{answer:?}");
+    assert!(
+        matches!(&answer, Answer::Error { id: 1, word, .. } if word == "Failed"),
+        "{answer:?}"
+    );
     assert_eq!(gateway.counters()["sent"], 1);
 }
 
@@ -167,23 +206,40 @@
     configured["settings"]["grades"][1]["sequential"] = json!(true);
     let mut gateway = Running::start(&configured);
     let mut client = gateway.client();
-    let ids = ["0000000000000001", "0000000000000002", "0000000000000003", "0000000000000004"];
+    let ids = [
+        "0000000000000001",
+        "0000000000000002",
+        "0000000000000003",
+        "0000000000000004",
+    ];
     let keys = ids.map(|id| format!("{id}{id}"));
-    let orders = [Some("0000ccb1d26c6c8b"), Some("0000ccb1d26c6c8b"), Some("000204fb92eb08f5"), None];
+    let orders = [
+        Some("0000ccb1d26c6c8b"),
+        Some("0000ccb1d26c6c8b"),
+        Some("000204fb92eb08f5"),
+        None,
+    ];
     for (number, ((id, key), order)) in ids.iter().zip(&keys).zip(orders).enumerate() {
         let mut given = fields(id, "15000");
         given.push(("k", key));
         given.extend(order.map(|order| ("o", order)));
-        client.call(number as u64 + 1, "load", &given, QUERY).unwrap();
+        client
+            .call(number as u64 + 1, "load", &given, QUERY)
+            .unwrap();
     }
     gateway.until("taken", 4);
     let mut end = engines[0].accept().unwrap();
-    let first: Vec<String> = (0..3).map(|_| next(&mut end, "serve").id().to_string()).collect();
+    let first: Vec<String> = (0..3)
+        .map(|_| next(&mut end, "serve").id().to_string())
+        .collect();
     assert_eq!(first, [ids[0], ids[2], ids[3]]);
     assert_eq!(gateway.counters()["sent"], 3);
     end.answer(ids[0], "OK", "count=1", "a\tb\tc\n").unwrap();
     let second = next(&mut end, "serve");
-    assert_eq!((second.id(), second.field("replay")), (ids[1], Some(keys[1].as_str())));
+    assert_eq!(
+        (second.id(), second.field("replay")),
+        (ids[1], Some(keys[1].as_str()))
+    );
     for id in &ids[1..] {
         end.answer(id, "OK", "count=1", "a\tb\tc\n").unwrap();
     }
@@ -210,11 +266,19 @@
         client.call(number, "load", &given, QUERY).unwrap();
     }
     let mut end = engines[0].accept().unwrap();
-    let said: Vec<_> =
-        std::iter::from_fn(|| end.command().ok()).filter(|own| own.verb() != "weigh").take(3).collect();
+    let said: Vec<_> = std::iter::from_fn(|| end.command().ok())
+        .filter(|own| own.verb() != "weigh")
+        .take(3)
+        .collect();
     let said: Vec<_> = said.iter().map(|own| (own.verb(), own.id())).collect();
     assert_eq!(said, [("serve", ID), ("cancel", ID), ("serve", second)]);
     end.answer(second, "OK", "count=1", "a\tb\tc\n").unwrap();
-    assert!(matches!(client.answer().unwrap(), Answer::Error { id: 1, .. }));
-    assert!(matches!(client.answer().unwrap(), Answer::Result { id: 2, .. }));
+    assert!(matches!(
+        client.answer().unwrap(),
+        Answer::Error { id: 1, .. }
+    ));
+    assert!(matches!(
+        client.answer().unwrap(),
+        Answer::Result { id: 2, .. }
+    ));
 }
--- a/crates/command/tests/first_byte.rs
+++ b/crates/command/tests/first_byte.rs
@@ -18,7 +18,9 @@
 ) -> (common::standin::Bulletin, Held, Vec<Engine>, Running) {
     let (bulletin, others) = stand_ins(more);
     let held = Engine::held().unwrap();
-    let all: Vec<SocketAddr> = std::iter::once(held.engine.address()).chain(addresses(&others)).collect();
+    let all: Vec<SocketAddr> = std::iter::once(held.engine.address())
+        .chain(addresses(&others))
+        .collect();
     let mut configured = config(bulletin.address(), &all);
     change(&mut configured);
     (bulletin, held, others, Running::start(&configured))
@@ -36,7 +38,9 @@
         let forbid = |own: &mut Value| own["settings"]["limits"]["may-cancel"] = json!(may_cancel);
         let (_bulletin, mut held, _, mut gateway) = behind_held(0, forbid);
         let mut leaves = gateway.client();
-        leaves.call(1, "report", &fields(FIRST, "15000"), QUERY).unwrap();
+        leaves
+            .call(1, "report", &fields(FIRST, "15000"), QUERY)
+            .unwrap();
         gateway.until("dials", 1);
         if closes {
             drop(leaves);
@@ -46,14 +50,23 @@
             gateway.until("forgotten", 1);
         }
         let mut stays = gateway.client();
-        stays.call(2, "report", &fields(SECOND, "15000"), QUERY).unwrap();
+        stays
+            .call(2, "report", &fields(SECOND, "15000"), QUERY)
+            .unwrap();
         gateway.until("sent", 2);
         held.let_go().unwrap();
         let mut end = held.engine.accept().unwrap();
         let serve = next(&mut end, "serve");
-        assert_eq!(serve.id(), SECOND, "cancels {may_cancel}, the client closed {closes}");
+        assert_eq!(
+            serve.id(),
+            SECOND,
+            "cancels {may_cancel}, the client closed {closes}"
+        );
         answers(&mut end, SECOND);
-        assert!(matches!(stays.answer().unwrap(), Answer::Result { id: 2, .. }));
+        assert!(matches!(
+            stays.answer().unwrap(),
+            Answer::Result { id: 2, .. }
+        ));
         let counted = gateway.counters();
         assert_eq!((counted["unsent"], counted["requests"]), (1, 0));
     }
@@ -69,22 +82,35 @@
         let mut stream = bulletin.accept().unwrap();
         let other = Engine::listen("127.0.0.1:0").unwrap();
         let mut client = gateway.client();
-        client.call(1, "report", &fields(FIRST, "15000"), QUERY).unwrap();
+        client
+            .call(1, "report", &fields(FIRST, "15000"), QUERY)
+            .unwrap();
         gateway.until("dials", 1);
         let hosts = match state {
             "moved" => vec![host("s-0", other.address(), "up")],
-            _ => vec![host("s-0", held.engine.address(), state), host("s-1", other.address(), "up")],
+            _ => vec![
+                host("s-0", held.engine.address(), state),
+                host("s-1", other.address(), "up"),
+            ],
         };
         let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": hosts}});
         stream.event(2, &item.to_string()).unwrap();
         gateway.until("list_events", 1);
         held.let_go().unwrap();
-        let closed = held.engine.accept().unwrap().command().map(|command| command.words);
+        let closed = held
+            .engine
+            .accept()
+            .unwrap()
+            .command()
+            .map(|command| command.words);
         assert!(closed.is_err(), "{state}: it got {closed:?}");
         let mut end = other.accept().unwrap();
         assert_eq!(next(&mut end, "serve").id(), FIRST);
         answers(&mut end, FIRST);
-        assert!(matches!(client.answer().unwrap(), Answer::Result { id: 1, .. }));
+        assert!(matches!(
+            client.answer().unwrap(),
+            Answer::Result { id: 1, .. }
+        ));
     }
 }
 
@@ -111,9 +137,14 @@
     let mut end = held.engine.accept().unwrap();
     let closed = end.command().map(|command| command.words);
     assert!(closed.is_err(), "it got {closed:?}");
-    assert!(matches!(client.answer().unwrap(), Answer::Error { id: 1, word, .. } if word == "TryLater"));
+    assert!(
+        matches!(client.answer().unwrap(), Answer::Error { id: 1, word, .. } if word == "TryLater")
+    );
     let counted = gateway.counters();
-    assert_eq!((counted["broken"], counted["unsent"], counted["sent"]), (1, 1, 2));
+    assert_eq!(
+        (counted["broken"], counted["unsent"], counted["sent"]),
+        (1, 1, 2)
+    );
 }
 
 /// What is unsafe to repeat: withdrawn before its first byte it never ran, so it may be sent again, and no refusal
@@ -124,9 +155,14 @@
     let mut stream = bulletin.accept().unwrap();
     let other = Engine::listen("127.0.0.1:0").unwrap();
     let mut client = gateway.client();
-    client.call(1, "change", &fields(FIRST, "15000"), QUERY).unwrap();
+    client
+        .call(1, "change", &fields(FIRST, "15000"), QUERY)
+        .unwrap();
     gateway.until("dials", 1);
-    let hosts = [host("s-0", held.engine.address(), "draining"), host("s-1", other.address(), "up")];
+    let hosts = [
+        host("s-0", held.engine.address(), "draining"),
+        host("s-1", other.address(), "up"),
+    ];
     let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": hosts}});
     stream.event(2, &item.to_string()).unwrap();
     gateway.until("list_events", 1);
@@ -135,7 +171,9 @@
     assert_eq!(next(&mut end, "serve").id(), FIRST);
     // Reset under a request that has begun.
     drop(end);
-    assert!(matches!(client.answer().unwrap(), Answer::Error { id: 1, word, .. } if word == "Failed"));
+    assert!(
+        matches!(client.answer().unwrap(), Answer::Error { id: 1, word, .. } if word == "Failed")
+    );
     assert_eq!(gateway.counters()["sent"], 2);
 }
 
@@ -153,7 +191,9 @@
     statement.resize(1_000_000, b' ');
     for number in 1..=SENT {
         let id = format!("{number:016x}");
-        client.call(number, "report", &fields(&id, "15000"), &statement).unwrap();
+        client
+            .call(number, "report", &fields(&id, "15000"), &statement)
+            .unwrap();
     }
     let mut end = engines[0].accept().unwrap();
     gateway.until("sent", SENT);
@@ -162,9 +202,14 @@
     let mut whole = 0;
     // The last of them, so that all before it have been read.
     let mut after = Client::connect(gateway.address).unwrap();
-    after.call(1, "report", &fields("00000000000000ff", "15000"), QUERY).unwrap();
+    after
+        .call(1, "report", &fields("00000000000000ff", "15000"), QUERY)
+        .unwrap();
     while next(&mut end, "serve").id() != "00000000000000ff" {
         whole += 1;
     }
-    assert!(whole < SENT, "{whole} requests came to the engine after their client had gone");
+    assert!(
+        whole < SENT,
+        "{whole} requests came to the engine after their client had gone"
+    );
 }
--- a/crates/command/tests/golden.rs
+++ b/crates/command/tests/golden.rs
@@ -22,9 +22,18 @@
 
 #[test]
 fn records_are_printed_as_before() {
-    golden::check("records-dump.txt", &printed(&["records", "dump", "event-log"]));
-    golden::check("records-tally.txt", &printed(&["records", "tally", "--json", "event-log"]));
-    golden::check("records-verify.txt", &printed(&["records", "verify", "event-log"]));
+    golden::check(
+        "records-dump.txt",
+        &printed(&["records", "dump", "event-log"]),
+    );
+    golden::check(
+        "records-tally.txt",
+        &printed(&["records", "tally", "--json", "event-log"]),
+    );
+    golden::check(
+        "records-verify.txt",
+        &printed(&["records", "verify", "event-log"]),
+    );
 }
 
 #[test]
@@ -36,12 +45,20 @@
 fn files_that_cannot_be_used_are_explained_as_before() {
     let names = std::fs::read_dir(golden::path("check")).expect("golden files");
     let mut names: Vec<String> = names
-        .map(|file| file.expect("a file").file_name().into_string().expect("a name"))
+        .map(|file| {
+            file.expect("a file")
+                .file_name()
+                .into_string()
+                .expect("a name")
+        })
         .map(|name| format!("check/{name}"))
         .collect();
     names.sort();
     assert!(names.len() >= 10);
-    let arguments: Vec<&str> = ["check"].into_iter().chain(names.iter().map(String::as_str)).collect();
+    let arguments: Vec<&str> = ["check"]
+        .into_iter()
+        .chain(names.iter().map(String::as_str))
+        .collect();
     golden::check("check.txt", &printed(&arguments));
 }
 
@@ -57,6 +74,9 @@
         &["console", "--help"],
         &["report", "--help"],
     ];
-    let text: Vec<u8> = commands.iter().flat_map(|arguments| printed(arguments)).collect();
+    let text: Vec<u8> = commands
+        .iter()
+        .flat_map(|arguments| printed(arguments))
+        .collect();
     golden::check("help.txt", &text);
 }
--- a/crates/command/tests/incident.rs
+++ b/crates/command/tests/incident.rs
@@ -9,10 +9,16 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-const SCENARIO: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/incident.scenario");
+const SCENARIO: &str = concat!(
+    env!("CARGO_MANIFEST_DIR"),
+    "/../../examples/incident.scenario"
+);
 
 fn eideryard(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_eideryard")).args(words).output().expect("the program runs")
+    Command::new(env!("CARGO_BIN_EXE_eideryard"))
+        .args(words)
+        .output()
+        .expect("the program runs")
 }
 
 fn told(output: &Output) -> String {
@@ -36,15 +42,22 @@
 
 /// The cells of the report's table of gateways, by column, for each row.
 fn rows(page: &str) -> Vec<BTreeMap<String, String>> {
-    let table = page.split("What each start of each gateway counted").nth(1).expect("the table");
+    let table = page
+        .split("What each start of each gateway counted")
+        .nth(1)
+        .expect("the table");
     let table = table.split("</table>").next().unwrap();
     let cells = |row: &str| -> Vec<String> {
-        let cells = row.split("</t").filter_map(|cell| Some(cell.rsplit_once('>')?.1.to_string()));
+        let cells = row
+            .split("</t")
+            .filter_map(|cell| Some(cell.rsplit_once('>')?.1.to_string()));
         cells.filter(|cell| !cell.is_empty()).collect()
     };
     let mut lines = table.split("<tr").skip(1).map(cells);
     let head = lines.next().unwrap();
-    lines.map(|row| head.iter().cloned().zip(row).collect()).collect()
+    lines
+        .map(|row| head.iter().cloned().zip(row).collect())
+        .collect()
 }
 
 #[test]
@@ -55,14 +68,23 @@
     let ledger = &played.ledger;
     assert_eq!(ledger.broken, [] as [String; 0], "rules");
     let total = ledger.total();
-    assert_eq!(total.asked, total.served + total.refused + total.failed + total.lost + total.forgotten);
-    assert!(total.served > 1000 && total.refused > 0 && total.forgotten > 0, "{total:?}");
+    assert_eq!(
+        total.asked,
+        total.served + total.refused + total.failed + total.lost + total.forgotten
+    );
+    assert!(
+        total.served > 1000 && total.refused > 0 && total.forgotten > 0,
+        "{total:?}"
+    );
 
     let records = records.to_str().unwrap();
     let verified = eideryard(&["records", "verify", records]);
     assert!(verified.status.success(), "{}", told(&verified));
     let tally = eideryard(&["records", "tally", "--json", records]);
-    let tallies: Vec<Value> = told(&tally).lines().map(|line| serde_json::from_str(line).unwrap()).collect();
+    let tallies: Vec<Value> = told(&tally)
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect();
     assert_eq!(tallies.len(), 3, "two gateways, one of them twice");
 
     // Each start that ended by itself printed counters: all that a record tells has the same figure there.
@@ -70,9 +92,16 @@
     for ending in &played.endings {
         let name = ending.name.split('#').next().unwrap();
         let number: usize = ending.name.split('#').nth(1).unwrap().parse().unwrap();
-        let own = tallies.iter().filter(|tally| tally["name"] == name).nth(number - 1).expect(name);
+        let own = tallies
+            .iter()
+            .filter(|tally| tally["name"] == name)
+            .nth(number - 1)
+            .expect(name);
         let Some(counters) = &ending.counters else {
-            assert_eq!((&own["ended"], name, number), (&Value::Bool(false), "g1", 1));
+            assert_eq!(
+                (&own["ended"], name, number),
+                (&Value::Bool(false), "g1", 1)
+            );
             continue;
         };
         for (counter, value) in own.as_object().unwrap() {
@@ -81,7 +110,10 @@
                 compared += 1;
             }
         }
-        assert_eq!((&own["ended"], &own["gaps"], &own["exact"]), (&true.into(), &0.into(), &true.into()));
+        assert_eq!(
+            (&own["ended"], &own["gaps"], &own["exact"]),
+            (&true.into(), &0.into(), &true.into())
+        );
     }
     assert!(compared >= 2 * 20, "{compared} figures compared");
 
@@ -92,16 +124,33 @@
     let rows = rows(&page);
     assert_eq!(rows.len(), 4, "three starts and their sum");
     for (row, tally) in rows.iter().zip(&tallies) {
-        for column in
-            ["taken", "served", "refused", "failed", "invalid", "forgotten", "lost", "late", "sent", "open"]
-        {
-            assert_eq!(row[column], tally[column].to_string(), "{column} of {}", tally["name"]);
+        for column in [
+            "taken",
+            "served",
+            "refused",
+            "failed",
+            "invalid",
+            "forgotten",
+            "lost",
+            "late",
+            "sent",
+            "open",
+        ] {
+            assert_eq!(
+                row[column],
+                tally[column].to_string(),
+                "{column} of {}",
+                tally["name"]
+            );
         }
     }
 
     // What a person would tell of that morning.
     let head = told(&report);
-    assert!(head.contains("3 of 6 engines ended together (e-1, e-2 and e-3)"), "{head}");
+    assert!(
+        head.contains("3 of 6 engines ended together (e-1, e-2 and e-3)"),
+        "{head}"
+    );
     for words in [
         "rival flooded from 127.0.0.9",
         "the bulletin was out of reach of g1 and g2",
@@ -112,21 +161,45 @@
     ] {
         assert!(page.contains(words), "'{words}' is not told");
     }
-    assert!(!page.contains("<script src") && !page.contains("http://") && !page.contains("https://"));
+    assert!(
+        !page.contains("<script src") && !page.contains("http://") && !page.contains("https://")
+    );
     let floods = page.matches(">flood<").count();
     assert_eq!(floods, 1, "one flood, not one for each symptom");
 
     // A carrier asks after one that was refused.
     let asked = page.split("id=\"asked\"").nth(1).unwrap();
-    let id = asked.split("class=\"id\">").nth(1).unwrap().split('<').next().unwrap();
+    let id = asked
+        .split("class=\"id\">")
+        .nth(1)
+        .unwrap()
+        .split('<')
+        .next()
+        .unwrap();
     let life = told(&eideryard(&["records", "find", id, records]));
-    assert!(life.contains("Offered") && life.contains("Answered") && life.contains("Arrived"), "{life}");
+    assert!(
+        life.contains("Offered") && life.contains("Answered") && life.contains("Arrived"),
+        "{life}"
+    );
 
     // A part of it, from a segment's state on.
     let epoch = tallies[0]["epoch"].as_u64().unwrap() / 1_000_000;
     let (from, to) = ((epoch + 8).to_string(), (epoch + 10).to_string());
-    let part = eideryard(&["report", records, "--out", out.to_str().unwrap(), "--from", &from, "--to", &to]);
-    assert!(part.status.success() && !told(&part).contains("engines ended"), "{}", told(&part));
+    let part = eideryard(&[
+        "report",
+        records,
+        "--out",
+        out.to_str().unwrap(),
+        "--from",
+        &from,
+        "--to",
+        &to,
+    ]);
+    assert!(
+        part.status.success() && !told(&part).contains("engines ended"),
+        "{}",
+        told(&part)
+    );
 }
 
 #[test]
@@ -136,24 +209,51 @@
     std::fs::write(path("good.conf"), "record-dir x\nrecord-budget 8MB\n").unwrap();
     std::fs::write(path("bad.conf"), "record-dir x\n  record-bugdet 8MB\n").unwrap();
     std::fs::write(path("bad.json"), "{\n  \"name\": 1,\n  \"listen\" 5}").unwrap();
-    let config =
-        std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/gateway.json")).unwrap();
-    std::fs::write(path("aim.json"), config.replacen("1000000,", "\"soon\",", 1)).unwrap();
+    let config = std::fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../examples/gateway.json"
+    ))
+    .unwrap();
+    std::fs::write(
+        path("aim.json"),
+        config.replacen("1000000,", "\"soon\",", 1),
+    )
+    .unwrap();
     let code = |words: &[&str]| eideryard(words).status.code();
     assert_eq!(code(&["check", &path("good.conf")]), Some(0));
-    let checked =
-        eideryard(&["check", &path("good.conf"), &path("bad.conf"), &path("bad.json"), &path("aim.json")]);
+    let checked = eideryard(&[
+        "check",
+        &path("good.conf"),
+        &path("bad.conf"),
+        &path("bad.json"),
+        &path("aim.json"),
+    ]);
     let said = told(&checked);
     assert_eq!(checked.status.code(), Some(1));
     assert!(
-        said.contains("bad.conf:2:3: 'record-bugdet' is no directive; did you mean 'record-budget'?"),
+        said.contains(
+            "bad.conf:2:3: 'record-bugdet' is no directive; did you mean 'record-budget'?"
+        ),
         "{said}"
     );
     assert!(said.contains("bad.json:3:12: "), "{said}");
-    let line = config.lines().position(|line| line.contains("aim-us")).unwrap() + 1;
-    assert!(said.contains(&format!("aim.json:{line}:")) && said.contains("'grades.0.aim-us'"), "{said}");
+    let line = config
+        .lines()
+        .position(|line| line.contains("aim-us"))
+        .unwrap()
+        + 1;
+    assert!(
+        said.contains(&format!("aim.json:{line}:")) && said.contains("'grades.0.aim-us'"),
+        "{said}"
+    );
     assert_eq!(code(&["check", &path("nowhere")]), Some(1));
-    for wrong in [&["chek"][..], &["report", "x"], &["records", "tally"], &["--operator"], &["check"]] {
+    for wrong in [
+        &["chek"][..],
+        &["report", "x"],
+        &["records", "tally"],
+        &["--operator"],
+        &["check"],
+    ] {
         assert_eq!(code(wrong), Some(2), "{wrong:?}");
     }
     assert_eq!(code(&["records", "tally", &path("nothing")]), Some(1));
--- a/crates/command/tests/mixed_fleet.rs
+++ b/crates/command/tests/mixed_fleet.rs
@@ -33,7 +33,8 @@
          keeper g2 127.0.0.1:9\n  keeper g3 127.0.0.1:9\n}}\n",
         store.path().display()
     );
-    let mut gateway = Running::launched(&config(bulletin.address(), &addresses(&engines)), &operator);
+    let mut gateway =
+        Running::launched(&config(bulletin.address(), &addresses(&engines)), &operator);
     let line = gateway.line_with("peers reach this gateway at ");
     let address = line.rsplit(' ').next().expect("an address").to_string();
     gateway.listens();
--- a/crates/command/tests/scale.rs
+++ b/crates/command/tests/scale.rs
@@ -28,10 +28,16 @@
         program: None,
     };
     let program = Path::new(env!("CARGO_BIN_EXE_eideryard"));
-    let outcome =
-        Run::new(&sizes, Some(program), &mut |_, _, _, _| ()).play().expect("processes start and end");
+    let outcome = Run::new(&sizes, Some(program), &mut |_, _, _, _| ())
+        .play()
+        .expect("processes start and end");
     assert_eq!(outcome.broken, []);
-    let count = |name, axis| outcome.collected.find(name, axis).map_or(0, |series| series.points.len());
+    let count = |name, axis| {
+        outcome
+            .collected
+            .find(name, axis)
+            .map_or(0, |series| series.points.len())
+    };
     assert_eq!(count("process.request", Axis::Engines), 2);
     assert_eq!(count("process.memory", Axis::Clients), 2);
     assert_eq!(count("process.list", Axis::Engines), 2);
@@ -39,7 +45,10 @@
     assert_eq!(count("process.reload", Axis::Engines), 2);
     assert_eq!(count("reload.in_force", Axis::Reloads), 2);
     assert_eq!(
-        (count("together.change", Axis::Engines), count("together.list.whole", Axis::Engines)),
+        (
+            count("together.change", Axis::Engines),
+            count("together.list.whole", Axis::Engines)
+        ),
         (2, 2)
     );
     // Keepers took keyed requests of other gateways.
@@ -51,15 +60,24 @@
 #[test]
 fn a_change_of_the_configuration_counts_as_missed_while_one_gateway_stands_still() {
     let program = Path::new(env!("CARGO_BIN_EXE_eideryard"));
-    let size = Size { gateways: 2, engines: 8, ..Size::default() };
+    let size = Size {
+        gateways: 2,
+        engines: 8,
+        ..Size::default()
+    };
     let (moment, within) = (Duration::from_millis(50), Duration::from_millis(200));
     let mut fleet = Fleet::start(program, 2, size).expect("processes start");
     fleet.signal(0, Signal::STOP);
     let still = fleet.reload(1, moment, within).expect("processes run");
     assert_eq!((still.missed, still.in_force_after.len()), (1, 0));
     fleet.signal(0, Signal::CONT);
-    let moves = fleet.reload(1, moment, IN_FORCE_WITHIN).expect("processes run");
+    let moves = fleet
+        .reload(1, moment, IN_FORCE_WITHIN)
+        .expect("processes run");
     assert_eq!((moves.missed, moves.in_force_after.len()), (0, 1));
     let ended = fleet.end().expect("processes end");
-    assert_eq!((ended.crashed.len(), ended.counted("reloads_failed")), (0, vec![Some(0); 2]));
+    assert_eq!(
+        (ended.crashed.len(), ended.counted("reloads_failed")),
+        (0, vec![Some(0); 2])
+    );
 }
--- a/crates/console/src/draw.rs
+++ b/crates/console/src/draw.rs
@@ -39,8 +39,12 @@
         );
         return frame.render_widget(Paragraph::new(text).wrap(Wrap { trim: true }), area);
     }
-    let [top, body, bottom] =
-        Layout::vertical([Constraint::Length(4), Constraint::Min(1), Constraint::Length(2)]).areas(area);
+    let [top, body, bottom] = Layout::vertical([
+        Constraint::Length(4),
+        Constraint::Min(1),
+        Constraint::Length(2),
+    ])
+    .areas(area);
     head(frame, model, view, look, top);
     match model.page {
         Page::Engines => engines(frame, model, view, look, body),
@@ -53,29 +57,53 @@
     }
     let keys = "Tab page  ↑↓ row  Enter open  Esc back  s sort  Space pause  ←→ 1 s  \
          PgUp/PgDn 10 s  l live  q quit";
-    let keys =
-        if look.blocks { keys.to_string() } else { keys.replace("↑↓", "j/k").replace("←→", "h/l") };
+    let keys = if look.blocks {
+        keys.to_string()
+    } else {
+        keys.replace("↑↓", "j/k").replace("←→", "h/l")
+    };
     frame.render_widget(Paragraph::new(keys).wrap(Wrap { trim: true }), bottom);
 }
 
 fn head(frame: &mut Frame, model: &Model, view: &View, look: Look, area: Rect) {
     let now = view.fleet.now;
     let state = match model.paused_at {
-        None if model.silent_for > SILENT => format!("live, silent for {}", lasting(model.silent_for)),
+        None if model.silent_for > SILENT => {
+            format!("live, silent for {}", lasting(model.silent_for))
+        }
         None => "live".to_string(),
         Some(_) => "PAUSED".to_string(),
     };
-    let mut gateways: Vec<&str> = view.fleet.running().map(|(_, start)| start.name.as_str()).collect();
+    let mut gateways: Vec<&str> = view
+        .fleet
+        .running()
+        .map(|(_, start)| start.name.as_str())
+        .collect();
     if gateways.is_empty() {
         gateways.push("none runs");
     }
-    let open: usize = view.fleet.running().map(|(_, start)| start.unanswered().count()).sum();
-    let last = view.series.buckets.iter().rev().nth(1).or(view.series.buckets.last());
-    let rate =
-        |of: &dyn Fn(&Bucket) -> u32| last.map_or(0.0, |own| of(own) as f64 * 1e6 / view.series.width as f64);
+    let open: usize = view
+        .fleet
+        .running()
+        .map(|(_, start)| start.unanswered().count())
+        .sum();
+    let last = view
+        .series
+        .buckets
+        .iter()
+        .rev()
+        .nth(1)
+        .or(view.series.buckets.last());
+    let rate = |of: &dyn Fn(&Bucket) -> u32| {
+        last.map_or(0.0, |own| of(own) as f64 * 1e6 / view.series.width as f64)
+    };
     let ended = |how| rate(&|bucket| bucket.total(|class| class.ended(how)));
-    let first =
-        format!("eideryard  {} {}  {state}  gateways: {}", story::date(now), clock(now), gateways.join(" "));
+    let first = format!(
+        "eideryard  {} {}  {state}  gateways: {}",
+        story::date(now),
+        clock(now),
+        gateways.join(" ")
+    );
     let second = format!(
         "requests/s {:.0}  served {:.0}  refused {:.0}  failed {:.0}  lost {:.0}  open {open}",
         rate(&|bucket| bucket.total(|class| class.taken)),
@@ -89,11 +117,21 @@
         .episodes
         .iter()
         .filter(|episode| episode.end.is_none())
-        .map(|episode| format!("{} ({})", episode.kind.word(), story::subject(view, &episode.kind)))
+        .map(|episode| {
+            format!(
+                "{} ({})",
+                episode.kind.word(),
+                story::subject(view, &episode.kind)
+            )
+        })
         .collect();
-    let wanting = story::wanting(&story::totals(view)).map(|reasons| format!("  for want: {reasons}"));
+    let wanting =
+        story::wanting(&story::totals(view)).map(|reasons| format!("  for want: {reasons}"));
     let second = second + &wanting.unwrap_or_default();
-    let apart = view.fleet.running().filter(|(_, start)| start.majority == Some(false));
+    let apart = view
+        .fleet
+        .running()
+        .filter(|(_, start)| start.majority == Some(false));
     let apart: Vec<&str> = apart.map(|(_, start)| start.name.as_str()).collect();
     let third = match lasting.is_empty() {
         true => "no trouble now".to_string(),
@@ -103,10 +141,20 @@
         true => third,
         false => format!("{third}  NO MAJORITY of keepers at {}", apart.join(" ")),
     };
-    let style =
-        if look.colours && !lasting.is_empty() { bold().fg(ratatui::style::Color::Red) } else { bold() };
-    let lines = vec![Line::styled(first, bold()), Line::from(second), Line::styled(third, style)];
-    frame.render_widget(Paragraph::new(lines).block(Block::new().borders(Borders::BOTTOM)), area);
+    let style = if look.colours && !lasting.is_empty() {
+        bold().fg(ratatui::style::Color::Red)
+    } else {
+        bold()
+    };
+    let lines = vec![
+        Line::styled(first, bold()),
+        Line::from(second),
+        Line::styled(third, style),
+    ];
+    frame.render_widget(
+        Paragraph::new(lines).block(Block::new().borders(Borders::BOTTOM)),
+        area,
+    );
 }
 
 fn spark(values: &[u64], look: Look) -> String {
@@ -166,38 +214,62 @@
         ("bad", 5),
     ];
     let title = format!("Engines, by {}", model.sort.name());
-    table(frame, area, title, &columns, cells.collect(), Some(model.cursor));
+    table(
+        frame,
+        area,
+        title,
+        &columns,
+        cells.collect(),
+        Some(model.cursor),
+    );
 }
 
 fn lanes(frame: &mut Frame, view: &View, look: Look, area: Rect, classes: bool) {
     let mut sums: Vec<[u64; 7]> = Vec::new();
     for (_, start) in view.fleet.known() {
         let tally = start.tally();
-        let lanes: &[Lane] = if classes { &tally.classes } else { &tally.tenants };
+        let lanes: &[Lane] = if classes {
+            &tally.classes
+        } else {
+            &tally.tenants
+        };
         for (at, lane) in lanes.iter().enumerate() {
             if sums.len() <= at {
                 sums.resize(at + 1, [0; 7]);
             }
-            sums[at].iter_mut().zip(lane.values()).for_each(|(sum, value)| *sum += value);
+            sums[at]
+                .iter_mut()
+                .zip(lane.values())
+                .for_each(|(sum, value)| *sum += value);
         }
     }
     let buckets = &view.series.buckets;
     let shown = &buckets[buckets.len().saturating_sub(SPARKS)..];
-    let rows = sums.iter().enumerate().filter(|(_, values)| values[0] > 0).map(|(at, values)| {
-        let name = if classes { view.fleet.class(at) } else { view.fleet.tenant(at) };
-        let rates: Vec<u64> = shown
-            .iter()
-            .map(|bucket| match classes {
-                true => bucket.classes.get(&at).map_or(0, |own| own.taken as u64),
-                false => bucket.tenants.get(&at).map_or(0, |own| *own as u64),
-            })
-            .collect();
-        let [taken, served, refused, failed, _, lost, late] = values;
-        let mut cells = vec![name];
-        cells.extend([taken, served, refused, failed, lost, late].map(|value| format!("{value:>6}")));
-        cells.push(spark(&rates, look));
-        cells
-    });
+    let rows = sums
+        .iter()
+        .enumerate()
+        .filter(|(_, values)| values[0] > 0)
+        .map(|(at, values)| {
+            let name = if classes {
+                view.fleet.class(at)
+            } else {
+                view.fleet.tenant(at)
+            };
+            let rates: Vec<u64> = shown
+                .iter()
+                .map(|bucket| match classes {
+                    true => bucket.classes.get(&at).map_or(0, |own| own.taken as u64),
+                    false => bucket.tenants.get(&at).map_or(0, |own| *own as u64),
+                })
+                .collect();
+            let [taken, served, refused, failed, _, lost, late] = values;
+            let mut cells = vec![name];
+            cells.extend(
+                [taken, served, refused, failed, lost, late].map(|value| format!("{value:>6}")),
+            );
+            cells.push(spark(&rates, look));
+            cells
+        });
     let columns = [
         (if classes { "class" } else { "tenant" }, 0),
         ("taken", 6),
@@ -209,7 +281,14 @@
         ("taken, 20 s", 20),
     ];
     let title = if classes { "Classes" } else { "Tenants" };
-    table(frame, area, format!("{title}, over all starts"), &columns, rows.collect(), None);
+    table(
+        frame,
+        area,
+        format!("{title}, over all starts"),
+        &columns,
+        rows.collect(),
+        None,
+    );
 }
 
 fn episodes(frame: &mut Frame, model: &Model, view: &View, area: Rect) {
@@ -218,43 +297,96 @@
         let (from, to) = episode.span(now);
         vec![
             clock(from),
-            if episode.end.is_some() { clock(to) } else { "lasts".into() },
+            if episode.end.is_some() {
+                clock(to)
+            } else {
+                "lasts".into()
+            },
             episode.kind.word().to_string(),
             story::clause(view, episode),
         ]
     });
-    let columns = [("from", 8), ("to", 8), ("kind", 13), ("what (Enter: go to its worst moment)", 0)];
-    table(frame, area, "Episodes".into(), &columns, rows.collect(), Some(model.cursor));
+    let columns = [
+        ("from", 8),
+        ("to", 8),
+        ("kind", 13),
+        ("what (Enter: go to its worst moment)", 0),
+    ];
+    table(
+        frame,
+        area,
+        "Episodes".into(),
+        &columns,
+        rows.collect(),
+        Some(model.cursor),
+    );
 }
 
 fn requests(frame: &mut Frame, model: &Model, view: &View, area: Rect) {
     let rows = model.requests(view).into_iter().map(|request| {
         vec![
             clock_ms(request.at),
-            request.id.map_or_else(|| "-".into(), |id| format!("{id:016x}")),
-            view.fleet.start(request.source).map_or_else(String::new, |start| start.name.clone()),
+            request
+                .id
+                .map_or_else(|| "-".into(), |id| format!("{id:016x}")),
+            view.fleet
+                .start(request.source)
+                .map_or_else(String::new, |start| start.name.clone()),
             view.fleet.class(request.class),
             view.fleet.tenant(request.tenant),
-            format!("{}{}", request.how.name(), if request.late { " late" } else { "" }),
+            format!(
+                "{}{}",
+                request.how.name(),
+                if request.late { " late" } else { "" }
+            ),
             request.tries.to_string(),
         ]
     });
-    let columns =
-        [("ended", 12), ("id", 16), ("gateway", 8), ("class", 0), ("tenant", 10), ("end", 12), ("tries", 5)];
+    let columns = [
+        ("ended", 12),
+        ("id", 16),
+        ("gateway", 8),
+        ("class", 0),
+        ("tenant", 10),
+        ("end", 12),
+        ("tries", 5),
+    ];
     let title = "Requests that were not simply served, the latest first".into();
-    table(frame, area, title, &columns, rows.collect(), Some(model.cursor));
+    table(
+        frame,
+        area,
+        title,
+        &columns,
+        rows.collect(),
+        Some(model.cursor),
+    );
 }
 
 fn one_engine(frame: &mut Frame, view: &View, look: Look, area: Rect, engine: u32) {
-    let mut lines = vec![Line::styled(format!("Engine {}", view.fleet.engine(engine)), bold())];
-    lines.push(Line::from(format!("answers, 20 s: {}", spark(&crate::model::rates(view, engine), look))));
+    let mut lines = vec![Line::styled(
+        format!("Engine {}", view.fleet.engine(engine)),
+        bold(),
+    )];
+    lines.push(Line::from(format!(
+        "answers, 20 s: {}",
+        spark(&crate::model::rates(view, engine), look)
+    )));
     for (_, start) in view.fleet.known() {
-        let Some(own) = start.engines.get(&engine) else { continue };
+        let Some(own) = start.engines.get(&engine) else {
+            continue;
+        };
         lines.push(Line::from(""));
-        let out =
-            format!("{} out, {:.0} threads, {:.0} MB granted", own.in_flight, own.threads, own.granted_mb);
+        let out = format!(
+            "{} out, {:.0} threads, {:.0} MB granted",
+            own.in_flight, own.threads, own.granted_mb
+        );
         lines.push(Line::styled(
-            format!("at {} (started {}): {:?}, {out}", start.name, clock(start.epoch), own.phase),
+            format!(
+                "at {} (started {}): {:?}, {out}",
+                start.name,
+                clock(start.epoch),
+                own.phase
+            ),
             bold(),
         ));
         lines.push(Line::from(format!(
@@ -263,8 +395,16 @@
             own.sent,
             own.last_answer.map_or_else(|| "never".into(), clock_ms)
         )));
-        let names =
-            ["answered", "error", "full", "timed out", "no connection", "broken", "cancelled", "unsent"];
+        let names = [
+            "answered",
+            "error",
+            "full",
+            "timed out",
+            "no connection",
+            "broken",
+            "cancelled",
+            "unsent",
+        ];
         let outcomes: Vec<String> = names
             .iter()
             .zip(own.outcomes)
@@ -272,7 +412,11 @@
             .map(|(name, count)| format!("{name} {count}"))
             .collect();
         lines.push(Line::from(outcomes.join(", ")));
-        let recent: Vec<String> = own.recent.iter().map(|outcome| format!("{outcome:?}")).collect();
+        let recent: Vec<String> = own
+            .recent
+            .iter()
+            .map(|outcome| format!("{outcome:?}"))
+            .collect();
         lines.push(Line::from(format!("last: {}", recent.join(" "))));
     }
     frame.render_widget(Paragraph::new(lines).wrap(Wrap { trim: false }), area);
@@ -280,9 +424,18 @@
 
 fn one_request(frame: &mut Frame, view: &View, area: Rect, id: u64) {
     let mut lines = vec![Line::styled(format!("Request {id:016x}"), bold())];
-    for request in view.notables.iter().filter(|request| request.id == Some(id)) {
-        let gateway = view.fleet.start(request.source).map_or("", |start| start.name.as_str());
-        let took = request.took.map_or_else(|| "a time not known".into(), lasting);
+    for request in view
+        .notables
+        .iter()
+        .filter(|request| request.id == Some(id))
+    {
+        let gateway = view
+            .fleet
+            .start(request.source)
+            .map_or("", |start| start.name.as_str());
+        let took = request
+            .took
+            .map_or_else(|| "a time not known".into(), lasting);
         lines.push(Line::from(format!(
             "{} at {gateway}: class {}, tenant {}: {}{} after {took} and {}",
             clock_ms(request.at),
@@ -305,6 +458,8 @@
         }
     }
     lines.push(Line::from(""));
-    lines.push(Line::from(format!("Every entry of it: eideryard records find {id:016x} DIR...")));
+    lines.push(Line::from(format!(
+        "Every entry of it: eideryard records find {id:016x} DIR..."
+    )));
     frame.render_widget(Paragraph::new(lines).wrap(Wrap { trim: false }), area);
 }
--- a/crates/console/src/model.rs
+++ b/crates/console/src/model.rs
@@ -28,7 +28,13 @@
 }
 
 impl Sort {
-    const ALL: [Sort; 5] = [Sort::Name, Sort::InFlight, Sort::Memory, Sort::Rate, Sort::Bad];
+    const ALL: [Sort; 5] = [
+        Sort::Name,
+        Sort::InFlight,
+        Sort::Memory,
+        Sort::Rate,
+        Sort::Bad,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -130,11 +136,19 @@
     }
 
     pub fn key(&mut self, key: Key, view: &View) -> Wish {
-        const PAGES: [Page; 5] =
-            [Page::Engines, Page::Classes, Page::Tenants, Page::Episodes, Page::Requests];
+        const PAGES: [Page; 5] = [
+            Page::Engines,
+            Page::Classes,
+            Page::Tenants,
+            Page::Episodes,
+            Page::Requests,
+        ];
         let now = self.paused_at.unwrap_or(view.fleet.now);
         let turned = |by: usize| {
-            let at = PAGES.iter().position(|page| *page == self.page).unwrap_or(0);
+            let at = PAGES
+                .iter()
+                .position(|page| *page == self.page)
+                .unwrap_or(0);
             PAGES[(at + by) % PAGES.len()]
         };
         match key {
@@ -149,16 +163,23 @@
                 }
             }
             Key::Sort => {
-                let at = Sort::ALL.iter().position(|sort| *sort == self.sort).unwrap_or(0);
+                let at = Sort::ALL
+                    .iter()
+                    .position(|sort| *sort == self.sort)
+                    .unwrap_or(0);
                 self.sort = Sort::ALL[(at + 1) % Sort::ALL.len()];
             }
             Key::Open => match self.page {
                 Page::Engines => {
                     let row = self.engines(view).get(self.cursor).map(|row| row.engine);
-                    row.into_iter().for_each(|engine| self.go(Page::Engine(engine)));
+                    row.into_iter()
+                        .for_each(|engine| self.go(Page::Engine(engine)));
                 }
                 Page::Requests => {
-                    let id = self.requests(view).get(self.cursor).and_then(|request| request.id);
+                    let id = self
+                        .requests(view)
+                        .get(self.cursor)
+                        .and_then(|request| request.id);
                     id.into_iter().for_each(|id| self.go(Page::Request(id)));
                 }
                 Page::Episodes => return self.jump(view),
@@ -233,7 +254,10 @@
                 };
                 row.in_flight += own.in_flight;
                 row.granted_mb += own.granted_mb;
-                row.ranks.iter_mut().zip(own.ranks).for_each(|(sum, rank)| *sum += rank);
+                row.ranks
+                    .iter_mut()
+                    .zip(own.ranks)
+                    .for_each(|(sum, rank)| *sum += rank);
                 let [answered, error, full, timed_out, no_connection, broken, ..] = own.outcomes;
                 row.answered += answered;
                 row.bad += error + full + timed_out + no_connection + broken;
@@ -265,5 +289,13 @@
 pub fn rates(view: &View, engine: EngineId) -> Vec<u64> {
     let buckets = &view.series.buckets;
     let shown = &buckets[buckets.len().saturating_sub(SPARKS)..];
-    shown.iter().map(|bucket| bucket.engines.get(&engine).map_or(0, |own| own.answered as u64)).collect()
+    shown
+        .iter()
+        .map(|bucket| {
+            bucket
+                .engines
+                .get(&engine)
+                .map_or(0, |own| own.answered as u64)
+        })
+        .collect()
 }
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -34,7 +34,12 @@
             None => Merged::follow(directories),
         };
         let merged = merged.map_err(|e| e.to_string())?;
-        Ok(Records { directories: directories.to_vec(), merged, view: View::new(), ahead: None })
+        Ok(Records {
+            directories: directories.to_vec(),
+            merged,
+            view: View::new(),
+            ahead: None,
+        })
     }
 
     /// Folds on, up to a time. True: there may be more at once.
@@ -49,7 +54,8 @@
                 self.ahead = Some(told);
                 return Ok(false);
             }
-            self.view.take(self.merged.sources(), told.source, told.at, &told.what);
+            self.view
+                .take(self.merged.sources(), told.source, told.at, &told.what);
         }
         Ok(true)
     }
@@ -114,18 +120,30 @@
     loop {
         let began = Instant::now();
         let more = records.fold(model.paused_at.unwrap_or(Micros::MAX))?;
-        let clock = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let clock = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         model.silent_for = (clock.as_micros() as Micros).saturating_sub(records.view.fleet.now);
-        terminal.draw(|frame| draw(frame, model, &records.view, look)).map_err(failed)?;
-        let patience = if more { Duration::ZERO } else { TICK.saturating_sub(began.elapsed()) };
+        terminal
+            .draw(|frame| draw(frame, model, &records.view, look))
+            .map_err(failed)?;
+        let patience = if more {
+            Duration::ZERO
+        } else {
+            TICK.saturating_sub(began.elapsed())
+        };
         if !event::poll(patience).map_err(failed)? {
             continue;
         }
-        let Event::Key(pressed) = event::read().map_err(failed)? else { continue };
+        let Event::Key(pressed) = event::read().map_err(failed)? else {
+            continue;
+        };
         if pressed.kind == KeyEventKind::Release {
             continue;
         }
-        let Some(key) = key(pressed.code, pressed.modifiers) else { continue };
+        let Some(key) = key(pressed.code, pressed.modifiers) else {
+            continue;
+        };
         match model.key(key, &records.view) {
             Wish::Quit => return Ok(()),
             Wish::Go(at) if at < records.view.fleet.now => records.rewind(at)?,
--- a/crates/engine-line/src/lib.rs
+++ b/crates/engine-line/src/lib.rs
@@ -43,21 +43,33 @@
 
 impl<'a> Fields<'a> {
     pub fn get(&self, name: &str) -> Option<&'a str> {
-        self.pairs(',', '=').find(|(key, _)| *key == name).map(|(_, value)| value)
+        self.pairs(',', '=')
+            .find(|(key, _)| *key == name)
+            .map(|(_, value)| value)
     }
 
     /// The named values of a load report, which stands in one field: `name:value;name:value`.
     pub fn report(&self) -> Option<impl Iterator<Item = (&'a str, f64)> + use<'a>> {
         let report = Fields(self.get("report")?);
-        Some(report.pairs(';', ':').filter_map(|(name, value)| Some((name, value.parse().ok()?))))
+        Some(
+            report
+                .pairs(';', ':')
+                .filter_map(|(name, value)| Some((name, value.parse().ok()?))),
+        )
     }
 
     pub fn number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.get(name)?.parse().ok()
     }
 
-    fn pairs(&self, between: char, within: char) -> impl Iterator<Item = (&'a str, &'a str)> + use<'a> {
-        self.0.split(between).filter_map(move |pair| pair.split_once(within))
+    fn pairs(
+        &self,
+        between: char,
+        within: char,
+    ) -> impl Iterator<Item = (&'a str, &'a str)> + use<'a> {
+        self.0
+            .split(between)
+            .filter_map(move |pair| pair.split_once(within))
     }
 }
 
@@ -77,13 +89,26 @@
 pub fn decode(bytes: &[u8]) -> Result<Option<(Answer<'_>, usize)>, Malformed> {
     let head = &bytes[..bytes.len().min(MOST_HEAD)];
     let Some(end) = head.windows(2).position(|pair| pair == b"\r\n") else {
-        return if bytes.len() < MOST_HEAD { Ok(None) } else { Err(Malformed) };
+        return if bytes.len() < MOST_HEAD {
+            Ok(None)
+        } else {
+            Err(Malformed)
+        };
     };
     let line = std::str::from_utf8(&bytes[..end]).map_err(|_| Malformed)?;
     let mut words = line.split(' ');
-    let mut next = || words.next().filter(|word| !word.is_empty()).ok_or(Malformed);
+    let mut next = || {
+        words
+            .next()
+            .filter(|word| !word.is_empty())
+            .ok_or(Malformed)
+    };
     let (id, word, fields, length) = (next()?, next()?, next()?, next()?);
-    let length: usize = length.parse().ok().filter(|&length| length <= MOST_PAYLOAD).ok_or(Malformed)?;
+    let length: usize = length
+        .parse()
+        .ok()
+        .filter(|&length| length <= MOST_PAYLOAD)
+        .ok_or(Malformed)?;
     if words.next().is_some() {
         return Err(Malformed);
     }
@@ -99,12 +124,22 @@
         _ => return Err(Malformed),
     };
     let (start, stop) = (end + 2, end + 2 + length);
-    let Some(closing) = bytes.get(stop..stop + 2) else { return Ok(None) };
+    let Some(closing) = bytes.get(stop..stop + 2) else {
+        return Ok(None);
+    };
     if closing != b"\r\n" {
         return Err(Malformed);
     }
     let fields = Fields(if fields == "-" { "" } else { fields });
-    Ok(Some((Answer { id, word, fields, payload: &bytes[start..stop] }, stop + 2)))
+    Ok(Some((
+        Answer {
+            id,
+            word,
+            fields,
+            payload: &bytes[start..stop],
+        },
+        stop + 2,
+    )))
 }
 
 /// What a request is sent with.
@@ -124,7 +159,11 @@
     pub fn write(&self, out: &mut Vec<u8>) {
         let mut line = String::with_capacity(128);
         // Writing to a string cannot fail.
-        let _ = write!(line, "serve {} profile={},max={}", self.id, self.class, self.wait_ms);
+        let _ = write!(
+            line,
+            "serve {} profile={},max={}",
+            self.id, self.class, self.wait_ms
+        );
         if let Some(key) = self.key {
             let _ = write!(line, ",replay={key}");
         }
--- a/crates/engine-line/tests/codec.rs
+++ b/crates/engine-line/tests/codec.rs
@@ -1,6 +1,7 @@
 use eideryard_engine_line::*;
 
-const GOOD: &[u8] = b"9b1f OK count=2,ticks=80.5,footprint=96,report=inflight:7;util:0.61 6\r\na\tb\tc\n\r\n";
+const GOOD: &[u8] =
+    b"9b1f OK count=2,ticks=80.5,footprint=96,report=inflight:7;util:0.61 6\r\na\tb\tc\n\r\n";
 
 #[test]
 fn answers_are_found_whole_byte_by_byte_and_behind_each_other() {
@@ -17,7 +18,10 @@
     (0..GOOD.len()).for_each(|cut| assert_eq!(decode(&GOOD[..cut]), Ok(None), "cut at {cut}"));
     let two = [GOOD, b"x NOTE - 0\r\n\r\n"].concat();
     let (note, length) = decode(&two[GOOD.len()..]).unwrap().unwrap();
-    assert_eq!((note.word, note.fields.get("remark"), length), (Word::Note, None, 14));
+    assert_eq!(
+        (note.word, note.fields.get("remark"), length),
+        (Word::Note, None, 14)
+    );
 }
 
 #[test]
@@ -34,7 +38,9 @@
         b"x \xff - 0\r\n\r\n",
         &long,
     ];
-    cases.into_iter().for_each(|bytes| assert_eq!(decode(bytes), Err(Malformed), "{bytes:?}"));
+    cases
+        .into_iter()
+        .for_each(|bytes| assert_eq!(decode(bytes), Err(Malformed), "{bytes:?}"));
     let longest = |length: usize| format!("x OK - {length}\r\n").into_bytes();
     assert_eq!(decode(&longest(MOST_PAYLOAD)), Ok(None));
     assert_eq!(decode(&longest(MOST_PAYLOAD + 1)), Err(Malformed));
@@ -47,12 +53,20 @@
         let mut bytes = GOOD.to_vec();
         for _ in 0..rng.usize(1..6) {
             let at = rng.usize(..bytes.len());
-            bytes[at] = if rng.bool() { rng.u8(..) } else { *rng.choice(b" =,:;\r\n0").unwrap() };
+            bytes[at] = if rng.bool() {
+                rng.u8(..)
+            } else {
+                *rng.choice(b" =,:;\r\n0").unwrap()
+            };
         }
         bytes.truncate(rng.usize(..=bytes.len()));
         if let Ok(Some((answer, length))) = decode(&bytes) {
             assert!(length <= bytes.len());
-            answer.fields.report().into_iter().for_each(|report| _ = report.count());
+            answer
+                .fields
+                .report()
+                .into_iter()
+                .for_each(|report| _ = report.count());
         }
     }
 }
@@ -70,7 +84,10 @@
         statement: b"SELECT 1",
     };
     serve.write(&mut out);
-    assert_eq!(out, b"serve 9b1f profile=report,max=1200,replay=5c0f,heap=640,order=2 8\r\nSELECT 1\r\n");
+    assert_eq!(
+        out,
+        b"serve 9b1f profile=report,max=1200,replay=5c0f,heap=640,order=2 8\r\nSELECT 1\r\n"
+    );
     out.clear();
     (serve.key, serve.grant_mb, serve.rank, serve.statement) = (None, 0, None, b"");
     serve.write(&mut out);
@@ -81,5 +98,8 @@
     write_read(&mut out, "a", 1);
     write_release(&mut out, "a");
     write_gauges(&mut out, "t");
-    assert_eq!(out, b"cancel a\r\nweigh a 3\r\nread a 1\r\nrelease a\r\ngauges t\r\n");
+    assert_eq!(
+        out,
+        b"cancel a\r\nweigh a 3\r\nread a 1\r\nrelease a\r\ngauges t\r\n"
+    );
 }
--- a/crates/fleet-rig/examples/measure.rs
+++ b/crates/fleet-rig/examples/measure.rs
@@ -14,7 +14,10 @@
 /// Gateways with lines of an operator's file, where `{peer NAME}` is a peer's address.
 fn gateways(lines: &[String]) -> String {
     let of = |name: &&str| {
-        let lines: String = lines.iter().map(|line| format!("    operator \"{line}\"\n")).collect();
+        let lines: String = lines
+            .iter()
+            .map(|line| format!("    operator \"{line}\"\n"))
+            .collect();
         format!("gateway {name} {{\n    memory 64MB\n{lines}}}\n")
     };
     NAMES.iter().map(of).collect()
@@ -25,8 +28,13 @@
 }
 
 fn fleet() -> Vec<String> {
-    let keepers = NAMES.iter().take(3).map(|name| format!("keeper {name} {{peer {name}}}"));
-    let head = store().into_iter().chain(["fleet rig {".into(), "listen 127.0.0.1:0".into()]);
+    let keepers = NAMES
+        .iter()
+        .take(3)
+        .map(|name| format!("keeper {name} {{peer {name}}}"));
+    let head = store()
+        .into_iter()
+        .chain(["fleet rig {".into(), "listen 127.0.0.1:0".into()]);
     head.chain(keepers).chain(["}".into()]).collect()
 }
 
@@ -73,7 +81,10 @@
     let program: PathBuf = program().map_err(|e| e.to_string())?;
     let (names, wanted): (Vec<&str>, &[&str]) = match what.as_str() {
         "restart" => (vec!["wiped", "kept"], &["restart30_"]),
-        "cost" => (vec!["plain", "store", "fleet"], &["median_us_", "p99_us_", "cpu_us_"]),
+        "cost" => (
+            vec!["plain", "store", "fleet"],
+            &["median_us_", "p99_us_", "cpu_us_"],
+        ),
         _ => return Err("say what: restart or cost".into()),
     };
     for seed in 1..=rounds {
@@ -86,7 +97,9 @@
                 _ => cost(seed, &fleet()),
             };
             let figures = played(&program, &text)?;
-            let shown = figures.iter().filter(|(own, _)| wanted.iter().any(|want| own.starts_with(want)));
+            let shown = figures
+                .iter()
+                .filter(|(own, _)| wanted.iter().any(|want| own.starts_with(want)));
             let shown: Vec<String> = shown.map(|(own, value)| format!("{own}={value}")).collect();
             println!("seed={seed} {name:<6} {}", shown.join(" "));
         }
--- a/crates/fleet-rig/src/bin/cold_sum.rs
+++ b/crates/fleet-rig/src/bin/cold_sum.rs
@@ -26,22 +26,32 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let without = Without { asking: arguments.unasked, cold: arguments.untold, late_dials: false };
+    let without = Without {
+        asking: arguments.unasked,
+        cold: arguments.untold,
+        late_dials: false,
+    };
     let mut fell = 0;
     for &gateways in &arguments.gateways {
         let parts: Vec<_> = (0..arguments.threads)
             .map(|part| {
                 let seeds = (part..arguments.seeds).step_by(arguments.threads as usize);
                 std::thread::spawn(move || {
-                    seeds.map(|seed| (seed, play(seed, gateways, without))).collect::<Vec<_>>()
+                    seeds
+                        .map(|seed| (seed, play(seed, gateways, without)))
+                        .collect::<Vec<_>>()
                 })
             })
             .collect();
-        let mut all: Vec<(u64, Sum)> =
-            parts.into_iter().flat_map(|part| part.join().expect("a seed that plays")).collect();
+        let mut all: Vec<(u64, Sum)> = parts
+            .into_iter()
+            .flat_map(|part| part.join().expect("a seed that plays"))
+            .collect();
         all.sort_by(|a, b| b.1.over_bound.total_cmp(&a.1.over_bound));
         let over = all.iter().filter(|(_, sum)| sum.over_bound > 1.0).count();
-        let mean = |of: fn(&Sum) -> f64| all.iter().map(|(_, sum)| of(sum)).sum::<f64>() / all.len() as f64;
+        let mean = |of: fn(&Sum) -> f64| {
+            all.iter().map(|(_, sum)| of(sum)).sum::<f64>() / all.len() as f64
+        };
         fell += over;
         println!(
             "gateways={gateways} seeds={} fell={over} worst={:.2} worst_seed={} worst_over_budget={:.2} \
--- a/crates/fleet-rig/src/bin/simulate.rs
+++ b/crates/fleet-rig/src/bin/simulate.rs
@@ -48,13 +48,22 @@
     // One that panicked says nothing of its seeds: neither does the whole.
     parts
         .into_iter()
-        .map(|part| part.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic)))
+        .map(|part| {
+            part.join()
+                .unwrap_or_else(|panic| std::panic::resume_unwind(panic))
+        })
         .collect()
 }
 
 fn owners(own: &Arguments, tasks: u32) -> ExitCode {
     let (gateways, keepers, faults) = (own.gateways, own.keepers, own.faults);
-    let size = owned::Size { gateways, keepers, tasks, faults, goes: 3 };
+    let size = owned::Size {
+        gateways,
+        keepers,
+        tasks,
+        faults,
+        goes: 3,
+    };
     let (mut sum, mut broken) = (owned::Figures::default(), Vec::new());
     for (figures, seeds) in parts(own.seeds, move |seeds| owned::play(size, seeds)) {
         sum.add(&figures);
@@ -71,8 +80,12 @@
 
 fn main() -> ExitCode {
     let own = Arguments::parse();
-    let size =
-        Size { gateways: own.gateways, keepers: own.keepers, requests: own.requests, faults: own.faults };
+    let size = Size {
+        gateways: own.gateways,
+        keepers: own.keepers,
+        requests: own.requests,
+        faults: own.faults,
+    };
     let without = match own.without.as_str() {
         "claims" => Without::Claims,
         "catch-up" => Without::CatchUp,
@@ -82,7 +95,9 @@
         return owners(&own, tasks);
     }
     if let Some(seed) = own.story {
-        Fleet::story_of(size, seed, without).iter().for_each(|line| println!("{line}"));
+        Fleet::story_of(size, seed, without)
+            .iter()
+            .for_each(|line| println!("{line}"));
         return ExitCode::SUCCESS;
     }
     let (mut sum, mut broken) = (Figures::default(), Vec::new());
@@ -92,8 +107,16 @@
     }
     let each = |total: u64| total as f64 / sum.requests.max(1) as f64;
     println!("{sum:?}");
-    println!("a keyed request: {:.1} messages, {:.0} bytes", each(sum.messages), each(sum.bytes));
-    println!("seeds that break a rule: {} {:?}", broken.len(), &broken[..broken.len().min(10)]);
+    println!(
+        "a keyed request: {:.1} messages, {:.0} bytes",
+        each(sum.messages),
+        each(sum.bytes)
+    );
+    println!(
+        "seeds that break a rule: {} {:?}",
+        broken.len(),
+        &broken[..broken.len().min(10)]
+    );
     let word = if broken.is_empty() { "kept" } else { "broken" };
     println!(
         "verdict={word} seeds={} gateways={} effects_twice={} unanswered={} differ={}",
--- a/crates/fleet-rig/src/check/answers.rs
+++ b/crates/fleet-rig/src/check/answers.rs
@@ -31,9 +31,11 @@
                 let text = format!("{load}: an answer of {gateway} that nothing waits for");
                 (Rule::OneAnswer, About::Load(load.clone()), text)
             }
-            What::Garbled { id } => {
-                (Rule::OneAnswer, About::Request(*id), "a result that no engine made for it".into())
-            }
+            What::Garbled { id } => (
+                Rule::OneAnswer,
+                About::Request(*id),
+                "a result that no engine made for it".into(),
+            ),
             What::Over { id, how, .. } => {
                 let Some((asked, tried)) = history.tries.get(id) else {
                     let text = "an end of a try that nobody made".to_string();
@@ -46,7 +48,12 @@
                     });
                     continue;
                 };
-                *loads.entry(tried.load.clone()).or_default().ends.entry(*how).or_default() += 1;
+                *loads
+                    .entry(tried.load.clone())
+                    .or_default()
+                    .ends
+                    .entry(*how)
+                    .or_default() += 1;
                 if !matches!(how, How::Reset | How::Silence) {
                     continue;
                 }
@@ -57,7 +64,11 @@
                     }
                     None => {
                         unanswered += 1;
-                        let what = if *how == How::Reset { "ended its connection" } else { "said nothing" };
+                        let what = if *how == How::Reset {
+                            "ended its connection"
+                        } else {
+                            "said nothing"
+                        };
                         let text = format!("{} lived and {what}", tried.gateway);
                         (Rule::OneAnswer, About::Request(*id), text)
                     }
@@ -65,12 +76,24 @@
             }
             _ => continue,
         };
-        verdict.add(Break { rule, about, from: *at, to: *at, text });
+        verdict.add(Break {
+            rule,
+            about,
+            from: *at,
+            to: *at,
+            text,
+        });
     }
     for (id, ends) in history.ends.iter().filter(|(_, ends)| ends.len() > 1) {
         let (from, to) = (ends[0].0, ends[ends.len() - 1].0);
         let text = format!("it ended {} times", ends.len());
-        verdict.add(Break { rule: Rule::OneAnswer, about: About::Request(*id), from, to, text });
+        verdict.add(Break {
+            rule: Rule::OneAnswer,
+            about: About::Request(*id),
+            from,
+            to,
+            text,
+        });
     }
     let mut total = Sums::default();
     for (load, sums) in &loads {
@@ -78,10 +101,18 @@
         if sums.asked != ended {
             let text = format!("{load}: {} were asked and {ended} ended", sums.asked);
             let about = About::Load(load.clone());
-            verdict.add(Break { rule: Rule::Conservation, about, from: 0, to: history.last, text });
+            verdict.add(Break {
+                rule: Rule::Conservation,
+                about,
+                from: 0,
+                to: history.last,
+                text,
+            });
         }
         total.asked += sums.asked;
-        sums.ends.iter().for_each(|(how, count)| *total.ends.entry(*how).or_default() += count);
+        sums.ends
+            .iter()
+            .for_each(|(how, count)| *total.ends.entry(*how).or_default() += count);
     }
     let of = |how| total.ends.get(&how).copied().unwrap_or(0);
     verdict.figure("requests", total.asked);
@@ -114,20 +145,49 @@
         ];
         let verdict = checked(&kept);
         assert!(verdict.kept(), "{:?}", verdict.breaks);
-        assert_eq!((verdict.figures["lost_killed"], verdict.figures["unanswered"]), (1, 0));
+        assert_eq!(
+            (
+                verdict.figures["lost_killed"],
+                verdict.figures["unanswered"]
+            ),
+            (1, 0)
+        );
         // The same without the kill, with a second end, without an end, with an end of nothing, with an
         // answer too many.
-        let mut planted = [kept.clone(), kept.clone(), kept.clone(), kept.clone(), kept.clone()];
+        let mut planted = [
+            kept.clone(),
+            kept.clone(),
+            kept.clone(),
+            kept.clone(),
+            kept.clone(),
+        ];
         planted[0].remove(3);
         planted[1].insert(2, over(25, 1, How::Failed));
         planted[2].remove(1);
         planted[3].push(over(60, 9, How::Served));
-        let surplus = What::Surplus { load: "all".into(), gateway: "g1".into() };
-        planted[4].push(Happened { at: 60, what: surplus });
-        let found: Vec<Vec<Rule>> =
-            planted.iter().map(|events| checked(events).counts.into_keys().collect()).collect();
+        let surplus = What::Surplus {
+            load: "all".into(),
+            gateway: "g1".into(),
+        };
+        planted[4].push(Happened {
+            at: 60,
+            what: surplus,
+        });
+        let found: Vec<Vec<Rule>> = planted
+            .iter()
+            .map(|events| checked(events).counts.into_keys().collect())
+            .collect();
         let (one, sums) = (Rule::OneAnswer, Rule::Conservation);
-        assert_eq!(found, [vec![one], vec![one, sums], vec![sums], vec![sums], vec![one]]);
+        assert_eq!(
+            found,
+            [
+                vec![one],
+                vec![one, sums],
+                vec![sums],
+                vec![sums],
+                vec![one]
+            ]
+        );
     }
 
     #[test]
@@ -138,10 +198,19 @@
             events.push(over(90, 1, How::Silence));
             events
         };
-        let paused =
-            |name| events(&[gateway(5, name, Process::Paused), gateway(30, name, Process::Continued)]);
+        let paused = |name| {
+            events(&[
+                gateway(5, name, Process::Paused),
+                gateway(30, name, Process::Continued),
+            ])
+        };
         assert!(checked(&paused("g1")).kept() && !checked(&paused("g2")).kept());
-        let cut = |to| events(&[link(20, "clients", to, "cut", true), link(30, "clients", to, "cut", false)]);
+        let cut = |to| {
+            events(&[
+                link(20, "clients", to, "cut", true),
+                link(30, "clients", to, "cut", false),
+            ])
+        };
         assert!(checked(&cut("g1")).kept() && !checked(&cut("g2")).kept());
     }
 }
--- a/crates/fleet-rig/src/check/cold.rs
+++ b/crates/fleet-rig/src/check/cold.rs
@@ -27,11 +27,21 @@
                 if let Some(warm_within) = begins.filter(|warm| *warm > 0) {
                     starts += 1;
                     let sent = VecDeque::new();
-                    cold.insert(engine.clone(), Cold { since: *at, warm_within, sent, over: false });
+                    cold.insert(
+                        engine.clone(),
+                        Cold {
+                            since: *at,
+                            warm_within,
+                            sent,
+                            over: false,
+                        },
+                    );
                 }
             }
             What::Began { engine, work, .. } => {
-                let Some(own) = cold.get_mut(engine) else { continue };
+                let Some(own) = cold.get_mut(engine) else {
+                    continue;
+                };
                 let age = (*at - own.since) as f64 / own.warm_within as f64;
                 if age >= 1.0 {
                     continue;
@@ -40,7 +50,11 @@
                 let cores = cores.map_or(1.0, |spec| spec.cores as f64);
                 let share = facts.start_capacity + (1.0 - facts.start_capacity) * age;
                 own.sent.push_back((*at, *work));
-                while own.sent.front().is_some_and(|(sent, _)| sent + window <= *at) {
+                while own
+                    .sent
+                    .front()
+                    .is_some_and(|(sent, _)| sent + window <= *at)
+                {
                     own.sent.pop_front();
                 }
                 let sent: f64 = own.sent.iter().map(|(_, work)| work).sum();
@@ -57,7 +71,13 @@
                     );
                     let from = own.since;
                     let about = About::Engine(engine.clone());
-                    verdict.add(Break { rule: Rule::ColdEngines, about, from, to: *at, text });
+                    verdict.add(Break {
+                        rule: Rule::ColdEngines,
+                        about,
+                        from,
+                        to: *at,
+                        text,
+                    });
                 }
             }
             _ => {}
@@ -75,7 +95,13 @@
 
     #[test]
     fn what_all_gateways_send_together_to_a_cold_engine_is_summed_over_the_window() {
-        let start = Happened { at: 0, what: What::Engine { engine: "e1".into(), begins: Some(10_000_000) } };
+        let start = Happened {
+            at: 0,
+            what: What::Engine {
+                engine: "e1".into(),
+                begins: Some(10_000_000),
+            },
+        };
         // Four cores, 40% of them at first: 4.8 s of work a second and a little more are the most.
         let sends = |work: f64, apart: Micros| {
             let mut events = vec![start.clone()];
@@ -87,9 +113,23 @@
             checked(&events)
         };
         let over = sends(1.5, 100);
-        assert_eq!((over.count(Rule::ColdEngines), over.figures["cold_worst_percent"]), (1, 125));
+        assert_eq!(
+            (
+                over.count(Rule::ColdEngines),
+                over.figures["cold_worst_percent"]
+            ),
+            (1, 125)
+        );
         assert_eq!(sends(1.1, 100).count(Rule::ColdEngines), 0);
-        assert_eq!(sends(1.5, 500_000).count(Rule::ColdEngines), 0, "half of them lie in any window");
-        assert_eq!(sends(9.0, 4_000_000).count(Rule::ColdEngines), 1, "one alone is over while it is cold");
+        assert_eq!(
+            sends(1.5, 500_000).count(Rule::ColdEngines),
+            0,
+            "half of them lie in any window"
+        );
+        assert_eq!(
+            sends(9.0, 4_000_000).count(Rule::ColdEngines),
+            1,
+            "one alone is over while it is cold"
+        );
     }
 }
--- a/crates/fleet-rig/src/check/copies.rs
+++ b/crates/fleet-rig/src/check/copies.rs
@@ -11,8 +11,13 @@
     verdict.add_to_figure("copies", compared);
     verdict.add_to_figure("differ", differ.len() as u64);
     for own in differ {
-        let lacks = keepers.iter().zip(&own.lacks).filter(|(_, lacks)| !lacks.is_empty());
-        let lacks: Vec<String> = lacks.map(|((name, _), lacks)| format!("{name} lacks {lacks:?}")).collect();
+        let lacks = keepers
+            .iter()
+            .zip(&own.lacks)
+            .filter(|(_, lacks)| !lacks.is_empty());
+        let lacks: Vec<String> = lacks
+            .map(|((name, _), lacks)| format!("{name} lacks {lacks:?}"))
+            .collect();
         let key: String = own.key.iter().map(|byte| format!("{byte:02x}")).collect();
         let text = format!("copies of {key} differ: {}", lacks.join("; "));
         verdict.add(Break {
@@ -32,12 +37,33 @@
 
     #[test]
     fn a_keeper_that_lacks_a_record_breaks_the_rule() {
-        let record =
-            Record { version: 1, phase: Phase::Out, place: None, since: 1, until: 2, nominal_ms: 20_000 };
-        let held: Held = [(b"key".to_vec(), [(Origin { identity: 1, start: 1 }, record)].into())].into();
+        let record = Record {
+            version: 1,
+            phase: Phase::Out,
+            place: None,
+            since: 1,
+            until: 2,
+            nominal_ms: 20_000,
+        };
+        let held: Held = [(
+            b"key".to_vec(),
+            [(
+                Origin {
+                    identity: 1,
+                    start: 1,
+                },
+                record,
+            )]
+            .into(),
+        )]
+        .into();
         let count = |other: Held| {
             let mut verdict = Verdict::default();
-            check(&[("g1".into(), held.clone()), ("g2".into(), other)], 10_000, &mut verdict);
+            check(
+                &[("g1".into(), held.clone()), ("g2".into(), other)],
+                10_000,
+                &mut verdict,
+            );
             (verdict.count(Rule::Copies), verdict.figures["differ"])
         };
         assert_eq!((count(held.clone()), count(Held::new())), ((0, 0), (1, 1)));
--- a/crates/fleet-rig/src/check/drains.rs
+++ b/crates/fleet-rig/src/check/drains.rs
@@ -19,7 +19,11 @@
     let mut after = 0;
     for Happened { at, what } in history.events {
         match what {
-            What::Told { gateway, engine, health } => {
+            What::Told {
+                gateway,
+                engine,
+                health,
+            } => {
                 let place = (gateway.clone(), engine.clone());
                 if *health == "up" {
                     told.remove(&place);
@@ -28,15 +32,28 @@
                 }
             }
             // A process that starts knows what it is started with, from then on.
-            What::Gateway { gateway, how: Process::Started(_) } => {
-                told.iter_mut().filter(|((own, _), _)| own == gateway).for_each(|(_, since)| *since = *at);
+            What::Gateway {
+                gateway,
+                how: Process::Started(_),
+            } => {
+                told.iter_mut()
+                    .filter(|((own, _), _)| own == gateway)
+                    .for_each(|(_, since)| *since = *at);
             }
             What::Began { engine, id, .. } => {
-                let Some((_, tried)) = history.tries.get(id) else { continue };
-                let Some(&since) = told.get(&(tried.gateway.clone(), engine.clone())) else { continue };
+                let Some((_, tried)) = history.tries.get(id) else {
+                    continue;
+                };
+                let Some(&since) = told.get(&(tried.gateway.clone(), engine.clone())) else {
+                    continue;
+                };
                 after += 1;
                 let link = history.of_link(&tried.gateway, BULLETIN);
-                let heard = link.iter().filter(|span| span.meets(since, since)).map(|span| span.to).max();
+                let heard = link
+                    .iter()
+                    .filter(|span| span.meets(since, since))
+                    .map(|span| span.to)
+                    .max();
                 let heard = heard.map_or(since, |end| end.min(since + TOLD_WITHIN));
                 let way = history.of_link(&tried.gateway, engine);
                 let excused = way.iter().any(|span| span.meets(heard, *at))
@@ -48,7 +65,13 @@
                         (*at - heard) as f64 / 1e3
                     );
                     let about = About::Engine(engine.clone());
-                    verdict.add(Break { rule: Rule::Drains, about, from: since, to: *at, text });
+                    verdict.add(Break {
+                        rule: Rule::Drains,
+                        about,
+                        from: since,
+                        to: *at,
+                        text,
+                    });
                 }
             }
             _ => {}
@@ -66,7 +89,14 @@
     fn new_work_after_the_grace_is_caught_unless_a_fault_explains_it() {
         let told = |at, health| {
             let (gateway, engine) = ("g1".into(), "e1".into());
-            Happened { at, what: What::Told { gateway, engine, health } }
+            Happened {
+                at,
+                what: What::Told {
+                    gateway,
+                    engine,
+                    health,
+                },
+            }
         };
         let late = 10 + 500_000 + SLACK + 1;
         let sent = |at, faults: &[Happened]| {
@@ -78,13 +108,30 @@
         assert_eq!((sent(late, &[]), sent(late - 1, &[])), (1, 0));
         assert_eq!(sent(late, &[told(30, "up")]), 0);
         assert_eq!(
-            sent(late, &[gateway(30, "g1", Process::Paused), gateway(40, "g1", Process::Continued)]),
+            sent(
+                late,
+                &[
+                    gateway(30, "g1", Process::Paused),
+                    gateway(40, "g1", Process::Continued)
+                ]
+            ),
             0
         );
-        let cut = |to| [link(30, "g1", to, "cut", true), link(40, "g1", to, "cut", false)];
+        let cut = |to| {
+            [
+                link(30, "g1", to, "cut", true),
+                link(40, "g1", to, "cut", false),
+            ]
+        };
         assert_eq!((sent(late, &cut("e1")), sent(late, &cut("e2"))), (0, 1));
         // A restart begins the grace anew, but doesn't make it forget.
-        let restart = [gateway(30, "g1", Process::Killed), gateway(300_000, "g1", Process::Started(2))];
-        assert_eq!((sent(late, &restart), sent(late + 300_000, &restart)), (0, 1));
+        let restart = [
+            gateway(30, "g1", Process::Killed),
+            gateway(300_000, "g1", Process::Started(2)),
+        ];
+        assert_eq!(
+            (sent(late, &restart), sent(late + 300_000, &restart)),
+            (0, 1)
+        );
     }
 }
--- a/crates/fleet-rig/src/check/effects.rs
+++ b/crates/fleet-rig/src/check/effects.rs
@@ -25,17 +25,30 @@
                 let Some((_, tried)) = history.tries.get(id) else {
                     let text = format!("{engine} did what nobody asked for");
                     let about = About::Request(*id);
-                    verdict.add(Break { rule: Rule::EffectOnce, about, from: *at, to: *at, text });
+                    verdict.add(Break {
+                        rule: Rule::EffectOnce,
+                        about,
+                        from: *at,
+                        to: *at,
+                        text,
+                    });
                     continue;
                 };
                 let of = effects.entry((&tried.load, &tried.key)).or_default();
-                of.push(Effect { at: *at, engine, id: *id });
+                of.push(Effect {
+                    at: *at,
+                    engine,
+                    id: *id,
+                });
             }
             What::Repeat { .. } => repeats += 1,
             _ => {}
         }
     }
-    let mut found: Vec<_> = effects.into_iter().filter(|(_, effects)| effects.len() > 1).collect();
+    let mut found: Vec<_> = effects
+        .into_iter()
+        .filter(|(_, effects)| effects.len() > 1)
+        .collect();
     found.sort_by_key(|(_, effects)| effects[0].at);
     for ((_, key), effects) in found {
         let tried = |id| history.tries.get(&id);
@@ -63,7 +76,13 @@
                 pair[1].engine
             );
             let (from, to) = (pair[0].at, pair[1].at);
-            verdict.add(Break { rule: Rule::EffectOnce, about: About::Key(key.clone()), from, to, text });
+            verdict.add(Break {
+                rule: Rule::EffectOnce,
+                about: About::Key(key.clone()),
+                from,
+                to,
+                text,
+            });
         }
     }
     verdict.figure("effects", all);
@@ -89,9 +108,18 @@
             ]
         };
         assert_eq!(checked(&twice(30)).count(Rule::EffectOnce), 1);
-        assert_eq!(checked(&twice(20 + window - SLACK - 1)).count(Rule::EffectOnce), 1);
+        assert_eq!(
+            checked(&twice(20 + window - SLACK - 1)).count(Rule::EffectOnce),
+            1
+        );
         let late = checked(&twice(20 + window));
-        assert_eq!((late.count(Rule::EffectOnce), late.figures["effects_after_window"]), (0, 1));
+        assert_eq!(
+            (
+                late.count(Rule::EffectOnce),
+                late.figures["effects_after_window"]
+            ),
+            (0, 1)
+        );
         // Other requests' effects are none of this one's, and an effect needs a request.
         let other = vec![
             asked(10, 1, "a", "g1", 0),
--- a/crates/fleet-rig/src/check/mod.rs
+++ b/crates/fleet-rig/src/check/mod.rs
@@ -205,47 +205,82 @@
         for Happened { at, what } in events {
             match what {
                 What::Asked(tried) => _ = history.tries.insert(tried.id, (*at, tried)),
-                What::Over { id, how, .. } => history.ends.entry(*id).or_default().push((*at, *how)),
+                What::Over { id, how, .. } => {
+                    history.ends.entry(*id).or_default().push((*at, *how))
+                }
                 What::Gateway { gateway, how } => {
                     let spans = history.gateways.entry(gateway.clone()).or_default();
                     match how {
                         Process::Killed => _ = absent.insert(gateway.clone(), (*at, "killed")),
-                        Process::Stopping => _ = absent.entry(gateway.clone()).or_insert((*at, "stopped")),
-                        Process::Ended => _ = absent.entry(gateway.clone()).or_insert((*at, "ended")),
+                        Process::Stopping => {
+                            _ = absent.entry(gateway.clone()).or_insert((*at, "stopped"))
+                        }
+                        Process::Ended => {
+                            _ = absent.entry(gateway.clone()).or_insert((*at, "ended"))
+                        }
                         Process::Started(_) => {
                             if let Some((from, what)) = absent.remove(gateway) {
-                                spans.push(Span { from, to: *at, what });
+                                spans.push(Span {
+                                    from,
+                                    to: *at,
+                                    what,
+                                });
                             }
                         }
                         Process::Paused => _ = paused.entry(gateway.clone()).or_insert(*at),
                         Process::Continued => {
                             if let Some(from) = paused.remove(gateway) {
-                                spans.push(Span { from, to: *at, what: "paused" });
+                                spans.push(Span {
+                                    from,
+                                    to: *at,
+                                    what: "paused",
+                                });
                             }
                         }
                     }
                 }
-                What::Link { from, to, fault, begins } => {
+                What::Link {
+                    from,
+                    to,
+                    fault,
+                    begins,
+                } => {
                     let open = faulty.entry((from.clone(), to.clone(), fault)).or_default();
                     if *begins {
                         open.push(*at);
                     } else if let Some(began) = open.pop() {
                         let spans = history.links.entry((from.clone(), to.clone())).or_default();
-                        spans.push(Span { from: began, to: *at, what: fault });
+                        spans.push(Span {
+                            from: began,
+                            to: *at,
+                            what: fault,
+                        });
                     }
                 }
                 _ => {}
             }
         }
         for (gateway, (from, what)) in absent {
-            history.gateways.entry(gateway).or_default().push(Span { from, to: last, what });
+            history.gateways.entry(gateway).or_default().push(Span {
+                from,
+                to: last,
+                what,
+            });
         }
         for (gateway, from) in paused {
-            history.gateways.entry(gateway).or_default().push(Span { from, to: last, what: "paused" });
+            history.gateways.entry(gateway).or_default().push(Span {
+                from,
+                to: last,
+                what: "paused",
+            });
         }
         for ((a, b, what), open) in faulty {
             let spans = history.links.entry((a, b)).or_default();
-            spans.extend(open.into_iter().map(|from| Span { from, to: last, what }));
+            spans.extend(open.into_iter().map(|from| Span {
+                from,
+                to: last,
+                what,
+            }));
         }
         history
     }
@@ -257,19 +292,25 @@
 
     /// Faults of the link between two ends.
     pub fn of_link(&self, from: &str, to: &str) -> &[Span] {
-        self.links.get(&(from.into(), to.into())).map_or(&[], Vec::as_slice)
+        self.links
+            .get(&(from.into(), to.into()))
+            .map_or(&[], Vec::as_slice)
     }
 
     /// What was wrong between a client and a gateway in a time, if anything was.
     pub fn cause(&self, gateway: &str, from: Micros, to: Micros) -> Option<&'static str> {
         let link = self.of_link(crate::links::CLIENTS, gateway);
         let mut spans = self.of_gateway(gateway).iter().chain(link);
-        spans.find(|span| span.meets(from, to)).map(|span| span.what)
+        spans
+            .find(|span| span.meets(from, to))
+            .map(|span| span.what)
     }
 
     /// A gateway stood still somewhere in a time.
     pub fn paused_within(&self, gateway: &str, from: Micros, to: Micros) -> bool {
-        self.of_gateway(gateway).iter().any(|span| span.what == "paused" && span.meets(from, to))
+        self.of_gateway(gateway)
+            .iter()
+            .any(|span| span.what == "paused" && span.meets(from, to))
     }
 }
 
@@ -316,7 +357,12 @@
 }
 
 /// The verdict on a history, with what the records of its gateways say.
-pub fn check(facts: &Facts, events: &[Happened], records: &[Recorded], crashed: &[String]) -> Verdict {
+pub fn check(
+    facts: &Facts,
+    events: &[Happened],
+    records: &[Recorded],
+    crashed: &[String],
+) -> Verdict {
     let history = History::new(events);
     let mut verdict = Verdict::default();
     answers::check(&history, &mut verdict);
@@ -329,7 +375,13 @@
     for name in crashed {
         let about = About::Gateway(name.as_str().into());
         let text = format!("{name} ended though nobody told it to, or didn't when it was told");
-        verdict.add(Break { rule: Rule::Crash, about, from: history.last, to: history.last, text });
+        verdict.add(Break {
+            rule: Rule::Crash,
+            about,
+            from: history.last,
+            to: history.last,
+            text,
+        });
     }
     verdict
 }
@@ -356,35 +408,87 @@
     fn tried(class: &str, id: u64, key: &str, gateway: &str, number: u64) -> Try {
         let (load, marked, wait) = ("all".into(), number > 0, 2_000_000);
         let (class, key, gateway) = (class.into(), key.into(), gateway.into());
-        Try { load, class, id, key, gateway, number, marked, wait }
+        Try {
+            load,
+            class,
+            id,
+            key,
+            gateway,
+            number,
+            marked,
+            wait,
+        }
     }
 
     pub fn asked(at: Micros, id: u64, key: &str, gateway: &str, number: u64) -> Happened {
-        Happened { at, what: What::Asked(tried("booking", id, key, gateway, number)) }
+        Happened {
+            at,
+            what: What::Asked(tried("booking", id, key, gateway, number)),
+        }
     }
 
     pub fn in_order(at: Micros, id: u64, key: &str) -> Happened {
-        Happened { at, what: What::Asked(tried("ledger", id, key, "g1", 0)) }
+        Happened {
+            at,
+            what: What::Asked(tried("ledger", id, key, "g1", 0)),
+        }
     }
 
     pub fn over(at: Micros, id: u64, how: How) -> Happened {
-        Happened { at, what: What::Over { id, how, advice: None } }
+        Happened {
+            at,
+            what: What::Over {
+                id,
+                how,
+                advice: None,
+            },
+        }
     }
 
     pub fn effect(at: Micros, engine: &str, id: u64) -> Happened {
-        Happened { at, what: What::Effect { engine: engine.into(), id, key: "".into() } }
+        Happened {
+            at,
+            what: What::Effect {
+                engine: engine.into(),
+                id,
+                key: "".into(),
+            },
+        }
     }
 
     pub fn began(at: Micros, engine: &str, id: u64, work: f64) -> Happened {
         let (engine, class, key) = (engine.into(), "booking".into(), "".into());
-        Happened { at, what: What::Began { engine, id, class, key, work } }
+        Happened {
+            at,
+            what: What::Began {
+                engine,
+                id,
+                class,
+                key,
+                work,
+            },
+        }
     }
 
     pub fn gateway(at: Micros, name: &str, how: Process) -> Happened {
-        Happened { at, what: What::Gateway { gateway: name.into(), how } }
+        Happened {
+            at,
+            what: What::Gateway {
+                gateway: name.into(),
+                how,
+            },
+        }
     }
 
     pub fn link(at: Micros, from: &str, to: &str, fault: &'static str, begins: bool) -> Happened {
-        Happened { at, what: What::Link { from: from.into(), to: to.into(), fault, begins } }
+        Happened {
+            at,
+            what: What::Link {
+                from: from.into(),
+                to: to.into(),
+                fault,
+                begins,
+            },
+        }
     }
 }
--- a/crates/fleet-rig/src/check/order.rs
+++ b/crates/fleet-rig/src/check/order.rs
@@ -15,8 +15,12 @@
 
 /// Requests of one key of an ordered class run one at a time and in turn.
 pub fn check(facts: &Facts, history: &History, verdict: &mut Verdict) {
-    let ordered: HashSet<&str> =
-        facts.classes.iter().filter(|class| class.ordered).map(|class| class.name.as_str()).collect();
+    let ordered: HashSet<&str> = facts
+        .classes
+        .iter()
+        .filter(|class| class.ordered)
+        .map(|class| class.name.as_str())
+        .collect();
     let pause = ORDER_PAUSE.as_micros() as Micros;
     let mut starts: BTreeMap<Name, usize> = BTreeMap::new();
     let mut lanes: HashMap<u64, Lane> = HashMap::new();
@@ -26,36 +30,64 @@
     let mut runs = 0;
     for Happened { at, what } in history.events {
         match what {
-            What::Gateway { gateway, how: Process::Started(start) } => {
+            What::Gateway {
+                gateway,
+                how: Process::Started(start),
+            } => {
                 starts.insert(gateway.clone(), *start);
             }
             What::Asked(tried) if ordered.contains(&*tried.class) => {
                 let start = starts.get(&tried.gateway).copied().unwrap_or(0);
-                let lane = (tried.gateway.clone(), start, tried.class.clone(), tried.key.clone());
+                let lane = (
+                    tried.gateway.clone(),
+                    start,
+                    tried.class.clone(),
+                    tried.key.clone(),
+                );
                 lanes.insert(tried.id, lane.clone());
                 waiting.entry(lane).or_default().push((*at, tried.id));
             }
             What::Over { id, .. } => {
                 let Some(lane) = lanes.get(id) else { continue };
-                waiting.entry(lane.clone()).or_default().retain(|(_, own)| own != id);
+                waiting
+                    .entry(lane.clone())
+                    .or_default()
+                    .retain(|(_, own)| own != id);
             }
             What::Began { engine, id, .. } => {
                 let Some(lane) = lanes.get(id) else { continue };
                 runs += 1;
                 let excused = |asked: Micros, to: &Name| {
                     let gateway = &lane.0;
-                    let link = history.of_link(gateway, to).iter().chain(history.of_link(CLIENTS, gateway));
-                    link.chain(history.of_gateway(gateway)).any(|span| span.meets(asked, *at))
+                    let link = history
+                        .of_link(gateway, to)
+                        .iter()
+                        .chain(history.of_link(CLIENTS, gateway));
+                    link.chain(history.of_gateway(gateway))
+                        .any(|span| span.meets(asked, *at))
                 };
                 let mut broken = |from: Micros, text: String| {
                     let about = About::Key(lane.3.clone());
-                    verdict.add(Break { rule: Rule::Order, about, from, to: *at, text });
+                    verdict.add(Break {
+                        rule: Rule::Order,
+                        about,
+                        from,
+                        to: *at,
+                        text,
+                    });
                 };
                 for (other, on, since) in running.entry(lane.clone()).or_default().iter() {
-                    let ended = history.ends.get(other).and_then(|ends| ends.first()).map(|(at, _)| *at);
+                    let ended = history
+                        .ends
+                        .get(other)
+                        .and_then(|ends| ends.first())
+                        .map(|(at, _)| *at);
                     let rested = ended.is_some_and(|ended| *at + SLACK >= ended + pause);
                     if other != id && !rested && !excused(*since, on) {
-                        broken(*since, format!("{id:016x} ran at {engine} while {other:016x} ran at {on}"));
+                        broken(
+                            *since,
+                            format!("{id:016x} ran at {engine} while {other:016x} ran at {on}"),
+                        );
                     }
                 }
                 let own = history.tries.get(id).map_or(0, |(asked, _)| *asked);
@@ -65,19 +97,29 @@
                     let ends = history.ends.get(other).and_then(|ends| ends.first());
                     ends.is_some_and(|(ended, _)| *ended <= *at + SLACK)
                 };
-                let earlier = earlier.filter(|(asked, other)| asked + SLACK < own && !is_over(other));
+                let earlier =
+                    earlier.filter(|(asked, other)| asked + SLACK < own && !is_over(other));
                 for (asked, other) in earlier {
                     let runs = running[lane].iter().any(|(running, ..)| running == other);
                     if !runs && !excused(*asked, engine) {
-                        broken(*asked, format!("{id:016x} ran before {other:016x}, which was taken earlier"));
+                        broken(
+                            *asked,
+                            format!("{id:016x} ran before {other:016x}, which was taken earlier"),
+                        );
                     }
                 }
-                running.entry(lane.clone()).or_default().push((*id, engine.clone(), *at));
+                running
+                    .entry(lane.clone())
+                    .or_default()
+                    .push((*id, engine.clone(), *at));
             }
             What::Left { engine, id, done } => {
                 let Some(lane) = lanes.get(id) else { continue };
                 if *done {
-                    waiting.entry(lane.clone()).or_default().retain(|(_, own)| own != id);
+                    waiting
+                        .entry(lane.clone())
+                        .or_default()
+                        .retain(|(_, own)| own != id);
                 }
                 let of = running.entry(lane.clone()).or_default();
                 of.retain(|(own, on, _)| own != id || on != engine);
@@ -96,7 +138,14 @@
 
     #[test]
     fn two_of_one_key_at_a_time_or_out_of_turn_are_caught() {
-        let left = |at, id| Happened { at, what: What::Left { engine: "e1".into(), id, done: true } };
+        let left = |at, id| Happened {
+            at,
+            what: What::Left {
+                engine: "e1".into(),
+                id,
+                done: true,
+            },
+        };
         let count = |events: &[Happened]| checked(events).count(Rule::Order);
         let two = |second: &str| vec![in_order(10, 1, "k"), in_order(200_000, 2, second)];
         let (apart, same) = (two("l"), two("k"));
@@ -104,9 +153,21 @@
         let ends = [over(400_000, 1, How::Served), over(400_001, 2, How::Served)];
         assert_eq!(count(&[&apart[..], &overlap, &ends].concat()), 0);
         assert_eq!(count(&[&same[..], &overlap, &ends].concat()), 1);
-        let turned = [began(300_000, "e1", 2, 0.1), left(300_050, 2), began(300_100, "e1", 1, 0.1)];
-        assert_eq!(count(&[&same[..], &turned, &ends].concat()), 1, "the later one ran first");
-        let good = [began(300_000, "e1", 1, 0.1), left(300_050, 1), began(300_100, "e1", 2, 0.1)];
+        let turned = [
+            began(300_000, "e1", 2, 0.1),
+            left(300_050, 2),
+            began(300_100, "e1", 1, 0.1),
+        ];
+        assert_eq!(
+            count(&[&same[..], &turned, &ends].concat()),
+            1,
+            "the later one ran first"
+        );
+        let good = [
+            began(300_000, "e1", 1, 0.1),
+            left(300_050, 1),
+            began(300_100, "e1", 2, 0.1),
+        ];
         assert_eq!(count(&[&same[..], &good, &ends].concat()), 0);
     }
 }
--- a/crates/fleet-rig/src/check/owners.rs
+++ b/crates/fleet-rig/src/check/owners.rs
@@ -27,15 +27,28 @@
 /// All that the records in a directory tell of owners' work, by time.
 pub fn of_records(directory: &Path) -> Vec<Worked> {
     let mut worked = Vec::new();
-    let Ok(mut merged) = Merged::open(&[directory.to_path_buf()]) else { return worked };
+    let Ok(mut merged) = Merged::open(&[directory.to_path_buf()]) else {
+        return worked;
+    };
     while let Ok(Some(told)) = merged.next() {
-        let Told::Entry(Entry::Host(Host::Fleet(FleetWord::Work { task, term, owner, counts }))) = &told.what
+        let Told::Entry(Entry::Host(Host::Fleet(FleetWord::Work {
+            task,
+            term,
+            owner,
+            counts,
+        }))) = &told.what
         else {
             continue;
         };
         let gateway = merged.sources()[told.source].name.as_str().into();
         let token = (*term, *owner);
-        worked.push(Worked { gateway, at: told.at, task: *task, token, counts: *counts });
+        worked.push(Worked {
+            gateway,
+            at: told.at,
+            task: *task,
+            token,
+            counts: *counts,
+        });
     }
     worked
 }
@@ -53,19 +66,34 @@
     let mut gap = 0;
     let mut by_time: Vec<&Worked> = worked.iter().collect();
     by_time.sort_by_key(|own| own.at);
-    for Worked { gateway, at, task, token, counts } in by_time {
+    for Worked {
+        gateway,
+        at,
+        task,
+        token,
+        counts,
+    } in by_time
+    {
         if !counts {
             fenced += 1;
             continue;
         }
         let mut broken = |text: String| {
             let about = About::Gateway(gateway.clone());
-            verdict.add(Break { rule: Rule::Owners, about, from: *at, to: *at, text });
+            verdict.add(Break {
+                rule: Rule::Owners,
+                about,
+                from: *at,
+                to: *at,
+                text,
+            });
         };
         let known = greatest.entry((gateway, *task)).or_default();
         if token < known {
             stale += 1;
-            broken(format!("work for {task} counted under {token:?} after that under {known:?}"));
+            broken(format!(
+                "work for {task} counted under {token:?} after that under {known:?}"
+            ));
         }
         *known = (*token).max(*known);
         let owner = owners.entry((gateway, *task, token.0)).or_insert(token.1);
@@ -89,17 +117,38 @@
 
     #[test]
     fn stale_work_and_a_second_owner_of_a_term_are_caught() {
-        let work =
-            |gateway: &str, at, token, counts| Worked { gateway: gateway.into(), at, task: 7, token, counts };
+        let work = |gateway: &str, at, token, counts| Worked {
+            gateway: gateway.into(),
+            at,
+            task: 7,
+            token,
+            counts,
+        };
         let figures = |worked: &[Worked]| {
             let mut verdict = Verdict::default();
             check(worked, &mut verdict);
-            (verdict.figures["stale_applied"], verdict.figures["two_owners"], verdict.count(Rule::Owners))
+            (
+                verdict.figures["stale_applied"],
+                verdict.figures["two_owners"],
+                verdict.count(Rule::Owners),
+            )
         };
-        let sound = [work("g1", 1, (1, 5), true), work("g1", 2, (2, 4), true), work("g1", 3, (1, 5), false)];
+        let sound = [
+            work("g1", 1, (1, 5), true),
+            work("g1", 2, (2, 4), true),
+            work("g1", 3, (1, 5), false),
+        ];
         assert_eq!(figures(&sound), (0, 0, 0));
-        let late = [work("g1", 1, (2, 4), true), work("g2", 2, (1, 5), true), work("g1", 3, (1, 5), true)];
-        assert_eq!(figures(&late), (1, 0, 1), "another fence may lag, the same may not");
+        let late = [
+            work("g1", 1, (2, 4), true),
+            work("g2", 2, (1, 5), true),
+            work("g1", 3, (1, 5), true),
+        ];
+        assert_eq!(
+            figures(&late),
+            (1, 0, 1),
+            "another fence may lag, the same may not"
+        );
         let two = [work("g1", 1, (2, 4), true), work("g1", 2, (2, 5), true)];
         assert_eq!(figures(&two), (0, 1, 1));
     }
--- a/crates/fleet-rig/src/check/records.rs
+++ b/crates/fleet-rig/src/check/records.rs
@@ -39,16 +39,22 @@
 /// All that the records in a directory tell of requests, by time. A directory without one tells nothing.
 pub fn of_records(directory: &Path) -> Vec<Recorded> {
     let mut recorded = Vec::new();
-    let Ok(mut merged) = Merged::open(&[directory.to_path_buf()]) else { return recorded };
+    let Ok(mut merged) = Merged::open(&[directory.to_path_buf()]) else {
+        return recorded;
+    };
     // The client's id of each request that is open, and engines' names, by source.
     let mut ids: HashMap<(usize, u64), u64> = HashMap::new();
     let mut engines: HashMap<(usize, u32), Name> = HashMap::new();
     while let Ok(Some(told)) = merged.next() {
-        let Told::Entry(entry) = &told.what else { continue };
+        let Told::Entry(entry) = &told.what else {
+            continue;
+        };
         if let Entry::Host(Host::Engine(listed)) = entry {
             engines.insert((told.source, listed.engine), listed.name.as_str().into());
         }
-        let Some(request) = entry.request() else { continue };
+        let Some(request) = entry.request() else {
+            continue;
+        };
         let place = (told.source, request);
         let what = match entry {
             Entry::Host(Host::Offered(offer)) => {
@@ -60,15 +66,25 @@
                 continue;
             }
             Entry::Out(Action::Send { engine, .. }) => Said::Sent(
-                engines.get(&(told.source, *engine)).cloned().unwrap_or_else(|| "an engine".into()),
+                engines
+                    .get(&(told.source, *engine))
+                    .cloned()
+                    .unwrap_or_else(|| "an engine".into()),
             ),
             Entry::In(Event::Ended(ended)) => Said::Ended(ended.outcome),
             Entry::Host(Host::Answered { how, .. }) => Said::Answered(*how),
             _ => continue,
         };
-        let Some(id) = ids.get(&place).copied() else { continue };
+        let Some(id) = ids.get(&place).copied() else {
+            continue;
+        };
         let gateway = merged.sources()[told.source].name.as_str().into();
-        recorded.push(Recorded { gateway, at: told.at, id, what });
+        recorded.push(Recorded {
+            gateway,
+            at: told.at,
+            id,
+            what,
+        });
     }
     recorded
 }
@@ -77,18 +93,34 @@
 pub fn check(history: &History, records: &[Recorded], verdict: &mut Verdict) {
     let mut ended: HashMap<(&Name, u64), AnswerKind> = HashMap::new();
     let (mut agree, mut differ) = (0, 0);
-    for Recorded { gateway, at, id, what } in records {
+    for Recorded {
+        gateway,
+        at,
+        id,
+        what,
+    } in records
+    {
         let Said::Answered(kind) = what else { continue };
         let mut broken = |text: String| {
             differ += 1;
             let about = About::Request(*id);
-            verdict.add(Break { rule: Rule::Records, about, from: *at, to: *at, text });
+            verdict.add(Break {
+                rule: Rule::Records,
+                about,
+                from: *at,
+                to: *at,
+                text,
+            });
         };
         if ended.insert((gateway, *id), *kind).is_some() {
             broken(format!("{gateway} recorded two ends of it"));
             continue;
         }
-        let seen = history.ends.get(id).and_then(|ends| ends.first()).map(|(_, how)| *how);
+        let seen = history
+            .ends
+            .get(id)
+            .and_then(|ends| ends.first())
+            .map(|(_, how)| *how);
         let same = match (seen, kind) {
             (Some(How::Served), kind) => *kind == AnswerKind::Served,
             (Some(How::Refused), kind) => *kind == AnswerKind::Refused,
@@ -104,7 +136,10 @@
                     How::Refused => "a refusal",
                     _ => "a failure",
                 });
-                broken(format!("{gateway} recorded that it was {}, its client saw {seen}", kind.name()));
+                broken(format!(
+                    "{gateway} recorded that it was {}, its client saw {seen}",
+                    kind.name()
+                ));
             }
         }
     }
@@ -121,14 +156,22 @@
     #[test]
     fn a_record_that_says_other_than_its_client_saw_is_caught() {
         let events = [asked(10, 1, "a", "g1", 0), over(20, 1, How::Served)];
-        let said = |kind| Recorded { gateway: "g1".into(), at: 15, id: 1, what: Said::Answered(kind) };
+        let said = |kind| Recorded {
+            gateway: "g1".into(),
+            at: 15,
+            id: 1,
+            what: Said::Answered(kind),
+        };
         let count = |records: &[Recorded]| {
             let verdict = check(&facts(), &events, records, &[]);
             verdict.count(Rule::Records)
         };
         assert_eq!(count(&[said(AnswerKind::Served)]), 0);
         assert_eq!(count(&[said(AnswerKind::Refused)]), 1);
-        assert_eq!(count(&[said(AnswerKind::Served), said(AnswerKind::Served)]), 1);
+        assert_eq!(
+            count(&[said(AnswerKind::Served), said(AnswerKind::Served)]),
+            1
+        );
         let crashed = check(&facts(), &events, &[], &["g1".to_string()]);
         assert_eq!(crashed.count(Rule::Crash), 1);
     }
--- a/crates/fleet-rig/src/check/service.rs
+++ b/crates/fleet-rig/src/check/service.rs
@@ -17,8 +17,11 @@
 type Firsts = Vec<(Micros, bool)>;
 
 fn share(firsts: &Firsts, from: Micros, to: Micros) -> Option<f64> {
-    let within: Vec<bool> =
-        firsts.iter().filter(|(at, _)| (from..to).contains(at)).map(|(_, served)| *served).collect();
+    let within: Vec<bool> = firsts
+        .iter()
+        .filter(|(at, _)| (from..to).contains(at))
+        .map(|(_, served)| *served)
+        .collect();
     let served = within.iter().filter(|served| **served).count();
     (within.len() >= LEAST).then(|| served as f64 / within.len() as f64)
 }
@@ -38,26 +41,37 @@
 /// How first tries went in the time after the fleet was started again: their part served, and how long that
 /// took.
 fn restarted(history: &History, verdict: &mut Verdict) {
-    let starts = history
-        .events
-        .iter()
-        .filter(|own| matches!(own.what, What::Gateway { how: Process::Started(number), .. } if number > 1));
+    let starts = history.events.iter().filter(
+        |own| matches!(own.what, What::Gateway { how: Process::Started(number), .. } if number > 1),
+    );
     let starts: Vec<Micros> = starts.map(|own| own.at).collect();
-    let (Some(first), Some(last)) = (starts.first(), starts.last()) else { return };
+    let (Some(first), Some(last)) = (starts.first(), starts.last()) else {
+        return;
+    };
     if last - first > TOGETHER || history.last < last + RESTART / 3 {
         return;
     }
     let within = *last..last + RESTART;
     let (mut asked, mut took) = (0u64, Vec::new());
-    for (at, tried) in history.tries.values().filter(|(at, tried)| within.contains(at) && tried.number == 0) {
+    for (at, tried) in history
+        .tries
+        .values()
+        .filter(|(at, tried)| within.contains(at) && tried.number == 0)
+    {
         asked += 1;
         let end = history.ends.get(&tried.id).and_then(|ends| ends.first());
-        took.extend(end.filter(|(_, how)| *how == How::Served).map(|(end, _)| end.saturating_sub(*at)));
+        took.extend(
+            end.filter(|(_, how)| *how == How::Served)
+                .map(|(end, _)| end.saturating_sub(*at)),
+        );
     }
     took.sort_unstable();
     let part = |share: usize| took.get(took.len() * share / 100).copied().unwrap_or(0) / 1000;
     verdict.figure("restart30_asked", asked);
-    verdict.figure("restart30_served_permille", took.len() as u64 * 1000 / asked.max(1));
+    verdict.figure(
+        "restart30_served_permille",
+        took.len() as u64 * 1000 / asked.max(1),
+    );
     verdict.figure("restart30_median_ms", part(50));
     verdict.figure("restart30_p99_ms", part(99));
 }
@@ -66,17 +80,26 @@
 fn latencies(history: &History, verdict: &mut Verdict) {
     let mut took: BTreeMap<&Name, Vec<Micros>> = BTreeMap::new();
     let mut asked: BTreeMap<&Name, u64> = BTreeMap::new();
-    for (at, tried) in history.tries.values().filter(|(_, tried)| tried.number == 0) {
+    for (at, tried) in history
+        .tries
+        .values()
+        .filter(|(_, tried)| tried.number == 0)
+    {
         let end = history.ends.get(&tried.id).and_then(|ends| ends.first());
         let served = end.filter(|(_, how)| *how == How::Served);
         *asked.entry(&tried.class).or_default() += 1;
-        served.into_iter().for_each(|(end, _)| took.entry(&tried.class).or_default().push(end - at));
+        served
+            .into_iter()
+            .for_each(|(end, _)| took.entry(&tried.class).or_default().push(end - at));
     }
     for (class, mut took) in took {
         took.sort_unstable();
         let part = |share: usize| took.get(took.len() * share / 100).copied().unwrap_or(0);
         let of = asked.get(class).copied().unwrap_or(0).max(1);
-        verdict.figure(&format!("served_permille_{class}"), took.len() as u64 * 1000 / of);
+        verdict.figure(
+            &format!("served_permille_{class}"),
+            took.len() as u64 * 1000 / of,
+        );
         verdict.figure(&format!("median_us_{class}"), part(50));
         verdict.figure(&format!("p99_us_{class}"), part(99));
     }
@@ -88,8 +111,11 @@
     latencies(history, verdict);
     let mut firsts: BTreeMap<Name, Firsts> = BTreeMap::new();
     let mut gateways: HashMap<&Name, u64> = HashMap::new();
-    let classes: HashMap<&Name, &Name> =
-        history.tries.values().map(|(_, tried)| (&tried.load, &tried.class)).collect();
+    let classes: HashMap<&Name, &Name> = history
+        .tries
+        .values()
+        .map(|(_, tried)| (&tried.load, &tried.class))
+        .collect();
     let (mut loss, mut engine_back) = (None, None);
     for Happened { at, what } in history.events {
         match what {
@@ -98,7 +124,10 @@
                 if tried.number == 0 {
                     let end = history.ends.get(&tried.id).and_then(|ends| ends.first());
                     let served = end.is_some_and(|(_, how)| *how == How::Served);
-                    firsts.entry(tried.class.clone()).or_default().push((*at, served));
+                    firsts
+                        .entry(tried.class.clone())
+                        .or_default()
+                        .push((*at, served));
                     firsts.entry("all".into()).or_default().push((*at, served));
                 }
             }
@@ -106,24 +135,46 @@
             What::NoDoor { load, .. } => {
                 firsts.entry("all".into()).or_default().push((*at, false));
                 let class = classes.get(load).into_iter();
-                class.for_each(|class| firsts.entry((*class).clone()).or_default().push((*at, false)));
+                class.for_each(|class| {
+                    firsts
+                        .entry((*class).clone())
+                        .or_default()
+                        .push((*at, false))
+                });
             }
             // Where power is lost again, service comes back after the last time.
             What::Did { what } if what == "power-loss" => {
                 loss.get_or_insert(*at);
                 engine_back = None;
             }
-            What::Engine { begins: Some(_), .. } if loss.is_some() => _ = engine_back.get_or_insert(*at),
+            What::Engine {
+                begins: Some(_), ..
+            } if loss.is_some() => _ = engine_back.get_or_insert(*at),
             _ => {}
         }
     }
     let asked: u64 = gateways.values().sum();
-    let least = gateways.values().copied().min().filter(|_| gateways.len() == facts.gateways).unwrap_or(0);
-    verdict.figure("least_gateway_percent", least * facts.gateways as u64 * 100 / asked.max(1));
-    let (Some(loss), Some(from)) = (loss, engine_back) else { return };
+    let least = gateways
+        .values()
+        .copied()
+        .min()
+        .filter(|_| gateways.len() == facts.gateways)
+        .unwrap_or(0);
+    verdict.figure(
+        "least_gateway_percent",
+        least * facts.gateways as u64 * 100 / asked.max(1),
+    );
+    let (Some(loss), Some(from)) = (loss, engine_back) else {
+        return;
+    };
     for (class, firsts) in &firsts {
-        let Some(before) = share(firsts, 0, loss) else { continue };
-        verdict.figure(&format!("service_before_percent_{class}"), (100.0 * before) as u64);
+        let Some(before) = share(firsts, 0, loss) else {
+            continue;
+        };
+        verdict.figure(
+            &format!("service_before_percent_{class}"),
+            (100.0 * before) as u64,
+        );
         // Without a figure service did not come back within the run.
         if let Some(time) = back(firsts, before, from, history.last) {
             verdict.figure(&format!("service95_ms_{class}"), time / 1000);
@@ -143,7 +194,10 @@
         assert_eq!(share(&firsts, 0, 5_000_000), Some(1.0));
         assert_eq!(share(&firsts, 0, 300_000), None, "three say nothing");
         assert_eq!(back(&firsts, 1.0, 6_000_000, 15_000_000), Some(2_000_000));
-        let dead: Firsts = firsts.iter().map(|(at, _)| (*at, *at < 5_000_000)).collect();
+        let dead: Firsts = firsts
+            .iter()
+            .map(|(at, _)| (*at, *at < 5_000_000))
+            .collect();
         assert_eq!(back(&dead, 1.0, 6_000_000, 15_000_000), None);
     }
 }
