--- a/crates/fleet-rig/src/check/story.rs
+++ b/crates/fleet-rig/src/check/story.rs
@@ -25,7 +25,11 @@
     let mut parts: BTreeSet<Name> = BTreeSet::new();
     let mut from = found.from;
     if let Some(key) = &key {
-        for (id, (at, tried)) in history.tries.iter().filter(|(_, (_, tried))| tried.key == *key) {
+        for (id, (at, tried)) in history
+            .tries
+            .iter()
+            .filter(|(_, (_, tried))| tried.key == *key)
+        {
             if *at <= found.to {
                 ids.insert(*id);
                 parts.insert(tried.gateway.clone());
@@ -67,13 +71,20 @@
                     How::Reset => "loses the connection",
                     How::Silence => "has waited in vain",
                 };
-                let advice = advice.map_or(String::new(), |ms| format!(", to come back after {ms} ms"));
+                let advice =
+                    advice.map_or(String::new(), |ms| format!(", to come back after {ms} ms"));
                 format!("client {how}{advice} (id {id:016x})")
             }
-            What::Began { engine, id, work, .. } if ids.contains(id) || of_engine(engine) => {
+            What::Began {
+                engine, id, work, ..
+            } if ids.contains(id) || of_engine(engine) => {
                 format!("{engine} begins {id:016x}, {:.0} ms of work", work * 1e3)
             }
-            What::Left { engine, id, done: false } if ids.contains(id) => {
+            What::Left {
+                engine,
+                id,
+                done: false,
+            } if ids.contains(id) => {
                 format!("{engine} gives {id:016x} up")
             }
             What::Effect { engine, id, .. } if ids.contains(id) => {
@@ -86,7 +97,11 @@
                 Some(_) => format!("{engine} starts"),
                 None => format!("{engine} ends"),
             },
-            What::Told { gateway, engine, health } if of_engine(engine) => {
+            What::Told {
+                gateway,
+                engine,
+                health,
+            } if of_engine(engine) => {
                 format!("the bulletin tells {gateway} that {engine} is {health}")
             }
             What::Gateway { gateway, how } if parts.contains(gateway) => match how {
@@ -97,20 +112,34 @@
                 Process::Paused => format!("{gateway} is paused"),
                 Process::Continued => format!("{gateway} goes on"),
             },
-            What::Link { from, to, fault, begins } if parts.contains(from) || parts.contains(to) => {
+            What::Link {
+                from,
+                to,
+                fault,
+                begins,
+            } if parts.contains(from) || parts.contains(to) => {
                 // Links to engines that took no part say nothing.
                 let near = |end: &Name| parts.contains(end) || **end == *crate::links::CLIENTS;
                 if !near(from) || !near(to) {
                     continue;
                 }
-                format!("link {from}-{to}: {fault} {}", if *begins { "begins" } else { "ends" })
+                format!(
+                    "link {from}-{to}: {fault} {}",
+                    if *begins { "begins" } else { "ends" }
+                )
             }
             What::Did { what } if what.starts_with("power") => what.clone(),
             _ => continue,
         };
         lines.push((*at, line));
     }
-    for Recorded { gateway, at, id, what } in records.iter().filter(|said| ids.contains(&said.id)) {
+    for Recorded {
+        gateway,
+        at,
+        id,
+        what,
+    } in records.iter().filter(|said| ids.contains(&said.id))
+    {
         if *at > found.to + 1 {
             continue;
         }
@@ -126,8 +155,9 @@
     let begin = lines.first().map_or(0, |(at, _)| *at);
     let left_out = lines.len().saturating_sub(MOST_LINES);
     let told = lines.iter().skip(left_out);
-    let mut text: Vec<String> =
-        told.map(|(at, line)| format!("{:>10.1} ms  {line}", (at - begin) as f64 / 1e3)).collect();
+    let mut text: Vec<String> = told
+        .map(|(at, line)| format!("{:>10.1} ms  {line}", (at - begin) as f64 / 1e3))
+        .collect();
     if left_out > 0 {
         text.insert(0, format!("({left_out} earlier lines are left out)"));
     }
@@ -154,17 +184,36 @@
             over(50, 2, How::Served),
         ];
         let verdict = checked(&events);
-        let found = verdict.breaks.iter().find(|found| found.rule == super::super::Rule::EffectOnce).unwrap();
-        let sent = Recorded { gateway: "g1".into(), at: 14, id: 1, what: Said::Sent("e1".into()) };
+        let found = verdict
+            .breaks
+            .iter()
+            .find(|found| found.rule == super::super::Rule::EffectOnce)
+            .unwrap();
+        let sent = Recorded {
+            gateway: "g1".into(),
+            at: 14,
+            id: 1,
+            what: Said::Sent("e1".into()),
+        };
         let text = story(&History::new(&events), &[sent], found).join("\n");
-        for (place, words) in ["asks g1 (try 1", "records that it sends", "e1 begins", "g1 is killed"]
-            .into_iter()
-            .zip([0, 1, 2, 3])
-            .map(|(words, place)| (place, words))
+        for (place, words) in [
+            "asks g1 (try 1",
+            "records that it sends",
+            "e1 begins",
+            "g1 is killed",
+        ]
+        .into_iter()
+        .zip([0, 1, 2, 3])
+        .map(|(words, place)| (place, words))
         {
             assert!(text.lines().nth(place).unwrap().contains(words), "{text}");
         }
         assert!(!text.contains("g3") && !text.contains("served"), "{text}");
-        assert_eq!(text.lines().filter(|line| line.contains("takes effect")).count(), 2);
+        assert_eq!(
+            text.lines()
+                .filter(|line| line.contains("takes effect"))
+                .count(),
+            2
+        );
     }
 }
--- a/crates/fleet-rig/src/cold_sum.rs
+++ b/crates/fleet-rig/src/cold_sum.rs
@@ -57,11 +57,27 @@
 #[derive(Clone, Debug)]
 enum What {
     Arrives(usize),
-    Ends { gateway: usize, life: u32, request: RequestId, attempt: usize, engine: EngineId },
-    Timer { gateway: usize, life: u32, tag: u64 },
-    Told { gateway: usize },
+    Ends {
+        gateway: usize,
+        life: u32,
+        request: RequestId,
+        attempt: usize,
+        engine: EngineId,
+    },
+    Timer {
+        gateway: usize,
+        life: u32,
+        tag: u64,
+    },
+    Told {
+        gateway: usize,
+    },
     Restarts(usize),
-    DialUp { gateway: usize, life: u32, engine: EngineId },
+    DialUp {
+        gateway: usize,
+        life: u32,
+        engine: EngineId,
+    },
 }
 
 struct Own {
@@ -128,7 +144,10 @@
         let cold = 1 + engines / 8;
         let cores = [8.0, 12.0, 16.0][rng.random_range(0..3)];
         let set = settings(&mut rng, gateways, cores);
-        let means = [rng.random_range(0.1..0.26) * 1e6, rng.random_range(1.7..5.0) * 1e6];
+        let means = [
+            rng.random_range(0.1..0.26) * 1e6,
+            rng.random_range(1.7..5.0) * 1e6,
+        ];
         let usual = (1.0 - REPORTS) * means[0] + REPORTS * means[1];
         let capacity = (engines - cold) as f64 * cores / usual;
         let burst = (rng.random_range(2..6) * S, rng.random_range(1.0..2.4));
@@ -153,13 +172,29 @@
         };
         for number in 0..engines {
             let born = (number < cold).then_some(BORN);
-            world.engines.push(Engine { cores, born, ..Engine::default() });
+            world.engines.push(Engine {
+                cores,
+                born,
+                ..Engine::default()
+            });
         }
         for index in 0..gateways {
-            let weight = if world.rng.random_bool(0.2) { 4.0 } else { world.rng.random_range(0.3..1.3) };
+            let weight = if world.rng.random_bool(0.2) {
+                4.0
+            } else {
+                world.rng.random_range(0.3..1.3)
+            };
             let module = world.module(index, 0);
             let (dials, requests) = Default::default();
-            world.gateways.push(Own { module, life: 0, weight, told: false, sequence: 0, dials, requests });
+            world.gateways.push(Own {
+                module,
+                life: 0,
+                weight,
+                told: false,
+                sequence: 0,
+                dials,
+                requests,
+            });
             world.tell_list(index);
             world.arrival(index);
             // Most hear within seconds, some only when their list comes back.
@@ -177,7 +212,10 @@
     /// Settings tell each its number on every other seed.
     fn module(&mut self, index: usize, life: u32) -> Gateway {
         let told = self.seed.is_multiple_of(2);
-        let set = Settings { index: told.then_some(index as f64), ..self.set.clone() };
+        let set = Settings {
+            index: told.then_some(index as f64),
+            ..self.set.clone()
+        };
         Gateway::new(set, self.rng.random::<u64>() ^ u64::from(life), self.now)
     }
 
@@ -188,10 +226,15 @@
     }
 
     fn arrival(&mut self, gateway: usize) {
-        let all: f64 = if self.gateways.len() == 1 { 1.0 } else { self.gateways.len() as f64 };
+        let all: f64 = if self.gateways.len() == 1 {
+            1.0
+        } else {
+            self.gateways.len() as f64
+        };
         let (length, times) = self.burst;
         let in_burst = (BORN + S..BORN + S + length).contains(&self.now);
-        let rate = self.rate * self.gateways[gateway].weight / all * if in_burst { times } else { 1.0 };
+        let rate =
+            self.rate * self.gateways[gateway].weight / all * if in_burst { times } else { 1.0 };
         let wait = -(1.0 - self.rng.random::<f64>()).ln() / rate;
         self.at(self.now + wait as Micros + 1, What::Arrives(gateway));
     }
@@ -202,7 +245,9 @@
                 return;
             }
             self.now = at;
-            let Some(what) = self.happens.remove(&number) else { continue };
+            let Some(what) = self.happens.remove(&number) else {
+                continue;
+            };
             self.happened(what);
         }
     }
@@ -228,14 +273,30 @@
             What::Timer { gateway, life, tag } if life == self.gateways[gateway].life => {
                 self.tell(gateway, Event::Timer { tag })
             }
-            What::DialUp { gateway, life, engine } if life == self.gateways[gateway].life => {
-                let waiting = self.gateways[gateway].dials.insert(engine, Vec::new()).unwrap_or_default();
+            What::DialUp {
+                gateway,
+                life,
+                engine,
+            } if life == self.gateways[gateway].life => {
+                let waiting = self.gateways[gateway]
+                    .dials
+                    .insert(engine, Vec::new())
+                    .unwrap_or_default();
                 for (request, attempt) in waiting {
                     self.begins(gateway, request, attempt, engine);
                 }
             }
-            What::Ends { gateway, life, request, attempt, engine } => {
-                let class = self.gateways[gateway].requests.get(&request).map(|asked| asked.class);
+            What::Ends {
+                gateway,
+                life,
+                request,
+                attempt,
+                engine,
+            } => {
+                let class = self.gateways[gateway]
+                    .requests
+                    .get(&request)
+                    .map(|asked| asked.class);
                 self.engines[engine as usize].threads -= THREADS[class.unwrap_or(0)];
                 if life == self.gateways[gateway].life {
                     self.ended(gateway, request, attempt, engine);
@@ -249,7 +310,11 @@
         let told = self.gateways[gateway].told;
         let entry = |(number, engine): (usize, &Engine)| Entry {
             engine: number as EngineId,
-            phase: if engine.born.is_none() || told { Phase::Ready } else { Phase::Gone },
+            phase: if engine.born.is_none() || told {
+                Phase::Ready
+            } else {
+                Phase::Gone
+            },
             booted_at: engine.born.filter(|_| !self.without.cold).unwrap_or(0),
             ..Entry::default()
         };
@@ -270,7 +335,14 @@
         own.sequence += 1;
         // As the gateway numbers them: generation and slot, alike in every process.
         let id = own.sequence << 32;
-        let asked = Asked { class, work, due, attempts: 0, over: false, sent_at: 0 };
+        let asked = Asked {
+            class,
+            work,
+            due,
+            attempts: 0,
+            over: false,
+            sent_at: 0,
+        };
         own.requests.insert(id, asked);
         self.worth.1 += WORTH[class];
         self.work = (self.work.0 + work, self.work.1 + 1.0);
@@ -294,7 +366,9 @@
             (self.now, gateway, format!("{action:?}")).hash(&mut self.decisions);
             let life = self.gateways[gateway].life;
             match action {
-                Action::Send { request, engine, .. } => self.sends(gateway, request, engine),
+                Action::Send {
+                    request, engine, ..
+                } => self.sends(gateway, request, engine),
                 Action::SetTimer { after, tag } => {
                     self.at(self.now + after.max(1), What::Timer { gateway, life, tag })
                 }
@@ -304,7 +378,11 @@
                 }
                 Action::Probe { engine } => {
                     let report = self.report(engine);
-                    let probed = Probed { engine, outcome: Outcome::Answered, report };
+                    let probed = Probed {
+                        engine,
+                        outcome: Outcome::Answered,
+                        report,
+                    };
                     self.tell(gateway, Event::Probed(probed));
                 }
                 _ => {}
@@ -314,23 +392,44 @@
 
     fn report(&self, engine: EngineId) -> Option<LoadReport> {
         let own = &self.engines[engine as usize];
-        Some(LoadReport { in_flight: Some(own.threads / 1.15), ..LoadReport::default() })
+        Some(LoadReport {
+            in_flight: Some(own.threads / 1.15),
+            ..LoadReport::default()
+        })
     }
 
     /// The first attempt at an engine dials; a third of the dials come up late.
     fn sends(&mut self, gateway: usize, request: RequestId, engine: EngineId) {
         let late = !self.without.late_dials && self.rng.random_bool(1.0 / 3.0);
         let own = &mut self.gateways[gateway];
-        let Some(asked) = own.requests.get_mut(&request) else { return };
+        let Some(asked) = own.requests.get_mut(&request) else {
+            return;
+        };
         let attempt = asked.attempts;
         (asked.attempts, asked.sent_at) = (attempt + 1, self.now);
         let dialled = own.dials.contains_key(&engine);
-        let waits = own.dials.get(&engine).is_some_and(|waiting| !waiting.is_empty());
+        let waits = own
+            .dials
+            .get(&engine)
+            .is_some_and(|waiting| !waiting.is_empty());
         if waits || late && !dialled {
-            own.dials.entry(engine).or_default().push((request, attempt));
+            own.dials
+                .entry(engine)
+                .or_default()
+                .push((request, attempt));
             if !dialled {
-                let (life, up) = (own.life, self.now + self.rng.random_range(100_000..1_500_000));
-                self.at(up, What::DialUp { gateway, life, engine });
+                let (life, up) = (
+                    own.life,
+                    self.now + self.rng.random_range(100_000..1_500_000),
+                );
+                self.at(
+                    up,
+                    What::DialUp {
+                        gateway,
+                        life,
+                        engine,
+                    },
+                );
             }
             return;
         }
@@ -343,7 +442,9 @@
         if !self.without.asking && !own.module.begins(self.now, request, attempt) {
             return self.told_end(gateway, request, attempt, Outcome::Unsent);
         }
-        let Some(asked) = own.requests.get(&request) else { return };
+        let Some(asked) = own.requests.get(&request) else {
+            return;
+        };
         let (threads, work, life) = (THREADS[asked.class], asked.work, own.life);
         let at = &mut self.engines[engine as usize];
         at.calls.push((self.now, work));
@@ -351,11 +452,22 @@
         let warm = warmth(&self.set, at.born, self.now);
         let crowd = (at.threads / (at.cores * warm)).max(1.0);
         let until = self.now + (work / threads * crowd) as Micros + 1;
-        self.at(until, What::Ends { gateway, life, request, attempt, engine });
+        self.at(
+            until,
+            What::Ends {
+                gateway,
+                life,
+                request,
+                attempt,
+                engine,
+            },
+        );
     }
 
     fn ended(&mut self, gateway: usize, request: RequestId, attempt: usize, engine: EngineId) {
-        let Some(asked) = self.gateways[gateway].requests.get_mut(&request) else { return };
+        let Some(asked) = self.gateways[gateway].requests.get_mut(&request) else {
+            return;
+        };
         if !asked.over && self.now <= asked.due {
             self.worth.0 += WORTH[asked.class];
         }
@@ -365,18 +477,36 @@
     }
 
     fn told_end(&mut self, gateway: usize, request: RequestId, attempt: usize, outcome: Outcome) {
-        let Some(asked) = self.gateways[gateway].requests.get(&request) else { return };
-        let bill = (outcome == Outcome::Answered).then_some(Bill { work: asked.work, memory_mb: 50.0 });
+        let Some(asked) = self.gateways[gateway].requests.get(&request) else {
+            return;
+        };
+        let bill = (outcome == Outcome::Answered).then_some(Bill {
+            work: asked.work,
+            memory_mb: 50.0,
+        });
         let spent = self.now.saturating_sub(asked.sent_at);
         let complete = asked.over;
-        let ended = Ended { request, attempt, outcome, spent, complete, told: false, bill, report: None };
+        let ended = Ended {
+            request,
+            attempt,
+            outcome,
+            spent,
+            complete,
+            told: false,
+            bill,
+            report: None,
+        };
         self.tell(gateway, Event::Ended(ended));
     }
 
     fn sum(&self) -> Sum {
         let mean = self.work.0 / self.work.1.max(1.0);
         let served = self.worth.0 / self.worth.1.max(1.0);
-        let mut sum = Sum { served, decisions: self.decisions.finish(), ..Sum::default() };
+        let mut sum = Sum {
+            served,
+            decisions: self.decisions.finish(),
+            ..Sum::default()
+        };
         for engine in &self.engines[..self.cold] {
             sum.calls += engine.calls.len();
             let (mut from, mut work) = (0, 0.0);
@@ -392,7 +522,9 @@
                 let allowed = self.set.fall_multiple * able * self.set.fall_window as f64 / mean;
                 let sent = work / mean;
                 sum.over_budget = sum.over_budget.max(sent / allowed);
-                sum.over_bound = sum.over_bound.max(sent / (allowed + 2.0 * allowed.sqrt() + 2.0));
+                sum.over_bound = sum
+                    .over_bound
+                    .max(sent / (allowed + 2.0 * allowed.sqrt() + 2.0));
             }
         }
         sum
--- a/crates/fleet-rig/src/cold_sum/settings.rs
+++ b/crates/fleet-rig/src/cold_sum/settings.rs
@@ -5,9 +5,15 @@
 
 pub(super) fn settings(rng: &mut StdRng, gateways: usize, cores: f64) -> Settings {
     Settings {
-        classes: vec![safe_class(800_000, THREADS[0]), safe_class(3 * S, THREADS[1])],
+        classes: vec![
+            safe_class(800_000, THREADS[0]),
+            safe_class(3 * S, THREADS[1]),
+        ],
         tenants: Vec::new(),
-        kinds: vec![Kind { cores, memory_mb: 16_000.0 }],
+        kinds: vec![Kind {
+            cores,
+            memory_mb: 16_000.0,
+        }],
         peers: gateways as f64,
         index: None,
         zone: 0,
--- a/crates/fleet-rig/src/config.rs
+++ b/crates/fleet-rig/src/config.rs
@@ -59,9 +59,17 @@
 
 /// The configuration of a scenario's gateway.
 pub fn config(scenario: &Scenario, name: &str, place: Place) -> Value {
-    let own = scenario.gateways.iter().find(|gateway| gateway.name == name);
+    let own = scenario
+        .gateways
+        .iter()
+        .find(|gateway| gateway.name == name);
     let classes = &scenario.classes;
-    let longest = scenario.loads.iter().map(|load| load.wait).max().unwrap_or(Duration::from_secs(5));
+    let longest = scenario
+        .loads
+        .iter()
+        .map(|load| load.wait)
+        .max()
+        .unwrap_or(Duration::from_secs(5));
     let repeat = |effect| match effect {
         "keyed" => "token",
         "unsafe" => "side_effect",
@@ -87,11 +95,27 @@
     };
     let (kinds, zones) = (set(|engine| &engine.kind), set(|engine| &engine.zone));
     let of_kind = |kind: &String| scenario.engines.iter().find(|engine| engine.kind == *kind);
-    let cores: Vec<u64> = kinds.iter().filter_map(of_kind).map(|engine| engine.cores).collect();
-    let memory: Vec<f64> = kinds.iter().filter_map(of_kind).map(|engine| engine.memory_mb).collect();
-    let warm = scenario.engines.iter().map(|engine| engine.warm_up).max().unwrap_or_default();
-    let orgs: Vec<Value> =
-        scenario.tenants.iter().map(|(name, quota)| json!({"name": name, "quota-rps": quota})).collect();
+    let cores: Vec<u64> = kinds
+        .iter()
+        .filter_map(of_kind)
+        .map(|engine| engine.cores)
+        .collect();
+    let memory: Vec<f64> = kinds
+        .iter()
+        .filter_map(of_kind)
+        .map(|engine| engine.memory_mb)
+        .collect();
+    let warm = scenario
+        .engines
+        .iter()
+        .map(|engine| engine.warm_up)
+        .max()
+        .unwrap_or_default();
+    let orgs: Vec<Value> = scenario
+        .tenants
+        .iter()
+        .map(|(name, quota)| json!({"name": name, "quota-rps": quota}))
+        .collect();
     json!({
         "name": name, "listen": place.listen.to_string(), "seed": format!("{:016x}", scenario.seed),
         "limits": {"cores": 1.0, "memory_mb": own.map_or(192, |own| own.memory_mb),
--- a/crates/fleet-rig/src/directories.rs
+++ b/crates/fleet-rig/src/directories.rs
@@ -87,7 +87,10 @@
             let length = file.metadata()?.len();
             let lost = rng.random_range(0..=length.min(MOST_TORN));
             if lost > 0 {
-                std::fs::OpenOptions::new().write(true).open(&path)?.set_len(length - lost)?;
+                std::fs::OpenOptions::new()
+                    .write(true)
+                    .open(&path)?
+                    .set_len(length - lost)?;
                 torn += 1;
             }
         }
@@ -107,7 +110,10 @@
         assert!(!put_back(root, "g1").unwrap(), "nothing was saved");
         wipe(root, "g1").unwrap();
         std::fs::create_dir(of(root, "g1").join("record")).unwrap();
-        let (record, other) = (of(root, "g1").join("record/a.eyr"), of(root, "g1").join("store"));
+        let (record, other) = (
+            of(root, "g1").join("record/a.eyr"),
+            of(root, "g1").join("store"),
+        );
         std::fs::write(&record, vec![7; 1000]).unwrap();
         std::fs::write(&other, vec![7; 1000]).unwrap();
         save(root, "g1").unwrap();
--- a/crates/fleet-rig/src/links.rs
+++ b/crates/fleet-rig/src/links.rs
@@ -34,16 +34,29 @@
 
 impl Links {
     /// Opens a door for each link of these gateways and engines.
-    pub fn start(gateways: Vec<Name>, engines: Vec<Name>, ledger: ledger::Shared) -> io::Result<Self> {
+    pub fn start(
+        gateways: Vec<Name>,
+        engines: Vec<Name>,
+        ledger: ledger::Shared,
+    ) -> io::Result<Self> {
         let mut links = BTreeMap::new();
         for gateway in &gateways {
             links.insert((CLIENTS.into(), gateway.clone()), Relay::start()?);
             links.insert((gateway.clone(), BULLETIN.into()), Relay::start()?);
-            for other in engines.iter().chain(gateways.iter().filter(|other| *other != gateway)) {
+            for other in engines
+                .iter()
+                .chain(gateways.iter().filter(|other| *other != gateway))
+            {
                 links.insert((gateway.clone(), other.clone()), Relay::start()?);
             }
         }
-        Ok(Links { links, gateways, engines, ledger, next: 0 })
+        Ok(Links {
+            links,
+            gateways,
+            engines,
+            ledger,
+            next: 0,
+        })
     }
 
     fn link(&self, from: &str, to: &str) -> Option<&Rc<Relay>> {
@@ -57,18 +70,26 @@
 
     /// Where one end of all links that lead to it is now, if anybody is there.
     pub fn lead_to(&self, to: &str, target: Option<SocketAddr>) {
-        self.links.iter().filter(|((_, own), _)| **own == *to).for_each(|(_, relay)| relay.lead_to(target));
+        self.links
+            .iter()
+            .filter(|((_, own), _)| **own == *to)
+            .for_each(|(_, relay)| relay.lead_to(target));
     }
 
     /// Where gateways reach another one of them.
     pub fn lead_peers(&self, to: &str, target: Option<SocketAddr>) {
         let of_peers = |(from, own): &(Name, Name)| **own == *to && self.gateways.contains(from);
-        self.links.iter().filter(|(ends, _)| of_peers(ends)).for_each(|(_, relay)| relay.lead_to(target));
+        self.links
+            .iter()
+            .filter(|(ends, _)| of_peers(ends))
+            .for_each(|(_, relay)| relay.lead_to(target));
     }
 
     /// Leads one link to an address, or to nobody.
     pub fn lead(&self, from: &str, to: &str, target: Option<SocketAddr>) {
-        self.link(from, to).into_iter().for_each(|relay| relay.lead_to(target));
+        self.link(from, to)
+            .into_iter()
+            .for_each(|relay| relay.lead_to(target));
     }
 
     fn is(&self, name: &str, end: &Name) -> bool {
@@ -84,8 +105,12 @@
     fn between(&self, a: &str, b: &str) -> Vec<((Name, Name), bool)> {
         let along = |from: &Name, to: &Name| self.is(a, from) && self.is(b, to);
         let against = |from: &Name, to: &Name| self.is(b, from) && self.is(a, to);
-        let all = self.links.keys().filter(|(from, to)| along(from, to) || against(from, to));
-        all.map(|(from, to)| ((from.clone(), to.clone()), !along(from, to))).collect()
+        let all = self
+            .links
+            .keys()
+            .filter(|(from, to)| along(from, to) || against(from, to));
+        all.map(|(from, to)| ((from.clone(), to.clone()), !along(from, to)))
+            .collect()
     }
 
     /// Begins a fault on the links that a step names.
@@ -111,7 +136,10 @@
     /// Ends such a fault.
     pub fn end(&self, lasting: &Lasting) {
         for (from, to) in &lasting.on {
-            if self.link(from, to).is_some_and(|relay| relay.end(lasting.number)) {
+            if self
+                .link(from, to)
+                .is_some_and(|relay| relay.end(lasting.number))
+            {
                 self.note(from, to, lasting.fault.name(), false);
             }
         }
@@ -120,7 +148,9 @@
     /// Resets all connections between two ends.
     pub fn reset(&self, a: &str, b: &str) {
         for ((from, to), _) in self.between(a, b) {
-            self.link(&from, &to).into_iter().for_each(|relay| relay.reset());
+            self.link(&from, &to)
+                .into_iter()
+                .for_each(|relay| relay.reset());
             self.note(&from, &to, "reset", true);
             self.note(&from, &to, "reset", false);
         }
@@ -128,6 +158,11 @@
 
     fn note(&self, from: &Name, to: &Name, fault: &'static str, begins: bool) {
         let (from, to) = (from.clone(), to.clone());
-        self.ledger.borrow_mut().happened(|| What::Link { from, to, fault, begins });
+        self.ledger.borrow_mut().happened(|| What::Link {
+            from,
+            to,
+            fault,
+            begins,
+        });
     }
 }
--- a/crates/fleet-rig/src/main.rs
+++ b/crates/fleet-rig/src/main.rs
@@ -77,14 +77,22 @@
 /// Under cargo the program is built first, as it is in this checkout: the rig alone would bring an old one.
 fn built() -> Result<PathBuf, String> {
     if let Some(cargo) = std::env::var_os("CARGO") {
-        let profile = if cfg!(debug_assertions) { &[][..] } else { &["--release"][..] };
-        let status = Command::new(cargo).args(["build", "--quiet", "--locked"]).args(profile).status();
+        let profile = if cfg!(debug_assertions) {
+            &[][..]
+        } else {
+            &["--release"][..]
+        };
+        let status = Command::new(cargo)
+            .args(["build", "--quiet", "--locked"])
+            .args(profile)
+            .status();
         if !status.is_ok_and(|status| status.success()) {
             return Err("the program can't be built; see above, or name one with --program".into());
         }
     }
-    run::program()
-        .map_err(|e| format!("{e}; build it with 'cargo build --release', or name one with --program"))
+    run::program().map_err(|e| {
+        format!("{e}; build it with 'cargo build --release', or name one with --program")
+    })
 }
 
 fn scale(sizes: &Sizes) -> Result<bool, String> {
@@ -96,16 +104,27 @@
         None => Some(built()?),
     };
     let mut predicted = |name: &str, axis, at: f64, value: f64| {
-        println!("predicted before it is measured: {name} by {axis:?} at {at}: {}", report::short(value))
+        println!(
+            "predicted before it is measured: {name} by {axis:?} at {at}: {}",
+            report::short(value)
+        )
     };
-    let outcome = Run::new(sizes, program.as_deref(), &mut predicted).play().map_err(|e| e.to_string())?;
-    report::lines(&outcome).iter().for_each(|line| println!("{line}"));
+    let outcome = Run::new(sizes, program.as_deref(), &mut predicted)
+        .play()
+        .map_err(|e| e.to_string())?;
+    report::lines(&outcome)
+        .iter()
+        .for_each(|line| println!("{line}"));
     println!("\n{}", report::table(&outcome));
     if let Some(directory) = &sizes.plots {
-        let drawn = plots::draw(&outcome, directory).map_err(|e| format!("{}: {e}", directory.display()))?;
+        let drawn = plots::draw(&outcome, directory)
+            .map_err(|e| format!("{}: {e}", directory.display()))?;
         println!("drawn: {}", drawn.join(", "));
     }
-    outcome.broken.iter().for_each(|broken| println!("broken: {}: {}", broken.rule, broken.what));
+    outcome
+        .broken
+        .iter()
+        .for_each(|broken| println!("broken: {}: {}", broken.rule, broken.what));
     println!("{}", report::verdict(&outcome, sizes.seed));
     Ok(outcome.broken.is_empty())
 }
@@ -113,14 +132,19 @@
 fn play(arguments: &Arguments) -> Result<bool, String> {
     let plan = match (&arguments.scenario, arguments.case) {
         (Some(path), _) => {
-            let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+            let text =
+                std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
             let plan = Plan::of_text(&text);
             plan.scenario(&path.display().to_string())?;
             plan
         }
-        (None, Some(case)) => {
-            plan::draw(case, arguments.seed, arguments.gateways as usize, arguments.seconds, !arguments.off)
-        }
+        (None, Some(case)) => plan::draw(
+            case,
+            arguments.seed,
+            arguments.gateways as usize,
+            arguments.seconds,
+            !arguments.off,
+        ),
         (None, None) => return Err("name a case or a scenario".into()),
     };
     let case = arguments.case.map_or("scenario", Case::name);
@@ -138,7 +162,12 @@
     let directory = arguments.keep.as_deref().unwrap_or(own.path());
     let ran = once(&program, &plan, directory)?;
     for (found, story) in &ran.stories {
-        println!("\nbroken: {}: {}: {}", found.rule.name(), found.about, found.text);
+        println!(
+            "\nbroken: {}: {}: {}",
+            found.rule.name(),
+            found.about,
+            found.text
+        );
         story.iter().for_each(|line| println!("  {line}"));
     }
     println!();
@@ -148,14 +177,26 @@
     let first = ran.verdict.breaks.first().map(|found| found.rule);
     if let Some(rule) = first.filter(|_| arguments.minimize) {
         let small = smallest(&program, &plan, rule)?;
-        println!("\nthe smallest plan that still breaks '{}', as a scenario:\n\n{small}", rule.name());
+        println!(
+            "\nthe smallest plan that still breaks '{}', as a scenario:\n\n{small}",
+            rule.name()
+        );
     }
     let kept = ran.verdict.kept();
-    let seed = plan.scenario("plan").map_or(arguments.seed, |scenario| scenario.seed);
-    let figures: Vec<String> =
-        ran.verdict.figures.iter().map(|(name, value)| format!("{name}={value}")).collect();
+    let seed = plan
+        .scenario("plan")
+        .map_or(arguments.seed, |scenario| scenario.seed);
+    let figures: Vec<String> = ran
+        .verdict
+        .figures
+        .iter()
+        .map(|(name, value)| format!("{name}={value}"))
+        .collect();
     let word = if kept { "kept" } else { "broken" };
-    println!("verdict={word} seed={seed} case={case} {}", figures.join(" "));
+    println!(
+        "verdict={word} seed={seed} case={case} {}",
+        figures.join(" ")
+    );
     Ok(kept)
 }
 
@@ -176,7 +217,11 @@
                 }
             }
         });
-        eprintln!("{} faults: {}", fewer.faults.len(), if broken { "broken" } else { "kept" });
+        eprintln!(
+            "{} faults: {}",
+            fewer.faults.len(),
+            if broken { "broken" } else { "kept" }
+        );
         broken
     });
     trouble.map_or(Ok(small), Err)
--- a/crates/fleet-rig/src/owned.rs
+++ b/crates/fleet-rig/src/owned.rs
@@ -47,11 +47,26 @@
 }
 
 enum Event {
-    Deliver { from: usize, to: usize, to_keeper: bool, starts: (u64, u64), message: Message },
+    Deliver {
+        from: usize,
+        to: usize,
+        to_keeper: bool,
+        starts: (u64, u64),
+        message: Message,
+    },
     Look(usize),
-    Flush { keeper: usize, start: u64 },
-    Pause { gateway: usize, lasts: Micros },
-    Kill { keeper: usize, down: Micros },
+    Flush {
+        keeper: usize,
+        start: u64,
+    },
+    Pause {
+        gateway: usize,
+        lasts: Micros,
+    },
+    Kill {
+        keeper: usize,
+        down: Micros,
+    },
     Start(usize),
     Goes,
 }
@@ -134,7 +149,11 @@
 
     fn core(&self, at: usize, start: u64, disk: &BTreeMap<Task, Token>) -> Core {
         let own = (at < self.size.keepers).then_some(at);
-        let plan = Plan { keepers: self.size.keepers, own, owner: at as u64 + 1 + start * 1_000_000 };
+        let plan = Plan {
+            keepers: self.size.keepers,
+            own,
+            owner: at as u64 + 1 + start * 1_000_000,
+        };
         let mut core = Core::start(plan, disk.clone().into_iter(), self.time.now);
         tasks(&self.size).for_each(|task| core.wants(self.time.now, task));
         core
@@ -156,17 +175,34 @@
         });
         self.figures.moved_percent = moved.count() as u64 * 100 / u64::from(self.size.tasks);
         let mut each: HashMap<usize, u64> = HashMap::new();
-        self.owned.values().for_each(|owner| *each.entry(*owner).or_default() += 1);
+        self.owned
+            .values()
+            .for_each(|owner| *each.entry(*owner).or_default() += 1);
         self.figures.most_owned = each.values().copied().max().unwrap_or(0);
         self.figures
     }
 
     fn happens(&mut self, event: Event) {
         match event {
-            Event::Deliver { from, to, to_keeper, starts, message } => {
+            Event::Deliver {
+                from,
+                to,
+                to_keeper,
+                starts,
+                message,
+            } => {
                 let wait = self.gateways[to].paused_until.saturating_sub(self.time.now);
                 if wait > 0 {
-                    return self.at(wait, Event::Deliver { from, to, to_keeper, starts, message });
+                    return self.at(
+                        wait,
+                        Event::Deliver {
+                            from,
+                            to,
+                            to_keeper,
+                            starts,
+                            message,
+                        },
+                    );
                 }
                 let (a, b) = (&self.gateways[from], &self.gateways[to]);
                 if !a.up || !b.up || (a.start, b.start) != starts {
@@ -202,7 +238,10 @@
                 }
             }
             Event::Start(keeper) => {
-                let (start, disk) = (self.gateways[keeper].start + 1, self.gateways[keeper].disk.clone());
+                let (start, disk) = (
+                    self.gateways[keeper].start + 1,
+                    self.gateways[keeper].disk.clone(),
+                );
                 let core = self.core(keeper, start, &disk);
                 let own = &mut self.gateways[keeper];
                 (own.core, own.start, own.up, own.paused_until) = (core, start, true, 0);
@@ -212,24 +251,40 @@
                 self.before = self.owned.clone();
                 let gone = self.size.goes;
                 // Keepers stay: a majority stands.
-                for at in (self.size.keepers..self.size.gateways).filter(|at| gone > 0 && at % gone == 0) {
+                for at in
+                    (self.size.keepers..self.size.gateways).filter(|at| gone > 0 && at % gone == 0)
+                {
                     self.gateways[at].up = false;
                 }
                 let gateways = &self.gateways;
                 self.owned.retain(|_, owner| gateways[*owner].up);
-                let lost = self.before.keys().copied().filter(|task| !self.owned.contains_key(task));
+                let lost = self
+                    .before
+                    .keys()
+                    .copied()
+                    .filter(|task| !self.owned.contains_key(task));
                 self.handovers = Handovers::begin(self.time.now, lost, &mut self.figures);
             }
         }
     }
 
     fn look(&mut self, at: usize) {
-        let outputs = self.gateways[at].core.work(self.time.now, self.time.now / MS, true);
+        let outputs = self.gateways[at]
+            .core
+            .work(self.time.now, self.time.now / MS, true);
         self.perform(at, outputs);
-        let owned: Vec<Task> = self.gateways[at].core.owned(self.time.now).map(|(task, _)| task).collect();
+        let owned: Vec<Task> = self.gateways[at]
+            .core
+            .owned(self.time.now)
+            .map(|(task, _)| task)
+            .collect();
         for task in owned {
             let own = &mut self.gateways[at];
-            if own.worked_at.get(&task).is_some_and(|last| self.time.now < last + WORKS) {
+            if own
+                .worked_at
+                .get(&task)
+                .is_some_and(|last| self.time.now < last + WORKS)
+            {
                 continue;
             }
             own.worked_at.insert(task, self.time.now);
@@ -249,7 +304,13 @@
             false => self.rng.random_range(200..2 * MS),
         };
         let starts = (self.gateways[from].start, self.gateways[to].start);
-        let event = Event::Deliver { from, to, to_keeper, starts, message };
+        let event = Event::Deliver {
+            from,
+            to,
+            to_keeper,
+            starts,
+            message,
+        };
         self.time.send((from, to, to_keeper), delay, event);
     }
 
@@ -264,7 +325,8 @@
                 }
                 Output::Asker(asker, message) => self.send(at, asker as usize, false, message),
                 Output::Askers { but, message } => {
-                    for asker in (0..self.gateways.len()).filter(|asker| Some(*asker as u64) != but) {
+                    for asker in (0..self.gateways.len()).filter(|asker| Some(*asker as u64) != but)
+                    {
                         self.send(at, asker, false, message.clone());
                     }
                 }
@@ -284,7 +346,8 @@
                 }
                 Output::Apply { task, token, .. } => {
                     self.figures.applied += 1;
-                    self.handovers.applied(self.time.now, task, &mut self.figures);
+                    self.handovers
+                        .applied(self.time.now, task, &mut self.figures);
                     let counted = self.gateways[at].counted.entry(task).or_default();
                     self.figures.stale_applied += u64::from(token < *counted);
                     let two = token.term == counted.term && token.owner != counted.owner;
@@ -296,8 +359,11 @@
                     self.owned.insert(task, at);
                     self.handovers.won(self.time.now, task, at);
                     let all = self.owned.len() == self.size.tasks as usize;
-                    let took =
-                        if self.time.now > S + GOES { self.time.now - S - GOES } else { self.time.now - S };
+                    let took = if self.time.now > S + GOES {
+                        self.time.now - S - GOES
+                    } else {
+                        self.time.now - S
+                    };
                     let figure = match self.time.now > S + GOES {
                         true => &mut self.figures.again_after_ms,
                         false => &mut self.figures.owned_after_ms,
@@ -338,7 +404,12 @@
 /// Plays seeds one after the other: sums of what counts, the worst of what lasts.
 pub fn play(size: Size, seeds: std::ops::Range<u64>) -> (Figures, Vec<u64>) {
     let broken = |own: &Figures| own.stale_applied + own.two_owners > 0;
-    timeline::over(seeds, |seed| Fleet::new(size, seed).run(), broken, Figures::add)
+    timeline::over(
+        seeds,
+        |seed| Fleet::new(size, seed).run(),
+        broken,
+        Figures::add,
+    )
 }
 
 #[cfg(test)]
@@ -347,18 +418,42 @@
 
     #[test]
     fn no_stale_work_counts_and_tasks_find_owners_again() {
-        let size = Size { gateways: 9, keepers: 3, tasks: 4, faults: 12, goes: 0 };
+        let size = Size {
+            gateways: 9,
+            keepers: 3,
+            tasks: 4,
+            faults: 12,
+            goes: 0,
+        };
         let (sum, broken) = play(size, 0..60);
-        assert!(broken.is_empty() && sum.applied > 1000, "{broken:?} {sum:?}");
+        assert!(
+            broken.is_empty() && sum.applied > 1000,
+            "{broken:?} {sum:?}"
+        );
         assert!(sum.fenced > 0, "the fence was never met: {sum:?}");
-        let large = Size { gateways: 60, keepers: 5, tasks: 20, faults: 0, goes: 3 };
+        let large = Size {
+            gateways: 60,
+            keepers: 5,
+            tasks: 20,
+            faults: 0,
+            goes: 3,
+        };
         let (sum, broken) = play(large, 0..2);
         assert!(broken.is_empty() && sum.again_after_ms > 0, "{sum:?}");
         assert_eq!(sum.moved_percent, 0, "only tasks of those that went move");
-        assert!(sum.tasks_lost > 0 && sum.lost_for_ms > 0 && sum.owned_late == 0, "{sum:?}");
+        assert!(
+            sum.tasks_lost > 0 && sum.lost_for_ms > 0 && sum.owned_late == 0,
+            "{sum:?}"
+        );
         // Nothing is noticed before a lease of 2 s, renewed up to 0.5 s before, has run out.
-        assert!((1_500..=sum.lost_for_ms).contains(&sum.noticed_ms), "{sum:?}");
+        assert!(
+            (1_500..=sum.lost_for_ms).contains(&sum.noticed_ms),
+            "{sum:?}"
+        );
         let parts = sum.noticed_ms + sum.vote_ms + sum.first_work_ms;
-        assert!(sum.vote_ms > 0 && parts + 3 >= sum.lost_for_ms, "the parts make up the whole: {sum:?}");
+        assert!(
+            sum.vote_ms > 0 && parts + 3 >= sum.lost_for_ms,
+            "the parts make up the whole: {sum:?}"
+        );
     }
 }
--- a/crates/fleet-rig/src/owned/handover.rs
+++ b/crates/fleet-rig/src/owned/handover.rs
@@ -46,7 +46,9 @@
 
     /// Work counts at a fence: the first after a new owner ends the hand-over.
     pub fn applied(&mut self, now: Micros, task: Task, figures: &mut Figures) {
-        let Some((asked, won)) = self.lost.get(&task).and_then(|lost| lost.won) else { return };
+        let Some((asked, won)) = self.lost.get(&task).and_then(|lost| lost.won) else {
+            return;
+        };
         self.lost.remove(&task);
         let most = |figure: &mut u64, time: Micros| *figure = (*figure).max(time / MS);
         most(&mut figures.noticed_ms, asked - self.began);
--- a/crates/fleet-rig/src/plan.rs
+++ b/crates/fleet-rig/src/plan.rs
@@ -56,7 +56,9 @@
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}", self.head)?;
-        self.faults.iter().try_for_each(|fault| writeln!(f, "{fault}"))
+        self.faults
+            .iter()
+            .try_for_each(|fault| writeln!(f, "{fault}"))
     }
 }
 
@@ -64,8 +66,15 @@
     /// Of a scenario's text.
     pub fn of_text(text: &str) -> Self {
         let is_fault = |line: &&str| line.starts_with("at ");
-        let head = text.lines().filter(|line| !is_fault(line)).map(|line| format!("{line}\n")).collect();
-        Plan { head, faults: text.lines().filter(is_fault).map(str::to_string).collect() }
+        let head = text
+            .lines()
+            .filter(|line| !is_fault(line))
+            .map(|line| format!("{line}\n"))
+            .collect();
+        Plan {
+            head,
+            faults: text.lines().filter(is_fault).map(str::to_string).collect(),
+        }
     }
 
     /// The scenario with its faults, read under a name.
@@ -75,7 +84,10 @@
 
     /// The same scenario with other faults.
     pub fn with(&self, faults: &[String]) -> Self {
-        Plan { head: self.head.clone(), faults: faults.to_vec() }
+        Plan {
+            head: self.head.clone(),
+            faults: faults.to_vec(),
+        }
     }
 }
 
@@ -100,13 +112,18 @@
     let gateway_names: Vec<String> = (1..=gateways).map(|number| format!("g{number}")).collect();
     let mut draw = Draw {
         rng: StdRng::seed_from_u64(seed.wrapping_mul(0x9e37_79b9) ^ case as u64),
-        engines: ["a", "b", "c"].iter().flat_map(|cell| [1, 2].map(|n| format!("{cell}-{n}"))).collect(),
+        engines: ["a", "b", "c"]
+            .iter()
+            .flat_map(|cell| [1, 2].map(|n| format!("{cell}-{n}")))
+            .collect(),
         gateways: gateway_names,
         busy: Vec::new(),
         apart: if case == Case::Store { 400 } else { 2_500 },
         peers: matches!(case, Case::Copies | Case::Owner),
         from: QUIET_BEGIN.min(seconds * 200),
-        until: (seconds * 1000).saturating_sub(QUIET_END).max(seconds * 400),
+        until: (seconds * 1000)
+            .saturating_sub(QUIET_END)
+            .max(seconds * 400),
         faults: Vec::new(),
     };
     let count = (draw.until - draw.from) as usize / 1000;
@@ -118,8 +135,15 @@
         Case::Mix => (0..count).for_each(|_| draw.of_all()),
     }
     draw.faults.sort();
-    let faults = draw.faults.into_iter().map(|(at, fault)| format!("at {at}ms {fault}")).collect();
-    Plan { head: head(case, seed, &draw.gateways, seconds, on), faults }
+    let faults = draw
+        .faults
+        .into_iter()
+        .map(|(at, fault)| format!("at {at}ms {fault}"))
+        .collect();
+    Plan {
+        head: head(case, seed, &draw.gateways, seconds, on),
+        faults,
+    }
 }
 
 /// Keepers of a fleet of so many gateways.
@@ -134,7 +158,10 @@
 /// classes that take a little under half of the cores.
 fn head(case: Case, seed: u64, gateways: &[String], seconds: u64, on: bool) -> String {
     let back = if case == Case::Store { "same" } else { "other" };
-    let mut head = format!("# Case {}, seed {seed}.\nseed {seed}\ntime {seconds}s\n", case.name());
+    let mut head = format!(
+        "# Case {}, seed {seed}.\nseed {seed}\ntime {seconds}s\n",
+        case.name()
+    );
     head += "class report {\n    effect safe\n}\nclass booking {\n    effect keyed\n    scope cell\n    \
              window 5s\n}\nclass payment {\n    effect unsafe\n    window 5s\n}\nclass entry {\n    \
              effect safe\n    \
@@ -157,7 +184,10 @@
             lines.extend((case == Case::Owner).then(|| "task probe".into()));
             lines.push("}".into());
         }
-        let lines: String = lines.iter().map(|line| format!("    operator \"{line}\"\n")).collect();
+        let lines: String = lines
+            .iter()
+            .map(|line| format!("    operator \"{line}\"\n"))
+            .collect();
         head += &format!("gateway {name} {{\n    memory 64MB\n{lines}}}\n");
     }
     let load = |name: &str, class: &str, rate: u64, work: u64, more: &str| {
@@ -169,7 +199,13 @@
     let returns = format!("    returns 2\n    back {back}\n    marked 70%\n");
     head += &load("reports", "report", 60, 60, &returns);
     let bookings = if case == Case::Store { 40 } else { 25 };
-    head += &load("bookings", "booking", bookings, 250, &format!("{returns}    late 5%\n"));
+    head += &load(
+        "bookings",
+        "booking",
+        bookings,
+        250,
+        &format!("{returns}    late 5%\n"),
+    );
     head += &load("payments", "payment", 10, 100, "");
     head + &load("entries", "entry", 8, 40, "    keys 6\n")
 }
@@ -180,15 +216,23 @@
 mod tests {
     use super::*;
 
-    const CASES: [Case; 5] = [Case::Store, Case::Copies, Case::Owner, Case::Power, Case::Mix];
+    const CASES: [Case; 5] = [
+        Case::Store,
+        Case::Copies,
+        Case::Owner,
+        Case::Power,
+        Case::Mix,
+    ];
 
     #[test]
     fn every_plan_can_be_read_and_comes_of_its_seed_alone() {
         for case in CASES {
-            let plans: Vec<Plan> =
-                (0..200).map(|seed| draw(case, seed, 3 + seed as usize % 10, 20, true)).collect();
+            let plans: Vec<Plan> = (0..200)
+                .map(|seed| draw(case, seed, 3 + seed as usize % 10, 20, true))
+                .collect();
             for (seed, plan) in plans.iter().enumerate() {
-                plan.scenario("drawn").unwrap_or_else(|e| panic!("{e}\n{plan}"));
+                plan.scenario("drawn")
+                    .unwrap_or_else(|e| panic!("{e}\n{plan}"));
                 assert!(!plan.faults.is_empty(), "seed {seed}");
                 assert_eq!(*plan, draw(case, seed as u64, 3 + seed % 10, 20, true));
                 assert_eq!(Plan::of_text(&plan.to_string()), *plan);
@@ -199,7 +243,9 @@
 
     #[test]
     fn mixed_plans_hold_every_kind_of_fault() {
-        let all: String = (0..60).map(|seed| draw(Case::Mix, seed, 5, 20, true).faults.join("\n")).collect();
+        let all: String = (0..60)
+            .map(|seed| draw(Case::Mix, seed, 5, 20, true).faults.join("\n"))
+            .collect();
         for fault in [
             "kill-gateway",
             "stop-gateway",
@@ -219,10 +265,16 @@
         ] {
             assert!(all.contains(fault), "no {fault}");
         }
-        let power: String =
-            (0..60).map(|seed| draw(Case::Power, seed, 5, 20, true).faults.join("\n")).collect();
-        let twice =
-            |seed| draw(Case::Power, seed, 5, 20, true).to_string().matches("power-loss").count() == 2;
+        let power: String = (0..60)
+            .map(|seed| draw(Case::Power, seed, 5, 20, true).faults.join("\n"))
+            .collect();
+        let twice = |seed| {
+            draw(Case::Power, seed, 5, 20, true)
+                .to_string()
+                .matches("power-loss")
+                .count()
+                == 2
+        };
         assert!(power.contains("put-back-directory") && (0..60).any(twice));
     }
 }
--- a/crates/fleet-rig/src/processes.rs
+++ b/crates/fleet-rig/src/processes.rs
@@ -91,9 +91,19 @@
             .stdout(Stdio::null())
             .stderr(File::create(&log)?)
             .spawn()
-            .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", programs.program.display())))?;
-        self.running
-            .insert(name.to_string(), Running { child, log: log.clone(), start, wanted: false, held: None });
+            .map_err(|e| {
+                io::Error::new(e.kind(), format!("{}: {e}", programs.program.display()))
+            })?;
+        self.running.insert(
+            name.to_string(),
+            Running {
+                child,
+                log: log.clone(),
+                start,
+                wanted: false,
+                held: None,
+            },
+        );
         let until = Instant::now() + PATIENCE;
         loop {
             if let Some(address) = find(&log, "listens on ").and_then(|line| address(&line)) {
@@ -115,7 +125,12 @@
 
     /// Puts another configuration in the place of the one that a gateway started with. It takes it up when it
     /// is told to.
-    pub fn configure(&self, programs: &Programs, name: &str, config: &serde_json::Value) -> io::Result<()> {
+    pub fn configure(
+        &self,
+        programs: &Programs,
+        name: &str,
+        config: &serde_json::Value,
+    ) -> io::Result<()> {
         let start = self.running.get(name).map_or(0, |running| running.start);
         let path = configuration(programs, name, start);
         let new = path.with_extension("new");
@@ -139,7 +154,10 @@
 
     /// Lets a held thread go on.
     pub fn let_go(&mut self, name: &str) {
-        let held = self.running.get_mut(name).and_then(|running| running.held.take());
+        let held = self
+            .running
+            .get_mut(name)
+            .and_then(|running| running.held.take());
         held.into_iter().for_each(Held::let_go);
     }
 
@@ -154,7 +172,9 @@
 
     /// It runs, and nobody told it to end.
     pub fn is_running(&self, name: &str) -> bool {
-        self.running.get(name).is_some_and(|running| !running.wanted)
+        self.running
+            .get(name)
+            .is_some_and(|running| !running.wanted)
     }
 
     /// Those that ended though nobody told them to.
@@ -175,14 +195,18 @@
     pub fn resident_bytes(&self, name: &str) -> Option<u64> {
         let process = self.running.get(name)?.child.id();
         let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))?;
         let kilobytes: u64 = line.trim().trim_end_matches(" kB").parse().ok()?;
         Some(kilobytes << 10)
     }
 
     /// Waits until one has ended, if it runs, and notes how. False: it had to be killed.
     pub async fn ended(&mut self, name: &str) -> io::Result<bool> {
-        let Some(mut running) = self.running.remove(name) else { return Ok(true) };
+        let Some(mut running) = self.running.remove(name) else {
+            return Ok(true);
+        };
         let until = Instant::now() + PATIENCE;
         let (mut cpu, mut by_itself) = (Duration::ZERO, true);
         // What is held ends with a kill, and else goes on, so that it can end by itself.
@@ -200,7 +224,13 @@
         }
         let counters = find(&running.log, "counters:").map(|line| counters(&line));
         let name = format!("{name}#{}", running.start);
-        self.endings.push(Ending { name, log: running.log, cpu, counters, wanted: running.wanted });
+        self.endings.push(Ending {
+            name,
+            log: running.log,
+            cpu,
+            counters,
+            wanted: running.wanted,
+        });
         Ok(by_itself)
     }
 }
@@ -211,7 +241,11 @@
         for running in self.running.values_mut() {
             // Those that have ended are waited for all the same.
             let _ = running.child.kill();
-            running.held.take().into_iter().for_each(Held::let_go_or_ended);
+            running
+                .held
+                .take()
+                .into_iter()
+                .for_each(Held::let_go_or_ended);
             let _ = running.child.wait();
         }
     }
@@ -234,16 +268,24 @@
 
 /// The last line of a log that holds a text.
 fn find(log: &Path, text: &str) -> Option<String> {
-    let lines = BufReader::new(File::open(log).ok()?).lines().map_while(Result::ok);
+    let lines = BufReader::new(File::open(log).ok()?)
+        .lines()
+        .map_while(Result::ok);
     lines.filter(|line| line.contains(text)).last()
 }
 
 fn address(line: &str) -> Option<SocketAddr> {
-    line.split(' ').filter_map(|word| word.trim_matches('"').parse().ok()).next_back()
+    line.split(' ')
+        .filter_map(|word| word.trim_matches('"').parse().ok())
+        .next_back()
 }
 
 /// The counters of a line that tells them, by name.
 pub fn counters(line: &str) -> BTreeMap<String, u64> {
-    let pairs = line.split([' ', ';']).filter_map(|word| word.split_once('='));
-    pairs.filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?))).collect()
+    let pairs = line
+        .split([' ', ';'])
+        .filter_map(|word| word.split_once('='));
+    pairs
+        .filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?)))
+        .collect()
 }
--- a/crates/fleet-rig/src/relay.rs
+++ b/crates/fleet-rig/src/relay.rs
@@ -78,7 +78,11 @@
 }
 
 fn folded(faults: &[(u64, Fault, Way)], vacant: bool, resets: u64) -> State {
-    let mut state = State { vacant, resets, ..State::default() };
+    let mut state = State {
+        vacant,
+        resets,
+        ..State::default()
+    };
     for (_, fault, way) in faults {
         let mut lanes: Vec<&mut Lane> = Vec::new();
         if *way != Way::Back {
@@ -92,7 +96,9 @@
                 Fault::Cut | Fault::Stall => lane.holds = true,
                 Fault::Swallow => lane.swallows = true,
                 Fault::Delay(by) => lane.delay += *by,
-                Fault::Throttle(rate) => lane.rate = Some(lane.rate.map_or(*rate, |own| own.min(*rate))),
+                Fault::Throttle(rate) => {
+                    lane.rate = Some(lane.rate.map_or(*rate, |own| own.min(*rate)))
+                }
             }
         }
         // No connection comes up over a way that delivers one direction only.
@@ -120,7 +126,10 @@
             place,
             target: Cell::new(None),
             faults: RefCell::default(),
-            state: watch::Sender::new(State { vacant: true, ..State::default() }),
+            state: watch::Sender::new(State {
+                vacant: true,
+                ..State::default()
+            }),
         });
         spawn_local(relay.clone().serve());
         Ok(relay)
@@ -129,7 +138,8 @@
     /// Where the other end is now, if anybody is there.
     pub fn lead_to(&self, target: Option<SocketAddr>) {
         self.target.set(target);
-        self.state.send_modify(|state| state.vacant = target.is_none());
+        self.state
+            .send_modify(|state| state.vacant = target.is_none());
     }
 
     /// Begins a fault under a number of its own.
@@ -148,7 +158,8 @@
 
     fn refold(&self) {
         let faults = self.faults.borrow();
-        self.state.send_modify(|state| *state = folded(&faults, state.vacant, state.resets));
+        self.state
+            .send_modify(|state| *state = folded(&faults, state.vacant, state.resets));
     }
 
     /// Ends all connections now.
@@ -176,7 +187,10 @@
             };
             if state.silent && fillers.is_empty() {
                 fillers = fill(own, self.address);
-                passed_over = fillers.iter().filter_map(|own| own.local_addr().ok()?.as_socket()).collect();
+                passed_over = fillers
+                    .iter()
+                    .filter_map(|own| own.local_addr().ok()?.as_socket())
+                    .collect();
             } else if !state.silent && !fillers.is_empty() {
                 fillers.clear();
                 // The listener is open, so this can't fail.
@@ -210,14 +224,22 @@
         let _ = near.set_nodelay(true);
         let mut state = self.state.subscribe();
         let resets = state.borrow().resets;
-        let Some(target) = self.target.get() else { return };
-        let Ok(Ok(mut far)) = timeout(CONNECTS_WITHIN, TcpStream::connect(target)).await else { return };
+        let Some(target) = self.target.get() else {
+            return;
+        };
+        let Ok(Ok(mut far)) = timeout(CONNECTS_WITHIN, TcpStream::connect(target)).await else {
+            return;
+        };
         linger(&far, true);
         let _ = far.set_nodelay(true);
         let in_order = {
             let ((near_read, near_write), (far_read, far_write)) = (near.split(), far.split());
-            let there = pass(near_read, far_write, self.state.subscribe(), |state| state.there);
-            let back = pass(far_read, near_write, self.state.subscribe(), |state| state.back);
+            let there = pass(near_read, far_write, self.state.subscribe(), |state| {
+                state.there
+            });
+            let back = pass(far_read, near_write, self.state.subscribe(), |state| {
+                state.back
+            });
             tokio::select! {
                 ended = async { tokio::try_join!(there, back) } => ended.is_ok(),
                 _ = state.wait_for(|state| state.resets != resets) => false,
@@ -238,7 +260,9 @@
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
         match socket.connect(&address.into()) {
-            Err(e) if e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => Err(e),
+            Err(e) if e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
+                Err(e)
+            }
             _ => Ok(socket),
         }
     };
@@ -268,10 +292,18 @@
     let writing = async move {
         while let Some((due, piece)) = pieces.recv().await {
             sleep_until(due).await;
-            let now = lane(&*state.wait_for(|state| !lane(state).holds).await.map_err(io::Error::other)?);
+            let now = lane(
+                &*state
+                    .wait_for(|state| !lane(state).holds)
+                    .await
+                    .map_err(io::Error::other)?,
+            );
             if now.swallows && !piece.is_empty() {
                 // What is lost can't be made good: the connection ends with the fault.
-                state.wait_for(|state| !lane(state).swallows).await.map_err(io::Error::other)?;
+                state
+                    .wait_for(|state| !lane(state).swallows)
+                    .await
+                    .map_err(io::Error::other)?;
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             if piece.is_empty() {
@@ -297,7 +329,10 @@
     /// Each fault against an end that sends back what it gets.
     #[test]
     fn a_link_passes_holds_swallows_refuses_and_never_comes_up() {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         LocalSet::new().block_on(&runtime, async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let target = listener.local_addr().unwrap();
@@ -327,10 +362,16 @@
             relay.begin(1, Fault::Cut, Way::Back);
             assert!(timeout(short, echo(&mut stream, &mut bytes)).await.is_err());
             tokio::task::yield_now().await;
-            assert!(timeout(short, connect()).await.is_err(), "a new connection comes up over a cut link");
+            assert!(
+                timeout(short, connect()).await.is_err(),
+                "a new connection comes up over a cut link"
+            );
             assert!(relay.end(1) && !relay.end(1));
             stream.read_exact(&mut bytes).await.unwrap();
-            assert_eq!(&bytes, b"okra", "what was held arrives when the cut is over");
+            assert_eq!(
+                &bytes, b"okra",
+                "what was held arrives when the cut is over"
+            );
             // A stall lets connections come up.
             relay.begin(2, Fault::Stall, Way::Both);
             tokio::task::yield_now().await;
@@ -363,7 +404,10 @@
         ];
         let state = folded(&all, false, 0);
         assert!(state.there.holds && !state.back.holds && state.silent);
-        assert_eq!((state.there.delay, state.back.delay, state.back.rate), (by, 2 * by, Some(50)));
+        assert_eq!(
+            (state.there.delay, state.back.delay, state.back.rate),
+            (by, 2 * by, Some(50))
+        );
         assert!(!folded(&all[2..], false, 0).silent);
     }
 }
--- a/crates/fleet-rig/src/run.rs
+++ b/crates/fleet-rig/src/run.rs
@@ -39,14 +39,29 @@
 /// What a gateway counted itself: all that it took has an end.
 fn counted(endings: &[Ending], verdict: &mut Verdict) {
     for ending in endings {
-        let Some(counters) = &ending.counters else { continue };
+        let Some(counters) = &ending.counters else {
+            continue;
+        };
         let of = |name: &str| counters.get(name).copied().unwrap_or(0);
-        let ends = ["served", "refused", "failed", "invalid", "forgotten", "lost"];
+        let ends = [
+            "served",
+            "refused",
+            "failed",
+            "invalid",
+            "forgotten",
+            "lost",
+        ];
         let ended: u64 = ends.iter().map(|name| of(name)).sum();
         if of("taken") != ended {
             let text = format!("{} took {} and ended {ended}", ending.name, of("taken"));
             let about = About::Gateway(ending.name.as_str().into());
-            verdict.add(Break { rule: Rule::Conservation, about, from: 0, to: 0, text });
+            verdict.add(Break {
+                rule: Rule::Conservation,
+                about,
+                from: 0,
+                to: 0,
+                text,
+            });
         }
     }
 }
@@ -63,7 +78,9 @@
         compare_group(directory, group, verdict)?;
     }
     if !groups.is_empty() {
-        agreed.into_iter().for_each(|time| verdict.figure("agree_ms", time));
+        agreed
+            .into_iter()
+            .for_each(|time| verdict.figure("agree_ms", time));
     }
     Ok(())
 }
@@ -71,11 +88,16 @@
 fn compare_group(directory: &Path, group: &VoterGroup, verdict: &mut Verdict) -> io::Result<()> {
     let (mut replicas, mut last) = (Vec::new(), 0);
     for name in &group.members {
-        let Some(status) = directories::status(directory, name) else { continue };
+        let Some(status) = directories::status(directory, name) else {
+            continue;
+        };
         last = last.max(status["at_ms"].as_u64().unwrap_or(0));
         let store = directories::of(directory, name).join(directories::STORE);
         let found = eideryard_store::look(&store).map_err(|e| io::Error::other(e.to_string()))?;
-        let keys = found.keys.iter().map(|(key, value)| (&key[..], &value.bytes[..]));
+        let keys = found
+            .keys
+            .iter()
+            .map(|(key, value)| (&key[..], &value.bytes[..]));
         replicas.push((name.clone(), eideryard_replica::compare::held(keys)));
         for figure in ["mended", "caught_up_bytes"] {
             verdict.add_to_figure(figure, status[figure].as_u64().unwrap_or(0));
@@ -102,21 +124,35 @@
     let mut played = world::play_linked(scenario, programs)?;
     let events = played.ledger.history.take().unwrap_or_default();
     if played.ledger.left_out > 0 {
-        let what = format!("{} events found no room in the history", played.ledger.left_out);
+        let what = format!(
+            "{} events found no room in the history",
+            played.ledger.left_out
+        );
         return Err(Trouble::Io(io::Error::other(what)));
     }
-    let of_records = |name: &String| check::of_records(&directories::of(directory, name).join(RECORD));
+    let of_records =
+        |name: &String| check::of_records(&directories::of(directory, name).join(RECORD));
     let records: Vec<Recorded> = gateways.iter().flat_map(of_records).collect();
     let mut verdict = check::check(&facts, &events, &records, &played.crashed);
     counted(&played.endings, &mut verdict);
     compare(directory, &specs, played.agreed, &mut verdict)?;
-    let work = |name: &String| check::owners::of_records(&directories::of(directory, name).join(RECORD));
-    check::owners::check(&gateways.iter().flat_map(work).collect::<Vec<_>>(), &mut verdict);
+    let work =
+        |name: &String| check::owners::of_records(&directories::of(directory, name).join(RECORD));
+    check::owners::check(
+        &gateways.iter().flat_map(work).collect::<Vec<_>>(),
+        &mut verdict,
+    );
     verdict.figure("faults", plan.faults.len() as u64);
     let history = History::new(&events);
     let stories = verdict.breaks.iter().take(MOST_STORIES);
-    let stories = stories.map(|found| (found.clone(), story::story(&history, &records, found))).collect();
-    Ok(Ran { verdict, stories, endings: played.endings })
+    let stories = stories
+        .map(|found| (found.clone(), story::story(&history, &records, found)))
+        .collect();
+    Ok(Ran {
+        verdict,
+        stories,
+        endings: played.endings,
+    })
 }
 
 /// The program that is tried: built beside this one, as a call of `cargo run` has it.
@@ -129,9 +165,14 @@
         if program.is_file() {
             return Ok(program);
         }
-        directory = at.parent().filter(|_| at.ends_with("deps") || at.ends_with("examples"));
+        directory = at
+            .parent()
+            .filter(|_| at.ends_with("deps") || at.ends_with("examples"));
     }
-    Err(io::Error::new(io::ErrorKind::NotFound, "no program 'eideryard' is built beside this one"))
+    Err(io::Error::new(
+        io::ErrorKind::NotFound,
+        "no program 'eideryard' is built beside this one",
+    ))
 }
 
 #[cfg(test)]
@@ -144,7 +185,11 @@
             name: "g1#1".into(),
             log: PathBuf::new(),
             cpu: std::time::Duration::ZERO,
-            counters: Some([("taken", taken), ("served", 3), ("lost", 1)].map(|(n, v)| (n.into(), v)).into()),
+            counters: Some(
+                [("taken", taken), ("served", 3), ("lost", 1)]
+                    .map(|(n, v)| (n.into(), v))
+                    .into(),
+            ),
             wanted: true,
         };
         let count = |taken| {
--- a/crates/fleet-rig/src/scale/checks.rs
+++ b/crates/fleet-rig/src/scale/checks.rs
@@ -38,12 +38,18 @@
 /// Processes end when they are told to, and each has counted what all of them were sent.
 pub fn ended(outcome: &mut Outcome, ended: &Ended, wanted: &[(&str, u64)]) {
     for name in &ended.crashed {
-        outcome.broken("no crash", format!("gateway {name} ended by itself or had to be killed"));
+        outcome.broken(
+            "no crash",
+            format!("gateway {name} ended by itself or had to be killed"),
+        );
     }
     for (name, wanted) in wanted {
         let counted = ended.counted(name);
         if counted.iter().any(|own| *own != Some(*wanted)) {
-            outcome.broken("list and settings in force", format!("{name}: {counted:?}, {wanted} wanted"));
+            outcome.broken(
+                "list and settings in force",
+                format!("{name}: {counted:?}, {wanted} wanted"),
+            );
         }
     }
 }
@@ -52,7 +58,10 @@
 pub fn reloads(outcome: &mut Outcome, reloads: &Reloads) {
     if reloads.missed > 0 {
         let count = reloads.missed + reloads.in_force_after.len();
-        outcome.broken("in force in time", format!("{} of {count} changes were not", reloads.missed));
+        outcome.broken(
+            "in force in time",
+            format!("{} of {count} changes were not", reloads.missed),
+        );
     }
 }
 
@@ -63,7 +72,8 @@
     let gateways = counted.cost.gateways;
     if counted.list_events != list_events * gateways || counted.wrong_lists > 0 {
         let (events, wrong) = (counted.list_events, counted.wrong_lists);
-        let what = format!("{events} of {list_events} x {gateways} events, {wrong} lists are wrong");
+        let what =
+            format!("{events} of {list_events} x {gateways} events, {wrong} lists are wrong");
         outcome.broken("one list", what);
     }
 }
@@ -72,11 +82,16 @@
 pub fn counts(outcome: &mut Outcome) {
     for (name, axis) in FLAT {
         let grown = outcome.collected.find(name, axis).and_then(grown);
-        grown.into_iter().for_each(|what| outcome.broken("flat", what));
+        grown
+            .into_iter()
+            .for_each(|what| outcome.broken("flat", what));
     }
     let (requests, unanswered) = (outcome.requests, outcome.unanswered);
     if unanswered > 0 || requests == 0 {
-        outcome.broken("one final answer", format!("{unanswered} of {requests} requests had none"));
+        outcome.broken(
+            "one final answer",
+            format!("{unanswered} of {requests} requests had none"),
+        );
     }
 }
 
@@ -84,7 +99,11 @@
 pub fn grown(series: &Series) -> Option<String> {
     let (first, last) = (series.points.first()?, series.points.last()?);
     let (least, most) = (first.median(), last.median());
-    let what =
-        || format!("{} grows from {least:.1} at {} to {most:.1} at {}", series.name, first.at, last.at);
+    let what = || {
+        format!(
+            "{} grows from {least:.1} at {} to {most:.1} at {}",
+            series.name, first.at, last.at
+        )
+    };
     (most > least * (1.0 + MOST_GROWTH)).then(what)
 }
--- a/crates/fleet-rig/src/scale/clients.rs
+++ b/crates/fleet-rig/src/scale/clients.rs
@@ -49,7 +49,12 @@
     pub fn connect(address: SocketAddr, asks: Asks) -> io::Result<Vec<Self>> {
         let one = |_| {
             let next = NEXT_CLIENT.fetch_add(1, Ordering::Relaxed) << REQUEST_BITS;
-            Ok(Driver { client: Client::connect(address)?, asks, next, answers: Answers::default() })
+            Ok(Driver {
+                client: Client::connect(address)?,
+                asks,
+                next,
+                answers: Answers::default(),
+            })
         };
         (0..CLIENTS_A_GATEWAY).map(one).collect()
     }
@@ -59,8 +64,11 @@
         let own_rate = rate / CLIENTS_A_GATEWAY as f64;
         let start = |driver: Driver| std::thread::spawn(move || driver.run(count, own_rate));
         let threads: Vec<JoinHandle<Driver>> = drivers.into_iter().map(start).collect();
-        let ended =
-            |thread: JoinHandle<Driver>| thread.join().map_err(|_| io::Error::other("a client panicked"));
+        let ended = |thread: JoinHandle<Driver>| {
+            thread
+                .join()
+                .map_err(|_| io::Error::other("a client panicked"))
+        };
         threads.into_iter().map(ended).collect()
     }
 
@@ -83,11 +91,22 @@
         self.next += 1;
         let id = format!("{:016x}", self.next);
         let key = format!("{:032x}", self.next);
-        let mut fields = vec![("i", id.as_str()), ("d", "4000"), ("t", "acme"), ("h", "1.0"), ("ram", "1")];
+        let mut fields = vec![
+            ("i", id.as_str()),
+            ("d", "4000"),
+            ("t", "acme"),
+            ("h", "1.0"),
+            ("ram", "1"),
+        ];
         if self.asks == Asks::Keyed {
             fields.push(("k", key.as_str()));
         }
-        self.client.call(self.next & u64::from(u32::MAX), self.asks.class(), &fields, QUERY)?;
+        self.client.call(
+            self.next & u64::from(u32::MAX),
+            self.asks.class(),
+            &fields,
+            QUERY,
+        )?;
         self.client.answer()
     }
 }
--- a/crates/fleet-rig/src/scale/control.rs
+++ b/crates/fleet-rig/src/scale/control.rs
@@ -101,7 +101,12 @@
 
     /// Changes the configuration of all gateways so often: each time service discovery moves, and every
     /// gateway has to watch it there within a time.
-    pub fn reload(&mut self, reloads: usize, lasts: Duration, within: Duration) -> io::Result<Reloads> {
+    pub fn reload(
+        &mut self,
+        reloads: usize,
+        lasts: Duration,
+        within: Duration,
+    ) -> io::Result<Reloads> {
         std::thread::sleep(SETTLES);
         let before = self.processor_times()?;
         std::thread::sleep(lasts);
@@ -137,7 +142,8 @@
     fn reload_once(&mut self, within: Duration) -> io::Result<Option<Duration>> {
         for node in &mut self.nodes {
             node.config["bulletin"] = json!(self.discovery.address.to_string());
-            self.processes.configure(&self.programs, &node.name, &node.config)?;
+            self.processes
+                .configure(&self.programs, &node.name, &node.config)?;
         }
         let began = Instant::now();
         for node in &self.nodes {
--- a/crates/fleet-rig/src/scale/decisions.rs
+++ b/crates/fleet-rig/src/scale/decisions.rs
@@ -85,7 +85,10 @@
 /// Plays a fleet's hollow gateways one after the other.
 pub fn play(fleet: Fleet) -> Cost {
     let list = list(fleet.engines);
-    let mut cost = Cost { gateways: fleet.hollow as u64, ..Cost::default() };
+    let mut cost = Cost {
+        gateways: fleet.hollow as u64,
+        ..Cost::default()
+    };
     for index in 0..fleet.hollow {
         let mut node = Node::new(fleet, place_of(&fleet, index), &list);
         play_one(&mut node, &mut cost);
@@ -117,10 +120,15 @@
 pub fn idle(fleet: Fleet) -> Cost {
     let list = list(fleet.engines);
     let before = allocated_bytes();
-    let nodes: Vec<Node> =
-        (0..fleet.hollow).map(|index| Node::new(fleet, place_of(&fleet, index), &list)).collect();
+    let nodes: Vec<Node> = (0..fleet.hollow)
+        .map(|index| Node::new(fleet, place_of(&fleet, index), &list))
+        .collect();
     let bytes = allocated_bytes().saturating_sub(before);
-    Cost { bytes, gateways: nodes.len() as u64, ..Cost::default() }
+    Cost {
+        bytes,
+        gateways: nodes.len() as u64,
+        ..Cost::default()
+    }
 }
 
 /// The entries of so many warm engines, spread over the zones.
@@ -130,7 +138,11 @@
 
 /// One of them.
 pub fn entry(engine: usize) -> Entry {
-    Entry { engine: number(engine), zone: engine as u32 % ZONES, ..Entry::default() }
+    Entry {
+        engine: number(engine),
+        zone: engine as u32 % ZONES,
+        ..Entry::default()
+    }
 }
 
 /// Numbers of engines look drawn, as those that come of names do.
@@ -154,7 +166,10 @@
     Settings {
         classes: vec![safe_class(SECOND, 1.0), safe_class(SECOND, WIDEST)],
         tenants: Vec::new(),
-        kinds: vec![Kind { cores: CORES, memory_mb: 64_000.0 }],
+        kinds: vec![Kind {
+            cores: CORES,
+            memory_mb: 64_000.0,
+        }],
         peers: fleet.gateways as f64,
         index: Some(index as f64),
         zone: 0,
--- a/crates/fleet-rig/src/scale/discovery.rs
+++ b/crates/fleet-rig/src/scale/discovery.rs
@@ -33,10 +33,21 @@
 
 /// An engine as service discovery lists it, with names and addresses of usual length.
 pub fn host(number: usize, address: &str, health: &str) -> Value {
-    let (name, zone) =
-        (format!("engine-{number:05}"), format!("zone-{}", number % decisions::ZONES as usize));
+    let (name, zone) = (
+        format!("engine-{number:05}"),
+        format!("zone-{}", number % decisions::ZONES as usize),
+    );
     let (name, zone, kind) = (name.as_str(), zone.as_str(), "std");
-    ListedEngine { name, address, zone, kind, cell: 0, health, born_ms: 0 }.item()
+    ListedEngine {
+        name,
+        address,
+        zone,
+        kind,
+        cell: 0,
+        health,
+        born_ms: 0,
+    }
+    .item()
 }
 
 /// An event of the list as it goes over a watch.
@@ -73,16 +84,22 @@
     pub fn begun() -> Self {
         let mut reader = Reader::default();
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-        reader.take(head.as_bytes(), &mut Vec::new()).expect("a good head");
+        reader
+            .take(head.as_bytes(), &mut Vec::new())
+            .expect("a good head");
         Watch { reader }
     }
 
     /// What so many bytes of the stream say.
     pub fn take(&mut self, text: &str) -> Vec<ListUpdate> {
         let mut heard = Vec::new();
-        self.reader.take(text.as_bytes(), &mut heard).expect("a good event");
+        self.reader
+            .take(text.as_bytes(), &mut heard)
+            .expect("a good event");
         let items = heard.iter().filter_map(item);
-        items.filter_map(|item| item.roster.as_ref().map(update)).collect()
+        items
+            .filter_map(|item| item.roster.as_ref().map(update))
+            .collect()
     }
 }
 
@@ -95,20 +112,29 @@
     for change in 0..changes {
         let health = if change % 2 == 0 { "draining" } else { "up" };
         let engine = host(change / 2 * STRIDE % fleet.engines, ADDRESS, health);
-        let cost = handle(&mut module, &mut watch, &event(change as u64 + 2, false, &[engine]));
+        let cost = handle(
+            &mut module,
+            &mut watch,
+            &event(change as u64 + 2, false, &[engine]),
+        );
         sum.bytes += cost.bytes;
         sum.read += cost.read;
         sum.handled += cost.handled;
     }
     let count = changes.max(1) as u32;
-    let change =
-        Cost { bytes: sum.bytes / u64::from(count), read: sum.read / count, handled: sum.handled / count };
+    let change = Cost {
+        bytes: sum.bytes / u64::from(count),
+        read: sum.read / count,
+        handled: sum.handled / count,
+    };
     (whole, change)
 }
 
 /// All engines of a fleet as service discovery lists them.
 pub fn hosts(engines: usize) -> Vec<Value> {
-    (0..engines).map(|number| host(number, ADDRESS, "up")).collect()
+    (0..engines)
+        .map(|number| host(number, ADDRESS, "up"))
+        .collect()
 }
 
 fn handle(module: &mut Gateway, watch: &mut Watch, text: &str) -> Cost {
@@ -119,7 +145,11 @@
     for update in updates {
         module.handle(NOW, update.event(), &mut Vec::new());
     }
-    Cost { bytes: text.len() as u64, read, handled: began.elapsed() }
+    Cost {
+        bytes: text.len() as u64,
+        read,
+        handled: began.elapsed(),
+    }
 }
 
 fn item(heard: &Heard) -> Option<Item> {
@@ -130,16 +160,27 @@
 }
 
 fn update(roster: &Roster) -> ListUpdate {
-    ListUpdate { whole: roster.whole, entries: roster.hosts.iter().map(entry).collect() }
+    ListUpdate {
+        whole: roster.whole,
+        entries: roster.hosts.iter().map(entry).collect(),
+    }
 }
 
 /// Zones are those of [`decisions::list`]: a hollow gateway has one order of engines whoever listed them.
 fn entry(listed: &Listed) -> Entry {
-    let number = listed.host.rsplit('-').next().and_then(|digits| digits.parse().ok()).unwrap_or(0);
+    let number = listed
+        .host
+        .rsplit('-')
+        .next()
+        .and_then(|digits| digits.parse().ok())
+        .unwrap_or(0);
     let phase = match listed.health {
         State::Up => Phase::Ready,
         State::Draining => Phase::Draining,
         State::Removed => Phase::Gone,
     };
-    Entry { phase, ..decisions::entry(number) }
+    Entry {
+        phase,
+        ..decisions::entry(number)
+    }
 }
--- a/crates/fleet-rig/src/scale/discovery_server.rs
+++ b/crates/fleet-rig/src/scale/discovery_server.rs
@@ -80,7 +80,8 @@
         self.number += 1;
         let event: Arc<str> = discovery::event(self.number, whole, hosts).into();
         locked(&self.watches).retain_mut(|watch| watch.write_raw(event.as_bytes()).is_ok());
-        self.hollow.retain(|hollow| hollow.try_send(event.clone()).is_ok());
+        self.hollow
+            .retain(|hollow| hollow.try_send(event.clone()).is_ok());
     }
 
     /// Real watches that stand.
--- a/crates/fleet-rig/src/scale/fit.rs
+++ b/crates/fleet-rig/src/scale/fit.rs
@@ -96,18 +96,32 @@
 fn line(points: &[Point], law: Law) -> Option<Slope> {
     let each = |point: &Point| {
         let at = transformed(law, point.at);
-        point.values.iter().map(move |&value| (at, value)).collect::<Vec<_>>()
+        point
+            .values
+            .iter()
+            .map(move |&value| (at, value))
+            .collect::<Vec<_>>()
     };
     let places: Vec<(f64, f64)> = points.iter().flat_map(each).collect();
     let (slope, intercept): (f64, f64) = linreg::linear_regression_of(&places).ok()?;
     let square = |&(at, value): &(f64, f64)| (value - intercept - slope * at).powi(2);
     let scatter = (places.iter().map(square).sum::<f64>() / places.len() as f64).sqrt();
-    Some(Slope { law, slope, intercept, scatter, scatter_of_next: f64::NAN })
+    Some(Slope {
+        law,
+        slope,
+        intercept,
+        scatter,
+        scatter_of_next: f64::NAN,
+    })
 }
 
 /// The law that lies nearest to the points; none for fewer than two sizes.
 pub fn slope(points: &[Point]) -> Option<Slope> {
-    let tried = if points.len() < TELLING { &LAWS[..1] } else { &LAWS[..] };
+    let tried = if points.len() < TELLING {
+        &LAWS[..1]
+    } else {
+        &LAWS[..]
+    };
     let mut lines: Vec<Slope> = tried.iter().filter_map(|&law| line(points, law)).collect();
     lines.sort_by(|a, b| a.scatter.total_cmp(&b.scatter));
     let mut taken = *lines.first()?;
@@ -124,7 +138,9 @@
 /// From all points but the greatest; none where fewer than three are there.
 pub fn prediction(series: &Series) -> Option<Prediction> {
     let (greatest, smaller) = series.points.split_last()?;
-    let predicted = slope(smaller).filter(|_| smaller.len() > 1)?.value(greatest.at);
+    let predicted = slope(smaller)
+        .filter(|_| smaller.len() > 1)?
+        .value(greatest.at);
     let measured = greatest.median();
     let missed = (predicted - measured).abs();
     // Of nothing, any other prediction is all wrong.
@@ -133,5 +149,10 @@
         true => 1.0,
         false => missed / measured.abs(),
     };
-    Some(Prediction { at: greatest.at, predicted, measured, error })
+    Some(Prediction {
+        at: greatest.at,
+        predicted,
+        measured,
+        error,
+    })
 }
--- a/crates/fleet-rig/src/scale/hollow_sweeps.rs
+++ b/crates/fleet-rig/src/scale/hollow_sweeps.rs
@@ -11,21 +11,47 @@
 const PROBED_PART: usize = 4;
 
 const fn figure(name: &'static str, unit: &'static str) -> Figure {
-    Figure { name, unit, source: Source::Hollow }
+    Figure {
+        name,
+        unit,
+        source: Source::Hollow,
+    }
 }
 
 impl Run<'_> {
     pub(super) fn fleet(&self, size: Size, seed: u64) -> decisions::Fleet {
         let hollow = self.sizes.hollow.min(size.gateways);
-        let Size { gateways, engines, rate, .. } = size;
-        decisions::Fleet { gateways, engines, hollow, rate, overloaded: false, probed: false, seed }
+        let Size {
+            gateways,
+            engines,
+            rate,
+            ..
+        } = size;
+        decisions::Fleet {
+            gateways,
+            engines,
+            hollow,
+            rate,
+            overloaded: false,
+            probed: false,
+            seed,
+        }
     }
 
     /// Gateways share the same requests, however many there are.
     pub(super) fn hollow_by_gateways(&mut self, axis: Axis, place: Place) -> io::Result<()> {
         let middle = self.middle();
         let rate = middle.rate * middle.gateways as f64 / place.1.gateways as f64;
-        self.hollow(axis, (place.0, Size { rate: rate.min(middle.rate), ..place.1 }))
+        self.hollow(
+            axis,
+            (
+                place.0,
+                Size {
+                    rate: rate.min(middle.rate),
+                    ..place.1
+                },
+            ),
+        )
     }
 
     pub(super) fn hollow(&mut self, axis: Axis, place: Place) -> io::Result<()> {
@@ -49,7 +75,12 @@
         }
         let visited = figure(visits, "engines a request");
         self.add(visited, axis, place, cost.visits_a_request());
-        self.add(figure(time, "us a request"), axis, place, cost.micros_a_request());
+        self.add(
+            figure(time, "us a request"),
+            axis,
+            place,
+            cost.micros_a_request(),
+        );
     }
 
     pub(super) fn decisions(&mut self, fleet: decisions::Fleet) -> Cost {
@@ -65,14 +96,26 @@
         for seed in self.seeds() {
             let fleet = self.fleet(place.1, seed);
             let memory = figure("module.memory", "bytes a gateway");
-            self.add(memory, axis, place, decisions::idle(fleet).bytes_a_gateway());
+            self.add(
+                memory,
+                axis,
+                place,
+                decisions::idle(fleet).bytes_a_gateway(),
+            );
             if place.1.gateways <= decisions::MOST_WITHOUT_SUBSETS {
                 continue;
             }
-            let held = self.decisions(decisions::Fleet { overloaded: true, ..fleet });
+            let held = self.decisions(decisions::Fleet {
+                overloaded: true,
+                ..fleet
+            });
             self.add_decisions(["held.visits", "held.time"], axis, place, held);
             let hollow = (fleet.hollow / PROBED_PART).max(1);
-            let probed = self.decisions(decisions::Fleet { probed: true, hollow, ..fleet });
+            let probed = self.decisions(decisions::Fleet {
+                probed: true,
+                hollow,
+                ..fleet
+            });
             self.add_decisions(["probed.visits", "probed.time"], axis, place, probed);
         }
         Ok(())
--- a/crates/fleet-rig/src/scale/measure.rs
+++ b/crates/fleet-rig/src/scale/measure.rs
@@ -96,7 +96,11 @@
 
     /// Greatest less least value.
     pub fn spread(&self) -> f64 {
-        let greatest = self.values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+        let greatest = self
+            .values
+            .iter()
+            .copied()
+            .fold(f64::NEG_INFINITY, f64::max);
         let least = self.values.iter().copied().fold(f64::INFINITY, f64::min);
         greatest - least
     }
@@ -123,21 +127,36 @@
 impl Collected {
     /// Adds one value of a figure; values of one size are its repeats.
     pub fn add(&mut self, figure: Figure, axis: Axis, (at, size): (f64, Size), value: f64) {
-        let known = self.series.iter().position(|own| (own.name, own.axis) == (figure.name, axis));
+        let known = self
+            .series
+            .iter()
+            .position(|own| (own.name, own.axis) == (figure.name, axis));
         let place = known.unwrap_or_else(|| {
             let Figure { name, unit, source } = figure;
-            self.series.push(Series { name, unit, source, axis, points: Vec::new() });
+            self.series.push(Series {
+                name,
+                unit,
+                source,
+                axis,
+                points: Vec::new(),
+            });
             self.series.len() - 1
         });
         let points = &mut self.series[place].points;
         match points.iter_mut().find(|point| point.at == at) {
             Some(point) => point.values.push(value),
-            None => points.push(Point { at, size, values: vec![value] }),
+            None => points.push(Point {
+                at,
+                size,
+                values: vec![value],
+            }),
         }
     }
 
     /// A figure along an axis, if it was measured.
     pub fn find(&self, name: &str, axis: Axis) -> Option<&Series> {
-        self.series.iter().find(|own| own.name == name && own.axis == axis)
+        self.series
+            .iter()
+            .find(|own| own.name == name && own.axis == axis)
     }
 }
--- a/crates/fleet-rig/src/scale/node.rs
+++ b/crates/fleet-rig/src/scale/node.rs
@@ -86,7 +86,11 @@
 
     /// What was counted so far.
     pub fn counted(&self) -> Counted {
-        Counted { requests: self.next, visits: self.module.visits() - self.list_visits, spent: self.spent }
+        Counted {
+            requests: self.next,
+            visits: self.module.visits() - self.list_visits,
+            spent: self.spent,
+        }
     }
 
     /// Requests that ended without an attempt.
@@ -145,7 +149,11 @@
         self.arrival();
         self.next += 1;
         self.open.insert(self.next, Open::default());
-        let work = if self.fleet.overloaded { HEAVY_WORK } else { LIGHT_WORK };
+        let work = if self.fleet.overloaded {
+            HEAVY_WORK
+        } else {
+            LIGHT_WORK
+        };
         let request = Request {
             id: self.next,
             class: self.rng.random_range(0..2),
@@ -159,11 +167,25 @@
     }
 
     fn ends(&mut self, request: RequestId, attempt: usize) {
-        let Some(open) = self.open.remove(&request) else { return };
+        let Some(open) = self.open.remove(&request) else {
+            return;
+        };
         let spent = self.time.now - open.sent_at;
-        let bill = Some(Bill { work: spent as f64, memory_mb: 40.0 });
+        let bill = Some(Bill {
+            work: spent as f64,
+            memory_mb: 40.0,
+        });
         let (outcome, complete, told) = (Outcome::Answered, true, false);
-        let ended = Ended { request, attempt, outcome, spent, complete, told, bill, report: None };
+        let ended = Ended {
+            request,
+            attempt,
+            outcome,
+            spent,
+            complete,
+            told,
+            bill,
+            report: None,
+        };
         self.handle(Event::Ended(ended));
     }
 
@@ -181,8 +203,15 @@
                     self.refused += u64::from(open.is_some_and(|open| open.attempts == 0));
                 }
                 Action::Probe { engine } => {
-                    let report = LoadReport { in_flight: Some(1.0), ..LoadReport::default() };
-                    let probed = Probed { engine, outcome: Outcome::Answered, report: Some(report) };
+                    let report = LoadReport {
+                        in_flight: Some(1.0),
+                        ..LoadReport::default()
+                    };
+                    let probed = Probed {
+                        engine,
+                        outcome: Outcome::Answered,
+                        report: Some(report),
+                    };
                     self.handle(Event::Probed(probed));
                 }
                 _ => {}
@@ -192,19 +221,34 @@
 
     fn sends(&mut self, request: RequestId) {
         let now = self.time.now;
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         let attempt = open.attempts;
         (open.attempts, open.sent_at) = (attempt + 1, now);
         self.sent += 1;
         let began = Instant::now();
         let begins = self.module.begins(now, request, attempt);
         self.spent += began.elapsed();
-        let takes = if self.fleet.overloaded { HEAVY_WORK } else { LIGHT_WORK } as Micros;
+        let takes = if self.fleet.overloaded {
+            HEAVY_WORK
+        } else {
+            LIGHT_WORK
+        } as Micros;
         if begins {
             return self.time.at(takes, Happens::Ends { request, attempt });
         }
         let (outcome, spent, complete, told) = (Outcome::Unsent, 0, false, false);
-        let ended = Ended { request, attempt, outcome, spent, complete, told, bill: None, report: None };
+        let ended = Ended {
+            request,
+            attempt,
+            outcome,
+            spent,
+            complete,
+            told,
+            bill: None,
+            report: None,
+        };
         self.handle(Event::Ended(ended));
     }
 }
--- a/crates/fleet-rig/src/scale/processes.rs
+++ b/crates/fleet-rig/src/scale/processes.rs
@@ -130,17 +130,22 @@
         let address = engine.address().to_string();
         let stop = StopsEngines::default();
         engine.answer_until(stop.0.clone(), 1, "a\tb\tc\n".into());
-        let hosts: Vec<Value> =
-            (0..size.engines).map(|number| discovery::host(number, &address, "up")).collect();
+        let hosts: Vec<Value> = (0..size.engines)
+            .map(|number| discovery::host(number, &address, "up"))
+            .collect();
         let directory = tempfile::tempdir()?;
         let programs = Programs {
             program: PathBuf::from(program),
             directory: directory.path().into(),
             ..Programs::default()
         };
-        let lines = (0..processes).map(|number| operator(number, directory.path()).join("\n")).collect();
+        let lines = (0..processes)
+            .map(|number| operator(number, directory.path()).join("\n"))
+            .collect();
         let mut fleet = Fleet {
-            runtime: tokio::runtime::Builder::new_current_thread().enable_all().build()?,
+            runtime: tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?,
             programs,
             processes: Processes::default(),
             nodes: Vec::new(),
@@ -162,10 +167,17 @@
         let name = format!("g{number}");
         let config = self.config(&name, place)?;
         let arguments = self.operator_file(number, &name)?;
-        let started = self.processes.start(&self.programs, &name, &config, &arguments);
+        let started = self
+            .processes
+            .start(&self.programs, &name, &config, &arguments);
         let (address, _) = self.runtime.block_on(started)?;
         let started = self.processor_time(&name)?;
-        self.nodes.push(Node { name, address, started, config });
+        self.nodes.push(Node {
+            name,
+            address,
+            started,
+            config,
+        });
         Ok(())
     }
 
@@ -180,16 +192,26 @@
     }
 
     fn config(&self, name: &str, place: usize) -> io::Result<Value> {
-        let scenario = Scenario::read("scale", SCENARIO).map_err(|e| io::Error::other(e.to_string()))?;
+        let scenario =
+            Scenario::read("scale", SCENARIO).map_err(|e| io::Error::other(e.to_string()))?;
         let known = json!({"no": FIRST_NUMBER, "items": [
             {"no": FIRST_NUMBER, "roster": {"seq": 1, "whole": true, "hosts": self.hosts}}]});
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut config =
-            config::config(&scenario, "g1", Place { listen, bulletin: self.discovery.address, known });
+        let mut config = config::config(
+            &scenario,
+            "g1",
+            Place {
+                listen,
+                bulletin: self.discovery.address,
+                known,
+            },
+        );
         config["name"] = json!(name);
         config["settings"]["peers-total"] = json!(self.size.gateways);
         config["settings"]["self-index"] = json!(place);
-        let zones: Vec<String> = (0..decisions::ZONES).map(|zone| format!("zone-{zone}")).collect();
+        let zones: Vec<String> = (0..decisions::ZONES)
+            .map(|zone| format!("zone-{zone}"))
+            .collect();
         config["settings"]["zones"] = json!(zones);
         Ok(config)
     }
@@ -200,7 +222,10 @@
     }
 
     pub(super) fn processor_times(&self) -> io::Result<Vec<Duration>> {
-        self.nodes.iter().map(|node| self.processor_time(&node.name)).collect()
+        self.nodes
+            .iter()
+            .map(|node| self.processor_time(&node.name))
+            .collect()
     }
 
     pub(super) fn resident_bytes(&self) -> Vec<f64> {
@@ -215,16 +240,25 @@
         let each = addresses.flat_map(|address| std::iter::repeat_n(address, clients));
         let mut resting: Vec<Client> = each.map(Client::connect).collect::<io::Result<_>>()?;
         // One that never asked would be ended after a while.
-        resting.iter_mut().try_for_each(|client| client.ask_health(1))?;
+        resting
+            .iter_mut()
+            .try_for_each(|client| client.ask_health(1))?;
         for client in &mut resting {
             client.answer()?;
         }
         let after = self.processor_times()?;
-        let spent = before.iter().zip(&after).skip(gateways.start).take(gateways.len());
+        let spent = before
+            .iter()
+            .zip(&after)
+            .skip(gateways.start)
+            .take(gateways.len());
         let of_client = |(before, after): (&Duration, &Duration)| {
             (*after - *before).as_secs_f64() * 1e6 / clients.max(1) as f64
         };
-        Ok(Resting { clients: resting, micros_a_client: spent.map(of_client).collect() })
+        Ok(Resting {
+            clients: resting,
+            micros_a_client: spent.map(of_client).collect(),
+        })
     }
 
     /// Asks each gateway at a rate for some time, from clients of its own.
@@ -265,9 +299,17 @@
             let answers = own.iter().map(|driver| driver.answers).sum();
             let spent = (after[first + at] - before[first + at]).as_secs_f64() * 1e6;
             let micros_a_request = spent / (count * CLIENTS_A_GATEWAY) as f64;
-            Sample { micros_a_request, resident_bytes: resident[first + at], answers }
+            Sample {
+                micros_a_request,
+                resident_bytes: resident[first + at],
+                answers,
+            }
         };
-        Ok(drivers.chunks(CLIENTS_A_GATEWAY).enumerate().map(sample).collect())
+        Ok(drivers
+            .chunks(CLIENTS_A_GATEWAY)
+            .enumerate()
+            .map(sample)
+            .collect())
     }
 
     /// Asks one gateway for one keyed request; whether it was served.
@@ -295,14 +337,22 @@
                 crashed.push(node.name.clone());
             }
         }
-        Ok(Ended { crashed, endings: std::mem::take(&mut self.processes.endings) })
+        Ok(Ended {
+            crashed,
+            endings: std::mem::take(&mut self.processes.endings),
+        })
     }
 }
 
 impl Ended {
     /// What each gateway counted under a name, if it left counters.
     pub fn counted(&self, name: &str) -> Vec<Option<u64>> {
-        let of = |ending: &Ending| ending.counters.as_ref().and_then(|own| own.get(name).copied());
+        let of = |ending: &Ending| {
+            ending
+                .counters
+                .as_ref()
+                .and_then(|own| own.get(name).copied())
+        };
         self.endings.iter().map(of).collect()
     }
 }
--- a/crates/fleet-rig/src/scale/replication.rs
+++ b/crates/fleet-rig/src/scale/replication.rs
@@ -36,7 +36,12 @@
 /// So many keyed requests within [`simulated::ASKS`], beside what the fleet sends without any.
 pub fn claims(gateways: usize, keepers: usize, requests: usize, seed: u64) -> Claims {
     let fleet = |requests| {
-        let size = simulated::Size { gateways, keepers, requests, faults: 0 };
+        let size = simulated::Size {
+            gateways,
+            keepers,
+            requests,
+            faults: 0,
+        };
         simulated::Fleet::new(size, seed, simulated::Without::Nothing).run()
     };
     let (idle, busy) = (fleet(0), fleet(requests));
@@ -71,7 +76,9 @@
     for number in entries..entries + TIMED_CLAIMS {
         let mut frame = Vec::new();
         frame::write(&mut frame, &Carried::Told(claim(number)));
-        let Ok(Some((Carried::Told(message), _))) = frame::read::<Message>(&frame) else { continue };
+        let Ok(Some((Carried::Told(message), _))) = frame::read::<Message>(&frame) else {
+            continue;
+        };
         for answer in sent(core.hears(number, asker, message)) {
             frame::write(&mut frame, &Carried::Told(answer));
         }
@@ -89,8 +96,19 @@
         nominal_ms: KEPT / 1_000,
     };
     // Keys as the ledger makes them, of an even spread.
-    let key = number.wrapping_mul(0x9e37_79b9_7f4a_7c15).to_be_bytes().repeat(2);
-    Message::Claim { number, key, origin: Origin { identity: 2, start: 1 }, record }
+    let key = number
+        .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        .to_be_bytes()
+        .repeat(2);
+    Message::Claim {
+        number,
+        key,
+        origin: Origin {
+            identity: 2,
+            start: 1,
+        },
+        record,
+    }
 }
 
 /// Processor time of this thread.
@@ -126,7 +144,17 @@
 
 /// One of `goes` gateways is lost half way.
 pub fn leases(gateways: usize, keepers: usize, tasks: u32, goes: usize, seed: u64) -> Leases {
-    let figures = owned::Fleet::new(owned::Size { gateways, keepers, tasks, faults: 0, goes }, seed).run();
+    let figures = owned::Fleet::new(
+        owned::Size {
+            gateways,
+            keepers,
+            tasks,
+            faults: 0,
+            goes,
+        },
+        seed,
+    )
+    .run();
     Leases {
         messages_a_second: figures.messages as f64 / (owned::LASTS as f64 / 1e6),
         lost_for_ms: figures.lost_for_ms,
@@ -155,12 +183,22 @@
 
 /// The core of a voter that may own so many tasks, all of which another gateway owns.
 pub fn lease_core(tasks: u32) -> LeaseCore {
-    let plan = owners::Plan { keepers: 3, own: Some(0), owner: 1 };
+    let plan = owners::Plan {
+        keepers: 3,
+        own: Some(0),
+        owner: 1,
+    };
     let mut core = owners::Core::start(plan, std::iter::empty(), 0);
-    let task = |number| Task { kind: 1, number: number % tasks };
+    let task = |number| Task {
+        kind: 1,
+        number: number % tasks,
+    };
     let token = Token { term: 1, owner: 2 };
     (0..tasks).for_each(|number| core.wants(0, task(number)));
-    let ask = |number| owners::Message::Ask { task: task(number), token };
+    let ask = |number| owners::Message::Ask {
+        task: task(number),
+        token,
+    };
     for number in 0..tasks {
         core.hears_asker(0, 1, ask(number), true);
         core.durable(task(number), token);
@@ -169,7 +207,9 @@
     for number in 0..TIMED {
         let mut bytes = Vec::new();
         frame::write(&mut bytes, &Carried::Told(ask(number)));
-        let Ok(Some((Carried::Told(message), _))) = frame::read::<owners::Message>(&bytes) else { continue };
+        let Ok(Some((Carried::Told(message), _))) = frame::read::<owners::Message>(&bytes) else {
+            continue;
+        };
         for output in core.hears_asker(1, 1, message, true) {
             if let owners::Output::Asker(_, answer) = output {
                 frame::write(&mut bytes, &Carried::Told(answer));
@@ -181,7 +221,10 @@
     let looked = thread_time();
     assert_eq!(outputs, 0, "nothing is due");
     let each = |spent: Duration| spent.as_secs_f64() * 1e6 / f64::from(TIMED);
-    LeaseCore { micros_a_renewal: each(renewed - before), micros_a_look: each(looked - renewed) }
+    LeaseCore {
+        micros_a_renewal: each(renewed - before),
+        micros_a_look: each(looked - renewed),
+    }
 }
 
 /// What one that lost its entries takes to get them from another.
@@ -226,7 +269,12 @@
             taker.hears(now, Peer::Keeper(0), message);
         }
     }
-    Transfer { bytes, lasts: now, time: thread_time() - before, entries: taker.copies().len() as u64 }
+    Transfer {
+        bytes,
+        lasts: now,
+        time: thread_time() - before,
+        entries: taker.copies().len() as u64,
+    }
 }
 
 fn voter_core(own: usize, whole: bool, entries: u64) -> Core {
@@ -234,11 +282,22 @@
         keepers: 3,
         own: Some(own),
         longest: KEPT,
-        limits: Limits { entries: (entries + TIMED_CLAIMS) as usize },
+        limits: Limits {
+            entries: (entries + TIMED_CLAIMS) as usize,
+        },
         bytes_per_s: CATCH_UP,
         send_without: false,
     };
-    Core::start(plan, Origin { identity: own as u64 + 1, start: 1 }, whole, std::iter::empty(), 0)
+    Core::start(
+        plan,
+        Origin {
+            identity: own as u64 + 1,
+            start: 1,
+        },
+        whole,
+        std::iter::empty(),
+        0,
+    )
 }
 
 /// Messages among outputs, also those that wait for an entry to be durable, which takes no time here.
@@ -279,7 +338,9 @@
     for number in 1..=beats {
         let now = number * BEAT;
         for detector in &mut detectors {
-            let Some(beat) = detector.beats(now) else { continue };
+            let Some(beat) = detector.beats(now) else {
+                continue;
+            };
             // Its own heartbeat, and the answer to that of the other end.
             for carried in [Carried::<u32>::Beat(beat), Carried::Back(beat)] {
                 let mut out = Vec::new();
--- a/crates/fleet-rig/src/scale/report.rs
+++ b/crates/fleet-rig/src/scale/report.rs
@@ -55,10 +55,20 @@
         lines.push(json(&Line::Series(series)));
         if let Some(slope) = fit::slope(&series.points) {
             let at_target = target(series.axis).map(|at| slope.value(at));
-            lines.push(json(&Line::Slope { name: series.name, axis: series.axis, slope, at_target }));
+            lines.push(json(&Line::Slope {
+                name: series.name,
+                axis: series.axis,
+                slope,
+                at_target,
+            }));
         }
     }
-    lines.extend(outcome.predictions.iter().map(|prediction| json(&Line::Prediction(prediction))));
+    lines.extend(
+        outcome
+            .predictions
+            .iter()
+            .map(|prediction| json(&Line::Prediction(prediction))),
+    );
     lines
 }
 
@@ -105,18 +115,30 @@
         "figure | axis | unit | medians by size | law | slope | intercept | scatter | predicted, measured\n",
     );
     for series in &outcome.collected.series {
-        let medians: Vec<String> =
-            series.points.iter().map(|point| format!("{}: {}", point.at, short(point.median()))).collect();
+        let medians: Vec<String> = series
+            .points
+            .iter()
+            .map(|point| format!("{}: {}", point.at, short(point.median())))
+            .collect();
         let slope = fit::slope(&series.points).map_or("- | - | - | -".into(), |slope| {
             let figures = [slope.slope, slope.intercept, slope.scatter].map(short);
             format!("{} | {}", law(&slope), figures.join(" | "))
         });
         let own = |other: &&Predicted| (other.name, other.axis) == (series.name, series.axis);
-        let predicted = outcome.predictions.iter().find(own).map_or("-".into(), |own| {
-            let of = &own.prediction;
-            let mark = if of.holds() { "" } else { ", no basis" };
-            format!("{}, {}, {:.0}%{mark}", short(of.predicted), short(of.measured), of.error * 100.0)
-        });
+        let predicted = outcome
+            .predictions
+            .iter()
+            .find(own)
+            .map_or("-".into(), |own| {
+                let of = &own.prediction;
+                let mark = if of.holds() { "" } else { ", no basis" };
+                format!(
+                    "{}, {}, {:.0}%{mark}",
+                    short(of.predicted),
+                    short(of.measured),
+                    of.error * 100.0
+                )
+            });
         let axis = name(series.axis);
         // Writing to a text cannot fail.
         let _ = writeln!(
@@ -132,12 +154,22 @@
 
 /// The last line: the verdict, and figures as `name=value`.
 pub fn verdict(outcome: &Outcome, seed: u64) -> String {
-    let word = if outcome.broken.is_empty() { "kept" } else { "broken" };
+    let word = if outcome.broken.is_empty() {
+        "kept"
+    } else {
+        "broken"
+    };
     let median = |name: &str, axis: Axis| {
         let series = outcome.collected.find(name, axis);
-        series.and_then(|series| series.points.last()).map_or("-".into(), |point| short(point.median()))
+        series
+            .and_then(|series| series.points.last())
+            .map_or("-".into(), |point| short(point.median()))
     };
-    let off = outcome.predictions.iter().filter(|own| !own.prediction.holds()).count();
+    let off = outcome
+        .predictions
+        .iter()
+        .filter(|own| !own.prediction.holds())
+        .count();
     format!(
         "verdict={word} seed={seed} case=scale requests={} unanswered={} visits={} decision_us={} \
          request_us={} predictions={} predictions_off={off}",
--- a/crates/fleet-rig/src/scale/run.rs
+++ b/crates/fleet-rig/src/scale/run.rs
@@ -76,7 +76,10 @@
 }
 
 pub(super) fn places(counts: &[usize], size: impl Fn(usize) -> Size) -> Vec<Place> {
-    ascending(counts).into_iter().map(|count| (count as f64, size(count))).collect()
+    ascending(counts)
+        .into_iter()
+        .map(|count| (count as f64, size(count)))
+        .collect()
 }
 
 fn in_proportion(engines: usize) -> usize {
@@ -90,7 +93,13 @@
         program: Option<&'a Path>,
         predicted: &'a mut dyn FnMut(&str, Axis, f64, f64),
     ) -> Self {
-        Run { sizes, program, predicted, outcome: Outcome::default(), voters: None }
+        Run {
+            sizes,
+            program,
+            predicted,
+            outcome: Outcome::default(),
+            voters: None,
+        }
     }
 
     /// Plays all sweeps and checks the counts.
@@ -107,10 +116,18 @@
     }
 
     fn hollow_sweeps(&mut self) -> io::Result<()> {
-        self.sweep(Axis::Gateways, &self.by_gateways(), Self::hollow_by_gateways)?;
+        self.sweep(
+            Axis::Gateways,
+            &self.by_gateways(),
+            Self::hollow_by_gateways,
+        )?;
         self.sweep(Axis::Rate, &self.by_rate(), Self::hollow)?;
         self.sweep(Axis::Engines, &self.by_engines(), Self::lists)?;
-        self.sweep(Axis::Engines, &self.by_engines(), Self::hollow_in_proportion)
+        self.sweep(
+            Axis::Engines,
+            &self.by_engines(),
+            Self::hollow_in_proportion,
+        )
     }
 
     fn real_sweeps(&mut self) -> io::Result<()> {
@@ -126,7 +143,11 @@
 
     fn by_engines(&self) -> Vec<Place> {
         let middle = self.middle();
-        let size = |engines| Size { engines, gateways: in_proportion(engines), ..middle };
+        let size = |engines| Size {
+            engines,
+            gateways: in_proportion(engines),
+            ..middle
+        };
         places(&self.sizes.engines, size)
     }
 
@@ -137,7 +158,10 @@
 
     fn by_rate(&self) -> Vec<Place> {
         let middle = self.middle();
-        ascending(&self.sizes.rate).into_iter().map(|rate| (rate, Size { rate, ..middle })).collect()
+        ascending(&self.sizes.rate)
+            .into_iter()
+            .map(|rate| (rate, Size { rate, ..middle }))
+            .collect()
     }
 
     /// The size from which one quantity at a time is varied.
@@ -145,19 +169,39 @@
         let engines = ascending(&self.sizes.engines);
         let engines = engines[engines.len() / 2];
         let rate = self.sizes.rate.iter().copied().fold(0.0, f64::max);
-        Size { gateways: in_proportion(engines), engines, clients: 0, rate }
+        Size {
+            gateways: in_proportion(engines),
+            engines,
+            clients: 0,
+            rate,
+        }
     }
 
     /// Measures places from the least to the greatest, and predicts the last from the others first.
-    pub(super) fn sweep(&mut self, axis: Axis, places: &[Place], measure: Measure<'a>) -> io::Result<()> {
-        let Some((last, first)) = places.split_last() else { return Ok(()) };
+    pub(super) fn sweep(
+        &mut self,
+        axis: Axis,
+        places: &[Place],
+        measure: Measure<'a>,
+    ) -> io::Result<()> {
+        let Some((last, first)) = places.split_last() else {
+            return Ok(());
+        };
         for place in first {
             measure(self, axis, *place)?;
         }
         let before_last = first.last().map(|place| place.0);
-        let ended_there =
-            |own: &&Series| own.axis == axis && own.points.last().map(|point| point.at) == before_last;
-        let series: Vec<Series> = self.outcome.collected.series.iter().filter(ended_there).cloned().collect();
+        let ended_there = |own: &&Series| {
+            own.axis == axis && own.points.last().map(|point| point.at) == before_last
+        };
+        let series: Vec<Series> = self
+            .outcome
+            .collected
+            .series
+            .iter()
+            .filter(ended_there)
+            .cloned()
+            .collect();
         for own in series.iter().filter(|own| own.points.len() > 1) {
             if let Some(slope) = fit::slope(&own.points) {
                 (self.predicted)(own.name, axis, last.0, slope.value(last.0));
@@ -168,11 +212,13 @@
         for name in names {
             let series = self.outcome.collected.find(name, axis);
             let prediction = series.and_then(fit::prediction);
-            self.outcome.predictions.extend(prediction.map(|prediction| Predicted {
-                name,
-                axis,
-                prediction,
-            }));
+            self.outcome
+                .predictions
+                .extend(prediction.map(|prediction| Predicted {
+                    name,
+                    axis,
+                    prediction,
+                }));
         }
         Ok(())
     }
--- a/crates/fleet-rig/src/scale/shared_sweeps.rs
+++ b/crates/fleet-rig/src/scale/shared_sweeps.rs
@@ -44,15 +44,27 @@
         let by_gateways = places(&self.sizes.gateways, |gateways| Size { gateways, ..middle });
         let most = by_gateways.last().map_or(0, |place| place.1.gateways);
         let most_tasks = TASKS_ALWAYS.max((most as f64 / TASKS_PART) as u32);
-        let by_tasks =
-            |tasks: &[u32]| -> Vec<Place> { tasks.iter().map(|&tasks| (f64::from(tasks), middle)).collect() };
+        let by_tasks = |tasks: &[u32]| -> Vec<Place> {
+            tasks
+                .iter()
+                .map(|&tasks| (f64::from(tasks), middle))
+                .collect()
+        };
         let leased: Vec<u32> = TASKS.into_iter().filter(|own| *own <= most_tasks).collect();
         self.sweep(Axis::Gateways, &by_gateways, Self::shared)?;
         self.sweep(Axis::Gateways, &by_gateways, Self::leases_by_gateways)?;
         self.sweep(Axis::Tasks, &by_tasks(&leased), Self::leases_by_tasks)?;
         self.sweep(Axis::Tasks, &by_tasks(&CORE_TASKS), Self::lease_core)?;
-        self.sweep(Axis::Keepers, &KEEPERS.map(|keepers| (keepers as f64, middle)), Self::claims_by_keepers)?;
-        self.sweep(Axis::Keyed, &KEYED.map(|keyed| (keyed as f64, middle)), Self::claims_by_requests)?;
+        self.sweep(
+            Axis::Keepers,
+            &KEEPERS.map(|keepers| (keepers as f64, middle)),
+            Self::claims_by_keepers,
+        )?;
+        self.sweep(
+            Axis::Keyed,
+            &KEYED.map(|keyed| (keyed as f64, middle)),
+            Self::claims_by_requests,
+        )?;
         let played = |held: &usize| *held <= HELD_ALWAYS || most >= NEAR_TARGET;
         let held: Vec<usize> = HELD.into_iter().filter(played).collect();
         let held = places(&held, |_| middle);
@@ -64,14 +76,26 @@
         for _ in self.seeds() {
             let transfer = replication::transfer(place.0 as u64);
             for (figure, value) in [
-                (figure(Source::Hollow, "transfer.bytes", "bytes"), transfer.bytes as f64),
-                (figure(Source::Hollow, "transfer.lasts", "ms"), transfer.lasts as f64 / 1e3),
-                (figure(Source::Hollow, "transfer.time", "ms"), transfer.time.as_secs_f64() * 1e3),
+                (
+                    figure(Source::Hollow, "transfer.bytes", "bytes"),
+                    transfer.bytes as f64,
+                ),
+                (
+                    figure(Source::Hollow, "transfer.lasts", "ms"),
+                    transfer.lasts as f64 / 1e3,
+                ),
+                (
+                    figure(Source::Hollow, "transfer.time", "ms"),
+                    transfer.time.as_secs_f64() * 1e3,
+                ),
             ] {
                 self.add(figure, axis, place, value);
             }
             if transfer.entries != place.0 as u64 {
-                self.outcome.broken("replicas agree", format!("{transfer:?} of {} entries", place.0));
+                self.outcome.broken(
+                    "replicas agree",
+                    format!("{transfer:?} of {} entries", place.0),
+                );
             }
         }
         Ok(())
@@ -82,7 +106,12 @@
             let core = replication::lease_core(place.0 as u32);
             let renewal = figure(Source::Hollow, "lease.renewal.time", "us");
             self.add(renewal, axis, place, core.micros_a_renewal);
-            self.add(figure(Source::Hollow, "lease.look.time", "us"), axis, place, core.micros_a_look);
+            self.add(
+                figure(Source::Hollow, "lease.look.time", "us"),
+                axis,
+                place,
+                core.micros_a_look,
+            );
         }
         Ok(())
     }
@@ -99,7 +128,12 @@
     fn votes(&mut self, axis: Axis, place: Place) -> io::Result<()> {
         for _ in self.seeds() {
             let micros = replication::micros_a_vote(place.0 as u64);
-            self.add(figure(Source::Hollow, "keeper.vote.time", "us a claim"), axis, place, micros);
+            self.add(
+                figure(Source::Hollow, "keeper.vote.time", "us a claim"),
+                axis,
+                place,
+                micros,
+            );
         }
         Ok(())
     }
@@ -111,8 +145,14 @@
             let beats = replication::heartbeats(gateways, HEARTBEATS);
             let links = gateways as f64;
             for (figure, value) in [
-                (figure(Source::Hollow, "keeper.heartbeat.bytes", "bytes/s"), links * beats.bytes_a_second),
-                (figure(Source::Hollow, "keeper.heartbeat.messages", "1/s"), links * beats.messages_a_second),
+                (
+                    figure(Source::Hollow, "keeper.heartbeat.bytes", "bytes/s"),
+                    links * beats.bytes_a_second,
+                ),
+                (
+                    figure(Source::Hollow, "keeper.heartbeat.messages", "1/s"),
+                    links * beats.messages_a_second,
+                ),
                 (
                     figure(Source::Hollow, "keeper.heartbeat.time", "us/s"),
                     links * beats.time_a_second.as_secs_f64() * 1e6,
@@ -128,14 +168,23 @@
     fn side_by_side<T: Send>(&self, play: impl Fn(u64) -> T + Sync) -> Vec<T> {
         std::thread::scope(|scope| {
             let play = &play;
-            let threads: Vec<_> = self.seeds().map(|seed| scope.spawn(move || play(seed))).collect();
-            let joined =
-                |thread: ScopedJoinHandle<T>| thread.join().unwrap_or_else(|panic| resume_unwind(panic));
+            let threads: Vec<_> = self
+                .seeds()
+                .map(|seed| scope.spawn(move || play(seed)))
+                .collect();
+            let joined = |thread: ScopedJoinHandle<T>| {
+                thread.join().unwrap_or_else(|panic| resume_unwind(panic))
+            };
             threads.into_iter().map(joined).collect()
         })
     }
 
-    fn leases(&mut self, axis: Axis, place: Place, (gateways, tasks): (usize, u32)) -> io::Result<()> {
+    fn leases(
+        &mut self,
+        axis: Axis,
+        place: Place,
+        (gateways, tasks): (usize, u32),
+    ) -> io::Result<()> {
         let play = |seed| replication::leases(gateways, KEEPERS[0], tasks, LOST_ONE_OF, seed);
         for leases in self.side_by_side(play) {
             for (name, unit, value) in [
@@ -144,14 +193,23 @@
                 ("lease.noticed", "ms", leases.noticed_ms as f64),
                 ("lease.vote", "ms", leases.vote_ms as f64),
                 ("lease.first_work", "ms", leases.first_work_ms as f64),
-                ("lease.lapsed", "a hundred tasks a second", leases.lapsed_rate),
-                ("lease.voted_again", "part of lost tasks", leases.voted_again_share),
+                (
+                    "lease.lapsed",
+                    "a hundred tasks a second",
+                    leases.lapsed_rate,
+                ),
+                (
+                    "lease.voted_again",
+                    "part of lost tasks",
+                    leases.voted_again_share,
+                ),
                 ("lease.late", "tasks over 6 s", leases.owned_late as f64),
             ] {
                 self.add(figure(Source::Simulated, name, unit), axis, place, value);
             }
             if leases.stale_applied + leases.two_owners > 0 {
-                self.outcome.broken("one owner", format!("{leases:?} with {gateways} gateways"));
+                self.outcome
+                    .broken("one owner", format!("{leases:?} with {gateways} gateways"));
             }
         }
         Ok(())
@@ -174,19 +232,36 @@
         self.sizes.gateways[0].max(KEEPERS[KEEPERS.len() - 1] + 1)
     }
 
-    fn claims(&mut self, axis: Axis, place: Place, (gateways, keepers, keyed): (usize, usize, usize)) {
+    fn claims(
+        &mut self,
+        axis: Axis,
+        place: Place,
+        (gateways, keepers, keyed): (usize, usize, usize),
+    ) {
         let gateways = gateways.max(keepers + 1);
         let play = |seed| replication::claims(gateways, keepers, keyed, seed);
         for claims in self.side_by_side(play) {
             for (figure, value) in [
-                (figure(Source::Simulated, "claim.messages", "a request"), claims.messages_a_request),
-                (figure(Source::Simulated, "claim.bytes", "bytes a request"), claims.bytes_a_request),
-                (figure(Source::Simulated, "claim.held", "entries a request/s"), claims.held_a_rate),
+                (
+                    figure(Source::Simulated, "claim.messages", "a request"),
+                    claims.messages_a_request,
+                ),
+                (
+                    figure(Source::Simulated, "claim.bytes", "bytes a request"),
+                    claims.bytes_a_request,
+                ),
+                (
+                    figure(Source::Simulated, "claim.held", "entries a request/s"),
+                    claims.held_a_rate,
+                ),
             ] {
                 self.add(figure, axis, place, value);
             }
             if claims.effects_twice + claims.differ + claims.unanswered > 0 {
-                self.outcome.broken("replicas agree", format!("{claims:?} with {gateways} gateways"));
+                self.outcome.broken(
+                    "replicas agree",
+                    format!("{claims:?} with {gateways} gateways"),
+                );
             }
         }
     }
--- a/crates/fleet-rig/src/scale/sizes.rs
+++ b/crates/fleet-rig/src/scale/sizes.rs
@@ -96,7 +96,9 @@
         value: f64,
     },
     /// Nobody uses the engines.
-    #[error("--engines {engines} has no gateways: --gateways is 0 there; give at least one gateway")]
+    #[error(
+        "--engines {engines} has no gateways: --gateways is 0 there; give at least one gateway"
+    )]
     WithoutGateways {
         /// Engines that were asked for.
         engines: usize,
@@ -160,10 +162,20 @@
     /// This machine, by the system's own account.
     pub fn own() -> std::io::Result<Self> {
         let text = std::fs::read_to_string("/proc/meminfo")?;
-        let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:")).unwrap_or("0 kB");
-        let kilobytes: u64 = line.trim().trim_end_matches(" kB").parse().map_err(std::io::Error::other)?;
+        let line = text
+            .lines()
+            .find_map(|line| line.strip_prefix("MemTotal:"))
+            .unwrap_or("0 kB");
+        let kilobytes: u64 = line
+            .trim()
+            .trim_end_matches(" kB")
+            .parse()
+            .map_err(std::io::Error::other)?;
         let limits = rustix::process::getrlimit(rustix::process::Resource::Nofile);
-        Ok(Machine { memory_bytes: kilobytes << 10, descriptors: limits.current.unwrap_or(u64::MAX) })
+        Ok(Machine {
+            memory_bytes: kilobytes << 10,
+            descriptors: limits.current.unwrap_or(u64::MAX),
+        })
     }
 }
 
@@ -194,7 +206,10 @@
     pub fn check(&self, machine: Machine) -> Result<(), SizeError> {
         self.check_numbers()?;
         if self.real > MOST_PROCESSES {
-            return Err(SizeError::Processes { asked: self.real, limit: MOST_PROCESSES });
+            return Err(SizeError::Processes {
+                asked: self.real,
+                limit: MOST_PROCESSES,
+            });
         }
         let most = |sizes: &[usize]| sizes.iter().copied().max().unwrap_or(0) as u64;
         let (engines, clients) = (most(&self.engines), most(&self.clients));
@@ -207,18 +222,33 @@
         if asked > limit {
             let each = (engines * HOLLOW_BYTES_AN_ENGINE).max(1);
             let hollow = (limit.saturating_sub(fixed) / each) as usize;
-            return Err(SizeError::Memory { asked_mb: asked >> 20, limit_mb: limit >> 20, hollow });
+            return Err(SizeError::Memory {
+                asked_mb: asked >> 20,
+                limit_mb: limit >> 20,
+                hollow,
+            });
         }
         let fixed = self.fixed_descriptors();
-        let (limit, free) = (machine.descriptors, machine.descriptors.saturating_sub(fixed));
+        let (limit, free) = (
+            machine.descriptors,
+            machine.descriptors.saturating_sub(fixed),
+        );
         let links = most(&self.gateways).min(MOST_LINKS as u64) * DESCRIPTORS_A_LINK;
         // Links to voters have ended before clients rest.
         if links > free && self.real > 0 {
             let gateways = free / DESCRIPTORS_A_LINK;
-            return Err(SizeError::LinkDescriptors { asked: fixed + links, limit, gateways });
+            return Err(SizeError::LinkDescriptors {
+                asked: fixed + links,
+                limit,
+                gateways,
+            });
         }
         if resting > free {
-            return Err(SizeError::Descriptors { asked: fixed + resting, limit, clients: free });
+            return Err(SizeError::Descriptors {
+                asked: fixed + resting,
+                limit,
+                clients: free,
+            });
         }
         Ok(())
     }
@@ -234,19 +264,34 @@
             return Err(SizeError::Empty(flag));
         }
         if self.gateways.contains(&0) {
-            return Err(SizeError::WithoutGateways { engines: self.engines[0] });
+            return Err(SizeError::WithoutGateways {
+                engines: self.engines[0],
+            });
         }
-        if let Some(&value) = self.rate.iter().find(|rate| **rate <= 0.0 || !rate.is_finite()) {
-            return Err(SizeError::NotPositive { flag: "rate", value });
+        if let Some(&value) = self
+            .rate
+            .iter()
+            .find(|rate| **rate <= 0.0 || !rate.is_finite())
+        {
+            return Err(SizeError::NotPositive {
+                flag: "rate",
+                value,
+            });
         }
         if self.engines.contains(&0) {
-            return Err(SizeError::NotPositive { flag: "engines", value: 0.0 });
+            return Err(SizeError::NotPositive {
+                flag: "engines",
+                value: 0.0,
+            });
         }
         if !(self.seconds > 0.0 && self.seconds <= MOST_SECONDS) {
             return Err(SizeError::Seconds(self.seconds));
         }
         if self.hollow == 0 {
-            return Err(SizeError::NotPositive { flag: "hollow", value: 0.0 });
+            return Err(SizeError::NotPositive {
+                flag: "hollow",
+                value: 0.0,
+            });
         }
         if self.repeats < 2 {
             return Err(SizeError::Repeats(self.repeats));
--- a/crates/fleet-rig/src/scale/together.rs
+++ b/crates/fleet-rig/src/scale/together.rs
@@ -46,10 +46,16 @@
 
 /// Places that real gateways leave, at equal distances, `hollow` at the most.
 pub fn places(gateways: usize, real: usize, hollow: usize) -> Vec<usize> {
-    let taken: Vec<usize> = (0..real).map(|number| number * gateways.max(real) / real).collect();
-    let free: Vec<usize> = (0..gateways).filter(|place| !taken.contains(place)).collect();
+    let taken: Vec<usize> = (0..real)
+        .map(|number| number * gateways.max(real) / real)
+        .collect();
+    let free: Vec<usize> = (0..gateways)
+        .filter(|place| !taken.contains(place))
+        .collect();
     let count = hollow.min(free.len());
-    (0..count).map(|number| free[number * free.len() / count]).collect()
+    (0..count)
+        .map(|number| free[number * free.len() / count])
+        .collect()
 }
 
 impl Together {
@@ -68,14 +74,18 @@
             let _ = ready.send(());
             nodes.follow(&events, &stopped)
         });
-        begun.recv().map_err(|_| io::Error::other("hollow gateways didn't start"))?;
+        begun
+            .recv()
+            .map_err(|_| io::Error::other("hollow gateways didn't start"))?;
         Ok(Together { stop, thread })
     }
 
     /// Lets them take the events that have come, and ends them.
     pub fn end(self) -> io::Result<Counted> {
         self.stop.store(true, Ordering::Relaxed);
-        self.thread.join().map_err(|_| io::Error::other("a hollow gateway panicked"))
+        self.thread
+            .join()
+            .map_err(|_| io::Error::other("a hollow gateway panicked"))
     }
 }
 
@@ -94,9 +104,19 @@
             (node, Watch::begun())
         };
         let nodes: Vec<_> = places.iter().map(node).collect();
-        let cost = Cost { gateways: nodes.len() as u64, ..Cost::default() };
-        let counted = Counted { cost, ..Counted::default() };
-        Hollow { engines: fleet.engines, nodes, counted }
+        let cost = Cost {
+            gateways: nodes.len() as u64,
+            ..Cost::default()
+        };
+        let counted = Counted {
+            cost,
+            ..Counted::default()
+        };
+        Hollow {
+            engines: fleet.engines,
+            nodes,
+            counted,
+        }
     }
 
     fn follow(&mut self, events: &Receiver<Arc<str>>, stop: &AtomicBool) -> Counted {
@@ -112,7 +132,9 @@
                 true => now += STEP,
                 false => std::thread::sleep(Duration::from_millis(1)),
             }
-            self.nodes.iter_mut().for_each(|(node, _)| node.play_until(now));
+            self.nodes
+                .iter_mut()
+                .for_each(|(node, _)| node.play_until(now));
         }
     }
 
@@ -149,7 +171,9 @@
             self.counted.cost.requests += own.requests;
             self.counted.cost.visits += own.visits;
             self.counted.cost.unanswered += node.unanswered();
-            self.counted.visits_a_request.push(own.visits as f64 / own.requests.max(1) as f64);
+            self.counted
+                .visits_a_request
+                .push(own.visits as f64 / own.requests.max(1) as f64);
             self.counted.wrong_lists += u64::from(node.listed_engines() != self.engines);
         }
         std::mem::take(&mut self.counted)
--- a/crates/fleet-rig/src/scale/voters.rs
+++ b/crates/fleet-rig/src/scale/voters.rs
@@ -59,13 +59,20 @@
 
 fn operator_lines(number: usize, directory: &Path, addresses: &[SocketAddr]) -> Vec<String> {
     let store = directory.join(format!("g{number}.store"));
-    let listen = addresses.get(number).map_or("127.0.0.1:0".to_string(), SocketAddr::to_string);
+    let listen = addresses
+        .get(number)
+        .map_or("127.0.0.1:0".to_string(), SocketAddr::to_string);
     let mut lines = vec![
         format!("store-dir \"{}\"", store.display()),
         format!("fleet {FLEET} {{"),
         format!("    listen {listen}"),
     ];
-    lines.extend(addresses.iter().enumerate().map(|(at, address)| format!("    keeper g{at} {address}")));
+    lines.extend(
+        addresses
+            .iter()
+            .enumerate()
+            .map(|(at, address)| format!("    keeper g{at} {address}")),
+    );
     lines.push("}".into());
     lines
 }
@@ -74,9 +81,14 @@
     /// Starts the processes. They serve no keyed request yet: voters that start for the first time wait.
     pub fn start(program: &Path, size: Size) -> io::Result<Self> {
         let addresses: Vec<SocketAddr> = (0..VOTERS).map(|_| unused_address()).collect();
-        let operator = |number: usize, directory: &Path| operator_lines(number, directory, &addresses);
+        let operator =
+            |number: usize, directory: &Path| operator_lines(number, directory, &addresses);
         let fleet = Fleet::start_with(program, VOTERS + ASKED, size, &operator)?;
-        Ok(VoterFleet { fleet, addresses, links: Vec::new() })
+        Ok(VoterFleet {
+            fleet,
+            addresses,
+            links: Vec::new(),
+        })
     }
 
     /// Waits until keyed requests are served, and lets some be.
@@ -88,7 +100,9 @@
             }
             std::thread::sleep(LOOKS_EVERY);
         }
-        Err(io::Error::other(format!("no keyed request was served within {VOTES_WITHIN:?}")))
+        Err(io::Error::other(format!(
+            "no keyed request was served within {VOTES_WITHIN:?}"
+        )))
     }
 
     /// Adds links of hollow gateways until there are so many, each to all voters.
@@ -101,7 +115,10 @@
         let mut up = 0;
         while up < (self.links.len() - before) * VOTERS && Instant::now() < until {
             std::thread::sleep(LOOKS_EVERY);
-            up += self.links[before..].iter_mut().map(links_that_came_up).sum::<usize>();
+            up += self.links[before..]
+                .iter_mut()
+                .map(links_that_came_up)
+                .sum::<usize>();
         }
         let wanted = (self.links.len() - before) * VOTERS;
         if up < wanted {
@@ -128,8 +145,18 @@
             start: 1,
         };
         let keepers = self.addresses.iter().enumerate();
-        let keepers = keepers.map(|(at, address)| (at, format!("g{at}"), *address)).collect();
-        Hub::start(Plan { hello, listen: None, keepers, seed: number as u64 }, Box::new(|| ()))
+        let keepers = keepers
+            .map(|(at, address)| (at, format!("g{at}"), *address))
+            .collect();
+        Hub::start(
+            Plan {
+                hello,
+                listen: None,
+                keepers,
+                seed: number as u64,
+            },
+            Box::new(|| ()),
+        )
     }
 
     /// What voters take while clients ask for nothing.
@@ -138,7 +165,10 @@
         std::thread::sleep(lasts);
         let micros_a_second = self.micros_since(&before, began.elapsed())?;
         self.drain_links();
-        Ok(Idle { micros_a_second, resident_bytes: self.fleet.resident_bytes()[..VOTERS].to_vec() })
+        Ok(Idle {
+            micros_a_second,
+            resident_bytes: self.fleet.resident_bytes()[..VOTERS].to_vec(),
+        })
     }
 
     /// What voters and asked gateways take for keyed requests, so many a second in all, beyond what the
@@ -146,15 +176,25 @@
     pub fn claims(&mut self, idle: &Idle, rate: f64, lasts: Duration) -> io::Result<Claimed> {
         let drivers = self.fleet.connect(VOTERS, Asks::Keyed)?;
         let (before, began) = (self.fleet.processor_times()?, Instant::now());
-        let samples = self.fleet.measure(VOTERS, drivers, rate / ASKED as f64, lasts)?;
+        let samples = self
+            .fleet
+            .measure(VOTERS, drivers, rate / ASKED as f64, lasts)?;
         let taken = self.micros_since(&before, began.elapsed())?;
         let seconds = began.elapsed().as_secs_f64();
         let answers: Answers = samples.iter().map(|sample| sample.answers).sum();
-        let of_claim =
-            |(taken, idle): (&f64, &f64)| (taken - idle).max(0.0) * seconds / answers.asked.max(1) as f64;
+        let of_claim = |(taken, idle): (&f64, &f64)| {
+            (taken - idle).max(0.0) * seconds / answers.asked.max(1) as f64
+        };
         let claimed = Claimed {
-            micros_a_claim: taken.iter().zip(&idle.micros_a_second).map(of_claim).collect(),
-            micros_a_request: samples.iter().map(|sample| sample.micros_a_request).collect(),
+            micros_a_claim: taken
+                .iter()
+                .zip(&idle.micros_a_second)
+                .map(of_claim)
+                .collect(),
+            micros_a_request: samples
+                .iter()
+                .map(|sample| sample.micros_a_request)
+                .collect(),
             answers,
         };
         self.drain_links();
@@ -173,7 +213,9 @@
 
     /// Hollow gateways take what voters sent them, so that no link is full.
     fn drain_links(&mut self) {
-        self.links.iter_mut().for_each(|link| _ = links_that_came_up(link));
+        self.links
+            .iter_mut()
+            .for_each(|link| _ = links_that_came_up(link));
     }
 
     /// Ends all processes.
@@ -185,5 +227,7 @@
 
 /// Takes all that a hollow gateway received; how many of its links came up.
 fn links_that_came_up(hub: &mut Hub<Said>) -> usize {
-    std::iter::from_fn(|| hub.take()).filter(|heard| matches!(heard, Heard::Up { .. })).count()
+    std::iter::from_fn(|| hub.take())
+        .filter(|heard| matches!(heard, Heard::Up { .. }))
+        .count()
 }
--- a/crates/fleet-rig/src/simulated.rs
+++ b/crates/fleet-rig/src/simulated.rs
@@ -215,7 +215,13 @@
             for keeper in (0..size.keepers).filter(|keeper| *keeper != gateway) {
                 fleet.links.insert((gateway, keeper), (false, 0, 0));
                 let after = fleet.rng.random_range(0..100 * MS);
-                fleet.at(after, Event::Link { link: (gateway, keeper), up: true });
+                fleet.at(
+                    after,
+                    Event::Link {
+                        link: (gateway, keeper),
+                        up: true,
+                    },
+                );
             }
         }
         for request in 0..size.requests {
@@ -245,7 +251,13 @@
             send_without: false,
         };
         let whole = whole || self.without == Without::CatchUp;
-        Core::start(plan, Origin { identity, start }, whole, disk.clone().into_iter(), self.time.now)
+        Core::start(
+            plan,
+            Origin { identity, start },
+            whole,
+            disk.clone().into_iter(),
+            self.time.now,
+        )
     }
 
     fn at(&mut self, after: Micros, event: Event) {
@@ -261,13 +273,31 @@
         };
         let lasts = self.rng.random_range(100 * MS..4 * S);
         let event = match self.rng.random_range(0..8) {
-            0 | 1 => Event::Kill { gateway: any, wiped: false, down: lasts },
-            2 => Event::Kill { gateway: any, wiped: true, down: lasts },
-            3 => Event::Pause { gateway: any, until: self.time.now + after + lasts },
+            0 | 1 => Event::Kill {
+                gateway: any,
+                wiped: false,
+                down: lasts,
+            },
+            2 => Event::Kill {
+                gateway: any,
+                wiped: true,
+                down: lasts,
+            },
+            3 => Event::Pause {
+                gateway: any,
+                until: self.time.now + after + lasts,
+            },
             _ => {
                 let keeper = self.rng.random_range(0..self.size.keepers);
-                let gateway = if any == keeper { (any + 1) % self.size.gateways } else { any };
-                Event::Cut { link: (gateway, keeper), until: self.time.now + after + lasts }
+                let gateway = if any == keeper {
+                    (any + 1) % self.size.gateways
+                } else {
+                    any
+                };
+                Event::Cut {
+                    link: (gateway, keeper),
+                    until: self.time.now + after + lasts,
+                }
             }
         };
         self.at(after, event);
@@ -276,7 +306,8 @@
     /// A line of the story, where this key is told of, or all keys.
     fn tell(&mut self, key: Option<usize>, what: impl FnOnce() -> String) {
         if self.traced.is_some() && (key.is_none() || key == self.traced) {
-            self.story.push(format!("{:>9.3} s {}", self.time.now as f64 / 1e6, what()));
+            self.story
+                .push(format!("{:>9.3} s {}", self.time.now as f64 / 1e6, what()));
         }
     }
 
@@ -284,7 +315,12 @@
     pub fn story_of(size: Size, seed: u64, without: Without) -> Vec<String> {
         let mut first = Fleet::new(size, seed, without);
         first.play();
-        let twice = first.effects.iter().filter(|(_, count)| **count > 1).map(|(key, _)| *key).min();
+        let twice = first
+            .effects
+            .iter()
+            .filter(|(_, count)| **count > 1)
+            .map(|(key, _)| *key)
+            .min();
         let Some(key) = twice else { return Vec::new() };
         let mut again = Fleet::new(size, seed, without);
         again.traced = Some(key);
@@ -308,20 +344,28 @@
     fn sum(mut self) -> Figures {
         self.figures.requests = self.requests.len() as u64;
         self.figures.effects = self.effects.values().sum();
-        self.figures.effects_twice = self.effects.values().filter(|count| **count > 1).count() as u64;
+        self.figures.effects_twice =
+            self.effects.values().filter(|count| **count > 1).count() as u64;
         self.figures.unanswered = self.requests.iter().filter(|own| !own.done).count() as u64;
         let keepers = &self.gateways[..self.size.keepers];
         let keys: BTreeSet<&Vec<u8>> = keepers.iter().flat_map(|own| own.disk.keys()).collect();
         let print = |own: &Gateway, key: &[u8]| {
-            own.core
-                .copies()
-                .get(key)
-                .map_or(0, |copy| eideryard_replica::copies::print_of(key, copy, self.time.now))
+            own.core.copies().get(key).map_or(0, |copy| {
+                eideryard_replica::copies::print_of(key, copy, self.time.now)
+            })
+        };
+        let differs = |key: &&&Vec<u8>| {
+            keepers
+                .iter()
+                .any(|own| print(own, key) != print(&keepers[0], key))
         };
-        let differs = |key: &&&Vec<u8>| keepers.iter().any(|own| print(own, key) != print(&keepers[0], key));
         self.figures.differ = keys.iter().filter(differs).count() as u64;
         for own in &self.gateways {
-            let Counted { caught_up_bytes, mended, .. } = own.core.counted;
+            let Counted {
+                caught_up_bytes,
+                mended,
+                ..
+            } = own.core.counted;
             self.figures.caught_up_bytes += caught_up_bytes;
             self.figures.mended += mended;
         }
@@ -332,7 +376,12 @@
 /// Plays seeds one after the other, and sums what counts and keeps the worst of what lasts.
 pub fn play(size: Size, seeds: std::ops::Range<u64>, without: Without) -> (Figures, Vec<u64>) {
     let broken = |own: &Figures| own.effects_twice + own.unanswered + own.differ > 0;
-    timeline::over(seeds, |seed| Fleet::new(size, seed, without).run(), broken, Figures::add)
+    timeline::over(
+        seeds,
+        |seed| Fleet::new(size, seed, without).run(),
+        broken,
+        Figures::add,
+    )
 }
 
 #[cfg(test)]
--- a/crates/fleet-rig/src/simulated/events.rs
+++ b/crates/fleet-rig/src/simulated/events.rs
@@ -6,18 +6,40 @@
     pub(super) fn happens(&mut self, event: Event) {
         // One that stands still does all of it when it goes on.
         let paused = |gateway: usize, fleet: &Self| {
-            fleet.gateways[gateway].paused_until.saturating_sub(fleet.time.now)
+            fleet.gateways[gateway]
+                .paused_until
+                .saturating_sub(fleet.time.now)
         };
         match event {
-            Event::Deliver { link, epoch, to_keeper, message } => {
+            Event::Deliver {
+                link,
+                epoch,
+                to_keeper,
+                message,
+            } => {
                 let to = if to_keeper { link.1 } else { link.0 };
                 let wait = paused(to, self);
-                let stands = self.links.get(&link).is_some_and(|(up, own, _)| *up && *own == epoch);
+                let stands = self
+                    .links
+                    .get(&link)
+                    .is_some_and(|(up, own, _)| *up && *own == epoch);
                 if wait > 0 {
-                    return self.at(wait, Event::Deliver { link, epoch, to_keeper, message });
+                    return self.at(
+                        wait,
+                        Event::Deliver {
+                            link,
+                            epoch,
+                            to_keeper,
+                            message,
+                        },
+                    );
                 }
                 if stands {
-                    let from = if to_keeper { Peer::Asker(link.0 as u64) } else { Peer::Keeper(link.1) };
+                    let from = if to_keeper {
+                        Peer::Asker(link.0 as u64)
+                    } else {
+                        Peer::Keeper(link.1)
+                    };
                     let outputs = self.gateways[to].core.hears(self.time.now, from, message);
                     self.perform(to, outputs);
                 }
@@ -36,7 +58,11 @@
             }
             Event::Flush { keeper, start } => self.flush(keeper, start),
             Event::Ask(request) => self.ask(request),
-            Event::GiveUp { request, gateway, start } => {
+            Event::GiveUp {
+                request,
+                gateway,
+                start,
+            } => {
                 let own = &mut self.requests[request];
                 if own.done || own.at != gateway || self.gateways[gateway].start != start {
                     return;
@@ -46,16 +72,32 @@
             Event::Run { key, cell } => {
                 // Dropped as a repeat where this cell has seen the key within the window.
                 self.tell(Some(key), || format!("runs in cell {cell}"));
-                let known = self.seen.get(&(key, cell)).is_some_and(|at| self.time.now < at + WINDOW);
+                let known = self
+                    .seen
+                    .get(&(key, cell))
+                    .is_some_and(|at| self.time.now < at + WINDOW);
                 if !known {
                     self.seen.insert((key, cell), self.time.now);
                     *self.effects.entry(key).or_default() += 1;
                 }
             }
-            Event::Over { gateway, start, key, cell } => {
+            Event::Over {
+                gateway,
+                start,
+                key,
+                cell,
+            } => {
                 let wait = paused(gateway, self);
                 if wait > 0 {
-                    return self.at(wait, Event::Over { gateway, start, key, cell });
+                    return self.at(
+                        wait,
+                        Event::Over {
+                            gateway,
+                            start,
+                            key,
+                            cell,
+                        },
+                    );
                 }
                 if !self.gateways[gateway].up || self.gateways[gateway].start != start {
                     // Its answer finds nobody: the client comes again.
@@ -66,7 +108,11 @@
                     self.requests[key].done = true;
                 }
             }
-            Event::Kill { gateway, wiped, down } => self.kill(gateway, wiped, down),
+            Event::Kill {
+                gateway,
+                wiped,
+                down,
+            } => self.kill(gateway, wiped, down),
             Event::Start(gateway) => self.start(gateway),
             Event::Pause { gateway, until } => {
                 self.tell(None, || format!("pause {gateway} until {until}"));
--- a/crates/fleet-rig/src/simulated/links.rs
+++ b/crates/fleet-rig/src/simulated/links.rs
@@ -5,13 +5,18 @@
 impl Fleet {
     pub(super) fn link(&mut self, link: (usize, usize), up: bool) {
         let ends_up = self.gateways[link.0].up && self.gateways[link.1].up;
-        let Some(own) = self.links.get_mut(&link) else { return };
+        let Some(own) = self.links.get_mut(&link) else {
+            return;
+        };
         if own.0 == up || (up && (!ends_up || self.time.now < own.2)) {
             return;
         }
         own.0 = up;
         own.1 += u64::from(up);
-        let ends = [(link.0, Peer::Keeper(link.1)), (link.1, Peer::Asker(link.0 as u64))];
+        let ends = [
+            (link.0, Peer::Keeper(link.1)),
+            (link.1, Peer::Asker(link.0 as u64)),
+        ];
         for (at, peer) in ends {
             if self.gateways[at].up {
                 let outputs = self.gateways[at].core.link(self.time.now, peer, up);
@@ -29,26 +34,41 @@
         });
         if about {
             self.tell(None, || {
-                format!("{link:?} to keeper {to_keeper}: {message:?}").chars().take(400).collect()
+                format!("{link:?} to keeper {to_keeper}: {message:?}")
+                    .chars()
+                    .take(400)
+                    .collect()
             });
         }
-        let Some((true, epoch, _)) = self.links.get(&link).copied() else { return };
+        let Some((true, epoch, _)) = self.links.get(&link).copied() else {
+            return;
+        };
         self.figures.messages += 1;
-        self.figures.bytes += 8 + postcard::to_stdvec(&message).map_or(0, |bytes| bytes.len()) as u64;
+        self.figures.bytes +=
+            8 + postcard::to_stdvec(&message).map_or(0, |bytes| bytes.len()) as u64;
         // One in fifty takes long, and what comes behind it as long.
         let delay = match self.rng.random_bool(0.02) {
             true => self.rng.random_range(10 * MS..300 * MS),
             false => self.rng.random_range(200..2 * MS),
         };
-        let event = Event::Deliver { link, epoch, to_keeper, message };
+        let event = Event::Deliver {
+            link,
+            epoch,
+            to_keeper,
+            message,
+        };
         self.time.send((link, to_keeper), delay, event);
     }
 
     pub(super) fn perform(&mut self, at: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Send(Peer::Keeper(keeper), message) => self.send((at, keeper), true, message),
-                Output::Send(Peer::Asker(asker), message) => self.send((asker as usize, at), false, message),
+                Output::Send(Peer::Keeper(keeper), message) => {
+                    self.send((at, keeper), true, message)
+                }
+                Output::Send(Peer::Asker(asker), message) => {
+                    self.send((asker as usize, at), false, message)
+                }
                 Output::Store { key, copy, then } => {
                     let own = &mut self.gateways[at];
                     own.unflushed.push((key, copy, then));
@@ -59,7 +79,9 @@
                     }
                 }
                 Output::OwnVote { number, seen } => {
-                    let verdict = self.gateways[at].core.own_vote(self.time.now, number, &seen);
+                    let verdict = self.gateways[at]
+                        .core
+                        .own_vote(self.time.now, number, &seen);
                     self.perform(at, verdict.into_iter().collect());
                 }
                 Output::Verdict(number, verdict) => self.decided(at, number, verdict),
@@ -69,9 +91,14 @@
                     let own = &mut self.gateways[at];
                     own.voted = true;
                     let took = self.time.now - own.voted_at.replace(0).unwrap_or(self.time.now);
-                    self.figures.longest_catch_up_ms = self.figures.longest_catch_up_ms.max(took / MS);
-                    let askers: Vec<_> =
-                        self.links.keys().filter(|(_, keeper)| *keeper == at).copied().collect();
+                    self.figures.longest_catch_up_ms =
+                        self.figures.longest_catch_up_ms.max(took / MS);
+                    let askers: Vec<_> = self
+                        .links
+                        .keys()
+                        .filter(|(_, keeper)| *keeper == at)
+                        .copied()
+                        .collect();
                     askers
                         .into_iter()
                         .for_each(|link| self.send(link, false, Message::Stands { votes: true }));
--- a/crates/fleet-rig/src/simulated/requests.rs
+++ b/crates/fleet-rig/src/simulated/requests.rs
@@ -28,9 +28,22 @@
         self.requests[request].at = gateway;
         self.tell(Some(request), || format!("asked at {gateway}"));
         let start = self.gateways[gateway].start;
-        self.at(WAIT, Event::GiveUp { request, gateway, start });
+        self.at(
+            WAIT,
+            Event::GiveUp {
+                request,
+                gateway,
+                start,
+            },
+        );
         let known = match self.gateways[gateway].local.get(&request) {
-            Some(own) => vec![(Some(Place { zone: 0, cell: own.cell }), own.since)],
+            Some(own) => vec![(
+                Some(Place {
+                    zone: 0,
+                    cell: own.cell,
+                }),
+                own.since,
+            )],
             None => Told::new(),
         };
         self.decide(request, gateway, known);
@@ -38,7 +51,10 @@
 
     /// The module's rule on effects: within the one cell that may have run it, and within its window.
     pub(super) fn decide(&mut self, request: usize, gateway: usize, known: Told) {
-        let mut cells: Vec<_> = known.iter().map(|(place, _)| place.map(|place| place.cell)).collect();
+        let mut cells: Vec<_> = known
+            .iter()
+            .map(|(place, _)| place.map(|place| place.cell))
+            .collect();
         cells.sort();
         cells.dedup();
         let since = known.iter().map(|(_, since)| *since).min();
@@ -58,20 +74,36 @@
         }
         let own = &mut self.gateways[gateway];
         // As the ledger: it is there before anything goes out.
-        let fresh = Local { cell, since: since.unwrap_or(self.time.now), out: 0, ran: false };
+        let fresh = Local {
+            cell,
+            since: since.unwrap_or(self.time.now),
+            out: 0,
+            ran: false,
+        };
         own.local.entry(request).or_insert(fresh).out += 1;
         own.numbers += 1;
         let number = own.numbers;
-        own.claims.insert(number, (request, cell, self.time.now, known.clone()));
+        own.claims
+            .insert(number, (request, cell, self.time.now, known.clone()));
         let (place, keep) = (Some(Place { zone: 0, cell }), WAIT + WINDOW + SLACK);
         let since = since.unwrap_or(self.time.now);
-        let outputs = own.core.claim(self.time.now, number, &key_of(request), place, since, keep, known);
+        let outputs = own.core.claim(
+            self.time.now,
+            number,
+            &key_of(request),
+            place,
+            since,
+            keep,
+            known,
+        );
         self.perform(gateway, outputs);
     }
 
     /// An attempt has its end: keepers hear of a key once none of its attempts is out.
     pub(super) fn ended(&mut self, gateway: usize, key: usize, cell: u32, ran: bool) {
-        let Some(own) = self.gateways[gateway].local.get_mut(&key) else { return };
+        let Some(own) = self.gateways[gateway].local.get_mut(&key) else {
+            return;
+        };
         own.out = own.out.saturating_sub(1);
         own.ran |= ran;
         let (out, ran) = (own.out, own.ran);
@@ -82,13 +114,19 @@
             self.gateways[gateway].local.remove(&key);
         }
         let place = Some(Place { zone: 0, cell });
-        let outputs =
-            self.gateways[gateway].core.ended(self.time.now, &key_of(key), place, ran, WINDOW + SLACK);
+        let outputs = self.gateways[gateway].core.ended(
+            self.time.now,
+            &key_of(key),
+            place,
+            ran,
+            WINDOW + SLACK,
+        );
         self.perform(gateway, outputs);
     }
 
     pub(super) fn decided(&mut self, gateway: usize, number: u64, verdict: Verdict) {
-        let Some((request, cell, asked, mut known)) = self.gateways[gateway].claims.remove(&number) else {
+        let Some((request, cell, asked, mut known)) = self.gateways[gateway].claims.remove(&number)
+        else {
             return;
         };
         let waits = self.requests[request].at == gateway && !self.requests[request].done;
@@ -119,7 +157,13 @@
         }
     }
 
-    pub(super) fn dispatch(&mut self, request: usize, gateway: usize, cell: u32, since: Option<Micros>) {
+    pub(super) fn dispatch(
+        &mut self,
+        request: usize,
+        gateway: usize,
+        cell: u32,
+        since: Option<Micros>,
+    ) {
         if since.is_some_and(|since| self.time.now + 50 * MS >= since + WINDOW) {
             // Time has passed since it was decided.
             self.ended(gateway, request, cell, false);
@@ -128,12 +172,28 @@
         }
         let own = &mut self.gateways[gateway];
         if self.without == Without::Claims {
-            let fresh = Local { cell, since: since.unwrap_or(self.time.now), out: 0, ran: false };
+            let fresh = Local {
+                cell,
+                since: since.unwrap_or(self.time.now),
+                out: 0,
+                ran: false,
+            };
             own.local.entry(request).or_insert(fresh).out += 1;
         }
         let start = own.start;
-        let (way, takes) = (self.rng.random_range(200..2 * MS), self.rng.random_range(5 * MS..900 * MS));
+        let (way, takes) = (
+            self.rng.random_range(200..2 * MS),
+            self.rng.random_range(5 * MS..900 * MS),
+        );
         self.at(way, Event::Run { key: request, cell });
-        self.at(way + takes, Event::Over { gateway, start, key: request, cell });
+        self.at(
+            way + takes,
+            Event::Over {
+                gateway,
+                start,
+                key: request,
+                cell,
+            },
+        );
     }
 }
--- a/crates/fleet-rig/src/simulated/tests.rs
+++ b/crates/fleet-rig/src/simulated/tests.rs
@@ -2,11 +2,26 @@
 
 use super::*;
 
-const SMALL: Size = Size { gateways: 20, keepers: 3, requests: 60, faults: 14 };
+const SMALL: Size = Size {
+    gateways: 20,
+    keepers: 3,
+    requests: 60,
+    faults: 14,
+};
 
 /// More faults than a fleet should ever see.
-const HARD: Size = Size { gateways: 12, keepers: 3, requests: 150, faults: 24 };
-const LARGE: Size = Size { gateways: 300, keepers: 5, requests: 200, faults: 60 };
+const HARD: Size = Size {
+    gateways: 12,
+    keepers: 3,
+    requests: 150,
+    faults: 24,
+};
+const LARGE: Size = Size {
+    gateways: 300,
+    keepers: 5,
+    requests: 200,
+    faults: 60,
+};
 
 #[test]
 fn some_hundred_seeds_keep_the_rules_and_agree() {
--- a/crates/fleet-rig/src/stall.rs
+++ b/crates/fleet-rig/src/stall.rs
@@ -19,7 +19,10 @@
     for task in std::fs::read_dir(format!("/proc/{process}/task"))? {
         let path = task?.path();
         let own = std::fs::read_to_string(path.join("comm")).unwrap_or_default();
-        let number = path.file_name().and_then(|name| name.to_str()).and_then(|name| name.parse().ok());
+        let number = path
+            .file_name()
+            .and_then(|name| name.to_str())
+            .and_then(|name| name.parse().ok());
         if own.trim_end() == name {
             return Ok(number.map(Pid::from_raw));
         }
@@ -30,7 +33,9 @@
 impl Held {
     /// Nothing: the process has no such thread.
     pub fn hold(process: u32, name: &str) -> io::Result<Option<Held>> {
-        let Some(thread) = thread(process, name)? else { return Ok(None) };
+        let Some(thread) = thread(process, name)? else {
+            return Ok(None);
+        };
         ptrace::seize(thread, ptrace::Options::empty())?;
         ptrace::interrupt(thread)?;
         waitpid(thread, Some(WaitPidFlag::__WALL))?;
--- a/crates/fleet-rig/src/timeline.rs
+++ b/crates/fleet-rig/src/timeline.rs
@@ -23,7 +23,13 @@
     /// One that begins at a time.
     pub fn new(now: Micros) -> Self {
         let (order, events, arrives) = Default::default();
-        Timeline { now, order, events, numbers: 0, arrives }
+        Timeline {
+            now,
+            order,
+            events,
+            numbers: 0,
+            arrives,
+        }
     }
 
     /// Puts an event behind so much time from now.
--- a/crates/fleet-rig/src/voters.rs
+++ b/crates/fleet-rig/src/voters.rs
@@ -28,9 +28,14 @@
 
 /// The keepers that a gateway's operator's file names.
 fn keepers_named(gateway: &GatewaySpec) -> Vec<String> {
-    let named = gateway.operator.iter().filter_map(|line| line.trim().strip_prefix(KEEPER));
-    let mut names: Vec<String> =
-        named.filter_map(|rest| rest.split_whitespace().next()).map(str::to_string).collect();
+    let named = gateway
+        .operator
+        .iter()
+        .filter_map(|line| line.trim().strip_prefix(KEEPER));
+    let mut names: Vec<String> = named
+        .filter_map(|rest| rest.split_whitespace().next())
+        .map(str::to_string)
+        .collect();
     names.sort();
     names
 }
@@ -44,5 +49,8 @@
             members.entry(named).or_default().push(gateway.name.clone());
         }
     }
-    members.into_iter().map(|(named, members)| VoterGroup { named, members }).collect()
+    members
+        .into_iter()
+        .map(|(named, members)| VoterGroup { named, members })
+        .collect()
 }
--- a/crates/fleet-rig/src/world.rs
+++ b/crates/fleet-rig/src/world.rs
@@ -81,9 +81,17 @@
     on_this_thread(scenario, Some(programs), true)
 }
 
-fn on_this_thread(scenario: Scenario, programs: Option<Programs>, linked: bool) -> io::Result<Played> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, async { World::start(scenario, programs, linked)?.play().await })
+fn on_this_thread(
+    scenario: Scenario,
+    programs: Option<Programs>,
+    linked: bool,
+) -> io::Result<Played> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    LocalSet::new().block_on(&runtime, async {
+        World::start(scenario, programs, linked)?.play().await
+    })
 }
 
 impl World {
@@ -95,10 +103,23 @@
         for (number, spec) in scenario.engines.iter().enumerate() {
             let seed = scenario.seed.wrapping_mul(31).wrapping_add(number as u64);
             let (classes, remembered) = (classes.clone(), remembered.clone());
-            engines.push(Engine::start(spec.clone(), classes, remembered, ledger.clone(), seed)?);
+            engines.push(Engine::start(
+                spec.clone(),
+                classes,
+                remembered,
+                ledger.clone(),
+                seed,
+            )?);
         }
-        let names: Vec<Name> = scenario.gateways.iter().map(|own| own.name.as_str().into()).collect();
-        let of_engines = engines.iter().map(|engine| engine.spec.name.as_str().into()).collect();
+        let names: Vec<Name> = scenario
+            .gateways
+            .iter()
+            .map(|own| own.name.as_str().into())
+            .collect();
+        let of_engines = engines
+            .iter()
+            .map(|engine| engine.spec.name.as_str().into())
+            .collect();
         let links = match linked {
             true => Some(Links::start(names.clone(), of_engines, ledger.clone())?),
             false => None,
@@ -111,7 +132,9 @@
                     bulletins.insert(name.to_string(), Bulletin::start(None, reader)?);
                 }
             }
-            false => _ = bulletins.insert(BULLETIN.into(), Bulletin::start(scenario.bulletin, None)?),
+            false => {
+                _ = bulletins.insert(BULLETIN.into(), Bulletin::start(scenario.bulletin, None)?)
+            }
         }
         let world = World {
             ledger,
@@ -126,23 +149,47 @@
             programs,
         };
         if let Some(links) = &world.links {
-            world.engines.iter().for_each(|engine| links.lead_to(&engine.spec.name, Some(engine.address)));
+            world
+                .engines
+                .iter()
+                .for_each(|engine| links.lead_to(&engine.spec.name, Some(engine.address)));
         }
         for (gateway, bulletin) in &world.bulletins {
-            world.links.iter().for_each(|links| links.lead(gateway, BULLETIN, Some(bulletin.address)));
+            world
+                .links
+                .iter()
+                .for_each(|links| links.lead(gateway, BULLETIN, Some(bulletin.address)));
             bulletin.tell(true, world.listed(gateway, &world.engines, "up", 0));
         }
         Ok(world)
     }
 
     /// Engines as the list tells of them to a gateway.
-    fn listed(&self, gateway: &str, engines: &[Rc<Engine>], health: &str, born_ms: u64) -> Vec<Value> {
+    fn listed(
+        &self,
+        gateway: &str,
+        engines: &[Rc<Engine>],
+        health: &str,
+        born_ms: u64,
+    ) -> Vec<Value> {
         let entry = |engine: &Rc<Engine>| {
             let spec = &engine.spec;
-            let door = self.links.as_ref().and_then(|links| links.door(gateway, &spec.name));
+            let door = self
+                .links
+                .as_ref()
+                .and_then(|links| links.door(gateway, &spec.name));
             let address = door.unwrap_or(engine.address).to_string();
             let (name, zone, kind) = (&spec.name, &spec.zone, &spec.kind);
-            ListedEngine { name, address: &address, zone, kind, cell: spec.cell, health, born_ms }.item()
+            ListedEngine {
+                name,
+                address: &address,
+                zone,
+                kind,
+                cell: spec.cell,
+                health,
+                born_ms,
+            }
+            .item()
         };
         engines.iter().map(entry).collect()
     }
@@ -163,25 +210,49 @@
             }
         }
         let mut steps: Vec<Step> = self.scenario.steps.clone();
-        for gateway in self.scenario.gateways.iter().filter(|_| self.programs.is_some()) {
-            steps.push(Step::new(gateway.start, "start-gateway", vec![gateway.name.clone()]));
+        for gateway in self
+            .scenario
+            .gateways
+            .iter()
+            .filter(|_| self.programs.is_some())
+        {
+            steps.push(Step::new(
+                gateway.start,
+                "start-gateway",
+                vec![gateway.name.clone()],
+            ));
         }
         steps.sort_by_key(|step| step.at);
-        let mut queue: VecDeque<(Duration, Next)> =
-            steps.into_iter().map(|step| (step.at, Next::Step(step))).collect();
+        let mut queue: VecDeque<(Duration, Next)> = steps
+            .into_iter()
+            .map(|step| (step.at, Next::Step(step)))
+            .collect();
         while queue.front().is_some_and(|(at, _)| at.is_zero()) {
             self.next(&mut queue, Duration::ZERO).await?;
         }
         self.keepers_vote().await?;
         let began = Instant::now();
         let endless = self.scenario.time.is_zero();
-        let until = if endless { Duration::from_secs(86_400) } else { self.scenario.time };
+        let until = if endless {
+            Duration::from_secs(86_400)
+        } else {
+            self.scenario.time
+        };
         let mut loads = Vec::new();
         for (number, spec) in self.scenario.loads.iter().enumerate() {
-            let Some(class) = self.scenario.classes.iter().find(|class| class.name == spec.class) else {
+            let Some(class) = self
+                .scenario
+                .classes
+                .iter()
+                .find(|class| class.name == spec.class)
+            else {
                 continue;
             };
-            let seed = self.scenario.seed.wrapping_mul(1009).wrapping_add(number as u64);
+            let seed = self
+                .scenario
+                .seed
+                .wrapping_mul(1009)
+                .wrapping_add(number as u64);
             let (doors, ledger) = (self.doors.clone(), self.ledger.clone());
             let load = Load::new(spec.clone(), class.clone(), doors, ledger, seed);
             loads.push(spawn_local(load.run(began, until)));
@@ -206,7 +277,12 @@
         }
         let ledger = std::mem::take(&mut *self.ledger.borrow_mut());
         let endings = std::mem::take(&mut self.processes.endings);
-        Ok(Played { ledger, endings, crashed: self.crashed, agreed })
+        Ok(Played {
+            ledger,
+            endings,
+            crashed: self.crashed,
+            agreed,
+        })
     }
 
     async fn look_for_crashes(&mut self) -> io::Result<()> {
--- a/crates/fleet-rig/src/world/agreement.rs
+++ b/crates/fleet-rig/src/world/agreement.rs
@@ -15,7 +15,9 @@
 const LOOKS_EVERY: Duration = Duration::from_millis(50);
 
 fn millis_since_epoch() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
 }
 
 fn written_at(status: &Value) -> Option<u64> {
@@ -28,18 +30,29 @@
 
 /// Whether the keepers of one group sum up the same entries, as of the same second.
 fn same_entries(statuses: &[Value]) -> bool {
-    let summed = |status: &Value| (status["print"].clone(), written_at(status).map(|at| at / 1000));
-    statuses.windows(2).all(|pair| summed(&pair[0]) == summed(&pair[1]))
+    let summed = |status: &Value| {
+        (
+            status["print"].clone(),
+            written_at(status).map(|at| at / 1000),
+        )
+    };
+    statuses
+        .windows(2)
+        .all(|pair| summed(&pair[0]) == summed(&pair[1]))
 }
 
 impl World {
     /// What the members of each group say of themselves, of those that run.
     fn statuses(&self, groups: &[VoterGroup]) -> Vec<Vec<Value>> {
-        let Some(programs) = &self.programs else { return Vec::new() };
+        let Some(programs) = &self.programs else {
+            return Vec::new();
+        };
         let running = self.processes.names();
         let of_group = |group: &VoterGroup| {
             let members = group.members.iter().filter(|name| running.contains(name));
-            members.filter_map(|name| directories::status(&programs.directory, name)).collect()
+            members
+                .filter_map(|name| directories::status(&programs.directory, name))
+                .collect()
         };
         groups.iter().map(of_group).collect()
     }
--- a/crates/fleet-rig/src/world/parts.rs
+++ b/crates/fleet-rig/src/world/parts.rs
@@ -22,14 +22,18 @@
 impl World {
     pub(super) fn kill_engine(&self, engine: &Rc<Engine>) {
         engine.kill();
-        self.links.iter().for_each(|links| links.lead_to(&engine.spec.name, None));
+        self.links
+            .iter()
+            .for_each(|links| links.lead_to(&engine.spec.name, None));
     }
 
     pub(super) async fn start_engines(&mut self, engines: &[Rc<Engine>]) -> io::Result<()> {
         for engine in engines {
             engine.restart().await?;
             let address = Some(engine.address);
-            self.links.iter().for_each(|links| links.lead_to(&engine.spec.name, address));
+            self.links
+                .iter()
+                .for_each(|links| links.lead_to(&engine.spec.name, address));
         }
         self.tell(engines, "up", self.ledger.borrow().now() / 1000);
         Ok(())
@@ -39,13 +43,18 @@
         for (gateway, bulletin) in &self.bulletins {
             bulletin.set(mood).await?;
             let address = Some(bulletin.address).filter(|_| mood != Mood::Down);
-            self.links.iter().for_each(|links| links.lead(gateway, BULLETIN, address));
+            self.links
+                .iter()
+                .for_each(|links| links.lead(gateway, BULLETIN, address));
         }
         Ok(())
     }
 
     pub(super) fn note(&self, name: &str, how: Process) {
-        self.ledger.borrow_mut().happened(|| What::Gateway { gateway: name.into(), how });
+        self.ledger.borrow_mut().happened(|| What::Gateway {
+            gateway: name.into(),
+            how,
+        });
     }
 
     /// Sends a signal; one that ends it closes its door as well.
@@ -59,7 +68,9 @@
             self.doors.borrow_mut().remove(name);
         }
         if how == Process::Killed {
-            self.links.iter().for_each(|links| links.lead_to(name, None));
+            self.links
+                .iter()
+                .for_each(|links| links.lead_to(name, None));
         }
     }
 
@@ -71,19 +82,33 @@
         // One that stands still doesn't hear that it is to end.
         self.processes.signal(name, Signal::CONT);
         if !self.processes.ended(name).await? {
-            self.ledger.borrow_mut().break_rule(format!("gateway {name} doesn't end"));
+            self.ledger
+                .borrow_mut()
+                .break_rule(format!("gateway {name} doesn't end"));
             self.crashed.push(name.to_string());
         }
-        self.links.iter().for_each(|links| links.lead_to(name, None));
+        self.links
+            .iter()
+            .for_each(|links| links.lead_to(name, None));
         self.note(name, Process::Ended);
         Ok(())
     }
 
     pub(super) async fn start_gateway(&mut self, name: &str) -> io::Result<()> {
-        let Some(programs) = self.programs.clone() else { return Ok(()) };
-        let bulletin = self.bulletins.get(name).or_else(|| self.bulletins.get(BULLETIN));
-        let Some(bulletin) = bulletin.cloned() else { return Ok(()) };
-        let door = self.links.as_ref().and_then(|links| links.door(name, BULLETIN));
+        let Some(programs) = self.programs.clone() else {
+            return Ok(());
+        };
+        let bulletin = self
+            .bulletins
+            .get(name)
+            .or_else(|| self.bulletins.get(BULLETIN));
+        let Some(bulletin) = bulletin.cloned() else {
+            return Ok(());
+        };
+        let door = self
+            .links
+            .as_ref()
+            .and_then(|links| links.door(name, BULLETIN));
         let place = Place {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             bulletin: door.unwrap_or(bulletin.address),
@@ -94,8 +119,13 @@
             Some(_) => vec!["--operator".to_string(), self.operator(&programs, name)?],
             None => Vec::new(),
         };
-        let (address, start) = self.processes.start(&programs, name, &config, &more).await?;
-        self.links.iter().for_each(|links| links.lead_to(name, None));
+        let (address, start) = self
+            .processes
+            .start(&programs, name, &config, &more)
+            .await?;
+        self.links
+            .iter()
+            .for_each(|links| links.lead_to(name, None));
         let door = match &self.links {
             Some(links) => {
                 links.lead(CLIENTS, name, Some(address));
@@ -104,9 +134,12 @@
             None => Some(address),
         };
         let reached = self.processes.peers_reach(name);
-        self.links.iter().for_each(|links| links.lead_peers(name, reached));
+        self.links
+            .iter()
+            .for_each(|links| links.lead_peers(name, reached));
         self.note(name, Process::Started(start));
-        door.into_iter().for_each(|door| _ = self.doors.borrow_mut().insert(name.to_string(), door));
+        door.into_iter()
+            .for_each(|door| _ = self.doors.borrow_mut().insert(name.to_string(), door));
         Ok(())
     }
 
@@ -114,7 +147,10 @@
     pub(super) fn filled(&self, name: &str, line: &str, directory: &Path) -> String {
         let mut line = line.replace("{directory}", &directory.display().to_string());
         for gateway in &self.scenario.gateways {
-            let door = self.links.as_ref().and_then(|links| links.door(name, &gateway.name));
+            let door = self
+                .links
+                .as_ref()
+                .and_then(|links| links.door(name, &gateway.name));
             // Its own address nobody calls.
             let door = door.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 9)));
             line = line.replace(&format!("{{peer {}}}", gateway.name), &door.to_string());
@@ -127,7 +163,11 @@
         let own = directories::of(&programs.directory, name);
         std::fs::create_dir_all(&own)?;
         let mut text = format!("record-dir \"{}\"\n", own.join(RECORD).display());
-        let spec = self.scenario.gateways.iter().find(|gateway| gateway.name == name);
+        let spec = self
+            .scenario
+            .gateways
+            .iter()
+            .find(|gateway| gateway.name == name);
         for line in spec.into_iter().flat_map(|spec| &spec.operator) {
             text += &self.filled(name, line, &own);
             text += "\n";
--- a/crates/fleet-rig/src/world/power.rs
+++ b/crates/fleet-rig/src/world/power.rs
@@ -17,16 +17,25 @@
     /// All at once: first every process gets its signal, then comes what takes time.
     pub(super) async fn power_loss(&mut self) -> io::Result<()> {
         let names = self.processes.names();
-        names.iter().for_each(|name| self.signal(name, Signal::KILL, Process::Killed));
-        self.engines.iter().for_each(|engine| self.kill_engine(engine));
+        names
+            .iter()
+            .for_each(|name| self.signal(name, Signal::KILL, Process::Killed));
+        self.engines
+            .iter()
+            .for_each(|engine| self.kill_engine(engine));
         self.bulletin(Mood::Down).await?;
         for name in &names {
             self.ended(name).await?;
         }
-        let Some(programs) = self.programs.as_ref().filter(|_| self.links.is_some()) else { return Ok(()) };
+        let Some(programs) = self.programs.as_ref().filter(|_| self.links.is_some()) else {
+            return Ok(());
+        };
         for name in &names {
-            let torn = directories::tear(&directories::of(&programs.directory, name), &mut self.rng)?;
-            self.ledger.borrow_mut().happened(|| What::Did { what: format!("{name}: {torn} files torn") });
+            let torn =
+                directories::tear(&directories::of(&programs.directory, name), &mut self.rng)?;
+            self.ledger.borrow_mut().happened(|| What::Did {
+                what: format!("{name}: {torn} files torn"),
+            });
         }
         Ok(())
     }
@@ -38,10 +47,19 @@
         if wanted(BULLETIN) {
             parts.push(("bulletin", "up".into()));
         }
-        for engine in self.engines.iter().filter(|engine| wanted(&engine.spec.name)) {
+        for engine in self
+            .engines
+            .iter()
+            .filter(|engine| wanted(&engine.spec.name))
+        {
             parts.push(("start", engine.spec.name.clone()));
         }
-        for gateway in self.scenario.gateways.iter().filter(|gateway| wanted(&gateway.name)) {
+        for gateway in self
+            .scenario
+            .gateways
+            .iter()
+            .filter(|gateway| wanted(&gateway.name))
+        {
             parts.push(("start-gateway", gateway.name.clone()));
         }
         self.did(format!("power-back {}", step.names.join(" ")));
--- a/crates/fleet-rig/src/world/steps.rs
+++ b/crates/fleet-rig/src/world/steps.rs
@@ -42,7 +42,11 @@
     }
 
     pub(super) fn engines_of(&self, names: &[String]) -> Vec<Rc<Engine>> {
-        self.engines.iter().filter(|engine| names.contains(&engine.spec.name)).cloned().collect()
+        self.engines
+            .iter()
+            .filter(|engine| names.contains(&engine.spec.name))
+            .cloned()
+            .collect()
     }
 
     /// Does a step; gives what follows it, and after how long.
@@ -57,8 +61,12 @@
             "vanish" => engines.iter().for_each(|engine| engine.vanish(step.lasts)),
             "reset" => engines.iter().for_each(|engine| engine.reset()),
             "stall" => engines.iter().for_each(|engine| engine.stall(step.lasts)),
-            "errors" => engines.iter().for_each(|engine| engine.fail(step.share, step.lasts)),
-            "busy" => engines.iter().for_each(|engine| engine.turn_away(step.lasts)),
+            "errors" => engines
+                .iter()
+                .for_each(|engine| engine.fail(step.share, step.lasts)),
+            "busy" => engines
+                .iter()
+                .for_each(|engine| engine.turn_away(step.lasts)),
             "drain" => self.tell(&engines, "draining", 0),
             "remove" => self.tell(&engines, "removed", 0),
             "list" => self.tell(&engines, "up", 0),
@@ -71,14 +79,17 @@
                 .await?
             }
             "kill-gateway" => {
-                step.names.iter().for_each(|name| self.signal(name, Signal::KILL, Process::Killed));
+                step.names
+                    .iter()
+                    .for_each(|name| self.signal(name, Signal::KILL, Process::Killed));
                 for name in &step.names {
                     self.ended(name).await?;
                 }
             }
-            "stop-gateway" => {
-                step.names.iter().for_each(|name| self.signal(name, Signal::TERM, Process::Stopping))
-            }
+            "stop-gateway" => step
+                .names
+                .iter()
+                .for_each(|name| self.signal(name, Signal::TERM, Process::Stopping)),
             "start-gateway" => {
                 for name in step
                     .names
@@ -92,7 +103,9 @@
                 }
             }
             "pause-gateway" => {
-                step.names.iter().for_each(|name| self.signal(name, Signal::STOP, Process::Paused));
+                step.names
+                    .iter()
+                    .for_each(|name| self.signal(name, Signal::STOP, Process::Paused));
                 let undo = |name: &String| (step.lasts, Next::Undo(Undo::Continue(name.clone())));
                 return Ok(step.names.iter().map(undo).collect());
             }
@@ -109,14 +122,23 @@
             "power-back" => return Ok(self.power_back(step)),
             _ => {}
         }
-        if !matches!(step.action, "start-gateway" | "kill-gateway" | "stop-gateway") {
-            self.did(format!("{} {}", step.action, step.names.join(" ")).trim_end().to_string());
+        if !matches!(
+            step.action,
+            "start-gateway" | "kill-gateway" | "stop-gateway"
+        ) {
+            self.did(
+                format!("{} {}", step.action, step.names.join(" "))
+                    .trim_end()
+                    .to_string(),
+            );
         }
         Ok(Vec::new())
     }
 
     pub(super) fn link_step(&mut self, step: &Step) -> Vec<(Duration, Next)> {
-        let Some(links) = &mut self.links else { return Vec::new() };
+        let Some(links) = &mut self.links else {
+            return Vec::new();
+        };
         let fault = match step.action {
             "link-reset" => {
                 links.reset(&step.names[0], &step.names[1]);
@@ -126,11 +148,18 @@
                 // Cut for one period, whole for the next.
                 let lasts = step.lasts.min(self.scenario.time);
                 let cut = |at: Duration| {
-                    let cut = Step { action: "link-cut", at, lasts: step.time, ..step.clone() };
+                    let cut = Step {
+                        action: "link-cut",
+                        at,
+                        lasts: step.time,
+                        ..step.clone()
+                    };
                     (at, Next::Step(cut))
                 };
                 let periods = lasts.as_micros().div_ceil(2 * step.time.as_micros().max(1)) as u32;
-                return (0..periods).map(|number| cut(step.time * 2 * number)).collect();
+                return (0..periods)
+                    .map(|number| cut(step.time * 2 * number))
+                    .collect();
             }
             "link-stall" => Fault::Stall,
             "link-swallow" => Fault::Swallow,
@@ -153,7 +182,9 @@
     }
 
     pub(super) fn directories(&mut self, step: &Step) -> io::Result<()> {
-        let Some(programs) = self.programs.as_ref().filter(|_| self.links.is_some()) else { return Ok(()) };
+        let Some(programs) = self.programs.as_ref().filter(|_| self.links.is_some()) else {
+            return Ok(());
+        };
         for name in &step.names {
             match step.action {
                 "save-directory" => directories::save(&programs.directory, name)?,
