--- a/crates/fleet-rig/tests/golden.rs
+++ b/crates/fleet-rig/tests/golden.rs
@@ -19,12 +19,27 @@
 const AT_MS: u64 = 1_796_147_675_000;
 const AT: u64 = AT_MS * 1000;
 const PLACE: Place = Place { zone: 1, cell: 2 };
-const ORIGIN: Origin = Origin { identity: 0xfeed, start: 3 };
-const TASK: Task = Task { kind: 1, number: 17 };
-const TOKEN: Token = Token { term: 5, owner: 0xbeef };
+const ORIGIN: Origin = Origin {
+    identity: 0xfeed,
+    start: 3,
+};
+const TASK: Task = Task {
+    kind: 1,
+    number: 17,
+};
+const TOKEN: Token = Token {
+    term: 5,
+    owner: 0xbeef,
+};
 
 fn intent(since: u64, out: u32, ran: bool) -> Intent {
-    Intent { since, place: PLACE, out, ran, until: AT + 17_000_000 }
+    Intent {
+        since,
+        place: PLACE,
+        out,
+        ran,
+        until: AT + 17_000_000,
+    }
 }
 
 fn copy() -> Copy {
@@ -39,7 +54,13 @@
     Copy::from([
         (ORIGIN, record(1, Phase::Out, Some(PLACE))),
         (Origin { start: 4, ..ORIGIN }, record(2, Phase::Void, None)),
-        (Origin { identity: 7, start: 1 }, record(300, Phase::Ran, Some(PLACE))),
+        (
+            Origin {
+                identity: 7,
+                start: 1,
+            },
+            record(300, Phase::Ran, Some(PLACE)),
+        ),
     ])
 }
 
@@ -50,8 +71,14 @@
     let token = postcard::to_stdvec(&TOKEN).expect("a token");
     vec![
         (copied, copies::to_bytes(&copy())),
-        (intents::stored_key(1, KEY), intents::to_bytes(&intent(AT, 1, false))),
-        (intents::stored_key(2, "no hex"), intents::to_bytes(&intent(0, 0, true))),
+        (
+            intents::stored_key(1, KEY),
+            intents::to_bytes(&intent(AT, 1, false)),
+        ),
+        (
+            intents::stored_key(2, "no hex"),
+            intents::to_bytes(&intent(0, 0, true)),
+        ),
         (b"l".to_vec(), checkpoint),
         (b"t\x01\0\0\0\x11".to_vec(), token),
         (b"v".to_vec(), 0xfeed_u64.to_be_bytes().to_vec()),
@@ -69,7 +96,8 @@
 fn a_store_is_written_byte_for_byte_as_before() {
     let directory = tempfile::tempdir().expect("a directory");
     let files = Box::new(Directory::new(directory.path()));
-    let (mut store, _) = Store::open(files, Plan { budget: 1 << 24 }, AT_MS, 0xfeed).expect("a store");
+    let (mut store, _) =
+        Store::open(files, Plan { budget: 1 << 24 }, AT_MS, 0xfeed).expect("a store");
     for (key, value) in stored() {
         let mut batch = Batch::default();
         batch.put(key, value, 0);
@@ -82,7 +110,12 @@
     store.flush().expect("a flush");
     let names: Vec<String> = std::fs::read_dir(directory.path())
         .expect("a directory")
-        .map(|file| file.expect("a file").file_name().into_string().expect("a name"))
+        .map(|file| {
+            file.expect("a file")
+                .file_name()
+                .into_string()
+                .expect("a name")
+        })
         // These tell a directory from its copies and processes from each other.
         .filter(|name| name != "IDENTITY" && name != "LOCK")
         .collect();
@@ -95,8 +128,11 @@
 fn a_golden_store_is_taken_whole() {
     let recovered = look(&golden::path("store")).expect("a store");
     assert_eq!((recovered.damaged, recovered.torn), (None, 0));
-    let found: Vec<(Vec<u8>, Vec<u8>)> =
-        recovered.keys.iter().map(|(key, value)| (key.to_vec(), value.bytes.to_vec())).collect();
+    let found: Vec<(Vec<u8>, Vec<u8>)> = recovered
+        .keys
+        .iter()
+        .map(|(key, value)| (key.to_vec(), value.bytes.to_vec()))
+        .collect();
     assert_eq!(found, stored());
     assert_eq!(intents::from_bytes(&found[1].1), Some(intent(AT, 1, false)));
     assert_eq!(copies::from_bytes(&found[0].1), Some(copy()));
@@ -122,35 +158,115 @@
 /// Every message about replicas, leases included.
 fn messages() -> Vec<Said> {
     let (key, origin, record) = (b"key".to_vec(), ORIGIN, travelling());
-    let seen = vec![Seen { place: Some(PLACE), age: 5 }, Seen { place: None, age: 0 }];
-    let records = vec![(ORIGIN, record), (ORIGIN, Travelling { phase: Phase::Out, place: None, ..record })];
-    let entries = vec![Entry { key: key.clone(), records }];
-    let drain = Drain { number: 9, engine: 17, booted_at: 3, gone: true };
+    let seen = vec![
+        Seen {
+            place: Some(PLACE),
+            age: 5,
+        },
+        Seen {
+            place: None,
+            age: 0,
+        },
+    ];
+    let records = vec![
+        (ORIGIN, record),
+        (
+            ORIGIN,
+            Travelling {
+                phase: Phase::Out,
+                place: None,
+                ..record
+            },
+        ),
+    ];
+    let entries = vec![Entry {
+        key: key.clone(),
+        records,
+    }];
+    let drain = Drain {
+        number: 9,
+        engine: 17,
+        booted_at: 3,
+        gone: true,
+    };
     let replicas = vec![
-        Message::Claim { number: 1, key: key.clone(), origin, record },
+        Message::Claim {
+            number: 1,
+            key: key.clone(),
+            origin,
+            record,
+        },
         Message::Claimed { number: 1, seen },
-        Message::NotNow { number: 2, why: Why::CatchingUp },
-        Message::NotNow { number: 2, why: Why::Full },
-        Message::Update { key: key.clone(), origin, record },
+        Message::NotNow {
+            number: 2,
+            why: Why::CatchingUp,
+        },
+        Message::NotNow {
+            number: 2,
+            why: Why::Full,
+        },
+        Message::Update {
+            key: key.clone(),
+            origin,
+            record,
+        },
         Message::Updated { key, version: 300 },
-        Message::Ask { number: 4, prints: vec![1, u64::MAX] },
-        Message::Part { number: 4, entries, last: true, votes: false },
+        Message::Ask {
+            number: 4,
+            prints: vec![1, u64::MAX],
+        },
+        Message::Part {
+            number: 4,
+            entries,
+            last: true,
+            votes: false,
+        },
         Message::Later { number: 4, ms: 250 },
-        Message::Drains { drains: vec![drain, Drain { gone: false, ..drain }] },
-        Message::Hints { lessons: vec![1, 2, 3], age: 900 },
+        Message::Drains {
+            drains: vec![
+                drain,
+                Drain {
+                    gone: false,
+                    ..drain
+                },
+            ],
+        },
+        Message::Hints {
+            lessons: vec![1, 2, 3],
+            age: 900,
+        },
         Message::Stands { votes: true },
     ];
     let (task, token, greatest) = (TASK, TOKEN, Token { term: 6, owner: 1 });
     let leases = vec![
         owners::Message::Ask { task, token },
         owners::Message::Given { task, token },
-        owners::Message::Denied { task, token, greatest, left: 300_000 },
+        owners::Message::Denied {
+            task,
+            token,
+            greatest,
+            left: 300_000,
+        },
         owners::Message::Release { task, token },
-        owners::Message::Work { task, token, work: vec![9, 8] },
-        owners::Message::Stale { task, token, greatest },
-        owners::Message::Tokens { tokens: vec![(task, token)] },
+        owners::Message::Work {
+            task,
+            token,
+            work: vec![9, 8],
+        },
+        owners::Message::Stale {
+            task,
+            token,
+            greatest,
+        },
+        owners::Message::Tokens {
+            tokens: vec![(task, token)],
+        },
     ];
-    replicas.into_iter().map(Said::Copies).chain(leases.into_iter().map(Said::Owners)).collect()
+    replicas
+        .into_iter()
+        .map(Said::Copies)
+        .chain(leases.into_iter().map(Said::Owners))
+        .collect()
 }
 
 #[test]
@@ -186,10 +302,13 @@
 
 /// The classes of the configuration that tests of the program use.
 fn classes() -> Vec<eideryard::interface::Class> {
-    let class = |repeat| serde_json::json!({"repeat": repeat, "group": "all", "window-us": 15_000_000});
+    let class =
+        |repeat| serde_json::json!({"repeat": repeat, "group": "all", "window-us": 15_000_000});
     let grades = [class("pure"), class("token"), class("side_effect")];
     let tree = eideryard_settings::Tree::from_json(&serde_json::json!({ "grades": grades }));
-    eideryard_settings::settings(&tree).expect("settings").classes
+    eideryard_settings::settings(&tree)
+        .expect("settings")
+        .classes
 }
 
 #[test]
@@ -209,7 +328,11 @@
         bytes
     };
     golden::check("handshake-g2.bin", &written(hello.clone()));
-    let other = Hello { name: "g3".into(), classes: hello.classes ^ 1, ..hello };
+    let other = Hello {
+        name: "g3".into(),
+        classes: hello.classes ^ 1,
+        ..hello
+    };
     golden::check("handshake-other-classes.bin", &written(other));
 }
 
@@ -226,7 +349,13 @@
         statement: b"SELECT 1",
     };
     serve.write(&mut bytes);
-    engine_line::Serve { key: None, grant_mb: 0, rank: None, ..serve }.write(&mut bytes);
+    engine_line::Serve {
+        key: None,
+        grant_mb: 0,
+        rank: None,
+        ..serve
+    }
+    .write(&mut bytes);
     engine_line::write_cancel(&mut bytes, "7f");
     engine_line::write_weigh(&mut bytes, "7f", 3);
     engine_line::write_read(&mut bytes, "7f", 2);
@@ -236,8 +365,18 @@
     let mut bytes = Vec::new();
     let pages: [&[u8]; 2] = [b"a\tb\tc\n", b"d\te\tf\n"];
     rpc::write_result(&mut bytes, 1, pages.into_iter());
-    rpc::write_part(&mut bytes, 2, pages.into_iter(), &[("token", "abc"), ("more", "1")]);
-    rpc::write_error(&mut bytes, 3, "TryLater", &[("why", "no majority"), ("w", "500")]);
+    rpc::write_part(
+        &mut bytes,
+        2,
+        pages.into_iter(),
+        &[("token", "abc"), ("more", "1")],
+    );
+    rpc::write_error(
+        &mut bytes,
+        3,
+        "TryLater",
+        &[("why", "no majority"), ("w", "500")],
+    );
     rpc::write_health(&mut bytes, 4, true);
     golden::check("client-answers.bin", &bytes);
 }
--- a/crates/fleet-rig/tests/processes.rs
+++ b/crates/fleet-rig/tests/processes.rs
@@ -98,16 +98,28 @@
          at 4200ms power-back bulletin e-1 e-2 e-3 e-4 g1 g2 within 300ms\nat 4800ms start-gateway g3\n"
     ));
     let ran = played(&plan);
-    let stories: Vec<String> =
-        ran.stories.iter().map(|(found, story)| format!("{found:?}\n{}", story.join("\n"))).collect();
-    assert!(ran.verdict.kept(), "{:?}\n{}", ran.verdict.counts, stories.join("\n"));
+    let stories: Vec<String> = ran
+        .stories
+        .iter()
+        .map(|(found, story)| format!("{found:?}\n{}", story.join("\n")))
+        .collect();
+    assert!(
+        ran.verdict.kept(),
+        "{:?}\n{}",
+        ran.verdict.counts,
+        stories.join("\n")
+    );
     let figure = |name: &str| ran.verdict.figures.get(name).copied().unwrap_or(0);
     assert!(
         figure("served") > 50 && figure("lost") > 0 && figure("effects") > 0,
         "{:?}",
         ran.verdict.figures
     );
-    assert!(figure("cold_starts") >= 8 && figure("recorded_ends") > 50, "{:?}", ran.verdict.figures);
+    assert!(
+        figure("cold_starts") >= 8 && figure("recorded_ends") > 50,
+        "{:?}",
+        ran.verdict.figures
+    );
     // Each start of each gateway was noted: 3, 1, 3 after each loss.
     assert_eq!(ran.endings.len(), 10, "{:?}", ran.endings);
 }
@@ -115,18 +127,39 @@
 /// The example is found, told from all sides, and one fault is all that it needs.
 #[test]
 fn the_double_effect_across_gateways_is_found_told_and_made_small() {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/double-effect.scenario");
+    let path = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../examples/double-effect.scenario"
+    );
     let plan = Plan::of_text(&std::fs::read_to_string(path).unwrap());
     let ran = played(&plan);
-    assert!(ran.verdict.count(Rule::EffectOnce) > 0, "{:?}", ran.verdict.figures);
-    let (_, story) = ran.stories.iter().find(|(found, _)| found.rule == Rule::EffectOnce).unwrap();
+    assert!(
+        ran.verdict.count(Rule::EffectOnce) > 0,
+        "{:?}",
+        ran.verdict.figures
+    );
+    let (_, story) = ran
+        .stories
+        .iter()
+        .find(|(found, _)| found.rule == Rule::EffectOnce)
+        .unwrap();
     let story = story.join("\n");
-    for words in ["asks g1 (try 1", "g1 is killed", "asks g2 (try 2, marked", "records that it sends"] {
+    for words in [
+        "asks g1 (try 1",
+        "g1 is killed",
+        "asks g2 (try 2, marked",
+        "records that it sends",
+    ] {
         assert!(story.contains(words), "no '{words}' in\n{story}");
     }
     assert_eq!(story.matches("takes effect").count(), 2, "{story}");
-    let small = minimize(&plan, |fewer| played(fewer).verdict.count(Rule::EffectOnce) > 0);
-    assert!(small.faults.len() <= 3 && small.faults.iter().any(|f| f.contains("kill-gateway g1")), "{small}");
+    let small = minimize(&plan, |fewer| {
+        played(fewer).verdict.count(Rule::EffectOnce) > 0
+    });
+    assert!(
+        small.faults.len() <= 3 && small.faults.iter().any(|f| f.contains("kill-gateway g1")),
+        "{small}"
+    );
 }
 
 /// What each engine did in a scenario without gateways is nothing, and it ends at its time.
@@ -135,5 +168,12 @@
     let text = "time 300ms\nengines 2 e {\n}\nat 50ms kill e-1\nat 100ms start e-1\nat 120ms bulletin down\n\
                 at 150ms bulletin up\nat 160ms reset e-2\nat 170ms vanish e-2 for 20ms\nat 180ms drain e-2\n";
     let played = play(Scenario::read("a.scenario", text).unwrap(), None).unwrap();
-    assert_eq!((played.endings.len(), played.ledger.breaks, played.ledger.total().asked), (0, 0, 0));
+    assert_eq!(
+        (
+            played.endings.len(),
+            played.ledger.breaks,
+            played.ledger.total().asked
+        ),
+        (0, 0, 0)
+    );
 }
--- a/crates/fleet-rig/tests/voters.rs
+++ b/crates/fleet-rig/tests/voters.rs
@@ -6,8 +6,10 @@
 #[test]
 fn keepers_are_grouped_by_the_keepers_that_their_files_name() {
     let gateway = |name: &str, keepers: &[&str]| {
-        let lines: String =
-            keepers.iter().map(|own| format!("operator \"keeper {own} {{peer {own}}}\"\n")).collect();
+        let lines: String = keepers
+            .iter()
+            .map(|own| format!("operator \"keeper {own} {{peer {own}}}\"\n"))
+            .collect();
         format!("gateway {name} {{\n{lines}}}\n")
     };
     let text = gateway("g1", &["g1", "g2", "g3"])
@@ -18,8 +20,20 @@
         + &gateway("g6", &[]);
     let scenario = Scenario::read("groups", &text).expect("it can be read");
     let groups = groups(&scenario.gateways);
-    let members: Vec<Vec<&str>> =
-        groups.iter().map(|group| group.members.iter().map(String::as_str).collect()).collect();
-    assert_eq!(members, [vec!["g1", "g2", "g3"], vec!["g4"]], "g5 only asks, g6 knows no fleet");
-    assert_eq!(groups.iter().map(VoterGroup::can_have_majority).collect::<Vec<_>>(), [true, false]);
+    let members: Vec<Vec<&str>> = groups
+        .iter()
+        .map(|group| group.members.iter().map(String::as_str).collect())
+        .collect();
+    assert_eq!(
+        members,
+        [vec!["g1", "g2", "g3"], vec!["g4"]],
+        "g5 only asks, g6 knows no fleet"
+    );
+    assert_eq!(
+        groups
+            .iter()
+            .map(VoterGroup::can_have_majority)
+            .collect::<Vec<_>>(),
+        [true, false]
+    );
 }
--- a/crates/fleet/src/episodes.rs
+++ b/crates/fleet/src/episodes.rs
@@ -104,7 +104,17 @@
 impl Episode {
     fn new(kind: Kind, begin: Micros, peak: f64, usual: f64) -> Self {
         let (end, unknown, left_out, from) = Default::default();
-        Episode { kind, begin, peak_at: begin, peak, end, usual, unknown, left_out, from }
+        Episode {
+            kind,
+            begin,
+            peak_at: begin,
+            peak,
+            end,
+            usual,
+            unknown,
+            left_out,
+            from,
+        }
     }
 
     /// Its time, up to `now` where it lasts.
@@ -145,7 +155,10 @@
 impl Usual {
     /// Of something new: nothing is usual, once there was a past without it.
     fn new(past: u32) -> Self {
-        Usual { mean: 0.0, seen: if past >= MUCH_PAST { LEAST_PAST } else { 0 } }
+        Usual {
+            mean: 0.0,
+            seen: if past >= MUCH_PAST { LEAST_PAST } else { 0 },
+        }
     }
 
     fn learn(&mut self, value: f64) {
@@ -225,7 +238,9 @@
                     *second.pairs.entry((tenant, from)).or_default() += 1;
                 }
             }
-            Fact::Ended { class, how, took, .. } => {
+            Fact::Ended {
+                class, how, took, ..
+            } => {
                 second.ended += 1;
                 second.refused += (how == AnswerKind::Refused) as u32;
                 if let Some(took) = took.filter(|_| how == AnswerKind::Served) {
@@ -240,12 +255,24 @@
                 second.sent += 1;
                 second.again += again as u32;
             }
-            Fact::Out { engine, outcome, .. } => self.out(engine, outcome, at),
-            Fact::Listed { engine, phase, started_anew } => self.listed(engine, phase, started_anew, at),
-            Fact::Quarantine { engine, begins: true } => {
+            Fact::Out {
+                engine, outcome, ..
+            } => self.out(engine, outcome, at),
+            Fact::Listed {
+                engine,
+                phase,
+                started_anew,
+            } => self.listed(engine, phase, started_anew, at),
+            Fact::Quarantine {
+                engine,
+                begins: true,
+            } => {
                 self.begin(Kind::Quarantine(engine), at, 1.0, 0.0);
             }
-            Fact::Quarantine { engine, begins: false } => self.end(&Kind::Quarantine(engine), at),
+            Fact::Quarantine {
+                engine,
+                begins: false,
+            } => self.end(&Kind::Quarantine(engine), at),
             Fact::Roster { heard: false } => _ = self.roster_lost.entry(said.source).or_insert(at),
             Fact::Roster { heard: true } | Fact::RosterEvent { .. } => {
                 self.roster_lost.remove(&said.source);
@@ -263,7 +290,9 @@
 
     /// Engines that are missed now.
     pub fn is_missed(&self, engine: EngineId) -> bool {
-        self.gone.as_ref().is_some_and(|(_, gone)| gone.contains(&engine))
+        self.gone
+            .as_ref()
+            .is_some_and(|(_, gone)| gone.contains(&engine))
     }
 
     /// Nothing more comes; what had ended before a time is not told.
@@ -275,9 +304,11 @@
         for (source, from, to) in self.gaps.clone() {
             self.mark_unknown(source, from, to);
         }
-        self.episodes.retain(|episode| episode.end.is_none_or(|end| end >= from));
+        self.episodes
+            .retain(|episode| episode.end.is_none_or(|end| end >= from));
         self.gaps.retain(|(_, _, to)| *to >= from);
-        self.episodes.sort_by(|a, b| (a.begin, &a.kind).cmp(&(b.begin, &b.kind)));
+        self.episodes
+            .sort_by(|a, b| (a.begin, &a.kind).cmp(&(b.begin, &b.kind)));
         self.open.clear();
     }
 
@@ -288,7 +319,12 @@
                 let ((a, b), (c, d)) = (one.span(self.now), other.span(self.now));
                 let (from, to) = (a.max(c), b.min(d));
                 if from < to {
-                    overlaps.push(Overlap { first, second, from, to });
+                    overlaps.push(Overlap {
+                        first,
+                        second,
+                        from,
+                        to,
+                    });
                 }
             }
         }
@@ -337,16 +373,26 @@
         self.judge_roster(end);
         let seconds = self.window.len() as f64;
         let sum = |of: fn(&Second) -> u32| self.window.iter().map(of).sum::<u32>();
-        let (refused, ended, again, sent) =
-            (sum(|s| s.refused), sum(|s| s.ended), sum(|s| s.again), sum(|s| s.sent));
+        let (refused, ended, again, sent) = (
+            sum(|s| s.refused),
+            sum(|s| s.ended),
+            sum(|s| s.again),
+            sum(|s| s.sent),
+        );
         let taken = sum(|s| s.taken) as f64;
         self.judge_share(Kind::Refusals, refused, ended, end);
         self.judge_share(Kind::Resends, again, sent, end);
         let (mut tenants, mut addresses) = (BTreeMap::new(), HashMap::new());
         let mut latency: BTreeMap<usize, Sketch> = BTreeMap::new();
         for second in &self.window {
-            second.tenants.iter().for_each(|(tenant, count)| *tenants.entry(*tenant).or_insert(0) += count);
-            second.addresses.iter().for_each(|(from, count)| *addresses.entry(*from).or_insert(0) += count);
+            second
+                .tenants
+                .iter()
+                .for_each(|(tenant, count)| *tenants.entry(*tenant).or_insert(0) += count);
+            second
+                .addresses
+                .iter()
+                .for_each(|(from, count)| *addresses.entry(*from).or_insert(0) += count);
             second
                 .latency
                 .iter()
@@ -359,8 +405,15 @@
     }
 
     fn judge_share(&mut self, kind: Kind, count: u32, of: u32, end: Micros) {
-        let usual = if kind == Kind::Refusals { &mut self.refusals } else { &mut self.resends };
-        let (share, before) = (count as f64 / of.max(1) as f64, usual.known().unwrap_or(0.0));
+        let usual = if kind == Kind::Refusals {
+            &mut self.refusals
+        } else {
+            &mut self.resends
+        };
+        let (share, before) = (
+            count as f64 / of.max(1) as f64,
+            usual.known().unwrap_or(0.0),
+        );
         if count >= LEAST_COUNT && share > (OVER * before).max(LEAST_SHARE) {
             self.seen(kind, end, share, before);
         } else if of > 0 {
@@ -381,14 +434,24 @@
             rate >= FLOOD_RATE && rate > OVER * usual && count as f64 >= FLOOD_SHARE * taken
         };
         let mut flooding = 0;
-        for tenant in tenants.keys().chain(self.tenants.keys()).copied().collect::<BTreeSet<_>>() {
+        for tenant in tenants
+            .keys()
+            .chain(self.tenants.keys())
+            .copied()
+            .collect::<BTreeSet<_>>()
+        {
             let count = tenants.get(&tenant).copied().unwrap_or(0);
             let usual = self.tenants.entry(tenant).or_insert(Usual::new(self.busy));
             match usual.known().filter(|usual| is_flood(count, *usual)) {
                 Some(before) => {
                     flooding += 1;
                     let from = self.most_from(tenant, count);
-                    let place = self.seen(Kind::FloodOfTenant(tenant), end, count as f64 / seconds, before);
+                    let place = self.seen(
+                        Kind::FloodOfTenant(tenant),
+                        end,
+                        count as f64 / seconds,
+                        before,
+                    );
                     if let Some(episode) = place.and_then(|place| self.episodes.get_mut(place)) {
                         episode.from = from.or(episode.from);
                     }
@@ -409,7 +472,12 @@
         }
         // One flood is one episode: that of a tenant names its address.
         for (from, count, before) in floods.into_iter().filter(|_| flooding == 0) {
-            self.seen(Kind::FloodOfAddress(from), end, count as f64 / seconds, before);
+            self.seen(
+                Kind::FloodOfAddress(from),
+                end,
+                count as f64 / seconds,
+                before,
+            );
         }
     }
 
@@ -421,16 +489,24 @@
                 *own.entry(*from).or_default() += count;
             }
         }
-        own.into_iter().find(|(_, from)| 2 * from >= count).map(|(from, _)| from)
+        own.into_iter()
+            .find(|(_, from)| 2 * from >= count)
+            .map(|(from, _)| from)
     }
 
     fn judge_latency(&mut self, latency: &BTreeMap<usize, Sketch>, end: Micros) {
         for (class, sketch) in latency {
-            let Some(ms) = sketch.percentile(0.9).filter(|_| sketch.count() >= LEAST_SAMPLES) else {
+            let Some(ms) = sketch
+                .percentile(0.9)
+                .filter(|_| sketch.count() >= LEAST_SAMPLES)
+            else {
                 continue;
             };
             let usual = self.latency.entry(*class).or_default();
-            match usual.known().filter(|usual| ms > SLOWER * usual + SLOWER_MS) {
+            match usual
+                .known()
+                .filter(|usual| ms > SLOWER * usual + SLOWER_MS)
+            {
                 Some(before) => _ = self.seen(Kind::Latency(*class), end, ms, before),
                 None => usual.learn(ms),
             }
@@ -443,10 +519,19 @@
         match outcome {
             Outcome::Answered | Outcome::Full | Outcome::Error => self.speaks(engine, at),
             Outcome::Broken => {
-                self.silent.entry(engine).or_insert(Silent { since: at, refused: false });
+                self.silent.entry(engine).or_insert(Silent {
+                    since: at,
+                    refused: false,
+                });
             }
             Outcome::NoConnection => {
-                self.silent.entry(engine).or_insert(Silent { since: at, refused: true }).refused = true;
+                self.silent
+                    .entry(engine)
+                    .or_insert(Silent {
+                        since: at,
+                        refused: true,
+                    })
+                    .refused = true;
             }
             _ => {}
         }
@@ -492,8 +577,12 @@
 
     fn judge_engines(&mut self, end: Micros) {
         let is_gone = |silent: &Silent| silent.refused || silent.since + GONE_AFTER <= end;
-        let gone: Vec<(EngineId, Micros)> =
-            self.silent.iter().filter(|(_, s)| is_gone(s)).map(|(engine, s)| (*engine, s.since)).collect();
+        let gone: Vec<(EngineId, Micros)> = self
+            .silent
+            .iter()
+            .filter(|(_, s)| is_gone(s))
+            .map(|(engine, s)| (*engine, s.since))
+            .collect();
         for (engine, since) in gone {
             let together = self.gone.as_ref().map(|(place, _)| *place).filter(|place| {
                 let own = &self.episodes[*place];
@@ -508,7 +597,9 @@
                         self.close_at(before, since);
                     }
                     let kind = Kind::EnginesGone(BTreeSet::from([engine]));
-                    let Some(place) = self.push(Episode::new(kind, since, 1.0, 0.0)) else { return };
+                    let Some(place) = self.push(Episode::new(kind, since, 1.0, 0.0)) else {
+                        return;
+                    };
                     self.gone = Some((place, BTreeSet::new()));
                     place
                 }
@@ -534,12 +625,16 @@
             .filter(|(_, at)| **at + ROSTER_SILENT <= end)
             .map(|(s, at)| (*s, *at))
             .collect();
-        let Some(first) = lost.values().min().copied() else { return };
+        let Some(first) = lost.values().min().copied() else {
+            return;
+        };
         let place = match self.roster {
             Some(place) => place,
             None => {
                 let kind = Kind::RosterSilent(BTreeSet::new());
-                let Some(place) = self.push(Episode::new(kind, first, 0.0, 0.0)) else { return };
+                let Some(place) = self.push(Episode::new(kind, first, 0.0, 0.0)) else {
+                    return;
+                };
                 self.roster = Some(place);
                 place
             }
@@ -567,7 +662,12 @@
             return;
         }
         self.gaps.push((source, from, to));
-        let mut episode = Episode::new(Kind::Gap(source), from, (to.saturating_sub(from)) as f64 / 1e6, 0.0);
+        let mut episode = Episode::new(
+            Kind::Gap(source),
+            from,
+            (to.saturating_sub(from)) as f64 / 1e6,
+            0.0,
+        );
         (episode.end, episode.left_out) = (Some(to), entries);
         self.push(episode);
     }
@@ -635,8 +735,12 @@
     /// Ends what wasn't seen for a while, at the time when it was seen last.
     fn close_quiet(&mut self, now: Micros) {
         let quiet = |last: Micros| last != Micros::MAX && last + QUIET <= now;
-        let over: Vec<Kind> =
-            self.open.iter().filter(|(_, (_, last))| quiet(*last)).map(|(k, _)| k.clone()).collect();
+        let over: Vec<Kind> = self
+            .open
+            .iter()
+            .filter(|(_, (_, last))| quiet(*last))
+            .map(|(k, _)| k.clone())
+            .collect();
         for kind in over {
             if let Some((place, last)) = self.open.remove(&kind) {
                 // The window looks back: the symptom ended before it did.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -54,7 +54,14 @@
     }
 
     pub fn take(&mut self, sources: &[Source], source: usize, at: Micros, what: &What) {
-        let View { fleet, series, detector, skew, notables, from } = self;
+        let View {
+            fleet,
+            series,
+            detector,
+            skew,
+            notables,
+            from,
+        } = self;
         if at >= *from {
             fleet.count_from_here(source, *from);
         }
--- a/crates/fleet/src/notable.rs
+++ b/crates/fleet/src/notable.rs
@@ -42,14 +42,36 @@
 
 impl Notables {
     pub fn take(&mut self, said: &Said) {
-        let Fact::Ended { id, class, tenant, how, late, took, attempts, last, .. } = said.fact else {
+        let Fact::Ended {
+            id,
+            class,
+            tenant,
+            how,
+            late,
+            took,
+            attempts,
+            last,
+            ..
+        } = said.fact
+        else {
             return;
         };
         if how == AnswerKind::Served && !late && attempts <= 1 {
             return;
         }
         let (source, at, tries) = (said.source, said.at, attempts);
-        let notable = Notable { source, at, id, class, tenant, how, late, took, tries, last };
+        let notable = Notable {
+            source,
+            at,
+            id,
+            class,
+            tenant,
+            how,
+            late,
+            took,
+            tries,
+            last,
+        };
         if self.first.len() < MOST_FIRST {
             self.first.push(notable);
             return;
--- a/crates/fleet/src/series.rs
+++ b/crates/fleet/src/series.rs
@@ -30,7 +30,10 @@
     }
 
     pub fn merge(&mut self, other: &Sketch) {
-        self.counts.iter_mut().zip(other.counts).for_each(|(own, count)| *own += count);
+        self.counts
+            .iter_mut()
+            .zip(other.counts)
+            .for_each(|(own, count)| *own += count);
     }
 
     pub fn count(&self) -> u32 {
@@ -65,7 +68,10 @@
 impl ClassBucket {
     fn merge(&mut self, other: &ClassBucket) {
         self.taken += other.taken;
-        self.ended.iter_mut().zip(other.ended).for_each(|(own, count)| *own += count);
+        self.ended
+            .iter_mut()
+            .zip(other.ended)
+            .for_each(|(own, count)| *own += count);
         self.late += other.late;
         self.again += other.again;
         self.latency.merge(&other.latency);
@@ -135,7 +141,11 @@
 
 impl Series {
     pub fn new() -> Self {
-        Series { width: FIRST_WIDTH, from: 0, buckets: Vec::new() }
+        Series {
+            width: FIRST_WIDTH,
+            from: 0,
+            buckets: Vec::new(),
+        }
     }
 
     fn bucket(&mut self, at: Micros) -> &mut Bucket {
@@ -174,10 +184,17 @@
         };
         match said.fact {
             Fact::Taken { class, tenant, .. } => {
-                line(&mut bucket.classes, class).into_iter().for_each(|own| own.taken += 1);
-                line(&mut bucket.tenants, tenant).into_iter().for_each(|own| *own += 1);
+                line(&mut bucket.classes, class)
+                    .into_iter()
+                    .for_each(|own| own.taken += 1);
+                line(&mut bucket.tenants, tenant)
+                    .into_iter()
+                    .for_each(|own| *own += 1);
             }
-            Fact::Refused { class: Some(class), tenant } => {
+            Fact::Refused {
+                class: Some(class),
+                tenant,
+            } => {
                 let own = line(&mut bucket.classes, class);
                 own.into_iter().for_each(|own| {
                     own.taken += 1;
@@ -186,20 +203,40 @@
                 let tenant = tenant.and_then(|tenant| line(&mut bucket.tenants, tenant));
                 tenant.into_iter().for_each(|own| *own += 1);
             }
-            Fact::Ended { class, how, late, took, .. } => {
-                let Some(own) = line(&mut bucket.classes, class) else { return };
+            Fact::Ended {
+                class,
+                how,
+                late,
+                took,
+                ..
+            } => {
+                let Some(own) = line(&mut bucket.classes, class) else {
+                    return;
+                };
                 own.ended[how as usize] += 1;
                 own.late += late as u32;
                 if how == AnswerKind::Served {
                     took.into_iter().for_each(|took| own.latency.add(took));
                 }
             }
-            Fact::Sent { engine, class, again } => {
-                line(&mut bucket.engines, engine).into_iter().for_each(|own| own.sent += 1);
-                line(&mut bucket.classes, class).into_iter().for_each(|own| own.again += again as u32);
+            Fact::Sent {
+                engine,
+                class,
+                again,
+            } => {
+                line(&mut bucket.engines, engine)
+                    .into_iter()
+                    .for_each(|own| own.sent += 1);
+                line(&mut bucket.classes, class)
+                    .into_iter()
+                    .for_each(|own| own.again += again as u32);
             }
-            Fact::Out { engine, outcome, .. } => {
-                let Some(own) = line(&mut bucket.engines, engine) else { return };
+            Fact::Out {
+                engine, outcome, ..
+            } => {
+                let Some(own) = line(&mut bucket.engines, engine) else {
+                    return;
+                };
                 match outcome {
                     Outcome::Answered => own.answered += 1,
                     Outcome::Cancelled | Outcome::Unsent => {}
@@ -227,11 +264,25 @@
     #[test]
     fn a_day_keeps_its_sums_in_as_many_buckets_as_ten_minutes() {
         let mut series = Series::new();
-        let fact = Fact::Taken { class: 0, tenant: 0, from: None };
-        (0..86_400).for_each(|second| series.take(&Said { source: 0, at: second * 1_000_000, fact }));
+        let fact = Fact::Taken {
+            class: 0,
+            tenant: 0,
+            from: None,
+        };
+        (0..86_400).for_each(|second| {
+            series.take(&Said {
+                source: 0,
+                at: second * 1_000_000,
+                fact,
+            })
+        });
         assert!(series.buckets.len() <= MOST_BUCKETS && series.width > FIRST_WIDTH);
         assert_eq!(
-            series.buckets.iter().map(|bucket| bucket.total(|class| class.taken)).sum::<u32>(),
+            series
+                .buckets
+                .iter()
+                .map(|bucket| bucket.total(|class| class.taken))
+                .sum::<u32>(),
             86_400
         );
     }
--- a/crates/fleet/src/skew.rs
+++ b/crates/fleet/src/skew.rs
@@ -21,8 +21,14 @@
 
 impl Skew {
     pub fn take(&mut self, said: &Said) {
-        let Fact::RosterEvent { number } = said.fact else { return };
-        self.events.entry(number).or_default().entry(said.source).or_insert(said.at);
+        let Fact::RosterEvent { number } = said.fact else {
+            return;
+        };
+        self.events
+            .entry(number)
+            .or_default()
+            .entry(said.source)
+            .or_insert(said.at);
         if self.events.len() > MOST_EVENTS {
             self.events.pop_first();
         }
@@ -31,8 +37,10 @@
     /// By how much the clock of one source is ahead of another's, in microseconds, with the number of
     /// events that both heard: the median, so that one that came late to one of them doesn't count.
     pub fn ahead(&self, source: usize, of: usize) -> Option<(i64, usize)> {
-        let both =
-            self.events.values().filter_map(|at| Some(*at.get(&source)? as i64 - *at.get(&of)? as i64));
+        let both = self
+            .events
+            .values()
+            .filter_map(|at| Some(*at.get(&source)? as i64 - *at.get(&of)? as i64));
         let mut apart: Vec<i64> = both.collect();
         apart.sort_unstable();
         (apart.len() >= LEAST_EVENTS).then(|| (apart[apart.len() / 2], apart.len()))
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -229,15 +229,27 @@
     }
 
     pub fn class(&self, at: usize) -> String {
-        self.names.classes.get(at).cloned().unwrap_or_else(|| format!("class {at}"))
+        self.names
+            .classes
+            .get(at)
+            .cloned()
+            .unwrap_or_else(|| format!("class {at}"))
     }
 
     pub fn tenant(&self, at: usize) -> String {
-        self.names.tenants.get(at).cloned().unwrap_or_else(|| format!("tenant {at}"))
+        self.names
+            .tenants
+            .get(at)
+            .cloned()
+            .unwrap_or_else(|| format!("tenant {at}"))
     }
 
     pub fn engine(&self, engine: EngineId) -> String {
-        let name = self.engines.get(&engine).map(|own| own.name.clone()).filter(|name| !name.is_empty());
+        let name = self
+            .engines
+            .get(&engine)
+            .map(|own| own.name.clone())
+            .filter(|name| !name.is_empty());
         name.unwrap_or_else(|| format!("engine {engine:08x}"))
     }
 }
@@ -258,7 +270,10 @@
     }
 
     pub fn known(&self) -> impl Iterator<Item = (usize, &Start)> {
-        self.starts.iter().enumerate().filter_map(|(at, start)| Some((at, start.as_ref()?)))
+        self.starts
+            .iter()
+            .enumerate()
+            .filter_map(|(at, start)| Some((at, start.as_ref()?)))
     }
 
     /// Of each gateway the last start.
@@ -273,20 +288,33 @@
 
     /// The name of an engine, as any of the gateways knows it: all number engines alike, by their names.
     pub fn engine(&self, engine: EngineId) -> String {
-        let names = self.known().filter_map(|(_, start)| start.engines.get(&engine));
-        let name = names.map(|own| &own.name).find(|name| !name.is_empty()).cloned();
+        let names = self
+            .known()
+            .filter_map(|(_, start)| start.engines.get(&engine));
+        let name = names
+            .map(|own| &own.name)
+            .find(|name| !name.is_empty())
+            .cloned();
         name.unwrap_or_else(|| format!("engine {engine:08x}"))
     }
 
     /// The name of a class or tenant: gateways of one fleet have the same settings.
     pub fn class(&self, at: usize) -> String {
-        let mut starts = self.known().filter(|(_, start)| at < start.names.classes.len());
-        starts.next().map_or_else(|| format!("class {at}"), |(_, start)| start.class(at))
+        let mut starts = self
+            .known()
+            .filter(|(_, start)| at < start.names.classes.len());
+        starts
+            .next()
+            .map_or_else(|| format!("class {at}"), |(_, start)| start.class(at))
     }
 
     pub fn tenant(&self, at: usize) -> String {
-        let mut starts = self.known().filter(|(_, start)| at < start.names.tenants.len());
-        starts.next().map_or_else(|| format!("tenant {at}"), |(_, start)| start.tenant(at))
+        let mut starts = self
+            .known()
+            .filter(|(_, start)| at < start.names.tenants.len());
+        starts
+            .next()
+            .map_or_else(|| format!("tenant {at}"), |(_, start)| start.tenant(at))
     }
 
     /// What a source counted and took up to now is the past.
@@ -299,7 +327,8 @@
     }
 
     fn superseded(&self, start: &Start) -> bool {
-        self.known().any(|(_, other)| other.name == start.name && other.epoch > start.epoch)
+        self.known()
+            .any(|(_, other)| other.name == start.name && other.epoch > start.epoch)
     }
 
     pub fn take(&mut self, sources: &[Source], source: usize, at: Micros, what: &What, tell: Tell) {
@@ -311,18 +340,37 @@
             let new = &sources[source];
             let mut restart_of = None;
             for (number, start) in self.starts.iter_mut().enumerate() {
-                let Some(start) = start.as_mut().filter(|start| start.name == new.name) else { continue };
+                let Some(start) = start.as_mut().filter(|start| start.name == new.name) else {
+                    continue;
+                };
                 restart_of = Some(number);
                 if start.own.is_none() && !std::mem::replace(&mut start.broke_off, true) {
-                    tell(Said { source: number, at: start.last_at, fact: Fact::Breaks });
-                    let fact = Fact::Missing { from: start.last_at, entries: None };
-                    tell(Said { source: number, at, fact });
+                    tell(Said {
+                        source: number,
+                        at: start.last_at,
+                        fact: Fact::Breaks,
+                    });
+                    let fact = Fact::Missing {
+                        from: start.last_at,
+                        entries: None,
+                    };
+                    tell(Said {
+                        source: number,
+                        at,
+                        fact,
+                    });
                 }
             }
             self.starts[source] = Some(Start::new(new, at));
-            tell(Said { source, at, fact: Fact::Began { restart_of } });
+            tell(Said {
+                source,
+                at,
+                fact: Fact::Began { restart_of },
+            });
         }
-        let Some(start) = &mut self.starts[source] else { return };
+        let Some(start) = &mut self.starts[source] else {
+            return;
+        };
         match what {
             What::Damaged => {
                 start.exact = false;
@@ -330,7 +378,14 @@
             }
             What::Entry(entry) => {
                 if let Some(from) = start.damaged_since.take() {
-                    tell(Said { source, at, fact: Fact::Missing { from, entries: None } });
+                    tell(Said {
+                        source,
+                        at,
+                        fact: Fact::Missing {
+                            from,
+                            entries: None,
+                        },
+                    });
                 }
                 start.last_at = start.last_at.max(at);
                 start.entries += 1;
@@ -346,9 +401,20 @@
             let Some(start) = start else { continue };
             if start.own.is_none() && !start.broke_off && start.last_at + BREAK < now {
                 start.broke_off = true;
-                tell(Said { source, at: start.last_at, fact: Fact::Breaks });
-                let fact = Fact::Missing { from: start.last_at, entries: None };
-                tell(Said { source, at: now, fact });
+                tell(Said {
+                    source,
+                    at: start.last_at,
+                    fact: Fact::Breaks,
+                });
+                let fact = Fact::Missing {
+                    from: start.last_at,
+                    entries: None,
+                };
+                tell(Said {
+                    source,
+                    at: now,
+                    fact,
+                });
             }
         }
     }
@@ -373,7 +439,11 @@
         match event {
             Event::Arrived(arrived) => {
                 let from = self.open.get(&arrived.id).and_then(|open| open.from);
-                say(Fact::Taken { class: arrived.class, tenant: arrived.tenant, from });
+                say(Fact::Taken {
+                    class: arrived.class,
+                    tenant: arrived.tenant,
+                    from,
+                });
                 if let Some(open) = self.open.get_mut(&arrived.id) {
                     (open.class, open.tenant, open.arrived) = (arrived.class, arrived.tenant, true);
                     if open.answered {
@@ -382,13 +452,18 @@
                 }
             }
             Event::Ended(ended) => {
-                let Some(open) = self.open.get_mut(&ended.request) else { return };
+                let Some(open) = self.open.get_mut(&ended.request) else {
+                    return;
+                };
                 let place = ended.attempt.checked_sub(open.earlier);
-                let Some(tried) = place.and_then(|place| open.attempts.get_mut(place)) else { return };
+                let Some(tried) = place.and_then(|place| open.attempts.get_mut(place)) else {
+                    return;
+                };
                 tried.ended = Some((ended.outcome, at));
                 let (engine, rank, grant) = (tried.engine, open.rank, open.grant_mb);
                 let threads = self.names.of_class(open.class);
-                let done = open.answered && open.attempts.iter().all(|attempt| attempt.ended.is_some());
+                let done =
+                    open.answered && open.attempts.iter().all(|attempt| attempt.ended.is_some());
                 if done {
                     self.open.remove(&ended.request);
                 }
@@ -402,9 +477,16 @@
                     if ended.outcome == Outcome::Answered {
                         own.last_answer = Some(at);
                     }
-                    own.reported = ended.report.and_then(|report| report.in_flight).or(own.reported);
+                    own.reported = ended
+                        .report
+                        .and_then(|report| report.in_flight)
+                        .or(own.reported);
                 }
-                say(Fact::Out { engine, outcome: ended.outcome, spent: ended.spent });
+                say(Fact::Out {
+                    engine,
+                    outcome: ended.outcome,
+                    spent: ended.spent,
+                });
             }
             _ => {}
         }
@@ -412,12 +494,21 @@
 
     fn action(&mut self, at: Micros, action: &Action, say: &mut dyn FnMut(Fact)) {
         match action {
-            Action::Terms { request, grant_mb, rank } => {
-                let Some(open) = self.open.get_mut(request) else { return };
+            Action::Terms {
+                request,
+                grant_mb,
+                rank,
+            } => {
+                let Some(open) = self.open.get_mut(request) else {
+                    return;
+                };
                 let (old_rank, old_grant) = (open.rank, open.grant_mb);
                 let threads = self.names.of_class(open.class);
                 (open.rank, open.grant_mb) = (*rank, *grant_mb);
-                let out = open.attempts.iter().filter(|attempt| attempt.ended.is_none());
+                let out = open
+                    .attempts
+                    .iter()
+                    .filter(|attempt| attempt.ended.is_none());
                 for engine in out.map(|attempt| attempt.engine) {
                     if let Some(own) = self.engines.get_mut(&engine) {
                         own.leave(old_rank, old_grant, threads);
@@ -425,24 +516,38 @@
                     }
                 }
             }
-            Action::Send { request, engine, .. } => {
+            Action::Send {
+                request, engine, ..
+            } => {
                 let own = self.engines.entry(*engine).or_default();
                 own.sent += 1;
-                let Some(open) = self.open.get_mut(request) else { return };
+                let Some(open) = self.open.get_mut(request) else {
+                    return;
+                };
                 own.enter(open.rank, open.grant_mb, self.names.of_class(open.class));
                 let again = open.tries() > 0;
                 if open.attempts.len() >= MOST_ATTEMPTS {
                     open.attempts.remove(0);
                     open.earlier += 1;
                 }
-                open.attempts.push(Attempt { engine: *engine, sent_at: at, ended: None });
-                say(Fact::Sent { engine: *engine, class: open.class, again });
+                open.attempts.push(Attempt {
+                    engine: *engine,
+                    sent_at: at,
+                    ended: None,
+                });
+                say(Fact::Sent {
+                    engine: *engine,
+                    class: open.class,
+                    again,
+                });
             }
             Action::Log(text) => {
                 // The module tells of quarantines in words: `engine N quarantined: ...`, `engine N is
                 // back ...`.
                 let mut words = text.split(' ');
-                let engine = (words.next() == Some("engine")).then(|| words.next()?.parse().ok()).flatten();
+                let engine = (words.next() == Some("engine"))
+                    .then(|| words.next()?.parse().ok())
+                    .flatten();
                 let begins = match words.next() {
                     Some("quarantined:") => true,
                     Some("is" | "speaks") => false,
@@ -469,11 +574,16 @@
             }
             Host::StateWhole => {
                 // Answered ones stay while attempts of theirs are out: the state doesn't tell of them.
-                let late =
-                    std::mem::take(&mut self.before).into_iter().filter(|(_, request)| request.answered);
+                let late = std::mem::take(&mut self.before)
+                    .into_iter()
+                    .filter(|(_, request)| request.answered);
                 for (key, request) in late {
                     let threads = self.names.of_class(request.class);
-                    for attempt in request.attempts.iter().filter(|attempt| attempt.ended.is_none()) {
+                    for attempt in request
+                        .attempts
+                        .iter()
+                        .filter(|attempt| attempt.ended.is_none())
+                    {
                         let own = self.engines.entry(attempt.engine).or_default();
                         own.enter(request.rank, request.grant_mb, threads);
                     }
@@ -485,17 +595,27 @@
             Host::Engine(listed) => self.listed(listed, in_state, say),
             Host::Open(told) => {
                 let known = self.before.remove(&told.offer.request);
-                let (grant_mb, rank) = known.as_ref().map_or((0.0, 0), |own| (own.grant_mb, own.rank));
+                let (grant_mb, rank) = known
+                    .as_ref()
+                    .map_or((0.0, 0), |own| (own.grant_mb, own.rank));
                 let attempts = match known {
                     Some(known) => known.attempts,
                     None => {
                         let out = told.out.into_iter();
-                        out.map(|(engine, sent_at)| Attempt { engine, sent_at, ended: None }).collect()
+                        out.map(|(engine, sent_at)| Attempt {
+                            engine,
+                            sent_at,
+                            ended: None,
+                        })
+                        .collect()
                     }
                 };
                 for attempt in attempts.iter().filter(|attempt| attempt.ended.is_none()) {
                     let threads = self.names.of_class(told.class);
-                    self.engines.entry(attempt.engine).or_default().enter(rank, grant_mb, threads);
+                    self.engines
+                        .entry(attempt.engine)
+                        .or_default()
+                        .enter(rank, grant_mb, threads);
                 }
                 let request = Request {
                     id: told.offer.id,
@@ -512,7 +632,10 @@
                 };
                 self.keep(told.offer.request, request);
             }
-            Host::Connected { connection, address } => {
+            Host::Connected {
+                connection,
+                address,
+            } => {
                 if self.connections.len() < MOST_OPEN {
                     self.connections.insert(*connection, *address);
                 }
@@ -536,26 +659,51 @@
             }
             Host::NotTaken { how, class, tenant } => {
                 if !matches!(how, NotTaken::Invalid | NotTaken::Gone) {
-                    say(Fact::Refused { class: *class, tenant: *tenant });
+                    say(Fact::Refused {
+                        class: *class,
+                        tenant: *tenant,
+                    });
                 }
             }
-            Host::Answered { request, class, tenant, how, late } => {
+            Host::Answered {
+                request,
+                class,
+                tenant,
+                how,
+                late,
+            } => {
                 let open = self.open.get_mut(request);
                 let took = open.as_ref().map(|open| at.saturating_sub(open.arrived_at));
-                let (id, attempts) = open.as_ref().map_or((None, 0), |open| (Some(open.id), open.tries()));
+                let (id, attempts) = open
+                    .as_ref()
+                    .map_or((None, 0), |open| (Some(open.id), open.tries()));
                 if *how == AnswerKind::Served && *class < MOST_CLASSES {
                     while self.latency.len() <= *class {
                         // The bounds are constants that fit.
-                        self.latency.extend(Histogram::new_with_bounds(1, LONGEST_MS, 2).ok());
+                        self.latency
+                            .extend(Histogram::new_with_bounds(1, LONGEST_MS, 2).ok());
                     }
-                    took.into_iter().for_each(|took| self.latency[*class].saturating_record(took / 1000));
+                    took.into_iter()
+                        .for_each(|took| self.latency[*class].saturating_record(took / 1000));
                 }
                 let (class, tenant, how, late) = (*class, *tenant, *how, *late);
                 let mut last = [None; SHOWN];
                 let tried = open.as_ref().map_or(&[][..], |open| &open.attempts[..]);
                 let shown = &tried[tried.len().saturating_sub(SHOWN)..];
-                last.iter_mut().zip(shown).for_each(|(place, attempt)| *place = Some(*attempt));
-                say(Fact::Ended { request: *request, id, class, tenant, how, late, took, attempts, last });
+                last.iter_mut()
+                    .zip(shown)
+                    .for_each(|(place, attempt)| *place = Some(*attempt));
+                say(Fact::Ended {
+                    request: *request,
+                    id,
+                    class,
+                    tenant,
+                    how,
+                    late,
+                    took,
+                    attempts,
+                    last,
+                });
                 if let Some(open) = open {
                     open.answered = true;
                     // The module is told of one that was given back at once only after its end.
@@ -583,11 +731,16 @@
             }
             Host::Gap { from, entries, .. } => {
                 self.left_out += entries;
-                say(Fact::Missing { from: *from, entries: Some(*entries) });
-            }
-            Host::Attached { class, tenant } => {
-                say(Fact::Taken { class: *class, tenant: *tenant, from: None })
+                say(Fact::Missing {
+                    from: *from,
+                    entries: Some(*entries),
+                });
             }
+            Host::Attached { class, tenant } => say(Fact::Taken {
+                class: *class,
+                tenant: *tenant,
+                from: None,
+            }),
             Host::Fleet(word) => self.fleet_word(word),
             Host::Reloaded { .. } | Host::Ending { .. } | Host::Alive | Host::Because { .. } => {}
         }
@@ -607,7 +760,11 @@
             FleetWord::Turned { .. } => {}
             FleetWord::Votes { votes } => self.votes = Some(*votes),
             FleetWord::Majority { stands } => self.majority = Some(*stands),
-            FleetWord::Owns { task, term, owns: true } if self.owns.len() < MOST_PEERS => {
+            FleetWord::Owns {
+                task,
+                term,
+                owns: true,
+            } if self.owns.len() < MOST_PEERS => {
                 self.owns.insert(*task, *term);
             }
             FleetWord::Owns { task, .. } => _ = self.owns.remove(task),
@@ -618,7 +775,8 @@
     fn listed(&mut self, listed: &Listed, in_state: bool, say: &mut dyn FnMut(Fact)) {
         let known = self.engines.get(&listed.engine);
         let started_anew = known.is_some_and(|own| {
-            listed.booted_at > own.booted_at || (!listed.address.is_empty() && own.address != listed.address)
+            listed.booted_at > own.booted_at
+                || (!listed.address.is_empty() && own.address != listed.address)
         });
         let changed = known.is_none_or(|own| own.phase != listed.phase || own.name != listed.name);
         let own = self.engines.entry(listed.engine).or_default();
@@ -633,7 +791,11 @@
         }
         (own.phase, own.booted_at) = (listed.phase, listed.booted_at);
         if (changed || started_anew) && !in_state {
-            say(Fact::Listed { engine: listed.engine, phase: listed.phase, started_anew });
+            say(Fact::Listed {
+                engine: listed.engine,
+                phase: listed.phase,
+                started_anew,
+            });
         }
     }
 
@@ -645,7 +807,12 @@
 
     /// Forgets a request that was answered, unless an attempt of it is still out.
     fn close(&mut self, key: RequestId) {
-        let out = |request: &Request| request.attempts.iter().any(|attempt| attempt.ended.is_none());
+        let out = |request: &Request| {
+            request
+                .attempts
+                .iter()
+                .any(|attempt| attempt.ended.is_none())
+        };
         if self.open.get(&key).is_some_and(|request| !out(request)) {
             self.open.remove(&key);
         }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -24,10 +24,19 @@
     pub late: bool,
 }
 
-pub const SERVED: Ending = Ending { how: AnswerKind::Served, took: 0.05, late: false };
+pub const SERVED: Ending = Ending {
+    how: AnswerKind::Served,
+    took: 0.05,
+    late: false,
+};
 
 pub fn gap(from: f64, to: f64, entries: u64) -> Host {
-    Host::Gap { from: at(from), to: at(to), entries, counted: Box::default() }
+    Host::Gap {
+        from: at(from),
+        to: at(to),
+        entries,
+        counted: Box::default(),
+    }
 }
 
 pub struct Script {
@@ -44,7 +53,13 @@
     /// Sources by the names of their gateways; each has four engines, two classes and three tenants.
     pub fn new(names: &[&str]) -> Self {
         let names = names.iter().map(|name| name.to_string()).collect();
-        Script { names, told: Vec::new(), requests: 0, engines: vec![1, 2, 3, 4], connection: None }
+        Script {
+            names,
+            told: Vec::new(),
+            requests: 0,
+            engines: vec![1, 2, 3, 4],
+            connection: None,
+        }
     }
 
     pub fn tell(&mut self, source: usize, time: Micros, entry: Entry) {
@@ -57,50 +72,132 @@
 
     fn engine(engine: u32, phase: Phase, booted_at: Micros, address: &str) -> Host {
         let (name, address) = (format!("e-{engine}"), address.to_string());
-        Host::Engine(Listed { engine, name, address, zone: 0, kind: 0, phase, booted_at })
+        Host::Engine(Listed {
+            engine,
+            name,
+            address,
+            zone: 0,
+            kind: 0,
+            phase,
+            booted_at,
+        })
     }
 
     fn address(engine: u32) -> String {
         format!("127.0.0.1:{}", 7000 + engine)
     }
 
-    pub fn listed(&mut self, source: usize, seconds: f64, engine: u32, phase: Phase, booted_at: Micros) {
-        self.host(source, seconds, Self::engine(engine, phase, booted_at, &Self::address(engine)));
+    pub fn listed(
+        &mut self,
+        source: usize,
+        seconds: f64,
+        engine: u32,
+        phase: Phase,
+        booted_at: Micros,
+    ) {
+        self.host(
+            source,
+            seconds,
+            Self::engine(engine, phase, booted_at, &Self::address(engine)),
+        );
     }
 
     pub fn moved(&mut self, source: usize, seconds: f64, engine: u32, address: &str) {
-        self.host(source, seconds, Self::engine(engine, Phase::Ready, 0, address));
+        self.host(
+            source,
+            seconds,
+            Self::engine(engine, Phase::Ready, 0, address),
+        );
     }
 
     /// An open request: offered, arrived, sent to an engine.
-    pub fn open(&mut self, source: usize, seconds: f64, class: usize, tenant: usize, engine: u32) -> u64 {
+    pub fn open(
+        &mut self,
+        source: usize,
+        seconds: f64,
+        class: usize,
+        tenant: usize,
+        engine: u32,
+    ) -> u64 {
         self.requests += 1;
         let (request, time) = ((self.requests << 32) | (self.requests % 50), at(seconds));
-        let connection = self.connection.unwrap_or(if tenant == 2 { 2 << 32 } else { 1 << 32 });
-        self.tell(source, time, Entry::Host(Host::Offered(Offer { request, id: self.requests, connection })));
-        let arrived =
-            i::Request { id: request, class, tenant, deadline: time + 5_000_000, ..i::Request::default() };
+        let connection = self
+            .connection
+            .unwrap_or(if tenant == 2 { 2 << 32 } else { 1 << 32 });
+        self.tell(
+            source,
+            time,
+            Entry::Host(Host::Offered(Offer {
+                request,
+                id: self.requests,
+                connection,
+            })),
+        );
+        let arrived = i::Request {
+            id: request,
+            class,
+            tenant,
+            deadline: time + 5_000_000,
+            ..i::Request::default()
+        };
         self.tell(source, time, Entry::In(Event::Arrived(arrived)));
-        self.tell(source, time, Entry::Out(Action::Terms { request, grant_mb: 64.0, rank: 1 }));
-        self.tell(source, time, Entry::Out(Action::Send { request, engine, give_up_at: time + 5_000_000 }));
+        self.tell(
+            source,
+            time,
+            Entry::Out(Action::Terms {
+                request,
+                grant_mb: 64.0,
+                rank: 1,
+            }),
+        );
+        self.tell(
+            source,
+            time,
+            Entry::Out(Action::Send {
+                request,
+                engine,
+                give_up_at: time + 5_000_000,
+            }),
+        );
         request
     }
 
     pub fn ends(&mut self, source: usize, seconds: f64, request: u64, end: Ending) {
-        let outcome = if end.how == AnswerKind::Served { Outcome::Answered } else { Outcome::Full };
+        let outcome = if end.how == AnswerKind::Served {
+            Outcome::Answered
+        } else {
+            Outcome::Full
+        };
         self.ends_at(source, seconds, request, end, outcome);
     }
 
-    fn ends_at(&mut self, source: usize, seconds: f64, request: u64, end: Ending, outcome: Outcome) {
+    fn ends_at(
+        &mut self,
+        source: usize,
+        seconds: f64,
+        request: u64,
+        end: Ending,
+        outcome: Outcome,
+    ) {
         let (time, Ending { how, late, .. }) = (at(seconds), end);
-        let arrived = self.told.iter().rev().find_map(|(_, _, entry)| match entry {
-            Entry::In(Event::Arrived(arrived)) if arrived.id == request => {
-                Some((arrived.class, arrived.tenant))
-            }
-            _ => None,
-        });
+        let arrived = self
+            .told
+            .iter()
+            .rev()
+            .find_map(|(_, _, entry)| match entry {
+                Entry::In(Event::Arrived(arrived)) if arrived.id == request => {
+                    Some((arrived.class, arrived.tenant))
+                }
+                _ => None,
+            });
         let (class, tenant) = arrived.unwrap_or_default();
-        let answered = Host::Answered { request, class, tenant, how, late };
+        let answered = Host::Answered {
+            request,
+            class,
+            tenant,
+            how,
+            late,
+        };
         self.tell(source, time, Entry::Host(answered));
         let ended = i::Ended {
             request,
@@ -115,7 +212,14 @@
         self.tell(source, time, Entry::In(Event::Ended(ended)));
     }
 
-    pub fn request(&mut self, source: usize, seconds: f64, class: usize, tenant: usize, end: Ending) {
+    pub fn request(
+        &mut self,
+        source: usize,
+        seconds: f64,
+        class: usize,
+        tenant: usize,
+        end: Ending,
+    ) {
         let engine = self.engines[self.requests as usize % self.engines.len()];
         let request = self.open(source, seconds, class, tenant, engine);
         self.ends(source, seconds + end.took, request, end);
@@ -125,7 +229,13 @@
     pub fn calm(&mut self, source: usize, from: u64, to: u64, rate: u64) {
         for number in 0..(to - from) * rate {
             let seconds = from as f64 + number as f64 / rate as f64;
-            self.request(source, seconds, (number % 2) as usize, (number % 2) as usize, SERVED);
+            self.request(
+                source,
+                seconds,
+                (number % 2) as usize,
+                (number % 2) as usize,
+                SERVED,
+            );
         }
     }
 
@@ -138,7 +248,11 @@
 
     fn outcome(&mut self, source: usize, seconds: f64, engine: u32, outcome: Outcome) {
         let request = self.open(source, seconds, 0, 0, engine);
-        let how = if outcome == Outcome::Answered { AnswerKind::Served } else { AnswerKind::Failed };
+        let how = if outcome == Outcome::Answered {
+            AnswerKind::Served
+        } else {
+            AnswerKind::Failed
+        };
         self.ends_at(source, seconds, request, Ending { how, ..SERVED }, outcome);
     }
 
@@ -159,10 +273,17 @@
         self.tell(
             source,
             at(seconds),
-            Entry::Host(Host::Begin { name: String::new(), epoch: 0, segment: 2 }),
+            Entry::Host(Host::Begin {
+                name: String::new(),
+                epoch: 0,
+                segment: 2,
+            }),
         );
         self.sort();
-        self.told.iter().position(|(_, _, entry)| matches!(entry, Entry::Host(Host::Begin { .. }))).unwrap()
+        self.told
+            .iter()
+            .position(|(_, _, entry)| matches!(entry, Entry::Host(Host::Begin { .. })))
+            .unwrap()
             + STATE
     }
 
@@ -189,11 +310,17 @@
                     ..Names::default()
                 };
                 let mut state = vec![
-                    Host::Begin { name: self.names[source].clone(), epoch, segment },
+                    Host::Begin {
+                        name: self.names[source].clone(),
+                        epoch,
+                        segment,
+                    },
                     Host::Names(names),
                 ];
                 state.extend(
-                    (1..=4).map(|engine| Self::engine(engine, Phase::Ready, 0, &Self::address(engine))),
+                    (1..=4).map(|engine| {
+                        Self::engine(engine, Phase::Ready, 0, &Self::address(engine))
+                    }),
                 );
                 state.extend([1u64, 2].map(|number| Host::Connected {
                     connection: number << 32,
@@ -204,14 +331,24 @@
                 state.push(Host::Link { up: true });
                 state.push(Host::Tally(Box::new(counted[source].tally.clone())));
                 state.push(Host::StateWhole);
-                whole.extend(state.into_iter().map(|host| (source, time, Entry::Host(host))));
+                whole.extend(
+                    state
+                        .into_iter()
+                        .map(|host| (source, time, Entry::Host(host))),
+                );
             }
             if marks {
                 continue;
             }
             match &entry {
-                Entry::Out(Action::Send { request, engine, .. }) => {
-                    let offer = Offer { request: *request, id: request >> 32, connection: 1 << 32 };
+                Entry::Out(Action::Send {
+                    request, engine, ..
+                }) => {
+                    let offer = Offer {
+                        request: *request,
+                        id: request >> 32,
+                        connection: 1 << 32,
+                    };
                     let (deadline, out) = (time + 5_000_000, Some((*engine, time)));
                     let own = OpenRequest {
                         offer,
--- a/crates/fleet/tests/folds.rs
+++ b/crates/fleet/tests/folds.rs
@@ -10,7 +10,11 @@
 use eideryard_record::{AnswerKind, Entry, Host};
 
 fn only<'a>(view: &'a View, word: &str) -> Vec<&'a Episode> {
-    view.detector.episodes.iter().filter(|episode| episode.kind.word() == word).collect()
+    view.detector
+        .episodes
+        .iter()
+        .filter(|episode| episode.kind.word() == word)
+        .collect()
 }
 
 #[test]
@@ -20,9 +24,25 @@
     let view = script.finish();
     assert_eq!(view.detector.episodes, [], "nothing happened");
     let start = view.fleet.start(0).unwrap();
-    assert_eq!((start.counted.tally.totals.served, start.unanswered().count()), (1200, 0));
-    assert!(start.engines.values().all(|engine| engine.in_flight == 0 && engine.granted_mb == 0.0));
-    assert_eq!(view.series.buckets.iter().map(|bucket| bucket.total(|class| class.taken)).sum::<u32>(), 1200);
+    assert_eq!(
+        (
+            start.counted.tally.totals.served,
+            start.unanswered().count()
+        ),
+        (1200, 0)
+    );
+    assert!(start
+        .engines
+        .values()
+        .all(|engine| engine.in_flight == 0 && engine.granted_mb == 0.0));
+    assert_eq!(
+        view.series
+            .buckets
+            .iter()
+            .map(|bucket| bucket.total(|class| class.taken))
+            .sum::<u32>(),
+        1200
+    );
     assert_eq!(view.notables.iter().count(), 0);
 }
 
@@ -38,14 +58,26 @@
     script.flood(1, 20, 24, 200, 2);
     let view = script.finish();
     let (flood, roster) = (only(&view, "flood"), only(&view, "roster silent"));
-    assert_eq!((flood.len(), roster.len()), (1, 1), "{:?}", view.detector.episodes);
+    assert_eq!(
+        (flood.len(), roster.len()),
+        (1, 1),
+        "{:?}",
+        view.detector.episodes
+    );
     assert_eq!(flood[0].kind, Kind::FloodOfTenant(2));
     assert_eq!(flood[0].from, Some([127, 0, 0, 9].into()));
-    assert!((150.0..=210.0).contains(&flood[0].peak), "{}", flood[0].peak);
+    assert!(
+        (150.0..=210.0).contains(&flood[0].peak),
+        "{}",
+        flood[0].peak
+    );
     assert_eq!(roster[0].kind, Kind::RosterSilent([0, 1].into()));
     assert_eq!((roster[0].begin, roster[0].end), (at(18.5), Some(at(25.1))));
     let near = |told: u64, wanted: f64| told.abs_diff(at(wanted)) <= 1_500_000;
-    assert!(near(flood[0].begin, 20.0) && near(flood[0].end.unwrap(), 24.0), "{flood:?}");
+    assert!(
+        near(flood[0].begin, 20.0) && near(flood[0].end.unwrap(), 24.0),
+        "{flood:?}"
+    );
     let overlaps = view.detector.overlaps();
     let episodes = &view.detector.episodes;
     let both = |o: &&eideryard_fleet::Overlap| {
@@ -67,8 +99,16 @@
         script.request(0, 20.0 + number as f64 / 150.0, 0, number % 3, SERVED);
     }
     let view = script.finish();
-    let floods: Vec<_> = only(&view, "flood").into_iter().map(|episode| episode.kind.clone()).collect();
-    assert_eq!(floods, [Kind::FloodOfAddress([127, 0, 0, 9].into())], "{:?}", view.detector.episodes);
+    let floods: Vec<_> = only(&view, "flood")
+        .into_iter()
+        .map(|episode| episode.kind.clone())
+        .collect();
+    assert_eq!(
+        floods,
+        [Kind::FloodOfAddress([127, 0, 0, 9].into())],
+        "{:?}",
+        view.detector.episodes
+    );
 }
 
 #[test]
@@ -79,7 +119,13 @@
     script.calm(0, 10, 30, 20);
     for (number, engine) in [1, 2, 3].into_iter().enumerate() {
         script.fails(0, 10.0 + 0.1 * number as f64, engine);
-        script.listed(0, 15.0 + number as f64, engine, Phase::Ready, 15_000_000 + number as u64);
+        script.listed(
+            0,
+            15.0 + number as f64,
+            engine,
+            Phase::Ready,
+            15_000_000 + number as u64,
+        );
     }
     // Another one resets a connection and goes on: nobody is gone.
     script.breaks(0, 20.0, 4);
@@ -88,7 +134,10 @@
     let gone = only(&view, "engines gone");
     assert_eq!(gone.len(), 1, "{:?}", view.detector.episodes);
     assert_eq!(gone[0].kind, Kind::EnginesGone([1, 2, 3].into()));
-    assert_eq!((gone[0].begin, gone[0].end, gone[0].peak), (at(10.0), Some(at(17.0)), 3.0));
+    assert_eq!(
+        (gone[0].begin, gone[0].end, gone[0].peak),
+        (at(10.0), Some(at(17.0)), 3.0)
+    );
 }
 
 #[test]
@@ -99,8 +148,17 @@
     script.listed(0, 6.0, 2, Phase::Gone, 0);
     script.listed(0, 7.0, 3, Phase::Draining, 0);
     let view = script.finish();
-    let drains: Vec<_> = only(&view, "drain").into_iter().map(|e| (e.kind.clone(), e.begin, e.end)).collect();
-    assert_eq!(drains, [(Kind::Drain(2), at(3.0), Some(at(6.0))), (Kind::Drain(3), at(7.0), None)]);
+    let drains: Vec<_> = only(&view, "drain")
+        .into_iter()
+        .map(|e| (e.kind.clone(), e.begin, e.end))
+        .collect();
+    assert_eq!(
+        drains,
+        [
+            (Kind::Drain(2), at(3.0), Some(at(6.0))),
+            (Kind::Drain(3), at(7.0), None)
+        ]
+    );
 }
 
 #[test]
@@ -111,9 +169,18 @@
     script.calm(1, 14, 30, 20);
     let view = script.finish();
     let gaps = only(&view, "gap");
-    assert_eq!((gaps.len(), &gaps[0].kind, gaps[0].end), (1, &Kind::Gap(0), Some(at(14.0))), "{gaps:?}");
+    assert_eq!(
+        (gaps.len(), &gaps[0].kind, gaps[0].end),
+        (1, &Kind::Gap(0), Some(at(14.0))),
+        "{gaps:?}"
+    );
     assert!(gaps[0].begin.abs_diff(at(10.0)) < 1_000_000);
-    assert_eq!(view.detector.episodes.len(), 1, "{:?}", view.detector.episodes);
+    assert_eq!(
+        view.detector.episodes.len(),
+        1,
+        "{:?}",
+        view.detector.episodes
+    );
     assert_eq!(view.fleet.latest().count(), 1);
 }
 
@@ -127,7 +194,11 @@
     script.host(0, 16.1, gap(14.0, 16.0, 3));
     let view = script.finish();
     let drain = only(&view, "drain");
-    assert_eq!(drain[0].unknown, [(at(12.0), at(16.1))], "two gaps that touch are one stretch");
+    assert_eq!(
+        drain[0].unknown,
+        [(at(12.0), at(16.1))],
+        "two gaps that touch are one stretch"
+    );
     assert_eq!(only(&view, "gap")[0].left_out, Some(100));
 }
 
@@ -141,9 +212,22 @@
             20.0 + number as f64 * 0.03,
             0,
             1,
-            Ending { how: AnswerKind::Refused, took: 1.0, ..SERVED },
+            Ending {
+                how: AnswerKind::Refused,
+                took: 1.0,
+                ..SERVED
+            },
+        );
+        script.request(
+            0,
+            20.01 + number as f64 * 0.03,
+            0,
+            1,
+            Ending {
+                took: 2.5,
+                ..SERVED
+            },
         );
-        script.request(0, 20.01 + number as f64 * 0.03, 0, 1, Ending { took: 2.5, ..SERVED });
     }
     script.calm(0, 23, 40, 20);
     let view = script.finish();
@@ -155,7 +239,13 @@
             "{found:?}"
         );
     }
-    assert_eq!(view.notables.iter().filter(|own| own.how == AnswerKind::Refused).count(), 100);
+    assert_eq!(
+        view.notables
+            .iter()
+            .filter(|own| own.how == AnswerKind::Refused)
+            .count(),
+        100
+    );
 }
 
 #[test]
@@ -166,8 +256,15 @@
     script.moved(0, 6.0, 1, "127.0.0.1:9999");
     let view = script.finish();
     let engine = &view.fleet.start(0).unwrap().engines[&1];
-    assert_eq!((engine.address.as_str(), engine.recent.len()), ("127.0.0.1:9999", 0));
-    assert_eq!(only(&view, "engines gone")[0].end, Some(at(6.0)), "its predecessor is missed no more");
+    assert_eq!(
+        (engine.address.as_str(), engine.recent.len()),
+        ("127.0.0.1:9999", 0)
+    );
+    assert_eq!(
+        only(&view, "engines gone")[0].end,
+        Some(at(6.0)),
+        "its predecessor is missed no more"
+    );
 }
 
 #[test]
@@ -194,20 +291,39 @@
     let (told, sources) = script.told();
     let fold = |told: &[(usize, u64, Entry)]| {
         let mut view = View::new();
-        told.iter()
-            .for_each(|(source, at, entry)| view.take(&sources, *source, *at, &What::Entry(entry.clone())));
+        told.iter().for_each(|(source, at, entry)| {
+            view.take(&sources, *source, *at, &What::Entry(entry.clone()))
+        });
         view
     };
     let (all, part) = (fold(&told), fold(&told[from..]));
     let state = |view: &View| {
         let start = view.fleet.start(0).unwrap();
-        let engines: Vec<_> = start.engines.iter().map(|(id, own)| (*id, own.in_flight, own.phase)).collect();
-        (start.counted.tally.clone(), engines, start.unanswered().count())
+        let engines: Vec<_> = start
+            .engines
+            .iter()
+            .map(|(id, own)| (*id, own.in_flight, own.phase))
+            .collect();
+        (
+            start.counted.tally.clone(),
+            engines,
+            start.unanswered().count(),
+        )
     };
     assert_eq!(state(&all), state(&part));
-    let early = told[from..].iter().take_while(|(_, time, _)| *time < at(11.0)).count();
+    let early = told[from..]
+        .iter()
+        .take_while(|(_, time, _)| *time < at(11.0))
+        .count();
     let mid = fold(&told[from..from + early]);
     let mid = mid.fleet.start(0).unwrap();
-    let open = mid.open.values().find(|own| own.arrived_at == at(9.5)).expect("it is open");
-    assert!(open.attempts[0].engine == 3 && mid.engines[&3].in_flight >= 1, "the open one runs there");
+    let open = mid
+        .open
+        .values()
+        .find(|own| own.arrived_at == at(9.5))
+        .expect("it is open");
+    assert!(
+        open.attempts[0].engine == 3 && mid.engines[&3].in_flight >= 1,
+        "the open one runs there"
+    );
 }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -156,7 +156,11 @@
     }
 
     pub fn address(&self) -> io::Result<SocketAddr> {
-        self.listener.as_ref().map_or(Err(io::ErrorKind::NotConnected.into()), |own| own.file.local_addr())
+        self.listener
+            .as_ref()
+            .map_or(Err(io::ErrorKind::NotConnected.into()), |own| {
+                own.file.local_addr()
+            })
     }
 
     /// Takes in all that wait to connect. False: descriptors ran out, so that some still wait.
@@ -174,7 +178,9 @@
             if full && !self.close_idlest(now, names, due, counters, heard) {
                 return false;
             }
-            let Some(listener) = &self.listener else { break };
+            let Some(listener) = &self.listener else {
+                break;
+            };
             match listener.file.accept() {
                 Ok((stream, from)) => {
                     let key = self.table.next_key();
@@ -225,7 +231,9 @@
     /// Writes an answer. False: the connection has ended, nobody gets it.
     pub fn answer(&mut self, key: Key, id: u32, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let heeds = |client: &&mut Client| client.closing != Closing::Mute;
-        let Some(client) = self.table.get_mut(key).filter(heeds) else { return false };
+        let Some(client) = self.table.get_mut(key).filter(heeds) else {
+            return false;
+        };
         client.open.retain(|(own, _)| *own != id);
         let before = client.connection.output.len();
         write(client.connection.output.tail());
@@ -236,7 +244,9 @@
 
     /// Whether a connection still takes requests; nothing where it has ended.
     pub fn takes(&self, key: Key) -> Option<bool> {
-        self.table.get(key).map(|client| client.closing == Closing::No)
+        self.table
+            .get(key)
+            .map(|client| client.closing == Closing::No)
     }
 
     /// Writes all that was answered since the last time, and closes what has ended or reads too slowly.
@@ -252,7 +262,9 @@
         unflushed.dedup();
         let fair = self.most_unsent / self.table.len().max(1);
         for key in unflushed.drain(..) {
-            let Some(client) = self.table.get_mut(key) else { continue };
+            let Some(client) = self.table.get_mut(key) else {
+                continue;
+            };
             let before = client.connection.output.len();
             let result = client.connection.flush();
             let left = client.connection.output.len();
--- a/crates/gateway/src/clients/closing.rs
+++ b/crates/gateway/src/clients/closing.rs
@@ -21,12 +21,21 @@
         heard: &mut Vec<Heard>,
     ) -> bool {
         for _ in 0..MOST_LOOKS {
-            let idle = self.table.iter().filter(|(_, c)| c.open.is_empty() && c.connection.output.is_empty());
+            let idle = self
+                .table
+                .iter()
+                .filter(|(_, c)| c.open.is_empty() && c.connection.output.is_empty());
             let order = |c: &Client| {
                 let lingers = c.closing != Closing::No;
-                (lingers || c.asked || now - c.used_at < FIRST_WORD, !lingers, c.used_at)
+                (
+                    lingers || c.asked || now - c.used_at < FIRST_WORD,
+                    !lingers,
+                    c.used_at,
+                )
+            };
+            let Some((key, _)) = idle.min_by_key(|(_, client)| order(client)) else {
+                return false;
             };
-            let Some((key, _)) = idle.min_by_key(|(_, client)| order(client)) else { return false };
             // What has come by now was taken, though nobody has looked at it: such a one isn't idle.
             let before = counters.bytes_in;
             self.read(key, now, names, due, counters, heard);
@@ -53,7 +62,9 @@
         counters: &mut Counters,
         heard: &mut Vec<Heard>,
     ) {
-        let Some(client) = self.table.get_mut(key) else { return };
+        let Some(client) = self.table.get_mut(key) else {
+            return;
+        };
         client.deadline = None;
         if client.closing != Closing::No {
             return self.close(key, due, heard);
@@ -63,7 +74,8 @@
         while before != Some(counters.bytes_in) {
             before = Some(counters.bytes_in);
             self.read(key, now, names, due, counters, heard);
-            let waits = |client: &&Client| client.closing == Closing::No && client.messages == messages;
+            let waits =
+                |client: &&Client| client.closing == Closing::No && client.messages == messages;
             if self.table.get(key).filter(waits).is_none() {
                 return;
             }
@@ -74,20 +86,41 @@
     }
 
     /// Nothing more is taken from a connection: what is open on it ends now, and what it says is passed over.
-    pub(super) fn spoil(&mut self, key: Key, now: Micros, due: &mut Deadlines, heard: &mut Vec<Heard>) {
-        let Some(client) = self.table.get_mut(key) else { return };
+    pub(super) fn spoil(
+        &mut self,
+        key: Key,
+        now: Micros,
+        due: &mut Deadlines,
+        heard: &mut Vec<Heard>,
+    ) {
+        let Some(client) = self.table.get_mut(key) else {
+            return;
+        };
         client.closing = Closing::Answers;
         self.unread -= client.connection.input.len();
         client.connection.input.clear();
         due.renew(&mut client.deadline, now + LINGER, Due::Client(key));
         // What has no slot yet gets an error anyway, as it is no more taken from here.
-        heard.extend(client.open.iter().filter_map(|(_, request)| request.map(Heard::Spoilt)));
+        heard.extend(
+            client
+                .open
+                .iter()
+                .filter_map(|(_, request)| request.map(Heard::Spoilt)),
+        );
         self.unflushed.push(key);
     }
 
     /// It doesn't read: what waits for it is dropped, and nothing more is written behind a part of an answer.
-    pub(super) fn mute(&mut self, key: Key, now: Micros, due: &mut Deadlines, heard: &mut Vec<Heard>) {
-        let Some(client) = self.table.get_mut(key) else { return };
+    pub(super) fn mute(
+        &mut self,
+        key: Key,
+        now: Micros,
+        due: &mut Deadlines,
+        heard: &mut Vec<Heard>,
+    ) {
+        let Some(client) = self.table.get_mut(key) else {
+            return;
+        };
         client.closing = Closing::Mute;
         self.unread -= client.connection.input.len();
         client.connection.input.clear();
@@ -95,7 +128,12 @@
         client.connection.output.clear();
         client.connection.end_output();
         due.renew(&mut client.deadline, now + LINGER, Due::Client(key));
-        heard.extend(client.open.drain(..).filter_map(|(_, request)| request.map(Heard::Left)));
+        heard.extend(
+            client
+                .open
+                .drain(..)
+                .filter_map(|(_, request)| request.map(Heard::Left)),
+        );
     }
 
     /// Half-closes the connections that rest. One that has said something by now isn't at rest, and neither
@@ -108,10 +146,16 @@
         counters: &mut Counters,
         heard: &mut Vec<Heard>,
     ) {
-        let resting = self.table.iter().filter(|(_, client)| client.rests()).map(|(key, _)| key);
+        let resting = self
+            .table
+            .iter()
+            .filter(|(_, client)| client.rests())
+            .map(|(key, _)| key);
         for key in resting.collect::<Vec<_>>() {
             self.read(key, now, names, due, counters, heard);
-            let Some(client) = self.table.get_mut(key).filter(|client| client.rests()) else { continue };
+            let Some(client) = self.table.get_mut(key).filter(|client| client.rests()) else {
+                continue;
+            };
             client.closing = Closing::Answers;
             client.connection.end_output();
             due.renew(&mut client.deadline, now + LINGER, Due::Client(key));
@@ -120,11 +164,18 @@
 
     /// The one place that gives a client's connection back.
     pub(super) fn close(&mut self, key: Key, due: &mut Deadlines, heard: &mut Vec<Heard>) {
-        let Some(client) = self.table.remove(key) else { return };
+        let Some(client) = self.table.remove(key) else {
+            return;
+        };
         self.tell(key, Change::Gone);
         due.take_back(client.deadline);
         self.unsent = self.unsent.saturating_sub(client.connection.output.len());
         self.unread -= client.connection.input.len();
-        heard.extend(client.open.into_iter().filter_map(|(_, request)| request.map(Heard::Left)));
+        heard.extend(
+            client
+                .open
+                .into_iter()
+                .filter_map(|(_, request)| request.map(Heard::Left)),
+        );
     }
 }
--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -14,17 +14,27 @@
         heard: &mut Vec<Heard>,
     ) {
         for _ in 0..MOST_READS {
-            let Some(client) = self.table.get_mut(key) else { return };
+            let Some(client) = self.table.get_mut(key) else {
+                return;
+            };
             let before = client.connection.input.len();
             let filled = client.connection.fill();
             counters.bytes_in += (client.connection.input.len() - before) as u64;
             match filled {
-                Ok(Filled::Some) if client.closing != Closing::No => client.connection.input.clear(),
+                Ok(Filled::Some) if client.closing != Closing::No => {
+                    client.connection.input.clear()
+                }
                 Ok(Filled::Some) => {
                     client.used_at = now;
                     let came = client.connection.input.len();
-                    let understood =
-                        Self::understand(key, client, (self.well, self.pages), names, counters, heard);
+                    let understood = Self::understand(
+                        key,
+                        client,
+                        (self.well, self.pages),
+                        names,
+                        counters,
+                        heard,
+                    );
                     let left = client.connection.input.len();
                     // Each message has its own time, from when it begins; the first request has it from the
                     // start of the connection.
@@ -36,11 +46,19 @@
                         client.deadline = Some(due.set(now + MOST_SILENCE, Due::Client(key)));
                     }
                     self.unread = self.unread + left - before;
-                    let hoards = self.unread > self.most_unread && left > self.most_unread / self.table.len();
+                    let hoards = self.unread > self.most_unread
+                        && left > self.most_unread / self.table.len();
                     if !understood || hoards {
                         counters.ended.malformed += !understood as u64;
                         counters.ended.hoarding += (understood && hoards) as u64;
-                        self.tell(key, Change::Ends(if understood { Why::Hoarding } else { Why::Malformed }));
+                        self.tell(
+                            key,
+                            Change::Ends(if understood {
+                                Why::Hoarding
+                            } else {
+                                Why::Malformed
+                            }),
+                        );
                         self.spoil(key, now, due, heard);
                     }
                     self.unflushed.push(key);
@@ -77,35 +95,62 @@
             };
             used += length;
             let (id, call) = match message {
-                Message::Call { id, method, fields, body } => (id, Call::read(names, method, &fields, body)),
-                Message::Ask { id, method: "isWell", .. } => {
+                Message::Call {
+                    id,
+                    method,
+                    fields,
+                    body,
+                } => (id, Call::read(names, method, &fields, body)),
+                Message::Ask {
+                    id,
+                    method: "isWell",
+                    ..
+                } => {
                     counters.health_asked += 1;
                     client.asked = true;
                     write_health(output.tail(), id, well);
                     continue;
                 }
-                Message::Ask { id, method: method @ ("page" | "again" | "release"), fields } if pages => {
+                Message::Ask {
+                    id,
+                    method: method @ ("page" | "again" | "release"),
+                    fields,
+                } if pages => {
                     let field = |name| {
-                        fields.iter().find(|(own, _)| *own == name).map(|(_, value)| value.to_string())
+                        fields
+                            .iter()
+                            .find(|(own, _)| *own == name)
+                            .map(|(_, value)| value.to_string())
                     };
                     client.asked = true;
-                    if client.open.iter().any(|(own, _)| *own == id) || client.open.len() >= MOST_OPEN {
+                    if client.open.iter().any(|(own, _)| *own == id)
+                        || client.open.len() >= MOST_OPEN
+                    {
                         break false;
                     }
-                    let (token, name) = (field("token").unwrap_or_default(), field("i").unwrap_or_default());
+                    let (token, name) = (
+                        field("token").unwrap_or_default(),
+                        field("i").unwrap_or_default(),
+                    );
                     let what = match method {
                         "page" => Asked::Page { token, id: name },
                         "again" => Asked::Again { id: name },
                         _ => Asked::Release { token, id: name },
                     };
                     client.open.push((id, None));
-                    heard.push(Heard::Asked { client: key, id, what });
+                    heard.push(Heard::Asked {
+                        client: key,
+                        id,
+                        what,
+                    });
                     continue;
                 }
                 Message::Ask { id, .. } | Message::Unusable { id } => (id, Err("parameters")),
                 Message::Forget { ids } => {
                     for id in ids {
-                        let Some(at) = client.open.iter().position(|(own, _)| *own == id) else { continue };
+                        let Some(at) = client.open.iter().position(|(own, _)| *own == id) else {
+                            continue;
+                        };
                         match client.open.swap_remove(at).1 {
                             Some(request) => heard.push(Heard::Forgotten(request)),
                             // It has only just come, so it isn't taken at all.
@@ -121,9 +166,17 @@
             if client.open.iter().any(|(own, _)| *own == id) {
                 break false;
             }
-            let call = if client.open.len() < MOST_OPEN { call } else { Err("one of too many") };
+            let call = if client.open.len() < MOST_OPEN {
+                call
+            } else {
+                Err("one of too many")
+            };
             client.open.push((id, None));
-            heard.push(Heard::Call { client: key, id, call });
+            heard.push(Heard::Call {
+                client: key,
+                id,
+                call,
+            });
         };
         input.consume(used);
         understood
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -12,8 +12,13 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Clock { started: Instant::now(), started_at: since_epoch.as_micros() as Micros }
+        let since_epoch = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or(Duration::ZERO);
+        Clock {
+            started: Instant::now(),
+            started_at: since_epoch.as_micros() as Micros,
+        }
     }
 
     pub fn now(&self) -> Micros {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -34,8 +34,10 @@
 impl Config {
     /// The file that `EDGE_CONFIG` names.
     pub fn from_environment() -> Result<Self, String> {
-        let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no configuration file")?;
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("configuration {path}: {e}"))?;
+        let path =
+            std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no configuration file")?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("configuration {path}: {e}"))?;
         Self::read(&text).map_err(|e| format!("configuration {path}: {e}"))
     }
 
@@ -44,17 +46,26 @@
         let root: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let member = |key: &str| root.get(key).ok_or_else(|| format!("'{key}' is missing"));
         let word = |key: &str| {
-            member(key)?.as_str().map(str::to_string).ok_or_else(|| format!("'{key}' is no text"))
+            member(key)?
+                .as_str()
+                .map(str::to_string)
+                .ok_or_else(|| format!("'{key}' is no text"))
         };
         let address = |key: &str| {
             let text = word(key)?;
-            text.parse::<SocketAddr>().map_err(|_| format!("'{key}' is '{text}', no address with a port"))
+            text.parse::<SocketAddr>()
+                .map_err(|_| format!("'{key}' is '{text}', no address with a port"))
         };
         let limit = |key: &str, usual| match root.get("limits").and_then(|limits| limits.get(key)) {
             None => Ok(usual),
             Some(value) => value
                 .as_u64()
-                .or_else(|| value.as_f64().filter(|value| *value >= 1.0).map(|value| value as u64))
+                .or_else(|| {
+                    value
+                        .as_f64()
+                        .filter(|value| *value >= 1.0)
+                        .map(|value| value as u64)
+                })
                 .filter(|&value| value > 0)
                 .ok_or_else(|| format!("'limits.{key}' is {value}, no positive number")),
         };
@@ -63,7 +74,8 @@
         Ok(Config {
             name: word("name")?,
             listen: address("listen")?,
-            seed: u64::from_str_radix(&seed, 16).map_err(|_| format!("'seed' is '{seed}', no hex number"))?,
+            seed: u64::from_str_radix(&seed, 16)
+                .map_err(|_| format!("'seed' is '{seed}', no hex number"))?,
             memory_mb: limit("memory_mb", USUAL_MEMORY_MB)?,
             sockets: limit("sockets", USUAL_SOCKETS)? as usize,
             bulletin: address("bulletin")?,
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -101,7 +101,11 @@
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.error.to_string()))?;
-        Ok(Watched { file, token, events: events.clone() })
+        Ok(Watched {
+            file,
+            token,
+            events: events.clone(),
+        })
     }
 }
 
@@ -138,8 +142,11 @@
 
     /// Begins to connect; the end of that shows in [`Connection::is_up`] after a wake.
     pub fn dial(events: &Loop, address: SocketAddr, wake: Wake) -> io::Result<Self> {
-        let socket =
-            socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
+        let socket = socket2::Socket::new(
+            socket2::Domain::for_address(address),
+            socket2::Type::STREAM,
+            None,
+        )?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         match socket.connect(&address.into()) {
@@ -152,7 +159,13 @@
 
     fn new(events: &Loop, stream: TcpStream, wake: Wake, connecting: bool) -> io::Result<Self> {
         let socket = Watched::new(events, stream, Interest::BOTH, wake)?;
-        Ok(Connection { socket, input: Buffer::default(), output: Buffer::default(), written: 0, connecting })
+        Ok(Connection {
+            socket,
+            input: Buffer::default(),
+            output: Buffer::default(),
+            written: 0,
+            connecting,
+        })
     }
 
     /// Whether the connection stood at the last look.
@@ -180,7 +193,9 @@
                 read => break read,
             }
         };
-        self.input.bytes.truncate(before + *read.as_ref().unwrap_or(&0));
+        self.input
+            .bytes
+            .truncate(before + *read.as_ref().unwrap_or(&0));
         match read {
             Ok(0) => Ok(Filled::Ended),
             Ok(_) => Ok(Filled::Some),
@@ -224,13 +239,25 @@
 /// Whether an error says that this side has too few descriptors, addresses or memory.
 pub fn is_shortage(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    let short = [Errno::MFILE, Errno::NFILE, Errno::ADDRNOTAVAIL, Errno::NOBUFS, Errno::NOMEM];
-    short.iter().any(|errno| error.raw_os_error() == Some(errno.raw_os_error()))
+    let short = [
+        Errno::MFILE,
+        Errno::NFILE,
+        Errno::ADDRNOTAVAIL,
+        Errno::NOBUFS,
+        Errno::NOMEM,
+    ];
+    short
+        .iter()
+        .any(|errno| error.raw_os_error() == Some(errno.raw_os_error()))
 }
 
 /// Listens with the deepest queue that the system grants: what the system accepted is owed an answer.
 pub fn listen(events: &Loop, address: SocketAddr) -> io::Result<Watched<TcpListener>> {
-    let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
+    let socket = socket2::Socket::new(
+        socket2::Domain::for_address(address),
+        socket2::Type::STREAM,
+        None,
+    )?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
@@ -254,6 +281,10 @@
         assert_eq!((buffer.filled(), buffer.start), (&b"gh"[..], 0));
         buffer.tail().resize(100 * CHUNK, 0);
         buffer.clear();
-        assert!(buffer.is_empty() && buffer.bytes.capacity() <= 2 * CHUNK, "{}", buffer.bytes.capacity());
+        assert!(
+            buffer.is_empty() && buffer.bytes.capacity() <= 2 * CHUNK,
+            "{}",
+            buffer.bytes.capacity()
+        );
     }
 }
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -84,13 +84,17 @@
 impl Counters {
     /// Requests taken that have no end yet.
     pub fn open(&self) -> u64 {
-        let ended = self.served + self.refused + self.failed + self.invalid + self.forgotten + self.lost;
+        let ended =
+            self.served + self.refused + self.failed + self.invalid + self.forgotten + self.lost;
         self.taken - ended
     }
 }
 
 /// A word that begins a group of counters in the log, and the counters.
-type Group = (&'static str, &'static [(&'static str, fn(&Counters) -> u64)]);
+type Group = (
+    &'static str,
+    &'static [(&'static str, fn(&Counters) -> u64)],
+);
 
 const GROUPS: &[Group] = &[
     (
@@ -152,23 +156,45 @@
             ("evicted", |c| c.ended.evicted),
         ],
     ),
-    ("bulletin ", &[("list_events", |c| c.list_events), ("list_connections", |c| c.list_connections)]),
-    ("", &[("reloads", |c| c.reloads), ("reloads_failed", |c| c.reloads_failed)]),
+    (
+        "bulletin ",
+        &[
+            ("list_events", |c| c.list_events),
+            ("list_connections", |c| c.list_connections),
+        ],
+    ),
+    (
+        "",
+        &[
+            ("reloads", |c| c.reloads),
+            ("reloads_failed", |c| c.reloads_failed),
+        ],
+    ),
 ];
 
 impl Counters {
     /// Every counter by its name.
     pub fn pairs(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        GROUPS.iter().flat_map(|(_, counters)| counters.iter()).map(|(name, value)| (*name, value(self)))
+        GROUPS
+            .iter()
+            .flat_map(|(_, counters)| counters.iter())
+            .map(|(name, value)| (*name, value(self)))
     }
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (at, (word, counters)) in GROUPS.iter().enumerate() {
-            let pairs: Vec<String> =
-                counters.iter().map(|(name, value)| format!("{name}={}", value(self))).collect();
-            write!(f, "{}{word}{}", if at > 0 { "; " } else { "" }, pairs.join(" "))?;
+            let pairs: Vec<String> = counters
+                .iter()
+                .map(|(name, value)| format!("{name}={}", value(self)))
+                .collect();
+            write!(
+                f,
+                "{}{word}{}",
+                if at > 0 { "; " } else { "" },
+                pairs.join(" ")
+            )?;
         }
         Ok(())
     }
--- a/crates/gateway/src/deadlines.rs
+++ b/crates/gateway/src/deadlines.rs
@@ -39,7 +39,10 @@
 
 impl Deadlines {
     pub fn new() -> Self {
-        Deadlines { ahead: BTreeMap::new(), set: 0 }
+        Deadlines {
+            ahead: BTreeMap::new(),
+            set: 0,
+        }
     }
 
     pub fn set(&mut self, at: Micros, what: Due) -> DeadlineKey {
@@ -68,7 +71,10 @@
 
     /// The first that is due, which is then no longer set.
     pub fn due(&mut self, now: Micros) -> Option<Due> {
-        let first = self.ahead.first_entry().filter(|entry| entry.key().0 <= now)?;
+        let first = self
+            .ahead
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)?;
         Some(first.remove())
     }
 }
--- a/crates/gateway/src/deadlines/tests.rs
+++ b/crates/gateway/src/deadlines/tests.rs
@@ -12,6 +12,9 @@
     due.take_back(Some(gone));
     due.take_back(None);
     assert_eq!((due.next(), due.due(9)), (Some(10), None));
-    assert_eq!([due.due(10), due.due(10), due.due(10)], [Some(Due::Timer(2)), Some(Due::Timer(4)), None]);
+    assert_eq!(
+        [due.due(10), due.due(10), due.due(10)],
+        [Some(Due::Timer(2)), Some(Due::Timer(4)), None]
+    );
     assert_eq!((due.due(30), due.next()), (Some(Due::Timer(1)), None));
 }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -56,10 +56,7 @@
         report: Option<LoadReport>,
     },
     /// The next page of a result for the spool.
-    Page {
-        request: Key,
-        rows: Vec<u8>,
-    },
+    Page { request: Key, rows: Vec<u8> },
     /// It has had its last page.
     Spooled {
         request: Key,
@@ -118,11 +115,16 @@
         due: &mut Deadlines,
         heard: &mut Vec<Heard>,
     ) {
-        let known = self.engines.entry(engine).or_insert(Engine { address, conns: Vec::new() });
+        let known = self.engines.entry(engine).or_insert(Engine {
+            address,
+            conns: Vec::new(),
+        });
         let moved = known.address != address;
         known.address = address;
         for key in known.conns.clone() {
-            let Some(conn) = self.table.get_mut(key) else { continue };
+            let Some(conn) = self.table.get_mut(key) else {
+                continue;
+            };
             if conn.opened_at < started_at {
                 self.close(key, Outcome::Broken, due, heard);
             } else if moved {
@@ -172,12 +174,16 @@
         due: &mut Deadlines,
         heard: &mut Vec<Heard>,
     ) -> bool {
-        let Some(conn) = self.table.get_mut(key) else { return false };
+        let Some(conn) = self.table.get_mut(key) else {
+            return false;
+        };
         if conn.withdraw(id) {
             self.settle(key, now, due, heard);
             return false;
         }
-        let Some(open) = conn.open.remove(id) else { return false };
+        let Some(open) = conn.open.remove(id) else {
+            return false;
+        };
         if conn.connection.written < open.sent.1 {
             // The engine has a part of it and doesn't read: only the end of the connection keeps it from the
             // rest.
@@ -202,7 +208,9 @@
     /// A connection that has nothing to do closes, at once or after a while.
     fn settle(&mut self, key: Key, now: Micros, due: &mut Deadlines, heard: &mut Vec<Heard>) {
         let idle = (self.limits.idle as f64 * IDLE_PART) as Micros;
-        let Some(conn) = self.table.get_mut(key) else { return };
+        let Some(conn) = self.table.get_mut(key) else {
+            return;
+        };
         if !conn.open.is_empty() || !conn.probes.is_empty() {
             return;
         }
@@ -227,7 +235,9 @@
         counters: &mut Counters,
         heard: &mut Vec<Heard>,
     ) -> bool {
-        let Some(conn) = self.table.get_mut(key) else { return false };
+        let Some(conn) = self.table.get_mut(key) else {
+            return false;
+        };
         let was_up = conn.connection.was_up();
         match conn.connection.is_up() {
             Ok(false) => return false,
@@ -241,12 +251,17 @@
         }
         self.unflushed.push(key);
         for _ in 0..MOST_READS {
-            let Some(conn) = self.table.get_mut(key) else { return false };
+            let Some(conn) = self.table.get_mut(key) else {
+                return false;
+            };
             match conn.connection.fill() {
                 Ok(Filled::Some) => {
                     conn.heard_at = now;
                     if let Err(reason) = Self::understand(conn, due, counters, heard) {
-                        tracing::warn!("the connection to engine {} is closed: {reason}", conn.engine);
+                        tracing::warn!(
+                            "the connection to engine {} is closed: {reason}",
+                            conn.engine
+                        );
                         self.close(key, Outcome::Broken, due, heard);
                         return false;
                     }
@@ -291,13 +306,20 @@
                 due.take_back(Some(deadline));
                 let up = answer.word == Word::Up;
                 let outcome = if up { Outcome::Answered } else { Outcome::Full };
-                heard.push(Heard::Probed { engine: conn.engine, outcome, report: report(&answer.fields) });
+                heard.push(Heard::Probed {
+                    engine: conn.engine,
+                    outcome,
+                    report: report(&answer.fields),
+                });
                 continue;
             }
             let Some(open) = conn.open.get_mut(answer.id) else {
                 // Of something given up, a second copy, or of nothing that was asked for: more than belongs
                 // to an answer does no harm. A good end that crossed the cancel may have left pages there.
-                if answer.word == Word::Ok && pages(&answer) > Some(1) && conn.ended.contains(answer.id) {
+                if answer.word == Word::Ok
+                    && pages(&answer) > Some(1)
+                    && conn.ended.contains(answer.id)
+                {
                     line::write_release(output.tail(), answer.id);
                 }
                 continue;
@@ -338,7 +360,9 @@
         for key in unflushed.drain(..) {
             // One that isn't up yet is marked again once it is.
             let up = |conn: &&mut Conn| conn.connection.was_up();
-            let Some(conn) = self.table.get_mut(key).filter(up) else { continue };
+            let Some(conn) = self.table.get_mut(key).filter(up) else {
+                continue;
+            };
             let unbegun = conn.unbegun();
             if begins.is_none() && !unbegun.is_empty() {
                 self.unflushed.push(key);
@@ -347,10 +371,19 @@
             let mut withdrawn = false;
             for (id, request, attempt) in unbegun {
                 // A connection that takes no more leads to where the engine isn't any longer, or to nobody.
-                let may = !conn.retired && begins.as_mut().is_some_and(|begins| begins(request, attempt));
+                let may = !conn.retired
+                    && begins
+                        .as_mut()
+                        .is_some_and(|begins| begins(request, attempt));
                 if !may && conn.withdraw(&id) {
                     let outcome = Outcome::Unsent;
-                    heard.push(Heard::Over { request, attempt, outcome, report: None, told: false });
+                    heard.push(Heard::Over {
+                        request,
+                        attempt,
+                        outcome,
+                        report: None,
+                        told: false,
+                    });
                     withdrawn = true;
                 }
             }
@@ -365,7 +398,9 @@
     /// The one place that gives an engine's connection back. What was not written whole never came to the
     /// engine.
     fn close(&mut self, key: Key, outcome: Outcome, due: &mut Deadlines, heard: &mut Vec<Heard>) {
-        let Some(conn) = self.table.remove(key) else { return };
+        let Some(conn) = self.table.remove(key) else {
+            return;
+        };
         due.take_back(conn.deadline);
         due.take_back(conn.rest);
         if let Some(engine) = self.engines.get_mut(&conn.engine) {
@@ -374,15 +409,29 @@
         let mut told = false;
         for open in conn.open.into_values() {
             let whole = conn.connection.written >= open.sent.1;
-            let outcome = if whole { outcome } else { Outcome::NoConnection };
+            let outcome = if whole {
+                outcome
+            } else {
+                Outcome::NoConnection
+            };
             let (request, attempt) = (open.request, open.attempt);
-            heard.push(Heard::Over { request, attempt, outcome, report: None, told });
+            heard.push(Heard::Over {
+                request,
+                attempt,
+                outcome,
+                report: None,
+                told,
+            });
             // One that never came up says more of its engine than one that breaks.
             told = conn.connection.was_up();
         }
         for deadline in conn.probes.into_values() {
             due.take_back(Some(deadline));
-            heard.push(Heard::Probed { engine: conn.engine, outcome, report: None });
+            heard.push(Heard::Probed {
+                engine: conn.engine,
+                outcome,
+                report: None,
+            });
         }
         self.forget_unused(conn.engine);
     }
@@ -390,5 +439,6 @@
 
 /// An address as the list writes it.
 pub fn address(text: &str) -> Result<SocketAddr, io::Error> {
-    text.parse().map_err(|_| io::Error::other(format!("'{text}' is no address with a port")))
+    text.parse()
+        .map_err(|_| io::Error::other(format!("'{text}' is no address with a port")))
 }
--- a/crates/gateway/src/engines/answers.rs
+++ b/crates/gateway/src/engines/answers.rs
@@ -24,24 +24,59 @@
     let (request, attempt) = (open.request, open.attempt);
     let over = |outcome| {
         let report = report(&answer.fields);
-        Ok(Some(Heard::Over { request, attempt, outcome, report, told: false }))
+        Ok(Some(Heard::Over {
+            request,
+            attempt,
+            outcome,
+            report,
+            told: false,
+        }))
     };
     match (&mut open.stage, answer.word) {
         (Stage::Running, Word::Ok) if open.spooled => {
-            let count =
-                answer.fields.number("count").filter(|count| (1..=MOST_SPOOLED_PAGES).contains(count));
+            let count = answer
+                .fields
+                .number("count")
+                .filter(|count| (1..=MOST_SPOOLED_PAGES).contains(count));
             let count = count.ok_or("a result with no readable number of pages")?;
             check_page(answer.payload)?;
             let (bill, report) = (bill(&answer.fields), report(&answer.fields));
-            heard.push(Heard::Page { request, rows: answer.payload.to_vec() });
+            heard.push(Heard::Page {
+                request,
+                rows: answer.payload.to_vec(),
+            });
             if count == 1 {
-                return Ok(Some(Heard::Spooled { request, attempt, bill, report }));
+                return Ok(Some(Heard::Spooled {
+                    request,
+                    attempt,
+                    bill,
+                    report,
+                }));
             }
             let (bytes, early) = (answer.payload.len(), BTreeMap::new());
-            open.stage = Stage::Spooling { count, next: 1, asked: 1, early, bytes, bill, report };
+            open.stage = Stage::Spooling {
+                count,
+                next: 1,
+                asked: 1,
+                early,
+                bytes,
+                bill,
+                report,
+            };
             Ok(None)
         }
-        (Stage::Spooling { count, next, asked, early, bytes, bill, report }, Word::Rows) => {
+        (
+            Stage::Spooling {
+                count,
+                next,
+                asked,
+                early,
+                bytes,
+                bill,
+                report,
+            },
+            Word::Rows,
+        ) => {
             let at = answer.fields.number("pos").filter(|at: &usize| at < asked);
             let at = at.ok_or("a page that was not asked for")?;
             if at < *next || early.contains_key(&at) {
@@ -59,7 +94,12 @@
                 return Ok(None);
             }
             line::write_release(out, answer.id);
-            Ok(Some(Heard::Spooled { request, attempt, bill: *bill, report: report.take() }))
+            Ok(Some(Heard::Spooled {
+                request,
+                attempt,
+                bill: *bill,
+                report: report.take(),
+            }))
         }
         (Stage::Running, Word::Ok) => {
             let count = pages(answer).ok_or("a result with no readable number of pages")?;
@@ -67,16 +107,40 @@
             let (bill, report) = (bill(&answer.fields), report(&answer.fields));
             let first = answer.payload.to_vec();
             if count <= 1 {
-                return Ok(Some(Heard::Served { request, attempt, pages: vec![first], bill, report }));
+                return Ok(Some(Heard::Served {
+                    request,
+                    attempt,
+                    pages: vec![first],
+                    bill,
+                    report,
+                }));
             }
             (1..count).for_each(|page| line::write_read(out, answer.id, page));
             let bytes = first.len();
-            let pages = std::iter::once(Some(first)).chain((1..count).map(|_| None)).collect();
-            open.stage = Stage::Reading { pages, bytes, bill, report };
+            let pages = std::iter::once(Some(first))
+                .chain((1..count).map(|_| None))
+                .collect();
+            open.stage = Stage::Reading {
+                pages,
+                bytes,
+                bill,
+                report,
+            };
             Ok(None)
         }
-        (Stage::Reading { pages, bytes, bill, report }, Word::Rows) => {
-            let place = answer.fields.number("pos").and_then(|at: usize| pages.get_mut(at));
+        (
+            Stage::Reading {
+                pages,
+                bytes,
+                bill,
+                report,
+            },
+            Word::Rows,
+        ) => {
+            let place = answer
+                .fields
+                .number("pos")
+                .and_then(|at: usize| pages.get_mut(at));
             let place = place.ok_or("a page that was not asked for")?;
             if place.is_some() {
                 return Ok(None);
@@ -92,9 +156,19 @@
             }
             line::write_release(out, answer.id);
             let pages = pages.iter_mut().filter_map(Option::take).collect();
-            Ok(Some(Heard::Served { request, attempt, pages, bill: *bill, report: report.take() }))
+            Ok(Some(Heard::Served {
+                request,
+                attempt,
+                pages,
+                bill: *bill,
+                report: report.take(),
+            }))
         }
-        (_, Word::Note) => Ok(note(&answer.fields).map(|note| Heard::Noted { request, attempt, note })),
+        (_, Word::Note) => Ok(note(&answer.fields).map(|note| Heard::Noted {
+            request,
+            attempt,
+            note,
+        })),
         (Stage::Running, Word::Busy | Word::Void) => over(Outcome::Full),
         (_, Word::Err) => over(Outcome::Error),
         // A second copy of the first page.
@@ -105,12 +179,16 @@
 
 /// How many pages a good end says that it has, if that can be.
 pub(super) fn pages(answer: &Answer) -> Option<usize> {
-    answer.fields.number("count").filter(|count| (1..=MOST_PAGES).contains(count))
+    answer
+        .fields
+        .number("count")
+        .filter(|count| (1..=MOST_PAGES).contains(count))
 }
 
 /// A page holds whole rows of three columns as text: what doesn't came spoilt, and so may all that follows.
 fn check_page(page: &[u8]) -> Result<(), &'static str> {
-    let row = |row: &str| row.ends_with('\n') && row.bytes().filter(|&byte| byte == b'\t').count() == 2;
+    let row =
+        |row: &str| row.ends_with('\n') && row.bytes().filter(|&byte| byte == b'\t').count() == 2;
     let text = std::str::from_utf8(page).map_err(|_| "a page is not UTF-8")?;
     match text.split_inclusive('\n').all(row) {
         true => Ok(()),
@@ -121,7 +199,10 @@
 /// What a good end says it cost: `ticks` is work in milliseconds, `footprint` memory in MB.
 fn bill(fields: &Fields) -> Option<Bill> {
     let work: f64 = fields.number("ticks").filter(|work| *work > 0.0)?;
-    Some(Bill { work: work * 1e3, memory_mb: fields.number("footprint").unwrap_or(0.0) })
+    Some(Bill {
+        work: work * 1e3,
+        memory_mb: fields.number("footprint").unwrap_or(0.0),
+    })
 }
 
 fn note(fields: &Fields) -> Option<Note> {
--- a/crates/gateway/src/engines/conn.rs
+++ b/crates/gateway/src/engines/conn.rs
@@ -69,15 +69,28 @@
 impl Conn {
     /// It isn't idle any more; one that isn't up yet keeps its deadline for that.
     pub(super) fn is_used(&mut self, due: &mut Deadlines) {
-        due.take_back(if self.connection.was_up() { self.deadline.take() } else { None });
+        due.take_back(if self.connection.was_up() {
+            self.deadline.take()
+        } else {
+            None
+        });
     }
 
     /// Ranks that came for requests which were not out yet.
     pub(super) fn tell_later_ranks(&mut self) -> io::Result<()> {
-        let Connection { written, output, .. } = &mut self.connection;
-        let out = self.open.iter_mut().filter(|(_, open)| open.sent.1 <= *written);
+        let Connection {
+            written, output, ..
+        } = &mut self.connection;
+        let out = self
+            .open
+            .iter_mut()
+            .filter(|(_, open)| open.sent.1 <= *written);
         for (id, open) in out {
-            if let Some(rank) = open.later_rank.take().filter(|_| matches!(open.stage, Stage::Running)) {
+            if let Some(rank) = open
+                .later_rank
+                .take()
+                .filter(|_| matches!(open.stage, Stage::Running))
+            {
                 line::write_weigh(output.tail(), id, rank);
             }
         }
@@ -86,18 +99,27 @@
 
     /// Attempts of which no byte is out.
     pub(super) fn unbegun(&self) -> Vec<(Box<str>, Key, usize)> {
-        let unbegun = self.open.iter().filter(|(_, open)| self.connection.written <= open.sent.0);
-        unbegun.map(|(id, open)| (id.clone(), open.request, open.attempt)).collect()
+        let unbegun = self
+            .open
+            .iter()
+            .filter(|(_, open)| self.connection.written <= open.sent.0);
+        unbegun
+            .map(|(id, open)| (id.clone(), open.request, open.attempt))
+            .collect()
     }
 
     /// Withdraws an attempt of which no byte is out: it leaves nothing behind in what waits to be written.
     /// False: it isn't there, or has begun.
     pub(super) fn withdraw(&mut self, id: &str) -> bool {
         let written = self.connection.written;
-        let Some(open) = self.open.get(id).filter(|open| written <= open.sent.0) else { return false };
+        let Some(open) = self.open.get(id).filter(|open| written <= open.sent.0) else {
+            return false;
+        };
         let (begin, end) = open.sent;
         self.open.remove(id);
-        self.connection.output.cut((begin - written) as usize, (end - written) as usize);
+        self.connection
+            .output
+            .cut((begin - written) as usize, (end - written) as usize);
         for open in self.open.values_mut().filter(|open| open.sent.0 >= end) {
             open.sent = (open.sent.0 - (end - begin), open.sent.1 - (end - begin));
         }
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -16,7 +16,8 @@
     ) -> Result<Key, Outcome> {
         let streams = self.limits.streams;
         let takes = |conn: &Conn| {
-            let free = conn.open.len() + conn.probes.len() < streams && conn.ended.len() < MOST_ENDED;
+            let free =
+                conn.open.len() + conn.probes.len() < streams && conn.ended.len() < MOST_ENDED;
             free && !conn.open.contains_key(serve.id) && !conn.ended.contains(serve.id)
         };
         let key = self.connection_to(now, engine, takes, due, counters)?;
@@ -27,7 +28,15 @@
         let sent = (begin, conn.connection.end_of_output());
         conn.open.insert(
             serve.id.into(),
-            Open { request, attempt, stage: Stage::Running, spooled, sent_at: now, sent, later_rank: None },
+            Open {
+                request,
+                attempt,
+                stage: Stage::Running,
+                spooled,
+                sent_at: now,
+                sent,
+                later_rank: None,
+            },
         );
         self.unflushed.push(key);
         Ok(key)
@@ -44,7 +53,11 @@
         counters: &mut Counters,
     ) -> Result<Key, Outcome> {
         let known = self.engines.get(&engine).ok_or(Outcome::NoConnection)?;
-        let usable = |key: &&Key| self.table.get(**key).is_some_and(|conn| !conn.retired && takes(conn));
+        let usable = |key: &&Key| {
+            self.table
+                .get(**key)
+                .is_some_and(|conn| !conn.retired && takes(conn))
+        };
         if let Some(&key) = known.conns.iter().find(usable) {
             return Ok(key);
         }
@@ -55,16 +68,19 @@
             return Err(Outcome::Unsent);
         }
         let key = self.table.next_key();
-        let connection = Connection::dial(&self.events, address, Wake::Engine(key)).map_err(|e| {
-            tracing::debug!("no connection to engine {engine}: {e}");
-            let (count, outcome) = match is_shortage(&e) {
-                true => (&mut counters.dials_short, Outcome::Unsent),
-                false => (&mut counters.dials_failed, Outcome::NoConnection),
-            };
-            *count += 1;
-            outcome
-        })?;
-        self.engines.entry(engine).and_modify(|known| known.conns.push(key));
+        let connection =
+            Connection::dial(&self.events, address, Wake::Engine(key)).map_err(|e| {
+                tracing::debug!("no connection to engine {engine}: {e}");
+                let (count, outcome) = match is_shortage(&e) {
+                    true => (&mut counters.dials_short, Outcome::Unsent),
+                    false => (&mut counters.dials_failed, Outcome::NoConnection),
+                };
+                *count += 1;
+                outcome
+            })?;
+        self.engines
+            .entry(engine)
+            .and_modify(|known| known.conns.push(key));
         Ok(self.table.insert(Conn {
             engine,
             connection,
@@ -81,9 +97,13 @@
 
     /// Room for another connection, at the cost of one that carries nothing.
     fn close_idlest(&mut self, due: &mut Deadlines) -> bool {
-        let idle = |conn: &Conn| conn.open.is_empty() && conn.probes.is_empty() && conn.connection.was_up();
+        let idle = |conn: &Conn| {
+            conn.open.is_empty() && conn.probes.is_empty() && conn.connection.was_up()
+        };
         let conns = self.table.iter().filter(|(_, conn)| idle(conn));
-        let Some((key, _)) = conns.min_by_key(|(_, conn)| conn.heard_at) else { return false };
+        let Some((key, _)) = conns.min_by_key(|(_, conn)| conn.heard_at) else {
+            return false;
+        };
         self.close(key, Outcome::Unsent, due, &mut Vec::new());
         true
     }
@@ -105,7 +125,10 @@
         let tag = format!("probe-{}", self.probes_sent);
         line::write_gauges(conn.connection.output.tail(), &tag);
         // An answer may take as long as a connection may: neither waits for the engine's work.
-        let deadline = due.set(now + self.limits.dial_timeout, Due::Probe(key, self.probes_sent));
+        let deadline = due.set(
+            now + self.limits.dial_timeout,
+            Due::Probe(key, self.probes_sent),
+        );
         conn.probes.insert(tag.into(), deadline);
         conn.is_used(due);
         self.unflushed.push(key);
@@ -113,16 +136,30 @@
     }
 
     pub fn probe_late(&mut self, key: Key, number: u64, heard: &mut Vec<Heard>) {
-        let Some(conn) = self.table.get_mut(key) else { return };
-        if conn.probes.remove(format!("probe-{number}").as_str()).is_some() {
-            heard.push(Heard::Probed { engine: conn.engine, outcome: Outcome::TimedOut, report: None });
+        let Some(conn) = self.table.get_mut(key) else {
+            return;
+        };
+        if conn
+            .probes
+            .remove(format!("probe-{number}").as_str())
+            .is_some()
+        {
+            heard.push(Heard::Probed {
+                engine: conn.engine,
+                outcome: Outcome::TimedOut,
+                report: None,
+            });
         }
     }
 
     /// A new priority for what is out. False: it is over there, its pages are being read.
     pub fn weigh(&mut self, key: Key, id: &str, rank: u8) -> bool {
-        let Some(conn) = self.table.get_mut(key) else { return false };
-        let Some(open) = conn.open.get_mut(id) else { return false };
+        let Some(conn) = self.table.get_mut(key) else {
+            return false;
+        };
+        let Some(open) = conn.open.get_mut(id) else {
+            return false;
+        };
         let running = matches!(open.stage, Stage::Running);
         if running && conn.connection.written < open.sent.1 {
             open.later_rank = Some(rank);
@@ -135,9 +172,20 @@
 
     /// Asks for more pages of a result for the spool, as many as so many bytes hold.
     pub fn read_on(&mut self, key: Key, id: &str, ahead: u64) {
-        let Some(conn) = self.table.get_mut(key) else { return };
-        let Some(Open { stage: Stage::Spooling { count, next, asked, bytes, .. }, .. }) =
-            conn.open.get_mut(id)
+        let Some(conn) = self.table.get_mut(key) else {
+            return;
+        };
+        let Some(Open {
+            stage:
+                Stage::Spooling {
+                    count,
+                    next,
+                    asked,
+                    bytes,
+                    ..
+                },
+            ..
+        }) = conn.open.get_mut(id)
         else {
             return;
         };
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -6,7 +6,9 @@
 use std::fmt::{self, Debug, Formatter};
 use std::hash::Hasher;
 
-use eideryard::interface::{AttemptBudget, Class, Discovery, Effect, Kind, Scope, Settings, Tenant};
+use eideryard::interface::{
+    AttemptBudget, Class, Discovery, Effect, Kind, Scope, Settings, Tenant,
+};
 use siphasher::sip::SipHasher13;
 
 #[cfg(test)]
@@ -26,7 +28,10 @@
 
 /// A fingerprint of the classes that intents are kept for: their places, effects, scopes and windows.
 pub fn classes_fingerprint(classes: &[Class]) -> u64 {
-    let kept = classes.iter().enumerate().filter(|(_, class)| class.effect != Effect::Safe);
+    let kept = classes
+        .iter()
+        .enumerate()
+        .filter(|(_, class)| class.effect != Effect::Safe);
     let lines: Vec<String> = kept
         .map(|(index, class)| {
             let (effect, scope) = (effect_name(class.effect), scope_name(class.scope));
@@ -34,7 +39,9 @@
         })
         .collect();
     let hash = blake3::hash(lines.join("\n").as_bytes());
-    hash.as_bytes()[..8].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+    hash.as_bytes()[..8]
+        .iter()
+        .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
 fn effect_name(effect: Effect) -> &'static str {
@@ -136,7 +143,9 @@
 
 impl Debug for TenantText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Tenant").field("quota_per_s", &self.0.quota_per_s).finish()
+        f.debug_struct("Tenant")
+            .field("quota_per_s", &self.0.quota_per_s)
+            .finish()
     }
 }
 
@@ -145,7 +154,10 @@
 impl Debug for KindText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let kind = self.0;
-        f.debug_struct("Kind").field("cores", &kind.cores).field("memory_mb", &kind.memory_mb).finish()
+        f.debug_struct("Kind")
+            .field("cores", &kind.cores)
+            .field("memory_mb", &kind.memory_mb)
+            .finish()
     }
 }
 
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -51,9 +51,25 @@
 
 #[test]
 fn a_checkpoint_is_written_and_read_as_before() {
-    let class = |memory_mb| ClassLesson { work_ratio: 1.5, memory_ratio: 0.7, work: 9.0, memory_mb };
-    let engine = EngineLesson { engine: 7, booted_at: 5, stretch: 1.2, best: 0.9, bad: 0.1, others: 3.0 };
-    let lessons = Lessons { classes: vec![class(Some(3.0)), class(None)], engines: vec![engine], level: 0.5 };
+    let class = |memory_mb| ClassLesson {
+        work_ratio: 1.5,
+        memory_ratio: 0.7,
+        work: 9.0,
+        memory_mb,
+    };
+    let engine = EngineLesson {
+        engine: 7,
+        booted_at: 5,
+        stretch: 1.2,
+        best: 0.9,
+        bad: 0.1,
+        others: 3.0,
+    };
+    let lessons = Lessons {
+        classes: vec![class(Some(3.0)), class(None)],
+        engines: vec![engine],
+        level: 0.5,
+    };
     let fingerprint = settings_fingerprint(&sample());
     golden::check("checkpoint.bin", &to_bytes(&lessons, 100, fingerprint));
     let stored = std::fs::read(golden::path("checkpoint.bin")).unwrap();
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -74,7 +74,12 @@
 }
 
 impl Gateway {
-    pub fn start(config: Config, operator: &Operator, clock: Clock, events: &Loop) -> io::Result<Self> {
+    pub fn start(
+        config: Config,
+        operator: &Operator,
+        clock: Clock,
+        events: &Loop,
+    ) -> io::Result<Self> {
         let names = Names::new(&config.settings, &config.host);
         let limits = engines::Limits {
             dial_timeout: config.host.dial_timeout,
@@ -105,7 +110,8 @@
                 let random = config.seed ^ now.rotate_left(23) ^ u64::from(std::process::id());
                 let wake = Box::new(move || ping.ping());
                 let (settings, memory_mb) = (&config.settings, config.memory_mb);
-                let (mut keeping, shared) = Keeping::start(plan, settings, memory_mb, now, random, wake);
+                let (mut keeping, shared) =
+                    Keeping::start(plan, settings, memory_mb, now, random, wake);
                 if let Some(fleet) = &operator.fleet {
                     let (ping, woken) = calloop::ping::make_ping()?;
                     events
@@ -125,9 +131,20 @@
             }
             None => None,
         };
-        let tap = Tap::start(&config.name, now, names.of_record(), operator.record.as_ref());
+        let tap = Tap::start(
+            &config.name,
+            now,
+            names.of_record(),
+            operator.record.as_ref(),
+        );
         let mut gateway = Gateway {
-            clients: Clients::new(events, config.listen, config.sockets, config.memory_mb, tap.is_on())?,
+            clients: Clients::new(
+                events,
+                config.listen,
+                config.sockets,
+                config.memory_mb,
+                tap.is_on(),
+            )?,
             engines: Engines::new(events, limits),
             watch: Watch::new(
                 events,
@@ -159,11 +176,21 @@
         };
         gateway.clients.pages = gateway.spooling.is_some();
         gateway.tell_state();
-        config.known.items.into_iter().for_each(|item| gateway.listed(item));
-        gateway.watch.call(now, &mut gateway.due, &mut gateway.counters);
+        config
+            .known
+            .items
+            .into_iter()
+            .for_each(|item| gateway.listed(item));
+        gateway
+            .watch
+            .call(now, &mut gateway.due, &mut gateway.counters);
         gateway.settle();
         // Behind the list: what was learned is held against the engines that are there now.
-        if let Some((lessons, age)) = gateway.keeping.as_mut().and_then(|keeping| keeping.lessons()) {
+        if let Some((lessons, age)) = gateway
+            .keeping
+            .as_mut()
+            .and_then(|keeping| keeping.lessons())
+        {
             gateway.events.push_back(Event::Remembered { lessons, age });
         }
         gateway.settle();
@@ -176,9 +203,22 @@
         if !again.is_empty() {
             return Some(Duration::ZERO);
         }
-        let spool = self.spooling.as_ref().and_then(|spooling| spooling.due(self.clock.now()));
-        let keeping = self.keeping.as_ref().and_then(|keeping| keeping.due(self.clock.now()));
-        let next = self.due.next().into_iter().chain(self.tap.due()).chain(spool).chain(keeping).min()?;
+        let spool = self
+            .spooling
+            .as_ref()
+            .and_then(|spooling| spooling.due(self.clock.now()));
+        let keeping = self
+            .keeping
+            .as_ref()
+            .and_then(|keeping| keeping.due(self.clock.now()));
+        let next = self
+            .due
+            .next()
+            .into_iter()
+            .chain(self.tap.due())
+            .chain(spool)
+            .chain(keeping)
+            .min()?;
         Some(Duration::from_micros(next.saturating_sub(self.clock.now())))
     }
 
@@ -216,7 +256,8 @@
             Wake::Client(key) => {
                 let (names, heard) = (&self.names, &mut self.from_clients);
                 let due = &mut self.due;
-                self.clients.read(key, now, names, due, &mut self.counters, heard);
+                self.clients
+                    .read(key, now, names, due, &mut self.counters, heard);
                 self.hear_clients();
             }
             Wake::Engine(key) => {
@@ -229,7 +270,10 @@
             Wake::Bulletin => {
                 let mut items = Vec::new();
                 let before = (self.watch.is_heard(), self.counters.list_events);
-                if self.watch.read(now, &mut self.due, &mut self.counters, &mut items) {
+                if self
+                    .watch
+                    .read(now, &mut self.due, &mut self.counters, &mut items)
+                {
                     again.push(wake);
                 }
                 self.tell_watch(now, before, &items);
@@ -260,7 +304,9 @@
     /// Takes in all that wait to connect. False: some still wait.
     fn accept(&mut self) -> bool {
         let (now, names, heard) = (self.clock.now(), &self.names, &mut self.from_clients);
-        let all = self.clients.accept(now, names, &mut self.due, &mut self.counters, heard);
+        let all = self
+            .clients
+            .accept(now, names, &mut self.due, &mut self.counters, heard);
         if !all {
             self.due.set(now + ACCEPT_PAUSE, Due::Accept);
         }
@@ -276,10 +322,13 @@
             Due::Attempt(request, attempt) => self.give_up(request, attempt, Outcome::TimedOut),
             Due::Client(key) => {
                 let (names, due, heard) = (&self.names, &mut self.due, &mut self.from_clients);
-                self.clients.client_due(key, now, names, due, &mut self.counters, heard);
+                self.clients
+                    .client_due(key, now, names, due, &mut self.counters, heard);
                 self.hear_clients();
             }
-            Due::Conn(key) => self.engines.conn_due(key, &mut self.due, &mut self.from_engines),
+            Due::Conn(key) => self
+                .engines
+                .conn_due(key, &mut self.due, &mut self.from_engines),
             Due::Probe(key, number) => self.engines.probe_late(key, number, &mut self.from_engines),
             Due::Bulletin => {
                 let before = (self.watch.is_heard(), self.counters.list_events);
@@ -315,7 +364,8 @@
     /// client has left or an engine drains may be among it.
     fn flush(&mut self) {
         let heard = &mut self.from_clients;
-        self.clients.flush(self.clock.now(), &mut self.due, &mut self.counters, heard);
+        self.clients
+            .flush(self.clock.now(), &mut self.due, &mut self.counters, heard);
         self.hear_clients();
         let (now, module) = (self.clock.now(), &mut self.module);
         let mut begins = |request: Key, attempt| module.begins(now, request.number(), attempt);
@@ -323,7 +373,8 @@
             true => Some(&mut begins),
             false => None,
         };
-        self.engines.flush(now, begins, &mut self.due, &mut self.from_engines);
+        self.engines
+            .flush(now, begins, &mut self.due, &mut self.from_engines);
         self.hear_engines();
     }
 
@@ -339,7 +390,9 @@
                     self.left(request, AnswerKind::Forgotten);
                 }
                 clients::Heard::Spoilt(request) => {
-                    self.events.push_back(Event::ClientLeft { request: request.number() });
+                    self.events.push_back(Event::ClientLeft {
+                        request: request.number(),
+                    });
                     self.turn_down(request, "Failed", &[]);
                 }
                 clients::Heard::Left(request) => {
@@ -360,13 +413,16 @@
         match Config::from_environment() {
             Ok(config) => {
                 self.counters.reloads += 1;
-                self.tap.host(self.clock.now(), Host::Reloaded { done: true });
+                self.tap
+                    .host(self.clock.now(), Host::Reloaded { done: true });
                 tracing::info!("reloaded; the bulletin is at {}", config.bulletin);
-                self.watch.move_to(config.bulletin, self.clock.now(), &mut self.due);
+                self.watch
+                    .move_to(config.bulletin, self.clock.now(), &mut self.due);
             }
             Err(message) => {
                 self.counters.reloads_failed += 1;
-                self.tap.host(self.clock.now(), Host::Reloaded { done: false });
+                self.tap
+                    .host(self.clock.now(), Host::Reloaded { done: false });
                 tracing::error!("not reloaded, the old configuration stays: {message}");
             }
         }
@@ -376,5 +432,9 @@
 /// What the record says of a request beside what the module is told.
 fn offer(key: Key, request: &requests::Request) -> Offer {
     let id = u64::from_str_radix(&request.id, 16).unwrap_or_default();
-    Offer { request: key.number(), id, connection: request.client.number() }
+    Offer {
+        request: key.number(),
+        id,
+        connection: request.client.number(),
+    }
 }
--- a/crates/gateway/src/gateway/answering.rs
+++ b/crates/gateway/src/gateway/answering.rs
@@ -6,27 +6,56 @@
     pub(super) fn hear_engines(&mut self) {
         for heard in std::mem::take(&mut self.from_engines) {
             match heard {
-                engines::Heard::Over { request, attempt, outcome, report, told } => {
-                    self.over(request, attempt, outcome, told, None, report)
-                }
-                engines::Heard::Served { request, attempt, pages, bill, report } => {
+                engines::Heard::Over {
+                    request,
+                    attempt,
+                    outcome,
+                    report,
+                    told,
+                } => self.over(request, attempt, outcome, told, None, report),
+                engines::Heard::Served {
+                    request,
+                    attempt,
+                    pages,
+                    bill,
+                    report,
+                } => {
                     self.serve(request, &pages);
                     self.over(request, attempt, Outcome::Answered, false, bill, report);
                 }
                 engines::Heard::Page { request, rows } => self.page(request, rows),
-                engines::Heard::Spooled { request, attempt, bill, report } => {
+                engines::Heard::Spooled {
+                    request,
+                    attempt,
+                    bill,
+                    report,
+                } => {
                     self.spooled(request);
                     self.over(request, attempt, Outcome::Answered, false, bill, report);
                 }
-                engines::Heard::Noted { request, attempt, note } => {
-                    self.events.push_back(Event::Noted { request: request.number(), attempt, note })
-                }
-                engines::Heard::Probed { engine, outcome, report } => {
+                engines::Heard::Noted {
+                    request,
+                    attempt,
+                    note,
+                } => self.events.push_back(Event::Noted {
+                    request: request.number(),
+                    attempt,
+                    note,
+                }),
+                engines::Heard::Probed {
+                    engine,
+                    outcome,
+                    report,
+                } => {
                     let now = self.clock.now();
                     if let Some((keeping, report)) = self.keeping.as_mut().zip(report.as_ref()) {
                         keeping.reported(now, engine, report);
                     }
-                    self.events.push_back(Event::Probed(Probed { engine, outcome, report }))
+                    self.events.push_back(Event::Probed(Probed {
+                        engine,
+                        outcome,
+                        report,
+                    }))
                 }
             }
         }
@@ -35,7 +64,9 @@
     /// The first good answer goes to the client.
     pub(super) fn serve(&mut self, key: Key, pages: &[Vec<u8>]) {
         let pages = pages.iter().map(Vec::as_slice);
-        if self.answer(key, AnswerKind::Served, |out, call| write_result(out, call, pages)) {
+        if self.answer(key, AnswerKind::Served, |out, call| {
+            write_result(out, call, pages)
+        }) {
             self.counters.served += 1;
         }
     }
@@ -47,17 +78,24 @@
         how: AnswerKind,
         write: impl FnOnce(&mut Vec<u8>, u32),
     ) -> bool {
-        let Some(request) = self.requests.get_mut(key).filter(|request| !request.answered) else {
+        let Some(request) = self
+            .requests
+            .get_mut(key)
+            .filter(|request| !request.answered)
+        else {
             return false;
         };
         request.answered = true;
         let late = self.clock.now() > request.deadline;
         self.counters.late += late as u64;
         let call = request.call;
-        let told = self.clients.answer(request.client, call, |out| write(out, call));
+        let told = self
+            .clients
+            .answer(request.client, call, |out| write(out, call));
         self.counters.lost += !told as u64;
         let how = if told { how } else { AnswerKind::Lost };
-        self.span(key).in_scope(|| tracing::debug!(late, "{}", how.name()));
+        self.span(key)
+            .in_scope(|| tracing::debug!(late, "{}", how.name()));
         self.tell_end(key, how, late);
         told
     }
@@ -72,14 +110,30 @@
         bill: Option<Bill>,
         report: Option<LoadReport>,
     ) {
-        let Some(request) = self.requests.get_mut(key) else { return };
-        let Some(tried) = request.attempts.get_mut(attempt) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
+        let Some(tried) = request.attempts.get_mut(attempt) else {
+            return;
+        };
         let engine = tried.engine;
         (tried.conn, tried.waits) = (None, false);
         self.due.take_back(tried.deadline.take());
-        if let Some(keeping) = self.keeping.as_mut().filter(|_| std::mem::take(&mut tried.kept)) {
-            let never_ran = matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::Unsent);
-            keeping.ended(self.clock.now(), request.class, request.key.as_deref(), never_ran);
+        if let Some(keeping) = self
+            .keeping
+            .as_mut()
+            .filter(|_| std::mem::take(&mut tried.kept))
+        {
+            let never_ran = matches!(
+                outcome,
+                Outcome::Full | Outcome::NoConnection | Outcome::Unsent
+            );
+            keeping.ended(
+                self.clock.now(),
+                request.class,
+                request.key.as_deref(),
+                never_ran,
+            );
         }
         self.counters.attempts.count(outcome);
         self.events.push_back(Event::Ended(Ended {
@@ -101,14 +155,25 @@
 
     /// No answer of an attempt is waited for any more: it ends with this outcome, or as never sent.
     pub(super) fn give_up(&mut self, key: Key, attempt: usize, outcome: Outcome) {
-        let Some(request) = self.requests.get_mut(key) else { return };
-        let Some(tried) = request.attempts.get_mut(attempt) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
+        let Some(tried) = request.attempts.get_mut(attempt) else {
+            return;
+        };
         if tried.waits {
             return self.over(key, attempt, Outcome::Unsent, false, None, None);
         }
         let Some(conn) = tried.conn else { return };
         let (now, due, heard) = (self.clock.now(), &mut self.due, &mut self.from_engines);
         let sent = self.engines.give_up(now, conn, &request.id, due, heard);
-        self.over(key, attempt, if sent { outcome } else { Outcome::Unsent }, false, None, None);
+        self.over(
+            key,
+            attempt,
+            if sent { outcome } else { Outcome::Unsent },
+            false,
+            None,
+            None,
+        );
     }
 }
--- a/crates/gateway/src/gateway/calling.rs
+++ b/crates/gateway/src/gateway/calling.rs
@@ -20,13 +20,25 @@
         let spooled = call.paged && self.spooling.is_some();
         let address = self.clients.address_of(client);
         let name = call.key.clone().filter(|_| spooled);
-        if let Some((name, spooling)) = name.zip(self.spooling.as_mut()).filter(|(name, own)| own.knows(name))
+        if let Some((name, spooling)) = name
+            .zip(self.spooling.as_mut())
+            .filter(|(name, own)| own.knows(name))
         {
             // The same key again: the answer of its one run is this one's too, and no room and no attempt
             // is taken.
-            let who = Waiter { client, call: id, counts: Some(of) };
+            let who = Waiter {
+                client,
+                call: id,
+                counts: Some(of),
+            };
             let told = spooling.again(&name, who, now);
-            self.tap.host(now, Host::Attached { class: of.0, tenant: of.1 });
+            self.tap.host(
+                now,
+                Host::Attached {
+                    class: of.0,
+                    tenant: of.1,
+                },
+            );
             told.into_iter().for_each(|word| self.tell(word));
             return;
         }
@@ -37,8 +49,13 @@
                 self.tell_untaken(Untaken::NoRoom, Some(of));
                 let wait = wait.map(|wait| (wait / 1000).to_string());
                 let mut fields = vec![("why", why)];
-                fields.extend(wait.as_deref().filter(|_| self.may_advise).map(|wait| ("w", wait)));
-                self.clients.answer(client, id, |out| write_error(out, id, "TryLater", &fields));
+                fields.extend(
+                    wait.as_deref()
+                        .filter(|_| self.may_advise)
+                        .map(|wait| ("w", wait)),
+                );
+                self.clients
+                    .answer(client, id, |out| write_error(out, id, "TryLater", &fields));
                 return;
             }
         }
@@ -55,8 +72,15 @@
             class: call.class,
             tenant: call.tenant,
             // The module keeps the order of classes that have one by it; one that comes without is its own.
-            key: call.order_key.as_deref().or(call.key.as_deref()).map(str::to_string),
-            deadline: self.shutdown.last_answer().map_or(deadline, |stop| deadline.min(stop)),
+            key: call
+                .order_key
+                .as_deref()
+                .or(call.key.as_deref())
+                .map(str::to_string),
+            deadline: self
+                .shutdown
+                .last_answer()
+                .map_or(deadline, |stop| deadline.min(stop)),
             work: call.work,
             memory_mb: call.memory_mb,
             group: call.group.unwrap_or(0),
@@ -69,25 +93,39 @@
                 self.counters.refused += 1;
                 self.counters.no_room += 1;
                 self.tell_untaken(Untaken::NoRoom, Some(of));
-                self.clients.answer(client, id, |out| write_error(out, id, "TryLater", &[]));
+                self.clients
+                    .answer(client, id, |out| write_error(out, id, "TryLater", &[]));
                 return;
             }
         };
         self.clients.opened(client, id, request);
         let mut own = self.requests.get_mut(request);
-        own.iter_mut().for_each(|own| own.earlier.clone_from(&earlier));
+        own.iter_mut()
+            .for_each(|own| own.earlier.clone_from(&earlier));
         if let Some((spooling, own)) = self.spooling.as_mut().filter(|_| spooled).zip(own) {
             own.spooled = true;
-            let who = Waiter { client, call: id, counts: None };
+            let who = Waiter {
+                client,
+                call: id,
+                counts: None,
+            };
             let name = own.key.as_ref().unwrap_or(&own.id);
             spooling.begin(request.number(), name, who, (of.0, of.1, address), now);
         }
         self.span(request).in_scope(|| tracing::debug!("taken"));
         if self.tap.is_on() {
-            let offered = self.requests.get_mut(request).map(|own| Host::Offered(offer(request, own)));
-            offered.into_iter().for_each(|offered| self.tap.host(now, offered));
+            let offered = self
+                .requests
+                .get_mut(request)
+                .map(|own| Host::Offered(offer(request, own)));
+            offered
+                .into_iter()
+                .for_each(|offered| self.tap.host(now, offered));
         }
-        self.events.push_back(Event::Arrived(Request { id: request.number(), ..arrived }));
+        self.events.push_back(Event::Arrived(Request {
+            id: request.number(),
+            ..arrived
+        }));
     }
 
     /// A keyed request is not taken, since its intent can't be kept now.
@@ -98,7 +136,8 @@
         let wait = (eideryard_ledger::state::ADVICE / 1000).to_string();
         let mut fields = vec![("why", why.name())];
         fields.extend(Some(("w", wait.as_str())).filter(|_| self.may_advise));
-        self.clients.answer(client, id, |out| write_error(out, id, "TryLater", &fields));
+        self.clients
+            .answer(client, id, |out| write_error(out, id, "TryLater", &fields));
     }
 
     /// A request that can't be used gets an error that names the field.
@@ -106,7 +145,9 @@
         tracing::debug!("a request can't be used: {field}");
         self.counters.invalid += 1;
         self.tell_untaken(Untaken::Invalid, None);
-        self.clients.answer(client, id, |out| write_error(out, id, "Invalid", &[("field", field)]));
+        self.clients.answer(client, id, |out| {
+            write_error(out, id, "Invalid", &[("field", field)])
+        });
     }
 
     /// Nobody waits for this any more.
@@ -115,7 +156,9 @@
         self.tell_end(key, how, false);
         if let Some(request) = self.requests.get_mut(key) {
             request.answered = true;
-            self.events.push_back(Event::ClientLeft { request: key.number() });
+            self.events.push_back(Event::ClientLeft {
+                request: key.number(),
+            });
             self.requests.give_back(key, &mut self.due);
         }
     }
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -6,7 +6,11 @@
 impl Gateway {
     pub(super) fn listed(&mut self, item: Item) {
         let Some(roster) = item.roster else { return };
-        let mut entries: Vec<Entry> = roster.hosts.iter().map(|listed| self.entry(listed)).collect();
+        let mut entries: Vec<Entry> = roster
+            .hosts
+            .iter()
+            .map(|listed| self.entry(listed))
+            .collect();
         self.share_drains(item.no, &mut entries);
         for (entry, listed) in entries.iter().zip(&roster.hosts) {
             let address = match entry.phase {
@@ -23,20 +27,32 @@
                 keeping.listed(entry.engine, entry.zone, entry.cell);
             }
             let (due, heard) = (&mut self.due, &mut self.from_engines);
-            self.engines.listed(entry.engine, address, entry.booted_at, due, heard);
+            self.engines
+                .listed(entry.engine, address, entry.booted_at, due, heard);
         }
         if roster.whole {
             let told: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
-            for engine in self.engines.ids().into_iter().filter(|engine| !told.contains(engine)) {
-                self.engines.unlisted(engine, &mut self.due, &mut self.from_engines);
+            for engine in self
+                .engines
+                .ids()
+                .into_iter()
+                .filter(|engine| !told.contains(engine))
+            {
+                self.engines
+                    .unlisted(engine, &mut self.due, &mut self.from_engines);
             }
         }
         let takes_away = roster.whole || entries.iter().any(|entry| entry.phase == Phase::Gone);
-        let event = if roster.whole { Event::FullList(entries) } else { Event::ListChanges(entries) };
+        let event = if roster.whole {
+            Event::FullList(entries)
+        } else {
+            Event::ListChanges(entries)
+        };
         // What the list ended comes after the list itself.
         self.events.push_back(event);
         self.hear_engines();
-        self.clients.well |= self.shutdown.phase() == Stage::Serving && !self.engine_names.is_empty();
+        self.clients.well |=
+            self.shutdown.phase() == Stage::Serving && !self.engine_names.is_empty();
         if takes_away {
             self.forget_engines();
         }
@@ -48,9 +64,12 @@
     /// Engines come under new names all day: a name stays as long as its engine or a connection to it, and
     /// goes with the next list that takes an engine away. Other changes of the list need no walk over all.
     fn forget_engines(&mut self) {
-        self.engine_names.retain(|&engine, _| self.engines.knows(engine));
-        self.last_listed.retain(|&engine, _| self.engines.knows(engine));
-        self.last_entries.retain(|&engine, _| self.engines.knows(engine));
+        self.engine_names
+            .retain(|&engine, _| self.engines.knows(engine));
+        self.last_listed
+            .retain(|&engine, _| self.engines.knows(engine));
+        self.last_entries
+            .retain(|&engine, _| self.engines.knows(engine));
         if let Some(keeping) = &mut self.keeping {
             keeping.forget_engines(|engine| self.engines.knows(engine));
         }
@@ -59,7 +78,9 @@
     /// Drains of the own list are told to peers; what a peer's newer list forbids binds here too.
     pub(super) fn share_drains(&mut self, number: u64, entries: &mut [Entry]) {
         let now = self.clock.now();
-        let Some(keeping) = &mut self.keeping else { return };
+        let Some(keeping) = &mut self.keeping else {
+            return;
+        };
         let closed = entries.iter().filter(|entry| entry.phase != Phase::Ready);
         let told = closed.map(|entry| Drain {
             number,
@@ -68,8 +89,14 @@
             gone: entry.phase == Phase::Gone,
         });
         keeping.drained(now, told.collect());
-        for entry in entries.iter_mut().filter(|entry| entry.phase == Phase::Ready) {
-            if keeping.binds(entry.engine, entry.booted_at, number).is_some() {
+        for entry in entries
+            .iter_mut()
+            .filter(|entry| entry.phase == Phase::Ready)
+        {
+            if keeping
+                .binds(entry.engine, entry.booted_at, number)
+                .is_some()
+            {
                 entry.phase = Phase::Draining;
             }
         }
@@ -78,9 +105,14 @@
     /// What peers' lists say of engines that are usable by the own one: they take nothing new.
     pub(super) fn heed_drains(&mut self, drains: Vec<Drain>) {
         let (number, mut bound) = (self.watch.number(), Vec::new());
-        let Some(keeping) = &mut self.keeping else { return };
+        let Some(keeping) = &mut self.keeping else {
+            return;
+        };
         for drain in drains {
-            let told = self.last_entries.get_mut(&drain.engine).filter(|told| told.phase == Phase::Ready);
+            let told = self
+                .last_entries
+                .get_mut(&drain.engine)
+                .filter(|told| told.phase == Phase::Ready);
             let Some(told) = told else { continue };
             if keeping.binds(told.engine, told.booted_at, number).is_some() {
                 told.phase = Phase::Draining;
@@ -115,7 +147,10 @@
         let position = |names: &[String], name: &str, what| {
             let known = place(names, name);
             if known.is_none() {
-                tracing::warn!("engine {}: {what} '{name}' is not in the settings", listed.host);
+                tracing::warn!(
+                    "engine {}: {what} '{name}' is not in the settings",
+                    listed.host
+                );
             }
             known.unwrap_or(names.len()) as u32
         };
@@ -136,12 +171,20 @@
     /// An engine's number: the same at every gateway and after every restart, since it comes of the name
     /// alone.
     pub(super) fn number(&mut self, name: &str) -> EngineId {
-        let hash = name.bytes().fold(0x811c_9dc5, |hash: u32, b| (hash ^ b as u32).wrapping_mul(0x0100_0193));
+        let hash = name.bytes().fold(0x811c_9dc5, |hash: u32, b| {
+            (hash ^ b as u32).wrapping_mul(0x0100_0193)
+        });
         let mut number = hash;
-        while self.engine_names.get(&number).is_some_and(|other| other != name) {
+        while self
+            .engine_names
+            .get(&number)
+            .is_some_and(|other| other != name)
+        {
             number = number.wrapping_add(1);
         }
-        self.engine_names.entry(number).or_insert_with(|| name.to_string());
+        self.engine_names
+            .entry(number)
+            .or_insert_with(|| name.to_string());
         number
     }
 }
--- a/crates/gateway/src/gateway/stopping.rs
+++ b/crates/gateway/src/gateway/stopping.rs
@@ -13,7 +13,9 @@
         tracing::info!("stopping; {} requests are open", self.counters.open());
         self.tap.host(now, Host::Stopping);
         self.clients.well = false;
-        self.keeping.iter_mut().for_each(|keeping| keeping.hands_over(now));
+        self.keeping
+            .iter_mut()
+            .for_each(|keeping| keeping.hands_over(now));
         for at in self.shutdown.due() {
             self.due.set(at, Due::Shutdown);
         }
@@ -25,13 +27,18 @@
             if self.shutdown.phase() >= Stage::Closing {
                 self.close_resting();
             }
-            let left = Left { requests: self.counters.open() as usize, connections: self.clients.len() };
+            let left = Left {
+                requests: self.counters.open() as usize,
+                connections: self.clients.len(),
+            };
             match self.shutdown.next(self.clock.now(), left) {
                 Some(Step::Close | Step::Leave) => {}
                 Some(Step::End) => {
                     for request in self.requests.owing() {
                         // The request's own timer fires early: its time is up now.
-                        self.events.push_back(Event::Timer { tag: end_tag(request.number()) });
+                        self.events.push_back(Event::Timer {
+                            tag: end_tag(request.number()),
+                        });
                     }
                     self.settle();
                 }
@@ -49,7 +56,8 @@
             self.clients.stop_listening();
         }
         let (now, names, heard) = (self.clock.now(), &self.names, &mut self.from_clients);
-        self.clients.end_resting(now, names, &mut self.due, &mut self.counters, heard);
+        self.clients
+            .end_resting(now, names, &mut self.due, &mut self.counters, heard);
         self.hear_clients();
         self.settle();
     }
--- a/crates/gateway/src/gateway/telling.rs
+++ b/crates/gateway/src/gateway/telling.rs
@@ -13,9 +13,16 @@
         let connections = self
             .clients
             .addresses()
-            .map(|(key, address)| Host::Connected { connection: key.number(), address });
+            .map(|(key, address)| Host::Connected {
+                connection: key.number(),
+                address,
+            });
         let open = self.requests.open().map(|(key, request)| {
-            let out = request.attempts.iter().rev().find(|attempt| attempt.conn.is_some());
+            let out = request
+                .attempts
+                .iter()
+                .rev()
+                .find(|attempt| attempt.conn.is_some());
             Host::Open(OpenRequest {
                 offer: offer(key, request),
                 class: request.class,
@@ -26,9 +33,22 @@
                 out: out.map(|attempt| (attempt.engine, attempt.sent_at)),
             })
         });
-        let link = Host::Link { up: self.watch.is_heard() };
-        let fleet = self.keeping.iter().flat_map(|keeping| keeping.fleet_state()).map(Host::Fleet);
-        self.tap.state(now, engines.chain(connections).chain(open).chain([link]).chain(fleet));
+        let link = Host::Link {
+            up: self.watch.is_heard(),
+        };
+        let fleet = self
+            .keeping
+            .iter()
+            .flat_map(|keeping| keeping.fleet_state())
+            .map(Host::Fleet);
+        self.tap.state(
+            now,
+            engines
+                .chain(connections)
+                .chain(open)
+                .chain([link])
+                .chain(fleet),
+        );
     }
 
     /// Connections of clients that have come and gone.
@@ -37,7 +57,10 @@
         for (key, change) in self.clients.changes.drain(..) {
             let connection = key.number();
             let host = match change {
-                clients::Change::Came(address) => Host::Connected { connection, address },
+                clients::Change::Came(address) => Host::Connected {
+                    connection,
+                    address,
+                },
                 clients::Change::Ends(why) => Host::Ending { connection, why },
                 clients::Change::Gone => Host::Disconnected { connection },
             };
@@ -45,26 +68,45 @@
         }
     }
 
-    pub(super) fn tell_watch(&mut self, now: Micros, (was_heard, had): (bool, u64), items: &[Item]) {
+    pub(super) fn tell_watch(
+        &mut self,
+        now: Micros,
+        (was_heard, had): (bool, u64),
+        items: &[Item],
+    ) {
         if self.watch.is_heard() != was_heard {
             self.tap.host(now, Host::Link { up: !was_heard });
         }
         if had != self.counters.list_events {
-            items.iter().for_each(|item| self.tap.host(now, Host::ListEvent { number: item.no }));
+            items
+                .iter()
+                .for_each(|item| self.tap.host(now, Host::ListEvent { number: item.no }));
         }
     }
 
     /// A request that was taken has had its end.
     pub(super) fn tell_end(&mut self, key: Key, how: AnswerKind, late: bool) {
         let now = self.clock.now();
-        let Some(request) = self.requests.get_mut(key) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
         let (class, tenant) = (request.class, request.tenant);
-        self.tap.host(now, Host::Answered { request: key.number(), class, tenant, how, late });
+        self.tap.host(
+            now,
+            Host::Answered {
+                request: key.number(),
+                class,
+                tenant,
+                how,
+                late,
+            },
+        );
     }
 
     pub(super) fn tell_untaken(&mut self, how: Untaken, of: Option<(usize, usize)>) {
         let (class, tenant) = (of.map(|of| of.0), of.map(|of| of.1));
-        self.tap.host(self.clock.now(), Host::NotTaken { how, class, tenant });
+        self.tap
+            .host(self.clock.now(), Host::NotTaken { how, class, tenant });
     }
 
     /// The last word of the record, the store and of the log.
@@ -73,16 +115,26 @@
             keeping.learns(self.clock.now(), &self.module.lessons());
         }
         self.tell_changes();
-        let counters = self.counters.pairs().map(|(name, value)| (name.to_string(), value)).collect();
+        let counters = self
+            .counters
+            .pairs()
+            .map(|(name, value)| (name.to_string(), value))
+            .collect();
         self.tap.host(self.clock.now(), Host::Ended { counters });
         self.report();
     }
 
     /// What was counted, and how much each table holds.
     pub fn report(&self) {
-        let tables = self.tables().into_iter().map(|(name, size)| format!("{name}={size}"));
+        let tables = self
+            .tables()
+            .into_iter()
+            .map(|(name, size)| format!("{name}={size}"));
         let (counters, tables) = (&self.counters, tables.collect::<Vec<_>>());
-        let spool = self.spooling.as_ref().map(|spooling| format!("; {:?}", spooling.counted));
+        let spool = self
+            .spooling
+            .as_ref()
+            .map(|spooling| format!("; {:?}", spooling.counted));
         let kept = self.keeping.as_ref().map(|keeping| keeping.told());
         let more = [spool, kept].into_iter().flatten().collect::<String>();
         tracing::info!("counters: {counters}; tables {}{more}", tables.join(" "));
--- a/crates/gateway/src/keeping.rs
+++ b/crates/gateway/src/keeping.rs
@@ -133,7 +133,10 @@
     };
     tracing::info!("store: life {life}, start {}: {said}", found.start);
     if found.torn > 0 {
-        tracing::info!("store: {} bytes at the end were never whole; nobody was told of them", found.torn);
+        tracing::info!(
+            "store: {} bytes at the end were never whole; nobody was told of them",
+            found.torn
+        );
     }
     if let Doubt::Before(life) = doubt {
         tracing::info!(
@@ -162,9 +165,14 @@
             Some((key[entry::PREFIX.len()..].to_vec(), copy))
         });
         Shared {
-            origin: Origin { identity: found.identity, start: found.start },
+            origin: Origin {
+                identity: found.identity,
+                start: found.start,
+            },
             whole: matches!(found.trust, Trust::Whole),
-            voted: store.get(Sharing::votes_key()).map(|value| value.bytes.to_vec()),
+            voted: store
+                .get(Sharing::votes_key())
+                .map(|value| value.bytes.to_vec()),
             copies: copies.collect(),
             tokens: store
                 .prefix(crate::owning::PREFIX)
@@ -183,12 +191,17 @@
         random: u64,
         wake: Box<dyn Fn() + Send>,
     ) -> (Self, Option<Shared>) {
-        let entries = ((memory_mb << 20) / PART_OF_MEMORY / ENTRY_BYTES).min(plan.budget / 3 / DISK_BYTES);
-        let limits = Limits { entries: entries as usize };
+        let entries =
+            ((memory_mb << 20) / PART_OF_MEMORY / ENTRY_BYTES).min(plan.budget / 3 / DISK_BYTES);
+        let limits = Limits {
+            entries: entries as usize,
+        };
         let classes: Vec<Class> = settings.classes.clone();
         let opened = Store::open(
             Box::new(Directory::new(&plan.directory)),
-            Plan { budget: plan.budget },
+            Plan {
+                budget: plan.budget,
+            },
             now / 1000,
             random,
         );
@@ -199,13 +212,16 @@
             Ok((store, told)) => {
                 let kept = store.prefix(entry::prefix());
                 let kept: Vec<_> = kept
-                    .filter_map(|(key, value)| Some((key.to_vec(), entry::from_bytes(&value.bytes)?)))
+                    .filter_map(|(key, value)| {
+                        Some((key.to_vec(), entry::from_bytes(&value.bytes)?))
+                    })
                     .collect();
                 let life = told.life_ms * 1000;
                 let ledger = Ledger::restore(limits, classes, kept.into_iter(), life, now);
                 tell(&told, now, ledger.doubt());
-                let found =
-                    store.get(lessons::KEY).map(|told| lessons::from_bytes(&told.bytes, now, settings_print));
+                let found = store
+                    .get(lessons::KEY)
+                    .map(|told| lessons::from_bytes(&told.bytes, now, settings_print));
                 let found = match found {
                     Some(Err(void)) => {
                         tracing::info!("store: learned figures are dropped: {}", void.reason());
@@ -267,7 +283,9 @@
         shared: Option<Shared>,
         wake: Box<dyn Fn() + Send>,
     ) -> io::Result<()> {
-        let (Some(shared), Some(_)) = (shared, &self.worker) else { return Ok(()) };
+        let (Some(shared), Some(_)) = (shared, &self.worker) else {
+            return Ok(());
+        };
         self.sharing = Some(Box::new(Sharing::start(fleet.0, about, shared, wake)?));
         self.status = Some(Status::start(fleet.1.directory.clone())?);
         Ok(())
@@ -287,11 +305,19 @@
         self.learned_at = now;
         // A hint has no time but its age.
         let hint = lessons::to_bytes(learned, 0, self.settings);
-        self.sharing.iter_mut().for_each(|sharing| sharing.learned(now, hint.clone()));
+        self.sharing
+            .iter_mut()
+            .for_each(|sharing| sharing.learned(now, hint.clone()));
         let mut batch = Batch::default();
-        batch.put(lessons::KEY.to_vec(), lessons::to_bytes(learned, now, self.settings), 0);
+        batch.put(
+            lessons::KEY.to_vec(),
+            lessons::to_bytes(learned, now, self.settings),
+            0,
+        );
         // Where the thread takes no more, the next one will do.
-        self.worker.iter_mut().for_each(|worker| _ = worker.write(batch.clone()));
+        self.worker
+            .iter_mut()
+            .for_each(|worker| _ = worker.write(batch.clone()));
     }
 
     /// Where an engine's scope is, as the list says.
@@ -321,10 +347,16 @@
             Refusal::Stalled => NotTaken::StoreStalled,
         });
         let kept = key.is_some() && self.ledger.keeps(class);
-        let apart = self.sharing.as_ref().filter(|_| kept).and_then(|sharing| sharing.refuses());
+        let apart = self
+            .sharing
+            .as_ref()
+            .filter(|_| kept)
+            .and_then(|sharing| sharing.refuses());
         let told = told.and_then(|told| apart.map_or(Ok(told), Err));
         match &told {
-            Ok(earlier) if earlier.iter().any(|earlier| earlier.since == 0) => self.counted.doubted += 1,
+            Ok(earlier) if earlier.iter().any(|earlier| earlier.since == 0) => {
+                self.counted.doubted += 1
+            }
             Ok(earlier) => self.counted.pinned += !earlier.is_empty() as u64,
             Err(why) => self.counted.refused(*why),
         }
@@ -366,14 +398,26 @@
             eideryard_ledger::Send::Waits(wish) => wish,
         };
         self.counted.intents += 1;
-        let Some(ticket) = self.write(wish.key.clone(), wish.intent.as_ref()) else { return Sending::Not };
+        let Some(ticket) = self.write(wish.key.clone(), wish.intent.as_ref()) else {
+            return Sending::Not;
+        };
         let since = wish.intent.as_ref().map_or(now, |intent| intent.since);
-        let ran = Earlier { zone: place.zone, cell: place.cell, since };
-        let (Some(sharing), Some(worker), Some(intent)) = (&mut self.sharing, &mut self.worker, &wish.intent)
+        let ran = Earlier {
+            zone: place.zone,
+            cell: place.cell,
+            since,
+        };
+        let (Some(sharing), Some(worker), Some(intent)) =
+            (&mut self.sharing, &mut self.worker, &wish.intent)
         else {
-            return Sending::Waits { ticket, claim: None, ran };
+            return Sending::Waits {
+                ticket,
+                claim: None,
+                ran,
+            };
         };
-        let keep = give_up_at.saturating_sub(now) + self.windows.get(class).unwrap_or(&0) + state::SLACK;
+        let keep =
+            give_up_at.saturating_sub(now) + self.windows.get(class).unwrap_or(&0) + state::SLACK;
         let claim = Some(sharing.claim(now, &wish.key, intent, keep, known, worker));
         Sending::Waits { ticket, claim, ran }
     }
@@ -385,12 +429,15 @@
 
     pub fn waits(&mut self, now: Micros, waiting: Waiting) {
         self.counted.waited += 1;
-        self.waiting.put(now, waiting.ticket, waiting.claim, waiting);
+        self.waiting
+            .put(now, waiting.ticket, waiting.claim, waiting);
     }
 
     /// An attempt has its end; the store hears of it by and by.
     pub fn ended(&mut self, now: Micros, class: usize, key: Option<&str>, never_ran: bool) {
-        let Some(wish) = self.ledger.ended(now, class, key, never_ran) else { return };
+        let Some(wish) = self.ledger.ended(now, class, key, never_ran) else {
+            return;
+        };
         // What the store doesn't hear of is only remembered for longer.
         self.write(wish.key.clone(), wish.intent.as_ref());
         if wish.intent.as_ref().is_some_and(|intent| intent.out > 0) {
@@ -418,23 +465,35 @@
                 Verdict::Granted => self.waiting.granted(claim),
                 Verdict::Earlier(told) => {
                     let waited = self.waiting.take(claim);
-                    ready.earlier.extend(waited.map(|waited| (waited, sharing::earlier(&told))));
+                    ready
+                        .earlier
+                        .extend(waited.map(|waited| (waited, sharing::earlier(&told))));
                 }
                 Verdict::NoMajority(_) => {
                     let waited = self.waiting.take(claim);
-                    ready.late.extend(waited.map(|waited| (waited, NotTaken::NoMajority)));
+                    ready
+                        .late
+                        .extend(waited.map(|waited| (waited, NotTaken::NoMajority)));
                 }
             }
         }
         let waited = self.waiting.work(now, self.durable());
         ready.go = waited.go;
-        ready.late.extend(waited.late.into_iter().map(|(waited, why)| match why {
-            Late::Disk => (waited, NotTaken::StoreStalled),
-            Late::Word => (waited, NotTaken::NoMajority),
-        }));
-        ready.late.iter().for_each(|(_, why)| self.counted.refused(*why));
+        ready
+            .late
+            .extend(waited.late.into_iter().map(|(waited, why)| match why {
+                Late::Disk => (waited, NotTaken::StoreStalled),
+                Late::Word => (waited, NotTaken::NoMajority),
+            }));
+        ready
+            .late
+            .iter()
+            .for_each(|(_, why)| self.counted.refused(*why));
         if let (Some(sharing), Some(status)) = (&mut self.sharing, &self.status) {
-            sharing.status(now).into_iter().for_each(|told| status.tell(told.to_string()));
+            sharing
+                .status(now)
+                .into_iter()
+                .for_each(|told| status.tell(told.to_string()));
         }
         ready
     }
@@ -446,17 +505,21 @@
             return None;
         }
         let told = lessons::from_bytes(&bytes, age, self.settings);
-        told.inspect(|_| tracing::info!("fleet: learned figures of a peer are taken for hints")).ok()
+        told.inspect(|_| tracing::info!("fleet: learned figures of a peer are taken for hints"))
+            .ok()
     }
 
     /// What peers' lists say of engines that the own list doesn't, since the last call.
     pub fn drains(&mut self) -> Vec<Drain> {
-        self.sharing.as_mut().map_or(Vec::new(), |sharing| sharing.drains())
+        self.sharing
+            .as_mut()
+            .map_or(Vec::new(), |sharing| sharing.drains())
     }
 
     /// The own list says so of engines.
     pub fn drained(&mut self, now: Micros, drains: Vec<Drain>) {
-        if let (Some(sharing), Some(worker), false) = (&mut self.sharing, &mut self.worker, drains.is_empty())
+        if let (Some(sharing), Some(worker), false) =
+            (&mut self.sharing, &mut self.worker, drains.is_empty())
         {
             sharing.drained(now, drains, worker);
         }
@@ -469,13 +532,17 @@
 
     /// Engines that this gateway is to probe for all, and reports of others' probes.
     pub fn probes(&mut self, now: Micros) -> (Vec<EngineId>, Vec<(EngineId, LoadReport)>) {
-        let Some(sharing) = &mut self.sharing else { return Default::default() };
+        let Some(sharing) = &mut self.sharing else {
+            return Default::default();
+        };
         sharing.ask_owning(|own| (own.probes(now), own.fresh()))
     }
 
     /// A report that stands in for a probe of this gateway's own.
     pub fn report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
-        self.sharing.as_mut()?.ask_owning(|own| own.report(now, engine))
+        self.sharing
+            .as_mut()?
+            .ask_owning(|own| own.report(now, engine))
     }
 
     /// An engine has answered a probe.
@@ -508,11 +575,15 @@
 
     /// What the record is to be told of the fleet: news, or all of it.
     pub fn words(&mut self) -> Vec<FleetWord> {
-        self.sharing.as_mut().map_or(Vec::new(), |sharing| sharing.words())
+        self.sharing
+            .as_mut()
+            .map_or(Vec::new(), |sharing| sharing.words())
     }
 
     pub fn fleet_state(&self) -> Vec<FleetWord> {
-        self.sharing.as_ref().map_or(Vec::new(), |sharing| sharing.state())
+        self.sharing
+            .as_ref()
+            .map_or(Vec::new(), |sharing| sharing.state())
     }
 
     /// What was counted, in words.
@@ -521,17 +592,32 @@
         let shared = shared.map(|own| format!("; {:?}", own.counted()));
         let owned = self.sharing.as_ref().and_then(|own| own.owned());
         let owned = owned.map(|(owned, spared)| format!("; {owned:?}; probes_spared: {spared}"));
-        format!("; {:?}{}{}", self.counted, shared.unwrap_or_default(), owned.unwrap_or_default())
+        format!(
+            "; {:?}{}{}",
+            self.counted,
+            shared.unwrap_or_default(),
+            owned.unwrap_or_default()
+        )
     }
 
     /// When [`Keeping::work`] has something to do.
     pub fn due(&self, now: Micros) -> Option<Micros> {
         let shared = self.sharing.as_ref().map(|sharing| sharing.due(now));
-        self.ledger.due().into_iter().chain(self.waiting.due()).chain(shared).min()
+        self.ledger
+            .due()
+            .into_iter()
+            .chain(self.waiting.due())
+            .chain(shared)
+            .min()
     }
 
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
-        let own = [("intents", self.ledger.len()), ("intents_waiting", self.waiting.len())];
-        own.into_iter().chain(self.sharing.iter().flat_map(|sharing| sharing.sizes())).collect()
+        let own = [
+            ("intents", self.ledger.len()),
+            ("intents_waiting", self.waiting.len()),
+        ];
+        own.into_iter()
+            .chain(self.sharing.iter().flat_map(|sharing| sharing.sizes()))
+            .collect()
     }
 }
--- a/crates/gateway/src/lessons.rs
+++ b/crates/gateway/src/lessons.rs
@@ -45,7 +45,16 @@
 
 pub fn to_bytes(lessons: &Lessons, at: Micros, settings: u64) -> Vec<u8> {
     let class = |own: &ClassLesson| (own.work_ratio, own.memory_ratio, own.work, own.memory_mb);
-    let engine = |own: &EngineLesson| (own.engine, own.booted_at, own.stretch, own.best, own.bad, own.others);
+    let engine = |own: &EngineLesson| {
+        (
+            own.engine,
+            own.booted_at,
+            own.stretch,
+            own.best,
+            own.bad,
+            own.others,
+        )
+    };
     let checkpoint = Checkpoint {
         at,
         settings,
@@ -59,9 +68,13 @@
 
 /// What was learned, and how long ago.
 pub fn from_bytes(bytes: &[u8], now: Micros, settings: u64) -> Result<(Lessons, Micros), Void> {
-    let (told, rest): (Checkpoint, _) = postcard::take_from_bytes(bytes).map_err(|_| Void::Unreadable)?;
+    let (told, rest): (Checkpoint, _) =
+        postcard::take_from_bytes(bytes).map_err(|_| Void::Unreadable)?;
     let finite = |values: &[f64]| values.iter().all(|value| value.is_finite());
-    let sound = told.classes.iter().all(|c| finite(&[c.0, c.1, c.2, c.3.unwrap_or(0.0)]))
+    let sound = told
+        .classes
+        .iter()
+        .all(|c| finite(&[c.0, c.1, c.2, c.3.unwrap_or(0.0)]))
         && told.engines.iter().all(|e| finite(&[e.2, e.3, e.4, e.5]))
         && finite(&[told.level]);
     if !rest.is_empty() || !sound {
@@ -87,7 +100,14 @@
     };
     let classes = told.classes.into_iter().map(class).collect();
     let engines = told.engines.into_iter().map(engine).collect();
-    Ok((Lessons { classes, engines, level: told.level }, age))
+    Ok((
+        Lessons {
+            classes,
+            engines,
+            level: told.level,
+        },
+        age,
+    ))
 }
 
 #[cfg(test)]
@@ -96,16 +116,38 @@
 
     #[test]
     fn a_checkpoint_comes_back_with_its_age_or_says_why_it_is_void() {
-        let classes =
-            vec![ClassLesson { work_ratio: 1.5, memory_ratio: 0.7, work: 9.0, memory_mb: Some(3.0) }];
-        let lesson = EngineLesson { engine: 7, booted_at: 5, stretch: 1.2, best: 0.9, bad: 0.1, others: 3.0 };
-        let lessons = Lessons { classes, engines: vec![lesson], level: 0.5 };
+        let classes = vec![ClassLesson {
+            work_ratio: 1.5,
+            memory_ratio: 0.7,
+            work: 9.0,
+            memory_mb: Some(3.0),
+        }];
+        let lesson = EngineLesson {
+            engine: 7,
+            booted_at: 5,
+            stretch: 1.2,
+            best: 0.9,
+            bad: 0.1,
+            others: 3.0,
+        };
+        let lessons = Lessons {
+            classes,
+            engines: vec![lesson],
+            level: 0.5,
+        };
         let bytes = to_bytes(&lessons, 100, 42);
         assert_eq!(from_bytes(&bytes, 130, 42), Ok((lessons.clone(), 30)));
         assert_eq!(from_bytes(&bytes, 130, 43), Err(Void::OtherSettings));
         assert_eq!(from_bytes(&bytes, 99, 42), Err(Void::Future));
-        (0..bytes.len()).for_each(|at| assert_eq!(from_bytes(&bytes[..at], 130, 42), Err(Void::Unreadable)));
-        let broken = Lessons { level: f64::NAN, ..lessons };
-        assert_eq!(from_bytes(&to_bytes(&broken, 100, 42), 130, 42), Err(Void::Unreadable));
+        (0..bytes.len())
+            .for_each(|at| assert_eq!(from_bytes(&bytes[..at], 130, 42), Err(Void::Unreadable)));
+        let broken = Lessons {
+            level: f64::NAN,
+            ..lessons
+        };
+        assert_eq!(
+            from_bytes(&to_bytes(&broken, 100, 42), 130, 42),
+            Err(Void::Unreadable)
+        );
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -37,9 +37,17 @@
 const TICKS_BETWEEN_LOOKS: u64 = 4;
 
 /// Serves until SIGTERM or SIGINT, and what was open then has ended.
-pub fn serve(config: config::Config, operator: &Operator) -> Result<(), Box<dyn std::error::Error>> {
+pub fn serve(
+    config: config::Config,
+    operator: &Operator,
+) -> Result<(), Box<dyn std::error::Error>> {
     let mut events: EventLoop<Wakes> = EventLoop::try_new()?;
-    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1])?;
+    let signals = Signals::new(&[
+        Signal::SIGTERM,
+        Signal::SIGINT,
+        Signal::SIGHUP,
+        Signal::SIGUSR1,
+    ])?;
     events.handle().insert_source(signals, |event, _, wakes| {
         wakes.push(match event.signal() {
             Signal::SIGUSR1 => Wake::Report,
--- a/crates/gateway/src/owning.rs
+++ b/crates/gateway/src/owning.rs
@@ -61,7 +61,10 @@
 pub fn stored(key: &[u8], value: &[u8]) -> Option<(Task, Token)> {
     let key = key.strip_prefix(PREFIX)?;
     let (kind, number) = key.split_first()?;
-    let task = Task { kind: *kind, number: u32::from_be_bytes(number.try_into().ok()?) };
+    let task = Task {
+        kind: *kind,
+        number: u32::from_be_bytes(number.try_into().ok()?),
+    };
     postcard::from_bytes(value).ok().map(|token| (task, token))
 }
 
@@ -75,7 +78,15 @@
     ) -> Self {
         // Another one for each life, so that no two lives share a token.
         let owner = origin.identity ^ origin.start.rotate_left(40);
-        let core = Core::start(Plan { keepers, own, owner }, tokens.into_iter(), now);
+        let core = Core::start(
+            Plan {
+                keepers,
+                own,
+                owner,
+            },
+            tokens.into_iter(),
+            now,
+        );
         Owning {
             core,
             numbers: 0,
@@ -95,7 +106,11 @@
                 Output::Askers { but, message } => todo.push(Todo::Askers(but, message)),
                 Output::Store { task, token, then } => {
                     let mut batch = Batch::default();
-                    batch.put(store_key(task), postcard::to_stdvec(&token).unwrap_or_default(), 0);
+                    batch.put(
+                        store_key(task),
+                        postcard::to_stdvec(&token).unwrap_or_default(),
+                        0,
+                    );
                     // A promise that can't be made durable is never given.
                     let ticket = worker.write(batch).into_iter();
                     todo.extend(ticket.map(|ticket| Todo::Then(ticket, task, token, then.clone())));
@@ -120,19 +135,51 @@
     }
 
     fn owns(&mut self, task: Task, token: Token, owns: bool) {
-        tracing::debug!("task {} {}: term {} {owns}", task.kind, task.number, token.term);
-        self.words.push(FleetWord::Owns { task: task.number, term: token.term, owns });
+        tracing::debug!(
+            "task {} {}: term {} {owns}",
+            task.kind,
+            task.number,
+            token.term
+        );
+        self.words.push(FleetWord::Owns {
+            task: task.number,
+            term: token.term,
+            owns,
+        });
     }
 
     fn tells(&mut self, task: Task, Token { term, owner }: Token, counts: bool) {
-        self.words.push(FleetWord::Work { task: task.number, term, owner, counts });
+        self.words.push(FleetWord::Work {
+            task: task.number,
+            term,
+            owner,
+            counts,
+        });
     }
 
     fn applies(&mut self, now: Micros, task: Task, token: Token, work: &[u8]) {
-        let Ok(Work { number, age, report }) = postcard::from_bytes(work) else { return };
+        let Ok(Work {
+            number,
+            age,
+            report,
+        }) = postcard::from_bytes(work)
+        else {
+            return;
+        };
         let [in_flight, waiting_for_memory, cores_busy, memory_granted, disks_busy] = report;
-        let report = LoadReport { in_flight, waiting_for_memory, cores_busy, memory_granted, disks_busy };
-        let Some(fresh) = self.reports.take(now, task.number, (token, number), age, report) else { return };
+        let report = LoadReport {
+            in_flight,
+            waiting_for_memory,
+            cores_busy,
+            memory_granted,
+            disks_busy,
+        };
+        let Some(fresh) = self
+            .reports
+            .take(now, task.number, (token, number), age, report)
+        else {
+            return;
+        };
         self.tells(task, token, true);
         self.fresh.extend(fresh.then_some((task.number, report)));
     }
@@ -181,14 +228,17 @@
     /// The engines that there are: each is a task that this gateway may own.
     pub fn engines(&mut self, now: Micros, engines: impl Iterator<Item = EngineId>) {
         let known: std::collections::BTreeSet<EngineId> = engines.collect();
-        known.iter().for_each(|engine| self.core.wants(now, task(*engine)));
+        known
+            .iter()
+            .for_each(|engine| self.core.wants(now, task(*engine)));
         self.core.forgets(|task| !known.contains(&task.number));
         self.reports.retain(|engine| known.contains(&engine));
     }
 
     /// Engines that this gateway is to probe for all.
     pub fn probes(&mut self, now: Micros) -> Vec<EngineId> {
-        self.reports.due(now, self.core.owned(now).map(|(task, _)| task))
+        self.reports
+            .due(now, self.core.owned(now).map(|(task, _)| task))
     }
 
     /// An engine has answered a probe of this gateway's: all hear of it, if it owns the probing of it.
@@ -200,9 +250,25 @@
         worker: &mut Worker,
     ) -> Vec<Todo> {
         self.numbers += 1;
-        let LoadReport { in_flight, waiting_for_memory, cores_busy, memory_granted, disks_busy } = *report;
-        let report = [in_flight, waiting_for_memory, cores_busy, memory_granted, disks_busy];
-        let work = Work { number: self.numbers, age: 0, report };
+        let LoadReport {
+            in_flight,
+            waiting_for_memory,
+            cores_busy,
+            memory_granted,
+            disks_busy,
+        } = *report;
+        let report = [
+            in_flight,
+            waiting_for_memory,
+            cores_busy,
+            memory_granted,
+            disks_busy,
+        ];
+        let work = Work {
+            number: self.numbers,
+            age: 0,
+            report,
+        };
         let work = postcard::to_stdvec(&work).unwrap_or_default();
         let outputs = self.core.act(now, task(engine), work);
         let todo = self.perform(now, outputs, worker);
@@ -236,8 +302,14 @@
     }
 
     pub fn due(&self, now: Micros) -> Micros {
-        let probes = self.reports.next(now, self.core.owned(now).map(|(task, _)| task));
-        probes.into_iter().chain([self.core.due()]).min().unwrap_or(now)
+        let probes = self
+            .reports
+            .next(now, self.core.owned(now).map(|(task, _)| task));
+        probes
+            .into_iter()
+            .chain([self.core.due()])
+            .min()
+            .unwrap_or(now)
     }
 
     pub fn counted(&self) -> eideryard_ownership::core::Counted {
@@ -246,8 +318,19 @@
 
     /// Tasks that this gateway owns, and the greatest term of each that it knows.
     pub fn status(&self, now: Micros) -> Terms {
-        let owned = self.core.owned(now).map(|(task, token)| (task.number, token.term)).collect();
-        let known = self.core.fences().all().map(|(task, token)| (task.number, token.term, token.owner));
-        Terms { owned, known: known.collect() }
+        let owned = self
+            .core
+            .owned(now)
+            .map(|(task, token)| (task.number, token.term))
+            .collect();
+        let known = self
+            .core
+            .fences()
+            .all()
+            .map(|(task, token)| (task.number, token.term, token.owner));
+        Terms {
+            owned,
+            known: known.collect(),
+        }
     }
 }
