--- a/crates/gateway/src/requests.rs
+++ b/crates/gateway/src/requests.rs
@@ -43,14 +43,24 @@
     pub fn new(settings: &Settings, host: &eideryard_settings::Host) -> Self {
         let largest = |of: fn(&Kind) -> f64| settings.kinds.iter().map(of).fold(1.0, f64::max);
         // Where the settings don't tell, what can be reckoned with.
-        let told = |value: f64, usual| if value > 0.0 && value.is_finite() { value } else { usual };
+        let told = |value: f64, usual| {
+            if value > 0.0 && value.is_finite() {
+                value
+            } else {
+                usual
+            }
+        };
         let longest = told(host.longest_wait as f64, USUAL_WAIT);
         Names {
             longest_wait: MOST_WAITS * longest,
             most_work: MOST_OFF * longest * largest(|kind| kind.cores),
             most_memory_mb: MOST_OFF * told(largest(|kind| kind.memory_mb), USUAL_MEMORY_MB),
             classes: host.classes.clone(),
-            keyed: settings.classes.iter().map(|class| class.effect == Effect::Keyed).collect(),
+            keyed: settings
+                .classes
+                .iter()
+                .map(|class| class.effect == Effect::Keyed)
+                .collect(),
             tenants: host.tenants.clone(),
             zones: host.zones.clone(),
             kinds: host.kinds.clone(),
@@ -105,18 +115,32 @@
         fields: &[(&str, &str)],
         body: &[u8],
     ) -> Result<Self, &'static str> {
-        let field = |name: &str| fields.iter().find(|(own, _)| *own == name).map(|(_, value)| *value);
-        let digits =
-            |text: &str, count| text.len() == count && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let field = |name: &str| {
+            fields
+                .iter()
+                .find(|(own, _)| *own == name)
+                .map(|(_, value)| *value)
+        };
+        let digits = |text: &str, count| {
+            text.len() == count && text.bytes().all(|byte| byte.is_ascii_hexdigit())
+        };
         // Neither a number below 0 or above what makes sense, nor none at all.
-        let upto =
-            |text: &str, most: f64| text.parse().ok().filter(|value: &f64| (0.0..=most).contains(value));
+        let upto = |text: &str, most: f64| {
+            text.parse()
+                .ok()
+                .filter(|value: &f64| (0.0..=most).contains(value))
+        };
         let estimate = |name: &'static str, most| match field(name) {
             None => Ok(None),
-            Some(text) => upto(text, most).map(|value| Some(value).filter(|v| *v > 0.0)).ok_or(name),
+            Some(text) => upto(text, most)
+                .map(|value| Some(value).filter(|v| *v > 0.0))
+                .ok_or(name),
         };
         let known = ["i", "d", "t", "r", "k", "o", "h", "ram", "p"];
-        if known.iter().any(|name| fields.iter().filter(|(own, _)| own == name).count() > 1) {
+        if known
+            .iter()
+            .any(|name| fields.iter().filter(|(own, _)| own == name).count() > 1)
+        {
             return Err("one that is there twice");
         }
         let class = place(&names.classes, method).ok_or("class")?;
@@ -125,19 +149,29 @@
             None if !names.tenants.is_empty() => return Err("t"),
             _ => 0,
         };
-        let key =
-            field("k").map(|text| Some(text).filter(|k| digits(k, KEY_DIGITS)).ok_or("k")).transpose()?;
+        let key = field("k")
+            .map(|text| Some(text).filter(|k| digits(k, KEY_DIGITS)).ok_or("k"))
+            .transpose()?;
         if key.is_none() && names.keyed[class] {
             return Err("k");
         }
-        let plain = |text: &&str| text.len() <= MOST_ORDER_KEY && text.bytes().all(|b| b.is_ascii_graphic());
-        let order_key = field("o").map(|text| Some(text).filter(plain).ok_or("o")).transpose()?;
-        let wait = field("d").and_then(|text| upto(text, names.longest_wait / 1e3)).ok_or("d")?;
+        let plain = |text: &&str| {
+            text.len() <= MOST_ORDER_KEY && text.bytes().all(|b| b.is_ascii_graphic())
+        };
+        let order_key = field("o")
+            .map(|text| Some(text).filter(plain).ok_or("o"))
+            .transpose()?;
+        let wait = field("d")
+            .and_then(|text| upto(text, names.longest_wait / 1e3))
+            .ok_or("d")?;
         if body.is_empty() || std::str::from_utf8(body).is_err() || body.contains(&0) {
             return Err("statement");
         }
         Ok(Call {
-            id: field("i").filter(|id| digits(id, ID_DIGITS)).ok_or("i")?.into(),
+            id: field("i")
+                .filter(|id| digits(id, ID_DIGITS))
+                .ok_or("i")?
+                .into(),
             class,
             tenant,
             key: key.map(Into::into),
@@ -210,7 +244,13 @@
 impl Requests {
     pub fn new(memory_mb: u64) -> Self {
         let most_held = (memory_mb as usize) << 17;
-        Requests { table: Table::new(), held: 0, most_held, ids: BTreeSet::new(), over: VecDeque::new() }
+        Requests {
+            table: Table::new(),
+            held: 0,
+            most_held,
+            ids: BTreeSet::new(),
+            over: VecDeque::new(),
+        }
     }
 
     /// Takes a request in, unless its id is open, or was a while ago: engines could not tell the two apart;
@@ -277,12 +317,17 @@
     /// Frees the slot of a request that is over, unless an attempt of it is still out.
     pub fn give_back(&mut self, key: Key, due: &mut Deadlines) {
         let over = |r: &Request| {
-            r.answered && r.attempts.iter().all(|attempt| attempt.conn.is_none() && !attempt.waits)
+            r.answered
+                && r.attempts
+                    .iter()
+                    .all(|attempt| attempt.conn.is_none() && !attempt.waits)
         };
         if !self.table.get(key).is_some_and(over) {
             return;
         }
-        let Some(request) = self.table.remove(key) else { return };
+        let Some(request) = self.table.remove(key) else {
+            return;
+        };
         due.take_back(request.timer);
         self.held -= request.statement.len();
         self.over.push_back(request.id);
--- a/crates/gateway/src/requests/tests.rs
+++ b/crates/gateway/src/requests/tests.rs
@@ -5,8 +5,14 @@
 
 const ID: &str = "9b1f03aa5c7e2d41";
 const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-const FIELDS: [(&str, &str); 6] =
-    [("i", ID), ("d", "1500"), ("t", "acme"), ("h", "820.0"), ("ram", "96"), ("k", KEY)];
+const FIELDS: [(&str, &str); 6] = [
+    ("i", ID),
+    ("d", "1500"),
+    ("t", "acme"),
+    ("h", "820.0"),
+    ("ram", "96"),
+    ("k", KEY),
+];
 
 fn names() -> Names {
     let words = |list: &[&str]| list.iter().map(|word| word.to_string()).collect();
@@ -28,7 +34,10 @@
     let statement = b"COPY sales_17.orders";
     let call = Call::read(&names(), "load", &FIELDS, statement).unwrap();
     assert_eq!((call.class, call.tenant, call.wait), (1, 0, 1_500_000));
-    assert_eq!((call.work, call.memory_mb, call.group), (Some(820_000.0), Some(96.0), Some(17)));
+    assert_eq!(
+        (call.work, call.memory_mb, call.group),
+        (Some(820_000.0), Some(96.0), Some(17))
+    );
     let long = "9b1f03aa5c7e2d410";
     let bad = [
         ("i", &["", "a,b", "9b1f", long, "9b1f03aa5c7e2d4g"][..]),
@@ -38,21 +47,41 @@
         ("ram", &["-4", "inf", "1e12"]),
         ("k", &["a=b", ID]),
     ];
-    for (name, value) in bad.iter().flat_map(|(name, values)| values.iter().map(move |v| (name, *v))) {
+    for (name, value) in bad
+        .iter()
+        .flat_map(|(name, values)| values.iter().map(move |v| (name, *v)))
+    {
         let fields = FIELDS.map(|(own, usual)| (own, if own == *name { value } else { usual }));
-        assert_eq!(Call::read(&names(), "load", &fields, statement).unwrap_err(), *name, "{value}");
+        assert_eq!(
+            Call::read(&names(), "load", &fields, statement).unwrap_err(),
+            *name,
+            "{value}"
+        );
     }
     let missing = |left_out: &str| {
-        let fields: Vec<_> = FIELDS.into_iter().filter(|(own, _)| *own != left_out).collect();
+        let fields: Vec<_> = FIELDS
+            .into_iter()
+            .filter(|(own, _)| *own != left_out)
+            .collect();
         Call::read(&names(), "load", &fields, statement)
     };
-    ["i", "d", "t", "k"].iter().for_each(|name| assert_eq!(missing(name).unwrap_err(), *name));
-    ["h", "ram"].iter().for_each(|name| assert!(missing(name).is_ok()));
-    assert_eq!(Call::read(&names(), "nonsense", &FIELDS, statement).unwrap_err(), "class");
+    ["i", "d", "t", "k"]
+        .iter()
+        .for_each(|name| assert_eq!(missing(name).unwrap_err(), *name));
+    ["h", "ram"]
+        .iter()
+        .for_each(|name| assert!(missing(name).is_ok()));
+    assert_eq!(
+        Call::read(&names(), "nonsense", &FIELDS, statement).unwrap_err(),
+        "class"
+    );
     let twice = [&FIELDS[..], &[("d", "1500")]].concat();
     assert!(Call::read(&names(), "load", &twice, statement).is_err());
     for statement in [&b""[..], b"SELECT \xff", b"SELECT \0"] {
-        assert_eq!(Call::read(&names(), "load", &FIELDS, statement).unwrap_err(), "statement");
+        assert_eq!(
+            Call::read(&names(), "load", &FIELDS, statement).unwrap_err(),
+            "statement"
+        );
     }
 }
 
@@ -65,9 +94,19 @@
     ]);
     let host = eideryard_settings::host(&tree).unwrap();
     let names = Names::new(&eideryard_settings::settings(&tree).unwrap(), &host);
-    for (name, value) in [("d", "1e300"), ("h", "1e300"), ("h", "inf"), ("ram", "inf"), ("ram", "1e300")] {
+    for (name, value) in [
+        ("d", "1e300"),
+        ("h", "1e300"),
+        ("h", "inf"),
+        ("ram", "inf"),
+        ("ram", "1e300"),
+    ] {
         let fields = FIELDS.map(|(own, usual)| (own, if own == name { value } else { usual }));
-        assert_eq!(Call::read(&names, "report", &fields, b"SELECT 1").unwrap_err(), name, "{value}");
+        assert_eq!(
+            Call::read(&names, "report", &fields, b"SELECT 1").unwrap_err(),
+            name,
+            "{value}"
+        );
     }
     assert!(Call::read(&names, "report", &FIELDS, b"SELECT 1").is_ok());
 }
@@ -81,7 +120,11 @@
         Call::read(&names(), "load", &fields, b"COPY sales_17.orders").unwrap()
     };
     let first = requests.insert(client, 1, 0, 0, read(ID)).unwrap();
-    assert_eq!(requests.insert(client, 2, 0, 0, read(ID)), Err(NotTaken::Again), "it is open");
+    assert_eq!(
+        requests.insert(client, 2, 0, 0, read(ID)),
+        Err(NotTaken::Again),
+        "it is open"
+    );
     let mut due = Deadlines::new();
     let mut end = |requests: &mut Requests, key| {
         let request = requests.get_mut(key).unwrap();
@@ -91,12 +134,25 @@
         assert_eq!(due.next(), None, "its timer goes with it");
     };
     end(&mut requests, first);
-    assert_eq!(requests.insert(client, 2, 0, 0, read(ID)), Err(NotTaken::Again), "it was open");
+    assert_eq!(
+        requests.insert(client, 2, 0, 0, read(ID)),
+        Err(NotTaken::Again),
+        "it was open"
+    );
     for number in 0..3 * MOST_OVER {
-        let key = requests.insert(client, 3, 0, 0, read(&format!("{number:016x}"))).unwrap();
+        let key = requests
+            .insert(client, 3, 0, 0, read(&format!("{number:016x}")))
+            .unwrap();
         end(&mut requests, key);
     }
-    assert_eq!((requests.table.len(), requests.ids.len(), requests.over.len()), (0, MOST_OVER, MOST_OVER));
+    assert_eq!(
+        (
+            requests.table.len(),
+            requests.ids.len(),
+            requests.over.len()
+        ),
+        (0, MOST_OVER, MOST_OVER)
+    );
 }
 
 #[test]
@@ -106,11 +162,20 @@
     let long = vec![b' '; 50_000];
     let insert = |requests: &mut Requests, id: &str| {
         let fields = FIELDS.map(|(own, usual)| (own, if own == "i" { id } else { usual }));
-        requests.insert(client, 1, 0, 0, Call::read(&names(), "load", &fields, &long).unwrap())
+        requests.insert(
+            client,
+            1,
+            0,
+            0,
+            Call::read(&names(), "load", &fields, &long).unwrap(),
+        )
     };
     let first = insert(&mut requests, "0000000000000001").unwrap();
     insert(&mut requests, "0000000000000002").unwrap();
-    assert_eq!(insert(&mut requests, "0000000000000003"), Err(NotTaken::NoRoom));
+    assert_eq!(
+        insert(&mut requests, "0000000000000003"),
+        Err(NotTaken::NoRoom)
+    );
     requests.get_mut(first).unwrap().answered = true;
     requests.give_back(first, &mut Deadlines::new());
     insert(&mut requests, "0000000000000003").unwrap();
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -98,15 +98,31 @@
         shared: Shared,
         wake: Box<dyn Fn() + Send>,
     ) -> io::Result<Self> {
-        let About { name, settings, longest_wait, entries, now, seed } = about;
-        let Shared { origin, whole, voted, copies, tokens } = shared;
+        let About {
+            name,
+            settings,
+            longest_wait,
+            entries,
+            now,
+            seed,
+        } = about;
+        let Shared {
+            origin,
+            whole,
+            voted,
+            copies,
+            tokens,
+        } = shared;
         let keepers: Vec<String> = plan.keepers.iter().map(|(name, _)| name.clone()).collect();
         let own = keepers.iter().position(|keeper| keeper == name);
         if own.is_some() && plan.listen.is_none() {
             let what = format!("fleet: '{name}' is a keeper and has no 'listen' line");
             return Err(io::Error::new(io::ErrorKind::InvalidInput, what));
         }
-        let kept = settings.classes.iter().filter(|class| class.effect != Effect::Safe);
+        let kept = settings
+            .classes
+            .iter()
+            .filter(|class| class.effect != Effect::Safe);
         let window = kept.map(|class| class.window).max().unwrap_or(0);
         let core = Plan {
             keepers: keepers.len(),
@@ -128,10 +144,20 @@
             identity: origin.identity,
             start: origin.start,
         };
-        let others = plan.keepers.iter().enumerate().filter(|(_, (keeper, _))| keeper != name);
-        let others: Vec<(usize, String, SocketAddr)> =
-            others.map(|(at, (name, address))| (at, name.clone(), *address)).collect();
-        let links = eideryard_peers::Plan { hello, listen: plan.listen, keepers: others, seed };
+        let others = plan
+            .keepers
+            .iter()
+            .enumerate()
+            .filter(|(_, (keeper, _))| keeper != name);
+        let others: Vec<(usize, String, SocketAddr)> = others
+            .map(|(at, (name, address))| (at, name.clone(), *address))
+            .collect();
+        let links = eideryard_peers::Plan {
+            hello,
+            listen: plan.listen,
+            keepers: others,
+            seed,
+        };
         let hub = Hub::start(links, wake).map_err(|e| {
             let what = format!("fleet: {e}; see 'listen' in the operator's file");
             io::Error::new(e.kind(), what)
@@ -148,8 +174,12 @@
                 plan.name
             ),
         }
-        let owning = plan.probes.then(|| Owning::start(keepers.len(), own, origin, tokens, now));
-        let words = Vec::from_iter(own.map(|_| FleetWord::Votes { votes: core.standing.votes() }));
+        let owning = plan
+            .probes
+            .then(|| Owning::start(keepers.len(), own, origin, tokens, now));
+        let words = Vec::from_iter(own.map(|_| FleetWord::Votes {
+            votes: core.standing.votes(),
+        }));
         Ok(Sharing {
             core,
             hub,
@@ -198,7 +228,9 @@
         self.numbers += 1;
         let since = if intent.since > 0 { intent.since } else { now };
         let (number, place) = (self.numbers, place_of(intent));
-        let outputs = self.core.claim(now, number, &key[1..], place, since, keep, told(known));
+        let outputs = self
+            .core
+            .claim(now, number, &key[1..], place, since, keep, told(known));
         self.perform(now, outputs, worker);
         number
     }
@@ -224,7 +256,10 @@
                 // What a full queue loses is sent again or given up by the core.
                 Output::Send(peer, message) => {
                     // Who catches up hears of all promises before it has all copies, and votes.
-                    if matches!(message, Message::Part { last: true, .. } | Message::Stands { .. }) {
+                    if matches!(
+                        message,
+                        Message::Part { last: true, .. } | Message::Stands { .. }
+                    ) {
                         let tokens = self.owning.as_ref().and_then(|owning| owning.tokens());
                         tokens
                             .into_iter()
@@ -240,9 +275,13 @@
                     }
                     // What can't be made durable is never acknowledged.
                     let ticket = worker.write(batch).filter(|_| !then.is_empty());
-                    ticket.into_iter().for_each(|ticket| self.then.push_back((ticket, then.clone())));
+                    ticket
+                        .into_iter()
+                        .for_each(|ticket| self.then.push_back((ticket, then.clone())));
+                }
+                Output::OwnVote { number, seen } => {
+                    outputs.extend(self.core.own_vote(now, number, &seen))
                 }
-                Output::OwnVote { number, seen } => outputs.extend(self.core.own_vote(now, number, &seen)),
                 Output::Verdict(number, verdict) => self.verdicts.push((number, verdict)),
                 Output::Drained(drain) => self.drains.push(drain),
                 Output::Hints { lessons, age } => _ = self.hints.get_or_insert((lessons, age)),
@@ -250,11 +289,14 @@
                     tracing::info!("fleet {}: caught up; this keeper votes", self.fleet);
                     self.words.push(FleetWord::Votes { votes: true });
                     let mut batch = Batch::default();
-                    batch.put(VOTES.to_vec(), self.core.origin().identity.to_be_bytes().to_vec(), 0);
-                    let told = self
-                        .askers
-                        .keys()
-                        .map(|link| Output::Send(Peer::Asker(*link), Message::Stands { votes: true }));
+                    batch.put(
+                        VOTES.to_vec(),
+                        self.core.origin().identity.to_be_bytes().to_vec(),
+                        0,
+                    );
+                    let told = self.askers.keys().map(|link| {
+                        Output::Send(Peer::Asker(*link), Message::Stands { votes: true })
+                    });
                     let told: Vec<Output> = told.collect();
                     worker
                         .write(batch)
@@ -274,7 +316,10 @@
 
     fn hears(&mut self, now: Micros, heard: Heard<Said>, worker: &mut Worker) {
         let outputs = match heard {
-            Heard::Told { peer, message: Said::Owners(message) } => {
+            Heard::Told {
+                peer,
+                message: Said::Owners(message),
+            } => {
                 let votes = self.core.standing.votes();
                 self.owning(|own| match peer {
                     End::Asker(link) => own.hears_asker(now, link, message, votes, worker),
@@ -282,9 +327,10 @@
                 });
                 Vec::new()
             }
-            Heard::Told { peer, message: Said::Copies(message) } => {
-                self.core.hears(now, of_end(peer), message)
-            }
+            Heard::Told {
+                peer,
+                message: Said::Copies(message),
+            } => self.core.hears(now, of_end(peer), message),
             Heard::Up { peer, name } => {
                 self.turned.remove(&name);
                 match peer {
@@ -303,14 +349,19 @@
                         self.core.link(now, of_end(peer), false)
                     }
                     (End::Asker(_), _) => Vec::new(),
-                    (_, state) => self.core.hears_state(now, of_end(peer), state < State::Silent),
+                    (_, state) => self
+                        .core
+                        .hears_state(now, of_end(peer), state < State::Silent),
                 }
             }
             Heard::Turned { name, why } => {
                 let known = self.turned.contains_key(&name) || self.turned.len() < MOST_TURNED;
                 if known && self.turned.get(&name) != Some(&why) {
                     tracing::warn!("fleet {}: no link with '{name}': {why}", self.fleet);
-                    self.words.push(FleetWord::Turned { name: name.clone(), why: why.clone() });
+                    self.words.push(FleetWord::Turned {
+                        name: name.clone(),
+                        why: why.clone(),
+                    });
                     self.turned.insert(name, why);
                 }
                 Vec::new()
@@ -323,7 +374,10 @@
         let before = self.states.insert(name.clone(), (state, trip));
         if before.is_none_or(|(before, _)| before != state) {
             tracing::info!("fleet {}: {name} is {}", self.fleet, state.name());
-            self.words.push(FleetWord::Peer { name, state: state.name().into() });
+            self.words.push(FleetWord::Peer {
+                name,
+                state: state.name().into(),
+            });
         }
     }
 
@@ -334,12 +388,22 @@
             self.hears(now, heard, worker);
         }
         let durable = worker.durable();
-        while self.then.front().is_some_and(|(ticket, _)| *ticket <= durable) {
+        while self
+            .then
+            .front()
+            .is_some_and(|(ticket, _)| *ticket <= durable)
+        {
             let outputs = self.then.pop_front().map(|(_, outputs)| outputs);
             self.perform(now, outputs.unwrap_or_default(), worker);
         }
-        while self.promised.front().is_some_and(|(ticket, ..)| *ticket <= durable) {
-            let Some((_, task, token, outputs)) = self.promised.pop_front() else { break };
+        while self
+            .promised
+            .front()
+            .is_some_and(|(ticket, ..)| *ticket <= durable)
+        {
+            let Some((_, task, token, outputs)) = self.promised.pop_front() else {
+                break;
+            };
             self.owning(|own| own.durable(now, (task, token), outputs, worker));
         }
         let votes = self.core.standing.votes();
@@ -384,7 +448,10 @@
 
     /// What a peer had learned, once.
     pub fn hints(&mut self) -> Option<(Vec<u8>, Micros)> {
-        let taken = self.hints.as_mut().filter(|(lessons, _)| !lessons.is_empty());
+        let taken = self
+            .hints
+            .as_mut()
+            .filter(|(lessons, _)| !lessons.is_empty());
         taken.map(|(lessons, age)| (std::mem::take(lessons), *age))
     }
 
--- a/crates/gateway/src/sharing/leases.rs
+++ b/crates/gateway/src/sharing/leases.rs
@@ -10,13 +10,18 @@
                 Todo::Keeper(keeper, message) => {
                     self.hub.tell(End::Keeper(keeper), Said::Owners(message));
                 }
-                Todo::Asker(link, message) => _ = self.hub.tell(End::Asker(link), Said::Owners(message)),
+                Todo::Asker(link, message) => {
+                    _ = self.hub.tell(End::Asker(link), Said::Owners(message))
+                }
                 Todo::Askers(but, message) => {
                     for link in self.askers.keys().filter(|link| Some(**link) != but) {
-                        self.hub.tell(End::Asker(*link), Said::Owners(message.clone()));
+                        self.hub
+                            .tell(End::Asker(*link), Said::Owners(message.clone()));
                     }
                 }
-                Todo::Then(ticket, task, token, then) => self.promised.push_back((ticket, task, token, then)),
+                Todo::Then(ticket, task, token, then) => {
+                    self.promised.push_back((ticket, task, token, then))
+                }
             }
         }
     }
--- a/crates/gateway/src/sharing/status.rs
+++ b/crates/gateway/src/sharing/status.rs
@@ -22,9 +22,13 @@
         };
         let mut words: Vec<FleetWord> = self.states.iter().map(peer).collect();
         if self.keepers.contains(&self.name) {
-            words.push(FleetWord::Votes { votes: self.core.standing.votes() });
+            words.push(FleetWord::Votes {
+                votes: self.core.standing.votes(),
+            });
         }
-        words.push(FleetWord::Majority { stands: self.majority });
+        words.push(FleetWord::Majority {
+            stands: self.majority,
+        });
         words
     }
 
@@ -54,7 +58,9 @@
             .collect();
         // As of a whole second: two keepers' files of one second can be held against each other.
         let prints = self.core.copies().prints(now - now % 1_000_000);
-        let print = prints.iter().fold(0u64, |sum, print| sum.rotate_left(7) ^ print);
+        let print = prints
+            .iter()
+            .fold(0u64, |sum, print| sum.rotate_left(7) ^ print);
         let (core, origin) = (&self.core, self.core.origin());
         let counted = core.counted;
         let owning = self.owning.as_ref();
--- a/crates/gateway/src/sharing/translation.rs
+++ b/crates/gateway/src/sharing/translation.rs
@@ -19,14 +19,27 @@
 /// As the module is told: nothing is known of one that may have run at several places.
 pub fn earlier(told: &Told) -> Vec<Earlier> {
     let of = |(place, since): &(Option<Place>, Micros)| match place {
-        Some(place) => Earlier { zone: place.zone, cell: place.cell, since: (*since).max(NO_ZERO) },
-        None => Earlier { zone: 0, cell: 0, since: 0 },
+        Some(place) => Earlier {
+            zone: place.zone,
+            cell: place.cell,
+            since: (*since).max(NO_ZERO),
+        },
+        None => Earlier {
+            zone: 0,
+            cell: 0,
+            since: 0,
+        },
     };
     told.iter().map(of).collect()
 }
 
 pub(super) fn told(earlier: &[Earlier]) -> Told {
-    let place = |own: &Earlier| (own.since > 0).then_some(Place { zone: own.zone, cell: own.cell });
+    let place = |own: &Earlier| {
+        (own.since > 0).then_some(Place {
+            zone: own.zone,
+            cell: own.cell,
+        })
+    };
     earlier.iter().map(|own| (place(own), own.since)).collect()
 }
 
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -69,7 +69,11 @@
         }
         let killed_at = now + LAST_CLIENTS + longest_wait.min(LONGEST_STOP);
         let ends_at = killed_at - STOP_MARGIN;
-        self.bounds = [ends_at.min(now + LAST_CLIENTS), ends_at, killed_at - STOP_MARGIN / 2];
+        self.bounds = [
+            ends_at.min(now + LAST_CLIENTS),
+            ends_at,
+            killed_at - STOP_MARGIN / 2,
+        ];
         self.phase = Phase::Draining;
         true
     }
--- a/crates/gateway/src/spooling.rs
+++ b/crates/gateway/src/spooling.rs
@@ -24,7 +24,10 @@
 /// Bytes of a segment file, and background work for each look and each second: a page's write is handed
 /// over in microseconds, and a disk that takes 64 MB a second is a slow one.
 const SEGMENT: u64 = 4 << 20;
-const PACE: Pace = Pace { look: 500, bytes_per_s: 64e6 };
+const PACE: Pace = Pace {
+    look: 500,
+    bytes_per_s: 64e6,
+};
 /// A disk that failed is tried again after this.
 const DISK_PAUSE: Micros = 500_000;
 /// How long a page token is good: as long as its result is kept at the most.
@@ -135,9 +138,12 @@
         wake: Box<dyn Fn() + Send>,
     ) -> io::Result<Self> {
         let worker = match &plan.directory {
-            Some(directory) => {
-                Some(Worker::start(name, epoch, Box::new(Directory(directory.clone())), wake)?)
-            }
+            Some(directory) => Some(Worker::start(
+                name,
+                epoch,
+                Box::new(Directory(directory.clone())),
+                wake,
+            )?),
             None => None,
         };
         let budget = Budget {
@@ -188,7 +194,10 @@
         address: u64,
         now: Micros,
     ) -> Result<(), (Option<Micros>, &'static str)> {
-        let owner = Owner { tenant: tenant as u32, address };
+        let owner = Owner {
+            tenant: tenant as u32,
+            address,
+        };
         let mut expected = self.sizes.expected(class, tenant, USUAL);
         if expected > self.result && self.sizes.doubts() {
             expected = USUAL;
@@ -214,9 +223,22 @@
         (class, tenant, address): (usize, usize, u64),
         now: Micros,
     ) {
-        let owner = Owner { tenant: tenant as u32, address };
-        self.core.begin(id, owner, self.sizes.expected(class, tenant, USUAL), now);
-        self.stored.insert(id, Stored { name: name.into(), pages: Vec::new(), expiry: None, class, tenant });
+        let owner = Owner {
+            tenant: tenant as u32,
+            address,
+        };
+        self.core
+            .begin(id, owner, self.sizes.expected(class, tenant, USUAL), now);
+        self.stored.insert(
+            id,
+            Stored {
+                name: name.into(),
+                pages: Vec::new(),
+                expiry: None,
+                class,
+                tenant,
+            },
+        );
         self.returns.arrives(name, who);
         self.counted.begun += 1;
     }
@@ -232,11 +254,14 @@
 
     /// A page has come, the next in order. An error: the result can't be kept.
     pub fn page(&mut self, id: ResultId, bytes: Vec<u8>, now: Micros) -> Result<(), &'static str> {
-        let Some(stored) = self.stored.get_mut(&id) else { return Ok(()) };
+        let Some(stored) = self.stored.get_mut(&id) else {
+            return Ok(());
+        };
         if let Err(why) = self.core.page(id, bytes.len() as u64, now) {
             if why == Refusal::TooLarge {
                 // All that is known of its size; the next are refused before they are sent.
-                self.sizes.learn(stored.class, stored.tenant, self.result + 1);
+                self.sizes
+                    .learn(stored.class, stored.tenant, self.result + 1);
             }
             return Err(why.word());
         }
@@ -246,19 +271,36 @@
     }
 
     /// What came of a run that is tried again is forgotten: rows of two runs are never mixed.
-    pub fn restart(&mut self, id: ResultId, (class, tenant, address): (usize, usize, u64), now: Micros) {
-        let Some(stored) = self.stored.get_mut(&id).filter(|stored| !stored.pages.is_empty()) else { return };
+    pub fn restart(
+        &mut self,
+        id: ResultId,
+        (class, tenant, address): (usize, usize, u64),
+        now: Micros,
+    ) {
+        let Some(stored) = self
+            .stored
+            .get_mut(&id)
+            .filter(|stored| !stored.pages.is_empty())
+        else {
+            return;
+        };
         let pages = std::mem::take(&mut stored.pages);
         self.core.end(id, false, now);
         self.core.drop(id, now);
         self.free(pages, now);
-        let owner = Owner { tenant: tenant as u32, address };
-        self.core.begin(id, owner, self.sizes.expected(class, tenant, USUAL), now);
+        let owner = Owner {
+            tenant: tenant as u32,
+            address,
+        };
+        self.core
+            .begin(id, owner, self.sizes.expected(class, tenant, USUAL), now);
     }
 
     /// All pages have come. Gives what goes to whom.
     pub fn whole(&mut self, id: ResultId, now: Micros) -> Vec<Told> {
-        let Some(stored) = self.stored.get_mut(&id) else { return Vec::new() };
+        let Some(stored) = self.stored.get_mut(&id) else {
+            return Vec::new();
+        };
         let bytes = stored.pages.iter().map(Kept::length).sum();
         self.sizes.learn(stored.class, stored.tenant, bytes);
         let name = stored.name.clone();
@@ -266,13 +308,18 @@
         self.expire_later(id);
         self.counted.whole += 1;
         let waiting = self.returns.ends(&name, Ended::Result(id));
-        waiting.into_iter().filter_map(|waiter| self.part(waiter, id, 0, now)).collect()
+        waiting
+            .into_iter()
+            .filter_map(|waiter| self.part(waiter, id, 0, now))
+            .collect()
     }
 
     /// The run ended without a result: refused before anything ran, or failed for good. Gives who waits
     /// besides the request's own client.
     pub fn over(&mut self, id: ResultId, refused: bool, now: Micros) -> Vec<Waiter> {
-        let Some(stored) = self.stored.get(&id) else { return Vec::new() };
+        let Some(stored) = self.stored.get(&id) else {
+            return Vec::new();
+        };
         let name = stored.name.clone();
         self.core.end(id, false, now);
         if refused {
@@ -313,13 +360,23 @@
                 // Nothing of it is known here, and asking starts no run.
                 self.returns.refused(name);
                 self.counted.gone += 1;
-                return Some(Told::Error(who, "Gone", "nothing is known of this request".into()));
+                return Some(Told::Error(
+                    who,
+                    "Gone",
+                    "nothing is known of this request".into(),
+                ));
             }
             Arrival::Gone => {
                 self.counted.gone += 1;
-                return Some(Told::Error(who, "Gone", "its result is kept no longer".into()));
+                return Some(Told::Error(
+                    who,
+                    "Gone",
+                    "its result is kept no longer".into(),
+                ));
+            }
+            Arrival::Crowded => {
+                return Some(Told::Error(who, "TryLater", "too many wait for it".into()))
             }
-            Arrival::Crowded => return Some(Told::Error(who, "TryLater", "too many wait for it".into())),
             Arrival::Attached => None,
             Arrival::Answered(Ended::Failed) => {
                 Some(Told::Error(who, "Failed", "the request has failed".into()))
@@ -335,7 +392,11 @@
         match self.keys.read(token, name, self.epoch, now) {
             Ok(token) => self.part(who, token.result, token.page as usize, now),
             Err(wrong) => {
-                let word = if wrong == Wrong::Forged { "Forged" } else { "Gone" };
+                let word = if wrong == Wrong::Forged {
+                    "Forged"
+                } else {
+                    "Gone"
+                };
                 Some(Told::Error(who, word, wrong.to_string()))
             }
         }
@@ -352,8 +413,16 @@
 
     /// The pages from one on that fit into a message, at once or when the disk has given them.
     fn part(&mut self, waiter: Waiter, id: ResultId, first: usize, now: Micros) -> Option<Told> {
-        let gone = || Some(Told::Error(waiter, "Gone", "its result is kept no longer".into()));
-        let Some(stored) = self.stored.get(&id) else { return gone() };
+        let gone = || {
+            Some(Told::Error(
+                waiter,
+                "Gone",
+                "its result is kept no longer".into(),
+            ))
+        };
+        let Some(stored) = self.stored.get(&id) else {
+            return gone();
+        };
         let (mut bytes, mut rows) = (0, Vec::new());
         for page in stored.pages.iter().skip(first) {
             if !rows.is_empty() && bytes + page.length() as usize > MOST_MESSAGE {
@@ -374,13 +443,23 @@
         if !rows.is_empty() {
             self.core.read(id, last - 1, now);
         }
-        let pending = Pending { waiter, result: id, first, rows, more };
+        let pending = Pending {
+            waiter,
+            result: id,
+            first,
+            rows,
+            more,
+        };
         if pending.rows.iter().all(Option::is_some) {
             return self.finish(pending, now);
         }
         if self.pending.len() >= MOST_PENDING || !self.fetch(&pending) {
             self.core.close(id, false, now);
-            return Some(Told::Error(waiter, "TryLater", "the spool's disk is busy".into()));
+            return Some(Told::Error(
+                waiter,
+                "TryLater",
+                "the spool's disk is busy".into(),
+            ));
         }
         self.pending.push_back(pending);
         None
@@ -391,26 +470,52 @@
         let (Some(worker), Some(stored)) = (&self.worker, self.stored.get(&pending.result)) else {
             return false;
         };
-        let missing = pending.rows.iter().enumerate().filter(|(_, rows)| rows.is_none());
+        let missing = pending
+            .rows
+            .iter()
+            .enumerate()
+            .filter(|(_, rows)| rows.is_none());
         let places = missing.filter_map(|(at, _)| match stored.pages.get(pending.first + at) {
             Some(Kept::Disk(place)) => Some((pending.first + at, *place)),
             _ => None,
         });
         places.into_iter().all(|(page, place)| {
-            worker.order(Order::Read { result: pending.result, page: page as u32, place }).is_ok()
+            worker
+                .order(Order::Read {
+                    result: pending.result,
+                    page: page as u32,
+                    place,
+                })
+                .is_ok()
         })
     }
 
     fn finish(&mut self, pending: Pending, now: Micros) -> Option<Told> {
-        let Pending { waiter, result, first, rows, more } = pending;
+        let Pending {
+            waiter,
+            result,
+            first,
+            rows,
+            more,
+        } = pending;
         let name = self.stored.get(&result)?.name.clone();
         let page = (first + rows.len()) as u32;
-        let token = Token { result, epoch: self.epoch, page, expires: now + TOKEN_LIFE };
+        let token = Token {
+            result,
+            epoch: self.epoch,
+            page,
+            expires: now + TOKEN_LIFE,
+        };
         let token = self.keys.write(&token, &name);
         self.core.close(result, !more, now);
         self.expire_later(result);
         self.counted.parts += 1;
-        Some(Told::Part(Part { waiter, rows: rows.into_iter().flatten().collect(), token, more }))
+        Some(Told::Part(Part {
+            waiter,
+            rows: rows.into_iter().flatten().collect(),
+            token,
+            more,
+        }))
     }
 
     // ---- Disk, background, expiry ----
@@ -420,13 +525,20 @@
             return;
         }
         for Choice::Move { result, page } in self.core.moves(now) {
-            let Some(Kept::Memory(rows)) = self.stored.get(&result).and_then(|stored| stored.pages.get(page))
+            let Some(Kept::Memory(rows)) = self
+                .stored
+                .get(&result)
+                .and_then(|stored| stored.pages.get(page))
             else {
                 continue;
             };
             let bytes = rows.len() as u64;
             self.core.moving(result, page);
-            if self.background.offer(now, Urgency::Room, Work::Move(result, page), bytes).is_err() {
+            if self
+                .background
+                .offer(now, Urgency::Room, Work::Move(result, page), bytes)
+                .is_err()
+            {
                 self.core.moved(result, page, false, now);
                 return;
             }
@@ -446,10 +558,15 @@
             match job.what {
                 Work::Move(result, page) => self.write(result, page, now),
                 Work::Remove(segment) => {
-                    let order = self.worker.as_ref().map(|worker| worker.order(Order::Remove { segment }));
+                    let order = self
+                        .worker
+                        .as_ref()
+                        .map(|worker| worker.order(Order::Remove { segment }));
                     if let Some(Err(_)) = order {
                         // The disk is behind: later, with the others that wait.
-                        let _ = self.background.offer(now, Urgency::Tidy, Work::Remove(segment), 0);
+                        let _ = self
+                            .background
+                            .offer(now, Urgency::Tidy, Work::Remove(segment), 0);
                         break;
                     }
                 }
@@ -472,22 +589,43 @@
 
     /// When [`Spooling::work`] has something to do, if nothing else happens.
     pub fn due(&self, now: Micros) -> Option<Micros> {
-        self.expiry.next().into_iter().chain(self.background.due(now)).min()
+        self.expiry
+            .next()
+            .into_iter()
+            .chain(self.background.due(now))
+            .min()
     }
 
     fn write(&mut self, result: ResultId, page: usize, now: Micros) {
-        let kept = self.stored.get_mut(&result).and_then(|stored| stored.pages.get_mut(page));
+        let kept = self
+            .stored
+            .get_mut(&result)
+            .and_then(|stored| stored.pages.get_mut(page));
         // It may have been another run's page that was to move.
-        let Some(Kept::Memory(rows)) = kept.filter(|_| self.core.is_moving(result, page)) else { return };
+        let Some(Kept::Memory(rows)) = kept.filter(|_| self.core.is_moving(result, page)) else {
+            return;
+        };
         let (place, begins) = self.segments.place(rows.len() as u32);
-        let order = Order::Write { result, page: page as u32, place, begins, bytes: rows.clone() };
-        if self.worker.as_ref().is_none_or(|worker| worker.order(order).is_err()) {
+        let order = Order::Write {
+            result,
+            page: page as u32,
+            place,
+            begins,
+            bytes: rows.clone(),
+        };
+        if self
+            .worker
+            .as_ref()
+            .is_none_or(|worker| worker.order(order).is_err())
+        {
             self.failed_place(place, now);
             self.core.moved(result, page, false, now);
             return;
         }
-        if let Some(kept @ Kept::Memory(_)) =
-            self.stored.get_mut(&result).and_then(|stored| stored.pages.get_mut(page))
+        if let Some(kept @ Kept::Memory(_)) = self
+            .stored
+            .get_mut(&result)
+            .and_then(|stored| stored.pages.get_mut(page))
         {
             if let Kept::Memory(rows) = std::mem::replace(kept, Kept::Disk(place)) {
                 *kept = Kept::Moving(rows, place);
@@ -498,15 +636,26 @@
     /// Nothing that follows in a segment whose write failed can be relied on.
     fn failed_place(&mut self, place: Place, now: Micros) {
         let gone = [self.segments.free(place), self.segments.abandon()];
-        gone.into_iter().flatten().for_each(|segment| self.remove(segment, now));
+        gone.into_iter()
+            .flatten()
+            .for_each(|segment| self.remove(segment, now));
     }
 
     fn done(&mut self, done: Done, now: Micros, told: &mut Vec<Told>) {
         match done {
-            Done::Written { result, page, place, outcome } => {
+            Done::Written {
+                result,
+                page,
+                place,
+                outcome,
+            } => {
                 let page = page as usize;
-                let kept = self.stored.get_mut(&result).and_then(|stored| stored.pages.get_mut(page));
-                let Some(kept) = kept.filter(|kept| matches!(kept, Kept::Moving(_, own) if *own == place))
+                let kept = self
+                    .stored
+                    .get_mut(&result)
+                    .and_then(|stored| stored.pages.get_mut(page));
+                let Some(kept) =
+                    kept.filter(|kept| matches!(kept, Kept::Moving(_, own) if *own == place))
                 else {
                     // It was dropped meanwhile, which has given its place back.
                     return;
@@ -524,7 +673,11 @@
                     self.failed_place(place, now);
                 }
             }
-            Done::Read { result, page, outcome } => self.fetched(result, page as usize, outcome, now, told),
+            Done::Read {
+                result,
+                page,
+                outcome,
+            } => self.fetched(result, page as usize, outcome, now, told),
         }
     }
 
@@ -539,15 +692,23 @@
     ) {
         let mut waiting = std::mem::take(&mut self.pending);
         for mut pending in waiting.drain(..) {
-            let at = page.checked_sub(pending.first).filter(|_| pending.result == result);
-            let place = at.and_then(|at| pending.rows.get_mut(at)).filter(|rows| rows.is_none());
+            let at = page
+                .checked_sub(pending.first)
+                .filter(|_| pending.result == result);
+            let place = at
+                .and_then(|at| pending.rows.get_mut(at))
+                .filter(|rows| rows.is_none());
             match (place, &outcome) {
                 (Some(place), Ok(rows)) => *place = Some(rows.clone()),
                 (Some(_), Err(e)) => {
                     self.counted.disk_errors += 1;
                     tracing::warn!("a page of the spool can't be read: {e}");
                     self.core.close(result, false, now);
-                    told.push(Told::Error(pending.waiter, "Failed", "a page of it can't be read".into()));
+                    told.push(Told::Error(
+                        pending.waiter,
+                        "Failed",
+                        "a page of it can't be read".into(),
+                    ));
                     continue;
                 }
                 (None, _) => {}
@@ -560,7 +721,9 @@
     }
 
     fn expire_later(&mut self, id: ResultId) {
-        let Some(at) = self.core.expires(id) else { return };
+        let Some(at) = self.core.expires(id) else {
+            return;
+        };
         if let Some(stored) = self.stored.get_mut(&id) {
             if let Some(before) = stored.expiry.replace(self.expiry.set(at, id)) {
                 self.expiry.take_back(before);
@@ -572,7 +735,9 @@
         if self.core.holds(id) && !self.core.drop(id, now) {
             return;
         }
-        let Some(stored) = self.stored.remove(&id) else { return };
+        let Some(stored) = self.stored.remove(&id) else {
+            return;
+        };
         stored.expiry.and_then(|timer| self.expiry.take_back(timer));
         self.returns.drops(&stored.name);
         self.free(stored.pages, now);
@@ -583,14 +748,17 @@
         for page in pages {
             if let Kept::Disk(place) | Kept::Moving(_, place) = page {
                 let gone = self.segments.free(place);
-                gone.into_iter().for_each(|segment| self.remove(segment, now));
+                gone.into_iter()
+                    .for_each(|segment| self.remove(segment, now));
             }
         }
     }
 
     fn remove(&mut self, segment: u64, now: Micros) {
         // What finds no room here is removed at the next start.
-        let _ = self.background.offer(now, Urgency::Tidy, Work::Remove(segment), 0);
+        let _ = self
+            .background
+            .offer(now, Urgency::Tidy, Work::Remove(segment), 0);
     }
 }
 
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -19,7 +19,8 @@
             let (own, next) = (directory.join(NAME), directory.join("STATUS.next"));
             for text in texts {
                 // Who reads it sees the text before or this one, never a part.
-                let written = std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, &own));
+                let written =
+                    std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, &own));
                 if let Err(e) = written {
                     tracing::debug!("status file: {e}");
                 }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -28,7 +28,10 @@
 
 impl<T> Default for Table<T> {
     fn default() -> Self {
-        Table { slots: Slab::new(), generation: 0 }
+        Table {
+            slots: Slab::new(),
+            generation: 0,
+        }
     }
 }
 
@@ -51,11 +54,17 @@
     }
 
     pub fn get(&self, key: Key) -> Option<&T> {
-        self.slots.get(key.slot()).filter(|(own, _)| *own == key).map(|(_, tenant)| tenant)
+        self.slots
+            .get(key.slot())
+            .filter(|(own, _)| *own == key)
+            .map(|(_, tenant)| tenant)
     }
 
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        self.slots.get_mut(key.slot()).filter(|(own, _)| *own == key).map(|(_, tenant)| tenant)
+        self.slots
+            .get_mut(key.slot())
+            .filter(|(own, _)| *own == key)
+            .map(|(_, tenant)| tenant)
     }
 
     pub fn remove(&mut self, key: Key) -> Option<T> {
@@ -85,13 +94,22 @@
         assert_eq!(table.remove(first), Some("first"));
         let second = table.insert("second");
         assert_eq!(first.slot(), second.slot());
-        assert_eq!((table.remove(first), table.get(first), table.len()), (None, None, 1));
-        assert_eq!(table.get(Key::from_number(second.number())), Some(&"second"));
+        assert_eq!(
+            (table.remove(first), table.get(first), table.len()),
+            (None, None, 1)
+        );
+        assert_eq!(
+            table.get(Key::from_number(second.number())),
+            Some(&"second")
+        );
     }
 
     #[test]
     fn generations_go_round_without_the_number_0() {
-        let mut table = Table { slots: Slab::new(), generation: u32::MAX };
+        let mut table = Table {
+            slots: Slab::new(),
+            generation: u32::MAX,
+        };
         assert_ne!(table.insert(()).number(), 0);
     }
 }
--- a/crates/gateway/src/tap.rs
+++ b/crates/gateway/src/tap.rs
@@ -15,7 +15,9 @@
 impl Tap {
     /// A record that can't be started is said and done without.
     pub fn start(name: &str, epoch: Micros, names: Names, record: Option<&Record>) -> Self {
-        let Some(record) = record else { return Tap::default() };
+        let Some(record) = record else {
+            return Tap::default();
+        };
         let plan = Plan {
             name: name.to_string(),
             epoch,
@@ -27,7 +29,9 @@
             tenants: names.tenants.len(),
         };
         match Recorder::start(plan, Box::new(Directory(record.directory.clone()))) {
-            Ok(recorder) => Tap { recorder: Some(Box::new((recorder, names))) },
+            Ok(recorder) => Tap {
+                recorder: Some(Box::new((recorder, names))),
+            },
             Err(e) => {
                 tracing::error!("no record is kept: {e}");
                 Tap::default()
@@ -59,12 +63,16 @@
 
     /// Whether a segment should begin, with what is known.
     pub fn wants_state(&self, now: Micros) -> bool {
-        self.recorder.as_ref().is_some_and(|tap| tap.0.wants_state(now))
+        self.recorder
+            .as_ref()
+            .is_some_and(|tap| tap.0.wants_state(now))
     }
 
     /// Begins a segment with what is known now.
     pub fn state(&mut self, now: Micros, known: impl Iterator<Item = Host>) {
-        let Some(tap) = &mut self.recorder else { return };
+        let Some(tap) = &mut self.recorder else {
+            return;
+        };
         let (recorder, names) = &mut **tap;
         if recorder.begin(now) {
             recorder.state(now, &Host::Names(names.clone()));
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -42,7 +42,13 @@
         self.last
     }
 
-    pub fn new(events: &Loop, address: SocketAddr, last: u64, dial_timeout: Micros, seed: u64) -> Self {
+    pub fn new(
+        events: &Loop,
+        address: SocketAddr,
+        last: u64,
+        dial_timeout: Micros,
+        seed: u64,
+    ) -> Self {
         Watch {
             events: events.clone(),
             address,
@@ -133,7 +139,9 @@
         counters: &mut Counters,
         items: &mut Vec<Item>,
     ) -> Result<bool, String> {
-        let Some((connection, reader)) = &mut self.connection else { return Ok(false) };
+        let Some((connection, reader)) = &mut self.connection else {
+            return Ok(false);
+        };
         let was_up = connection.was_up();
         if !connection.is_up().map_err(|e| e.to_string())? {
             return Ok(false);
@@ -145,14 +153,18 @@
         let mut heard = Vec::new();
         for _ in 0..MOST_READS {
             let filled = connection.fill().map_err(|e| e.to_string())?;
-            let taken = reader.take(connection.input.filled(), &mut heard).map_err(|e| e.to_string());
+            let taken = reader
+                .take(connection.input.filled(), &mut heard)
+                .map_err(|e| e.to_string());
             connection.input.clear();
             if !heard.is_empty() {
                 self.heard = true;
                 due.renew(&mut self.deadline, now + SILENCE, Due::Bulletin);
             }
             for heard in heard.drain(..) {
-                let Heard::Event { data, .. } = heard else { continue };
+                let Heard::Event { data, .. } = heard else {
+                    continue;
+                };
                 let item = Item::read(&data).map_err(|e| format!("an event can't be read: {e}"))?;
                 if item.no <= self.last {
                     continue;
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -38,16 +38,31 @@
             for &what in order {
                 match all[what] {
                     Happens::Signal => {
-                        assert_eq!(shutdown.begin(now, wait), signalled.is_none(), "a second one is none");
+                        assert_eq!(
+                            shutdown.begin(now, wait),
+                            signalled.is_none(),
+                            "a second one is none"
+                        );
                         signalled.get_or_insert(now);
                     }
                     Happens::Pass(time) => now += time,
-                    Happens::Left(requests, connections) => left = Left { requests, connections },
+                    Happens::Left(requests, connections) => {
+                        left = Left {
+                            requests,
+                            connections,
+                        }
+                    }
                 }
                 let taken = look(&mut shutdown, now, left);
-                assert!(signalled.is_some() || taken.is_empty(), "nothing happens before the signal");
+                assert!(
+                    signalled.is_some() || taken.is_empty(),
+                    "nothing happens before the signal"
+                );
                 let may_leave = left == Left::default() || now >= shutdown.due()[2];
-                assert!(!taken.contains(&Step::Leave) || may_leave, "left early with {left:?} of {wait}");
+                assert!(
+                    !taken.contains(&Step::Leave) || may_leave,
+                    "left early with {left:?} of {wait}"
+                );
                 steps.extend(taken);
             }
             // Whatever is left for good, the end comes before the process may be killed.
@@ -59,7 +74,10 @@
             }
             assert_eq!(shutdown.phase(), Phase::Over);
             let whole = [Step::Close, Step::End, Step::Leave];
-            assert!(steps == whole || steps == [Step::Close, Step::Leave], "{steps:?}");
+            assert!(
+                steps == whole || steps == [Step::Close, Step::Leave],
+                "{steps:?}"
+            );
         }
     });
     assert_eq!(orders, 3 * 5040);
@@ -82,13 +100,22 @@
     let mut shutdown = Shutdown::default();
     assert!(shutdown.begin(START, 2_000_000));
     assert_eq!(look(&mut shutdown, START + 650_000, Left::default()), []);
-    let rests = Left { requests: 0, connections: 1 };
+    let rests = Left {
+        requests: 0,
+        connections: 1,
+    };
     assert_eq!(look(&mut shutdown, START + 700_000, rests), [Step::Close]);
     assert_eq!(look(&mut shutdown, START + 710_000, rests), []);
-    assert_eq!(look(&mut shutdown, START + 720_000, Left::default()), [Step::Leave]);
+    assert_eq!(
+        look(&mut shutdown, START + 720_000, Left::default()),
+        [Step::Leave]
+    );
     // A wait so short that the kill comes at once after the last clients still leaves time to close.
     let mut shutdown = Shutdown::default();
     shutdown.begin(START, 100_000);
-    assert_eq!(look(&mut shutdown, START + 600_000, rests), [Step::Close, Step::End]);
+    assert_eq!(
+        look(&mut shutdown, START + 600_000, rests),
+        [Step::Close, Step::End]
+    );
     assert_eq!(look(&mut shutdown, START + 700_000, rests), [Step::Leave]);
 }
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -3,7 +3,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Where a request may run: what its scope is looked up by.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Place {
     pub zone: u32,
     pub cell: u32,
@@ -48,5 +50,8 @@
 }
 
 pub fn from_bytes(bytes: &[u8]) -> Option<Intent> {
-    postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(intent, _)| intent)
+    postcard::take_from_bytes(bytes)
+        .ok()
+        .filter(|(_, rest)| rest.is_empty())
+        .map(|(intent, _)| intent)
 }
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -88,14 +88,24 @@
         life: Micros,
         now: Micros,
     ) -> Self {
-        let longest = classes.iter().filter(|class| is_kept(class)).map(|class| class.window).max();
+        let longest = classes
+            .iter()
+            .filter(|class| is_kept(class))
+            .map(|class| class.window)
+            .max();
         let longest = longest.unwrap_or(0) + SLACK;
         let doubt = match life.min(now) + longest > now {
             true => Doubt::Before(life.min(now)),
             false => Doubt::None,
         };
         let (entries, expiry) = (HashMap::new(), BTreeSet::new());
-        let mut ledger = Ledger { limits, classes, entries, expiry, doubt };
+        let mut ledger = Ledger {
+            limits,
+            classes,
+            entries,
+            expiry,
+            doubt,
+        };
         let mut found: Vec<(Vec<u8>, Intent)> = found.collect();
         for (_, intent) in &mut found {
             // Its attempts went with the process that sent them, but may run on: as if they ended now.
@@ -141,24 +151,41 @@
         marked: bool,
         failing: bool,
     ) -> Result<Vec<Earlier>, Refusal> {
-        let Some(own) = self.classes.get(class).filter(|class| is_kept(class)) else { return Ok(Vec::new()) };
-        let Some(key) = key else { return Ok(Vec::new()) };
+        let Some(own) = self.classes.get(class).filter(|class| is_kept(class)) else {
+            return Ok(Vec::new());
+        };
+        let Some(key) = key else {
+            return Ok(Vec::new());
+        };
         if failing {
             return Err(Refusal::Stalled);
         }
-        let nowhere = Earlier { zone: 0, cell: 0, since: 0 };
+        let nowhere = Earlier {
+            zone: 0,
+            cell: 0,
+            since: 0,
+        };
         if let Some(entry) = self.entries.get(&stored_key(class, key)) {
             let Intent { since, place, .. } = *entry;
-            return Ok(vec![Earlier { zone: place.zone, cell: place.cell, since }]);
+            return Ok(vec![Earlier {
+                zone: place.zone,
+                cell: place.cell,
+                since,
+            }]);
         }
         if self.entries.len() >= self.limits.entries {
             return Err(Refusal::Full);
         }
         // A retry that nothing is known of, at one who may have forgotten: it may have run anywhere. Where
         // all engines drop its repeats that does no harm.
-        let may_be_forgotten = matches!(self.doubt, Doubt::Before(life) if now < life + own.window + SLACK);
+        let may_be_forgotten =
+            matches!(self.doubt, Doubt::Before(life) if now < life + own.window + SLACK);
         let harmless = own.effect == Effect::Keyed && own.scope == Scope::All;
-        Ok(if marked && may_be_forgotten && !harmless { vec![nowhere] } else { Vec::new() })
+        Ok(if marked && may_be_forgotten && !harmless {
+            vec![nowhere]
+        } else {
+            Vec::new()
+        })
     }
 
     /// A request is to be sent: what the store has to know before it is. `known`: what the module was told of
@@ -172,11 +199,19 @@
         place: Place,
         known: &[Earlier],
     ) -> Send {
-        let Some(own) = self.classes.get(class).filter(|class| is_kept(class)) else { return Send::Free };
+        let Some(own) = self.classes.get(class).filter(|class| is_kept(class)) else {
+            return Send::Free;
+        };
         let Some(key) = key else { return Send::Free };
         let key = stored_key(class, key);
         let (scope, until) = (own.scope, now + own.window + SLACK);
-        let fresh = Intent { since: now, place, out: 0, ran: false, until: 0 };
+        let fresh = Intent {
+            since: now,
+            place,
+            out: 0,
+            ran: false,
+            until: 0,
+        };
         let within = |at: Place, zone: u32, cell: u32| match scope {
             Scope::All => true,
             Scope::Zone => zone == at.zone,
@@ -184,25 +219,38 @@
         };
         let same = |zone: u32, cell: u32| within(place, zone, cell);
         if let Some(ran) = self.entries.get(&key) {
-            let told = |own: &&Earlier| own.since <= ran.since && within(ran.place, own.zone, own.cell);
+            let told =
+                |own: &&Earlier| own.since <= ran.since && within(ran.place, own.zone, own.cell);
             if !known.iter().any(|own| told(&own)) {
-                let Intent { since, place: Place { zone, cell }, .. } = *ran;
+                let Intent {
+                    since,
+                    place: Place { zone, cell },
+                    ..
+                } = *ran;
                 return Send::Untold(Earlier { zone, cell, since });
             }
         }
         let intent = self.entries.entry(key.clone()).or_insert(fresh);
         let before = *intent;
-        let elsewhere = known.iter().any(|ran| ran.since == 0 || !same(ran.zone, ran.cell));
+        let elsewhere = known
+            .iter()
+            .any(|ran| ran.since == 0 || !same(ran.zone, ran.cell));
         // At several places: no engine drops the repeats of both.
         intent.since = match elsewhere || !same(before.place.zone, before.place.cell) {
             true => 0,
-            false => known.iter().map(|ran| ran.since).fold(before.since, u64::min),
+            false => known
+                .iter()
+                .map(|ran| ran.since)
+                .fold(before.since, u64::min),
         };
         intent.out += 1;
         intent.until = before.until.max(until);
         let intent = *intent;
         self.dated(before.until, intent.until, &key);
-        Send::Waits(Wish { key, intent: Some(intent) })
+        Send::Waits(Wish {
+            key,
+            intent: Some(intent),
+        })
     }
 
     fn dated(&mut self, before: Micros, until: Micros, key: &[u8]) {
@@ -213,7 +261,13 @@
     }
 
     /// An attempt has its end. One that never ran leaves nothing, if it was the only one; the write may wait.
-    pub fn ended(&mut self, now: Micros, class: usize, key: Option<&str>, never_ran: bool) -> Option<Wish> {
+    pub fn ended(
+        &mut self,
+        now: Micros,
+        class: usize,
+        key: Option<&str>,
+        never_ran: bool,
+    ) -> Option<Wish> {
         let own = self.classes.get(class).filter(|class| is_kept(class))?;
         let (key, window) = (stored_key(class, key?), own.window);
         let intent = self.entries.get_mut(&key)?;
@@ -228,14 +282,19 @@
         intent.until = before.until.max(now + window + SLACK);
         let intent = *intent;
         self.dated(before.until, intent.until, &key);
-        Some(Wish { key, intent: Some(intent) })
+        Some(Wish {
+            key,
+            intent: Some(intent),
+        })
     }
 
     /// Forgets keys whose windows are over; gives those that the store may forget.
     pub fn expire(&mut self, now: Micros) -> Vec<Wish> {
         let mut gone = Vec::new();
         while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
-            let Some((until, key)) = self.expiry.pop_first() else { break };
+            let Some((until, key)) = self.expiry.pop_first() else {
+                break;
+            };
             match self.entries.get_mut(&key) {
                 // An attempt that is out is looked at again when it may be over.
                 Some(intent) if intent.out > 0 => {
@@ -248,7 +307,12 @@
                 }
             }
         }
-        let longest = self.classes.iter().filter(|class| is_kept(class)).map(|class| class.window).max();
+        let longest = self
+            .classes
+            .iter()
+            .filter(|class| is_kept(class))
+            .map(|class| class.window)
+            .max();
         if matches!(self.doubt, Doubt::Before(life) if now >= life + longest.unwrap_or(0) + SLACK) {
             self.doubt = Doubt::None;
         }
--- a/crates/ledger/src/waiting.rs
+++ b/crates/ledger/src/waiting.rs
@@ -48,14 +48,26 @@
 
 impl<T> Default for Waits<T> {
     fn default() -> Self {
-        Waits { sends: BTreeMap::new(), words: BTreeMap::new(), stalled_at: None }
+        Waits {
+            sends: BTreeMap::new(),
+            words: BTreeMap::new(),
+            stalled_at: None,
+        }
     }
 }
 
 impl<T> Waits<T> {
     pub fn put(&mut self, now: Micros, ticket: u64, word: Option<u64>, what: T) {
-        word.into_iter().for_each(|word| _ = self.words.insert(word, ticket));
-        self.sends.insert(ticket, One { since: now, word, what });
+        word.into_iter()
+            .for_each(|word| _ = self.words.insert(word, ticket));
+        self.sends.insert(
+            ticket,
+            One {
+                since: now,
+                word,
+                what,
+            },
+        );
     }
 
     pub fn len(&self) -> usize {
@@ -68,7 +80,10 @@
 
     /// The word is that it may go.
     pub fn granted(&mut self, word: u64) {
-        let send = self.words.remove(&word).and_then(|ticket| self.sends.get_mut(&ticket));
+        let send = self
+            .words
+            .remove(&word)
+            .and_then(|ticket| self.sends.get_mut(&ticket));
         send.into_iter().for_each(|send| send.word = None);
     }
 
@@ -83,18 +98,36 @@
     pub fn work(&mut self, now: Micros, durable: u64) -> Ready<T> {
         let (mut go, mut late) = (Vec::new(), Vec::new());
         self.stalled_at.take_if(|ticket| *ticket <= durable);
-        while let Some(first) = self.sends.first_entry().filter(|own| own.get().since + STALL <= now) {
+        while let Some(first) = self
+            .sends
+            .first_entry()
+            .filter(|own| own.get().since + STALL <= now)
+        {
             let (ticket, send) = first.remove_entry();
-            send.word.into_iter().for_each(|word| _ = self.words.remove(&word));
+            send.word
+                .into_iter()
+                .for_each(|word| _ = self.words.remove(&word));
             if ticket > durable {
                 self.stalled_at = self.stalled_at.max(Some(ticket));
             }
-            let why = if ticket <= durable && send.word.is_some() { Late::Word } else { Late::Disk };
+            let why = if ticket <= durable && send.word.is_some() {
+                Late::Word
+            } else {
+                Late::Disk
+            };
             late.push((send.what, why));
         }
-        let written = self.sends.range(..=durable).filter(|(_, send)| send.word.is_none());
+        let written = self
+            .sends
+            .range(..=durable)
+            .filter(|(_, send)| send.word.is_none());
         let written: Vec<u64> = written.map(|(ticket, _)| *ticket).collect();
-        go.extend(written.iter().filter_map(|ticket| self.sends.remove(ticket)).map(|send| send.what));
+        go.extend(
+            written
+                .iter()
+                .filter_map(|ticket| self.sends.remove(ticket))
+                .map(|send| send.what),
+        );
         Ready { go, late }
     }
 
@@ -132,15 +165,28 @@
         assert_eq!(waits.work(30, 0).go, Vec::<&str>::new());
         assert_eq!(waits.work(30, 1).go, ["disk"]);
         waits.granted(7);
-        assert_eq!(waits.work(40, 1).go, Vec::<&str>::new(), "it is granted, not durable");
+        assert_eq!(
+            waits.work(40, 1).go,
+            Vec::<&str>::new(),
+            "it is granted, not durable"
+        );
         assert_eq!(waits.take(9), Some("told"));
-        assert_eq!(waits.work(50, 3), Ready { go: vec!["both"], late: vec![] });
+        assert_eq!(
+            waits.work(50, 3),
+            Ready {
+                go: vec!["both"],
+                late: vec![]
+            }
+        );
         // Granted and durable, but looked at too late.
         waits.granted(8);
         let late = waits.work(10 + STALL, 4);
         assert_eq!((late.go.len(), late.late), (0, vec![("word", Late::Disk)]));
         waits.put(100, 5, Some(10), "unanswered");
-        assert_eq!(waits.work(100 + STALL, 5).late, [("unanswered", Late::Word)]);
+        assert_eq!(
+            waits.work(100 + STALL, 5).late,
+            [("unanswered", Late::Word)]
+        );
         assert!(waits.is_empty() && waits.words.is_empty() && waits.due().is_none());
     }
 
@@ -150,12 +196,23 @@
         (1..=4).for_each(|ticket| waits.put(0, ticket, None, ticket));
         assert!(!waits.is_held_up(2 * SLOW, 0), "few may wait");
         waits.put(0, 5, None, 5);
-        assert!(!waits.is_held_up(SLOW - 1, 0) && waits.is_held_up(SLOW, 0) && !waits.is_held_up(SLOW, 4));
+        assert!(
+            !waits.is_held_up(SLOW - 1, 0)
+                && waits.is_held_up(SLOW, 0)
+                && !waits.is_held_up(SLOW, 4)
+        );
         assert_eq!(waits.work(STALL, 0).late.len(), 5);
-        assert!(waits.is_held_up(STALL, 4), "nothing waits, but it has not written");
+        assert!(
+            waits.is_held_up(STALL, 4),
+            "nothing waits, but it has not written"
+        );
         waits.work(STALL, 5);
         assert!(!waits.is_held_up(STALL, 5));
-        let ran = Earlier { zone: 0, cell: 0, since: 1_000 };
+        let ran = Earlier {
+            zone: 0,
+            cell: 0,
+            since: 1_000,
+        };
         assert!(in_time(1_000, 2 * MARGIN, &[ran]) && !in_time(1_000 + MARGIN, 2 * MARGIN, &[ran]));
     }
 }
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -77,13 +77,23 @@
 impl World {
     fn ledger(&self, state: &State) -> Ledger {
         let known = state.written.clone().into_iter();
-        Ledger::restore(Limits { entries: 100 }, vec![class(self.effect)], known, 0, state.now)
+        Ledger::restore(
+            Limits { entries: 100 },
+            vec![class(self.effect)],
+            known,
+            0,
+            state.now,
+        )
     }
 
     /// As the module decides: within the scope of what may have run, and within its window.
     fn may_go(&self, state: &State, engine: u32) -> bool {
-        let Some(before) = &state.held else { return false };
-        let pinned = before.iter().all(|(cell, since)| *cell == engine && state.now < since + WINDOW);
+        let Some(before) = &state.held else {
+            return false;
+        };
+        let pinned = before
+            .iter()
+            .all(|(cell, since)| *cell == engine && state.now < since + WINDOW);
         let own = state.sent.iter().all(|cell| *cell == engine);
         match self.effect {
             Effect::Unsafe => before.is_empty() && state.sent.is_empty(),
@@ -119,7 +129,12 @@
         if state.held.is_some() {
             actions.push(Step::GiveUp);
             let free = state.waits.is_none() && state.sent.len() < 2;
-            actions.extend([1, 2].into_iter().filter(|e| free && self.may_go(state, *e)).map(Step::Send));
+            actions.extend(
+                [1, 2]
+                    .into_iter()
+                    .filter(|e| free && self.may_go(state, *e))
+                    .map(Step::Send),
+            );
         }
         if state.disk != state.written || state.waits.is_some() {
             actions.push(Step::Flush);
@@ -136,18 +151,30 @@
         let mut ledger = self.ledger(last);
         match step {
             Step::Ask => {
-                let earlier = ledger.arrives(state.now, 0, Some(KEY), last.asked > 0, false).ok()?;
-                let earlier = earlier.into_iter().map(|Earlier { cell, since, .. }| (cell, since));
+                let earlier = ledger
+                    .arrives(state.now, 0, Some(KEY), last.asked > 0, false)
+                    .ok()?;
+                let earlier = earlier
+                    .into_iter()
+                    .map(|Earlier { cell, since, .. }| (cell, since));
                 (state.held, state.sent) = (Some(earlier.collect()), Vec::new());
                 state.asked += 1;
             }
             Step::Send(engine) => {
-                let place = Place { zone: 0, cell: engine };
+                let place = Place {
+                    zone: 0,
+                    cell: engine,
+                };
                 let known = last.held.iter().flatten();
                 let own = last.sent.iter().map(|cell| (*cell, 0));
                 let known = known.copied().chain(own);
-                let known: Vec<Earlier> =
-                    known.map(|(cell, since)| Earlier { zone: 0, cell, since }).collect();
+                let known: Vec<Earlier> = known
+                    .map(|(cell, since)| Earlier {
+                        zone: 0,
+                        cell,
+                        since,
+                    })
+                    .collect();
                 let Send::Waits(wish) = ledger.sends(state.now, 0, Some(KEY), place, &known) else {
                     return None;
                 };
@@ -196,16 +223,34 @@
 #[test]
 fn no_order_of_steps_takes_effect_twice() {
     for effect in [Effect::Keyed, Effect::Unsafe] {
-        let checker = World { effect, hasty: false }.checker().target_max_depth(DEPTH).spawn_bfs().join();
+        let checker = World {
+            effect,
+            hasty: false,
+        }
+        .checker()
+        .target_max_depth(DEPTH)
+        .spawn_bfs()
+        .join();
         checker.assert_properties();
-        assert!(checker.unique_state_count() > 500, "{}", checker.unique_state_count());
+        assert!(
+            checker.unique_state_count() > 500,
+            "{}",
+            checker.unique_state_count()
+        );
     }
 }
 
 #[test]
 fn a_send_that_does_not_wait_for_the_disk_is_found_to_take_effect_twice() {
     for effect in [Effect::Keyed, Effect::Unsafe] {
-        let checker = World { effect, hasty: true }.checker().target_max_depth(DEPTH).spawn_bfs().join();
+        let checker = World {
+            effect,
+            hasty: true,
+        }
+        .checker()
+        .target_max_depth(DEPTH)
+        .spawn_bfs()
+        .join();
         let path = checker.discovery("no effect twice").expect("it is found");
         assert!(path.into_actions().contains(&Step::Crash));
     }
@@ -217,35 +262,73 @@
     let now = 1_000_000_000;
     let kept = |since, out, until| {
         let place = Place { zone: 1, cell: 2 };
-        (entry::stored_key(0, KEY), Intent { since, place, out, ran: true, until })
+        (
+            entry::stored_key(0, KEY),
+            Intent {
+                since,
+                place,
+                out,
+                ran: true,
+                until,
+            },
+        )
     };
     let restored = |intent: (Vec<u8>, Intent), life| {
         let limits = Limits { entries: 2 };
-        Ledger::restore(limits, vec![class(Effect::Keyed)], std::iter::once(intent), life, now)
+        Ledger::restore(
+            limits,
+            vec![class(Effect::Keyed)],
+            std::iter::once(intent),
+            life,
+            now,
+        )
     };
     let since = |ledger: &mut Ledger, key| {
-        ledger.arrives(now, 0, Some(key), true, false).map(|e| e.first().map(|e| e.since))
+        ledger
+            .arrives(now, 0, Some(key), true, false)
+            .map(|e| e.first().map(|e| e.since))
     };
     // A clock that stepped back: how old it is can't be told, so it is pinned to nowhere.
-    assert_eq!(since(&mut restored(kept(now + 9, 0, now + 10), 0), KEY), Ok(Some(0)));
-    assert_eq!(since(&mut restored(kept(now - 9, 1, now + 10), 0), KEY), Ok(Some(now - 9)));
+    assert_eq!(
+        since(&mut restored(kept(now + 9, 0, now + 10), 0), KEY),
+        Ok(Some(0))
+    );
+    assert_eq!(
+        since(&mut restored(kept(now - 9, 1, now + 10), 0), KEY),
+        Ok(Some(now - 9))
+    );
     // One that was out when its gateway died is kept for a whole window more.
     let mut ledger = restored(kept(now - 9, 1, now + 10), 0);
     assert!(ledger.expire(now + WINDOW).is_empty() && ledger.expire(now + 2 * WINDOW).len() == 1);
     // What a life that began a moment ago doesn't know may have run; a life of long ago knows all.
     let other = "00000000000000000000000000000def";
-    assert_eq!(since(&mut restored(kept(now - 9, 0, now + 10), now - 5), other), Ok(Some(0)));
-    assert_eq!(since(&mut restored(kept(now - 9, 0, now + 10), 0), other), Ok(None));
+    assert_eq!(
+        since(&mut restored(kept(now - 9, 0, now + 10), now - 5), other),
+        Ok(Some(0))
+    );
+    assert_eq!(
+        since(&mut restored(kept(now - 9, 0, now + 10), 0), other),
+        Ok(None)
+    );
     // Full: refused, and nothing is forgotten.
     let mut ledger = restored(kept(now - 9, 0, now + 10), 0);
-    assert!(matches!(ledger.sends(now, 0, Some(other), Place::default(), &[]), Send::Waits(_)));
+    assert!(matches!(
+        ledger.sends(now, 0, Some(other), Place::default(), &[]),
+        Send::Waits(_)
+    ));
     let third = "00000000000000000000000000000123";
-    assert_eq!(since(&mut ledger, third), Err(eideryard_ledger::Refusal::Full));
+    assert_eq!(
+        since(&mut ledger, third),
+        Err(eideryard_ledger::Refusal::Full)
+    );
     assert_eq!(since(&mut ledger, KEY), Ok(Some(now - 9)));
     // One that never ran leaves nothing; one that may have stays.
     let gone = ledger.ended(now, 0, Some(other), true).expect("a wish");
     assert_eq!((gone.intent, ledger.len()), (None, 1));
-    assert_eq!(entry::from_bytes(&entry::to_bytes(&kept(5, 0, 6).1)), Some(kept(5, 0, 6).1));
+    assert_eq!(
+        entry::from_bytes(&entry::to_bytes(&kept(5, 0, 6).1)),
+        Some(kept(5, 0, 6).1)
+    );
 }
 
 /// Two requests of one key that wait in a gateway at the same time: the second is told of the first before it is
@@ -253,14 +336,44 @@
 #[test]
 fn a_second_request_of_a_key_is_told_of_the_first_before_it_is_sent() {
     let (now, limits) = (100_000_000, Limits { entries: 9 });
-    let mut ledger = Ledger::restore(limits, vec![class(Effect::Keyed)], std::iter::empty(), 0, now);
+    let mut ledger = Ledger::restore(
+        limits,
+        vec![class(Effect::Keyed)],
+        std::iter::empty(),
+        0,
+        now,
+    );
     let at = |cell| Place { zone: 0, cell };
-    assert_eq!(ledger.arrives(now, 0, Some(KEY), false, false), Ok(Vec::new()));
-    assert_eq!(ledger.arrives(now, 0, Some(KEY), false, false), Ok(Vec::new()));
-    assert!(matches!(ledger.sends(now, 0, Some(KEY), at(1), &[]), Send::Waits(_)));
-    let ran = Earlier { zone: 0, cell: 1, since: now };
-    assert_eq!(ledger.sends(now + 5, 0, Some(KEY), at(2), &[]), Send::Untold(ran));
-    assert_eq!(ledger.sends(now + 5, 0, Some(KEY), at(1), &[]), Send::Untold(ran));
-    let Send::Waits(wish) = ledger.sends(now + 5, 0, Some(KEY), at(1), &[ran]) else { panic!("it was told") };
-    assert_eq!(wish.intent.map(|intent| (intent.since, intent.out)), Some((now, 2)));
+    assert_eq!(
+        ledger.arrives(now, 0, Some(KEY), false, false),
+        Ok(Vec::new())
+    );
+    assert_eq!(
+        ledger.arrives(now, 0, Some(KEY), false, false),
+        Ok(Vec::new())
+    );
+    assert!(matches!(
+        ledger.sends(now, 0, Some(KEY), at(1), &[]),
+        Send::Waits(_)
+    ));
+    let ran = Earlier {
+        zone: 0,
+        cell: 1,
+        since: now,
+    };
+    assert_eq!(
+        ledger.sends(now + 5, 0, Some(KEY), at(2), &[]),
+        Send::Untold(ran)
+    );
+    assert_eq!(
+        ledger.sends(now + 5, 0, Some(KEY), at(1), &[]),
+        Send::Untold(ran)
+    );
+    let Send::Waits(wish) = ledger.sends(now + 5, 0, Some(KEY), at(1), &[ran]) else {
+        panic!("it was told")
+    };
+    assert_eq!(
+        wish.intent.map(|intent| (intent.since, intent.out)),
+        Some((now, 2))
+    );
 }
--- a/crates/lines/src/fault.rs
+++ b/crates/lines/src/fault.rs
@@ -28,13 +28,20 @@
 
 impl Fault {
     pub fn new(place: Place, what: &str, hint: &str) -> Self {
-        Fault { place, what: what.to_string(), hint: hint.to_string() }
+        Fault {
+            place,
+            what: what.to_string(),
+            hint: hint.to_string(),
+        }
     }
 }
 
 /// "did you mean" for a word that is none of those known, else all of them.
 pub fn suggest<'a>(word: &str, known: impl Iterator<Item = &'a str> + Clone) -> String {
-    let near = known.clone().map(|own| (strsim::damerau_levenshtein(word, own), own)).min();
+    let near = known
+        .clone()
+        .map(|own| (strsim::damerau_levenshtein(word, own), own))
+        .min();
     match near {
         Some((distance, own)) if distance <= 1 + own.len() / 4 => format!("did you mean '{own}'?"),
         _ => format!("known here: {}", known.collect::<Vec<_>>().join(", ")),
--- a/crates/lines/src/grammar.rs
+++ b/crates/lines/src/grammar.rs
@@ -66,7 +66,11 @@
     let brace = opt(alt(('{', '}'))).parse_next(input)?;
     space0.parse_next(input)?;
     opt(('#', take_while(0.., |_| true))).parse_next(input)?;
-    Ok(Line { words, opens: brace == Some('{'), closes: brace == Some('}') })
+    Ok(Line {
+        words,
+        opens: brace == Some('{'),
+        closes: brace == Some('}'),
+    })
 }
 
 /// The statements of a text; `file` is only for places.
@@ -74,7 +78,11 @@
     let file: Arc<str> = file.into();
     let place = |number: usize, source: &str, byte: usize| {
         let column = source.get(..byte).unwrap_or(source).chars().count() + 1;
-        Place { file: file.clone(), line: number + 1, column }
+        Place {
+            file: file.clone(),
+            line: number + 1,
+            column,
+        }
     };
     if text.len() > MOST_BYTES {
         let hint = format!("{MOST_BYTES} bytes are the most");
@@ -89,7 +97,10 @@
         let parsed = match parsed {
             Ok(parsed) if at == source.len() => parsed,
             _ => {
-                let found = opt(any::<_, winnow::error::ContextError>).parse_next(&mut input).ok().flatten();
+                let found = opt(any::<_, winnow::error::ContextError>)
+                    .parse_next(&mut input)
+                    .ok()
+                    .flatten();
                 let hint = "a line holds words and at most one '{' or '}' at its end; quote other characters";
                 let what = match found {
                     Some('"') => "a quoted text isn't closed, or has a stray backslash".to_string(),
@@ -99,7 +110,10 @@
                 return Err(Fault::new(place(number, source, at), &what, hint));
             }
         };
-        let word = |(at, text): (usize, String)| Word { text, place: place(number, source, at) };
+        let word = |(at, text): (usize, String)| Word {
+            text,
+            place: place(number, source, at),
+        };
         let here = || place(number, source, source.len() - source.trim_start().len());
         let words: Vec<Word> = parsed.words.into_iter().map(word).collect();
         if parsed.closes {
@@ -115,27 +129,43 @@
                 return Err(Fault::new(here(), "'}' closes nothing", "remove it"));
             };
             open[..].last_mut().into_iter().for_each(|(_, outer)| {
-                outer.push(Statement { words: words.clone(), block: Some(inner.clone()) })
+                outer.push(Statement {
+                    words: words.clone(),
+                    block: Some(inner.clone()),
+                })
             });
         } else if parsed.opens {
             if words.is_empty() {
-                return Err(Fault::new(here(), "'{' without a directive", "write: DIRECTIVE VALUE... {"));
+                return Err(Fault::new(
+                    here(),
+                    "'{' without a directive",
+                    "write: DIRECTIVE VALUE... {",
+                ));
             }
             if open.len() > MOST_NESTED {
                 let hint = format!("{MOST_NESTED} are the most");
-                return Err(Fault::new(here(), "too many blocks within each other", &hint));
+                return Err(Fault::new(
+                    here(),
+                    "too many blocks within each other",
+                    &hint,
+                ));
             }
             open.push((Some(words), Vec::new()));
         } else if !words.is_empty() {
             let statement = Statement { words, block: None };
-            open[..].last_mut().into_iter().for_each(|(_, outer)| outer.push(statement.clone()));
+            open[..]
+                .last_mut()
+                .into_iter()
+                .for_each(|(_, outer)| outer.push(statement.clone()));
         }
     }
     match open.pop() {
         Some((None, statements)) => Ok(statements),
-        Some((Some(words), _)) => {
-            Err(Fault::new(words[0].place.clone(), "this block isn't closed", "add a line with '}'"))
-        }
+        Some((Some(words), _)) => Err(Fault::new(
+            words[0].place.clone(),
+            "this block isn't closed",
+            "add a line with '}'",
+        )),
         None => Ok(Vec::new()),
     }
 }
--- a/crates/lines/src/lib.rs
+++ b/crates/lines/src/lib.rs
@@ -23,7 +23,12 @@
 pub type Open = dyn Fn(&str, &str) -> Result<(String, String), String>;
 
 /// Reads a text and all that it includes, and checks it against a table.
-pub fn read(file: &str, text: &str, table: &'static [Spec], open: &Open) -> Result<Vec<Setting>, Fault> {
+pub fn read(
+    file: &str,
+    text: &str,
+    table: &'static [Spec],
+    open: &Open,
+) -> Result<Vec<Setting>, Fault> {
     let mut files = 1;
     let statements = included(file, text, 0, &mut files, open)?;
     table::check(&statements, table)
@@ -44,16 +49,28 @@
         }
         let place = statement.words[0].place.clone();
         let [_, name] = &statement.words[..] else {
-            return Err(Fault::new(place, "include takes one file", "write: include FILE"));
+            return Err(Fault::new(
+                place,
+                "include takes one file",
+                "write: include FILE",
+            ));
         };
         *files += 1;
         if depth + 1 >= MOST_DEPTH || *files > MOST_FILES {
             let hint = format!("{MOST_DEPTH} files deep and {MOST_FILES} in all may be included");
-            return Err(Fault::new(place, "too many files include each other", &hint));
+            return Err(Fault::new(
+                place,
+                "too many files include each other",
+                &hint,
+            ));
         }
         let (path, text) = open(file, &name.text).map_err(|e| {
             let what = format!("'{}' can't be read: {e}", name.text);
-            Fault::new(name.place.clone(), &what, "paths are relative to the file that includes")
+            Fault::new(
+                name.place.clone(),
+                &what,
+                "paths are relative to the file that includes",
+            )
         })?;
         whole.extend(included(&path, &text, depth + 1, files, open)?);
     }
@@ -62,7 +79,10 @@
 
 /// Includes from the file system, relative to the file that names them.
 pub fn from_files(file: &str, name: &str) -> Result<(String, String), String> {
-    let path = std::path::Path::new(file).parent().unwrap_or(std::path::Path::new("")).join(name);
+    let path = std::path::Path::new(file)
+        .parent()
+        .unwrap_or(std::path::Path::new(""))
+        .join(name);
     let text = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
     Ok((path.display().to_string(), text))
 }
--- a/crates/lines/src/table.rs
+++ b/crates/lines/src/table.rs
@@ -33,7 +33,17 @@
         usual: &'static str,
         help: &'static str,
     ) -> Self {
-        Spec { name, values, rest: None, options: &[], nested: None, block: None, many: false, usual, help }
+        Spec {
+            name,
+            values,
+            rest: None,
+            options: &[],
+            nested: None,
+            block: None,
+            many: false,
+            usual,
+            help,
+        }
     }
 
     pub const fn many(mut self) -> Self {
@@ -64,9 +74,15 @@
     /// How it is written.
     pub fn usage(&self) -> String {
         let mut usage = self.name.to_string();
-        self.values.iter().for_each(|kind| usage += &format!(" {}", kind.form()));
-        self.rest.iter().for_each(|kind| usage += &format!(" {}...", kind.form()));
-        self.options.iter().for_each(|(name, kind)| usage += &format!(" [{name} {}]", kind.form()));
+        self.values
+            .iter()
+            .for_each(|kind| usage += &format!(" {}", kind.form()));
+        self.rest
+            .iter()
+            .for_each(|kind| usage += &format!(" {}...", kind.form()));
+        self.options
+            .iter()
+            .for_each(|(name, kind)| usage += &format!(" [{name} {}]", kind.form()));
         if self.nested.is_some() {
             usage += " DIRECTIVE...";
         }
@@ -91,7 +107,10 @@
 
 impl Setting {
     pub fn option(&self, name: &str) -> Option<&Value> {
-        self.options.iter().find(|(own, _)| *own == name).map(|(_, value)| value)
+        self.options
+            .iter()
+            .find(|(own, _)| *own == name)
+            .map(|(_, value)| value)
     }
 
     /// A setting of its block.
@@ -132,18 +151,36 @@
             Kind::Choice(words) => suggest(&word.text, words.iter().copied()),
             kind => format!("expected {}", kind.expected()),
         };
-        Fault::new(word.place.clone(), &format!("'{}' can't be used", word.text), &hint)
+        Fault::new(
+            word.place.clone(),
+            &format!("'{}' can't be used", word.text),
+            &hint,
+        )
     })
 }
 
-fn one(words: &[Word], block: Option<&[Statement]>, table: &'static [Spec]) -> Result<Setting, Fault> {
+fn one(
+    words: &[Word],
+    block: Option<&[Statement]>,
+    table: &'static [Spec],
+) -> Result<Setting, Fault> {
     let (first, mut left) = (&words[0], &words[1..]);
     let Some(spec) = table.iter().find(|spec| spec.name == first.text) else {
         let hint = suggest(&first.text, table.iter().map(|spec| spec.name));
-        return Err(Fault::new(first.place.clone(), &format!("'{}' is no directive", first.text), &hint));
+        return Err(Fault::new(
+            first.place.clone(),
+            &format!("'{}' is no directive", first.text),
+            &hint,
+        ));
     };
     let usage = format!("write: {}", spec.usage());
-    let missing = |what: &str| Fault::new(first.place.clone(), &format!("'{}' {what}", spec.name), &usage);
+    let missing = |what: &str| {
+        Fault::new(
+            first.place.clone(),
+            &format!("'{}' {what}", spec.name),
+            &usage,
+        )
+    };
     let mut values = Vec::new();
     for kind in spec.values {
         let (word, rest) = left.split_first().ok_or_else(|| missing("lacks a value"))?;
@@ -162,13 +199,20 @@
         left = &left[count..];
     }
     let mut options: Vec<(&'static str, Value)> = Vec::new();
-    while let Some((name, kind)) =
-        left.first().and_then(|word| spec.options.iter().find(|(name, _)| *name == word.text))
+    while let Some((name, kind)) = left
+        .first()
+        .and_then(|word| spec.options.iter().find(|(name, _)| *name == word.text))
     {
         if options.iter().any(|(own, _)| own == name) {
-            return Err(Fault::new(left[0].place.clone(), &format!("'{name}' is given twice"), "remove one"));
+            return Err(Fault::new(
+                left[0].place.clone(),
+                &format!("'{name}' is given twice"),
+                "remove one",
+            ));
         }
-        let word = left.get(1).ok_or_else(|| missing(&format!("lacks a value behind '{name}'")))?;
+        let word = left
+            .get(1)
+            .ok_or_else(|| missing(&format!("lacks a value behind '{name}'")))?;
         options.push((name, value(kind, word)?));
         left = &left[2..];
     }
@@ -187,7 +231,14 @@
             (None, None) => {}
         },
     }
-    Ok(Setting { name: spec.name, place: first.place.clone(), values, options, nested, block: inner })
+    Ok(Setting {
+        name: spec.name,
+        place: first.place.clone(),
+        values,
+        options,
+        nested,
+        block: inner,
+    })
 }
 
 /// The reference of a table, as Markdown.
@@ -207,11 +258,21 @@
 fn rows<'a>(table: &'a [Spec], page: &mut String, inner: &mut Vec<(&'a Spec, &'a [Spec])>) {
     *page += "| directive | values | without it | meaning |\n| --- | --- | --- | --- |\n";
     for spec in table {
-        let kinds = spec.values.iter().chain(spec.rest.iter()).map(Kind::expected);
-        let options = spec.options.iter().map(|(name, kind)| format!("`{name}`: {}", kind.expected()));
+        let kinds = spec
+            .values
+            .iter()
+            .chain(spec.rest.iter())
+            .map(Kind::expected);
+        let options = spec
+            .options
+            .iter()
+            .map(|(name, kind)| format!("`{name}`: {}", kind.expected()));
         let values = kinds.chain(options).collect::<Vec<_>>().join("; ");
         let (usage, usual, help) = (spec.usage().replace('|', "\\|"), spec.usual, spec.help);
-        *page += &format!("| `{usage}` | {} | {usual} | {help} |\n", values.replace('|', "\\|"));
+        *page += &format!(
+            "| `{usage}` | {} | {usual} | {help} |\n",
+            values.replace('|', "\\|")
+        );
         inner.extend(spec.block.or(spec.nested).map(|table| (spec, table)));
     }
 }
--- a/crates/lines/src/value.rs
+++ b/crates/lines/src/value.rs
@@ -43,14 +43,26 @@
     Text(String),
 }
 
-const SIZES: [(&str, u64); 5] =
-    [("TB", 1 << 40), ("GB", 1 << 30), ("MB", 1 << 20), ("KB", 1 << 10), ("B", 1)];
-const TIMES: [(&str, u64); 5] =
-    [("us", 1), ("ms", 1_000), ("s", 1_000_000), ("m", 60_000_000), ("h", 3_600_000_000)];
+const SIZES: [(&str, u64); 5] = [
+    ("TB", 1 << 40),
+    ("GB", 1 << 30),
+    ("MB", 1 << 20),
+    ("KB", 1 << 10),
+    ("B", 1),
+];
+const TIMES: [(&str, u64); 5] = [
+    ("us", 1),
+    ("ms", 1_000),
+    ("s", 1_000_000),
+    ("m", 60_000_000),
+    ("h", 3_600_000_000),
+];
 
 /// A number in the largest unit that leaves no fraction, as a person would write it.
 fn in_units(value: u64, units: &[(&str, u64)]) -> String {
-    let fits = units.iter().filter(|(_, unit)| value.is_multiple_of(*unit) && value >= *unit);
+    let fits = units
+        .iter()
+        .filter(|(_, unit)| value.is_multiple_of(*unit) && value >= *unit);
     match fits.max_by_key(|(_, unit)| *unit) {
         Some((name, unit)) => format!("{}{name}", value / unit),
         None => value.to_string(),
@@ -64,11 +76,19 @@
             (0, u64::MAX) => String::new(),
             (least, u64::MAX) => format!(" of {} at least", in_units(least, units)),
             (0, most) => format!(" of {} at most", in_units(most, units)),
-            (least, most) => format!(" from {} to {}", in_units(least, units), in_units(most, units)),
+            (least, most) => format!(
+                " from {} to {}",
+                in_units(least, units),
+                in_units(most, units)
+            ),
         };
         match self {
-            Kind::Size { least, most } => format!("a size like 64MB{}", between(least, most, &SIZES)),
-            Kind::Time { least, most } => format!("a time like 250ms{}", between(least, most, &TIMES)),
+            Kind::Size { least, most } => {
+                format!("a size like 64MB{}", between(least, most, &SIZES))
+            }
+            Kind::Time { least, most } => {
+                format!("a time like 250ms{}", between(least, most, &TIMES))
+            }
             Kind::Share => "a share from 0% to 100%".into(),
             Kind::Count { least, most } => format!("a whole number{}", between(least, most, &[])),
             Kind::Rate { most } => format!("a rate like 50/s, {most}/s at most"),
@@ -98,7 +118,9 @@
 
     pub fn read(&self, text: &str) -> Option<Value> {
         let number = |value: Option<u64>, least: &u64, most: &u64| {
-            value.filter(|value| (*least..=*most).contains(value)).map(Value::Number)
+            value
+                .filter(|value| (*least..=*most).contains(value))
+                .map(Value::Number)
         };
         match self {
             Kind::Size { least, most } => number(scaled(text, &SIZES), least, most),
@@ -119,20 +141,25 @@
                 let name = !text.is_empty() && text.len() <= 64 && text.chars().all(usual);
                 name.then(|| Value::Text(text.to_string()))
             }
-            Kind::Path => (!text.is_empty() && !text.contains('\0')).then(|| Value::Text(text.to_string())),
+            Kind::Path => {
+                (!text.is_empty() && !text.contains('\0')).then(|| Value::Text(text.to_string()))
+            }
             Kind::Text => Some(Value::Text(text.to_string())),
         }
     }
 }
 
 fn plain(text: &str) -> Option<u64> {
-    text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok())?
+    text.bytes()
+        .all(|byte| byte.is_ascii_digit())
+        .then(|| text.parse().ok())?
 }
 
 /// Digits with at most one point: neither signs nor exponents nor words.
 fn decimal(text: &str) -> Option<f64> {
     let usual = |byte: u8| byte.is_ascii_digit() || byte == b'.';
-    (text.bytes().all(usual) && text.bytes().any(|b| b.is_ascii_digit())).then(|| text.parse().ok())?
+    (text.bytes().all(usual) && text.bytes().any(|b| b.is_ascii_digit()))
+        .then(|| text.parse().ok())?
 }
 
 /// A number with one of the units; 0 needs none.
@@ -141,7 +168,9 @@
         return Some(0);
     }
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
-    let (_, unit) = units.iter().find(|(name, _)| *name == &text[digits.len()..])?;
+    let (_, unit) = units
+        .iter()
+        .find(|(name, _)| *name == &text[digits.len()..])?;
     match plain(digits) {
         Some(_) if digits.is_empty() => None,
         Some(whole) => whole.checked_mul(*unit),
--- a/crates/lines/tests/texts.rs
+++ b/crates/lines/tests/texts.rs
@@ -3,21 +3,65 @@
 use eideryard_lines::{read, Fault, Kind, Setting, Spec};
 
 const INNER: &[Spec] = &[
-    Spec::new("cores", &[Kind::Count { least: 1, most: 64 }], "8", "Cores."),
+    Spec::new(
+        "cores",
+        &[Kind::Count { least: 1, most: 64 }],
+        "8",
+        "Cores.",
+    ),
     Spec::new("share", &[Kind::Share], "100%", "Share."),
 ];
 const ACTIONS: &[Spec] = &[Spec::new("kill", &[], "", "Kill.")
     .rest(Kind::Name)
-    .options(&[("for", Kind::Time { least: 0, most: 3_600_000_000 })])];
+    .options(&[(
+        "for",
+        Kind::Time {
+            least: 0,
+            most: 3_600_000_000,
+        },
+    )])];
 const TABLE: &[Spec] = &[
-    Spec::new("size", &[Kind::Size { least: 1 << 10, most: 1 << 30 }], "1MB", "A size."),
-    Spec::new("pause", &[Kind::Time { least: 1000, most: 60_000_000 }], "1s", "A time."),
-    Spec::new("mode", &[Kind::Choice(&["fast", "slow"])], "fast", "A choice."),
+    Spec::new(
+        "size",
+        &[Kind::Size {
+            least: 1 << 10,
+            most: 1 << 30,
+        }],
+        "1MB",
+        "A size.",
+    ),
+    Spec::new(
+        "pause",
+        &[Kind::Time {
+            least: 1000,
+            most: 60_000_000,
+        }],
+        "1s",
+        "A time.",
+    ),
+    Spec::new(
+        "mode",
+        &[Kind::Choice(&["fast", "slow"])],
+        "fast",
+        "A choice.",
+    ),
     Spec::new("title", &[Kind::Text], "none", "A text."),
     Spec::new("listen", &[Kind::Address], "none", "An address."),
     Spec::new("rate", &[Kind::Rate { most: 1000.0 }], "1/s", "A rate."),
-    Spec::new("engine", &[Kind::Name], "none", "An engine.").block(INNER).many(),
-    Spec::new("at", &[Kind::Time { least: 0, most: 3_600_000_000 }], "none", "When.").nested(ACTIONS).many(),
+    Spec::new("engine", &[Kind::Name], "none", "An engine.")
+        .block(INNER)
+        .many(),
+    Spec::new(
+        "at",
+        &[Kind::Time {
+            least: 0,
+            most: 3_600_000_000,
+        }],
+        "none",
+        "When.",
+    )
+    .nested(ACTIONS)
+    .many(),
 ];
 
 fn parse(text: &str) -> Result<Vec<Setting>, Fault> {
@@ -35,13 +79,28 @@
                 include more.conf\n";
     let settings = parse(text).unwrap();
     let names: Vec<&str> = settings.iter().map(|setting| setting.name).collect();
-    assert_eq!(names, ["size", "pause", "title", "listen", "rate", "engine", "engine", "at", "mode"]);
-    assert_eq!((settings[0].values[0].number(), settings[1].values[0].number()), (64 << 20, 1_500_000));
-    assert_eq!((settings[2].values[0].text(), settings[4].values[0].real()), ("a \"b\" # c {", 2.5));
+    assert_eq!(
+        names,
+        ["size", "pause", "title", "listen", "rate", "engine", "engine", "at", "mode"]
+    );
+    assert_eq!(
+        (
+            settings[0].values[0].number(),
+            settings[1].values[0].number()
+        ),
+        (64 << 20, 1_500_000)
+    );
+    assert_eq!(
+        (settings[2].values[0].text(), settings[4].values[0].real()),
+        ("a \"b\" # c {", 2.5)
+    );
     assert_eq!(settings[5].inner_value("cores").unwrap().number(), 4);
     assert_eq!(settings[5].inner_value("share").unwrap().real(), 0.2);
     let kill = settings[7].nested.as_ref().unwrap();
-    assert_eq!((kill.values.len(), kill.option("for").unwrap().number()), (2, 250_000));
+    assert_eq!(
+        (kill.values.len(), kill.option("for").unwrap().number()),
+        (2, 250_000)
+    );
     assert_eq!(settings[8].place.file.as_ref(), "more.conf");
 }
 
@@ -65,11 +124,21 @@
         ("rate NaN/s", 1, 6, "a rate like 50/s"),
         ("size", 1, 1, "write: size SIZE"),
         ("size 1MB 2MB", 1, 10, "write: size SIZE"),
-        ("size 1MB\nmode fast\nsize 2MB", 3, 1, "it stands at a.conf:1:1 already"),
+        (
+            "size 1MB\nmode fast\nsize 2MB",
+            3,
+            1,
+            "it stands at a.conf:1:1 already",
+        ),
         ("engine e-1", 1, 1, "lacks its block"),
         ("size 1MB {\n}", 1, 1, "takes no block"),
         ("engine e/1 {\n}", 1, 8, "a name of letters"),
-        ("engine e {\ncores 0\n}", 2, 7, "a whole number from 1 to 64"),
+        (
+            "engine e {\ncores 0\n}",
+            2,
+            7,
+            "a whole number from 1 to 64",
+        ),
         ("engine e {\ncores 1\ncores 2\n}", 3, 1, "given twice"),
         ("engine e {\nshare 120%\n}", 2, 7, "from 0% to 100%"),
         ("engine e {\n", 1, 1, "add a line with '}'"),
@@ -89,12 +158,19 @@
     ];
     for (text, line, column, words) in cases {
         let fault = parse(text).expect_err(text);
-        assert_eq!((fault.place.line, fault.place.column), (line, column), "{text}: {fault}");
+        assert_eq!(
+            (fault.place.line, fault.place.column),
+            (line, column),
+            "{text}: {fault}"
+        );
         assert!(fault.to_string().contains(words), "{text}: {fault}");
     }
     let deep = "engine e {\n".repeat(1000);
     assert!(parse(&deep).unwrap_err().what.contains("too many blocks"));
-    assert!(parse(&" ".repeat(2 << 20)).unwrap_err().what.contains("too long"));
+    assert!(parse(&" ".repeat(2 << 20))
+        .unwrap_err()
+        .what
+        .contains("too long"));
 }
 
 /// Seeded mutations of a good text: read or refused, in bounded time, and the place lies within the text.
@@ -103,13 +179,30 @@
     const GOOD: &str =
         "size 64MB\npause 1.5s # x\ntitle \"a b\"\nengine e-1 {\n cores 4\n}\nat 4s kill a b for 1s\n";
     let mut rng = fastrand::Rng::with_seed(5);
-    let pieces =
-        ["{", "}", "\"", "\\", "#", "\n", " ", "é", "\0", "64MB", "kill", "size", "for", "99999999999", "%"];
+    let pieces = [
+        "{",
+        "}",
+        "\"",
+        "\\",
+        "#",
+        "\n",
+        " ",
+        "é",
+        "\0",
+        "64MB",
+        "kill",
+        "size",
+        "for",
+        "99999999999",
+        "%",
+    ];
     let mut refused = 0;
     for _ in 0..20_000 {
         let mut text: Vec<char> = GOOD.chars().collect();
         for _ in 0..rng.usize(1..4) {
-            let at = rng.usize(0..text.len().max(1)).min(text.len().saturating_sub(1));
+            let at = rng
+                .usize(0..text.len().max(1))
+                .min(text.len().saturating_sub(1));
             match rng.u8(0..3) {
                 0 if !text.is_empty() => _ = text.remove(at),
                 1 => text.truncate(at.max(1)),
@@ -124,7 +217,10 @@
             refused += 1;
             let lines: Vec<&str> = text.lines().collect();
             let line = lines.get(fault.place.line - 1).copied().unwrap_or("");
-            assert!(fault.place.column <= line.chars().count() + 1, "{text:?}: {fault}");
+            assert!(
+                fault.place.column <= line.chars().count() + 1,
+                "{text:?}: {fault}"
+            );
         }
     }
     assert!((5_000..20_000).contains(&refused), "{refused}");
@@ -140,6 +236,10 @@
         "`kill NAME... [for TIME]`",
         "`at TIME DIRECTIVE...`",
     ] {
-        assert_eq!(page.matches(&format!("| {name} |")).count(), 1, "{name} in\n{page}");
+        assert_eq!(
+            page.matches(&format!("| {name} |")).count(),
+            1,
+            "{name} in\n{page}"
+        );
     }
 }
--- a/crates/msgpack-rpc/src/lib.rs
+++ b/crates/msgpack-rpc/src/lib.rs
@@ -27,9 +27,18 @@
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
     /// A request to serve: the method is the class.
-    Call { id: u32, method: &'a str, fields: Fields<'a>, body: &'a [u8] },
+    Call {
+        id: u32,
+        method: &'a str,
+        fields: Fields<'a>,
+        body: &'a [u8],
+    },
     /// A request without a body, as the question after a gateway's health.
-    Ask { id: u32, method: &'a str, fields: Fields<'a> },
+    Ask {
+        id: u32,
+        method: &'a str,
+        fields: Fields<'a>,
+    },
     /// The client no longer waits for these.
     Forget { ids: Vec<u32> },
     /// A request whose parameters are none that this protocol has.
@@ -58,7 +67,11 @@
 
 /// The first message in `bytes` and its length.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Message<'_>, usize)>, Malformed> {
-    let mut rest = Cursor { bytes, at: 0, looks: &Cell::new(0) };
+    let mut rest = Cursor {
+        bytes,
+        at: 0,
+        looks: &Cell::new(0),
+    };
     match rest.message() {
         Ok(message) if rest.at <= MOST_BYTES => Ok(Some((message, rest.at))),
         Err(Stop::Short) if bytes.len() < MOST_BYTES => Ok(None),
@@ -89,13 +102,19 @@
         if count > MOST_BYTES {
             return Err(Stop::Malformed);
         }
-        let taken = self.bytes.get(self.at..self.at + count).ok_or(Stop::Short)?;
+        let taken = self
+            .bytes
+            .get(self.at..self.at + count)
+            .ok_or(Stop::Short)?;
         self.at += count;
         Ok(taken)
     }
 
     fn big_endian(&mut self, width: usize) -> Result<u64, Stop> {
-        Ok(self.take(width)?.iter().fold(0, |value, &byte| value << 8 | byte as u64))
+        Ok(self
+            .take(width)?
+            .iter()
+            .fold(0, |value, &byte| value << 8 | byte as u64))
     }
 
     fn sized(&mut self, width: usize) -> Result<&'a [u8], Stop> {
@@ -155,7 +174,11 @@
     fn signed(&mut self, width: usize) -> Result<Value<'a>, Stop> {
         let value = self.big_endian(width)?;
         let negative = value >> (8 * width - 1) == 1;
-        Ok(if negative { Value::Plain } else { Value::Uint(value) })
+        Ok(if negative {
+            Value::Plain
+        } else {
+            Value::Uint(value)
+        })
     }
 
     fn plain(&mut self, width: usize) -> Result<Value<'a>, Stop> {
@@ -180,18 +203,26 @@
     }
 
     fn message(&mut self) -> Result<Message<'a>, Stop> {
-        let Value::Array(count @ 3..=4) = self.value()? else { return Err(Stop::Malformed) };
-        let Value::Uint(kind) = self.value()? else { return Err(Stop::Malformed) };
+        let Value::Array(count @ 3..=4) = self.value()? else {
+            return Err(Stop::Malformed);
+        };
+        let Value::Uint(kind) = self.value()? else {
+            return Err(Stop::Malformed);
+        };
         match (kind, count) {
             (REQUEST, 4) => self.request(),
             (NOTIFICATION, 3) => self.notification(),
-            (1, 4) => (0..3).try_for_each(|_| self.pass_over(MOST_DEPTH)).map(|_| Message::Other),
+            (1, 4) => (0..3)
+                .try_for_each(|_| self.pass_over(MOST_DEPTH))
+                .map(|_| Message::Other),
             _ => Err(Stop::Malformed),
         }
     }
 
     fn request(&mut self) -> Result<Message<'a>, Stop> {
-        let Value::Uint(id @ 0..=0xffff_ffff) = self.value()? else { return Err(Stop::Malformed) };
+        let Value::Uint(id @ 0..=0xffff_ffff) = self.value()? else {
+            return Err(Stop::Malformed);
+        };
         let id = id as u32;
         // What can't be used is passed over whole, so that the next message is found.
         let mut whole = self.clone();
@@ -206,24 +237,44 @@
     }
 
     fn parameters(&mut self, id: u32, method: &'a str) -> Result<Option<Message<'a>>, Stop> {
-        let Value::Array(count) = self.value()? else { return Ok(None) };
+        let Value::Array(count) = self.value()? else {
+            return Ok(None);
+        };
         if count == 0 {
-            return Ok(Some(Message::Ask { id, method, fields: Vec::new() }));
+            return Ok(Some(Message::Ask {
+                id,
+                method,
+                fields: Vec::new(),
+            }));
         }
-        let Some(fields) = self.fields()? else { return Ok(None) };
+        let Some(fields) = self.fields()? else {
+            return Ok(None);
+        };
         if count == 1 {
             return Ok(Some(Message::Ask { id, method, fields }));
         }
         Ok(match self.value()? {
-            Value::Bytes(body) => Some(Message::Call { id, method, fields, body }),
-            Value::Text(body) => Some(Message::Call { id, method, fields, body: body.as_bytes() }),
+            Value::Bytes(body) => Some(Message::Call {
+                id,
+                method,
+                fields,
+                body,
+            }),
+            Value::Text(body) => Some(Message::Call {
+                id,
+                method,
+                fields,
+                body: body.as_bytes(),
+            }),
             _ => None,
         })
     }
 
     /// A map of texts to texts; what is neither is left out.
     fn fields(&mut self) -> Result<Option<Fields<'a>>, Stop> {
-        let Value::Map(count) = self.value()? else { return Ok(None) };
+        let Value::Map(count) = self.value()? else {
+            return Ok(None);
+        };
         let mut fields = Vec::new();
         for _ in 0..count {
             let (mut name, mut value) = (self.clone(), self.clone());
@@ -244,8 +295,12 @@
         let mut inner = self.clone();
         self.pass_over(0)?;
         self.pass_over(MOST_DEPTH)?;
-        let Value::Text("forget") = inner.value()? else { return Ok(Message::Other) };
-        let Value::Array(count) = inner.value()? else { return Ok(Message::Other) };
+        let Value::Text("forget") = inner.value()? else {
+            return Ok(Message::Other);
+        };
+        let Value::Array(count) = inner.value()? else {
+            return Ok(Message::Other);
+        };
         let mut ids = Vec::new();
         for _ in 0..count {
             match inner.value()? {
--- a/crates/msgpack-rpc/tests/codec.rs
+++ b/crates/msgpack-rpc/tests/codec.rs
@@ -15,7 +15,12 @@
 
 fn expected(id: u32) -> Message<'static> {
     let fields = vec![("i", "9b1f03aa5c7e2d41"), ("d", "1500")];
-    Message::Call { id, method: "report", fields, body: b"SELECT 1" }
+    Message::Call {
+        id,
+        method: "report",
+        fields,
+        body: b"SELECT 1",
+    }
 }
 
 #[test]
@@ -26,15 +31,29 @@
     (0..one).for_each(|cut| assert_eq!(decode(&bytes[..cut]), Ok(None), "cut at {cut}"));
     bytes.extend(call(70_000));
     assert_eq!(decode(&bytes).unwrap().unwrap().1, one);
-    assert_eq!(decode(&bytes[one..]), Ok(Some((expected(70_000), bytes.len() - one))));
+    assert_eq!(
+        decode(&bytes[one..]),
+        Ok(Some((expected(70_000), bytes.len() - one)))
+    );
 }
 
 #[test]
 fn forget_and_health_are_understood() {
-    let forget = [0x93, 2, 0xa6, b'f', b'o', b'r', b'g', b'e', b't', 0x92, 7, 0xcd, 1, 0];
-    assert_eq!(decode(&forget), Ok(Some((Message::Forget { ids: vec![7, 256] }, forget.len()))));
-    let health = [0x94, 0, 8, 0xa6, b'i', b's', b'W', b'e', b'l', b'l', 0x91, 0x80];
-    let asked = Message::Ask { id: 8, method: "isWell", fields: vec![] };
+    let forget = [
+        0x93, 2, 0xa6, b'f', b'o', b'r', b'g', b'e', b't', 0x92, 7, 0xcd, 1, 0,
+    ];
+    assert_eq!(
+        decode(&forget),
+        Ok(Some((Message::Forget { ids: vec![7, 256] }, forget.len())))
+    );
+    let health = [
+        0x94, 0, 8, 0xa6, b'i', b's', b'W', b'e', b'l', b'l', 0x91, 0x80,
+    ];
+    let asked = Message::Ask {
+        id: 8,
+        method: "isWell",
+        fields: vec![],
+    };
     assert_eq!(decode(&health), Ok(Some((asked, health.len()))));
 }
 
@@ -43,14 +62,25 @@
     for parameters in [&[0x91, 5][..], &[0x80], &[0x92, 0x80, 5], &[0xc0]] {
         let mut bytes = vec![0x94, 0, 9, 0xa1, b'x'];
         bytes.extend(parameters);
-        assert_eq!(decode(&bytes), Ok(Some((Message::Unusable { id: 9 }, bytes.len()))), "{parameters:x?}");
+        assert_eq!(
+            decode(&bytes),
+            Ok(Some((Message::Unusable { id: 9 }, bytes.len()))),
+            "{parameters:x?}"
+        );
     }
     let other = [0x93, 2, 0xa1, b'x', 0x90];
     assert_eq!(decode(&other), Ok(Some((Message::Other, other.len()))));
     // A field that is no text is left out; numbers may be signed.
-    let odd =
-        [0x94, 0, 0xd2, 0, 0, 0, 9, 0xa1, b'x', 0x92, 0x82, 0xa1, b'a', 5, 0xa1, b'b', 0xa1, b'c', 0xc4, 0];
-    let call = Message::Call { id: 9, method: "x", fields: vec![("b", "c")], body: b"" };
+    let odd = [
+        0x94, 0, 0xd2, 0, 0, 0, 9, 0xa1, b'x', 0x92, 0x82, 0xa1, b'a', 5, 0xa1, b'b', 0xa1, b'c',
+        0xc4, 0,
+    ];
+    let call = Message::Call {
+        id: 9,
+        method: "x",
+        fields: vec![("b", "c")],
+        body: b"",
+    };
     assert_eq!(decode(&odd), Ok(Some((call, odd.len()))));
 }
 
@@ -58,9 +88,21 @@
 fn broken_frames_are_errors_and_bounds_hold() {
     let deep = [vec![0x94, 0, 1, 0xa1, b'x'], vec![0x91; 64]].concat();
     let endless = [0x94, 0, 1, 0xa1, b'x', 0xdd, 0xff, 0xff, 0xff, 0xff];
-    let huge = [0x94, 0, 1, 0xa1, b'x', 0x92, 0x80, 0xc6, 0xff, 0xff, 0xff, 0xff];
-    let cases: [&[u8]; 7] = [&[0xc1], b"GET / HTTP/1.1", &[0x94, 7], &[0x95, 0], &deep, &endless, &huge];
-    cases.into_iter().for_each(|bytes| assert_eq!(decode(bytes), Err(Malformed), "{bytes:x?}"));
+    let huge = [
+        0x94, 0, 1, 0xa1, b'x', 0x92, 0x80, 0xc6, 0xff, 0xff, 0xff, 0xff,
+    ];
+    let cases: [&[u8]; 7] = [
+        &[0xc1],
+        b"GET / HTTP/1.1",
+        &[0x94, 7],
+        &[0x95, 0],
+        &deep,
+        &endless,
+        &huge,
+    ];
+    cases
+        .into_iter()
+        .for_each(|bytes| assert_eq!(decode(bytes), Err(Malformed), "{bytes:x?}"));
     let mut long = vec![0x94, 0, 1, 0xa1, b'x', 0x92, 0x80, 0xc6, 0, 0x10, 0, 0];
     long.resize(MOST_BYTES, 0);
     assert_eq!(decode(&long), Err(Malformed));
@@ -76,7 +118,10 @@
         bytes
     };
     let ids = vec![1; 1000];
-    assert_eq!(decode(&forget(1000)), Ok(Some((Message::Forget { ids }, forget(1000).len()))));
+    assert_eq!(
+        decode(&forget(1000)),
+        Ok(Some((Message::Forget { ids }, forget(1000).len())))
+    );
     let long = forget(1_000_000);
     assert_eq!(decode(&long[..MOST_VALUES / 2]), Ok(None));
     assert_eq!(decode(&long[..2 * MOST_VALUES]), Err(Malformed));
@@ -102,11 +147,20 @@
 fn answers_are_written_as_the_protocol_says() {
     let mut out = Vec::new();
     write_result(&mut out, 7, [&b"a\tb"[..], &b"\n"[..]].into_iter());
-    assert_eq!(out, [&[0x94, 1, 7, 0xc0, 0x92, 0xc4, 4][..], b"a\tb\n", &[0x80]].concat());
+    assert_eq!(
+        out,
+        [&[0x94, 1, 7, 0xc0, 0x92, 0xc4, 4][..], b"a\tb\n", &[0x80]].concat()
+    );
     out.clear();
     write_error(&mut out, 7, "TryLater", &[("w", "250")]);
-    let error =
-        [&[0x94, 1, 7, 0x92, 0xa8][..], b"TryLater", &[0x81, 0xa1, b'w', 0xa3], b"250", &[0xc0]].concat();
+    let error = [
+        &[0x94, 1, 7, 0x92, 0xa8][..],
+        b"TryLater",
+        &[0x81, 0xa1, b'w', 0xa3],
+        b"250",
+        &[0xc0],
+    ]
+    .concat();
     assert_eq!(out, error);
     out.clear();
     write_health(&mut out, 300, true);
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -207,7 +207,13 @@
 /// Without the secrets.
 impl std::fmt::Debug for SpoolPlan {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let SpoolPlan { memory, directory, disk, result, .. } = self;
+        let SpoolPlan {
+            memory,
+            directory,
+            disk,
+            result,
+            ..
+        } = self;
         write!(
             f,
             "SpoolPlan {{ memory: {memory}, directory: {directory:?}, disk: {disk}, result: {result}, .. }}"
@@ -225,8 +231,9 @@
 }
 
 fn fleet(own: &Setting, has_store: bool) -> Result<FleetPlan, Fault> {
-    let wrong =
-        |place: &eideryard_lines::Place, what: &str, hint: &str| Fault::new(place.clone(), what, hint);
+    let wrong = |place: &eideryard_lines::Place, what: &str, hint: &str| {
+        Fault::new(place.clone(), what, hint)
+    };
     if !has_store {
         let what = "a fleet without a store: intents could not be made durable";
         return Err(wrong(&own.place, what, "add store-dir PATH"));
@@ -235,12 +242,17 @@
         Value::Address(address) => Some(*address),
         _ => None,
     };
-    let listen = table::find(&own.block, "listen").and_then(|setting| address(setting.values.first()?));
+    let listen =
+        table::find(&own.block, "listen").and_then(|setting| address(setting.values.first()?));
     let mut keepers: Vec<(String, SocketAddr)> = Vec::new();
     for keeper in own.block.iter().filter(|setting| setting.name == "keeper") {
         let (name, address) = (keeper.values[0].text(), address(&keeper.values[1]));
         let Some(address) = address else {
-            return Err(wrong(&keeper.place, "a keeper's address can't be used", "write ADDRESS:PORT"));
+            return Err(wrong(
+                &keeper.place,
+                "a keeper's address can't be used",
+                "write ADDRESS:PORT",
+            ));
         };
         if keepers.iter().any(|(known, _)| known == name) {
             let what = format!("keeper '{name}' stands there twice");
@@ -250,19 +262,34 @@
     }
     if ![3, 5, 7].contains(&keepers.len()) {
         let what = format!("a fleet with {} keepers", keepers.len());
-        return Err(wrong(&own.place, &what, "name 3, 5 or 7: keeper NAME ADDRESS"));
+        return Err(wrong(
+            &own.place,
+            &what,
+            "name 3, 5 or 7: keeper NAME ADDRESS",
+        ));
     }
     keepers.sort();
-    let send = table::find(&own.block, "without-majority").is_some_and(|own| own.values[0].text() == "send");
+    let send = table::find(&own.block, "without-majority")
+        .is_some_and(|own| own.values[0].text() == "send");
     let name = own.values[0].text().to_string();
-    let probes = own.block.iter().any(|own| own.name == "task" && own.values[0].text() == "probe");
-    Ok(FleetPlan { name, listen, keepers, send_without: send, probes })
+    let probes = own
+        .block
+        .iter()
+        .any(|own| own.name == "task" && own.values[0].text() == "probe");
+    Ok(FleetPlan {
+        name,
+        listen,
+        keepers,
+        send_without: send,
+        probes,
+    })
 }
 
 impl Operator {
     /// From the file at a path and what it includes.
     pub fn from_file(path: &str) -> Result<Self, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| format!("operator's file {path}: {e}"))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| format!("operator's file {path}: {e}"))?;
         Self::read(path, &text).map_err(|e| e.to_string())
     }
 
@@ -279,15 +306,23 @@
         let budget = number("record-budget", 256 * MB);
         let segment = number("record-segment", (8 * MB).min(budget / 4));
         if segment > budget / 2 {
-            let place = setting("record-segment").or(setting("record-budget")).map(|s| s.place.clone());
+            let place = setting("record-segment")
+                .or(setting("record-budget"))
+                .map(|s| s.place.clone());
             if let Some(place) = place {
                 let what = "a segment takes more than half of the budget";
-                return Err(Fault::new(place, what, "raise record-budget or lower record-segment"));
+                return Err(Fault::new(
+                    place,
+                    what,
+                    "raise record-budget or lower record-segment",
+                ));
             }
         }
         let directory = text("record-dir").map(PathBuf::from);
         if directory.is_none() {
-            let useless = settings.iter().find(|setting| setting.name.starts_with("record-"));
+            let useless = settings
+                .iter()
+                .find(|setting| setting.name.starts_with("record-"));
             if let Some(setting) = useless {
                 let what = format!("'{}' without a record", setting.name);
                 return Err(Fault::new(
@@ -299,7 +334,10 @@
         }
         let spool = match setting("spool-memory") {
             None => {
-                if let Some(setting) = settings.iter().find(|setting| setting.name.starts_with("spool-")) {
+                if let Some(setting) = settings
+                    .iter()
+                    .find(|setting| setting.name.starts_with("spool-"))
+                {
                     let what = format!("'{}' without a spool", setting.name);
                     return Err(Fault::new(
                         setting.place.clone(),
@@ -312,11 +350,20 @@
             Some(turns_on) => {
                 let directory = text("spool-dir").map(PathBuf::from);
                 let memory = number("spool-memory", 0);
-                let disk = if directory.is_some() { number("spool-disk", 1 << 30) } else { 0 };
+                let disk = if directory.is_some() {
+                    number("spool-disk", 1 << 30)
+                } else {
+                    0
+                };
                 let key = text("spool-key").filter(|key| key.len() >= LEAST_KEY);
                 let place = setting("spool-key").unwrap_or(turns_on).place.clone();
-                let wrong =
-                    || Fault::new(place, "the spool has no secret of 16 characters", "add spool-key SECRET");
+                let wrong = || {
+                    Fault::new(
+                        place,
+                        "the spool has no secret of 16 characters",
+                        "add spool-key SECRET",
+                    )
+                };
                 Some(SpoolPlan {
                     memory,
                     directory,
@@ -332,15 +379,31 @@
         let store = text("store-dir").map(PathBuf::from);
         if let Some(setting) = setting("store-budget").filter(|_| store.is_none()) {
             let hint = "add store-dir PATH, which turns it on";
-            return Err(Fault::new(setting.place.clone(), "'store-budget' without a store", hint));
+            return Err(Fault::new(
+                setting.place.clone(),
+                "'store-budget' without a store",
+                hint,
+            ));
         }
-        let fleet = setting("fleet").map(|own| fleet(own, store.is_some())).transpose()?;
-        let targets = settings.iter().filter(|setting| setting.name == "log-target");
-        let target = |s: &Setting| (s.values[0].text().to_string(), s.values[1].text().to_string());
+        let fleet = setting("fleet")
+            .map(|own| fleet(own, store.is_some()))
+            .transpose()?;
+        let targets = settings
+            .iter()
+            .filter(|setting| setting.name == "log-target");
+        let target = |s: &Setting| {
+            (
+                s.values[0].text().to_string(),
+                s.values[1].text().to_string(),
+            )
+        };
         Ok(Operator {
             spool,
             fleet,
-            store: store.map(|directory| StorePlan { directory, budget: number("store-budget", 64 * MB) }),
+            store: store.map(|directory| StorePlan {
+                directory,
+                budget: number("store-budget", 64 * MB),
+            }),
             record: directory.map(|directory| Record {
                 directory,
                 budget,
--- a/crates/ownership/src/candidate.rs
+++ b/crates/ownership/src/candidate.rs
@@ -55,8 +55,16 @@
 
 impl Candidate {
     pub fn new(task: Task, owner: u64, majority: usize, greatest: Token, now: Micros) -> Self {
-        let stage = Stage::Waits { until: now + Self::turn(task, owner) };
-        Candidate { task, owner, majority, stage, greatest: greatest.term }
+        let stage = Stage::Waits {
+            until: now + Self::turn(task, owner),
+        };
+        Candidate {
+            task,
+            owner,
+            majority,
+            stage,
+            greatest: greatest.term,
+        }
     }
 
     /// How long after the first that could one of this weight tries.
@@ -65,7 +73,9 @@
     }
 
     fn waits(&mut self, now: Micros, left: Micros) {
-        self.stage = Stage::Waits { until: now + left + Self::turn(self.task, self.owner) };
+        self.stage = Stage::Waits {
+            until: now + left + Self::turn(self.task, self.owner),
+        };
     }
 
     /// The token to act under, as far as this clock knows. What is sent under it may still come too late: the
@@ -94,9 +104,17 @@
         match &mut self.stage {
             Stage::Waits { until } if now >= *until => {
                 self.greatest = (self.greatest + 1).max(unix_ms);
-                let token = Token { term: self.greatest, owner: self.owner };
+                let token = Token {
+                    term: self.greatest,
+                    owner: self.owner,
+                };
                 let (votes, denied) = Default::default();
-                self.stage = Stage::Asks { token, asked: now, votes, denied };
+                self.stage = Stage::Asks {
+                    token,
+                    asked: now,
+                    votes,
+                    denied,
+                };
                 Step::Ask(token)
             }
             Stage::Asks { token, asked, .. } if now >= *asked + PATIENCE => {
@@ -110,7 +128,12 @@
                 self.waits(now, 0);
                 Step::Lost(token)
             }
-            Stage::Owns { token, renews, renewed, .. } if now >= *renewed + RENEW => {
+            Stage::Owns {
+                token,
+                renews,
+                renewed,
+                ..
+            } if now >= *renewed + RENEW => {
                 *renewed = now;
                 *renews = Some((now, BTreeSet::new()));
                 Step::Ask(*token)
@@ -122,7 +145,12 @@
     pub fn vote(&mut self, now: Micros, keeper: usize, of: Token) -> Step {
         let majority = self.majority;
         match &mut self.stage {
-            Stage::Asks { token, asked, votes, .. } if *token == of => {
+            Stage::Asks {
+                token,
+                asked,
+                votes,
+                ..
+            } if *token == of => {
                 votes.insert(keeper);
                 let until = *asked + LEASE - MARGIN;
                 // A majority that comes too late is none.
@@ -130,10 +158,20 @@
                     return Step::Nothing;
                 }
                 let (token, renewed) = (*token, *asked);
-                self.stage = Stage::Owns { token, until, renews: None, renewed };
+                self.stage = Stage::Owns {
+                    token,
+                    until,
+                    renews: None,
+                    renewed,
+                };
                 Step::Won(token)
             }
-            Stage::Owns { token, until, renews: Some((asked, votes)), .. } if *token == of => {
+            Stage::Owns {
+                token,
+                until,
+                renews: Some((asked, votes)),
+                ..
+            } if *token == of => {
                 votes.insert(keeper);
                 if votes.len() >= majority {
                     *until = (*until).max(*asked + LEASE - MARGIN);
@@ -145,7 +183,14 @@
     }
 
     /// A keeper has promised more to another one.
-    pub fn denied(&mut self, now: Micros, keeper: usize, of: Token, greatest: Token, left: Micros) -> Step {
+    pub fn denied(
+        &mut self,
+        now: Micros,
+        keeper: usize,
+        of: Token,
+        greatest: Token,
+        left: Micros,
+    ) -> Step {
         self.greatest = self.greatest.max(greatest.term);
         match &mut self.stage {
             Stage::Asks { token, denied, .. } if *token == of => {
@@ -176,7 +221,9 @@
             }
             Stage::Waits { until } if token.owner != self.owner => {
                 let later = now + LEASE + Self::turn(self.task, self.owner);
-                self.stage = Stage::Waits { until: until.max(later) };
+                self.stage = Stage::Waits {
+                    until: until.max(later),
+                };
                 Step::Nothing
             }
             _ => Step::Nothing,
--- a/crates/ownership/src/core.rs
+++ b/crates/ownership/src/core.rs
@@ -131,7 +131,14 @@
         let fences = Fences::restore(found);
         let voter = Voter::restore(&fences, now);
         let (candidates, counted) = Default::default();
-        Core { plan, fences, voter, candidates, looked_at: now, counted }
+        Core {
+            plan,
+            fences,
+            voter,
+            candidates,
+            looked_at: now,
+            counted,
+        }
     }
 
     fn majority(&self) -> usize {
@@ -180,10 +187,18 @@
 
     /// Does work as its owner. Nothing: it doesn't own the task now, or its lease is over.
     pub fn act(&mut self, now: Micros, task: Task, work: Vec<u8>) -> Vec<Output> {
-        let Some(token) = self.owns(now, task) else { return Vec::new() };
-        let message = Message::Work { task, token, work: work.clone() };
-        let mut outputs: Vec<Output> =
-            self.others().map(|keeper| Output::Keeper(keeper, message.clone())).collect();
+        let Some(token) = self.owns(now, task) else {
+            return Vec::new();
+        };
+        let message = Message::Work {
+            task,
+            token,
+            work: work.clone(),
+        };
+        let mut outputs: Vec<Output> = self
+            .others()
+            .map(|keeper| Output::Keeper(keeper, message.clone()))
+            .collect();
         outputs.extend(self.admits(None, task, token, work));
         outputs
     }
@@ -194,17 +209,37 @@
     }
 
     /// Work at this fence.
-    fn admits(&mut self, from: Option<u64>, task: Task, token: Token, work: Vec<u8>) -> Vec<Output> {
+    fn admits(
+        &mut self,
+        from: Option<u64>,
+        task: Task,
+        token: Token,
+        work: Vec<u8>,
+    ) -> Vec<Output> {
         match self.fences.admit(task, token) {
             Admission::Stale(greatest) => {
                 self.counted.fenced += 1;
-                let told = Message::Stale { task, token, greatest };
+                let told = Message::Stale {
+                    task,
+                    token,
+                    greatest,
+                };
                 let told = from.map(|from| Output::Asker(from, told));
-                told.into_iter().chain([Output::Fenced { task, token, greatest }]).collect()
+                told.into_iter()
+                    .chain([Output::Fenced {
+                        task,
+                        token,
+                        greatest,
+                    }])
+                    .collect()
             }
             Admission::Admitted { waits } => {
                 self.counted.applied += 1;
-                let mut then = vec![Output::Apply { task, token, work: work.clone() }];
+                let mut then = vec![Output::Apply {
+                    task,
+                    token,
+                    work: work.clone(),
+                }];
                 if self.plan.own.is_some() {
                     let message = Message::Work { task, token, work };
                     then.push(Output::Askers { but: from, message });
@@ -218,7 +253,13 @@
     }
 
     /// `votes`: this keeper has all that it ever promised.
-    pub fn hears_asker(&mut self, now: Micros, from: u64, message: Message, votes: bool) -> Vec<Output> {
+    pub fn hears_asker(
+        &mut self,
+        now: Micros,
+        from: u64,
+        message: Message,
+        votes: bool,
+    ) -> Vec<Output> {
         match message {
             Message::Ask { task, token } if votes => {
                 match self.voter.ask(&mut self.fences, now, task, token) {
@@ -226,13 +267,22 @@
                         let mut outputs = self.seen(now, task, token);
                         let given = Output::Asker(from, Message::Given { task, token });
                         outputs.push(match new {
-                            true => Output::Store { task, token, then: vec![given] },
+                            true => Output::Store {
+                                task,
+                                token,
+                                then: vec![given],
+                            },
                             false => given,
                         });
                         outputs
                     }
                     Vote::Denied { greatest, left } => {
-                        let denied = Message::Denied { task, token, greatest, left };
+                        let denied = Message::Denied {
+                            task,
+                            token,
+                            greatest,
+                            left,
+                        };
                         vec![Output::Asker(from, denied)]
                     }
                 }
@@ -254,7 +304,12 @@
     pub fn hears_keeper(&mut self, now: Micros, keeper: usize, message: Message) -> Vec<Output> {
         match message {
             Message::Given { task, token } => self.vote(now, keeper, task, token),
-            Message::Denied { task, token, greatest, left } => {
+            Message::Denied {
+                task,
+                token,
+                greatest,
+                left,
+            } => {
                 let step = self.candidates.get_mut(&task);
                 let step = step.map(|own| own.denied(now, keeper, token, greatest, left));
                 self.stepped(now, task, step.unwrap_or(Step::Nothing))
@@ -280,25 +335,37 @@
         for (task, token) in tokens.into_iter().take(MOST_TASKS) {
             outputs.extend(self.seen(now, task, token));
             if self.fences.raise(task, token) {
-                outputs.push(Output::Store { task, token, then: Vec::new() });
+                outputs.push(Output::Store {
+                    task,
+                    token,
+                    then: Vec::new(),
+                });
             }
         }
         outputs
     }
 
     fn seen(&mut self, now: Micros, task: Task, token: Token) -> Vec<Output> {
-        let step = self.candidates.get_mut(&task).map(|own| own.seen(now, token));
+        let step = self
+            .candidates
+            .get_mut(&task)
+            .map(|own| own.seen(now, token));
         self.stepped(now, task, step.unwrap_or(Step::Nothing))
     }
 
     fn vote(&mut self, now: Micros, keeper: usize, task: Task, token: Token) -> Vec<Output> {
-        let step = self.candidates.get_mut(&task).map(|own| own.vote(now, keeper, token));
+        let step = self
+            .candidates
+            .get_mut(&task)
+            .map(|own| own.vote(now, keeper, token));
         self.stepped(now, task, step.unwrap_or(Step::Nothing))
     }
 
     /// This keeper's promise to itself is durable.
     pub fn own_vote(&mut self, now: Micros, task: Task, token: Token) -> Vec<Output> {
-        self.plan.own.map_or(Vec::new(), |own| self.vote(now, own, task, token))
+        self.plan
+            .own
+            .map_or(Vec::new(), |own| self.vote(now, own, task, token))
     }
 
     fn stepped(&mut self, now: Micros, task: Task, step: Step) -> Vec<Output> {
@@ -315,17 +382,26 @@
             Step::Withdrew(token) => {
                 self.voter.release(&self.fences, task, token);
                 let release = Message::Release { task, token };
-                self.others().map(|keeper| Output::Keeper(keeper, release.clone())).collect()
+                self.others()
+                    .map(|keeper| Output::Keeper(keeper, release.clone()))
+                    .collect()
             }
             Step::Ask(token) => {
                 let ask = Message::Ask { task, token };
-                let mut outputs: Vec<Output> =
-                    self.others().map(|keeper| Output::Keeper(keeper, ask.clone())).collect();
+                let mut outputs: Vec<Output> = self
+                    .others()
+                    .map(|keeper| Output::Keeper(keeper, ask.clone()))
+                    .collect();
                 if self.plan.own.is_some() {
-                    if let Vote::Given { new } = self.voter.ask(&mut self.fences, now, task, token) {
+                    if let Vote::Given { new } = self.voter.ask(&mut self.fences, now, task, token)
+                    {
                         let own = Output::OwnVote { task, token };
                         outputs.push(match new {
-                            true => Output::Store { task, token, then: vec![own] },
+                            true => Output::Store {
+                                task,
+                                token,
+                                then: vec![own],
+                            },
                             false => own,
                         });
                     }
@@ -352,26 +428,39 @@
         for (task, own) in &mut self.candidates {
             steps.push((*task, own.work(now, unix_ms)));
         }
-        let stepped = steps.into_iter().flat_map(|(task, step)| self.stepped(now, task, step));
+        let stepped = steps
+            .into_iter()
+            .flat_map(|(task, step)| self.stepped(now, task, step));
         outputs.extend(stepped);
         outputs
     }
 
     /// When [`Core::work`] has something to do: as soon as a candidate has, but not all the time.
     pub fn due(&self) -> Micros {
-        let next = self.candidates.values().map(Candidate::due).min().unwrap_or(Micros::MAX);
+        let next = self
+            .candidates
+            .values()
+            .map(Candidate::due)
+            .min()
+            .unwrap_or(Micros::MAX);
         next.max(self.looked_at + LOOK)
     }
 
     /// This gateway was told to end: its tasks are free at once.
     pub fn ends(&mut self) -> Vec<Output> {
         let mut outputs = Vec::new();
-        let released: Vec<(Task, Token)> =
-            self.candidates.iter_mut().filter_map(|(task, own)| Some((*task, own.ends()?))).collect();
+        let released: Vec<(Task, Token)> = self
+            .candidates
+            .iter_mut()
+            .filter_map(|(task, own)| Some((*task, own.ends()?)))
+            .collect();
         for (task, token) in released {
             self.voter.release(&self.fences, task, token);
             let release = Message::Release { task, token };
-            outputs.extend(self.others().map(|keeper| Output::Keeper(keeper, release.clone())));
+            outputs.extend(
+                self.others()
+                    .map(|keeper| Output::Keeper(keeper, release.clone())),
+            );
             outputs.push(Output::Lost { task, token });
         }
         outputs
--- a/crates/ownership/src/fence.rs
+++ b/crates/ownership/src/fence.rs
@@ -22,7 +22,10 @@
 impl Fences {
     pub fn restore(found: impl Iterator<Item = (Task, Token)>) -> Self {
         let greatest: BTreeMap<Task, Token> = found.collect();
-        Fences { durable: greatest.clone(), greatest }
+        Fences {
+            durable: greatest.clone(),
+            greatest,
+        }
     }
 
     pub fn greatest(&self, task: Task) -> Token {
@@ -47,7 +50,11 @@
     pub fn trim(&mut self, most: usize) -> Vec<Task> {
         let mut gone = Vec::new();
         while self.greatest.len() > most {
-            let oldest = self.greatest.iter().min_by_key(|(_, token)| **token).map(|(task, _)| *task);
+            let oldest = self
+                .greatest
+                .iter()
+                .min_by_key(|(_, token)| **token)
+                .map(|(task, _)| *task);
             let Some(task) = oldest else { break };
             self.greatest.remove(&task);
             self.durable.remove(&task);
@@ -79,7 +86,12 @@
             return Admission::Stale(greatest);
         }
         self.raise(task, token);
-        Admission::Admitted { waits: self.durable.get(&task).is_none_or(|durable| *durable < token) }
+        Admission::Admitted {
+            waits: self
+                .durable
+                .get(&task)
+                .is_none_or(|durable| *durable < token),
+        }
     }
 }
 
@@ -90,10 +102,19 @@
     #[test]
     fn work_waits_for_its_token_and_of_too_many_tasks_the_oldest_go() {
         let mut fences = Fences::default();
-        let (task, token) = (|number| Task { kind: 1, number }, |term| Token { term, owner: 1 });
-        assert_eq!(fences.admit(task(1), token(5)), Admission::Admitted { waits: true });
+        let (task, token) = (
+            |number| Task { kind: 1, number },
+            |term| Token { term, owner: 1 },
+        );
+        assert_eq!(
+            fences.admit(task(1), token(5)),
+            Admission::Admitted { waits: true }
+        );
         fences.durable(task(1), token(5));
-        assert_eq!(fences.admit(task(1), token(5)), Admission::Admitted { waits: false });
+        assert_eq!(
+            fences.admit(task(1), token(5)),
+            Admission::Admitted { waits: false }
+        );
         assert_eq!(fences.admit(task(1), token(4)), Admission::Stale(token(5)));
         (2..10).for_each(|number| _ = fences.raise(task(number), token(u64::from(number))));
         assert_eq!(fences.trim(6), [2, 3, 4].map(task));
--- a/crates/ownership/src/probe.rs
+++ b/crates/ownership/src/probe.rs
@@ -14,7 +14,10 @@
 pub const FRESH: Micros = 300_000;
 
 pub fn task(engine: u32) -> Task {
-    Task { kind: PROBE, number: engine }
+    Task {
+        kind: PROBE,
+        number: engine,
+    }
 }
 
 /// Reports of others and times of own probes, by engine; `R` is a report.
@@ -27,7 +30,10 @@
 
 impl<R> Default for Reports<R> {
     fn default() -> Self {
-        Reports { heard: BTreeMap::new(), probed_at: BTreeMap::new() }
+        Reports {
+            heard: BTreeMap::new(),
+            probed_at: BTreeMap::new(),
+        }
     }
 }
 
@@ -42,12 +48,16 @@
         age: Micros,
         report: R,
     ) -> Option<bool> {
-        let known = self.heard.get(&engine).map(|(token, number, ..)| (*token, *number));
+        let known = self
+            .heard
+            .get(&engine)
+            .map(|(token, number, ..)| (*token, *number));
         // Without the fence an old owner's work is to be seen to count.
         if known >= Some((token, number)) && !cfg!(feature = "unfenced") {
             return None;
         }
-        self.heard.insert(engine, (token, number, report, now.saturating_sub(age)));
+        self.heard
+            .insert(engine, (token, number, report, now.saturating_sub(age)));
         Some(age < FRESH)
     }
 
@@ -59,16 +69,29 @@
 
     /// Of the engines that this gateway owns those that it probes now.
     pub fn due(&mut self, now: Micros, owned: impl Iterator<Item = Task>) -> Vec<u32> {
-        let engines = owned.filter(|task| task.kind == PROBE).map(|task| task.number);
-        let due = |engine: &u32| self.probed_at.get(engine).is_none_or(|at| at + EVERY <= now);
+        let engines = owned
+            .filter(|task| task.kind == PROBE)
+            .map(|task| task.number);
+        let due = |engine: &u32| {
+            self.probed_at
+                .get(engine)
+                .is_none_or(|at| at + EVERY <= now)
+        };
         let due: Vec<u32> = engines.filter(due).collect();
-        due.iter().for_each(|engine| _ = self.probed_at.insert(*engine, now));
+        due.iter()
+            .for_each(|engine| _ = self.probed_at.insert(*engine, now));
         due
     }
 
     /// When [`Reports::due`] gives something.
     pub fn next(&self, now: Micros, owned: impl Iterator<Item = Task>) -> Option<Micros> {
-        owned.map(|task| self.probed_at.get(&task.number).map_or(now, |at| at + EVERY)).min()
+        owned
+            .map(|task| {
+                self.probed_at
+                    .get(&task.number)
+                    .map_or(now, |at| at + EVERY)
+            })
+            .min()
     }
 
     /// What is known of engines that are no more goes.
@@ -87,16 +110,37 @@
         let mut reports = Reports::default();
         let token = |term| Token { term, owner: 1 };
         assert_eq!(reports.take(S, 7, (token(1), 1), 0, 'a'), Some(true));
-        assert_eq!(reports.take(S, 7, (token(1), 1), 0, 'a'), None, "another keeper's copy");
-        assert_eq!(reports.take(S, 7, (token(1), 2), FRESH, 'b'), Some(false), "it was long under way");
+        assert_eq!(
+            reports.take(S, 7, (token(1), 1), 0, 'a'),
+            None,
+            "another keeper's copy"
+        );
+        assert_eq!(
+            reports.take(S, 7, (token(1), 2), FRESH, 'b'),
+            Some(false),
+            "it was long under way"
+        );
         assert_eq!(reports.stands_in(S, 7), None);
-        assert_eq!(reports.take(S, 7, (token(2), 1), 0, 'c'), Some(true), "a new owner counts anew");
+        assert_eq!(
+            reports.take(S, 7, (token(2), 1), 0, 'c'),
+            Some(true),
+            "a new owner counts anew"
+        );
         assert_eq!(reports.take(S, 7, (token(1), 9), 0, 'd'), None);
-        assert_eq!((reports.stands_in(S, 7), reports.stands_in(S + FRESH, 7)), (Some('c'), None));
+        assert_eq!(
+            (reports.stands_in(S, 7), reports.stands_in(S + FRESH, 7)),
+            (Some('c'), None)
+        );
         let owned = || [task(7), Task { kind: 9, number: 8 }].into_iter();
-        assert_eq!((reports.due(S, owned()), reports.due(S + EVERY - 1, owned())), (vec![7], vec![]));
         assert_eq!(
-            (reports.next(S, owned().take(1)), reports.due(S + EVERY, owned())),
+            (reports.due(S, owned()), reports.due(S + EVERY - 1, owned())),
+            (vec![7], vec![])
+        );
+        assert_eq!(
+            (
+                reports.next(S, owned().take(1)),
+                reports.due(S + EVERY, owned())
+            ),
             (Some(S + EVERY), vec![7])
         );
         reports.retain(|_| false);
--- a/crates/ownership/src/voter.rs
+++ b/crates/ownership/src/voter.rs
@@ -23,7 +23,9 @@
 impl Voter {
     /// After a start: whose leases still hold is not known, so all do.
     pub fn restore(fences: &Fences, now: Micros) -> Self {
-        Voter { leases: fences.all().map(|(task, _)| (task, now + LEASE)).collect() }
+        Voter {
+            leases: fences.all().map(|(task, _)| (task, now + LEASE)).collect(),
+        }
     }
 
     pub fn ask(&mut self, fences: &mut Fences, now: Micros, task: Task, token: Token) -> Vote {
@@ -38,7 +40,9 @@
             return Vote::Denied { greatest, left };
         }
         self.leases.insert(task, now + LEASE);
-        Vote::Given { new: fences.raise(task, token) }
+        Vote::Given {
+            new: fences.raise(task, token),
+        }
     }
 
     /// Its task is not kept any more.
--- a/crates/ownership/tests/model.rs
+++ b/crates/ownership/tests/model.rs
@@ -83,7 +83,11 @@
 }
 
 fn voter(at: usize, disk: &BTreeMap<Task, Token>, now: u64) -> Core {
-    let plan = Plan { keepers: VOTERS, own: Some(at), owner: 100 + at as u64 };
+    let plan = Plan {
+        keepers: VOTERS,
+        own: Some(at),
+        owner: 100 + at as u64,
+    };
     Core::start(plan, disk.clone().into_iter(), now)
 }
 
@@ -112,7 +116,9 @@
                             Output::Asker(to, message) if self.bug == Bug::HastyVotes => {
                                 self.told(state, voter, to as usize, message)
                             }
-                            Output::Asker(to, message) => waits.push(Then::Tell(to as usize, message)),
+                            Output::Asker(to, message) => {
+                                waits.push(Then::Tell(to as usize, message))
+                            }
                             Output::Apply { token, .. } => waits.push(Then::Apply(token)),
                             _ => {}
                         }
@@ -170,12 +176,26 @@
             counted: Token::default(),
         });
         let owners = (0..OWNERS).map(|at| {
-            let plan = Plan { keepers: VOTERS, own: None, owner: at as u64 + 1 };
+            let plan = Plan {
+                keepers: VOTERS,
+                own: None,
+                owner: at as u64 + 1,
+            };
             // The second has heard of the first one's term: it asks for the next.
-            let heard = (TASK, Token { term: at as u64, owner: 0 });
+            let heard = (
+                TASK,
+                Token {
+                    term: at as u64,
+                    owner: 0,
+                },
+            );
             let mut core = Core::start(plan, [heard].into_iter().take(at), BEGIN);
             core.wants(BEGIN, TASK);
-            Owner { core, now: BEGIN + 2_000_000, acts: 0 }
+            Owner {
+                core,
+                now: BEGIN + 2_000_000,
+                acts: 0,
+            }
         });
         vec![State {
             voters: voters.collect(),
@@ -203,7 +223,11 @@
         if state.jumps < JUMPS {
             actions.push(Step::Voters);
         }
-        let mut links: Vec<(usize, usize)> = state.wire.iter().map(|(from, to, _)| (*from, *to)).collect();
+        let mut links: Vec<(usize, usize)> = state
+            .wire
+            .iter()
+            .map(|(from, to, _)| (*from, *to))
+            .collect();
         links.sort();
         links.dedup();
         actions.extend(links.into_iter().map(|(from, to)| Step::Deliver(from, to)));
@@ -228,12 +252,19 @@
                 state.voters.iter_mut().for_each(|own| own.now += LEASE);
             }
             Step::Deliver(from, to) => {
-                let place = state.wire.iter().position(|(own, voter, _)| (*own, *voter) == (from, to))?;
+                let place = state
+                    .wire
+                    .iter()
+                    .position(|(own, voter, _)| (*own, *voter) == (from, to))?;
                 let (_, _, message) = state.wire.remove(place);
                 let own = &mut state.voters[to];
                 let outputs = match (&message, self.bug) {
                     (Message::Work { token, .. }, Bug::NoFence) => {
-                        vec![Output::Apply { task: TASK, token: *token, work: Vec::new() }]
+                        vec![Output::Apply {
+                            task: TASK,
+                            token: *token,
+                            work: Vec::new(),
+                        }]
                     }
                     _ => own.core.hears_asker(own.now, from as u64, message, true),
                 };
@@ -265,8 +296,12 @@
             Property::always("an old owner has no majority", |_, state: &State| {
                 state.late.iter().filter(|late| **late).count() <= VOTERS / 2
             }),
-            Property::sometimes("a late owner meets the fence", |_, state: &State| state.fenced),
-            Property::sometimes("two owners, one after the other", |_, state: &State| state.owned > 1),
+            Property::sometimes("a late owner meets the fence", |_, state: &State| {
+                state.fenced
+            }),
+            Property::sometimes("two owners, one after the other", |_, state: &State| {
+                state.owned > 1
+            }),
         ]
     }
 }
@@ -286,15 +321,29 @@
 #[test]
 fn no_order_of_votes_pauses_kills_and_work_lets_stale_work_count() {
     let checker = checked(Bug::None);
-    let found = checker.discovery("no stale work counts").map(|path| path.into_actions());
+    let found = checker
+        .discovery("no stale work counts")
+        .map(|path| path.into_actions());
     assert_eq!(found, None);
-    assert!(checker.unique_state_count() > 100_000, "{}", checker.unique_state_count());
+    assert!(
+        checker.unique_state_count() > 100_000,
+        "{}",
+        checker.unique_state_count()
+    );
     checker.assert_properties();
 }
 
 #[test]
 fn planted_bugs_are_found() {
     let hasty = checked(Bug::HastyVotes);
-    assert!(hasty.discovery("an old owner has no majority").is_some(), "hasty votes are not found");
-    assert!(checked(Bug::NoFence).discovery("no stale work counts").is_some(), "no fence is not found");
+    assert!(
+        hasty.discovery("an old owner has no majority").is_some(),
+        "hasty votes are not found"
+    );
+    assert!(
+        checked(Bug::NoFence)
+            .discovery("no stale work counts")
+            .is_some(),
+        "no fence is not found"
+    );
 }
--- a/crates/peers/src/detector.rs
+++ b/crates/peers/src/detector.rs
@@ -73,9 +73,23 @@
 impl Detector {
     /// A link that was just made.
     pub fn new(now: Micros) -> Self {
-        let between = Usual { mean: BEAT as f64, deviation: BEAT as f64 / 4.0 };
-        let trip = Usual { mean: 0.0, deviation: 0.0 };
-        Detector { heard_at: now, between, trip, slow_trip: false, beat: None, numbers: 0, asked_at: now }
+        let between = Usual {
+            mean: BEAT as f64,
+            deviation: BEAT as f64 / 4.0,
+        };
+        let trip = Usual {
+            mean: 0.0,
+            deviation: 0.0,
+        };
+        Detector {
+            heard_at: now,
+            between,
+            trip,
+            slow_trip: false,
+            beat: None,
+            numbers: 0,
+            asked_at: now,
+        }
     }
 
     pub fn heard(&mut self, now: Micros) {
@@ -101,7 +115,9 @@
 
     /// A beat was answered.
     pub fn answered(&mut self, now: Micros, number: u64) {
-        let Some((_, sent)) = self.beat.take_if(|(own, _)| *own <= number) else { return };
+        let Some((_, sent)) = self.beat.take_if(|(own, _)| *own <= number) else {
+            return;
+        };
         let trip = now.saturating_sub(sent) as f64;
         let limit = SLOW_TRIP * self.trip.mean + FLOOR as f64;
         self.slow_trip = trip > limit;
@@ -149,7 +165,8 @@
             now += pace + (number * 7919) % (pace / 10);
             let beat = detector.beats(now);
             detector.heard(now);
-            beat.into_iter().for_each(|beat| detector.answered(now + 2_000, beat));
+            beat.into_iter()
+                .for_each(|beat| detector.answered(now + 2_000, beat));
         }
         (detector, now)
     }
@@ -157,9 +174,13 @@
     #[test]
     fn a_steady_peer_is_up_and_one_that_stops_becomes_slow_silent_and_gone() {
         let (detector, last) = paced(BEAT, 100);
-        let states: Vec<State> =
-            (0..GONE / 10_000 + 2).map(|step| detector.state(last + step * 10_000)).collect();
-        assert!(states.windows(2).all(|pair| pair[0] <= pair[1]), "it never gets better by silence");
+        let states: Vec<State> = (0..GONE / 10_000 + 2)
+            .map(|step| detector.state(last + step * 10_000))
+            .collect();
+        assert!(
+            states.windows(2).all(|pair| pair[0] <= pair[1]),
+            "it never gets better by silence"
+        );
         for state in [State::Up, State::Slow, State::Silent, State::Gone] {
             assert!(states.contains(&state), "{state:?}");
         }
@@ -176,7 +197,8 @@
                 .expect("some time")
         };
         assert!(
-            silent_after(BEAT) < silent_after(2 * BEAT) && silent_after(2 * BEAT) < silent_after(4 * BEAT)
+            silent_after(BEAT) < silent_after(2 * BEAT)
+                && silent_after(2 * BEAT) < silent_after(4 * BEAT)
         );
     }
 
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -30,7 +30,9 @@
 impl std::fmt::Display for Spoilt {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Spoilt::TooLong(length) => write!(f, "a frame of {length} bytes, of which {MOST} are the most"),
+            Spoilt::TooLong(length) => {
+                write!(f, "a frame of {length} bytes, of which {MOST} are the most")
+            }
             Spoilt::Checksum => write!(f, "a frame's checksum is wrong"),
             Spoilt::Unreadable => write!(f, "a frame can't be read as this version writes them"),
         }
@@ -39,7 +41,9 @@
 
 /// Appends a frame. False: it is too long, and nothing was written.
 pub fn write<M: Serialize>(out: &mut Vec<u8>, carried: &Carried<M>) -> bool {
-    let Ok(bytes) = postcard::to_stdvec(carried) else { return false };
+    let Ok(bytes) = postcard::to_stdvec(carried) else {
+        return false;
+    };
     if bytes.len() > MOST {
         return false;
     }
@@ -51,13 +55,18 @@
 
 /// Takes the first whole frame off the front of what was read, and says how long it was.
 pub fn read<M: DeserializeOwned>(bytes: &[u8]) -> Result<Option<(Carried<M>, usize)>, Spoilt> {
-    let Some((head, rest)) = bytes.split_at_checked(HEAD) else { return Ok(None) };
-    let number = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+    let Some((head, rest)) = bytes.split_at_checked(HEAD) else {
+        return Ok(None);
+    };
+    let number =
+        |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     let (length, checksum) = (number(0), number(4));
     if length as usize > MOST {
         return Err(Spoilt::TooLong(length));
     }
-    let Some(body) = rest.get(..length as usize) else { return Ok(None) };
+    let Some(body) = rest.get(..length as usize) else {
+        return Ok(None);
+    };
     if crc32fast::hash(body) != checksum {
         return Err(Spoilt::Checksum);
     }
@@ -83,7 +92,9 @@
         let bytes = framed();
         let (first, length) = read::<String>(&bytes).expect("sound").expect("whole");
         assert_eq!(first, Carried::Told("first".into()));
-        let (second, rest) = read::<String>(&bytes[length..]).expect("sound").expect("whole");
+        let (second, rest) = read::<String>(&bytes[length..])
+            .expect("sound")
+            .expect("whole");
         assert_eq!((second, length + rest), (Carried::Beat(7), bytes.len()));
         for cut in 0..length {
             assert_eq!(read::<String>(&bytes[..cut]), Ok(None), "cut at {cut}");
--- a/crates/peers/src/hello.rs
+++ b/crates/peers/src/hello.rs
@@ -24,13 +24,29 @@
 /// Why a peer is turned away, as both ends say it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Turned {
-    Version { own: u32, theirs: u32 },
-    Fleet { own: String, theirs: String },
-    Name { expected: String, theirs: String },
+    Version {
+        own: u32,
+        theirs: u32,
+    },
+    Fleet {
+        own: String,
+        theirs: String,
+    },
+    Name {
+        expected: String,
+        theirs: String,
+    },
     Own(String),
-    Keepers { own: Vec<String>, theirs: Vec<String> },
+    Keepers {
+        own: Vec<String>,
+        theirs: Vec<String>,
+    },
     Classes,
-    Older { name: String, start: u64, known: u64 },
+    Older {
+        name: String,
+        start: u64,
+        known: u64,
+    },
 }
 
 impl fmt::Display for Turned {
@@ -75,26 +91,42 @@
     known: Option<(u64, u64)>,
 ) -> Result<(), Turned> {
     if own.version != theirs.version {
-        return Err(Turned::Version { own: own.version, theirs: theirs.version });
+        return Err(Turned::Version {
+            own: own.version,
+            theirs: theirs.version,
+        });
     }
     if own.fleet != theirs.fleet {
-        return Err(Turned::Fleet { own: own.fleet.clone(), theirs: theirs.fleet.clone() });
+        return Err(Turned::Fleet {
+            own: own.fleet.clone(),
+            theirs: theirs.fleet.clone(),
+        });
     }
     if let Some(expected) = expected.filter(|expected| **expected != theirs.name) {
-        return Err(Turned::Name { expected: expected.into(), theirs: theirs.name.clone() });
+        return Err(Turned::Name {
+            expected: expected.into(),
+            theirs: theirs.name.clone(),
+        });
     }
     if own.name == theirs.name {
         return Err(Turned::Own(own.name.clone()));
     }
     if own.keepers != theirs.keepers {
-        return Err(Turned::Keepers { own: own.keepers.clone(), theirs: theirs.keepers.clone() });
+        return Err(Turned::Keepers {
+            own: own.keepers.clone(),
+            theirs: theirs.keepers.clone(),
+        });
     }
     if own.classes != theirs.classes {
         return Err(Turned::Classes);
     }
     match known {
         Some((identity, start)) if identity == theirs.identity && start > theirs.start => {
-            Err(Turned::Older { name: theirs.name.clone(), start: theirs.start, known: start })
+            Err(Turned::Older {
+                name: theirs.name.clone(),
+                start: theirs.start,
+                known: start,
+            })
         }
         _ => Ok(()),
     }
@@ -107,14 +139,26 @@
     fn hello(name: &str) -> Hello {
         let keepers = ["g1", "g2", "g3"].map(str::to_string).to_vec();
         let (version, fleet, name) = (VERSION, "north".into(), name.into());
-        Hello { version, fleet, name, keepers, classes: 5, identity: 7, start: 3 }
+        Hello {
+            version,
+            fleet,
+            name,
+            keepers,
+            classes: 5,
+            identity: 7,
+            start: 3,
+        }
     }
 
     #[test]
     fn every_difference_has_its_own_sentence_and_none_lets_in() {
         let own = hello("g1");
         assert_eq!(takes(&own, &hello("g2"), Some("g2"), Some((7, 3))), Ok(()));
-        assert_eq!(takes(&own, &hello("g2"), None, Some((8, 9))), Ok(()), "a new store begins anew");
+        assert_eq!(
+            takes(&own, &hello("g2"), None, Some((8, 9))),
+            Ok(()),
+            "a new store begins anew"
+        );
         type Change = fn(&mut Hello);
         let changes: [(&str, Change); 6] = [
             ("version", |hello| hello.version += 1),
@@ -127,10 +171,14 @@
         for (word, change) in changes {
             let mut theirs = hello("g2");
             change(&mut theirs);
-            let why = takes(&own, &theirs, Some("g2"), Some((7, 3))).expect_err(word).to_string();
+            let why = takes(&own, &theirs, Some("g2"), Some((7, 3)))
+                .expect_err(word)
+                .to_string();
             assert!(why.contains(word), "{why}");
         }
-        let why = takes(&own, &hello("g1"), None, None).expect_err("itself").to_string();
+        let why = takes(&own, &hello("g1"), None, None)
+            .expect_err("itself")
+            .to_string();
         assert!(why.contains("a name of its own"), "{why}");
     }
 }
--- a/crates/peers/src/hub.rs
+++ b/crates/peers/src/hub.rs
@@ -103,7 +103,8 @@
         };
         let listens = listener.as_ref().map(TcpListener::local_addr).transpose()?;
         if let Some(listener) = &mut listener {
-            poll.registry().register(listener, LISTENER, Interest::READABLE)?;
+            poll.registry()
+                .register(listener, LISTENER, Interest::READABLE)?;
         }
         let (orders, taken) = sync_channel(MOST_WAITING);
         let (sender, heard) = sync_channel(MOST_WAITING);
@@ -125,12 +126,22 @@
         };
         let name = std::thread::Builder::new().name("peers".into());
         let thread = name.spawn(move || thread.run(taken))?;
-        Ok(Hub { orders: Some(orders), heard, waker, thread: Some(thread), listens, unwoken: false, lost: 0 })
+        Ok(Hub {
+            orders: Some(orders),
+            heard,
+            waker,
+            thread: Some(thread),
+            listens,
+            unwoken: false,
+            lost: 0,
+        })
     }
 
     /// Hands a message over; the thread hears of it with the next [`Hub::flush`].
     pub fn tell(&mut self, peer: Peer, message: M) -> bool {
-        let Some(orders) = &self.orders else { return false };
+        let Some(orders) = &self.orders else {
+            return false;
+        };
         match orders.try_send(Order::Tell(peer, message)) {
             Ok(()) => {
                 self.unwoken = true;
@@ -160,7 +171,8 @@
         self.orders = None;
         let _ = self.waker.wake();
         let (until, thread) = (Instant::now() + LAST, self.thread.take());
-        while thread.as_ref().is_some_and(|thread| !thread.is_finished()) && Instant::now() < until {
+        while thread.as_ref().is_some_and(|thread| !thread.is_finished()) && Instant::now() < until
+        {
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -211,7 +223,14 @@
         let mut events = Events::with_capacity(256);
         for at in 0..self.plan.keepers.len() {
             let at_once = self.rng.u64(0..FIRST_PAUSE);
-            self.calls.insert(at, Call { token: None, at: at_once, pause: FIRST_PAUSE });
+            self.calls.insert(
+                at,
+                Call {
+                    token: None,
+                    at: at_once,
+                    pause: FIRST_PAUSE,
+                },
+            );
         }
         loop {
             let wait = self.patience();
@@ -244,8 +263,12 @@
                     Err(TryRecvError::Disconnected) => return,
                 }
             }
-            let readable: Vec<usize> =
-                self.links.iter().filter(|(_, held)| held.more).map(|(token, _)| *token).collect();
+            let readable: Vec<usize> = self
+                .links
+                .iter()
+                .filter(|(_, held)| held.more)
+                .map(|(token, _)| *token)
+                .collect();
             for token in readable {
                 if self.waiting.is_empty() {
                     self.read(token);
@@ -268,10 +291,20 @@
             return Duration::ZERO;
         }
         let now = self.now();
-        let calls = self.calls.values().filter(|call| call.token.is_none()).map(|call| call.at);
-        let made = self.links.values().filter(|held| matches!(held.peer, Peer::Keeper(_)));
+        let calls = self
+            .calls
+            .values()
+            .filter(|call| call.token.is_none())
+            .map(|call| call.at);
+        let made = self
+            .links
+            .values()
+            .filter(|held| matches!(held.peer, Peer::Keeper(_)));
         let next = made.map(|held| held.link.detector.due()).chain(calls).min();
-        let wait = next.unwrap_or(now + BEAT).saturating_sub(now).clamp(1_000, BEAT);
+        let wait = next
+            .unwrap_or(now + BEAT)
+            .saturating_sub(now)
+            .clamp(1_000, BEAT);
         Duration::from_micros(wait)
     }
 
@@ -298,7 +331,9 @@
     fn accept(&mut self) {
         while let Some(listener) = &self.listener {
             match listener.accept() {
-                Ok((stream, _)) if self.links.len() >= MOST_LINKS + self.plan.keepers.len() => drop(stream),
+                Ok((stream, _)) if self.links.len() >= MOST_LINKS + self.plan.keepers.len() => {
+                    drop(stream)
+                }
                 Ok((stream, _)) => {
                     let peer = Peer::Asker(self.next as u64);
                     _ = self.hold(stream, peer, None, Interest::READABLE | Interest::WRITABLE);
@@ -317,11 +352,23 @@
         interest: Interest,
     ) -> io::Result<usize> {
         let (token, now) = (self.next, self.now());
-        self.poll.registry().register(&mut stream, Token(token), interest)?;
+        self.poll
+            .registry()
+            .register(&mut stream, Token(token), interest)?;
         let _ = stream.set_nodelay(true);
         self.next += 1;
         let link = Link::new(stream, now);
-        self.links.insert(token, Held { link, peer, expected, state: State::Up, made: now, more: false });
+        self.links.insert(
+            token,
+            Held {
+                link,
+                peer,
+                expected,
+                state: State::Up,
+                made: now,
+                more: false,
+            },
+        );
         Ok(token)
     }
 
@@ -335,7 +382,10 @@
         let hello = Carried::Hello(self.plan.hello.clone());
         match made {
             Ok(token) => {
-                self.calls.get_mut(&at).into_iter().for_each(|call| call.token = Some(token));
+                self.calls
+                    .get_mut(&at)
+                    .into_iter()
+                    .for_each(|call| call.token = Some(token));
                 self.put(token, &hello);
             }
             Err(_) => self.call_later(at),
@@ -344,13 +394,17 @@
 
     fn call_later(&mut self, at: usize) {
         let now = self.now();
-        let Some(call) = self.calls.get_mut(&at) else { return };
+        let Some(call) = self.calls.get_mut(&at) else {
+            return;
+        };
         (call.token, call.at) = (None, now + self.rng.u64(call.pause / 2..=call.pause));
         call.pause = (2 * call.pause).min(LONGEST_PAUSE);
     }
 
     fn put(&mut self, token: usize, carried: &Carried<M>) {
-        let Some(held) = self.links.get_mut(&token) else { return };
+        let Some(held) = self.links.get_mut(&token) else {
+            return;
+        };
         if held.link.put(carried) {
             self.dirty.push(token);
         } else {
@@ -363,10 +417,15 @@
             Peer::Asker(number) => Some(number as usize),
             Peer::Keeper(place) => {
                 let at = self.plan.keepers.iter().position(|(own, ..)| *own == place);
-                at.and_then(|at| self.calls.get(&at)).and_then(|call| call.token)
+                at.and_then(|at| self.calls.get(&at))
+                    .and_then(|call| call.token)
             }
         };
-        let known = |token: &usize| self.links.get(token).is_some_and(|held| held.link.known.is_some());
+        let known = |token: &usize| {
+            self.links
+                .get(token)
+                .is_some_and(|held| held.link.known.is_some())
+        };
         if let Some(token) = token.filter(known) {
             self.put(token, &Carried::Told(message));
         }
@@ -377,19 +436,29 @@
         dirty.sort_unstable();
         dirty.dedup();
         for token in dirty {
-            let Some(held) = self.links.get_mut(&token) else { continue };
+            let Some(held) = self.links.get_mut(&token) else {
+                continue;
+            };
             match held.link.flush() {
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => {}
                 Err(_) => self.drop_link(token, "it broke"),
-                Ok(()) if held.link.ends && held.link.is_flushed() => self.drop_link(token, "turned away"),
+                Ok(()) if held.link.ends && held.link.is_flushed() => {
+                    self.drop_link(token, "turned away")
+                }
                 Ok(()) => {}
             }
         }
     }
 
     fn read(&mut self, token: usize) {
-        let Some(held) = self.links.get_mut(&token) else { return };
-        let Came { frames, more, ended } = held.link.read();
+        let Some(held) = self.links.get_mut(&token) else {
+            return;
+        };
+        let Came {
+            frames,
+            more,
+            ended,
+        } = held.link.read();
         held.more = more;
         let now = self.now();
         for carried in frames {
@@ -410,7 +479,9 @@
     }
 
     fn came(&mut self, token: usize, carried: Carried<M>, now: Micros) {
-        let Some(held) = self.links.get_mut(&token) else { return };
+        let Some(held) = self.links.get_mut(&token) else {
+            return;
+        };
         let (peer, known) = (held.peer, held.link.known.is_some());
         match carried {
             Carried::Hello(hello) if !known => self.introduced(token, hello),
@@ -429,7 +500,9 @@
 
     /// The other end has said who it is.
     fn introduced(&mut self, token: usize, hello: Hello) {
-        let Some(held) = self.links.get_mut(&token) else { return };
+        let Some(held) = self.links.get_mut(&token) else {
+            return;
+        };
         let (peer, expected) = (held.peer, held.expected.clone());
         let known = self.lives.get(&hello.name).copied();
         if let Err(why) = takes(&self.plan.hello, &hello, expected.as_deref(), known) {
@@ -444,7 +517,8 @@
             self.drop_link(older, "a newer link took its place");
         }
         if self.lives.len() < MOST_LINKS || self.lives.contains_key(&hello.name) {
-            self.lives.insert(hello.name.clone(), (hello.identity, hello.start));
+            self.lives
+                .insert(hello.name.clone(), (hello.identity, hello.start));
         }
         if let Some(held) = self.links.get_mut(&token) {
             held.link.known = Some(hello.name.clone());
@@ -457,7 +531,10 @@
                 call.into_iter().for_each(|call| call.pause = FIRST_PAUSE);
             }
         }
-        self.hears(Heard::Up { peer, name: hello.name });
+        self.hears(Heard::Up {
+            peer,
+            name: hello.name,
+        });
     }
 
     fn turn_away(&mut self, token: usize, name: &str, why: Turned) {
@@ -466,30 +543,48 @@
         if let Some(held) = self.links.get_mut(&token) {
             held.link.ends = true;
         }
-        self.hears(Heard::Turned { name: name.into(), why });
+        self.hears(Heard::Turned {
+            name: name.into(),
+            why,
+        });
     }
 
     fn drop_link(&mut self, token: usize, why: &str) {
-        let Some(mut held) = self.links.remove(&token) else { return };
+        let Some(mut held) = self.links.remove(&token) else {
+            return;
+        };
         let _ = Registry::deregister(self.poll.registry(), &mut held.link.stream);
         if let Some(name) = &held.link.known {
             log::debug!("fleet: the link to {name} is dropped: {why}");
             let trip = held.link.detector.trip();
-            self.hears(Heard::State { peer: held.peer, state: State::Gone, trip });
+            self.hears(Heard::State {
+                peer: held.peer,
+                state: State::Gone,
+                trip,
+            });
         }
-        let at = self.calls.iter().find(|(_, call)| call.token == Some(token)).map(|(at, _)| *at);
+        let at = self
+            .calls
+            .iter()
+            .find(|(_, call)| call.token == Some(token))
+            .map(|(at, _)| *at);
         at.into_iter().for_each(|at| self.call_later(at));
     }
 
     /// What time brings: calls, beats, and links that are late.
     fn time(&mut self) {
         let now = self.now();
-        let due = self.calls.iter().filter(|(_, call)| call.token.is_none() && call.at <= now);
+        let due = self
+            .calls
+            .iter()
+            .filter(|(_, call)| call.token.is_none() && call.at <= now);
         for at in due.map(|(at, _)| *at).collect::<Vec<_>>() {
             self.call(at);
         }
         for token in self.links.keys().copied().collect::<Vec<_>>() {
-            let Some(held) = self.links.get_mut(&token) else { continue };
+            let Some(held) = self.links.get_mut(&token) else {
+                continue;
+            };
             if held.link.known.is_none() {
                 if now > held.made + HELLO_BY {
                     self.drop_link(token, "it didn't say who it is");
@@ -497,7 +592,8 @@
                 continue;
             }
             // The one who made a link asks; the other end hears that.
-            let beat = Some(&mut held.link.detector).filter(|_| matches!(held.peer, Peer::Keeper(_)));
+            let beat =
+                Some(&mut held.link.detector).filter(|_| matches!(held.peer, Peer::Keeper(_)));
             if let Some(number) = beat.and_then(|detector| detector.beats(now)) {
                 self.put(token, &Carried::Beat(number));
             }
@@ -507,7 +603,13 @@
 
     /// Tells the host where a peer does otherwise than before.
     fn look_at(&mut self, token: usize, now: Micros) {
-        let Some(held) = self.links.get_mut(&token).filter(|held| held.link.known.is_some()) else { return };
+        let Some(held) = self
+            .links
+            .get_mut(&token)
+            .filter(|held| held.link.known.is_some())
+        else {
+            return;
+        };
         let (state, peer) = (held.link.detector.state(now), held.peer);
         let trip = held.link.detector.trip();
         if state == State::Gone {
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -39,7 +39,15 @@
 impl Link {
     pub fn new(stream: TcpStream, now: Micros) -> Self {
         let (unread, unsent) = (Vec::new(), Vec::new());
-        Link { stream, unread, unsent, sent: 0, known: None, detector: Detector::new(now), ends: false }
+        Link {
+            stream,
+            unread,
+            unsent,
+            sent: 0,
+            known: None,
+            detector: Detector::new(now),
+            ends: false,
+        }
     }
 
     /// Puts a frame behind those that wait. False: too much waits, the link is to be dropped.
@@ -119,6 +127,10 @@
         if self.unread.is_empty() {
             self.unread.shrink_to(LOOK);
         }
-        Came { frames, more, ended }
+        Came {
+            frames,
+            more,
+            ended,
+        }
     }
 }
--- a/crates/record/benches/record.rs
+++ b/crates/record/benches/record.rs
@@ -64,19 +64,28 @@
         json_line(&mut json, *at, entry);
     }
     let each = |bytes: &[u8]| bytes.len() as f64 / entries.len() as f64;
-    println!("bytes an entry: {:.1}, as JSON lines {:.1}", each(&bytes), each(&json));
+    println!(
+        "bytes an entry: {:.1}, as JSON lines {:.1}",
+        each(&bytes),
+        each(&json)
+    );
     let directory = tempfile::tempdir().expect("a directory");
     let mut recorder = recorder(directory.path());
     let begun = ALLOCATIONS.get();
     for (at, entry) in &entries {
         recorder.record(*at, entry.as_ref());
     }
-    println!("allocations while {} entries were recorded: {}", entries.len(), ALLOCATIONS.get() - begun);
+    println!(
+        "allocations while {} entries were recorded: {}",
+        entries.len(),
+        ALLOCATIONS.get() - begun
+    );
 }
 
 fn recorder(directory: &std::path::Path) -> Recorder {
     let plan = plan("bench", 1 << 30);
-    let mut recorder = Recorder::start(plan, Box::new(Directory(directory.into()))).expect("a thread");
+    let mut recorder =
+        Recorder::start(plan, Box::new(Directory(directory.into()))).expect("a thread");
     state(&mut recorder, START);
     recorder
 }
@@ -89,11 +98,14 @@
     let mut recorder = recorder(directory.path());
     // The writer has the time that it has between two looks at sockets, so that nothing is left out.
     let pause = || std::thread::sleep(std::time::Duration::from_millis(4));
-    bencher.counter(ItemsCount::new(entries.len())).with_inputs(pause).bench_local_values(|()| {
-        for (at, entry) in &entries {
-            recorder.record(*at, entry.as_ref());
-        }
-    });
+    bencher
+        .counter(ItemsCount::new(entries.len()))
+        .with_inputs(pause)
+        .bench_local_values(|()| {
+            for (at, entry) in &entries {
+                recorder.record(*at, entry.as_ref());
+            }
+        });
     assert!(!recorder.wants_state(START), "entries were left out");
 }
 
@@ -102,36 +114,49 @@
 fn encode(bencher: Bencher) {
     let entries = entries(11_000);
     let mut out = Vec::with_capacity(1 << 20);
-    bencher.counter(ItemsCount::new(entries.len())).bench_local(|| {
-        out.clear();
-        let mut context = Context::new(START);
-        entries.iter().for_each(|(at, entry)| context.put(&mut out, *at, entry.as_ref()));
-    });
+    bencher
+        .counter(ItemsCount::new(entries.len()))
+        .bench_local(|| {
+            out.clear();
+            let mut context = Context::new(START);
+            entries
+                .iter()
+                .for_each(|(at, entry)| context.put(&mut out, *at, entry.as_ref()));
+        });
 }
 
 #[divan::bench(sample_count = 200)]
 fn encode_json_lines(bencher: Bencher) {
     let entries = entries(11_000);
     let mut out = Vec::with_capacity(4 << 20);
-    bencher.counter(ItemsCount::new(entries.len())).bench_local(|| {
-        out.clear();
-        entries.iter().for_each(|(at, entry)| json_line(&mut out, *at, entry));
-    });
+    bencher
+        .counter(ItemsCount::new(entries.len()))
+        .bench_local(|| {
+            out.clear();
+            entries
+                .iter()
+                .for_each(|(at, entry)| json_line(&mut out, *at, entry));
+        });
 }
 
 #[divan::bench(sample_count = 200)]
 fn decode(bencher: Bencher) {
     let entries = entries(11_000);
     let (mut bytes, mut context) = (Vec::new(), Context::new(START));
-    entries.iter().for_each(|(at, entry)| context.put(&mut bytes, *at, entry.as_ref()));
-    bencher.counter(ItemsCount::new(entries.len())).counter(BytesCount::new(bytes.len())).bench_local(|| {
-        let mut decoder = Decoder::new(&bytes, Context::new(START));
-        let mut count = 0;
-        while let Ok(Some(_)) = decoder.next() {
-            count += 1;
-        }
-        assert_eq!(count, entries.len());
-    });
+    entries
+        .iter()
+        .for_each(|(at, entry)| context.put(&mut bytes, *at, entry.as_ref()));
+    bencher
+        .counter(ItemsCount::new(entries.len()))
+        .counter(BytesCount::new(bytes.len()))
+        .bench_local(|| {
+            let mut decoder = Decoder::new(&bytes, Context::new(START));
+            let mut count = 0;
+            while let Ok(Some(_)) = decoder.next() {
+                count += 1;
+            }
+            assert_eq!(count, entries.len());
+        });
 }
 
 /// From files, with checksums, merged by time: two gateways' records of 550,000 entries each.
@@ -140,7 +165,10 @@
     let directory = tempfile::tempdir().expect("a directory");
     let entries = entries(550_000);
     for name in ["g1", "g2"] {
-        let plan = eideryard_record::Plan { name: name.into(), ..plan(name, 8 << 20) };
+        let plan = eideryard_record::Plan {
+            name: name.into(),
+            ..plan(name, 8 << 20)
+        };
         let mut recorder =
             Recorder::start(plan, Box::new(Directory(directory.path().into()))).expect("a thread");
         for (number, (at, entry)) in entries.iter().enumerate() {
@@ -152,12 +180,14 @@
             }
         }
     }
-    bencher.counter(ItemsCount::new(2 * entries.len())).bench_local(|| {
-        let mut merged = Merged::open(&[directory.path().into()]).expect("records");
-        let mut count = 0;
-        while merged.next().expect("whole records").is_some() {
-            count += 1;
-        }
-        assert!(count >= 2 * entries.len());
-    });
+    bencher
+        .counter(ItemsCount::new(2 * entries.len()))
+        .bench_local(|| {
+            let mut merged = Merged::open(&[directory.path().into()]).expect("records");
+            let mut count = 0;
+            while merged.next().expect("whole records").is_some() {
+                count += 1;
+            }
+            assert!(count >= 2 * entries.len());
+        });
 }
