--- a/crates/record/src/codec.rs
+++ b/crates/record/src/codec.rs
@@ -110,9 +110,15 @@
 }
 
 fn put_reals(out: &mut Vec<u8>, values: &[Option<f64>]) {
-    let present = values.iter().enumerate().fold(0u8, |bits, (at, v)| bits | (v.is_some() as u8) << at);
+    let present = values
+        .iter()
+        .enumerate()
+        .fold(0u8, |bits, (at, v)| bits | (v.is_some() as u8) << at);
     out.push(present);
-    values.iter().flatten().for_each(|value| put_real(out, *value));
+    values
+        .iter()
+        .flatten()
+        .for_each(|value| put_real(out, *value));
 }
 
 fn put_text(out: &mut Vec<u8>, text: &str) {
@@ -137,10 +143,16 @@
 fn put_tally(out: &mut Vec<u8>, tally: &Tally) {
     put_number(out, tally.entries);
     put_number(out, Totals::NAMES.len() as u64);
-    tally.totals.pairs().for_each(|(_, value)| put_number(out, value));
+    tally
+        .totals
+        .pairs()
+        .for_each(|(_, value)| put_number(out, value));
     for lanes in [&tally.classes, &tally.tenants] {
         put_number(out, lanes.len() as u64);
-        lanes.iter().flat_map(|lane| lane.values()).for_each(|value| put_number(out, value));
+        lanes
+            .iter()
+            .flat_map(|lane| lane.values())
+            .for_each(|value| put_number(out, value));
     }
 }
 
@@ -179,7 +191,12 @@
             out.push(*owns as u8);
             kind::OWNS
         }
-        FleetWord::Work { task, term, owner, counts } => {
+        FleetWord::Work {
+            task,
+            term,
+            owner,
+            counts,
+        } => {
             put_number(out, u64::from(*task));
             put_number(out, *term);
             put_number(out, *owner);
@@ -202,7 +219,13 @@
     match report {
         None => out.push(0),
         Some(r) => {
-            let fields = [r.in_flight, r.waiting_for_memory, r.cores_busy, r.memory_granted, r.disks_busy];
+            let fields = [
+                r.in_flight,
+                r.waiting_for_memory,
+                r.cores_busy,
+                r.memory_granted,
+                r.disks_busy,
+            ];
             out.push(1);
             put_reals(out, &fields);
         }
@@ -235,7 +258,10 @@
 ];
 
 fn outcome_byte(outcome: Outcome) -> u8 {
-    OUTCOMES.iter().position(|own| *own == outcome).unwrap_or_default() as u8
+    OUTCOMES
+        .iter()
+        .position(|own| *own == outcome)
+        .unwrap_or_default() as u8
 }
 
 // ---- Writing ----
@@ -332,7 +358,11 @@
                 self.put_request(out, *request);
                 kind::STREAM_BEGAN
             }
-            Event::Noted { request, attempt, note } => {
+            Event::Noted {
+                request,
+                attempt,
+                note,
+            } => {
                 self.put_request(out, *request);
                 put_number(out, *attempt as u64);
                 match note {
@@ -352,7 +382,8 @@
             Event::Ended(e) => {
                 self.put_request(out, e.request);
                 put_number(out, e.attempt as u64);
-                let flags = (e.complete as u8) << 4 | (e.told as u8) << 5 | (e.bill.is_some() as u8) << 6;
+                let flags =
+                    (e.complete as u8) << 4 | (e.told as u8) << 5 | (e.bill.is_some() as u8) << 6;
                 out.push(outcome_byte(e.outcome) | flags);
                 put_number(out, e.spent);
                 if let Some(bill) = e.bill {
@@ -381,7 +412,10 @@
 
     /// Tags of requests' own timers are told like requests, other tags as they are.
     fn put_tag(&mut self, out: &mut Vec<u8>, tag: u64) {
-        match tag.checked_sub(i::end_tag(0)).filter(|request| request >> 32 != 0) {
+        match tag
+            .checked_sub(i::end_tag(0))
+            .filter(|request| request >> 32 != 0)
+        {
             Some(request) => {
                 out.push(1);
                 self.put_request(out, request);
@@ -395,13 +429,21 @@
 
     fn put_action(&mut self, out: &mut Vec<u8>, at: Micros, action: &Action) -> u8 {
         match action {
-            Action::Terms { request, grant_mb, rank } => {
+            Action::Terms {
+                request,
+                grant_mb,
+                rank,
+            } => {
                 self.put_request(out, *request);
                 put_real(out, *grant_mb);
                 out.push(*rank);
                 kind::TERMS
             }
-            Action::Send { request, engine, give_up_at } => {
+            Action::Send {
+                request,
+                engine,
+                give_up_at,
+            } => {
                 self.put_request(out, *request);
                 out.extend_from_slice(&engine.to_le_bytes());
                 put_signed(out, give_up_at.wrapping_sub(at) as i64);
@@ -416,7 +458,10 @@
                 put_number(out, *attempt as u64);
                 kind::CANCEL
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.put_request(out, *request);
                 put_number(out, *retry_after);
                 kind::REFUSE
@@ -440,7 +485,11 @@
 
     fn put_host(&mut self, out: &mut Vec<u8>, at: Micros, host: &Host) -> u8 {
         match host {
-            Host::Begin { name, epoch, segment } => {
+            Host::Begin {
+                name,
+                epoch,
+                segment,
+            } => {
                 put_text(out, name);
                 put_number(out, *epoch);
                 put_number(out, *segment);
@@ -450,7 +499,10 @@
                 let lists = [&names.classes, &names.tenants, &names.zones, &names.kinds];
                 lists.iter().for_each(|list| put_texts(out, list));
                 put_number(out, names.threads.len() as u64);
-                names.threads.iter().for_each(|threads| put_real(out, *threads));
+                names
+                    .threads
+                    .iter()
+                    .for_each(|threads| put_real(out, *threads));
                 kind::NAMES
             }
             Host::Engine(e) => {
@@ -485,7 +537,10 @@
                 kind::TALLY
             }
             Host::StateWhole => kind::STATE_WHOLE,
-            Host::Connected { connection, address } => {
+            Host::Connected {
+                connection,
+                address,
+            } => {
                 put_number(out, connection & 0xffff_ffff);
                 put_number(out, connection >> 32);
                 match address {
@@ -526,7 +581,13 @@
                 put_optional(out, *tenant);
                 kind::NOT_TAKEN
             }
-            Host::Answered { request, class, tenant, how, late } => {
+            Host::Answered {
+                request,
+                class,
+                tenant,
+                how,
+                late,
+            } => {
                 self.put_request(out, *request);
                 put_number(out, *class as u64);
                 put_number(out, *tenant as u64);
@@ -561,7 +622,12 @@
                 }
                 kind::END
             }
-            Host::Gap { from, to, entries, counted } => {
+            Host::Gap {
+                from,
+                to,
+                entries,
+                counted,
+            } => {
                 put_signed(out, at.wrapping_sub(*from) as i64);
                 put_signed(out, at.wrapping_sub(*to) as i64);
                 put_number(out, *entries);
@@ -584,7 +650,10 @@
 
 impl<'a> Decoder<'a> {
     pub fn new(payload: &'a [u8], context: Context) -> Self {
-        Decoder { rest: payload, context }
+        Decoder {
+            rest: payload,
+            context,
+        }
     }
 
     /// What is left unread, and what it is told in relation to: enough to go on later.
@@ -599,7 +668,10 @@
     }
 
     fn bytes<const N: usize>(&mut self) -> Read<[u8; N]> {
-        let (first, rest) = self.rest.split_first_chunk::<N>().ok_or(Unreadable::Short)?;
+        let (first, rest) = self
+            .rest
+            .split_first_chunk::<N>()
+            .ok_or(Unreadable::Short)?;
         self.rest = rest;
         Ok(*first)
     }
@@ -613,7 +685,11 @@
                 return Ok(value);
             }
         }
-        Err(if self.rest.len() < 10 { Unreadable::Short } else { Unreadable::Value })
+        Err(if self.rest.len() < 10 {
+            Unreadable::Short
+        } else {
+            Unreadable::Value
+        })
     }
 
     fn signed(&mut self) -> Read<i64> {
@@ -643,7 +719,13 @@
     }
 
     fn length(&mut self, most: usize) -> Read<usize> {
-        self.place().and_then(|length| if length <= most { Ok(length) } else { Err(Unreadable::Value) })
+        self.place().and_then(|length| {
+            if length <= most {
+                Ok(length)
+            } else {
+                Err(Unreadable::Value)
+            }
+        })
     }
 
     fn flag(&mut self) -> Read<bool> {
@@ -683,13 +765,18 @@
 
     fn text(&mut self) -> Read<&'a str> {
         let length = self.length(MOST_TEXT)?;
-        let (text, rest) = self.rest.split_at_checked(length).ok_or(Unreadable::Short)?;
+        let (text, rest) = self
+            .rest
+            .split_at_checked(length)
+            .ok_or(Unreadable::Short)?;
         self.rest = rest;
         std::str::from_utf8(text).map_err(|_| Unreadable::Text)
     }
 
     fn texts(&mut self) -> Read<Vec<String>> {
-        (0..self.length(MOST_ITEMS)?).map(|_| self.text().map(str::to_string)).collect()
+        (0..self.length(MOST_ITEMS)?)
+            .map(|_| self.text().map(str::to_string))
+            .collect()
     }
 
     fn engine(&mut self) -> Read<u32> {
@@ -709,7 +796,11 @@
 
     fn offer(&mut self) -> Read<Offer> {
         let request = self.request()?;
-        Ok(Offer { request, id: u64::from_le_bytes(self.bytes()?), connection: self.connection()? })
+        Ok(Offer {
+            request,
+            id: u64::from_le_bytes(self.bytes()?),
+            connection: self.connection()?,
+        })
     }
 
     fn phase(&mut self) -> Read<Phase> {
@@ -722,15 +813,25 @@
     }
 
     fn outcome(&self, byte: u8) -> Read<Outcome> {
-        OUTCOMES.get(byte as usize).copied().ok_or(Unreadable::Value)
+        OUTCOMES
+            .get(byte as usize)
+            .copied()
+            .ok_or(Unreadable::Value)
     }
 
     fn report(&mut self) -> Read<Option<i::LoadReport>> {
         if !self.flag()? {
             return Ok(None);
         }
-        let [in_flight, waiting_for_memory, cores_busy, memory_granted, disks_busy] = self.reals()?;
-        Ok(Some(i::LoadReport { in_flight, waiting_for_memory, cores_busy, memory_granted, disks_busy }))
+        let [in_flight, waiting_for_memory, cores_busy, memory_granted, disks_busy] =
+            self.reals()?;
+        Ok(Some(i::LoadReport {
+            in_flight,
+            waiting_for_memory,
+            cores_busy,
+            memory_granted,
+            disks_busy,
+        }))
     }
 
     fn tag(&mut self) -> Read<u64> {
@@ -766,13 +867,19 @@
         }
         drop(values);
         let [classes, tenants] = [self.lanes()?, self.lanes()?];
-        Ok(Tally { entries, totals, classes, tenants })
+        Ok(Tally {
+            entries,
+            totals,
+            classes,
+            tenants,
+        })
     }
 
     fn earlier(&mut self) -> Read<Vec<i::Earlier>> {
         let mut earlier = Vec::new();
         for _ in 0..self.length(MOST_EARLIER)? {
-            let (zone, cell, since) = (self.number()? as u32, self.number()? as u32, self.number()?);
+            let (zone, cell, since) =
+                (self.number()? as u32, self.number()? as u32, self.number()?);
             earlier.push(i::Earlier { zone, cell, since });
         }
         Ok(earlier)
@@ -780,7 +887,10 @@
 
     fn want(&mut self) -> Read<NotTaken> {
         let byte = self.byte()?;
-        NotTaken::ALL.get(byte as usize).copied().ok_or(Unreadable::Value)
+        NotTaken::ALL
+            .get(byte as usize)
+            .copied()
+            .ok_or(Unreadable::Value)
     }
 
     fn lanes(&mut self) -> Read<Vec<Lane>> {
@@ -821,26 +931,53 @@
                 let real = |value: Option<f64>| value.unwrap_or_default();
                 let (mut classes, mut engines) = (Vec::new(), Vec::new());
                 for _ in 0..self.length(MOST_LANES)? {
-                    let ([work_ratio, memory_ratio], [work, memory_mb]) = (self.reals()?, self.reals()?);
+                    let ([work_ratio, memory_ratio], [work, memory_mb]) =
+                        (self.reals()?, self.reals()?);
                     let (work_ratio, memory_ratio) = (real(work_ratio), real(memory_ratio));
-                    classes.push(i::ClassLesson { work_ratio, memory_ratio, work: real(work), memory_mb });
+                    classes.push(i::ClassLesson {
+                        work_ratio,
+                        memory_ratio,
+                        work: real(work),
+                        memory_mb,
+                    });
                 }
                 for _ in 0..self.length(MOST_LESSONS)? {
                     let (engine, booted_at) = (self.number()? as u32, self.number()?);
                     let ([stretch, best], [bad, others]) = (self.reals()?, self.reals()?);
-                    let (stretch, best, bad, others) = (real(stretch), real(best), real(bad), real(others));
-                    engines.push(i::EngineLesson { engine, booted_at, stretch, best, bad, others });
+                    let (stretch, best, bad, others) =
+                        (real(stretch), real(best), real(bad), real(others));
+                    engines.push(i::EngineLesson {
+                        engine,
+                        booted_at,
+                        stretch,
+                        best,
+                        bad,
+                        others,
+                    });
                 }
                 let level = self.real()?;
-                Event::Remembered { lessons: i::Lessons { classes, engines, level }, age }
+                Event::Remembered {
+                    lessons: i::Lessons {
+                        classes,
+                        engines,
+                        level,
+                    },
+                    age,
+                }
             }
             kind::ARRIVED | kind::ARRIVED_AGAIN => {
                 let (id, class, tenant) = (self.request()?, self.place()?, self.place()?);
                 let deadline = self.after(at)?;
                 let [work, memory_mb] = self.reals()?;
                 let group = self.number()?;
-                let key = Some(self.text()?).filter(|key| !key.is_empty()).map(str::to_string);
-                let earlier = if kind == kind::ARRIVED { Vec::new() } else { self.earlier()? };
+                let key = Some(self.text()?)
+                    .filter(|key| !key.is_empty())
+                    .map(str::to_string);
+                let earlier = if kind == kind::ARRIVED {
+                    Vec::new()
+                } else {
+                    self.earlier()?
+                };
                 Event::Arrived(i::Request {
                     id,
                     class,
@@ -853,8 +990,13 @@
                     earlier,
                 })
             }
-            kind::RAN_BEFORE => Event::RanBefore { request: self.request()?, earlier: self.earlier()? },
-            kind::STREAM_BEGAN => Event::StreamBegan { request: self.request()? },
+            kind::RAN_BEFORE => Event::RanBefore {
+                request: self.request()?,
+                earlier: self.earlier()?,
+            },
+            kind::STREAM_BEGAN => Event::StreamBegan {
+                request: self.request()?,
+            },
             kind::NOTED => {
                 let (request, attempt) = (self.request()?, self.place()?);
                 let note = match self.byte()? {
@@ -864,26 +1006,48 @@
                     3 => i::Note::WaitsForLoad,
                     _ => return Err(Unreadable::Value),
                 };
-                Event::Noted { request, attempt, note }
+                Event::Noted {
+                    request,
+                    attempt,
+                    note,
+                }
             }
             kind::ENDED => {
                 let (request, attempt, flags) = (self.request()?, self.place()?, self.byte()?);
                 let outcome = self.outcome(flags & 15)?;
                 let spent = self.number()?;
                 let bill = match flags >> 6 & 1 {
-                    1 => Some(i::Bill { work: self.real()?, memory_mb: self.real()? }),
+                    1 => Some(i::Bill {
+                        work: self.real()?,
+                        memory_mb: self.real()?,
+                    }),
                     _ => None,
                 };
                 let (complete, told) = (flags >> 4 & 1 == 1, flags >> 5 & 1 == 1);
                 let report = self.report()?;
-                Event::Ended(i::Ended { request, attempt, outcome, spent, complete, told, bill, report })
+                Event::Ended(i::Ended {
+                    request,
+                    attempt,
+                    outcome,
+                    spent,
+                    complete,
+                    told,
+                    bill,
+                    report,
+                })
             }
             kind::PROBED => {
                 let (engine, outcome) = (self.engine()?, self.byte()?);
                 let outcome = self.outcome(outcome)?;
-                Event::Probed(i::Probed { engine, outcome, report: self.report()? })
+                Event::Probed(i::Probed {
+                    engine,
+                    outcome,
+                    report: self.report()?,
+                })
             }
-            kind::CLIENT_LEFT => Event::ClientLeft { request: self.request()? },
+            kind::CLIENT_LEFT => Event::ClientLeft {
+                request: self.request()?,
+            },
             kind::TIMER => Event::Timer { tag: self.tag()? },
             kind => return Err(Unreadable::Kind(kind)),
         })
@@ -891,17 +1055,34 @@
 
     fn action(&mut self, kind: u8, at: Micros) -> Read<Action> {
         Ok(match kind {
-            kind::TERMS => {
-                Action::Terms { request: self.request()?, grant_mb: self.real()?, rank: self.byte()? }
-            }
-            kind::SEND => {
-                Action::Send { request: self.request()?, engine: self.engine()?, give_up_at: self.after(at)? }
-            }
-            kind::PROBE => Action::Probe { engine: self.engine()? },
-            kind::CANCEL => Action::Cancel { request: self.request()?, attempt: self.place()? },
-            kind::REFUSE => Action::Refuse { request: self.request()?, retry_after: self.number()? },
-            kind::FAIL => Action::Fail { request: self.request()? },
-            kind::SET_TIMER => Action::SetTimer { after: self.number()?, tag: self.tag()? },
+            kind::TERMS => Action::Terms {
+                request: self.request()?,
+                grant_mb: self.real()?,
+                rank: self.byte()?,
+            },
+            kind::SEND => Action::Send {
+                request: self.request()?,
+                engine: self.engine()?,
+                give_up_at: self.after(at)?,
+            },
+            kind::PROBE => Action::Probe {
+                engine: self.engine()?,
+            },
+            kind::CANCEL => Action::Cancel {
+                request: self.request()?,
+                attempt: self.place()?,
+            },
+            kind::REFUSE => Action::Refuse {
+                request: self.request()?,
+                retry_after: self.number()?,
+            },
+            kind::FAIL => Action::Fail {
+                request: self.request()?,
+            },
+            kind::SET_TIMER => Action::SetTimer {
+                after: self.number()?,
+                tag: self.tag()?,
+            },
             kind::SUBSCRIBE => Action::Subscribe,
             kind::LOG => Action::Log(self.text()?.to_string()),
             kind => return Err(Unreadable::Kind(kind)),
@@ -912,13 +1093,25 @@
         Ok(match kind {
             kind::BEGIN => {
                 let name = self.text()?.to_string();
-                Host::Begin { name, epoch: self.number()?, segment: self.number()? }
+                Host::Begin {
+                    name,
+                    epoch: self.number()?,
+                    segment: self.number()?,
+                }
             }
             kind::NAMES => {
                 let [classes, tenants, zones, kinds] =
                     [self.texts()?, self.texts()?, self.texts()?, self.texts()?];
-                let threads = (0..self.length(MOST_ITEMS)?).map(|_| self.real()).collect::<Read<_>>()?;
-                Host::Names(Names { classes, tenants, zones, kinds, threads })
+                let threads = (0..self.length(MOST_ITEMS)?)
+                    .map(|_| self.real())
+                    .collect::<Read<_>>()?;
+                Host::Names(Names {
+                    classes,
+                    tenants,
+                    zones,
+                    kinds,
+                    threads,
+                })
             }
             kind::ENGINE => Host::Engine(Listed {
                 engine: self.engine()?,
@@ -937,7 +1130,15 @@
                     true => Some((self.engine()?, self.before(at)?)),
                     false => None,
                 };
-                Host::Open(OpenRequest { offer, class, tenant, arrived_at, deadline, attempts, out })
+                Host::Open(OpenRequest {
+                    offer,
+                    class,
+                    tenant,
+                    arrived_at,
+                    deadline,
+                    attempts,
+                    out,
+                })
             }
             kind::TALLY => Host::Tally(Box::new(self.tally()?)),
             kind::STATE_WHOLE => Host::StateWhole,
@@ -948,32 +1149,61 @@
                     6 => IpAddr::from(self.bytes::<16>()?),
                     _ => return Err(Unreadable::Value),
                 };
-                Host::Connected { connection, address }
+                Host::Connected {
+                    connection,
+                    address,
+                }
             }
             kind::ENDING => {
                 let (connection, why) = (self.connection()?, self.byte()?);
                 Host::Ending {
                     connection,
-                    why: Why::ALL.get(why as usize).copied().ok_or(Unreadable::Value)?,
+                    why: Why::ALL
+                        .get(why as usize)
+                        .copied()
+                        .ok_or(Unreadable::Value)?,
                 }
             }
-            kind::DISCONNECTED => Host::Disconnected { connection: self.connection()? },
+            kind::DISCONNECTED => Host::Disconnected {
+                connection: self.connection()?,
+            },
             kind::OFFERED => Host::Offered(self.offer()?),
-            kind::ATTACHED => Host::Attached { class: self.place()?, tenant: self.place()? },
+            kind::ATTACHED => Host::Attached {
+                class: self.place()?,
+                tenant: self.place()?,
+            },
             kind::NOT_TAKEN => {
                 let how = self.want()?;
-                Host::NotTaken { how, class: self.optional()?, tenant: self.optional()? }
+                Host::NotTaken {
+                    how,
+                    class: self.optional()?,
+                    tenant: self.optional()?,
+                }
             }
             kind::ANSWERED => {
                 let (request, class, tenant) = (self.request()?, self.place()?, self.place()?);
                 let flags = self.byte()?;
-                let how = AnswerKind::ALL.get((flags & 15) as usize).copied().ok_or(Unreadable::Value)?;
-                Host::Answered { request, class, tenant, how, late: flags >> 4 == 1 }
+                let how = AnswerKind::ALL
+                    .get((flags & 15) as usize)
+                    .copied()
+                    .ok_or(Unreadable::Value)?;
+                Host::Answered {
+                    request,
+                    class,
+                    tenant,
+                    how,
+                    late: flags >> 4 == 1,
+                }
             }
             kind::LINK => Host::Link { up: self.flag()? },
-            kind::LIST_EVENT => Host::ListEvent { number: self.number()? },
+            kind::LIST_EVENT => Host::ListEvent {
+                number: self.number()?,
+            },
             kind::RELOADED => Host::Reloaded { done: self.flag()? },
-            kind::BECAUSE => Host::Because { request: self.request()?, why: self.want()? },
+            kind::BECAUSE => Host::Because {
+                request: self.request()?,
+                why: self.want()?,
+            },
             kind::PEER | kind::TURNED => {
                 let (name, said) = (self.text()?.to_string(), self.text()?.to_string());
                 Host::Fleet(match kind {
@@ -981,8 +1211,12 @@
                     _ => FleetWord::Turned { name, why: said },
                 })
             }
-            kind::VOTES => Host::Fleet(FleetWord::Votes { votes: self.flag()? }),
-            kind::MAJORITY => Host::Fleet(FleetWord::Majority { stands: self.flag()? }),
+            kind::VOTES => Host::Fleet(FleetWord::Votes {
+                votes: self.flag()?,
+            }),
+            kind::MAJORITY => Host::Fleet(FleetWord::Majority {
+                stands: self.flag()?,
+            }),
             kind::OWNS => {
                 let (task, term, owns) = (self.number()? as u32, self.number()?, self.flag()?);
                 Host::Fleet(FleetWord::Owns { task, term, owns })
@@ -990,14 +1224,21 @@
             kind::WORK => {
                 let (task, term) = (self.number()? as u32, self.number()?);
                 let (owner, counts) = (self.number()?, self.flag()?);
-                Host::Fleet(FleetWord::Work { task, term, owner, counts })
+                Host::Fleet(FleetWord::Work {
+                    task,
+                    term,
+                    owner,
+                    counts,
+                })
             }
             kind::STOPPING => Host::Stopping,
             kind::ALIVE => Host::Alive,
             kind::END => {
                 let count = self.length(MOST_ITEMS)?;
                 let pair = |d: &mut Self| Ok((d.text()?.to_string(), d.number()?));
-                Host::Ended { counters: (0..count).map(|_| pair(self)).collect::<Read<_>>()? }
+                Host::Ended {
+                    counters: (0..count).map(|_| pair(self)).collect::<Read<_>>()?,
+                }
             }
             kind::GAP => Host::Gap {
                 from: self.before(at)?,
--- a/crates/record/src/entry.rs
+++ b/crates/record/src/entry.rs
@@ -89,7 +89,12 @@
     /// This gateway owns a task from now on, or no more.
     Owns { task: u32, term: u64, owns: bool },
     /// An owner's work came here: it counts, or a fence turned it away.
-    Work { task: u32, term: u64, owner: u64, counts: bool },
+    Work {
+        task: u32,
+        term: u64,
+        owner: u64,
+        counts: bool,
+    },
 }
 
 /// Why the gateway ended a client's connection.
@@ -103,7 +108,13 @@
 }
 
 impl Why {
-    pub const ALL: [Why; 5] = [Why::Malformed, Why::Silent, Why::Hoarding, Why::Deaf, Why::Evicted];
+    pub const ALL: [Why; 5] = [
+        Why::Malformed,
+        Why::Silent,
+        Why::Hoarding,
+        Why::Deaf,
+        Why::Evicted,
+    ];
 }
 
 /// A request as its client sent it, beside what the module is told of it.
@@ -237,7 +248,9 @@
                 | Event::RanBefore { request, .. }
                 | Event::Noted { request, .. }
                 | Event::ClientLeft { request } => Some(*request),
-                Event::Timer { tag } => tag.checked_sub(end_tag(0)).filter(|request| request >> 32 != 0),
+                Event::Timer { tag } => tag
+                    .checked_sub(end_tag(0))
+                    .filter(|request| request >> 32 != 0),
                 _ => None,
             },
             Entry::Out(action) => match action {
@@ -246,9 +259,9 @@
                 | Action::Cancel { request, .. }
                 | Action::Refuse { request, .. }
                 | Action::Fail { request } => Some(*request),
-                Action::SetTimer { tag, .. } => {
-                    tag.checked_sub(end_tag(0)).filter(|request| request >> 32 != 0)
-                }
+                Action::SetTimer { tag, .. } => tag
+                    .checked_sub(end_tag(0))
+                    .filter(|request| request >> 32 != 0),
                 _ => None,
             },
             Entry::Host(host) => match host {
--- a/crates/record/src/frame.rs
+++ b/crates/record/src/frame.rs
@@ -46,15 +46,24 @@
 }
 
 fn word(bytes: &[u8]) -> u32 {
-    bytes.first_chunk().map_or(0, |bytes| u32::from_le_bytes(*bytes))
+    bytes
+        .first_chunk()
+        .map_or(0, |bytes| u32::from_le_bytes(*bytes))
 }
 
 fn long(bytes: &[u8]) -> u64 {
-    bytes.first_chunk().map_or(0, |bytes| u64::from_le_bytes(*bytes))
+    bytes
+        .first_chunk()
+        .map_or(0, |bytes| u64::from_le_bytes(*bytes))
 }
 
 /// The head of a frame with this payload.
-pub fn frame_head(epoch: Micros, number: u64, first_at: Micros, payload: &[u8]) -> [u8; FRAME_HEAD] {
+pub fn frame_head(
+    epoch: Micros,
+    number: u64,
+    first_at: Micros,
+    payload: &[u8],
+) -> [u8; FRAME_HEAD] {
     let mut head = [0; FRAME_HEAD];
     head[..4].copy_from_slice(&FRAME_MARK);
     head[8..12].copy_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -90,7 +99,9 @@
 
 pub fn find(bytes: &[u8]) -> Found {
     if bytes.len() < FRAME_HEAD {
-        return if FRAME_MARK.starts_with(&bytes[..bytes.len().min(4)]) || bytes.starts_with(&FRAME_MARK) {
+        return if FRAME_MARK.starts_with(&bytes[..bytes.len().min(4)])
+            || bytes.starts_with(&FRAME_MARK)
+        {
             Found::More(FRAME_HEAD)
         } else {
             Found::No(next_mark(bytes))
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -20,7 +20,9 @@
 pub mod totals;
 pub mod writer;
 
-pub use entry::{AnswerKind, Entry, FleetWord, Host, Listed, Names, NotTaken, Offer, OpenRequest, Why};
+pub use entry::{
+    AnswerKind, Entry, FleetWord, Host, Listed, Names, NotTaken, Offer, OpenRequest, Why,
+};
 pub use reader::{Merged, Problem, Source, Told};
 pub use recorder::{Plan, Recorder};
 pub use tally::{Lane, Tally};
--- a/crates/record/src/reader.rs
+++ b/crates/record/src/reader.rs
@@ -30,7 +30,14 @@
 
 impl std::fmt::Display for Problem {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{}: bytes {} to {}: {}", self.file.display(), self.from, self.from + self.bytes, self.what)
+        write!(
+            f,
+            "{}: bytes {} to {}: {}",
+            self.file.display(),
+            self.from,
+            self.from + self.bytes,
+            self.what
+        )
     }
 }
 
@@ -102,15 +109,26 @@
         match &mut self.skipped {
             Some(problem) => problem.bytes += count as u64,
             None => {
-                let file = self.open.as_ref().map(|(_, path)| path.clone()).unwrap_or_default();
-                self.skipped = Some(Problem { file, from, bytes: count as u64, what: what.to_string() });
+                let file = self
+                    .open
+                    .as_ref()
+                    .map(|(_, path)| path.clone())
+                    .unwrap_or_default();
+                self.skipped = Some(Problem {
+                    file,
+                    from,
+                    bytes: count as u64,
+                    what: what.to_string(),
+                });
             }
         }
     }
 
     /// Reads on, behind what is unused. False: the file has no more now.
     fn fill(&mut self) -> io::Result<bool> {
-        let Some((file, _)) = &mut self.open else { return Ok(false) };
+        let Some((file, _)) = &mut self.open else {
+            return Ok(false);
+        };
         self.buffer.drain(..self.used);
         self.at += self.used as u64;
         self.used = 0;
@@ -127,15 +145,23 @@
 
     /// The next file. False: there is none.
     fn next_file(&mut self) -> Result<bool, Unusable> {
-        let Some(path) = self.files.pop_front() else { return Ok(false) };
-        let unusable = |error| Unusable::Io { path: path.clone(), error };
+        let Some(path) = self.files.pop_front() else {
+            return Ok(false);
+        };
+        let unusable = |error| Unusable::Io {
+            path: path.clone(),
+            error,
+        };
         let file = File::open(&path).map_err(unusable)?;
         self.open = Some((file, path.clone()));
         while self.buffer.len() < FILE_HEAD && self.fill().map_err(unusable)? {}
         match read_file_head(&self.buffer) {
             Some(version) if version > VERSION => return Err(Unusable::Newer { path, version }),
             Some(_) => self.used = FILE_HEAD,
-            None => self.skip(self.buffer.len().min(FILE_HEAD), "the file's head is damaged"),
+            None => self.skip(
+                self.buffer.len().min(FILE_HEAD),
+                "the file's head is damaged",
+            ),
         }
         Ok(true)
     }
@@ -170,7 +196,11 @@
                 }
                 Found::No(count) => self.skip(count, "no frame with a fitting checksum"),
                 Found::More(_) => {
-                    let path = self.open.as_ref().map(|(_, path)| path.clone()).unwrap_or_default();
+                    let path = self
+                        .open
+                        .as_ref()
+                        .map(|(_, path)| path.clone())
+                        .unwrap_or_default();
                     if self.fill().map_err(|error| Unusable::Io { path, error })? {
                         continue;
                     }
@@ -207,7 +237,11 @@
         let from = self.used + FRAME_HEAD;
         self.last_frame = frame.number;
         self.frame = Some((from, self.used + whole, frame.context()));
-        let file = self.open.as_ref().map(|(_, path)| path.clone()).unwrap_or_default();
+        let file = self
+            .open
+            .as_ref()
+            .map(|(_, path)| path.clone())
+            .unwrap_or_default();
         match damaged {
             Some(problem) => self.problems.push(problem),
             None if missing => self.problems.push(Problem {
@@ -222,9 +256,18 @@
     }
 
     fn unreadable(&mut self, from: usize, to: usize, e: Unreadable) {
-        let file = self.open.as_ref().map(|(_, path)| path.clone()).unwrap_or_default();
+        let file = self
+            .open
+            .as_ref()
+            .map(|(_, path)| path.clone())
+            .unwrap_or_default();
         let (from, bytes) = (self.at + from as u64, (to - from) as u64);
-        self.problems.push(Problem { file, from, bytes, what: e.to_string() });
+        self.problems.push(Problem {
+            file,
+            from,
+            bytes,
+            what: e.to_string(),
+        });
         self.used = to;
     }
 }
@@ -272,10 +315,17 @@
     pub fn last_at(&self) -> Result<Micros, Unusable> {
         let mut last = self.last.iter().copied().max().unwrap_or(0);
         for stream in &self.streams {
-            let Some(path) = stream.files.back().or(stream.open.as_ref().map(|(_, path)| path)) else {
+            let Some(path) = stream
+                .files
+                .back()
+                .or(stream.open.as_ref().map(|(_, path)| path))
+            else {
                 continue;
             };
-            let bytes = std::fs::read(path).map_err(|error| Unusable::Io { path: path.clone(), error })?;
+            let bytes = std::fs::read(path).map_err(|error| Unusable::Io {
+                path: path.clone(),
+                error,
+            })?;
             let mut rest = &bytes[..];
             while !rest.is_empty() {
                 rest = match find(rest) {
@@ -318,26 +368,45 @@
     fn look(&mut self) -> Result<(), Unusable> {
         let mut found = Segments::new();
         for directory in &self.directories {
-            let unusable = |error| Unusable::Io { path: directory.clone(), error };
+            let unusable = |error| Unusable::Io {
+                path: directory.clone(),
+                error,
+            };
             for file in std::fs::read_dir(directory).map_err(unusable)? {
                 let file = file.map_err(unusable)?;
                 let path = file.path();
-                let Some((name, epoch, segment)) = read_file_name(&path) else { continue };
+                let Some((name, epoch, segment)) = read_file_name(&path) else {
+                    continue;
+                };
                 let size = file.metadata().map_or(0, |data| data.len());
-                found.entry((epoch, name, directory.clone())).or_default().push((segment, path, size));
+                found
+                    .entry((epoch, name, directory.clone()))
+                    .or_default()
+                    .push((segment, path, size));
             }
         }
         for ((epoch, name, directory), mut files) in found {
             files.sort();
             let bytes = files.iter().map(|(_, _, size)| size).sum();
-            let source = Source { name, epoch, directory, bytes };
+            let source = Source {
+                name,
+                epoch,
+                directory,
+                bytes,
+            };
             let known = |own: &Source| (own.epoch, &own.name) == (epoch, &source.name);
             match self.sources.iter().position(known) {
                 Some(at) => {
                     let stream = &mut self.streams[at];
-                    let last = stream.files.back().or(stream.open.as_ref().map(|(_, path)| path)).cloned();
+                    let last = stream
+                        .files
+                        .back()
+                        .or(stream.open.as_ref().map(|(_, path)| path))
+                        .cloned();
                     let newer = files.into_iter().map(|(_, path, _)| path);
-                    stream.files.extend(newer.filter(|path| last.as_ref().is_some_and(|last| path > last)));
+                    stream
+                        .files
+                        .extend(newer.filter(|path| last.as_ref().is_some_and(|last| path > last)));
                     self.sources[at].bytes = bytes;
                 }
                 None => {
@@ -382,7 +451,10 @@
 
     /// What was skipped so far, by source.
     pub fn problems(&self) -> impl Iterator<Item = (usize, &Problem)> {
-        self.streams.iter().enumerate().flat_map(|(at, stream)| stream.problems.iter().map(move |p| (at, p)))
+        self.streams
+            .iter()
+            .enumerate()
+            .flat_map(|(at, stream)| stream.problems.iter().map(move |p| (at, p)))
     }
 
     fn advance(&mut self, at: usize) -> Result<(), Unusable> {
@@ -428,7 +500,11 @@
 /// When a segment begins, by its first frame.
 fn begins(path: &Path) -> Option<Micros> {
     let mut head = Vec::new();
-    File::open(path).ok()?.take((FILE_HEAD + FRAME_HEAD) as u64).read_to_end(&mut head).ok()?;
+    File::open(path)
+        .ok()?
+        .take((FILE_HEAD + FRAME_HEAD) as u64)
+        .read_to_end(&mut head)
+        .ok()?;
     frame_begins(head.get(FILE_HEAD..)?)
 }
 
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -105,7 +105,10 @@
     /// [`Recorder::state_whole`].
     pub fn wants_state(&self, now: Micros) -> bool {
         let aged = now.saturating_sub(self.segment_at) >= self.plan.segment_time;
-        self.stale || aged || self.segment_bytes >= self.plan.segment || self.lost.load(Ordering::Relaxed)
+        self.stale
+            || aged
+            || self.segment_bytes >= self.plan.segment
+            || self.lost.load(Ordering::Relaxed)
     }
 
     /// False: there is no buffer for it now.
@@ -122,7 +125,11 @@
             batch.begins = true;
         }
         let Plan { name, epoch, .. } = &self.plan;
-        let begin = Host::Begin { name: name.clone(), epoch: *epoch, segment: self.segment };
+        let begin = Host::Begin {
+            name: name.clone(),
+            epoch: *epoch,
+            segment: self.segment,
+        };
         self.state(now, &begin);
         true
     }
@@ -178,17 +185,25 @@
     }
 
     fn hand_over(&mut self) {
-        let Some(mut batch) = self.batch.take() else { return };
+        let Some(mut batch) = self.batch.take() else {
+            return;
+        };
         self.segment_bytes += batch.bytes.len() as u64;
         batch.after.clone_from(&self.tally);
         // The channel holds as many as there are, so it is never full; the writer ends only with the program.
-        self.stale |= self.filled.as_ref().is_some_and(|filled| filled.try_send(batch).is_err());
+        self.stale |= self
+            .filled
+            .as_ref()
+            .is_some_and(|filled| filled.try_send(batch).is_err());
     }
 
     /// When [`Recorder::flush`] has something to do, if nothing else happens.
     pub fn due(&self) -> Option<Micros> {
         let alive = (!self.stale).then_some(self.last_at + ALIVE_EVERY);
-        self.batch.as_ref().map(|batch| batch.first_at + MOST_WAIT).or(alive)
+        self.batch
+            .as_ref()
+            .map(|batch| batch.first_at + MOST_WAIT)
+            .or(alive)
     }
 
     /// Hands on what has waited for long enough.
@@ -201,7 +216,11 @@
             self.record(now, EntryRef::Host(&Host::Alive));
             return self.hand_over();
         }
-        if self.batch.as_ref().is_some_and(|batch| batch.first_at + MOST_WAIT <= now) {
+        if self
+            .batch
+            .as_ref()
+            .is_some_and(|batch| batch.first_at + MOST_WAIT <= now)
+        {
             self.hand_over();
         }
     }
@@ -213,7 +232,8 @@
         self.hand_over();
         self.filled = None;
         let (until, writer) = (Instant::now() + LAST_WRITES, self.writer.take());
-        while writer.as_ref().is_some_and(|writer| !writer.is_finished()) && Instant::now() < until {
+        while writer.as_ref().is_some_and(|writer| !writer.is_finished()) && Instant::now() < until
+        {
             std::thread::sleep(Duration::from_millis(2));
         }
     }
--- a/crates/record/src/tally.rs
+++ b/crates/record/src/tally.rs
@@ -51,8 +51,12 @@
         match entry {
             EntryRef::In(Event::Arrived(request)) => {
                 totals.taken += 1;
-                lane(&mut self.classes, request.class).into_iter().for_each(|lane| lane.taken += 1);
-                lane(&mut self.tenants, request.tenant).into_iter().for_each(|lane| lane.taken += 1);
+                lane(&mut self.classes, request.class)
+                    .into_iter()
+                    .for_each(|lane| lane.taken += 1);
+                lane(&mut self.tenants, request.tenant)
+                    .into_iter()
+                    .for_each(|lane| lane.taken += 1);
             }
             EntryRef::In(Event::Ended(ended)) => {
                 *match ended.outcome {
@@ -67,7 +71,13 @@
                 } += 1
             }
             EntryRef::Out(Action::Send { .. }) => totals.sent += 1,
-            EntryRef::Host(Host::Answered { class, tenant, how, late, .. }) => {
+            EntryRef::Host(Host::Answered {
+                class,
+                tenant,
+                how,
+                late,
+                ..
+            }) => {
                 *match how {
                     AnswerKind::Served => &mut totals.served,
                     AnswerKind::Refused => &mut totals.refused,
@@ -76,7 +86,10 @@
                     AnswerKind::Lost => &mut totals.lost,
                 } += 1;
                 totals.late += *late as u64;
-                let lanes = [lane(&mut self.classes, *class), lane(&mut self.tenants, *tenant)];
+                let lanes = [
+                    lane(&mut self.classes, *class),
+                    lane(&mut self.tenants, *tenant),
+                ];
                 for lane in lanes.into_iter().flatten() {
                     lane.ended[*how as usize] += 1;
                     lane.late += *late as u64;
@@ -84,8 +97,12 @@
             }
             EntryRef::Host(Host::Attached { class, tenant }) => {
                 totals.taken += 1;
-                lane(&mut self.classes, *class).into_iter().for_each(|lane| lane.taken += 1);
-                lane(&mut self.tenants, *tenant).into_iter().for_each(|lane| lane.taken += 1);
+                lane(&mut self.classes, *class)
+                    .into_iter()
+                    .for_each(|lane| lane.taken += 1);
+                lane(&mut self.tenants, *tenant)
+                    .into_iter()
+                    .for_each(|lane| lane.taken += 1);
             }
             EntryRef::Host(Host::NotTaken { how, class, tenant }) => {
                 totals.taken += 1;
--- a/crates/record/src/text.rs
+++ b/crates/record/src/text.rs
@@ -6,7 +6,9 @@
 use eideryard::interface as module;
 use eideryard::interface::{Action, Event, Note, Outcome, Phase};
 
-use crate::entry::{AnswerKind, EntryRef, FleetWord, Host, Listed, Names, NotTaken, Offer, OpenRequest, Why};
+use crate::entry::{
+    AnswerKind, EntryRef, FleetWord, Host, Listed, Names, NotTaken, Offer, OpenRequest, Why,
+};
 
 /// An entry, printed on one line: where it comes from (`in`, `out` or `host`) and what it says.
 pub struct EntryText<'a>(pub EntryRef<'a>);
@@ -94,19 +96,33 @@
                 .field("lessons", &LessonsText(lessons))
                 .field("age", age)
                 .finish(),
-            Event::FullList(entries) => f.debug_tuple("FullList").field(&EntriesText(entries)).finish(),
-            Event::ListChanges(entries) => f.debug_tuple("ListChanges").field(&EntriesText(entries)).finish(),
+            Event::FullList(entries) => f
+                .debug_tuple("FullList")
+                .field(&EntriesText(entries))
+                .finish(),
+            Event::ListChanges(entries) => f
+                .debug_tuple("ListChanges")
+                .field(&EntriesText(entries))
+                .finish(),
             Event::ListFailed => f.write_str("ListFailed"),
-            Event::Arrived(request) => f.debug_tuple("Arrived").field(&RequestText(request)).finish(),
+            Event::Arrived(request) => f
+                .debug_tuple("Arrived")
+                .field(&RequestText(request))
+                .finish(),
             Event::RanBefore { request, earlier } => f
                 .debug_struct("RanBefore")
                 .field("request", request)
                 .field("earlier", &EarlierText(earlier))
                 .finish(),
-            Event::StreamBegan { request } => {
-                f.debug_struct("StreamBegan").field("request", request).finish()
-            }
-            Event::Noted { request, attempt, note } => f
+            Event::StreamBegan { request } => f
+                .debug_struct("StreamBegan")
+                .field("request", request)
+                .finish(),
+            Event::Noted {
+                request,
+                attempt,
+                note,
+            } => f
                 .debug_struct("Noted")
                 .field("request", request)
                 .field("attempt", attempt)
@@ -114,7 +130,10 @@
                 .finish(),
             Event::Ended(ended) => f.debug_tuple("Ended").field(&EndedText(ended)).finish(),
             Event::Probed(probed) => f.debug_tuple("Probed").field(&ProbedText(probed)).finish(),
-            Event::ClientLeft { request } => f.debug_struct("ClientLeft").field("request", request).finish(),
+            Event::ClientLeft { request } => f
+                .debug_struct("ClientLeft")
+                .field("request", request)
+                .finish(),
             Event::Timer { tag } => f.debug_struct("Timer").field("tag", tag).finish(),
         }
     }
@@ -125,29 +144,46 @@
 impl Debug for ActionText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Action::Terms { request, grant_mb, rank } => f
+            Action::Terms {
+                request,
+                grant_mb,
+                rank,
+            } => f
                 .debug_struct("Terms")
                 .field("request", request)
                 .field("grant_mb", grant_mb)
                 .field("rank", rank)
                 .finish(),
-            Action::Send { request, engine, give_up_at } => f
+            Action::Send {
+                request,
+                engine,
+                give_up_at,
+            } => f
                 .debug_struct("Send")
                 .field("request", request)
                 .field("engine", engine)
                 .field("give_up_at", give_up_at)
                 .finish(),
             Action::Probe { engine } => f.debug_struct("Probe").field("engine", engine).finish(),
-            Action::Cancel { request, attempt } => {
-                f.debug_struct("Cancel").field("request", request).field("attempt", attempt).finish()
-            }
-            Action::Refuse { request, retry_after } => {
-                f.debug_struct("Refuse").field("request", request).field("retry_after", retry_after).finish()
-            }
+            Action::Cancel { request, attempt } => f
+                .debug_struct("Cancel")
+                .field("request", request)
+                .field("attempt", attempt)
+                .finish(),
+            Action::Refuse {
+                request,
+                retry_after,
+            } => f
+                .debug_struct("Refuse")
+                .field("request", request)
+                .field("retry_after", retry_after)
+                .finish(),
             Action::Fail { request } => f.debug_struct("Fail").field("request", request).finish(),
-            Action::SetTimer { after, tag } => {
-                f.debug_struct("SetTimer").field("after", after).field("tag", tag).finish()
-            }
+            Action::SetTimer { after, tag } => f
+                .debug_struct("SetTimer")
+                .field("after", after)
+                .field("tag", tag)
+                .finish(),
             Action::Subscribe => f.write_str("Subscribe"),
             Action::Log(text) => f.debug_tuple("Log").field(text).finish(),
         }
@@ -158,7 +194,9 @@
 
 impl Debug for EntriesText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        f.debug_list().entries(self.0.iter().map(EntryOfListText)).finish()
+        f.debug_list()
+            .entries(self.0.iter().map(EntryOfListText))
+            .finish()
     }
 }
 
@@ -226,7 +264,9 @@
 
 impl Debug for EarlierText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        f.debug_list().entries(self.0.iter().map(OneEarlierText)).finish()
+        f.debug_list()
+            .entries(self.0.iter().map(OneEarlierText))
+            .finish()
     }
 }
 
@@ -298,7 +338,10 @@
 impl Debug for BillText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let bill = self.0;
-        f.debug_struct("Bill").field("work", &bill.work).field("memory_mb", &bill.memory_mb).finish()
+        f.debug_struct("Bill")
+            .field("work", &bill.work)
+            .field("memory_mb", &bill.memory_mb)
+            .finish()
     }
 }
 
@@ -335,7 +378,11 @@
 impl Debug for HostText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Host::Begin { name, epoch, segment } => f
+            Host::Begin {
+                name,
+                epoch,
+                segment,
+            } => f
                 .debug_struct("Begin")
                 .field("name", name)
                 .field("epoch", epoch)
@@ -346,28 +393,42 @@
             Host::Open(open) => f.debug_tuple("Open").field(&OpenText(open)).finish(),
             Host::Tally(tally) => f.debug_tuple("Tally").field(tally).finish(),
             Host::StateWhole => f.write_str("StateWhole"),
-            Host::Connected { connection, address } => {
-                f.debug_struct("Connected").field("connection", connection).field("address", address).finish()
-            }
+            Host::Connected {
+                connection,
+                address,
+            } => f
+                .debug_struct("Connected")
+                .field("connection", connection)
+                .field("address", address)
+                .finish(),
             Host::Ending { connection, why } => f
                 .debug_struct("Ending")
                 .field("connection", connection)
                 .field("why", &Bare(why_name(*why)))
                 .finish(),
-            Host::Disconnected { connection } => {
-                f.debug_struct("Disconnected").field("connection", connection).finish()
-            }
+            Host::Disconnected { connection } => f
+                .debug_struct("Disconnected")
+                .field("connection", connection)
+                .finish(),
             Host::Offered(offer) => f.debug_tuple("Offered").field(&OfferText(offer)).finish(),
-            Host::Attached { class, tenant } => {
-                f.debug_struct("Attached").field("class", class).field("tenant", tenant).finish()
-            }
+            Host::Attached { class, tenant } => f
+                .debug_struct("Attached")
+                .field("class", class)
+                .field("tenant", tenant)
+                .finish(),
             Host::NotTaken { how, class, tenant } => f
                 .debug_struct("NotTaken")
                 .field("how", &Bare(not_taken_name(*how)))
                 .field("class", class)
                 .field("tenant", tenant)
                 .finish(),
-            Host::Answered { request, class, tenant, how, late } => f
+            Host::Answered {
+                request,
+                class,
+                tenant,
+                how,
+                late,
+            } => f
                 .debug_struct("Answered")
                 .field("request", request)
                 .field("class", class)
@@ -376,7 +437,9 @@
                 .field("late", late)
                 .finish(),
             Host::Link { up } => f.debug_struct("Link").field("up", up).finish(),
-            Host::ListEvent { number } => f.debug_struct("ListEvent").field("number", number).finish(),
+            Host::ListEvent { number } => {
+                f.debug_struct("ListEvent").field("number", number).finish()
+            }
             Host::Because { request, why } => f
                 .debug_struct("Because")
                 .field("request", request)
@@ -386,8 +449,15 @@
             Host::Reloaded { done } => f.debug_struct("Reloaded").field("done", done).finish(),
             Host::Alive => f.write_str("Alive"),
             Host::Stopping => f.write_str("Stopping"),
-            Host::Ended { counters } => f.debug_struct("Ended").field("counters", counters).finish(),
-            Host::Gap { from, to, entries, counted } => f
+            Host::Ended { counters } => {
+                f.debug_struct("Ended").field("counters", counters).finish()
+            }
+            Host::Gap {
+                from,
+                to,
+                entries,
+                counted,
+            } => f
                 .debug_struct("Gap")
                 .field("from", from)
                 .field("to", to)
@@ -465,18 +535,32 @@
 impl Debug for FleetText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            FleetWord::Peer { name, state } => {
-                f.debug_struct("Peer").field("name", name).field("state", state).finish()
-            }
-            FleetWord::Turned { name, why } => {
-                f.debug_struct("Turned").field("name", name).field("why", why).finish()
-            }
+            FleetWord::Peer { name, state } => f
+                .debug_struct("Peer")
+                .field("name", name)
+                .field("state", state)
+                .finish(),
+            FleetWord::Turned { name, why } => f
+                .debug_struct("Turned")
+                .field("name", name)
+                .field("why", why)
+                .finish(),
             FleetWord::Votes { votes } => f.debug_struct("Votes").field("votes", votes).finish(),
-            FleetWord::Majority { stands } => f.debug_struct("Majority").field("stands", stands).finish(),
-            FleetWord::Owns { task, term, owns } => {
-                f.debug_struct("Owns").field("task", task).field("term", term).field("owns", owns).finish()
+            FleetWord::Majority { stands } => {
+                f.debug_struct("Majority").field("stands", stands).finish()
             }
-            FleetWord::Work { task, term, owner, counts } => f
+            FleetWord::Owns { task, term, owns } => f
+                .debug_struct("Owns")
+                .field("task", task)
+                .field("term", term)
+                .field("owns", owns)
+                .finish(),
+            FleetWord::Work {
+                task,
+                term,
+                owner,
+                counts,
+            } => f
                 .debug_struct("Work")
                 .field("task", task)
                 .field("term", term)
--- a/crates/record/src/totals.rs
+++ b/crates/record/src/totals.rs
@@ -111,7 +111,11 @@
 
     pub fn from_values(values: [u64; 7]) -> Self {
         let [taken, a, b, c, d, e, late] = values;
-        Lane { taken, ended: [a, b, c, d, e], late }
+        Lane {
+            taken,
+            ended: [a, b, c, d, e],
+            late,
+        }
     }
 }
 
@@ -150,7 +154,11 @@
     /// Room for so many classes and tenants, so that counting allocates nothing.
     pub fn sized(classes: usize, tenants: usize) -> Self {
         let lanes = |count: usize| vec![Lane::default(); count.min(MOST_LANES)];
-        Tally { classes: lanes(classes), tenants: lanes(tenants), ..Tally::default() }
+        Tally {
+            classes: lanes(classes),
+            tenants: lanes(tenants),
+            ..Tally::default()
+        }
     }
 
     /// What was counted between an earlier state and this.
@@ -161,8 +169,14 @@
         }
         let lanes = |now: &[Lane], old: &[Lane]| {
             let less = |(at, lane): (usize, &Lane)| {
-                let (mut values, old) = (lane.values(), old.get(at).copied().unwrap_or_default().values());
-                values.iter_mut().zip(old).for_each(|(value, old)| *value = value.saturating_sub(old));
+                let (mut values, old) = (
+                    lane.values(),
+                    old.get(at).copied().unwrap_or_default().values(),
+                );
+                values
+                    .iter_mut()
+                    .zip(old)
+                    .for_each(|(value, old)| *value = value.saturating_sub(old));
                 Lane::from_values(values)
             };
             now.iter().enumerate().map(less).collect()
@@ -178,6 +192,7 @@
     /// Requests taken that have no end yet.
     pub fn open(&self) -> u64 {
         let t = &self.totals;
-        t.taken.saturating_sub(t.served + t.refused + t.failed + t.invalid + t.forgotten + t.lost)
+        t.taken
+            .saturating_sub(t.served + t.refused + t.failed + t.invalid + t.forgotten + t.lost)
     }
 }
--- a/crates/record/src/writer.rs
+++ b/crates/record/src/writer.rs
@@ -52,7 +52,12 @@
 
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>> {
         std::fs::create_dir_all(&self.0)?;
-        Ok(Box::new(OpenOptions::new().create_new(true).append(true).open(self.0.join(name))?))
+        Ok(Box::new(
+            OpenOptions::new()
+                .create_new(true)
+                .append(true)
+                .open(self.0.join(name))?,
+        ))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
@@ -72,7 +77,13 @@
 
 /// The name of a segment's file; they sort by gateway, start and number.
 pub fn file_name(name: &str, epoch: u64, segment: u64) -> String {
-    let safe = |c: char| if c.is_ascii_alphanumeric() || c == '_' || c == '-' { c } else { '_' };
+    let safe = |c: char| {
+        if c.is_ascii_alphanumeric() || c == '_' || c == '-' {
+            c
+        } else {
+            '_'
+        }
+    };
     let name: String = name.chars().map(safe).collect();
     format!("{name}.{epoch:016x}.{segment:08}.{ENDING}")
 }
@@ -175,7 +186,9 @@
             self.open = Some((segment, name, file_head().len() as u64));
         }
         let missing = batch.before.entries - self.whole.0.entries;
-        let Some((segment, _, length)) = &mut self.open else { return Ok(()) };
+        let Some((segment, _, length)) = &mut self.open else {
+            return Ok(());
+        };
         let mut frame = |first_at, payload: &[u8]| {
             self.frames += 1;
             let head = frame_head(self.plan.epoch, self.frames, first_at, payload);
@@ -189,7 +202,12 @@
             // Behind the state, which tells the totals as they are after it.
             let (from, to) = (self.whole.1, batch.first_at);
             let counted = Box::new(batch.before.since(&self.whole.0));
-            let gap = Host::Gap { from, to, entries: missing, counted };
+            let gap = Host::Gap {
+                from,
+                to,
+                entries: missing,
+                counted,
+            };
             let mut bytes = Vec::new();
             Context::new(batch.last_at).put(&mut bytes, batch.last_at, EntryRef::Host(&gap));
             frame(batch.last_at, &bytes)?;
@@ -208,15 +226,22 @@
             let own = file_name(&self.plan.name, 0, 0);
             let own = own.split('.').next().unwrap_or_default().to_string();
             let mut files = self.disk.list()?;
-            files.retain(|(name, _)| read_file_name(Path::new(name)).is_some_and(|(of, ..)| of == own));
+            files.retain(|(name, _)| {
+                read_file_name(Path::new(name)).is_some_and(|(of, ..)| of == own)
+            });
             files.sort();
             self.kept_bytes += files.iter().map(|(_, size)| size).sum::<u64>();
-            files.into_iter().rev().for_each(|file| self.kept.push_front(file));
+            files
+                .into_iter()
+                .rev()
+                .for_each(|file| self.kept.push_front(file));
             self.listed = true;
         }
         let wanted = first.max(self.plan.segment);
         while self.kept.len() >= MOST_SEGMENTS || self.kept_bytes + wanted > self.plan.budget {
-            let Some((name, size)) = self.kept.pop_front() else { break };
+            let Some((name, size)) = self.kept.pop_front() else {
+                break;
+            };
             match self.disk.remove(&name) {
                 Err(e) if e.kind() != io::ErrorKind::NotFound => {
                     self.kept.push_front((name, size));
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -2,7 +2,8 @@
 #![allow(dead_code)]
 
 use eideryard::interface::{
-    Action, Bill, Ended, Event, LoadReport, Micros, Note, Outcome, Phase, Probed, Request, RequestId,
+    Action, Bill, Ended, Event, LoadReport, Micros, Note, Outcome, Phase, Probed, Request,
+    RequestId,
 };
 use eideryard_record::entry::EntryRef;
 use eideryard_record::writer::{Directory, Disk, Segment};
@@ -27,7 +28,17 @@
 
 fn outcome(rng: &mut Rng) -> Outcome {
     use Outcome::*;
-    *rng.choice(&[Answered, Error, Full, TimedOut, NoConnection, Broken, Cancelled, Unsent]).unwrap()
+    *rng.choice(&[
+        Answered,
+        Error,
+        Full,
+        TimedOut,
+        NoConnection,
+        Broken,
+        Cancelled,
+        Unsent,
+    ])
+    .unwrap()
 }
 
 fn report(rng: &mut Rng) -> Option<LoadReport> {
@@ -42,7 +53,8 @@
 }
 
 fn phase(rng: &mut Rng) -> Phase {
-    *rng.choice(&[Phase::Ready, Phase::Draining, Phase::Gone]).unwrap()
+    *rng.choice(&[Phase::Ready, Phase::Draining, Phase::Gone])
+        .unwrap()
 }
 
 fn listed(rng: &mut Rng) -> Vec<eideryard::interface::Entry> {
@@ -66,7 +78,11 @@
     let id = request(rng);
     let class = rng.usize(0..4);
     let tenant = rng.usize(0..3);
-    let offer = Offer { request: id, id: rng.u64(..), connection: request(rng) };
+    let offer = Offer {
+        request: id,
+        id: rng.u64(..),
+        connection: request(rng),
+    };
     match rng.u8(0..36) {
         0 => Entry::In(Event::FullList(listed(rng))),
         1 => Entry::In(Event::ListChanges(listed(rng))),
@@ -86,9 +102,19 @@
                 bad: real(rng),
                 others: real(rng),
             };
-            let (classes, engines) = ((0..rng.usize(0..4)).map(|_| class(rng)).collect(), vec![engine(rng)]);
-            let lessons = eideryard::interface::Lessons { classes, engines, level: real(rng) };
-            Entry::In(Event::Remembered { lessons, age: rng.u64(..) })
+            let (classes, engines) = (
+                (0..rng.usize(0..4)).map(|_| class(rng)).collect(),
+                vec![engine(rng)],
+            );
+            let lessons = eideryard::interface::Lessons {
+                classes,
+                engines,
+                level: real(rng),
+            };
+            Entry::In(Event::Remembered {
+                lessons,
+                age: rng.u64(..),
+            })
         }
         3..=6 => Entry::In(Event::Arrived(Request {
             id,
@@ -109,25 +135,40 @@
         })),
         7 => Entry::In(Event::StreamBegan { request: id }),
         34 => match rng.u8(0..6) {
-            4 => {
-                Entry::Host(Host::Fleet(FleetWord::Owns { task: rng.u32(..), term: rng.u64(..), owns: true }))
-            }
+            4 => Entry::Host(Host::Fleet(FleetWord::Owns {
+                task: rng.u32(..),
+                term: rng.u64(..),
+                owns: true,
+            })),
             5 => Entry::Host(Host::Fleet(FleetWord::Work {
                 task: rng.u32(..),
                 term: rng.u64(..),
                 owner: rng.u64(..),
                 counts: rng.bool(),
             })),
-            0 => Entry::Host(Host::Fleet(FleetWord::Peer { name: "g1".into(), state: "slow".into() })),
-            1 => Entry::Host(Host::Fleet(FleetWord::Turned { name: "g2".into(), why: "another".into() })),
+            0 => Entry::Host(Host::Fleet(FleetWord::Peer {
+                name: "g1".into(),
+                state: "slow".into(),
+            })),
+            1 => Entry::Host(Host::Fleet(FleetWord::Turned {
+                name: "g2".into(),
+                why: "another".into(),
+            })),
             2 => Entry::Host(Host::Fleet(FleetWord::Votes { votes: rng.bool() })),
             _ => Entry::Host(Host::Fleet(FleetWord::Majority { stands: rng.bool() })),
         },
         35 if rng.bool() => Entry::In(Event::RanBefore {
             request: id,
-            earlier: vec![eideryard::interface::Earlier { zone: 1, cell: 2, since: rng.u64(..) }],
+            earlier: vec![eideryard::interface::Earlier {
+                zone: 1,
+                cell: 2,
+                since: rng.u64(..),
+            }],
+        }),
+        35 => Entry::Host(Host::Because {
+            request: id,
+            why: *rng.choice(&NotTaken::ALL).unwrap(),
         }),
-        35 => Entry::Host(Host::Because { request: id, why: *rng.choice(&NotTaken::ALL).unwrap() }),
         8 => {
             let notes = [
                 Note::Progress(real(rng)),
@@ -148,7 +189,10 @@
             spent: rng.u64(0..9_000_000),
             complete: rng.bool(),
             told: rng.bool(),
-            bill: rng.bool().then(|| Bill { work: real(rng), memory_mb: real(rng) }),
+            bill: rng.bool().then(|| Bill {
+                work: real(rng),
+                memory_mb: real(rng),
+            }),
             report: report(rng),
         })),
         13 => Entry::In(Event::Probed(Probed {
@@ -157,22 +201,44 @@
             report: report(rng),
         })),
         14 => Entry::In(Event::ClientLeft { request: id }),
-        15 => Entry::In(Event::Timer { tag: *rng.choice(&[0, id + 1]).unwrap() }),
-        16 => Entry::Out(Action::Terms { request: id, grant_mb: real(rng), rank: rng.u8(0..4) }),
-        17 | 18 => {
-            Entry::Out(Action::Send { request: id, engine: rng.u32(..), give_up_at: at + rng.u64(0..99_999) })
-        }
-        19 => Entry::Out(Action::Probe { engine: rng.u32(..) }),
-        20 => Entry::Out(Action::Cancel { request: id, attempt: rng.usize(0..9) }),
-        21 => Entry::Out(Action::Refuse { request: id, retry_after: rng.u64(0..9_000_000) }),
+        15 => Entry::In(Event::Timer {
+            tag: *rng.choice(&[0, id + 1]).unwrap(),
+        }),
+        16 => Entry::Out(Action::Terms {
+            request: id,
+            grant_mb: real(rng),
+            rank: rng.u8(0..4),
+        }),
+        17 | 18 => Entry::Out(Action::Send {
+            request: id,
+            engine: rng.u32(..),
+            give_up_at: at + rng.u64(0..99_999),
+        }),
+        19 => Entry::Out(Action::Probe {
+            engine: rng.u32(..),
+        }),
+        20 => Entry::Out(Action::Cancel {
+            request: id,
+            attempt: rng.usize(0..9),
+        }),
+        21 => Entry::Out(Action::Refuse {
+            request: id,
+            retry_after: rng.u64(0..9_000_000),
+        }),
         22 => Entry::Out(Action::Fail { request: id }),
         23 => Entry::Out(Action::SetTimer {
             after: rng.u64(0..9_000_000),
             tag: *rng.choice(&[0, id + 1]).unwrap(),
         }),
         24 => Entry::Out(Action::Log("engine 17 quarantined: silent".into())),
-        25 => Entry::Host(Host::Connected { connection: id, address: [127, 0, 0, rng.u8(..)].into() }),
-        31 => Entry::Host(Host::Ending { connection: id, why: *rng.choice(&Why::ALL).unwrap() }),
+        25 => Entry::Host(Host::Connected {
+            connection: id,
+            address: [127, 0, 0, rng.u8(..)].into(),
+        }),
+        31 => Entry::Host(Host::Ending {
+            connection: id,
+            why: *rng.choice(&Why::ALL).unwrap(),
+        }),
         32 => Entry::Host(Host::Attached { class, tenant }),
         26 => Entry::Host(Host::Disconnected { connection: id }),
         27 => Entry::Host(Host::Offered(offer)),
@@ -186,9 +252,17 @@
         }
         29 | 30 => {
             let how = *rng.choice(&AnswerKind::ALL).unwrap();
-            Entry::Host(Host::Answered { request: id, class, tenant, how, late: rng.bool() })
+            Entry::Host(Host::Answered {
+                request: id,
+                class,
+                tenant,
+                how,
+                late: rng.bool(),
+            })
         }
-        _ => Entry::Host(Host::ListEvent { number: rng.u64(0..999) }),
+        _ => Entry::Host(Host::ListEvent {
+            number: rng.u64(0..999),
+        }),
     }
 }
 
@@ -208,8 +282,20 @@
 /// Begins a segment where one is due, as a gateway does.
 pub fn state(recorder: &mut Recorder, at: Micros) {
     if recorder.wants_state(at) && recorder.begin(at) {
-        recorder.state(at, &Host::Names(Names { classes: vec!["report".into()], ..Names::default() }));
-        recorder.state(at, &Host::Connected { connection: 1 << 32, address: [127, 0, 0, 1].into() });
+        recorder.state(
+            at,
+            &Host::Names(Names {
+                classes: vec!["report".into()],
+                ..Names::default()
+            }),
+        );
+        recorder.state(
+            at,
+            &Host::Connected {
+                connection: 1 << 32,
+                address: [127, 0, 0, 1].into(),
+            },
+        );
         recorder.state_whole(at);
     }
 }
@@ -238,7 +324,12 @@
 impl Failing {
     pub fn new(directory: &Path, first: i64, failures: i64, tears: bool) -> Self {
         let until_failure = Arc::new(AtomicI64::new(first));
-        Failing { inner: Directory(directory.into()), until_failure, failures, tears }
+        Failing {
+            inner: Directory(directory.into()),
+            until_failure,
+            failures,
+            tears,
+        }
     }
 
     fn call(counter: &AtomicI64, failures: i64) -> io::Result<()> {
@@ -266,7 +357,12 @@
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>> {
         Self::call(&self.until_failure, self.failures)?;
         let (inner, until_failure) = (self.inner.create(name)?, self.until_failure.clone());
-        Ok(Box::new(FailingSegment { inner, until_failure, failures: self.failures, tears: self.tears }))
+        Ok(Box::new(FailingSegment {
+            inner,
+            until_failure,
+            failures: self.failures,
+            tears: self.tears,
+        }))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
@@ -305,7 +401,8 @@
 pub fn read(directory: &Path) -> Result<Read, eideryard_record::reader::Unusable> {
     let mut merged = Merged::open(&[directory.to_path_buf()])?;
     let mut counted = eideryard_record::tally::Counted::default();
-    let (mut entries, mut gaps, mut damages, mut before_gaps) = (Vec::new(), Vec::new(), 0, Vec::new());
+    let (mut entries, mut gaps, mut damages, mut before_gaps) =
+        (Vec::new(), Vec::new(), 0, Vec::new());
     let mut folded = Tally::default();
     while let Some(told) = merged.next()? {
         match told.what {
@@ -315,7 +412,10 @@
                     folded = counted.tally.clone();
                 }
                 counted.read(entry.as_ref());
-                if let EntryRef::Host(Host::Gap { entries, counted, .. }) = entry.as_ref() {
+                if let EntryRef::Host(Host::Gap {
+                    entries, counted, ..
+                }) = entry.as_ref()
+                {
                     gaps.push((*entries, (**counted).clone()));
                     before_gaps.push(folded.clone());
                 }
@@ -323,16 +423,29 @@
             }
         }
     }
-    let problems = merged.problems().map(|(_, problem)| problem.clone()).collect();
-    Ok(Read { entries, counted: counted.tally, gaps, damages, problems, before_gaps })
+    let problems = merged
+        .problems()
+        .map(|(_, problem)| problem.clone())
+        .collect();
+    Ok(Read {
+        entries,
+        counted: counted.tally,
+        gaps,
+        damages,
+        problems,
+        before_gaps,
+    })
 }
 
 /// What a gateway records of one request that is served at its first attempt, with two beats of the module.
 pub fn served(number: u64) -> Vec<(Micros, Entry)> {
     let (id, begin) = ((number << 32) | (number % 300), START + number * 2000);
     let engine = 0x9e37_0000 + (number % 12) as u32;
-    let offer =
-        Offer { request: id, id: number.wrapping_mul(0x9e37_79b9_7f4a_7c15), connection: (77 << 32) | 3 };
+    let offer = Offer {
+        request: id,
+        id: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        connection: (77 << 32) | 3,
+    };
     let arrived = Request {
         id,
         class: (number % 3) as usize,
@@ -344,7 +457,11 @@
         memory_mb: Some(96.0),
         group: 17,
     };
-    let report = LoadReport { in_flight: Some(7.0), cores_busy: Some(0.61), ..LoadReport::default() };
+    let report = LoadReport {
+        in_flight: Some(7.0),
+        cores_busy: Some(0.61),
+        ..LoadReport::default()
+    };
     let ended = Ended {
         request: id,
         attempt: 0,
@@ -352,7 +469,10 @@
         spent: 93_411,
         complete: true,
         told: false,
-        bill: Some(Bill { work: 791_300.0, memory_mb: 88.4 }),
+        bill: Some(Bill {
+            work: 791_300.0,
+            memory_mb: 88.4,
+        }),
         report: Some(report),
     };
     // Of one that came forty before it.
@@ -367,17 +487,49 @@
     let beat = |at| {
         [
             (at, Entry::In(Event::Timer { tag: 0 })),
-            (at, Entry::Out(Action::SetTimer { after: 10_000, tag: 0 })),
+            (
+                at,
+                Entry::Out(Action::SetTimer {
+                    after: 10_000,
+                    tag: 0,
+                }),
+            ),
         ]
     };
     let mut entries = vec![
         (begin, Entry::Host(Host::Offered(offer))),
         (begin + 14, Entry::In(Event::Arrived(arrived))),
-        (begin + 14, Entry::Out(Action::SetTimer { after: 1_349_900, tag: id + 1 })),
-        (begin + 14, Entry::Out(Action::Terms { request: id, grant_mb: 120.0, rank: 2 })),
-        (begin + 14, Entry::Out(Action::Send { request: id, engine, give_up_at: begin + 1_490_000 })),
+        (
+            begin + 14,
+            Entry::Out(Action::SetTimer {
+                after: 1_349_900,
+                tag: id + 1,
+            }),
+        ),
+        (
+            begin + 14,
+            Entry::Out(Action::Terms {
+                request: id,
+                grant_mb: 120.0,
+                rank: 2,
+            }),
+        ),
+        (
+            begin + 14,
+            Entry::Out(Action::Send {
+                request: id,
+                engine,
+                give_up_at: begin + 1_490_000,
+            }),
+        ),
         (begin + 900, Entry::Host(answered)),
-        (begin + 950, Entry::In(Event::Ended(Ended { request: before, ..ended }))),
+        (
+            begin + 950,
+            Entry::In(Event::Ended(Ended {
+                request: before,
+                ..ended
+            })),
+        ),
     ];
     entries.extend(beat(begin + 1000));
     entries.extend(beat(begin + 1500));
--- a/crates/record/tests/failures.rs
+++ b/crates/record/tests/failures.rs
@@ -24,9 +24,13 @@
 #[test]
 fn every_entry_comes_back_as_it_was() {
     let mut rng = Rng::with_seed(7);
-    let entries: Vec<_> = (0..20_000).map(|n| (START + n * 37, entry(&mut rng, START + n * 37))).collect();
+    let entries: Vec<_> = (0..20_000)
+        .map(|n| (START + n * 37, entry(&mut rng, START + n * 37)))
+        .collect();
     let (mut bytes, mut context) = (Vec::new(), Context::new(START));
-    entries.iter().for_each(|(at, entry)| context.put(&mut bytes, *at, entry.as_ref()));
+    entries
+        .iter()
+        .for_each(|(at, entry)| context.put(&mut bytes, *at, entry.as_ref()));
     let mut decoder = Decoder::new(&bytes, Context::new(START));
     for (at, entry) in &entries {
         let (told_at, told) = decoder.next().unwrap().unwrap();
@@ -47,18 +51,27 @@
     let left_out: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
     assert_eq!((told(&read) + left_out, read.problems.len()), (50_000, 0));
     assert_eq!(read.counted, counted);
-    assert!(read.entries.windows(2).all(|pair| pair[0].0 <= pair[1].0), "by time");
+    assert!(
+        read.entries.windows(2).all(|pair| pair[0].0 <= pair[1].0),
+        "by time"
+    );
 }
 
 #[test]
 fn the_oldest_segments_go_when_the_budget_is_used_up_and_totals_stay() {
     let directory = tempfile::tempdir().unwrap();
     let budget = 512 << 10;
-    let plan = Plan { budget, ..plan("g1", 64 << 10) };
+    let plan = Plan {
+        budget,
+        ..plan("g1", 64 << 10)
+    };
     let mut recorder = Recorder::start(plan, Box::new(Directory(directory.path().into()))).unwrap();
     let counted = fill(&mut recorder, 3, 100_000);
     drop(recorder);
-    let sizes = segments(directory.path()).iter().map(|file| file.metadata().unwrap().len()).sum::<u64>();
+    let sizes = segments(directory.path())
+        .iter()
+        .map(|file| file.metadata().unwrap().len())
+        .sum::<u64>();
     // The one that is written may be a buffer longer than a segment.
     assert!(sizes <= budget + (160 << 10), "{sizes}");
     assert_eq!(read(directory.path()).unwrap().counted, counted);
@@ -68,7 +81,17 @@
 /// exactly, and recording comes back.
 #[test]
 fn a_disk_that_fails_costs_entries_and_their_number_is_told() {
-    for (first, failures) in [(0, 1), (1, 1), (2, 3), (3, 1), (5, 2), (8, 1), (12, 4), (13, 1), (20, 1)] {
+    for (first, failures) in [
+        (0, 1),
+        (1, 1),
+        (2, 3),
+        (3, 1),
+        (5, 2),
+        (8, 1),
+        (12, 4),
+        (13, 1),
+        (20, 1),
+    ] {
         for tears in [false, true] {
             let directory = tempfile::tempdir().unwrap();
             let disk = Failing::new(directory.path(), first, failures, tears);
@@ -152,7 +175,10 @@
     let read = read(directory.path()).unwrap();
     assert!(!read.gaps.is_empty());
     let left_out: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
-    assert_eq!((read.counted.clone(), told(&read) + left_out), (counted.clone(), counted.entries));
+    assert_eq!(
+        (read.counted.clone(), told(&read) + left_out),
+        (counted.clone(), counted.entries)
+    );
 }
 
 /// A small record, cut after and flipped at each of its bytes.
@@ -165,7 +191,11 @@
     let file = &segments(directory.path())[0];
     let whole = std::fs::read(file).unwrap();
     let undamaged = read(directory.path()).unwrap();
-    let all: Vec<String> = undamaged.entries.iter().map(|entry| format!("{entry:?}")).collect();
+    let all: Vec<String> = undamaged
+        .entries
+        .iter()
+        .map(|entry| format!("{entry:?}"))
+        .collect();
     let other = tempfile::tempdir().unwrap();
     let copy = other.path().join(file.file_name().unwrap());
     let mut rng = Rng::with_seed(13);
@@ -193,9 +223,15 @@
             }
             // What was missing at the end of a file that was cut between two frames, nobody can say.
             let all_there = read.entries.len() == all.len();
-            assert!(all_there || !read.problems.is_empty() || cut, "byte {at}: nothing is said");
+            assert!(
+                all_there || !read.problems.is_empty() || cut,
+                "byte {at}: nothing is said"
+            );
             for problem in &read.problems {
-                assert!(problem.from + problem.bytes <= bytes.len() as u64, "{problem}");
+                assert!(
+                    problem.from + problem.bytes <= bytes.len() as u64,
+                    "{problem}"
+                );
             }
         }
     }
@@ -206,13 +242,23 @@
     let directory = tempfile::tempdir().unwrap();
     for start in 0..6u64 {
         let epoch = START + start * 100_000_000;
-        let plan = Plan { epoch, budget: 400 << 10, ..plan("g1", 64 << 10) };
-        let mut recorder = Recorder::start(plan, Box::new(Directory(directory.path().into()))).unwrap();
+        let plan = Plan {
+            epoch,
+            budget: 400 << 10,
+            ..plan("g1", 64 << 10)
+        };
+        let mut recorder =
+            Recorder::start(plan, Box::new(Directory(directory.path().into()))).unwrap();
         fill(&mut recorder, start, 5000);
     }
-    let starts: BTreeSet<u64> =
-        segments(directory.path()).iter().filter_map(|path| Some(writer::read_file_name(path)?.1)).collect();
-    assert!(starts.len() < 6 && starts.contains(&(START + 500_000_000)), "the oldest went");
+    let starts: BTreeSet<u64> = segments(directory.path())
+        .iter()
+        .filter_map(|path| Some(writer::read_file_name(path)?.1))
+        .collect();
+    assert!(
+        starts.len() < 6 && starts.contains(&(START + 500_000_000)),
+        "the oldest went"
+    );
     let merged = Merged::open(&[directory.path().into()]).unwrap();
     assert_eq!(merged.sources().len(), starts.len());
 }
@@ -228,7 +274,10 @@
     bytes[12..16].copy_from_slice(&sum.to_le_bytes());
     std::fs::write(&file, bytes).unwrap();
     let said = read(directory.path()).err().unwrap().to_string();
-    assert!(said.contains("version 4") && said.contains("use the program"), "{said}");
+    assert!(
+        said.contains("version 4") && said.contains("use the program"),
+        "{said}"
+    );
 }
 
 /// A gap begins where a gateway ended, not where its last request did: an idle record says each second that it
@@ -250,12 +299,19 @@
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
     drop(recorder);
-    let bytes: u64 = segments(directory.path()).iter().map(|file| file.metadata().unwrap().len()).sum();
+    let bytes: u64 = segments(directory.path())
+        .iter()
+        .map(|file| file.metadata().unwrap().len())
+        .sum();
     assert!(bytes < idle * 100, "{bytes} bytes");
     let mut merged = Merged::open(&[directory.path().into()]).unwrap();
     let mut last = START;
     while let Some(told) = merged.next().unwrap() {
-        assert!(told.at - last <= recorder::ALIVE_EVERY + 200_000, "silent for {} us", told.at - last);
+        assert!(
+            told.at - last <= recorder::ALIVE_EVERY + 200_000,
+            "silent for {} us",
+            told.at - last
+        );
         last = told.at;
     }
     assert!(START + idle * 1_000_000 - last <= recorder::ALIVE_EVERY);
@@ -281,7 +337,9 @@
         let until = std::time::Instant::now() + std::time::Duration::from_secs(20);
         while counted.tally != *recorder.tally() && std::time::Instant::now() < until {
             while let Some(next) = merged.next().unwrap() {
-                let reader::What::Entry(entry) = next.what else { panic!("damage") };
+                let reader::What::Entry(entry) = next.what else {
+                    panic!("damage")
+                };
                 counted.read(entry.as_ref());
                 told += 1;
             }
@@ -310,7 +368,11 @@
         }
     }
     let first = first.unwrap();
-    assert!(first <= from && first > START + 25_000_000, "{}", first - START);
+    assert!(
+        first <= from && first > START + 25_000_000,
+        "{}",
+        first - START
+    );
     assert_eq!(folded.tally, counted);
 }
 
--- a/crates/record/tests/golden.rs
+++ b/crates/record/tests/golden.rs
@@ -18,7 +18,11 @@
 
 /// What the random entries of the other tests leave out.
 fn more_entries() -> Vec<Entry> {
-    let offer = Offer { request: 9 << 32 | 7, id: 0xfeed, connection: 3 << 32 | 1 };
+    let offer = Offer {
+        request: 9 << 32 | 7,
+        id: 0xfeed,
+        connection: 3 << 32 | 1,
+    };
     let listed = Listed {
         engine: 17,
         name: "s-17".into(),
@@ -46,10 +50,25 @@
         Host::Reloaded { done: true },
         Host::Stopping,
         Host::Alive,
-        Host::Ended { counters: vec![("taken".into(), 12), ("served".into(), 11)] },
-        Host::Gap { from: START, to: START + 9, entries: 3, counted: Box::new(Tally::sized(4, 3)) },
-        Host::Fleet(FleetWord::Turned { name: "g2".into(), why: "another fleet".into() }),
-        Host::Fleet(FleetWord::Work { task: 17, term: 5, owner: 7, counts: false }),
+        Host::Ended {
+            counters: vec![("taken".into(), 12), ("served".into(), 11)],
+        },
+        Host::Gap {
+            from: START,
+            to: START + 9,
+            entries: 3,
+            counted: Box::new(Tally::sized(4, 3)),
+        },
+        Host::Fleet(FleetWord::Turned {
+            name: "g2".into(),
+            why: "another fleet".into(),
+        }),
+        Host::Fleet(FleetWord::Work {
+            task: 17,
+            term: 5,
+            owner: 7,
+            counts: false,
+        }),
     ];
     let mut entries: Vec<Entry> = hosts.into_iter().map(Entry::Host).collect();
     entries.push(Entry::Out(Action::Subscribe));
@@ -58,7 +77,9 @@
 
 fn entries() -> Vec<(Micros, Entry)> {
     let mut rng = Rng::with_seed(45);
-    let random = (0..400).map(|number| START + number * STEP).map(|at| (at, entry(&mut rng, at)));
+    let random = (0..400)
+        .map(|number| START + number * STEP)
+        .map(|at| (at, entry(&mut rng, at)));
     let mut entries: Vec<(Micros, Entry)> = random.collect();
     for entry in more_entries() {
         let at = entries[entries.len() - 1].0 + STEP;
@@ -83,7 +104,12 @@
     written(directory.path());
     let mut names: Vec<String> = std::fs::read_dir(directory.path())
         .expect("a directory")
-        .map(|file| file.expect("a file").file_name().into_string().expect("a name"))
+        .map(|file| {
+            file.expect("a file")
+                .file_name()
+                .into_string()
+                .expect("a name")
+        })
         .collect();
     names.sort();
     assert_eq!(names.len(), 2, "{names:?}");
@@ -98,7 +124,9 @@
     let mut merged = Merged::open(&[golden::path("event-log")]).expect("a record");
     let (mut kinds, mut bytes) = (BTreeSet::new(), Vec::new());
     while let Some(told) = merged.next().expect("readable") {
-        let reader::What::Entry(entry) = told.what else { panic!("damaged") };
+        let reader::What::Entry(entry) = told.what else {
+            panic!("damaged")
+        };
         let begin = bytes.len();
         Context::new(told.at).put(&mut bytes, told.at, entry.as_ref());
         kinds.insert(bytes[begin]);
--- a/crates/replica/src/catchup.rs
+++ b/crates/replica/src/catchup.rs
@@ -40,7 +40,9 @@
 
     /// A keeper has sent all that it had. True: now this one votes.
     pub fn heard(&mut self, keeper: usize, votes: bool, keepers: usize) -> bool {
-        let Standing::CatchesUp { heard, .. } = self else { return false };
+        let Standing::CatchesUp { heard, .. } = self else {
+            return false;
+        };
         if votes {
             heard.insert(keeper);
         }
@@ -74,7 +76,11 @@
 
 impl Budget {
     pub fn new(bytes_per_s: u64) -> Self {
-        Budget { bytes_per_s, left: bytes_per_s / BURST, at: 0 }
+        Budget {
+            bytes_per_s,
+            left: bytes_per_s / BURST,
+            at: 0,
+        }
     }
 
     fn fill(&mut self, now: Micros) {
--- a/crates/replica/src/claims.rs
+++ b/crates/replica/src/claims.rs
@@ -49,9 +49,13 @@
 impl Claim {
     /// What the module was not told, one for each place: the earliest.
     fn untold(self) -> Told {
-        let Claim { known, mut seen, .. } = self;
+        let Claim {
+            known, mut seen, ..
+        } = self;
         let told = |place: &Option<_>, since: Micros| {
-            known.iter().any(|(own, at)| own == place && *at <= since + JITTER)
+            known
+                .iter()
+                .any(|(own, at)| own == place && *at <= since + JITTER)
         };
         if seen.iter().all(|(place, since)| told(place, *since)) {
             return Told::new();
@@ -84,7 +88,10 @@
 
 impl Claims {
     pub fn new(keepers: usize) -> Self {
-        Claims { keepers, ..Claims::default() }
+        Claims {
+            keepers,
+            ..Claims::default()
+        }
     }
 
     pub fn majority(&self) -> usize {
@@ -115,7 +122,14 @@
         self.versions += 1;
         record.version = self.versions;
         let lacking = (0..self.keepers).collect();
-        self.own.insert(key.to_vec(), Own { record, written: now, lacking });
+        self.own.insert(
+            key.to_vec(),
+            Own {
+                record,
+                written: now,
+                lacking,
+            },
+        );
         self.expiry.insert((record.until, key.to_vec()));
         for keeper in 0..self.keepers {
             self.lacking.entry(keeper).or_default().insert(key.to_vec());
@@ -129,7 +143,13 @@
 
     /// A keeper has a version of an own record.
     pub fn has(&mut self, keeper: usize, key: &[u8], version: u32) {
-        let Some(own) = self.own.get_mut(key).filter(|own| own.record.version <= version) else { return };
+        let Some(own) = self
+            .own
+            .get_mut(key)
+            .filter(|own| own.record.version <= version)
+        else {
+            return;
+        };
         own.lacking.remove(&keeper);
         let done = own.lacking.is_empty() && own.record.phase != Phase::Out;
         self.lacking.get_mut(&keeper).map(|keys| keys.remove(key));
@@ -152,29 +172,50 @@
         let keys = self.lacking.get(&keeper).into_iter().flatten();
         let known = keys.filter_map(|key| Some((key, self.own.get(key)?)));
         let known = known.filter(|(_, own)| own.written <= written);
-        known.take(RESENT).map(|(key, own)| (key.clone(), own.record)).collect()
+        known
+            .take(RESENT)
+            .map(|(key, own)| (key.clone(), own.record))
+            .collect()
     }
 
     pub fn begin(&mut self, now: Micros, number: u64, key: &[u8], version: u32, known: Told) {
         let (votes, turned, seen) = Default::default();
-        let claim = Claim { key: key.to_vec(), version, asked: now, votes, turned, known, seen };
+        let claim = Claim {
+            key: key.to_vec(),
+            version,
+            asked: now,
+            votes,
+            turned,
+            known,
+            seen,
+        };
         self.open.insert(number, claim);
     }
 
     /// Key and version of a claim that is open.
     pub fn asked(&self, number: u64) -> Option<(Vec<u8>, u32)> {
-        self.open.get(&number).map(|claim| (claim.key.clone(), claim.version))
+        self.open
+            .get(&number)
+            .map(|claim| (claim.key.clone(), claim.version))
     }
 
     /// A keeper holds a claim. A verdict, once there is one. Votes that are looked at too late, as by a
     /// process that stood still, grant nothing: keepers may have let go of the claim by then.
-    pub fn vote(&mut self, now: Micros, number: u64, keeper: usize, seen: &[Seen]) -> Option<Verdict> {
+    pub fn vote(
+        &mut self,
+        now: Micros,
+        number: u64,
+        keeper: usize,
+        seen: &[Seen],
+    ) -> Option<Verdict> {
         let majority = self.majority();
         let claim = self.open.get_mut(&number)?;
         let late = claim.asked + BOUND <= now;
         claim.votes.insert(keeper);
         // It was told after it was asked: it may be older than that by now, never younger.
-        let told = seen.iter().map(|seen| (seen.place, claim.asked.saturating_sub(seen.age)));
+        let told = seen
+            .iter()
+            .map(|seen| (seen.place, claim.asked.saturating_sub(seen.age)));
         claim.seen.extend(told);
         if late {
             let claim = self.open.remove(&number)?;
@@ -184,7 +225,11 @@
             return None;
         }
         let untold = self.open.remove(&number)?.untold();
-        Some(if untold.is_empty() { Verdict::Granted } else { Verdict::Earlier(untold) })
+        Some(if untold.is_empty() {
+            Verdict::Granted
+        } else {
+            Verdict::Earlier(untold)
+        })
     }
 
     /// A keeper doesn't answer it. A verdict, where no majority is left.
@@ -201,10 +246,17 @@
 
     /// Claims that have waited for too long.
     pub fn late(&mut self, now: Micros) -> Vec<(u64, Verdict)> {
-        let late = self.open.iter().filter(|(_, claim)| claim.asked + BOUND <= now);
+        let late = self
+            .open
+            .iter()
+            .filter(|(_, claim)| claim.asked + BOUND <= now);
         let late: Vec<u64> = late.map(|(number, _)| *number).collect();
-        let ended = late.into_iter().filter_map(|number| Some((number, self.open.remove(&number)?.untold())));
-        ended.map(|(number, untold)| (number, Verdict::NoMajority(untold))).collect()
+        let ended = late
+            .into_iter()
+            .filter_map(|number| Some((number, self.open.remove(&number)?.untold())));
+        ended
+            .map(|(number, untold)| (number, Verdict::NoMajority(untold)))
+            .collect()
     }
 
     /// The claim is not asked for any more.
@@ -214,7 +266,12 @@
 
     /// Forgets own records that their keepers drop by now too.
     pub fn expire(&mut self, now: Micros) {
-        while let Some((until, key)) = self.expiry.first().cloned().filter(|(until, _)| *until <= now) {
+        while let Some((until, key)) = self
+            .expiry
+            .first()
+            .cloned()
+            .filter(|(until, _)| *until <= now)
+        {
             self.expiry.remove(&(until, key.clone()));
             self.forget(&key);
         }
@@ -222,6 +279,8 @@
 
     pub fn due(&self) -> Option<Micros> {
         let late = self.open.values().map(|claim| claim.asked + BOUND).min();
-        late.into_iter().chain(self.expiry.first().map(|(until, _)| *until)).min()
+        late.into_iter()
+            .chain(self.expiry.first().map(|(until, _)| *until))
+            .min()
     }
 }
--- a/crates/replica/src/compare.rs
+++ b/crates/replica/src/compare.rs
@@ -33,7 +33,9 @@
         let lasting = |held: &Held| -> BTreeMap<Origin, (u64, u32)> {
             let records = held.get(key).into_iter().flatten();
             let lasting = records.filter(|(_, record)| record.nominal_ms > now_ms + FADES / 1000);
-            lasting.map(|(of, record)| (*of, (entry::print_of(of, record), record.version))).collect()
+            lasting
+                .map(|(of, record)| (*of, (entry::print_of(of, record), record.version)))
+                .collect()
         };
         let all: Vec<_> = keepers.iter().map(lasting).collect();
         compared += u64::from(all.iter().any(|own| !own.is_empty()));
@@ -43,13 +45,19 @@
             *known = (*known).max((*version, *print));
         }
         let lacks = all.iter().map(|own| {
-            let lacking =
-                newest.iter().filter(|(of, (_, print))| own.get(*of).map(|had| had.0) != Some(*print));
-            lacking.map(|(of, _)| (*of, own.get(of).map(|had| had.1))).collect()
+            let lacking = newest
+                .iter()
+                .filter(|(of, (_, print))| own.get(*of).map(|had| had.0) != Some(*print));
+            lacking
+                .map(|(of, _)| (*of, own.get(of).map(|had| had.1)))
+                .collect()
         });
         let lacks: Vec<Vec<_>> = lacks.collect();
         if lacks.iter().any(|own| !own.is_empty()) {
-            differ.push(Difference { key: key.clone(), lacks });
+            differ.push(Difference {
+                key: key.clone(),
+                lacks,
+            });
         }
     }
     (compared, differ)
@@ -61,19 +69,44 @@
     use crate::entry::{Phase, Record};
 
     fn of(version: u32, nominal_ms: u64) -> Held {
-        let record = Record { version, phase: Phase::Ran, place: None, since: 1, until: 2, nominal_ms };
-        [(b"key".to_vec(), [(Origin { identity: 1, start: 1 }, record)].into())].into()
+        let record = Record {
+            version,
+            phase: Phase::Ran,
+            place: None,
+            since: 1,
+            until: 2,
+            nominal_ms,
+        };
+        [(
+            b"key".to_vec(),
+            [(
+                Origin {
+                    identity: 1,
+                    start: 1,
+                },
+                record,
+            )]
+            .into(),
+        )]
+        .into()
     }
 
     #[test]
     fn a_copy_that_lags_or_lacks_is_told_until_its_origin_lets_go_of_it() {
-        let origin = Origin { identity: 1, start: 1 };
+        let origin = Origin {
+            identity: 1,
+            start: 1,
+        };
         let told = |a: Held, b: Held| compare(&[a, b], 10_000);
         assert_eq!(told(of(2, 20_000), of(2, 20_000)), (1, Vec::new()));
         let lags = told(of(2, 20_000), of(1, 20_000)).1;
         assert_eq!(lags[0].lacks, [vec![], vec![(origin, Some(1))]]);
         let lacks = told(of(2, 20_000), Held::new()).1;
         assert_eq!(lacks[0].lacks, [vec![], vec![(origin, None)]]);
-        assert_eq!(told(of(2, 10_500), Held::new()).1, Vec::new(), "it is about to be dropped");
+        assert_eq!(
+            told(of(2, 10_500), Held::new()).1,
+            Vec::new(),
+            "it is about to be dropped"
+        );
     }
 }
--- a/crates/replica/src/copies.rs
+++ b/crates/replica/src/copies.rs
@@ -54,7 +54,12 @@
 
 impl Copies {
     pub fn new(limits: Limits) -> Self {
-        Copies { limits, copies: BTreeMap::new(), expiry: BTreeSet::new(), prints: BTreeMap::new() }
+        Copies {
+            limits,
+            copies: BTreeMap::new(),
+            expiry: BTreeSet::new(),
+            prints: BTreeMap::new(),
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -78,7 +83,8 @@
             }
             record.until = now + longest;
         }
-        copy.iter().for_each(|(origin, record)| self.printed(&key, origin, record));
+        copy.iter()
+            .for_each(|(origin, record)| self.printed(&key, origin, record));
         self.expiry.insert((until(&copy), key.clone()));
         self.copies.insert(key, copy);
     }
@@ -96,7 +102,9 @@
         let changed = entry::join(copy, origin, record);
         let (after, new) = (until(copy), copy.get(&origin).copied());
         if old.map(seconds_of) != new.map(seconds_of) || changed {
-            old.iter().chain(&new).for_each(|record| self.printed(key, &origin, record));
+            old.iter()
+                .chain(&new)
+                .for_each(|record| self.printed(key, &origin, record));
         }
         if before != after {
             self.expiry.remove(&(before, key.to_vec()));
@@ -113,9 +121,12 @@
     pub fn expire(&mut self, now: Micros) -> Vec<Vec<u8>> {
         let mut gone = Vec::new();
         while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
-            let Some((_, key)) = self.expiry.pop_first() else { break };
+            let Some((_, key)) = self.expiry.pop_first() else {
+                break;
+            };
             let copy = self.copies.remove(&key).unwrap_or_default();
-            copy.iter().for_each(|(origin, record)| self.printed(&key, origin, record));
+            copy.iter()
+                .for_each(|(origin, record)| self.printed(&key, origin, record));
             gone.push(key);
         }
         gone
@@ -129,14 +140,20 @@
     pub fn prints(&self, now: Micros) -> Vec<u64> {
         let mut prints = vec![0u64; RANGES];
         for own in self.prints.range(lasts_from(now)..).map(|(_, own)| own) {
-            prints.iter_mut().zip(own).for_each(|(sum, print)| *sum ^= print);
+            prints
+                .iter_mut()
+                .zip(own)
+                .for_each(|(sum, print)| *sum ^= print);
         }
         prints
     }
 
     /// Puts a record's print in, or takes it out: the same.
     fn printed(&mut self, key: &[u8], origin: &Origin, record: &Record) {
-        let prints = self.prints.entry(seconds_of(*record)).or_insert_with(|| vec![0; RANGES]);
+        let prints = self
+            .prints
+            .entry(seconds_of(*record))
+            .or_insert_with(|| vec![0; RANGES]);
         prints[range(key)] ^= entry::print_in(key, origin, record);
         if prints.iter().all(|print| *print == 0) {
             self.prints.remove(&seconds_of(*record));
@@ -164,8 +181,14 @@
             if size >= bytes {
                 return (entries, true);
             }
-            let records = copy.iter().map(|(origin, record)| (*origin, record.travels(now))).collect();
-            let entry = Entry { key: key.clone(), records };
+            let records = copy
+                .iter()
+                .map(|(origin, record)| (*origin, record.travels(now)))
+                .collect();
+            let entry = Entry {
+                key: key.clone(),
+                records,
+            };
             size += cost(&entry);
             entries.push(entry);
         }
@@ -190,6 +213,10 @@
 
 /// Of what all keepers should agree on of a key.
 pub fn print_of(key: &[u8], copy: &Copy, now: Micros) -> u64 {
-    let lasting = copy.iter().filter(|(_, record)| seconds_of(**record) >= lasts_from(now));
-    lasting.fold(0, |sum, (origin, record)| sum ^ entry::print_in(key, origin, record))
+    let lasting = copy
+        .iter()
+        .filter(|(_, record)| seconds_of(**record) >= lasts_from(now));
+    lasting.fold(0, |sum, (origin, record)| {
+        sum ^ entry::print_in(key, origin, record)
+    })
 }
--- a/crates/replica/src/core.rs
+++ b/crates/replica/src/core.rs
@@ -144,7 +144,10 @@
         let standing = match (plan.own, whole) {
             (None, _) => Standing::Asker,
             (Some(_), true) => Standing::Votes,
-            (Some(_), false) => Standing::CatchesUp { until: now + plan.longest, heard: Default::default() },
+            (Some(_), false) => Standing::CatchesUp {
+                until: now + plan.longest,
+                heard: Default::default(),
+            },
         };
         let mut copies = Copies::new(plan.limits);
         found.for_each(|(key, copy)| copies.restore(key, copy, plan.longest, now));
@@ -194,7 +197,11 @@
     /// Whether a claim can be granted, as far as this gateway knows.
     pub fn majority_stands(&self) -> bool {
         let own = self.plan.own.filter(|_| self.standing.votes());
-        let others = self.keepers.iter().filter(|keeper| keeper.up && keeper.votes).count();
+        let others = self
+            .keepers
+            .iter()
+            .filter(|keeper| keeper.up && keeper.votes)
+            .count();
         others + usize::from(own.is_some()) >= self.claims.majority()
     }
 
@@ -213,7 +220,14 @@
         self.counted.claims += 1;
         let until = now + keep.min(self.plan.longest);
         let nominal_ms = until / 1000;
-        let record = Record { version: 0, phase: Phase::Out, place, since, until, nominal_ms };
+        let record = Record {
+            version: 0,
+            phase: Phase::Out,
+            place,
+            since,
+            until,
+            nominal_ms,
+        };
         let record = self.claims.write(now, key, record);
         self.claims.begin(now, number, key, record.version, known);
         let mut travels = record.travels(now);
@@ -224,12 +238,23 @@
         let mut outputs = Vec::new();
         for keeper in self.reached() {
             let (key, origin) = (key.to_vec(), self.origin);
-            let claim = Message::Claim { number, key, origin, record: travels };
+            let claim = Message::Claim {
+                number,
+                key,
+                origin,
+                record: travels,
+            };
             outputs.push(Output::Send(Peer::Keeper(keeper), claim));
         }
         if let Some(own) = self.plan.own {
-            let seen = self.copies.get(key).map_or(Vec::new(), |copy| entry::seen(copy, self.origin, now));
-            match (self.copies.join(key, self.origin, record), self.standing.votes()) {
+            let seen = self
+                .copies
+                .get(key)
+                .map_or(Vec::new(), |copy| entry::seen(copy, self.origin, now));
+            match (
+                self.copies.join(key, self.origin, record),
+                self.standing.votes(),
+            ) {
                 (Joined::Full, _) => {
                     outputs.extend(self.turned(number, own, Why::Full));
                 }
@@ -247,7 +272,11 @@
     }
 
     fn store(&self, key: &[u8], then: Vec<Output>) -> Output {
-        Output::Store { key: key.to_vec(), copy: self.copies.get(key).cloned(), then }
+        Output::Store {
+            key: key.to_vec(),
+            copy: self.copies.get(key).cloned(),
+            then,
+        }
     }
 
     fn decided(&mut self, number: u64, verdict: Option<Verdict>) -> Option<Output> {
@@ -299,10 +328,18 @@
         ran: bool,
         keep: Micros,
     ) -> Vec<Output> {
-        let Some(before) = self.claims.get(key).copied() else { return Vec::new() };
+        let Some(before) = self.claims.get(key).copied() else {
+            return Vec::new();
+        };
         let until = now + keep.min(self.plan.longest);
         let phase = if ran { Phase::Ran } else { Phase::Void };
-        let record = Record { phase, place, until, nominal_ms: until / 1000, ..before };
+        let record = Record {
+            phase,
+            place,
+            until,
+            nominal_ms: until / 1000,
+            ..before
+        };
         let record = self.claims.write(now, key, record);
         let mut outputs = Vec::new();
         if let Some(own) = self.plan.own {
@@ -319,15 +356,27 @@
 
     fn update(&self, now: Micros, keeper: usize, key: Vec<u8>, record: Record) -> Output {
         let record = record.travels(now);
-        Output::Send(Peer::Keeper(keeper), Message::Update { key, origin: self.origin, record })
+        Output::Send(
+            Peer::Keeper(keeper),
+            Message::Update {
+                key,
+                origin: self.origin,
+                record,
+            },
+        )
     }
 
     /// A link to a keeper came up or broke, or some who asked is gone.
     pub fn link(&mut self, now: Micros, peer: Peer, up: bool) -> Vec<Output> {
         match peer {
             Peer::Keeper(keeper) => {
-                let Some(known) = self.keepers.get_mut(keeper) else { return Vec::new() };
-                *known = Known { up, ..Known::default() };
+                let Some(known) = self.keepers.get_mut(keeper) else {
+                    return Vec::new();
+                };
+                *known = Known {
+                    up,
+                    ..Known::default()
+                };
                 if up {
                     let mut outputs = self.resend(now, keeper, now);
                     let drains: Vec<Drain> = self.drains.all().collect();
@@ -351,17 +400,19 @@
 
     /// What one who made a link here is told at once: whether this keeper votes, drains, and what it learned.
     fn greets(&self, now: Micros, peer: Peer) -> Vec<Output> {
-        let mut told = vec![Message::Stands { votes: self.standing.votes() }];
+        let mut told = vec![Message::Stands {
+            votes: self.standing.votes(),
+        }];
         let drains: Vec<Drain> = self.drains.all().collect();
         told.extend((!drains.is_empty()).then_some(Message::Drains { drains }));
         let hints = self.hints.as_ref();
-        told.extend(
-            hints.map(|(lessons, at)| Message::Hints {
-                lessons: lessons.clone(),
-                age: now.saturating_sub(*at),
-            }),
-        );
-        told.into_iter().map(|message| Output::Send(peer, message)).collect()
+        told.extend(hints.map(|(lessons, at)| Message::Hints {
+            lessons: lessons.clone(),
+            age: now.saturating_sub(*at),
+        }));
+        told.into_iter()
+            .map(|message| Output::Send(peer, message))
+            .collect()
     }
 
     /// This gateway has learned something that one who begins may take for a hint.
@@ -376,14 +427,24 @@
 
     /// News goes on to all that are linked, but for the one that told it.
     fn passes_on(&mut self, drains: Vec<Drain>, from: Option<Peer>) -> Vec<Output> {
-        let news: Vec<Drain> = drains.into_iter().filter(|drain| self.drains.hears(*drain)).collect();
+        let news: Vec<Drain> = drains
+            .into_iter()
+            .filter(|drain| self.drains.hears(*drain))
+            .collect();
         if news.is_empty() {
             return Vec::new();
         }
         let keepers = self.reached().into_iter().map(Peer::Keeper);
         let askers = self.askers.iter().copied().map(Peer::Asker);
         let others = keepers.chain(askers).filter(|peer| Some(*peer) != from);
-        let told = |peer| Output::Send(peer, Message::Drains { drains: news.clone() });
+        let told = |peer| {
+            Output::Send(
+                peer,
+                Message::Drains {
+                    drains: news.clone(),
+                },
+            )
+        };
         let own = news.iter().copied().map(Output::Drained);
         own.chain(others.map(told)).collect()
     }
@@ -395,8 +456,12 @@
 
     /// A link stands but its other end is not heard, or is heard again.
     pub fn hears_state(&mut self, now: Micros, peer: Peer, heard: bool) -> Vec<Output> {
-        let Peer::Keeper(keeper) = peer else { return Vec::new() };
-        let Some(known) = self.keepers.get_mut(keeper) else { return Vec::new() };
+        let Peer::Keeper(keeper) = peer else {
+            return Vec::new();
+        };
+        let Some(known) = self.keepers.get_mut(keeper) else {
+            return Vec::new();
+        };
         if std::mem::replace(&mut known.up, heard) || !heard {
             return Vec::new();
         }
@@ -407,28 +472,57 @@
     fn resend(&mut self, now: Micros, keeper: usize, written: Micros) -> Vec<Output> {
         let lacks = self.claims.lacks(keeper, written);
         self.counted.resent += lacks.len() as u64;
-        lacks.into_iter().map(|(key, record)| self.update(now, keeper, key, record)).collect()
+        lacks
+            .into_iter()
+            .map(|(key, record)| self.update(now, keeper, key, record))
+            .collect()
     }
 
     pub fn hears(&mut self, now: Micros, from: Peer, message: Message) -> Vec<Output> {
         match (from, message) {
-            (Peer::Asker(_), Message::Claim { number, key, origin, record }) => {
-                self.claimed(now, from, number, key, origin, record.arrives(now, None))
-            }
-            (Peer::Asker(_), Message::Update { key, origin, record }) => {
+            (
+                Peer::Asker(_),
+                Message::Claim {
+                    number,
+                    key,
+                    origin,
+                    record,
+                },
+            ) => self.claimed(now, from, number, key, origin, record.arrives(now, None)),
+            (
+                Peer::Asker(_),
+                Message::Update {
+                    key,
+                    origin,
+                    record,
+                },
+            ) => {
                 let (version, record) = (record.version, record.arrives(now, None));
                 match self.copies.join(&key, origin, record) {
                     Joined::Full => Vec::new(),
                     _ => {
-                        let told = Output::Send(from, Message::Updated { key: key.clone(), version });
+                        let told = Output::Send(
+                            from,
+                            Message::Updated {
+                                key: key.clone(),
+                                version,
+                            },
+                        );
                         vec![self.store(&key, vec![told])]
                     }
                 }
             }
             (Peer::Asker(link), Message::Ask { number, prints }) => {
                 let own = self.copies.prints(now);
-                let differ = own.iter().enumerate().map(|(range, print)| prints.get(range) != Some(print));
-                let asked = Asked { number, differ: differ.collect(), behind: None };
+                let differ = own
+                    .iter()
+                    .enumerate()
+                    .map(|(range, print)| prints.get(range) != Some(print));
+                let asked = Asked {
+                    number,
+                    differ: differ.collect(),
+                    behind: None,
+                };
                 self.asked.insert(link, asked);
                 self.answer(now)
             }
@@ -458,10 +552,18 @@
                 Vec::new()
             }
             (from, Message::Drains { drains }) => self.passes_on(drains, Some(from)),
-            (Peer::Keeper(_), Message::Hints { lessons, age }) => vec![Output::Hints { lessons, age }],
-            (Peer::Keeper(keeper), Message::Part { number, entries, last, votes }) => {
-                self.part(now, keeper, number, entries, last, votes)
+            (Peer::Keeper(_), Message::Hints { lessons, age }) => {
+                vec![Output::Hints { lessons, age }]
             }
+            (
+                Peer::Keeper(keeper),
+                Message::Part {
+                    number,
+                    entries,
+                    last,
+                    votes,
+                },
+            ) => self.part(now, keeper, number, entries, last, votes),
             // A keeper asks nothing on a link that it did not make, and answers nothing unasked.
             _ => Vec::new(),
         }
@@ -476,16 +578,31 @@
         origin: Origin,
         record: Record,
     ) -> Vec<Output> {
-        let seen = self.copies.get(&key).map_or(Vec::new(), |copy| entry::seen(copy, origin, now));
+        let seen = self
+            .copies
+            .get(&key)
+            .map_or(Vec::new(), |copy| entry::seen(copy, origin, now));
         let joined = self.copies.join(&key, origin, record);
         if joined == Joined::Full {
             self.counted.turned_away += 1;
-            return vec![Output::Send(from, Message::NotNow { number, why: Why::Full })];
+            return vec![Output::Send(
+                from,
+                Message::NotNow {
+                    number,
+                    why: Why::Full,
+                },
+            )];
         }
         if !self.standing.votes() {
             // What is claimed is kept; the vote is what it can't give.
             self.counted.turned_away += 1;
-            let turned = Output::Send(from, Message::NotNow { number, why: Why::CatchingUp });
+            let turned = Output::Send(
+                from,
+                Message::NotNow {
+                    number,
+                    why: Why::CatchingUp,
+                },
+            );
             return vec![self.store(&key, Vec::new()), turned];
         }
         self.counted.answered += 1;
@@ -498,7 +615,9 @@
         let mut outputs = Vec::new();
         let links: Vec<u64> = self.asked.keys().copied().collect();
         for link in links {
-            let Some(asked) = self.asked.get_mut(&link) else { continue };
+            let Some(asked) = self.asked.get_mut(&link) else {
+                continue;
+            };
             let number = asked.number;
             let bytes = match self.budget.may(now) {
                 Ok(bytes) => bytes.min(PART),
@@ -512,14 +631,24 @@
                     continue;
                 }
             };
-            let (entries, more) = self.copies.page(&asked.differ, asked.behind.as_deref(), bytes, now);
+            let (entries, more) =
+                self.copies
+                    .page(&asked.differ, asked.behind.as_deref(), bytes, now);
             self.budget.went(entries.iter().map(cost).sum());
-            asked.behind = entries.last().map(|entry| entry.key.clone()).or(asked.behind.take());
+            asked.behind = entries
+                .last()
+                .map(|entry| entry.key.clone())
+                .or(asked.behind.take());
             let votes = self.standing.votes();
             if !more {
                 self.asked.remove(&link);
             }
-            let part = Message::Part { number, entries, last: !more, votes };
+            let part = Message::Part {
+                number,
+                entries,
+                last: !more,
+                votes,
+            };
             outputs.push(Output::Send(Peer::Asker(link), part));
         }
         outputs
@@ -534,7 +663,9 @@
         last: bool,
         votes: bool,
     ) -> Vec<Output> {
-        let asked = self.keepers[keeper].asked.filter(|(_, asked, _)| *asked == number);
+        let asked = self.keepers[keeper]
+            .asked
+            .filter(|(_, asked, _)| *asked == number);
         let Some((asked_at, ..)) = asked else {
             return Vec::new();
         };
@@ -566,7 +697,9 @@
 
     /// Keepers that this gateway has a link to.
     fn reached(&self) -> Vec<usize> {
-        (0..self.keepers.len()).filter(|keeper| self.keepers[*keeper].up).collect()
+        (0..self.keepers.len())
+            .filter(|keeper| self.keepers[*keeper].up)
+            .collect()
     }
 
     /// What time brings.
@@ -577,7 +710,11 @@
         }
         self.claims.expire(now);
         for key in self.copies.expire(now) {
-            outputs.push(Output::Store { key, copy: None, then: Vec::new() });
+            outputs.push(Output::Store {
+                key,
+                copy: None,
+                then: Vec::new(),
+            });
         }
         if self.standing.work(now) {
             outputs.push(Output::Votes);
@@ -612,14 +749,22 @@
             self.scrubbed_at = now;
             self.scrubs += 1;
             let count = chosen.len().max(1);
-            chosen = chosen.into_iter().cycle().skip(self.scrubs % count).take(1).collect();
+            chosen = chosen
+                .into_iter()
+                .cycle()
+                .skip(self.scrubs % count)
+                .take(1)
+                .collect();
         }
         let mut outputs = Vec::new();
         for keeper in chosen {
             self.numbers += 1;
             let (number, prints) = (self.numbers, self.copies.prints(now));
             self.keepers[keeper].asked = Some((now, number, now));
-            outputs.push(Output::Send(Peer::Keeper(keeper), Message::Ask { number, prints }));
+            outputs.push(Output::Send(
+                Peer::Keeper(keeper),
+                Message::Ask { number, prints },
+            ));
         }
         outputs
     }
--- a/crates/replica/src/drains.rs
+++ b/crates/replica/src/drains.rs
@@ -28,13 +28,19 @@
 impl Drains {
     /// True: it is news, to be passed on.
     pub fn hears(&mut self, drain: Drain) -> bool {
-        if self.known.get(&drain.engine).is_some_and(|known| *known >= drain) {
+        if self
+            .known
+            .get(&drain.engine)
+            .is_some_and(|known| *known >= drain)
+        {
             return false;
         }
         self.known.insert(drain.engine, drain);
         if self.known.len() > MOST {
             let oldest = self.known.values().min().map(|own| own.engine);
-            oldest.into_iter().for_each(|engine| _ = self.known.remove(&engine));
+            oldest
+                .into_iter()
+                .for_each(|engine| _ = self.known.remove(&engine));
         }
         true
     }
@@ -64,16 +70,37 @@
 
     #[test]
     fn a_drain_binds_until_the_own_list_is_as_new_and_never_another_process() {
-        let drain = Drain { number: 7, engine: 1, booted_at: 100, gone: false };
+        let drain = Drain {
+            number: 7,
+            engine: 1,
+            booted_at: 100,
+            gone: false,
+        };
         let mut drains = Drains::default();
         assert!(drains.hears(drain) && !drains.hears(drain));
-        assert!(!drains.hears(Drain { number: 6, gone: true, ..drain }), "older news is none");
+        assert!(
+            !drains.hears(Drain {
+                number: 6,
+                gone: true,
+                ..drain
+            }),
+            "older news is none"
+        );
         assert_eq!(drains.binds(1, 100, 6), Some(drain));
-        assert_eq!(drains.binds(1, 100, 7), None, "a list that is as new says for itself");
+        assert_eq!(
+            drains.binds(1, 100, 7),
+            None,
+            "a list that is as new says for itself"
+        );
         assert_eq!(drains.binds(1, 101, 6), None, "it started anew since");
         assert_eq!(drains.binds(2, 100, 0), None);
         for engine in 0..2 * MOST as u32 {
-            drains.hears(Drain { number: u64::from(engine), engine: 9 + engine, booted_at: 1, gone: true });
+            drains.hears(Drain {
+                number: u64::from(engine),
+                engine: 9 + engine,
+                booted_at: 1,
+                gone: true,
+            });
         }
         assert_eq!(drains.len(), MOST);
     }
--- a/crates/replica/src/entry.rs
+++ b/crates/replica/src/entry.rs
@@ -13,7 +13,9 @@
 use crate::Micros;
 
 /// One life of a gateway's state: its store's identity and the number of the start.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Origin {
     pub identity: u64,
     pub start: u64,
@@ -70,14 +72,38 @@
     /// Two records of one origin.
     pub fn join(self, other: Record) -> Record {
         let order = |own: &Record| (own.version, own.phase, own.place, own.nominal_ms);
-        let later = if order(&self) >= order(&other) { self } else { other };
-        Record { since: self.since.min(other.since), until: self.until.max(other.until), ..later }
+        let later = if order(&self) >= order(&other) {
+            self
+        } else {
+            other
+        };
+        Record {
+            since: self.since.min(other.since),
+            until: self.until.max(other.until),
+            ..later
+        }
     }
 
     pub fn travels(&self, now: Micros) -> Travelling {
-        let Record { version, phase, place, nominal_ms, .. } = *self;
-        let (age, left) = (now.saturating_sub(self.since), self.until.saturating_sub(now));
-        Travelling { version, phase, place, age, left, nominal_ms }
+        let Record {
+            version,
+            phase,
+            place,
+            nominal_ms,
+            ..
+        } = *self;
+        let (age, left) = (
+            now.saturating_sub(self.since),
+            self.until.saturating_sub(now),
+        );
+        Travelling {
+            version,
+            phase,
+            place,
+            age,
+            left,
+            nominal_ms,
+        }
     }
 }
 
@@ -85,9 +111,22 @@
     /// By the clock of one that receives it. `asked`: since when it may have been under way, where that is
     /// known; else it is taken for as old as it says on arrival.
     pub fn arrives(&self, now: Micros, asked: Option<Micros>) -> Record {
-        let Travelling { version, phase, place, nominal_ms, .. } = *self;
+        let Travelling {
+            version,
+            phase,
+            place,
+            nominal_ms,
+            ..
+        } = *self;
         let since = asked.unwrap_or(now).saturating_sub(self.age);
-        Record { version, phase, place, since, until: now + self.left, nominal_ms }
+        Record {
+            version,
+            phase,
+            place,
+            since,
+            until: now + self.left,
+            nominal_ms,
+        }
     }
 }
 
@@ -109,8 +148,15 @@
 
 /// What origins other than one's own may have done, ages by this copy's clock.
 pub fn seen(copy: &Copy, own: Origin, now: Micros) -> Vec<Seen> {
-    let others = copy.iter().filter(|(origin, record)| **origin != own && record.phase != Phase::Void);
-    others.map(|(_, record)| Seen { place: record.place, age: now.saturating_sub(record.since) }).collect()
+    let others = copy
+        .iter()
+        .filter(|(origin, record)| **origin != own && record.phase != Phase::Void);
+    others
+        .map(|(_, record)| Seen {
+            place: record.place,
+            age: now.saturating_sub(record.since),
+        })
+        .collect()
 }
 
 /// Of what two copies of a record must agree on: its version and what it says, not each one's times.
@@ -123,7 +169,9 @@
     let said = (key, origin, record.version, record.phase, record.place);
     let bytes = postcard::to_stdvec(&said).unwrap_or_default();
     let hash = blake3::hash(&bytes);
-    hash.as_bytes()[..8].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+    hash.as_bytes()[..8]
+        .iter()
+        .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
 /// The key of a copy in a keeper's store: a prefix of its own, then the ledger's key without its own.
@@ -139,5 +187,8 @@
 }
 
 pub fn from_bytes(bytes: &[u8]) -> Option<Copy> {
-    postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(copy, _)| copy)
+    postcard::take_from_bytes(bytes)
+        .ok()
+        .filter(|(_, rest)| rest.is_empty())
+        .map(|(copy, _)| copy)
 }
--- a/crates/replica/tests/joins.rs
+++ b/crates/replica/tests/joins.rs
@@ -15,14 +15,29 @@
     (origin(), 1..5u32, 0..1000u64, 0..1000u64).prop_map(|(origin, version, since, until)| {
         let said = origin.identity * 31 + origin.start * 7 + u64::from(version);
         let phase = [Phase::Out, Phase::Void, Phase::Ran][said as usize % 3];
-        let place = (said % 4 != 0).then_some(Place { zone: said as u32 % 2, cell: said as u32 % 3 });
-        (origin, Record { version, phase, place, since, until, nominal_ms: said })
+        let place = (said % 4 != 0).then_some(Place {
+            zone: said as u32 % 2,
+            cell: said as u32 % 3,
+        });
+        (
+            origin,
+            Record {
+                version,
+                phase,
+                place,
+                since,
+                until,
+                nominal_ms: said,
+            },
+        )
     })
 }
 
 fn joined(records: &[(Origin, Record)]) -> Copy {
     let mut copy = Copy::new();
-    records.iter().for_each(|(origin, record)| _ = join(&mut copy, *origin, *record));
+    records
+        .iter()
+        .for_each(|(origin, record)| _ = join(&mut copy, *origin, *record));
     copy
 }
 
--- a/crates/replica/tests/model.rs
+++ b/crates/replica/tests/model.rs
@@ -99,7 +99,10 @@
 
 impl World {
     fn keeper(&self, at: usize, starts: u64, whole: bool, disk: &BTreeMap<Vec<u8>, Copy>) -> Core {
-        let origin = Origin { identity: 100 + at as u64, start: starts };
+        let origin = Origin {
+            identity: 100 + at as u64,
+            start: starts,
+        };
         let whole = whole || self.bug == Bug::WipedVotes;
         Core::start(plan(Some(at)), origin, whole, disk.clone().into_iter(), NOW)
     }
@@ -108,7 +111,9 @@
     fn sends(&self, state: &mut State, sender: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Send(Peer::Keeper(keeper), message) => state.wire.push(((sender, keeper), message)),
+                Output::Send(Peer::Keeper(keeper), message) => {
+                    state.wire.push(((sender, keeper), message))
+                }
                 Output::Verdict(_, verdict) => self.decided(state, sender, verdict),
                 _ => {}
             }
@@ -138,13 +143,19 @@
                 Output::Send(Peer::Asker(sender), message) => {
                     self.answered(state, keeper, sender as usize, message)
                 }
-                Output::Store { key, copy: Some(copy), then } => {
+                Output::Store {
+                    key,
+                    copy: Some(copy),
+                    then,
+                } => {
                     state.keepers[keeper].written.insert(key, copy);
                     for output in then {
                         if let Output::Send(Peer::Asker(sender), message) = output {
                             match self.bug == Bug::EarlyAcknowledgement {
                                 true => self.answered(state, keeper, sender as usize, message),
-                                false => state.keepers[keeper].then.push((sender as usize, message)),
+                                false => {
+                                    state.keepers[keeper].then.push((sender as usize, message))
+                                }
                             }
                         }
                     }
@@ -160,7 +171,9 @@
             return;
         }
         let unseen = matches!(&message, Message::Claimed { seen, .. } if seen.is_empty());
-        let outputs = state.senders[sender].core.hears(NOW, Peer::Keeper(keeper), message);
+        let outputs = state.senders[sender]
+            .core
+            .hears(NOW, Peer::Keeper(keeper), message);
         match self.bug == Bug::OneIsEnough && unseen {
             true => self.decided(state, sender, Verdict::Granted),
             false => self.sends(state, sender, outputs),
@@ -187,15 +200,25 @@
 
     fn init_states(&self) -> Vec<State> {
         let sender = |at: usize| {
-            let origin = Origin { identity: at as u64 + 1, start: 1 };
+            let origin = Origin {
+                identity: at as u64 + 1,
+                start: 1,
+            };
             let mut core = Core::start(plan(None), origin, true, std::iter::empty(), NOW);
             (0..KEEPERS).for_each(|keeper| _ = core.link(NOW, Peer::Keeper(keeper), true));
-            Sender { core, stage: Stage::Idle, up: true }
+            Sender {
+                core,
+                stage: Stage::Idle,
+                up: true,
+            }
         };
         let keeper = |at: usize| Keeper {
             core: Core::start(
                 plan(Some(at)),
-                Origin { identity: 100 + at as u64, start: 1 },
+                Origin {
+                    identity: 100 + at as u64,
+                    start: 1,
+                },
                 true,
                 std::iter::empty(),
                 NOW,
@@ -207,13 +230,22 @@
         };
         let senders = (0..SENDERS).map(sender).collect();
         let keepers = (0..KEEPERS).map(keeper).collect();
-        vec![State { senders, keepers, wire: Vec::new(), effects: 0, kills: 0, wipes: 0 }]
+        vec![State {
+            senders,
+            keepers,
+            wire: Vec::new(),
+            effects: 0,
+            kills: 0,
+            wipes: 0,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
         for (at, sender) in state.senders.iter().enumerate() {
             // First at one; at the other once that has not answered, or at the same time.
-            if sender.up && sender.stage == Stage::Idle && (at == 0 || state.senders[0].stage != Stage::Idle)
+            if sender.up
+                && sender.stage == Stage::Idle
+                && (at == 0 || state.senders[0].stage != Stage::Idle)
             {
                 actions.push(Step::Ask(at));
             }
@@ -244,8 +276,13 @@
             Step::Ask(at) => {
                 let sender = &mut state.senders[at];
                 sender.stage = Stage::Claims;
-                let place = Some(Place { zone: 0, cell: at as u32 });
-                let outputs = sender.core.claim(NOW, 1, KEY, place, NOW, LONGEST, Vec::new());
+                let place = Some(Place {
+                    zone: 0,
+                    cell: at as u32,
+                });
+                let outputs = sender
+                    .core
+                    .claim(NOW, 1, KEY, place, NOW, LONGEST, Vec::new());
                 self.sends(&mut state, at, outputs);
             }
             Step::Deliver(way) => {
@@ -292,15 +329,32 @@
 
 #[test]
 fn no_order_of_messages_flushes_kills_and_wipes_takes_effect_twice() {
-    let checker = World { bug: Bug::None }.checker().target_max_depth(DEPTH).threads(4).spawn_bfs().join();
+    let checker = World { bug: Bug::None }
+        .checker()
+        .target_max_depth(DEPTH)
+        .threads(4)
+        .spawn_bfs()
+        .join();
     checker.assert_properties();
-    assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
+    assert!(
+        checker.unique_state_count() > 10_000,
+        "{}",
+        checker.unique_state_count()
+    );
 }
 
 #[test]
 fn planted_bugs_are_found() {
     for bug in [Bug::EarlyAcknowledgement, Bug::OneIsEnough, Bug::WipedVotes] {
-        let checker = World { bug }.checker().target_max_depth(DEPTH).threads(4).spawn_bfs().join();
-        assert!(checker.discovery("no effect twice").is_some(), "{bug:?} is not found");
+        let checker = World { bug }
+            .checker()
+            .target_max_depth(DEPTH)
+            .threads(4)
+            .spawn_bfs()
+            .join();
+        assert!(
+            checker.discovery("no effect twice").is_some(),
+            "{bug:?} is not found"
+        );
     }
 }
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -112,7 +112,13 @@
 }
 
 fn span(view: &View) -> Span {
-    let from = view.fleet.known().map(|(_, start)| start.first_at).min().unwrap_or(0).max(view.from);
+    let from = view
+        .fleet
+        .known()
+        .map(|(_, start)| start.first_at)
+        .min()
+        .unwrap_or(0)
+        .max(view.from);
     let to = view.fleet.now.max(from + 1_000_000);
     Span { from, to }
 }
@@ -120,12 +126,24 @@
 fn bands(view: &View) -> Vec<Band> {
     let now = view.detector.now();
     let shown = view.detector.episodes.iter().filter(|episode| {
-        !matches!(episode.kind, Kind::Refusals | Kind::Resends | Kind::Latency(_) | Kind::Quarantine(_))
+        !matches!(
+            episode.kind,
+            Kind::Refusals | Kind::Resends | Kind::Latency(_) | Kind::Quarantine(_)
+        )
     });
     let band = |episode: &eideryard_fleet::Episode| {
         let (from, to) = episode.span(now);
-        let name = format!("{} ({})", episode.kind.word(), story::subject(view, &episode.kind));
-        Band { from, to, name, gap: matches!(episode.kind, Kind::Gap(_)) }
+        let name = format!(
+            "{} ({})",
+            episode.kind.word(),
+            story::subject(view, &episode.kind)
+        );
+        Band {
+            from,
+            to,
+            name,
+            gap: matches!(episode.kind, Kind::Gap(_)),
+        }
     };
     shown.map(band).collect()
 }
@@ -149,16 +167,38 @@
             Kind::EnginesGone(_) | Kind::Refusals | Kind::Resends => String::new(),
             kind => format!(": {}", story::subject(view, kind)),
         };
-        let row = rows.entry((order, format!("{}{subject}", episode.kind.word()))).or_default();
+        let row = rows
+            .entry((order, format!("{}{subject}", episode.kind.word())))
+            .or_default();
         let (from, to) = episode.span(now);
-        let text = format!("{} to {}: {}", clock(from), clock(to), story::clause(view, episode));
-        row.push(Bar { from, to, style, text, strength: 1.0 });
+        let text = format!(
+            "{} to {}: {}",
+            clock(from),
+            clock(to),
+            story::clause(view, episode)
+        );
+        row.push(Bar {
+            from,
+            to,
+            style,
+            text,
+            strength: 1.0,
+        });
         for (from, to) in &episode.unknown {
-            row.push(Bar { from: *from, to: *to, style: "unknown", text: "not known".into(), strength: 1.0 });
+            row.push(Bar {
+                from: *from,
+                to: *to,
+                style: "unknown",
+                text: "not known".into(),
+                strength: 1.0,
+            });
         }
     }
-    let rows: Vec<(String, Vec<Bar>)> =
-        rows.into_iter().take(MOST_ROWS).map(|((_, name), bars)| (name, bars)).collect();
+    let rows: Vec<(String, Vec<Bar>)> = rows
+        .into_iter()
+        .take(MOST_ROWS)
+        .map(|((_, name), bars)| (name, bars))
+        .collect();
     let text = format!(
         "{} in {} rows; the table below says the same.",
         plural(view.detector.episodes.len() as u64, "episode"),
@@ -199,7 +239,17 @@
 }
 
 fn gateways(view: &View) -> Markup {
-    let columns = ["taken", "served", "refused", "failed", "invalid", "forgotten", "lost", "late", "sent"];
+    let columns = [
+        "taken",
+        "served",
+        "refused",
+        "failed",
+        "invalid",
+        "forgotten",
+        "lost",
+        "late",
+        "sent",
+    ];
     html! {
         table {
             caption { "What each start of each gateway counted" }
@@ -250,7 +300,9 @@
 ) -> Vec<(Micros, Option<f64>)> {
     let seconds = view.series.width as f64 / 1e6;
     let buckets = view.series.buckets.iter().enumerate();
-    buckets.map(|(at, bucket)| (view.series.begins(at), Some(of(bucket) / seconds))).collect()
+    buckets
+        .map(|(at, bucket)| (view.series.begins(at), Some(of(bucket) / seconds)))
+        .collect()
 }
 
 fn outcomes(view: &View, span: Span, bands: &[Band]) -> Markup {
@@ -269,18 +321,37 @@
             points: per_second(view, |bucket| bucket.total(|class| class.ended(how)) as f64),
         })
         .collect();
-    plot::stacked("Answers by outcome", "a second", span, bands, &areas, view.series.width)
+    plot::stacked(
+        "Answers by outcome",
+        "a second",
+        span,
+        bands,
+        &areas,
+        view.series.width,
+    )
 }
 
 /// The places of classes that had most requests.
 fn busiest(view: &View) -> Vec<usize> {
     let mut taken: BTreeMap<usize, u64> = BTreeMap::new();
-    for (class, bucket) in view.series.buckets.iter().flat_map(|bucket| &bucket.classes) {
+    for (class, bucket) in view
+        .series
+        .buckets
+        .iter()
+        .flat_map(|bucket| &bucket.classes)
+    {
         *taken.entry(*class).or_default() += bucket.taken as u64;
     }
-    let mut classes: Vec<(u64, usize)> = taken.into_iter().map(|(class, taken)| (taken, class)).collect();
+    let mut classes: Vec<(u64, usize)> = taken
+        .into_iter()
+        .map(|(class, taken)| (taken, class))
+        .collect();
     classes.sort_by(|a, b| b.cmp(a));
-    classes.into_iter().take(MOST_LINES).map(|(_, class)| class).collect()
+    classes
+        .into_iter()
+        .take(MOST_LINES)
+        .map(|(_, class)| class)
+        .collect()
 }
 
 fn latency(view: &View, span: Span, bands: &[Band]) -> Markup {
@@ -291,27 +362,51 @@
         points: (0..view.series.buckets.len())
             .map(|at| {
                 let own = view.series.buckets[at].classes.get(class);
-                (view.series.begins(at), own.and_then(|own| own.latency.percentile(0.9)))
+                (
+                    view.series.begins(at),
+                    own.and_then(|own| own.latency.percentile(0.9)),
+                )
             })
             .collect(),
     };
     let lines: Vec<Line> = classes.iter().enumerate().map(line).collect();
-    plot::lines("Nine in ten answers came within, by class", "ms", span, bands, &lines)
+    plot::lines(
+        "Nine in ten answers came within, by class",
+        "ms",
+        span,
+        bands,
+        &lines,
+    )
 }
 
 fn tenants(view: &View, span: Span, bands: &[Band]) -> Markup {
     let mut taken: BTreeMap<usize, u64> = BTreeMap::new();
-    for (tenant, count) in view.series.buckets.iter().flat_map(|bucket| &bucket.tenants) {
+    for (tenant, count) in view
+        .series
+        .buckets
+        .iter()
+        .flat_map(|bucket| &bucket.tenants)
+    {
         *taken.entry(*tenant).or_default() += *count as u64;
     }
-    let mut busiest: Vec<(u64, usize)> = taken.into_iter().map(|(tenant, taken)| (taken, tenant)).collect();
+    let mut busiest: Vec<(u64, usize)> = taken
+        .into_iter()
+        .map(|(tenant, taken)| (taken, tenant))
+        .collect();
     busiest.sort_by(|a, b| b.cmp(a));
     let line = |(number, (_, tenant)): (usize, &(u64, usize))| Line {
         name: view.fleet.tenant(*tenant),
         style: format!("s{number}"),
-        points: per_second(view, |bucket| bucket.tenants.get(tenant).copied().unwrap_or(0) as f64),
+        points: per_second(view, |bucket| {
+            bucket.tenants.get(tenant).copied().unwrap_or(0) as f64
+        }),
     };
-    let lines: Vec<Line> = busiest.iter().take(MOST_LINES).enumerate().map(line).collect();
+    let lines: Vec<Line> = busiest
+        .iter()
+        .take(MOST_LINES)
+        .enumerate()
+        .map(line)
+        .collect();
     plot::lines("Requests by tenant", "a second", span, bands, &lines)
 }
 
@@ -329,11 +424,17 @@
             if sums.len() <= at {
                 sums.resize(at + 1, [0; 7]);
             }
-            sums[at].iter_mut().zip(lane.values()).for_each(|(sum, value)| *sum += value);
+            sums[at]
+                .iter_mut()
+                .zip(lane.values())
+                .for_each(|(sum, value)| *sum += value);
         }
     }
     let latency = |class: usize, share: f64| {
-        let mut all = view.fleet.known().filter_map(|(_, start)| start.latency.get(class));
+        let mut all = view
+            .fleet
+            .known()
+            .filter_map(|(_, start)| start.latency.get(class));
         let mut sum = all.next()?.clone();
         // All have the same bounds.
         all.for_each(|other| _ = sum.add(other));
@@ -372,8 +473,11 @@
 }
 
 fn all_engines(view: &View) -> Vec<EngineId> {
-    let mut engines: Vec<EngineId> =
-        view.fleet.known().flat_map(|(_, start)| start.engines.keys().copied()).collect();
+    let mut engines: Vec<EngineId> = view
+        .fleet
+        .known()
+        .flat_map(|(_, start)| start.engines.keys().copied())
+        .collect();
     engines.sort_by_key(|engine| (view.fleet.engine(*engine), *engine));
     engines.dedup();
     engines
@@ -381,12 +485,19 @@
 
 fn engine_rows(view: &View, span: Span) -> Markup {
     let engines = all_engines(view);
-    let most = view.series.buckets.iter().flat_map(|bucket| bucket.engines.values()).map(|own| own.answered);
+    let most = view
+        .series
+        .buckets
+        .iter()
+        .flat_map(|bucket| bucket.engines.values())
+        .map(|own| own.answered);
     let most = most.max().unwrap_or(0).max(1) as f64;
     let row = |engine: &EngineId| {
         let mut bars = Vec::new();
         for (at, bucket) in view.series.buckets.iter().enumerate() {
-            let Some(own) = bucket.engines.get(engine) else { continue };
+            let Some(own) = bucket.engines.get(engine) else {
+                continue;
+            };
             let (from, to) = (view.series.begins(at), view.series.begins(at + 1));
             let text = format!(
                 "{}: {} sent, {} answered, {} ended badly",
@@ -396,9 +507,19 @@
                 own.bad
             );
             let style = if own.bad > 0 { "bad" } else { "served" };
-            let strength = if own.bad > 0 { 1.0 } else { 0.15 + 0.85 * own.answered as f64 / most };
+            let strength = if own.bad > 0 {
+                1.0
+            } else {
+                0.15 + 0.85 * own.answered as f64 / most
+            };
             if own.answered + own.bad > 0 {
-                bars.push(Bar { from, to, style, text, strength });
+                bars.push(Bar {
+                    from,
+                    to,
+                    style,
+                    text,
+                    strength,
+                });
             }
         }
         (view.fleet.engine(*engine), bars)
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -21,17 +21,27 @@
 
 impl Span {
     fn x(&self, at: Micros) -> f64 {
-        let part = (at.clamp(self.from, self.to) - self.from) as f64 / (self.to - self.from).max(1) as f64;
+        let part =
+            (at.clamp(self.from, self.to) - self.from) as f64 / (self.to - self.from).max(1) as f64;
         LEFT + part * (WIDTH - LEFT - RIGHT)
     }
 
     /// Whole steps of time that a person would choose.
     fn marks(&self) -> Vec<Micros> {
-        const STEPS: [u64; 14] = [1, 2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200, 21_600];
+        const STEPS: [u64; 14] = [
+            1, 2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200, 21_600,
+        ];
         let length = (self.to - self.from) / 1_000_000;
-        let step = STEPS.iter().find(|step| length / **step <= MOST_MARKS).unwrap_or(&86_400) * 1_000_000;
+        let step = STEPS
+            .iter()
+            .find(|step| length / **step <= MOST_MARKS)
+            .unwrap_or(&86_400)
+            * 1_000_000;
         let first = self.from.div_ceil(step) * step;
-        (0..).map(|number| first + number * step).take_while(|at| *at <= self.to).collect()
+        (0..)
+            .map(|number| first + number * step)
+            .take_while(|at| *at <= self.to)
+            .collect()
     }
 }
 
@@ -39,7 +49,11 @@
 fn ceiling(value: f64) -> f64 {
     let power = 10f64.powf(value.max(1e-6).log10().floor());
     let steps = [1.0, 1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 8.0, 10.0];
-    steps.iter().map(|step| step * power).find(|step| *step >= value * 0.999).unwrap_or(value)
+    steps
+        .iter()
+        .map(|step| step * power)
+        .find(|step| *step >= value * 0.999)
+        .unwrap_or(value)
 }
 
 fn number(value: f64) -> String {
@@ -120,7 +134,11 @@
     for part in [0.0, 0.5, 1.0] {
         let y = bottom - part * (bottom - 16.0);
         let label = number(most * part);
-        let label = if part == 1.0 { format!("{label} {unit}") } else { label };
+        let label = if part == 1.0 {
+            format!("{label} {unit}")
+        } else {
+            label
+        };
         let _ = write!(
             marks,
             concat!(
@@ -156,7 +174,9 @@
 /// Lines over time.
 pub fn lines(title: &str, unit: &str, span: Span, bands: &[Band], lines: &[Line]) -> Markup {
     let height = 200.0;
-    let values = lines.iter().flat_map(|line| line.points.iter().filter_map(|(_, value)| *value));
+    let values = lines
+        .iter()
+        .flat_map(|line| line.points.iter().filter_map(|(_, value)| *value));
     let highest = values.fold(0.0, f64::max);
     let most = ceiling(highest.max(1.0));
     let bottom = height - 24.0;
@@ -174,7 +194,11 @@
             drawn = true;
         }
         let name = html! { (line.name) }.into_string();
-        let _ = write!(inner, r#"<path class="line {}" d="{path}"><title>{name}</title></path>"#, line.style);
+        let _ = write!(
+            inner,
+            r#"<path class="line {}" d="{path}"><title>{name}</title></path>"#,
+            line.style
+        );
     }
     let text = format!("Up to {} {unit}.", number(highest));
     html! {
@@ -187,11 +211,29 @@
 }
 
 /// Areas over time, one on the other. All have the same times.
-pub fn stacked(title: &str, unit: &str, span: Span, bands: &[Band], areas: &[Line], width: Micros) -> Markup {
+pub fn stacked(
+    title: &str,
+    unit: &str,
+    span: Span,
+    bands: &[Band],
+    areas: &[Line],
+    width: Micros,
+) -> Markup {
     let height = 220.0;
-    let count = areas.iter().map(|area| area.points.len()).max().unwrap_or(0);
-    let value = |area: &Line, at: usize| area.points.get(at).and_then(|(_, value)| *value).unwrap_or(0.0);
-    let sums: Vec<f64> = (0..count).map(|at| areas.iter().map(|area| value(area, at)).sum()).collect();
+    let count = areas
+        .iter()
+        .map(|area| area.points.len())
+        .max()
+        .unwrap_or(0);
+    let value = |area: &Line, at: usize| {
+        area.points
+            .get(at)
+            .and_then(|(_, value)| *value)
+            .unwrap_or(0.0)
+    };
+    let sums: Vec<f64> = (0..count)
+        .map(|at| areas.iter().map(|area| value(area, at)).sum())
+        .collect();
     let highest = sums.iter().copied().fold(0.0, f64::max);
     let most = ceiling(highest.max(1.0));
     let bottom = height - 24.0;
@@ -213,8 +255,11 @@
             let _ = write!(path, "L{to:.1} {:.1}L{from:.1} {:.1}", y(*base), y(*base));
         }
         let name = html! { (area.name) }.into_string();
-        let _ =
-            write!(inner, r#"<path class="area {}" d="{path}Z"><title>{name}</title></path>"#, area.style);
+        let _ = write!(
+            inner,
+            r#"<path class="area {}" d="{path}Z"><title>{name}</title></path>"#,
+            area.style
+        );
         base = top;
     }
     let text = format!("Up to {} {unit}.", number(highest));
--- a/crates/report/src/story.rs
+++ b/crates/report/src/story.rs
@@ -9,23 +9,30 @@
 use time::OffsetDateTime;
 
 fn moment(at: Micros) -> OffsetDateTime {
-    OffsetDateTime::from_unix_timestamp_nanos(at as i128 * 1000).unwrap_or(OffsetDateTime::UNIX_EPOCH)
+    OffsetDateTime::from_unix_timestamp_nanos(at as i128 * 1000)
+        .unwrap_or(OffsetDateTime::UNIX_EPOCH)
 }
 
 /// A time of day in UTC, to the second.
 pub fn clock(at: Micros) -> String {
-    moment(at).format(format_description!("[hour]:[minute]:[second]")).unwrap_or_default()
+    moment(at)
+        .format(format_description!("[hour]:[minute]:[second]"))
+        .unwrap_or_default()
 }
 
 /// The same to the millisecond.
 pub fn clock_ms(at: Micros) -> String {
     moment(at)
-        .format(format_description!("[hour]:[minute]:[second].[subsecond digits:3]"))
+        .format(format_description!(
+            "[hour]:[minute]:[second].[subsecond digits:3]"
+        ))
         .unwrap_or_default()
 }
 
 pub fn date(at: Micros) -> String {
-    moment(at).format(format_description!("[year]-[month]-[day]")).unwrap_or_default()
+    moment(at)
+        .format(format_description!("[year]-[month]-[day]"))
+        .unwrap_or_default()
 }
 
 /// A stretch of time as a person would say it.
@@ -60,20 +67,27 @@
     for (_, start) in view.fleet.known() {
         let own = start.tally();
         let own = own.totals.pairs();
-        sum.values_mut().zip(own).for_each(|(sum, (_, value))| *sum += value);
+        sum.values_mut()
+            .zip(own)
+            .for_each(|(sum, (_, value))| *sum += value);
     }
     sum
 }
 
 fn source(view: &View, source: usize) -> String {
-    view.fleet.start(source).map_or_else(|| format!("gateway {source}"), |start| start.name.clone())
+    view.fleet
+        .start(source)
+        .map_or_else(|| format!("gateway {source}"), |start| start.name.clone())
 }
 
 /// Whom or what an episode is about.
 pub fn subject(view: &View, kind: &Kind) -> String {
     match kind {
         Kind::EnginesGone(engines) => {
-            let mut names: Vec<String> = engines.iter().map(|engine| view.fleet.engine(*engine)).collect();
+            let mut names: Vec<String> = engines
+                .iter()
+                .map(|engine| view.fleet.engine(*engine))
+                .collect();
             names.sort();
             listed(names)
         }
@@ -97,9 +111,17 @@
     let share = |value: f64| format!("{:.0}%", 100.0 * value);
     match &episode.kind {
         Kind::EnginesGone(engines) => {
-            let known = view.fleet.known().map(|(_, start)| start.engines.len()).max().unwrap_or(0);
+            let known = view
+                .fleet
+                .known()
+                .map(|(_, start)| start.engines.len())
+                .max()
+                .unwrap_or(0);
             let together = if engines.len() > 1 { " together" } else { "" };
-            format!("{} of {known} engines ended{together} ({subject})", engines.len())
+            format!(
+                "{} of {known} engines ended{together} ({subject})",
+                engines.len()
+            )
         }
         Kind::Drain(_) => format!("{subject} drained"),
         Kind::Quarantine(_) => format!("{subject} was in quarantine"),
@@ -119,11 +141,16 @@
         }
         Kind::Latency(_) => {
             let (peak, usual) = (episode.peak, episode.usual);
-            format!("nine in ten answers of {subject} took up to {peak:.0} ms (usually {usual:.0} ms)")
+            format!(
+                "nine in ten answers of {subject} took up to {peak:.0} ms (usually {usual:.0} ms)"
+            )
         }
         Kind::RosterSilent(_) => format!("the bulletin was out of reach of {subject}"),
         Kind::FloodOfTenant(_) | Kind::FloodOfAddress(_) => {
-            let from = episode.from.map(|from| format!(" from {from}")).unwrap_or_default();
+            let from = episode
+                .from
+                .map(|from| format!(" from {from}"))
+                .unwrap_or_default();
             format!(
                 "{subject} flooded{from}: {:.0} requests a second (usually {:.0})",
                 episode.peak, episode.usual
@@ -131,9 +158,15 @@
         }
         Kind::Gap(_) => {
             let left_out = episode.left_out.map(|entries| {
-                format!(", which left out {}", plural(entries, "entry").replace("entrys", "entries"))
+                format!(
+                    ", which left out {}",
+                    plural(entries, "entry").replace("entrys", "entries")
+                )
             });
-            format!("the record of {subject} has a gap{}", left_out.unwrap_or_default())
+            format!(
+                "the record of {subject} has a gap{}",
+                left_out.unwrap_or_default()
+            )
         }
     }
 }
@@ -152,7 +185,8 @@
 /// What clients may have lost that no record can know: where gateways broke off.
 pub fn unseen(view: &View) -> Option<String> {
     let broken = view.fleet.known().filter(|(_, start)| start.broke_off);
-    let names: std::collections::BTreeSet<&str> = broken.map(|(_, start)| start.name.as_str()).collect();
+    let names: std::collections::BTreeSet<&str> =
+        broken.map(|(_, start)| start.name.as_str()).collect();
     let open = plural(broken_off(view), "request");
     let who = listed(names.iter().map(|name| name.to_string()).collect());
     (!names.is_empty()).then(|| {
@@ -171,7 +205,9 @@
         (totals.no_majority, NotTaken::NoMajority),
     ];
     let told = reasons.iter().filter(|(count, _)| *count > 0);
-    let told: Vec<String> = told.map(|(count, why)| format!("{count} {}", why.name())).collect();
+    let told: Vec<String> = told
+        .map(|(count, why)| format!("{count} {}", why.name()))
+        .collect();
     (!told.is_empty()).then(|| listed(told))
 }
 
@@ -183,19 +219,38 @@
             continue;
         }
         let mut states: std::collections::BTreeMap<&str, Vec<&str>> = Default::default();
-        start.peers.iter().for_each(|(name, state)| states.entry(state).or_default().push(name));
-        let mut parts: Vec<String> =
-            states.iter().map(|(state, names)| format!("{state}: {}", names.join(" "))).collect();
-        parts.extend(start.turned.iter().map(|(name, why)| format!("{name} turned away ({why})")));
-        parts.extend(start.votes.map(|votes| if votes { "votes" } else { "catches up" }.to_string()));
+        start
+            .peers
+            .iter()
+            .for_each(|(name, state)| states.entry(state).or_default().push(name));
+        let mut parts: Vec<String> = states
+            .iter()
+            .map(|(state, names)| format!("{state}: {}", names.join(" ")))
+            .collect();
+        parts.extend(
+            start
+                .turned
+                .iter()
+                .map(|(name, why)| format!("{name} turned away ({why})")),
+        );
+        parts.extend(
+            start
+                .votes
+                .map(|votes| if votes { "votes" } else { "catches up" }.to_string()),
+        );
         if !start.owns.is_empty() {
             let owned = start
                 .owns
                 .iter()
                 .map(|(engine, term)| format!("{} (term {term})", view.fleet.engine(*engine)));
-            parts.push(format!("probes for all {}", owned.collect::<Vec<_>>().join(" ")));
+            parts.push(format!(
+                "probes for all {}",
+                owned.collect::<Vec<_>>().join(" ")
+            ));
         }
-        parts.extend((start.fenced > 0).then(|| format!("turned away {} of late owners", start.fenced)));
+        parts.extend(
+            (start.fenced > 0).then(|| format!("turned away {} of late owners", start.fenced)),
+        );
         parts.extend((start.majority == Some(false)).then(|| "NO MAJORITY".to_string()));
         lines.push(format!("{}: {}", start.name, parts.join("; ")));
     }
@@ -209,10 +264,14 @@
         "of {} requests {} refused{}, {} failed, {} lost{}",
         totals.taken,
         totals.refused,
-        wanting(&totals).map(|reasons| format!(" ({reasons})")).unwrap_or_default(),
+        wanting(&totals)
+            .map(|reasons| format!(" ({reasons})"))
+            .unwrap_or_default(),
         totals.failed,
         totals.lost,
-        unseen(view).map(|unseen| format!("; {unseen}")).unwrap_or_default()
+        unseen(view)
+            .map(|unseen| format!("; {unseen}"))
+            .unwrap_or_default()
     );
     // What explains the others comes first: engines, then who floods, then the roster, then mere symptoms.
     let weight = |episode: &Episode| match episode.kind {
@@ -230,33 +289,55 @@
     let now = view.detector.now();
     let causes = || episodes.iter().filter(|episode| weight(episode) > 1);
     let begin = causes().map(|episode| episode.begin).min().unwrap_or(0);
-    let end = causes().map(|episode| episode.span(now).1).max().unwrap_or(0);
+    let end = causes()
+        .map(|episode| episode.span(now).1)
+        .max()
+        .unwrap_or(0);
     let worst = episodes.iter().filter(|episode| weight(episode) == most);
     let clauses: Vec<String> = worst.take(2).map(|episode| clause(view, episode)).collect();
-    let others =
-        episodes.iter().filter(|episode| weight(episode) < most && weight(episode) > 2).count() as u64;
+    let others = episodes
+        .iter()
+        .filter(|episode| weight(episode) < most && weight(episode) > 2)
+        .count() as u64;
     let more = match others {
         0 => String::new(),
         count => format!("; {} besides", plural(count, "other trouble")),
     };
-    format!("{} to {}: {}{more}; {counts}", clock(begin), clock(end), clauses.join("; "))
+    format!(
+        "{} to {}: {}{more}; {counts}",
+        clock(begin),
+        clock(end),
+        clauses.join("; ")
+    )
 }
 
 /// A sentence for each two troubles at the same time, causes before symptoms.
 pub fn overlaps(view: &View) -> Vec<String> {
     let episodes = &view.detector.episodes;
     let is_cause = |kind: &Kind| {
-        !matches!(kind, Kind::Refusals | Kind::Resends | Kind::Latency(_) | Kind::Quarantine(_))
+        !matches!(
+            kind,
+            Kind::Refusals | Kind::Resends | Kind::Latency(_) | Kind::Quarantine(_)
+        )
     };
     let overlaps = view.detector.overlaps().into_iter();
-    let overlaps =
-        overlaps.filter(|o| is_cause(&episodes[o.first].kind) && is_cause(&episodes[o.second].kind));
+    let overlaps = overlaps
+        .filter(|o| is_cause(&episodes[o.first].kind) && is_cause(&episodes[o.second].kind));
     overlaps
         .map(|o| {
-            let name =
-                |at: usize| format!("{} ({})", episodes[at].kind.word(), subject(view, &episodes[at].kind));
+            let name = |at: usize| {
+                format!(
+                    "{} ({})",
+                    episodes[at].kind.word(),
+                    subject(view, &episodes[at].kind)
+                )
+            };
             let (from, to) = (clock(o.from), clock(o.to));
-            format!("{} and {} overlap from {from} to {to}", name(o.first), name(o.second))
+            format!(
+                "{} and {} overlap from {from} to {to}",
+                name(o.first),
+                name(o.second)
+            )
         })
         .collect()
 }
@@ -285,10 +366,17 @@
     }
     for (source, from, to) in view.detector.gaps() {
         let name = self::source(view, *source);
-        said.push(format!("{name}: not known from {} to {}", clock_ms(*from), clock_ms(*to)));
+        said.push(format!(
+            "{name}: not known from {} to {}",
+            clock_ms(*from),
+            clock_ms(*to)
+        ));
     }
-    let sources: Vec<(usize, &str)> =
-        view.fleet.known().map(|(at, start)| (at, start.name.as_str())).collect();
+    let sources: Vec<(usize, &str)> = view
+        .fleet
+        .known()
+        .map(|(at, start)| (at, start.name.as_str()))
+        .collect();
     for (place, (at, name)) in sources.iter().enumerate().skip(1) {
         let mut before = sources[..place].iter().filter(|(_, other)| other != name);
         let apart = before.find_map(|(of, other)| Some((other, view.skew.ahead(*at, *of)?)));
--- a/crates/report/tests/pages.rs
+++ b/crates/report/tests/pages.rs
@@ -13,7 +13,10 @@
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 20, 20);
     let view = script.finish();
-    assert_eq!(story::headline(&view).split(';').next(), Some("No trouble was found"));
+    assert_eq!(
+        story::headline(&view).split(';').next(),
+        Some("No trouble was found")
+    );
     assert!(page(&view).contains("No trouble was found by its symptoms"));
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 10, 20);
@@ -30,7 +33,10 @@
         ),
         "{head}"
     );
-    assert!(head.contains("of 402 requests 0 refused, 2 failed, 0 lost"), "{head}");
+    assert!(
+        head.contains("of 402 requests 0 refused, 2 failed, 0 lost"),
+        "{head}"
+    );
 }
 
 /// Two gateways of one fleet are killed and come back: their gaps are told once, and what clients lost there is
@@ -51,7 +57,11 @@
         "{head}"
     );
     let page = page(&view);
-    assert_eq!(page.matches("not known from").count(), 2, "each gap once, and not again at every episode");
+    assert_eq!(
+        page.matches("not known from").count(),
+        2,
+        "each gap once, and not again at every episode"
+    );
     assert_eq!(page.matches(story::PARTLY).count(), 1);
 }
 
@@ -61,7 +71,15 @@
     script.calm(0, 0, 5, 10);
     let name = "<script>alert(1)</script>\"'&".to_string();
     let (address, phase) = ("\"><svg onload=x>".to_string(), Phase::Draining);
-    let listed = Listed { engine: 2, name, address, zone: 0, kind: 0, phase, booted_at: 0 };
+    let listed = Listed {
+        engine: 2,
+        name,
+        address,
+        zone: 0,
+        kind: 0,
+        phase,
+        booted_at: 0,
+    };
     script.tell(0, at(2.0), Entry::Host(Host::Engine(listed)));
     let page = page(&script.finish());
     assert!(!page.contains("<script>alert") && !page.contains("<svg onload"));
@@ -78,8 +96,14 @@
         page.matches("<svg viewBox").count(),
         page.matches("role=\"img\"").count() + page.matches("aria-hidden").count()
     );
-    assert_eq!(page.matches("<table").count(), page.matches("<caption>").count());
-    assert_eq!(page.matches("<figure>").count(), page.matches("<figcaption>").count());
+    assert_eq!(
+        page.matches("<table").count(),
+        page.matches("<caption>").count()
+    );
+    assert_eq!(
+        page.matches("<figure>").count(),
+        page.matches("<figcaption>").count()
+    );
     assert!(
         page.contains("lang=\"en\"")
             && page.contains("prefers-color-scheme")
@@ -90,8 +114,14 @@
 #[test]
 fn times_and_numbers_are_said_as_a_person_would() {
     assert_eq!(story::clock_ms(START + 1_234_000), "05:00:01.234");
-    let said = [(5_000, "5 ms"), (1_500_000, "1.5 s"), (180_000_000, "3 min"), (9_000_000_000, "2.5 h")];
-    said.iter().for_each(|(micros, words)| assert_eq!(story::lasting(*micros), *words));
+    let said = [
+        (5_000, "5 ms"),
+        (1_500_000, "1.5 s"),
+        (180_000_000, "3 min"),
+        (9_000_000_000, "2.5 h"),
+    ];
+    said.iter()
+        .for_each(|(micros, words)| assert_eq!(story::lasting(*micros), *words));
     assert_eq!(
         (story::plural(1, "episode"), story::plural(2, "episode")),
         ("1 episode".into(), "2 episodes".into())
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -30,7 +30,11 @@
 impl fmt::Display for Wrong {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match &self.value {
-            Some(value) => write!(f, "setting '{}' has the value '{value}', which is not valid", self.key),
+            Some(value) => write!(
+                f,
+                "setting '{}' has the value '{value}', which is not valid",
+                self.key
+            ),
             None => write!(f, "setting '{}' is missing", self.key),
         }
     }
@@ -60,7 +64,9 @@
     /// From pairs of a dotted path and a value, where lists of plain values are joined with commas.
     pub fn from_pairs<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let leaf = |(path, value): (&str, &str)| (path.to_string(), Leaf::Text(value.to_string()));
-        Tree { leaves: pairs.into_iter().map(leaf).collect() }
+        Tree {
+            leaves: pairs.into_iter().map(leaf).collect(),
+        }
     }
 
     /// From nested JSON with native lists and numbers.
@@ -72,16 +78,28 @@
 
     fn graft(&mut self, path: &str, value: &serde_json::Value) {
         use serde_json::Value;
-        let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+        let below = |name: &str| {
+            if path.is_empty() {
+                name.to_string()
+            } else {
+                format!("{path}.{name}")
+            }
+        };
         let leaf = match value {
             Value::Null => return,
             Value::Object(members) => {
-                members.iter().for_each(|(name, member)| self.graft(&below(name), member));
+                members
+                    .iter()
+                    .for_each(|(name, member)| self.graft(&below(name), member));
                 return;
             }
             Value::Array(items) if items.iter().any(|item| item.is_object() || item.is_array()) => {
-                self.leaves.insert(below("count"), Leaf::Text(items.len().to_string()));
-                items.iter().enumerate().for_each(|(at, item)| self.graft(&below(&at.to_string()), item));
+                self.leaves
+                    .insert(below("count"), Leaf::Text(items.len().to_string()));
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(at, item)| self.graft(&below(&at.to_string()), item));
                 return;
             }
             Value::Array(items) => Leaf::List(items.iter().map(plain).collect()),
@@ -101,9 +119,10 @@
         match self.leaves.get(path) {
             None => Ok(None),
             Some(Leaf::Text(text)) => number(path, text).map(Some),
-            Some(Leaf::List(items)) => {
-                Err(Wrong { key: path.to_string(), value: Some(format!("[{}]", items.join(", "))) })
-            }
+            Some(Leaf::List(items)) => Err(Wrong {
+                key: path.to_string(),
+                value: Some(format!("[{}]", items.join(", "))),
+            }),
         }
     }
 
@@ -131,11 +150,16 @@
     }
 
     fn item<T: Number>(&self, path: &str, index: usize) -> Result<Option<T>, Wrong> {
-        self.list(path).get(index).map(|text| number(path, text)).transpose()
+        self.list(path)
+            .get(index)
+            .map(|text| number(path, text))
+            .transpose()
     }
 
     fn item_flag(&self, path: &str, index: usize) -> Result<bool, Wrong> {
-        self.list(path).get(index).map_or(Ok(false), |text| truth(path, text))
+        self.list(path)
+            .get(index)
+            .map_or(Ok(false), |text| truth(path, text))
     }
 
     /// Places named by position, or by their name in the list at `names`.
@@ -148,19 +172,28 @@
             Some(index) => Ok(index as u32),
             None => number(path, item),
         };
-        self.list(path).into_iter().map(position).collect::<Result<_, _>>().map(Some)
+        self.list(path)
+            .into_iter()
+            .map(position)
+            .collect::<Result<_, _>>()
+            .map(Some)
     }
 }
 
 fn plain(value: &serde_json::Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_string)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string)
 }
 
 fn truth(path: &str, text: &str) -> Result<bool, Wrong> {
     match text {
         "true" | "1" => Ok(true),
         "false" | "0" => Ok(false),
-        other => Err(Wrong { key: path.to_string(), value: Some(other.to_string()) }),
+        other => Err(Wrong {
+            key: path.to_string(),
+            value: Some(other.to_string()),
+        }),
     }
 }
 
@@ -178,7 +211,9 @@
 impl Number for u64 {
     fn read(text: &str) -> Option<Self> {
         let whole = |value: &f64| value.fract() == 0.0 && (0.0..=u64::MAX as f64).contains(value);
-        text.parse().ok().or_else(|| f64::read(text).filter(whole).map(|value| value as u64))
+        text.parse()
+            .ok()
+            .or_else(|| f64::read(text).filter(whole).map(|value| value as u64))
     }
 }
 
@@ -195,7 +230,10 @@
 }
 
 fn number<T: Number>(path: &str, text: &str) -> Result<T, Wrong> {
-    T::read(text).ok_or_else(|| Wrong { key: path.to_string(), value: Some(text.to_string()) })
+    T::read(text).ok_or_else(|| Wrong {
+        key: path.to_string(),
+        value: Some(text.to_string()),
+    })
 }
 
 /// The module's settings; a key that is absent leaves what it names unlimited or off.
@@ -275,14 +313,22 @@
 
 fn tenants(tree: &Tree) -> Result<Vec<Tenant>, Wrong> {
     let quota = |index| tree.or(&format!("orgs.{index}.quota-rps"), f64::INFINITY);
-    (0..tree.or("orgs.count", 0usize)?).map(|index| Ok(Tenant { quota_per_s: quota(index)? })).collect()
+    (0..tree.or("orgs.count", 0usize)?)
+        .map(|index| {
+            Ok(Tenant {
+                quota_per_s: quota(index)?,
+            })
+        })
+        .collect()
 }
 
 fn kinds(tree: &Tree) -> Result<Vec<Kind>, Wrong> {
     let kind = |index| {
         Ok(Kind {
             cores: tree.item("extra.kind-cores", index)?.unwrap_or(1.0),
-            memory_mb: tree.item("extra.kind-memory-mb", index)?.unwrap_or(f64::INFINITY),
+            memory_mb: tree
+                .item("extra.kind-memory-mb", index)?
+                .unwrap_or(f64::INFINITY),
         })
     };
     (0..tree.list("kinds").len().max(1)).map(kind).collect()
@@ -304,21 +350,41 @@
 /// What a host on sockets needs. There is no serving without classes and a
 /// limit on dials, so these must be there.
 pub fn host(tree: &Tree) -> Result<Host, Wrong> {
-    let missing = |key: &str| Wrong { key: key.to_string(), value: None };
-    let count = tree.optional::<usize>("grades.count")?.filter(|&count| count > 0);
+    let missing = |key: &str| Wrong {
+        key: key.to_string(),
+        value: None,
+    };
+    let count = tree
+        .optional::<usize>("grades.count")?
+        .filter(|&count| count > 0);
     let count = count.ok_or_else(|| missing("grades"))?;
     let dial = "limits.dial-timeout-us";
     let class = |index| format!("grades.{index}.name");
-    let name = |path: String| tree.text(&path).map(str::to_string).ok_or_else(|| missing(&path));
+    let name = |path: String| {
+        tree.text(&path)
+            .map(str::to_string)
+            .ok_or_else(|| missing(&path))
+    };
     let tenants = 0..tree.or("orgs.count", 0usize)?;
     let waits = (0..count).map(|index| tree.or(&format!("grades.{index}.deadline-us"), 0));
     Ok(Host {
-        classes: (0..count).map(|index| name(class(index))).collect::<Result<_, _>>()?,
-        tenants: tenants.map(|index| name(format!("orgs.{index}.name"))).collect::<Result<_, _>>()?,
+        classes: (0..count)
+            .map(|index| name(class(index)))
+            .collect::<Result<_, _>>()?,
+        tenants: tenants
+            .map(|index| name(format!("orgs.{index}.name")))
+            .collect::<Result<_, _>>()?,
         zones: tree.names("zones"),
         kinds: tree.names("kinds"),
-        longest_wait: waits.collect::<Result<Vec<_>, _>>()?.into_iter().max().unwrap_or(0),
-        dial_timeout: tree.optional(dial)?.filter(|&limit| limit > 0).ok_or_else(|| missing(dial))?,
+        longest_wait: waits
+            .collect::<Result<Vec<_>, _>>()?
+            .into_iter()
+            .max()
+            .unwrap_or(0),
+        dial_timeout: tree
+            .optional(dial)?
+            .filter(|&limit| limit > 0)
+            .ok_or_else(|| missing(dial))?,
         idle: tree.or("limits.conn-idle-us", 0)?,
         streams: tree.or("limits.streams-per-conn", usize::MAX)?.max(1),
     })
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -14,7 +14,11 @@
     rules.ratio-span-us=1000000 tick-us=5000 zones=hall-1,hall-2";
 
 fn pairs() -> Tree {
-    Tree::from_pairs(PAIRS.split_whitespace().map(|pair| pair.split_once('=').unwrap()))
+    Tree::from_pairs(
+        PAIRS
+            .split_whitespace()
+            .map(|pair| pair.split_once('=').unwrap()),
+    )
 }
 
 fn nested() -> serde_json::Value {
@@ -39,29 +43,55 @@
 #[test]
 fn both_forms_of_the_same_settings_give_the_same() {
     let (flat, nested) = (pairs(), Tree::from_json(&nested()));
-    assert_eq!(format!("{:?}", settings(&flat).unwrap()), format!("{:?}", settings(&nested).unwrap()));
+    assert_eq!(
+        format!("{:?}", settings(&flat).unwrap()),
+        format!("{:?}", settings(&nested).unwrap())
+    );
     assert_eq!(host(&flat).unwrap(), host(&nested).unwrap());
 }
 
 #[test]
 fn values_land_where_they_belong() {
     let read = settings(&pairs()).unwrap();
-    assert_eq!((read.zone, read.peers, read.tick, read.max_attempts), (1, 3.0, 5000, 4));
+    assert_eq!(
+        (read.zone, read.peers, read.tick, read.max_attempts),
+        (1, 3.0, 5000, 4)
+    );
     assert!(
-        read.classes[0].is_load && read.classes[0].effect == Effect::Keyed && read.classes[1].waits_for_load
+        read.classes[0].is_load
+            && read.classes[0].effect == Effect::Keyed
+            && read.classes[1].waits_for_load
+    );
+    assert_eq!(
+        (
+            read.classes[0].kinds_only.as_deref(),
+            read.classes[1].threads
+        ),
+        (Some(&[0][..]), 2.0)
+    );
+    assert_eq!(
+        (read.kinds[1].cores, read.kinds[1].memory_mb),
+        (8.0, 16384.0)
     );
-    assert_eq!((read.classes[0].kinds_only.as_deref(), read.classes[1].threads), (Some(&[0][..]), 2.0));
-    assert_eq!((read.kinds[1].cores, read.kinds[1].memory_mb), (8.0, 16384.0));
     let host = host(&pairs()).unwrap();
-    assert_eq!((host.longest_wait, host.dial_timeout, host.streams), (15_000_000, 250_000, 100));
-    assert_eq!((host.classes[1].as_str(), host.tenants[0].as_str()), ("report", "reefer"));
+    assert_eq!(
+        (host.longest_wait, host.dial_timeout, host.streams),
+        (15_000_000, 250_000, 100)
+    );
+    assert_eq!(
+        (host.classes[1].as_str(), host.tenants[0].as_str()),
+        ("report", "reefer")
+    );
 }
 
 #[test]
 fn places_may_be_named() {
     let mut named = nested();
     named["grades"][0]["kinds-only"] = json!(["node-8"]);
-    assert_eq!(settings(&Tree::from_json(&named)).unwrap().classes[0].kinds_only, Some(vec![1]));
+    assert_eq!(
+        settings(&Tree::from_json(&named)).unwrap().classes[0].kinds_only,
+        Some(vec![1])
+    );
 }
 
 #[test]
@@ -75,13 +105,22 @@
         wrong("/tick-us", json!("soon")),
         "setting 'tick-us' has the value 'soon', which is not valid"
     );
-    assert_eq!(wrong("/tick-us", json!(1.5)), "setting 'tick-us' has the value '1.5', which is not valid");
+    assert_eq!(
+        wrong("/tick-us", json!(1.5)),
+        "setting 'tick-us' has the value '1.5', which is not valid"
+    );
     assert!(wrong("/az", json!(-1)).contains("'az'"));
     assert!(wrong("/limits/may-cancel", json!("maybe")).contains("'limits.may-cancel'"));
     assert!(wrong("/grades/0/kinds-only", json!(["node-9"])).contains("'grades.0.kinds-only'"));
     assert!(wrong("/extra/kind-cores", json!(["many", 8])).contains("'extra.kind-cores'"));
     let none = host(&Tree::default()).unwrap_err();
-    assert_eq!(none, Wrong { key: "grades".into(), value: None });
+    assert_eq!(
+        none,
+        Wrong {
+            key: "grades".into(),
+            value: None
+        }
+    );
     let mut endless = nested();
     endless["limits"] = json!({});
     let error = host(&Tree::from_json(&endless)).unwrap_err().to_string();
--- a/crates/spool/benches/choices.rs
+++ b/crates/spool/benches/choices.rs
@@ -68,14 +68,27 @@
                 _ => (2, 8e6),
             };
             let size = (median * (0.5 + rng.f64())) as u64;
-            let tenant = if class > 0 && rng.f64() < 0.6 { 0 } else { rng.usize(1..6) };
-            let owner = Owner { tenant: tenant as u32, address: tenant as u64 };
+            let tenant = if class > 0 && rng.f64() < 0.6 {
+                0
+            } else {
+                rng.usize(1..6)
+            };
+            let owner = Owner {
+                tenant: tenant as u32,
+                address: tenant as u64,
+            };
             let small = class == 0;
             counted.small += small as u64;
             counted.large += !small as u64;
             counted.others += (!small && tenant != 0) as u64;
-            let expected = if by_size { sizes.expected(class, tenant, USUAL) } else { USUAL };
-            let Admission::Yes { dropping } = spool.admit(owner, expected, now) else { continue };
+            let expected = if by_size {
+                sizes.expected(class, tenant, USUAL)
+            } else {
+                USUAL
+            };
+            let Admission::Yes { dropping } = spool.admit(owner, expected, now) else {
+                continue;
+            };
             for id in dropping {
                 spool.drop(id, now);
                 // Its client may still come for it.
@@ -87,17 +100,30 @@
             let rate = if rng.f64() < 0.7 { FAST } else { SLOW };
             // Some come back for theirs.
             let reads_at = now + if rng.f64() < 0.1 { 8_000_000 } else { 0 };
-            runs.insert(next, Run { size, come: 0, read: 0, rate, reads_at, class, tenant, open: false });
+            runs.insert(
+                next,
+                Run {
+                    size,
+                    come: 0,
+                    read: 0,
+                    rate,
+                    reads_at,
+                    class,
+                    tenant,
+                    open: false,
+                },
+            );
         }
         let step = STEP as f64 / 1e6;
         let mut over = Vec::new();
         for (id, run) in &mut runs {
             // From the engine.
-            let mut room = ((ENGINE * step) as u64).min(spool.ahead(*id).max(if run.come < run.size {
-                PAGE
-            } else {
-                0
-            }));
+            let mut room =
+                ((ENGINE * step) as u64).min(spool.ahead(*id).max(if run.come < run.size {
+                    PAGE
+                } else {
+                    0
+                }));
             let mut failed = false;
             while run.come < run.size && room > 0 && !failed {
                 let bytes = PAGE.min(run.size - run.come);
@@ -161,11 +187,40 @@
     let all = Policy::default();
     let variants = [
         ("all choices", all, true),
-        ("no reserve", Policy { reserve: 0.0, ..all }, true),
-        ("no shares", Policy { shares: false, ..all }, true),
-        ("longest unused out", Policy { by_value: false, ..all }, true),
+        (
+            "no reserve",
+            Policy {
+                reserve: 0.0,
+                ..all
+            },
+            true,
+        ),
+        (
+            "no shares",
+            Policy {
+                shares: false,
+                ..all
+            },
+            true,
+        ),
+        (
+            "longest unused out",
+            Policy {
+                by_value: false,
+                ..all
+            },
+            true,
+        ),
         ("not by size", all, false),
-        ("all plain", Policy { reserve: 0.0, shares: false, by_value: false }, false),
+        (
+            "all plain",
+            Policy {
+                reserve: 0.0,
+                shares: false,
+                by_value: false,
+            },
+            false,
+        ),
     ];
     let mut bars = Vec::new();
     for (name, policy, by_size) in variants {
@@ -202,8 +257,16 @@
 fn draw(path: &str, bars: &[(&str, [f64; 3])]) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(path, (900, 360)).into_drawing_area();
     root.fill(&WHITE)?;
-    let styles = [RGBColor(31, 111, 178), RGBColor(47, 125, 79), RGBColor(179, 38, 30)];
-    let names = ["small served, %", "large served, %", "engines' bytes for nothing, %"];
+    let styles = [
+        RGBColor(31, 111, 178),
+        RGBColor(47, 125, 79),
+        RGBColor(179, 38, 30),
+    ];
+    let names = [
+        "small served, %",
+        "large served, %",
+        "engines' bytes for nothing, %",
+    ];
     let mut chart = ChartBuilder::on(&root)
         .caption(
             "Choices of the spool, each replaced by a plain one (simulated, ten seeds)",
@@ -218,14 +281,19 @@
         .disable_x_mesh()
         .x_labels(2 * bars.len() + 1)
         .x_label_formatter(&|x| match (x.fract() - 0.5).abs() < 0.01 {
-            true => bars.get(*x as usize).map_or(String::new(), |(name, _)| name.to_string()),
+            true => bars
+                .get(*x as usize)
+                .map_or(String::new(), |(name, _)| name.to_string()),
             false => String::new(),
         })
         .draw()?;
     for (number, (style, name)) in styles.into_iter().zip(names).enumerate() {
         let bar = |(at, (_, figures)): (usize, &(&str, [f64; 3]))| {
             let from = at as f64 + 0.12 + 0.26 * number as f64;
-            Rectangle::new([(from, 0.0), (from + 0.24, figures[number])], style.filled())
+            Rectangle::new(
+                [(from, 0.0), (from + 0.24, figures[number])],
+                style.filled(),
+            )
         };
         chart
             .draw_series(bars.iter().enumerate().map(bar))?
--- a/crates/spool/src/returns.rs
+++ b/crates/spool/src/returns.rs
@@ -47,7 +47,12 @@
 
 impl<W: PartialEq, A: Clone> Returns<W, A> {
     pub fn new() -> Self {
-        Returns { runs: BTreeMap::new(), gone: BTreeMap::new(), order: VecDeque::new(), dropped: 0 }
+        Returns {
+            runs: BTreeMap::new(),
+            gone: BTreeMap::new(),
+            order: VecDeque::new(),
+            dropped: 0,
+        }
     }
 
     /// Runs that go on or whose answers are kept, and names known as gone.
@@ -120,7 +125,9 @@
         self.gone.insert(name.into(), self.dropped);
         self.order.push_back((name.into(), self.dropped));
         while self.gone.len() > MOST_GONE || self.order.len() > 2 * MOST_GONE {
-            let Some((name, number)) = self.order.pop_front() else { return };
+            let Some((name, number)) = self.order.pop_front() else {
+                return;
+            };
             // It may have been dropped once more since.
             if self.gone.get(&name) == Some(&number) {
                 self.gone.remove(&name);
@@ -139,16 +146,27 @@
         assert_eq!(returns.arrives("a", 1), Arrival::First);
         assert_eq!(returns.arrives("a", 2), Arrival::Attached);
         assert_eq!(returns.arrives("b", 3), Arrival::First);
-        assert!(!returns.leaves("a", &1), "the first connection broke, the second waits");
+        assert!(
+            !returns.leaves("a", &1),
+            "the first connection broke, the second waits"
+        );
         assert_eq!(returns.ends("a", "result 7"), [2]);
-        assert_eq!(returns.ends("a", "result 8"), [] as [u32; 0], "it ends once");
+        assert_eq!(
+            returns.ends("a", "result 8"),
+            [] as [u32; 0],
+            "it ends once"
+        );
         assert_eq!(returns.arrives("a", 4), Arrival::Answered("result 7"));
         returns.drops("a");
         assert_eq!(returns.arrives("a", 5), Arrival::Gone);
         assert!(returns.leaves("b", &3), "nobody waits, it runs on");
         assert_eq!(returns.arrives("b", 6), Arrival::Attached);
         assert_eq!(returns.refused("b"), [6]);
-        assert_eq!(returns.arrives("b", 7), Arrival::First, "what never ran may run");
+        assert_eq!(
+            returns.arrives("b", 7),
+            Arrival::First,
+            "what never ran may run"
+        );
     }
 
     #[test]
@@ -162,7 +180,9 @@
         }
         assert_eq!(returns.len(), (0, MOST_GONE));
         assert_eq!(returns.arrives("99999", 0), Arrival::Gone);
-        let crowded = (0..100).filter(|who| returns.arrives("one", *who) == Arrival::Crowded).count();
+        let crowded = (0..100)
+            .filter(|who| returns.arrives("one", *who) == Arrival::Crowded)
+            .count();
         assert_eq!(crowded, 100 - MOST_WAITING);
     }
 }
--- a/crates/spool/src/segments.rs
+++ b/crates/spool/src/segments.rs
@@ -28,7 +28,12 @@
 impl Segments {
     /// A segment takes pages until it has this size.
     pub fn new(size: u64) -> Self {
-        Segments { size, next: 1, open: None, wanted: BTreeMap::new() }
+        Segments {
+            size,
+            next: 1,
+            open: None,
+            wanted: BTreeMap::new(),
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -48,7 +53,11 @@
             self.next += 1;
         }
         let (segment, used) = self.open.get_or_insert((0, 0));
-        let place = Place { segment: *segment, offset: *used, length };
+        let place = Place {
+            segment: *segment,
+            offset: *used,
+            length,
+        };
         *used += (HEAD as u64) + length as u64;
         *self.wanted.entry(place.segment).or_default() += length as u64;
         (place, begins)
@@ -69,9 +78,13 @@
     }
 
     fn sweep(&mut self, segment: u64) -> Option<u64> {
-        let open = self.open.is_some_and(|(open, used)| open == segment && used < self.size);
+        let open = self
+            .open
+            .is_some_and(|(open, used)| open == segment && used < self.size);
         let unwanted = self.wanted.get(&segment) == Some(&0);
-        (unwanted && !open).then(|| self.wanted.remove(&segment).map(|_| segment)).flatten()
+        (unwanted && !open)
+            .then(|| self.wanted.remove(&segment).map(|_| segment))
+            .flatten()
     }
 }
 
--- a/crates/spool/src/size.rs
+++ b/crates/spool/src/size.rs
@@ -31,7 +31,12 @@
 
 impl Sketch {
     fn new() -> Self {
-        Sketch { weights: [0.0; STEPS], seen: 0, next: 1.0, used: 0 }
+        Sketch {
+            weights: [0.0; STEPS],
+            seen: 0,
+            next: 1.0,
+            used: 0,
+        }
     }
 
     fn learn(&mut self, bytes: u64) {
@@ -40,7 +45,9 @@
         self.seen = self.seen.saturating_add(1);
         self.next *= GROWTH;
         if self.next > MOST_WEIGHT {
-            self.weights.iter_mut().for_each(|weight| *weight /= MOST_WEIGHT as f32);
+            self.weights
+                .iter_mut()
+                .for_each(|weight| *weight /= MOST_WEIGHT as f32);
             self.next /= MOST_WEIGHT;
         }
     }
@@ -74,12 +81,22 @@
 impl Sizes {
     pub fn learn(&mut self, class: usize, tenant: usize, bytes: u64) {
         self.clock += 1;
-        self.classes.entry(class).or_insert_with(Sketch::new).learn(bytes);
+        self.classes
+            .entry(class)
+            .or_insert_with(Sketch::new)
+            .learn(bytes);
         if self.pairs.len() >= MOST_PAIRS && !self.pairs.contains_key(&(class, tenant)) {
-            let oldest = self.pairs.iter().min_by_key(|(_, sketch)| sketch.used).map(|(pair, _)| *pair);
+            let oldest = self
+                .pairs
+                .iter()
+                .min_by_key(|(_, sketch)| sketch.used)
+                .map(|(pair, _)| *pair);
             oldest.map(|pair| self.pairs.remove(&pair));
         }
-        let pair = self.pairs.entry((class, tenant)).or_insert_with(Sketch::new);
+        let pair = self
+            .pairs
+            .entry((class, tenant))
+            .or_insert_with(Sketch::new);
         pair.used = self.clock;
         pair.learn(bytes);
     }
@@ -93,8 +110,15 @@
 
     /// What a result is to be promised: by its class and tenant, else its class, else what is usual.
     pub fn expected(&self, class: usize, tenant: usize, usual: u64) -> u64 {
-        let pair = self.pairs.get(&(class, tenant)).and_then(|sketch| sketch.quantile(QUANTILE));
-        let of_class = || self.classes.get(&class).and_then(|sketch| sketch.quantile(QUANTILE));
+        let pair = self
+            .pairs
+            .get(&(class, tenant))
+            .and_then(|sketch| sketch.quantile(QUANTILE));
+        let of_class = || {
+            self.classes
+                .get(&class)
+                .and_then(|sketch| sketch.quantile(QUANTILE))
+        };
         pair.or_else(of_class).unwrap_or(usual)
     }
 }
@@ -109,7 +133,11 @@
         assert_eq!(sizes.expected(1, 1, 777), 777);
         (0..100).for_each(|n| sizes.learn(1, 1, 10_000 + n * 100));
         let near = |told: u64, wanted: f64| (0.8..1.3).contains(&(told as f64 / wanted));
-        assert!(near(sizes.expected(1, 1, 0), 19_500.0), "{}", sizes.expected(1, 1, 0));
+        assert!(
+            near(sizes.expected(1, 1, 0), 19_500.0),
+            "{}",
+            sizes.expected(1, 1, 0)
+        );
         assert!(near(sizes.expected(1, 2, 0), 19_500.0), "its class's");
         assert_eq!(sizes.expected(2, 1, 5), 5);
         (0..1500).for_each(|_| sizes.learn(1, 1, 50_000_000));
@@ -123,6 +151,9 @@
         let mut sketch = Sketch::new();
         (0..1_000_000u64).for_each(|n| sketch.learn(if n % 2 == 0 { 4096 } else { 1 << 20 }));
         let (low, high) = (sketch.quantile(0.4).unwrap(), sketch.quantile(0.9).unwrap());
-        assert!((4096..6000).contains(&low) && (1 << 20..2_000_000).contains(&high), "{low} {high}");
+        assert!(
+            (4096..6000).contains(&low) && (1 << 20..2_000_000).contains(&high),
+            "{low} {high}"
+        );
     }
 }
