--- a/crates/spool/src/state.rs
+++ b/crates/spool/src/state.rs
@@ -43,7 +43,10 @@
     /// There is room, once these are dropped.
     Yes { dropping: Vec<ResultId> },
     /// When to come back, by how fast room comes free; nothing where that is of no use.
-    No { why: Refusal, retry_after: Option<Micros> },
+    No {
+        why: Refusal,
+        retry_after: Option<Micros>,
+    },
 }
 
 /// What the host is to do with pages.
@@ -132,7 +135,11 @@
 
 impl Default for Policy {
     fn default() -> Self {
-        Policy { reserve: RESERVE, shares: true, by_value: true }
+        Policy {
+            reserve: RESERVE,
+            shares: true,
+            by_value: true,
+        }
     }
 }
 
@@ -226,7 +233,11 @@
             return no(Refusal::TooLarge, None);
         }
         let total = self.total(now);
-        let kept_back = if expected <= SMALL { 0 } else { (total as f64 * self.policy.reserve) as u64 };
+        let kept_back = if expected <= SMALL {
+            0
+        } else {
+            (total as f64 * self.policy.reserve) as u64
+        };
         let room = total.saturating_sub(kept_back);
         let wanted = self.claims + expected;
         let (mut dropping, mut freed) = (Vec::new(), 0);
@@ -244,13 +255,16 @@
                 if of_tenant + of_address == 0 {
                     break;
                 }
-                let Some(held) = self.results.get(id) else { continue };
+                let Some(held) = self.results.get(id) else {
+                    continue;
+                };
                 let helps = (held.owner.tenant == owner.tenant && of_tenant > 0)
                     || (held.owner.address == owner.address && of_address > 0);
                 if helps {
                     let own = |same: bool| if same { held.bytes } else { 0 };
                     of_tenant = of_tenant.saturating_sub(own(held.owner.tenant == owner.tenant));
-                    of_address = of_address.saturating_sub(own(held.owner.address == owner.address));
+                    of_address =
+                        of_address.saturating_sub(own(held.owner.address == owner.address));
                     dropping.push(*id);
                     freed += held.bytes;
                 }
@@ -266,10 +280,14 @@
         let mut leaving = self.leaving.iter();
         let full = self.results.len() >= MOST_RESULTS;
         while short > 0 || (full && dropping.is_empty()) {
-            let last =
-                |held: &Held, unclaimed: bool| !unclaimed || held.touched_at + self.budget.unclaimed <= now;
+            let last = |held: &Held, unclaimed: bool| {
+                !unclaimed || held.touched_at + self.budget.unclaimed <= now
+            };
             let next = leaving.next().and_then(|(unclaimed, _, id)| {
-                self.results.get(id).filter(|held| last(held, *unclaimed)).map(|held| (*id, held.bytes))
+                self.results
+                    .get(id)
+                    .filter(|held| last(held, *unclaimed))
+                    .map(|held| (*id, held.bytes))
             });
             let Some((id, bytes)) = next else {
                 return no(Refusal::Full, Some(self.advice(short)));
@@ -323,7 +341,13 @@
     /// filled, yet no faster than memory takes it: a slow reader's engine reads on into the disk and is
     /// free all the same.
     pub fn ahead(&self, id: ResultId) -> u64 {
-        let Some(held) = self.results.get(&id).filter(|held| held.state == State::Filling) else { return 0 };
+        let Some(held) = self
+            .results
+            .get(&id)
+            .filter(|held| held.state == State::Filling)
+        else {
+            return 0;
+        };
         let left = held.promised.saturating_sub(held.bytes);
         let free = self.budget.memory.saturating_sub(self.memory);
         // Who is near the end of what was promised goes on page by page: more is asked for as it comes.
@@ -333,7 +357,11 @@
     /// A page has come. An error: the result can't be kept, which is its failure.
     pub fn page(&mut self, id: ResultId, bytes: u64, now: Micros) -> Result<(), Refusal> {
         let total = self.total(now);
-        let Some(held) = self.results.get_mut(&id).filter(|held| held.state == State::Filling) else {
+        let Some(held) = self
+            .results
+            .get_mut(&id)
+            .filter(|held| held.state == State::Filling)
+        else {
             return Ok(());
         };
         let before = held.claim();
@@ -346,7 +374,10 @@
         }
         held.bytes += bytes;
         held.in_memory += bytes;
-        held.pages.push(Page { bytes, tier: Tier::Memory });
+        held.pages.push(Page {
+            bytes,
+            tier: Tier::Memory,
+        });
         held.touched_at = now;
         let owner = held.owner;
         self.memory += bytes;
@@ -357,7 +388,11 @@
 
     /// No more pages come: it is whole, or it has failed.
     pub fn end(&mut self, id: ResultId, whole: bool, now: Micros) {
-        let Some(held) = self.results.get_mut(&id).filter(|held| held.state == State::Filling) else {
+        let Some(held) = self
+            .results
+            .get_mut(&id)
+            .filter(|held| held.state == State::Filling)
+        else {
             return;
         };
         let before = held.claim();
@@ -373,7 +408,8 @@
     fn file(&mut self, id: ResultId) {
         if let Some(held) = self.results.get(&id).filter(|held| held.droppable()) {
             // A failed one is of no more use once it was told, so it goes like one delivered.
-            let unclaimed = self.policy.by_value && !(held.delivered || held.state == State::Failed);
+            let unclaimed =
+                self.policy.by_value && !(held.delivered || held.state == State::Failed);
             self.leaving.insert((unclaimed, held.touched_at, id));
         }
     }
@@ -389,7 +425,9 @@
     /// A client reads from now on, until [`Spool::close`]: meanwhile the result stays.
     pub fn open(&mut self, id: ResultId, now: Micros) -> bool {
         self.unfile(id);
-        let Some(held) = self.results.get_mut(&id) else { return false };
+        let Some(held) = self.results.get_mut(&id) else {
+            return false;
+        };
         held.readers += 1;
         held.touched_at = now;
         true
@@ -409,13 +447,20 @@
 
     /// Where a page is, for one who reads it now.
     pub fn read(&mut self, id: ResultId, page: usize, now: Micros) -> PageIs {
-        let Some(held) = self.results.get_mut(&id) else { return PageIs::Gone };
+        let Some(held) = self.results.get_mut(&id) else {
+            return PageIs::Gone;
+        };
         if held.readers > 0 {
             held.touched_at = now;
         }
         held.next = held.next.max(page + 1);
         match (held.pages.get(page), held.state) {
-            (Some(Page { tier: Tier::Disk, .. }), _) => PageIs::Disk,
+            (
+                Some(Page {
+                    tier: Tier::Disk, ..
+                }),
+                _,
+            ) => PageIs::Disk,
             (Some(_), _) => PageIs::Memory,
             (None, State::Filling) => PageIs::NotYet,
             (None, State::Whole) => PageIs::NoSuch,
@@ -451,7 +496,14 @@
                     (true, true) => return None,
                 };
                 let distance = at.abs_diff(held.next);
-                Some((order, since, std::cmp::Reverse(distance), id, at, page.bytes))
+                Some((
+                    order,
+                    since,
+                    std::cmp::Reverse(distance),
+                    id,
+                    at,
+                    page.bytes,
+                ))
             })
             .collect();
         pages.sort_unstable();
@@ -469,7 +521,12 @@
 
     fn pages(&self) -> impl Iterator<Item = (ResultId, usize, Page)> + '_ {
         let in_memory = self.results.iter().filter(|(_, held)| held.in_memory > 0);
-        in_memory.flat_map(|(id, held)| held.pages.iter().enumerate().map(|(at, page)| (*id, at, *page)))
+        in_memory.flat_map(|(id, held)| {
+            held.pages
+                .iter()
+                .enumerate()
+                .map(|(at, page)| (*id, at, *page))
+        })
     }
 
     fn page_mut(&mut self, id: ResultId, page: usize) -> Option<&mut Page> {
@@ -478,7 +535,10 @@
 
     /// A page is being written: it counts in both places until [`Spool::moved`].
     pub fn moving(&mut self, id: ResultId, page: usize) {
-        if let Some(page) = self.page_mut(id, page).filter(|page| page.tier == Tier::Memory) {
+        if let Some(page) = self
+            .page_mut(id, page)
+            .filter(|page| page.tier == Tier::Memory)
+        {
             page.tier = Tier::Moving;
             let bytes = page.bytes;
             self.disk += bytes;
@@ -497,13 +557,18 @@
         if !written {
             self.disk_fails_until = Some(again_at);
         }
-        if let Some(page) = self.page_mut(id, page).filter(|page| page.tier == Tier::Moving) {
+        if let Some(page) = self
+            .page_mut(id, page)
+            .filter(|page| page.tier == Tier::Moving)
+        {
             page.tier = if written { Tier::Disk } else { Tier::Memory };
             let bytes = page.bytes;
             self.moving -= bytes;
             if written {
                 self.memory -= bytes;
-                self.results.entry(id).and_modify(|held| held.in_memory -= bytes);
+                self.results
+                    .entry(id)
+                    .and_modify(|held| held.in_memory -= bytes);
             } else {
                 self.disk -= bytes;
             }
@@ -515,7 +580,11 @@
     /// When a result's time is over, unless it is used until then.
     pub fn expires(&self, id: ResultId) -> Option<Micros> {
         let held = self.results.get(&id).filter(|held| held.droppable())?;
-        let keeps = if held.delivered { self.budget.delivered } else { self.budget.unclaimed };
+        let keeps = if held.delivered {
+            self.budget.delivered
+        } else {
+            self.budget.unclaimed
+        };
         Some(held.touched_at + keeps)
     }
 
@@ -525,11 +594,25 @@
             return false;
         }
         self.unfile(id);
-        let Some(held) = self.results.remove(&id) else { return false };
+        let Some(held) = self.results.remove(&id) else {
+            return false;
+        };
         for page in &held.pages {
-            self.memory -= if page.tier == Tier::Disk { 0 } else { page.bytes };
-            self.disk -= if page.tier == Tier::Memory { 0 } else { page.bytes };
-            self.moving -= if page.tier == Tier::Moving { page.bytes } else { 0 };
+            self.memory -= if page.tier == Tier::Disk {
+                0
+            } else {
+                page.bytes
+            };
+            self.disk -= if page.tier == Tier::Memory {
+                0
+            } else {
+                page.bytes
+            };
+            self.moving -= if page.tier == Tier::Moving {
+                page.bytes
+            } else {
+                0
+            };
         }
         self.unclaim(held.owner, held.claim());
         let passed = now.saturating_sub(self.drained_at) as f64;
--- a/crates/spool/src/token.rs
+++ b/crates/spool/src/token.rs
@@ -38,8 +38,12 @@
 impl Keys {
     /// From secrets of any length; without a previous one only the current is taken.
     pub fn new(current: &str, previous: Option<&str>) -> Self {
-        let key = |secret: &str| blake3::derive_key("eideryard 2026 page tokens", secret.as_bytes());
-        Keys { current: key(current), previous: key(previous.unwrap_or(current)) }
+        let key =
+            |secret: &str| blake3::derive_key("eideryard 2026 page tokens", secret.as_bytes());
+        Keys {
+            current: key(current),
+            previous: key(previous.unwrap_or(current)),
+        }
     }
 
     fn mac(key: &[u8; 32], body: &[u8], client: &str) -> blake3::Hash {
@@ -65,7 +69,13 @@
     }
 
     /// Both keys are tried and all of it is hashed, whatever comes.
-    pub fn read(&self, text: &str, client: &str, epoch: Micros, now: Micros) -> Result<Token, Wrong> {
+    pub fn read(
+        &self,
+        text: &str,
+        client: &str,
+        epoch: Micros,
+        now: Micros,
+    ) -> Result<Token, Wrong> {
         let mut bytes = [0; BODY + MAC];
         // Something of the right length that is no token is checked like one.
         let mut padded = [b'A'; LENGTH];
@@ -83,9 +93,20 @@
         if !(known & decoded & (by_current | by_previous)) {
             return Err(Wrong::Forged);
         }
-        let long = |at: usize| bytes[at..].first_chunk().map_or(0, |bytes| u64::from_le_bytes(*bytes));
-        let page = bytes[16..].first_chunk().map_or(0, |bytes| u32::from_le_bytes(*bytes));
-        let token = Token { result: long(0), epoch: long(8), page, expires: long(20) };
+        let long = |at: usize| {
+            bytes[at..]
+                .first_chunk()
+                .map_or(0, |bytes| u64::from_le_bytes(*bytes))
+        };
+        let page = bytes[16..]
+            .first_chunk()
+            .map_or(0, |bytes| u32::from_le_bytes(*bytes));
+        let token = Token {
+            result: long(0),
+            epoch: long(8),
+            page,
+            expires: long(20),
+        };
         match token {
             token if token.epoch != epoch => Err(Wrong::Gone),
             token if token.expires <= now => Err(Wrong::Expired),
@@ -98,7 +119,12 @@
 mod tests {
     use super::*;
 
-    const TOKEN: Token = Token { result: 7 << 32 | 3, epoch: 1_000, page: 12, expires: 5_000 };
+    const TOKEN: Token = Token {
+        result: 7 << 32 | 3,
+        epoch: 1_000,
+        page: 12,
+        expires: 5_000,
+    };
 
     #[test]
     fn a_token_names_its_page_and_keys_are_rotated() {
@@ -108,9 +134,17 @@
         let text = old.write(&TOKEN, "acme");
         assert_eq!(text.len(), LENGTH);
         assert_eq!(old.read(&text, "acme", 1_000, 4_999), Ok(TOKEN));
-        assert_eq!(new.read(&text, "acme", 1_000, 4_999), Ok(TOKEN), "the key before is taken too");
+        assert_eq!(
+            new.read(&text, "acme", 1_000, 4_999),
+            Ok(TOKEN),
+            "the key before is taken too"
+        );
         assert_eq!(newest.read(&text, "acme", 1_000, 4_999), Err(Wrong::Forged));
-        assert_eq!(old.read(&text, "rival", 1_000, 4_999), Err(Wrong::Forged), "another client's");
+        assert_eq!(
+            old.read(&text, "rival", 1_000, 4_999),
+            Err(Wrong::Forged),
+            "another client's"
+        );
         assert_eq!(old.read(&text, "acme", 1_000, 5_000), Err(Wrong::Expired));
         assert_eq!(old.read(&text, "acme", 2_000, 4_999), Err(Wrong::Gone));
     }
@@ -123,11 +157,23 @@
             let mut bytes = text.clone().into_bytes();
             bytes[at] = if bytes[at] == b'A' { b'B' } else { b'A' };
             let changed = String::from_utf8(bytes).unwrap();
-            assert_eq!(keys.read(&changed, "acme", 1_000, 0), Err(Wrong::Forged), "{at}");
+            assert_eq!(
+                keys.read(&changed, "acme", 1_000, 0),
+                Err(Wrong::Forged),
+                "{at}"
+            );
         }
-        let long = [text.clone() + "A", "é".repeat(LENGTH / 2), "=".repeat(LENGTH)];
+        let long = [
+            text.clone() + "A",
+            "é".repeat(LENGTH / 2),
+            "=".repeat(LENGTH),
+        ];
         for text in ["", "x", &text[1..], &long[0], &long[1], &long[2]] {
-            assert_eq!(keys.read(text, "acme", 1_000, 0), Err(Wrong::Forged), "{text}");
+            assert_eq!(
+                keys.read(text, "acme", 1_000, 0),
+                Err(Wrong::Forged),
+                "{text}"
+            );
         }
     }
 }
--- a/crates/spool/src/worker.rs
+++ b/crates/spool/src/worker.rs
@@ -21,9 +21,21 @@
 
 #[derive(Debug)]
 pub enum Order {
-    Write { result: ResultId, page: u32, place: Place, begins: bool, bytes: Vec<u8> },
-    Read { result: ResultId, page: u32, place: Place },
-    Remove { segment: u64 },
+    Write {
+        result: ResultId,
+        page: u32,
+        place: Place,
+        begins: bool,
+        bytes: Vec<u8>,
+    },
+    Read {
+        result: ResultId,
+        page: u32,
+        place: Place,
+    },
+    Remove {
+        segment: u64,
+    },
 }
 
 /// What came of an order.
@@ -61,13 +73,22 @@
 impl Disk for Directory {
     fn list(&mut self) -> io::Result<Vec<String>> {
         std::fs::create_dir_all(&self.0)?;
-        let names = std::fs::read_dir(&self.0)?.map(|file| Ok(file?.file_name().into_string().ok()));
-        Ok(names.collect::<io::Result<Vec<_>>>()?.into_iter().flatten().collect())
+        let names =
+            std::fs::read_dir(&self.0)?.map(|file| Ok(file?.file_name().into_string().ok()));
+        Ok(names
+            .collect::<io::Result<Vec<_>>>()?
+            .into_iter()
+            .flatten()
+            .collect())
     }
 
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>> {
         std::fs::create_dir_all(&self.0)?;
-        let file = OpenOptions::new().read(true).write(true).create_new(true).open(self.0.join(name))?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .open(self.0.join(name))?;
         Ok(Box::new(file))
     }
 
@@ -104,15 +125,27 @@
         let (orders, to_do) = sync_channel(MOST_ORDERS);
         // Each order brings one answer at the most, and the loop takes them at each look.
         let (tell, done) = sync_channel(2 * MOST_ORDERS);
-        let own = Own { disk, prefix: format!("{PREFIX}{name}-"), epoch, open: BTreeMap::new() };
-        let thread =
-            std::thread::Builder::new().name("spool".into()).spawn(move || own.run(to_do, tell, wake))?;
-        Ok(Worker { orders: Some(orders), done, thread: Some(thread) })
+        let own = Own {
+            disk,
+            prefix: format!("{PREFIX}{name}-"),
+            epoch,
+            open: BTreeMap::new(),
+        };
+        let thread = std::thread::Builder::new()
+            .name("spool".into())
+            .spawn(move || own.run(to_do, tell, wake))?;
+        Ok(Worker {
+            orders: Some(orders),
+            done,
+            thread: Some(thread),
+        })
     }
 
     /// Gives the order back where too many wait.
     pub fn order(&self, order: Order) -> Result<(), Order> {
-        let Some(orders) = &self.orders else { return Err(order) };
+        let Some(orders) = &self.orders else {
+            return Err(order);
+        };
         orders.try_send(order).map_err(|e| match e {
             TrySendError::Full(order) | TrySendError::Disconnected(order) => order,
         })
@@ -132,7 +165,8 @@
         self.done = sync_channel(0).1;
         // Whatever the disk does, the program's end waits for it no longer than this.
         let (until, thread) = (Instant::now() + LAST_WORK, self.thread.take());
-        while thread.as_ref().is_some_and(|thread| !thread.is_finished()) && Instant::now() < until {
+        while thread.as_ref().is_some_and(|thread| !thread.is_finished()) && Instant::now() < until
+        {
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -154,13 +188,32 @@
         self.clean();
         while let Ok(order) = orders.recv() {
             let done = match order {
-                Order::Write { result, page, place, begins, bytes } => {
+                Order::Write {
+                    result,
+                    page,
+                    place,
+                    begins,
+                    bytes,
+                } => {
                     let outcome = self.write(result, page, place, begins, &bytes);
-                    Done::Written { result, page, place, outcome }
+                    Done::Written {
+                        result,
+                        page,
+                        place,
+                        outcome,
+                    }
                 }
-                Order::Read { result, page, place } => {
+                Order::Read {
+                    result,
+                    page,
+                    place,
+                } => {
                     let outcome = self.read(result, page, place);
-                    Done::Read { result, page, outcome }
+                    Done::Read {
+                        result,
+                        page,
+                        outcome,
+                    }
                 }
                 Order::Remove { segment } => {
                     self.open.remove(&segment);
@@ -185,9 +238,15 @@
     /// Removes what an earlier start left: its results went with it.
     fn clean(&mut self) {
         let names = self.disk.list().unwrap_or_default();
-        let left: Vec<String> = names.into_iter().filter(|name| name.starts_with(&self.prefix)).collect();
+        let left: Vec<String> = names
+            .into_iter()
+            .filter(|name| name.starts_with(&self.prefix))
+            .collect();
         if !left.is_empty() {
-            log::info!("{} files of an earlier start are removed from the spool", left.len());
+            log::info!(
+                "{} files of an earlier start are removed from the spool",
+                left.len()
+            );
         }
         for name in left {
             if let Err(e) = self.disk.remove(&name) {
@@ -221,7 +280,14 @@
         let segment = self.open.get_mut(&place.segment).ok_or_else(lost)?;
         let mut whole = vec![0; HEAD + place.length as usize];
         segment.read_at(place.offset, &mut whole)?;
-        let spoilt = || io::Error::new(io::ErrorKind::InvalidData, "the page is not as it was written");
-        check(&whole, result, page).map(<[u8]>::to_vec).ok_or_else(spoilt)
+        let spoilt = || {
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                "the page is not as it was written",
+            )
+        };
+        check(&whole, result, page)
+            .map(<[u8]>::to_vec)
+            .ok_or_else(spoilt)
     }
 }
--- a/crates/spool/tests/disk.rs
+++ b/crates/spool/tests/disk.rs
@@ -26,7 +26,11 @@
         self.inner.list()
     }
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>> {
-        Ok(Box::new(FailingSegment(self.inner.create(name)?, self.left.clone(), self.failures)))
+        Ok(Box::new(FailingSegment(
+            self.inner.create(name)?,
+            self.left.clone(),
+            self.failures,
+        )))
     }
     fn remove(&mut self, name: &str) -> io::Result<()> {
         self.inner.remove(name)
@@ -48,9 +52,19 @@
 }
 
 fn worker(directory: &Path, left: i64, failures: i64) -> (Worker, Receiver<()>) {
-    let disk = Failing { inner: Directory(directory.into()), left: Arc::new(AtomicI64::new(left)), failures };
+    let disk = Failing {
+        inner: Directory(directory.into()),
+        left: Arc::new(AtomicI64::new(left)),
+        failures,
+    };
     let (woken, wakes) = channel();
-    let worker = Worker::start("g1", 7, Box::new(disk), Box::new(move || _ = woken.send(()))).unwrap();
+    let worker = Worker::start(
+        "g1",
+        7,
+        Box::new(disk),
+        Box::new(move || _ = woken.send(())),
+    )
+    .unwrap();
     (worker, wakes)
 }
 
@@ -59,7 +73,9 @@
         if let Some(done) = worker.done().next() {
             return done;
         }
-        wakes.recv_timeout(PATIENCE).expect("the worker does something");
+        wakes
+            .recv_timeout(PATIENCE)
+            .expect("the worker does something");
     }
 }
 
@@ -79,29 +95,60 @@
             let bytes = page(result, number);
             let (place, begins) = segments.place(bytes.len() as u32);
             places.insert((result, number), place);
-            worker.order(Order::Write { result, page: number, place, begins, bytes }).unwrap();
-            let Done::Written { outcome, .. } = next(&worker, &wakes) else { panic!() };
+            worker
+                .order(Order::Write {
+                    result,
+                    page: number,
+                    place,
+                    begins,
+                    bytes,
+                })
+                .unwrap();
+            let Done::Written { outcome, .. } = next(&worker, &wakes) else {
+                panic!()
+            };
             outcome.unwrap();
         }
     }
     assert!(segments.len() > 5);
     for ((result, number), place) in places.iter().rev() {
-        worker.order(Order::Read { result: *result, page: *number, place: *place }).unwrap();
-        let Done::Read { outcome, .. } = next(&worker, &wakes) else { panic!() };
+        worker
+            .order(Order::Read {
+                result: *result,
+                page: *number,
+                place: *place,
+            })
+            .unwrap();
+        let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+            panic!()
+        };
         assert_eq!(outcome.unwrap(), page(*result, *number));
     }
     // Asked for as another's, a page is not given.
     let place = places[&(0, 0)];
-    worker.order(Order::Read { result: 1, page: 0, place }).unwrap();
-    let Done::Read { outcome, .. } = next(&worker, &wakes) else { panic!() };
+    worker
+        .order(Order::Read {
+            result: 1,
+            page: 0,
+            place,
+        })
+        .unwrap();
+    let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+        panic!()
+    };
     assert_eq!(outcome.unwrap_err().kind(), io::ErrorKind::InvalidData);
     for place in places.values() {
         let gone = segments.free(*place);
-        gone.into_iter().for_each(|segment| worker.order(Order::Remove { segment }).unwrap());
+        gone.into_iter()
+            .for_each(|segment| worker.order(Order::Remove { segment }).unwrap());
     }
     assert!(segments.len() <= 1, "only the open one is left");
     drop(worker);
-    assert_eq!(std::fs::read_dir(directory.path()).unwrap().count(), 0, "and it goes at the end");
+    assert_eq!(
+        std::fs::read_dir(directory.path()).unwrap().count(),
+        0,
+        "and it goes at the end"
+    );
 }
 
 #[test]
@@ -114,22 +161,41 @@
     for number in 0..20 {
         let bytes = page(1, number);
         let (place, begins) = segments.place(bytes.len() as u32);
-        worker.order(Order::Write { result: 1, page: number, place, begins, bytes }).unwrap();
-        let Done::Written { outcome, .. } = next(&worker, &wakes) else { panic!() };
+        worker
+            .order(Order::Write {
+                result: 1,
+                page: number,
+                place,
+                begins,
+                bytes,
+            })
+            .unwrap();
+        let Done::Written { outcome, .. } = next(&worker, &wakes) else {
+            panic!()
+        };
         match outcome {
             Ok(()) => written.push((number, place)),
             Err(_) => {
                 failed += 1;
                 segments.free(place);
                 let gone = segments.abandon();
-                gone.into_iter().for_each(|segment| worker.order(Order::Remove { segment }).unwrap());
+                gone.into_iter()
+                    .for_each(|segment| worker.order(Order::Remove { segment }).unwrap());
             }
         }
     }
     assert_eq!((failed, written.len()), (3, 17));
     for (number, place) in written {
-        worker.order(Order::Read { result: 1, page: number, place }).unwrap();
-        let Done::Read { outcome, .. } = next(&worker, &wakes) else { panic!() };
+        worker
+            .order(Order::Read {
+                result: 1,
+                page: number,
+                place,
+            })
+            .unwrap();
+        let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+            panic!()
+        };
         assert_eq!(outcome.unwrap(), page(1, number));
     }
 }
@@ -140,28 +206,61 @@
     let (worker, wakes) = worker(directory.path(), i64::MAX, 0);
     let bytes = b"7\tshrimp\t3.4\n".to_vec();
     let (place, begins) = Segments::new(100).place(bytes.len() as u32);
-    worker.order(Order::Write { result: 1, page: 0, place, begins, bytes: bytes.clone() }).unwrap();
+    worker
+        .order(Order::Write {
+            result: 1,
+            page: 0,
+            place,
+            begins,
+            bytes: bytes.clone(),
+        })
+        .unwrap();
     next(&worker, &wakes);
-    let file = std::fs::read_dir(directory.path()).unwrap().next().unwrap().unwrap().path();
+    let file = std::fs::read_dir(directory.path())
+        .unwrap()
+        .next()
+        .unwrap()
+        .unwrap()
+        .path();
     let whole = std::fs::read(&file).unwrap();
     for at in 0..whole.len() {
         let mut rotten = whole.clone();
         rotten[at] ^= 4;
         std::fs::write(&file, rotten).unwrap();
-        worker.order(Order::Read { result: 1, page: 0, place }).unwrap();
-        let Done::Read { outcome, .. } = next(&worker, &wakes) else { panic!() };
+        worker
+            .order(Order::Read {
+                result: 1,
+                page: 0,
+                place,
+            })
+            .unwrap();
+        let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+            panic!()
+        };
         assert!(outcome.is_err(), "byte {at}");
     }
     std::fs::write(&file, &whole[..whole.len() - 1]).unwrap();
-    worker.order(Order::Read { result: 1, page: 0, place }).unwrap();
-    let Done::Read { outcome, .. } = next(&worker, &wakes) else { panic!() };
+    worker
+        .order(Order::Read {
+            result: 1,
+            page: 0,
+            place,
+        })
+        .unwrap();
+    let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+        panic!()
+    };
     assert!(outcome.is_err(), "cut short");
 }
 
 #[test]
 fn what_an_earlier_start_left_is_removed_and_other_files_are_not() {
     let directory = tempfile::tempdir().unwrap();
-    for name in ["spool-g1-0000000000000001-00000001", "spool-g2-0000000000000001-00000001", "notes.txt"] {
+    for name in [
+        "spool-g1-0000000000000001-00000001",
+        "spool-g2-0000000000000001-00000001",
+        "notes.txt",
+    ] {
         std::fs::write(directory.path().join(name), "x").unwrap();
     }
     drop(worker(directory.path(), i64::MAX, 0));
--- a/crates/spool/tests/model.rs
+++ b/crates/spool/tests/model.rs
@@ -17,15 +17,39 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { tenant: u32, address: u64, expected: u64 },
-    Page { which: usize, bytes: u64 },
-    End { which: usize, whole: bool },
-    Open { which: usize },
-    Close { which: usize, delivered: bool },
-    Read { which: usize, page: usize },
-    Move { written: bool },
-    Drop { which: usize },
-    Pass { time: u64 },
+    Ask {
+        tenant: u32,
+        address: u64,
+        expected: u64,
+    },
+    Page {
+        which: usize,
+        bytes: u64,
+    },
+    End {
+        which: usize,
+        whole: bool,
+    },
+    Open {
+        which: usize,
+    },
+    Close {
+        which: usize,
+        delivered: bool,
+    },
+    Read {
+        which: usize,
+        page: usize,
+    },
+    Move {
+        written: bool,
+    },
+    Drop {
+        which: usize,
+    },
+    Pass {
+        time: u64,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -178,7 +202,10 @@
     }
 }
 
-const ONE: Owner = Owner { tenant: 1, address: 1 };
+const ONE: Owner = Owner {
+    tenant: 1,
+    address: 1,
+};
 
 fn yes(spool: &Spool, owner: Owner, expected: u64) -> bool {
     matches!(spool.admit(owner, expected, 0), Admission::Yes { .. })
@@ -196,12 +223,18 @@
 fn small_results_have_a_reserve() {
     let mut spool = Spool::new(BUDGET, 0);
     for number in 0..40 {
-        let owner = Owner { tenant: number as u32, address: number };
+        let owner = Owner {
+            tenant: number as u32,
+            address: number,
+        };
         if yes(&spool, owner, 200 * KB) {
             spool.begin(number, owner, 200 * KB, 0);
         }
     }
-    let new = Owner { tenant: 99, address: 99 };
+    let new = Owner {
+        tenant: 99,
+        address: 99,
+    };
     assert_eq!(why(&spool, new, 200 * KB), Refusal::Full);
     assert!(yes(&spool, new, 40_000), "a lookup finds room all the same");
 }
@@ -215,12 +248,34 @@
         taken += 100 * KB;
         spool.begin(taken, ONE, 100 * KB, 0);
     }
-    assert!(taken as f64 > 0.45 * BUDGET.total() as f64, "alone it has half of it: {taken}");
+    assert!(
+        taken as f64 > 0.45 * BUDGET.total() as f64,
+        "alone it has half of it: {taken}"
+    );
     assert_eq!(why(&spool, ONE, 100 * KB), Refusal::TenantsShare);
-    assert_eq!(why(&spool, Owner { tenant: 2, address: 1 }, 100 * KB), Refusal::AddressShare);
-    assert!(yes(&spool, Owner { tenant: 2, address: 2 }, 100 * KB));
+    assert_eq!(
+        why(
+            &spool,
+            Owner {
+                tenant: 2,
+                address: 1
+            },
+            100 * KB
+        ),
+        Refusal::AddressShare
+    );
+    assert!(yes(
+        &spool,
+        Owner {
+            tenant: 2,
+            address: 2
+        },
+        100 * KB
+    ));
     // What it was delivered goes before it is refused more, no more of it than helps.
-    let ids: Vec<u64> = (1..=taken / (100 * KB)).map(|number| number * 100 * KB).collect();
+    let ids: Vec<u64> = (1..=taken / (100 * KB))
+        .map(|number| number * 100 * KB)
+        .collect();
     for id in &ids {
         for _ in 0..10 {
             spool.page(*id, 10 * KB, 1).unwrap();
@@ -236,8 +291,13 @@
         spool.open(*id, 2);
         spool.close(*id, true, 3 + number as u64);
     }
-    let Admission::Yes { dropping } = spool.admit(ONE, 100 * KB, 20) else { panic!("refused") };
-    assert!(dropping == ids[..dropping.len()] && (5..10).contains(&dropping.len()), "{dropping:?}");
+    let Admission::Yes { dropping } = spool.admit(ONE, 100 * KB, 20) else {
+        panic!("refused")
+    };
+    assert!(
+        dropping == ids[..dropping.len()] && (5..10).contains(&dropping.len()),
+        "{dropping:?}"
+    );
     assert_eq!(why(&spool, ONE, 901 * KB), Refusal::TooLarge);
 }
 
@@ -246,7 +306,10 @@
 fn delivered_results_make_room_and_read_ones_stay() {
     let mut spool = Spool::new(BUDGET, 0);
     for number in 0..11 {
-        let owner = Owner { tenant: number as u32, address: number };
+        let owner = Owner {
+            tenant: number as u32,
+            address: number,
+        };
         spool.begin(number, owner, 200 * KB, 0);
         for _ in 0..20 {
             spool.page(number, 10 * KB, 0).unwrap();
@@ -261,9 +324,18 @@
             spool.close(number, number % 2 == 1, 40 + number);
         }
     }
-    let new = Owner { tenant: 99, address: 99 };
-    let Admission::Yes { dropping } = spool.admit(new, 500 * KB, 100) else { panic!("no room") };
-    assert_eq!(dropping, [1, 5], "delivered ones, the longest unused first, not the one that is read");
+    let new = Owner {
+        tenant: 99,
+        address: 99,
+    };
+    let Admission::Yes { dropping } = spool.admit(new, 500 * KB, 100) else {
+        panic!("no room")
+    };
+    assert_eq!(
+        dropping,
+        [1, 5],
+        "delivered ones, the longest unused first, not the one that is read"
+    );
     let unclaimed = spool.admit(new, 890 * KB, 100);
     assert!(matches!(unclaimed, Admission::Yes { .. }), "{unclaimed:?}");
 }
@@ -279,10 +351,23 @@
     let Choice::Move { result, page } = moves[0];
     spool.moving(result, page);
     spool.moved(result, page, false, 1_000_000);
-    assert_eq!((spool.used().1, spool.moves(10)), (0, Vec::new()), "nothing is tried for a while");
-    let two = Owner { tenant: 2, address: 2 };
-    assert!(!matches!(spool.admit(two, 100 * KB, 10), Admission::Yes { .. }));
-    assert!(matches!(spool.admit(two, 100 * KB, 1_000_001), Admission::Yes { .. }));
+    assert_eq!(
+        (spool.used().1, spool.moves(10)),
+        (0, Vec::new()),
+        "nothing is tried for a while"
+    );
+    let two = Owner {
+        tenant: 2,
+        address: 2,
+    };
+    assert!(!matches!(
+        spool.admit(two, 100 * KB, 10),
+        Admission::Yes { .. }
+    ));
+    assert!(matches!(
+        spool.admit(two, 100 * KB, 1_000_001),
+        Admission::Yes { .. }
+    ));
     assert!(!spool.moves(1_000_001).is_empty());
 }
 
@@ -292,15 +377,38 @@
     let advice = |drained: u64| {
         let mut spool = Spool::new(BUDGET, 0);
         for number in 0..12 {
-            spool.begin(number, Owner { tenant: number as u32, address: number }, 200 * KB, 0);
+            spool.begin(
+                number,
+                Owner {
+                    tenant: number as u32,
+                    address: number,
+                },
+                200 * KB,
+                0,
+            );
         }
         for number in 100..100 + drained {
-            spool.begin(number, Owner { tenant: 50, address: 50 }, KB, 0);
+            spool.begin(
+                number,
+                Owner {
+                    tenant: 50,
+                    address: 50,
+                },
+                KB,
+                0,
+            );
             (0..20).for_each(|_| _ = spool.page(number, KB, 0));
             spool.end(number, true, 0);
             spool.drop(number, 1_000_000);
         }
-        match spool.admit(Owner { tenant: 98, address: 98 }, 300 * KB, 1_000_000) {
+        match spool.admit(
+            Owner {
+                tenant: 98,
+                address: 98,
+            },
+            300 * KB,
+            1_000_000,
+        ) {
             Admission::No { retry_after, .. } => retry_after.unwrap(),
             yes => panic!("{yes:?}"),
         }
@@ -316,8 +424,20 @@
     spool.begin(1, ONE, 100 * KB, 0);
     assert_eq!(spool.ahead(1), 100 * KB);
     (0..10).for_each(|_| spool.page(1, 10 * KB, 0).unwrap());
-    assert_eq!(spool.ahead(1), LEAST_AHEAD, "more than was promised comes page by page");
-    spool.begin(2, Owner { tenant: 2, address: 2 }, 800 * KB, 0);
+    assert_eq!(
+        spool.ahead(1),
+        LEAST_AHEAD,
+        "more than was promised comes page by page"
+    );
+    spool.begin(
+        2,
+        Owner {
+            tenant: 2,
+            address: 2,
+        },
+        800 * KB,
+        0,
+    );
     assert_eq!(spool.ahead(2), 206 * KB, "half of the memory that is free");
     spool.end(1, true, 0);
     assert_eq!(spool.ahead(1), 0);
--- a/crates/standin/src/bulletin.rs
+++ b/crates/standin/src/bulletin.rs
@@ -44,7 +44,10 @@
 
 impl Bulletin {
     /// Listens at an address, or one of the system's choice; `reader` is who reads it, where that is kept.
-    pub fn start(wanted: Option<SocketAddr>, reader: Option<(Name, ledger::Shared)>) -> io::Result<Rc<Self>> {
+    pub fn start(
+        wanted: Option<SocketAddr>,
+        reader: Option<(Name, ledger::Shared)>,
+    ) -> io::Result<Rc<Self>> {
         let place = Place::reserve(wanted)?;
         let listener = place.listen()?;
         let bulletin = Rc::new(Bulletin {
@@ -76,7 +79,8 @@
     pub fn tell(&self, whole: bool, hosts: Vec<Value>) -> usize {
         let mut events = self.events.borrow_mut();
         let number = events.len() + 1;
-        events.push(json!({"no": number, "roster": {"seq": number, "whole": whole, "hosts": hosts}}));
+        events
+            .push(json!({"no": number, "roster": {"seq": number, "whole": whole, "hosts": hosts}}));
         if self.mood.get() != Mood::Down {
             self.reachable.set(number);
         }
@@ -94,8 +98,14 @@
     }
 
     fn note(&self, events: &[Value]) {
-        let Some((reader, ledger)) = &self.reader else { return };
-        for host in events.iter().filter_map(|event| event["roster"]["hosts"].as_array()).flatten() {
+        let Some((reader, ledger)) = &self.reader else {
+            return;
+        };
+        for host in events
+            .iter()
+            .filter_map(|event| event["roster"]["hosts"].as_array())
+            .flatten()
+        {
             let engine: Name = host["host"].as_str().unwrap_or_default().into();
             let health = match host["health"].as_str() {
                 Some("up") => "up",
@@ -103,7 +113,11 @@
                 _ => "removed",
             };
             let gateway = reader.clone();
-            ledger.borrow_mut().happened(|| What::Told { gateway, engine, health });
+            ledger.borrow_mut().happened(|| What::Told {
+                gateway,
+                engine,
+                health,
+            });
         }
     }
 
@@ -126,17 +140,26 @@
         }
         let mut stream = lines.into_inner();
         let mut news = self.told.subscribe();
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n").await?;
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
+            .await?;
         loop {
             if self.mood.get() == Mood::Up {
                 let text: String = {
                     let events = self.events.borrow();
                     self.note(&events[after.min(events.len())..]);
                     let news = events.iter().enumerate().skip(after);
-                    news.map(|(at, event)| format!("id: {}\ndata: {event}\n\n", at + 1)).collect()
+                    news.map(|(at, event)| format!("id: {}\ndata: {event}\n\n", at + 1))
+                        .collect()
                 };
                 after = self.events.borrow().len();
-                stream.write_all(if text.is_empty() { b": still here\n\n" } else { text.as_bytes() }).await?;
+                stream
+                    .write_all(if text.is_empty() {
+                        b": still here\n\n"
+                    } else {
+                        text.as_bytes()
+                    })
+                    .await?;
             }
             // A comment comes each second.
             let _ = timeout(Duration::from_secs(1), news.changed()).await;
@@ -147,7 +170,10 @@
     pub async fn set(self: &Rc<Self>, mood: Mood) -> io::Result<()> {
         let before = self.mood.replace(mood);
         if mood == Mood::Down {
-            self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
+            self.tasks
+                .borrow_mut()
+                .drain(..)
+                .for_each(|task| task.abort());
         } else if before == Mood::Down {
             tokio::task::yield_now().await;
             self.clone().serve(self.place.listen()?);
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -118,16 +118,35 @@
         ledger: ledger::Shared,
         seed: u64,
     ) -> Rc<Self> {
-        ledger.borrow_mut().answers.entry(spec.name.clone()).or_default();
+        ledger
+            .borrow_mut()
+            .answers
+            .entry(spec.name.clone())
+            .or_default();
         let rng = RefCell::new(StdRng::seed_from_u64(seed));
-        let (lines, turn, name) = (RefCell::default(), Cell::default(), spec.name.as_str().into());
-        Rc::new(Load { spec, class, name, doors, ledger, lines, rng, turn })
+        let (lines, turn, name) = (
+            RefCell::default(),
+            Cell::default(),
+            spec.name.as_str().into(),
+        );
+        Rc::new(Load {
+            spec,
+            class,
+            name,
+            doors,
+            ledger,
+            lines,
+            rng,
+            turn,
+        })
     }
 
     /// From `begin` to its end, and until all have their answers.
     pub async fn run(self: Rc<Self>, began: Instant, until: Duration) {
         let end = began + self.spec.end.unwrap_or(until).min(until);
-        let Ok(gaps) = Exp::new(self.spec.rate) else { return };
+        let Ok(gaps) = Exp::new(self.spec.rate) else {
+            return;
+        };
         let mut next = began + self.spec.begin;
         let mut waiting = Vec::new();
         loop {
@@ -146,7 +165,11 @@
     }
 
     fn count(&self, what: impl FnOnce(&mut ledger::Answers)) {
-        self.ledger.borrow_mut().answers.entry(self.spec.name.clone()).and_modify(what);
+        self.ledger
+            .borrow_mut()
+            .answers
+            .entry(self.spec.name.clone())
+            .and_modify(what);
     }
 
     fn draw(&self) -> Asked {
@@ -162,9 +185,21 @@
             None => format!("{:032x}", rng.random::<u128>()),
         };
         let (rows, group) = (self.spec.rows, rng.random_range(1..50));
-        let told = format!("work={work:.1} ram={memory_mb:.1} rows={rows} threads={}", self.class.threads);
+        let told = format!(
+            "work={work:.1} ram={memory_mb:.1} rows={rows} threads={}",
+            self.class.threads
+        );
         let statement = format!("SELECT * FROM sales_{group}.orders /* {told} */");
-        Asked { id: String::new(), key, rows, tries: 0, marked: false, statement, work, memory_mb }
+        Asked {
+            id: String::new(),
+            key,
+            rows,
+            tries: 0,
+            marked: false,
+            statement,
+            work,
+            memory_mb,
+        }
     }
 
     /// One request until its last try has ended.
@@ -174,7 +209,10 @@
         loop {
             self.count(|answers| answers.asked += 1);
             asked.id = format!("{:016x}", self.rng.borrow_mut().random::<u64>());
-            let wanted = before.clone().filter(|_| losses > 0).map(|gateway| (gateway, self.spec.back));
+            let wanted = before
+                .clone()
+                .filter(|_| losses > 0)
+                .map(|gateway| (gateway, self.spec.back));
             let mut line = self.line(wanted.clone()).await;
             // Who comes again to the same one waits until it is back.
             let insists = matches!(wanted, Some((_, Back::Same)));
@@ -187,7 +225,9 @@
             }
             let Some(line) = line else {
                 let (load, key) = (self.name.clone(), asked.key.as_str().into());
-                self.ledger.borrow_mut().happened(|| What::NoDoor { load, key });
+                self.ledger
+                    .borrow_mut()
+                    .happened(|| What::NoDoor { load, key });
                 return self.count(|answers| answers.lost += 1);
             };
             let end = self.one(&line, &asked).await;
@@ -215,7 +255,12 @@
                     Duration::from_secs_f64(self.rng.borrow_mut().random_range(least..most))
                 }
             };
-            sleep(if late { pause.max(self.class.window + LATE) } else { pause }).await;
+            sleep(if late {
+                pause.max(self.class.window + LATE)
+            } else {
+                pause
+            })
+            .await;
             before = Some(line.gateway.clone());
             asked.tries += 1;
             asked.marked = self.chance(self.spec.marked);
@@ -227,7 +272,11 @@
     }
 
     fn over(&self, id: &str, how: How, advice: Option<u64>) {
-        self.ledger.borrow_mut().happened(|| What::Over { id: hex(id), how, advice });
+        self.ledger.borrow_mut().happened(|| What::Over {
+            id: hex(id),
+            how,
+            advice,
+        });
     }
 
     async fn one(&self, line: &Line, asked: &Asked) -> End {
@@ -251,9 +300,16 @@
         if asked.marked {
             fields.push(("r", "1"));
         }
-        let bytes = call(number, &self.spec.class, &fields, asked.statement.as_bytes());
+        let bytes = call(
+            number,
+            &self.spec.class,
+            &fields,
+            asked.statement.as_bytes(),
+        );
         let (told, verdict) = oneshot::channel();
-        line.open.borrow_mut().insert(number, (asked.id.clone(), asked.rows, told));
+        line.open
+            .borrow_mut()
+            .insert(number, (asked.id.clone(), asked.rows, told));
         self.ledger.borrow_mut().happened(|| {
             What::Asked(Try {
                 load: self.name.clone(),
@@ -273,7 +329,14 @@
             sleep(FORGETS_AFTER).await;
             if line.open.borrow_mut().remove(&number).is_some() {
                 line.forgotten.borrow_mut().insert(number);
-                if line.write.lock().await.write_all(&forget(number)).await.is_err() {
+                if line
+                    .write
+                    .lock()
+                    .await
+                    .write_all(&forget(number))
+                    .await
+                    .is_err()
+                {
                     line.end();
                 }
                 self.count(|answers| answers.forgotten += 1);
--- a/crates/standin/src/client/lines.rs
+++ b/crates/standin/src/client/lines.rs
@@ -6,7 +6,12 @@
     /// The gateways that may be asked now, in the order in which they are tried.
     pub(super) fn choices(&self, wanted: Option<(Name, Back)>) -> Vec<(Name, SocketAddr)> {
         let doors = self.doors.borrow();
-        let own = |name: &str| self.spec.gateway.as_ref().is_none_or(|gateway| gateway == name);
+        let own = |name: &str| {
+            self.spec
+                .gateway
+                .as_ref()
+                .is_none_or(|gateway| gateway == name)
+        };
         let mut doors: Vec<(Name, SocketAddr)> = doors
             .iter()
             .filter(|(name, _)| own(name))
@@ -30,8 +35,13 @@
         let most = self.spec.connections.div_ceil(choices.len().max(1));
         let free = |line: &Rc<Line>| line.open.borrow().len() < MOST_OPEN;
         for (gateway, address) in choices {
-            let own: Vec<Rc<Line>> =
-                self.lines.borrow().iter().filter(|line| line.gateway == gateway).cloned().collect();
+            let own: Vec<Rc<Line>> = self
+                .lines
+                .borrow()
+                .iter()
+                .filter(|line| line.gateway == gateway)
+                .cloned()
+                .collect();
             if own.len() >= most {
                 self.turn.set(self.turn.get() + 1);
                 let from = self.turn.get() % own.len();
@@ -41,7 +51,9 @@
                     None => continue,
                 }
             }
-            let Ok(stream) = self.connect(address).await else { continue };
+            let Ok(stream) = self.connect(address).await else {
+                continue;
+            };
             let (read, write) = stream.into_split();
             let line = Rc::new(Line {
                 gateway,
@@ -116,8 +128,10 @@
                 End::Final
             }
             Answer::Error { word, fields, .. } if word == "TryLater" => {
-                let wait =
-                    fields.iter().find(|(name, _)| name == "w").and_then(|(_, value)| value.parse().ok());
+                let wait = fields
+                    .iter()
+                    .find(|(name, _)| name == "w")
+                    .and_then(|(_, value)| value.parse().ok());
                 self.count(|answers| {
                     answers.refused += 1;
                     answers.advised += wait.is_some() as u64;
--- a/crates/standin/src/cores.rs
+++ b/crates/standin/src/cores.rs
@@ -34,13 +34,26 @@
     pub fn new(cores: f64, memory_mb: f64, cold: Option<(f64, f64)>, now: f64) -> Self {
         let (cold_share, warm_within) = cold.unwrap_or((1.0, 0.0));
         let (running, waiting) = Default::default();
-        Cores { cores, memory_mb, cold_share, warm_within, started_at: now, now, running, waiting }
+        Cores {
+            cores,
+            memory_mb,
+            cold_share,
+            warm_within,
+            started_at: now,
+            now,
+            running,
+            waiting,
+        }
     }
 
     /// Cores' worth that is done in a second now.
     pub fn capacity(&self) -> f64 {
         let age = self.now - self.started_at;
-        let warm = if age >= self.warm_within { 1.0 } else { age / self.warm_within };
+        let warm = if age >= self.warm_within {
+            1.0
+        } else {
+            age / self.warm_within
+        };
         self.cores * (self.cold_share + (1.0 - self.cold_share) * warm)
     }
 
@@ -66,7 +79,11 @@
 
     /// Threads that want a core, against what there is: over 1 all are slowed.
     pub fn pressure(&self) -> f64 {
-        self.running.values().map(|query| query.threads).sum::<f64>() / self.capacity()
+        self.running
+            .values()
+            .map(|query| query.threads)
+            .sum::<f64>()
+            / self.capacity()
     }
 
     /// Takes a query in.
@@ -84,8 +101,16 @@
 
     /// Changes the priority of a query.
     pub fn weigh(&mut self, id: u64, rank: u8) {
-        let waiting = self.waiting.iter_mut().filter(|(own, _)| *own == id).map(|(_, query)| query);
-        self.running.get_mut(&id).into_iter().chain(waiting).for_each(|query| query.rank = rank);
+        let waiting = self
+            .waiting
+            .iter_mut()
+            .filter(|(own, _)| *own == id)
+            .map(|(_, query)| query);
+        self.running
+            .get_mut(&id)
+            .into_iter()
+            .chain(waiting)
+            .for_each(|query| query.rank = rank);
     }
 
     /// Who fits goes on, first come first; one alone always fits.
@@ -101,15 +126,22 @@
     /// Cores' worth that each query gets: by weight, none more than its threads, what one leaves goes to
     /// others.
     fn shares(&self) -> Vec<(u64, f64)> {
-        let mut left: Vec<(u64, f64, f64)> =
-            self.running.iter().map(|(id, q)| (*id, q.threads, f64::from(1u32 << q.rank.min(8)))).collect();
+        let mut left: Vec<(u64, f64, f64)> = self
+            .running
+            .iter()
+            .map(|(id, q)| (*id, q.threads, f64::from(1u32 << q.rank.min(8))))
+            .collect();
         let (mut free, mut shares) = (self.capacity(), Vec::new());
         loop {
             let weights: f64 = left.iter().map(|(_, _, weight)| weight).sum();
-            let (full, rest): (Vec<_>, Vec<_>) =
-                left.into_iter().partition(|(_, threads, weight)| free * weight / weights >= *threads);
+            let (full, rest): (Vec<_>, Vec<_>) = left
+                .into_iter()
+                .partition(|(_, threads, weight)| free * weight / weights >= *threads);
             if full.is_empty() {
-                shares.extend(rest.into_iter().map(|(id, _, weight)| (id, free * weight / weights)));
+                shares.extend(
+                    rest.into_iter()
+                        .map(|(id, _, weight)| (id, free * weight / weights)),
+                );
                 return shares;
             }
             free -= full.iter().map(|(_, threads, _)| threads).sum::<f64>();
@@ -123,13 +155,24 @@
     pub fn advance(&mut self, to: f64) -> Vec<u64> {
         let mut ended = Vec::new();
         while self.now < to {
-            let step = self.next().map_or(to, |next| next.min(to)).max(self.now + 1e-6) - self.now;
+            let step = self
+                .next()
+                .map_or(to, |next| next.min(to))
+                .max(self.now + 1e-6)
+                - self.now;
             for (id, share) in self.shares() {
-                self.running.entry(id).and_modify(|query| query.work -= share * step);
+                self.running
+                    .entry(id)
+                    .and_modify(|query| query.work -= share * step);
             }
             self.now += step;
             let over = |query: &Query| query.work <= 1e-9;
-            let done: Vec<u64> = self.running.iter().filter(|(_, q)| over(q)).map(|(id, _)| *id).collect();
+            let done: Vec<u64> = self
+                .running
+                .iter()
+                .filter(|(_, q)| over(q))
+                .map(|(id, _)| *id)
+                .collect();
             for id in done {
                 self.running.remove(&id);
                 ended.push(id);
@@ -154,14 +197,23 @@
     use super::*;
 
     fn query(work: f64, threads: f64, memory_mb: f64, rank: u8) -> Query {
-        Query { work, threads, memory_mb, rank }
+        Query {
+            work,
+            threads,
+            memory_mb,
+            rank,
+        }
     }
 
     #[test]
     fn queries_run_side_by_side_and_share_what_there_is_by_rank() {
         let mut engine = Cores::new(4.0, 1000.0, None, 0.0);
         (1..=4).for_each(|id| engine.add(id, query(1.0, 1.0, 10.0, 1)));
-        assert_eq!(engine.advance(1.001), [1, 2, 3, 4], "four on four cores take no longer than one");
+        assert_eq!(
+            engine.advance(1.001),
+            [1, 2, 3, 4],
+            "four on four cores take no longer than one"
+        );
         // Two of eight threads: ranks 1 and 2 share 4 cores one to two.
         engine.add(5, query(8.0, 8.0, 10.0, 1));
         engine.add(6, query(8.0, 8.0, 10.0, 2));
@@ -176,7 +228,11 @@
         engine.add(1, query(1.0, 1.0, 60.0, 1));
         engine.add(2, query(1.0, 1.0, 60.0, 1));
         assert!(engine.is_waiting(2) && engine.running() == 1);
-        assert_eq!(engine.advance(1.1), [1], "one thread has the one core that is there when cold");
+        assert_eq!(
+            engine.advance(1.1),
+            [1],
+            "one thread has the one core that is there when cold"
+        );
         assert!(!engine.is_waiting(2));
         engine.remove(2);
         engine.add(3, query(4.0, 2.0, 60.0, 1));
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -56,7 +56,9 @@
         let mut known = self.0.borrow_mut();
         known.retain(|_, (at, window)| at.elapsed() < *window + LONGEST_RUN);
         let place = (group, key.to_string());
-        let new = known.get(&place).is_none_or(|(at, window)| *at + *window < began);
+        let new = known
+            .get(&place)
+            .is_none_or(|(at, window)| *at + *window < began);
         if new {
             known.insert(place, (Instant::now(), window));
         }
@@ -166,13 +168,20 @@
     }
 
     fn note_state(&self, begins: Option<u64>) {
-        self.ledger.borrow_mut().happened(|| What::Engine { engine: self.name.clone(), begins });
+        self.ledger.borrow_mut().happened(|| What::Engine {
+            engine: self.name.clone(),
+            begins,
+        });
     }
 
     /// A query is here no more.
     fn left(&self, job: &Job, done: bool) {
         let id = u64::from_str_radix(&job.id, 16).unwrap_or_default();
-        self.ledger.borrow_mut().happened(|| What::Left { engine: self.name.clone(), id, done });
+        self.ledger.borrow_mut().happened(|| What::Left {
+            engine: self.name.clone(),
+            id,
+            done,
+        });
     }
 
     fn now(&self) -> f64 {
@@ -183,7 +192,10 @@
         let accepting = spawn_local(self.clone().accept(listener));
         let running = spawn_local(self.clone().work());
         let noting = spawn_local(self.clone().note());
-        self.state.borrow_mut().tasks.extend([accepting, running, noting]);
+        self.state
+            .borrow_mut()
+            .tasks
+            .extend([accepting, running, noting]);
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
@@ -225,11 +237,19 @@
         let mut state = self.state.borrow_mut();
         state.connections.remove(&number);
         state.results.retain(|(of, _), _| *of != number);
-        let gone: Vec<u64> =
-            state.jobs.iter().filter(|(_, job)| job.connection == number).map(|(at, _)| *at).collect();
+        let gone: Vec<u64> = state
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.connection == number)
+            .map(|(at, _)| *at)
+            .collect();
         if !self.spec.finishes_orphans {
             for number in gone {
-                state.jobs.remove(&number).into_iter().for_each(|job| self.left(&job, false));
+                state
+                    .jobs
+                    .remove(&number)
+                    .into_iter()
+                    .for_each(|job| self.left(&job, false));
                 state.cores.remove(number);
             }
         }
@@ -238,7 +258,12 @@
 
     async fn unless_silent(&self) {
         loop {
-            let until = self.state.borrow().faults.silent.max(self.state.borrow().faults.stalled);
+            let until = self
+                .state
+                .borrow()
+                .faults
+                .silent
+                .max(self.state.borrow().faults.stalled);
             if passed(until) {
                 return;
             }
@@ -258,8 +283,10 @@
         let words: Vec<&str> = line.trim_end().split(' ').collect();
         let mut payload = Vec::new();
         if words[0] == "serve" {
-            let length: usize =
-                words.get(3).and_then(|word| word.parse().ok()).ok_or(io::ErrorKind::InvalidData)?;
+            let length: usize = words
+                .get(3)
+                .and_then(|word| word.parse().ok())
+                .ok_or(io::ErrorKind::InvalidData)?;
             if length > MOST_STATEMENT {
                 return Err(io::ErrorKind::InvalidData.into());
             }
@@ -274,7 +301,11 @@
             "cancel" => {
                 let mut state = self.state.borrow_mut();
                 if let Some(number) = state.job_of(connection, &id) {
-                    state.jobs.remove(&number).into_iter().for_each(|job| self.left(&job, false));
+                    state
+                        .jobs
+                        .remove(&number)
+                        .into_iter()
+                        .for_each(|job| self.left(&job, false));
                     state.cores.advance(self.now());
                     state.cores.remove(number);
                 }
@@ -287,11 +318,19 @@
                 }
             }
             "read" => {
-                let page = words.get(2).and_then(|word| word.parse::<usize>().ok()).unwrap_or(usize::MAX);
+                let page = words
+                    .get(2)
+                    .and_then(|word| word.parse::<usize>().ok())
+                    .unwrap_or(usize::MAX);
                 let state = self.state.borrow();
-                let rows = state.results.get(&(connection, id.clone())).and_then(|pages| pages.get(page));
+                let rows = state
+                    .results
+                    .get(&(connection, id.clone()))
+                    .and_then(|pages| pages.get(page));
                 match rows {
-                    Some(rows) => state.answer(connection, &id, "ROWS", &format!("pos={page}"), rows),
+                    Some(rows) => {
+                        state.answer(connection, &id, "ROWS", &format!("pos={page}"), rows)
+                    }
                     None => state.answer(connection, &id, "ERR", "-", ""),
                 }
             }
@@ -310,13 +349,17 @@
 impl State {
     fn job_of(&self, connection: u64, id: &str) -> Option<u64> {
         let mut jobs = self.jobs.iter();
-        jobs.find(|(_, job)| job.connection == connection && job.id == id).map(|(number, _)| *number)
+        jobs.find(|(_, job)| job.connection == connection && job.id == id)
+            .map(|(number, _)| *number)
     }
 
     fn answer(&self, connection: u64, id: &str, word: &str, fields: &str, payload: &str) {
         if let Some(answers) = self.connections.get(&connection) {
             // Who doesn't read for so long has gone.
-            let _ = answers.try_send(format!("{id} {word} {fields} {}\r\n{payload}\r\n", payload.len()));
+            let _ = answers.try_send(format!(
+                "{id} {word} {fields} {}\r\n{payload}\r\n",
+                payload.len()
+            ));
         }
     }
 
@@ -333,8 +376,9 @@
 /// A figure that a statement tells in its comment, as in `/* work=80 ram=64 rows=4 */`.
 fn told(statement: &str, name: &str) -> Option<f64> {
     let comment = statement.split("/*").nth(1)?.split("*/").next()?;
-    let pair =
-        comment.split_whitespace().find_map(|pair| pair.split_once('=').filter(|(own, _)| *own == name));
+    let pair = comment
+        .split_whitespace()
+        .find_map(|pair| pair.split_once('=').filter(|(own, _)| *own == name));
     pair.and_then(|(_, value)| value.parse().ok())
 }
 
@@ -343,10 +387,16 @@
     let mut pages = vec![String::new()];
     for number in 0..rows {
         let row = format!("{id}\t{number}\tokra\n");
-        if pages.last().is_some_and(|page| page.len() + row.len() > PAGE) {
+        if pages
+            .last()
+            .is_some_and(|page| page.len() + row.len() > PAGE)
+        {
             pages.push(String::new());
         }
-        pages.last_mut().into_iter().for_each(|page| page.push_str(&row));
+        pages
+            .last_mut()
+            .into_iter()
+            .for_each(|page| page.push_str(&row));
     }
     pages
 }
--- a/crates/standin/src/engine/faults.rs
+++ b/crates/standin/src/engine/faults.rs
@@ -14,7 +14,12 @@
         }
         state.results.clear();
         state.faults = Faults::default();
-        state.cores = Cores::new(self.spec.cores as f64, self.spec.memory_mb, None, self.now());
+        state.cores = Cores::new(
+            self.spec.cores as f64,
+            self.spec.memory_mb,
+            None,
+            self.now(),
+        );
     }
 
     /// A new process at the same address, with nothing in its memory.
@@ -27,7 +32,12 @@
         let cold = Some((0.4, self.spec.warm_up.as_secs_f64())).filter(|(_, within)| *within > 0.0);
         {
             let mut state = self.state.borrow_mut();
-            state.cores = Cores::new(self.spec.cores as f64, self.spec.memory_mb, cold, self.now());
+            state.cores = Cores::new(
+                self.spec.cores as f64,
+                self.spec.memory_mb,
+                cold,
+                self.now(),
+            );
         }
         self.clone().serve(listener);
         Ok(())
--- a/crates/standin/src/engine/queries.rs
+++ b/crates/standin/src/engine/queries.rs
@@ -14,11 +14,19 @@
         let told = |name: &str| told(&String::from_utf8_lossy(statement), name);
         let mut state = self.state.borrow_mut();
         let busy = !passed(state.faults.busy_until) || state.jobs.len() >= self.spec.sessions;
-        *self.ledger.borrow_mut().begun.entry(self.spec.name.clone()).or_default() += !busy as u64;
+        *self
+            .ledger
+            .borrow_mut()
+            .begun
+            .entry(self.spec.name.clone())
+            .or_default() += !busy as u64;
         if busy {
             return state.answer(connection, &id, "BUSY", &state.report(), "");
         }
-        let class = self.classes.iter().find(|class| Some(class.name.as_str()) == field("profile"));
+        let class = self
+            .classes
+            .iter()
+            .find(|class| Some(class.name.as_str()) == field("profile"));
         let key = field("replay").unwrap_or(&id).to_string();
         let effect = match class.map(|class| (class, class.effect)) {
             Some((class, "keyed")) => {
@@ -33,15 +41,23 @@
             _ => None,
         };
         let (work, memory_mb) = (told("work").unwrap_or(50.0), told("ram").unwrap_or(32.0));
-        let granted = field("heap").and_then(|heap| heap.parse().ok()).filter(|heap: &f64| *heap > 0.0);
+        let granted = field("heap")
+            .and_then(|heap| heap.parse().ok())
+            .filter(|heap: &f64| *heap > 0.0);
         let spills = granted.is_some_and(|granted| granted < memory_mb);
         let query = Query {
             work: work / 1e3 * if spills { SPILLS } else { 1.0 },
             threads: told("threads").unwrap_or(1.0),
             memory_mb: granted.unwrap_or(memory_mb),
-            rank: field("order").and_then(|rank| rank.parse().ok()).unwrap_or(1),
+            rank: field("order")
+                .and_then(|rank| rank.parse().ok())
+                .unwrap_or(1),
+        };
+        let errors = if passed(state.faults.errors_until) {
+            0.0
+        } else {
+            state.faults.errors
         };
-        let errors = if passed(state.faults.errors_until) { 0.0 } else { state.faults.errors };
         let error = state.rng.random::<f64>() < errors;
         state.next += 1;
         let number = state.next;
@@ -57,7 +73,16 @@
         });
         state.jobs.insert(
             number,
-            Job { connection, id, began: Instant::now(), effect, work, memory_mb, rows, error },
+            Job {
+                connection,
+                id,
+                began: Instant::now(),
+                effect,
+                work,
+                memory_mb,
+                rows,
+                error,
+            },
         );
     }
 
@@ -94,18 +119,31 @@
         }
         if let Some(effect) = &job.effect {
             let (key, new) = match effect {
-                Effect::Keyed(key, group, window) => {
-                    (key, self.remembered.is_new(group.clone(), key, *window, job.began))
-                }
+                Effect::Keyed(key, group, window) => (
+                    key,
+                    self.remembered
+                        .is_new(group.clone(), key, *window, job.began),
+                ),
                 Effect::Once(id) => (id, true),
             };
-            let (engine, id) = (self.name.clone(), u64::from_str_radix(&job.id, 16).unwrap_or_default());
+            let (engine, id) = (
+                self.name.clone(),
+                u64::from_str_radix(&job.id, 16).unwrap_or_default(),
+            );
             let mut ledger = self.ledger.borrow_mut();
             if new {
                 ledger.took_effect(key, &self.spec.name);
-                ledger.happened(|| What::Effect { engine, id, key: key.as_str().into() });
+                ledger.happened(|| What::Effect {
+                    engine,
+                    id,
+                    key: key.as_str().into(),
+                });
             } else {
-                ledger.happened(|| What::Repeat { engine, id, key: key.as_str().into() });
+                ledger.happened(|| What::Repeat {
+                    engine,
+                    id,
+                    key: key.as_str().into(),
+                });
             }
         }
         self.left(&job, true);
@@ -125,7 +163,11 @@
             let state = self.state.borrow();
             for (number, job) in &state.jobs {
                 let held = state.cores.is_waiting(*number);
-                let fields = if held { "remark=held,reading=1" } else { "remark=share,reading=0.5" };
+                let fields = if held {
+                    "remark=held,reading=1"
+                } else {
+                    "remark=share,reading=0.5"
+                };
                 state.answer(job.connection, &job.id, "NOTE", fields, "");
             }
         }
--- a/crates/standin/src/golden.rs
+++ b/crates/standin/src/golden.rs
@@ -4,7 +4,9 @@
 
 /// The path of a golden file or directory.
 pub fn path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tests/golden").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../tests/golden")
+        .join(name)
 }
 
 /// Compares bytes with a golden file. Bytes that differ are written to the temporary directory, to be compared.
@@ -21,6 +23,13 @@
     let directory = written.parent().expect("a file in a directory");
     std::fs::create_dir_all(directory).expect("the temporary directory can be written");
     std::fs::write(&written, actual).expect("the temporary directory can be written");
-    let at = expected.iter().zip(actual).take_while(|(old, new)| old == new).count();
-    panic!("golden file {name} differs from byte {at} on; the actual bytes are in {}", written.display());
+    let at = expected
+        .iter()
+        .zip(actual)
+        .take_while(|(old, new)| old == new)
+        .count();
+    panic!(
+        "golden file {name} differs from byte {at} on; the actual bytes are in {}",
+        written.display()
+    );
 }
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -51,8 +51,14 @@
 
 impl Default for Began {
     fn default() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-        Began { instant: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_micros() as u64;
+        Began {
+            instant: Instant::now(),
+            unix,
+        }
     }
 }
 
@@ -88,7 +94,9 @@
     /// Keeps an event, where events are kept and there is room.
     pub fn happened(&mut self, what: impl FnOnce() -> What) {
         let at = self.now();
-        let Some(history) = &mut self.history else { return };
+        let Some(history) = &mut self.history else {
+            return;
+        };
         if history.len() < MOST {
             history.push(Happened { at, what: what() });
         } else {
@@ -109,7 +117,9 @@
         let times = self.effects.entry(key.to_string()).or_default();
         *times += 1;
         if *times == 2 {
-            self.break_rule(format!("{key} took effect twice, the second time at {engine}"));
+            self.break_rule(format!(
+                "{key} took effect twice, the second time at {engine}"
+            ));
         }
     }
 
--- a/crates/standin/src/place.rs
+++ b/crates/standin/src/place.rs
@@ -29,8 +29,14 @@
     /// The address that is wanted, or a port that the system chooses.
     pub fn reserve(wanted: Option<SocketAddr>) -> io::Result<Self> {
         let held = bound(wanted.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))))?;
-        let address = held.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(Place { _held: held, address })
+        let address = held
+            .local_addr()?
+            .as_socket()
+            .ok_or(io::ErrorKind::AddrNotAvailable)?;
+        Ok(Place {
+            _held: held,
+            address,
+        })
     }
 
     /// Listens from now on, until what it gives is dropped.
--- a/crates/standin/src/scenario.rs
+++ b/crates/standin/src/scenario.rs
@@ -23,19 +23,24 @@
     pub fn read(file: &str, text: &str) -> Result<Self, Fault> {
         let settings = eideryard_lines::read(file, text, TABLE, &eideryard_lines::from_files)?;
         let all = |name: &'static str| settings.iter().filter(move |setting| setting.name == name);
-        let first = |name: &'static str| all(name).next().and_then(|setting| setting.values.first());
+        let first =
+            |name: &'static str| all(name).next().and_then(|setting| setting.values.first());
         let mut engines = Vec::new();
         for setting in &settings {
             match setting.name {
                 "engine" => engines.push(engine(setting, setting.values[0].text().to_string())),
                 "engines" => (1..=setting.values[0].number()).for_each(|number| {
-                    engines.push(engine(setting, format!("{}-{number}", setting.values[1].text())))
+                    engines.push(engine(
+                        setting,
+                        format!("{}-{number}", setting.values[1].text()),
+                    ))
                 }),
                 _ => {}
             }
         }
-        let mut tenants: Vec<(String, f64)> =
-            all("tenant").map(|s| (s.values[0].text().to_string(), s.values[1].real())).collect();
+        let mut tenants: Vec<(String, f64)> = all("tenant")
+            .map(|s| (s.values[0].text().to_string(), s.values[1].real()))
+            .collect();
         if tenants.is_empty() {
             tenants.push(("acme".into(), 1000.0));
         }
@@ -60,14 +65,33 @@
             let known = |what: &str, name: &str, names: Vec<&str>| match names.contains(&name) {
                 true => Ok(()),
                 false => {
-                    let what = format!("load '{}' has {what} '{name}', which is not there", load.name);
-                    Err(Fault::new(setting.place.clone(), &what, &format!("there are: {}", names.join(", "))))
+                    let what = format!(
+                        "load '{}' has {what} '{name}', which is not there",
+                        load.name
+                    );
+                    Err(Fault::new(
+                        setting.place.clone(),
+                        &what,
+                        &format!("there are: {}", names.join(", ")),
+                    ))
                 }
             };
-            known("class", &load.class, classes.iter().map(|class| class.name.as_str()).collect())?;
-            known("tenant", &load.tenant, tenants.iter().map(|(name, _)| name.as_str()).collect())?;
+            known(
+                "class",
+                &load.class,
+                classes.iter().map(|class| class.name.as_str()).collect(),
+            )?;
+            known(
+                "tenant",
+                &load.tenant,
+                tenants.iter().map(|(name, _)| name.as_str()).collect(),
+            )?;
             if let Some(gateway) = &load.gateway {
-                known("gateway", gateway, gateways.iter().map(|own| own.name.as_str()).collect())?;
+                known(
+                    "gateway",
+                    gateway,
+                    gateways.iter().map(|own| own.name.as_str()).collect(),
+                )?;
             }
             loads.push(load);
         }
@@ -96,9 +120,17 @@
                 }
                 _ => engines.iter().map(|e| e.name.as_str()).collect(),
             };
-            if let Some(name) = step.names.iter().find(|name| !names.contains(&name.as_str())) {
+            if let Some(name) = step
+                .names
+                .iter()
+                .find(|name| !names.contains(&name.as_str()))
+            {
                 let hint = format!("there are: {}", names.join(", "));
-                return Err(Fault::new(setting.place.clone(), &format!("'{name}' is not there"), &hint));
+                return Err(Fault::new(
+                    setting.place.clone(),
+                    &format!("'{name}' is not there"),
+                    &hint,
+                ));
             }
             steps.push(step);
         }
@@ -147,7 +179,10 @@
     let effect = value("effect").map_or("safe", Value::text);
     ClassSpec {
         name: setting.values[0].text().to_string(),
-        effect: effects.into_iter().find(|own| *own == effect).unwrap_or("safe"),
+        effect: effects
+            .into_iter()
+            .find(|own| *own == effect)
+            .unwrap_or("safe"),
         aim: value("aim").map_or(Duration::from_secs(1), time),
         threads: value("threads").map_or(1, Value::number),
         is_load: setting.inner("load").is_some(),
@@ -184,8 +219,14 @@
     let from: IpAddr = match from.parse() {
         Ok(IpAddr::V4(from)) if from.is_loopback() => from.into(),
         _ => {
-            let place = setting.inner("from").map_or(setting.place.clone(), |from| from.place.clone());
-            return Err(Fault::new(place, &format!("'{from}' can't be used"), "expected one of 127.0.0.0/8"));
+            let place = setting
+                .inner("from")
+                .map_or(setting.place.clone(), |from| from.place.clone());
+            return Err(Fault::new(
+                place,
+                &format!("'{from}' can't be used"),
+                "expected one of 127.0.0.0/8",
+            ));
         }
     };
     Ok(LoadSpec {
@@ -235,7 +276,11 @@
             _ => Way::Both,
         };
         let times = ["by", "every", "within"].into_iter();
-        step.time = times.filter_map(|name| action.option(name)).map(time).next().unwrap_or_default();
+        step.time = times
+            .filter_map(|name| action.option(name))
+            .map(time)
+            .next()
+            .unwrap_or_default();
         step.bytes = action.option("to").map_or(0, Value::number);
     }
     step
--- a/crates/standin/src/scenario/specs.rs
+++ b/crates/standin/src/scenario/specs.rs
@@ -171,7 +171,16 @@
     /// One that strikes everything it names, both ways, for an hour.
     pub fn new(at: Duration, action: &'static str, names: Vec<String>) -> Self {
         let (share, lasts, way) = (1.0, Duration::from_secs(3600), Way::Both);
-        Step { at, action, share, names, lasts, way, time: Duration::ZERO, bytes: 0 }
+        Step {
+            at,
+            action,
+            share,
+            names,
+            lasts,
+            way,
+            time: Duration::ZERO,
+            bytes: 0,
+        }
     }
 }
 
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -17,7 +17,9 @@
 /// An address that nobody listens on.
 pub fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("a listening socket has an address")
+    listener
+        .local_addr()
+        .expect("a listening socket has an address")
 }
 
 fn patient(stream: TcpStream) -> io::Result<TcpStream> {
@@ -28,12 +30,18 @@
 
 /// Whether a wait has ended by itself.
 pub fn is_timeout(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+    )
 }
 
 /// That a read failed since the gateway has closed the connection, not since nothing came.
 fn assert_closed(error: &io::Error) {
-    assert!(!is_timeout(error), "the gateway keeps the connection: {error}");
+    assert!(
+        !is_timeout(error),
+        "the gateway keeps the connection: {error}"
+    );
 }
 
 // ---- Engines ----
@@ -71,8 +79,15 @@
 
     /// A field of a `serve`.
     pub fn field(&self, name: &str) -> Option<&str> {
-        let pairs = self.words.get(2)?.split(',').filter_map(|pair| pair.split_once('='));
-        pairs.into_iter().find(|(own, _)| *own == name).map(|(_, value)| value)
+        let pairs = self
+            .words
+            .get(2)?
+            .split(',')
+            .filter_map(|pair| pair.split_once('='));
+        pairs
+            .into_iter()
+            .find(|(own, _)| *own == name)
+            .map(|(_, value)| value)
     }
 }
 
@@ -94,14 +109,19 @@
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         // The system queues one connection more than it is told.
         socket.listen(0)?;
-        let mut held = Held { engine: Engine::over(socket.into())?, filler: None };
+        let mut held = Held {
+            engine: Engine::over(socket.into())?,
+            filler: None,
+        };
         held.fill()?;
         Ok(held)
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("a listening socket has an address")
+        self.listener
+            .local_addr()
+            .expect("a listening socket has an address")
     }
 
     /// Answers all that comes with so many pages of one kind, on threads of its own, until nobody has dialled
@@ -126,7 +146,9 @@
     /// The next connection.
     pub fn accept(&self) -> io::Result<EngineEnd> {
         let (stream, _) = self.listener.accept()?;
-        Ok(EngineEnd { lines: BufReader::new(patient(stream)?) })
+        Ok(EngineEnd {
+            lines: BufReader::new(patient(stream)?),
+        })
     }
 }
 
@@ -181,7 +203,12 @@
         match command.verb() {
             "serve" => self.answer(command.id(), "OK", &format!("count={pages}"), page),
             "gauges" | "health" => self.answer(command.id(), "UP", "report=inflight:0", ""),
-            "read" => self.answer(command.id(), "ROWS", &format!("pos={}", command.words[2]), page),
+            "read" => self.answer(
+                command.id(),
+                "ROWS",
+                &format!("pos={}", command.words[2]),
+                page,
+            ),
             _ => Ok(()),
         }
     }
@@ -226,7 +253,9 @@
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("a listening socket has an address")
+        self.listener
+            .local_addr()
+            .expect("a listening socket has an address")
     }
 
     /// The next watch, once its request has been read and its answer has begun.
@@ -244,7 +273,8 @@
             }
         }
         let mut stream = lines.into_inner();
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n")?;
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n")?;
         Ok(BulletinEnd { stream, after })
     }
 }
@@ -252,7 +282,8 @@
 impl BulletinEnd {
     /// Tells an event of the list.
     pub fn event(&mut self, number: u64, data: &str) -> io::Result<()> {
-        self.stream.write_all(format!("id: {number}\ndata: {data}\n\n").as_bytes())
+        self.stream
+            .write_all(format!("id: {number}\ndata: {data}\n\n").as_bytes())
     }
 
     /// Writes bytes as they are.
--- a/crates/standin/src/scripted/client.rs
+++ b/crates/standin/src/scripted/client.rs
@@ -50,11 +50,19 @@
 impl Client {
     /// Connects to a gateway.
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
-        Ok(Client { stream: BufReader::new(patient(TcpStream::connect(address)?)?) })
+        Ok(Client {
+            stream: BufReader::new(patient(TcpStream::connect(address)?)?),
+        })
     }
 
     /// Asks for a statement's result.
-    pub fn call(&mut self, id: u64, class: &str, fields: &[(&str, &str)], body: &[u8]) -> io::Result<()> {
+    pub fn call(
+        &mut self,
+        id: u64,
+        class: &str,
+        fields: &[(&str, &str)],
+        body: &[u8],
+    ) -> io::Result<()> {
         self.write_raw(&call(id, class, fields, body))
     }
 
@@ -133,11 +141,17 @@
     if input.fill_buf()?.first() == Some(&0xc0) {
         input.consume(1);
         array(input)?;
-        let marker = *input.fill_buf()?.first().ok_or(io::ErrorKind::UnexpectedEof)?;
+        let marker = *input
+            .fill_buf()?
+            .first()
+            .ok_or(io::ErrorKind::UnexpectedEof)?;
         if matches!(marker, 0xc2 | 0xc3) {
             input.consume(1);
             read_map(input)?;
-            return Ok(Answer::Health { id, well: marker == 0xc3 });
+            return Ok(Answer::Health {
+                id,
+                well: marker == 0xc3,
+            });
         }
         let length = rmp::decode::read_bin_len(input).map_err(|e| wrong(&e.to_string()))?;
         let mut body = vec![0; length as usize];
@@ -190,5 +204,7 @@
 
 fn read_map(input: &mut impl BufRead) -> io::Result<Vec<(String, String)>> {
     let count = rmp::decode::read_map_len(input).map_err(|e| io::Error::other(e.to_string()))?;
-    (0..count).map(|_| Ok((read_text(input)?, read_text(input)?))).collect()
+    (0..count)
+        .map(|_| Ok((read_text(input)?, read_text(input)?)))
+        .collect()
 }
--- a/crates/standin/tests/scripted.rs
+++ b/crates/standin/tests/scripted.rs
@@ -13,12 +13,16 @@
 
 fn impatient() -> Engine {
     let engine = Engine::listen("127.0.0.1:0").expect("a port");
-    socket2::SockRef::from(&engine.listener).set_read_timeout(Some(PATIENCE)).expect("an open socket");
+    socket2::SockRef::from(&engine.listener)
+        .set_read_timeout(Some(PATIENCE))
+        .expect("an open socket");
     engine
 }
 
 fn answers(address: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect(address) else { return false };
+    let Ok(mut stream) = TcpStream::connect(address) else {
+        return false;
+    };
     let mut line = String::new();
     stream.write_all(b"health 7\r\n").is_ok()
         && BufReader::new(stream).read_line(&mut line).is_ok()
@@ -42,6 +46,9 @@
     let stop = Arc::new(AtomicBool::new(false));
     assert!(lasts(impatient(), Some(stop.clone())));
     stop.store(true, Ordering::Relaxed);
-    assert!(!lasts(impatient(), Some(stop)), "it was told to before it began");
+    assert!(
+        !lasts(impatient(), Some(stop)),
+        "it was told to before it began"
+    );
     assert!(!lasts(impatient(), None));
 }
--- a/crates/statement/src/lib.rs
+++ b/crates/statement/src/lib.rs
@@ -26,11 +26,21 @@
         };
         if tokens.get(at + 1) != Some(&Token::Dot) {
             let word = name.to_ascii_lowercase();
-            let opens =
-                matches!(word.as_str(), "from" | "join" | "into" | "update" | "table" | "copy" | "using");
+            let opens = matches!(
+                word.as_str(),
+                "from" | "join" | "into" | "update" | "table" | "copy" | "using"
+            );
             let closes = matches!(
                 word.as_str(),
-                "select" | "where" | "on" | "set" | "values" | "group" | "order" | "having" | "limit"
+                "select"
+                    | "where"
+                    | "on"
+                    | "set"
+                    | "values"
+                    | "group"
+                    | "order"
+                    | "having"
+                    | "limit"
             );
             names_tables = (names_tables || opens) && !closes;
             at += 1;
@@ -38,7 +48,9 @@
         }
         // A path of names: behind a table word the last is the table, and the schema stands before it.
         let mut path = vec![name.as_str()];
-        while let (Some(Token::Dot), Some(Token::Name(next))) = (tokens.get(at + 1), tokens.get(at + 2)) {
+        while let (Some(Token::Dot), Some(Token::Name(next))) =
+            (tokens.get(at + 1), tokens.get(at + 2))
+        {
             path.push(next);
             at += 2;
         }
@@ -46,8 +58,11 @@
         if path.len() < 2 {
             continue;
         }
-        let found =
-            if names_tables { group(path[path.len() - 2]) } else { path.iter().find_map(|n| group(n)) };
+        let found = if names_tables {
+            group(path[path.len() - 2])
+        } else {
+            path.iter().find_map(|n| group(n))
+        };
         if names_tables && found.is_some() {
             return found;
         }
@@ -60,7 +75,8 @@
 fn group(schema: &str) -> Option<u64> {
     let (word, number) = schema.rsplit_once('_')?;
     let digits = !number.is_empty() && number.bytes().all(|byte| byte.is_ascii_digit());
-    (digits && !word.is_empty() && !word.eq_ignore_ascii_case("staging")).then(|| number.parse().ok())?
+    (digits && !word.is_empty() && !word.eq_ignore_ascii_case("staging"))
+        .then(|| number.parse().ok())?
 }
 
 fn tokens(text: &[u8]) -> Vec<Token> {
@@ -70,7 +86,10 @@
         let next = text.get(at + 1).copied();
         match (byte, next) {
             (b'-', Some(b'-')) => {
-                at = text[at..].iter().position(|&b| b == b'\n').map_or(text.len(), |n| at + n)
+                at = text[at..]
+                    .iter()
+                    .position(|&b| b == b'\n')
+                    .map_or(text.len(), |n| at + n)
             }
             (b'/', Some(b'*')) => at = past_comment(text, at),
             (b'\'', _) => {
@@ -91,10 +110,13 @@
                 tokens.push(Token::Other);
             }
             _ if starts_name(byte) => {
-                let length =
-                    text[at..].iter().take_while(|&&b| starts_name(b) || b.is_ascii_digit() || b == b'$');
+                let length = text[at..]
+                    .iter()
+                    .take_while(|&&b| starts_name(b) || b.is_ascii_digit() || b == b'$');
                 let end = at + length.count();
-                tokens.push(Token::Name(String::from_utf8_lossy(&text[at..end]).into_owned()));
+                tokens.push(Token::Name(
+                    String::from_utf8_lossy(&text[at..end]).into_owned(),
+                ));
                 at = end;
             }
             _ if byte.is_ascii_digit() => {
@@ -151,7 +173,10 @@
 
 /// The mark that opens and closes a text quoted with dollars: `$$` or `$word$`.
 fn dollar_tag(text: &[u8]) -> Option<&[u8]> {
-    let inside = text[1..].iter().take_while(|&&b| starts_name(b) || b.is_ascii_digit()).count();
+    let inside = text[1..]
+        .iter()
+        .take_while(|&&b| starts_name(b) || b.is_ascii_digit())
+        .count();
     let tag = text.get(..inside + 2)?;
     (tag[inside + 1] == b'$' && !tag[1].is_ascii_digit()).then_some(tag)
 }
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -16,7 +16,9 @@
 fn key(number: u64) -> Vec<u8> {
     let mut key = b"i\0\x01".to_vec();
     key.extend_from_slice(
-        &(number as u128).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835).to_be_bytes(),
+        &(number as u128)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835)
+            .to_be_bytes(),
     );
     key
 }
@@ -30,7 +32,9 @@
 }
 
 fn open(path: &Path) -> Store {
-    Store::open(Box::new(Directory::new(path)), PLAN, NOW, 1).expect("a store").0
+    Store::open(Box::new(Directory::new(path)), PLAN, NOW, 1)
+        .expect("a store")
+        .0
 }
 
 fn percentile(mut times: Vec<Duration>) -> (Duration, Duration) {
@@ -61,7 +65,13 @@
 
 impl Plain {
     fn open(path: &Path) -> Self {
-        Plain(OpenOptions::new().create(true).append(true).open(plain_path(path)).expect("a file"))
+        Plain(
+            OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(plain_path(path))
+                .expect("a file"),
+        )
     }
 
     fn commit(&mut self, from: u64, group: u64) {
@@ -77,8 +87,16 @@
 
 fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0");
-    line.trim().trim_end_matches(" kB").trim().parse::<u64>().unwrap_or(0) * 1024
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .unwrap_or("0");
+    line.trim()
+        .trim_end_matches(" kB")
+        .trim()
+        .parse::<u64>()
+        .unwrap_or(0)
+        * 1024
 }
 
 fn main() {
@@ -90,7 +108,8 @@
             store.flush().expect("it is flushed");
         });
         let mut plain = Plain::open(directory.path());
-        let (plain_rate, plain_median, plain_slow) = commits(group, |from, group| plain.commit(from, group));
+        let (plain_rate, plain_median, plain_slow) =
+            commits(group, |from, group| plain.commit(from, group));
         println!(
             "groups of {group}: {rate:.0} writes/s, median {median:.0?}, 99% {slow:.0?}; plain {plain_rate:.0}/s, \
              {plain_median:.0?}, {plain_slow:.0?}"
@@ -130,8 +149,10 @@
         );
         let at = Instant::now();
         let bytes = std::fs::read(plain_path(directory.path())).expect("the plain file");
-        let map: std::collections::BTreeMap<Vec<u8>, Vec<u8>> =
-            bytes.chunks_exact(40).map(|pair| (pair[..19].to_vec(), pair[19..].to_vec())).collect();
+        let map: std::collections::BTreeMap<Vec<u8>, Vec<u8>> = bytes
+            .chunks_exact(40)
+            .map(|pair| (pair[..19].to_vec(), pair[19..].to_vec()))
+            .collect();
         println!(
             "  the plain way: {:.0?} for {} keys of 40 bytes, without checksums",
             at.elapsed(),
@@ -165,5 +186,8 @@
     );
     let at = Instant::now();
     store.rescue(NOW).expect("it is rewritten");
-    println!("the plain way rewrites all of it at once: commits wait {:.0?}", at.elapsed());
+    println!(
+        "the plain way rewrites all of it at once: commits wait {:.0?}",
+        at.elapsed()
+    );
 }
--- a/crates/store/src/faulty.rs
+++ b/crates/store/src/faulty.rs
@@ -90,7 +90,9 @@
                 let end = (at / SECTOR * SECTOR + SECTOR).min(length);
                 match rng.u8(0..6) {
                     0 => content.bytes[at..end].fill(0),
-                    1 => content.bytes[at..end].iter_mut().for_each(|byte| *byte = rng.u8(..)),
+                    1 => content.bytes[at..end]
+                        .iter_mut()
+                        .for_each(|byte| *byte = rng.u8(..)),
                     _ => {}
                 }
                 at = end;
@@ -111,7 +113,11 @@
 
     /// A copy of all that is there now, as an operator's backup would hold it.
     pub fn saved(&self) -> BTreeMap<String, Vec<u8>> {
-        self.state().files.iter().map(|(name, content)| (name.clone(), content.bytes.clone())).collect()
+        self.state()
+            .files
+            .iter()
+            .map(|(name, content)| (name.clone(), content.bytes.clone()))
+            .collect()
     }
 
     /// The copy takes the place of what is there: files with births of their own.
@@ -121,7 +127,15 @@
         for (name, bytes) in saved {
             state.births += 1;
             let (synced, birth) = (bytes.len(), state.births);
-            state.files.insert(name.clone(), Content { bytes: bytes.clone(), synced, named: true, birth });
+            state.files.insert(
+                name.clone(),
+                Content {
+                    bytes: bytes.clone(),
+                    synced,
+                    named: true,
+                    birth,
+                },
+            );
         }
     }
 
@@ -155,12 +169,20 @@
 impl Files for Faulty {
     fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
         let state = self.state();
-        Ok(state.files.iter().map(|(name, content)| (name.clone(), content.bytes.len() as u64)).collect())
+        Ok(state
+            .files
+            .iter()
+            .map(|(name, content)| (name.clone(), content.bytes.len() as u64))
+            .collect())
     }
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
         let state = self.state();
-        state.files.get(name).map(|content| content.bytes.clone()).ok_or(io::ErrorKind::NotFound.into())
+        state
+            .files
+            .get(name)
+            .map(|content| content.bytes.clone())
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Log>> {
@@ -171,7 +193,13 @@
         }
         state.births += 1;
         let birth = state.births;
-        state.files.insert(name.to_string(), Content { birth, ..Content::default() });
+        state.files.insert(
+            name.to_string(),
+            Content {
+                birth,
+                ..Content::default()
+            },
+        );
         Ok(Box::new(FaultyLog(self.clone(), name.to_string())))
     }
 
@@ -195,7 +223,10 @@
         let mut state = self.state();
         state.call()?;
         state.removed.clear();
-        state.files.values_mut().for_each(|content| content.named = true);
+        state
+            .files
+            .values_mut()
+            .for_each(|content| content.named = true);
         Ok(())
     }
 
@@ -206,7 +237,11 @@
 
     fn birth(&mut self, name: &str) -> io::Result<Option<u64>> {
         let state = self.state();
-        state.files.get(name).map(|content| Some(content.birth)).ok_or(io::ErrorKind::NotFound.into())
+        state
+            .files
+            .get(name)
+            .map(|content| Some(content.birth))
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 }
 
@@ -218,9 +253,16 @@
         // A write that fails may have written a part.
         let called = state.call();
         let fits = state.room.map_or(bytes.len(), |room| room.min(bytes.len()));
-        let count = if called.is_ok() { fits } else { bytes.len() / 2 };
+        let count = if called.is_ok() {
+            fits
+        } else {
+            bytes.len() / 2
+        };
         state.room = state.room.map(|room| room - count.min(room));
-        let content = state.files.get_mut(&self.1).ok_or(io::ErrorKind::NotFound)?;
+        let content = state
+            .files
+            .get_mut(&self.1)
+            .ok_or(io::ErrorKind::NotFound)?;
         content.bytes.extend_from_slice(&bytes[..count]);
         called?;
         if count < bytes.len() {
@@ -237,7 +279,10 @@
         let mut state = self.0.state();
         let called = state.call();
         let crashed = state.crashed;
-        let content = state.files.get_mut(&self.1).ok_or(io::ErrorKind::NotFound)?;
+        let content = state
+            .files
+            .get_mut(&self.1)
+            .ok_or(io::ErrorKind::NotFound)?;
         if called.is_err() && !crashed {
             // The system drops what it could not write and says so once; a read may still show it.
             let synced = content.synced;
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -43,7 +43,10 @@
 
 impl Directory {
     pub fn new(path: impl Into<PathBuf>) -> Self {
-        Directory { path: path.into(), lock: None }
+        Directory {
+            path: path.into(),
+            lock: None,
+        }
     }
 }
 
@@ -69,7 +72,12 @@
 
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Log>> {
         std::fs::create_dir_all(&self.path)?;
-        Ok(Box::new(OpenOptions::new().create_new(true).append(true).open(self.path.join(name))?))
+        Ok(Box::new(
+            OpenOptions::new()
+                .create_new(true)
+                .append(true)
+                .open(self.path.join(name))?,
+        ))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
@@ -87,7 +95,11 @@
     fn lock(&mut self) -> io::Result<bool> {
         std::fs::create_dir_all(&self.path)?;
         let path = self.path.join(LOCK);
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
+        let file = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path)?;
         match flock(&file, FlockOperation::NonBlockingLockExclusive) {
             Ok(()) => {
                 self.lock = Some(file);
@@ -101,7 +113,10 @@
     fn birth(&mut self, name: &str) -> io::Result<Option<u64>> {
         use std::os::unix::fs::MetadataExt;
         let data = std::fs::metadata(self.path.join(name))?;
-        let made = data.created().ok().and_then(|made| made.duration_since(UNIX_EPOCH).ok());
+        let made = data
+            .created()
+            .ok()
+            .and_then(|made| made.duration_since(UNIX_EPOCH).ok());
         Ok(made.map(|made| (made.as_nanos() as u64).rotate_left(17) ^ data.ino()))
     }
 }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -53,11 +53,19 @@
 
 impl Batch {
     pub fn put(&mut self, key: Vec<u8>, value: Vec<u8>, until_ms: u64) {
-        self.writes.push(Write { key, value: Some(value), until_ms });
+        self.writes.push(Write {
+            key,
+            value: Some(value),
+            until_ms,
+        });
     }
 
     pub fn remove(&mut self, key: Vec<u8>) {
-        self.writes.push(Write { key, value: None, until_ms: 0 });
+        self.writes.push(Write {
+            key,
+            value: None,
+            until_ms: 0,
+        });
     }
 }
 
@@ -97,18 +105,24 @@
     if fixed[..8] != MAGIC {
         return Err(Bad::Foreign);
     }
-    let number = |at: usize| u32::from_le_bytes([fixed[at], fixed[at + 1], fixed[at + 2], fixed[at + 3]]);
+    let number =
+        |at: usize| u32::from_le_bytes([fixed[at], fixed[at + 1], fixed[at + 2], fixed[at + 3]]);
     if number(8) != VERSION {
         return Err(Bad::Version(number(8)));
     }
-    let head = rest.get(..MOST_HEAD).filter(|head| crc32fast::hash(head) == number(12)).ok_or(Bad::Head)?;
+    let head = rest
+        .get(..MOST_HEAD)
+        .filter(|head| crc32fast::hash(head) == number(12))
+        .ok_or(Bad::Head)?;
     let head = postcard::take_from_bytes(head).map_err(|_| Bad::Head)?.0;
     Ok((head, HEAD))
 }
 
 /// False: it is too long, and nothing was written.
 pub fn put(out: &mut Vec<u8>, frame: &Frame) -> bool {
-    let Ok(bytes) = postcard::to_stdvec(frame) else { return false };
+    let Ok(bytes) = postcard::to_stdvec(frame) else {
+        return false;
+    };
     if bytes.len() > MOST_BATCH {
         return false;
     }
@@ -127,7 +141,9 @@
     let head = bytes.get(..FRAME_HEAD)?;
     let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
     let sum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-    let body = bytes.get(FRAME_HEAD..FRAME_HEAD + length).filter(|_| length <= MOST_BATCH)?;
+    let body = bytes
+        .get(FRAME_HEAD..FRAME_HEAD + length)
+        .filter(|_| length <= MOST_BATCH)?;
     let mut own = crc32fast::Hasher::new();
     own.update(&head[..4]);
     own.update(body);
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -52,14 +52,20 @@
     #[error("another process has the store; stop it, or name another directory with store-dir")]
     InUse,
     #[error("{segment} can't be used: {why}; {remedy}")]
-    Segment { segment: String, why: Bad, remedy: &'static str },
+    Segment {
+        segment: String,
+        why: Bad,
+        remedy: &'static str,
+    },
     #[error(
         "the store has lost its beginning: {segment} follows batch {after}, which no snapshot holds; \
         move the \
          directory away, the gateway then starts as a stranger"
     )]
     NoBeginning { segment: String, after: u64 },
-    #[error("{segment} belongs to another store; put one store's files into a directory, not two's")]
+    #[error(
+        "{segment} belongs to another store; put one store's files into a directory, not two's"
+    )]
     Mixed { segment: String },
     #[error("{0}")]
     Io(#[from] std::io::Error),
@@ -72,14 +78,19 @@
 
 /// The number that a file's name tells, if it is a segment's.
 pub fn number(name: &str) -> Option<u64> {
-    u64::from_str_radix(name.strip_suffix(".seg")?, 16).ok().filter(|_| name.len() == 20)
+    u64::from_str_radix(name.strip_suffix(".seg")?, 16)
+        .ok()
+        .filter(|_| name.len() == 20)
 }
 
 pub fn put(keys: &mut Keys, write: Write) {
     let key = write.key.into_boxed_slice();
     match write.value {
         Some(value) => {
-            let value = Value { bytes: value.into_boxed_slice(), until_ms: write.until_ms };
+            let value = Value {
+                bytes: value.into_boxed_slice(),
+                until_ms: write.until_ms,
+            };
             _ = keys.insert(key, value);
         }
         None => _ = keys.remove(&key),
@@ -110,8 +121,15 @@
 impl Writes {
     fn take(&mut self, batch: Batch) {
         self.0.extend(batch.writes.into_iter().map(|write| {
-            let value = write.value.map(|bytes| Value { bytes: bytes.into(), until_ms: write.until_ms });
-            Keyed { begins: begins(&write.key), key: write.key.into(), value }
+            let value = write.value.map(|bytes| Value {
+                bytes: bytes.into(),
+                until_ms: write.until_ms,
+            });
+            Keyed {
+                begins: begins(&write.key),
+                key: write.key.into(),
+                value,
+            }
         }));
     }
 
@@ -122,11 +140,15 @@
         let mut all = all.into_iter().peekable();
         let last = std::iter::from_fn(|| loop {
             let write = all.next()?;
-            if all.peek().is_none_or(|next| next.begins != write.begins || next.key != write.key) {
+            if all
+                .peek()
+                .is_none_or(|next| next.begins != write.begins || next.key != write.key)
+            {
                 return Some((write.key, write.value));
             }
         });
-        last.filter_map(|(key, value)| Some((key, value?))).collect()
+        last.filter_map(|(key, value)| Some((key, value?)))
+            .collect()
     }
 }
 
@@ -187,7 +209,12 @@
     let mut segments = Vec::new();
     for (name, bytes) in files {
         match frame::read_head(bytes) {
-            Ok((head, frames)) => segments.push(Segment { name, head, frames, bytes }),
+            Ok((head, frames)) => segments.push(Segment {
+                name,
+                head,
+                frames,
+                bytes,
+            }),
             // A crash or a fault while it was begun leaves a head that was never whole, and no frame behind
             // it.
             Err(_) if bytes.len() <= frame::HEAD => {}
@@ -196,13 +223,22 @@
                     Bad::Version(_) => "use the program that wrote it, or move the directory away",
                     _ => "move the directory away; the gateway then starts as a stranger",
                 };
-                return Err(Unusable::Segment { segment: name.clone(), why, remedy });
+                return Err(Unusable::Segment {
+                    segment: name.clone(),
+                    why,
+                    remedy,
+                });
             }
         }
     }
     let first = segments.first().map(|segment| segment.head.identity);
-    if let Some(other) = segments.iter().find(|segment| Some(segment.head.identity) != first) {
-        return Err(Unusable::Mixed { segment: other.name.to_string() });
+    if let Some(other) = segments
+        .iter()
+        .find(|segment| Some(segment.head.identity) != first)
+    {
+        return Err(Unusable::Mixed {
+            segment: other.name.to_string(),
+        });
     }
     let mut recovered = Recovered {
         keys: Keys::new(),
@@ -220,7 +256,11 @@
 /// The writes of the newest whole snapshot and of the logs behind it, up to the first thing that is missing.
 fn writes(segments: &[Segment], recovered: &mut Recovered) -> Result<Writes, Unusable> {
     let (mut from, mut writes) = (0, Writes::default());
-    let snapshots = segments.iter().enumerate().rev().filter(|(_, segment)| segment.head.snapshot);
+    let snapshots = segments
+        .iter()
+        .enumerate()
+        .rev()
+        .filter(|(_, segment)| segment.head.snapshot);
     for (place, segment) in snapshots {
         if let Some(keys) = segment.snapshot() {
             (writes, recovered.last, from) = (keys, segment.head.after, place + 1);
@@ -263,7 +303,11 @@
         recovered.torn += rest.len() as u64;
     }
     // What was acknowledged when a segment was begun is there, whatever has become of that segment.
-    if let Some(segment) = segments.iter().rev().find(|own| own.head.acknowledged > recovered.last) {
+    if let Some(segment) = segments
+        .iter()
+        .rev()
+        .find(|own| own.head.acknowledged > recovered.last)
+    {
         missing(recovered, segment, from == 0 && logs == 0)?;
     }
     Ok(writes)
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -102,16 +102,34 @@
         let own = match known.filter(|_| trust == Trust::Whole) {
             Some(own) => own,
             // What is not what it was is another life, which may not know what came before.
-            None => make_identity(files.as_mut(), &names, Identity { own: random, life_ms: now_ms })?,
+            None => make_identity(
+                files.as_mut(),
+                &names,
+                Identity {
+                    own: random,
+                    life_ms: now_ms,
+                },
+            )?,
         };
         // What is built on must be durable, also where an earlier process only wrote it.
         for (name, _) in &segments {
             files.sync(name)?;
         }
         let newest = recovered.newest;
-        let live = recovered.keys.iter().map(|(key, value)| cost(key, &value.bytes)).sum();
-        let highest = names.iter().filter_map(|name| recovery::number(name)).max().unwrap_or(0);
-        let sizes = segments.iter().map(|(name, bytes)| (name.clone(), bytes.len() as u64)).collect();
+        let live = recovered
+            .keys
+            .iter()
+            .map(|(key, value)| cost(key, &value.bytes))
+            .sum();
+        let highest = names
+            .iter()
+            .filter_map(|name| recovery::number(name))
+            .max()
+            .unwrap_or(0);
+        let sizes = segments
+            .iter()
+            .map(|(name, bytes)| (name.clone(), bytes.len() as u64))
+            .collect();
         let found = Found {
             trust,
             identity: own.own,
@@ -163,7 +181,8 @@
     pub fn prefix<'a>(&'a self, prefix: &'a [u8]) -> impl Iterator<Item = (&'a [u8], &'a Value)> {
         let from = (Bound::Included(prefix), Bound::Unbounded);
         let all = self.keys.range::<[u8], _>(from);
-        all.map(|(key, value)| (&**key, value)).take_while(move |(key, _)| key.starts_with(prefix))
+        all.map(|(key, value)| (&**key, value))
+            .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
     pub fn len(&self) -> usize {
@@ -186,7 +205,8 @@
 
     /// Whether so much more would break the budget, with room to write all that lives once more.
     pub fn is_full(&self, more: u64) -> bool {
-        self.live + more > self.plan.budget / 3 || self.bytes() + self.live + more > self.plan.budget
+        self.live + more > self.plan.budget / 3
+            || self.bytes() + self.live + more > self.plan.budget
     }
 
     pub fn is_broken(&self) -> bool {
@@ -203,9 +223,14 @@
         if let Frame::Batch(_, _, batch) = frame {
             // One after the other: a batch may write a key twice.
             for write in batch.writes {
-                let before =
-                    self.keys.get(write.key.as_slice()).map_or(0, |value| cost(&write.key, &value.bytes));
-                self.live += write.value.as_ref().map_or(0, |value| cost(&write.key, value));
+                let before = self
+                    .keys
+                    .get(write.key.as_slice())
+                    .map_or(0, |value| cost(&write.key, &value.bytes));
+                self.live += write
+                    .value
+                    .as_ref()
+                    .map_or(0, |value| cost(&write.key, value));
                 self.live -= before;
                 recovery::put(&mut self.keys, write);
             }
@@ -215,7 +240,9 @@
 
     /// Makes all that was taken durable; gives the last batch's number.
     pub fn flush(&mut self) -> io::Result<u64> {
-        let Some(log) = &mut self.log else { return Err(io::Error::other("the log is broken")) };
+        let Some(log) = &mut self.log else {
+            return Err(io::Error::other("the log is broken"));
+        };
         if self.pending.is_empty() {
             return Ok(self.durable);
         }
@@ -234,9 +261,20 @@
     // ---- Segments ----
 
     /// A new segment behind a batch.
-    fn create(&mut self, snapshot: bool, after: u64, now_ms: u64) -> io::Result<(Box<dyn Log>, String)> {
+    fn create(
+        &mut self,
+        snapshot: bool,
+        after: u64,
+        now_ms: u64,
+    ) -> io::Result<(Box<dyn Log>, String)> {
         self.head.number += 1;
-        let head = Head { snapshot, after, acknowledged: self.durable, at_ms: now_ms, ..self.head };
+        let head = Head {
+            snapshot,
+            after,
+            acknowledged: self.durable,
+            at_ms: now_ms,
+            ..self.head
+        };
         let name = recovery::name(head.number);
         let mut log = self.files.create(&name)?;
         let mut bytes = Vec::new();
@@ -258,7 +296,8 @@
 
     /// Whether the log should be rewritten.
     pub fn wants_rewriting(&self) -> bool {
-        let long = self.log_bytes > LEAST_LOG.min(self.plan.budget / 8) && self.log_bytes > 2 * self.live;
+        let long =
+            self.log_bytes > LEAST_LOG.min(self.plan.budget / 8) && self.log_bytes > 2 * self.live;
         self.log.is_some() && (self.rewriting.is_some() || long || self.unsure)
     }
 
@@ -269,7 +308,14 @@
             self.flush()?;
             let old = self.sizes.keys().cloned().collect();
             let (log, name) = self.create(true, self.durable, now_ms)?;
-            self.rewriting = Some(Rewriting { log, name, bytes: 0, at: None, writes: 0, old });
+            self.rewriting = Some(Rewriting {
+                log,
+                name,
+                bytes: 0,
+                at: None,
+                writes: 0,
+                old,
+            });
             // What comes from now on lies behind the snapshot, whatever of it that holds already.
             if let Err(e) = self.begin_log(now_ms) {
                 self.rewriting = None;
@@ -277,7 +323,9 @@
             }
             self.log_bytes = 0;
         }
-        let Some(mut own) = self.rewriting.take() else { return Ok(false) };
+        let Some(mut own) = self.rewriting.take() else {
+            return Ok(false);
+        };
         let mut left = bytes;
         while left > 0 {
             let part = self.part(&mut own, now_ms);
@@ -319,7 +367,11 @@
                 self.live -= cost(&key, &value.bytes);
             }
         }
-        own.at = part.writes.last().map(|write| write.key.as_slice().into()).or(own.at.take());
+        own.at = part
+            .writes
+            .last()
+            .map(|write| write.key.as_slice().into())
+            .or(own.at.take());
         part
     }
 
@@ -345,7 +397,14 @@
         let old: Vec<String> = self.sizes.keys().cloned().collect();
         // What is not durable yet becomes so with the snapshot, and its frames are not needed again.
         let (log, name) = self.create(true, self.last, now_ms)?;
-        let mut own = Rewriting { log, name, bytes: 0, at: None, writes: 0, old };
+        let mut own = Rewriting {
+            log,
+            name,
+            bytes: 0,
+            at: None,
+            writes: 0,
+            old,
+        };
         loop {
             let part = self.part(&mut own, now_ms);
             if part.writes.is_empty() {
@@ -382,7 +441,8 @@
         let part = bytes.get(at..at + 8).and_then(|part| part.try_into().ok());
         part.map(u64::from_le_bytes)
     };
-    let (Some(own), Some(life_ms), Some(birth), Some(sum)) = (number(0), number(8), number(16), number(24))
+    let (Some(own), Some(life_ms), Some(birth), Some(sum)) =
+        (number(0), number(8), number(16), number(24))
     else {
         return Ok(None);
     };
@@ -392,7 +452,11 @@
     Ok(Some(Identity { own, life_ms }).filter(|_| same && whole))
 }
 
-fn make_identity(files: &mut dyn Files, names: &[String], identity: Identity) -> io::Result<Identity> {
+fn make_identity(
+    files: &mut dyn Files,
+    names: &[String],
+    identity: Identity,
+) -> io::Result<Identity> {
     if names.iter().any(|name| name == IDENTITY) {
         files.remove(IDENTITY)?;
     }
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -47,7 +47,12 @@
         let own = shared.clone();
         let thread = std::thread::Builder::new().name("store".into());
         let thread = thread.spawn(move || run(store, receiver, &own, wake))?;
-        Ok(Worker { sender: Some(sender), shared, thread: Some(thread), sent: 0 })
+        Ok(Worker {
+            sender: Some(sender),
+            shared,
+            thread: Some(thread),
+            sent: 0,
+        })
     }
 
     /// Hands a batch over; gives its ticket, or nothing where too many wait.
@@ -77,19 +82,29 @@
     fn drop(&mut self) {
         self.sender = None;
         let (until, thread) = (Instant::now() + LAST_FLUSH, self.thread.take());
-        while thread.as_ref().is_some_and(|thread| !thread.is_finished()) && Instant::now() < until {
+        while thread.as_ref().is_some_and(|thread| !thread.is_finished()) && Instant::now() < until
+        {
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 fn run(mut store: Store, batches: Receiver<Batch>, shared: &Shared, wake: Box<dyn Fn() + Send>) {
     let began = Instant::now();
-    let mut slices: Scheduler<()> = Scheduler::new(Budget { look: u64::MAX, bytes_per_s: SLICES_PER_S }, 0);
+    let mut slices: Scheduler<()> = Scheduler::new(
+        Budget {
+            look: u64::MAX,
+            bytes_per_s: SLICES_PER_S,
+        },
+        0,
+    );
     let (mut taken, mut not_before) = (0u64, Instant::now());
     loop {
         let now = || began.elapsed().as_micros() as u64;
@@ -97,7 +112,8 @@
         let wait = match rewrites {
             // Only as long as the slices' budget says.
             true => {
-                Duration::from_micros(slices.due(now()).map_or(0, |due| due.saturating_sub(now()))).min(IDLE)
+                Duration::from_micros(slices.due(now()).map_or(0, |due| due.saturating_sub(now())))
+                    .min(IDLE)
             }
             false => IDLE,
         };
@@ -107,7 +123,10 @@
             Err(RecvTimeoutError::Disconnected) => break,
         };
         // One flush for all that waits by now.
-        for batch in first.into_iter().chain(batches.try_iter().take(MOST_WAITING)) {
+        for batch in first
+            .into_iter()
+            .chain(batches.try_iter().take(MOST_WAITING))
+        {
             taken += 1;
             // Only what nobody waits for can be too long: an intent is some sixty bytes.
             if store.write(batch).is_none() {
@@ -121,7 +140,9 @@
         };
         if let Err(e) = flushed {
             if !shared.failing.swap(true, Ordering::Relaxed) {
-                log::error!("the store can't be written; keyed requests wait, then are refused: {e}");
+                log::error!(
+                    "the store can't be written; keyed requests wait, then are refused: {e}"
+                );
             }
             not_before = Instant::now() + PAUSE;
             wake();
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -14,11 +14,15 @@
 type Map = BTreeMap<Vec<u8>, Vec<u8>>;
 
 fn open(disk: &Faulty, random: u64) -> Result<(Store, Trust), Unusable> {
-    Store::open(Box::new(disk.clone()), PLAN, NOW, random).map(|(store, found)| (store, found.trust))
+    Store::open(Box::new(disk.clone()), PLAN, NOW, random)
+        .map(|(store, found)| (store, found.trust))
 }
 
 fn held(store: &Store) -> Map {
-    store.prefix(b"").map(|(key, value)| (key.to_vec(), value.bytes.to_vec())).collect()
+    store
+        .prefix(b"")
+        .map(|(key, value)| (key.to_vec(), value.bytes.to_vec()))
+        .collect()
 }
 
 /// A small batch over few keys, so that most are overwritten and removed.
@@ -75,11 +79,21 @@
     let (mut states, mut acknowledged) = (vec![Map::new()], 0);
     for life in 0..4 {
         // Mostly soon, so that recovery and the first calls of a life are hit often.
-        disk.crash_at(if rng.bool() { rng.u64(1..12) } else { rng.u64(1..120) });
+        disk.crash_at(if rng.bool() {
+            rng.u64(1..12)
+        } else {
+            rng.u64(1..120)
+        });
         if let Ok((mut store, trust)) = open(&disk, seed + life) {
-            assert!(matches!(trust, Trust::New | Trust::Whole), "seed {seed}, life {life}: {trust:?}");
+            assert!(
+                matches!(trust, Trust::New | Trust::Whole),
+                "seed {seed}, life {life}: {trust:?}"
+            );
             let found = held(&store);
-            let place = states.iter().skip(acknowledged).position(|state| *state == found);
+            let place = states
+                .iter()
+                .skip(acknowledged)
+                .position(|state| *state == found);
             let place = place.unwrap_or_else(|| {
                 let earlier = states.iter().rposition(|state| *state == found);
                 panic!(
@@ -99,14 +113,23 @@
         }
     }
     let (store, trust) = open(&disk, seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-    assert!(matches!(trust, Trust::New | Trust::Whole), "seed {seed}: {trust:?}");
-    assert!(states[acknowledged..].contains(&held(&store)), "seed {seed}: an acknowledged write is lost");
+    assert!(
+        matches!(trust, Trust::New | Trust::Whole),
+        "seed {seed}: {trust:?}"
+    );
+    assert!(
+        states[acknowledged..].contains(&held(&store)),
+        "seed {seed}: an acknowledged write is lost"
+    );
 }
 
 /// `EIDERYARD_SEEDS` plays more.
 #[test]
 fn a_crash_within_any_call_loses_nothing_acknowledged_and_invents_nothing() {
-    let seeds = std::env::var("EIDERYARD_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(4000);
+    let seeds = std::env::var("EIDERYARD_SEEDS")
+        .ok()
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(4000);
     (0..seeds).for_each(|seed| crashes(seed, seed % 4 != 0));
 }
 
@@ -127,8 +150,13 @@
             disk.change(&name, |now| now.truncate(bytes.len()));
         }
         disk.power_loss(&mut rng);
-        let found = open(&disk, 2).map(|(store, _)| held(&store)).unwrap_or_default();
-        assert!(states[acknowledged..].contains(&found), "seed {seed}: an acknowledged write is lost");
+        let found = open(&disk, 2)
+            .map(|(store, _)| held(&store))
+            .unwrap_or_default();
+        assert!(
+            states[acknowledged..].contains(&found),
+            "seed {seed}: an acknowledged write is lost"
+        );
     }
 }
 
@@ -152,7 +180,11 @@
         drop(store);
         disk.power_loss(&mut rng);
         let (store, trust) = open(&disk, 2).unwrap();
-        assert_eq!((held(&store), trust), (states.pop().unwrap(), Trust::Whole), "seed {seed}");
+        assert_eq!(
+            (held(&store), trust),
+            (states.pop().unwrap(), Trust::Whole),
+            "seed {seed}"
+        );
     }
 }
 
@@ -196,7 +228,10 @@
     match Store::open(Box::new(disk.clone()), PLAN, NOW, 9) {
         Ok((store, found)) => {
             let found_state = held(&store);
-            assert!(states.contains(&found_state), "{name}, {what}: a state that never was");
+            assert!(
+                states.contains(&found_state),
+                "{name}, {what}: a state that never was"
+            );
             let whole = found_state == *states.last().unwrap();
             // What is missing is said, unless it looks as if it was never flushed.
             assert!(
@@ -233,7 +268,10 @@
             }
         }
     }
-    assert!(opened > 1000 && refused > 50, "{opened} opened, {refused} refused");
+    assert!(
+        opened > 1000 && refused > 50,
+        "{opened} opened, {refused} refused"
+    );
 }
 
 #[test]
@@ -249,9 +287,15 @@
         store.flush().unwrap();
     };
     let (mut store, found) = open(NOW).unwrap();
-    assert_eq!((found.trust, found.start, found.life_ms), (Trust::New, 1, NOW));
+    assert_eq!(
+        (found.trust, found.start, found.life_ms),
+        (Trust::New, 1, NOW)
+    );
     put(&mut store, "a");
-    assert!(matches!(open(NOW), Err(Unusable::InUse)), "two processes on one directory");
+    assert!(
+        matches!(open(NOW), Err(Unusable::InUse)),
+        "two processes on one directory"
+    );
     drop(store);
     let copy = |from: &std::path::Path, to: &std::path::Path| {
         std::fs::create_dir_all(to).unwrap();
@@ -262,17 +306,27 @@
     };
     copy(&own, &old);
     let (mut store, found) = open(NOW + 1).unwrap();
-    assert_eq!((found.trust, found.start, found.life_ms), (Trust::Whole, 2, NOW));
+    assert_eq!(
+        (found.trust, found.start, found.life_ms),
+        (Trust::Whole, 2, NOW)
+    );
     put(&mut store, "b");
     drop(store);
     std::fs::remove_dir_all(&own).unwrap();
     copy(&old, &own);
     let (store, found) = open(NOW + 2).unwrap();
-    assert_eq!((found.trust, found.life_ms, found.keys), (Trust::Copy, NOW + 2, 1));
+    assert_eq!(
+        (found.trust, found.life_ms, found.keys),
+        (Trust::Copy, NOW + 2, 1)
+    );
     assert!(store.get(b"a").is_some() && store.get(b"b").is_none());
     drop(store);
     let (_, found) = open(NOW + 3).unwrap();
-    assert_eq!((found.trust, found.life_ms), (Trust::Whole, NOW + 2), "from then on it is its own life");
+    assert_eq!(
+        (found.trust, found.life_ms),
+        (Trust::Whole, NOW + 2),
+        "from then on it is its own life"
+    );
     std::fs::remove_dir_all(&own).unwrap();
     assert_eq!(open(NOW + 4).unwrap().1.trust, Trust::New);
 }
@@ -292,7 +346,11 @@
         if store.wants_rewriting() {
             store.rewrite(NOW, 4000).unwrap();
         }
-        assert!(store.bytes() < PLAN.budget, "{} bytes on disk", store.bytes());
+        assert!(
+            store.bytes() < PLAN.budget,
+            "{} bytes on disk",
+            store.bytes()
+        );
     }
     while store.wants_rewriting() {
         store.rewrite(NOW, 4000).unwrap();
@@ -365,11 +423,19 @@
     let mut one = Batch::default();
     one.put(b"key".to_vec(), b"value".to_vec(), 0);
     // The thread may hold as many again as the queue.
-    let taken = std::iter::from_fn(|| worker.write(one.clone())).take(3 * MOST_WAITING).last().unwrap();
-    assert!((MOST_WAITING as u64..3 * MOST_WAITING as u64).contains(&taken), "{taken}");
+    let taken = std::iter::from_fn(|| worker.write(one.clone()))
+        .take(3 * MOST_WAITING)
+        .last()
+        .unwrap();
+    assert!(
+        (MOST_WAITING as u64..3 * MOST_WAITING as u64).contains(&taken),
+        "{taken}"
+    );
     assert_eq!(worker.durable(), 0);
     disk.stall(false);
     while worker.durable() < taken {
-        heard.recv_timeout(std::time::Duration::from_secs(20)).expect("it is told when more is durable");
+        heard
+            .recv_timeout(std::time::Duration::from_secs(20))
+            .expect("it is told when more is durable");
     }
 }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -22,14 +22,21 @@
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(|e| format!("reading standard input: {e}"))?;
+        let read = input
+            .read_until(b'\n', &mut line)
+            .map_err(|e| format!("reading standard input: {e}"))?;
         if read == 0 {
             return host.at_rest();
         }
-        let text = std::str::from_utf8(&line).map_err(|_| "a line is not UTF-8 text".to_string())?;
+        let text =
+            std::str::from_utf8(&line).map_err(|_| "a line is not UTF-8 text".to_string())?;
         if let Some(reply) = host.take_line(text.trim_end_matches(['\n', '\r']))? {
-            output.write_all(reply.as_bytes()).map_err(|e| format!("writing standard output: {e}"))?;
-            output.flush().map_err(|e| format!("writing standard output: {e}"))?;
+            output
+                .write_all(reply.as_bytes())
+                .map_err(|e| format!("writing standard output: {e}"))?;
+            output
+                .flush()
+                .map_err(|e| format!("writing standard output: {e}"))?;
         }
     }
 }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -31,21 +31,30 @@
         let mut parts = line.split(' ').filter(|part| !part.is_empty());
         let verb = parts.next().unwrap_or("");
         let pairs = parts
-            .map(|part| part.split_once('=').ok_or_else(|| format!("{verb}: '{part}' is not name=value")))
+            .map(|part| {
+                part.split_once('=')
+                    .ok_or_else(|| format!("{verb}: '{part}' is not name=value"))
+            })
             .collect::<Result<_, _>>()?;
         Ok(Fields { verb, pairs })
     }
 
     fn text(&self, name: &str) -> Option<&'a str> {
-        self.pairs.iter().find(|(key, _)| *key == name).map(|(_, value)| *value)
+        self.pairs
+            .iter()
+            .find(|(key, _)| *key == name)
+            .map(|(_, value)| *value)
     }
 
     fn optional<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, String> {
-        self.text(name).map(|value| number(self.verb, name, value)).transpose()
+        self.text(name)
+            .map(|value| number(self.verb, name, value))
+            .transpose()
     }
 
     fn required<T: std::str::FromStr>(&self, name: &str) -> Result<T, String> {
-        self.optional(name)?.ok_or_else(|| format!("{}: field '{name}' is missing", self.verb))
+        self.optional(name)?
+            .ok_or_else(|| format!("{}: field '{name}' is missing", self.verb))
     }
 
     fn or<T: std::str::FromStr>(&self, name: &str, default: T) -> Result<T, String> {
@@ -54,7 +63,9 @@
 }
 
 fn number<T: std::str::FromStr>(verb: &str, name: &str, value: &str) -> Result<T, String> {
-    value.parse().map_err(|_| format!("{verb}: field '{name}' has the value '{value}', which is not valid"))
+    value
+        .parse()
+        .map_err(|_| format!("{verb}: field '{name}' has the value '{value}', which is not valid"))
 }
 
 impl Host {
@@ -75,7 +86,9 @@
             self.reply.clear();
             return Ok(None);
         }
-        let (now, turn) = self.batch.ok_or_else(|| format!("{}: outside of a batch", fields.verb))?;
+        let (now, turn) = self
+            .batch
+            .ok_or_else(|| format!("{}: outside of a batch", fields.verb))?;
         match fields.verb {
             "GO" => {
                 self.batch = None;
@@ -94,7 +107,9 @@
             }
             "TEARDOWN" => {
                 let who: u64 = fields.required("who")?;
-                self.gateways.remove(&who).ok_or_else(|| format!("TEARDOWN: no instance {who}"))?;
+                self.gateways
+                    .remove(&who)
+                    .ok_or_else(|| format!("TEARDOWN: no instance {who}"))?;
             }
             _ => self.drive(now, &fields)?,
         }
@@ -147,11 +162,18 @@
         if !self.gateways.contains_key(&who) {
             return Err(format!("{}: no instance {who}", fields.verb));
         }
-        let Some(event) = self.event(fields)? else { return Ok(()) };
-        let Some((gateway, classes)) = self.gateways.get_mut(&who) else { return Ok(()) };
+        let Some(event) = self.event(fields)? else {
+            return Ok(());
+        };
+        let Some((gateway, classes)) = self.gateways.get_mut(&who) else {
+            return Ok(());
+        };
         if let Event::Arrived(request) = &event {
             if request.class >= *classes {
-                return Err(format!("CALL: class {} is unknown to instance {who}", request.class));
+                return Err(format!(
+                    "CALL: class {} is unknown to instance {who}",
+                    request.class
+                ));
             }
         }
         gateway.handle(now, event, &mut self.actions);
@@ -169,7 +191,10 @@
                 3 => Event::ListFailed,
                 mode @ 0..=2 => {
                     let list: u64 = fields.required("ref")?;
-                    let entries = self.lists.get(&list).ok_or_else(|| format!("MEMBERS: no list {list}"))?;
+                    let entries = self
+                        .lists
+                        .get(&list)
+                        .ok_or_else(|| format!("MEMBERS: no list {list}"))?;
                     match mode {
                         2 => Event::ListChanges(entries.clone()),
                         _ => Event::FullList(entries.clone()),
@@ -178,7 +203,9 @@
                 mode => return Err(format!("MEMBERS: mode {mode} is unknown")),
             },
             "CALL" => Event::Arrived(call(fields)?),
-            "ACK_FIRST" => Event::StreamBegan { request: request()? },
+            "ACK_FIRST" => Event::StreamBegan {
+                request: request()?,
+            },
             "HINT_UPDATE" => {
                 let level: f64 = fields.or("level", 0.0)?;
                 let note = match (fields.required::<u32>("what")?, level) {
@@ -188,7 +215,11 @@
                     (3, _) => Note::WaitsForMemory,
                     _ => return Ok(None),
                 };
-                Event::Noted { request: request()?, attempt: attempt()?, note }
+                Event::Noted {
+                    request: request()?,
+                    attempt: attempt()?,
+                    note,
+                }
             }
             "FINISHED" => Event::Ended(Ended {
                 request: request()?,
@@ -205,8 +236,12 @@
                 outcome: outcome(fields)?,
                 report: report(fields)?,
             }),
-            "TIMED_OUT_CLIENT" => Event::ClientLeft { request: request()? },
-            "ELAPSED" => Event::Timer { tag: fields.required("tag")? },
+            "TIMED_OUT_CLIENT" => Event::ClientLeft {
+                request: request()?,
+            },
+            "ELAPSED" => Event::Timer {
+                tag: fields.required("tag")?,
+            },
             _ => return Ok(None),
         }))
     }
@@ -230,30 +265,41 @@
 }
 
 fn outcome(fields: &Fields) -> Result<Outcome, String> {
-    Ok(match fields.text("rc").ok_or_else(|| format!("{}: field 'rc' is missing", fields.verb))? {
-        "delivered" => Outcome::Answered,
-        "app_error" => Outcome::Error,
-        "shed" => Outcome::Full,
-        "expired" => Outcome::TimedOut,
-        "dial_failed" => Outcome::NoConnection,
-        "dropped" => Outcome::Broken,
-        "revoked" => Outcome::Cancelled,
-        "unused" => Outcome::Unsent,
-        other => return Err(format!("{}: outcome '{other}' is unknown", fields.verb)),
-    })
+    Ok(
+        match fields
+            .text("rc")
+            .ok_or_else(|| format!("{}: field 'rc' is missing", fields.verb))?
+        {
+            "delivered" => Outcome::Answered,
+            "app_error" => Outcome::Error,
+            "shed" => Outcome::Full,
+            "expired" => Outcome::TimedOut,
+            "dial_failed" => Outcome::NoConnection,
+            "dropped" => Outcome::Broken,
+            "revoked" => Outcome::Cancelled,
+            "unused" => Outcome::Unsent,
+            other => return Err(format!("{}: outcome '{other}' is unknown", fields.verb)),
+        },
+    )
 }
 
 /// Milliseconds of work x 4096, plus memory in units of 4 MB.
 fn bill(stats: u64) -> Option<Bill> {
-    (stats > 0).then_some(Bill { work: (stats / 4096) as f64 * 1e3, memory_mb: (stats % 4096) as f64 * 4.0 })
+    (stats > 0).then_some(Bill {
+        work: (stats / 4096) as f64 * 1e3,
+        memory_mb: (stats % 4096) as f64 * 4.0,
+    })
 }
 
 fn report(fields: &Fields) -> Result<Option<LoadReport>, String> {
-    let Some(text) = fields.text("report") else { return Ok(None) };
+    let Some(text) = fields.text("report") else {
+        return Ok(None);
+    };
     let mut report = LoadReport::default();
     for part in text.split(',').filter(|part| !part.is_empty()) {
-        let (name, value) =
-            part.split_once(':').ok_or_else(|| format!("{}: '{part}' is not name:value", fields.verb))?;
+        let (name, value) = part
+            .split_once(':')
+            .ok_or_else(|| format!("{}: '{part}' is not name:value", fields.verb))?;
         set_reported(&mut report, name, number(fields.verb, name, value)?);
     }
     Ok(Some(report))
@@ -262,27 +308,56 @@
 fn write_action(reply: &mut String, who: u64, action: Action) {
     // Writing to a String cannot fail.
     let _ = match action {
-        Action::Terms { request, grant_mb, rank } => writeln!(
+        Action::Terms {
+            request,
+            grant_mb,
+            rank,
+        } => writeln!(
             reply,
             "GRANT_AND_RANK who={who} call={request} memory-grant={} importance={rank}",
             grant_mb.round()
         ),
-        Action::Send { request, engine, give_up_at } => {
-            writeln!(reply, "TRANSMIT who={who} call={request} engine={engine} cut-at-us={give_up_at}")
+        Action::Send {
+            request,
+            engine,
+            give_up_at,
+        } => {
+            writeln!(
+                reply,
+                "TRANSMIT who={who} call={request} engine={engine} cut-at-us={give_up_at}"
+            )
         }
         Action::Probe { engine } => writeln!(reply, "PING who={who} engine={engine}"),
         Action::Cancel { request, attempt } => {
-            writeln!(reply, "DROP_ATTEMPT who={who} call={request} send-no={attempt}")
+            writeln!(
+                reply,
+                "DROP_ATTEMPT who={who} call={request} send-no={attempt}"
+            )
         }
-        Action::Refuse { request, retry_after: 0 } => writeln!(reply, "SAY_NO who={who} call={request}"),
-        Action::Refuse { request, retry_after } => {
-            writeln!(reply, "SAY_NO who={who} call={request} backoff-us={retry_after}")
+        Action::Refuse {
+            request,
+            retry_after: 0,
+        } => writeln!(reply, "SAY_NO who={who} call={request}"),
+        Action::Refuse {
+            request,
+            retry_after,
+        } => {
+            writeln!(
+                reply,
+                "SAY_NO who={who} call={request} backoff-us={retry_after}"
+            )
         }
         Action::Fail { request } => writeln!(reply, "FAIL who={who} call={request}"),
-        Action::SetTimer { after, tag } => writeln!(reply, "SLEEP who={who} after-us={after} tag={tag}"),
+        Action::SetTimer { after, tag } => {
+            writeln!(reply, "SLEEP who={who} after-us={after} tag={tag}")
+        }
         Action::Subscribe => writeln!(reply, "STREAM_CHANGES who={who} want=1"),
         Action::Log(text) => {
-            writeln!(reply, "JOURNAL_LINE who={who} reason-text={}", text.replace('\n', " "))
+            writeln!(
+                reply,
+                "JOURNAL_LINE who={who} reason-text={}",
+                text.replace('\n', " ")
+            )
         }
     };
 }
--- a/crates/wirehost/tests/golden.rs
+++ b/crates/wirehost/tests/golden.rs
@@ -30,7 +30,11 @@
     writeln!(input, "MANIFEST ref={number} members-list={engines}").unwrap();
     for engine in 0..engines {
         let phase = if rng.u8(0..8) == 0 { 0 } else { 1 };
-        let booted = if rng.u8(0..4) == 0 { now.saturating_sub(rng.u64(0..9_000_000)) } else { 0 };
+        let booted = if rng.u8(0..4) == 0 {
+            now.saturating_sub(rng.u64(0..9_000_000))
+        } else {
+            0
+        };
         let (zone, kind, cell) = (engine % 2, engine / 3, engine / 2);
         writeln!(
             input,
@@ -38,13 +42,21 @@
         )
         .unwrap();
     }
-    writeln!(input, "MEMBERS who={who} mode={} seq-no={number} ref={number}", rng.u8(0..3)).unwrap();
+    writeln!(
+        input,
+        "MEMBERS who={who} mode={} seq-no={number} ref={number}",
+        rng.u8(0..3)
+    )
+    .unwrap();
 }
 
 fn call(input: &mut String, rng: &mut Rng, who: u64, id: u64, now: u64) {
     let (kind, org, schema) = (rng.u8(0..3), rng.u8(0..2), rng.u8(0..5));
-    let (deadline, cost, memory) =
-        (now + rng.u64(800_000..9_000_000), rng.u64(1_000..120_000), rng.u64(0..1500));
+    let (deadline, cost, memory) = (
+        now + rng.u64(800_000..9_000_000),
+        rng.u64(1_000..120_000),
+        rng.u64(0..1500),
+    );
     let key = rng.u8(0..6);
     writeln!(
         input,
@@ -75,7 +87,10 @@
     let rc = *rng.choice(&outcomes).unwrap();
     let (id, attempt, engine) = (recent(rng, ids), rng.u8(0..2), rng.u8(0..6));
     let complete = u8::from(rc == "delivered");
-    let (spent, stats) = (rng.u64(1000..900_000), rng.u64(1..900) * 4096 + rng.u64(1..900));
+    let (spent, stats) = (
+        rng.u64(1000..900_000),
+        rng.u64(1..900) * 4096 + rng.u64(1..900),
+    );
     writeln!(
         input,
         "FINISHED who={who} call={id} send-no={attempt} engine={engine} rc={rc} spent-us={spent} \
@@ -94,7 +109,11 @@
         let now = 1_000_000 + turn * BATCH;
         writeln!(input, "FRAME wall-us={now} turn={turn}").unwrap();
         if turn == 0 {
-            writeln!(input, "ENLIST who=1 init-seed=7 peers-total=3 self-index=1 {SETTINGS}").unwrap();
+            writeln!(
+                input,
+                "ENLIST who=1 init-seed=7 peers-total=3 self-index=1 {SETTINGS}"
+            )
+            .unwrap();
             writeln!(input, "ENLIST who=2 init-seed=8 peers-total=200 {SETTINGS}").unwrap();
         }
         for who in [1, 2] {
@@ -122,7 +141,12 @@
                     rng.u8(0..10)
                 )
                 .unwrap(),
-                2 => writeln!(input, "TIMED_OUT_CLIENT who={who} call={}", recent(&mut rng, ids)).unwrap(),
+                2 => writeln!(
+                    input,
+                    "TIMED_OUT_CLIENT who={who} call={}",
+                    recent(&mut rng, ids)
+                )
+                .unwrap(),
                 3 => writeln!(input, "ACK_FIRST who={who} call={}", recent(&mut rng, ids)).unwrap(),
                 4 => writeln!(input, "ELAPSED who={who} tag=0").unwrap(),
                 _ => finished(&mut input, &mut rng, who, ids),
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -10,13 +10,22 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the host starts");
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("the host reads");
+    child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes())
+        .expect("the host reads");
     child.wait_with_output().expect("the host ends")
 }
 
 fn reply(input: &str) -> String {
     let output = run(input);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     String::from_utf8(output.stdout).expect("text")
 }
 
@@ -53,15 +62,26 @@
 
 #[test]
 fn an_empty_batch_is_answered_and_the_end_of_input_is_a_clean_exit() {
-    assert_eq!(reply("FRAME wall-us=8412250 turn=1\nGO\n"), "READY turn=1\n");
+    assert_eq!(
+        reply("FRAME wall-us=8412250 turn=1\nGO\n"),
+        "READY turn=1\n"
+    );
     assert_eq!(reply(""), "");
 }
 
 #[test]
 fn a_call_is_sent_with_its_terms_before_it_and_unknown_keys_are_skipped() {
-    let text = reply(&format!("FRAME wall-us=1000000 turn=4\n{}{}GO\n", enlist(3), call(3, 99)));
-    let terms = text.find("GRANT_AND_RANK who=3 call=99 memory-grant=500 importance=").expect("terms");
-    let send = text.find("TRANSMIT who=3 call=99 engine=11 cut-at-us=4590000").expect("a send");
+    let text = reply(&format!(
+        "FRAME wall-us=1000000 turn=4\n{}{}GO\n",
+        enlist(3),
+        call(3, 99)
+    ));
+    let terms = text
+        .find("GRANT_AND_RANK who=3 call=99 memory-grant=500 importance=")
+        .expect("terms");
+    let send = text
+        .find("TRANSMIT who=3 call=99 engine=11 cut-at-us=4590000")
+        .expect("a send");
     assert!(terms < send && text.ends_with("READY turn=4\n"), "{text}");
 }
 
@@ -95,7 +115,11 @@
 
 #[test]
 fn instances_share_nothing() {
-    let alone = reply(&format!("FRAME wall-us=1000000 turn=1\n{}{}GO\n", enlist(3), call(3, 5)));
+    let alone = reply(&format!(
+        "FRAME wall-us=1000000 turn=1\n{}{}GO\n",
+        enlist(3),
+        call(3, 5)
+    ));
     let beside = reply(&format!(
         "FRAME wall-us=1000000 turn=1\n{}{}{}{}GO\n",
         enlist(4),
@@ -103,8 +127,12 @@
         call(4, 6),
         call(3, 5)
     ));
-    let of =
-        |text: &str| text.lines().filter(|l| l.contains("who=3")).map(str::to_string).collect::<Vec<_>>();
+    let of = |text: &str| {
+        text.lines()
+            .filter(|l| l.contains("who=3"))
+            .map(str::to_string)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(of(&alone), of(&beside));
 }
 
@@ -113,8 +141,14 @@
     let batch = |lines: &str| format!("FRAME wall-us=1000000 turn=1\n{}{lines}\nGO\n", enlist(3));
     assert!(complaint(&batch("CALL who=3 call=x kind=0 client-deadline-us=1")).contains("'call'"));
     assert!(complaint(&batch("CALL who=3 call=1 kind=0")).contains("'client-deadline-us'"));
-    assert!(complaint(&batch("CALL who=3 call=1 kind=9 client-deadline-us=5000000")).contains("class 9"));
-    assert!(complaint(&batch("CALL who=8 call=1 kind=0 client-deadline-us=1")).contains("no instance 8"));
+    assert!(complaint(&batch(
+        "CALL who=3 call=1 kind=9 client-deadline-us=5000000"
+    ))
+    .contains("class 9"));
+    assert!(
+        complaint(&batch("CALL who=8 call=1 kind=0 client-deadline-us=1"))
+            .contains("no instance 8")
+    );
     assert!(complaint(&batch("CALL who=3 call")).contains("'call' is not name=value"));
     assert!(complaint(&batch("MEMBERS who=3 mode=0 seq-no=1 ref=9")).contains("no list 9"));
     assert!(complaint(&batch("FINISHED who=3 call=1 send-no=0 engine=1 rc=odd")).contains("'odd'"));
@@ -122,35 +156,57 @@
     assert!(complaint("GO\n").contains("outside of a batch"));
     assert!(complaint("FRAME wall-us=1 turn=1\n").contains("inside batch 1"));
     assert!(complaint("FRAME turn=1\n").contains("'wall-us'"));
-    assert!(complaint(&batch("MANIFEST ref=0 members-list=2\nITEM engine=1")).contains("lacks entries"));
+    assert!(
+        complaint(&batch("MANIFEST ref=0 members-list=2\nITEM engine=1")).contains("lacks entries")
+    );
 }
 
 #[test]
 fn events_of_a_later_wire_are_passed_over() {
-    let text = reply(&format!("FRAME wall-us=1000000 turn=1\n{}WEATHER who=3 rain=1\nGO\n", enlist(3)));
+    let text = reply(&format!(
+        "FRAME wall-us=1000000 turn=1\n{}WEATHER who=3 rain=1\nGO\n",
+        enlist(3)
+    ));
     assert!(text.ends_with("READY turn=1\n"));
 }
 
 #[test]
 fn probes_are_asked_for_where_shares_are_thin_and_what_is_malformed_in_their_answers_is_told() {
-    let wide = enlist(3).replace("peers-total=1", "peers-total=200 limits.probes=true tariffs.probe=0.01");
-    let asked = reply(&format!("FRAME wall-us=1000000 turn=1\n{wide}{}GO\n", call(3, 7)));
-    assert!(asked.contains("PING who=3 engine=11\n") && !asked.contains("TRANSMIT"), "{asked}");
+    let wide = enlist(3).replace(
+        "peers-total=1",
+        "peers-total=200 limits.probes=true tariffs.probe=0.01",
+    );
+    let asked = reply(&format!(
+        "FRAME wall-us=1000000 turn=1\n{wide}{}GO\n",
+        call(3, 7)
+    ));
+    assert!(
+        asked.contains("PING who=3 engine=11\n") && !asked.contains("TRANSMIT"),
+        "{asked}"
+    );
     let answer = |line: &str| {
         format!(
             "FRAME wall-us=1000000 turn=1\n{wide}{}GO\nFRAME wall-us=1005000 turn=2\n{line}\nGO\n",
             call(3, 7)
         )
     };
-    let sent =
-        reply(&answer("PROBE_DONE who=3 engine=11 rc=delivered spent-us=700 report=concurrent:2,mood:1"));
+    let sent = reply(&answer(
+        "PROBE_DONE who=3 engine=11 rc=delivered spent-us=700 report=concurrent:2,mood:1",
+    ));
     assert!(sent.contains("TRANSMIT who=3 call=7 engine=11"), "{sent}");
     // An engine that nobody knows any more is passed over.
-    let unknown = reply(&answer("PROBE_DONE who=3 engine=99 rc=delivered spent-us=700"));
+    let unknown = reply(&answer(
+        "PROBE_DONE who=3 engine=99 rc=delivered spent-us=700",
+    ));
     assert!(!unknown.contains("TRANSMIT"), "{unknown}");
     assert!(complaint(&answer("PROBE_DONE who=3 engine=11 rc=marvellous")).contains("marvellous"));
     assert!(complaint(&answer("PROBE_DONE who=3 rc=delivered")).contains("engine"));
-    assert!(complaint(&answer("PROBE_DONE who=3 engine=11 rc=delivered report=concurrent"))
-        .contains("concurrent"));
-    assert!(complaint(&answer("PROBE_DONE who=3 engine=11 rc=delivered report=concurrent:x")).contains("'x'"));
+    assert!(complaint(&answer(
+        "PROBE_DONE who=3 engine=11 rc=delivered report=concurrent"
+    ))
+    .contains("concurrent"));
+    assert!(complaint(&answer(
+        "PROBE_DONE who=3 engine=11 rc=delivered report=concurrent:x"
+    ))
+    .contains("'x'"));
 }
--- a/examples/ask/main.rs
+++ b/examples/ask/main.rs
@@ -11,8 +11,17 @@
     };
     let mut client = Client::connect(gateway.parse()?)?;
     // New with every request.
-    let id = format!("{:016x}", SystemTime::now().duration_since(UNIX_EPOCH)?.as_nanos() as u64);
-    let fields = [("i", id.as_str()), ("d", "5000"), ("t", "acme"), ("h", "80"), ("ram", "16")];
+    let id = format!(
+        "{:016x}",
+        SystemTime::now().duration_since(UNIX_EPOCH)?.as_nanos() as u64
+    );
+    let fields = [
+        ("i", id.as_str()),
+        ("d", "5000"),
+        ("t", "acme"),
+        ("h", "80"),
+        ("ram", "16"),
+    ];
     client.call(1, class, &fields, statement.as_bytes())?;
     match client.answer()? {
         Answer::Result { body, .. } => print!("{}", String::from_utf8_lossy(&body)),
--- a/examples/play/main.rs
+++ b/examples/play/main.rs
@@ -20,7 +20,12 @@
     // Examples are built into a folder beside the program.
     let program = std::env::current_exe()?.with_file_name("../eideryard");
     let arguments = vec!["--operator".into(), operator.display().to_string()];
-    let programs = Programs { program, arguments, variables: Vec::new(), directory };
+    let programs = Programs {
+        program,
+        arguments,
+        variables: Vec::new(),
+        directory,
+    };
     let played = world::play(Scenario::read(file, &text)?, Some(programs))?;
     for (load, answers) in &played.ledger.answers {
         println!("{load}: {answers:?}");
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -90,7 +90,7 @@
     learned: Vec<Learned>,
     traffic: Traffic,
     thin: bool, // This gateway's share of an engine is under one query: the whole of it is looked at
-    few: bool,  // It keeps to an arc of the engines, so that its share of each of these is none so small
+    few: bool, // It keeps to an arc of the engines, so that its share of each of these is none so small
     place: f64, // Where on the ring of engines its arc begins, as a part of the whole
     share: f64, // What both bounds are a part of: 1/peers of an engine, or all of it where that is thin
     tokens: Vec<(f64, Micros)>, // Tokens left to each tenant, and when they were last filled
@@ -104,10 +104,17 @@
     /// One that knows its settings and nothing else; equal seeds and events give equal actions.
     pub fn new(set: Settings, seed: u64, now: Micros) -> Self {
         let latency = (STRETCH_MEMORY * set.warm_within as f64).max(1.0);
-        let fresh = Learned { work_ratio: 1.0, memory_ratio: 1.0, work: 0.0, memory: None };
+        let fresh = Learned {
+            work_ratio: 1.0,
+            memory_ratio: 1.0,
+            work: 0.0,
+            memory: None,
+        };
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut own = Gateway {
-            place: set.index.map_or_else(|| rng.f64(), |index| index / set.peers),
+            place: set
+                .index
+                .map_or_else(|| rng.f64(), |index| index / set.peers),
             rng,
             now,
             engines: Engines::new(&set.classes, &set.kinds),
@@ -115,11 +122,18 @@
             queue: BTreeMap::new(),
             keys: BTreeMap::new(),
             learned: vec![fresh; set.classes.len()],
-            traffic: Traffic { last: now, ..Default::default() },
+            traffic: Traffic {
+                last: now,
+                ..Default::default()
+            },
             share: 1.0,
             thin: false,
             few: false,
-            tokens: set.tenants.iter().map(|t| (t.quota_per_s / set.peers, now)).collect(),
+            tokens: set
+                .tenants
+                .iter()
+                .map(|t| (t.quota_per_s / set.peers, now))
+                .collect(),
             beating: false,
             subscribe_at: (set.discovery == Discovery::Ask).then_some(now),
             latency,
@@ -134,15 +148,27 @@
     /// Takes an event in, and puts what comes of it behind `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        let quiet = matches!(event, Event::Arrived(_) | Event::Noted { .. } | Event::StreamBegan { .. });
+        let quiet = matches!(
+            event,
+            Event::Arrived(_) | Event::Noted { .. } | Event::StreamBegan { .. }
+        );
         match event {
             Event::Arrived(request) => self.take(request),
             Event::Ended(ended) => self.outcome(ended),
             Event::RanBefore { request, earlier } => {
-                _ = self.requests.get_mut(&request).map(|held| held.req.earlier.extend(earlier))
+                _ = self
+                    .requests
+                    .get_mut(&request)
+                    .map(|held| held.req.earlier.extend(earlier))
+            }
+            Event::Noted {
+                request,
+                attempt,
+                note,
+            } => self.noted(request, attempt, note),
+            Event::StreamBegan { request } => {
+                _ = self.requests.get_mut(&request).map(|h| h.streaming = true)
             }
-            Event::Noted { request, attempt, note } => self.noted(request, attempt, note),
-            Event::StreamBegan { request } => _ = self.requests.get_mut(&request).map(|h| h.streaming = true),
             Event::Probed(probed) => self.probed(probed),
             Event::ClientLeft { request } => self.close(request),
             Event::Timer { tag: BEAT } => self.beat(),
@@ -152,14 +178,21 @@
             Event::Remembered { lessons, age } => self.remember(lessons, age),
             Event::ListFailed => self.subscribe_at = Some(now + self.set.ask_every / 8),
         }
-        self.actions.extend(self.subscribe_at.take_if(|at| *at <= now).map(|_| Action::Subscribe));
+        self.actions.extend(
+            self.subscribe_at
+                .take_if(|at| *at <= now)
+                .map(|_| Action::Subscribe),
+        );
         // A note or an arrival frees no room, so only what else happens is worth a look at the whole queue.
         if !quiet {
             self.release();
         }
         let awake = !self.requests.is_empty() || self.subscribe_at.is_some();
         if awake && !std::mem::replace(&mut self.beating, awake) {
-            self.actions.push(Action::SetTimer { after: BEAT_TICKS * self.set.tick, tag: BEAT });
+            self.actions.push(Action::SetTimer {
+                after: BEAT_TICKS * self.set.tick,
+                tag: BEAT,
+            });
         }
         actions.append(&mut self.actions);
     }
@@ -174,10 +207,13 @@
         // Where nobody reports, what a stranger assumes must not outlive its start.
         let kept = (-((BEAT_TICKS * self.set.tick) as f64) / memory).exp();
         self.traffic.level *= if self.traffic.heard { 1.0 } else { kept };
-        self.keys.retain(|_, (line, rests_until)| !line.is_empty() || *rests_until > now);
+        self.keys
+            .retain(|_, (line, rests_until)| !line.is_empty() || *rests_until > now);
         let since = now.saturating_sub(self.set.attempt_budget.map_or(0, |budget| budget.span));
         self.traffic.forget(since);
-        self.traffic.groups.retain(|_, (_, at)| self.traffic.arrivals - *at < GROUP_FADED * GROUP_MEMORY);
+        self.traffic
+            .groups
+            .retain(|_, (_, at)| self.traffic.arrivals - *at < GROUP_FADED * GROUP_MEMORY);
         let since = now.saturating_sub(self.set.fall_window);
         self.engines.pass_time(now, |engine| {
             engine.observe(now, memory, None);
--- a/src/decide/belief.rs
+++ b/src/decide/belief.rs
@@ -23,8 +23,11 @@
             ideal += done;
         }
         // Without evidence a bad figure fades: it must not outlive its cause.
-        self.stretch =
-            if ideal > 1.0 { spent / ideal } else { self.best + (self.stretch - self.best) * kept };
+        self.stretch = if ideal > 1.0 {
+            spent / ideal
+        } else {
+            self.best + (self.stretch - self.best) * kept
+        };
         self.best = self.best.min(self.stretch);
     }
 
@@ -43,26 +46,47 @@
         // and latency far over the best tells what an engine holds.
         let counted = self.traffic.counted;
         let jam = engine.stretch > if counted { CLIP } else { PRESSURE } * engine.best;
-        let held = if jam { engine.stretch * self.kind(engine).cores } else { usual };
-        told.max(if self.thin && (jam || !counted) { held } else { 0.0 })
+        let held = if jam {
+            engine.stretch * self.kind(engine).cores
+        } else {
+            usual
+        };
+        told.max(if self.thin && (jam || !counted) {
+            held
+        } else {
+            0.0
+        })
     }
 
     /// Cores, disks or memory that are all in use are held to be at the thread bound.
     pub(super) fn heed_report(&mut self, engine: EngineId, report: LoadReport) {
         let threads_each = self.traffic.work / self.traffic.ideal.max(1.0);
-        let cores = self.engines.get(&engine).map_or(1.0, |engine| self.kind(engine).cores);
-        let Some(engine) = self.engines.get_mut(&engine) else { return };
+        let cores = self
+            .engines
+            .get(&engine)
+            .map_or(1.0, |engine| self.kind(engine).cores);
+        let Some(engine) = self.engines.get_mut(&engine) else {
+            return;
+        };
         let shares = [report.cores_busy, report.disks_busy, report.memory_granted];
         let busy = shares.into_iter().flatten().reduce(f64::max);
         if report.waiting_for_memory > Some(1.0) || busy.is_some_and(|share| share > BUSY_REPORT) {
-            engine.pressed_until = engine.pressed_until.max(self.now + BEAT_TICKS * self.set.tick);
+            engine.pressed_until = engine
+                .pressed_until
+                .max(self.now + BEAT_TICKS * self.set.tick);
         }
         let counted = report.in_flight.map(|in_flight| in_flight * threads_each);
         // Latency also swings with what queries find warm, so where threads are counted their number tells.
         let vouched = counted.is_some_and(|threads| threads <= START_BOUND * cores);
-        engine.vouched_until = if vouched { self.now + self.latency as Micros } else { 0 };
+        engine.vouched_until = if vouched {
+            self.now + self.latency as Micros
+        } else {
+            0
+        };
         let implied = busy.map(|share| share * START_BOUND * cores);
-        let Some(threads) = counted.into_iter().chain(implied).reduce(f64::max) else { return };
+        let Some(threads) = counted.into_iter().chain(implied).reduce(f64::max) else {
+            return;
+        };
         engine.others = (threads - engine.threads).max(0.0);
         engine.reported_at = self.now;
         self.traffic.counted |= counted.is_some();
@@ -73,11 +97,19 @@
     /// A probe's answer: the report in it counts, a failure closes the engine for a while. That the process
     /// runs proves nothing of what it makes of queries, so it is no good outcome.
     pub(super) fn probed(&mut self, probed: Probed) {
-        let Some(engine) = self.engines.get_mut(&probed.engine) else { return };
+        let Some(engine) = self.engines.get_mut(&probed.engine) else {
+            return;
+        };
         engine.asked_at = 0;
-        if matches!(probed.outcome, Outcome::NoConnection | Outcome::Broken | Outcome::TimedOut) {
+        if matches!(
+            probed.outcome,
+            Outcome::NoConnection | Outcome::Broken | Outcome::TimedOut
+        ) {
             engine.quarantined_until = engine.quarantined_until.max(self.now + self.pause);
         }
-        probed.report.into_iter().for_each(|report| self.heed_report(probed.engine, report));
+        probed
+            .report
+            .into_iter()
+            .for_each(|report| self.heed_report(probed.engine, report));
     }
 }
--- a/src/decide/draws.rs
+++ b/src/decide/draws.rs
@@ -13,26 +13,40 @@
         let held = &self.requests[&id];
         let (mut order, homes) = self.homes(held);
         let away = self.keeps_away(held.req.class);
-        order.drain(..if away && order.len() > homes { homes } else { 0 });
+        order.drain(
+            ..if away && order.len() > homes {
+                homes
+            } else {
+                0
+            },
+        );
         let able = |e: &Engine| self.rules_allow(held, e) && self.may_take(held, e);
         order.retain(|id| able(&self.engines[id]));
         let (mut asked, first) = (Vec::new(), held.asked_at == 0);
         for (turn, lot) in lots.into_iter().enumerate().take(order.len()) {
             // Once the homes had no room the last one is any engine.
             let near = !away && (first || turn + 1 < ASKED);
-            let among = if near { (homes - turn.min(homes - 1)).min(order.len()) } else { order.len() };
+            let among = if near {
+                (homes - turn.min(homes - 1)).min(order.len())
+            } else {
+                order.len()
+            };
             asked.push(order.remove((lot * among as f64) as usize));
         }
         for id in &asked {
             let fresh = (self.now - self.engines[id].reported_at) as f64 <= FRESH * self.latency;
             let wanted = !fresh && self.traffic.probes >= 1.0;
             let may_ask = |e: &&mut Engine| self.set.may_probe && wanted && e.asked_at == 0;
-            let Some(engine) = self.engines.get_mut(id).filter(may_ask) else { continue };
+            let Some(engine) = self.engines.get_mut(id).filter(may_ask) else {
+                continue;
+            };
             engine.asked_at = self.now;
             self.traffic.probes -= 1.0;
             self.actions.push(Action::Probe { engine: *id });
         }
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(&id) else {
+            return;
+        };
         (held.asked, held.asked_at) = (asked, self.now);
     }
 
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -5,11 +5,14 @@
 impl Gateway {
     pub(super) fn heard(&mut self, engine_id: EngineId) {
         let now = self.now;
-        let Some(engine) = self.engines.get_mut(&engine_id) else { return };
+        let Some(engine) = self.engines.get_mut(&engine_id) else {
+            return;
+        };
         engine.last_heard = now;
         if std::mem::take(&mut engine.silent) {
             (engine.quarantined_until, engine.probation, engine.strikes) = (now, 0, 0);
-            self.actions.push(Action::Log(format!("engine {engine_id} speaks again")));
+            self.actions
+                .push(Action::Log(format!("engine {engine_id} speaks again")));
         }
     }
 
@@ -24,7 +27,9 @@
             self.heard(engine_id);
         }
         self.traffic.fleet_bad += LEARN * (bad - self.traffic.fleet_bad);
-        let Some(engine) = self.engines.get_mut(&engine_id) else { return };
+        let Some(engine) = self.engines.get_mut(&engine_id) else {
+            return;
+        };
         engine.bad += BAD_WEIGHT * (bad - engine.bad);
         engine.lost_connection |= matches!(outcome, Outcome::NoConnection | Outcome::Broken);
         if bad > 0.0 {
@@ -40,23 +45,35 @@
         engine.probation = engine.probation.saturating_sub(1);
         if engine.probation == 0 && engine.strikes > 0 {
             (engine.bad, engine.strikes) = (0.0, 0);
-            self.actions.push(Action::Log(format!("engine {engine_id} is back from probation")));
+            self.actions.push(Action::Log(format!(
+                "engine {engine_id} is back from probation"
+            )));
         }
     }
 
     /// Shuts an engine out for a while, longer at each relapse; then it is on probation.
     pub(super) fn quarantine(&mut self, engine_id: EngineId, symptom: &str) {
-        let away = self.engines.active().filter(|e| e.listed && e.probation > 0).count();
+        let away = self
+            .engines
+            .active()
+            .filter(|e| e.listed && e.probation > 0)
+            .count();
         // When most engines look bad at once the cause is shared: shutting them out would leave nothing.
         let shared = (away + 1) as f64 > MOST_QUARANTINED * self.engines.listed_count() as f64;
         let (now, memory) = (self.now, self.latency);
-        let Some(engine) = self.engines.get_mut(&engine_id) else { return };
+        let Some(engine) = self.engines.get_mut(&engine_id) else {
+            return;
+        };
         if now < engine.quarantined_until {
             return;
         }
         if engine.probation == 0 && shared {
             // Yet what answers next to nothing must not draw the queue by failing fast.
-            let pause = if engine.bad > (1.0 + BAD_SHARE) / 2.0 { FULL_PAUSE * memory } else { 0.0 };
+            let pause = if engine.bad > (1.0 + BAD_SHARE) / 2.0 {
+                FULL_PAUSE * memory
+            } else {
+                0.0
+            };
             engine.quarantined_until = now + pause as Micros;
             return;
         }
@@ -65,7 +82,9 @@
         engine.strikes += 1;
         engine.probation = PROBATION;
         if engine.strikes == 1 {
-            self.actions.push(Action::Log(format!("engine {engine_id} quarantined: {symptom}")));
+            self.actions.push(Action::Log(format!(
+                "engine {engine_id} quarantined: {symptom}"
+            )));
         }
     }
 
@@ -73,7 +92,13 @@
     pub(super) fn watch_silence(&mut self) {
         let notes = self.set.note_period as f64;
         let longest = |e: &Engine| e.out.values().map(|c| c.ideal).fold(0.0, f64::max) * e.stretch;
-        let limit = |e: &Engine| if notes > 0.0 { notes } else { longest(e).max(self.latency / SILENCE) };
+        let limit = |e: &Engine| {
+            if notes > 0.0 {
+                notes
+            } else {
+                longest(e).max(self.latency / SILENCE)
+            }
+        };
         let busy = self.engines.active().filter(|e| !e.out.is_empty());
         let quiet = |e: &Engine| (self.now - e.last_heard) as f64 > SILENCE * limit(e);
         let mute = busy.clone().filter(|e| quiet(e));
@@ -82,22 +107,34 @@
         }
         for engine_id in mute.map(|e| e.entry.engine).collect::<Vec<_>>() {
             self.quarantine(engine_id, "silent");
-            let Some(engine) = self.engines.get_mut(&engine_id).filter(|e| e.probation > 0) else { continue };
+            let Some(engine) = self.engines.get_mut(&engine_id).filter(|e| e.probation > 0) else {
+                continue;
+            };
             engine.silent = true;
             // What it holds is taken back, where cancels are allowed and a repeat is safe.
             let held_there: Vec<(RequestId, usize)> = engine.out.keys().copied().collect();
-            held_there.into_iter().for_each(|(id, attempt)| self.take_back(id, attempt));
+            held_there
+                .into_iter()
+                .for_each(|(id, attempt)| self.take_back(id, attempt));
         }
     }
 
     /// Cancels an attempt so that its request can go elsewhere.
     pub(super) fn take_back(&mut self, id: RequestId, attempt: usize) {
-        let Some(held) = self.requests.get(&id) else { return };
-        let again = self.may_repeat(held) && held.attempts.len() < self.set.max_attempts && !held.streaming;
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get(&id) else {
+            return;
+        };
+        let again =
+            self.may_repeat(held) && held.attempts.len() < self.set.max_attempts && !held.streaming;
+        let Some(held) = self.requests.get_mut(&id) else {
+            return;
+        };
         if self.set.may_cancel && again && !held.attempts[attempt].cancelled {
             held.attempts[attempt].cancelled = true;
-            self.actions.push(Action::Cancel { request: id, attempt });
+            self.actions.push(Action::Cancel {
+                request: id,
+                attempt,
+            });
         }
     }
 }
--- a/src/decide/lessons.rs
+++ b/src/decide/lessons.rs
@@ -7,7 +7,11 @@
     pub fn lessons(&self) -> Lessons {
         let classes = self.learned.iter().map(Learned::lesson).collect();
         let engines = self.engines.listed().map(Engine::lesson).collect();
-        Lessons { classes, engines, level: self.traffic.level }
+        Lessons {
+            classes,
+            engines,
+            level: self.traffic.level,
+        }
     }
 
     /// Doubt grows with age: what was learned moves back to what a stranger holds. Of another process than
@@ -18,14 +22,22 @@
             return;
         }
         let doubted = |stranger: f64, learned: f64| stranger + kept * (learned - stranger);
-        for (own, told) in self.learned.iter_mut().zip(&lessons.classes).filter(|(own, _)| own.work == 0.0) {
+        for (own, told) in self
+            .learned
+            .iter_mut()
+            .zip(&lessons.classes)
+            .filter(|(own, _)| own.work == 0.0)
+        {
             own.work_ratio = doubted(own.work_ratio, told.work_ratio.clamp(1.0 / CLIP, CLIP));
             own.memory_ratio = doubted(own.memory_ratio, told.memory_ratio.clamp(1.0 / CLIP, CLIP));
             (own.work, own.memory) = (told.work, told.memory_mb);
         }
         for told in &lessons.engines {
-            let same = |e: &&mut Engine| e.listed && e.entry.booted_at == told.booted_at && e.ideal == 0.0;
-            let Some(own) = self.engines.get_mut(&told.engine).filter(same) else { continue };
+            let same =
+                |e: &&mut Engine| e.listed && e.entry.booted_at == told.booted_at && e.ideal == 0.0;
+            let Some(own) = self.engines.get_mut(&told.engine).filter(same) else {
+                continue;
+            };
             own.best = doubted(1.0, told.best.clamp(0.0, 1.0));
             own.stretch = doubted(own.best, told.stretch.max(own.best));
             own.bad = doubted(0.0, told.bad.clamp(0.0, BAD_SHARE));
--- a/src/decide/listing.rs
+++ b/src/decide/listing.rs
@@ -6,14 +6,19 @@
     pub(super) fn full_list(&mut self, entries: Vec<Entry>) {
         let told: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
         let listed = self.engines.listed().map(|own| own.entry);
-        let lacking: Vec<Entry> = listed.filter(|entry| !told.contains(&entry.engine)).collect();
-        lacking.into_iter().for_each(|entry| self.engines.relist(entry, self.now, |e| e.listed = false));
+        let lacking: Vec<Entry> = listed
+            .filter(|entry| !told.contains(&entry.engine))
+            .collect();
+        lacking
+            .into_iter()
+            .for_each(|entry| self.engines.relist(entry, self.now, |e| e.listed = false));
         self.list_changes(entries);
     }
 
     pub(super) fn list_changes(&mut self, entries: Vec<Entry>) {
         entries.into_iter().for_each(|entry| self.listed(entry));
-        self.engines.reindex(|class, entry| may_place(&self.set.classes[class], entry));
+        self.engines
+            .reindex(|class, entry| may_place(&self.set.classes[class], entry));
         self.count_shares();
     }
 
@@ -22,8 +27,17 @@
         self.engines.relist(entry, self.now, |engine| {
             if entry.booted_at > engine.entry.booted_at {
                 // A restart: what was learned of the process before is void, what it is charged with is not.
-                let (out, threads, memory) = (std::mem::take(&mut engine.out), engine.threads, engine.memory);
-                *engine = Engine { out, threads, memory, ..Engine::new(entry) };
+                let (out, threads, memory) = (
+                    std::mem::take(&mut engine.out),
+                    engine.threads,
+                    engine.memory,
+                );
+                *engine = Engine {
+                    out,
+                    threads,
+                    memory,
+                    ..Engine::new(entry)
+                };
             }
             if entry.booted_at > 0 {
                 engine.cold_until = engine.cold_until.max(warm_at);
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -4,10 +4,21 @@
 
 impl Gateway {
     pub(super) fn outcome(&mut self, end: Ended) {
-        let Some(held) = self.requests.get_mut(&end.request) else { return };
-        let Some(tried) = held.attempts.get_mut(end.attempt) else { return };
-        let never_ran = matches!(end.outcome, Outcome::Full | Outcome::NoConnection | Outcome::Unsent);
-        tried.state = if never_ran { State::NeverRan } else { State::MayHaveRun };
+        let Some(held) = self.requests.get_mut(&end.request) else {
+            return;
+        };
+        let Some(tried) = held.attempts.get_mut(end.attempt) else {
+            return;
+        };
+        let never_ran = matches!(
+            end.outcome,
+            Outcome::Full | Outcome::NoConnection | Outcome::Unsent
+        );
+        tried.state = if never_ran {
+            State::NeverRan
+        } else {
+            State::MayHaveRun
+        };
         tried.erred = end.outcome == Outcome::Error;
         let (engine_id, tried) = (tried.entry.engine, *tried);
         held.ended |= end.complete;
@@ -20,15 +31,22 @@
         let rests_until = self.now + self.set.order_pause + self.set.tick;
         let charge = self.uncharge(engine_id, &end);
         if let Some(charge) = charge.filter(|_| end.outcome == Outcome::Answered) {
-            end.bill.into_iter().for_each(|bill| self.learn(class, estimate, bill));
+            end.bill
+                .into_iter()
+                .for_each(|bill| self.learn(class, estimate, bill));
             self.learn_stretch(engine_id, &charge, end.spent, end.bill);
         }
         // Whose fault an error is shows when the request is over, in `close`.
         if end.outcome != Outcome::Error && !end.told {
             self.judge(engine_id, end.outcome);
         }
-        end.report.into_iter().for_each(|report| self.heed_report(engine_id, report));
-        if matches!(end.outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled) {
+        end.report
+            .into_iter()
+            .for_each(|report| self.heed_report(engine_id, report));
+        if matches!(
+            end.outcome,
+            Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled
+        ) {
             // What may still run holds its key back a while longer.
             let line = key.and_then(|key| self.keys.get_mut(&key));
             line.into_iter().for_each(|line| line.1 = rests_until);
@@ -61,29 +79,59 @@
     pub(super) fn learn(&mut self, class: usize, estimate: (Option<f64>, Option<f64>), bill: Bill) {
         let known = &mut self.learned[class];
         known.work_ratio = nudged(known.work_ratio, estimate.0.map(|work| bill.work / work));
-        known.memory_ratio = nudged(known.memory_ratio, estimate.1.map(|memory| bill.memory_mb / memory));
+        known.memory_ratio = nudged(
+            known.memory_ratio,
+            estimate.1.map(|memory| bill.memory_mb / memory),
+        );
         let mean = known.memory.unwrap_or(bill.memory_mb);
         known.memory = Some(mean + LEARN * (bill.memory_mb - mean));
     }
 
-    pub(super) fn learn_stretch(&mut self, id: EngineId, charge: &Charge, spent: Micros, bill: Option<Bill>) {
+    pub(super) fn learn_stretch(
+        &mut self,
+        id: EngineId,
+        charge: &Charge,
+        spent: Micros,
+        bill: Option<Bill>,
+    ) {
         let ideal = bill.map_or(charge.ideal, |bill| bill.work / charge.threads);
-        let Some(engine) = self.engines.get_mut(&id) else { return };
-        engine.observe(self.now, self.latency, (!charge.waited).then_some((spent as f64, ideal)));
-        engine.widen(if engine.under_pressure(self.now) { -BOUND_CUT } else { 1.0 });
+        let Some(engine) = self.engines.get_mut(&id) else {
+            return;
+        };
+        engine.observe(
+            self.now,
+            self.latency,
+            (!charge.waited).then_some((spent as f64, ideal)),
+        );
+        engine.widen(if engine.under_pressure(self.now) {
+            -BOUND_CUT
+        } else {
+            1.0
+        });
     }
 
     /// A word on an attempt that is out: the engine lives, and a plan may prove bad.
     pub(super) fn noted(&mut self, id: RequestId, attempt: usize, note: Note) {
-        let Some(held) = self.requests.get(&id) else { return };
-        let Some(engine_id) = held.attempts.get(attempt).map(|a| a.entry.engine) else { return };
+        let Some(held) = self.requests.get(&id) else {
+            return;
+        };
+        let Some(engine_id) = held.attempts.get(attempt).map(|a| a.entry.engine) else {
+            return;
+        };
         let end_by = held.end_by;
         self.heard(engine_id);
-        let warmth = self.engines.get(&engine_id).map_or(1.0, |engine| self.warmth(engine));
-        let Some(engine) = self.engines.get_mut(&engine_id) else { return };
+        let warmth = self
+            .engines
+            .get(&engine_id)
+            .map_or(1.0, |engine| self.warmth(engine));
+        let Some(engine) = self.engines.get_mut(&engine_id) else {
+            return;
+        };
         // A cold engine is slow for all: that is no bad plan.
         let stretch = engine.stretch.max(1.0) / warmth;
-        let Some(charge) = engine.out.get_mut(&(id, attempt)) else { return };
+        let Some(charge) = engine.out.get_mut(&(id, attempt)) else {
+            return;
+        };
         match note {
             Note::Progress(share) => {
                 let elapsed = (self.now - charge.sent_at) as f64;
@@ -112,16 +160,26 @@
 
     /// Another attempt where rules, time and the fleet's health allow one; else the end.
     pub(super) fn further_or_end(&mut self, id: RequestId) {
-        let Some(held) = self.requests.get(&id) else { return };
+        let Some(held) = self.requests.get(&id) else {
+            return;
+        };
         if held.attempts.iter().any(|a| a.state == State::Out) {
             return;
         }
         // No retry storm: the sicker the fleet, the fewer further attempts; own cancels don't count.
         let tried = held.attempts.iter().filter(|a| !a.cancelled).count();
         let sick = self.traffic.fleet_bad > SICK_FLEET;
-        let most = if sick { (1.0 / self.traffic.fleet_bad) as usize } else { usize::MAX };
+        let most = if sick {
+            (1.0 / self.traffic.fleet_bad) as usize
+        } else {
+            usize::MAX
+        };
         let left = held.attempts.len() < self.set.max_attempts && tried <= most;
-        match left && self.may_repeat(held) && self.now < held.end_by && self.budget_allows_further() {
+        match left
+            && self.may_repeat(held)
+            && self.now < held.end_by
+            && self.budget_allows_further()
+        {
             true => _ = self.queue.insert((held.due, id), held.req.class),
             false => self.end(id, 0),
         }
@@ -130,5 +188,7 @@
 
 /// A ratio moved toward an observation, which counts as at most `CLIP` times off.
 pub(super) fn nudged(ratio: f64, seen: Option<f64>) -> f64 {
-    seen.map_or(ratio, |seen| ratio + LEARN * (seen.clamp(ratio / CLIP, ratio * CLIP) - ratio))
+    seen.map_or(ratio, |seen| {
+        ratio + LEARN * (seen.clamp(ratio / CLIP, ratio * CLIP) - ratio)
+    })
 }
--- a/src/decide/rules.rs
+++ b/src/decide/rules.rs
@@ -25,7 +25,9 @@
         match class.effect {
             Effect::Safe => true,
             Effect::Unsafe => first.is_none(),
-            Effect::Keyed => first.is_none_or(|at| self.now + 2 * self.set.tick < at + class.window),
+            Effect::Keyed => {
+                first.is_none_or(|at| self.now + 2 * self.set.tick < at + class.window)
+            }
         }
     }
 
@@ -44,22 +46,44 @@
 
     /// Order: only the first of its key that is not over, and after the pause that its forerunner left.
     pub(super) fn order_allows(&self, held: &Held, class: &Class) -> bool {
-        let Some(key) = held.req.key.as_ref().filter(|_| class.ordered) else { return true };
-        let Some((line, rests_until)) = self.keys.get(key) else { return false };
-        line.front() == Some(&held.req.id) && (self.now >= *rests_until || !held.attempts.is_empty())
+        let Some(key) = held.req.key.as_ref().filter(|_| class.ordered) else {
+            return true;
+        };
+        let Some((line, rests_until)) = self.keys.get(key) else {
+            return false;
+        };
+        line.front() == Some(&held.req.id)
+            && (self.now >= *rests_until || !held.attempts.is_empty())
     }
 
     pub(super) fn budget_allows_further(&self) -> bool {
-        let Some(budget) = self.set.attempt_budget else { return true };
+        let Some(budget) = self.set.attempt_budget else {
+            return true;
+        };
         let since = self.now.saturating_sub(budget.span);
-        let taken = self.traffic.taken.iter().rev().take_while(|&&at| at > since).count() as f64;
-        let further = self.traffic.further.iter().rev().take_while(|&&at| at >= since).count() as f64;
+        let taken = self
+            .traffic
+            .taken
+            .iter()
+            .rev()
+            .take_while(|&&at| at > since)
+            .count() as f64;
+        let further = self
+            .traffic
+            .further
+            .iter()
+            .rev()
+            .take_while(|&&at| at >= since)
+            .count() as f64;
         further + 1.0 <= budget.spare + budget.ratio * taken
     }
 
     /// Cold engines: this gateway's share of the budget, in usual work of the classes sent.
     pub(super) fn cold_budget_allows(&self, held: &Held, engine: &Engine) -> bool {
-        let (usual, window) = (self.learned[held.req.class].work, self.set.fall_window as f64);
+        let (usual, window) = (
+            self.learned[held.req.class].work,
+            self.set.fall_window as f64,
+        );
         let capacity = self.set.start_capacity * CAPACITY_BUSY * self.kind(engine).cores;
         let whole = self.set.fall_multiple * capacity * window;
         if self.now >= engine.cold_until {
@@ -67,19 +91,31 @@
         }
         if self.thin {
             // Less than a query is given by lot, at odds that make the sum of gateways fit, chance included.
-            let safe = ((CHANCE * CHANCE * usual + 4.0 * whole).sqrt() - CHANCE * usual.sqrt()) / 2.0;
+            let safe =
+                ((CHANCE * CHANCE * usual + 4.0 * whole).sqrt() - CHANCE * usual.sqrt()) / 2.0;
             let asked = self.traffic.work * window / self.traffic.gap.max(1.0) * self.set.peers;
-            return chance(held.req.id ^ mix(engine.entry.engine as u64)) < COLD_MARGIN * safe * safe / asked;
+            return chance(held.req.id ^ mix(engine.entry.engine as u64))
+                < COLD_MARGIN * safe * safe / asked;
         }
         let since = self.now.saturating_sub(self.set.fall_window);
-        let sent: f64 =
-            engine.cold_sends.iter().filter(|(at, ..)| *at >= since).map(|(_, work, _)| work).sum();
+        let sent: f64 = engine
+            .cold_sends
+            .iter()
+            .filter(|(at, ..)| *at >= since)
+            .map(|(_, work, _)| work)
+            .sum();
         sent + usual <= COLD_MARGIN * whole * self.share
     }
 }
 
 /// Placement, also when all allowed engines are down or full.
 pub(super) fn may_place(class: &Class, entry: &Entry) -> bool {
-    class.zones_only.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
-        && class.kinds_only.as_ref().is_none_or(|kinds| kinds.contains(&entry.kind))
+    class
+        .zones_only
+        .as_ref()
+        .is_none_or(|zones| zones.contains(&entry.zone))
+        && class
+            .kinds_only
+            .as_ref()
+            .is_none_or(|kinds| kinds.contains(&entry.kind))
 }
--- a/src/decide/send.rs
+++ b/src/decide/send.rs
@@ -10,31 +10,70 @@
             return;
         }
         let class = held.req.class;
-        let memory = if self.is_dashboard(class) { held.memory } else { self.charged_memory(held, engine) };
+        let memory = if self.is_dashboard(class) {
+            held.memory
+        } else {
+            self.charged_memory(held, engine)
+        };
         let (threads, group) = (self.set.classes[class].threads, held.req.group);
         let (ideal, sent_at) = (held.ideal, self.now);
-        let charge = Charge { class, group, memory, threads, ideal, sent_at, waited: false, noted: None };
+        let charge = Charge {
+            class,
+            group,
+            memory,
+            threads,
+            ideal,
+            sent_at,
+            waited: false,
+            noted: None,
+        };
         let grant = self.grant(held, engine);
         let (entry, state, attempt) = (engine.entry, State::Out, held.attempts.len());
-        let Some(engine) = self.engines.get_mut(&engine_id) else { return };
-        engine.last_heard = if engine.out.is_empty() { self.now } else { engine.last_heard };
+        let Some(engine) = self.engines.get_mut(&engine_id) else {
+            return;
+        };
+        engine.last_heard = if engine.out.is_empty() {
+            self.now
+        } else {
+            engine.last_heard
+        };
         engine.out.insert((id, attempt), charge);
         engine.tally();
-        self.count_sent(id, Attempt { entry, sent_at, state, cancelled: false, erred: false });
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        self.count_sent(
+            id,
+            Attempt {
+                entry,
+                sent_at,
+                state,
+                cancelled: false,
+                erred: false,
+            },
+        );
+        let Some(held) = self.requests.get_mut(&id) else {
+            return;
+        };
         self.queue.remove(&(held.due, id));
         (held.grant, held.rank) = (grant, None);
         let give_up_at = held.end_by;
         self.rerank(engine_id);
-        self.actions.push(Action::Send { request: id, engine: engine_id, give_up_at });
+        self.actions.push(Action::Send {
+            request: id,
+            engine: engine_id,
+            give_up_at,
+        });
     }
 
     /// Asked when the first byte of an attempt is let go: what held when it was sent may hold no more. False:
     /// it is withdrawn, to end as never sent.
     pub fn begins(&mut self, now: Micros, id: RequestId, attempt: usize) -> bool {
         self.now = now;
-        let last = self.requests.get_mut(&id).filter(|held| held.attempts.len() == attempt + 1);
-        let Some(mut tried) = last.and_then(|held| held.attempts.pop()) else { return false };
+        let last = self
+            .requests
+            .get_mut(&id)
+            .filter(|held| held.attempts.len() == attempt + 1);
+        let Some(mut tried) = last.and_then(|held| held.attempts.pop()) else {
+            return false;
+        };
         self.uncount_sent(id, attempt, &tried);
         let (held, engine) = (&self.requests[&id], self.engines.get(&tried.entry.engine));
         let same = engine.filter(|own| own.entry.booted_at == tried.entry.booted_at);
@@ -46,17 +85,28 @@
 
     /// Budgets count an attempt from its first byte on, as far as the host tells of that.
     fn count_sent(&mut self, id: RequestId, tried: Attempt) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        let cold = self.engines.get_mut(&tried.entry.engine).filter(|own| self.now < own.cold_until);
+        let Some(held) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let cold = self
+            .engines
+            .get_mut(&tried.entry.engine)
+            .filter(|own| self.now < own.cold_until);
         let usual = self.learned[held.req.class].work;
-        cold.into_iter().for_each(|own| own.cold_sends.push_back((tried.sent_at, usual, id)));
-        self.traffic.further.extend((!held.attempts.is_empty()).then_some(tried.sent_at));
+        cold.into_iter()
+            .for_each(|own| own.cold_sends.push_back((tried.sent_at, usual, id)));
+        self.traffic
+            .further
+            .extend((!held.attempts.is_empty()).then_some(tried.sent_at));
         held.attempts.push(tried);
     }
 
     pub(super) fn uncount_sent(&mut self, id: RequestId, attempt: usize, tried: &Attempt) {
         self.traffic.uncount_further(attempt, tried.sent_at);
-        self.engines.get_mut(&tried.entry.engine).into_iter().for_each(|own| own.uncount(id, tried.sent_at));
+        self.engines
+            .get_mut(&tried.entry.engine)
+            .into_iter()
+            .for_each(|own| own.uncount(id, tried.sent_at));
     }
 
     /// A quarter over the corrected estimate, never under the engine's default, within the largest grant.
@@ -67,19 +117,34 @@
 
     /// Largest report or load on the engine at 2, next 1, others 0; dashboards at 3. Told where it changes.
     pub(super) fn rerank(&mut self, engine_id: EngineId) {
-        let Some(engine) = self.engines.get(&engine_id) else { return };
-        let mut sized: Vec<(f64, RequestId, usize)> =
-            engine.out.iter().map(|(&(id, _), charge)| (charge.memory, id, charge.class)).collect();
+        let Some(engine) = self.engines.get(&engine_id) else {
+            return;
+        };
+        let mut sized: Vec<(f64, RequestId, usize)> = engine
+            .out
+            .iter()
+            .map(|(&(id, _), charge)| (charge.memory, id, charge.class))
+            .collect();
         sized.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let mut next = TOP_RANK;
         for (_, id, class) in sized {
             let dashboard = self.is_dashboard(class);
             let rank = if dashboard { TOP_RANK + 1 } else { next };
-            next = if dashboard { next } else { next.saturating_sub(1) };
-            let Some(held) = self.requests.get_mut(&id) else { continue };
+            next = if dashboard {
+                next
+            } else {
+                next.saturating_sub(1)
+            };
+            let Some(held) = self.requests.get_mut(&id) else {
+                continue;
+            };
             if held.rank != Some(rank) && !held.ended {
                 held.rank = Some(rank);
-                self.actions.push(Action::Terms { request: id, grant_mb: held.grant, rank });
+                self.actions.push(Action::Terms {
+                    request: id,
+                    grant_mb: held.grant,
+                    rank,
+                });
             }
         }
     }
--- a/src/decide/shedding.rs
+++ b/src/decide/shedding.rs
@@ -21,8 +21,11 @@
             ahead += held.work;
             let place = ((held.worth / held.work.max(1.0)).to_bits(), id);
             kept.insert(place, held.work);
-            while kept.contains_key(&place) && self.now as f64 + ahead / rate + held.ideal > latest {
-                let Some(((_, victim), work)) = kept.pop_first() else { break };
+            while kept.contains_key(&place) && self.now as f64 + ahead / rate + held.ideal > latest
+            {
+                let Some(((_, victim), work)) = kept.pop_first() else {
+                    break;
+                };
                 ahead -= work;
                 gone.push(victim);
             }
