--- a/crates/background-scheduler/src/scheduler.rs
+++ b/crates/background-scheduler/src/scheduler.rs
@@ -10,7 +10,7 @@
 pub type Micros = u64;
 
 /// Jobs of one urgency that wait at the most; who offers more is told so and keeps it.
-const MOST_WAITING: usize = 65_536;
+const MAX_WAITING: usize = 65_536;
 /// What has waited for so long goes first, whatever its urgency.
 const STARVES: Micros = 10_000_000;
 /// Bytes that may be saved up, as a part of a second's.
@@ -80,7 +80,7 @@
     /// Takes work to be done, or gives it back where too much waits already.
     pub fn offer(&mut self, now: Micros, urgency: Urgency, what: W, bytes: u64) -> Result<(), W> {
         let waiting = &mut self.waiting[urgency as usize];
-        if waiting.len() >= MOST_WAITING {
+        if waiting.len() >= MAX_WAITING {
             return Err(what);
         }
         waiting.push_back(Job {
--- a/crates/cli/benches/cpu.rs
+++ b/crates/cli/benches/cpu.rs
@@ -1,9 +1,9 @@
 //! Processor time of a gateway at 500 requests a second, with and without the record, in turn.
 //! `cargo bench -p eideryard-cli`: about three minutes, most of which is waiting.
 
+use eideryard_emulators::scenario::Scenario;
 use eideryard_fleet_test::processes::Programs;
 use eideryard_fleet_test::world::play;
-use eideryard_emulators::scenario::Scenario;
 
 const ROUNDS: usize = 6;
 const SCENARIO: &str = "
--- a/crates/cli/benches/day.rs
+++ b/crates/cli/benches/day.rs
@@ -45,7 +45,7 @@
     }
     let directory = tempfile::tempdir().expect("a directory");
     let records = directory.path().join("records");
-    let plan = eideryard_event_log::Plan {
+    let plan = eideryard_event_log::Config {
         budget: 1 << 30,
         ..plan("g1", 8 << 20)
     };
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,7 +1,7 @@
 //! `eideryard check`: a configuration is JSON, all else is an operator's file.
 
 use eideryard_gateway::config::Config;
-use eideryard_operator_config::Operator;
+use eideryard_operator_config::OperatorConfig;
 use std::path::{Path, PathBuf};
 
 pub fn check(files: &[PathBuf]) -> Result<(), String> {
@@ -25,7 +25,7 @@
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     if !text.trim_start().starts_with('{') {
-        return Operator::read(&name.to_string(), &text)
+        return OperatorConfig::read(&name.to_string(), &text)
             .map(|_| "operator's file")
             .map_err(|e| e.to_string());
     }
--- a/crates/cli/src/logger.rs
+++ b/crates/cli/src/logger.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use eideryard_operator_config::Log;
+use eideryard_operator_config::LogConfig;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use tracing::{Event, Level, Subscriber};
 use tracing_subscriber::filter::{LevelFilter, Targets};
@@ -18,13 +18,13 @@
 use tracing_subscriber::util::SubscriberInitExt;
 
 /// A pipe that is ready takes a write of this length whole.
-const MOST_LINE: usize = 4096;
+const MAX_LINE: usize = 4096;
 /// Lines in one second, so that a fault that repeats doesn't fill the disk behind the pipe.
-const MOST_LINES: u64 = 200;
+const MAX_LINES: u64 = 200;
 
 /// Starts to log. `EIDERYARD_LOG` (a level, or levels by target as in `info,eideryard_gateway=debug`)
 /// goes before the operator's file; what neither names is logged from info on.
-pub fn start(named: Option<&str>, log: &Log) {
+pub fn start(named: Option<&str>, log: &LogConfig) {
     let json = log.json;
     let guard = move || Guard {
         sink: Stderr,
@@ -56,7 +56,7 @@
     };
 }
 
-fn levels(named: Option<&str>, log: &Log) -> Targets {
+fn levels(named: Option<&str>, log: &LogConfig) -> Targets {
     let level = |text: &str| text.parse::<LevelFilter>().ok();
     let usual = log
         .level
@@ -160,7 +160,7 @@
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
-        self.lines.fetch_add(1, Ordering::Relaxed) < MOST_LINES
+        self.lines.fetch_add(1, Ordering::Relaxed) < MAX_LINES
     }
 }
 
@@ -177,7 +177,7 @@
     /// A line as it may go out: one line, whole in one write.
     fn fit(&self, line: &[u8]) -> Vec<u8> {
         if self.json {
-            let short = line.len() <= MOST_LINE;
+            let short = line.len() <= MAX_LINE;
             let instead = || {
                 format!(
                     "{{\"level\":\"WARN\",\"message\":\"a line of {} bytes was left out\"}}\n",
@@ -192,7 +192,7 @@
         }
         let text = String::from_utf8_lossy(line);
         let mut text = text.trim_end_matches('\n').replace(['\n', '\r'], " ");
-        let mut cut = text.len().min(MOST_LINE - 1);
+        let mut cut = text.len().min(MAX_LINE - 1);
         while !text.is_char_boundary(cut) {
             cut -= 1;
         }
@@ -278,9 +278,9 @@
             "{text}"
         );
         let many = Lines::new();
-        assert_eq!((0..500).filter(|_| many.take(7)).count() as u64, MOST_LINES);
+        assert_eq!((0..500).filter(|_| many.take(7)).count() as u64, MAX_LINES);
         assert!(many.take(8), "each second has its own");
-        assert_eq!(guard.fit(&[b'x'; 9000]).len(), MOST_LINE);
+        assert_eq!(guard.fit(&[b'x'; 9000]).len(), MAX_LINE);
         guard.json = true;
         let line: serde_json::Value = serde_json::from_slice(&guard.fit(&[b'x'; 9000])).unwrap();
         assert!(line["message"].as_str().unwrap().contains("9000"));
@@ -288,7 +288,7 @@
 
     #[test]
     fn the_environment_goes_before_the_operators_file_and_targets_before_the_rest() {
-        let log = Log {
+        let log = LogConfig {
             level: Some("warn".into()),
             targets: vec![("record".into(), "debug".into())],
             json: false,
@@ -299,6 +299,6 @@
         );
         assert!(levels(Some("debug"), &log).would_enable("gateway", &Level::DEBUG));
         assert!(levels(Some("nonsense=="), &log).would_enable("gateway", &Level::WARN));
-        assert!(!levels(None, &Log::default()).would_enable("gateway", &Level::DEBUG));
+        assert!(!levels(None, &LogConfig::default()).would_enable("gateway", &Level::DEBUG));
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -11,7 +11,7 @@
 
 use arguments::{Arguments, Command, FleetCommand, RecordsCommand, StoreCommand};
 use clap::{CommandFactory, Parser};
-use eideryard_operator_config::Operator;
+use eideryard_operator_config::OperatorConfig;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -57,7 +57,10 @@
             .render(&mut std::io::stdout())
             .map_err(|e| e.to_string()),
         Command::Reference => {
-            print!("{}", eideryard_config_syntax::reference(eideryard_operator_config::TABLE));
+            print!(
+                "{}",
+                eideryard_config_syntax::reference(eideryard_operator_config::TABLE)
+            );
             Ok(())
         }
     };
@@ -72,7 +75,8 @@
 
 /// The gateway itself: what fails goes to its log.
 fn run(operator: Option<&str>) -> ExitCode {
-    let operator = operator.map_or_else(|| Ok(Operator::default()), Operator::from_file);
+    let operator =
+        operator.map_or_else(|| Ok(OperatorConfig::default()), OperatorConfig::from_file);
     let log = operator
         .as_ref()
         .map(|operator| operator.log.clone())
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -1,6 +1,6 @@
 //! `eideryard records`: what is in records, and whether it is whole.
 
-use eideryard_event_log::reader::What;
+use eideryard_event_log::reader::ReadContent;
 use eideryard_event_log::tally::Counted;
 use eideryard_event_log::text::EntryText;
 use eideryard_event_log::{Entry, Host, Merged};
@@ -23,13 +23,13 @@
 }
 
 impl Start {
-    fn take(&mut self, at: u64, what: &What) {
+    fn take(&mut self, at: u64, what: &ReadContent) {
         let entry = match what {
-            What::Damaged => {
+            ReadContent::Damaged => {
                 self.damaged = true;
                 return;
             }
-            What::Entry(entry) => entry,
+            ReadContent::Entry(entry) => entry,
         };
         self.last_at = at;
         self.entries += 1;
@@ -191,14 +191,14 @@
         let name = &merged.sources()[told.source].name;
         let (seconds, micros) = (told.at / 1_000_000, told.at % 1_000_000);
         let written = match &told.what {
-            What::Damaged => {
+            ReadContent::Damaged => {
                 writeln!(
                     out,
                     "{seconds}.{micros:06} {name} -- something before this can't be read"
                 )
             }
-            What::Entry(entry) if !wanted(told.source, entry) => Ok(()),
-            What::Entry(entry) => {
+            ReadContent::Entry(entry) if !wanted(told.source, entry) => Ok(()),
+            ReadContent::Entry(entry) => {
                 writeln!(
                     out,
                     "{seconds}.{micros:06} {name} {}",
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -5,7 +5,7 @@
 
 use eideryard_intent_log::{entry, Intent, Place};
 use eideryard_store::recovery::Recovered;
-use eideryard_store::{Directory, Plan, Store, Trust};
+use eideryard_store::{Config, Directory, RecoveryStatus, Store};
 
 /// A store that is rewritten by hand may grow as it has to.
 const ANY_BUDGET: u64 = 1 << 44;
@@ -94,12 +94,12 @@
         return Err(wrong(&"no store is there"));
     }
     let files = Box::new(Directory::new(directory));
-    let (mut store, found) = Store::open(files, Plan { budget: ANY_BUDGET }, now_ms(), now_ms())
+    let (mut store, found) = Store::open(files, Config { budget: ANY_BUDGET }, now_ms(), now_ms())
         .map_err(|e| wrong(&e))?;
-    if !matches!(found.trust, Trust::Whole) {
+    if !matches!(found.status, RecoveryStatus::Whole) {
         println!(
             "it was not whole ({:?}): the gateway that starts with it begins as a stranger",
-            found.trust
+            found.status
         );
     }
     let before = store.bytes();
--- a/crates/cli/tests/incident.rs
+++ b/crates/cli/tests/incident.rs
@@ -1,9 +1,9 @@
 //! The scripted incident on loopback: two gateways, six engines, three killed together, a flood during a roster
 //! outage, a gateway killed and started again. Records, report and the gateways' own counters must agree exactly.
 
+use eideryard_emulators::scenario::Scenario;
 use eideryard_fleet_test::processes::Programs;
 use eideryard_fleet_test::world::{play, Played};
-use eideryard_emulators::scenario::Scenario;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/crates/config-syntax/src/grammar.rs
+++ b/crates/config-syntax/src/grammar.rs
@@ -17,8 +17,8 @@
 use crate::fault::{Fault, Place};
 
 /// Bounds of a text, so that a damaged one is an error and no stack overflow.
-pub const MOST_BYTES: usize = 1 << 20;
-pub const MOST_NESTED: usize = 8;
+pub const MAX_BYTES: usize = 1 << 20;
+pub const MAX_NESTED: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Word {
@@ -84,8 +84,8 @@
             column,
         }
     };
-    if text.len() > MOST_BYTES {
-        let hint = format!("{MOST_BYTES} bytes are the most");
+    if text.len() > MAX_BYTES {
+        let hint = format!("{MAX_BYTES} bytes are the most");
         return Err(Fault::new(place(0, "", 0), "the text is too long", &hint));
     }
     // The blocks that are open, the text itself first, each behind the statement that opened it.
@@ -142,8 +142,8 @@
                     "write: DIRECTIVE VALUE... {",
                 ));
             }
-            if open.len() > MOST_NESTED {
-                let hint = format!("{MOST_NESTED} are the most");
+            if open.len() > MAX_NESTED {
+                let hint = format!("{MAX_NESTED} are the most");
                 return Err(Fault::new(
                     here(),
                     "too many blocks within each other",
--- a/crates/config-syntax/src/lib.rs
+++ b/crates/config-syntax/src/lib.rs
@@ -16,8 +16,8 @@
 use grammar::Statement;
 
 /// Files within files, and files in all: an include that names itself ends here.
-const MOST_DEPTH: usize = 8;
-const MOST_FILES: usize = 64;
+const MAX_DEPTH: usize = 8;
+const MAX_FILES: usize = 64;
 
 /// Gives the name and the text of an included file, by the name of the one that includes it and its own.
 pub type Open = dyn Fn(&str, &str) -> Result<(String, String), String>;
@@ -56,8 +56,8 @@
             ));
         };
         *files += 1;
-        if depth + 1 >= MOST_DEPTH || *files > MOST_FILES {
-            let hint = format!("{MOST_DEPTH} files deep and {MOST_FILES} in all may be included");
+        if depth + 1 >= MAX_DEPTH || *files > MAX_FILES {
+            let hint = format!("{MAX_DEPTH} files deep and {MAX_FILES} in all may be included");
             return Err(Fault::new(
                 place,
                 "too many files include each other",
--- a/crates/console/src/model.rs
+++ b/crates/console/src/model.rs
@@ -107,7 +107,7 @@
 /// Seconds of a sparkline.
 pub const SPARKS: usize = 20;
 /// Pages that Back remembers.
-const MOST_BEFORE: usize = 16;
+const MAX_BEFORE: usize = 16;
 
 impl Default for Model {
     fn default() -> Self {
@@ -129,7 +129,7 @@
 
     fn go(&mut self, page: Page) {
         self.before.push(self.page);
-        if self.before.len() > MOST_BEFORE {
+        if self.before.len() > MAX_BEFORE {
             self.before.remove(0);
         }
         (self.page, self.cursor) = (page, 0);
@@ -247,7 +247,7 @@
                 });
                 row.phase = match own.phase {
                     Phase::Draining => "draining",
-                    Phase::Gone => "removed",
+                    Phase::Removed => "removed",
                     Phase::Ready if view.detector.is_missed(*engine) => "missed",
                     Phase::Ready if own.quarantined => "quarantine",
                     Phase::Ready => row.phase,
@@ -278,7 +278,10 @@
     }
 
     /// Requests that were not simply served, the latest first.
-    pub fn requests<'a>(&self, view: &'a View) -> Vec<&'a eideryard_event_analysis::notable::Notable> {
+    pub fn requests<'a>(
+        &self,
+        view: &'a View,
+    ) -> Vec<&'a eideryard_event_analysis::notable::Notable> {
         let mut requests: Vec<_> = view.notables.iter().collect();
         requests.reverse();
         requests
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -15,7 +15,7 @@
 /// Between two looks at keys and records.
 const TICK: Duration = Duration::from_millis(100);
 /// Entries that are folded at once, so that keys are heard while a long record is read.
-const MOST_AT_ONCE: usize = 200_000;
+const MAX_AT_ONCE: usize = 200_000;
 
 /// The records, folded up to a time.
 struct Records {
@@ -23,7 +23,7 @@
     merged: Merged,
     view: View,
     /// What was read beyond the time that is shown.
-    ahead: Option<eideryard_event_log::Told>,
+    ahead: Option<eideryard_event_log::ReadEntry>,
 }
 
 impl Records {
@@ -44,7 +44,7 @@
 
     /// Folds on, up to a time. True: there may be more at once.
     fn fold(&mut self, to: Micros) -> Result<bool, String> {
-        for _ in 0..MOST_AT_ONCE {
+        for _ in 0..MAX_AT_ONCE {
             let told = match self.ahead.take() {
                 Some(told) => Some(told),
                 None => self.merged.next().map_err(|e| e.to_string())?,
--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -49,7 +49,7 @@
             &sources,
             source,
             at,
-            &eideryard_event_log::reader::What::Entry(entry),
+            &eideryard_event_log::reader::ReadContent::Entry(entry),
         );
     }
     view
--- a/crates/discovery/src/http.rs
+++ b/crates/discovery/src/http.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 
 /// The longest head of a response, and of a chunk.
-pub const MOST_HEAD: usize = 16 << 10;
-const MOST_HEADERS: usize = 64;
+pub const MAX_HEAD: usize = 16 << 10;
+const MAX_HEADERS: usize = 64;
 
 /// A response that can't be read; the connection is of no further use.
 #[derive(Clone, Debug, PartialEq)]
@@ -104,14 +104,14 @@
     fn head(&mut self, bytes: &[u8]) -> Result<Option<usize>, Malformed> {
         let before = self.begun.len();
         self.begun
-            .extend_from_slice(&bytes[..bytes.len().min(MOST_HEAD + 1 - before)]);
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+            .extend_from_slice(&bytes[..bytes.len().min(MAX_HEAD + 1 - before)]);
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let parsed = response
             .parse(&self.begun)
             .map_err(|e| Malformed(format!("the response's head: {e}")))?;
         let httparse::Status::Complete(length) = parsed else {
-            return match self.begun.len() > MOST_HEAD {
+            return match self.begun.len() > MAX_HEAD {
                 true => Err(Malformed("the response's head is too long".into())),
                 false => Ok(None),
             };
@@ -150,7 +150,7 @@
     fn line(&mut self, bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
         let end = bytes.iter().position(|&byte| byte == b'\n');
         let used = end.map_or(bytes.len(), |at| at + 1);
-        if self.begun.len() + used > MOST_HEAD {
+        if self.begun.len() + used > MAX_HEAD {
             return Err(Malformed("a chunk's head is too long".into()));
         }
         self.begun.extend_from_slice(&bytes[..used]);
--- a/crates/discovery/src/item.rs
+++ b/crates/discovery/src/item.rs
@@ -19,11 +19,11 @@
     #[serde(default)]
     pub whole: bool,
     #[serde(default)]
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<DiscoveredEngine>,
 }
 
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct Listed {
+pub struct DiscoveredEngine {
     pub host: String,
     /// Address and port; one that is gone may lack it.
     #[serde(default)]
@@ -59,24 +59,24 @@
 
 /// An event that can't be read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WrongItem(String);
+pub struct ItemError(String);
 
-impl fmt::Display for WrongItem {
+impl fmt::Display for ItemError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for WrongItem {}
+impl std::error::Error for ItemError {}
 
 impl Item {
-    pub fn read(data: &str) -> Result<Self, WrongItem> {
-        serde_json::from_str(data).map_err(|e| WrongItem(e.to_string()))
+    pub fn read(data: &str) -> Result<Self, ItemError> {
+        serde_json::from_str(data).map_err(|e| ItemError(e.to_string()))
     }
 }
 
 impl Known {
-    pub fn read(value: &serde_json::Value) -> Result<Self, WrongItem> {
-        Known::deserialize(value).map_err(|e| WrongItem(e.to_string()))
+    pub fn read(value: &serde_json::Value) -> Result<Self, ItemError> {
+        Known::deserialize(value).map_err(|e| ItemError(e.to_string()))
     }
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -5,9 +5,9 @@
 mod item;
 mod sse;
 
-pub use http::{request, Malformed, MOST_HEAD};
-pub use item::{Item, Known, Listed, Roster, State, WrongItem};
-pub use sse::{Heard, MOST_EVENT};
+pub use http::{request, Malformed, MAX_HEAD};
+pub use item::{DiscoveredEngine, Item, ItemError, Known, Roster, State};
+pub use sse::{StreamEvent, MAX_EVENT};
 
 /// Reads one response of the bulletin, in pieces as they come.
 #[derive(Default)]
@@ -18,7 +18,7 @@
 
 impl Reader {
     /// Takes what came in and puts what it tells behind `heard`.
-    pub fn take(&mut self, bytes: &[u8], heard: &mut Vec<Heard>) -> Result<(), Malformed> {
+    pub fn take(&mut self, bytes: &[u8], heard: &mut Vec<StreamEvent>) -> Result<(), Malformed> {
         let events = &mut self.events;
         self.http.take(bytes, &mut |body| events.take(body, heard))
     }
--- a/crates/discovery/src/sse.rs
+++ b/crates/discovery/src/sse.rs
@@ -3,10 +3,10 @@
 use crate::http::Malformed;
 
 /// The longest line and the longest event: a whole list of thousands of engines fits.
-pub const MOST_EVENT: usize = 4 << 20;
+pub const MAX_EVENT: usize = 4 << 20;
 
 #[derive(Debug, PartialEq)]
-pub enum Heard {
+pub enum StreamEvent {
     Event {
         id: Option<u64>,
         data: String,
@@ -26,7 +26,7 @@
 }
 
 impl Events {
-    pub fn take(&mut self, bytes: &[u8], heard: &mut Vec<Heard>) -> Result<(), Malformed> {
+    pub fn take(&mut self, bytes: &[u8], heard: &mut Vec<StreamEvent>) -> Result<(), Malformed> {
         for &byte in bytes {
             let after_return = std::mem::replace(&mut self.returned, byte == b'\r');
             match byte {
@@ -34,14 +34,14 @@
                 b'\n' | b'\r' => self.end_line(heard)?,
                 byte => self.line.push(byte),
             }
-            if self.line.len() + self.data.len() > MOST_EVENT {
+            if self.line.len() + self.data.len() > MAX_EVENT {
                 return Err(Malformed("an event is too long".into()));
             }
         }
         Ok(())
     }
 
-    fn end_line(&mut self, heard: &mut Vec<Heard>) -> Result<(), Malformed> {
+    fn end_line(&mut self, heard: &mut Vec<StreamEvent>) -> Result<(), Malformed> {
         let mut line = std::mem::take(&mut self.line);
         let text =
             std::str::from_utf8(&line).map_err(|_| Malformed("a line is not UTF-8".into()))?;
@@ -53,7 +53,7 @@
         self.begun = true;
         match text.split_once(':') {
             None if text.is_empty() => self.end_event(heard),
-            Some(("", _)) => heard.push(Heard::Comment),
+            Some(("", _)) => heard.push(StreamEvent::Comment),
             found => {
                 let (name, value) = found.unwrap_or((text, ""));
                 let value = value.strip_prefix(' ').unwrap_or(value);
@@ -72,11 +72,11 @@
         Ok(())
     }
 
-    fn end_event(&mut self, heard: &mut Vec<Heard>) {
+    fn end_event(&mut self, heard: &mut Vec<StreamEvent>) {
         let mut data = std::mem::take(&mut self.data);
         let id = self.id.take();
         if data.pop().is_some() {
-            heard.push(Heard::Event { id, data });
+            heard.push(StreamEvent::Event { id, data });
         }
     }
 }
--- a/crates/discovery/tests/reader.rs
+++ b/crates/discovery/tests/reader.rs
@@ -6,15 +6,15 @@
     format!(": hello\n\nid: 41\ndata: {EVENT}\n\n:\r\n\r\ndata: two\rdata:lines\r\r")
 }
 
-fn heard() -> Vec<Heard> {
+fn heard() -> Vec<StreamEvent> {
     vec![
-        Heard::Comment,
-        Heard::Event {
+        StreamEvent::Comment,
+        StreamEvent::Event {
             id: Some(41),
             data: EVENT.into(),
         },
-        Heard::Comment,
-        Heard::Event {
+        StreamEvent::Comment,
+        StreamEvent::Event {
             id: None,
             data: "two\nlines".into(),
         },
@@ -35,7 +35,7 @@
     )
 }
 
-fn read(response: &str, piece: usize) -> Result<(Vec<Heard>, bool), Malformed> {
+fn read(response: &str, piece: usize) -> Result<(Vec<StreamEvent>, bool), Malformed> {
     let (mut reader, mut heard) = (Reader::default(), Vec::new());
     for bytes in response.as_bytes().chunks(piece) {
         reader.take(bytes, &mut heard)?;
@@ -83,7 +83,7 @@
 
 #[test]
 fn what_is_no_good_response_is_an_error() {
-    let long = format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(MOST_HEAD));
+    let long = format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(MAX_HEAD));
     let cases = [
         "HTTP/1.1 503 Service Unavailable\r\n\r\n",
         "SSH-2.0-OpenSSH\r\n\r\n",
@@ -95,7 +95,7 @@
     cases
         .iter()
         .for_each(|response| assert!(read(response, 1000).is_err(), "{response}"));
-    let endless = format!("HTTP/1.1 200 OK\r\n\r\ndata: {}", "x".repeat(MOST_EVENT));
+    let endless = format!("HTTP/1.1 200 OK\r\n\r\ndata: {}", "x".repeat(MAX_EVENT));
     assert!(read(&endless, 65_536).is_err());
 }
 
@@ -115,7 +115,7 @@
             }
         }
         for heard in heard {
-            if let Heard::Event { data, .. } = heard {
+            if let StreamEvent::Event { data, .. } = heard {
                 let _ = Item::read(&data);
             }
         }
--- a/crates/emulators/src/client.rs
+++ b/crates/emulators/src/client.rs
@@ -31,7 +31,7 @@
 mod lines;
 
 /// Open requests on one connection, as the protocol allows.
-const MOST_OPEN: usize = 32;
+const MAX_OPEN: usize = 32;
 /// An answer that has not come so long after the client's wait never comes.
 const GRACE: Duration = Duration::from_secs(2);
 /// After a loss a client comes again within this time, at random.
--- a/crates/emulators/src/client/lines.rs
+++ b/crates/emulators/src/client/lines.rs
@@ -33,7 +33,7 @@
         self.lines.borrow_mut().retain(|line| !line.ended.get());
         let choices = self.choices(wanted);
         let most = self.spec.connections.div_ceil(choices.len().max(1));
-        let free = |line: &Rc<Line>| line.open.borrow().len() < MOST_OPEN;
+        let free = |line: &Rc<Line>| line.open.borrow().len() < MAX_OPEN;
         for (gateway, address) in choices {
             let own: Vec<Rc<Line>> = self
                 .lines
--- a/crates/emulators/src/engine.rs
+++ b/crates/emulators/src/engine.rs
@@ -25,8 +25,8 @@
 /// Notes tell of queries this often.
 const NOTE_PERIOD: Duration = Duration::from_millis(500);
 /// Answers that wait on one connection; who doesn't read more loses it.
-const MOST_ANSWERS: usize = 4096;
-const MOST_STATEMENT: usize = 1 << 20;
+const MAX_ANSWERS: usize = 4096;
+const MAX_STATEMENT: usize = 1 << 20;
 const PAGE: usize = 6000;
 /// No query runs for longer, so what it could repeat is remembered for as long.
 const LONGEST_RUN: Duration = Duration::from_secs(60);
@@ -217,7 +217,7 @@
         // What ends here ends with a reset, as that of a process that dies.
         let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         let _ = stream.set_nodelay(true);
-        let (sender, mut answers) = mpsc::channel(MOST_ANSWERS);
+        let (sender, mut answers) = mpsc::channel(MAX_ANSWERS);
         self.state.borrow_mut().connections.insert(number, sender);
         let (read, mut write) = stream.into_split();
         let mut read = BufReader::new(read);
@@ -287,7 +287,7 @@
                 .get(3)
                 .and_then(|word| word.parse().ok())
                 .ok_or(io::ErrorKind::InvalidData)?;
-            if length > MOST_STATEMENT {
+            if length > MAX_STATEMENT {
                 return Err(io::ErrorKind::InvalidData.into());
             }
             payload.resize(length + 2, 0);
--- a/crates/emulators/src/ledger.rs
+++ b/crates/emulators/src/ledger.rs
@@ -83,7 +83,7 @@
 }
 
 /// Words of so many broken rules are kept.
-const MOST_WORDS: usize = 50;
+const MAX_WORDS: usize = 50;
 
 impl Ledger {
     /// Unix microseconds.
@@ -107,7 +107,7 @@
     /// Counts a broken rule, in words.
     pub fn break_rule(&mut self, what: String) {
         self.breaks += 1;
-        if self.broken.len() < MOST_WORDS {
+        if self.broken.len() < MAX_WORDS {
             self.broken.push(what);
         }
     }
--- a/crates/emulators/src/scenario.rs
+++ b/crates/emulators/src/scenario.rs
@@ -21,7 +21,8 @@
 impl Scenario {
     /// Reads its text; `file` is named where something is wrong.
     pub fn read(file: &str, text: &str) -> Result<Self, Fault> {
-        let settings = eideryard_config_syntax::read(file, text, TABLE, &eideryard_config_syntax::from_files)?;
+        let settings =
+            eideryard_config_syntax::read(file, text, TABLE, &eideryard_config_syntax::from_files)?;
         let all = |name: &'static str| settings.iter().filter(move |setting| setting.name == name);
         let first =
             |name: &'static str| all(name).next().and_then(|setting| setting.values.first());
--- a/crates/engine-protocol/src/lib.rs
+++ b/crates/engine-protocol/src/lib.rs
@@ -7,8 +7,8 @@
 use std::fmt::{self, Write};
 
 /// The longest head of an answer, and the longest payload: a page has so many bytes at most.
-pub const MOST_HEAD: usize = 4096;
-pub const MOST_PAYLOAD: usize = 6000;
+pub const MAX_HEAD: usize = 4096;
+pub const MAX_PAYLOAD: usize = 6000;
 
 /// An answer of an engine. `id` is the request's, or the tag of a probe.
 #[derive(Debug, PartialEq)]
@@ -87,9 +87,9 @@
 
 /// The first answer in `bytes` and its length.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Answer<'_>, usize)>, Malformed> {
-    let head = &bytes[..bytes.len().min(MOST_HEAD)];
+    let head = &bytes[..bytes.len().min(MAX_HEAD)];
     let Some(end) = head.windows(2).position(|pair| pair == b"\r\n") else {
-        return if bytes.len() < MOST_HEAD {
+        return if bytes.len() < MAX_HEAD {
             Ok(None)
         } else {
             Err(Malformed)
@@ -107,7 +107,7 @@
     let length: usize = length
         .parse()
         .ok()
-        .filter(|&length| length <= MOST_PAYLOAD)
+        .filter(|&length| length <= MAX_PAYLOAD)
         .ok_or(Malformed)?;
     if words.next().is_some() {
         return Err(Malformed);
--- a/crates/engine-protocol/tests/codec.rs
+++ b/crates/engine-protocol/tests/codec.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn what_is_no_answer_is_an_error() {
-    let long = vec![b'x'; MOST_HEAD];
+    let long = vec![b'x'; MAX_HEAD];
     let cases: [&[u8]; 9] = [
         b"\r\n",
         b"x OK -\r\n",
@@ -42,8 +42,8 @@
         .into_iter()
         .for_each(|bytes| assert_eq!(decode(bytes), Err(Malformed), "{bytes:?}"));
     let longest = |length: usize| format!("x OK - {length}\r\n").into_bytes();
-    assert_eq!(decode(&longest(MOST_PAYLOAD)), Ok(None));
-    assert_eq!(decode(&longest(MOST_PAYLOAD + 1)), Err(Malformed));
+    assert_eq!(decode(&longest(MAX_PAYLOAD)), Ok(None));
+    assert_eq!(decode(&longest(MAX_PAYLOAD + 1)), Err(Malformed));
 }
 
 #[test]
--- a/crates/event-analysis/src/episodes.rs
+++ b/crates/event-analysis/src/episodes.rs
@@ -11,7 +11,7 @@
 use eideryard_event_log::AnswerKind;
 
 use crate::series::Sketch;
-use crate::state::{Fact, Said};
+use crate::state::{Fact, LoggedText};
 
 const SECOND: Micros = 1_000_000;
 /// Symptoms are judged over so many seconds.
@@ -21,19 +21,19 @@
 /// What is usual forgets with this time constant, in seconds.
 const USUAL_SPAN: f64 = 60.0;
 /// Seconds of past that make something usual.
-const LEAST_PAST: u32 = 3;
+const MIN_PAST: u32 = 3;
 /// Seconds with traffic after which what was never seen is new, not just the beginning.
 const MUCH_PAST: u32 = 5;
 /// So many times the usual is over it.
 const OVER: f64 = 3.0;
 /// Fewer refusals or resends in a window than this are never an episode, nor a smaller share of all than
 /// this.
-const LEAST_COUNT: u32 = 8;
-const LEAST_SHARE: f64 = 0.05;
+const MIN_COUNT: u32 = 8;
+const MIN_SHARE: f64 = 0.05;
 /// Latency that is usually `ms` is over it from twice that and so many milliseconds more on.
 const SLOWER: f64 = 2.0;
 const SLOWER_MS: f64 = 100.0;
-const LEAST_SAMPLES: u32 = 10;
+const MIN_SAMPLES: u32 = 10;
 /// A flood is at least so many requests a second, and this part of all.
 const FLOOD_RATE: f64 = 20.0;
 const FLOOD_SHARE: f64 = 0.4;
@@ -44,8 +44,8 @@
 /// A roster out of reach for less than this is a reconnect.
 const ROSTER_SILENT: Micros = 1_500_000;
 /// Bounds: episodes kept, and addresses that are told apart in a second.
-const MOST_EPISODES: usize = 4096;
-const MOST_ADDRESSES: usize = 65_536;
+const MAX_EPISODES: usize = 4096;
+const MAX_ADDRESSES: usize = 65_536;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
@@ -157,7 +157,7 @@
     fn new(past: u32) -> Self {
         Usual {
             mean: 0.0,
-            seen: if past >= MUCH_PAST { LEAST_PAST } else { 0 },
+            seen: if past >= MUCH_PAST { MIN_PAST } else { 0 },
         }
     }
 
@@ -167,7 +167,7 @@
     }
 
     fn known(&self) -> Option<f64> {
-        (self.seen >= LEAST_PAST).then_some(self.mean)
+        (self.seen >= MIN_PAST).then_some(self.mean)
     }
 }
 
@@ -225,7 +225,7 @@
         Self::default()
     }
 
-    pub fn take(&mut self, said: &Said) {
+    pub fn take(&mut self, said: &LoggedText) {
         let at = said.at;
         self.pass(at);
         let second = &mut self.second;
@@ -233,7 +233,7 @@
             Fact::Taken { tenant, from, .. } => {
                 second.taken += 1;
                 *second.tenants.entry(tenant).or_default() += 1;
-                if let Some(from) = from.filter(|_| second.pairs.len() < MOST_ADDRESSES) {
+                if let Some(from) = from.filter(|_| second.pairs.len() < MAX_ADDRESSES) {
                     *second.addresses.entry(from).or_default() += 1;
                     *second.pairs.entry((tenant, from)).or_default() += 1;
                 }
@@ -414,7 +414,7 @@
             count as f64 / of.max(1) as f64,
             usual.known().unwrap_or(0.0),
         );
-        if count >= LEAST_COUNT && share > (OVER * before).max(LEAST_SHARE) {
+        if count >= MIN_COUNT && share > (OVER * before).max(MIN_SHARE) {
             self.seen(kind, end, share, before);
         } else if of > 0 {
             usual.learn(share);
@@ -461,7 +461,7 @@
         }
         let mut floods = Vec::new();
         for (from, count) in addresses {
-            if self.addresses.len() >= MOST_ADDRESSES && !self.addresses.contains_key(from) {
+            if self.addresses.len() >= MAX_ADDRESSES && !self.addresses.contains_key(from) {
                 continue;
             }
             let usual = self.addresses.entry(*from).or_insert(Usual::new(self.busy));
@@ -498,7 +498,7 @@
         for (class, sketch) in latency {
             let Some(ms) = sketch
                 .percentile(0.9)
-                .filter(|_| sketch.count() >= LEAST_SAMPLES)
+                .filter(|_| sketch.count() >= MIN_SAMPLES)
             else {
                 continue;
             };
@@ -517,7 +517,7 @@
 
     fn out(&mut self, engine: EngineId, outcome: Outcome, at: Micros) {
         match outcome {
-            Outcome::Answered | Outcome::Full | Outcome::Error => self.speaks(engine, at),
+            Outcome::Answered | Outcome::AtCapacity | Outcome::Error => self.speaks(engine, at),
             Outcome::Broken => {
                 self.silent.entry(engine).or_insert(Silent {
                     since: at,
@@ -551,8 +551,8 @@
 
     fn listed(&mut self, engine: EngineId, phase: Phase, started_anew: bool, at: Micros) {
         let before = self.phases.insert(engine, phase);
-        if self.phases.len() > MOST_ADDRESSES {
-            self.phases.retain(|_, phase| *phase != Phase::Gone);
+        if self.phases.len() > MAX_ADDRESSES {
+            self.phases.retain(|_, phase| *phase != Phase::Removed);
         }
         match phase {
             Phase::Draining if before != Some(Phase::Draining) => {
@@ -566,7 +566,7 @@
                     self.end(&Kind::Quarantine(engine), at);
                 }
             }
-            Phase::Gone => {
+            Phase::Removed => {
                 self.end(&Kind::Drain(engine), at);
                 self.end(&Kind::Quarantine(engine), at);
                 // Whoever is off the list is missed no more.
@@ -658,7 +658,7 @@
     }
 
     fn missing(&mut self, source: usize, from: Micros, to: Micros, entries: Option<u64>) {
-        if self.gaps.len() >= MOST_EPISODES {
+        if self.gaps.len() >= MAX_EPISODES {
             return;
         }
         self.gaps.push((source, from, to));
@@ -685,7 +685,7 @@
     // ---- Episodes ----
 
     fn push(&mut self, episode: Episode) -> Option<usize> {
-        if self.episodes.len() >= MOST_EPISODES {
+        if self.episodes.len() >= MAX_EPISODES {
             return None;
         }
         self.episodes.push(episode);
--- a/crates/event-analysis/src/lib.rs
+++ b/crates/event-analysis/src/lib.rs
@@ -13,10 +13,10 @@
 
 pub use episodes::{Detector, Episode, Overlap};
 pub use series::Series;
-pub use state::{Fact, Fleet, Said, Start};
+pub use state::{Fact, Fleet, LoggedText, Start};
 
 use eideryard::interface::Micros;
-use eideryard_event_log::reader::What;
+use eideryard_event_log::reader::ReadContent;
 use eideryard_event_log::Source;
 
 /// All views of records, folded together.
@@ -53,7 +53,7 @@
         }
     }
 
-    pub fn take(&mut self, sources: &[Source], source: usize, at: Micros, what: &What) {
+    pub fn take(&mut self, sources: &[Source], source: usize, at: Micros, what: &ReadContent) {
         let View {
             fleet,
             series,
--- a/crates/event-analysis/src/notable.rs
+++ b/crates/event-analysis/src/notable.rs
@@ -5,11 +5,11 @@
 use eideryard::interface::Micros;
 use eideryard_event_log::AnswerKind;
 
-use crate::state::{Attempt, Fact, Said, SHOWN};
+use crate::state::{Attempt, Fact, LoggedText, SHOWN};
 
 /// So many of the first and of the last are kept; those between are counted.
-const MOST_FIRST: usize = 1500;
-const MOST_LAST: usize = 500;
+const MAX_FIRST: usize = 1500;
+const MAX_LAST: usize = 500;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Notable {
@@ -41,7 +41,7 @@
 }
 
 impl Notables {
-    pub fn take(&mut self, said: &Said) {
+    pub fn take(&mut self, said: &LoggedText) {
         let Fact::Ended {
             id,
             class,
@@ -72,12 +72,12 @@
             tries,
             last,
         };
-        if self.first.len() < MOST_FIRST {
+        if self.first.len() < MAX_FIRST {
             self.first.push(notable);
             return;
         }
         self.last.push_back(notable);
-        if self.last.len() > MOST_LAST {
+        if self.last.len() > MAX_LAST {
             self.last.pop_front();
             self.left_out += 1;
         }
--- a/crates/event-analysis/src/series.rs
+++ b/crates/event-analysis/src/series.rs
@@ -6,13 +6,13 @@
 use eideryard::interface::{EngineId, Micros, Outcome};
 use eideryard_event_log::AnswerKind;
 
-use crate::state::{Fact, Said};
+use crate::state::{Fact, LoggedText};
 
 /// Buckets at the most; when a record is longer, two become one.
-pub const MOST_BUCKETS: usize = 720;
+pub const MAX_BUCKETS: usize = 720;
 const FIRST_WIDTH: Micros = 1_000_000;
 /// Classes, tenants and engines that have lines of their own.
-const MOST_LINES: usize = 256;
+const MAX_LINES: usize = 256;
 
 /// Latencies in steps of the square root of two from a millisecond on: a percentile to a fifth, in little
 /// room.
@@ -120,7 +120,7 @@
 
 /// An entry of a map that doesn't grow beyond the lines that are kept.
 fn line<K: Ord, V: Default>(lines: &mut BTreeMap<K, V>, key: K) -> Option<&mut V> {
-    if lines.len() >= MOST_LINES && !lines.contains_key(&key) {
+    if lines.len() >= MAX_LINES && !lines.contains_key(&key) {
         return None;
     }
     Some(lines.entry(key).or_default())
@@ -155,8 +155,8 @@
         }
         // Clocks that are apart may tell something of before the first: it belongs to the first then.
         let after = at.saturating_sub(self.from);
-        while (after / self.width) as usize >= MOST_BUCKETS {
-            let mut halved: Vec<Bucket> = Vec::with_capacity(MOST_BUCKETS);
+        while (after / self.width) as usize >= MAX_BUCKETS {
+            let mut halved: Vec<Bucket> = Vec::with_capacity(MAX_BUCKETS);
             for (at, bucket) in std::mem::take(&mut self.buckets).into_iter().enumerate() {
                 match halved.last_mut().filter(|_| at % 2 == 1) {
                     Some(last) => last.merge(bucket),
@@ -173,7 +173,7 @@
         &mut self.buckets[place]
     }
 
-    pub fn take(&mut self, said: &Said) {
+    pub fn take(&mut self, said: &LoggedText) {
         let bucket = match said.fact {
             Fact::Taken { .. }
             | Fact::Ended { .. }
@@ -239,7 +239,7 @@
                 };
                 match outcome {
                     Outcome::Answered => own.answered += 1,
-                    Outcome::Cancelled | Outcome::Unsent => {}
+                    Outcome::Cancelled | Outcome::NotSent => {}
                     _ => own.bad += 1,
                 }
             }
@@ -270,13 +270,13 @@
             from: None,
         };
         (0..86_400).for_each(|second| {
-            series.take(&Said {
+            series.take(&LoggedText {
                 source: 0,
                 at: second * 1_000_000,
                 fact,
             })
         });
-        assert!(series.buckets.len() <= MOST_BUCKETS && series.width > FIRST_WIDTH);
+        assert!(series.buckets.len() <= MAX_BUCKETS && series.width > FIRST_WIDTH);
         assert_eq!(
             series
                 .buckets
--- a/crates/event-analysis/src/skew.rs
+++ b/crates/event-analysis/src/skew.rs
@@ -5,14 +5,14 @@
 
 use eideryard::interface::Micros;
 
-use crate::state::{Fact, Said};
+use crate::state::{Fact, LoggedText};
 
 /// Events of the bulletin that are remembered.
-const MOST_EVENTS: usize = 256;
+const MAX_EVENTS: usize = 256;
 /// Differences below this are the network's and the program's, not the clocks'.
 pub const NOISE: Micros = 100_000;
 /// Fewer events than this prove nothing.
-const LEAST_EVENTS: usize = 3;
+const MIN_EVENTS: usize = 3;
 
 #[derive(Default)]
 pub struct Skew {
@@ -20,7 +20,7 @@
 }
 
 impl Skew {
-    pub fn take(&mut self, said: &Said) {
+    pub fn take(&mut self, said: &LoggedText) {
         let Fact::RosterEvent { number } = said.fact else {
             return;
         };
@@ -29,7 +29,7 @@
             .or_default()
             .entry(said.source)
             .or_insert(said.at);
-        if self.events.len() > MOST_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_first();
         }
     }
@@ -43,6 +43,6 @@
             .filter_map(|at| Some(*at.get(&source)? as i64 - *at.get(&of)? as i64));
         let mut apart: Vec<i64> = both.collect();
         apart.sort_unstable();
-        (apart.len() >= LEAST_EVENTS).then(|| (apart[apart.len() / 2], apart.len()))
+        (apart.len() >= MIN_EVENTS).then(|| (apart[apart.len() / 2], apart.len()))
     }
 }
--- a/crates/event-analysis/src/state.rs
+++ b/crates/event-analysis/src/state.rs
@@ -4,15 +4,17 @@
 use std::net::IpAddr;
 
 use eideryard::interface::{Action, EngineId, Event, Micros, Outcome, Phase, RequestId};
-use eideryard_event_log::reader::What;
+use eideryard_event_log::reader::ReadContent;
 use eideryard_event_log::tally::{Counted, Tally};
-use eideryard_event_log::{AnswerKind, Entry, FleetWord, Host, Listed, Names, NotTaken, Source};
+use eideryard_event_log::{
+    AnswerKind, Entry, FleetEvent, Host, ListedEngine, Names, RejectReason, Source,
+};
 use hdrhistogram::Histogram;
 
 /// Open requests of one gateway that are kept; a gateway's own limits are far below.
-const MOST_OPEN: usize = 1 << 17;
+const MAX_OPEN: usize = 1 << 17;
 /// Attempts of one request that are kept.
-const MOST_ATTEMPTS: usize = 32;
+const MAX_ATTEMPTS: usize = 32;
 /// Attempts of an ended request that are told.
 pub const SHOWN: usize = 3;
 /// Outcomes of an engine that are shown.
@@ -20,10 +22,10 @@
 /// Latencies from 1 ms to an hour, in milliseconds, to two digits.
 const LONGEST_MS: u64 = 3_600_000;
 /// Classes that latencies are kept of.
-const MOST_CLASSES: usize = 256;
+const MAX_CLASSES: usize = 256;
 
 /// Peers of one gateway that are told of.
-const MOST_PEERS: usize = 400;
+const MAX_PEERS: usize = 400;
 
 /// Something that happened, in words that need no state.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -90,7 +92,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Said {
+pub struct LoggedText {
     pub source: usize,
     pub at: Micros,
     pub fact: Fact,
@@ -262,7 +264,7 @@
     pub now: Micros,
 }
 
-type Tell<'a> = &'a mut dyn FnMut(Said);
+type Tell<'a> = &'a mut dyn FnMut(LoggedText);
 
 impl Fleet {
     pub fn start(&self, source: usize) -> Option<&Start> {
@@ -331,7 +333,14 @@
             .any(|(_, other)| other.name == start.name && other.epoch > start.epoch)
     }
 
-    pub fn take(&mut self, sources: &[Source], source: usize, at: Micros, what: &What, tell: Tell) {
+    pub fn take(
+        &mut self,
+        sources: &[Source],
+        source: usize,
+        at: Micros,
+        what: &ReadContent,
+        tell: Tell,
+    ) {
         if self.starts.len() < sources.len() {
             self.starts.resize_with(sources.len(), || None);
         }
@@ -345,7 +354,7 @@
                 };
                 restart_of = Some(number);
                 if start.own.is_none() && !std::mem::replace(&mut start.broke_off, true) {
-                    tell(Said {
+                    tell(LoggedText {
                         source: number,
                         at: start.last_at,
                         fact: Fact::Breaks,
@@ -354,7 +363,7 @@
                         from: start.last_at,
                         entries: None,
                     };
-                    tell(Said {
+                    tell(LoggedText {
                         source: number,
                         at,
                         fact,
@@ -362,7 +371,7 @@
                 }
             }
             self.starts[source] = Some(Start::new(new, at));
-            tell(Said {
+            tell(LoggedText {
                 source,
                 at,
                 fact: Fact::Began { restart_of },
@@ -372,13 +381,13 @@
             return;
         };
         match what {
-            What::Damaged => {
+            ReadContent::Damaged => {
                 start.exact = false;
                 start.damaged_since.get_or_insert(start.last_at);
             }
-            What::Entry(entry) => {
+            ReadContent::Entry(entry) => {
                 if let Some(from) = start.damaged_since.take() {
-                    tell(Said {
+                    tell(LoggedText {
                         source,
                         at,
                         fact: Fact::Missing {
@@ -401,7 +410,7 @@
             let Some(start) = start else { continue };
             if start.own.is_none() && !start.broke_off && start.last_at + BREAK < now {
                 start.broke_off = true;
-                tell(Said {
+                tell(LoggedText {
                     source,
                     at: start.last_at,
                     fact: Fact::Breaks,
@@ -410,7 +419,7 @@
                     from: start.last_at,
                     entries: None,
                 };
-                tell(Said {
+                tell(LoggedText {
                     source,
                     at: now,
                     fact,
@@ -427,7 +436,7 @@
     fn take(&mut self, source: usize, at: Micros, entry: &Entry, tell: Tell) {
         let in_state = self.counted.is_state();
         self.counted.read(entry.as_ref());
-        let mut say = |fact| tell(Said { source, at, fact });
+        let mut say = |fact| tell(LoggedText { source, at, fact });
         match entry {
             Entry::In(event) => self.event(at, event, &mut say),
             Entry::Out(action) => self.action(at, action, &mut say),
@@ -451,7 +460,7 @@
                     }
                 }
             }
-            Event::Ended(ended) => {
+            Event::AttemptEnded(ended) => {
                 let Some(open) = self.open.get_mut(&ended.request) else {
                     return;
                 };
@@ -494,7 +503,7 @@
 
     fn action(&mut self, at: Micros, action: &Action, say: &mut dyn FnMut(Fact)) {
         match action {
-            Action::Terms {
+            Action::Grant {
                 request,
                 grant_mb,
                 rank,
@@ -526,7 +535,7 @@
                 };
                 own.enter(open.rank, open.grant_mb, self.names.of_class(open.class));
                 let again = open.tries() > 0;
-                if open.attempts.len() >= MOST_ATTEMPTS {
+                if open.attempts.len() >= MAX_ATTEMPTS {
                     open.attempts.remove(0);
                     open.earlier += 1;
                 }
@@ -636,7 +645,7 @@
                 connection,
                 address,
             } => {
-                if self.connections.len() < MOST_OPEN {
+                if self.connections.len() < MAX_OPEN {
                     self.connections.insert(*connection, *address);
                 }
             }
@@ -658,7 +667,7 @@
                 self.keep(offer.request, request);
             }
             Host::NotTaken { how, class, tenant } => {
-                if !matches!(how, NotTaken::Invalid | NotTaken::Gone) {
+                if !matches!(how, RejectReason::Invalid | RejectReason::Gone) {
                     say(Fact::Refused {
                         class: *class,
                         tenant: *tenant,
@@ -677,7 +686,7 @@
                 let (id, attempts) = open
                     .as_ref()
                     .map_or((None, 0), |open| (Some(open.id), open.tries()));
-                if *how == AnswerKind::Served && *class < MOST_CLASSES {
+                if *how == AnswerKind::Served && *class < MAX_CLASSES {
                     while self.latency.len() <= *class {
                         // The bounds are constants that fit.
                         self.latency
@@ -746,33 +755,33 @@
         }
     }
 
-    fn fleet_word(&mut self, word: &FleetWord) {
+    fn fleet_word(&mut self, word: &FleetEvent) {
         match word {
-            FleetWord::Peer { name, state } => {
-                if self.peers.len() < MOST_PEERS || self.peers.contains_key(name) {
+            FleetEvent::Peer { name, state } => {
+                if self.peers.len() < MAX_PEERS || self.peers.contains_key(name) {
                     self.peers.insert(name.clone(), state.clone());
                 }
                 self.turned.remove(name);
             }
-            FleetWord::Turned { name, why } if self.turned.len() < MOST_PEERS => {
+            FleetEvent::Turned { name, why } if self.turned.len() < MAX_PEERS => {
                 self.turned.insert(name.clone(), why.clone());
             }
-            FleetWord::Turned { .. } => {}
-            FleetWord::Votes { votes } => self.votes = Some(*votes),
-            FleetWord::Majority { stands } => self.majority = Some(*stands),
-            FleetWord::Owns {
+            FleetEvent::Turned { .. } => {}
+            FleetEvent::Votes { votes } => self.votes = Some(*votes),
+            FleetEvent::Majority { stands } => self.majority = Some(*stands),
+            FleetEvent::Owns {
                 task,
                 term,
                 owns: true,
-            } if self.owns.len() < MOST_PEERS => {
+            } if self.owns.len() < MAX_PEERS => {
                 self.owns.insert(*task, *term);
             }
-            FleetWord::Owns { task, .. } => _ = self.owns.remove(task),
-            FleetWord::Work { counts, .. } => self.fenced += u64::from(!counts),
+            FleetEvent::Owns { task, .. } => _ = self.owns.remove(task),
+            FleetEvent::Work { counts, .. } => self.fenced += u64::from(!counts),
         }
     }
 
-    fn listed(&mut self, listed: &Listed, in_state: bool, say: &mut dyn FnMut(Fact)) {
+    fn listed(&mut self, listed: &ListedEngine, in_state: bool, say: &mut dyn FnMut(Fact)) {
         let known = self.engines.get(&listed.engine);
         let started_anew = known.is_some_and(|own| {
             listed.booted_at > own.booted_at
@@ -800,7 +809,7 @@
     }
 
     fn keep(&mut self, key: RequestId, request: Request) {
-        if self.open.len() < MOST_OPEN {
+        if self.open.len() < MAX_OPEN {
             self.open.insert(key, request);
         }
     }
--- a/crates/event-analysis/tests/common/mod.rs
+++ b/crates/event-analysis/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use eideryard::interface::{self as i, Action, Event, Micros, Outcome, Phase};
 use eideryard_event_analysis::View;
-use eideryard_event_log::reader::What;
+use eideryard_event_log::reader::ReadContent;
 use eideryard_event_log::tally::Counted;
 use eideryard_event_log::*;
 use std::path::PathBuf;
@@ -72,7 +72,7 @@
 
     fn engine(engine: u32, phase: Phase, booted_at: Micros, address: &str) -> Host {
         let (name, address) = (format!("e-{engine}"), address.to_string());
-        Host::Engine(Listed {
+        Host::Engine(ListedEngine {
             engine,
             name,
             address,
@@ -144,7 +144,7 @@
         self.tell(
             source,
             time,
-            Entry::Out(Action::Terms {
+            Entry::Out(Action::Grant {
                 request,
                 grant_mb: 64.0,
                 rank: 1,
@@ -156,7 +156,7 @@
             Entry::Out(Action::Send {
                 request,
                 engine,
-                give_up_at: time + 5_000_000,
+                attempt_deadline: time + 5_000_000,
             }),
         );
         request
@@ -166,7 +166,7 @@
         let outcome = if end.how == AnswerKind::Served {
             Outcome::Answered
         } else {
-            Outcome::Full
+            Outcome::AtCapacity
         };
         self.ends_at(source, seconds, request, end, outcome);
     }
@@ -199,17 +199,17 @@
             late,
         };
         self.tell(source, time, Entry::Host(answered));
-        let ended = i::Ended {
+        let ended = i::AttemptEnded {
             request,
             attempt: 0,
             outcome,
             spent: 0,
             complete: true,
-            told: false,
-            bill: None,
+            already_reported: false,
+            usage: None,
             report: None,
         };
-        self.tell(source, time, Entry::In(Event::Ended(ended)));
+        self.tell(source, time, Entry::In(Event::AttemptEnded(ended)));
     }
 
     pub fn request(
@@ -381,7 +381,7 @@
         let (told, sources) = self.told();
         let mut view = View::new();
         for (source, time, entry) in told {
-            view.take(&sources, source, time, &What::Entry(entry));
+            view.take(&sources, source, time, &ReadContent::Entry(entry));
         }
         view.finish(false);
         view
--- a/crates/event-analysis/tests/folds.rs
+++ b/crates/event-analysis/tests/folds.rs
@@ -6,7 +6,7 @@
 use eideryard::interface::Phase;
 use eideryard_event_analysis::episodes::Kind;
 use eideryard_event_analysis::{Episode, View};
-use eideryard_event_log::reader::What;
+use eideryard_event_log::reader::ReadContent;
 use eideryard_event_log::{AnswerKind, Entry, Host};
 
 fn only<'a>(view: &'a View, word: &str) -> Vec<&'a Episode> {
@@ -145,7 +145,7 @@
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 10, 10);
     script.listed(0, 3.0, 2, Phase::Draining, 0);
-    script.listed(0, 6.0, 2, Phase::Gone, 0);
+    script.listed(0, 6.0, 2, Phase::Removed, 0);
     script.listed(0, 7.0, 3, Phase::Draining, 0);
     let view = script.finish();
     let drains: Vec<_> = only(&view, "drain")
@@ -292,7 +292,7 @@
     let fold = |told: &[(usize, u64, Entry)]| {
         let mut view = View::new();
         told.iter().for_each(|(source, at, entry)| {
-            view.take(&sources, *source, *at, &What::Entry(entry.clone()))
+            view.take(&sources, *source, *at, &ReadContent::Entry(entry.clone()))
         });
         view
     };
--- a/crates/event-log/benches/record.rs
+++ b/crates/event-log/benches/record.rs
@@ -165,7 +165,7 @@
     let directory = tempfile::tempdir().expect("a directory");
     let entries = entries(550_000);
     for name in ["g1", "g2"] {
-        let plan = eideryard_event_log::Plan {
+        let plan = eideryard_event_log::Config {
             name: name.into(),
             ..plan(name, 8 << 20)
         };
--- a/crates/event-log/src/codec.rs
+++ b/crates/event-log/src/codec.rs
@@ -3,21 +3,22 @@
 //! can be read alone.
 
 use crate::entry::{
-    AnswerKind, Entry, EntryRef, FleetWord, Host, Listed, Names, NotTaken, Offer, OpenRequest, Why,
+    AnswerKind, CloseReason, Entry, EntryRef, FleetEvent, Host, ListedEngine, Names, Offer,
+    OpenRequest, RejectReason,
 };
-use crate::tally::{Lane, Tally, Totals, MOST_LANES};
+use crate::tally::{Lane, Tally, Totals, MAX_LANES};
 use eideryard::interface as i;
 use eideryard::interface::{Action, Event, Micros, Outcome, Phase};
 use std::net::IpAddr;
 
 /// Names and texts longer than this are cut where they are written and refused where they are read.
-pub const MOST_TEXT: usize = 1024;
+pub const MAX_TEXT: usize = 1024;
 /// Items of one list; a list of engines that is longer goes on in a further entry.
-pub const MOST_ITEMS: usize = 65_536;
+pub const MAX_ITEMS: usize = 65_536;
 
 /// Why bytes are no entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum DecodeError {
     #[error("an entry stops short")]
     Short,
     #[error("kind {0} of entry is not known")]
@@ -122,7 +123,7 @@
 }
 
 fn put_text(out: &mut Vec<u8>, text: &str) {
-    let mut cut = text.len().min(MOST_TEXT);
+    let mut cut = text.len().min(MAX_TEXT);
     while !text.is_char_boundary(cut) {
         cut -= 1;
     }
@@ -156,7 +157,7 @@
     }
 }
 
-fn put_earlier(out: &mut Vec<u8>, earlier: &[i::Earlier]) {
+fn put_earlier(out: &mut Vec<u8>, earlier: &[i::PriorAttempt]) {
     put_number(out, earlier.len() as u64);
     for earlier in earlier {
         put_number(out, earlier.zone.into());
@@ -165,33 +166,33 @@
     }
 }
 
-fn put_fleet(out: &mut Vec<u8>, word: &FleetWord) -> u8 {
+fn put_fleet(out: &mut Vec<u8>, word: &FleetEvent) -> u8 {
     match word {
-        FleetWord::Peer { name, state } => {
+        FleetEvent::Peer { name, state } => {
             put_text(out, name);
             put_text(out, state);
             kind::PEER
         }
-        FleetWord::Turned { name, why } => {
+        FleetEvent::Turned { name, why } => {
             put_text(out, name);
             put_text(out, why);
             kind::TURNED
         }
-        FleetWord::Votes { votes } => {
+        FleetEvent::Votes { votes } => {
             out.push(*votes as u8);
             kind::VOTES
         }
-        FleetWord::Majority { stands } => {
+        FleetEvent::Majority { stands } => {
             out.push(*stands as u8);
             kind::MAJORITY
         }
-        FleetWord::Owns { task, term, owns } => {
+        FleetEvent::Owns { task, term, owns } => {
             put_number(out, u64::from(*task));
             put_number(out, *term);
             out.push(*owns as u8);
             kind::OWNS
         }
-        FleetWord::Work {
+        FleetEvent::Work {
             task,
             term,
             owner,
@@ -206,7 +207,7 @@
     }
 }
 
-fn put_entry(out: &mut Vec<u8>, entry: &i::Entry) {
+fn put_entry(out: &mut Vec<u8>, entry: &i::Endpoint) {
     out.extend_from_slice(&entry.engine.to_le_bytes());
     put_number(out, entry.zone as u64);
     put_number(out, entry.kind as u64);
@@ -236,25 +237,25 @@
     match phase {
         Phase::Ready => 0,
         Phase::Draining => 1,
-        Phase::Gone => 2,
+        Phase::Removed => 2,
     }
 }
 
 /// Engines that an earlier life learned of.
-const MOST_LESSONS: usize = 4096;
+const MAX_LESSONS: usize = 4096;
 
 /// Earlier attempts of one request that are told; whatever says more is damage.
-const MOST_EARLIER: usize = 64;
+const MAX_EARLIER: usize = 64;
 
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Answered,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::AtCapacity,
     Outcome::TimedOut,
     Outcome::NoConnection,
     Outcome::Broken,
     Outcome::Cancelled,
-    Outcome::Unsent,
+    Outcome::NotSent,
 ];
 
 fn outcome_byte(outcome: Outcome) -> u8 {
@@ -308,36 +309,39 @@
 
     fn put_event(&mut self, out: &mut Vec<u8>, at: Micros, event: &Event) -> u8 {
         match event {
-            Event::FullList(entries) | Event::ListChanges(entries) => {
+            Event::EndpointSnapshot(entries) | Event::EndpointChanges(entries) => {
                 put_number(out, entries.len() as u64);
                 entries.iter().for_each(|entry| put_entry(out, entry));
-                if matches!(event, Event::FullList(_)) {
+                if matches!(event, Event::EndpointSnapshot(_)) {
                     kind::FULL_LIST
                 } else {
                     kind::LIST_CHANGES
                 }
             }
-            Event::ListFailed => kind::LIST_FAILED,
-            Event::Remembered { lessons, age } => {
+            Event::DiscoveryFailed => kind::LIST_FAILED,
+            Event::CheckpointRestored { learned, age } => {
                 put_number(out, *age);
-                put_number(out, lessons.classes.len() as u64);
-                for class in &lessons.classes {
+                put_number(out, learned.classes.len() as u64);
+                for class in &learned.classes {
                     put_reals(out, &[Some(class.work_ratio), Some(class.memory_ratio)]);
                     put_reals(out, &[Some(class.work), class.memory_mb]);
                 }
-                put_number(out, lessons.engines.len() as u64);
-                for engine in &lessons.engines {
+                put_number(out, learned.engines.len() as u64);
+                for engine in &learned.engines {
                     put_number(out, engine.engine.into());
                     put_number(out, engine.booted_at);
-                    put_reals(out, &[Some(engine.stretch), Some(engine.best)]);
-                    put_reals(out, &[Some(engine.bad), Some(engine.others)]);
+                    put_reals(out, &[Some(engine.slowdown), Some(engine.best_slowdown)]);
+                    put_reals(out, &[Some(engine.bad), Some(engine.foreign_load)]);
                 }
-                put_real(out, lessons.level);
+                put_real(out, learned.baseline_load);
                 kind::REMEMBERED
             }
-            Event::RanBefore { request, earlier } => {
+            Event::PriorAttempts {
+                request,
+                prior_attempts,
+            } => {
                 self.put_request(out, *request);
-                put_earlier(out, earlier);
+                put_earlier(out, prior_attempts);
                 kind::RAN_BEFORE
             }
             Event::Arrived(r) => {
@@ -348,45 +352,46 @@
                 put_reals(out, &[r.work, r.memory_mb]);
                 put_number(out, r.group);
                 put_text(out, r.key.as_deref().unwrap_or(""));
-                if r.earlier.is_empty() {
+                if r.prior_attempts.is_empty() {
                     return kind::ARRIVED;
                 }
-                put_earlier(out, &r.earlier);
+                put_earlier(out, &r.prior_attempts);
                 kind::ARRIVED_AGAIN
             }
             Event::StreamBegan { request } => {
                 self.put_request(out, *request);
                 kind::STREAM_BEGAN
             }
-            Event::Noted {
+            Event::ProgressReported {
                 request,
                 attempt,
-                note,
+                progress,
             } => {
                 self.put_request(out, *request);
                 put_number(out, *attempt as u64);
-                match note {
-                    i::Note::Progress(share) => {
+                match progress {
+                    i::Progress::Share(share) => {
                         out.push(0);
                         put_real(out, *share);
                     }
-                    i::Note::Spilling(short) => {
+                    i::Progress::Spilling(short) => {
                         out.push(1);
                         put_real(out, *short);
                     }
-                    i::Note::WaitsForMemory => out.push(2),
-                    i::Note::WaitsForLoad => out.push(3),
+                    i::Progress::WaitsForMemory => out.push(2),
+                    i::Progress::WaitsForLoad => out.push(3),
                 }
                 kind::NOTED
             }
-            Event::Ended(e) => {
+            Event::AttemptEnded(e) => {
                 self.put_request(out, e.request);
                 put_number(out, e.attempt as u64);
-                let flags =
-                    (e.complete as u8) << 4 | (e.told as u8) << 5 | (e.bill.is_some() as u8) << 6;
+                let flags = (e.complete as u8) << 4
+                    | (e.already_reported as u8) << 5
+                    | (e.usage.is_some() as u8) << 6;
                 out.push(outcome_byte(e.outcome) | flags);
                 put_number(out, e.spent);
-                if let Some(bill) = e.bill {
+                if let Some(bill) = e.usage {
                     put_real(out, bill.work);
                     put_real(out, bill.memory_mb);
                 }
@@ -429,7 +434,7 @@
 
     fn put_action(&mut self, out: &mut Vec<u8>, at: Micros, action: &Action) -> u8 {
         match action {
-            Action::Terms {
+            Action::Grant {
                 request,
                 grant_mb,
                 rank,
@@ -442,11 +447,11 @@
             Action::Send {
                 request,
                 engine,
-                give_up_at,
+                attempt_deadline,
             } => {
                 self.put_request(out, *request);
                 out.extend_from_slice(&engine.to_le_bytes());
-                put_signed(out, give_up_at.wrapping_sub(at) as i64);
+                put_signed(out, attempt_deadline.wrapping_sub(at) as i64);
                 kind::SEND
             }
             Action::Probe { engine } => {
@@ -646,7 +651,7 @@
     context: Context,
 }
 
-type Read<T> = Result<T, Unreadable>;
+type Read<T> = Result<T, DecodeError>;
 
 impl<'a> Decoder<'a> {
     pub fn new(payload: &'a [u8], context: Context) -> Self {
@@ -662,7 +667,7 @@
     }
 
     fn byte(&mut self) -> Read<u8> {
-        let (first, rest) = self.rest.split_first().ok_or(Unreadable::Short)?;
+        let (first, rest) = self.rest.split_first().ok_or(DecodeError::Short)?;
         self.rest = rest;
         Ok(*first)
     }
@@ -671,7 +676,7 @@
         let (first, rest) = self
             .rest
             .split_first_chunk::<N>()
-            .ok_or(Unreadable::Short)?;
+            .ok_or(DecodeError::Short)?;
         self.rest = rest;
         Ok(*first)
     }
@@ -686,9 +691,9 @@
             }
         }
         Err(if self.rest.len() < 10 {
-            Unreadable::Short
+            DecodeError::Short
         } else {
-            Unreadable::Value
+            DecodeError::Value
         })
     }
 
@@ -707,7 +712,7 @@
     }
 
     fn small(&mut self) -> Read<u32> {
-        self.number()?.try_into().map_err(|_| Unreadable::Value)
+        self.number()?.try_into().map_err(|_| DecodeError::Value)
     }
 
     fn place(&mut self) -> Read<usize> {
@@ -723,7 +728,7 @@
             if length <= most {
                 Ok(length)
             } else {
-                Err(Unreadable::Value)
+                Err(DecodeError::Value)
             }
         })
     }
@@ -732,7 +737,7 @@
         match self.byte()? {
             0 => Ok(false),
             1 => Ok(true),
-            _ => Err(Unreadable::Value),
+            _ => Err(DecodeError::Value),
         }
     }
 
@@ -745,14 +750,14 @@
         match value & 3 {
             0 => Ok((value >> 2) as f64),
             1 => Ok((value >> 2) as f64 / 1e3),
-            _ => Err(Unreadable::Value),
+            _ => Err(DecodeError::Value),
         }
     }
 
     fn reals<const N: usize>(&mut self) -> Read<[Option<f64>; N]> {
         let present = self.byte()?;
         if present >> N != 0 {
-            return Err(Unreadable::Value);
+            return Err(DecodeError::Value);
         }
         let mut values = [None; N];
         for (at, value) in values.iter_mut().enumerate() {
@@ -764,17 +769,17 @@
     }
 
     fn text(&mut self) -> Read<&'a str> {
-        let length = self.length(MOST_TEXT)?;
+        let length = self.length(MAX_TEXT)?;
         let (text, rest) = self
             .rest
             .split_at_checked(length)
-            .ok_or(Unreadable::Short)?;
+            .ok_or(DecodeError::Short)?;
         self.rest = rest;
-        std::str::from_utf8(text).map_err(|_| Unreadable::Text)
+        std::str::from_utf8(text).map_err(|_| DecodeError::Text)
     }
 
     fn texts(&mut self) -> Read<Vec<String>> {
-        (0..self.length(MOST_ITEMS)?)
+        (0..self.length(MAX_ITEMS)?)
             .map(|_| self.text().map(str::to_string))
             .collect()
     }
@@ -785,7 +790,7 @@
 
     fn request(&mut self) -> Read<u64> {
         let step = self.signed()?;
-        let step = i32::try_from(step).map_err(|_| Unreadable::Value)?;
+        let step = i32::try_from(step).map_err(|_| DecodeError::Value)?;
         self.context.generation = self.context.generation.wrapping_add(step as u32);
         Ok((self.context.generation as u64) << 32 | self.small()? as u64)
     }
@@ -807,8 +812,8 @@
         match self.byte()? {
             0 => Ok(Phase::Ready),
             1 => Ok(Phase::Draining),
-            2 => Ok(Phase::Gone),
-            _ => Err(Unreadable::Value),
+            2 => Ok(Phase::Removed),
+            _ => Err(DecodeError::Value),
         }
     }
 
@@ -816,7 +821,7 @@
         OUTCOMES
             .get(byte as usize)
             .copied()
-            .ok_or(Unreadable::Value)
+            .ok_or(DecodeError::Value)
     }
 
     fn report(&mut self) -> Read<Option<i::LoadReport>> {
@@ -841,9 +846,9 @@
         }
     }
 
-    fn entries(&mut self) -> Read<Vec<i::Entry>> {
+    fn entries(&mut self) -> Read<Vec<i::Endpoint>> {
         let entry = |d: &mut Self| {
-            Ok(i::Entry {
+            Ok(i::Endpoint {
                 engine: d.engine()?,
                 zone: d.small()?,
                 kind: d.small()?,
@@ -852,14 +857,14 @@
                 booted_at: d.number()?,
             })
         };
-        (0..self.length(MOST_ITEMS)?).map(|_| entry(self)).collect()
+        (0..self.length(MAX_ITEMS)?).map(|_| entry(self)).collect()
     }
 
     fn tally(&mut self) -> Read<Tally> {
         let entries = self.number()?;
         let mut totals = Totals::default();
         // A later program may count more; what this one doesn't know is passed over.
-        let count = self.length(MOST_ITEMS)?;
+        let count = self.length(MAX_ITEMS)?;
         let mut values = totals.values_mut();
         for _ in 0..count {
             let value = self.number()?;
@@ -875,22 +880,22 @@
         })
     }
 
-    fn earlier(&mut self) -> Read<Vec<i::Earlier>> {
+    fn earlier(&mut self) -> Read<Vec<i::PriorAttempt>> {
         let mut earlier = Vec::new();
-        for _ in 0..self.length(MOST_EARLIER)? {
+        for _ in 0..self.length(MAX_EARLIER)? {
             let (zone, cell, since) =
                 (self.number()? as u32, self.number()? as u32, self.number()?);
-            earlier.push(i::Earlier { zone, cell, since });
+            earlier.push(i::PriorAttempt { zone, cell, since });
         }
         Ok(earlier)
     }
 
-    fn want(&mut self) -> Read<NotTaken> {
+    fn want(&mut self) -> Read<RejectReason> {
         let byte = self.byte()?;
-        NotTaken::ALL
+        RejectReason::ALL
             .get(byte as usize)
             .copied()
-            .ok_or(Unreadable::Value)
+            .ok_or(DecodeError::Value)
     }
 
     fn lanes(&mut self) -> Read<Vec<Lane>> {
@@ -901,7 +906,7 @@
             }
             Ok(Lane::from_values(values))
         };
-        (0..self.length(MOST_LANES)?).map(|_| lane(self)).collect()
+        (0..self.length(MAX_LANES)?).map(|_| lane(self)).collect()
     }
 
     /// The next entry and its time; nothing at the end.
@@ -923,44 +928,44 @@
 
     fn event(&mut self, kind: u8, at: Micros) -> Read<Event> {
         Ok(match kind {
-            kind::FULL_LIST => Event::FullList(self.entries()?),
-            kind::LIST_CHANGES => Event::ListChanges(self.entries()?),
-            kind::LIST_FAILED => Event::ListFailed,
+            kind::FULL_LIST => Event::EndpointSnapshot(self.entries()?),
+            kind::LIST_CHANGES => Event::EndpointChanges(self.entries()?),
+            kind::LIST_FAILED => Event::DiscoveryFailed,
             kind::REMEMBERED => {
                 let age = self.number()?;
                 let real = |value: Option<f64>| value.unwrap_or_default();
                 let (mut classes, mut engines) = (Vec::new(), Vec::new());
-                for _ in 0..self.length(MOST_LANES)? {
+                for _ in 0..self.length(MAX_LANES)? {
                     let ([work_ratio, memory_ratio], [work, memory_mb]) =
                         (self.reals()?, self.reals()?);
                     let (work_ratio, memory_ratio) = (real(work_ratio), real(memory_ratio));
-                    classes.push(i::ClassLesson {
+                    classes.push(i::ClassEstimates {
                         work_ratio,
                         memory_ratio,
                         work: real(work),
                         memory_mb,
                     });
                 }
-                for _ in 0..self.length(MOST_LESSONS)? {
+                for _ in 0..self.length(MAX_LESSONS)? {
                     let (engine, booted_at) = (self.number()? as u32, self.number()?);
                     let ([stretch, best], [bad, others]) = (self.reals()?, self.reals()?);
                     let (stretch, best, bad, others) =
                         (real(stretch), real(best), real(bad), real(others));
-                    engines.push(i::EngineLesson {
+                    engines.push(i::EngineEstimates {
                         engine,
                         booted_at,
-                        stretch,
-                        best,
+                        slowdown: stretch,
+                        best_slowdown: best,
                         bad,
-                        others,
+                        foreign_load: others,
                     });
                 }
                 let level = self.real()?;
-                Event::Remembered {
-                    lessons: i::Lessons {
+                Event::CheckpointRestored {
+                    learned: i::LearnedState {
                         classes,
                         engines,
-                        level,
+                        baseline_load: level,
                     },
                     age,
                 }
@@ -987,12 +992,12 @@
                     work,
                     memory_mb,
                     group,
-                    earlier,
+                    prior_attempts: earlier,
                 })
             }
-            kind::RAN_BEFORE => Event::RanBefore {
+            kind::RAN_BEFORE => Event::PriorAttempts {
                 request: self.request()?,
-                earlier: self.earlier()?,
+                prior_attempts: self.earlier()?,
             },
             kind::STREAM_BEGAN => Event::StreamBegan {
                 request: self.request()?,
@@ -1000,16 +1005,16 @@
             kind::NOTED => {
                 let (request, attempt) = (self.request()?, self.place()?);
                 let note = match self.byte()? {
-                    0 => i::Note::Progress(self.real()?),
-                    1 => i::Note::Spilling(self.real()?),
-                    2 => i::Note::WaitsForMemory,
-                    3 => i::Note::WaitsForLoad,
-                    _ => return Err(Unreadable::Value),
+                    0 => i::Progress::Share(self.real()?),
+                    1 => i::Progress::Spilling(self.real()?),
+                    2 => i::Progress::WaitsForMemory,
+                    3 => i::Progress::WaitsForLoad,
+                    _ => return Err(DecodeError::Value),
                 };
-                Event::Noted {
+                Event::ProgressReported {
                     request,
                     attempt,
-                    note,
+                    progress: note,
                 }
             }
             kind::ENDED => {
@@ -1017,7 +1022,7 @@
                 let outcome = self.outcome(flags & 15)?;
                 let spent = self.number()?;
                 let bill = match flags >> 6 & 1 {
-                    1 => Some(i::Bill {
+                    1 => Some(i::ResourceUsage {
                         work: self.real()?,
                         memory_mb: self.real()?,
                     }),
@@ -1025,14 +1030,14 @@
                 };
                 let (complete, told) = (flags >> 4 & 1 == 1, flags >> 5 & 1 == 1);
                 let report = self.report()?;
-                Event::Ended(i::Ended {
+                Event::AttemptEnded(i::AttemptEnded {
                     request,
                     attempt,
                     outcome,
                     spent,
                     complete,
-                    told,
-                    bill,
+                    already_reported: told,
+                    usage: bill,
                     report,
                 })
             }
@@ -1049,13 +1054,13 @@
                 request: self.request()?,
             },
             kind::TIMER => Event::Timer { tag: self.tag()? },
-            kind => return Err(Unreadable::Kind(kind)),
+            kind => return Err(DecodeError::Kind(kind)),
         })
     }
 
     fn action(&mut self, kind: u8, at: Micros) -> Read<Action> {
         Ok(match kind {
-            kind::TERMS => Action::Terms {
+            kind::TERMS => Action::Grant {
                 request: self.request()?,
                 grant_mb: self.real()?,
                 rank: self.byte()?,
@@ -1063,7 +1068,7 @@
             kind::SEND => Action::Send {
                 request: self.request()?,
                 engine: self.engine()?,
-                give_up_at: self.after(at)?,
+                attempt_deadline: self.after(at)?,
             },
             kind::PROBE => Action::Probe {
                 engine: self.engine()?,
@@ -1085,7 +1090,7 @@
             },
             kind::SUBSCRIBE => Action::Subscribe,
             kind::LOG => Action::Log(self.text()?.to_string()),
-            kind => return Err(Unreadable::Kind(kind)),
+            kind => return Err(DecodeError::Kind(kind)),
         })
     }
 
@@ -1102,7 +1107,7 @@
             kind::NAMES => {
                 let [classes, tenants, zones, kinds] =
                     [self.texts()?, self.texts()?, self.texts()?, self.texts()?];
-                let threads = (0..self.length(MOST_ITEMS)?)
+                let threads = (0..self.length(MAX_ITEMS)?)
                     .map(|_| self.real())
                     .collect::<Read<_>>()?;
                 Host::Names(Names {
@@ -1113,7 +1118,7 @@
                     threads,
                 })
             }
-            kind::ENGINE => Host::Engine(Listed {
+            kind::ENGINE => Host::Engine(ListedEngine {
                 engine: self.engine()?,
                 name: self.text()?.to_string(),
                 address: self.text()?.to_string(),
@@ -1147,7 +1152,7 @@
                 let address = match self.byte()? {
                     4 => IpAddr::from(self.bytes::<4>()?),
                     6 => IpAddr::from(self.bytes::<16>()?),
-                    _ => return Err(Unreadable::Value),
+                    _ => return Err(DecodeError::Value),
                 };
                 Host::Connected {
                     connection,
@@ -1158,10 +1163,10 @@
                 let (connection, why) = (self.connection()?, self.byte()?);
                 Host::Ending {
                     connection,
-                    why: Why::ALL
+                    why: CloseReason::ALL
                         .get(why as usize)
                         .copied()
-                        .ok_or(Unreadable::Value)?,
+                        .ok_or(DecodeError::Value)?,
                 }
             }
             kind::DISCONNECTED => Host::Disconnected {
@@ -1186,7 +1191,7 @@
                 let how = AnswerKind::ALL
                     .get((flags & 15) as usize)
                     .copied()
-                    .ok_or(Unreadable::Value)?;
+                    .ok_or(DecodeError::Value)?;
                 Host::Answered {
                     request,
                     class,
@@ -1207,24 +1212,24 @@
             kind::PEER | kind::TURNED => {
                 let (name, said) = (self.text()?.to_string(), self.text()?.to_string());
                 Host::Fleet(match kind {
-                    kind::PEER => FleetWord::Peer { name, state: said },
-                    _ => FleetWord::Turned { name, why: said },
+                    kind::PEER => FleetEvent::Peer { name, state: said },
+                    _ => FleetEvent::Turned { name, why: said },
                 })
             }
-            kind::VOTES => Host::Fleet(FleetWord::Votes {
+            kind::VOTES => Host::Fleet(FleetEvent::Votes {
                 votes: self.flag()?,
             }),
-            kind::MAJORITY => Host::Fleet(FleetWord::Majority {
+            kind::MAJORITY => Host::Fleet(FleetEvent::Majority {
                 stands: self.flag()?,
             }),
             kind::OWNS => {
                 let (task, term, owns) = (self.number()? as u32, self.number()?, self.flag()?);
-                Host::Fleet(FleetWord::Owns { task, term, owns })
+                Host::Fleet(FleetEvent::Owns { task, term, owns })
             }
             kind::WORK => {
                 let (task, term) = (self.number()? as u32, self.number()?);
                 let (owner, counts) = (self.number()?, self.flag()?);
-                Host::Fleet(FleetWord::Work {
+                Host::Fleet(FleetEvent::Work {
                     task,
                     term,
                     owner,
@@ -1234,7 +1239,7 @@
             kind::STOPPING => Host::Stopping,
             kind::ALIVE => Host::Alive,
             kind::END => {
-                let count = self.length(MOST_ITEMS)?;
+                let count = self.length(MAX_ITEMS)?;
                 let pair = |d: &mut Self| Ok((d.text()?.to_string(), d.number()?));
                 Host::Ended {
                     counters: (0..count).map(|_| pair(self)).collect::<Read<_>>()?,
@@ -1246,7 +1251,7 @@
                 entries: self.number()?,
                 counted: Box::new(self.tally()?),
             },
-            kind => return Err(Unreadable::Kind(kind)),
+            kind => return Err(DecodeError::Kind(kind)),
         })
     }
 }
--- a/crates/event-log/src/entry.rs
+++ b/crates/event-log/src/entry.rs
@@ -25,7 +25,7 @@
 
 /// An engine as the list tells of it, with its name and address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedEngine {
     pub engine: EngineId,
     pub name: String,
     pub address: String,
@@ -37,7 +37,7 @@
 
 /// Why something that a client sent never became a request with a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum RejectReason {
     /// It can't be used.
     Invalid,
     /// Statements of open requests filled their part of the memory; it was refused.
@@ -52,32 +52,32 @@
     NoMajority,
 }
 
-impl NotTaken {
-    pub const ALL: [NotTaken; 6] = [
-        NotTaken::Invalid,
-        NotTaken::NoRoom,
-        NotTaken::Gone,
-        NotTaken::LedgerFull,
-        NotTaken::StoreStalled,
-        NotTaken::NoMajority,
+impl RejectReason {
+    pub const ALL: [RejectReason; 6] = [
+        RejectReason::Invalid,
+        RejectReason::NoRoom,
+        RejectReason::Gone,
+        RejectReason::LedgerFull,
+        RejectReason::StoreStalled,
+        RejectReason::NoMajority,
     ];
 
     /// As answers, records and pages name it.
     pub fn name(self) -> &'static str {
         match self {
-            NotTaken::Invalid => "invalid",
-            NotTaken::NoRoom => "no room",
-            NotTaken::Gone => "gone",
-            NotTaken::LedgerFull => "ledger full",
-            NotTaken::StoreStalled => "store stalled",
-            NotTaken::NoMajority => "no majority",
+            RejectReason::Invalid => "invalid",
+            RejectReason::NoRoom => "no room",
+            RejectReason::Gone => "gone",
+            RejectReason::LedgerFull => "ledger full",
+            RejectReason::StoreStalled => "store stalled",
+            RejectReason::NoMajority => "no majority",
         }
     }
 }
 
 /// What the record says of the fleet that a gateway is of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FleetWord {
+pub enum FleetEvent {
     /// How a peer does: `up`, `slow`, `silent` or `gone`.
     Peer { name: String, state: String },
     /// A peer was turned away, or turned this one away.
@@ -99,7 +99,7 @@
 
 /// Why the gateway ended a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum CloseReason {
     Malformed,
     Silent,
     Hoarding,
@@ -107,13 +107,13 @@
     Evicted,
 }
 
-impl Why {
-    pub const ALL: [Why; 5] = [
-        Why::Malformed,
-        Why::Silent,
-        Why::Hoarding,
-        Why::Deaf,
-        Why::Evicted,
+impl CloseReason {
+    pub const ALL: [CloseReason; 5] = [
+        CloseReason::Malformed,
+        CloseReason::Silent,
+        CloseReason::Hoarding,
+        CloseReason::Deaf,
+        CloseReason::Evicted,
     ];
 }
 
@@ -150,7 +150,7 @@
         segment: u64,
     },
     Names(Names),
-    Engine(Listed),
+    Engine(ListedEngine),
     Open(OpenRequest),
     /// All that was counted since the start of the gateway.
     Tally(Box<Tally>),
@@ -162,7 +162,7 @@
     /// This side ends it; `Disconnected` follows when it has.
     Ending {
         connection: u64,
-        why: Why,
+        why: CloseReason,
     },
     Disconnected {
         connection: u64,
@@ -175,7 +175,7 @@
         tenant: usize,
     },
     NotTaken {
-        how: NotTaken,
+        how: RejectReason,
         class: Option<usize>,
         tenant: Option<usize>,
     },
@@ -198,9 +198,9 @@
     /// Why a request that was taken is refused, where it is for want of something that intents need.
     Because {
         request: RequestId,
-        why: NotTaken,
+        why: RejectReason,
     },
-    Fleet(FleetWord),
+    Fleet(FleetEvent),
     Reloaded {
         done: bool,
     },
@@ -243,10 +243,10 @@
         match self {
             Entry::In(event) => match event {
                 Event::Arrived(request) => Some(request.id),
-                Event::Ended(ended) => Some(ended.request),
+                Event::AttemptEnded(ended) => Some(ended.request),
                 Event::StreamBegan { request }
-                | Event::RanBefore { request, .. }
-                | Event::Noted { request, .. }
+                | Event::PriorAttempts { request, .. }
+                | Event::ProgressReported { request, .. }
                 | Event::ClientLeft { request } => Some(*request),
                 Event::Timer { tag } => tag
                     .checked_sub(end_tag(0))
@@ -254,7 +254,7 @@
                 _ => None,
             },
             Entry::Out(action) => match action {
-                Action::Terms { request, .. }
+                Action::Grant { request, .. }
                 | Action::Send { request, .. }
                 | Action::Cancel { request, .. }
                 | Action::Refuse { request, .. }
--- a/crates/event-log/src/frame.rs
+++ b/crates/event-log/src/frame.rs
@@ -12,7 +12,7 @@
 const FRAME_MARK: [u8; 4] = [0xe1, 0xde, 0x12, 0xc4];
 pub const FRAME_HEAD: usize = 36;
 /// No payload is longer, so that a damaged length costs no memory.
-pub const MOST_PAYLOAD: usize = 1 << 20;
+pub const MAX_PAYLOAD: usize = 1 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame {
@@ -111,7 +111,7 @@
         return Found::No(next_mark(bytes));
     }
     let length = word(&bytes[8..]) as usize;
-    if length > MOST_PAYLOAD {
+    if length > MAX_PAYLOAD {
         return Found::No(next_mark(bytes));
     }
     let Some(payload) = bytes.get(FRAME_HEAD..FRAME_HEAD + length) else {
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -7,7 +7,7 @@
 //! merges any number of records by time and gets over damage. [`text`] prints entries.
 //!
 //! Bounds: a recorder holds [`recorder::BATCHES`] buffers of [`recorder::BATCH`] bytes and nothing else that
-//! grows; a reader holds one buffer of [`frame::MOST_PAYLOAD`] and a little for each segment file.
+//! grows; a reader holds one buffer of [`frame::MAX_PAYLOAD`] and a little for each segment file.
 
 pub mod codec;
 pub mod entry;
@@ -21,8 +21,9 @@
 pub mod writer;
 
 pub use entry::{
-    AnswerKind, Entry, FleetWord, Host, Listed, Names, NotTaken, Offer, OpenRequest, Why,
+    AnswerKind, CloseReason, Entry, FleetEvent, Host, ListedEngine, Names, Offer, OpenRequest,
+    RejectReason,
 };
-pub use reader::{Merged, Problem, Source, Told};
-pub use recorder::{Plan, Recorder};
+pub use reader::{Merged, Problem, ReadEntry, Source};
+pub use recorder::{Config, Recorder};
 pub use tally::{Lane, Tally};
--- a/crates/event-log/src/plan.rs
+++ b/crates/event-log/src/plan.rs
@@ -9,7 +9,7 @@
 
 /// What a record is to be.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct Config {
     /// The gateway's name, and its start: together they name the files.
     pub name: String,
     pub epoch: Micros,
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -9,10 +9,10 @@
 
 use eideryard::interface::Micros;
 
-use crate::codec::{Context, Decoder, Unreadable};
+use crate::codec::{Context, DecodeError, Decoder};
 use crate::entry::Entry;
 use crate::frame::{
-    find, frame_begins, read_file_head, Found, Frame, FILE_HEAD, FRAME_HEAD, MOST_PAYLOAD, VERSION,
+    find, frame_begins, read_file_head, Found, Frame, FILE_HEAD, FRAME_HEAD, MAX_PAYLOAD, VERSION,
 };
 use crate::writer::read_file_name;
 
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum ReadError {
     #[error("{path}: {error}")]
     Io { path: PathBuf, error: io::Error },
     #[error("{path}: no record is there (files named NAME.START.NUMBER.eyr)")]
@@ -65,14 +65,14 @@
 
 /// An entry, with the place of its source among [`Merged::sources`].
 #[derive(Debug)]
-pub struct Told {
+pub struct ReadEntry {
     pub source: usize,
     pub at: Micros,
-    pub what: What,
+    pub what: ReadContent,
 }
 
 #[derive(Debug)]
-pub enum What {
+pub enum ReadContent {
     Entry(Entry),
     /// Something could not be read here: what is folded up to now may lack entries, until the next tally.
     Damaged,
@@ -144,11 +144,11 @@
     }
 
     /// The next file. False: there is none.
-    fn next_file(&mut self) -> Result<bool, Unusable> {
+    fn next_file(&mut self) -> Result<bool, ReadError> {
         let Some(path) = self.files.pop_front() else {
             return Ok(false);
         };
-        let unusable = |error| Unusable::Io {
+        let unusable = |error| ReadError::Io {
             path: path.clone(),
             error,
         };
@@ -156,7 +156,7 @@
         self.open = Some((file, path.clone()));
         while self.buffer.len() < FILE_HEAD && self.fill().map_err(unusable)? {}
         match read_file_head(&self.buffer) {
-            Some(version) if version > VERSION => return Err(Unusable::Newer { path, version }),
+            Some(version) if version > VERSION => return Err(ReadError::Newer { path, version }),
             Some(_) => self.used = FILE_HEAD,
             None => self.skip(
                 self.buffer.len().min(FILE_HEAD),
@@ -166,7 +166,7 @@
         Ok(true)
     }
 
-    fn next(&mut self) -> Result<Step, Unusable> {
+    fn next(&mut self) -> Result<Step, ReadError> {
         loop {
             if let Some((from, to, context)) = self.frame {
                 let mut decoder = Decoder::new(&self.buffer[from..to], context);
@@ -201,7 +201,7 @@
                         .as_ref()
                         .map(|(_, path)| path.clone())
                         .unwrap_or_default();
-                    if self.fill().map_err(|error| Unusable::Io { path, error })? {
+                    if self.fill().map_err(|error| ReadError::Io { path, error })? {
                         continue;
                     }
                     if self.buffer.len() > self.used {
@@ -255,7 +255,7 @@
         Some(Step::Damaged)
     }
 
-    fn unreadable(&mut self, from: usize, to: usize, e: Unreadable) {
+    fn unreadable(&mut self, from: usize, to: usize, e: DecodeError) {
         let file = self
             .open
             .as_ref()
@@ -280,7 +280,7 @@
     sources: Vec<Source>,
     streams: Vec<Stream>,
     /// What each stream has to tell next; the first of the heap is told next.
-    heads: Vec<Option<What>>,
+    heads: Vec<Option<ReadContent>>,
     heap: BinaryHeap<Reverse<(Micros, usize)>>,
     directories: Vec<PathBuf>,
     follow: bool,
@@ -291,28 +291,28 @@
 }
 
 impl Merged {
-    pub fn open(directories: &[PathBuf]) -> Result<Self, Unusable> {
+    pub fn open(directories: &[PathBuf]) -> Result<Self, ReadError> {
         Self::with(directories, false)
     }
 
     /// Reads also what is still being written: [`Merged::next`] tells nothing where there is nothing yet.
-    pub fn follow(directories: &[PathBuf]) -> Result<Self, Unusable> {
+    pub fn follow(directories: &[PathBuf]) -> Result<Self, ReadError> {
         Self::with(directories, true)
     }
 
     /// Reads from a time on: each record from the beginning of its last segment that begins no later.
     /// Starts that had ended before are left out.
-    pub fn open_from(directories: &[PathBuf], from: Micros) -> Result<Self, Unusable> {
+    pub fn open_from(directories: &[PathBuf], from: Micros) -> Result<Self, ReadError> {
         Self::with_from(directories, false, from)
     }
 
     /// Both: from a time on, and what is still being written.
-    pub fn follow_from(directories: &[PathBuf], from: Micros) -> Result<Self, Unusable> {
+    pub fn follow_from(directories: &[PathBuf], from: Micros) -> Result<Self, ReadError> {
         Self::with_from(directories, true, from)
     }
 
     /// The time of the last frame of all: a look at the last file of each record.
-    pub fn last_at(&self) -> Result<Micros, Unusable> {
+    pub fn last_at(&self) -> Result<Micros, ReadError> {
         let mut last = self.last.iter().copied().max().unwrap_or(0);
         for stream in &self.streams {
             let Some(path) = stream
@@ -322,7 +322,7 @@
             else {
                 continue;
             };
-            let bytes = std::fs::read(path).map_err(|error| Unusable::Io {
+            let bytes = std::fs::read(path).map_err(|error| ReadError::Io {
                 path: path.clone(),
                 error,
             })?;
@@ -341,11 +341,11 @@
         Ok(last)
     }
 
-    fn with(directories: &[PathBuf], follow: bool) -> Result<Self, Unusable> {
+    fn with(directories: &[PathBuf], follow: bool) -> Result<Self, ReadError> {
         Self::with_from(directories, follow, 0)
     }
 
-    fn with_from(directories: &[PathBuf], follow: bool, from: Micros) -> Result<Self, Unusable> {
+    fn with_from(directories: &[PathBuf], follow: bool, from: Micros) -> Result<Self, ReadError> {
         let mut merged = Merged {
             sources: Vec::new(),
             streams: Vec::new(),
@@ -359,16 +359,16 @@
         merged.look()?;
         if merged.sources.is_empty() && !follow {
             let path = directories.first().cloned().unwrap_or_default();
-            return Err(Unusable::Nothing { path });
+            return Err(ReadError::Nothing { path });
         }
         Ok(merged)
     }
 
     /// Looks for new segments and new starts.
-    fn look(&mut self) -> Result<(), Unusable> {
+    fn look(&mut self) -> Result<(), ReadError> {
         let mut found = Segments::new();
         for directory in &self.directories {
-            let unusable = |error| Unusable::Io {
+            let unusable = |error| ReadError::Io {
                 path: directory.clone(),
                 error,
             };
@@ -414,7 +414,7 @@
                     self.streams.push(Stream {
                         files: files.into_iter().map(|(_, path, _)| path).collect(),
                         open: None,
-                        buffer: Vec::with_capacity(CHUNK + FRAME_HEAD + MOST_PAYLOAD / 4),
+                        buffer: Vec::with_capacity(CHUNK + FRAME_HEAD + MAX_PAYLOAD / 4),
                         at: 0,
                         used: 0,
                         frame: None,
@@ -457,10 +457,10 @@
             .flat_map(|(at, stream)| stream.problems.iter().map(move |p| (at, p)))
     }
 
-    fn advance(&mut self, at: usize) -> Result<(), Unusable> {
+    fn advance(&mut self, at: usize) -> Result<(), ReadError> {
         let (time, what) = match self.streams[at].next()? {
-            Step::Entry(time, entry) => (time, What::Entry(entry)),
-            Step::Damaged => (self.last[at], What::Damaged),
+            Step::Entry(time, entry) => (time, ReadContent::Entry(entry)),
+            Step::Damaged => (self.last[at], ReadContent::Damaged),
             Step::End => return Ok(()),
         };
         self.last[at] = time;
@@ -471,13 +471,13 @@
 
     /// The next entry of all; nothing at the end, or, where the records are followed, for now.
     #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Result<Option<Told>, Unusable> {
+    pub fn next(&mut self) -> Result<Option<ReadEntry>, ReadError> {
         loop {
             if let Some(Reverse((at, source))) = self.heap.pop() {
                 let what = self.heads[source].take();
                 self.advance(source)?;
                 match what {
-                    Some(what) => return Ok(Some(Told { source, at, what })),
+                    Some(what) => return Ok(Some(ReadEntry { source, at, what })),
                     None => continue,
                 }
             }
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -14,7 +14,7 @@
 use crate::codec::Context;
 use crate::entry::{EntryRef, Host};
 use crate::plan::Batch;
-pub use crate::plan::Plan;
+pub use crate::plan::Config;
 use crate::tally::Tally;
 use crate::writer::{self, Disk};
 
@@ -23,9 +23,9 @@
 pub const BATCHES: usize = 24;
 pub const BATCH: usize = 64 << 10;
 /// No entry but a list of engines is longer; what is left of a buffer behind the limit is room for one.
-const MOST_ENTRY: usize = 4 << 10;
+const MAX_ENTRY: usize = 4 << 10;
 /// What was recorded goes to the writer after this time at the latest: a killed gateway loses no more.
-const MOST_WAIT: Micros = 200_000;
+const MAX_WAIT: Micros = 200_000;
 /// A gateway that has nothing to record says so much more often than a reader takes silence for its end: a
 /// few bytes, so that a gap begins where the gateway ended.
 pub const ALIVE_EVERY: Micros = 1_000_000;
@@ -37,7 +37,7 @@
 const LAST_WRITES: Duration = Duration::from_millis(300);
 
 pub struct Recorder {
-    plan: Plan,
+    plan: Config,
     filled: Option<SyncSender<Batch>>,
     empty: Receiver<Batch>,
     /// Set by the writer when it had to leave something out.
@@ -57,14 +57,14 @@
 }
 
 impl Recorder {
-    pub fn start(plan: Plan, disk: Box<dyn Disk>) -> std::io::Result<Self> {
+    pub fn start(plan: Config, disk: Box<dyn Disk>) -> std::io::Result<Self> {
         let (filled, to_write) = sync_channel(BATCHES);
         let (written, empty) = sync_channel(BATCHES);
         let lost = Arc::new(AtomicBool::new(false));
         let tally = Tally::sized(plan.classes, plan.tenants);
         for _ in 0..BATCHES {
             let batch = Batch {
-                bytes: Vec::with_capacity(BATCH + MOST_ENTRY),
+                bytes: Vec::with_capacity(BATCH + MAX_ENTRY),
                 entries: 0,
                 first_at: 0,
                 last_at: 0,
@@ -124,7 +124,7 @@
         if let Some(batch) = &mut self.batch {
             batch.begins = true;
         }
-        let Plan { name, epoch, .. } = &self.plan;
+        let Config { name, epoch, .. } = &self.plan;
         let begin = Host::Begin {
             name: name.clone(),
             epoch: *epoch,
@@ -202,7 +202,7 @@
         let alive = (!self.stale).then_some(self.last_at + ALIVE_EVERY);
         self.batch
             .as_ref()
-            .map(|batch| batch.first_at + MOST_WAIT)
+            .map(|batch| batch.first_at + MAX_WAIT)
             .or(alive)
     }
 
@@ -219,7 +219,7 @@
         if self
             .batch
             .as_ref()
-            .is_some_and(|batch| batch.first_at + MOST_WAIT <= now)
+            .is_some_and(|batch| batch.first_at + MAX_WAIT <= now)
         {
             self.hand_over();
         }
--- a/crates/event-log/src/tally.rs
+++ b/crates/event-log/src/tally.rs
@@ -1,9 +1,9 @@
 //! Counting entries. Writer and reader count by the same code, so that what was left out of a record can be
 //! told exactly.
 
-use crate::entry::{AnswerKind, EntryRef, Host, NotTaken, Why};
+use crate::entry::{AnswerKind, CloseReason, EntryRef, Host, RejectReason};
 use crate::totals::lane;
-pub use crate::totals::{Lane, Tally, Totals, MOST_LANES};
+pub use crate::totals::{Lane, Tally, Totals, MAX_LANES};
 use eideryard::interface::{Action, Event, Outcome};
 
 /// Counts what is read. A segment opens with the state that it begins in, which tells again what was told
@@ -34,11 +34,11 @@
 
 impl Totals {
     /// Something that intents need was wanting.
-    fn wants(&mut self, why: NotTaken) {
+    fn wants(&mut self, why: RejectReason) {
         match why {
-            NotTaken::LedgerFull => self.ledger_full += 1,
-            NotTaken::StoreStalled => self.store_stalled += 1,
-            NotTaken::NoMajority => self.no_majority += 1,
+            RejectReason::LedgerFull => self.ledger_full += 1,
+            RejectReason::StoreStalled => self.store_stalled += 1,
+            RejectReason::NoMajority => self.no_majority += 1,
             _ => {}
         }
     }
@@ -58,16 +58,16 @@
                     .into_iter()
                     .for_each(|lane| lane.taken += 1);
             }
-            EntryRef::In(Event::Ended(ended)) => {
+            EntryRef::In(Event::AttemptEnded(ended)) => {
                 *match ended.outcome {
                     Outcome::Answered => &mut totals.answered,
                     Outcome::Error => &mut totals.error,
-                    Outcome::Full => &mut totals.full,
+                    Outcome::AtCapacity => &mut totals.full,
                     Outcome::TimedOut => &mut totals.timed_out,
                     Outcome::NoConnection => &mut totals.no_connection,
                     Outcome::Broken => &mut totals.broken,
                     Outcome::Cancelled => &mut totals.cancelled,
-                    Outcome::Unsent => &mut totals.unsent,
+                    Outcome::NotSent => &mut totals.unsent,
                 } += 1
             }
             EntryRef::Out(Action::Send { .. }) => totals.sent += 1,
@@ -107,16 +107,16 @@
             EntryRef::Host(Host::NotTaken { how, class, tenant }) => {
                 totals.taken += 1;
                 let ended = match how {
-                    NotTaken::Invalid => {
+                    RejectReason::Invalid => {
                         totals.invalid += 1;
                         return;
                     }
-                    NotTaken::NoRoom => {
+                    RejectReason::NoRoom => {
                         totals.no_room += 1;
                         totals.refused += 1;
                         AnswerKind::Refused
                     }
-                    NotTaken::Gone => {
+                    RejectReason::Gone => {
                         totals.lost += 1;
                         AnswerKind::Lost
                     }
@@ -140,11 +140,11 @@
             EntryRef::Host(Host::Connected { .. }) => totals.connections += 1,
             EntryRef::Host(Host::Ending { why, .. }) => {
                 *match why {
-                    Why::Malformed => &mut totals.malformed,
-                    Why::Silent => &mut totals.silent,
-                    Why::Hoarding => &mut totals.hoarding,
-                    Why::Deaf => &mut totals.deaf,
-                    Why::Evicted => &mut totals.evicted,
+                    CloseReason::Malformed => &mut totals.malformed,
+                    CloseReason::Silent => &mut totals.silent,
+                    CloseReason::Hoarding => &mut totals.hoarding,
+                    CloseReason::Deaf => &mut totals.deaf,
+                    CloseReason::Evicted => &mut totals.evicted,
                 } += 1
             }
             EntryRef::Host(Host::Reloaded { done: true }) => totals.reloads += 1,
--- a/crates/event-log/src/text.rs
+++ b/crates/event-log/src/text.rs
@@ -4,10 +4,11 @@
 use std::fmt::{self, Debug, Display, Formatter};
 
 use eideryard::interface as module;
-use eideryard::interface::{Action, Event, Note, Outcome, Phase};
+use eideryard::interface::{Action, Event, Outcome, Phase, Progress};
 
 use crate::entry::{
-    AnswerKind, EntryRef, FleetWord, Host, Listed, Names, NotTaken, Offer, OpenRequest, Why,
+    AnswerKind, CloseReason, EntryRef, FleetEvent, Host, ListedEngine, Names, Offer, OpenRequest,
+    RejectReason,
 };
 
 /// An entry, printed on one line: where it comes from (`in`, `out` or `host`) and what it says.
@@ -37,12 +38,12 @@
     match outcome {
         Outcome::Answered => "Answered",
         Outcome::Error => "Error",
-        Outcome::Full => "Full",
+        Outcome::AtCapacity => "Full",
         Outcome::TimedOut => "TimedOut",
         Outcome::NoConnection => "NoConnection",
         Outcome::Broken => "Broken",
         Outcome::Cancelled => "Cancelled",
-        Outcome::Unsent => "Unsent",
+        Outcome::NotSent => "Unsent",
     }
 }
 
@@ -51,18 +52,18 @@
     match phase {
         Phase::Ready => "Ready",
         Phase::Draining => "Draining",
-        Phase::Gone => "Gone",
+        Phase::Removed => "Gone",
     }
 }
 
-fn not_taken_name(reason: NotTaken) -> &'static str {
+fn not_taken_name(reason: RejectReason) -> &'static str {
     match reason {
-        NotTaken::Invalid => "Invalid",
-        NotTaken::NoRoom => "NoRoom",
-        NotTaken::Gone => "Gone",
-        NotTaken::LedgerFull => "LedgerFull",
-        NotTaken::StoreStalled => "StoreStalled",
-        NotTaken::NoMajority => "NoMajority",
+        RejectReason::Invalid => "Invalid",
+        RejectReason::NoRoom => "NoRoom",
+        RejectReason::Gone => "Gone",
+        RejectReason::LedgerFull => "LedgerFull",
+        RejectReason::StoreStalled => "StoreStalled",
+        RejectReason::NoMajority => "NoMajority",
     }
 }
 
@@ -76,13 +77,13 @@
     }
 }
 
-fn why_name(why: Why) -> &'static str {
+fn why_name(why: CloseReason) -> &'static str {
     match why {
-        Why::Malformed => "Malformed",
-        Why::Silent => "Silent",
-        Why::Hoarding => "Hoarding",
-        Why::Deaf => "Deaf",
-        Why::Evicted => "Evicted",
+        CloseReason::Malformed => "Malformed",
+        CloseReason::Silent => "Silent",
+        CloseReason::Hoarding => "Hoarding",
+        CloseReason::Deaf => "Deaf",
+        CloseReason::Evicted => "Evicted",
     }
 }
 
@@ -91,44 +92,47 @@
 impl Debug for EventText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Event::Remembered { lessons, age } => f
+            Event::CheckpointRestored { learned, age } => f
                 .debug_struct("Remembered")
-                .field("lessons", &LessonsText(lessons))
+                .field("lessons", &LessonsText(learned))
                 .field("age", age)
                 .finish(),
-            Event::FullList(entries) => f
+            Event::EndpointSnapshot(entries) => f
                 .debug_tuple("FullList")
                 .field(&EntriesText(entries))
                 .finish(),
-            Event::ListChanges(entries) => f
+            Event::EndpointChanges(entries) => f
                 .debug_tuple("ListChanges")
                 .field(&EntriesText(entries))
                 .finish(),
-            Event::ListFailed => f.write_str("ListFailed"),
+            Event::DiscoveryFailed => f.write_str("ListFailed"),
             Event::Arrived(request) => f
                 .debug_tuple("Arrived")
                 .field(&RequestText(request))
                 .finish(),
-            Event::RanBefore { request, earlier } => f
+            Event::PriorAttempts {
+                request,
+                prior_attempts,
+            } => f
                 .debug_struct("RanBefore")
                 .field("request", request)
-                .field("earlier", &EarlierText(earlier))
+                .field("earlier", &EarlierText(prior_attempts))
                 .finish(),
             Event::StreamBegan { request } => f
                 .debug_struct("StreamBegan")
                 .field("request", request)
                 .finish(),
-            Event::Noted {
+            Event::ProgressReported {
                 request,
                 attempt,
-                note,
+                progress,
             } => f
                 .debug_struct("Noted")
                 .field("request", request)
                 .field("attempt", attempt)
-                .field("note", &NoteText(note))
+                .field("note", &NoteText(progress))
                 .finish(),
-            Event::Ended(ended) => f.debug_tuple("Ended").field(&EndedText(ended)).finish(),
+            Event::AttemptEnded(ended) => f.debug_tuple("Ended").field(&EndedText(ended)).finish(),
             Event::Probed(probed) => f.debug_tuple("Probed").field(&ProbedText(probed)).finish(),
             Event::ClientLeft { request } => f
                 .debug_struct("ClientLeft")
@@ -144,7 +148,7 @@
 impl Debug for ActionText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Action::Terms {
+            Action::Grant {
                 request,
                 grant_mb,
                 rank,
@@ -157,12 +161,12 @@
             Action::Send {
                 request,
                 engine,
-                give_up_at,
+                attempt_deadline,
             } => f
                 .debug_struct("Send")
                 .field("request", request)
                 .field("engine", engine)
-                .field("give_up_at", give_up_at)
+                .field("give_up_at", attempt_deadline)
                 .finish(),
             Action::Probe { engine } => f.debug_struct("Probe").field("engine", engine).finish(),
             Action::Cancel { request, attempt } => f
@@ -190,7 +194,7 @@
     }
 }
 
-struct EntriesText<'a>(&'a [module::Entry]);
+struct EntriesText<'a>(&'a [module::Endpoint]);
 
 impl Debug for EntriesText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -200,7 +204,7 @@
     }
 }
 
-struct EntryOfListText<'a>(&'a module::Entry);
+struct EntryOfListText<'a>(&'a module::Endpoint);
 
 impl Debug for EntryOfListText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -216,7 +220,7 @@
     }
 }
 
-struct LessonsText<'a>(&'a module::Lessons);
+struct LessonsText<'a>(&'a module::LearnedState);
 
 impl Debug for LessonsText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -225,12 +229,12 @@
         f.debug_struct("Lessons")
             .field("classes", &classes)
             .field("engines", &engines)
-            .field("level", &self.0.level)
+            .field("level", &self.0.baseline_load)
             .finish()
     }
 }
 
-struct ClassLessonText<'a>(&'a module::ClassLesson);
+struct ClassLessonText<'a>(&'a module::ClassEstimates);
 
 impl Debug for ClassLessonText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -244,7 +248,7 @@
     }
 }
 
-struct EngineLessonText<'a>(&'a module::EngineLesson);
+struct EngineLessonText<'a>(&'a module::EngineEstimates);
 
 impl Debug for EngineLessonText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -252,15 +256,15 @@
         f.debug_struct("EngineLesson")
             .field("engine", &engine.engine)
             .field("booted_at", &engine.booted_at)
-            .field("stretch", &engine.stretch)
-            .field("best", &engine.best)
+            .field("stretch", &engine.slowdown)
+            .field("best", &engine.best_slowdown)
             .field("bad", &engine.bad)
-            .field("others", &engine.others)
+            .field("others", &engine.foreign_load)
             .finish()
     }
 }
 
-struct EarlierText<'a>(&'a [module::Earlier]);
+struct EarlierText<'a>(&'a [module::PriorAttempt]);
 
 impl Debug for EarlierText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -270,7 +274,7 @@
     }
 }
 
-struct OneEarlierText<'a>(&'a module::Earlier);
+struct OneEarlierText<'a>(&'a module::PriorAttempt);
 
 impl Debug for OneEarlierText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -297,25 +301,25 @@
             .field("work", &request.work)
             .field("memory_mb", &request.memory_mb)
             .field("group", &request.group)
-            .field("earlier", &EarlierText(&request.earlier))
+            .field("earlier", &EarlierText(&request.prior_attempts))
             .finish()
     }
 }
 
-struct NoteText<'a>(&'a Note);
+struct NoteText<'a>(&'a Progress);
 
 impl Debug for NoteText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Note::Progress(share) => f.debug_tuple("Progress").field(share).finish(),
-            Note::Spilling(missing_mb) => f.debug_tuple("Spilling").field(missing_mb).finish(),
-            Note::WaitsForMemory => f.write_str("WaitsForMemory"),
-            Note::WaitsForLoad => f.write_str("WaitsForLoad"),
+            Progress::Share(share) => f.debug_tuple("Progress").field(share).finish(),
+            Progress::Spilling(missing_mb) => f.debug_tuple("Spilling").field(missing_mb).finish(),
+            Progress::WaitsForMemory => f.write_str("WaitsForMemory"),
+            Progress::WaitsForLoad => f.write_str("WaitsForLoad"),
         }
     }
 }
 
-struct EndedText<'a>(&'a module::Ended);
+struct EndedText<'a>(&'a module::AttemptEnded);
 
 impl Debug for EndedText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -326,14 +330,14 @@
             .field("outcome", &Bare(outcome_name(ended.outcome)))
             .field("spent", &ended.spent)
             .field("complete", &ended.complete)
-            .field("told", &ended.told)
-            .field("bill", &ended.bill.as_ref().map(BillText))
+            .field("told", &ended.already_reported)
+            .field("bill", &ended.usage.as_ref().map(BillText))
             .field("report", &ended.report.as_ref().map(ReportText))
             .finish()
     }
 }
 
-struct BillText<'a>(&'a module::Bill);
+struct BillText<'a>(&'a module::ResourceUsage);
 
 impl Debug for BillText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -483,7 +487,7 @@
     }
 }
 
-struct ListedText<'a>(&'a Listed);
+struct ListedText<'a>(&'a ListedEngine);
 
 impl Debug for ListedText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -530,32 +534,32 @@
     }
 }
 
-struct FleetText<'a>(&'a FleetWord);
+struct FleetText<'a>(&'a FleetEvent);
 
 impl Debug for FleetText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            FleetWord::Peer { name, state } => f
+            FleetEvent::Peer { name, state } => f
                 .debug_struct("Peer")
                 .field("name", name)
                 .field("state", state)
                 .finish(),
-            FleetWord::Turned { name, why } => f
+            FleetEvent::Turned { name, why } => f
                 .debug_struct("Turned")
                 .field("name", name)
                 .field("why", why)
                 .finish(),
-            FleetWord::Votes { votes } => f.debug_struct("Votes").field("votes", votes).finish(),
-            FleetWord::Majority { stands } => {
+            FleetEvent::Votes { votes } => f.debug_struct("Votes").field("votes", votes).finish(),
+            FleetEvent::Majority { stands } => {
                 f.debug_struct("Majority").field("stands", stands).finish()
             }
-            FleetWord::Owns { task, term, owns } => f
+            FleetEvent::Owns { task, term, owns } => f
                 .debug_struct("Owns")
                 .field("task", task)
                 .field("term", term)
                 .field("owns", owns)
                 .finish(),
-            FleetWord::Work {
+            FleetEvent::Work {
                 task,
                 term,
                 owner,
--- a/crates/event-log/src/totals.rs
+++ b/crates/event-log/src/totals.rs
@@ -3,7 +3,7 @@
 
 /// More classes or tenants than this are counted in the totals only; it bounds a record that was tampered
 /// with.
-pub const MOST_LANES: usize = 256;
+pub const MAX_LANES: usize = 256;
 
 macro_rules! counts {
     ($($name:ident),*) => {
@@ -144,7 +144,7 @@
 }
 
 pub(crate) fn lane(lanes: &mut Vec<Lane>, at: usize) -> Option<&mut Lane> {
-    if at >= lanes.len() && at < MOST_LANES {
+    if at >= lanes.len() && at < MAX_LANES {
         lanes.resize(at + 1, Lane::default());
     }
     lanes.get_mut(at)
@@ -153,7 +153,7 @@
 impl Tally {
     /// Room for so many classes and tenants, so that counting allocates nothing.
     pub fn sized(classes: usize, tenants: usize) -> Self {
-        let lanes = |count: usize| vec![Lane::default(); count.min(MOST_LANES)];
+        let lanes = |count: usize| vec![Lane::default(); count.min(MAX_LANES)];
         Tally {
             classes: lanes(classes),
             tenants: lanes(tenants),
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -12,11 +12,11 @@
 use crate::codec::Context;
 use crate::entry::{EntryRef, Host};
 use crate::frame::{file_head, frame_head};
-use crate::plan::{Batch, Plan};
+use crate::plan::{Batch, Config};
 use crate::tally::Tally;
 
 /// Segments of one name, whatever the budget: a disk that fails again and again leaves many small ones.
-const MOST_SEGMENTS: usize = 4096;
+const MAX_SEGMENTS: usize = 4096;
 const ENDING: &str = "eyr";
 
 /// All that a writer does with files, so that tests can let any of it fail.
@@ -98,7 +98,7 @@
 }
 
 pub(crate) struct Writer {
-    plan: Plan,
+    plan: Config,
     disk: Box<dyn Disk>,
     lost: Arc<AtomicBool>,
     /// The segment that is written, its name and length.
@@ -116,7 +116,7 @@
 }
 
 impl Writer {
-    pub fn new(plan: Plan, disk: Box<dyn Disk>, lost: Arc<AtomicBool>) -> Self {
+    pub fn new(plan: Config, disk: Box<dyn Disk>, lost: Arc<AtomicBool>) -> Self {
         Writer {
             whole: (Tally::sized(plan.classes, plan.tenants), plan.epoch),
             plan,
@@ -238,7 +238,7 @@
             self.listed = true;
         }
         let wanted = first.max(self.plan.segment);
-        while self.kept.len() >= MOST_SEGMENTS || self.kept_bytes + wanted > self.plan.budget {
+        while self.kept.len() >= MAX_SEGMENTS || self.kept_bytes + wanted > self.plan.budget {
             let Some((name, size)) = self.kept.pop_front() else {
                 break;
             };
--- a/crates/event-log/tests/common/mod.rs
+++ b/crates/event-log/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use eideryard::interface::{
-    Action, Bill, Ended, Event, LoadReport, Micros, Note, Outcome, Phase, Probed, Request,
-    RequestId,
+    Action, AttemptEnded, Event, LoadReport, Micros, Outcome, Phase, Probed, Progress, Request,
+    RequestId, ResourceUsage,
 };
 use eideryard_event_log::entry::EntryRef;
 use eideryard_event_log::writer::{Directory, Disk, Segment};
@@ -31,12 +31,12 @@
     *rng.choice(&[
         Answered,
         Error,
-        Full,
+        AtCapacity,
         TimedOut,
         NoConnection,
         Broken,
         Cancelled,
-        Unsent,
+        NotSent,
     ])
     .unwrap()
 }
@@ -53,12 +53,12 @@
 }
 
 fn phase(rng: &mut Rng) -> Phase {
-    *rng.choice(&[Phase::Ready, Phase::Draining, Phase::Gone])
+    *rng.choice(&[Phase::Ready, Phase::Draining, Phase::Removed])
         .unwrap()
 }
 
-fn listed(rng: &mut Rng) -> Vec<eideryard::interface::Entry> {
-    let entry = |rng: &mut Rng| eideryard::interface::Entry {
+fn listed(rng: &mut Rng) -> Vec<eideryard::interface::Endpoint> {
+    let entry = |rng: &mut Rng| eideryard::interface::Endpoint {
         engine: rng.u32(..),
         zone: rng.u32(0..9),
         kind: rng.u32(..),
@@ -84,35 +84,35 @@
         connection: request(rng),
     };
     match rng.u8(0..36) {
-        0 => Entry::In(Event::FullList(listed(rng))),
-        1 => Entry::In(Event::ListChanges(listed(rng))),
-        2 if rng.bool() => Entry::In(Event::ListFailed),
+        0 => Entry::In(Event::EndpointSnapshot(listed(rng))),
+        1 => Entry::In(Event::EndpointChanges(listed(rng))),
+        2 if rng.bool() => Entry::In(Event::DiscoveryFailed),
         2 => {
-            let class = |rng: &mut Rng| eideryard::interface::ClassLesson {
+            let class = |rng: &mut Rng| eideryard::interface::ClassEstimates {
                 work_ratio: real(rng),
                 memory_ratio: real(rng),
                 work: real(rng),
                 memory_mb: rng.bool().then(|| real(rng)),
             };
-            let engine = |rng: &mut Rng| eideryard::interface::EngineLesson {
+            let engine = |rng: &mut Rng| eideryard::interface::EngineEstimates {
                 engine: rng.u32(..),
                 booted_at: rng.u64(..),
-                stretch: real(rng),
-                best: real(rng),
+                slowdown: real(rng),
+                best_slowdown: real(rng),
                 bad: real(rng),
-                others: real(rng),
+                foreign_load: real(rng),
             };
             let (classes, engines) = (
                 (0..rng.usize(0..4)).map(|_| class(rng)).collect(),
                 vec![engine(rng)],
             );
-            let lessons = eideryard::interface::Lessons {
+            let lessons = eideryard::interface::LearnedState {
                 classes,
                 engines,
-                level: real(rng),
+                baseline_load: real(rng),
             };
-            Entry::In(Event::Remembered {
-                lessons,
+            Entry::In(Event::CheckpointRestored {
+                learned: lessons,
                 age: rng.u64(..),
             })
         }
@@ -125,8 +125,8 @@
             work: rng.bool().then(|| real(rng)),
             memory_mb: rng.bool().then(|| real(rng)),
             group: rng.u64(0..500),
-            earlier: (0..rng.usize(0..3))
-                .map(|_| eideryard::interface::Earlier {
+            prior_attempts: (0..rng.usize(0..3))
+                .map(|_| eideryard::interface::PriorAttempt {
                     zone: rng.u32(0..9),
                     cell: rng.u32(..),
                     since: rng.u64(..),
@@ -135,31 +135,31 @@
         })),
         7 => Entry::In(Event::StreamBegan { request: id }),
         34 => match rng.u8(0..6) {
-            4 => Entry::Host(Host::Fleet(FleetWord::Owns {
+            4 => Entry::Host(Host::Fleet(FleetEvent::Owns {
                 task: rng.u32(..),
                 term: rng.u64(..),
                 owns: true,
             })),
-            5 => Entry::Host(Host::Fleet(FleetWord::Work {
+            5 => Entry::Host(Host::Fleet(FleetEvent::Work {
                 task: rng.u32(..),
                 term: rng.u64(..),
                 owner: rng.u64(..),
                 counts: rng.bool(),
             })),
-            0 => Entry::Host(Host::Fleet(FleetWord::Peer {
+            0 => Entry::Host(Host::Fleet(FleetEvent::Peer {
                 name: "g1".into(),
                 state: "slow".into(),
             })),
-            1 => Entry::Host(Host::Fleet(FleetWord::Turned {
+            1 => Entry::Host(Host::Fleet(FleetEvent::Turned {
                 name: "g2".into(),
                 why: "another".into(),
             })),
-            2 => Entry::Host(Host::Fleet(FleetWord::Votes { votes: rng.bool() })),
-            _ => Entry::Host(Host::Fleet(FleetWord::Majority { stands: rng.bool() })),
+            2 => Entry::Host(Host::Fleet(FleetEvent::Votes { votes: rng.bool() })),
+            _ => Entry::Host(Host::Fleet(FleetEvent::Majority { stands: rng.bool() })),
         },
-        35 if rng.bool() => Entry::In(Event::RanBefore {
+        35 if rng.bool() => Entry::In(Event::PriorAttempts {
             request: id,
-            earlier: vec![eideryard::interface::Earlier {
+            prior_attempts: vec![eideryard::interface::PriorAttempt {
                 zone: 1,
                 cell: 2,
                 since: rng.u64(..),
@@ -167,29 +167,29 @@
         }),
         35 => Entry::Host(Host::Because {
             request: id,
-            why: *rng.choice(&NotTaken::ALL).unwrap(),
+            why: *rng.choice(&RejectReason::ALL).unwrap(),
         }),
         8 => {
             let notes = [
-                Note::Progress(real(rng)),
-                Note::Spilling(real(rng)),
-                Note::WaitsForMemory,
-                Note::WaitsForLoad,
+                Progress::Share(real(rng)),
+                Progress::Spilling(real(rng)),
+                Progress::WaitsForMemory,
+                Progress::WaitsForLoad,
             ];
-            Entry::In(Event::Noted {
+            Entry::In(Event::ProgressReported {
                 request: id,
                 attempt: rng.usize(0..9),
-                note: *rng.choice(&notes).unwrap(),
+                progress: *rng.choice(&notes).unwrap(),
             })
         }
-        9..=12 => Entry::In(Event::Ended(Ended {
+        9..=12 => Entry::In(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt: rng.usize(0..9),
             outcome: outcome(rng),
             spent: rng.u64(0..9_000_000),
             complete: rng.bool(),
-            told: rng.bool(),
-            bill: rng.bool().then(|| Bill {
+            already_reported: rng.bool(),
+            usage: rng.bool().then(|| ResourceUsage {
                 work: real(rng),
                 memory_mb: real(rng),
             }),
@@ -204,7 +204,7 @@
         15 => Entry::In(Event::Timer {
             tag: *rng.choice(&[0, id + 1]).unwrap(),
         }),
-        16 => Entry::Out(Action::Terms {
+        16 => Entry::Out(Action::Grant {
             request: id,
             grant_mb: real(rng),
             rank: rng.u8(0..4),
@@ -212,7 +212,7 @@
         17 | 18 => Entry::Out(Action::Send {
             request: id,
             engine: rng.u32(..),
-            give_up_at: at + rng.u64(0..99_999),
+            attempt_deadline: at + rng.u64(0..99_999),
         }),
         19 => Entry::Out(Action::Probe {
             engine: rng.u32(..),
@@ -237,13 +237,13 @@
         }),
         31 => Entry::Host(Host::Ending {
             connection: id,
-            why: *rng.choice(&Why::ALL).unwrap(),
+            why: *rng.choice(&CloseReason::ALL).unwrap(),
         }),
         32 => Entry::Host(Host::Attached { class, tenant }),
         26 => Entry::Host(Host::Disconnected { connection: id }),
         27 => Entry::Host(Host::Offered(offer)),
         28 => {
-            let how = *rng.choice(&NotTaken::ALL).unwrap();
+            let how = *rng.choice(&RejectReason::ALL).unwrap();
             Entry::Host(Host::NotTaken {
                 how,
                 class: rng.bool().then_some(class),
@@ -266,8 +266,8 @@
     }
 }
 
-pub fn plan(name: &str, segment: u64) -> Plan {
-    Plan {
+pub fn plan(name: &str, segment: u64) -> Config {
+    Config {
         name: name.into(),
         epoch: START,
         budget: 64 << 20,
@@ -398,7 +398,7 @@
     pub before_gaps: Vec<Tally>,
 }
 
-pub fn read(directory: &Path) -> Result<Read, eideryard_event_log::reader::Unusable> {
+pub fn read(directory: &Path) -> Result<Read, eideryard_event_log::reader::ReadError> {
     let mut merged = Merged::open(&[directory.to_path_buf()])?;
     let mut counted = eideryard_event_log::tally::Counted::default();
     let (mut entries, mut gaps, mut damages, mut before_gaps) =
@@ -406,8 +406,8 @@
     let mut folded = Tally::default();
     while let Some(told) = merged.next()? {
         match told.what {
-            reader::What::Damaged => damages += 1,
-            reader::What::Entry(entry) => {
+            reader::ReadContent::Damaged => damages += 1,
+            reader::ReadContent::Entry(entry) => {
                 if matches!(entry, Entry::Host(Host::Begin { .. })) {
                     folded = counted.tally.clone();
                 }
@@ -453,7 +453,7 @@
         key: None,
         deadline: begin + 1_500_000,
         work: Some(812_000.0 + number as f64 * 100.0),
-        earlier: Vec::new(),
+        prior_attempts: Vec::new(),
         memory_mb: Some(96.0),
         group: 17,
     };
@@ -462,14 +462,14 @@
         cores_busy: Some(0.61),
         ..LoadReport::default()
     };
-    let ended = Ended {
+    let ended = AttemptEnded {
         request: id,
         attempt: 0,
         outcome: Outcome::Answered,
         spent: 93_411,
         complete: true,
-        told: false,
-        bill: Some(Bill {
+        already_reported: false,
+        usage: Some(ResourceUsage {
             work: 791_300.0,
             memory_mb: 88.4,
         }),
@@ -508,7 +508,7 @@
         ),
         (
             begin + 14,
-            Entry::Out(Action::Terms {
+            Entry::Out(Action::Grant {
                 request: id,
                 grant_mb: 120.0,
                 rank: 2,
@@ -519,13 +519,13 @@
             Entry::Out(Action::Send {
                 request: id,
                 engine,
-                give_up_at: begin + 1_490_000,
+                attempt_deadline: begin + 1_490_000,
             }),
         ),
         (begin + 900, Entry::Host(answered)),
         (
             begin + 950,
-            Entry::In(Event::Ended(Ended {
+            Entry::In(Event::AttemptEnded(AttemptEnded {
                 request: before,
                 ..ended
             })),
--- a/crates/event-log/tests/failures.rs
+++ b/crates/event-log/tests/failures.rs
@@ -61,7 +61,7 @@
 fn the_oldest_segments_go_when_the_budget_is_used_up_and_totals_stay() {
     let directory = tempfile::tempdir().unwrap();
     let budget = 512 << 10;
-    let plan = Plan {
+    let plan = Config {
         budget,
         ..plan("g1", 64 << 10)
     };
@@ -242,7 +242,7 @@
     let directory = tempfile::tempdir().unwrap();
     for start in 0..6u64 {
         let epoch = START + start * 100_000_000;
-        let plan = Plan {
+        let plan = Config {
             epoch,
             budget: 400 << 10,
             ..plan("g1", 64 << 10)
@@ -337,7 +337,7 @@
         let until = std::time::Instant::now() + std::time::Duration::from_secs(20);
         while counted.tally != *recorder.tally() && std::time::Instant::now() < until {
             while let Some(next) = merged.next().unwrap() {
-                let reader::What::Entry(entry) = next.what else {
+                let reader::ReadContent::Entry(entry) = next.what else {
                     panic!("damage")
                 };
                 counted.read(entry.as_ref());
@@ -363,7 +363,7 @@
     let mut first = None;
     while let Some(told) = merged.next().unwrap() {
         first.get_or_insert(told.at);
-        if let reader::What::Entry(entry) = told.what {
+        if let reader::ReadContent::Entry(entry) = told.what {
             folded.read(entry.as_ref());
         }
     }
--- a/crates/event-log/tests/golden.rs
+++ b/crates/event-log/tests/golden.rs
@@ -4,10 +4,10 @@
 
 use common::{entry, plan, START};
 use eideryard::interface::{Action, Micros, Phase};
+use eideryard_emulators::golden;
 use eideryard_event_log::codec::Context;
 use eideryard_event_log::writer::Directory;
 use eideryard_event_log::*;
-use eideryard_emulators::golden;
 use fastrand::Rng;
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
         id: 0xfeed,
         connection: 3 << 32 | 1,
     };
-    let listed = Listed {
+    let listed = ListedEngine {
         engine: 17,
         name: "s-17".into(),
         address: "127.0.0.1:7101".into(),
@@ -59,11 +59,11 @@
             entries: 3,
             counted: Box::new(Tally::sized(4, 3)),
         },
-        Host::Fleet(FleetWord::Turned {
+        Host::Fleet(FleetEvent::Turned {
             name: "g2".into(),
             why: "another fleet".into(),
         }),
-        Host::Fleet(FleetWord::Work {
+        Host::Fleet(FleetEvent::Work {
             task: 17,
             term: 5,
             owner: 7,
@@ -124,7 +124,7 @@
     let mut merged = Merged::open(&[golden::path("event-log")]).expect("a record");
     let (mut kinds, mut bytes) = (BTreeSet::new(), Vec::new());
     while let Some(told) = merged.next().expect("readable") {
-        let reader::What::Entry(entry) = told.what else {
+        let reader::ReadContent::Entry(entry) = told.what else {
             panic!("damaged")
         };
         let begin = bytes.len();
--- a/crates/fleet-test/src/check/mod.rs
+++ b/crates/fleet-test/src/check/mod.rs
@@ -24,7 +24,7 @@
 pub use records::{of_records, Recorded};
 
 /// Breaks of one rule that are kept; all are counted.
-pub const MOST_BREAKS: usize = 100;
+pub const MAX_BREAKS: usize = 100;
 /// What the machine and the wire may add to any time: as the protocol page grants.
 pub const SLACK: Micros = 50_000;
 
@@ -317,7 +317,7 @@
 /// Breaks and figures of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// The first breaks of each rule, [`MOST_BREAKS`] at the most.
+    /// The first breaks of each rule, [`MAX_BREAKS`] at the most.
     pub breaks: Vec<Break>,
     /// All breaks, counted.
     pub counts: BTreeMap<Rule, u64>,
@@ -330,7 +330,7 @@
     pub fn add(&mut self, found: Break) {
         let count = self.counts.entry(found.rule).or_default();
         *count += 1;
-        if *count <= MOST_BREAKS as u64 {
+        if *count <= MAX_BREAKS as u64 {
             self.breaks.push(found);
         }
     }
--- a/crates/fleet-test/src/check/owners.rs
+++ b/crates/fleet-test/src/check/owners.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use eideryard_event_log::reader::{Merged, What as Told};
-use eideryard_event_log::{Entry, FleetWord, Host};
 use eideryard_emulators::history::{Micros, Name};
+use eideryard_event_log::reader::{Merged, ReadContent};
+use eideryard_event_log::{Entry, FleetEvent, Host};
 
 use super::{About, Break, Rule, Verdict};
 
@@ -31,7 +31,7 @@
         return worked;
     };
     while let Ok(Some(told)) = merged.next() {
-        let Told::Entry(Entry::Host(Host::Fleet(FleetWord::Work {
+        let ReadContent::Entry(Entry::Host(Host::Fleet(FleetEvent::Work {
             task,
             term,
             owner,
--- a/crates/fleet-test/src/check/records.rs
+++ b/crates/fleet-test/src/check/records.rs
@@ -4,9 +4,9 @@
 use std::path::Path;
 
 use eideryard::interface::{Action, Event, Outcome};
-use eideryard_event_log::reader::{Merged, What as Told};
-use eideryard_event_log::{AnswerKind, Entry, Host};
 use eideryard_emulators::history::{How, Micros, Name};
+use eideryard_event_log::reader::{Merged, ReadContent};
+use eideryard_event_log::{AnswerKind, Entry, Host};
 
 use super::{About, Break, History, Rule, Verdict};
 
@@ -46,7 +46,7 @@
     let mut ids: HashMap<(usize, u64), u64> = HashMap::new();
     let mut engines: HashMap<(usize, u32), Name> = HashMap::new();
     while let Ok(Some(told)) = merged.next() {
-        let Told::Entry(entry) = &told.what else {
+        let ReadContent::Entry(entry) = &told.what else {
             continue;
         };
         if let Entry::Host(Host::Engine(listed)) = entry {
@@ -71,7 +71,7 @@
                     .cloned()
                     .unwrap_or_else(|| "an engine".into()),
             ),
-            Entry::In(Event::Ended(ended)) => Said::Ended(ended.outcome),
+            Entry::In(Event::AttemptEnded(ended)) => Said::Ended(ended.outcome),
             Entry::Host(Host::Answered { how, .. }) => Said::Answered(*how),
             _ => continue,
         };
--- a/crates/fleet-test/src/check/story.rs
+++ b/crates/fleet-test/src/check/story.rs
@@ -9,7 +9,7 @@
 use super::{About, Break, History};
 
 /// Lines of one story.
-const MOST_LINES: usize = 60;
+const MAX_LINES: usize = 60;
 /// How long before the first try faults are told.
 const BEFORE: Micros = 500_000;
 
@@ -153,7 +153,7 @@
     }
     lines.sort();
     let begin = lines.first().map_or(0, |(at, _)| *at);
-    let left_out = lines.len().saturating_sub(MOST_LINES);
+    let left_out = lines.len().saturating_sub(MAX_LINES);
     let told = lines.iter().skip(left_out);
     let mut text: Vec<String> = told
         .map(|(at, line)| format!("{:>10.1} ms  {line}", (at - begin) as f64 / 1e3))
--- a/crates/fleet-test/src/classes.rs
+++ b/crates/fleet-test/src/classes.rs
@@ -5,10 +5,10 @@
 /// A class of requests that are safe to repeat and may run anywhere.
 pub fn safe_class(aim: Micros, threads: f64) -> Class {
     Class {
-        aim,
-        aim_stretch: 2.0,
-        worth: 1.0,
-        effect: Effect::Safe,
+        latency_objective: aim,
+        latency_objective_per_work: 2.0,
+        priority_weight: 1.0,
+        effect: Effect::Idempotent,
         scope: Scope::All,
         window: 0,
         ordered: false,
--- a/crates/fleet-test/src/cold_sum.rs
+++ b/crates/fleet-test/src/cold_sum.rs
@@ -308,18 +308,18 @@
 
     fn tell_list(&mut self, gateway: usize) {
         let told = self.gateways[gateway].told;
-        let entry = |(number, engine): (usize, &Engine)| Entry {
+        let entry = |(number, engine): (usize, &Engine)| Endpoint {
             engine: number as EngineId,
             phase: if engine.born.is_none() || told {
                 Phase::Ready
             } else {
-                Phase::Gone
+                Phase::Removed
             },
             booted_at: engine.born.filter(|_| !self.without.cold).unwrap_or(0),
-            ..Entry::default()
+            ..Endpoint::default()
         };
         let list = self.engines.iter().enumerate().map(entry).collect();
-        self.tell(gateway, Event::FullList(list));
+        self.tell(gateway, Event::EndpointSnapshot(list));
     }
 
     fn arrives(&mut self, gateway: usize) {
@@ -330,7 +330,9 @@
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
         let work = self.means[class] * (spread * normal - spread * spread / 2.0).exp();
         let set = &self.set.classes[class];
-        let due = self.now + set.aim + (set.aim_stretch * work / THREADS[class]) as Micros;
+        let due = self.now
+            + set.latency_objective
+            + (set.latency_objective_per_work * work / THREADS[class]) as Micros;
         let own = &mut self.gateways[gateway];
         own.sequence += 1;
         // As the gateway numbers them: generation and slot, alike in every process.
@@ -439,8 +441,8 @@
 
     fn begins(&mut self, gateway: usize, request: RequestId, attempt: usize, engine: EngineId) {
         let own = &mut self.gateways[gateway];
-        if !self.without.asking && !own.module.begins(self.now, request, attempt) {
-            return self.told_end(gateway, request, attempt, Outcome::Unsent);
+        if !self.without.asking && !own.module.may_begin(self.now, request, attempt) {
+            return self.told_end(gateway, request, attempt, Outcome::NotSent);
         }
         let Some(asked) = own.requests.get(&request) else {
             return;
@@ -480,23 +482,23 @@
         let Some(asked) = self.gateways[gateway].requests.get(&request) else {
             return;
         };
-        let bill = (outcome == Outcome::Answered).then_some(Bill {
+        let bill = (outcome == Outcome::Answered).then_some(ResourceUsage {
             work: asked.work,
             memory_mb: 50.0,
         });
         let spent = self.now.saturating_sub(asked.sent_at);
         let complete = asked.over;
-        let ended = Ended {
+        let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
             complete,
-            told: false,
-            bill,
+            already_reported: false,
+            usage: bill,
             report: None,
         };
-        self.tell(gateway, Event::Ended(ended));
+        self.tell(gateway, Event::AttemptEnded(ended));
     }
 
     fn sum(&self) -> Sum {
@@ -512,14 +514,15 @@
             let (mut from, mut work) = (0, 0.0);
             for &(at, own) in &engine.calls {
                 work += own;
-                while engine.calls[from].0 + self.set.fall_window <= at {
+                while engine.calls[from].0 + self.set.overload_window <= at {
                     work -= engine.calls[from].1;
                     from += 1;
                 }
                 // What it can do in the window, by how warm it was at the window's start.
-                let start = at.saturating_sub(self.set.fall_window);
+                let start = at.saturating_sub(self.set.overload_window);
                 let able = engine.cores * warmth(&self.set, engine.born, start);
-                let allowed = self.set.fall_multiple * able * self.set.fall_window as f64 / mean;
+                let allowed =
+                    self.set.overload_multiple * able * self.set.overload_window as f64 / mean;
                 let sent = work / mean;
                 sum.over_budget = sum.over_budget.max(sent / allowed);
                 sum.over_bound = sum
--- a/crates/fleet-test/src/cold_sum/settings.rs
+++ b/crates/fleet-test/src/cold_sum/settings.rs
@@ -23,19 +23,19 @@
         largest_share: 0.4,
         max_attempts: 4,
         may_cancel: rng.random(),
-        may_duplicate: false,
+        hedging_allowed: false,
         may_probe: rng.random(),
         counts_by_probe: rng.random_bool(0.3),
-        may_advise: true,
-        max_advice: S,
-        fall_multiple: rng.random_range(2.0..3.0),
-        fall_window: rng.random_range(1..=3) * S,
+        retry_after_allowed: true,
+        max_retry_after: S,
+        overload_multiple: rng.random_range(2.0..3.0),
+        overload_window: rng.random_range(1..=3) * S,
         start_capacity: rng.random_range(0.31..0.5),
-        warm_within: rng.random_range(8..=15) * S,
-        order_pause: 0,
+        warm_up_duration: rng.random_range(8..=15) * S,
+        ordering_delay: 0,
         attempt_budget: None,
-        ask_every: 10 * S,
-        over_share_worth: 0.2,
+        poll_interval: 10 * S,
+        over_quota_weight: 0.2,
         cross_zone_tariff: 0.0,
         probe_tariff: 0.01,
     }
@@ -44,6 +44,6 @@
 /// The part of its capacity that an engine has by now.
 pub(super) fn warmth(set: &Settings, born: Option<Micros>, now: Micros) -> f64 {
     let Some(born) = born else { return 1.0 };
-    let age = now.saturating_sub(born) as f64 / set.warm_within as f64;
+    let age = now.saturating_sub(born) as f64 / set.warm_up_duration as f64;
     set.start_capacity + (1.0 - set.start_capacity) * age.min(1.0)
 }
--- a/crates/fleet-test/src/directories.rs
+++ b/crates/fleet-test/src/directories.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 /// A power loss takes up to so many bytes off the end of a file that nobody flushed.
-const MOST_TORN: u64 = 64 << 10;
+const MAX_TORN: u64 = 64 << 10;
 /// Files of the event record, whose writer never flushes. What the store flushes its own faulty file layer
 /// tears: from outside nobody can tell what was flushed.
 const UNFLUSHED: &str = "eyr";
@@ -85,7 +85,7 @@
             torn += tear(&path, rng)?;
         } else if path.extension().is_some_and(|ending| ending == UNFLUSHED) {
             let length = file.metadata()?.len();
-            let lost = rng.random_range(0..=length.min(MOST_TORN));
+            let lost = rng.random_range(0..=length.min(MAX_TORN));
             if lost > 0 {
                 std::fs::OpenOptions::new()
                     .write(true)
--- a/crates/fleet-test/src/owned.rs
+++ b/crates/fleet-test/src/owned.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use eideryard_leases::{Core, Message, Output, Plan, Task, Token};
+use eideryard_leases::{Config, Core, FencingToken, Message, Output, Task};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -76,12 +76,12 @@
     up: bool,
     start: u64,
     paused_until: Micros,
-    disk: BTreeMap<Task, Token>,
-    unflushed: Vec<(Task, Token, Vec<Output>)>,
+    disk: BTreeMap<Task, FencingToken>,
+    unflushed: Vec<(Task, FencingToken, Vec<Output>)>,
     flushing: bool,
     worked_at: HashMap<Task, Micros>,
     /// What counted here, whatever it remembers itself.
-    counted: HashMap<Task, Token>,
+    counted: HashMap<Task, FencingToken>,
 }
 
 /// A simulated fleet with tasks.
@@ -147,9 +147,9 @@
         fleet
     }
 
-    fn core(&self, at: usize, start: u64, disk: &BTreeMap<Task, Token>) -> Core {
+    fn core(&self, at: usize, start: u64, disk: &BTreeMap<Task, FencingToken>) -> Core {
         let own = (at < self.size.keepers).then_some(at);
-        let plan = Plan {
+        let plan = Config {
             keepers: self.size.keepers,
             own,
             owner: at as u64 + 1 + start * 1_000_000,
@@ -318,7 +318,7 @@
         for output in outputs {
             match output {
                 Output::Keeper(keeper, message) => {
-                    if let Message::Ask { task, .. } = message {
+                    if let Message::VoteRequest { task, .. } = message {
                         self.handovers.asks(self.time.now, task, at);
                     }
                     self.send(at, keeper, true, message);
--- a/crates/fleet-test/src/relay.rs
+++ b/crates/fleet-test/src/relay.rs
@@ -21,7 +21,7 @@
 use tokio::time::{sleep_until, timeout, Instant};
 
 /// Pieces that wait on one connection in one direction, and the bytes of each at most: what a link holds.
-const MOST_PIECES: usize = 64;
+const MAX_PIECES: usize = 64;
 const PIECE: usize = 16 << 10;
 /// Connections that may wait to be accepted while the link is whole.
 const BACKLOG: i32 = 1024;
@@ -276,7 +276,7 @@
     mut state: watch::Receiver<State>,
     lane: fn(&State) -> Lane,
 ) -> io::Result<()> {
-    let (sender, mut pieces) = mpsc::channel::<(Instant, Vec<u8>)>(MOST_PIECES);
+    let (sender, mut pieces) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_PIECES);
     let delays = state.clone();
     let reading = async move {
         let mut chunk = vec![0; PIECE];
--- a/crates/fleet-test/src/run.rs
+++ b/crates/fleet-test/src/run.rs
@@ -13,7 +13,7 @@
 use crate::world::{self, RECORD};
 
 /// Stories that are told of one run.
-const MOST_STORIES: usize = 3;
+const MAX_STORIES: usize = 3;
 
 /// Why a run has no verdict.
 #[derive(Debug, thiserror::Error)]
@@ -144,7 +144,7 @@
     );
     verdict.figure("faults", plan.faults.len() as u64);
     let history = History::new(&events);
-    let stories = verdict.breaks.iter().take(MOST_STORIES);
+    let stories = verdict.breaks.iter().take(MAX_STORIES);
     let stories = stories
         .map(|found| (found.clone(), story::story(&history, &records, found)))
         .collect();
--- a/crates/fleet-test/src/scale/checks.rs
+++ b/crates/fleet-test/src/scale/checks.rs
@@ -9,7 +9,7 @@
 use super::together;
 
 /// Growth of a count that has to stay flat, over a whole sweep, as a part of its least value.
-const MOST_GROWTH: f64 = 0.25;
+const MAX_GROWTH: f64 = 0.25;
 
 /// Counts that must not grow with the size of the fleet, and along which axis.
 const FLAT: [(&str, Axis); 5] = [
@@ -105,5 +105,5 @@
             series.name, first.at, last.at
         )
     };
-    (most > least * (1.0 + MOST_GROWTH)).then(what)
+    (most > least * (1.0 + MAX_GROWTH)).then(what)
 }
--- a/crates/fleet-test/src/scale/decisions.rs
+++ b/crates/fleet-test/src/scale/decisions.rs
@@ -19,7 +19,7 @@
 pub const CORES: f64 = 16.0;
 const WIDEST: f64 = 2.0;
 /// Two threads a core of an engine over the widest class's: up to so many gateways use all engines each.
-pub const MOST_WITHOUT_SUBSETS: usize = (2.0 * CORES / WIDEST) as usize;
+pub const MAX_WITHOUT_SUBSETS: usize = (2.0 * CORES / WIDEST) as usize;
 /// Zones of the target.
 pub const ZONES: u32 = 7;
 /// Engines start so long before the run: all are warm.
@@ -132,16 +132,16 @@
 }
 
 /// The entries of so many warm engines, spread over the zones.
-pub fn list(engines: usize) -> Vec<Entry> {
+pub fn list(engines: usize) -> Vec<Endpoint> {
     (0..engines).map(entry).collect()
 }
 
 /// One of them.
-pub fn entry(engine: usize) -> Entry {
-    Entry {
+pub fn entry(engine: usize) -> Endpoint {
+    Endpoint {
         engine: number(engine),
         zone: engine as u32 % ZONES,
-        ..Entry::default()
+        ..Endpoint::default()
     }
 }
 
@@ -179,19 +179,19 @@
         largest_share: 0.4,
         max_attempts: 4,
         may_cancel: true,
-        may_duplicate: false,
+        hedging_allowed: false,
         may_probe: true,
         counts_by_probe: fleet.probed,
-        may_advise: true,
-        max_advice: SECOND,
-        fall_multiple: 3.0,
-        fall_window: SECOND,
+        retry_after_allowed: true,
+        max_retry_after: SECOND,
+        overload_multiple: 3.0,
+        overload_window: SECOND,
         start_capacity: 0.4,
-        warm_within: 10 * SECOND,
-        order_pause: 0,
+        warm_up_duration: 10 * SECOND,
+        ordering_delay: 0,
         attempt_budget: None,
-        ask_every: 10 * SECOND,
-        over_share_worth: 0.2,
+        poll_interval: 10 * SECOND,
+        over_quota_weight: 0.2,
         cross_zone_tariff: 0.0,
         probe_tariff: 0.01,
     }
--- a/crates/fleet-test/src/scale/discovery.rs
+++ b/crates/fleet-test/src/scale/discovery.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use eideryard::balancer::Balancer;
-use eideryard::interface::{Entry, Event, Micros, Phase};
-use eideryard_discovery::{Heard, Item, Listed, Reader, Roster, State};
+use eideryard::interface::{Endpoint, Event, Micros, Phase};
+use eideryard_discovery::{DiscoveredEngine, Item, Reader, Roster, State, StreamEvent};
 use serde_json::{json, Value};
 
 use super::decisions::{self, Fleet};
@@ -61,15 +61,15 @@
     /// Whether these are all engines there are.
     pub whole: bool,
     /// The engines.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<Endpoint>,
 }
 
 impl ListUpdate {
     /// What the module is handed of it.
     pub fn event(self) -> Event {
         match self.whole {
-            true => Event::FullList(self.entries),
-            false => Event::ListChanges(self.entries),
+            true => Event::EndpointSnapshot(self.entries),
+            false => Event::EndpointChanges(self.entries),
         }
     }
 }
@@ -152,9 +152,9 @@
     }
 }
 
-fn item(heard: &Heard) -> Option<Item> {
+fn item(heard: &StreamEvent) -> Option<Item> {
     match heard {
-        Heard::Event { data, .. } => Item::read(data).ok(),
+        StreamEvent::Event { data, .. } => Item::read(data).ok(),
         _ => None,
     }
 }
@@ -167,7 +167,7 @@
 }
 
 /// Zones are those of [`decisions::list`]: a hollow gateway has one order of engines whoever listed them.
-fn entry(listed: &Listed) -> Entry {
+fn entry(listed: &DiscoveredEngine) -> Endpoint {
     let number = listed
         .host
         .rsplit('-')
@@ -177,9 +177,9 @@
     let phase = match listed.health {
         State::Up => Phase::Ready,
         State::Draining => Phase::Draining,
-        State::Removed => Phase::Gone,
+        State::Removed => Phase::Removed,
     };
-    Entry {
+    Endpoint {
         phase,
         ..decisions::entry(number)
     }
--- a/crates/fleet-test/src/scale/discovery_server.rs
+++ b/crates/fleet-test/src/scale/discovery_server.rs
@@ -16,7 +16,7 @@
 /// A comment on each watch says that it lives.
 const COMMENT_EVERY: Duration = Duration::from_millis(500);
 /// Events that a hollow watch has not taken yet; one that lags by more is left behind, which its count shows.
-const MOST_UNREAD: usize = 4_096;
+const MAX_UNREAD: usize = 4_096;
 
 /// The number of the list that gateways start with.
 pub const FIRST_NUMBER: u64 = 1;
@@ -70,7 +70,7 @@
 
     /// A watch without a socket, which gets the events that all others get.
     pub fn watch(&mut self) -> Receiver<Arc<str>> {
-        let (sender, receiver) = sync_channel(MOST_UNREAD);
+        let (sender, receiver) = sync_channel(MAX_UNREAD);
         self.hollow.push(sender);
         receiver
     }
--- a/crates/fleet-test/src/scale/fit.rs
+++ b/crates/fleet-test/src/scale/fit.rs
@@ -5,7 +5,7 @@
 use super::measure::{Point, Series};
 
 /// A prediction that is off by more is no basis for a figure.
-pub const MOST_ERROR: f64 = 0.25;
+pub const MAX_ERROR: f64 = 0.25;
 /// A figure that grows by less over its whole axis, as a part of itself, counts as flat.
 const FLAT: f64 = 0.1;
 
@@ -61,7 +61,7 @@
 impl Prediction {
     /// Whether it is a basis for a figure.
     pub fn holds(&self) -> bool {
-        self.error <= MOST_ERROR
+        self.error <= MAX_ERROR
     }
 }
 
--- a/crates/fleet-test/src/scale/hollow_sweeps.rs
+++ b/crates/fleet-test/src/scale/hollow_sweeps.rs
@@ -70,7 +70,7 @@
         place: Place,
         cost: Cost,
     ) {
-        if place.1.gateways <= decisions::MOST_WITHOUT_SUBSETS {
+        if place.1.gateways <= decisions::MAX_WITHOUT_SUBSETS {
             return;
         }
         let visited = figure(visits, "engines a request");
@@ -102,7 +102,7 @@
                 place,
                 decisions::idle(fleet).bytes_a_gateway(),
             );
-            if place.1.gateways <= decisions::MOST_WITHOUT_SUBSETS {
+            if place.1.gateways <= decisions::MAX_WITHOUT_SUBSETS {
                 continue;
             }
             let held = self.decisions(decisions::Fleet {
--- a/crates/fleet-test/src/scale/node.rs
+++ b/crates/fleet-test/src/scale/node.rs
@@ -58,7 +58,7 @@
 
 impl Node {
     /// The gateway at a place among all of the fleet.
-    pub fn new(fleet: Fleet, place: usize, list: &[Entry]) -> Self {
+    pub fn new(fleet: Fleet, place: usize, list: &[Endpoint]) -> Self {
         let set = decisions::settings(&fleet, place % fleet.gateways);
         let seed = fleet.seed.wrapping_add(place as u64);
         let mut node = Node {
@@ -74,7 +74,7 @@
             list_visits: 0,
             spent: Duration::ZERO,
         };
-        node.listed(Event::FullList(list.to_vec()));
+        node.listed(Event::EndpointSnapshot(list.to_vec()));
         node
     }
 
@@ -171,22 +171,22 @@
             return;
         };
         let spent = self.time.now - open.sent_at;
-        let bill = Some(Bill {
+        let bill = Some(ResourceUsage {
             work: spent as f64,
             memory_mb: 40.0,
         });
         let (outcome, complete, told) = (Outcome::Answered, true, false);
-        let ended = Ended {
+        let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
             complete,
-            told,
-            bill,
+            already_reported: told,
+            usage: bill,
             report: None,
         };
-        self.handle(Event::Ended(ended));
+        self.handle(Event::AttemptEnded(ended));
     }
 
     fn handle(&mut self, event: Event) {
@@ -228,7 +228,7 @@
         (open.attempts, open.sent_at) = (attempt + 1, now);
         self.sent += 1;
         let began = Instant::now();
-        let begins = self.module.begins(now, request, attempt);
+        let begins = self.module.may_begin(now, request, attempt);
         self.spent += began.elapsed();
         let takes = if self.fleet.overloaded {
             HEAVY_WORK
@@ -238,17 +238,17 @@
         if begins {
             return self.time.at(takes, Happens::Ends { request, attempt });
         }
-        let (outcome, spent, complete, told) = (Outcome::Unsent, 0, false, false);
-        let ended = Ended {
+        let (outcome, spent, complete, told) = (Outcome::NotSent, 0, false, false);
+        let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
             complete,
-            told,
-            bill: None,
+            already_reported: told,
+            usage: None,
             report: None,
         };
-        self.handle(Event::Ended(ended));
+        self.handle(Event::AttemptEnded(ended));
     }
 }
--- a/crates/fleet-test/src/scale/processes.rs
+++ b/crates/fleet-test/src/scale/processes.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use eideryard::interface::Settings;
-use eideryard_settings::Tree;
 use eideryard_emulators::ledger::Answers;
 use eideryard_emulators::scenario::Scenario;
 use eideryard_emulators::scripted::{Client, Engine};
+use eideryard_settings::Tree;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
--- a/crates/fleet-test/src/scale/real_sweeps.rs
+++ b/crates/fleet-test/src/scale/real_sweeps.rs
@@ -212,7 +212,7 @@
 
     fn add_beside(&mut self, axis: Axis, place: Place, counted: Counted, list_events: u64) {
         checks::beside(&mut self.outcome, &counted, list_events);
-        let has_subsets = place.1.gateways > decisions::MOST_WITHOUT_SUBSETS;
+        let has_subsets = place.1.gateways > decisions::MAX_WITHOUT_SUBSETS;
         for visits in counted.visits_a_request.into_iter().filter(|_| has_subsets) {
             self.add(
                 hollow("together.visits", "engines a request"),
--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -3,12 +3,12 @@
 
 use std::time::Duration;
 
-use eideryard_leases::{self as owners, Task, Token};
+use eideryard_leases::{self as owners, FencingToken, Task};
 use eideryard_peer_transport::failure_detector::{Detector, BEAT};
-use eideryard_peer_transport::frame::{self, Carried};
+use eideryard_peer_transport::frame::{self, Frame};
+use eideryard_replication::entry::{Origin, Phase, WireRecord};
 use eideryard_replication::replica_set::Limits;
-use eideryard_replication::entry::{Origin, Phase, Travelling};
-use eideryard_replication::{Core, Message, Micros, Output, Peer, Plan};
+use eideryard_replication::{Config, Core, Message, Micros, Output, Peer};
 use rustix::time::{clock_gettime, ClockId};
 
 use crate::{owned, simulated};
@@ -67,7 +67,7 @@
 /// entries held.
 pub fn micros_a_vote(entries: u64) -> f64 {
     let mut core = voter_core(0, true, entries);
-    let asker = Peer::Asker(1);
+    let asker = Peer::Requester(1);
     core.link(0, asker, true);
     for number in 0..entries {
         core.hears(number, asker, claim(number));
@@ -75,19 +75,19 @@
     let before = thread_time();
     for number in entries..entries + TIMED_CLAIMS {
         let mut frame = Vec::new();
-        frame::write(&mut frame, &Carried::Told(claim(number)));
-        let Ok(Some((Carried::Told(message), _))) = frame::read::<Message>(&frame) else {
+        frame::write(&mut frame, &Frame::Message(claim(number)));
+        let Ok(Some((Frame::Message(message), _))) = frame::read::<Message>(&frame) else {
             continue;
         };
         for answer in sent(core.hears(number, asker, message)) {
-            frame::write(&mut frame, &Carried::Told(answer));
+            frame::write(&mut frame, &Frame::Message(answer));
         }
     }
     (thread_time() - before).as_secs_f64() * 1e6 / TIMED_CLAIMS as f64
 }
 
 fn claim(number: u64) -> Message {
-    let record = Travelling {
+    let record = WireRecord {
         version: 1,
         phase: Phase::Out,
         place: None,
@@ -183,7 +183,7 @@
 
 /// The core of a voter that may own so many tasks, all of which another gateway owns.
 pub fn lease_core(tasks: u32) -> LeaseCore {
-    let plan = owners::Plan {
+    let plan = owners::Config {
         keepers: 3,
         own: Some(0),
         owner: 1,
@@ -193,9 +193,9 @@
         kind: 1,
         number: number % tasks,
     };
-    let token = Token { term: 1, owner: 2 };
+    let token = FencingToken { term: 1, owner: 2 };
     (0..tasks).for_each(|number| core.wants(0, task(number)));
-    let ask = |number| owners::Message::Ask {
+    let ask = |number| owners::Message::VoteRequest {
         task: task(number),
         token,
     };
@@ -206,13 +206,13 @@
     let before = thread_time();
     for number in 0..TIMED {
         let mut bytes = Vec::new();
-        frame::write(&mut bytes, &Carried::Told(ask(number)));
-        let Ok(Some((Carried::Told(message), _))) = frame::read::<owners::Message>(&bytes) else {
+        frame::write(&mut bytes, &Frame::Message(ask(number)));
+        let Ok(Some((Frame::Message(message), _))) = frame::read::<owners::Message>(&bytes) else {
             continue;
         };
         for output in core.hears_asker(1, 1, message, true) {
             if let owners::Output::Asker(_, answer) = output {
-                frame::write(&mut bytes, &Carried::Told(answer));
+                frame::write(&mut bytes, &Frame::Message(answer));
             }
         }
     }
@@ -248,25 +248,25 @@
 pub fn transfer(entries: u64) -> Transfer {
     let mut giver = voter_core(0, true, entries);
     let mut taker = voter_core(1, false, entries);
-    giver.link(0, Peer::Asker(1), true);
+    giver.link(0, Peer::Requester(1), true);
     for number in 0..entries {
-        giver.hears(0, Peer::Asker(1), claim(number));
+        giver.hears(0, Peer::Requester(1), claim(number));
     }
     let (mut now, mut bytes, mut over) = (0, 0, false);
     let before = thread_time();
-    taker.link(now, Peer::Keeper(0), true);
+    taker.link(now, Peer::Voter(0), true);
     while !over && now < TRANSFER_HANGS {
         now += TRANSFER_LOOK;
         let mut to_giver = sent(taker.work(now));
         let mut to_taker = sent(giver.work(now));
         while let Some(message) = to_giver.pop() {
             bytes += frame_bytes(&message);
-            to_taker.extend(sent(giver.hears(now, Peer::Asker(1), message)));
+            to_taker.extend(sent(giver.hears(now, Peer::Requester(1), message)));
         }
         for message in to_taker {
             bytes += frame_bytes(&message);
             over |= matches!(message, Message::Part { last: true, .. });
-            taker.hears(now, Peer::Keeper(0), message);
+            taker.hears(now, Peer::Voter(0), message);
         }
     }
     Transfer {
@@ -278,7 +278,7 @@
 }
 
 fn voter_core(own: usize, whole: bool, entries: u64) -> Core {
-    let plan = Plan {
+    let plan = Config {
         keepers: 3,
         own: Some(own),
         longest: KEPT,
@@ -315,7 +315,7 @@
 
 fn frame_bytes(message: &Message) -> u64 {
     let mut bytes = Vec::new();
-    frame::write(&mut bytes, &Carried::Told(message.clone()));
+    frame::write(&mut bytes, &Frame::Message(message.clone()));
     bytes.len() as u64
 }
 
@@ -342,7 +342,7 @@
                 continue;
             };
             // Its own heartbeat, and the answer to that of the other end.
-            for carried in [Carried::<u32>::Beat(beat), Carried::Back(beat)] {
+            for carried in [Frame::<u32>::Heartbeat(beat), Frame::HeartbeatReply(beat)] {
                 let mut out = Vec::new();
                 frame::write(&mut out, &carried);
                 let read = frame::read::<u32>(&out);
--- a/crates/fleet-test/src/scale/shared_sweeps.rs
+++ b/crates/fleet-test/src/scale/shared_sweeps.rs
@@ -4,7 +4,7 @@
 use std::panic::resume_unwind;
 use std::thread::ScopedJoinHandle;
 
-use eideryard_leases::core::MOST_TASKS;
+use eideryard_leases::core::MAX_TASKS;
 
 use super::measure::{Axis, Figure, Size, Source};
 use super::replication;
@@ -23,7 +23,7 @@
 /// Tasks where the gateways of a fleet with leases vary.
 const FEW_TASKS: u32 = 64;
 /// Tasks at the core of one gateway; the last are all that it may know.
-const CORE_TASKS: [u32; 4] = [64, 512, 2_048, MOST_TASKS as u32];
+const CORE_TASKS: [u32; 4] = [64, 512, 2_048, MAX_TASKS as u32];
 /// One of so many gateways is lost in the simulated fleet with leases.
 const LOST_ONE_OF: usize = 7;
 const HEARTBEATS: u64 = 20;
--- a/crates/fleet-test/src/scale/sizes.rs
+++ b/crates/fleet-test/src/scale/sizes.rs
@@ -1,11 +1,11 @@
 //! Sizes of a scale run, and what of them the machine can't carry.
 
 use clap::Args;
-use eideryard_peer_transport::hub::MOST_LINKS;
+use eideryard_peer_transport::hub::MAX_LINKS;
 use thiserror::Error;
 
 /// Processes of a run in all: the real gateways, at the most.
-pub const MOST_PROCESSES: usize = 300;
+pub const MAX_PROCESSES: usize = 300;
 /// Part of the machine's memory that a run may take.
 const MEMORY_PART: f64 = 0.5;
 /// Bytes of a hollow gateway for each engine, and of a real one beside its clients: above what was measured.
@@ -26,7 +26,7 @@
 const RELOAD_PARTS: [usize; 3] = [8, 4, 2];
 
 /// Seconds for which a point is measured, at the most: the large form has some hundred of them.
-const MOST_SECONDS: f64 = 10.0;
+const MAX_SECONDS: f64 = 10.0;
 
 /// What a run is asked to play.
 #[derive(Args, Clone, Debug)]
@@ -104,7 +104,7 @@
         engines: usize,
     },
     /// A point lasts no time, or too long.
-    #[error("--seconds {0} is out of bounds; ask for more than 0 and {MOST_SECONDS} at the most")]
+    #[error("--seconds {0} is out of bounds; ask for more than 0 and {MAX_SECONDS} at the most")]
     Seconds(f64),
     /// Too few for a spread.
     #[error("--repeats {0} is too few for a spread; ask for at least 2")]
@@ -205,10 +205,10 @@
     /// Turns away what can't be played, before anything starts.
     pub fn check(&self, machine: Machine) -> Result<(), SizeError> {
         self.check_numbers()?;
-        if self.real > MOST_PROCESSES {
+        if self.real > MAX_PROCESSES {
             return Err(SizeError::Processes {
                 asked: self.real,
-                limit: MOST_PROCESSES,
+                limit: MAX_PROCESSES,
             });
         }
         let most = |sizes: &[usize]| sizes.iter().copied().max().unwrap_or(0) as u64;
@@ -233,7 +233,7 @@
             machine.descriptors,
             machine.descriptors.saturating_sub(fixed),
         );
-        let links = most(&self.gateways).min(MOST_LINKS as u64) * DESCRIPTORS_A_LINK;
+        let links = most(&self.gateways).min(MAX_LINKS as u64) * DESCRIPTORS_A_LINK;
         // Links to voters have ended before clients rest.
         if links > free && self.real > 0 {
             let gateways = free / DESCRIPTORS_A_LINK;
@@ -284,7 +284,7 @@
                 value: 0.0,
             });
         }
-        if !(self.seconds > 0.0 && self.seconds <= MOST_SECONDS) {
+        if !(self.seconds > 0.0 && self.seconds <= MAX_SECONDS) {
             return Err(SizeError::Seconds(self.seconds));
         }
         if self.hollow == 0 {
--- a/crates/fleet-test/src/scale/voter_sweeps.rs
+++ b/crates/fleet-test/src/scale/voter_sweeps.rs
@@ -3,7 +3,7 @@
 
 use std::io;
 
-use eideryard_peer_transport::hub::MOST_LINKS;
+use eideryard_peer_transport::hub::MAX_LINKS;
 
 use super::checks;
 use super::measure::{Axis, Figure, Source};
@@ -11,7 +11,7 @@
 use super::voters::{Idle, VoterFleet, SPARE_LINKS, VOTERS};
 
 /// Links of hollow gateways to each voter.
-const LINKS: [usize; 6] = [0, 25, 50, 100, 200, MOST_LINKS - SPARE_LINKS];
+const LINKS: [usize; 6] = [0, 25, 50, 100, 200, MAX_LINKS - SPARE_LINKS];
 /// Keyed requests a second of all gateways.
 const CLAIMS: [usize; 4] = [50, 100, 200, 400];
 
--- a/crates/fleet-test/src/scale/voters.rs
+++ b/crates/fleet-test/src/scale/voters.rs
@@ -9,11 +9,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use eideryard_gateway::links::{classes_fingerprint, Said};
-use eideryard_peer_transport::hub::Hub;
-use eideryard_peer_transport::{Heard, Hello, Plan};
 use eideryard_emulators::ledger::Answers;
 use eideryard_emulators::scripted::unused_address;
+use eideryard_gateway::links::{classes_fingerprint, PeerMessage};
+use eideryard_peer_transport::hub::Hub;
+use eideryard_peer_transport::{Config, Handshake, PeerEvent};
 
 use super::clients::Asks;
 use super::measure::Size;
@@ -54,7 +54,7 @@
 pub struct VoterFleet {
     fleet: Fleet,
     addresses: Vec<SocketAddr>,
-    links: Vec<Hub<Said>>,
+    links: Vec<Hub<PeerMessage>>,
 }
 
 fn operator_lines(number: usize, directory: &Path, addresses: &[SocketAddr]) -> Vec<String> {
@@ -133,9 +133,9 @@
         self.links.clear();
     }
 
-    fn hollow(&self, number: usize) -> io::Result<Hub<Said>> {
+    fn hollow(&self, number: usize) -> io::Result<Hub<PeerMessage>> {
         let settings = self.fleet.settings()?;
-        let hello = Hello {
+        let hello = Handshake {
             version: eideryard_peer_transport::handshake::VERSION,
             fleet: FLEET.into(),
             name: format!("h{number}"),
@@ -149,7 +149,7 @@
             .map(|(at, address)| (at, format!("g{at}"), *address))
             .collect();
         Hub::start(
-            Plan {
+            Config {
                 hello,
                 listen: None,
                 keepers,
@@ -226,8 +226,8 @@
 }
 
 /// Takes all that a hollow gateway received; how many of its links came up.
-fn links_that_came_up(hub: &mut Hub<Said>) -> usize {
+fn links_that_came_up(hub: &mut Hub<PeerMessage>) -> usize {
     std::iter::from_fn(|| hub.take())
-        .filter(|heard| matches!(heard, Heard::Up { .. }))
+        .filter(|heard| matches!(heard, PeerEvent::Up { .. }))
         .count()
 }
--- a/crates/fleet-test/src/simulated.rs
+++ b/crates/fleet-test/src/simulated.rs
@@ -8,9 +8,11 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use eideryard_intent_log::Place;
+use eideryard_replication::core::Counters;
 use eideryard_replication::replica_set::Limits;
-use eideryard_replication::core::Counted;
-use eideryard_replication::{Copy, Core, Message, Origin, Output, Peer, Plan, Told, Verdict};
+use eideryard_replication::{
+    Config, Core, Message, Origin, Output, Peer, PriorRuns, ReplicaRecord, Verdict,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -117,15 +119,15 @@
     paused_until: Micros,
     start: u64,
     identity: u64,
-    disk: BTreeMap<Vec<u8>, Copy>,
+    disk: BTreeMap<Vec<u8>, ReplicaRecord>,
     voted: bool,
     /// Written and not durable, with what follows.
-    unflushed: Vec<(Vec<u8>, Option<Copy>, Vec<Output>)>,
+    unflushed: Vec<(Vec<u8>, Option<ReplicaRecord>, Vec<Output>)>,
     flushing: bool,
     /// Keys that the store holds as sent or about to be, as the ledger has them.
     local: HashMap<usize, Local>,
     /// Claims under way: the request, its cell, when it was asked, what is known.
-    claims: HashMap<u64, (usize, u32, Micros, Told)>,
+    claims: HashMap<u64, (usize, u32, Micros, PriorRuns)>,
     numbers: u64,
     voted_at: Option<Micros>,
 }
@@ -240,9 +242,9 @@
         identity: u64,
         start: u64,
         whole: bool,
-        disk: &BTreeMap<Vec<u8>, Copy>,
+        disk: &BTreeMap<Vec<u8>, ReplicaRecord>,
     ) -> Core {
-        let plan = Plan {
+        let plan = Config {
             keepers: self.size.keepers,
             own: (at < self.size.keepers).then_some(at),
             longest: LONGEST,
@@ -361,7 +363,7 @@
         };
         self.figures.differ = keys.iter().filter(differs).count() as u64;
         for own in &self.gateways {
-            let Counted {
+            let Counters {
                 caught_up_bytes,
                 mended,
                 ..
--- a/crates/fleet-test/src/simulated/events.rs
+++ b/crates/fleet-test/src/simulated/events.rs
@@ -36,9 +36,9 @@
                 }
                 if stands {
                     let from = if to_keeper {
-                        Peer::Asker(link.0 as u64)
+                        Peer::Requester(link.0 as u64)
                     } else {
-                        Peer::Keeper(link.1)
+                        Peer::Voter(link.1)
                     };
                     let outputs = self.gateways[to].core.hears(self.time.now, from, message);
                     self.perform(to, outputs);
--- a/crates/fleet-test/src/simulated/links.rs
+++ b/crates/fleet-test/src/simulated/links.rs
@@ -14,8 +14,8 @@
         own.0 = up;
         own.1 += u64::from(up);
         let ends = [
-            (link.0, Peer::Keeper(link.1)),
-            (link.1, Peer::Asker(link.0 as u64)),
+            (link.0, Peer::Voter(link.1)),
+            (link.1, Peer::Requester(link.0 as u64)),
         ];
         for (at, peer) in ends {
             if self.gateways[at].up {
@@ -63,10 +63,10 @@
     pub(super) fn perform(&mut self, at: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Send(Peer::Keeper(keeper), message) => {
+                Output::Send(Peer::Voter(keeper), message) => {
                     self.send((at, keeper), true, message)
                 }
-                Output::Send(Peer::Asker(asker), message) => {
+                Output::Send(Peer::Requester(asker), message) => {
                     self.send((asker as usize, at), false, message)
                 }
                 Output::Store { key, copy, then } => {
--- a/crates/fleet-test/src/simulated/requests.rs
+++ b/crates/fleet-test/src/simulated/requests.rs
@@ -44,13 +44,13 @@
                 }),
                 own.since,
             )],
-            None => Told::new(),
+            None => PriorRuns::new(),
         };
         self.decide(request, gateway, known);
     }
 
     /// The module's rule on effects: within the one cell that may have run it, and within its window.
-    pub(super) fn decide(&mut self, request: usize, gateway: usize, known: Told) {
+    pub(super) fn decide(&mut self, request: usize, gateway: usize, known: PriorRuns) {
         let mut cells: Vec<_> = known
             .iter()
             .map(|(place, _)| place.map(|place| place.cell))
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -2,18 +2,20 @@
 
 use std::path::Path;
 
+use eideryard_emulators::golden;
 use eideryard_engine_protocol as engine_line;
-use eideryard_gateway::links::{classes_fingerprint, Said};
+use eideryard_gateway::links::{classes_fingerprint, PeerMessage};
 use eideryard_intent_log::{entry as intents, Intent, Place};
+use eideryard_leases::{self as owners, FencingToken, Task};
 use eideryard_msgpack_rpc as rpc;
-use eideryard_leases::{self as owners, Task, Token};
-use eideryard_peer_transport::frame::{self, Carried};
-use eideryard_peer_transport::Hello;
+use eideryard_peer_transport::frame::{self, Frame};
+use eideryard_peer_transport::Handshake;
 use eideryard_replication::drains::Drain;
-use eideryard_replication::entry::{self as copies, Copy, Origin, Phase, Record, Seen, Travelling};
-use eideryard_replication::message::{Entry, Message, Why};
-use eideryard_emulators::golden;
-use eideryard_store::{look, Batch, Directory, Plan, Store};
+use eideryard_replication::entry::{
+    self as copies, Origin, Phase, Record, ReplicaRecord, ReplicaView, WireRecord,
+};
+use eideryard_replication::message::{ClaimRejection, Entry, Message};
+use eideryard_store::{look, Batch, Config, Directory, Store};
 
 const KEY: &str = "00000000000000000000000000000abc";
 const AT_MS: u64 = 1_796_147_675_000;
@@ -27,7 +29,7 @@
     kind: 1,
     number: 17,
 };
-const TOKEN: Token = Token {
+const TOKEN: FencingToken = FencingToken {
     term: 5,
     owner: 0xbeef,
 };
@@ -42,7 +44,7 @@
     }
 }
 
-fn copy() -> Copy {
+fn copy() -> ReplicaRecord {
     let record = |version, phase, place| Record {
         version,
         phase,
@@ -51,7 +53,7 @@
         until: AT + 9_000_000,
         nominal_ms: AT_MS + 9_000,
     };
-    Copy::from([
+    ReplicaRecord::from([
         (ORIGIN, record(1, Phase::Out, Some(PLACE))),
         (Origin { start: 4, ..ORIGIN }, record(2, Phase::Void, None)),
         (
@@ -97,7 +99,7 @@
     let directory = tempfile::tempdir().expect("a directory");
     let files = Box::new(Directory::new(directory.path()));
     let (mut store, _) =
-        Store::open(files, Plan { budget: 1 << 24 }, AT_MS, 0xfeed).expect("a store");
+        Store::open(files, Config { budget: 1 << 24 }, AT_MS, 0xfeed).expect("a store");
     for (key, value) in stored() {
         let mut batch = Batch::default();
         batch.put(key, value, 0);
@@ -136,16 +138,16 @@
     assert_eq!(found, stored());
     assert_eq!(intents::from_bytes(&found[1].1), Some(intent(AT, 1, false)));
     assert_eq!(copies::from_bytes(&found[0].1), Some(copy()));
-    assert_eq!(postcard::from_bytes::<Token>(&found[4].1), Ok(TOKEN));
+    assert_eq!(postcard::from_bytes::<FencingToken>(&found[4].1), Ok(TOKEN));
     let directory = tempfile::tempdir().expect("a directory");
     copied(&golden::path("store"), directory.path());
     let files = Box::new(Directory::new(directory.path()));
-    let (store, found) = Store::open(files, Plan { budget: 1 << 24 }, AT_MS, 1).expect("a store");
+    let (store, found) = Store::open(files, Config { budget: 1 << 24 }, AT_MS, 1).expect("a store");
     assert_eq!((store.len(), found.start, found.torn), (6, 2, 0));
 }
 
-fn travelling() -> Travelling {
-    Travelling {
+fn travelling() -> WireRecord {
+    WireRecord {
         version: 300,
         phase: Phase::Ran,
         place: Some(PLACE),
@@ -156,14 +158,14 @@
 }
 
 /// Every message about replicas, leases included.
-fn messages() -> Vec<Said> {
+fn messages() -> Vec<PeerMessage> {
     let (key, origin, record) = (b"key".to_vec(), ORIGIN, travelling());
     let seen = vec![
-        Seen {
+        ReplicaView {
             place: Some(PLACE),
             age: 5,
         },
-        Seen {
+        ReplicaView {
             place: None,
             age: 0,
         },
@@ -172,7 +174,7 @@
         (ORIGIN, record),
         (
             ORIGIN,
-            Travelling {
+            WireRecord {
                 phase: Phase::Out,
                 place: None,
                 ..record
@@ -199,11 +201,11 @@
         Message::Claimed { number: 1, seen },
         Message::NotNow {
             number: 2,
-            why: Why::CatchingUp,
+            why: ClaimRejection::CatchingUp,
         },
         Message::NotNow {
             number: 2,
-            why: Why::Full,
+            why: ClaimRejection::Full,
         },
         Message::Update {
             key: key.clone(),
@@ -237,11 +239,11 @@
         },
         Message::Stands { votes: true },
     ];
-    let (task, token, greatest) = (TASK, TOKEN, Token { term: 6, owner: 1 });
+    let (task, token, greatest) = (TASK, TOKEN, FencingToken { term: 6, owner: 1 });
     let leases = vec![
-        owners::Message::Ask { task, token },
-        owners::Message::Given { task, token },
-        owners::Message::Denied {
+        owners::Message::VoteRequest { task, token },
+        owners::Message::VoteGranted { task, token },
+        owners::Message::VoteDenied {
             task,
             token,
             greatest,
@@ -253,7 +255,7 @@
             token,
             work: vec![9, 8],
         },
-        owners::Message::Stale {
+        owners::Message::StaleToken {
             task,
             token,
             greatest,
@@ -264,14 +266,14 @@
     ];
     replicas
         .into_iter()
-        .map(Said::Copies)
-        .chain(leases.into_iter().map(Said::Owners))
+        .map(PeerMessage::Copies)
+        .chain(leases.into_iter().map(PeerMessage::Owners))
         .collect()
 }
 
 #[test]
 fn frames_between_gateways_are_as_before() {
-    let hello = Hello {
+    let hello = Handshake {
         version: eideryard_peer_transport::handshake::VERSION,
         fleet: "north".into(),
         name: "g1".into(),
@@ -280,20 +282,20 @@
         identity: 0xfeed,
         start: 3,
     };
-    let mut carried: Vec<Carried<Said>> = vec![
-        Carried::Hello(hello),
-        Carried::Turned("another fleet".into()),
-        Carried::Beat(7),
-        Carried::Back(8),
+    let mut carried: Vec<Frame<PeerMessage>> = vec![
+        Frame::Handshake(hello),
+        Frame::Rejected("another fleet".into()),
+        Frame::Heartbeat(7),
+        Frame::HeartbeatReply(8),
     ];
-    carried.extend(messages().into_iter().map(Carried::Told));
+    carried.extend(messages().into_iter().map(Frame::Message));
     let mut bytes = Vec::new();
     for one in &carried {
         assert!(frame::write(&mut bytes, one));
     }
     golden::check("peer-frames.bin", &bytes);
     let (mut at, mut again) = (0, Vec::new());
-    while let Some((one, length)) = frame::read::<Said>(&bytes[at..]).expect("sound") {
+    while let Some((one, length)) = frame::read::<PeerMessage>(&bytes[at..]).expect("sound") {
         assert!(frame::write(&mut again, &one));
         at += length;
     }
@@ -313,7 +315,7 @@
 
 #[test]
 fn handshakes_are_as_before() {
-    let hello = Hello {
+    let hello = Handshake {
         version: eideryard_peer_transport::handshake::VERSION,
         fleet: "north".into(),
         name: "g2".into(),
@@ -322,13 +324,16 @@
         identity: 7,
         start: 1,
     };
-    let written = |hello: Hello| {
+    let written = |hello: Handshake| {
         let mut bytes = Vec::new();
-        assert!(frame::write(&mut bytes, &Carried::<Said>::Hello(hello)));
+        assert!(frame::write(
+            &mut bytes,
+            &Frame::<PeerMessage>::Handshake(hello)
+        ));
         bytes
     };
     golden::check("handshake-g2.bin", &written(hello.clone()));
-    let other = Hello {
+    let other = Handshake {
         name: "g3".into(),
         classes: hello.classes ^ 1,
         ..hello
--- a/crates/fleet-test/tests/processes.rs
+++ b/crates/fleet-test/tests/processes.rs
@@ -3,12 +3,12 @@
 
 use std::path::PathBuf;
 
+use eideryard_emulators::scenario::Scenario;
 use eideryard_fleet_test::check::Rule;
 use eideryard_fleet_test::minimize::minimize;
 use eideryard_fleet_test::plan::Plan;
 use eideryard_fleet_test::run::{program, run, Ran};
 use eideryard_fleet_test::world::play;
-use eideryard_emulators::scenario::Scenario;
 
 /// The tests of the whole workspace build the program; one package's tests alone don't.
 fn built() -> PathBuf {
--- a/crates/fleet-test/tests/scale.rs
+++ b/crates/fleet-test/tests/scale.rs
@@ -3,6 +3,7 @@
 use std::sync::mpsc::sync_channel;
 use std::time::Duration;
 
+use eideryard_emulators::ledger::Answers;
 use eideryard_fleet_test::processes::Ending;
 use eideryard_fleet_test::scale::checks::{self, grown};
 use eideryard_fleet_test::scale::control::Reloads;
@@ -15,7 +16,6 @@
 use eideryard_fleet_test::scale::together::{self, Together};
 use eideryard_fleet_test::scale::{discovery, replication, report};
 use eideryard_fleet_test::timeline::Timeline;
-use eideryard_emulators::ledger::Answers;
 
 const MACHINE: Machine = Machine {
     memory_bytes: 8 << 30,
--- a/crates/fleet-test/tests/voters.rs
+++ b/crates/fleet-test/tests/voters.rs
@@ -1,7 +1,7 @@
 //! Groups of gateways that vote together.
 
-use eideryard_fleet_test::voters::{groups, VoterGroup};
 use eideryard_emulators::scenario::Scenario;
+use eideryard_fleet_test::voters::{groups, VoterGroup};
 
 #[test]
 fn keepers_are_grouped_by_the_keepers_that_their_files_name() {
--- a/crates/gateway/src/checkpoint.rs
+++ b/crates/gateway/src/checkpoint.rs
@@ -1,7 +1,7 @@
 //! What the module has learned, as bytes in the store and back, with when it was and under which settings.
 //! What of it still counts the module decides.
 
-use eideryard::interface::{ClassLesson, EngineLesson, Lessons, Micros};
+use eideryard::interface::{ClassEstimates, EngineEstimates, LearnedState, Micros};
 use serde::{Deserialize, Serialize};
 
 /// A checkpoint is written this often, while anything happens.
@@ -25,7 +25,7 @@
 
 /// Why a checkpoint is not taken back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Void {
+pub enum CheckpointError {
     Unreadable,
     /// What it was learned under has changed.
     OtherSettings,
@@ -33,26 +33,30 @@
     Future,
 }
 
-impl Void {
+impl CheckpointError {
     pub fn reason(self) -> &'static str {
         match self {
-            Void::Unreadable => "they can't be read",
-            Void::OtherSettings => "the settings differ from those they were learned under",
-            Void::Future => "they are of a time that has not come: the clock stepped back",
+            CheckpointError::Unreadable => "they can't be read",
+            CheckpointError::OtherSettings => {
+                "the settings differ from those they were learned under"
+            }
+            CheckpointError::Future => {
+                "they are of a time that has not come: the clock stepped back"
+            }
         }
     }
 }
 
-pub fn to_bytes(lessons: &Lessons, at: Micros, settings: u64) -> Vec<u8> {
-    let class = |own: &ClassLesson| (own.work_ratio, own.memory_ratio, own.work, own.memory_mb);
-    let engine = |own: &EngineLesson| {
+pub fn to_bytes(lessons: &LearnedState, at: Micros, settings: u64) -> Vec<u8> {
+    let class = |own: &ClassEstimates| (own.work_ratio, own.memory_ratio, own.work, own.memory_mb);
+    let engine = |own: &EngineEstimates| {
         (
             own.engine,
             own.booted_at,
-            own.stretch,
-            own.best,
+            own.slowdown,
+            own.best_slowdown,
             own.bad,
-            own.others,
+            own.foreign_load,
         )
     };
     let checkpoint = Checkpoint {
@@ -60,16 +64,20 @@
         settings,
         classes: lessons.classes.iter().map(class).collect(),
         engines: lessons.engines.iter().map(engine).collect(),
-        level: lessons.level,
+        level: lessons.baseline_load,
     };
     // Plain numbers always can.
     postcard::to_stdvec(&checkpoint).unwrap_or_default()
 }
 
 /// What was learned, and how long ago.
-pub fn from_bytes(bytes: &[u8], now: Micros, settings: u64) -> Result<(Lessons, Micros), Void> {
+pub fn from_bytes(
+    bytes: &[u8],
+    now: Micros,
+    settings: u64,
+) -> Result<(LearnedState, Micros), CheckpointError> {
     let (told, rest): (Checkpoint, _) =
-        postcard::take_from_bytes(bytes).map_err(|_| Void::Unreadable)?;
+        postcard::take_from_bytes(bytes).map_err(|_| CheckpointError::Unreadable)?;
     let finite = |values: &[f64]| values.iter().all(|value| value.is_finite());
     let sound = told
         .classes
@@ -78,33 +86,33 @@
         && told.engines.iter().all(|e| finite(&[e.2, e.3, e.4, e.5]))
         && finite(&[told.level]);
     if !rest.is_empty() || !sound {
-        return Err(Void::Unreadable);
+        return Err(CheckpointError::Unreadable);
     }
     if told.settings != settings {
-        return Err(Void::OtherSettings);
+        return Err(CheckpointError::OtherSettings);
     }
-    let age = now.checked_sub(told.at).ok_or(Void::Future)?;
-    let class = |(work_ratio, memory_ratio, work, memory_mb)| ClassLesson {
+    let age = now.checked_sub(told.at).ok_or(CheckpointError::Future)?;
+    let class = |(work_ratio, memory_ratio, work, memory_mb)| ClassEstimates {
         work_ratio,
         memory_ratio,
         work,
         memory_mb,
     };
-    let engine = |(engine, booted_at, stretch, best, bad, others)| EngineLesson {
+    let engine = |(engine, booted_at, stretch, best, bad, others)| EngineEstimates {
         engine,
         booted_at,
-        stretch,
-        best,
+        slowdown: stretch,
+        best_slowdown: best,
         bad,
-        others,
+        foreign_load: others,
     };
     let classes = told.classes.into_iter().map(class).collect();
     let engines = told.engines.into_iter().map(engine).collect();
     Ok((
-        Lessons {
+        LearnedState {
             classes,
             engines,
-            level: told.level,
+            baseline_load: told.level,
         },
         age,
     ))
@@ -116,38 +124,45 @@
 
     #[test]
     fn a_checkpoint_comes_back_with_its_age_or_says_why_it_is_void() {
-        let classes = vec![ClassLesson {
+        let classes = vec![ClassEstimates {
             work_ratio: 1.5,
             memory_ratio: 0.7,
             work: 9.0,
             memory_mb: Some(3.0),
         }];
-        let lesson = EngineLesson {
+        let lesson = EngineEstimates {
             engine: 7,
             booted_at: 5,
-            stretch: 1.2,
-            best: 0.9,
+            slowdown: 1.2,
+            best_slowdown: 0.9,
             bad: 0.1,
-            others: 3.0,
+            foreign_load: 3.0,
         };
-        let lessons = Lessons {
+        let lessons = LearnedState {
             classes,
             engines: vec![lesson],
-            level: 0.5,
+            baseline_load: 0.5,
         };
         let bytes = to_bytes(&lessons, 100, 42);
         assert_eq!(from_bytes(&bytes, 130, 42), Ok((lessons.clone(), 30)));
-        assert_eq!(from_bytes(&bytes, 130, 43), Err(Void::OtherSettings));
-        assert_eq!(from_bytes(&bytes, 99, 42), Err(Void::Future));
-        (0..bytes.len())
-            .for_each(|at| assert_eq!(from_bytes(&bytes[..at], 130, 42), Err(Void::Unreadable)));
-        let broken = Lessons {
-            level: f64::NAN,
+        assert_eq!(
+            from_bytes(&bytes, 130, 43),
+            Err(CheckpointError::OtherSettings)
+        );
+        assert_eq!(from_bytes(&bytes, 99, 42), Err(CheckpointError::Future));
+        (0..bytes.len()).for_each(|at| {
+            assert_eq!(
+                from_bytes(&bytes[..at], 130, 42),
+                Err(CheckpointError::Unreadable)
+            )
+        });
+        let broken = LearnedState {
+            baseline_load: f64::NAN,
             ..lessons
         };
         assert_eq!(
             from_bytes(&to_bytes(&broken, 100, 42), 130, 42),
-            Err(Void::Unreadable)
+            Err(CheckpointError::Unreadable)
         );
     }
 }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -5,21 +5,21 @@
 use std::net::{IpAddr, SocketAddr, TcpListener};
 
 use eideryard::interface::Micros;
+use eideryard_event_log::CloseReason;
 use eideryard_msgpack_rpc::{decode, write_health, Message};
-use eideryard_event_log::Why;
 
-use crate::connection::{is_shortage, listen, Connection, Filled, Loop, Wake, Watched, MOST_READS};
+use crate::connection::{is_shortage, listen, Connection, Filled, Loop, Wake, Watched, MAX_READS};
 use crate::counters::Counters;
 use crate::deadlines::{DeadlineKey, Deadlines, Due};
 use crate::requests::{Call, Names};
 use crate::table::{Key, Table};
 
 /// Open requests on one connection, as the protocol allows.
-const MOST_OPEN: usize = 32;
+const MAX_OPEN: usize = 32;
 /// Time for the first request of a connection to come, and for the rest of a message that has begun. Clients
 /// are owed a word or a close within 3 s of connecting. This guards against connections that say nothing or
 /// stop half way; whoever has asked may stay for good.
-const MOST_SILENCE: Micros = 2_000_000;
+const MAX_SILENCE: Micros = 2_000_000;
 /// Usual clients ask within this time of connecting.
 const FIRST_WORD: Micros = 200_000;
 
@@ -89,7 +89,7 @@
 /// What became of a connection.
 pub enum Change {
     Came(IpAddr),
-    Ends(Why),
+    Ends(CloseReason),
     Gone,
 }
 
@@ -194,7 +194,7 @@
                                 messages: 0,
                                 closing: Closing::No,
                                 used_at: now,
-                                deadline: Some(due.set(now + MOST_SILENCE, Due::Client(key))),
+                                deadline: Some(due.set(now + MAX_SILENCE, Due::Client(key))),
                             });
                             counters.connections += 1;
                             self.tell(key, Change::Came(from.ip()));
@@ -277,7 +277,7 @@
                 self.close(key, due, heard);
             } else if self.unsent > self.most_unsent && left > fair {
                 counters.ended.deaf += 1;
-                self.tell(key, Change::Ends(Why::Deaf));
+                self.tell(key, Change::Ends(CloseReason::Deaf));
                 self.mute(key, now, due, heard);
             }
         }
--- a/crates/gateway/src/clients/closing.rs
+++ b/crates/gateway/src/clients/closing.rs
@@ -7,7 +7,7 @@
 /// How long a connection that gets no more from here is still read.
 const LINGER: Micros = 500_000;
 /// Connections that are looked at for one that is idle in truth: the first may all just have said something.
-const MOST_LOOKS: usize = 16;
+const MAX_LOOKS: usize = 16;
 
 impl Clients {
     /// Room for another connection, at the cost of the one that asked for nothing for the longest time; first
@@ -20,7 +20,7 @@
         counters: &mut Counters,
         heard: &mut Vec<Heard>,
     ) -> bool {
-        for _ in 0..MOST_LOOKS {
+        for _ in 0..MAX_LOOKS {
             let idle = self
                 .table
                 .iter()
@@ -44,7 +44,7 @@
             }
             if counters.bytes_in == before {
                 counters.ended.evicted += 1;
-                self.tell(key, Change::Ends(Why::Evicted));
+                self.tell(key, Change::Ends(CloseReason::Evicted));
                 self.close(key, due, heard);
                 return true;
             }
@@ -81,7 +81,7 @@
             }
         }
         counters.ended.silent += 1;
-        self.tell(key, Change::Ends(Why::Silent));
+        self.tell(key, Change::Ends(CloseReason::Silent));
         self.spoil(key, now, due, heard);
     }
 
--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -13,7 +13,7 @@
         counters: &mut Counters,
         heard: &mut Vec<Heard>,
     ) {
-        for _ in 0..MOST_READS {
+        for _ in 0..MAX_READS {
             let Some(client) = self.table.get_mut(key) else {
                 return;
             };
@@ -43,7 +43,7 @@
                         due.take_back(client.deadline.take());
                     }
                     if client.deadline.is_none() && left > 0 {
-                        client.deadline = Some(due.set(now + MOST_SILENCE, Due::Client(key)));
+                        client.deadline = Some(due.set(now + MAX_SILENCE, Due::Client(key)));
                     }
                     self.unread = self.unread + left - before;
                     let hoards = self.unread > self.most_unread
@@ -54,9 +54,9 @@
                         self.tell(
                             key,
                             Change::Ends(if understood {
-                                Why::Hoarding
+                                CloseReason::Hoarding
                             } else {
-                                Why::Malformed
+                                CloseReason::Malformed
                             }),
                         );
                         self.spoil(key, now, due, heard);
@@ -124,7 +124,7 @@
                     };
                     client.asked = true;
                     if client.open.iter().any(|(own, _)| *own == id)
-                        || client.open.len() >= MOST_OPEN
+                        || client.open.len() >= MAX_OPEN
                     {
                         break false;
                     }
@@ -166,7 +166,7 @@
             if client.open.iter().any(|(own, _)| *own == id) {
                 break false;
             }
-            let call = if client.open.len() < MOST_OPEN {
+            let call = if client.open.len() < MAX_OPEN {
                 call
             } else {
                 Err("one of too many")
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -24,7 +24,7 @@
     /// Settings of the decisions.
     pub settings: Settings,
     /// Settings of the host round them.
-    pub host: eideryard_settings::Host,
+    pub host: eideryard_settings::HostSettings,
 }
 
 /// Where the platform sets no limits, those that the operators promise at least.
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -33,7 +33,7 @@
 /// The most that is read at once, and the capacity that an emptied buffer keeps.
 const CHUNK: usize = 16 << 10;
 /// Reads of one connection in a row, before others get their turn.
-pub const MOST_READS: usize = 16;
+pub const MAX_READS: usize = 16;
 
 /// Bytes that came in and weren't used yet, or are to go out; one allocation, compacted in place.
 #[derive(Default)]
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -71,12 +71,12 @@
         *match outcome {
             Outcome::Answered => &mut self.answered,
             Outcome::Error => &mut self.error,
-            Outcome::Full => &mut self.full,
+            Outcome::AtCapacity => &mut self.full,
             Outcome::TimedOut => &mut self.timed_out,
             Outcome::NoConnection => &mut self.no_connection,
             Outcome::Broken => &mut self.broken,
             Outcome::Cancelled => &mut self.cancelled,
-            Outcome::Unsent => &mut self.unsent,
+            Outcome::NotSent => &mut self.unsent,
         } += 1;
     }
 }
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use eideryard::interface::Micros;
-use eideryard_discovery::{request, Heard, Item, Reader};
+use eideryard_discovery::{request, Item, Reader, StreamEvent};
 
-use crate::connection::{Connection, Filled, Loop, Wake, MOST_READS};
+use crate::connection::{Connection, Filled, Loop, Wake, MAX_READS};
 use crate::counters::Counters;
 use crate::deadlines::{DeadlineKey, Deadlines, Due};
 
@@ -151,7 +151,7 @@
         }
         connection.flush().map_err(|e| e.to_string())?;
         let mut heard = Vec::new();
-        for _ in 0..MOST_READS {
+        for _ in 0..MAX_READS {
             let filled = connection.fill().map_err(|e| e.to_string())?;
             let taken = reader
                 .take(connection.input.filled(), &mut heard)
@@ -162,7 +162,7 @@
                 due.renew(&mut self.deadline, now + SILENCE, Due::Bulletin);
             }
             for heard in heard.drain(..) {
-                let Heard::Event { data, .. } = heard else {
+                let StreamEvent::Event { data, .. } = heard else {
                     continue;
                 };
                 let item = Item::read(&data).map_err(|e| format!("an event can't be read: {e}"))?;
