--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -6,10 +6,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-use eideryard::interface::{Bill, EngineId, LoadReport, Micros, Note, Outcome};
+use eideryard::interface::{EngineId, LoadReport, Micros, Outcome, Progress, ResourceUsage};
 use eideryard_engine_protocol::{self as line, decode, Serve, Word};
 
-use crate::connection::{is_shortage, Connection, Filled, Loop, Wake, MOST_READS};
+use crate::connection::{is_shortage, Connection, Filled, Loop, Wake, MAX_READS};
 use crate::counters::Counters;
 use crate::deadlines::{Deadlines, Due};
 use crate::table::{Key, Table};
@@ -24,12 +24,12 @@
 
 /// Pages of one result that are asked for at once, whatever room there is: their answers may come in any
 /// order.
-const MOST_ASKED: usize = 64;
+const MAX_ASKED: usize = 64;
 /// Part of the idle time after which a connection is closed from this side, so that no request crosses the
 /// engine's own closing.
 const IDLE_PART: f64 = 0.8;
 /// Ids on a connection that ended without a result, before it takes no more requests.
-const MOST_ENDED: usize = 1024;
+const MAX_ENDED: usize = 1024;
 /// Note periods without a word after which a connection is held to be dead, if what it carries is given up.
 const QUIET_PERIODS: Micros = 2;
 
@@ -52,7 +52,7 @@
         request: Key,
         attempt: usize,
         pages: Vec<Vec<u8>>,
-        bill: Option<Bill>,
+        bill: Option<ResourceUsage>,
         report: Option<LoadReport>,
     },
     /// The next page of a result for the spool.
@@ -61,13 +61,13 @@
     Spooled {
         request: Key,
         attempt: usize,
-        bill: Option<Bill>,
+        bill: Option<ResourceUsage>,
         report: Option<LoadReport>,
     },
     Noted {
         request: Key,
         attempt: usize,
-        note: Note,
+        note: Progress,
     },
     Probed {
         engine: EngineId,
@@ -193,7 +193,7 @@
         let out = conn.connection.output.tail();
         match open.stage {
             Stage::Running => line::write_cancel(out, id),
-            Stage::Reading { .. } | Stage::Spooling { .. } => line::write_release(out, id),
+            Stage::Reading { .. } | Stage::ResultSpoolDriver { .. } => line::write_release(out, id),
         }
         // Nothing at all has come since: other requests may have an engine that still answers, on another
         // connection. This guards against one that stands and is of no further use.
@@ -214,7 +214,7 @@
         if !conn.open.is_empty() || !conn.probes.is_empty() {
             return;
         }
-        if conn.retired || conn.ended.len() >= MOST_ENDED {
+        if conn.retired || conn.ended.len() >= MAX_ENDED {
             self.close(key, Outcome::Broken, due, heard);
         } else if conn.connection.was_up() && conn.deadline.is_none() && idle > 0 {
             conn.deadline = Some(due.set(now + idle, Due::Conn(key)));
@@ -250,7 +250,7 @@
             }
         }
         self.unflushed.push(key);
-        for _ in 0..MOST_READS {
+        for _ in 0..MAX_READS {
             let Some(conn) = self.table.get_mut(key) else {
                 return false;
             };
@@ -305,7 +305,11 @@
             if let Some(deadline) = conn.probes.remove(answer.id) {
                 due.take_back(Some(deadline));
                 let up = answer.word == Word::Up;
-                let outcome = if up { Outcome::Answered } else { Outcome::Full };
+                let outcome = if up {
+                    Outcome::Answered
+                } else {
+                    Outcome::AtCapacity
+                };
                 heard.push(Heard::Probed {
                     engine: conn.engine,
                     outcome,
@@ -376,7 +380,7 @@
                         .as_mut()
                         .is_some_and(|begins| begins(request, attempt));
                 if !may && conn.withdraw(&id) {
-                    let outcome = Outcome::Unsent;
+                    let outcome = Outcome::NotSent;
                     heard.push(Heard::Over {
                         request,
                         attempt,
--- a/crates/gateway/src/engines/answers.rs
+++ b/crates/gateway/src/engines/answers.rs
@@ -2,17 +2,17 @@
 
 use std::collections::BTreeMap;
 
-use eideryard::interface::{Bill, LoadReport, Note, Outcome};
+use eideryard::interface::{LoadReport, Outcome, Progress, ResourceUsage};
 use eideryard_engine_protocol::{self as line, Answer, Fields, Word};
 
 use super::conn::{Open, Stage};
 use super::Heard;
 
 /// Pages of one result, and its bytes: the protocol allows 48,000, in pages of whole rows.
-const MOST_PAGES: usize = 256;
-const MOST_RESULT: usize = 48_000;
+const MAX_PAGES: usize = 256;
+const MAX_RESULT: usize = 48_000;
 /// Pages of a result that is spooled: the spool's budget for one result ends it sooner.
-const MOST_SPOOLED_PAGES: usize = 1 << 20;
+const MAX_SPOOLED_PAGES: usize = 1 << 20;
 
 /// What an answer means for the attempt that it answers; asks for what is still to come.
 pub(super) fn take(
@@ -37,7 +37,7 @@
             let count = answer
                 .fields
                 .number("count")
-                .filter(|count| (1..=MOST_SPOOLED_PAGES).contains(count));
+                .filter(|count| (1..=MAX_SPOOLED_PAGES).contains(count));
             let count = count.ok_or("a result with no readable number of pages")?;
             check_page(answer.payload)?;
             let (bill, report) = (bill(&answer.fields), report(&answer.fields));
@@ -54,7 +54,7 @@
                 }));
             }
             let (bytes, early) = (answer.payload.len(), BTreeMap::new());
-            open.stage = Stage::Spooling {
+            open.stage = Stage::ResultSpoolDriver {
                 count,
                 next: 1,
                 asked: 1,
@@ -66,7 +66,7 @@
             Ok(None)
         }
         (
-            Stage::Spooling {
+            Stage::ResultSpoolDriver {
                 count,
                 next,
                 asked,
@@ -148,7 +148,7 @@
             check_page(answer.payload)?;
             *place = Some(answer.payload.to_vec());
             *bytes += answer.payload.len();
-            if *bytes > MOST_RESULT {
+            if *bytes > MAX_RESULT {
                 return Err("a result is too long");
             }
             if pages.iter().any(Option::is_none) {
@@ -169,10 +169,10 @@
             attempt,
             note,
         })),
-        (Stage::Running, Word::Busy | Word::Void) => over(Outcome::Full),
+        (Stage::Running, Word::Busy | Word::Void) => over(Outcome::AtCapacity),
         (_, Word::Err) => over(Outcome::Error),
         // A second copy of the first page.
-        (Stage::Reading { .. } | Stage::Spooling { .. }, Word::Ok) => Ok(None),
+        (Stage::Reading { .. } | Stage::ResultSpoolDriver { .. }, Word::Ok) => Ok(None),
         _ => Err("an answer that fits nothing asked for"),
     }
 }
@@ -182,7 +182,7 @@
     answer
         .fields
         .number("count")
-        .filter(|count| (1..=MOST_PAGES).contains(count))
+        .filter(|count| (1..=MAX_PAGES).contains(count))
 }
 
 /// A page holds whole rows of three columns as text: what doesn't came spoilt, and so may all that follows.
@@ -197,21 +197,21 @@
 }
 
 /// What a good end says it cost: `ticks` is work in milliseconds, `footprint` memory in MB.
-fn bill(fields: &Fields) -> Option<Bill> {
+fn bill(fields: &Fields) -> Option<ResourceUsage> {
     let work: f64 = fields.number("ticks").filter(|work| *work > 0.0)?;
-    Some(Bill {
+    Some(ResourceUsage {
         work: work * 1e3,
         memory_mb: fields.number("footprint").unwrap_or(0.0),
     })
 }
 
-fn note(fields: &Fields) -> Option<Note> {
+fn note(fields: &Fields) -> Option<Progress> {
     let level: f64 = fields.number("reading").unwrap_or(0.0);
     match fields.get("remark")? {
-        "share" => Some(Note::Progress(level)),
-        "short" => Some(Note::Spilling(level)),
-        "held" if level == 2.0 => Some(Note::WaitsForLoad),
-        "held" => Some(Note::WaitsForMemory),
+        "share" => Some(Progress::Share(level)),
+        "short" => Some(Progress::Spilling(level)),
+        "held" if level == 2.0 => Some(Progress::WaitsForLoad),
+        "held" => Some(Progress::WaitsForMemory),
         _ => None,
     }
 }
--- a/crates/gateway/src/engines/conn.rs
+++ b/crates/gateway/src/engines/conn.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-use eideryard::interface::{Bill, EngineId, LoadReport, Micros};
+use eideryard::interface::{EngineId, LoadReport, Micros, ResourceUsage};
 use eideryard_engine_protocol as line;
 
 use crate::connection::Connection;
@@ -17,11 +17,11 @@
     Reading {
         pages: Vec<Option<Vec<u8>>>,
         bytes: usize,
-        bill: Option<Bill>,
+        bill: Option<ResourceUsage>,
         report: Option<LoadReport>,
     },
     /// The same for the spool: pages are handed on in order as they come, and asked for as it has room.
-    Spooling {
+    ResultSpoolDriver {
         count: usize,
         /// The next to hand on, and the next to ask for.
         next: usize,
@@ -30,7 +30,7 @@
         early: BTreeMap<usize, Vec<u8>>,
         /// Bytes handed on, for the size of a usual page.
         bytes: usize,
-        bill: Option<Bill>,
+        bill: Option<ResourceUsage>,
         report: Option<LoadReport>,
     },
 }
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -17,7 +17,7 @@
         let streams = self.limits.streams;
         let takes = |conn: &Conn| {
             let free =
-                conn.open.len() + conn.probes.len() < streams && conn.ended.len() < MOST_ENDED;
+                conn.open.len() + conn.probes.len() < streams && conn.ended.len() < MAX_ENDED;
             free && !conn.open.contains_key(serve.id) && !conn.ended.contains(serve.id)
         };
         let key = self.connection_to(now, engine, takes, due, counters)?;
@@ -65,14 +65,14 @@
         counters.dials += 1;
         if self.table.len() >= self.limits.connections && !self.close_idlest(due) {
             counters.dials_short += 1;
-            return Err(Outcome::Unsent);
+            return Err(Outcome::NotSent);
         }
         let key = self.table.next_key();
         let connection =
             Connection::dial(&self.events, address, Wake::Engine(key)).map_err(|e| {
                 tracing::debug!("no connection to engine {engine}: {e}");
                 let (count, outcome) = match is_shortage(&e) {
-                    true => (&mut counters.dials_short, Outcome::Unsent),
+                    true => (&mut counters.dials_short, Outcome::NotSent),
                     false => (&mut counters.dials_failed, Outcome::NoConnection),
                 };
                 *count += 1;
@@ -104,7 +104,7 @@
         let Some((key, _)) = conns.min_by_key(|(_, conn)| conn.heard_at) else {
             return false;
         };
-        self.close(key, Outcome::Unsent, due, &mut Vec::new());
+        self.close(key, Outcome::NotSent, due, &mut Vec::new());
         true
     }
 
@@ -177,7 +177,7 @@
         };
         let Some(Open {
             stage:
-                Stage::Spooling {
+                Stage::ResultSpoolDriver {
                     count,
                     next,
                     asked,
@@ -190,7 +190,7 @@
             return;
         };
         let page = (*bytes / (*next).max(1)).max(1) as u64;
-        let most = (ahead / page).clamp(0, MOST_ASKED as u64) as usize;
+        let most = (ahead / page).clamp(0, MAX_ASKED as u64) as usize;
         let before = *asked;
         while *asked < *count && *asked - *next < most {
             line::write_read(conn.connection.output.tail(), id, *asked);
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -2,23 +2,23 @@
 //! word of the host goes to the recorder, which never waits.
 
 use eideryard::interface::{Action, Event, Micros};
-use eideryard_operator_config::Record;
 use eideryard_event_log::entry::EntryRef;
 use eideryard_event_log::writer::Directory;
-use eideryard_event_log::{Host, Names, Plan, Recorder};
+use eideryard_event_log::{Config, Host, Names, Recorder};
+use eideryard_operator_config::EventLogConfig;
 
 #[derive(Default)]
-pub struct Tap {
+pub struct EventRecorder {
     recorder: Option<Box<(Recorder, Names)>>,
 }
 
-impl Tap {
+impl EventRecorder {
     /// A record that can't be started is said and done without.
-    pub fn start(name: &str, epoch: Micros, names: Names, record: Option<&Record>) -> Self {
+    pub fn start(name: &str, epoch: Micros, names: Names, record: Option<&EventLogConfig>) -> Self {
         let Some(record) = record else {
-            return Tap::default();
+            return EventRecorder::default();
         };
-        let plan = Plan {
+        let plan = Config {
             name: name.to_string(),
             epoch,
             budget: record.budget,
@@ -29,12 +29,12 @@
             tenants: names.tenants.len(),
         };
         match Recorder::start(plan, Box::new(Directory(record.directory.clone()))) {
-            Ok(recorder) => Tap {
+            Ok(recorder) => EventRecorder {
                 recorder: Some(Box::new((recorder, names))),
             },
             Err(e) => {
                 tracing::error!("no record is kept: {e}");
-                Tap::default()
+                EventRecorder::default()
             }
         }
     }
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -31,7 +31,7 @@
     let kept = classes
         .iter()
         .enumerate()
-        .filter(|(_, class)| class.effect != Effect::Safe);
+        .filter(|(_, class)| class.effect != Effect::Idempotent);
     let lines: Vec<String> = kept
         .map(|(index, class)| {
             let (effect, scope) = (effect_name(class.effect), scope_name(class.scope));
@@ -46,9 +46,9 @@
 
 fn effect_name(effect: Effect) -> &'static str {
     match effect {
-        Effect::Safe => "Safe",
-        Effect::Keyed => "Keyed",
-        Effect::Unsafe => "Unsafe",
+        Effect::Idempotent => "Safe",
+        Effect::IdempotentWithKey => "Keyed",
+        Effect::NonIdempotent => "Unsafe",
     }
 }
 
@@ -98,19 +98,19 @@
             .field("largest_share", &settings.largest_share)
             .field("max_attempts", &settings.max_attempts)
             .field("may_cancel", &settings.may_cancel)
-            .field("may_duplicate", &settings.may_duplicate)
+            .field("may_duplicate", &settings.hedging_allowed)
             .field("may_probe", &settings.may_probe)
             .field("counts_by_probe", &settings.counts_by_probe)
-            .field("may_advise", &settings.may_advise)
-            .field("max_advice", &settings.max_advice)
-            .field("fall_multiple", &settings.fall_multiple)
-            .field("fall_window", &settings.fall_window)
+            .field("may_advise", &settings.retry_after_allowed)
+            .field("max_advice", &settings.max_retry_after)
+            .field("fall_multiple", &settings.overload_multiple)
+            .field("fall_window", &settings.overload_window)
             .field("start_capacity", &settings.start_capacity)
-            .field("warm_within", &settings.warm_within)
-            .field("order_pause", &settings.order_pause)
+            .field("warm_within", &settings.warm_up_duration)
+            .field("order_pause", &settings.ordering_delay)
             .field("attempt_budget", &budget)
-            .field("ask_every", &settings.ask_every)
-            .field("over_share_worth", &settings.over_share_worth)
+            .field("ask_every", &settings.poll_interval)
+            .field("over_share_worth", &settings.over_quota_weight)
             .field("cross_zone_tariff", &settings.cross_zone_tariff)
             .field("probe_tariff", &settings.probe_tariff)
             .finish()
@@ -123,9 +123,9 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let class = self.0;
         f.debug_struct("Class")
-            .field("aim", &class.aim)
-            .field("aim_stretch", &class.aim_stretch)
-            .field("worth", &class.worth)
+            .field("aim", &class.latency_objective)
+            .field("aim_stretch", &class.latency_objective_per_work)
+            .field("worth", &class.priority_weight)
             .field("effect", &Bare(effect_name(class.effect)))
             .field("scope", &Bare(scope_name(class.scope)))
             .field("window", &class.window)
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -1,11 +1,11 @@
 //! Fingerprints, checkpoints and counters as an earlier version wrote them.
 
 use super::*;
-use crate::counters::Counters;
 use crate::checkpoint::{from_bytes, to_bytes};
-use eideryard::interface::{ClassLesson, EngineLesson, Lessons};
-use eideryard_settings::{settings, Tree};
+use crate::counters::Counters;
+use eideryard::interface::{ClassEstimates, EngineEstimates, LearnedState};
 use eideryard_emulators::golden;
+use eideryard_settings::{settings, Tree};
 
 /// Every setting that there is.
 const SETTINGS: &str = r#"{
@@ -51,24 +51,24 @@
 
 #[test]
 fn a_checkpoint_is_written_and_read_as_before() {
-    let class = |memory_mb| ClassLesson {
+    let class = |memory_mb| ClassEstimates {
         work_ratio: 1.5,
         memory_ratio: 0.7,
         work: 9.0,
         memory_mb,
     };
-    let engine = EngineLesson {
+    let engine = EngineEstimates {
         engine: 7,
         booted_at: 5,
-        stretch: 1.2,
-        best: 0.9,
+        slowdown: 1.2,
+        best_slowdown: 0.9,
         bad: 0.1,
-        others: 3.0,
+        foreign_load: 3.0,
     };
-    let lessons = Lessons {
+    let lessons = LearnedState {
         classes: vec![class(Some(3.0)), class(None)],
         engines: vec![engine],
-        level: 0.5,
+        baseline_load: 0.5,
     };
     let fingerprint = settings_fingerprint(&sample());
     golden::check("checkpoint.bin", &to_bytes(&lessons, 100, fingerprint));
@@ -83,8 +83,8 @@
         Counters::default(),
         crate::intent_durability::Counted::default(),
         crate::result_spool::Spooled::default(),
-        eideryard_replication::core::Counted::default(),
-        eideryard_leases::core::Counted::default(),
+        eideryard_replication::core::Counters::default(),
+        eideryard_leases::core::Counters::default(),
     );
     golden::check("counters.txt", text.as_bytes());
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -7,11 +7,11 @@
 
 use eideryard::balancer;
 use eideryard::interface::*;
-use eideryard_discovery::{Item, Listed, State};
+use eideryard_discovery::{DiscoveredEngine, Item, State};
 use eideryard_engine_protocol::Serve;
+use eideryard_event_log::{AnswerKind, Host, ListedEngine, Offer, OpenRequest, RejectReason};
 use eideryard_msgpack_rpc::{write_error, write_part, write_result};
-use eideryard_operator_config::Operator;
-use eideryard_event_log::{AnswerKind, Host, Listed as Told, NotTaken as Untaken, Offer, OpenRequest};
+use eideryard_operator_config::OperatorConfig;
 use eideryard_replication::drains::Drain;
 
 use crate::clients::{self, Clients};
@@ -20,23 +20,23 @@
 use crate::connection::{Loop, Wake, Wakes};
 use crate::counters::Counters;
 use crate::deadlines::{Deadlines, Due};
+use crate::discovery_watch::Watch;
 use crate::engines::{self, Engines};
-use crate::intent_durability::{Keeping, Ready, Sending, Waiting};
-use crate::requests::{self, place, Attempt, Call, Names, NotTaken, Requests};
+use crate::event_recorder::EventRecorder;
+use crate::intent_durability::{IntentDurability, Ready, Sending, Waiting};
 use crate::replication::About;
+use crate::requests::{self, place, Attempt, Call, Names, NotTaken, Requests};
+use crate::result_spool::{ResultSpoolDriver, Told as Word, Waiter};
 use crate::shutdown::{Left, Phase as Stage, Shutdown, Step};
-use crate::result_spool::{Spooling, Told as Word, Waiter};
 use crate::table::Key;
-use crate::event_recorder::Tap;
-use crate::discovery_watch::Watch;
 
 mod actions;
 mod attempt_outcomes;
-mod request_intake;
 mod endpoint_updates;
+mod reporting;
+mod request_intake;
 mod result_delivery;
 mod shutdown_steps;
-mod reporting;
 
 /// Descriptors for what is neither a client nor an engine: listener, bulletin, event loop, signals, standard
 /// ones.
@@ -54,9 +54,9 @@
     requests: Requests,
     names: Names,
     pub counters: Counters,
-    tap: Tap,
-    spooling: Option<Box<Spooling>>,
-    keeping: Option<Box<Keeping>>,
+    tap: EventRecorder,
+    spooling: Option<Box<ResultSpoolDriver>>,
+    keeping: Option<Box<IntentDurability>>,
     /// Requests whose results are coming into the spool.
     coming: std::collections::BTreeSet<Key>,
     events: VecDeque<Event>,
@@ -65,9 +65,9 @@
     longest_wait: Micros,
     /// Names of engines by their numbers, and what the list said last of each.
     engine_names: BTreeMap<EngineId, String>,
-    last_listed: BTreeMap<EngineId, Told>,
+    last_listed: BTreeMap<EngineId, ListedEngine>,
     /// The same for the module, where peers' lists count too.
-    last_entries: BTreeMap<EngineId, Entry>,
+    last_entries: BTreeMap<EngineId, Endpoint>,
     from_clients: Vec<clients::Heard>,
     from_engines: Vec<engines::Heard>,
     shutdown: Shutdown,
@@ -76,7 +76,7 @@
 impl Gateway {
     pub fn start(
         config: Config,
-        operator: &Operator,
+        operator: &OperatorConfig,
         clock: Clock,
         events: &Loop,
     ) -> io::Result<Self> {
@@ -96,7 +96,12 @@
                     .insert_source(woken, |(), _, wakes| wakes.push(Wake::Spool))
                     .map_err(io::Error::other)?;
                 let wake = Box::new(move || ping.ping());
-                Some(Box::new(Spooling::start(&config.name, now, plan, wake)?))
+                Some(Box::new(ResultSpoolDriver::start(
+                    &config.name,
+                    now,
+                    plan,
+                    wake,
+                )?))
             }
             None => None,
         };
@@ -111,7 +116,7 @@
                 let wake = Box::new(move || ping.ping());
                 let (settings, memory_mb) = (&config.settings, config.memory_mb);
                 let (mut keeping, shared) =
-                    Keeping::start(plan, settings, memory_mb, now, random, wake);
+                    IntentDurability::start(plan, settings, memory_mb, now, random, wake);
                 if let Some(fleet) = &operator.fleet {
                     let (ping, woken) = calloop::ping::make_ping()?;
                     events
@@ -121,7 +126,7 @@
                         name: &config.name,
                         settings,
                         longest_wait: config.host.longest_wait,
-                        entries: Keeping::room_for_copies(memory_mb),
+                        entries: IntentDurability::room_for_copies(memory_mb),
                         now,
                         seed: random,
                     };
@@ -131,7 +136,7 @@
             }
             None => None,
         };
-        let tap = Tap::start(
+        let tap = EventRecorder::start(
             &config.name,
             now,
             names.of_record(),
@@ -163,7 +168,7 @@
             coming: Default::default(),
             events: VecDeque::new(),
             actions: Vec::new(),
-            may_advise: config.settings.may_advise,
+            may_advise: config.settings.retry_after_allowed,
             longest_wait: config.host.longest_wait,
             engine_names: BTreeMap::new(),
             last_listed: BTreeMap::new(),
@@ -191,7 +196,10 @@
             .as_mut()
             .and_then(|keeping| keeping.lessons())
         {
-            gateway.events.push_back(Event::Remembered { lessons, age });
+            gateway.events.push_back(Event::CheckpointRestored {
+                learned: lessons,
+                age,
+            });
         }
         gateway.settle();
         tracing::info!("{} listens on {}", config.name, gateway.clients.address()?);
@@ -368,7 +376,7 @@
             .flush(self.clock.now(), &mut self.due, &mut self.counters, heard);
         self.hear_clients();
         let (now, module) = (self.clock.now(), &mut self.module);
-        let mut begins = |request: Key, attempt| module.begins(now, request.number(), attempt);
+        let mut begins = |request: Key, attempt| module.may_begin(now, request.number(), attempt);
         let begins: Option<&mut dyn FnMut(Key, usize) -> bool> = match self.events.is_empty() {
             true => Some(&mut begins),
             false => None,
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -8,7 +8,7 @@
             self.tap.action(now, &action);
         }
         match action {
-            Action::Terms {
+            Action::Grant {
                 request,
                 grant_mb,
                 rank,
@@ -16,8 +16,8 @@
             Action::Send {
                 request,
                 engine,
-                give_up_at,
-            } => self.send(now, Key::from_number(request), engine, give_up_at),
+                attempt_deadline,
+            } => self.send(now, Key::from_number(request), engine, attempt_deadline),
             Action::Probe { engine } => {
                 if let Some(report) = self
                     .keeping
@@ -69,9 +69,9 @@
             }
             // The bulletin tells of changes by itself, whenever it can be reached.
             Action::Subscribe if self.watch.is_up() => {
-                self.events.push_back(Event::ListChanges(Vec::new()))
+                self.events.push_back(Event::EndpointChanges(Vec::new()))
             }
-            Action::Subscribe => self.events.push_back(Event::ListFailed),
+            Action::Subscribe => self.events.push_back(Event::DiscoveryFailed),
             Action::Log(text) => tracing::info!("{}", self.with_names(&text)),
         }
     }
@@ -99,7 +99,7 @@
             &Action::Send {
                 request: key.number(),
                 engine,
-                give_up_at,
+                attempt_deadline: give_up_at,
             },
         );
         let attempt = request.attempts.len();
@@ -133,14 +133,14 @@
         });
         match sending {
             Sending::Now => self.dispatch(now, key, attempt, engine, give_up_at),
-            Sending::Not => self.over(key, attempt, Outcome::Unsent, false, None, None),
+            Sending::Not => self.over(key, attempt, Outcome::NotSent, false, None, None),
             Sending::Untold(ran) => {
                 request.earlier.push(ran);
-                self.events.push_back(Event::RanBefore {
+                self.events.push_back(Event::PriorAttempts {
                     request: key.number(),
-                    earlier: vec![ran],
+                    prior_attempts: vec![ran],
                 });
-                self.over(key, attempt, Outcome::Unsent, false, None, None);
+                self.over(key, attempt, Outcome::NotSent, false, None, None);
             }
             Sending::Waits { ticket, claim, ran } => {
                 request.earlier.push(ran);
@@ -184,7 +184,7 @@
             statement: &request.statement,
         };
         let conn = match wait_ms {
-            0 => Err(Outcome::Unsent),
+            0 => Err(Outcome::NotSent),
             _ => {
                 let tried = (key, attempt, request.spooled);
                 self.engines.send(
@@ -216,7 +216,7 @@
             return;
         };
         if keeping.wants_lessons(now) {
-            keeping.learns(now, &self.module.lessons());
+            keeping.learns(now, &self.module.learned_state());
         }
         let (Ready { go, late, earlier }, words) = (keeping.work(now), keeping.words());
         words
@@ -247,7 +247,10 @@
             }));
         }
         if let Some((lessons, age)) = hints {
-            self.events.push_back(Event::Remembered { lessons, age });
+            self.events.push_back(Event::CheckpointRestored {
+                learned: lessons,
+                age,
+            });
         }
         for Waiting {
             request,
@@ -269,7 +272,7 @@
             match own.is_none_or(|(own, keeping)| keeping.in_time(now, own.class, &own.earlier)) {
                 true => self.dispatch(now, request, attempt, engine, give_up_at),
                 // The module decides anew, by the time that it is now.
-                false => self.over(request, attempt, Outcome::Unsent, false, None, None),
+                false => self.over(request, attempt, Outcome::NotSent, false, None, None),
             }
         }
         for (
@@ -284,13 +287,13 @@
             };
             own.earlier.extend(ran.iter().copied());
             // The module knows it before it hears that the attempt was not sent.
-            self.events.push_back(Event::RanBefore {
+            self.events.push_back(Event::PriorAttempts {
                 request: request.number(),
-                earlier: ran,
+                prior_attempts: ran,
             });
-            self.give_up(request, attempt, Outcome::Unsent);
+            self.give_up(request, attempt, Outcome::NotSent);
         }
-        let wait = (eideryard_intent_log::state::ADVICE / 1000).to_string();
+        let wait = (eideryard_intent_log::state::RETRY_AFTER / 1000).to_string();
         for (
             Waiting {
                 request, attempt, ..
@@ -307,7 +310,7 @@
                     request: request.number(),
                 });
             }
-            self.give_up(request, attempt, Outcome::Unsent);
+            self.give_up(request, attempt, Outcome::NotSent);
             if alone {
                 let advice = [("why", why.name()), ("w", wait.as_str())];
                 let advice = if self.may_advise {
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -37,10 +37,10 @@
                     request,
                     attempt,
                     note,
-                } => self.events.push_back(Event::Noted {
+                } => self.events.push_back(Event::ProgressReported {
                     request: request.number(),
                     attempt,
-                    note,
+                    progress: note,
                 }),
                 engines::Heard::Probed {
                     engine,
@@ -107,7 +107,7 @@
         attempt: usize,
         outcome: Outcome,
         told: bool,
-        bill: Option<Bill>,
+        bill: Option<ResourceUsage>,
         report: Option<LoadReport>,
     ) {
         let Some(request) = self.requests.get_mut(key) else {
@@ -126,7 +126,7 @@
         {
             let never_ran = matches!(
                 outcome,
-                Outcome::Full | Outcome::NoConnection | Outcome::Unsent
+                Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent
             );
             keeping.ended(
                 self.clock.now(),
@@ -136,14 +136,14 @@
             );
         }
         self.counters.attempts.count(outcome);
-        self.events.push_back(Event::Ended(Ended {
+        self.events.push_back(Event::AttemptEnded(AttemptEnded {
             request: key.number(),
             attempt,
             outcome,
             spent: self.clock.now().saturating_sub(tried.sent_at),
             complete: request.answered,
-            told,
-            bill,
+            already_reported: told,
+            usage: bill,
             report,
         }));
         if tracing::enabled!(tracing::Level::DEBUG) {
@@ -162,7 +162,7 @@
             return;
         };
         if tried.waits {
-            return self.over(key, attempt, Outcome::Unsent, false, None, None);
+            return self.over(key, attempt, Outcome::NotSent, false, None, None);
         }
         let Some(conn) = tried.conn else { return };
         let (now, due, heard) = (self.clock.now(), &mut self.due, &mut self.from_engines);
@@ -170,7 +170,7 @@
         self.over(
             key,
             attempt,
-            if sent { outcome } else { Outcome::Unsent },
+            if sent { outcome } else { Outcome::NotSent },
             false,
             None,
             None,
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -6,7 +6,7 @@
 impl Gateway {
     pub(super) fn listed(&mut self, item: Item) {
         let Some(roster) = item.roster else { return };
-        let mut entries: Vec<Entry> = roster
+        let mut entries: Vec<Endpoint> = roster
             .hosts
             .iter()
             .map(|listed| self.entry(listed))
@@ -14,7 +14,7 @@
         self.share_drains(item.no, &mut entries);
         for (entry, listed) in entries.iter().zip(&roster.hosts) {
             let address = match entry.phase {
-                Phase::Gone => None,
+                Phase::Removed => None,
                 _ => engines::address(&listed.dial)
                     .inspect_err(|e| tracing::warn!("engine {}: {e}", listed.host))
                     .ok(),
@@ -42,11 +42,11 @@
                     .unlisted(engine, &mut self.due, &mut self.from_engines);
             }
         }
-        let takes_away = roster.whole || entries.iter().any(|entry| entry.phase == Phase::Gone);
+        let takes_away = roster.whole || entries.iter().any(|entry| entry.phase == Phase::Removed);
         let event = if roster.whole {
-            Event::FullList(entries)
+            Event::EndpointSnapshot(entries)
         } else {
-            Event::ListChanges(entries)
+            Event::EndpointChanges(entries)
         };
         // What the list ended comes after the list itself.
         self.events.push_back(event);
@@ -76,7 +76,7 @@
     }
 
     /// Drains of the own list are told to peers; what a peer's newer list forbids binds here too.
-    pub(super) fn share_drains(&mut self, number: u64, entries: &mut [Entry]) {
+    pub(super) fn share_drains(&mut self, number: u64, entries: &mut [Endpoint]) {
         let now = self.clock.now();
         let Some(keeping) = &mut self.keeping else {
             return;
@@ -86,7 +86,7 @@
             number,
             engine: entry.engine,
             booted_at: entry.booted_at,
-            gone: entry.phase == Phase::Gone,
+            gone: entry.phase == Phase::Removed,
         });
         keeping.drained(now, told.collect());
         for entry in entries
@@ -121,15 +121,15 @@
         }
         if !bound.is_empty() {
             keeping.counted.drains_heard += bound.len() as u64;
-            self.events.push_back(Event::ListChanges(bound));
+            self.events.push_back(Event::EndpointChanges(bound));
         }
     }
 
-    pub(super) fn tell_listed(&mut self, entry: &Entry, listed: &Listed) {
+    pub(super) fn tell_listed(&mut self, entry: &Endpoint, listed: &DiscoveredEngine) {
         if !self.tap.is_on() {
             return;
         }
-        let told = Told {
+        let told = ListedEngine {
             engine: entry.engine,
             name: listed.host.clone(),
             address: listed.dial.clone(),
@@ -142,7 +142,7 @@
         self.last_listed.insert(entry.engine, told);
     }
 
-    pub(super) fn entry(&mut self, listed: &Listed) -> Entry {
+    pub(super) fn entry(&mut self, listed: &DiscoveredEngine) -> Endpoint {
         let engine = self.number(&listed.host);
         let position = |names: &[String], name: &str, what| {
             let known = place(names, name);
@@ -154,7 +154,7 @@
             }
             known.unwrap_or(names.len()) as u32
         };
-        Entry {
+        Endpoint {
             engine,
             zone: position(&self.names.zones, &listed.site, "zone"),
             kind: position(&self.names.kinds, &listed.class, "kind"),
@@ -162,7 +162,7 @@
             phase: match listed.health {
                 State::Up => Phase::Ready,
                 State::Draining => Phase::Draining,
-                State::Removed => Phase::Gone,
+                State::Removed => Phase::Removed,
             },
             booted_at: listed.born_ms.saturating_mul(1000),
         }
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -103,7 +103,7 @@
         );
     }
 
-    pub(super) fn tell_untaken(&mut self, how: Untaken, of: Option<(usize, usize)>) {
+    pub(super) fn tell_untaken(&mut self, how: RejectReason, of: Option<(usize, usize)>) {
         let (class, tenant) = (of.map(|of| of.0), of.map(|of| of.1));
         self.tap
             .host(self.clock.now(), Host::NotTaken { how, class, tenant });
@@ -112,7 +112,7 @@
     /// The last word of the record, the store and of the log.
     pub fn end(&mut self) {
         if let Some(keeping) = &mut self.keeping {
-            keeping.learns(self.clock.now(), &self.module.lessons());
+            keeping.learns(self.clock.now(), &self.module.learned_state());
         }
         self.tell_changes();
         let counters = self
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -12,7 +12,7 @@
             (Some(false), _) => return self.invalid(client, id, "one behind it"),
             (None, _) => {
                 self.counters.lost += 1;
-                self.tell_untaken(Untaken::Gone, None);
+                self.tell_untaken(RejectReason::Gone, None);
                 return;
             }
         };
@@ -46,7 +46,7 @@
             if let Err((wait, why)) = spooling.admit(of.0, of.1, address, now) {
                 self.counters.refused += 1;
                 self.counters.no_room += 1;
-                self.tell_untaken(Untaken::NoRoom, Some(of));
+                self.tell_untaken(RejectReason::NoRoom, Some(of));
                 let wait = wait.map(|wait| (wait / 1000).to_string());
                 let mut fields = vec![("why", why)];
                 fields.extend(
@@ -84,7 +84,7 @@
             work: call.work,
             memory_mb: call.memory_mb,
             group: call.group.unwrap_or(0),
-            earlier: earlier.clone(),
+            prior_attempts: earlier.clone(),
         };
         let request = match self.requests.insert(client, id, now, deadline, call) {
             Ok(request) => request,
@@ -92,7 +92,7 @@
             Err(NotTaken::NoRoom) => {
                 self.counters.refused += 1;
                 self.counters.no_room += 1;
-                self.tell_untaken(Untaken::NoRoom, Some(of));
+                self.tell_untaken(RejectReason::NoRoom, Some(of));
                 self.clients
                     .answer(client, id, |out| write_error(out, id, "TryLater", &[]));
                 return;
@@ -129,11 +129,11 @@
     }
 
     /// A keyed request is not taken, since its intent can't be kept now.
-    fn no_store(&mut self, client: Key, id: u32, of: (usize, usize), why: Untaken) {
+    fn no_store(&mut self, client: Key, id: u32, of: (usize, usize), why: RejectReason) {
         self.counters.refused += 1;
         self.counters.no_room += 1;
         self.tell_untaken(why, Some(of));
-        let wait = (eideryard_intent_log::state::ADVICE / 1000).to_string();
+        let wait = (eideryard_intent_log::state::RETRY_AFTER / 1000).to_string();
         let mut fields = vec![("why", why.name())];
         fields.extend(Some(("w", wait.as_str())).filter(|_| self.may_advise));
         self.clients
@@ -144,7 +144,7 @@
     fn invalid(&mut self, client: Key, id: u32, field: &str) {
         tracing::debug!("a request can't be used: {field}");
         self.counters.invalid += 1;
-        self.tell_untaken(Untaken::Invalid, None);
+        self.tell_untaken(RejectReason::Invalid, None);
         self.clients.answer(client, id, |out| {
             write_error(out, id, "Invalid", &[("field", field)])
         });
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -4,19 +4,23 @@
 use std::collections::BTreeMap;
 use std::io;
 
-use eideryard::interface::{Class, Earlier, EngineId, Lessons, LoadReport, Micros, Settings};
+use eideryard::interface::{
+    Class, EngineId, LearnedState, LoadReport, Micros, PriorAttempt, Settings,
+};
+use eideryard_event_log::{FleetEvent, RejectReason};
 use eideryard_intent_log::waiting::{in_time, Late, Waits};
-use eideryard_intent_log::{entry, state, Doubt, Intent, Ledger, Limits, Place, Refusal};
-use eideryard_operator_config::{FleetPlan, StorePlan};
-use eideryard_event_log::{FleetWord, NotTaken};
+use eideryard_intent_log::{
+    entry, state, Intent, IntentError, IntentLog, Limits, Place, UncertainWindow,
+};
+use eideryard_operator_config::{FleetConfig, StoreConfig};
 use eideryard_replication::drains::Drain;
 use eideryard_replication::{Origin, Verdict};
 use eideryard_store::worker::Worker;
-use eideryard_store::{Batch, Directory, Found, Plan, Store, Trust};
+use eideryard_store::{Batch, Config, Directory, RecoveryReport, RecoveryStatus, Store};
 
-use crate::fingerprints::settings_fingerprint;
 use crate::checkpoint;
-use crate::replication::{self, Sharing};
+use crate::fingerprints::settings_fingerprint;
+use crate::replication::{self, ReplicationDriver};
 use crate::status::Status;
 use crate::table::Key;
 
@@ -48,9 +52,9 @@
 pub struct Ready {
     pub go: Vec<Waiting>,
     /// Refused, where nothing else of their request has been sent.
-    pub late: Vec<(Waiting, NotTaken)>,
+    pub late: Vec<(Waiting, RejectReason)>,
     /// Others may have run them: the module decides anew.
-    pub earlier: Vec<(Waiting, Vec<Earlier>)>,
+    pub earlier: Vec<(Waiting, Vec<PriorAttempt>)>,
 }
 
 /// What is to be done with a send.
@@ -60,12 +64,12 @@
     Waits {
         ticket: u64,
         claim: Option<u64>,
-        ran: Earlier,
+        ran: PriorAttempt,
     },
     /// The store's thread takes no more: it was not sent.
     Not,
     /// The module has to be told of another run first: it was not sent.
-    Untold(Earlier),
+    Untold(PriorAttempt),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -82,49 +86,49 @@
 }
 
 impl Counted {
-    fn refused(&mut self, why: NotTaken) {
+    fn refused(&mut self, why: RejectReason) {
         match why {
-            NotTaken::LedgerFull => self.refused_full += 1,
-            NotTaken::NoMajority => self.refused_no_majority += 1,
+            RejectReason::LedgerFull => self.refused_full += 1,
+            RejectReason::NoMajority => self.refused_no_majority += 1,
             _ => self.refused_stalled += 1,
         }
     }
 }
 
-pub struct Keeping {
-    ledger: Ledger,
+pub struct IntentDurability {
+    ledger: IntentLog,
     /// Nothing where the store can't be used: keyed requests are refused then.
     worker: Option<Worker>,
     waiting: Waits<Waiting>,
-    sharing: Option<Box<Sharing>>,
+    sharing: Option<Box<ReplicationDriver>>,
     status: Option<Status>,
     windows: Vec<Micros>,
     places: BTreeMap<EngineId, Place>,
     /// What tells these settings from others, when the last checkpoint was, and the one that a start found.
     settings: u64,
     learned_at: Micros,
-    found: Option<(Lessons, Micros)>,
+    found: Option<(LearnedState, Micros)>,
     /// Figures of an earlier life or of a peer were taken back.
     taught: bool,
     pub counted: Counted,
 }
 
 /// What a start found, in words.
-fn tell(found: &Found, now: Micros, doubt: Doubt) {
+fn tell(found: &RecoveryReport, now: Micros, doubt: UncertainWindow) {
     let age = (now / 1000).saturating_sub(found.last_at_ms) as f64 / 1e3;
     let life = format!("{:016x}", found.identity);
-    let said = match &found.trust {
-        Trust::New => "nothing was there: it begins as a stranger".to_string(),
-        Trust::Whole => {
+    let said = match &found.status {
+        RecoveryStatus::New => "nothing was there: it begins as a stranger".to_string(),
+        RecoveryStatus::Whole => {
             format!("{} keys, last begun {age:.1} s ago, whole: all of it is trusted", found.keys)
         }
-        Trust::Copy => format!(
+        RecoveryStatus::Copy => format!(
             "{} keys in a copy of the directory that was written, last begun {age:.1} s ago: what came \
             behind it \
              is not known here, so it begins as a stranger with hints",
             found.keys
         ),
-        Trust::Damaged { segment, at } => format!(
+        RecoveryStatus::Damaged { segment, at } => format!(
             "{} keys up to byte {at} of {segment}, which is damaged: what lies behind is dropped, so it \
             begins as \
              a stranger with hints",
@@ -138,7 +142,7 @@
             found.torn
         );
     }
-    if let Doubt::Before(life) = doubt {
+    if let UncertainWindow::Before(life) = doubt {
         tracing::info!(
             "store: retries of keys that it doesn't know are not run until their class's window after \
             {} ms has \
@@ -153,12 +157,12 @@
     pub origin: Origin,
     pub whole: bool,
     pub voted: Option<Vec<u8>>,
-    pub copies: Vec<(Vec<u8>, eideryard_replication::Copy)>,
-    pub tokens: Vec<(eideryard_leases::Task, eideryard_leases::Token)>,
+    pub copies: Vec<(Vec<u8>, eideryard_replication::ReplicaRecord)>,
+    pub tokens: Vec<(eideryard_leases::Task, eideryard_leases::FencingToken)>,
 }
 
 impl Shared {
-    fn of(store: &Store, found: &Found) -> Self {
+    fn of(store: &Store, found: &RecoveryReport) -> Self {
         use eideryard_replication::entry;
         let copies = store.prefix(entry::PREFIX).filter_map(|(key, value)| {
             let copy = entry::from_bytes(&value.bytes)?;
@@ -169,9 +173,9 @@
                 identity: found.identity,
                 start: found.start,
             },
-            whole: matches!(found.trust, Trust::Whole),
+            whole: matches!(found.status, RecoveryStatus::Whole),
             voted: store
-                .get(Sharing::votes_key())
+                .get(ReplicationDriver::votes_key())
                 .map(|value| value.bytes.to_vec()),
             copies: copies.collect(),
             tokens: store
@@ -182,9 +186,9 @@
     }
 }
 
-impl Keeping {
+impl IntentDurability {
     pub fn start(
-        plan: &StorePlan,
+        plan: &StoreConfig,
         settings: &Settings,
         memory_mb: u64,
         now: Micros,
@@ -199,7 +203,7 @@
         let classes: Vec<Class> = settings.classes.clone();
         let opened = Store::open(
             Box::new(Directory::new(&plan.directory)),
-            Plan {
+            Config {
                 budget: plan.budget,
             },
             now / 1000,
@@ -217,7 +221,7 @@
                     })
                     .collect();
                 let life = told.life_ms * 1000;
-                let ledger = Ledger::restore(limits, classes, kept.into_iter(), life, now);
+                let ledger = IntentLog::restore(limits, classes, kept.into_iter(), life, now);
                 tell(&told, now, ledger.doubt());
                 let found = store
                     .get(checkpoint::KEY)
@@ -249,11 +253,11 @@
                      gateway starts with a store that can be used",
                     plan.directory.display()
                 );
-                let ledger = Ledger::restore(limits, classes, std::iter::empty(), now, now);
+                let ledger = IntentLog::restore(limits, classes, std::iter::empty(), now, now);
                 (ledger, None, None, None)
             }
         };
-        let keeping = Keeping {
+        let keeping = IntentDurability {
             ledger,
             worker,
             waiting,
@@ -278,7 +282,7 @@
     /// Joins the fleet, with what the store held of it. Without a usable store it stays alone, and refuses.
     pub fn join(
         &mut self,
-        fleet: (&FleetPlan, &StorePlan),
+        fleet: (&FleetConfig, &StoreConfig),
         about: replication::About,
         shared: Option<Shared>,
         wake: Box<dyn Fn() + Send>,
@@ -286,13 +290,15 @@
         let (Some(shared), Some(_)) = (shared, &self.worker) else {
             return Ok(());
         };
-        self.sharing = Some(Box::new(Sharing::start(fleet.0, about, shared, wake)?));
+        self.sharing = Some(Box::new(ReplicationDriver::start(
+            fleet.0, about, shared, wake,
+        )?));
         self.status = Some(Status::start(fleet.1.directory.clone())?);
         Ok(())
     }
 
     /// What an earlier life had learned, once.
-    pub fn lessons(&mut self) -> Option<(Lessons, Micros)> {
+    pub fn lessons(&mut self) -> Option<(LearnedState, Micros)> {
         self.found.take()
     }
 
@@ -301,7 +307,7 @@
         self.worker.is_some() && now >= self.learned_at + checkpoint::EVERY
     }
 
-    pub fn learns(&mut self, now: Micros, learned: &Lessons) {
+    pub fn learns(&mut self, now: Micros, learned: &LearnedState) {
         self.learned_at = now;
         // A hint has no time but its age.
         let hint = checkpoint::to_bytes(learned, 0, self.settings);
@@ -336,15 +342,15 @@
         class: usize,
         key: Option<&str>,
         marked: bool,
-    ) -> Result<Vec<Earlier>, NotTaken> {
+    ) -> Result<Vec<PriorAttempt>, RejectReason> {
         let held_up = self.waiting.is_held_up(now, self.durable());
         let failing = self.worker.as_ref().is_none_or(Worker::is_failing) || held_up;
         // What this store may have forgotten the keepers know.
         let marked = marked && self.sharing.is_none();
         let told = self.ledger.arrives(now, class, key, marked, failing);
         let told = told.map_err(|why| match why {
-            Refusal::Full => NotTaken::LedgerFull,
-            Refusal::Stalled => NotTaken::StoreStalled,
+            IntentError::Full => RejectReason::LedgerFull,
+            IntentError::Stalled => RejectReason::StoreStalled,
         });
         let kept = key.is_some() && self.ledger.keeps(class);
         let apart = self
@@ -373,7 +379,7 @@
         match intent {
             // The store's own clock drops it where the ledger's word to do so never came.
             Some(intent) => {
-                let until_ms = intent.until / 1000 + state::SLACK / 1000;
+                let until_ms = intent.until / 1000 + state::RETENTION_MARGIN / 1000;
                 batch.put(key, entry::to_bytes(intent), until_ms)
             }
             None => batch.remove(key),
@@ -389,20 +395,22 @@
         key: Option<&str>,
         engine: EngineId,
         give_up_at: Micros,
-        known: &[Earlier],
+        known: &[PriorAttempt],
     ) -> Sending {
         let place = self.places.get(&engine).copied().unwrap_or_default();
         let wish = match self.ledger.sends(now, class, key, place, known) {
-            eideryard_intent_log::Send::Free => return Sending::Now,
-            eideryard_intent_log::Send::Untold(ran) => return Sending::Untold(ran),
-            eideryard_intent_log::Send::Waits(wish) => wish,
+            eideryard_intent_log::SendDecision::Immediate => return Sending::Now,
+            eideryard_intent_log::SendDecision::PriorAttemptFound(ran) => {
+                return Sending::Untold(ran)
+            }
+            eideryard_intent_log::SendDecision::AfterWrite(wish) => wish,
         };
         self.counted.intents += 1;
         let Some(ticket) = self.write(wish.key.clone(), wish.intent.as_ref()) else {
             return Sending::Not;
         };
         let since = wish.intent.as_ref().map_or(now, |intent| intent.since);
-        let ran = Earlier {
+        let ran = PriorAttempt {
             zone: place.zone,
             cell: place.cell,
             since,
@@ -416,14 +424,15 @@
                 ran,
             };
         };
-        let keep =
-            give_up_at.saturating_sub(now) + self.windows.get(class).unwrap_or(&0) + state::SLACK;
+        let keep = give_up_at.saturating_sub(now)
+            + self.windows.get(class).unwrap_or(&0)
+            + state::RETENTION_MARGIN;
         let claim = Some(sharing.claim(now, &wish.key, intent, keep, known, worker));
         Sending::Waits { ticket, claim, ran }
     }
 
     /// Whether a send that waited is still within the window of what may have run before it.
-    pub fn in_time(&self, now: Micros, class: usize, known: &[Earlier]) -> bool {
+    pub fn in_time(&self, now: Micros, class: usize, known: &[PriorAttempt]) -> bool {
         in_time(now, self.windows.get(class).copied().unwrap_or(0), known)
     }
 
@@ -444,7 +453,7 @@
             return;
         }
         if let (Some(sharing), Some(worker)) = (&mut self.sharing, &mut self.worker) {
-            let keep = self.windows.get(class).unwrap_or(&0) + state::SLACK;
+            let keep = self.windows.get(class).unwrap_or(&0) + state::RETENTION_MARGIN;
             sharing.ended(now, &wish.key, wish.intent.as_ref(), keep, worker);
         }
     }
@@ -473,7 +482,7 @@
                     let waited = self.waiting.take(claim);
                     ready
                         .late
-                        .extend(waited.map(|waited| (waited, NotTaken::NoMajority)));
+                        .extend(waited.map(|waited| (waited, RejectReason::NoMajority)));
                 }
             }
         }
@@ -482,8 +491,8 @@
         ready
             .late
             .extend(waited.late.into_iter().map(|(waited, why)| match why {
-                Late::Disk => (waited, NotTaken::StoreStalled),
-                Late::Word => (waited, NotTaken::NoMajority),
+                Late::Disk => (waited, RejectReason::StoreStalled),
+                Late::Word => (waited, RejectReason::NoMajority),
             }));
         ready
             .late
@@ -499,7 +508,7 @@
     }
 
     /// What a peer had learned, where this gateway began without a checkpoint; once.
-    pub fn hints(&mut self) -> Option<(Lessons, Micros)> {
+    pub fn hints(&mut self) -> Option<(LearnedState, Micros)> {
         let (bytes, age) = self.sharing.as_mut()?.hints()?;
         if std::mem::replace(&mut self.taught, true) {
             return None;
@@ -574,13 +583,13 @@
     }
 
     /// What the record is to be told of the fleet: news, or all of it.
-    pub fn words(&mut self) -> Vec<FleetWord> {
+    pub fn words(&mut self) -> Vec<FleetEvent> {
         self.sharing
             .as_mut()
             .map_or(Vec::new(), |sharing| sharing.words())
     }
 
-    pub fn fleet_state(&self) -> Vec<FleetWord> {
+    pub fn fleet_state(&self) -> Vec<FleetEvent> {
         self.sharing
             .as_ref()
             .map_or(Vec::new(), |sharing| sharing.state())
@@ -600,7 +609,7 @@
         )
     }
 
-    /// When [`Keeping::work`] has something to do.
+    /// When [`IntentDurability::work`] has something to do.
     pub fn due(&self, now: Micros) -> Option<Micros> {
         let shared = self.sharing.as_ref().map(|sharing| sharing.due(now));
         self.ledger
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -3,9 +3,9 @@
 //! `eideryard_leases` does.
 
 use eideryard::interface::{EngineId, LoadReport, Micros};
+use eideryard_event_log::FleetEvent;
 use eideryard_leases::probe::{task, Reports};
-use eideryard_leases::{Core, Message, Output, Plan, Task, Token};
-use eideryard_event_log::FleetWord;
+use eideryard_leases::{Config, Core, FencingToken, Message, Output, Task};
 use eideryard_replication::Origin;
 use eideryard_store::worker::Worker;
 use eideryard_store::Batch;
@@ -29,16 +29,16 @@
     Asker(u64, Message),
     Askers(Option<u64>, Message),
     /// Once a ticket of the store is durable.
-    Then(u64, Task, Token, Vec<Output>),
+    Then(u64, Task, FencingToken, Vec<Output>),
 }
 
-pub struct Owning {
+pub struct LeaseDriver {
     core: Core,
     numbers: u64,
     reports: Reports<LoadReport>,
     /// Reports that the module is to hear of.
     fresh: Vec<(EngineId, LoadReport)>,
-    words: Vec<FleetWord>,
+    words: Vec<FleetEvent>,
     /// Probes that a fresh report stood in for.
     pub spared: u64,
 }
@@ -58,7 +58,7 @@
 }
 
 /// A task's token as the store holds it.
-pub fn stored(key: &[u8], value: &[u8]) -> Option<(Task, Token)> {
+pub fn stored(key: &[u8], value: &[u8]) -> Option<(Task, FencingToken)> {
     let key = key.strip_prefix(PREFIX)?;
     let (kind, number) = key.split_first()?;
     let task = Task {
@@ -68,18 +68,18 @@
     postcard::from_bytes(value).ok().map(|token| (task, token))
 }
 
-impl Owning {
+impl LeaseDriver {
     pub fn start(
         keepers: usize,
         own: Option<usize>,
         origin: Origin,
-        tokens: Vec<(Task, Token)>,
+        tokens: Vec<(Task, FencingToken)>,
         now: Micros,
     ) -> Self {
         // Another one for each life, so that no two lives share a token.
         let owner = origin.identity ^ origin.start.rotate_left(40);
         let core = Core::start(
-            Plan {
+            Config {
                 keepers,
                 own,
                 owner,
@@ -87,7 +87,7 @@
             tokens.into_iter(),
             now,
         );
-        Owning {
+        LeaseDriver {
             core,
             numbers: 0,
             reports: Reports::default(),
@@ -134,22 +134,22 @@
         todo
     }
 
-    fn owns(&mut self, task: Task, token: Token, owns: bool) {
+    fn owns(&mut self, task: Task, token: FencingToken, owns: bool) {
         tracing::debug!(
             "task {} {}: term {} {owns}",
             task.kind,
             task.number,
             token.term
         );
-        self.words.push(FleetWord::Owns {
+        self.words.push(FleetEvent::Owns {
             task: task.number,
             term: token.term,
             owns,
         });
     }
 
-    fn tells(&mut self, task: Task, Token { term, owner }: Token, counts: bool) {
-        self.words.push(FleetWord::Work {
+    fn tells(&mut self, task: Task, FencingToken { term, owner }: FencingToken, counts: bool) {
+        self.words.push(FleetEvent::Work {
             task: task.number,
             term,
             owner,
@@ -157,7 +157,7 @@
         });
     }
 
-    fn applies(&mut self, now: Micros, task: Task, token: Token, work: &[u8]) {
+    fn applies(&mut self, now: Micros, task: Task, token: FencingToken, work: &[u8]) {
         let Ok(Work {
             number,
             age,
@@ -211,7 +211,7 @@
     pub fn durable(
         &mut self,
         now: Micros,
-        (task, token): (Task, Token),
+        (task, token): (Task, FencingToken),
         outputs: Vec<Output>,
         worker: &mut Worker,
     ) -> Vec<Todo> {
@@ -288,7 +288,7 @@
         std::mem::take(&mut self.fresh)
     }
 
-    pub fn words(&mut self) -> Vec<FleetWord> {
+    pub fn words(&mut self) -> Vec<FleetEvent> {
         std::mem::take(&mut self.words)
     }
 
@@ -312,7 +312,7 @@
             .unwrap_or(now)
     }
 
-    pub fn counted(&self) -> eideryard_leases::core::Counted {
+    pub fn counted(&self) -> eideryard_leases::core::Counters {
         self.core.counted
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,32 +3,32 @@
 
 #![warn(missing_docs)]
 
+mod checkpoint;
 mod clients;
 mod clock;
 pub mod config;
 mod connection;
 mod counters;
 mod deadlines;
+mod discovery_watch;
 mod engines;
+mod event_recorder;
 mod fingerprints;
 mod gateway;
 mod intent_durability;
-mod checkpoint;
-pub mod links;
 mod leases;
-mod requests;
+pub mod links;
 mod replication;
-pub mod shutdown;
+mod requests;
 mod result_spool;
+pub mod shutdown;
 mod status;
 mod table;
-mod event_recorder;
-mod discovery_watch;
 
 use calloop::signals::{Signal, Signals};
 use calloop::EventLoop;
 use connection::{Wake, Wakes};
-use eideryard_operator_config::Operator;
+use eideryard_operator_config::OperatorConfig;
 use std::time::{Duration, Instant};
 
 /// Least time between two looks at the sockets, in ticks of the settings: what comes in between is read,
@@ -39,7 +39,7 @@
 /// Serves until SIGTERM or SIGINT, and what was open then has ended.
 pub fn serve(
     config: config::Config,
-    operator: &Operator,
+    operator: &OperatorConfig,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let mut events: EventLoop<Wakes> = EventLoop::try_new()?;
     let signals = Signals::new(&[
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -6,17 +6,17 @@
 use std::io;
 use std::net::SocketAddr;
 
-use eideryard::interface::{Earlier, Effect, Micros, Settings};
-use eideryard_intent_log::state::SLACK;
+use eideryard::interface::{Effect, Micros, PriorAttempt, Settings};
+use eideryard_event_log::{FleetEvent, RejectReason};
+use eideryard_intent_log::state::RETENTION_MARGIN;
 use eideryard_intent_log::{Intent, Place};
-use eideryard_operator_config::FleetPlan;
-use eideryard_leases::{self as owners, Task, Token};
-use eideryard_peer_transport::{Heard, Hello, Hub, Peer as End, State};
-use eideryard_event_log::{FleetWord, NotTaken};
-use eideryard_replication::replica_set::Limits;
-use eideryard_replication::core::Refusal;
+use eideryard_leases::{self as owners, FencingToken, Task};
+use eideryard_operator_config::FleetConfig;
+use eideryard_peer_transport::{Handshake, Hub, Peer as End, PeerEvent, State};
+use eideryard_replication::core::ClaimError;
 use eideryard_replication::drains::Drain;
-use eideryard_replication::{entry, Core, Message, Output, Peer, Plan, Told, Verdict};
+use eideryard_replication::replica_set::Limits;
+use eideryard_replication::{entry, Config, Core, Message, Output, Peer, PriorRuns, Verdict};
 use eideryard_store::worker::Worker;
 use eideryard_store::Batch;
 use serde::{Deserialize, Serialize};
@@ -24,7 +24,7 @@
 
 use crate::fingerprints::classes_fingerprint;
 use crate::intent_durability::Shared;
-use crate::leases::{Owning, Todo};
+use crate::leases::{LeaseDriver, Todo};
 
 mod lease_messages;
 mod status;
@@ -40,7 +40,7 @@
 /// The status file is written anew so often.
 const STATUS_EVERY: Micros = 250_000;
 /// Peers that were turned away and are remembered, with the reason.
-const MOST_TURNED: usize = 400;
+const MAX_TURNED: usize = 400;
 /// Heard messages that are taken in one look: clients and engines wait no longer than for these.
 const LOOK: usize = 512;
 /// A gateway's identity is told to peers as its settings' classes are; what else differs does no harm.
@@ -59,19 +59,19 @@
 
 /// What links carry.
 #[derive(Serialize, Deserialize)]
-pub enum Said {
+pub enum PeerMessage {
     /// Replicas of intents.
     Copies(Message),
     /// Leases of tasks, and work under them.
     Owners(owners::Message),
 }
 
-pub struct Sharing {
+pub struct ReplicationDriver {
     core: Core,
-    hub: Hub<Said>,
-    owning: Option<Owning>,
+    hub: Hub<PeerMessage>,
+    owning: Option<LeaseDriver>,
     /// What owners' work waits for, by the store's tickets.
-    promised: VecDeque<(u64, Task, Token, Vec<owners::Output>)>,
+    promised: VecDeque<(u64, Task, FencingToken, Vec<owners::Output>)>,
     /// What follows once a write of the store is durable, by its ticket.
     then: VecDeque<(u64, Vec<Output>)>,
     verdicts: Vec<(u64, Verdict)>,
@@ -84,16 +84,16 @@
     drains: Vec<Drain>,
     hints: Option<(Vec<u8>, Micros)>,
     /// What the record is to be told.
-    words: Vec<FleetWord>,
+    words: Vec<FleetEvent>,
     majority: bool,
     fleet: String,
     name: String,
     status_at: Micros,
 }
 
-impl Sharing {
+impl ReplicationDriver {
     pub fn start(
-        plan: &FleetPlan,
+        plan: &FleetConfig,
         about: About,
         shared: Shared,
         wake: Box<dyn Fn() + Send>,
@@ -122,12 +122,12 @@
         let kept = settings
             .classes
             .iter()
-            .filter(|class| class.effect != Effect::Safe);
+            .filter(|class| class.effect != Effect::Idempotent);
         let window = kept.map(|class| class.window).max().unwrap_or(0);
-        let core = Plan {
+        let core = Config {
             keepers: keepers.len(),
             own,
-            longest: longest_wait + window + SLACK,
+            longest: longest_wait + window + RETENTION_MARGIN,
             limits: Limits { entries },
             bytes_per_s: CATCH_UP,
             send_without: plan.send_without,
@@ -135,7 +135,7 @@
         let whole = whole && voted.as_deref() == Some(&origin.identity.to_be_bytes()[..]);
         let held = copies.len();
         let core = Core::start(core, origin, whole, copies.into_iter(), now);
-        let hello = Hello {
+        let hello = Handshake {
             version: eideryard_peer_transport::handshake::VERSION,
             fleet: plan.name.clone(),
             name: name.to_string(),
@@ -152,7 +152,7 @@
         let others: Vec<(usize, String, SocketAddr)> = others
             .map(|(at, (name, address))| (at, name.clone(), *address))
             .collect();
-        let links = eideryard_peer_transport::Plan {
+        let links = eideryard_peer_transport::Config {
             hello,
             listen: plan.listen,
             keepers: others,
@@ -176,11 +176,11 @@
         }
         let owning = plan
             .probes
-            .then(|| Owning::start(keepers.len(), own, origin, tokens, now));
-        let words = Vec::from_iter(own.map(|_| FleetWord::Votes {
+            .then(|| LeaseDriver::start(keepers.len(), own, origin, tokens, now));
+        let words = Vec::from_iter(own.map(|_| FleetEvent::Votes {
             votes: core.standing.votes(),
         }));
-        Ok(Sharing {
+        Ok(ReplicationDriver {
             core,
             hub,
             owning,
@@ -208,10 +208,10 @@
     }
 
     /// Why no claim is taken up now, if none is.
-    pub fn refuses(&self) -> Option<NotTaken> {
+    pub fn refuses(&self) -> Option<RejectReason> {
         self.core.refuses().map(|why| match why {
-            Refusal::Full => NotTaken::LedgerFull,
-            Refusal::NoMajority => NotTaken::NoMajority,
+            ClaimError::Full => RejectReason::LedgerFull,
+            ClaimError::NoMajority => RejectReason::NoMajority,
         })
     }
 
@@ -222,7 +222,7 @@
         key: &[u8],
         intent: &Intent,
         keep: Micros,
-        known: &[Earlier],
+        known: &[PriorAttempt],
         worker: &mut Worker,
     ) -> u64 {
         self.numbers += 1;
@@ -261,11 +261,11 @@
                         Message::Part { last: true, .. } | Message::Stands { .. }
                     ) {
                         let tokens = self.owning.as_ref().and_then(|owning| owning.tokens());
-                        tokens
-                            .into_iter()
-                            .for_each(|told| _ = self.hub.tell(to_end(peer), Said::Owners(told)));
+                        tokens.into_iter().for_each(|told| {
+                            _ = self.hub.tell(to_end(peer), PeerMessage::Owners(told))
+                        });
                     }
-                    self.hub.tell(to_end(peer), Said::Copies(message));
+                    self.hub.tell(to_end(peer), PeerMessage::Copies(message));
                 }
                 Output::Store { key, copy, then } => {
                     let (mut batch, key) = (Batch::default(), entry::stored_key(&key));
@@ -287,7 +287,7 @@
                 Output::Hints { lessons, age } => _ = self.hints.get_or_insert((lessons, age)),
                 Output::Votes => {
                     tracing::info!("fleet {}: caught up; this keeper votes", self.fleet);
-                    self.words.push(FleetWord::Votes { votes: true });
+                    self.words.push(FleetEvent::Votes { votes: true });
                     let mut batch = Batch::default();
                     batch.put(
                         VOTES.to_vec(),
@@ -295,7 +295,7 @@
                         0,
                     );
                     let told = self.askers.keys().map(|link| {
-                        Output::Send(Peer::Asker(*link), Message::Stands { votes: true })
+                        Output::Send(Peer::Requester(*link), Message::Stands { votes: true })
                     });
                     let told: Vec<Output> = told.collect();
                     worker
@@ -309,56 +309,56 @@
 
     fn name_of(&self, end: End) -> Option<String> {
         match end {
-            End::Keeper(keeper) => self.keepers.get(keeper).cloned(),
-            End::Asker(link) => self.askers.get(&link).cloned(),
+            End::Voter(keeper) => self.keepers.get(keeper).cloned(),
+            End::Requester(link) => self.askers.get(&link).cloned(),
         }
     }
 
-    fn hears(&mut self, now: Micros, heard: Heard<Said>, worker: &mut Worker) {
+    fn hears(&mut self, now: Micros, heard: PeerEvent<PeerMessage>, worker: &mut Worker) {
         let outputs = match heard {
-            Heard::Told {
+            PeerEvent::Message {
                 peer,
-                message: Said::Owners(message),
+                message: PeerMessage::Owners(message),
             } => {
                 let votes = self.core.standing.votes();
                 self.owning(|own| match peer {
-                    End::Asker(link) => own.hears_asker(now, link, message, votes, worker),
-                    End::Keeper(keeper) => own.hears_keeper(now, keeper, message, worker),
+                    End::Requester(link) => own.hears_asker(now, link, message, votes, worker),
+                    End::Voter(keeper) => own.hears_keeper(now, keeper, message, worker),
                 });
                 Vec::new()
             }
-            Heard::Told {
+            PeerEvent::Message {
                 peer,
-                message: Said::Copies(message),
+                message: PeerMessage::Copies(message),
             } => self.core.hears(now, of_end(peer), message),
-            Heard::Up { peer, name } => {
+            PeerEvent::Up { peer, name } => {
                 self.turned.remove(&name);
                 match peer {
-                    End::Asker(link) => _ = self.askers.insert(link, name),
-                    End::Keeper(_) => self.does(name, State::Up, 0),
+                    End::Requester(link) => _ = self.askers.insert(link, name),
+                    End::Voter(_) => self.does(name, State::Up, 0),
                 }
                 self.core.link(now, of_end(peer), true)
             }
-            Heard::State { peer, state, trip } => {
-                if let (End::Keeper(_), Some(name)) = (peer, self.name_of(peer)) {
+            PeerEvent::State { peer, state, trip } => {
+                if let (End::Voter(_), Some(name)) = (peer, self.name_of(peer)) {
                     self.does(name, state, trip);
                 }
                 match (peer, state) {
-                    (End::Asker(link), State::Gone) => {
+                    (End::Requester(link), State::Gone) => {
                         self.askers.remove(&link);
                         self.core.link(now, of_end(peer), false)
                     }
-                    (End::Asker(_), _) => Vec::new(),
+                    (End::Requester(_), _) => Vec::new(),
                     (_, state) => self
                         .core
                         .hears_state(now, of_end(peer), state < State::Silent),
                 }
             }
-            Heard::Turned { name, why } => {
-                let known = self.turned.contains_key(&name) || self.turned.len() < MOST_TURNED;
+            PeerEvent::Rejected { name, why } => {
+                let known = self.turned.contains_key(&name) || self.turned.len() < MAX_TURNED;
                 if known && self.turned.get(&name) != Some(&why) {
                     tracing::warn!("fleet {}: no link with '{name}': {why}", self.fleet);
-                    self.words.push(FleetWord::Turned {
+                    self.words.push(FleetEvent::Turned {
                         name: name.clone(),
                         why: why.clone(),
                     });
@@ -374,7 +374,7 @@
         let before = self.states.insert(name.clone(), (state, trip));
         if before.is_none_or(|(before, _)| before != state) {
             tracing::info!("fleet {}: {name} is {}", self.fleet, state.name());
-            self.words.push(FleetWord::Peer {
+            self.words.push(FleetEvent::Peer {
                 name,
                 state: state.name().into(),
             });
@@ -414,7 +414,7 @@
         }
         let stands = self.core.majority_stands();
         if std::mem::replace(&mut self.majority, stands) != stands {
-            self.words.push(FleetWord::Majority { stands });
+            self.words.push(FleetEvent::Majority { stands });
             tracing::info!(
                 "fleet {}: {} majority of keepers can be asked",
                 self.fleet,
--- a/crates/gateway/src/replication/lease_messages.rs
+++ b/crates/gateway/src/replication/lease_messages.rs
@@ -2,21 +2,24 @@
 
 use super::*;
 
-impl Sharing {
+impl ReplicationDriver {
     /// Carries out what owners' part asks for.
     pub(super) fn owners(&mut self, todo: Vec<Todo>) {
         for next in todo {
             match next {
                 Todo::Keeper(keeper, message) => {
-                    self.hub.tell(End::Keeper(keeper), Said::Owners(message));
+                    self.hub
+                        .tell(End::Voter(keeper), PeerMessage::Owners(message));
                 }
                 Todo::Asker(link, message) => {
-                    _ = self.hub.tell(End::Asker(link), Said::Owners(message))
+                    _ = self
+                        .hub
+                        .tell(End::Requester(link), PeerMessage::Owners(message))
                 }
                 Todo::Askers(but, message) => {
                     for link in self.askers.keys().filter(|link| Some(**link) != but) {
                         self.hub
-                            .tell(End::Asker(*link), Said::Owners(message.clone()));
+                            .tell(End::Requester(*link), PeerMessage::Owners(message.clone()));
                     }
                 }
                 Todo::Then(ticket, task, token, then) => {
@@ -27,13 +30,13 @@
     }
 
     /// Does something of owners' part, where it is on.
-    pub fn owning(&mut self, act: impl FnOnce(&mut Owning) -> Vec<Todo>) {
+    pub fn owning(&mut self, act: impl FnOnce(&mut LeaseDriver) -> Vec<Todo>) {
         let todo = self.owning.as_mut().map(act);
         self.owners(todo.unwrap_or_default());
     }
 
     /// Asks owners' part something, where it is on.
-    pub fn ask_owning<T: Default>(&mut self, ask: impl FnOnce(&mut Owning) -> T) -> T {
+    pub fn ask_owning<T: Default>(&mut self, ask: impl FnOnce(&mut LeaseDriver) -> T) -> T {
         self.owning.as_mut().map(ask).unwrap_or_default()
     }
 }
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -2,37 +2,37 @@
 
 use super::*;
 
-impl Sharing {
-    pub fn words(&mut self) -> Vec<FleetWord> {
+impl ReplicationDriver {
+    pub fn words(&mut self) -> Vec<FleetEvent> {
         let mut words = std::mem::take(&mut self.words);
-        words.extend(self.ask_owning(Owning::words));
+        words.extend(self.ask_owning(LeaseDriver::words));
         words
     }
 
     /// What the owners' part counted.
-    pub fn owned(&self) -> Option<(owners::core::Counted, u64)> {
+    pub fn owned(&self) -> Option<(owners::core::Counters, u64)> {
         self.owning.as_ref().map(|own| (own.counted(), own.spared))
     }
 
     /// All that the record knows of the fleet, for the beginning of a segment.
-    pub fn state(&self) -> Vec<FleetWord> {
-        let peer = |(name, (state, _)): (&String, &(State, Micros))| FleetWord::Peer {
+    pub fn state(&self) -> Vec<FleetEvent> {
+        let peer = |(name, (state, _)): (&String, &(State, Micros))| FleetEvent::Peer {
             name: name.clone(),
             state: state.name().into(),
         };
-        let mut words: Vec<FleetWord> = self.states.iter().map(peer).collect();
+        let mut words: Vec<FleetEvent> = self.states.iter().map(peer).collect();
         if self.keepers.contains(&self.name) {
-            words.push(FleetWord::Votes {
+            words.push(FleetEvent::Votes {
                 votes: self.core.standing.votes(),
             });
         }
-        words.push(FleetWord::Majority {
+        words.push(FleetEvent::Majority {
             stands: self.majority,
         });
         words
     }
 
-    pub fn counted(&self) -> eideryard_replication::core::Counted {
+    pub fn counted(&self) -> eideryard_replication::core::Counters {
         self.core.counted
     }
 
--- a/crates/gateway/src/replication/translation.rs
+++ b/crates/gateway/src/replication/translation.rs
@@ -4,27 +4,27 @@
 
 pub(super) fn of_end(end: End) -> Peer {
     match end {
-        End::Keeper(keeper) => Peer::Keeper(keeper),
-        End::Asker(link) => Peer::Asker(link),
+        End::Voter(keeper) => Peer::Voter(keeper),
+        End::Requester(link) => Peer::Requester(link),
     }
 }
 
 pub(super) fn to_end(peer: Peer) -> End {
     match peer {
-        Peer::Keeper(keeper) => End::Keeper(keeper),
-        Peer::Asker(link) => End::Asker(link),
+        Peer::Voter(keeper) => End::Voter(keeper),
+        Peer::Requester(link) => End::Requester(link),
     }
 }
 
 /// As the module is told: nothing is known of one that may have run at several places.
-pub fn earlier(told: &Told) -> Vec<Earlier> {
+pub fn earlier(told: &PriorRuns) -> Vec<PriorAttempt> {
     let of = |(place, since): &(Option<Place>, Micros)| match place {
-        Some(place) => Earlier {
+        Some(place) => PriorAttempt {
             zone: place.zone,
             cell: place.cell,
             since: (*since).max(NO_ZERO),
         },
-        None => Earlier {
+        None => PriorAttempt {
             zone: 0,
             cell: 0,
             since: 0,
@@ -33,8 +33,8 @@
     told.iter().map(of).collect()
 }
 
-pub(super) fn told(earlier: &[Earlier]) -> Told {
-    let place = |own: &Earlier| {
+pub(super) fn told(earlier: &[PriorAttempt]) -> PriorRuns {
+    let place = |own: &PriorAttempt| {
         (own.since > 0).then_some(Place {
             zone: own.zone,
             cell: own.cell,
--- a/crates/gateway/src/requests.rs
+++ b/crates/gateway/src/requests.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use eideryard::interface::{Earlier, Effect, EngineId, Kind, Micros, Settings};
+use eideryard::interface::{Effect, EngineId, Kind, Micros, PriorAttempt, Settings};
 
 use crate::deadlines::{DeadlineKey, Deadlines};
 use crate::table::{Key, Table};
@@ -15,16 +15,16 @@
 const ID_DIGITS: usize = 16;
 const KEY_DIGITS: usize = 32;
 /// The longest key of an order.
-const MOST_ORDER_KEY: usize = 64;
+const MAX_ORDER_KEY: usize = 64;
 /// Estimates that are so many times off what the largest engine could do or hold are none, and so is a wait
 /// so many times longer than the longest that the settings know.
-const MOST_OFF: f64 = 100.0;
-const MOST_WAITS: f64 = 2.0;
+const MAX_OFF: f64 = 100.0;
+const MAX_WAITS: f64 = 2.0;
 /// The longest wait, in microseconds, and the largest memory where the settings tell none: a day, a terabyte.
 const USUAL_WAIT: f64 = 86_400e6;
 const USUAL_MEMORY_MB: f64 = 1e6;
 /// Ids of requests that are over, kept so that one that comes again is known: ids are new with every request.
-const MOST_OVER: usize = 4096;
+const MAX_OVER: usize = 4096;
 
 /// The names of the settings, each at the place by which the module knows it.
 pub struct Names {
@@ -40,7 +40,7 @@
 }
 
 impl Names {
-    pub fn new(settings: &Settings, host: &eideryard_settings::Host) -> Self {
+    pub fn new(settings: &Settings, host: &eideryard_settings::HostSettings) -> Self {
         let largest = |of: fn(&Kind) -> f64| settings.kinds.iter().map(of).fold(1.0, f64::max);
         // Where the settings don't tell, what can be reckoned with.
         let told = |value: f64, usual| {
@@ -52,14 +52,14 @@
         };
         let longest = told(host.longest_wait as f64, USUAL_WAIT);
         Names {
-            longest_wait: MOST_WAITS * longest,
-            most_work: MOST_OFF * longest * largest(|kind| kind.cores),
-            most_memory_mb: MOST_OFF * told(largest(|kind| kind.memory_mb), USUAL_MEMORY_MB),
+            longest_wait: MAX_WAITS * longest,
+            most_work: MAX_OFF * longest * largest(|kind| kind.cores),
+            most_memory_mb: MAX_OFF * told(largest(|kind| kind.memory_mb), USUAL_MEMORY_MB),
             classes: host.classes.clone(),
             keyed: settings
                 .classes
                 .iter()
-                .map(|class| class.effect == Effect::Keyed)
+                .map(|class| class.effect == Effect::IdempotentWithKey)
                 .collect(),
             tenants: host.tenants.clone(),
             zones: host.zones.clone(),
@@ -155,9 +155,8 @@
         if key.is_none() && names.keyed[class] {
             return Err("k");
         }
-        let plain = |text: &&str| {
-            text.len() <= MOST_ORDER_KEY && text.bytes().all(|b| b.is_ascii_graphic())
-        };
+        let plain =
+            |text: &&str| text.len() <= MAX_ORDER_KEY && text.bytes().all(|b| b.is_ascii_graphic());
         let order_key = field("o")
             .map(|text| Some(text).filter(plain).ok_or("o"))
             .transpose()?;
@@ -219,7 +218,7 @@
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
     /// What of it may have run elsewhere, as the module was told.
-    pub earlier: Vec<Earlier>,
+    pub earlier: Vec<PriorAttempt>,
     /// The module's own timer of it.
     pub timer: Option<DeadlineKey>,
 }
@@ -331,7 +330,7 @@
         due.take_back(request.timer);
         self.held -= request.statement.len();
         self.over.push_back(request.id);
-        if self.over.len() > MOST_OVER {
+        if self.over.len() > MAX_OVER {
             self.over.pop_front().map(|id| self.ids.remove(&id));
         }
     }
--- a/crates/gateway/src/requests/tests.rs
+++ b/crates/gateway/src/requests/tests.rs
@@ -139,7 +139,7 @@
         Err(NotTaken::Again),
         "it was open"
     );
-    for number in 0..3 * MOST_OVER {
+    for number in 0..3 * MAX_OVER {
         let key = requests
             .insert(client, 3, 0, 0, read(&format!("{number:016x}")))
             .unwrap();
@@ -151,7 +151,7 @@
             requests.ids.len(),
             requests.over.len()
         ),
-        (0, MOST_OVER, MOST_OVER)
+        (0, MAX_OVER, MAX_OVER)
     );
 }
 
--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -7,18 +7,18 @@
 
 use eideryard::interface::Micros;
 use eideryard_background_scheduler::{Budget as Pace, Scheduler, Timer, Urgency, Wheel};
-use eideryard_operator_config::SpoolPlan;
+use eideryard_operator_config::SpoolConfig;
 use eideryard_result_spool::returns::{Arrival, Returns};
 use eideryard_result_spool::segments::{Place, Segments};
 use eideryard_result_spool::size::Sizes;
-use eideryard_result_spool::token::{Keys, Token, Wrong};
+use eideryard_result_spool::token::{Keys, Token, TokenError};
 use eideryard_result_spool::worker::{Directory, Done, Order, Worker};
-use eideryard_result_spool::{Admission, Budget, Choice, Owner, PageIs, Refusal, Spool};
+use eideryard_result_spool::{Admission, Budget, Choice, Owner, PageLocation, RejectReason, Spool};
 
 use crate::table::Key;
 
 /// Rows that go out in one message, as for results that aren't paged.
-const MOST_MESSAGE: usize = 48_000;
+const MAX_MESSAGE: usize = 48_000;
 /// What a result is promised before anything was learned.
 const USUAL: u64 = 48_000;
 /// Bytes of a segment file, and background work for each look and each second: a page's write is handed
@@ -33,9 +33,9 @@
 /// How long a page token is good: as long as its result is kept at the most.
 const TOKEN_LIFE: Micros = 600_000_000;
 /// Names of runs that are known, failed ones included: as many as results, and as many failures.
-const MOST_NAMES: usize = 2 * eideryard_result_spool::limits::MOST_RESULTS;
+const MAX_NAMES: usize = 2 * eideryard_result_spool::limits::MAX_RESULTS;
 /// Parts of results that wait for the disk; more are told to come again.
-const MOST_PENDING: usize = 4096;
+const MAX_PENDING: usize = 4096;
 
 pub type ResultId = u64;
 
@@ -112,7 +112,7 @@
     pub disk_errors: u64,
 }
 
-pub struct Spooling {
+pub struct ResultSpoolDriver {
     core: Spool,
     sizes: Sizes,
     keys: Keys,
@@ -130,11 +130,11 @@
     pub counted: Spooled,
 }
 
-impl Spooling {
+impl ResultSpoolDriver {
     pub fn start(
         name: &str,
         epoch: Micros,
-        plan: &SpoolPlan,
+        plan: &SpoolConfig,
         wake: Box<dyn Fn() + Send>,
     ) -> io::Result<Self> {
         let worker = match &plan.directory {
@@ -153,7 +153,7 @@
             unclaimed: plan.unclaimed,
             delivered: plan.delivered,
         };
-        Ok(Spooling {
+        Ok(ResultSpoolDriver {
             core: Spool::new(budget, epoch),
             sizes: Sizes::default(),
             keys: Keys::new(&plan.key, plan.previous_key.as_deref()),
@@ -202,8 +202,8 @@
         if expected > self.result && self.sizes.doubts() {
             expected = USUAL;
         }
-        if self.stored.len() >= MOST_NAMES {
-            return Err((None, Refusal::Full.word()));
+        if self.stored.len() >= MAX_NAMES {
+            return Err((None, RejectReason::Full.word()));
         }
         match self.core.admit(owner, expected, now) {
             Admission::Yes { dropping } => {
@@ -258,7 +258,7 @@
             return Ok(());
         };
         if let Err(why) = self.core.page(id, bytes.len() as u64, now) {
-            if why == Refusal::TooLarge {
+            if why == RejectReason::TooLarge {
                 // All that is known of its size; the next are refused before they are sent.
                 self.sizes
                     .learn(stored.class, stored.tenant, self.result + 1);
@@ -392,7 +392,7 @@
         match self.keys.read(token, name, self.epoch, now) {
             Ok(token) => self.part(who, token.result, token.page as usize, now),
             Err(wrong) => {
-                let word = if wrong == Wrong::Forged {
+                let word = if wrong == TokenError::Forged {
                     "Forged"
                 } else {
                     "Gone"
@@ -425,7 +425,7 @@
         };
         let (mut bytes, mut rows) = (0, Vec::new());
         for page in stored.pages.iter().skip(first) {
-            if !rows.is_empty() && bytes + page.length() as usize > MOST_MESSAGE {
+            if !rows.is_empty() && bytes + page.length() as usize > MAX_MESSAGE {
                 break;
             }
             bytes += page.length() as usize;
@@ -436,7 +436,7 @@
         }
         let last = first + rows.len();
         let more = last < stored.pages.len();
-        if rows.is_empty() && self.core.read(id, first, now) != PageIs::NoSuch {
+        if rows.is_empty() && self.core.read(id, first, now) != PageLocation::NoSuch {
             return gone();
         }
         self.core.open(id, now);
@@ -453,7 +453,7 @@
         if pending.rows.iter().all(Option::is_some) {
             return self.finish(pending, now);
         }
-        if self.pending.len() >= MOST_PENDING || !self.fetch(&pending) {
+        if self.pending.len() >= MAX_PENDING || !self.fetch(&pending) {
             self.core.close(id, false, now);
             return Some(Told::Error(
                 waiter,
@@ -587,7 +587,7 @@
         told
     }
 
-    /// When [`Spooling::work`] has something to do, if nothing else happens.
+    /// When [`ResultSpoolDriver::work`] has something to do, if nothing else happens.
     pub fn due(&self, now: Micros) -> Option<Micros> {
         self.expiry
             .next()
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -14,4 +14,4 @@
 pub mod waiting;
 
 pub use entry::{Intent, Place};
-pub use state::{Doubt, Ledger, Limits, Refusal, Send, Wish};
+pub use state::{IntentError, IntentLog, IntentWrite, Limits, SendDecision, UncertainWindow};
--- a/crates/intent-log/src/state.rs
+++ b/crates/intent-log/src/state.rs
@@ -3,16 +3,16 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use eideryard::interface::{Class, Earlier, Effect, Micros, Scope};
+use eideryard::interface::{Class, Effect, Micros, PriorAttempt, Scope};
 
 use crate::entry::{stored_key, Intent, Place};
 
 /// Kept so much longer than a window says: clocks, and what an engine still does after its last answer.
-pub const SLACK: Micros = 2_000_000;
+pub const RETENTION_MARGIN: Micros = 2_000_000;
 /// A send that has waited so long for the disk is refused, and nothing keyed is taken until it writes again.
-pub const STALL: Micros = 1_000_000;
+pub const STALL_TIMEOUT: Micros = 1_000_000;
 /// Who is refused for the disk's sake comes again after this, at the earliest.
-pub const ADVICE: Micros = 500_000;
+pub const RETRY_AFTER: Micros = 500_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
@@ -22,7 +22,7 @@
 
 /// What a gateway may not know, since its store was not whole or its clock stepped back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum UncertainWindow {
     None,
     /// Whatever came before this time.
     Before(Micros),
@@ -30,56 +30,56 @@
 
 /// A write that the store is to make durable; nothing removes the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wish {
+pub struct IntentWrite {
     pub key: Vec<u8>,
     pub intent: Option<Intent>,
 }
 
 /// Why a keyed request is not taken now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum IntentError {
     /// All entries are in use.
     Full,
     /// The disk has not written for [`STALL`], or fails.
     Stalled,
 }
 
-impl Refusal {
+impl IntentError {
     pub fn name(self) -> &'static str {
         match self {
-            Refusal::Full => "ledger full",
-            Refusal::Stalled => "store stalled",
+            IntentError::Full => "ledger full",
+            IntentError::Stalled => "store stalled",
         }
     }
 }
 
 /// What a send needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Send {
+pub enum SendDecision {
     /// Nothing: its class leaves no trace.
-    Free,
+    Immediate,
     /// It waits until this is durable.
-    Waits(Wish),
+    AfterWrite(IntentWrite),
     /// Another request of this key may have run since the module was told: it has to be told first.
-    Untold(Earlier),
+    PriorAttemptFound(PriorAttempt),
 }
 
 /// What is known of keys, by class.
-pub struct Ledger {
+pub struct IntentLog {
     limits: Limits,
     classes: Vec<Class>,
     entries: HashMap<Vec<u8>, Intent>,
     /// All keys, by when they may be dropped.
     expiry: BTreeSet<(Micros, Vec<u8>)>,
-    doubt: Doubt,
+    doubt: UncertainWindow,
 }
 
 /// Whether requests of a class are known by what they may have done.
 pub fn is_kept(class: &Class) -> bool {
-    class.effect != Effect::Safe
+    class.effect != Effect::Idempotent
 }
 
-impl Ledger {
+impl IntentLog {
     /// From what a store held, at the start of a gateway. `life` is when the store's knowledge begins.
     pub fn restore(
         limits: Limits,
@@ -93,13 +93,13 @@
             .filter(|class| is_kept(class))
             .map(|class| class.window)
             .max();
-        let longest = longest.unwrap_or(0) + SLACK;
+        let longest = longest.unwrap_or(0) + RETENTION_MARGIN;
         let doubt = match life.min(now) + longest > now {
-            true => Doubt::Before(life.min(now)),
-            false => Doubt::None,
+            true => UncertainWindow::Before(life.min(now)),
+            false => UncertainWindow::None,
         };
         let (entries, expiry) = (HashMap::new(), BTreeSet::new());
-        let mut ledger = Ledger {
+        let mut ledger = IntentLog {
             limits,
             classes,
             entries,
@@ -138,7 +138,7 @@
         self.classes.get(class).is_some_and(is_kept)
     }
 
-    pub fn doubt(&self) -> Doubt {
+    pub fn doubt(&self) -> UncertainWindow {
         self.doubt
     }
 
@@ -150,7 +150,7 @@
         key: Option<&str>,
         marked: bool,
         failing: bool,
-    ) -> Result<Vec<Earlier>, Refusal> {
+    ) -> Result<Vec<PriorAttempt>, IntentError> {
         let Some(own) = self.classes.get(class).filter(|class| is_kept(class)) else {
             return Ok(Vec::new());
         };
@@ -158,29 +158,28 @@
             return Ok(Vec::new());
         };
         if failing {
-            return Err(Refusal::Stalled);
+            return Err(IntentError::Stalled);
         }
-        let nowhere = Earlier {
+        let nowhere = PriorAttempt {
             zone: 0,
             cell: 0,
             since: 0,
         };
         if let Some(entry) = self.entries.get(&stored_key(class, key)) {
             let Intent { since, place, .. } = *entry;
-            return Ok(vec![Earlier {
+            return Ok(vec![PriorAttempt {
                 zone: place.zone,
                 cell: place.cell,
                 since,
             }]);
         }
         if self.entries.len() >= self.limits.entries {
-            return Err(Refusal::Full);
+            return Err(IntentError::Full);
         }
         // A retry that nothing is known of, at one who may have forgotten: it may have run anywhere. Where
         // all engines drop its repeats that does no harm.
-        let may_be_forgotten =
-            matches!(self.doubt, Doubt::Before(life) if now < life + own.window + SLACK);
-        let harmless = own.effect == Effect::Keyed && own.scope == Scope::All;
+        let may_be_forgotten = matches!(self.doubt, UncertainWindow::Before(life) if now < life + own.window + RETENTION_MARGIN);
+        let harmless = own.effect == Effect::IdempotentWithKey && own.scope == Scope::All;
         Ok(if marked && may_be_forgotten && !harmless {
             vec![nowhere]
         } else {
@@ -197,14 +196,16 @@
         class: usize,
         key: Option<&str>,
         place: Place,
-        known: &[Earlier],
-    ) -> Send {
+        known: &[PriorAttempt],
+    ) -> SendDecision {
         let Some(own) = self.classes.get(class).filter(|class| is_kept(class)) else {
-            return Send::Free;
+            return SendDecision::Immediate;
+        };
+        let Some(key) = key else {
+            return SendDecision::Immediate;
         };
-        let Some(key) = key else { return Send::Free };
         let key = stored_key(class, key);
-        let (scope, until) = (own.scope, now + own.window + SLACK);
+        let (scope, until) = (own.scope, now + own.window + RETENTION_MARGIN);
         let fresh = Intent {
             since: now,
             place,
@@ -219,15 +220,16 @@
         };
         let same = |zone: u32, cell: u32| within(place, zone, cell);
         if let Some(ran) = self.entries.get(&key) {
-            let told =
-                |own: &&Earlier| own.since <= ran.since && within(ran.place, own.zone, own.cell);
+            let told = |own: &&PriorAttempt| {
+                own.since <= ran.since && within(ran.place, own.zone, own.cell)
+            };
             if !known.iter().any(|own| told(&own)) {
                 let Intent {
                     since,
                     place: Place { zone, cell },
                     ..
                 } = *ran;
-                return Send::Untold(Earlier { zone, cell, since });
+                return SendDecision::PriorAttemptFound(PriorAttempt { zone, cell, since });
             }
         }
         let intent = self.entries.entry(key.clone()).or_insert(fresh);
@@ -247,7 +249,7 @@
         intent.until = before.until.max(until);
         let intent = *intent;
         self.dated(before.until, intent.until, &key);
-        Send::Waits(Wish {
+        SendDecision::AfterWrite(IntentWrite {
             key,
             intent: Some(intent),
         })
@@ -267,7 +269,7 @@
         class: usize,
         key: Option<&str>,
         never_ran: bool,
-    ) -> Option<Wish> {
+    ) -> Option<IntentWrite> {
         let own = self.classes.get(class).filter(|class| is_kept(class))?;
         let (key, window) = (stored_key(class, key?), own.window);
         let intent = self.entries.get_mut(&key)?;
@@ -277,19 +279,19 @@
         if intent.out == 0 && !intent.ran {
             self.expiry.remove(&(before.until, key.clone()));
             self.entries.remove(&key);
-            return Some(Wish { key, intent: None });
+            return Some(IntentWrite { key, intent: None });
         }
-        intent.until = before.until.max(now + window + SLACK);
+        intent.until = before.until.max(now + window + RETENTION_MARGIN);
         let intent = *intent;
         self.dated(before.until, intent.until, &key);
-        Some(Wish {
+        Some(IntentWrite {
             key,
             intent: Some(intent),
         })
     }
 
     /// Forgets keys whose windows are over; gives those that the store may forget.
-    pub fn expire(&mut self, now: Micros) -> Vec<Wish> {
+    pub fn expire(&mut self, now: Micros) -> Vec<IntentWrite> {
         let mut gone = Vec::new();
         while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
             let Some((until, key)) = self.expiry.pop_first() else {
@@ -298,12 +300,12 @@
             match self.entries.get_mut(&key) {
                 // An attempt that is out is looked at again when it may be over.
                 Some(intent) if intent.out > 0 => {
-                    intent.until = until + SLACK;
-                    self.expiry.insert((until + SLACK, key));
+                    intent.until = until + RETENTION_MARGIN;
+                    self.expiry.insert((until + RETENTION_MARGIN, key));
                 }
                 _ => {
                     self.entries.remove(&key);
-                    gone.push(Wish { key, intent: None });
+                    gone.push(IntentWrite { key, intent: None });
                 }
             }
         }
@@ -313,8 +315,9 @@
             .filter(|class| is_kept(class))
             .map(|class| class.window)
             .max();
-        if matches!(self.doubt, Doubt::Before(life) if now >= life + longest.unwrap_or(0) + SLACK) {
-            self.doubt = Doubt::None;
+        if matches!(self.doubt, UncertainWindow::Before(life) if now >= life + longest.unwrap_or(0) + RETENTION_MARGIN)
+        {
+            self.doubt = UncertainWindow::None;
         }
         gone
     }
--- a/crates/intent-log/src/waiting.rs
+++ b/crates/intent-log/src/waiting.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use eideryard::interface::{Earlier, Micros};
+use eideryard::interface::{Micros, PriorAttempt};
 
-use crate::state::STALL;
+use crate::state::STALL_TIMEOUT;
 
 /// What waits counts as out and takes room from others: once a send has waited for the disk for so long, only
 /// a few may.
@@ -101,7 +101,7 @@
         while let Some(first) = self
             .sends
             .first_entry()
-            .filter(|own| own.get().since + STALL <= now)
+            .filter(|own| own.get().since + STALL_TIMEOUT <= now)
         {
             let (ticket, send) = first.remove_entry();
             send.word
@@ -135,19 +135,22 @@
     pub fn is_held_up(&self, now: Micros, durable: u64) -> bool {
         let mut unwritten = self.sends.range(durable + 1..);
         let oldest = unwritten.next().map(|(_, send)| send.since);
-        let stalled = oldest.is_some_and(|since| since + STALL <= now);
+        let stalled = oldest.is_some_and(|since| since + STALL_TIMEOUT <= now);
         let slow = oldest.is_some_and(|since| since + SLOW <= now) && unwritten.count() >= FEW;
         self.stalled_at.is_some_and(|ticket| ticket > durable) || stalled || slow
     }
 
     /// When [`Waits::work`] has something to do though nothing comes.
     pub fn due(&self) -> Option<Micros> {
-        self.sends.values().next().map(|send| send.since + STALL)
+        self.sends
+            .values()
+            .next()
+            .map(|send| send.since + STALL_TIMEOUT)
     }
 }
 
 /// Whether a send that waited is still within the window of what may have run before it.
-pub fn in_time(now: Micros, window: Micros, known: &[Earlier]) -> bool {
+pub fn in_time(now: Micros, window: Micros, known: &[PriorAttempt]) -> bool {
     known.iter().all(|ran| now + MARGIN < ran.since + window)
 }
 
@@ -180,11 +183,11 @@
         );
         // Granted and durable, but looked at too late.
         waits.granted(8);
-        let late = waits.work(10 + STALL, 4);
+        let late = waits.work(10 + STALL_TIMEOUT, 4);
         assert_eq!((late.go.len(), late.late), (0, vec![("word", Late::Disk)]));
         waits.put(100, 5, Some(10), "unanswered");
         assert_eq!(
-            waits.work(100 + STALL, 5).late,
+            waits.work(100 + STALL_TIMEOUT, 5).late,
             [("unanswered", Late::Word)]
         );
         assert!(waits.is_empty() && waits.words.is_empty() && waits.due().is_none());
@@ -201,14 +204,14 @@
                 && waits.is_held_up(SLOW, 0)
                 && !waits.is_held_up(SLOW, 4)
         );
-        assert_eq!(waits.work(STALL, 0).late.len(), 5);
+        assert_eq!(waits.work(STALL_TIMEOUT, 0).late.len(), 5);
         assert!(
-            waits.is_held_up(STALL, 4),
+            waits.is_held_up(STALL_TIMEOUT, 4),
             "nothing waits, but it has not written"
         );
-        waits.work(STALL, 5);
-        assert!(!waits.is_held_up(STALL, 5));
-        let ran = Earlier {
+        waits.work(STALL_TIMEOUT, 5);
+        assert!(!waits.is_held_up(STALL_TIMEOUT, 5));
+        let ran = PriorAttempt {
             zone: 0,
             cell: 0,
             since: 1_000,
--- a/crates/intent-log/tests/model.rs
+++ b/crates/intent-log/tests/model.rs
@@ -6,8 +6,8 @@
 
 use std::collections::BTreeMap;
 
-use eideryard::interface::{Class, Earlier, Effect, Scope};
-use eideryard_intent_log::{entry, Intent, Ledger, Limits, Place, Send};
+use eideryard::interface::{Class, Effect, PriorAttempt, Scope};
+use eideryard_intent_log::{entry, Intent, IntentLog, Limits, Place, SendDecision};
 use stateright::{Checker, Model, Property};
 
 const WINDOW: u64 = 15_000_000;
@@ -17,9 +17,9 @@
 
 fn class(effect: Effect) -> Class {
     Class {
-        aim: 0,
-        aim_stretch: 0.0,
-        worth: 1.0,
+        latency_objective: 0,
+        latency_objective_per_work: 0.0,
+        priority_weight: 1.0,
         effect,
         scope: Scope::Cell,
         window: WINDOW,
@@ -75,9 +75,9 @@
 }
 
 impl World {
-    fn ledger(&self, state: &State) -> Ledger {
+    fn ledger(&self, state: &State) -> IntentLog {
         let known = state.written.clone().into_iter();
-        Ledger::restore(
+        IntentLog::restore(
             Limits { entries: 100 },
             vec![class(self.effect)],
             known,
@@ -96,7 +96,7 @@
             .all(|(cell, since)| *cell == engine && state.now < since + WINDOW);
         let own = state.sent.iter().all(|cell| *cell == engine);
         match self.effect {
-            Effect::Unsafe => before.is_empty() && state.sent.is_empty(),
+            Effect::NonIdempotent => before.is_empty() && state.sent.is_empty(),
             _ => pinned && own,
         }
     }
@@ -156,7 +156,7 @@
                     .ok()?;
                 let earlier = earlier
                     .into_iter()
-                    .map(|Earlier { cell, since, .. }| (cell, since));
+                    .map(|PriorAttempt { cell, since, .. }| (cell, since));
                 (state.held, state.sent) = (Some(earlier.collect()), Vec::new());
                 state.asked += 1;
             }
@@ -168,14 +168,16 @@
                 let known = last.held.iter().flatten();
                 let own = last.sent.iter().map(|cell| (*cell, 0));
                 let known = known.copied().chain(own);
-                let known: Vec<Earlier> = known
-                    .map(|(cell, since)| Earlier {
+                let known: Vec<PriorAttempt> = known
+                    .map(|(cell, since)| PriorAttempt {
                         zone: 0,
                         cell,
                         since,
                     })
                     .collect();
-                let Send::Waits(wish) = ledger.sends(state.now, 0, Some(KEY), place, &known) else {
+                let SendDecision::AfterWrite(wish) =
+                    ledger.sends(state.now, 0, Some(KEY), place, &known)
+                else {
                     return None;
                 };
                 state.written.insert(wish.key, wish.intent?);
@@ -193,7 +195,7 @@
                 let place = state.wire.iter().position(|own| *own == engine)?;
                 state.wire.remove(place);
                 // Engines drop repeats of keyed requests, of unsafe ones none.
-                if self.effect == Effect::Unsafe || !state.seen.contains(&engine) {
+                if self.effect == Effect::NonIdempotent || !state.seen.contains(&engine) {
                     state.seen.push(engine);
                     state.effects += 1;
                 }
@@ -222,7 +224,7 @@
 
 #[test]
 fn no_order_of_steps_takes_effect_twice() {
-    for effect in [Effect::Keyed, Effect::Unsafe] {
+    for effect in [Effect::IdempotentWithKey, Effect::NonIdempotent] {
         let checker = World {
             effect,
             hasty: false,
@@ -242,7 +244,7 @@
 
 #[test]
 fn a_send_that_does_not_wait_for_the_disk_is_found_to_take_effect_twice() {
-    for effect in [Effect::Keyed, Effect::Unsafe] {
+    for effect in [Effect::IdempotentWithKey, Effect::NonIdempotent] {
         let checker = World {
             effect,
             hasty: true,
@@ -275,15 +277,15 @@
     };
     let restored = |intent: (Vec<u8>, Intent), life| {
         let limits = Limits { entries: 2 };
-        Ledger::restore(
+        IntentLog::restore(
             limits,
-            vec![class(Effect::Keyed)],
+            vec![class(Effect::IdempotentWithKey)],
             std::iter::once(intent),
             life,
             now,
         )
     };
-    let since = |ledger: &mut Ledger, key| {
+    let since = |ledger: &mut IntentLog, key| {
         ledger
             .arrives(now, 0, Some(key), true, false)
             .map(|e| e.first().map(|e| e.since))
@@ -314,12 +316,12 @@
     let mut ledger = restored(kept(now - 9, 0, now + 10), 0);
     assert!(matches!(
         ledger.sends(now, 0, Some(other), Place::default(), &[]),
-        Send::Waits(_)
+        SendDecision::AfterWrite(_)
     ));
     let third = "00000000000000000000000000000123";
     assert_eq!(
         since(&mut ledger, third),
-        Err(eideryard_intent_log::Refusal::Full)
+        Err(eideryard_intent_log::IntentError::Full)
     );
     assert_eq!(since(&mut ledger, KEY), Ok(Some(now - 9)));
     // One that never ran leaves nothing; one that may have stays.
@@ -336,9 +338,9 @@
 #[test]
 fn a_second_request_of_a_key_is_told_of_the_first_before_it_is_sent() {
     let (now, limits) = (100_000_000, Limits { entries: 9 });
-    let mut ledger = Ledger::restore(
+    let mut ledger = IntentLog::restore(
         limits,
-        vec![class(Effect::Keyed)],
+        vec![class(Effect::IdempotentWithKey)],
         std::iter::empty(),
         0,
         now,
@@ -354,22 +356,22 @@
     );
     assert!(matches!(
         ledger.sends(now, 0, Some(KEY), at(1), &[]),
-        Send::Waits(_)
+        SendDecision::AfterWrite(_)
     ));
-    let ran = Earlier {
+    let ran = PriorAttempt {
         zone: 0,
         cell: 1,
         since: now,
     };
     assert_eq!(
         ledger.sends(now + 5, 0, Some(KEY), at(2), &[]),
-        Send::Untold(ran)
+        SendDecision::PriorAttemptFound(ran)
     );
     assert_eq!(
         ledger.sends(now + 5, 0, Some(KEY), at(1), &[]),
-        Send::Untold(ran)
+        SendDecision::PriorAttemptFound(ran)
     );
-    let Send::Waits(wish) = ledger.sends(now + 5, 0, Some(KEY), at(1), &[ran]) else {
+    let SendDecision::AfterWrite(wish) = ledger.sends(now + 5, 0, Some(KEY), at(1), &[ran]) else {
         panic!("it was told")
     };
     assert_eq!(
--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::fencing_token::{weight, Task, Token};
+use crate::fencing_token::{weight, FencingToken, Task};
 use crate::{Micros, LEASE, MARGIN, RENEW};
 
 /// Gateways of lesser weight try up to this much later.
@@ -17,13 +17,13 @@
         until: Micros,
     },
     Asks {
-        token: Token,
+        token: FencingToken,
         asked: Micros,
         votes: BTreeSet<usize>,
         denied: BTreeSet<usize>,
     },
     Owns {
-        token: Token,
+        token: FencingToken,
         until: Micros,
         renews: Option<(Micros, BTreeSet<usize>)>,
         renewed: Micros,
@@ -45,16 +45,22 @@
 pub enum Step {
     Nothing,
     /// All keepers are to be asked for a vote for this.
-    Ask(Token),
-    Won(Token),
+    Ask(FencingToken),
+    Won(FencingToken),
     /// Its lease is over before it was renewed.
-    Lost(Token),
+    Lost(FencingToken),
     /// It got no majority: who voted for it is free to vote for others at once.
-    Withdrew(Token),
+    Withdrew(FencingToken),
 }
 
 impl Candidate {
-    pub fn new(task: Task, owner: u64, majority: usize, greatest: Token, now: Micros) -> Self {
+    pub fn new(
+        task: Task,
+        owner: u64,
+        majority: usize,
+        greatest: FencingToken,
+        now: Micros,
+    ) -> Self {
         let stage = Stage::Waits {
             until: now + Self::turn(task, owner),
         };
@@ -80,7 +86,7 @@
 
     /// The token to act under, as far as this clock knows. What is sent under it may still come too late: the
     /// fence knows.
-    pub fn owns(&self, now: Micros) -> Option<Token> {
+    pub fn owns(&self, now: Micros) -> Option<FencingToken> {
         match self.stage {
             Stage::Owns { token, until, .. } if now < until => Some(token),
             _ => None,
@@ -104,7 +110,7 @@
         match &mut self.stage {
             Stage::Waits { until } if now >= *until => {
                 self.greatest = (self.greatest + 1).max(unix_ms);
-                let token = Token {
+                let token = FencingToken {
                     term: self.greatest,
                     owner: self.owner,
                 };
@@ -142,7 +148,7 @@
         }
     }
 
-    pub fn vote(&mut self, now: Micros, keeper: usize, of: Token) -> Step {
+    pub fn vote(&mut self, now: Micros, keeper: usize, of: FencingToken) -> Step {
         let majority = self.majority;
         match &mut self.stage {
             Stage::Asks {
@@ -187,8 +193,8 @@
         &mut self,
         now: Micros,
         keeper: usize,
-        of: Token,
-        greatest: Token,
+        of: FencingToken,
+        greatest: FencingToken,
         left: Micros,
     ) -> Step {
         self.greatest = self.greatest.max(greatest.term);
@@ -212,7 +218,7 @@
     }
 
     /// A greater token was seen: another one owns it.
-    pub fn seen(&mut self, now: Micros, token: Token) -> Step {
+    pub fn seen(&mut self, now: Micros, token: FencingToken) -> Step {
         self.greatest = self.greatest.max(token.term);
         match self.stage {
             Stage::Owns { token: own, .. } if token > own => {
@@ -231,7 +237,7 @@
     }
 
     /// It is told to end. The token to release, if it owned.
-    pub fn ends(&mut self) -> Option<Token> {
+    pub fn ends(&mut self) -> Option<FencingToken> {
         match std::mem::replace(&mut self.stage, Stage::Gone) {
             Stage::Owns { token, .. } => Some(token),
             _ => None,
--- a/crates/leases/src/core.rs
+++ b/crates/leases/src/core.rs
@@ -6,19 +6,19 @@
 
 use crate::candidate::{Candidate, Step};
 use crate::fence::{Admission, Fences};
-use crate::fencing_token::{Task, Token};
+use crate::fencing_token::{FencingToken, Task};
 use crate::voter::{Vote, Voter};
 use crate::Micros;
 
 /// Tasks that a gateway knows of; with one more the oldest goes.
-pub const MOST_TASKS: usize = 4096;
+pub const MAX_TASKS: usize = 4096;
 /// What time brings is looked at no more often.
 const LOOK: Micros = 2_000;
 /// One that may lack promises looks again after this.
 const PAUSE: Micros = 100_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Plan {
+pub struct Config {
     pub keepers: usize,
     pub own: Option<usize>,
     /// This life of this gateway, as tokens name it.
@@ -27,38 +27,38 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    Ask {
+    VoteRequest {
         task: Task,
-        token: Token,
+        token: FencingToken,
     },
-    Given {
+    VoteGranted {
         task: Task,
-        token: Token,
+        token: FencingToken,
     },
-    Denied {
+    VoteDenied {
         task: Task,
-        token: Token,
-        greatest: Token,
+        token: FencingToken,
+        greatest: FencingToken,
         left: Micros,
     },
     Release {
         task: Task,
-        token: Token,
+        token: FencingToken,
     },
     /// An owner's work; a keeper passes on what its fence admits.
     Work {
         task: Task,
-        token: Token,
+        token: FencingToken,
         work: Vec<u8>,
     },
-    Stale {
+    StaleToken {
         task: Task,
-        token: Token,
-        greatest: Token,
+        token: FencingToken,
+        greatest: FencingToken,
     },
     /// All that a keeper has promised or seen.
     Tokens {
-        tokens: Vec<(Task, Token)>,
+        tokens: Vec<(Task, FencingToken)>,
     },
 }
 
@@ -74,7 +74,7 @@
     /// Make the greatest token of a task durable; then, and only then, come the others.
     Store {
         task: Task,
-        token: Token,
+        token: FencingToken,
         then: Vec<Output>,
     },
     /// A task's token is not kept any more.
@@ -82,32 +82,32 @@
     /// This keeper's vote for itself.
     OwnVote {
         task: Task,
-        token: Token,
+        token: FencingToken,
     },
     /// Work that counts here.
     Apply {
         task: Task,
-        token: Token,
+        token: FencingToken,
         work: Vec<u8>,
     },
     /// Work that was turned away here.
     Fenced {
         task: Task,
-        token: Token,
-        greatest: Token,
+        token: FencingToken,
+        greatest: FencingToken,
     },
     Won {
         task: Task,
-        token: Token,
+        token: FencingToken,
     },
     Lost {
         task: Task,
-        token: Token,
+        token: FencingToken,
     },
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counted {
+pub struct Counters {
     pub won: u64,
     pub lost: u64,
     pub applied: u64,
@@ -118,16 +118,20 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Core {
-    plan: Plan,
+    plan: Config,
     fences: Fences,
     voter: Voter,
     candidates: BTreeMap<Task, Candidate>,
     looked_at: Micros,
-    pub counted: Counted,
+    pub counted: Counters,
 }
 
 impl Core {
-    pub fn start(plan: Plan, found: impl Iterator<Item = (Task, Token)>, now: Micros) -> Self {
+    pub fn start(
+        plan: Config,
+        found: impl Iterator<Item = (Task, FencingToken)>,
+        now: Micros,
+    ) -> Self {
         let fences = Fences::restore(found);
         let voter = Voter::restore(&fences, now);
         let (candidates, counted) = Default::default();
@@ -148,7 +152,7 @@
     /// From now on this gateway may own a task.
     pub fn wants(&mut self, now: Micros, task: Task) {
         let (owner, majority) = (self.plan.owner, self.majority());
-        if self.candidates.len() < MOST_TASKS {
+        if self.candidates.len() < MAX_TASKS {
             let greatest = self.fences.greatest(task);
             let fresh = || Candidate::new(task, owner, majority, greatest, now);
             self.candidates.entry(task).or_insert_with(fresh);
@@ -161,11 +165,11 @@
     }
 
     /// The token to act under now, if this gateway owns a task as far as it knows.
-    pub fn owns(&self, now: Micros, task: Task) -> Option<Token> {
+    pub fn owns(&self, now: Micros, task: Task) -> Option<FencingToken> {
         self.candidates.get(&task)?.owns(now)
     }
 
-    pub fn owned(&self, now: Micros) -> impl Iterator<Item = (Task, Token)> + '_ {
+    pub fn owned(&self, now: Micros) -> impl Iterator<Item = (Task, FencingToken)> + '_ {
         let of = move |(task, own): (&Task, &Candidate)| Some((*task, own.owns(now)?));
         self.candidates.iter().filter_map(of)
     }
@@ -175,7 +179,7 @@
     }
 
     /// A token that was to be made durable is.
-    pub fn durable(&mut self, task: Task, token: Token) {
+    pub fn durable(&mut self, task: Task, token: FencingToken) {
         self.fences.durable(task, token);
     }
 
@@ -213,13 +217,13 @@
         &mut self,
         from: Option<u64>,
         task: Task,
-        token: Token,
+        token: FencingToken,
         work: Vec<u8>,
     ) -> Vec<Output> {
         match self.fences.admit(task, token) {
             Admission::Stale(greatest) => {
                 self.counted.fenced += 1;
-                let told = Message::Stale {
+                let told = Message::StaleToken {
                     task,
                     token,
                     greatest,
@@ -261,11 +265,11 @@
         votes: bool,
     ) -> Vec<Output> {
         match message {
-            Message::Ask { task, token } if votes => {
+            Message::VoteRequest { task, token } if votes => {
                 match self.voter.ask(&mut self.fences, now, task, token) {
                     Vote::Given { new } => {
                         let mut outputs = self.seen(now, task, token);
-                        let given = Output::Asker(from, Message::Given { task, token });
+                        let given = Output::Asker(from, Message::VoteGranted { task, token });
                         outputs.push(match new {
                             true => Output::Store {
                                 task,
@@ -277,7 +281,7 @@
                         outputs
                     }
                     Vote::Denied { greatest, left } => {
-                        let denied = Message::Denied {
+                        let denied = Message::VoteDenied {
                             task,
                             token,
                             greatest,
@@ -303,8 +307,8 @@
 
     pub fn hears_keeper(&mut self, now: Micros, keeper: usize, message: Message) -> Vec<Output> {
         match message {
-            Message::Given { task, token } => self.vote(now, keeper, task, token),
-            Message::Denied {
+            Message::VoteGranted { task, token } => self.vote(now, keeper, task, token),
+            Message::VoteDenied {
                 task,
                 token,
                 greatest,
@@ -314,7 +318,7 @@
                 let step = step.map(|own| own.denied(now, keeper, token, greatest, left));
                 self.stepped(now, task, step.unwrap_or(Step::Nothing))
             }
-            Message::Stale { task, greatest, .. } => {
+            Message::StaleToken { task, greatest, .. } => {
                 self.counted.turned_away += 1;
                 self.seen(now, task, greatest)
             }
@@ -330,9 +334,9 @@
         }
     }
 
-    fn joins(&mut self, now: Micros, tokens: Vec<(Task, Token)>) -> Vec<Output> {
+    fn joins(&mut self, now: Micros, tokens: Vec<(Task, FencingToken)>) -> Vec<Output> {
         let mut outputs = Vec::new();
-        for (task, token) in tokens.into_iter().take(MOST_TASKS) {
+        for (task, token) in tokens.into_iter().take(MAX_TASKS) {
             outputs.extend(self.seen(now, task, token));
             if self.fences.raise(task, token) {
                 outputs.push(Output::Store {
@@ -345,7 +349,7 @@
         outputs
     }
 
-    fn seen(&mut self, now: Micros, task: Task, token: Token) -> Vec<Output> {
+    fn seen(&mut self, now: Micros, task: Task, token: FencingToken) -> Vec<Output> {
         let step = self
             .candidates
             .get_mut(&task)
@@ -353,7 +357,7 @@
         self.stepped(now, task, step.unwrap_or(Step::Nothing))
     }
 
-    fn vote(&mut self, now: Micros, keeper: usize, task: Task, token: Token) -> Vec<Output> {
+    fn vote(&mut self, now: Micros, keeper: usize, task: Task, token: FencingToken) -> Vec<Output> {
         let step = self
             .candidates
             .get_mut(&task)
@@ -362,7 +366,7 @@
     }
 
     /// This keeper's promise to itself is durable.
-    pub fn own_vote(&mut self, now: Micros, task: Task, token: Token) -> Vec<Output> {
+    pub fn own_vote(&mut self, now: Micros, task: Task, token: FencingToken) -> Vec<Output> {
         self.plan
             .own
             .map_or(Vec::new(), |own| self.vote(now, own, task, token))
@@ -387,7 +391,7 @@
                     .collect()
             }
             Step::Ask(token) => {
-                let ask = Message::Ask { task, token };
+                let ask = Message::VoteRequest { task, token };
                 let mut outputs: Vec<Output> = self
                     .others()
                     .map(|keeper| Output::Keeper(keeper, ask.clone()))
@@ -417,7 +421,7 @@
             return Vec::new();
         }
         self.looked_at = now;
-        let gone = self.fences.trim(MOST_TASKS);
+        let gone = self.fences.trim(MAX_TASKS);
         gone.iter().for_each(|task| self.voter.forget(*task));
         let mut outputs: Vec<Output> = gone.into_iter().map(Output::Forget).collect();
         if self.plan.own.is_some() && !votes {
@@ -449,7 +453,7 @@
     /// This gateway was told to end: its tasks are free at once.
     pub fn ends(&mut self) -> Vec<Output> {
         let mut outputs = Vec::new();
-        let released: Vec<(Task, Token)> = self
+        let released: Vec<(Task, FencingToken)> = self
             .candidates
             .iter_mut()
             .filter_map(|(task, own)| Some((*task, own.ends()?)))
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::fencing_token::{Task, Token};
+use crate::fencing_token::{FencingToken, Task};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fences {
-    greatest: BTreeMap<Task, Token>,
+    greatest: BTreeMap<Task, FencingToken>,
     /// Of these, what the store holds.
-    durable: BTreeMap<Task, Token>,
+    durable: BTreeMap<Task, FencingToken>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,23 +16,23 @@
     /// It counts; waits: once its token is durable here.
     Admitted { waits: bool },
     /// There has been a greater one.
-    Stale(Token),
+    Stale(FencingToken),
 }
 
 impl Fences {
-    pub fn restore(found: impl Iterator<Item = (Task, Token)>) -> Self {
-        let greatest: BTreeMap<Task, Token> = found.collect();
+    pub fn restore(found: impl Iterator<Item = (Task, FencingToken)>) -> Self {
+        let greatest: BTreeMap<Task, FencingToken> = found.collect();
         Fences {
             durable: greatest.clone(),
             greatest,
         }
     }
 
-    pub fn greatest(&self, task: Task) -> Token {
+    pub fn greatest(&self, task: Task) -> FencingToken {
         self.greatest.get(&task).copied().unwrap_or_default()
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (Task, Token)> + '_ {
+    pub fn all(&self) -> impl Iterator<Item = (Task, FencingToken)> + '_ {
         self.greatest.iter().map(|(task, token)| (*task, *token))
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Raises the fence. True: it was lower.
-    pub fn raise(&mut self, task: Task, token: Token) -> bool {
+    pub fn raise(&mut self, task: Task, token: FencingToken) -> bool {
         let higher = token > self.greatest(task);
         if higher {
             self.greatest.insert(task, token);
@@ -73,14 +73,14 @@
     }
 
     /// The store holds a token.
-    pub fn durable(&mut self, task: Task, token: Token) {
+    pub fn durable(&mut self, task: Task, token: FencingToken) {
         let known = self.durable.entry(task).or_default();
         *known = token.max(*known);
     }
 
     /// Work counts only once a restart would turn lesser work away: a token that was promised a moment ago
     /// and is not durable yet is waited for.
-    pub fn admit(&mut self, task: Task, token: Token) -> Admission {
+    pub fn admit(&mut self, task: Task, token: FencingToken) -> Admission {
         let greatest = self.greatest(task);
         if token < greatest && !cfg!(feature = "unfenced") {
             return Admission::Stale(greatest);
@@ -104,7 +104,7 @@
         let mut fences = Fences::default();
         let (task, token) = (
             |number| Task { kind: 1, number },
-            |term| Token { term, owner: 1 },
+            |term| FencingToken { term, owner: 1 },
         );
         assert_eq!(
             fences.admit(task(1), token(5)),
--- a/crates/leases/src/fencing_token.rs
+++ b/crates/leases/src/fencing_token.rs
@@ -15,7 +15,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Token {
+pub struct FencingToken {
     pub term: u64,
     pub owner: u64,
 }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -7,17 +7,17 @@
 //! joins them to one gateway's part; [`probe`] is the task that is there.
 //!
 //! Safety rests on tokens and on votes that are durable before they leave, never on a clock: clocks only say
-//! when to try, when to renew and when to stop early. Bounds: [`core::MOST_TASKS`].
+//! when to try, when to renew and when to stop early. Bounds: [`core::MAX_TASKS`].
 
 pub mod candidate;
 pub mod core;
 pub mod fence;
-pub mod probe;
 pub mod fencing_token;
+pub mod probe;
 pub mod voter;
 
-pub use crate::core::{Core, Message, Output, Plan};
-pub use fencing_token::{Task, Token};
+pub use crate::core::{Config, Core, Message, Output};
+pub use fencing_token::{FencingToken, Task};
 
 /// Microseconds of the host's monotonic clock.
 pub type Micros = u64;
--- a/crates/leases/src/probe.rs
+++ b/crates/leases/src/probe.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::fencing_token::{Task, Token};
+use crate::fencing_token::{FencingToken, Task};
 use crate::Micros;
 
 /// The kind of these tasks; their number is the engine's.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Reports<R> {
     /// The last that counted: under which token, its number there, what it said, and when.
-    heard: BTreeMap<u32, (Token, u64, R, Micros)>,
+    heard: BTreeMap<u32, (FencingToken, u64, R, Micros)>,
     probed_at: BTreeMap<u32, Micros>,
 }
 
@@ -44,7 +44,7 @@
         &mut self,
         now: Micros,
         engine: u32,
-        (token, number): (Token, u64),
+        (token, number): (FencingToken, u64),
         age: Micros,
         report: R,
     ) -> Option<bool> {
@@ -108,7 +108,7 @@
     #[test]
     fn one_copy_of_a_report_counts_for_its_time_and_an_owner_probes_once_a_second() {
         let mut reports = Reports::default();
-        let token = |term| Token { term, owner: 1 };
+        let token = |term| FencingToken { term, owner: 1 };
         assert_eq!(reports.take(S, 7, (token(1), 1), 0, 'a'), Some(true));
         assert_eq!(
             reports.take(S, 7, (token(1), 1), 0, 'a'),
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::fence::Fences;
-use crate::fencing_token::{Task, Token};
+use crate::fencing_token::{FencingToken, Task};
 use crate::{Micros, LEASE};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -17,7 +17,10 @@
     /// New: once the fence's new token is durable.
     Given { new: bool },
     /// The greatest token, and how long its owner's lease still holds.
-    Denied { greatest: Token, left: Micros },
+    Denied {
+        greatest: FencingToken,
+        left: Micros,
+    },
 }
 
 impl Voter {
@@ -28,7 +31,13 @@
         }
     }
 
-    pub fn ask(&mut self, fences: &mut Fences, now: Micros, task: Task, token: Token) -> Vote {
+    pub fn ask(
+        &mut self,
+        fences: &mut Fences,
+        now: Micros,
+        task: Task,
+        token: FencingToken,
+    ) -> Vote {
         let greatest = fences.greatest(task);
         let until = self.leases.get(&task).copied().unwrap_or(0);
         let left = until.saturating_sub(now);
@@ -51,7 +60,7 @@
     }
 
     /// The owner gives it up: the next one need not wait.
-    pub fn release(&mut self, fences: &Fences, task: Task, token: Token) {
+    pub fn release(&mut self, fences: &Fences, task: Task, token: FencingToken) {
         if fences.greatest(task) == token {
             self.leases.remove(&task);
         }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use eideryard_leases::{Core, Message, Output, Plan, Task, Token, LEASE};
+use eideryard_leases::{Config, Core, FencingToken, Message, Output, Task, LEASE};
 use stateright::{Checker, Model, Property};
 
 const VOTERS: usize = 3;
@@ -29,17 +29,17 @@
 struct Voter {
     core: Core,
     now: u64,
-    disk: BTreeMap<Task, Token>,
-    written: BTreeMap<Task, Token>,
-    then: Vec<(Task, Token, Vec<Then>)>,
+    disk: BTreeMap<Task, FencingToken>,
+    written: BTreeMap<Task, FencingToken>,
+    then: Vec<(Task, FencingToken, Vec<Then>)>,
     /// The greatest token whose work ever counted here, whatever the voter itself remembers.
-    counted: Token,
+    counted: FencingToken,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Then {
     Tell(usize, Message),
-    Apply(Token),
+    Apply(FencingToken),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -62,7 +62,7 @@
     fenced: bool,
     owned: u8,
     /// The greatest token that was won, and the voters at which work under a lesser one counted after that.
-    won: Token,
+    won: FencingToken,
     late: [bool; VOTERS],
 }
 
@@ -82,8 +82,8 @@
     bug: Bug,
 }
 
-fn voter(at: usize, disk: &BTreeMap<Task, Token>, now: u64) -> Core {
-    let plan = Plan {
+fn voter(at: usize, disk: &BTreeMap<Task, FencingToken>, now: u64) -> Core {
+    let plan = Config {
         keepers: VOTERS,
         own: Some(at),
         owner: 100 + at as u64,
@@ -133,7 +133,7 @@
         }
     }
 
-    fn applied(&self, state: &mut State, voter: usize, token: Token) {
+    fn applied(&self, state: &mut State, voter: usize, token: FencingToken) {
         state.late[voter] |= token < state.won;
         let counted = &mut state.voters[voter].counted;
         state.stale |= token < *counted;
@@ -173,10 +173,10 @@
             disk: BTreeMap::new(),
             written: BTreeMap::new(),
             then: Vec::new(),
-            counted: Token::default(),
+            counted: FencingToken::default(),
         });
         let owners = (0..OWNERS).map(|at| {
-            let plan = Plan {
+            let plan = Config {
                 keepers: VOTERS,
                 own: None,
                 owner: at as u64 + 1,
@@ -184,7 +184,7 @@
             // The second has heard of the first one's term: it asks for the next.
             let heard = (
                 TASK,
-                Token {
+                FencingToken {
                     term: at as u64,
                     owner: 0,
                 },
@@ -206,7 +206,7 @@
             stale: false,
             fenced: false,
             owned: 0,
-            won: Token::default(),
+            won: FencingToken::default(),
             late: [false; VOTERS],
         }]
     }
--- a/crates/msgpack-rpc/src/lib.rs
+++ b/crates/msgpack-rpc/src/lib.rs
@@ -2,21 +2,21 @@
 //!
 //! [`decode`] looks at the bytes that a connection holds and gives the first message with its length, `None`
 //! while it isn't whole, or an error where no message can begin like that. It borrows from the bytes, keeps
-//! nothing between calls, and never looks past [`MOST_BYTES`].
+//! nothing between calls, and never looks past [`MAX_BYTES`].
 
 use rmp::{encode, Marker};
 use std::cell::Cell;
 use std::fmt;
 
 /// The longest message that is read: a statement of that length is no query that an engine takes.
-pub const MOST_BYTES: usize = 1 << 20;
+pub const MAX_BYTES: usize = 1 << 20;
 /// How deep values may be nested in what is passed over.
-const MOST_DEPTH: usize = 16;
+const MAX_DEPTH: usize = 16;
 /// The most fields that are kept of one message.
-const MOST_FIELDS: usize = 64;
+const MAX_FIELDS: usize = 64;
 /// The most values that are looked at for one message: what has more is no request. It bounds the work that
 /// begins anew with each piece of a long one.
-pub const MOST_VALUES: usize = 4096;
+pub const MAX_VALUES: usize = 4096;
 
 const REQUEST: u64 = 0;
 const NOTIFICATION: u64 = 2;
@@ -73,8 +73,8 @@
         looks: &Cell::new(0),
     };
     match rest.message() {
-        Ok(message) if rest.at <= MOST_BYTES => Ok(Some((message, rest.at))),
-        Err(Stop::Short) if bytes.len() < MOST_BYTES => Ok(None),
+        Ok(message) if rest.at <= MAX_BYTES => Ok(Some((message, rest.at))),
+        Err(Stop::Short) if bytes.len() < MAX_BYTES => Ok(None),
         _ => Err(Malformed),
     }
 }
@@ -99,7 +99,7 @@
 
 impl<'a> Cursor<'a, '_> {
     fn take(&mut self, count: usize) -> Result<&'a [u8], Stop> {
-        if count > MOST_BYTES {
+        if count > MAX_BYTES {
             return Err(Stop::Malformed);
         }
         let taken = self
@@ -125,7 +125,7 @@
     /// The next value; of arrays and maps only the head.
     fn value(&mut self) -> Result<Value<'a>, Stop> {
         self.looks.set(self.looks.get() + 1);
-        if self.looks.get() > MOST_VALUES {
+        if self.looks.get() > MAX_VALUES {
             return Err(Stop::Malformed);
         }
         let text = |bytes| match std::str::from_utf8(bytes) {
@@ -196,7 +196,7 @@
             Value::Map(count) => 2 * count,
             _ => 0,
         };
-        if inside > 0 && depth == 0 || inside > MOST_BYTES {
+        if inside > 0 && depth == 0 || inside > MAX_BYTES {
             return Err(Stop::Malformed);
         }
         (0..inside).try_for_each(|_| self.pass_over(depth - 1))
@@ -213,7 +213,7 @@
             (REQUEST, 4) => self.request(),
             (NOTIFICATION, 3) => self.notification(),
             (1, 4) => (0..3)
-                .try_for_each(|_| self.pass_over(MOST_DEPTH))
+                .try_for_each(|_| self.pass_over(MAX_DEPTH))
                 .map(|_| Message::Other),
             _ => Err(Stop::Malformed),
         }
@@ -227,7 +227,7 @@
         // What can't be used is passed over whole, so that the next message is found.
         let mut whole = self.clone();
         whole.pass_over(0)?;
-        whole.pass_over(MOST_DEPTH)?;
+        whole.pass_over(MAX_DEPTH)?;
         let message = match self.value()? {
             Value::Text(method) => self.parameters(id, method)?,
             _ => None,
@@ -278,11 +278,11 @@
         let mut fields = Vec::new();
         for _ in 0..count {
             let (mut name, mut value) = (self.clone(), self.clone());
-            value.pass_over(MOST_DEPTH)?;
+            value.pass_over(MAX_DEPTH)?;
             self.at = value.at;
-            self.pass_over(MOST_DEPTH)?;
+            self.pass_over(MAX_DEPTH)?;
             if let (Value::Text(name), Value::Text(value)) = (name.value()?, value.value()?) {
-                if fields.len() == MOST_FIELDS {
+                if fields.len() == MAX_FIELDS {
                     return Ok(None);
                 }
                 fields.push((name, value));
@@ -294,7 +294,7 @@
     fn notification(&mut self) -> Result<Message<'a>, Stop> {
         let mut inner = self.clone();
         self.pass_over(0)?;
-        self.pass_over(MOST_DEPTH)?;
+        self.pass_over(MAX_DEPTH)?;
         let Value::Text("forget") = inner.value()? else {
             return Ok(Message::Other);
         };
--- a/crates/msgpack-rpc/tests/codec.rs
+++ b/crates/msgpack-rpc/tests/codec.rs
@@ -104,7 +104,7 @@
         .into_iter()
         .for_each(|bytes| assert_eq!(decode(bytes), Err(Malformed), "{bytes:x?}"));
     let mut long = vec![0x94, 0, 1, 0xa1, b'x', 0x92, 0x80, 0xc6, 0, 0x10, 0, 0];
-    long.resize(MOST_BYTES, 0);
+    long.resize(MAX_BYTES, 0);
     assert_eq!(decode(&long), Err(Malformed));
 }
 
@@ -123,8 +123,8 @@
         Ok(Some((Message::Forget { ids }, forget(1000).len())))
     );
     let long = forget(1_000_000);
-    assert_eq!(decode(&long[..MOST_VALUES / 2]), Ok(None));
-    assert_eq!(decode(&long[..2 * MOST_VALUES]), Err(Malformed));
+    assert_eq!(decode(&long[..MAX_VALUES / 2]), Ok(None));
+    assert_eq!(decode(&long[..2 * MAX_VALUES]), Err(Malformed));
 }
 
 #[test]
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -8,7 +8,7 @@
 const MB: u64 = 1 << 20;
 const SECOND: u64 = 1_000_000;
 /// Characters of a secret at least.
-const LEAST_KEY: usize = 16;
+const MIN_KEY: usize = 16;
 
 const FLEET: &[Spec] = &[
     Spec::new(
@@ -155,7 +155,7 @@
 ];
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
+pub struct EventLogConfig {
     pub directory: PathBuf,
     pub budget: u64,
     pub segment: u64,
@@ -165,14 +165,14 @@
 
 /// Durable state: where, and how much.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StorePlan {
+pub struct StoreConfig {
     pub directory: PathBuf,
     pub budget: u64,
 }
 
 /// The fleet that a gateway is of.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetPlan {
+pub struct FleetConfig {
     pub name: String,
     pub listen: Option<SocketAddr>,
     /// Name and address, in the order of their names.
@@ -184,7 +184,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Log {
+pub struct LogConfig {
     pub level: Option<String>,
     /// Other levels, by target.
     pub targets: Vec<(String, String)>,
@@ -193,7 +193,7 @@
 
 /// Times in microseconds.
 #[derive(Clone, PartialEq)]
-pub struct SpoolPlan {
+pub struct SpoolConfig {
     pub memory: u64,
     pub directory: Option<PathBuf>,
     pub disk: u64,
@@ -205,9 +205,9 @@
 }
 
 /// Without the secrets.
-impl std::fmt::Debug for SpoolPlan {
+impl std::fmt::Debug for SpoolConfig {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let SpoolPlan {
+        let SpoolConfig {
             memory,
             directory,
             disk,
@@ -222,15 +222,15 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
-    pub record: Option<Record>,
-    pub spool: Option<SpoolPlan>,
-    pub store: Option<StorePlan>,
-    pub fleet: Option<FleetPlan>,
-    pub log: Log,
+pub struct OperatorConfig {
+    pub record: Option<EventLogConfig>,
+    pub spool: Option<SpoolConfig>,
+    pub store: Option<StoreConfig>,
+    pub fleet: Option<FleetConfig>,
+    pub log: LogConfig,
 }
 
-fn fleet(own: &Setting, has_store: bool) -> Result<FleetPlan, Fault> {
+fn fleet(own: &Setting, has_store: bool) -> Result<FleetConfig, Fault> {
     let wrong = |place: &eideryard_config_syntax::Place, what: &str, hint: &str| {
         Fault::new(place.clone(), what, hint)
     };
@@ -276,7 +276,7 @@
         .block
         .iter()
         .any(|own| own.name == "task" && own.values[0].text() == "probe");
-    Ok(FleetPlan {
+    Ok(FleetConfig {
         name,
         listen,
         keepers,
@@ -285,7 +285,7 @@
     })
 }
 
-impl Operator {
+impl OperatorConfig {
     /// From the file at a path and what it includes.
     pub fn from_file(path: &str) -> Result<Self, String> {
         let text =
@@ -294,7 +294,8 @@
     }
 
     pub fn read(file: &str, text: &str) -> Result<Self, Fault> {
-        let settings = eideryard_config_syntax::read(file, text, TABLE, &eideryard_config_syntax::from_files)?;
+        let settings =
+            eideryard_config_syntax::read(file, text, TABLE, &eideryard_config_syntax::from_files)?;
         Self::from_settings(&settings)
     }
 
@@ -355,7 +356,7 @@
                 } else {
                     0
                 };
-                let key = text("spool-key").filter(|key| key.len() >= LEAST_KEY);
+                let key = text("spool-key").filter(|key| key.len() >= MIN_KEY);
                 let place = setting("spool-key").unwrap_or(turns_on).place.clone();
                 let wrong = || {
                     Fault::new(
@@ -364,7 +365,7 @@
                         "add spool-key SECRET",
                     )
                 };
-                Some(SpoolPlan {
+                Some(SpoolConfig {
                     memory,
                     directory,
                     disk,
@@ -397,20 +398,20 @@
                 s.values[1].text().to_string(),
             )
         };
-        Ok(Operator {
+        Ok(OperatorConfig {
             spool,
             fleet,
-            store: store.map(|directory| StorePlan {
+            store: store.map(|directory| StoreConfig {
                 directory,
                 budget: number("store-budget", 64 * MB),
             }),
-            record: directory.map(|directory| Record {
+            record: directory.map(|directory| EventLogConfig {
                 directory,
                 budget,
                 segment,
                 segment_time: number("record-segment-time", 600 * SECOND),
             }),
-            log: Log {
+            log: LogConfig {
                 level: text("log-level"),
                 targets: targets.map(target).collect(),
                 json: text("log-format").as_deref() == Some("json"),
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,18 +1,22 @@
 //! The operator's file as a whole.
 
-use eideryard_operator_config::Operator;
+use eideryard_operator_config::OperatorConfig;
 
 #[test]
 fn the_example_is_good_and_sets_what_it_says() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.conf");
-    let operator = Operator::from_file(path).unwrap();
-    assert_eq!(operator, Operator::default(), "all of it is commented out");
+    let operator = OperatorConfig::from_file(path).unwrap();
+    assert_eq!(
+        operator,
+        OperatorConfig::default(),
+        "all of it is commented out"
+    );
     let text = std::fs::read_to_string(path).unwrap();
     let on: String = text
         .lines()
         .map(|line| line.strip_prefix("#:").unwrap_or(line).to_string() + "\n")
         .collect();
-    let record = Operator::read(path, &on)
+    let record = OperatorConfig::read(path, &on)
         .unwrap()
         .record
         .expect("the record is on");
@@ -21,13 +25,20 @@
 
 #[test]
 fn settings_that_do_not_go_together_are_named() {
-    let said = |text: &str| Operator::read("op.conf", text).expect_err(text).to_string();
+    let said = |text: &str| {
+        OperatorConfig::read("op.conf", text)
+            .expect_err(text)
+            .to_string()
+    };
     assert!(said("record-budget 8MB").contains("add record-dir PATH"));
     assert!(said("spool-disk 8MB").contains("add spool-memory SIZE"));
     assert!(said("spool-memory 8MB\nspool-key short")
         .starts_with("op.conf:2:1: the spool has no secret"));
     let spool = "spool-memory 8MB\nspool-key \"0123456789abcdef\"\n";
-    let spool = Operator::read("op.conf", spool).unwrap().spool.unwrap();
+    let spool = OperatorConfig::read("op.conf", spool)
+        .unwrap()
+        .spool
+        .unwrap();
     assert_eq!(
         (spool.result, spool.disk),
         (2 << 20, 0),
@@ -39,7 +50,7 @@
     );
     let text = "record-dir /x\nrecord-budget 8MB\nrecord-segment 6MB\n";
     assert!(said(text).starts_with("op.conf:3:1: a segment takes more than half of the budget"));
-    let small = Operator::read("op.conf", "record-dir /x\nrecord-budget 8MB\n")
+    let small = OperatorConfig::read("op.conf", "record-dir /x\nrecord-budget 8MB\n")
         .unwrap()
         .record
         .unwrap();
@@ -48,7 +59,7 @@
         2 << 20,
         "a quarter of the budget where it is small"
     );
-    let log = Operator::read(
+    let log = OperatorConfig::read(
         "op.conf",
         "log-format json\nlog-target record debug\nlog-target x off\n",
     )
@@ -76,7 +87,7 @@
 fn a_fleet_needs_a_store_and_an_odd_number_of_keepers_each_once() {
     let block = |lines: &str| format!("store-dir /x\nfleet north {{\n{lines}}}\n");
     let three = "keeper c 127.0.0.1:3\nkeeper a 127.0.0.1:1\nkeeper b 127.0.0.1:2\n";
-    let read = |text: &str| Operator::read("op.conf", text);
+    let read = |text: &str| OperatorConfig::read("op.conf", text);
     let fleet = read(&block(three)).unwrap().fleet.unwrap();
     let names: Vec<&str> = fleet
         .keepers
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -3,7 +3,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::handshake::Hello;
+use crate::handshake::Handshake;
 
 /// Bytes of what a frame carries.
 pub const MOST: usize = 256 << 10;
@@ -11,36 +11,38 @@
 
 /// What goes over a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Carried<M> {
-    Hello(Hello),
+pub enum Frame<M> {
+    Handshake(Handshake),
     /// Why this link ends, in words.
-    Turned(String),
-    Beat(u64),
-    Back(u64),
-    Told(M),
+    Rejected(String),
+    Heartbeat(u64),
+    HeartbeatReply(u64),
+    Message(M),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum FrameError {
     TooLong(u32),
     Checksum,
     Unreadable,
 }
 
-impl std::fmt::Display for Spoilt {
+impl std::fmt::Display for FrameError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Spoilt::TooLong(length) => {
+            FrameError::TooLong(length) => {
                 write!(f, "a frame of {length} bytes, of which {MOST} are the most")
             }
-            Spoilt::Checksum => write!(f, "a frame's checksum is wrong"),
-            Spoilt::Unreadable => write!(f, "a frame can't be read as this version writes them"),
+            FrameError::Checksum => write!(f, "a frame's checksum is wrong"),
+            FrameError::Unreadable => {
+                write!(f, "a frame can't be read as this version writes them")
+            }
         }
     }
 }
 
 /// Appends a frame. False: it is too long, and nothing was written.
-pub fn write<M: Serialize>(out: &mut Vec<u8>, carried: &Carried<M>) -> bool {
+pub fn write<M: Serialize>(out: &mut Vec<u8>, carried: &Frame<M>) -> bool {
     let Ok(bytes) = postcard::to_stdvec(carried) else {
         return false;
     };
@@ -54,7 +56,7 @@
 }
 
 /// Takes the first whole frame off the front of what was read, and says how long it was.
-pub fn read<M: DeserializeOwned>(bytes: &[u8]) -> Result<Option<(Carried<M>, usize)>, Spoilt> {
+pub fn read<M: DeserializeOwned>(bytes: &[u8]) -> Result<Option<(Frame<M>, usize)>, FrameError> {
     let Some((head, rest)) = bytes.split_at_checked(HEAD) else {
         return Ok(None);
     };
@@ -62,17 +64,17 @@
         |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     let (length, checksum) = (number(0), number(4));
     if length as usize > MOST {
-        return Err(Spoilt::TooLong(length));
+        return Err(FrameError::TooLong(length));
     }
     let Some(body) = rest.get(..length as usize) else {
         return Ok(None);
     };
     if crc32fast::hash(body) != checksum {
-        return Err(Spoilt::Checksum);
+        return Err(FrameError::Checksum);
     }
     match postcard::take_from_bytes(body) {
         Ok((carried, [])) => Ok(Some((carried, HEAD + body.len()))),
-        _ => Err(Spoilt::Unreadable),
+        _ => Err(FrameError::Unreadable),
     }
 }
 
@@ -82,8 +84,8 @@
 
     fn framed() -> Vec<u8> {
         let mut bytes = Vec::new();
-        assert!(write(&mut bytes, &Carried::Told("first".to_string())));
-        assert!(write(&mut bytes, &Carried::<String>::Beat(7)));
+        assert!(write(&mut bytes, &Frame::Message("first".to_string())));
+        assert!(write(&mut bytes, &Frame::<String>::Heartbeat(7)));
         bytes
     }
 
@@ -91,11 +93,11 @@
     fn frames_come_back_whole_and_only_whole() {
         let bytes = framed();
         let (first, length) = read::<String>(&bytes).expect("sound").expect("whole");
-        assert_eq!(first, Carried::Told("first".into()));
+        assert_eq!(first, Frame::Message("first".into()));
         let (second, rest) = read::<String>(&bytes[length..])
             .expect("sound")
             .expect("whole");
-        assert_eq!((second, length + rest), (Carried::Beat(7), bytes.len()));
+        assert_eq!((second, length + rest), (Frame::Heartbeat(7), bytes.len()));
         for cut in 0..length {
             assert_eq!(read::<String>(&bytes[..cut]), Ok(None), "cut at {cut}");
         }
@@ -115,7 +117,10 @@
             }
         }
         let mut out = Vec::new();
-        assert!(!write(&mut out, &Carried::Told("x".repeat(MOST))) && out.is_empty());
-        assert_eq!(read::<String>(&[0xff; 64]), Err(Spoilt::TooLong(u32::MAX)));
+        assert!(!write(&mut out, &Frame::Message("x".repeat(MOST))) && out.is_empty());
+        assert_eq!(
+            read::<String>(&[0xff; 64]),
+            Err(FrameError::TooLong(u32::MAX))
+        );
     }
 }
--- a/crates/peer-transport/src/handshake.rs
+++ b/crates/peer-transport/src/handshake.rs
@@ -8,7 +8,7 @@
 pub const VERSION: u32 = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
+pub struct Handshake {
     pub version: u32,
     pub fleet: String,
     pub name: String,
@@ -23,7 +23,7 @@
 
 /// Why a peer is turned away, as both ends say it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum HandshakeError {
     Version {
         own: u32,
         theirs: u32,
@@ -49,31 +49,31 @@
     },
 }
 
-impl fmt::Display for Turned {
+impl fmt::Display for HandshakeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Turned::Version { own, theirs } => {
+            HandshakeError::Version { own, theirs } => {
                 write!(f, "one speaks version {theirs}, the other {own}: run the same program on both")
             }
-            Turned::Fleet { own, theirs } => {
+            HandshakeError::Fleet { own, theirs } => {
                 write!(f, "one is of fleet '{theirs}', the other of '{own}': see 'fleet' in both files")
             }
-            Turned::Name { expected, theirs } => {
+            HandshakeError::Name { expected, theirs } => {
                 write!(f, "'{theirs}' answers at the address of keeper '{expected}': see its 'keeper' line")
             }
-            Turned::Own(name) => {
+            HandshakeError::Own(name) => {
                 write!(f, "both call themselves '{name}': each gateway of a fleet needs a name of its own")
             }
-            Turned::Keepers { own, theirs } => write!(
+            HandshakeError::Keepers { own, theirs } => write!(
                 f,
                 "the files name different keepers, {} and {}: they must be the same in all of a fleet's",
                 theirs.join(" "),
                 own.join(" ")
             ),
-            Turned::Classes => {
+            HandshakeError::Classes => {
                 write!(f, "their settings name different classes: a fleet's gateways need the same settings")
             }
-            Turned::Older { name, start, known } => write!(
+            HandshakeError::Older { name, start, known } => write!(
                 f,
                 "'{name}' says that this is its start {start}, but start {known} was heard: an old copy or a \
                  second process"
@@ -85,44 +85,44 @@
 /// Whether one end takes the other. `expected`: the name of the keeper that was called; `known`: identity and
 /// start under which this name was heard last.
 pub fn takes(
-    own: &Hello,
-    theirs: &Hello,
+    own: &Handshake,
+    theirs: &Handshake,
     expected: Option<&str>,
     known: Option<(u64, u64)>,
-) -> Result<(), Turned> {
+) -> Result<(), HandshakeError> {
     if own.version != theirs.version {
-        return Err(Turned::Version {
+        return Err(HandshakeError::Version {
             own: own.version,
             theirs: theirs.version,
         });
     }
     if own.fleet != theirs.fleet {
-        return Err(Turned::Fleet {
+        return Err(HandshakeError::Fleet {
             own: own.fleet.clone(),
             theirs: theirs.fleet.clone(),
         });
     }
     if let Some(expected) = expected.filter(|expected| **expected != theirs.name) {
-        return Err(Turned::Name {
+        return Err(HandshakeError::Name {
             expected: expected.into(),
             theirs: theirs.name.clone(),
         });
     }
     if own.name == theirs.name {
-        return Err(Turned::Own(own.name.clone()));
+        return Err(HandshakeError::Own(own.name.clone()));
     }
     if own.keepers != theirs.keepers {
-        return Err(Turned::Keepers {
+        return Err(HandshakeError::Keepers {
             own: own.keepers.clone(),
             theirs: theirs.keepers.clone(),
         });
     }
     if own.classes != theirs.classes {
-        return Err(Turned::Classes);
+        return Err(HandshakeError::Classes);
     }
     match known {
         Some((identity, start)) if identity == theirs.identity && start > theirs.start => {
-            Err(Turned::Older {
+            Err(HandshakeError::Older {
                 name: theirs.name.clone(),
                 start: theirs.start,
                 known: start,
@@ -136,10 +136,10 @@
 mod tests {
     use super::*;
 
-    fn hello(name: &str) -> Hello {
+    fn hello(name: &str) -> Handshake {
         let keepers = ["g1", "g2", "g3"].map(str::to_string).to_vec();
         let (version, fleet, name) = (VERSION, "north".into(), name.into());
-        Hello {
+        Handshake {
             version,
             fleet,
             name,
@@ -159,7 +159,7 @@
             Ok(()),
             "a new store begins anew"
         );
-        type Change = fn(&mut Hello);
+        type Change = fn(&mut Handshake);
         let changes: [(&str, Change); 6] = [
             ("version", |hello| hello.version += 1),
             ("fleet", |hello| hello.fleet = "south".into()),
--- a/crates/peer-transport/src/hub.rs
+++ b/crates/peer-transport/src/hub.rs
@@ -16,14 +16,14 @@
 use serde::Serialize;
 
 use crate::failure_detector::{Micros, State, BEAT};
-use crate::frame::Carried;
-use crate::handshake::{takes, Hello, Turned};
-use crate::link::{Came, Link};
+use crate::frame::Frame;
+use crate::handshake::{takes, Handshake, HandshakeError};
+use crate::link::{Link, LinkRead};
 
 /// Links that others made, at the most.
-pub const MOST_LINKS: usize = 400;
+pub const MAX_LINKS: usize = 400;
 /// Messages that wait for the thread, and for the host.
-pub const MOST_WAITING: usize = 8192;
+pub const MAX_WAITING: usize = 8192;
 /// A link that was lost is made anew after a random time up to this, which doubles with each failure.
 const FIRST_PAUSE: Micros = 100_000;
 const LONGEST_PAUSE: Micros = 2_000_000;
@@ -39,13 +39,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Peer {
     /// A keeper that this gateway calls, by its place in the plan.
-    Keeper(usize),
+    Voter(usize),
     /// One that made a link here, by a number that is never used again.
-    Asker(u64),
+    Requester(u64),
 }
 
-pub struct Plan {
-    pub hello: Hello,
+pub struct Config {
+    pub hello: Handshake,
     /// Where this gateway listens, if it does.
     pub listen: Option<SocketAddr>,
     /// Keepers that it calls: name and address, in the order of their places.
@@ -55,12 +55,12 @@
 
 /// What the thread tells the host.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard<M> {
+pub enum PeerEvent<M> {
     Up {
         peer: Peer,
         name: String,
     },
-    Told {
+    Message {
         peer: Peer,
         message: M,
     },
@@ -70,7 +70,7 @@
         state: State,
         trip: Micros,
     },
-    Turned {
+    Rejected {
         name: String,
         why: String,
     },
@@ -83,7 +83,7 @@
 /// The host's side.
 pub struct Hub<M> {
     orders: Option<SyncSender<Order<M>>>,
-    heard: Receiver<Heard<M>>,
+    heard: Receiver<PeerEvent<M>>,
     waker: Arc<Waker>,
     thread: Option<JoinHandle<()>>,
     pub listens: Option<SocketAddr>,
@@ -94,7 +94,7 @@
 
 impl<M: Serialize + DeserializeOwned + Send + 'static> Hub<M> {
     /// `wake` is called from the thread when there is something to take.
-    pub fn start(plan: Plan, wake: Box<dyn Fn() + Send>) -> io::Result<Self> {
+    pub fn start(plan: Config, wake: Box<dyn Fn() + Send>) -> io::Result<Self> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
         let mut listener = match plan.listen {
@@ -106,8 +106,8 @@
             poll.registry()
                 .register(listener, LISTENER, Interest::READABLE)?;
         }
-        let (orders, taken) = sync_channel(MOST_WAITING);
-        let (sender, heard) = sync_channel(MOST_WAITING);
+        let (orders, taken) = sync_channel(MAX_WAITING);
+        let (sender, heard) = sync_channel(MAX_WAITING);
         let began = Instant::now();
         let mut thread = Thread {
             rng: fastrand::Rng::with_seed(plan.seed),
@@ -161,7 +161,7 @@
         }
     }
 
-    pub fn take(&mut self) -> Option<Heard<M>> {
+    pub fn take(&mut self) -> Option<PeerEvent<M>> {
         self.heard.try_recv().ok()
     }
 }
@@ -196,7 +196,7 @@
 }
 
 struct Thread<M> {
-    plan: Plan,
+    plan: Config,
     poll: Poll,
     listener: Option<TcpListener>,
     links: BTreeMap<usize, Held>,
@@ -204,9 +204,9 @@
     calls: BTreeMap<usize, Call>,
     /// Identity and start under which each name was heard last.
     lives: BTreeMap<String, (u64, u64)>,
-    sender: SyncSender<Heard<M>>,
+    sender: SyncSender<PeerEvent<M>>,
     /// What the host's queue had no room for: no link is read until it has gone.
-    waiting: VecDeque<Heard<M>>,
+    waiting: VecDeque<PeerEvent<M>>,
     began: Instant,
     wake: Box<dyn Fn() + Send>,
     rng: fastrand::Rng,
@@ -299,7 +299,7 @@
         let made = self
             .links
             .values()
-            .filter(|held| matches!(held.peer, Peer::Keeper(_)));
+            .filter(|held| matches!(held.peer, Peer::Voter(_)));
         let next = made.map(|held| held.link.detector.due()).chain(calls).min();
         let wait = next
             .unwrap_or(now + BEAT)
@@ -324,18 +324,18 @@
         told
     }
 
-    fn hears(&mut self, heard: Heard<M>) {
+    fn hears(&mut self, heard: PeerEvent<M>) {
         self.waiting.push_back(heard);
     }
 
     fn accept(&mut self) {
         while let Some(listener) = &self.listener {
             match listener.accept() {
-                Ok((stream, _)) if self.links.len() >= MOST_LINKS + self.plan.keepers.len() => {
+                Ok((stream, _)) if self.links.len() >= MAX_LINKS + self.plan.keepers.len() => {
                     drop(stream)
                 }
                 Ok((stream, _)) => {
-                    let peer = Peer::Asker(self.next as u64);
+                    let peer = Peer::Requester(self.next as u64);
                     _ = self.hold(stream, peer, None, Interest::READABLE | Interest::WRITABLE);
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -377,9 +377,9 @@
         let made = TcpStream::connect(address);
         let made = made.and_then(|stream| {
             let interest = Interest::READABLE | Interest::WRITABLE;
-            self.hold(stream, Peer::Keeper(place), Some(name), interest)
+            self.hold(stream, Peer::Voter(place), Some(name), interest)
         });
-        let hello = Carried::Hello(self.plan.hello.clone());
+        let hello = Frame::Handshake(self.plan.hello.clone());
         match made {
             Ok(token) => {
                 self.calls
@@ -401,7 +401,7 @@
         call.pause = (2 * call.pause).min(LONGEST_PAUSE);
     }
 
-    fn put(&mut self, token: usize, carried: &Carried<M>) {
+    fn put(&mut self, token: usize, carried: &Frame<M>) {
         let Some(held) = self.links.get_mut(&token) else {
             return;
         };
@@ -414,8 +414,8 @@
 
     fn tell(&mut self, peer: Peer, message: M) {
         let token = match peer {
-            Peer::Asker(number) => Some(number as usize),
-            Peer::Keeper(place) => {
+            Peer::Requester(number) => Some(number as usize),
+            Peer::Voter(place) => {
                 let at = self.plan.keepers.iter().position(|(own, ..)| *own == place);
                 at.and_then(|at| self.calls.get(&at))
                     .and_then(|call| call.token)
@@ -427,7 +427,7 @@
                 .is_some_and(|held| held.link.known.is_some())
         };
         if let Some(token) = token.filter(known) {
-            self.put(token, &Carried::Told(message));
+            self.put(token, &Frame::Message(message));
         }
     }
 
@@ -454,7 +454,7 @@
         let Some(held) = self.links.get_mut(&token) else {
             return;
         };
-        let Came {
+        let LinkRead {
             frames,
             more,
             ended,
@@ -478,28 +478,28 @@
         }
     }
 
-    fn came(&mut self, token: usize, carried: Carried<M>, now: Micros) {
+    fn came(&mut self, token: usize, carried: Frame<M>, now: Micros) {
         let Some(held) = self.links.get_mut(&token) else {
             return;
         };
         let (peer, known) = (held.peer, held.link.known.is_some());
         match carried {
-            Carried::Hello(hello) if !known => self.introduced(token, hello),
-            Carried::Turned(why) => {
+            Frame::Handshake(hello) if !known => self.introduced(token, hello),
+            Frame::Rejected(why) => {
                 let name = held.expected.clone().unwrap_or_default();
-                self.hears(Heard::Turned { name, why });
+                self.hears(PeerEvent::Rejected { name, why });
                 self.drop_link(token, "turned away");
             }
-            Carried::Beat(number) if known => self.put(token, &Carried::Back(number)),
-            Carried::Back(number) => held.link.detector.answered(now, number),
-            Carried::Told(message) if known => self.hears(Heard::Told { peer, message }),
+            Frame::Heartbeat(number) if known => self.put(token, &Frame::HeartbeatReply(number)),
+            Frame::HeartbeatReply(number) => held.link.detector.answered(now, number),
+            Frame::Message(message) if known => self.hears(PeerEvent::Message { peer, message }),
             // Before it has said who it is, and a second time, nothing else is heard.
             _ => {}
         }
     }
 
     /// The other end has said who it is.
-    fn introduced(&mut self, token: usize, hello: Hello) {
+    fn introduced(&mut self, token: usize, hello: Handshake) {
         let Some(held) = self.links.get_mut(&token) else {
             return;
         };
@@ -510,13 +510,14 @@
         }
         // The same name once more: the older link is of a process or a path that is no more.
         let same = |(_, held): &(&usize, &Held)| {
-            matches!(held.peer, Peer::Asker(_)) && held.link.known.as_deref() == Some(&*hello.name)
+            matches!(held.peer, Peer::Requester(_))
+                && held.link.known.as_deref() == Some(&*hello.name)
         };
         let older = self.links.iter().find(same).map(|(token, _)| *token);
         if let Some(older) = older.filter(|_| expected.is_none()) {
             self.drop_link(older, "a newer link took its place");
         }
-        if self.lives.len() < MOST_LINKS || self.lives.contains_key(&hello.name) {
+        if self.lives.len() < MAX_LINKS || self.lives.contains_key(&hello.name) {
             self.lives
                 .insert(hello.name.clone(), (hello.identity, hello.start));
         }
@@ -524,26 +525,26 @@
             held.link.known = Some(hello.name.clone());
         }
         match peer {
-            Peer::Asker(_) => self.put(token, &Carried::Hello(self.plan.hello.clone())),
-            Peer::Keeper(place) => {
+            Peer::Requester(_) => self.put(token, &Frame::Handshake(self.plan.hello.clone())),
+            Peer::Voter(place) => {
                 let at = self.plan.keepers.iter().position(|(own, ..)| *own == place);
                 let call = at.and_then(|at| self.calls.get_mut(&at));
                 call.into_iter().for_each(|call| call.pause = FIRST_PAUSE);
             }
         }
-        self.hears(Heard::Up {
+        self.hears(PeerEvent::Up {
             peer,
             name: hello.name,
         });
     }
 
-    fn turn_away(&mut self, token: usize, name: &str, why: Turned) {
+    fn turn_away(&mut self, token: usize, name: &str, why: HandshakeError) {
         let why = why.to_string();
-        self.put(token, &Carried::Turned(why.clone()));
+        self.put(token, &Frame::Rejected(why.clone()));
         if let Some(held) = self.links.get_mut(&token) {
             held.link.ends = true;
         }
-        self.hears(Heard::Turned {
+        self.hears(PeerEvent::Rejected {
             name: name.into(),
             why,
         });
@@ -557,7 +558,7 @@
         if let Some(name) = &held.link.known {
             log::debug!("fleet: the link to {name} is dropped: {why}");
             let trip = held.link.detector.trip();
-            self.hears(Heard::State {
+            self.hears(PeerEvent::State {
                 peer: held.peer,
                 state: State::Gone,
                 trip,
@@ -593,9 +594,9 @@
             }
             // The one who made a link asks; the other end hears that.
             let beat =
-                Some(&mut held.link.detector).filter(|_| matches!(held.peer, Peer::Keeper(_)));
+                Some(&mut held.link.detector).filter(|_| matches!(held.peer, Peer::Voter(_)));
             if let Some(number) = beat.and_then(|detector| detector.beats(now)) {
-                self.put(token, &Carried::Beat(number));
+                self.put(token, &Frame::Heartbeat(number));
             }
             self.look_at(token, now);
         }
@@ -616,7 +617,7 @@
             return self.drop_link(token, "nothing is heard of it");
         }
         if std::mem::replace(&mut held.state, state) != state {
-            self.hears(Heard::State { peer, state, trip });
+            self.hears(PeerEvent::State { peer, state, trip });
         }
     }
 }
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -5,8 +5,8 @@
 //! [`detector`], which says how a peer does by when it was heard; [`frame`], checksummed frames of bounded
 //! length; and [`hello`], who is let in. What is carried is the host's own, by a serialization library.
 //!
-//! Bounds: [`hub::MOST_LINKS`] links that others made, [`hub::MOST_WAITING`] messages each way between the
-//! host and the thread, [`link::MOST_UNSENT`] bytes that a peer has not taken (then its link is dropped and
+//! Bounds: [`hub::MAX_LINKS`] links that others made, [`hub::MAX_WAITING`] messages each way between the
+//! host and the thread, [`link::MAX_UNSENT`] bytes that a peer has not taken (then its link is dropped and
 //! made anew), [`frame::MOST`] bytes a frame.
 
 pub mod failure_detector;
@@ -16,5 +16,5 @@
 pub mod link;
 
 pub use failure_detector::State;
-pub use handshake::{Hello, Turned};
-pub use hub::{Heard, Hub, Peer, Plan};
+pub use handshake::{Handshake, HandshakeError};
+pub use hub::{Config, Hub, Peer, PeerEvent};
--- a/crates/peer-transport/src/link.rs
+++ b/crates/peer-transport/src/link.rs
@@ -7,10 +7,10 @@
 use serde::Serialize;
 
 use crate::failure_detector::{Detector, Micros};
-use crate::frame::{self, Carried, MOST};
+use crate::frame::{self, Frame, MOST};
 
 /// Bytes that a peer has not taken: with more its link is dropped.
-pub const MOST_UNSENT: usize = 1 << 20;
+pub const MAX_UNSENT: usize = 1 << 20;
 /// Bytes that are read of one link in one look, so that none keeps the others waiting.
 const LOOK: usize = 64 << 10;
 
@@ -28,8 +28,8 @@
 }
 
 /// What a look at a link brought.
-pub struct Came<M> {
-    pub frames: Vec<Carried<M>>,
+pub struct LinkRead<M> {
+    pub frames: Vec<Frame<M>>,
     /// There may be more without a further event of the socket.
     pub more: bool,
     /// The connection ended behind these frames, or what came can't be read.
@@ -51,10 +51,10 @@
     }
 
     /// Puts a frame behind those that wait. False: too much waits, the link is to be dropped.
-    pub fn put<M: Serialize>(&mut self, carried: &Carried<M>) -> bool {
+    pub fn put<M: Serialize>(&mut self, carried: &Frame<M>) -> bool {
         // What is too long for a frame was never promised to anybody.
         frame::write(&mut self.unsent, carried);
-        self.unsent.len() - self.sent <= MOST_UNSENT
+        self.unsent.len() - self.sent <= MAX_UNSENT
     }
 
     /// Sends what the socket takes.
@@ -85,7 +85,7 @@
     }
 
     /// Reads what has come.
-    pub fn read<M: DeserializeOwned>(&mut self) -> Came<M> {
+    pub fn read<M: DeserializeOwned>(&mut self) -> LinkRead<M> {
         let (mut buffer, mut total, mut more, mut ended) = ([0; 16 << 10], 0, false, None);
         loop {
             if total >= LOOK || self.unread.len() > 2 * MOST {
@@ -127,7 +127,7 @@
         if self.unread.is_empty() {
             self.unread.shrink_to(LOOK);
         }
-        Came {
+        LinkRead {
             frames,
             more,
             ended,
--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -16,7 +16,7 @@
 pub const SCRUB: Micros = 3_000_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum ReplicationProgress {
     /// It has no copies for others.
     Asker,
     Votes,
@@ -33,14 +33,14 @@
     keepers / 2 + 1
 }
 
-impl Standing {
+impl ReplicationProgress {
     pub fn votes(&self) -> bool {
-        *self == Standing::Votes
+        *self == ReplicationProgress::Votes
     }
 
     /// A keeper has sent all that it had. True: now this one votes.
     pub fn heard(&mut self, keeper: usize, votes: bool, keepers: usize) -> bool {
-        let Standing::CatchesUp { heard, .. } = self else {
+        let ReplicationProgress::CatchesUp { heard, .. } = self else {
             return false;
         };
         if votes {
@@ -48,16 +48,16 @@
         }
         let done = heard.len() >= needed(keepers);
         if done {
-            *self = Standing::Votes;
+            *self = ReplicationProgress::Votes;
         }
         done
     }
 
     /// What it may have lost is over. True: now this one votes.
     pub fn work(&mut self, now: Micros) -> bool {
-        let over = matches!(self, Standing::CatchesUp { until, .. } if *until <= now);
+        let over = matches!(self, ReplicationProgress::CatchesUp { until, .. } if *until <= now);
         if over {
-            *self = Standing::Votes;
+            *self = ReplicationProgress::Votes;
         }
         over
     }
--- a/crates/replication/src/claims.rs
+++ b/crates/replication/src/claims.rs
@@ -8,8 +8,8 @@
 
 use eideryard_intent_log::Place;
 
-use crate::entry::{Phase, Record, Seen};
-use crate::message::Why;
+use crate::entry::{Phase, Record, ReplicaView};
+use crate::message::ClaimRejection;
 use crate::Micros;
 
 /// A claim without a majority by then is given up.
@@ -20,7 +20,7 @@
 pub const RESENT: usize = 64;
 
 /// Where a key may have run, and since when by this gateway's clock.
-pub type Told = Vec<(Option<Place>, Micros)>;
+pub type PriorRuns = Vec<(Option<Place>, Micros)>;
 
 /// What becomes of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -28,9 +28,9 @@
     /// It may be sent.
     Granted,
     /// The module has to be told first.
-    Earlier(Told),
+    Earlier(PriorRuns),
     /// What a minority told of runs that the module was not told of.
-    NoMajority(Told),
+    NoMajority(PriorRuns),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -40,15 +40,15 @@
     asked: Micros,
     /// Keepers that hold it, and that said why not.
     votes: BTreeSet<usize>,
-    turned: BTreeMap<usize, Why>,
+    turned: BTreeMap<usize, ClaimRejection>,
     /// What the module was told before, and what keepers told now: place and since when.
-    known: Told,
-    seen: Told,
+    known: PriorRuns,
+    seen: PriorRuns,
 }
 
 impl Claim {
     /// What the module was not told, one for each place: the earliest.
-    fn untold(self) -> Told {
+    fn untold(self) -> PriorRuns {
         let Claim {
             known, mut seen, ..
         } = self;
@@ -58,7 +58,7 @@
                 .any(|(own, at)| own == place && *at <= since + JITTER)
         };
         if seen.iter().all(|(place, since)| told(place, *since)) {
-            return Told::new();
+            return PriorRuns::new();
         }
         seen.sort();
         seen.dedup_by_key(|(place, _)| *place);
@@ -178,7 +178,7 @@
             .collect()
     }
 
-    pub fn begin(&mut self, now: Micros, number: u64, key: &[u8], version: u32, known: Told) {
+    pub fn begin(&mut self, now: Micros, number: u64, key: &[u8], version: u32, known: PriorRuns) {
         let (votes, turned, seen) = Default::default();
         let claim = Claim {
             key: key.to_vec(),
@@ -206,7 +206,7 @@
         now: Micros,
         number: u64,
         keeper: usize,
-        seen: &[Seen],
+        seen: &[ReplicaView],
     ) -> Option<Verdict> {
         let majority = self.majority();
         let claim = self.open.get_mut(&number)?;
@@ -233,7 +233,7 @@
     }
 
     /// A keeper doesn't answer it. A verdict, where no majority is left.
-    pub fn turned(&mut self, number: u64, keeper: usize, why: Why) -> Option<Verdict> {
+    pub fn turned(&mut self, number: u64, keeper: usize, why: ClaimRejection) -> Option<Verdict> {
         let majority = self.majority();
         let claim = self.open.get_mut(&number)?;
         claim.turned.insert(keeper, why);
--- a/crates/replication/src/compare.rs
+++ b/crates/replication/src/compare.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use crate::entry::{self, Origin, ReplicaRecord};
 use crate::replica_set::FADES;
-use crate::entry::{self, Copy, Origin};
 
 /// One keeper's copies, by the ledger's keys.
-pub type Held = BTreeMap<Vec<u8>, Copy>;
+pub type Held = BTreeMap<Vec<u8>, ReplicaRecord>;
 
 /// A key of which keepers hold different records.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/replication/src/core.rs
+++ b/crates/replication/src/core.rs
@@ -4,12 +4,12 @@
 
 use eideryard_intent_log::Place;
 
-use crate::anti_entropy::{Budget, Standing, PATIENCE, SCRUB};
-use crate::claims::{Claims, Told, Verdict, BOUND};
-use crate::replica_set::{cost, Copies, Joined, Limits};
+use crate::anti_entropy::{Budget, ReplicationProgress, PATIENCE, SCRUB};
+use crate::claims::{Claims, PriorRuns, Verdict, BOUND};
 use crate::drains::{Drain, Drains};
-use crate::entry::{self, Copy, Origin, Phase, Record, Seen};
-use crate::message::{Entry, Message, Why};
+use crate::entry::{self, Origin, Phase, Record, ReplicaRecord, ReplicaView};
+use crate::message::{ClaimRejection, Entry, Message};
+use crate::replica_set::{cost, Limits, MergeResult, ReplicaSet};
 use crate::Micros;
 
 /// Bytes of one part of a catch-up at the most.
@@ -21,13 +21,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Peer {
     /// A keeper, by the link that this gateway made to it.
-    Keeper(usize),
+    Voter(usize),
     /// Whoever made this link here.
-    Asker(u64),
+    Requester(u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Plan {
+pub struct Config {
     /// Keepers of the fleet, and which of them this gateway is.
     pub keepers: usize,
     pub own: Option<usize>,
@@ -42,7 +42,7 @@
 
 /// Why a gateway takes up no claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum ClaimError {
     /// So many of its own records are not at all keepers yet, nor over: it forgets none early.
     Full,
     NoMajority,
@@ -54,13 +54,13 @@
     /// Make this copy of a key durable, or drop it; then, and only then, come the others.
     Store {
         key: Vec<u8>,
-        copy: Option<Copy>,
+        copy: Option<ReplicaRecord>,
         then: Vec<Output>,
     },
     /// This keeper's own vote on its own claim.
     OwnVote {
         number: u64,
-        seen: Vec<Seen>,
+        seen: Vec<ReplicaView>,
     },
     Verdict(u64, Verdict),
     /// A list that another one has says so of an engine.
@@ -76,7 +76,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counted {
+pub struct Counters {
     pub claims: u64,
     pub granted: u64,
     pub earlier: u64,
@@ -112,10 +112,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Core {
-    plan: Plan,
+    plan: Config,
     origin: Origin,
-    pub standing: Standing,
-    copies: Copies,
+    pub standing: ReplicationProgress,
+    copies: ReplicaSet,
     claims: Claims,
     keepers: Vec<Known>,
     asked: BTreeMap<u64, Asked>,
@@ -129,27 +129,27 @@
     looked_at: Micros,
     scrubbed_at: Micros,
     scrubs: usize,
-    pub counted: Counted,
+    pub counted: Counters,
 }
 
 impl Core {
     /// At a start. `whole`: the store has all that this keeper ever acknowledged, and it voted.
     pub fn start(
-        plan: Plan,
+        plan: Config,
         origin: Origin,
         whole: bool,
-        found: impl Iterator<Item = (Vec<u8>, Copy)>,
+        found: impl Iterator<Item = (Vec<u8>, ReplicaRecord)>,
         now: Micros,
     ) -> Self {
         let standing = match (plan.own, whole) {
-            (None, _) => Standing::Asker,
-            (Some(_), true) => Standing::Votes,
-            (Some(_), false) => Standing::CatchesUp {
+            (None, _) => ReplicationProgress::Asker,
+            (Some(_), true) => ReplicationProgress::Votes,
+            (Some(_), false) => ReplicationProgress::CatchesUp {
                 until: now + plan.longest,
                 heard: Default::default(),
             },
         };
-        let mut copies = Copies::new(plan.limits);
+        let mut copies = ReplicaSet::new(plan.limits);
         found.for_each(|(key, copy)| copies.restore(key, copy, plan.longest, now));
         let keepers = vec![Known::default(); plan.keepers];
         let (claims, budget) = (Claims::new(plan.keepers), Budget::new(plan.bytes_per_s));
@@ -178,7 +178,7 @@
         self.origin
     }
 
-    pub fn copies(&self) -> &Copies {
+    pub fn copies(&self) -> &ReplicaSet {
         &self.copies
     }
 
@@ -187,11 +187,11 @@
     }
 
     /// Why no claim is taken up now, if none is.
-    pub fn refuses(&self) -> Option<Refusal> {
+    pub fn refuses(&self) -> Option<ClaimError> {
         if self.claims.own() >= self.plan.limits.entries {
-            return Some(Refusal::Full);
+            return Some(ClaimError::Full);
         }
-        (!self.plan.send_without && !self.majority_stands()).then_some(Refusal::NoMajority)
+        (!self.plan.send_without && !self.majority_stands()).then_some(ClaimError::NoMajority)
     }
 
     /// Whether a claim can be granted, as far as this gateway knows.
@@ -215,7 +215,7 @@
         place: Option<Place>,
         since: Micros,
         keep: Micros,
-        known: Told,
+        known: PriorRuns,
     ) -> Vec<Output> {
         self.counted.claims += 1;
         let until = now + keep.min(self.plan.longest);
@@ -244,7 +244,7 @@
                 origin,
                 record: travels,
             };
-            outputs.push(Output::Send(Peer::Keeper(keeper), claim));
+            outputs.push(Output::Send(Peer::Voter(keeper), claim));
         }
         if let Some(own) = self.plan.own {
             let seen = self
@@ -255,15 +255,15 @@
                 self.copies.join(key, self.origin, record),
                 self.standing.votes(),
             ) {
-                (Joined::Full, _) => {
-                    outputs.extend(self.turned(number, own, Why::Full));
+                (MergeResult::Full, _) => {
+                    outputs.extend(self.turned(number, own, ClaimRejection::Full));
                 }
                 (_, votes) => {
                     self.claims.has(own, key, record.version);
                     let then = Some(Output::OwnVote { number, seen }).filter(|_| votes);
                     outputs.push(self.store(key, then.into_iter().collect()));
                     if !votes {
-                        outputs.extend(self.turned(number, own, Why::CatchingUp));
+                        outputs.extend(self.turned(number, own, ClaimRejection::CatchingUp));
                     }
                 }
             }
@@ -298,18 +298,24 @@
         Some(Output::Verdict(number, verdict))
     }
 
-    fn turned(&mut self, number: u64, keeper: usize, why: Why) -> Option<Output> {
+    fn turned(&mut self, number: u64, keeper: usize, why: ClaimRejection) -> Option<Output> {
         let verdict = self.claims.turned(number, keeper, why);
         self.decided(number, verdict)
     }
 
-    fn vote(&mut self, now: Micros, number: u64, keeper: usize, seen: &[Seen]) -> Option<Output> {
+    fn vote(
+        &mut self,
+        now: Micros,
+        number: u64,
+        keeper: usize,
+        seen: &[ReplicaView],
+    ) -> Option<Output> {
         let verdict = self.claims.vote(now, number, keeper, seen);
         self.decided(number, verdict)
     }
 
     /// This keeper's own copy of its own claim is durable.
-    pub fn own_vote(&mut self, now: Micros, number: u64, seen: &[Seen]) -> Option<Output> {
+    pub fn own_vote(&mut self, now: Micros, number: u64, seen: &[ReplicaView]) -> Option<Output> {
         let own = self.plan.own?;
         self.vote(now, number, own, seen)
     }
@@ -343,7 +349,7 @@
         let record = self.claims.write(now, key, record);
         let mut outputs = Vec::new();
         if let Some(own) = self.plan.own {
-            if self.copies.join(key, self.origin, record) != Joined::Full {
+            if self.copies.join(key, self.origin, record) != MergeResult::Full {
                 self.claims.has(own, key, record.version);
                 outputs.push(self.store(key, Vec::new()));
             }
@@ -357,7 +363,7 @@
     fn update(&self, now: Micros, keeper: usize, key: Vec<u8>, record: Record) -> Output {
         let record = record.travels(now);
         Output::Send(
-            Peer::Keeper(keeper),
+            Peer::Voter(keeper),
             Message::Update {
                 key,
                 origin: self.origin,
@@ -369,7 +375,7 @@
     /// A link to a keeper came up or broke, or some who asked is gone.
     pub fn link(&mut self, now: Micros, peer: Peer, up: bool) -> Vec<Output> {
         match peer {
-            Peer::Keeper(keeper) => {
+            Peer::Voter(keeper) => {
                 let Some(known) = self.keepers.get_mut(keeper) else {
                     return Vec::new();
                 };
@@ -386,11 +392,11 @@
                     return outputs;
                 }
             }
-            Peer::Asker(link) if up => {
+            Peer::Requester(link) if up => {
                 self.askers.insert(link);
                 return self.greets(now, peer);
             }
-            Peer::Asker(link) => {
+            Peer::Requester(link) => {
                 self.asked.remove(&link);
                 self.askers.remove(&link);
             }
@@ -434,8 +440,8 @@
         if news.is_empty() {
             return Vec::new();
         }
-        let keepers = self.reached().into_iter().map(Peer::Keeper);
-        let askers = self.askers.iter().copied().map(Peer::Asker);
+        let keepers = self.reached().into_iter().map(Peer::Voter);
+        let askers = self.askers.iter().copied().map(Peer::Requester);
         let others = keepers.chain(askers).filter(|peer| Some(*peer) != from);
         let told = |peer| {
             Output::Send(
@@ -456,7 +462,7 @@
 
     /// A link stands but its other end is not heard, or is heard again.
     pub fn hears_state(&mut self, now: Micros, peer: Peer, heard: bool) -> Vec<Output> {
-        let Peer::Keeper(keeper) = peer else {
+        let Peer::Voter(keeper) = peer else {
             return Vec::new();
         };
         let Some(known) = self.keepers.get_mut(keeper) else {
@@ -481,7 +487,7 @@
     pub fn hears(&mut self, now: Micros, from: Peer, message: Message) -> Vec<Output> {
         match (from, message) {
             (
-                Peer::Asker(_),
+                Peer::Requester(_),
                 Message::Claim {
                     number,
                     key,
@@ -490,7 +496,7 @@
                 },
             ) => self.claimed(now, from, number, key, origin, record.arrives(now, None)),
             (
-                Peer::Asker(_),
+                Peer::Requester(_),
                 Message::Update {
                     key,
                     origin,
@@ -499,7 +505,7 @@
             ) => {
                 let (version, record) = (record.version, record.arrives(now, None));
                 match self.copies.join(&key, origin, record) {
-                    Joined::Full => Vec::new(),
+                    MergeResult::Full => Vec::new(),
                     _ => {
                         let told = Output::Send(
                             from,
@@ -512,7 +518,7 @@
                     }
                 }
             }
-            (Peer::Asker(link), Message::Ask { number, prints }) => {
+            (Peer::Requester(link), Message::Ask { number, prints }) => {
                 let own = self.copies.prints(now);
                 let differ = own
                     .iter()
@@ -526,37 +532,37 @@
                 self.asked.insert(link, asked);
                 self.answer(now)
             }
-            (Peer::Keeper(keeper), Message::Claimed { number, seen }) => {
+            (Peer::Voter(keeper), Message::Claimed { number, seen }) => {
                 if let Some((key, version)) = self.claims.asked(number) {
                     self.claims.has(keeper, &key, version);
                 }
                 self.vote(now, number, keeper, &seen).into_iter().collect()
             }
-            (Peer::Keeper(keeper), Message::NotNow { number, why }) => {
-                if why == Why::CatchingUp {
+            (Peer::Voter(keeper), Message::NotNow { number, why }) => {
+                if why == ClaimRejection::CatchingUp {
                     self.keepers[keeper].votes = false;
                 }
                 self.turned(number, keeper, why).into_iter().collect()
             }
-            (Peer::Keeper(keeper), Message::Updated { key, version }) => {
+            (Peer::Voter(keeper), Message::Updated { key, version }) => {
                 self.claims.has(keeper, &key, version);
                 Vec::new()
             }
-            (Peer::Keeper(keeper), Message::Stands { votes }) => {
+            (Peer::Voter(keeper), Message::Stands { votes }) => {
                 self.keepers[keeper].votes = votes;
                 Vec::new()
             }
-            (Peer::Keeper(keeper), Message::Later { ms, .. }) => {
+            (Peer::Voter(keeper), Message::Later { ms, .. }) => {
                 let known = &mut self.keepers[keeper];
                 (known.asked, known.not_before) = (None, now + ms * 1000);
                 Vec::new()
             }
             (from, Message::Drains { drains }) => self.passes_on(drains, Some(from)),
-            (Peer::Keeper(_), Message::Hints { lessons, age }) => {
+            (Peer::Voter(_), Message::Hints { lessons, age }) => {
                 vec![Output::Hints { lessons, age }]
             }
             (
-                Peer::Keeper(keeper),
+                Peer::Voter(keeper),
                 Message::Part {
                     number,
                     entries,
@@ -583,13 +589,13 @@
             .get(&key)
             .map_or(Vec::new(), |copy| entry::seen(copy, origin, now));
         let joined = self.copies.join(&key, origin, record);
-        if joined == Joined::Full {
+        if joined == MergeResult::Full {
             self.counted.turned_away += 1;
             return vec![Output::Send(
                 from,
                 Message::NotNow {
                     number,
-                    why: Why::Full,
+                    why: ClaimRejection::Full,
                 },
             )];
         }
@@ -600,7 +606,7 @@
                 from,
                 Message::NotNow {
                     number,
-                    why: Why::CatchingUp,
+                    why: ClaimRejection::CatchingUp,
                 },
             );
             return vec![self.store(&key, Vec::new()), turned];
@@ -626,7 +632,7 @@
                     if asked.behind.is_none() {
                         self.asked.remove(&link);
                         let later = Message::Later { number, ms };
-                        outputs.push(Output::Send(Peer::Asker(link), later));
+                        outputs.push(Output::Send(Peer::Requester(link), later));
                     }
                     continue;
                 }
@@ -649,7 +655,7 @@
                 last: !more,
                 votes,
             };
-            outputs.push(Output::Send(Peer::Asker(link), part));
+            outputs.push(Output::Send(Peer::Requester(link), part));
         }
         outputs
     }
@@ -676,8 +682,8 @@
             for (origin, record) in &entry.records {
                 let record = record.arrives(now, Some(asked_at));
                 let joined = self.copies.join(&entry.key, *origin, record);
-                self.counted.mended += u64::from(joined == Joined::Changed);
-                changed |= joined == Joined::Changed;
+                self.counted.mended += u64::from(joined == MergeResult::Changed);
+                changed |= joined == MergeResult::Changed;
             }
             if changed {
                 outputs.push(self.store(&entry.key, Vec::new()));
@@ -762,7 +768,7 @@
             let (number, prints) = (self.numbers, self.copies.prints(now));
             self.keepers[keeper].asked = Some((now, number, now));
             outputs.push(Output::Send(
-                Peer::Keeper(keeper),
+                Peer::Voter(keeper),
                 Message::Ask { number, prints },
             ));
         }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -49,7 +49,7 @@
 
 /// A record as it travels: with ages instead of times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Travelling {
+pub struct WireRecord {
     pub version: u32,
     pub phase: Phase,
     pub place: Option<Place>,
@@ -60,13 +60,13 @@
 
 /// What another one may have done with a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ReplicaView {
     pub place: Option<Place>,
     pub age: Micros,
 }
 
 /// All that is known of one key.
-pub type Copy = BTreeMap<Origin, Record>;
+pub type ReplicaRecord = BTreeMap<Origin, Record>;
 
 impl Record {
     /// Two records of one origin.
@@ -84,7 +84,7 @@
         }
     }
 
-    pub fn travels(&self, now: Micros) -> Travelling {
+    pub fn travels(&self, now: Micros) -> WireRecord {
         let Record {
             version,
             phase,
@@ -96,7 +96,7 @@
             now.saturating_sub(self.since),
             self.until.saturating_sub(now),
         );
-        Travelling {
+        WireRecord {
             version,
             phase,
             place,
@@ -107,11 +107,11 @@
     }
 }
 
-impl Travelling {
+impl WireRecord {
     /// By the clock of one that receives it. `asked`: since when it may have been under way, where that is
     /// known; else it is taken for as old as it says on arrival.
     pub fn arrives(&self, now: Micros, asked: Option<Micros>) -> Record {
-        let Travelling {
+        let WireRecord {
             version,
             phase,
             place,
@@ -131,7 +131,7 @@
 }
 
 /// Joins a record into a copy. False: nothing that is compared changed.
-pub fn join(copy: &mut Copy, origin: Origin, record: Record) -> bool {
+pub fn join(copy: &mut ReplicaRecord, origin: Origin, record: Record) -> bool {
     match copy.entry(origin) {
         std::collections::btree_map::Entry::Vacant(place) => {
             place.insert(record);
@@ -147,12 +147,12 @@
 }
 
 /// What origins other than one's own may have done, ages by this copy's clock.
-pub fn seen(copy: &Copy, own: Origin, now: Micros) -> Vec<Seen> {
+pub fn seen(copy: &ReplicaRecord, own: Origin, now: Micros) -> Vec<ReplicaView> {
     let others = copy
         .iter()
         .filter(|(origin, record)| **origin != own && record.phase != Phase::Void);
     others
-        .map(|(_, record)| Seen {
+        .map(|(_, record)| ReplicaView {
             place: record.place,
             age: now.saturating_sub(record.since),
         })
@@ -181,12 +181,12 @@
     [PREFIX, key].concat()
 }
 
-pub fn to_bytes(copy: &Copy) -> Vec<u8> {
+pub fn to_bytes(copy: &ReplicaRecord) -> Vec<u8> {
     // Plain numbers always can.
     postcard::to_stdvec(copy).unwrap_or_default()
 }
 
-pub fn from_bytes(bytes: &[u8]) -> Option<Copy> {
+pub fn from_bytes(bytes: &[u8]) -> Option<ReplicaRecord> {
     postcard::take_from_bytes(bytes)
         .ok()
         .filter(|(_, rest)| rest.is_empty())
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -13,15 +13,15 @@
 pub mod anti_entropy;
 pub mod claims;
 pub mod compare;
-pub mod replica_set;
 pub mod core;
 pub mod drains;
 pub mod entry;
 pub mod message;
+pub mod replica_set;
 
-pub use crate::core::{Core, Output, Peer, Plan};
-pub use claims::{Told, Verdict};
-pub use entry::{Copy, Origin, Phase, Record, Seen};
+pub use crate::core::{Config, Core, Output, Peer};
+pub use claims::{PriorRuns, Verdict};
+pub use entry::{Origin, Phase, Record, ReplicaRecord, ReplicaView};
 pub use message::Message;
 
 /// Microseconds of the host's clock.
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -3,11 +3,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::drains::Drain;
-use crate::entry::{Origin, Seen, Travelling};
+use crate::entry::{Origin, ReplicaView, WireRecord};
 
 /// Why a keeper doesn't answer a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Why {
+pub enum ClaimRejection {
     /// It came back without all that it had, and has not caught up.
     CatchingUp,
     /// Its table of copies is full: it forgets nothing early.
@@ -21,22 +21,22 @@
         number: u64,
         key: Vec<u8>,
         origin: Origin,
-        record: Travelling,
+        record: WireRecord,
     },
     /// It is durable here, and this is what others may have done.
     Claimed {
         number: u64,
-        seen: Vec<Seen>,
+        seen: Vec<ReplicaView>,
     },
     NotNow {
         number: u64,
-        why: Why,
+        why: ClaimRejection,
     },
     /// News of an own key; no vote is asked.
     Update {
         key: Vec<u8>,
         origin: Origin,
-        record: Travelling,
+        record: WireRecord,
     },
     Updated {
         key: Vec<u8>,
@@ -78,5 +78,5 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
     pub key: Vec<u8>,
-    pub records: Vec<(Origin, Travelling)>,
+    pub records: Vec<(Origin, WireRecord)>,
 }
