--- a/crates/replication/src/replica_set.rs
+++ b/crates/replication/src/replica_set.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use crate::entry::{self, Copy, Origin, Record};
+use crate::entry::{self, Origin, Record, ReplicaRecord};
 use crate::message::Entry;
 use crate::Micros;
 
@@ -14,7 +14,7 @@
 /// them already.
 pub const FADES: Micros = 1_000_000;
 /// Records of one key: each incarnation that tried it. One more is refused.
-pub const MOST_RECORDS: usize = 32;
+pub const MAX_RECORDS: usize = 32;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
@@ -23,9 +23,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Copies {
+pub struct ReplicaSet {
     limits: Limits,
-    copies: BTreeMap<Vec<u8>, Copy>,
+    copies: BTreeMap<Vec<u8>, ReplicaRecord>,
     /// All keys, by when they may be dropped.
     expiry: BTreeSet<(Micros, Vec<u8>)>,
     /// Prints of all records by the second in which their origins let go of them, one for each range: kept
@@ -35,7 +35,7 @@
 
 /// What a join did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Joined {
+pub enum MergeResult {
     Changed,
     /// Nothing that others would see.
     Same,
@@ -43,7 +43,7 @@
     Full,
 }
 
-fn until(copy: &Copy) -> Micros {
+fn until(copy: &ReplicaRecord) -> Micros {
     copy.values().map(|record| record.until).max().unwrap_or(0)
 }
 
@@ -52,9 +52,9 @@
     usize::from(blake3::hash(key).as_bytes()[0]) % RANGES
 }
 
-impl Copies {
+impl ReplicaSet {
     pub fn new(limits: Limits) -> Self {
-        Copies {
+        ReplicaSet {
             limits,
             copies: BTreeMap::new(),
             expiry: BTreeSet::new(),
@@ -70,13 +70,13 @@
         self.copies.is_empty()
     }
 
-    pub fn get(&self, key: &[u8]) -> Option<&Copy> {
+    pub fn get(&self, key: &[u8]) -> Option<&ReplicaRecord> {
         self.copies.get(key)
     }
 
     /// From the store, at a start. How long the keeper was away is not known: what is kept is kept for its
     /// whole time once more, and what is dated in the future is pinned to no place.
-    pub fn restore(&mut self, key: Vec<u8>, mut copy: Copy, longest: Micros, now: Micros) {
+    pub fn restore(&mut self, key: Vec<u8>, mut copy: ReplicaRecord, longest: Micros, now: Micros) {
         for record in copy.values_mut() {
             if record.since > now {
                 (record.since, record.place) = (now, None);
@@ -89,13 +89,13 @@
         self.copies.insert(key, copy);
     }
 
-    pub fn join(&mut self, key: &[u8], origin: Origin, record: Record) -> Joined {
+    pub fn join(&mut self, key: &[u8], origin: Origin, record: Record) -> MergeResult {
         let known = self.copies.get(key);
         let full = known.map_or(self.copies.len() >= self.limits.entries, |copy| {
-            copy.len() >= MOST_RECORDS && !copy.contains_key(&origin)
+            copy.len() >= MAX_RECORDS && !copy.contains_key(&origin)
         });
         if full {
-            return Joined::Full;
+            return MergeResult::Full;
         }
         let copy = self.copies.entry(key.to_vec()).or_default();
         let (before, old) = (until(copy), copy.get(&origin).copied());
@@ -111,9 +111,9 @@
             self.expiry.insert((after, key.to_vec()));
         }
         if changed {
-            Joined::Changed
+            MergeResult::Changed
         } else {
-            Joined::Same
+            MergeResult::Same
         }
     }
 
@@ -212,7 +212,7 @@
 }
 
 /// Of what all keepers should agree on of a key.
-pub fn print_of(key: &[u8], copy: &Copy, now: Micros) -> u64 {
+pub fn print_of(key: &[u8], copy: &ReplicaRecord, now: Micros) -> u64 {
     let lasting = copy
         .iter()
         .filter(|(_, record)| seconds_of(**record) >= lasts_from(now));
--- a/crates/replication/tests/joins.rs
+++ b/crates/replication/tests/joins.rs
@@ -1,8 +1,8 @@
 //! Copies join in any order, any number of times, to the same: every kind of record, every split of messages.
 
 use eideryard_intent_log::Place;
-use eideryard_replication::replica_set::{print_of, range, Copies, Limits, RANGES};
-use eideryard_replication::entry::{self, join, Copy, Origin, Phase, Record};
+use eideryard_replication::entry::{self, join, Origin, Phase, Record, ReplicaRecord};
+use eideryard_replication::replica_set::{print_of, range, Limits, ReplicaSet, RANGES};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -33,8 +33,8 @@
     })
 }
 
-fn joined(records: &[(Origin, Record)]) -> Copy {
-    let mut copy = Copy::new();
+fn joined(records: &[(Origin, Record)]) -> ReplicaRecord {
+    let mut copy = ReplicaRecord::new();
     records
         .iter()
         .for_each(|(origin, record)| _ = join(&mut copy, *origin, *record));
@@ -60,7 +60,7 @@
     fn copies_join_as_their_records_do(
         a in vec(written(), 0..8), b in vec(written(), 0..8), c in vec(written(), 0..8),
     ) {
-        let merged = |own: &Copy, other: &Copy| {
+        let merged = |own: &ReplicaRecord, other: &ReplicaRecord| {
             let mut copy = own.clone();
             other.iter().for_each(|(origin, record)| _ = join(&mut copy, *origin, *record));
             copy
@@ -89,7 +89,7 @@
     /// A summary that is kept with every change is that of what the table holds.
     #[test]
     fn prints_that_are_kept_are_those_of_the_copies(records in vec((0..4u8, written()), 0..30), now in 0..4u64) {
-        let mut copies = Copies::new(Limits { entries: 3 });
+        let mut copies = ReplicaSet::new(Limits { entries: 3 });
         for (key, (origin, record)) in &records {
             let record = Record { nominal_ms: u64::from(record.version) * 900, ..*record };
             copies.join(&[*key], *origin, record);
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -8,7 +8,7 @@
 
 use eideryard_intent_log::Place;
 use eideryard_replication::replica_set::Limits;
-use eideryard_replication::{Copy, Core, Message, Origin, Output, Peer, Plan, Verdict};
+use eideryard_replication::{Config, Core, Message, Origin, Output, Peer, ReplicaRecord, Verdict};
 use stateright::{Checker, Model, Property};
 
 const KEEPERS: usize = 3;
@@ -36,8 +36,8 @@
 struct Keeper {
     core: Core,
     /// Copies that are durable, those that are written, and what waits for the flush.
-    disk: BTreeMap<Vec<u8>, Copy>,
-    written: BTreeMap<Vec<u8>, Copy>,
+    disk: BTreeMap<Vec<u8>, ReplicaRecord>,
+    written: BTreeMap<Vec<u8>, ReplicaRecord>,
     then: Vec<(usize, Message)>,
     starts: u64,
 }
@@ -86,8 +86,8 @@
     bug: Bug,
 }
 
-fn plan(own: Option<usize>) -> Plan {
-    Plan {
+fn plan(own: Option<usize>) -> Config {
+    Config {
         keepers: KEEPERS,
         own,
         longest: LONGEST,
@@ -98,7 +98,13 @@
 }
 
 impl World {
-    fn keeper(&self, at: usize, starts: u64, whole: bool, disk: &BTreeMap<Vec<u8>, Copy>) -> Core {
+    fn keeper(
+        &self,
+        at: usize,
+        starts: u64,
+        whole: bool,
+        disk: &BTreeMap<Vec<u8>, ReplicaRecord>,
+    ) -> Core {
         let origin = Origin {
             identity: 100 + at as u64,
             start: starts,
@@ -111,7 +117,7 @@
     fn sends(&self, state: &mut State, sender: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Send(Peer::Keeper(keeper), message) => {
+                Output::Send(Peer::Voter(keeper), message) => {
                     state.wire.push(((sender, keeper), message))
                 }
                 Output::Verdict(_, verdict) => self.decided(state, sender, verdict),
@@ -140,7 +146,7 @@
         for output in outputs {
             match output {
                 // Asks among keepers are not answered here: a wiped one stays silent.
-                Output::Send(Peer::Asker(sender), message) => {
+                Output::Send(Peer::Requester(sender), message) => {
                     self.answered(state, keeper, sender as usize, message)
                 }
                 Output::Store {
@@ -150,7 +156,7 @@
                 } => {
                     state.keepers[keeper].written.insert(key, copy);
                     for output in then {
-                        if let Output::Send(Peer::Asker(sender), message) = output {
+                        if let Output::Send(Peer::Requester(sender), message) = output {
                             match self.bug == Bug::EarlyAcknowledgement {
                                 true => self.answered(state, keeper, sender as usize, message),
                                 false => {
@@ -173,7 +179,7 @@
         let unseen = matches!(&message, Message::Claimed { seen, .. } if seen.is_empty());
         let outputs = state.senders[sender]
             .core
-            .hears(NOW, Peer::Keeper(keeper), message);
+            .hears(NOW, Peer::Voter(keeper), message);
         match self.bug == Bug::OneIsEnough && unseen {
             true => self.decided(state, sender, Verdict::Granted),
             false => self.sends(state, sender, outputs),
@@ -205,7 +211,7 @@
                 start: 1,
             };
             let mut core = Core::start(plan(None), origin, true, std::iter::empty(), NOW);
-            (0..KEEPERS).for_each(|keeper| _ = core.link(NOW, Peer::Keeper(keeper), true));
+            (0..KEEPERS).for_each(|keeper| _ = core.link(NOW, Peer::Voter(keeper), true));
             Sender {
                 core,
                 stage: Stage::Idle,
@@ -288,7 +294,7 @@
             Step::Deliver(way) => {
                 let place = state.wire.iter().position(|(own, _)| *own == way)?;
                 let ((sender, keeper), message) = state.wire.remove(place);
-                let from = Peer::Asker(sender as u64);
+                let from = Peer::Requester(sender as u64);
                 let outputs = state.keepers[keeper].core.hears(NOW, from, message);
                 self.keeps(&mut state, keeper, outputs);
             }
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -15,10 +15,10 @@
 /// Finds a request in the table; without it the browser's own search does.
 const SCRIPT: &str = include_str!("page.js");
 /// Lines and rows of one plot.
-const MOST_LINES: usize = 8;
-const MOST_ROWS: usize = 40;
+const MAX_LINES: usize = 8;
+const MAX_ROWS: usize = 40;
 /// Open requests of one gateway that broke off.
-const MOST_OPEN: usize = 500;
+const MAX_OPEN: usize = 500;
 
 pub fn page(view: &View) -> String {
     let span = span(view);
@@ -196,7 +196,7 @@
     }
     let rows: Vec<(String, Vec<Bar>)> = rows
         .into_iter()
-        .take(MOST_ROWS)
+        .take(MAX_ROWS)
         .map(|((_, name), bars)| (name, bars))
         .collect();
     let text = format!(
@@ -349,7 +349,7 @@
     classes.sort_by(|a, b| b.cmp(a));
     classes
         .into_iter()
-        .take(MOST_LINES)
+        .take(MAX_LINES)
         .map(|(_, class)| class)
         .collect()
 }
@@ -403,7 +403,7 @@
     };
     let lines: Vec<Line> = busiest
         .iter()
-        .take(MOST_LINES)
+        .take(MAX_LINES)
         .enumerate()
         .map(line)
         .collect();
@@ -524,8 +524,8 @@
         }
         (view.fleet.engine(*engine), bars)
     };
-    let rows: Vec<(String, Vec<Bar>)> = engines.iter().take(MOST_ROWS).map(row).collect();
-    let left = engines.len().saturating_sub(MOST_ROWS);
+    let rows: Vec<(String, Vec<Bar>)> = engines.iter().take(MAX_ROWS).map(row).collect();
+    let left = engines.len().saturating_sub(MAX_ROWS);
     html! {
         (plot::rows(
             "Answers by engine: the darker the more; marked where attempts ended badly",
@@ -557,7 +557,7 @@
                         td { (own.last().map_or("", |own| own.address.as_str())) }
                         td { @match own.last().map(|own| own.phase) {
                             Some(eideryard::interface::Phase::Draining) => "draining",
-                            Some(eideryard::interface::Phase::Gone) => "removed",
+                            Some(eideryard::interface::Phase::Removed) => "removed",
                             _ => "up",
                         } }
                         td class="n" { (own.iter().map(|own| own.sent).sum::<u64>()) }
@@ -600,7 +600,7 @@
     });
     let mut asked: Vec<Asked> = ended.collect();
     for (source, start) in view.fleet.known().filter(|(_, start)| start.broke_off) {
-        asked.extend(start.unanswered().take(MOST_OPEN).map(|own| Asked {
+        asked.extend(start.unanswered().take(MAX_OPEN).map(|own| Asked {
             at: start.last_at,
             id: Some(own.id),
             source,
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -10,7 +10,7 @@
 const LEFT: f64 = 168.0;
 const RIGHT: f64 = 16.0;
 /// Marks on the time axis at the most.
-const MOST_MARKS: u64 = 8;
+const MAX_MARKS: u64 = 8;
 
 /// The time that all plots of a page show.
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +34,7 @@
         let length = (self.to - self.from) / 1_000_000;
         let step = STEPS
             .iter()
-            .find(|step| length / **step <= MOST_MARKS)
+            .find(|step| length / **step <= MAX_MARKS)
             .unwrap_or(&86_400)
             * 1_000_000;
         let first = self.from.div_ceil(step) * step;
--- a/crates/report/src/story.rs
+++ b/crates/report/src/story.rs
@@ -4,7 +4,7 @@
 use eideryard_event_analysis::episodes::Kind;
 use eideryard_event_analysis::{Episode, View};
 use eideryard_event_log::tally::Totals;
-use eideryard_event_log::NotTaken;
+use eideryard_event_log::RejectReason;
 use time::macros::format_description;
 use time::OffsetDateTime;
 
@@ -200,9 +200,9 @@
 /// Refusals for want of something that intents need, by reason.
 pub fn wanting(totals: &Totals) -> Option<String> {
     let reasons = [
-        (totals.ledger_full, NotTaken::LedgerFull),
-        (totals.store_stalled, NotTaken::StoreStalled),
-        (totals.no_majority, NotTaken::NoMajority),
+        (totals.ledger_full, RejectReason::LedgerFull),
+        (totals.store_stalled, RejectReason::StoreStalled),
+        (totals.no_majority, RejectReason::NoMajority),
     ];
     let told = reasons.iter().filter(|(count, _)| *count > 0);
     let told: Vec<String> = told
--- a/crates/report/tests/pages.rs
+++ b/crates/report/tests/pages.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use eideryard::interface::Phase;
-use eideryard_event_log::{Entry, Host, Listed};
+use eideryard_event_log::{Entry, Host, ListedEngine};
 use eideryard_report::{page, story};
 
 #[test]
@@ -71,7 +71,7 @@
     script.calm(0, 0, 5, 10);
     let name = "<script>alert(1)</script>\"'&".to_string();
     let (address, phase) = ("\"><svg onload=x>".to_string(), Phase::Draining);
-    let listed = Listed {
+    let listed = ListedEngine {
         engine: 2,
         name,
         address,
--- a/crates/result-spool/benches/choices.rs
+++ b/crates/result-spool/benches/choices.rs
@@ -2,7 +2,9 @@
 //! with each replaced by a plain one. Ten seeds; draws docs/spool-choices.svg. `cargo bench -p eideryard-result-spool`.
 
 use eideryard_result_spool::size::Sizes;
-use eideryard_result_spool::{Admission, Budget, Choice, Micros, Owner, PageIs, Policy, Spool};
+use eideryard_result_spool::{
+    Admission, Budget, Choice, Micros, Owner, PageLocation, Policy, Spool,
+};
 use fastrand::Rng;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
@@ -151,7 +153,10 @@
                 }
                 run.read = (run.read + (run.rate * step) as u64).min(run.size);
                 let is = spool.read(*id, (run.read.saturating_sub(1) / PAGE) as usize, now);
-                assert!(matches!(is, PageIs::Memory | PageIs::Disk), "{is:?}");
+                assert!(
+                    matches!(is, PageLocation::Memory | PageLocation::Disk),
+                    "{is:?}"
+                );
                 if run.read >= run.size {
                     spool.close(*id, true, now);
                     counted.small_served += (run.class == 0) as u64;
--- a/crates/result-spool/src/lib.rs
+++ b/crates/result-spool/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod worker;
 
 pub use limits::Budget;
-pub use state::{Admission, Choice, Owner, PageIs, Policy, Refusal, Spool};
+pub use state::{Admission, Choice, Owner, PageLocation, Policy, RejectReason, Spool};
 
 /// Microseconds on the host's clock.
 pub type Micros = u64;
--- a/crates/result-spool/src/limits.rs
+++ b/crates/result-spool/src/limits.rs
@@ -23,12 +23,12 @@
 pub const DRAIN_SPAN: f64 = 5e6;
 /// Advice when to come back is within these, in microseconds: sooner than the first it would be a storm,
 /// and what happens after the second nobody knows.
-pub const LEAST_ADVICE: Micros = 100_000;
-pub const MOST_ADVICE: Micros = 30_000_000;
+pub const MIN_ADVICE: Micros = 100_000;
+pub const MAX_ADVICE: Micros = 30_000_000;
 /// Results that are kept at once, however small.
-pub const MOST_RESULTS: usize = 65_536;
+pub const MAX_RESULTS: usize = 65_536;
 /// The least read-ahead, in bytes: a page must always be on its way, or the engine stands between two.
-pub const LEAST_AHEAD: u64 = 12_000;
+pub const MIN_AHEAD: u64 = 12_000;
 
 /// What an operator grants.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/result-spool/src/returns.rs
+++ b/crates/result-spool/src/returns.rs
@@ -7,9 +7,9 @@
 pub type Name = Box<str>;
 
 /// Names whose answers were dropped are known as gone as long as there are no more than this.
-const MOST_GONE: usize = 65_536;
+const MAX_GONE: usize = 65_536;
 /// Clients that wait for one run; one client's tries, so more than a few are a fault.
-const MOST_WAITING: usize = 16;
+const MAX_WAITING: usize = 16;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Arrival<A> {
@@ -68,7 +68,7 @@
     pub fn arrives(&mut self, name: &str, who: W) -> Arrival<A> {
         match self.runs.get_mut(name) {
             Some(Run::Ended(answer)) => Arrival::Answered(answer.clone()),
-            Some(Run::Runs(waiting)) if waiting.len() >= MOST_WAITING => Arrival::Crowded,
+            Some(Run::Runs(waiting)) if waiting.len() >= MAX_WAITING => Arrival::Crowded,
             Some(Run::Runs(waiting)) => {
                 waiting.push(who);
                 Arrival::Attached
@@ -124,7 +124,7 @@
         self.dropped += 1;
         self.gone.insert(name.into(), self.dropped);
         self.order.push_back((name.into(), self.dropped));
-        while self.gone.len() > MOST_GONE || self.order.len() > 2 * MOST_GONE {
+        while self.gone.len() > MAX_GONE || self.order.len() > 2 * MAX_GONE {
             let Some((name, number)) = self.order.pop_front() else {
                 return;
             };
@@ -178,11 +178,11 @@
             returns.ends(&name, ());
             returns.drops(&name);
         }
-        assert_eq!(returns.len(), (0, MOST_GONE));
+        assert_eq!(returns.len(), (0, MAX_GONE));
         assert_eq!(returns.arrives("99999", 0), Arrival::Gone);
         let crowded = (0..100)
             .filter(|who| returns.arrives("one", *who) == Arrival::Crowded)
             .count();
-        assert_eq!(crowded, 100 - MOST_WAITING);
+        assert_eq!(crowded, 100 - MAX_WAITING);
     }
 }
--- a/crates/result-spool/src/size.rs
+++ b/crates/result-spool/src/size.rs
@@ -10,16 +10,16 @@
 /// Weight of each further outcome against the one before: about two hundred outcomes are remembered.
 const GROWTH: f64 = 1.005;
 /// The weights are scaled down when they get this large.
-const MOST_WEIGHT: f64 = 1e12;
+const MAX_WEIGHT: f64 = 1e12;
 /// The part of results that are no larger than what is promised.
 const QUANTILE: f64 = 0.95;
 /// Outcomes that are needed before a class's own, and a pair's own, figures are trusted.
-const LEAST_SEEN: u32 = 8;
+const MIN_SEEN: u32 = 8;
 /// One in so many refusals by what was learned is doubted: sizes change, and the cost is one result that
 /// fails.
 const DOUBTED: u64 = 16;
 /// Pairs of class and tenant that are told apart; the one unused for longest goes.
-const MOST_PAIRS: usize = 1024;
+const MAX_PAIRS: usize = 1024;
 
 #[derive(Clone)]
 struct Sketch {
@@ -44,17 +44,17 @@
         self.weights[step.min(STEPS - 1)] += self.next as f32;
         self.seen = self.seen.saturating_add(1);
         self.next *= GROWTH;
-        if self.next > MOST_WEIGHT {
+        if self.next > MAX_WEIGHT {
             self.weights
                 .iter_mut()
-                .for_each(|weight| *weight /= MOST_WEIGHT as f32);
-            self.next /= MOST_WEIGHT;
+                .for_each(|weight| *weight /= MAX_WEIGHT as f32);
+            self.next /= MAX_WEIGHT;
         }
     }
 
     /// The size that a share of results don't exceed.
     fn quantile(&self, share: f64) -> Option<u64> {
-        if self.seen < LEAST_SEEN {
+        if self.seen < MIN_SEEN {
             return None;
         }
         let sum: f64 = self.weights.iter().map(|weight| *weight as f64).sum();
@@ -85,7 +85,7 @@
             .entry(class)
             .or_insert_with(Sketch::new)
             .learn(bytes);
-        if self.pairs.len() >= MOST_PAIRS && !self.pairs.contains_key(&(class, tenant)) {
+        if self.pairs.len() >= MAX_PAIRS && !self.pairs.contains_key(&(class, tenant)) {
             let oldest = self
                 .pairs
                 .iter()
@@ -143,7 +143,7 @@
         (0..1500).for_each(|_| sizes.learn(1, 1, 50_000_000));
         assert!(near(sizes.expected(1, 1, 0), 50e6));
         (0..3000).for_each(|n| sizes.learn(3, n, 1));
-        assert!(sizes.pairs.len() <= MOST_PAIRS);
+        assert!(sizes.pairs.len() <= MAX_PAIRS);
     }
 
     #[test]
--- a/crates/result-spool/src/state.rs
+++ b/crates/result-spool/src/state.rs
@@ -17,7 +17,7 @@
 
 /// Why there is no room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refusal {
+pub enum RejectReason {
     /// No result may be so large: trying again is of no use.
     TooLarge,
     /// All is taken, or promised.
@@ -27,13 +27,13 @@
     AddressShare,
 }
 
-impl Refusal {
+impl RejectReason {
     pub fn word(self) -> &'static str {
         match self {
-            Refusal::TooLarge => "too-large",
-            Refusal::Full => "spool-full",
-            Refusal::TenantsShare => "tenants-share",
-            Refusal::AddressShare => "address-share",
+            RejectReason::TooLarge => "too-large",
+            RejectReason::Full => "spool-full",
+            RejectReason::TenantsShare => "tenants-share",
+            RejectReason::AddressShare => "address-share",
         }
     }
 }
@@ -44,7 +44,7 @@
     Yes { dropping: Vec<ResultId> },
     /// When to come back, by how fast room comes free; nothing where that is of no use.
     No {
-        why: Refusal,
+        why: RejectReason,
         retry_after: Option<Micros>,
     },
 }
@@ -57,7 +57,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PageIs {
+pub enum PageLocation {
     Memory,
     Disk,
     /// It has not come from the engine yet.
@@ -230,7 +230,7 @@
     pub fn admit(&self, owner: Owner, expected: u64, now: Micros) -> Admission {
         let no = |why, retry_after| Admission::No { why, retry_after };
         if expected > self.budget.result {
-            return no(Refusal::TooLarge, None);
+            return no(RejectReason::TooLarge, None);
         }
         let total = self.total(now);
         let kept_back = if expected <= SMALL {
@@ -270,15 +270,15 @@
                 }
             }
             if of_tenant > 0 {
-                return no(Refusal::TenantsShare, Some(self.advice(of_tenant)));
+                return no(RejectReason::TenantsShare, Some(self.advice(of_tenant)));
             }
             if of_address > 0 {
-                return no(Refusal::AddressShare, Some(self.advice(of_address)));
+                return no(RejectReason::AddressShare, Some(self.advice(of_address)));
             }
         }
         let mut short = wanted.saturating_sub(room + freed);
         let mut leaving = self.leaving.iter();
-        let full = self.results.len() >= MOST_RESULTS;
+        let full = self.results.len() >= MAX_RESULTS;
         while short > 0 || (full && dropping.is_empty()) {
             let last = |held: &Held, unclaimed: bool| {
                 !unclaimed || held.touched_at + self.budget.unclaimed <= now
@@ -290,7 +290,7 @@
                     .map(|held| (*id, held.bytes))
             });
             let Some((id, bytes)) = next else {
-                return no(Refusal::Full, Some(self.advice(short)));
+                return no(RejectReason::Full, Some(self.advice(short)));
             };
             if !dropping.contains(&id) {
                 dropping.push(id);
@@ -303,7 +303,7 @@
     /// How long it takes until so much comes free, at the rate of late.
     fn advice(&self, short: u64) -> Micros {
         let wait = short as f64 / self.drain.max(1e-9);
-        (wait as Micros).clamp(LEAST_ADVICE, MOST_ADVICE)
+        (wait as Micros).clamp(MIN_ADVICE, MAX_ADVICE)
     }
 
     pub fn begin(&mut self, id: ResultId, owner: Owner, promised: u64, now: Micros) {
@@ -351,11 +351,11 @@
         let left = held.promised.saturating_sub(held.bytes);
         let free = self.budget.memory.saturating_sub(self.memory);
         // Who is near the end of what was promised goes on page by page: more is asked for as it comes.
-        left.max(LEAST_AHEAD).min(free / 2)
+        left.max(MIN_AHEAD).min(free / 2)
     }
 
     /// A page has come. An error: the result can't be kept, which is its failure.
-    pub fn page(&mut self, id: ResultId, bytes: u64, now: Micros) -> Result<(), Refusal> {
+    pub fn page(&mut self, id: ResultId, bytes: u64, now: Micros) -> Result<(), RejectReason> {
         let total = self.total(now);
         let Some(held) = self
             .results
@@ -366,11 +366,11 @@
         };
         let before = held.claim();
         if held.bytes + bytes > self.budget.result {
-            return Err(Refusal::TooLarge);
+            return Err(RejectReason::TooLarge);
         }
         let after = before.max(held.bytes + bytes);
         if self.claims - before + after > total || self.memory + bytes > self.budget.memory {
-            return Err(Refusal::Full);
+            return Err(RejectReason::Full);
         }
         held.bytes += bytes;
         held.in_memory += bytes;
@@ -446,9 +446,9 @@
     }
 
     /// Where a page is, for one who reads it now.
-    pub fn read(&mut self, id: ResultId, page: usize, now: Micros) -> PageIs {
+    pub fn read(&mut self, id: ResultId, page: usize, now: Micros) -> PageLocation {
         let Some(held) = self.results.get_mut(&id) else {
-            return PageIs::Gone;
+            return PageLocation::Gone;
         };
         if held.readers > 0 {
             held.touched_at = now;
@@ -460,11 +460,11 @@
                     tier: Tier::Disk, ..
                 }),
                 _,
-            ) => PageIs::Disk,
-            (Some(_), _) => PageIs::Memory,
-            (None, State::Filling) => PageIs::NotYet,
-            (None, State::Whole) => PageIs::NoSuch,
-            (None, State::Failed) => PageIs::Failed,
+            ) => PageLocation::Disk,
+            (Some(_), _) => PageLocation::Memory,
+            (None, State::Filling) => PageLocation::NotYet,
+            (None, State::Whole) => PageLocation::NoSuch,
+            (None, State::Failed) => PageLocation::Failed,
         }
     }
 
--- a/crates/result-spool/src/token.rs
+++ b/crates/result-spool/src/token.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Wrong {
+pub enum TokenError {
     #[error("the token can't be used: it is no token of this service, or of another client")]
     Forged,
     #[error("the token is too old")]
@@ -75,7 +75,7 @@
         client: &str,
         epoch: Micros,
         now: Micros,
-    ) -> Result<Token, Wrong> {
+    ) -> Result<Token, TokenError> {
         let mut bytes = [0; BODY + MAC];
         // Something of the right length that is no token is checked like one.
         let mut padded = [b'A'; LENGTH];
@@ -91,7 +91,7 @@
         let by_current = Self::mac(&self.current, &bytes[..BODY], client) == told;
         let by_previous = Self::mac(&self.previous, &bytes[..BODY], client) == told;
         if !(known & decoded & (by_current | by_previous)) {
-            return Err(Wrong::Forged);
+            return Err(TokenError::Forged);
         }
         let long = |at: usize| {
             bytes[at..]
@@ -108,8 +108,8 @@
             expires: long(20),
         };
         match token {
-            token if token.epoch != epoch => Err(Wrong::Gone),
-            token if token.expires <= now => Err(Wrong::Expired),
+            token if token.epoch != epoch => Err(TokenError::Gone),
+            token if token.expires <= now => Err(TokenError::Expired),
             token => Ok(token),
         }
     }
@@ -139,14 +139,20 @@
             Ok(TOKEN),
             "the key before is taken too"
         );
-        assert_eq!(newest.read(&text, "acme", 1_000, 4_999), Err(Wrong::Forged));
+        assert_eq!(
+            newest.read(&text, "acme", 1_000, 4_999),
+            Err(TokenError::Forged)
+        );
         assert_eq!(
             old.read(&text, "rival", 1_000, 4_999),
-            Err(Wrong::Forged),
+            Err(TokenError::Forged),
             "another client's"
         );
-        assert_eq!(old.read(&text, "acme", 1_000, 5_000), Err(Wrong::Expired));
-        assert_eq!(old.read(&text, "acme", 2_000, 4_999), Err(Wrong::Gone));
+        assert_eq!(
+            old.read(&text, "acme", 1_000, 5_000),
+            Err(TokenError::Expired)
+        );
+        assert_eq!(old.read(&text, "acme", 2_000, 4_999), Err(TokenError::Gone));
     }
 
     #[test]
@@ -159,7 +165,7 @@
             let changed = String::from_utf8(bytes).unwrap();
             assert_eq!(
                 keys.read(&changed, "acme", 1_000, 0),
-                Err(Wrong::Forged),
+                Err(TokenError::Forged),
                 "{at}"
             );
         }
@@ -171,7 +177,7 @@
         for text in ["", "x", &text[1..], &long[0], &long[1], &long[2]] {
             assert_eq!(
                 keys.read(text, "acme", 1_000, 0),
-                Err(Wrong::Forged),
+                Err(TokenError::Forged),
                 "{text}"
             );
         }
--- a/crates/result-spool/src/worker.rs
+++ b/crates/result-spool/src/worker.rs
@@ -14,7 +14,7 @@
 use crate::state::ResultId;
 
 /// Orders that wait at the most; more are refused, and tried again by whoever gave them.
-const MOST_ORDERS: usize = 256;
+const MAX_ORDERS: usize = 256;
 const PREFIX: &str = "spool-";
 /// How long the end of the program waits for the thread.
 const LAST_WORK: Duration = Duration::from_millis(300);
@@ -122,9 +122,9 @@
         disk: Box<dyn Disk>,
         wake: Box<dyn Fn() + Send>,
     ) -> io::Result<Self> {
-        let (orders, to_do) = sync_channel(MOST_ORDERS);
+        let (orders, to_do) = sync_channel(MAX_ORDERS);
         // Each order brings one answer at the most, and the loop takes them at each look.
-        let (tell, done) = sync_channel(2 * MOST_ORDERS);
+        let (tell, done) = sync_channel(2 * MAX_ORDERS);
         let own = Own {
             disk,
             prefix: format!("{PREFIX}{name}-"),
--- a/crates/result-spool/tests/model.rs
+++ b/crates/result-spool/tests/model.rs
@@ -118,8 +118,8 @@
                             plain.insert(next, Plain { owner, promised: expected, pages, filling: true, whole: false, readers: 0 });
                         }
                         Admission::No { why, retry_after } => {
-                            let advised = retry_after.is_some_and(|after| (LEAST_ADVICE..=MOST_ADVICE).contains(&after));
-                            prop_assert_eq!(advised, why != Refusal::TooLarge);
+                            let advised = retry_after.is_some_and(|after| (MIN_ADVICE..=MAX_ADVICE).contains(&after));
+                            prop_assert_eq!(advised, why != RejectReason::TooLarge);
                         }
                     }
                 }
@@ -161,10 +161,10 @@
                     let own = &plain[&id];
                     let is = spool.read(id, page, now);
                     let expected = match (page < own.pages.len(), own.filling, own.whole) {
-                        (true, ..) => matches!(is, PageIs::Memory | PageIs::Disk),
-                        (false, true, _) => is == PageIs::NotYet,
-                        (false, false, true) => is == PageIs::NoSuch,
-                        (false, false, false) => is == PageIs::Failed,
+                        (true, ..) => matches!(is, PageLocation::Memory | PageLocation::Disk),
+                        (false, true, _) => is == PageLocation::NotYet,
+                        (false, false, true) => is == PageLocation::NoSuch,
+                        (false, false, false) => is == PageLocation::Failed,
                     };
                     prop_assert!(expected, "{:?}", is);
                 }
@@ -184,7 +184,7 @@
                     prop_assert_eq!(spool.drop(id, now), may);
                     if may {
                         plain.remove(&id);
-                        prop_assert_eq!(spool.read(id, 0, now), PageIs::Gone);
+                        prop_assert_eq!(spool.read(id, 0, now), PageLocation::Gone);
                     }
                 }
                 Step::Pass { time } => now += time,
@@ -211,7 +211,7 @@
     matches!(spool.admit(owner, expected, 0), Admission::Yes { .. })
 }
 
-fn why(spool: &Spool, owner: Owner, expected: u64) -> Refusal {
+fn why(spool: &Spool, owner: Owner, expected: u64) -> RejectReason {
     match spool.admit(owner, expected, 0) {
         Admission::No { why, .. } => why,
         yes => panic!("{yes:?}"),
@@ -235,7 +235,7 @@
         tenant: 99,
         address: 99,
     };
-    assert_eq!(why(&spool, new, 200 * KB), Refusal::Full);
+    assert_eq!(why(&spool, new, 200 * KB), RejectReason::Full);
     assert!(yes(&spool, new, 40_000), "a lookup finds room all the same");
 }
 
@@ -252,7 +252,7 @@
         taken as f64 > 0.45 * BUDGET.total() as f64,
         "alone it has half of it: {taken}"
     );
-    assert_eq!(why(&spool, ONE, 100 * KB), Refusal::TenantsShare);
+    assert_eq!(why(&spool, ONE, 100 * KB), RejectReason::TenantsShare);
     assert_eq!(
         why(
             &spool,
@@ -262,7 +262,7 @@
             },
             100 * KB
         ),
-        Refusal::AddressShare
+        RejectReason::AddressShare
     );
     assert!(yes(
         &spool,
@@ -286,7 +286,7 @@
         }
         spool.end(*id, true, 1);
     }
-    assert_eq!(why(&spool, ONE, 100 * KB), Refusal::TenantsShare);
+    assert_eq!(why(&spool, ONE, 100 * KB), RejectReason::TenantsShare);
     for (number, id) in ids.iter().enumerate() {
         spool.open(*id, 2);
         spool.close(*id, true, 3 + number as u64);
@@ -298,7 +298,7 @@
         dropping == ids[..dropping.len()] && (5..10).contains(&dropping.len()),
         "{dropping:?}"
     );
-    assert_eq!(why(&spool, ONE, 901 * KB), Refusal::TooLarge);
+    assert_eq!(why(&spool, ONE, 901 * KB), RejectReason::TooLarge);
 }
 
 /// Guards against a result that is read being dropped for one that comes.
@@ -413,7 +413,7 @@
             yes => panic!("{yes:?}"),
         }
     };
-    assert_eq!(advice(0), MOST_ADVICE);
+    assert_eq!(advice(0), MAX_ADVICE);
     assert!(advice(100) < advice(10), "{} {}", advice(100), advice(10));
 }
 
@@ -426,7 +426,7 @@
     (0..10).for_each(|_| spool.page(1, 10 * KB, 0).unwrap());
     assert_eq!(
         spool.ahead(1),
-        LEAST_AHEAD,
+        MIN_AHEAD,
         "more than was promised comes page by page"
     );
     spool.begin(
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,12 +22,12 @@
 
 /// A setting that is missing or has a value that can't be used.
 #[derive(Debug, PartialEq)]
-pub struct Wrong {
+pub struct SettingsError {
     pub key: String,
     pub value: Option<String>,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match &self.value {
             Some(value) => write!(
@@ -40,12 +40,12 @@
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for SettingsError {}
 
 /// What a host needs beside the module's own settings: the names that its protocol uses, in the order in
 /// which the module numbers them, and the limits of connections.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Host {
+pub struct HostSettings {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
@@ -115,22 +115,22 @@
         }
     }
 
-    fn optional<T: Number>(&self, path: &str) -> Result<Option<T>, Wrong> {
+    fn optional<T: Number>(&self, path: &str) -> Result<Option<T>, SettingsError> {
         match self.leaves.get(path) {
             None => Ok(None),
             Some(Leaf::Text(text)) => number(path, text).map(Some),
-            Some(Leaf::List(items)) => Err(Wrong {
+            Some(Leaf::List(items)) => Err(SettingsError {
                 key: path.to_string(),
                 value: Some(format!("[{}]", items.join(", "))),
             }),
         }
     }
 
-    fn or<T: Number>(&self, path: &str, default: T) -> Result<T, Wrong> {
+    fn or<T: Number>(&self, path: &str, default: T) -> Result<T, SettingsError> {
         Ok(self.optional(path)?.unwrap_or(default))
     }
 
-    fn flag(&self, path: &str) -> Result<bool, Wrong> {
+    fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         match self.text(path) {
             None => Ok(false),
             Some(text) => truth(path, text),
@@ -149,21 +149,21 @@
         self.list(path).into_iter().map(str::to_string).collect()
     }
 
-    fn item<T: Number>(&self, path: &str, index: usize) -> Result<Option<T>, Wrong> {
+    fn item<T: Number>(&self, path: &str, index: usize) -> Result<Option<T>, SettingsError> {
         self.list(path)
             .get(index)
             .map(|text| number(path, text))
             .transpose()
     }
 
-    fn item_flag(&self, path: &str, index: usize) -> Result<bool, Wrong> {
+    fn item_flag(&self, path: &str, index: usize) -> Result<bool, SettingsError> {
         self.list(path)
             .get(index)
             .map_or(Ok(false), |text| truth(path, text))
     }
 
     /// Places named by position, or by their name in the list at `names`.
-    fn places(&self, path: &str, names: &str) -> Result<Option<Vec<u32>>, Wrong> {
+    fn places(&self, path: &str, names: &str) -> Result<Option<Vec<u32>>, SettingsError> {
         if !self.leaves.contains_key(path) {
             return Ok(None);
         }
@@ -186,11 +186,11 @@
         .map_or_else(|| value.to_string(), str::to_string)
 }
 
-fn truth(path: &str, text: &str) -> Result<bool, Wrong> {
+fn truth(path: &str, text: &str) -> Result<bool, SettingsError> {
     match text {
         "true" | "1" => Ok(true),
         "false" | "0" => Ok(false),
-        other => Err(Wrong {
+        other => Err(SettingsError {
             key: path.to_string(),
             value: Some(other.to_string()),
         }),
@@ -229,15 +229,15 @@
     }
 }
 
-fn number<T: Number>(path: &str, text: &str) -> Result<T, Wrong> {
-    T::read(text).ok_or_else(|| Wrong {
+fn number<T: Number>(path: &str, text: &str) -> Result<T, SettingsError> {
+    T::read(text).ok_or_else(|| SettingsError {
         key: path.to_string(),
         value: Some(text.to_string()),
     })
 }
 
 /// The module's settings; a key that is absent leaves what it names unlimited or off.
-pub fn settings(tree: &Tree) -> Result<Settings, Wrong> {
+pub fn settings(tree: &Tree) -> Result<Settings, SettingsError> {
     let budget = match tree.optional::<f64>("rules.further-ratio")? {
         None => None,
         Some(ratio) => Some(AttemptBudget {
@@ -262,37 +262,37 @@
         largest_share: tree.or("extra.largest-share", 1.0)?,
         max_attempts: tree.or("limits.max-attempts", usize::MAX)?,
         may_cancel: tree.flag("limits.may-cancel")?,
-        may_duplicate: tree.flag("limits.may-duplicate")?,
+        hedging_allowed: tree.flag("limits.may-duplicate")?,
         may_probe: tree.flag("limits.probes")?,
         counts_by_probe: tree.text("report.source") == Some("on_probe")
             && tree.list("report.fields").contains(&"concurrent"),
-        may_advise: tree.flag("limits.retry-after")?,
-        max_advice: tree.or("limits.max-retry-after-us", 0)?,
-        fall_multiple: tree.or("rules.fall-multiple", f64::INFINITY)?,
-        fall_window: tree.or("rules.fall-us", 0)?,
+        retry_after_allowed: tree.flag("limits.retry-after")?,
+        max_retry_after: tree.or("limits.max-retry-after-us", 0)?,
+        overload_multiple: tree.or("rules.fall-multiple", f64::INFINITY)?,
+        overload_window: tree.or("rules.fall-us", 0)?,
         start_capacity: tree.or("rules.start-capacity", 1.0)?,
-        warm_within: tree.or("rules.warm-within-us", 0)?,
-        order_pause: tree.or("rules.order-pause-us", 0)?,
+        warm_up_duration: tree.or("rules.warm-within-us", 0)?,
+        ordering_delay: tree.or("rules.order-pause-us", 0)?,
         attempt_budget: budget,
-        ask_every: tree.or("rules.ask-every-us", 0)?,
-        over_share_worth: tree.or("over-share-worth", 1.0)?,
+        poll_interval: tree.or("rules.ask-every-us", 0)?,
+        over_quota_weight: tree.or("over-share-worth", 1.0)?,
         cross_zone_tariff: tree.or("tariffs.cross-zone", 0.0)?,
         probe_tariff: tree.or("tariffs.probe", 0.0)?,
     })
 }
 
-fn classes(tree: &Tree) -> Result<Vec<Class>, Wrong> {
+fn classes(tree: &Tree) -> Result<Vec<Class>, SettingsError> {
     let mut classes = Vec::new();
     for index in 0..tree.or("grades.count", 0usize)? {
         let at = |name: &str| format!("grades.{index}.{name}");
         classes.push(Class {
-            aim: tree.or(&at("aim-us"), tree.or(&at("deadline-us"), 0)?)?,
-            aim_stretch: tree.or(&at("aim-stretch"), 0.0)?,
-            worth: tree.or(&at("value"), 1.0)?,
+            latency_objective: tree.or(&at("aim-us"), tree.or(&at("deadline-us"), 0)?)?,
+            latency_objective_per_work: tree.or(&at("aim-stretch"), 0.0)?,
+            priority_weight: tree.or(&at("value"), 1.0)?,
             effect: match tree.text(&at("repeat")) {
-                Some("pure") => Effect::Safe,
-                Some("token") => Effect::Keyed,
-                _ => Effect::Unsafe,
+                Some("pure") => Effect::Idempotent,
+                Some("token") => Effect::IdempotentWithKey,
+                _ => Effect::NonIdempotent,
             },
             scope: match tree.text(&at("group")) {
                 Some("all") => Scope::All,
@@ -311,7 +311,7 @@
     Ok(classes)
 }
 
-fn tenants(tree: &Tree) -> Result<Vec<Tenant>, Wrong> {
+fn tenants(tree: &Tree) -> Result<Vec<Tenant>, SettingsError> {
     let quota = |index| tree.or(&format!("orgs.{index}.quota-rps"), f64::INFINITY);
     (0..tree.or("orgs.count", 0usize)?)
         .map(|index| {
@@ -322,7 +322,7 @@
         .collect()
 }
 
-fn kinds(tree: &Tree) -> Result<Vec<Kind>, Wrong> {
+fn kinds(tree: &Tree) -> Result<Vec<Kind>, SettingsError> {
     let kind = |index| {
         Ok(Kind {
             cores: tree.item("extra.kind-cores", index)?.unwrap_or(1.0),
@@ -349,8 +349,8 @@
 
 /// What a host on sockets needs. There is no serving without classes and a
 /// limit on dials, so these must be there.
-pub fn host(tree: &Tree) -> Result<Host, Wrong> {
-    let missing = |key: &str| Wrong {
+pub fn host(tree: &Tree) -> Result<HostSettings, SettingsError> {
+    let missing = |key: &str| SettingsError {
         key: key.to_string(),
         value: None,
     };
@@ -367,7 +367,7 @@
     };
     let tenants = 0..tree.or("orgs.count", 0usize)?;
     let waits = (0..count).map(|index| tree.or(&format!("grades.{index}.deadline-us"), 0));
-    Ok(Host {
+    Ok(HostSettings {
         classes: (0..count)
             .map(|index| name(class(index)))
             .collect::<Result<_, _>>()?,
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -1,5 +1,5 @@
 use eideryard::interface::Effect;
-use eideryard_settings::{host, settings, Tree, Wrong};
+use eideryard_settings::{host, settings, SettingsError, Tree};
 use serde_json::json;
 
 const PAIRS: &str = "az=1 discovery=push extra.bills=true extra.class-waits=false,true extra.is-load=true,false \
@@ -59,7 +59,7 @@
     );
     assert!(
         read.classes[0].is_load
-            && read.classes[0].effect == Effect::Keyed
+            && read.classes[0].effect == Effect::IdempotentWithKey
             && read.classes[1].waits_for_load
     );
     assert_eq!(
@@ -116,7 +116,7 @@
     let none = host(&Tree::default()).unwrap_err();
     assert_eq!(
         none,
-        Wrong {
+        SettingsError {
             key: "grades".into(),
             value: None
         }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -11,7 +11,7 @@
 pub struct Host {
     /// Each with the number of classes that its settings name.
     gateways: BTreeMap<u64, (Balancer, usize)>,
-    lists: HashMap<u64, Vec<Entry>>,
+    lists: HashMap<u64, Vec<Endpoint>>,
     /// The list whose items are being read, and how many are still to come.
     open_list: Option<(u64, u64)>,
     /// Clock and number of the batch being read.
@@ -136,10 +136,10 @@
         let phase = match fields.or("phase", 1u32)? {
             0 => Phase::Draining,
             1 => Phase::Ready,
-            3 => Phase::Gone,
+            3 => Phase::Removed,
             other => return Err(format!("ITEM: phase {other} is unknown")),
         };
-        let entry = Entry {
+        let entry = Endpoint {
             engine: fields.required("engine")?,
             zone: fields.or("campus", 0)?,
             kind: fields.or("flavor", 0)?,
@@ -188,7 +188,7 @@
         let attempt = || fields.required::<usize>("send-no");
         Ok(Some(match fields.verb {
             "MEMBERS" => match fields.required::<u32>("mode")? {
-                3 => Event::ListFailed,
+                3 => Event::DiscoveryFailed,
                 mode @ 0..=2 => {
                     let list: u64 = fields.required("ref")?;
                     let entries = self
@@ -196,8 +196,8 @@
                         .get(&list)
                         .ok_or_else(|| format!("MEMBERS: no list {list}"))?;
                     match mode {
-                        2 => Event::ListChanges(entries.clone()),
-                        _ => Event::FullList(entries.clone()),
+                        2 => Event::EndpointChanges(entries.clone()),
+                        _ => Event::EndpointSnapshot(entries.clone()),
                     }
                 }
                 mode => return Err(format!("MEMBERS: mode {mode} is unknown")),
@@ -209,26 +209,26 @@
             "HINT_UPDATE" => {
                 let level: f64 = fields.or("level", 0.0)?;
                 let note = match (fields.required::<u32>("what")?, level) {
-                    (1, share) => Note::Progress(share),
-                    (2, missing) => Note::Spilling(missing),
-                    (3, 2.0) => Note::WaitsForLoad,
-                    (3, _) => Note::WaitsForMemory,
+                    (1, share) => Progress::Share(share),
+                    (2, missing) => Progress::Spilling(missing),
+                    (3, 2.0) => Progress::WaitsForLoad,
+                    (3, _) => Progress::WaitsForMemory,
                     _ => return Ok(None),
                 };
-                Event::Noted {
+                Event::ProgressReported {
                     request: request()?,
                     attempt: attempt()?,
-                    note,
+                    progress: note,
                 }
             }
-            "FINISHED" => Event::Ended(Ended {
+            "FINISHED" => Event::AttemptEnded(AttemptEnded {
                 request: request()?,
                 attempt: attempt()?,
                 outcome: outcome(fields)?,
                 spent: fields.or("spent-us", 0)?,
                 complete: fields.or("complete", 0u8)? != 0,
-                told: false,
-                bill: fields.optional("stats")?.and_then(bill),
+                already_reported: false,
+                usage: fields.optional("stats")?.and_then(bill),
                 report: report(fields)?,
             }),
             "PROBE_DONE" => Event::Probed(Probed {
@@ -260,7 +260,7 @@
         work: (options & 1 != 0 && work > 0.0).then_some(work),
         memory_mb: (memory > 0.0).then_some(memory),
         group: fields.or("schema-no", 0.0)? as u64,
-        earlier: Vec::new(),
+        prior_attempts: Vec::new(),
     })
 }
 
@@ -272,20 +272,20 @@
         {
             "delivered" => Outcome::Answered,
             "app_error" => Outcome::Error,
-            "shed" => Outcome::Full,
+            "shed" => Outcome::AtCapacity,
             "expired" => Outcome::TimedOut,
             "dial_failed" => Outcome::NoConnection,
             "dropped" => Outcome::Broken,
             "revoked" => Outcome::Cancelled,
-            "unused" => Outcome::Unsent,
+            "unused" => Outcome::NotSent,
             other => return Err(format!("{}: outcome '{other}' is unknown", fields.verb)),
         },
     )
 }
 
 /// Milliseconds of work x 4096, plus memory in units of 4 MB.
-fn bill(stats: u64) -> Option<Bill> {
-    (stats > 0).then_some(Bill {
+fn bill(stats: u64) -> Option<ResourceUsage> {
+    (stats > 0).then_some(ResourceUsage {
         work: (stats / 4096) as f64 * 1e3,
         memory_mb: (stats % 4096) as f64 * 4.0,
     })
@@ -308,7 +308,7 @@
 fn write_action(reply: &mut String, who: u64, action: Action) {
     // Writing to a String cannot fail.
     let _ = match action {
-        Action::Terms {
+        Action::Grant {
             request,
             grant_mb,
             rank,
@@ -320,11 +320,11 @@
         Action::Send {
             request,
             engine,
-            give_up_at,
+            attempt_deadline,
         } => {
             writeln!(
                 reply,
-                "TRANSMIT who={who} call={request} engine={engine} cut-at-us={give_up_at}"
+                "TRANSMIT who={who} call={request} engine={engine} cut-at-us={attempt_deadline}"
             )
         }
         Action::Probe { engine } => writeln!(reply, "PING who={who} engine={engine}"),
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -7,10 +7,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use eideryard_store::{Batch, Directory, Plan, Store};
+use eideryard_store::{Batch, Config, Directory, Store};
 
 const NOW: u64 = 1_800_000_000_000;
-const PLAN: Plan = Plan { budget: 4 << 30 };
+const PLAN: Config = Config { budget: 4 << 30 };
 const LASTS: Duration = Duration::from_millis(1500);
 
 fn key(number: u64) -> Vec<u8> {
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -5,17 +5,17 @@
 /// The format that this program writes; it reads this one alone.
 pub const VERSION: u32 = 1;
 /// Bytes of one batch at the most; whatever says more is damage.
-pub const MOST_BATCH: usize = 1 << 20;
+pub const MAX_BATCH: usize = 1 << 20;
 const MAGIC: [u8; 8] = *b"eyrstore";
 /// Magic, version, checksum of the head that follows.
 const FILE_HEAD: usize = 16;
 /// Length and checksum.
 const FRAME_HEAD: usize = 8;
 /// Bytes of an encoded head at the most.
-const MOST_HEAD: usize = 96;
+const MAX_HEAD: usize = 96;
 
 /// Bytes before the first frame.
-pub const HEAD: usize = FILE_HEAD + MOST_HEAD;
+pub const HEAD: usize = FILE_HEAD + MAX_HEAD;
 
 /// What a segment is, at its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Bad {
+pub enum FrameError {
     #[error("the head can't be read")]
     Head,
     #[error("it has version {0} of the format, this program reads {VERSION}")]
@@ -92,7 +92,7 @@
 
 pub fn put_head(out: &mut Vec<u8>, head: &Head) {
     let mut bytes = postcard::to_stdvec(head).unwrap_or_default();
-    bytes.resize(MOST_HEAD, 0);
+    bytes.resize(MAX_HEAD, 0);
     out.extend_from_slice(&MAGIC);
     out.extend_from_slice(&VERSION.to_le_bytes());
     out.extend_from_slice(&crc32fast::hash(&bytes).to_le_bytes());
@@ -100,21 +100,23 @@
 }
 
 /// The head, and where the frames begin.
-pub fn read_head(bytes: &[u8]) -> Result<(Head, usize), Bad> {
-    let (fixed, rest) = bytes.split_at_checked(FILE_HEAD).ok_or(Bad::Head)?;
+pub fn read_head(bytes: &[u8]) -> Result<(Head, usize), FrameError> {
+    let (fixed, rest) = bytes.split_at_checked(FILE_HEAD).ok_or(FrameError::Head)?;
     if fixed[..8] != MAGIC {
-        return Err(Bad::Foreign);
+        return Err(FrameError::Foreign);
     }
     let number =
         |at: usize| u32::from_le_bytes([fixed[at], fixed[at + 1], fixed[at + 2], fixed[at + 3]]);
     if number(8) != VERSION {
-        return Err(Bad::Version(number(8)));
+        return Err(FrameError::Version(number(8)));
     }
     let head = rest
-        .get(..MOST_HEAD)
+        .get(..MAX_HEAD)
         .filter(|head| crc32fast::hash(head) == number(12))
-        .ok_or(Bad::Head)?;
-    let head = postcard::take_from_bytes(head).map_err(|_| Bad::Head)?.0;
+        .ok_or(FrameError::Head)?;
+    let head = postcard::take_from_bytes(head)
+        .map_err(|_| FrameError::Head)?
+        .0;
     Ok((head, HEAD))
 }
 
@@ -123,7 +125,7 @@
     let Ok(bytes) = postcard::to_stdvec(frame) else {
         return false;
     };
-    if bytes.len() > MOST_BATCH {
+    if bytes.len() > MAX_BATCH {
         return false;
     }
     let length = (bytes.len() as u32).to_le_bytes();
@@ -143,7 +145,7 @@
     let sum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
     let body = bytes
         .get(FRAME_HEAD..FRAME_HEAD + length)
-        .filter(|_| length <= MOST_BATCH)?;
+        .filter(|_| length <= MAX_BATCH)?;
     let mut own = crc32fast::Hasher::new();
     own.update(&head[..4]);
     own.update(body);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -6,8 +6,8 @@
 //! its thread, which flushes once for all that waits. All file access goes through [`files`], which has
 //! the real one; [`faulty`] is the one that tests crash, tear and fill.
 //!
-//! Guarantees, word for word, stand in docs/store.md. Bounds: [`frame::MOST_BATCH`] bytes a batch,
-//! [`store::Plan::budget`] bytes on disk, [`worker::MOST_WAITING`] batches that wait.
+//! Guarantees, word for word, stand in docs/store.md. Bounds: [`frame::MAX_BATCH`] bytes a batch,
+//! [`store::Plan::budget`] bytes on disk, [`worker::MAX_WAITING`] batches that wait.
 
 pub mod faulty;
 pub mod files;
@@ -18,5 +18,5 @@
 
 pub use files::{Directory, Files};
 pub use frame::Batch;
-pub use recovery::{Found, Trust, Unusable};
-pub use store::{look, Plan, Store};
+pub use recovery::{OpenError, RecoveryReport, RecoveryStatus};
+pub use store::{look, Config, Store};
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::frame::{self, Bad, Batch, Frame, Head, Write};
+use crate::frame::{self, Batch, Frame, FrameError, Head, Write};
 
 /// A live key's value, and when it is dropped (0: never).
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 
 /// How far what was found is to be trusted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trust {
+pub enum RecoveryStatus {
     /// Nothing was there: a new store, or one that was wiped.
     New,
     /// All that was ever acknowledged is there.
@@ -32,8 +32,8 @@
 
 /// What was there, in figures.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
-    pub trust: Trust,
+pub struct RecoveryReport {
+    pub status: RecoveryStatus,
     pub identity: u64,
     /// When this life of the store began, in Unix milliseconds: when it was made, or found not to be whole.
     /// What happened before it may not be known here.
@@ -48,13 +48,13 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum OpenError {
     #[error("another process has the store; stop it, or name another directory with store-dir")]
     InUse,
     #[error("{segment} can't be used: {why}; {remedy}")]
     Segment {
         segment: String,
-        why: Bad,
+        why: FrameError,
         remedy: &'static str,
     },
     #[error(
@@ -205,7 +205,7 @@
 }
 
 /// Folds the files of a directory, by name and content, in the order of their names.
-pub fn recover(files: &[(String, Vec<u8>)]) -> Result<Recovered, Unusable> {
+pub fn recover(files: &[(String, Vec<u8>)]) -> Result<Recovered, OpenError> {
     let mut segments = Vec::new();
     for (name, bytes) in files {
         match frame::read_head(bytes) {
@@ -220,10 +220,12 @@
             Err(_) if bytes.len() <= frame::HEAD => {}
             Err(why) => {
                 let remedy = match why {
-                    Bad::Version(_) => "use the program that wrote it, or move the directory away",
+                    FrameError::Version(_) => {
+                        "use the program that wrote it, or move the directory away"
+                    }
                     _ => "move the directory away; the gateway then starts as a stranger",
                 };
-                return Err(Unusable::Segment {
+                return Err(OpenError::Segment {
                     segment: name.clone(),
                     why,
                     remedy,
@@ -236,7 +238,7 @@
         .iter()
         .find(|segment| Some(segment.head.identity) != first)
     {
-        return Err(Unusable::Mixed {
+        return Err(OpenError::Mixed {
             segment: other.name.to_string(),
         });
     }
@@ -254,7 +256,7 @@
 }
 
 /// The writes of the newest whole snapshot and of the logs behind it, up to the first thing that is missing.
-fn writes(segments: &[Segment], recovered: &mut Recovered) -> Result<Writes, Unusable> {
+fn writes(segments: &[Segment], recovered: &mut Recovered) -> Result<Writes, OpenError> {
     let (mut from, mut writes) = (0, Writes::default());
     let snapshots = segments
         .iter()
@@ -314,10 +316,10 @@
 }
 
 /// What came before a segment is not there: nothing at all, or something in between.
-fn missing(recovered: &mut Recovered, segment: &Segment, all: bool) -> Result<(), Unusable> {
+fn missing(recovered: &mut Recovered, segment: &Segment, all: bool) -> Result<(), OpenError> {
     let (segment, after) = (segment.name.to_string(), segment.head.after);
     if all {
-        return Err(Unusable::NoBeginning { segment, after });
+        return Err(OpenError::NoBeginning { segment, after });
     }
     recovered.damaged = Some((segment, 0));
     Ok(())
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -9,19 +9,19 @@
 
 use crate::files::{Files, Log};
 use crate::frame::{self, Batch, Frame, Head};
-use crate::recovery::{self, Found, Keys, Trust, Unusable, Value};
+use crate::recovery::{self, Keys, OpenError, RecoveryReport, RecoveryStatus, Value};
 
 /// What tells a directory from a copy of it: its own file's birth, written into the file.
 const IDENTITY: &str = "IDENTITY";
 /// A log is rewritten once it is this long and twice what is live.
-const LEAST_LOG: u64 = 1 << 20;
+const MIN_LOG: u64 = 1 << 20;
 /// Bytes of a snapshot's part, about.
 const PART: usize = 32 << 10;
 /// What a key costs on disk beside its bytes.
 const OVERHEAD: u64 = 24;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct Config {
     /// Bytes on disk, the rewriting of the log included.
     pub budget: u64,
 }
@@ -39,7 +39,7 @@
 
 pub struct Store {
     files: Box<dyn Files>,
-    plan: Plan,
+    plan: Config,
     head: Head,
     keys: Keys,
     live: u64,
@@ -58,7 +58,7 @@
 }
 
 /// What a directory's segments hold, without changing anything.
-pub fn look(directory: &std::path::Path) -> Result<recovery::Recovered, Unusable> {
+pub fn look(directory: &std::path::Path) -> Result<recovery::Recovered, OpenError> {
     let mut files = crate::files::Directory::new(directory);
     let mut segments = Vec::new();
     for (name, _) in files.list()? {
@@ -78,12 +78,12 @@
     /// Opens or makes the store of a directory, for one more start.
     pub fn open(
         mut files: Box<dyn Files>,
-        plan: Plan,
+        plan: Config,
         now_ms: u64,
         random: u64,
-    ) -> Result<(Self, Found), Unusable> {
+    ) -> Result<(Self, RecoveryReport), OpenError> {
         if !files.lock()? {
-            return Err(Unusable::InUse);
+            return Err(OpenError::InUse);
         }
         let all = files.list()?;
         let names: Vec<String> = all.into_iter().map(|(name, _)| name).collect();
@@ -94,12 +94,12 @@
         let recovered = recovery::recover(&segments)?;
         let known = identity(files.as_mut(), &names)?;
         let trust = match (&recovered.newest, recovered.damaged.clone()) {
-            (None, _) => Trust::New,
-            (Some(_), Some((segment, at))) => Trust::Damaged { segment, at },
-            (Some(_), None) if known.is_none() => Trust::Copy,
-            (Some(_), None) => Trust::Whole,
+            (None, _) => RecoveryStatus::New,
+            (Some(_), Some((segment, at))) => RecoveryStatus::Damaged { segment, at },
+            (Some(_), None) if known.is_none() => RecoveryStatus::Copy,
+            (Some(_), None) => RecoveryStatus::Whole,
         };
-        let own = match known.filter(|_| trust == Trust::Whole) {
+        let own = match known.filter(|_| trust == RecoveryStatus::Whole) {
             Some(own) => own,
             // What is not what it was is another life, which may not know what came before.
             None => make_identity(
@@ -130,8 +130,8 @@
             .iter()
             .map(|(name, bytes)| (name.clone(), bytes.len() as u64))
             .collect();
-        let found = Found {
-            trust,
+        let found = RecoveryReport {
+            status: trust,
             identity: own.own,
             life_ms: own.life_ms,
             start: newest.map_or(0, |head| head.start) + 1,
@@ -163,9 +163,9 @@
             rewriting: None,
             unsure: !segments.is_empty(),
         };
-        match found.trust {
+        match found.status {
             // What lies behind the damage must not be read again: all is written anew.
-            Trust::Damaged { .. } => {
+            RecoveryStatus::Damaged { .. } => {
                 store.rescue(now_ms)?;
             }
             _ => store.begin_log(now_ms)?,
@@ -297,7 +297,7 @@
     /// Whether the log should be rewritten.
     pub fn wants_rewriting(&self) -> bool {
         let long =
-            self.log_bytes > LEAST_LOG.min(self.plan.budget / 8) && self.log_bytes > 2 * self.live;
+            self.log_bytes > MIN_LOG.min(self.plan.budget / 8) && self.log_bytes > 2 * self.live;
         self.log.is_some() && (self.rewriting.is_some() || long || self.unsure)
     }
 
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -13,7 +13,7 @@
 use crate::store::Store;
 
 /// Batches between the loop and the thread; one more is refused.
-pub const MOST_WAITING: usize = 4096;
+pub const MAX_WAITING: usize = 4096;
 /// The rewriting of a log: bytes of one slice, and bytes a second.
 const SLICE: u64 = 16 << 10;
 const SLICES_PER_S: f64 = 8.0 * (1 << 20) as f64;
@@ -42,7 +42,7 @@
 impl Worker {
     /// `wake` is called from the thread whenever more is durable.
     pub fn start(store: Store, wake: Box<dyn Fn() + Send>) -> std::io::Result<Self> {
-        let (sender, receiver) = sync_channel(MOST_WAITING);
+        let (sender, receiver) = sync_channel(MAX_WAITING);
         let shared = Arc::new(Shared::default());
         let own = shared.clone();
         let thread = std::thread::Builder::new().name("store".into());
@@ -125,7 +125,7 @@
         // One flush for all that waits by now.
         for batch in first
             .into_iter()
-            .chain(batches.try_iter().take(MOST_WAITING))
+            .chain(batches.try_iter().take(MAX_WAITING))
         {
             taken += 1;
             // Only what nobody waits for can be too long: an intent is some sixty bytes.
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -4,18 +4,18 @@
 use std::collections::BTreeMap;
 
 use eideryard_store::faulty::Faulty;
-use eideryard_store::{Batch, Directory, Plan, Store, Trust, Unusable};
+use eideryard_store::{Batch, Config, Directory, OpenError, RecoveryStatus, Store};
 use fastrand::Rng;
 use proptest::prelude::*;
 
 const NOW: u64 = 1_800_000_000_000;
-const PLAN: Plan = Plan { budget: 1 << 20 };
+const PLAN: Config = Config { budget: 1 << 20 };
 
 type Map = BTreeMap<Vec<u8>, Vec<u8>>;
 
-fn open(disk: &Faulty, random: u64) -> Result<(Store, Trust), Unusable> {
+fn open(disk: &Faulty, random: u64) -> Result<(Store, RecoveryStatus), OpenError> {
     Store::open(Box::new(disk.clone()), PLAN, NOW, random)
-        .map(|(store, found)| (store, found.trust))
+        .map(|(store, found)| (store, found.status))
 }
 
 fn held(store: &Store) -> Map {
@@ -86,7 +86,7 @@
         });
         if let Ok((mut store, trust)) = open(&disk, seed + life) {
             assert!(
-                matches!(trust, Trust::New | Trust::Whole),
+                matches!(trust, RecoveryStatus::New | RecoveryStatus::Whole),
                 "seed {seed}, life {life}: {trust:?}"
             );
             let found = held(&store);
@@ -114,7 +114,7 @@
     }
     let (store, trust) = open(&disk, seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     assert!(
-        matches!(trust, Trust::New | Trust::Whole),
+        matches!(trust, RecoveryStatus::New | RecoveryStatus::Whole),
         "seed {seed}: {trust:?}"
     );
     assert!(
@@ -182,7 +182,7 @@
         let (store, trust) = open(&disk, 2).unwrap();
         assert_eq!(
             (held(&store), trust),
-            (states.pop().unwrap(), Trust::Whole),
+            (states.pop().unwrap(), RecoveryStatus::Whole),
             "seed {seed}"
         );
     }
@@ -235,7 +235,10 @@
             let whole = found_state == *states.last().unwrap();
             // What is missing is said, unless it looks as if it was never flushed.
             assert!(
-                whole || found.trust != Trust::Whole || found.torn > 0 || what.starts_with("cut"),
+                whole
+                    || found.status != RecoveryStatus::Whole
+                    || found.torn > 0
+                    || what.starts_with("cut"),
                 "{name}, {what}"
             );
             true
@@ -278,7 +281,7 @@
 fn a_copy_put_back_is_another_life_and_so_is_a_wiped_directory() {
     let directory = tempfile::tempdir().unwrap();
     let (own, old) = (directory.path().join("own"), directory.path().join("old"));
-    let plan = Plan { budget: 1 << 20 };
+    let plan = Config { budget: 1 << 20 };
     let open = |now| Store::open(Box::new(Directory::new(&own)), plan, now, now);
     let put = |store: &mut Store, key: &str| {
         let mut batch = Batch::default();
@@ -288,12 +291,12 @@
     };
     let (mut store, found) = open(NOW).unwrap();
     assert_eq!(
-        (found.trust, found.start, found.life_ms),
-        (Trust::New, 1, NOW)
+        (found.status, found.start, found.life_ms),
+        (RecoveryStatus::New, 1, NOW)
     );
     put(&mut store, "a");
     assert!(
-        matches!(open(NOW), Err(Unusable::InUse)),
+        matches!(open(NOW), Err(OpenError::InUse)),
         "two processes on one directory"
     );
     drop(store);
@@ -307,8 +310,8 @@
     copy(&own, &old);
     let (mut store, found) = open(NOW + 1).unwrap();
     assert_eq!(
-        (found.trust, found.start, found.life_ms),
-        (Trust::Whole, 2, NOW)
+        (found.status, found.start, found.life_ms),
+        (RecoveryStatus::Whole, 2, NOW)
     );
     put(&mut store, "b");
     drop(store);
@@ -316,19 +319,19 @@
     copy(&old, &own);
     let (store, found) = open(NOW + 2).unwrap();
     assert_eq!(
-        (found.trust, found.life_ms, found.keys),
-        (Trust::Copy, NOW + 2, 1)
+        (found.status, found.life_ms, found.keys),
+        (RecoveryStatus::Copy, NOW + 2, 1)
     );
     assert!(store.get(b"a").is_some() && store.get(b"b").is_none());
     drop(store);
     let (_, found) = open(NOW + 3).unwrap();
     assert_eq!(
-        (found.trust, found.life_ms),
-        (Trust::Whole, NOW + 2),
+        (found.status, found.life_ms),
+        (RecoveryStatus::Whole, NOW + 2),
         "from then on it is its own life"
     );
     std::fs::remove_dir_all(&own).unwrap();
-    assert_eq!(open(NOW + 4).unwrap().1.trust, Trust::New);
+    assert_eq!(open(NOW + 4).unwrap().1.status, RecoveryStatus::New);
 }
 
 #[test]
@@ -414,7 +417,7 @@
 /// nothing is called durable, and all of it is once the disk writes again.
 #[test]
 fn a_disk_that_stalls_holds_its_thread_and_no_caller() {
-    use eideryard_store::worker::{Worker, MOST_WAITING};
+    use eideryard_store::worker::{Worker, MAX_WAITING};
     let disk = Faulty::default();
     let (store, _) = open(&disk, 1).unwrap();
     let (told, heard) = std::sync::mpsc::channel();
@@ -424,11 +427,11 @@
     one.put(b"key".to_vec(), b"value".to_vec(), 0);
     // The thread may hold as many again as the queue.
     let taken = std::iter::from_fn(|| worker.write(one.clone()))
-        .take(3 * MOST_WAITING)
+        .take(3 * MAX_WAITING)
         .last()
         .unwrap();
     assert!(
-        (MOST_WAITING as u64..3 * MOST_WAITING as u64).contains(&taken),
+        (MAX_WAITING as u64..3 * MAX_WAITING as u64).contains(&taken),
         "{taken}"
     );
     assert_eq!(worker.durable(), 0);
--- a/examples/toy-server/main.rs
+++ b/examples/toy-server/main.rs
@@ -1,8 +1,8 @@
 //! Plays a scenario of stand-ins without gateways: `cargo run --example toy-server -- FILE`. Without a file the
 //! engines and the bulletin that `examples/gateway.json` names.
 
-use eideryard_fleet_test::world;
 use eideryard_emulators::scenario::Scenario;
+use eideryard_fleet_test::world;
 
 const USUAL: &str = "examples/toy.scenario";
 
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -5,18 +5,18 @@
 
 mod admission;
 mod arrival;
-mod load_estimate;
-mod engine_selection;
-mod sampling;
-mod completion;
-mod outlier_detection;
 mod checkpoint;
-mod endpoints;
-mod outcome;
+mod completion;
 mod constraints;
 mod dispatch;
-mod subsetting;
+mod endpoints;
+mod engine_selection;
+mod load_estimate;
 mod load_shedding;
+mod outcome;
+mod outlier_detection;
+mod sampling;
+mod subsetting;
 
 use crate::engines::Engines;
 use crate::interface::*;
@@ -30,8 +30,8 @@
 const START_BOUND: f64 = 2.0; // Threads a core of this gateway's share at the start: gains end there
 const START_LEVEL: f64 = 1.0; // Threads a core that others are held to have until a report tells; it fades
 const LESSON_SPAN: f64 = 20.0; // Times to warm up over which what an earlier life learned fades
-const LEAST_LESSON: f64 = 0.05; // Part of it that is left, under which it is void
-const LEAST_BOUND: f64 = 0.7; // Part of its start that pressure leaves of a bound: it must not choke
+const MIN_LESSON: f64 = 0.05; // Part of it that is left, under which it is void
+const MIN_BOUND: f64 = 0.7; // Part of its start that pressure leaves of a bound: it must not choke
 const BOUND_STEP: f64 = 0.01; // Step by which calm widens the bounds
 const BOUND_CUT: f64 = 4.0; // Such steps that an outcome under pressure cuts
 const PRESSURE: f64 = 1.2; // Stretch over the engine's best at which it counts as under pressure
@@ -51,12 +51,12 @@
 const QUARANTINE: f64 = 0.07; // The first, in parts of the time to warm up; each relapse doubles it
 const LONGEST_QUARANTINE: f64 = 0.5; // The longest, in the same parts
 const SILENCE: f64 = 3.0; // Note periods without a word after which an engine that holds work is silent
-const MOST_QUARANTINED: f64 = 0.5; // Share of engines in quarantine beyond which the cause must be shared
+const MAX_QUARANTINED: f64 = 0.5; // Share of engines in quarantine beyond which the cause must be shared
 const BAD_PLAN: f64 = 3.0; // Remaining time over that of a fresh attempt that shows a bad plan
 const COLD_MARGIN: f64 = 0.6; // Part of the cold budget in use: estimates scatter, others round up as well
 const CHANCE: f64 = 3.0; // Deviations of chance that the cold budget leaves room for
 const CAPACITY_BUSY: f64 = 0.85; // Capacity is counted at this part of busy cores
-const LEAST_ARC: f64 = 0.75; // Part of an arc of homes that must be one's own, in shares that a query fits in
+const MIN_ARC: f64 = 0.75; // Part of an arc of homes that must be one's own, in shares that a query fits in
 const HOMES: usize = 2; // Engines that are home to a group
 const HOME_GAIN: f64 = 0.25; // Part of a query's cost that reading its group warm saves, at the homes
 const GROUP_MEMORY: f64 = 100.0; // Requests over which a group's part of all is counted
@@ -103,7 +103,7 @@
 impl Balancer {
     /// One that knows its settings and nothing else; equal seeds and events give equal actions.
     pub fn new(set: Settings, seed: u64, now: Micros) -> Self {
-        let latency = (STRETCH_MEMORY * set.warm_within as f64).max(1.0);
+        let latency = (STRETCH_MEMORY * set.warm_up_duration as f64).max(1.0);
         let fresh = Learned {
             work_ratio: 1.0,
             memory_ratio: 1.0,
@@ -150,22 +150,25 @@
         self.now = now;
         let quiet = matches!(
             event,
-            Event::Arrived(_) | Event::Noted { .. } | Event::StreamBegan { .. }
+            Event::Arrived(_) | Event::ProgressReported { .. } | Event::StreamBegan { .. }
         );
         match event {
             Event::Arrived(request) => self.take(request),
-            Event::Ended(ended) => self.outcome(ended),
-            Event::RanBefore { request, earlier } => {
+            Event::AttemptEnded(ended) => self.outcome(ended),
+            Event::PriorAttempts {
+                request,
+                prior_attempts,
+            } => {
                 _ = self
                     .requests
                     .get_mut(&request)
-                    .map(|held| held.req.earlier.extend(earlier))
+                    .map(|held| held.req.prior_attempts.extend(prior_attempts))
             }
-            Event::Noted {
+            Event::ProgressReported {
                 request,
                 attempt,
-                note,
-            } => self.noted(request, attempt, note),
+                progress,
+            } => self.noted(request, attempt, progress),
             Event::StreamBegan { request } => {
                 _ = self.requests.get_mut(&request).map(|h| h.streaming = true)
             }
@@ -173,10 +176,10 @@
             Event::ClientLeft { request } => self.close(request),
             Event::Timer { tag: BEAT } => self.beat(),
             Event::Timer { tag } => self.end(tag - 1, 0),
-            Event::FullList(entries) => self.full_list(entries),
-            Event::ListChanges(entries) => self.list_changes(entries),
-            Event::Remembered { lessons, age } => self.remember(lessons, age),
-            Event::ListFailed => self.subscribe_at = Some(now + self.set.ask_every / 8),
+            Event::EndpointSnapshot(entries) => self.full_list(entries),
+            Event::EndpointChanges(entries) => self.list_changes(entries),
+            Event::CheckpointRestored { learned, age } => self.remember(learned, age),
+            Event::DiscoveryFailed => self.subscribe_at = Some(now + self.set.poll_interval / 8),
         }
         self.actions.extend(
             self.subscribe_at
@@ -206,7 +209,7 @@
         let (now, memory) = (self.now, self.latency);
         // Where nobody reports, what a stranger assumes must not outlive its start.
         let kept = (-((BEAT_TICKS * self.set.tick) as f64) / memory).exp();
-        self.traffic.level *= if self.traffic.heard { 1.0 } else { kept };
+        self.traffic.baseline_load *= if self.traffic.heard { 1.0 } else { kept };
         self.keys
             .retain(|_, (line, rests_until)| !line.is_empty() || *rests_until > now);
         let since = now.saturating_sub(self.set.attempt_budget.map_or(0, |budget| budget.span));
@@ -214,7 +217,7 @@
         self.traffic
             .groups
             .retain(|_, (_, at)| self.traffic.arrivals - *at < GROUP_FADED * GROUP_MEMORY);
-        let since = now.saturating_sub(self.set.fall_window);
+        let since = now.saturating_sub(self.set.overload_window);
         self.engines.pass_time(now, |engine| {
             engine.observe(now, memory, None);
             engine.loading.retain(|_, at| *at + memory as Micros > now);
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -82,7 +82,8 @@
         let dashboard = self.is_dashboard(held.req.class);
         // A dashboard runs ahead of what is larger, so only its like stands before it, until the engine jams.
         // What can't be taken back jams for long, so there any pressure counts as a jam.
-        let jammed = self.now < engine.pressed_until || engine.stretch > CLIP * engine.best;
+        let jammed =
+            self.now < engine.pressed_until || engine.slowdown > CLIP * engine.best_slowdown;
         let jam = if self.set.may_cancel {
             jammed
         } else {
@@ -148,8 +149,8 @@
 
     /// The part of its capacity that an engine is held to have: it grows from a cold start on.
     pub(super) fn warmth(&self, engine: &Engine) -> f64 {
-        let left =
-            engine.cold_until.saturating_sub(self.now) as f64 / self.set.warm_within.max(1) as f64;
+        let left = engine.cold_until.saturating_sub(self.now) as f64
+            / self.set.warm_up_duration.max(1) as f64;
         1.0 - (1.0 - self.set.start_capacity) * left.min(1.0)
     }
 }
--- a/src/balancer/arrival.rs
+++ b/src/balancer/arrival.rs
@@ -9,7 +9,7 @@
         let usual = if known.work > 0.0 {
             known.work
         } else {
-            class.aim as f64 * class.threads / 2.0
+            class.latency_objective as f64 * class.threads / 2.0
         };
         let work = req
             .work
@@ -23,12 +23,15 @@
             + (ANSWER_MARGIN * req.deadline.saturating_sub(self.now) as f64) as Micros;
         let end_by = req.deadline.saturating_sub(margin).max(self.now);
         // A client may be less patient than its class: after it has gone, the aim is worth nothing.
-        let due = (self.now + class.aim + (class.aim_stretch * ideal) as Micros).min(end_by);
-        let worth = class.worth
+        let due = (self.now
+            + class.latency_objective
+            + (class.latency_objective_per_work * ideal) as Micros)
+            .min(end_by);
+        let worth = class.priority_weight
             * if self.within_share(req.tenant) {
                 1.0
             } else {
-                self.set.over_share_worth
+                self.set.over_quota_weight
             };
         if let Some(key) = req.key.as_ref().filter(|_| class.ordered) {
             self.keys
@@ -50,7 +53,7 @@
             memory,
             due,
             end_by,
-            worth,
+            priority_weight: worth,
             ..Default::default()
         };
         let over = !self.may_repeat(&held); // It may have run before, when or where none may repeat it
--- a/src/balancer/checkpoint.rs
+++ b/src/balancer/checkpoint.rs
@@ -4,21 +4,21 @@
 
 impl Balancer {
     /// What a later life of this gateway may want to know.
-    pub fn lessons(&self) -> Lessons {
+    pub fn learned_state(&self) -> LearnedState {
         let classes = self.learned.iter().map(Learned::lesson).collect();
         let engines = self.engines.listed().map(Engine::lesson).collect();
-        Lessons {
+        LearnedState {
             classes,
             engines,
-            level: self.traffic.level,
+            baseline_load: self.traffic.baseline_load,
         }
     }
 
     /// Doubt grows with age: what was learned moves back to what a stranger holds. Of another process than
     /// the one that runs now, or where this life has learned already, nothing is taken back.
-    pub(super) fn remember(&mut self, lessons: Lessons, age: Micros) {
-        let kept = (-(age as f64) / (LESSON_SPAN * self.set.warm_within.max(1) as f64)).exp();
-        if kept < LEAST_LESSON {
+    pub(super) fn remember(&mut self, lessons: LearnedState, age: Micros) {
+        let kept = (-(age as f64) / (LESSON_SPAN * self.set.warm_up_duration.max(1) as f64)).exp();
+        if kept < MIN_LESSON {
             return;
         }
         let doubted = |stranger: f64, learned: f64| stranger + kept * (learned - stranger);
@@ -38,12 +38,13 @@
             let Some(own) = self.engines.get_mut(&told.engine).filter(same) else {
                 continue;
             };
-            own.best = doubted(1.0, told.best.clamp(0.0, 1.0));
-            own.stretch = doubted(own.best, told.stretch.max(own.best));
+            own.best_slowdown = doubted(1.0, told.best_slowdown.clamp(0.0, 1.0));
+            own.slowdown = doubted(own.best_slowdown, told.slowdown.max(own.best_slowdown));
             own.bad = doubted(0.0, told.bad.clamp(0.0, BAD_SHARE));
-            (own.stretch_at, own.others) = (self.now, told.others.max(0.0));
+            (own.stretch_at, own.foreign_load) = (self.now, told.foreign_load.max(0.0));
             own.reported_at = self.now.saturating_sub(age);
         }
-        self.traffic.level = doubted(self.traffic.level, lessons.level.max(0.0));
+        self.traffic.baseline_load =
+            doubted(self.traffic.baseline_load, lessons.baseline_load.max(0.0));
     }
 }
--- a/src/balancer/completion.rs
+++ b/src/balancer/completion.rs
@@ -15,10 +15,10 @@
         held.ended = true;
         let class = &self.set.classes[held.req.class];
         let ran = held.may_have_run().next().is_some();
-        let known_to_all = class.effect == Effect::Keyed && class.scope == Scope::All;
-        let may_refuse = !ran || class.effect == Effect::Safe || known_to_all;
-        let retry_after = if self.set.may_advise {
-            retry_after.min(self.set.max_advice)
+        let known_to_all = class.effect == Effect::IdempotentWithKey && class.scope == Scope::All;
+        let may_refuse = !ran || class.effect == Effect::Idempotent || known_to_all;
+        let retry_after = if self.set.retry_after_allowed {
+            retry_after.min(self.set.max_retry_after)
         } else {
             0
         };
--- a/src/balancer/constraints.rs
+++ b/src/balancer/constraints.rs
@@ -23,9 +23,9 @@
         let class = &self.set.classes[held.req.class];
         let first = held.may_have_run().map(|ran| ran.since).min();
         match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => first.is_none(),
-            Effect::Keyed => {
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => first.is_none(),
+            Effect::IdempotentWithKey => {
                 first.is_none_or(|at| self.now + 2 * self.set.tick < at + class.window)
             }
         }
@@ -33,15 +33,15 @@
 
     /// Effects: what an earlier attempt may have done decides where a further one may go.
     pub(super) fn effect_allows(&self, held: &Held, class: &Class, engine: &Engine) -> bool {
-        let same = |ran: Earlier| match class.scope {
+        let same = |ran: PriorAttempt| match class.scope {
             Scope::All => true,
             Scope::Zone => ran.zone == engine.entry.zone,
             Scope::Cell => ran.cell == engine.entry.cell,
         };
         let out = held.attempts.iter().any(|a| a.state == State::Out);
-        (!out || self.set.may_duplicate)
+        (!out || self.set.hedging_allowed)
             && self.may_repeat(held)
-            && (class.effect != Effect::Keyed || held.may_have_run().all(same))
+            && (class.effect != Effect::IdempotentWithKey || held.may_have_run().all(same))
     }
 
     /// Order: only the first of its key that is not over, and after the pause that its forerunner left.
@@ -82,10 +82,10 @@
     pub(super) fn cold_budget_allows(&self, held: &Held, engine: &Engine) -> bool {
         let (usual, window) = (
             self.learned[held.req.class].work,
-            self.set.fall_window as f64,
+            self.set.overload_window as f64,
         );
         let capacity = self.set.start_capacity * CAPACITY_BUSY * self.kind(engine).cores;
-        let whole = self.set.fall_multiple * capacity * window;
+        let whole = self.set.overload_multiple * capacity * window;
         if self.now >= engine.cold_until {
             return true;
         }
@@ -97,7 +97,7 @@
             return chance(held.req.id ^ mix(engine.entry.engine as u64))
                 < COLD_MARGIN * safe * safe / asked;
         }
-        let since = self.now.saturating_sub(self.set.fall_window);
+        let since = self.now.saturating_sub(self.set.overload_window);
         let sent: f64 = engine
             .cold_sends
             .iter()
@@ -109,7 +109,7 @@
 }
 
 /// Placement, also when all allowed engines are down or full.
-pub(super) fn may_place(class: &Class, entry: &Entry) -> bool {
+pub(super) fn may_place(class: &Class, entry: &Endpoint) -> bool {
     class
         .zones_only
         .as_ref()
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -59,13 +59,13 @@
         self.actions.push(Action::Send {
             request: id,
             engine: engine_id,
-            give_up_at,
+            attempt_deadline: give_up_at,
         });
     }
 
     /// Asked when the first byte of an attempt is let go: what held when it was sent may hold no more. False:
     /// it is withdrawn, to end as never sent.
-    pub fn begins(&mut self, now: Micros, id: RequestId, attempt: usize) -> bool {
+    pub fn may_begin(&mut self, now: Micros, id: RequestId, attempt: usize) -> bool {
         self.now = now;
         let last = self
             .requests
@@ -140,7 +140,7 @@
             };
             if held.rank != Some(rank) && !held.ended {
                 held.rank = Some(rank);
-                self.actions.push(Action::Terms {
+                self.actions.push(Action::Grant {
                     request: id,
                     grant_mb: held.grant,
                     rank,
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 impl Balancer {
-    pub(super) fn full_list(&mut self, entries: Vec<Entry>) {
+    pub(super) fn full_list(&mut self, entries: Vec<Endpoint>) {
         let told: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
         let listed = self.engines.listed().map(|own| own.entry);
-        let lacking: Vec<Entry> = listed
+        let lacking: Vec<Endpoint> = listed
             .filter(|entry| !told.contains(&entry.engine))
             .collect();
         lacking
@@ -15,15 +15,15 @@
         self.list_changes(entries);
     }
 
-    pub(super) fn list_changes(&mut self, entries: Vec<Entry>) {
+    pub(super) fn list_changes(&mut self, entries: Vec<Endpoint>) {
         entries.into_iter().for_each(|entry| self.listed(entry));
         self.engines
             .reindex(|class, entry| may_place(&self.set.classes[class], entry));
         self.count_shares();
     }
 
-    fn listed(&mut self, entry: Entry) {
-        let warm_at = entry.booted_at + self.set.warm_within;
+    fn listed(&mut self, entry: Endpoint) {
+        let warm_at = entry.booted_at + self.set.warm_up_duration;
         self.engines.relist(entry, self.now, |engine| {
             if entry.booted_at > engine.entry.booted_at {
                 // A restart: what was learned of the process before is void, what it is charged with is not.
@@ -43,7 +43,7 @@
                 engine.cold_until = engine.cold_until.max(warm_at);
             }
             engine.entry = entry;
-            engine.listed = entry.phase != Phase::Gone;
+            engine.listed = entry.phase != Phase::Removed;
         });
     }
 }
--- a/src/balancer/engine_selection.rs
+++ b/src/balancer/engine_selection.rs
@@ -62,7 +62,7 @@
             * if self.thin {
                 1.0
             } else {
-                engine.stretch / engine.best
+                engine.slowdown / engine.best_slowdown
             };
         if homes.contains(&engine.entry.engine) != self.keeps_away(held.req.class) {
             cost *= 1.0 - HOME_GAIN;
@@ -81,7 +81,7 @@
 
     /// Not in quarantine; on probation an engine gets one safe request at a time.
     pub(super) fn may_take(&self, held: &Held, engine: &Engine) -> bool {
-        let safe = self.set.classes[held.req.class].effect == Effect::Safe;
+        let safe = self.set.classes[held.req.class].effect == Effect::Idempotent;
         let well = engine.probation == 0 || safe && engine.out.is_empty();
         self.now >= engine.quarantined_until && well && !self.load_holds(held, engine)
     }
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -4,7 +4,8 @@
 
 impl Engine {
     pub(super) fn under_pressure(&self, now: Micros) -> bool {
-        now < self.pressed_until || now >= self.vouched_until && self.stretch > PRESSURE * self.best
+        now < self.pressed_until
+            || now >= self.vouched_until && self.slowdown > PRESSURE * self.best_slowdown
     }
 
     /// Stretch is time spent over ideal time, of what ended lately and of what is out: a jam shows in what
@@ -13,26 +14,26 @@
         let kept = (-((now - self.stretch_at) as f64) / memory).exp();
         self.stretch_at = now;
         let (spent, ideal) = ended.unwrap_or((0.0, 0.0));
-        self.spent = self.spent * kept + spent.min(CLIP * ideal * self.stretch);
+        self.spent = self.spent * kept + spent.min(CLIP * ideal * self.slowdown);
         self.ideal = self.ideal * kept + ideal;
         let (mut spent, mut ideal) = (self.spent, self.ideal);
         for charge in self.out.values().filter(|charge| !charge.waited) {
             let age = (now - charge.sent_at) as f64;
             let (elapsed, done) = charge.noted.unwrap_or((age, age.min(charge.ideal)));
-            spent += elapsed.min(CLIP * done * self.stretch);
+            spent += elapsed.min(CLIP * done * self.slowdown);
             ideal += done;
         }
         // Without evidence a bad figure fades: it must not outlive its cause.
-        self.stretch = if ideal > 1.0 {
+        self.slowdown = if ideal > 1.0 {
             spent / ideal
         } else {
-            self.best + (self.stretch - self.best) * kept
+            self.best_slowdown + (self.slowdown - self.best_slowdown) * kept
         };
-        self.best = self.best.min(self.stretch);
+        self.best_slowdown = self.best_slowdown.min(self.slowdown);
     }
 
     pub(super) fn widen(&mut self, steps: f64) {
-        self.width = (self.width * (1.0 + steps * BOUND_STEP)).clamp(LEAST_BOUND, 1.0);
+        self.width = (self.width * (1.0 + steps * BOUND_STEP)).clamp(MIN_BOUND, 1.0);
     }
 }
 
@@ -40,14 +41,14 @@
     /// Threads of others there: what a report told fades to what engines hold on the whole.
     pub(super) fn others(&self, engine: &Engine) -> f64 {
         let kept = (-((self.now - engine.reported_at) as f64) / self.latency).exp();
-        let usual = self.traffic.level * self.kind(engine).cores;
-        let told = usual + (engine.others - usual) * kept;
+        let usual = self.traffic.baseline_load * self.kind(engine).cores;
+        let told = usual + (engine.foreign_load - usual) * kept;
         // A jammed engine has idle cores: a report that doesn't count queries shows none emptier than usual,
         // and latency far over the best tells what an engine holds.
         let counted = self.traffic.counted;
-        let jam = engine.stretch > if counted { CLIP } else { PRESSURE } * engine.best;
+        let jam = engine.slowdown > if counted { CLIP } else { PRESSURE } * engine.best_slowdown;
         let held = if jam {
-            engine.stretch * self.kind(engine).cores
+            engine.slowdown * self.kind(engine).cores
         } else {
             usual
         };
@@ -87,11 +88,12 @@
         let Some(threads) = counted.into_iter().chain(implied).reduce(f64::max) else {
             return;
         };
-        engine.others = (threads - engine.threads).max(0.0);
+        engine.foreign_load = (threads - engine.threads).max(0.0);
         engine.reported_at = self.now;
         self.traffic.counted |= counted.is_some();
         self.traffic.heard = true;
-        self.traffic.level += LEARN * (engine.others / cores - self.traffic.level);
+        self.traffic.baseline_load +=
+            LEARN * (engine.foreign_load / cores - self.traffic.baseline_load);
     }
 
     /// A probe's answer: the report in it counts, a failure closes the engine for a while. That the process
--- a/src/balancer/load_shedding.rs
+++ b/src/balancer/load_shedding.rs
@@ -19,7 +19,7 @@
             let held = &self.requests[&id];
             let latest = due as f64 + SHED_SLACK * due.saturating_sub(self.now) as f64;
             ahead += held.work;
-            let place = ((held.worth / held.work.max(1.0)).to_bits(), id);
+            let place = ((held.priority_weight / held.work.max(1.0)).to_bits(), id);
             kept.insert(place, held.work);
             while kept.contains_key(&place) && self.now as f64 + ahead / rate + held.ideal > latest
             {
@@ -31,7 +31,7 @@
             }
         }
         for id in gone {
-            let advice = (self.set.max_advice as f64 * (0.5 + 0.5 * self.rng.f64())) as Micros;
+            let advice = (self.set.max_retry_after as f64 * (0.5 + 0.5 * self.rng.f64())) as Micros;
             self.end(id, advice);
         }
     }
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Balancer {
-    pub(super) fn outcome(&mut self, end: Ended) {
+    pub(super) fn outcome(&mut self, end: AttemptEnded) {
         let Some(held) = self.requests.get_mut(&end.request) else {
             return;
         };
@@ -12,7 +12,7 @@
         };
         let never_ran = matches!(
             end.outcome,
-            Outcome::Full | Outcome::NoConnection | Outcome::Unsent
+            Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent
         );
         tried.state = if never_ran {
             State::NeverRan
@@ -25,19 +25,19 @@
         let unusable = held.erred_at_several();
         let (ended, class) = (held.ended, held.req.class);
         let (estimate, key) = ((held.req.work, held.req.memory_mb), held.req.key.clone());
-        if end.outcome == Outcome::Unsent {
+        if end.outcome == Outcome::NotSent {
             self.uncount_sent(end.request, end.attempt, &tried);
         }
-        let rests_until = self.now + self.set.order_pause + self.set.tick;
+        let rests_until = self.now + self.set.ordering_delay + self.set.tick;
         let charge = self.uncharge(engine_id, &end);
         if let Some(charge) = charge.filter(|_| end.outcome == Outcome::Answered) {
-            end.bill
+            end.usage
                 .into_iter()
                 .for_each(|bill| self.learn(class, estimate, bill));
-            self.learn_stretch(engine_id, &charge, end.spent, end.bill);
+            self.learn_stretch(engine_id, &charge, end.spent, end.usage);
         }
         // Whose fault an error is shows when the request is over, in `close`.
-        if end.outcome != Outcome::Error && !end.told {
+        if end.outcome != Outcome::Error && !end.already_reported {
             self.judge(engine_id, end.outcome);
         }
         end.report
@@ -54,17 +54,17 @@
         self.rerank(engine_id);
         match ended {
             true => self.close(end.request),
-            false if unusable => self.end(end.request, self.set.max_advice),
+            false if unusable => self.end(end.request, self.set.max_retry_after),
             false => self.further_or_end(end.request),
         }
     }
 
     /// Takes the charge off; a refusal as full also closes the engine for a while.
-    pub(super) fn uncharge(&mut self, engine: EngineId, end: &Ended) -> Option<Charge> {
+    pub(super) fn uncharge(&mut self, engine: EngineId, end: &AttemptEnded) -> Option<Charge> {
         let engine = self.engines.get_mut(&engine)?;
         let charge = engine.out.remove(&(end.request, end.attempt))?;
         engine.doubts += (end.outcome == Outcome::Error) as i32;
-        if end.outcome == Outcome::Full {
+        if end.outcome == Outcome::AtCapacity {
             // What refuses at once frees its charges at once and would draw the whole queue.
             let pause_ends = self.now + self.pause;
             engine.quarantined_until = engine.quarantined_until.max(pause_ends);
@@ -76,7 +76,12 @@
     }
 
     /// Estimates are scaled by the class's mean true-to-estimated ratio, where answers tell the truth.
-    pub(super) fn learn(&mut self, class: usize, estimate: (Option<f64>, Option<f64>), bill: Bill) {
+    pub(super) fn learn(
+        &mut self,
+        class: usize,
+        estimate: (Option<f64>, Option<f64>),
+        bill: ResourceUsage,
+    ) {
         let known = &mut self.learned[class];
         known.work_ratio = nudged(known.work_ratio, estimate.0.map(|work| bill.work / work));
         known.memory_ratio = nudged(
@@ -92,7 +97,7 @@
         id: EngineId,
         charge: &Charge,
         spent: Micros,
-        bill: Option<Bill>,
+        bill: Option<ResourceUsage>,
     ) {
         let ideal = bill.map_or(charge.ideal, |bill| bill.work / charge.threads);
         let Some(engine) = self.engines.get_mut(&id) else {
@@ -111,7 +116,7 @@
     }
 
     /// A word on an attempt that is out: the engine lives, and a plan may prove bad.
-    pub(super) fn noted(&mut self, id: RequestId, attempt: usize, note: Note) {
+    pub(super) fn noted(&mut self, id: RequestId, attempt: usize, note: Progress) {
         let Some(held) = self.requests.get(&id) else {
             return;
         };
@@ -128,12 +133,12 @@
             return;
         };
         // A cold engine is slow for all: that is no bad plan.
-        let stretch = engine.stretch.max(1.0) / warmth;
+        let stretch = engine.slowdown.max(1.0) / warmth;
         let Some(charge) = engine.out.get_mut(&(id, attempt)) else {
             return;
         };
         match note {
-            Note::Progress(share) => {
+            Progress::Share(share) => {
                 let elapsed = (self.now - charge.sent_at) as f64;
                 let remaining = elapsed * (1.0 - share).max(0.0) / share.max(1e-6);
                 let fresh = charge.ideal * stretch;
@@ -145,16 +150,16 @@
                     self.take_back(id, attempt);
                 }
             }
-            Note::WaitsForMemory => charge.waited = true,
+            Progress::WaitsForMemory => charge.waited = true,
             // Nothing is done yet, so nothing is lost elsewhere; one attempt is kept for worse.
-            Note::WaitsForLoad => {
+            Progress::WaitsForLoad => {
                 charge.waited = true;
                 engine.loading.insert(charge.group, self.now);
                 if attempt + 2 < self.set.max_attempts {
                     self.take_back(id, attempt);
                 }
             }
-            Note::Spilling(_) => {}
+            Progress::Spilling(_) => {}
         }
     }
 
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -21,7 +21,9 @@
         let bad = match outcome {
             Outcome::Answered => 0.0,
             Outcome::Error | Outcome::NoConnection | Outcome::Broken => 1.0,
-            Outcome::Full | Outcome::TimedOut | Outcome::Cancelled | Outcome::Unsent => return,
+            Outcome::AtCapacity | Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {
+                return
+            }
         };
         if bad == 0.0 || outcome == Outcome::Error {
             self.heard(engine_id);
@@ -40,7 +42,7 @@
         }
         // It lost its connections and answers again: a restart that nobody told of, maybe, so it is cold.
         if engine.probation > 0 && std::mem::take(&mut engine.lost_connection) {
-            engine.cold_until = engine.cold_until.max(self.now + self.set.warm_within);
+            engine.cold_until = engine.cold_until.max(self.now + self.set.warm_up_duration);
         }
         engine.probation = engine.probation.saturating_sub(1);
         if engine.probation == 0 && engine.strikes > 0 {
@@ -59,7 +61,7 @@
             .filter(|e| e.listed && e.probation > 0)
             .count();
         // When most engines look bad at once the cause is shared: shutting them out would leave nothing.
-        let shared = (away + 1) as f64 > MOST_QUARANTINED * self.engines.listed_count() as f64;
+        let shared = (away + 1) as f64 > MAX_QUARANTINED * self.engines.listed_count() as f64;
         let (now, memory) = (self.now, self.latency);
         let Some(engine) = self.engines.get_mut(&engine_id) else {
             return;
@@ -78,7 +80,7 @@
             return;
         }
         let part = (QUARANTINE * 2f64.powi(engine.strikes)).min(LONGEST_QUARANTINE);
-        engine.quarantined_until = now + (part * self.set.warm_within as f64) as Micros;
+        engine.quarantined_until = now + (part * self.set.warm_up_duration as f64) as Micros;
         engine.strikes += 1;
         engine.probation = PROBATION;
         if engine.strikes == 1 {
@@ -91,7 +93,7 @@
     /// Silence: attempts are out, yet no note and no outcome comes while other engines speak.
     pub(super) fn watch_silence(&mut self) {
         let notes = self.set.note_period as f64;
-        let longest = |e: &Engine| e.out.values().map(|c| c.ideal).fold(0.0, f64::max) * e.stretch;
+        let longest = |e: &Engine| e.out.values().map(|c| c.ideal).fold(0.0, f64::max) * e.slowdown;
         let limit = |e: &Engine| {
             if notes > 0.0 {
                 notes
@@ -102,7 +104,7 @@
         let busy = self.engines.active().filter(|e| !e.out.is_empty());
         let quiet = |e: &Engine| (self.now - e.last_heard) as f64 > SILENCE * limit(e);
         let mute = busy.clone().filter(|e| quiet(e));
-        if mute.clone().count() as f64 > MOST_QUARANTINED * busy.count() as f64 {
+        if mute.clone().count() as f64 > MAX_QUARANTINED * busy.count() as f64 {
             return;
         }
         for engine_id in mute.map(|e| e.entry.engine).collect::<Vec<_>>() {
--- a/src/balancer/subsetting.rs
+++ b/src/balancer/subsetting.rs
@@ -21,7 +21,7 @@
             .fold(1.0, f64::max);
         let (fit, peers) = (START_BOUND * cores / widest, self.set.peers);
         let open = self.engines.open_count() as f64;
-        let arcs = !self.set.counts_by_probe && fit * open >= LEAST_ARC * HOMES as f64 * peers;
+        let arcs = !self.set.counts_by_probe && fit * open >= MIN_ARC * HOMES as f64 * peers;
         (self.few, self.thin) = (peers > fit && arcs, peers > fit && !arcs);
         let wide = (fit * open / peers).round().max(HOMES as f64);
         let own = if self.few {
@@ -38,7 +38,7 @@
             } else {
                 (0.0, 0.0)
             };
-            (self.traffic.level, self.traffic.probes) = (level, probes);
+            (self.traffic.baseline_load, self.traffic.probes) = (level, probes);
         }
     }
 
--- a/src/engines.rs
+++ b/src/engines.rs
@@ -6,7 +6,7 @@
 //!   dropped from the index again when it has come to rest.
 //! * Sums over the engines that rest, so that nobody has to go over them.
 
-use crate::interface::{Class, EngineId, Entry, Kind, Micros};
+use crate::interface::{Class, Endpoint, EngineId, Kind, Micros};
 use crate::state::{mix, Engine};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -163,7 +163,12 @@
     }
 
     /// Changes what the list says of an engine; a new one is added first.
-    pub(crate) fn relist(&mut self, entry: Entry, now: Micros, change: impl FnOnce(&mut Engine)) {
+    pub(crate) fn relist(
+        &mut self,
+        entry: Endpoint,
+        now: Micros,
+        change: impl FnOnce(&mut Engine),
+    ) {
         self.visit();
         let active = &mut self.active;
         self.table.entry(entry.engine).or_insert_with(|| {
@@ -185,7 +190,7 @@
     }
 
     /// Brings the rings up to date with the list; `may_place` says whether a class may use an engine.
-    pub(crate) fn reindex(&mut self, may_place: impl Fn(usize, &Entry) -> bool) {
+    pub(crate) fn reindex(&mut self, may_place: impl Fn(usize, &Endpoint) -> bool) {
         let changed = std::mem::take(&mut self.changed);
         for (ring, &class) in self.rings.iter_mut().zip(&self.ring_class) {
             let usable = |engine: &Engine| engine.open() && may_place(class, &engine.entry);
@@ -248,7 +253,7 @@
         let Some(engine) = self.table.get_mut(&id).filter(|engine| engine.rests(now)) else {
             return;
         };
-        engine.stretch = engine.best;
+        engine.slowdown = engine.best_slowdown;
         (engine.spent, engine.ideal) = (0.0, 0.0);
         self.active.remove(&id);
         self.resting += self.capacity_steps(&self.table[&id]);
--- a/src/engines/tests.rs
+++ b/src/engines/tests.rs
@@ -10,10 +10,10 @@
 
 fn class(zones: Option<Vec<u32>>, kinds: Option<Vec<u32>>) -> Class {
     Class {
-        aim: SECOND,
-        aim_stretch: 2.0,
-        worth: 1.0,
-        effect: Effect::Safe,
+        latency_objective: SECOND,
+        latency_objective_per_work: 2.0,
+        priority_weight: 1.0,
+        effect: Effect::Idempotent,
         scope: Scope::All,
         window: 0,
         ordered: false,
@@ -51,7 +51,7 @@
     Engines::new(&classes(), &kinds())
 }
 
-fn may_place(class: usize, entry: &Entry) -> bool {
+fn may_place(class: usize, entry: &Endpoint) -> bool {
     let class = &classes()[class];
     class
         .zones_only
@@ -63,21 +63,21 @@
             .is_none_or(|kinds| kinds.contains(&entry.kind))
 }
 
-fn drawn(rng: &mut fastrand::Rng) -> Entry {
-    let phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(..4)];
-    Entry {
+fn drawn(rng: &mut fastrand::Rng) -> Endpoint {
+    let phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Removed][rng.usize(..4)];
+    Endpoint {
         engine: rng.u32(..ENGINES),
         zone: rng.u32(..3),
         kind: rng.u32(..3),
         phase,
-        ..Entry::default()
+        ..Endpoint::default()
     }
 }
 
-fn list(engines: &mut Engines, entry: Entry, now: Micros) {
+fn list(engines: &mut Engines, entry: Endpoint, now: Micros) {
     engines.relist(entry, now, |engine| {
         engine.entry = entry;
-        engine.listed = entry.phase != Phase::Gone;
+        engine.listed = entry.phase != Phase::Removed;
     });
 }
 
@@ -113,9 +113,9 @@
         4 => engines
             .get_mut(&id)
             .into_iter()
-            .for_each(|own| (own.best, own.stretch) = (0.8, 0.8 + rng.f64())),
+            .for_each(|own| (own.best_slowdown, own.slowdown) = (0.8, 0.8 + rng.f64())),
         _ => engines.pass_time(now, |own| {
-            own.stretch = own.best + 1e-3 * (own.stretch - own.best)
+            own.slowdown = own.best_slowdown + 1e-3 * (own.slowdown - own.best_slowdown)
         }),
     }
 }
@@ -191,9 +191,9 @@
     for engine in 0..4 {
         list(
             &mut engines,
-            Entry {
+            Endpoint {
                 engine,
-                ..Entry::default()
+                ..Endpoint::default()
             },
             0,
         );
@@ -202,20 +202,20 @@
         engines.active.is_empty(),
         "engines that are new and warm rest"
     );
-    engines.get_mut(&1).expect("it is listed").stretch = 3.0;
+    engines.get_mut(&1).expect("it is listed").slowdown = 3.0;
     list(
         &mut engines,
-        Entry {
+        Endpoint {
             engine: 2,
-            phase: Phase::Gone,
-            ..Entry::default()
+            phase: Phase::Removed,
+            ..Endpoint::default()
         },
         0,
     );
     assert_eq!(engines.active.iter().copied().collect::<Vec<_>>(), [1, 2]);
     for step in 0..20 {
         engines.pass_time(step * SECOND, |own| {
-            own.stretch = own.best + 0.1 * (own.stretch - own.best)
+            own.slowdown = own.best_slowdown + 0.1 * (own.slowdown - own.best_slowdown)
         });
     }
     assert!(engines.active.is_empty() && engines.get(&2).is_none());
--- /dev/null
+++ b/src/interface/settings.rs
@@ -0,0 +1,149 @@
+//! What the platform tells a gateway before it starts: classes, tenants, kinds of machine, limits and rules.
+
+use super::Micros;
+
+/// What a further attempt of a request may do to its effect.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Effect {
+    /// Safe to repeat anywhere, any time.
+    Idempotent,
+    /// Engines of one scope drop a repeat for a while.
+    IdempotentWithKey,
+    /// Never repeated unless every earlier attempt is known not to have run.
+    NonIdempotent,
+}
+
+/// The engines that know each other's keyed requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scope {
+    /// All engines.
+    All,
+    /// Those of one zone.
+    Zone,
+    /// Those of one cell.
+    Cell,
+}
+
+/// How the list of engines comes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Discovery {
+    /// Changes of the list arrive by themselves.
+    Push,
+    /// The list must be subscribed to.
+    Ask,
+}
+
+/// A class of requests, as the settings name it.
+#[derive(Clone, Debug)]
+pub struct Class {
+    /// Answers within `aim` plus `aim_stretch` times the true work per thread earn the full worth.
+    pub latency_objective: Micros,
+    /// Part of the work a thread that is added to `aim`.
+    pub latency_objective_per_work: f64,
+    /// What a request is worth when it is answered in time.
+    pub priority_weight: f64,
+    /// What a further attempt may do.
+    pub effect: Effect,
+    /// The engines that drop a repeat of a keyed request.
+    pub scope: Scope,
+    /// How long engines of the scope remember a keyed request.
+    pub window: Micros,
+    /// Requests that carry the same key run one at a time, in the order taken.
+    pub ordered: bool,
+    /// The only zones and machine kinds that may serve it, where bound.
+    pub zones_only: Option<Vec<u32>>,
+    /// The only machine kinds.
+    pub kinds_only: Option<Vec<u32>>,
+    /// Threads that a query runs on.
+    pub threads: f64,
+    /// It holds its table group on its engine while it runs.
+    pub is_load: bool,
+    /// It stands still while a load holds its group there.
+    pub waits_for_load: bool,
+}
+
+/// A tenant, as the settings name it.
+#[derive(Clone, Debug)]
+pub struct Tenant {
+    /// Requests a second, over all gateways, that count as within its share.
+    pub quota_per_s: f64,
+}
+
+/// A kind of machine.
+#[derive(Clone, Debug)]
+pub struct Kind {
+    /// Cores of one engine.
+    pub cores: f64,
+    /// Memory of one engine.
+    pub memory_mb: f64,
+}
+
+/// How many further attempts a gateway may make.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptBudget {
+    /// The time over which attempts are counted.
+    pub span: Micros,
+    /// Further attempts for each request taken in that time.
+    pub ratio: f64,
+    /// Further attempts beside these.
+    pub spare: f64,
+}
+
+/// What the platform tells a gateway before it starts.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// Classes, by their numbers.
+    pub classes: Vec<Class>,
+    /// Tenants, by their numbers.
+    pub tenants: Vec<Tenant>,
+    /// Machine kinds, by their numbers.
+    pub kinds: Vec<Kind>,
+    /// Gateways in this tier, this one included.
+    pub peers: f64,
+    /// This gateway's number among them, from 0, where it is told.
+    pub index: Option<f64>,
+    /// The zone of this gateway.
+    pub zone: u32,
+    /// The time unit of the platform's own timers.
+    pub tick: Micros,
+    /// How the list of engines comes.
+    pub discovery: Discovery,
+    /// Time between progress notes; 0 where there are none.
+    pub note_period: Micros,
+    /// Share of an engine's memory that one query gets at most.
+    pub largest_share: f64,
+    /// Attempts of one request at the most.
+    pub max_attempts: usize,
+    /// Attempts may be cancelled.
+    pub may_cancel: bool,
+    /// Two attempts of a request may be out at once.
+    pub hedging_allowed: bool,
+    /// Engines may be probed.
+    pub may_probe: bool,
+    /// Probes, and they alone, tell how many queries an engine holds.
+    pub counts_by_probe: bool,
+    /// Refusals may say when to come again.
+    pub retry_after_allowed: bool,
+    /// The longest such advice.
+    pub max_retry_after: Micros,
+    /// A cold engine sent more than `fall_multiple` times its present capacity for `fall_window` falls over.
+    pub overload_multiple: f64,
+    /// The time over which that is counted.
+    pub overload_window: Micros,
+    /// Part of its capacity that a cold engine has at its start.
+    pub start_capacity: f64,
+    /// Time from its start until an engine is warm.
+    pub warm_up_duration: Micros,
+    /// Rest of an ordered key after an attempt that may still run.
+    pub ordering_delay: Micros,
+    /// The budget of further attempts, if there is one.
+    pub attempt_budget: Option<AttemptBudget>,
+    /// Time between two subscriptions to the list.
+    pub poll_interval: Micros,
+    /// Part of its worth that a request over its tenant's quota keeps.
+    pub over_quota_weight: f64,
+    /// Part of all worth that crossing zones costs.
+    pub cross_zone_tariff: f64,
+    /// Part of all worth that one probe a request costs.
+    pub probe_tariff: f64,
+}
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,7 +7,7 @@
 /// Off its best by less, an engine's stretch counts as settled.
 const SETTLED: f64 = 1e-9;
 /// A queue in front of an engine is never held to be shorter than at this stretch.
-const LEAST_STRETCH: f64 = 0.5;
+const MIN_STRETCH: f64 = 0.5;
 
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum State {
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
-    pub(crate) entry: Entry,    // The engine as it was listed then
+    pub(crate) entry: Endpoint, // The engine as it was listed then
     pub(crate) sent_at: Micros, // When its first byte went out, as far as the host has told
     pub(crate) state: State,
     pub(crate) cancelled: bool,
@@ -33,7 +33,7 @@
     pub(crate) memory: f64,
     pub(crate) due: Micros, // The aim, from arrival on; the order in which held requests leave
     pub(crate) end_by: Micros, // Before this time it must be ended
-    pub(crate) worth: f64,
+    pub(crate) priority_weight: f64,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) streaming: bool,
     pub(crate) ended: bool,
@@ -53,14 +53,14 @@
     }
 
     /// What may have run: scope and since when, of its attempts and of those before it came here.
-    pub(crate) fn may_have_run(&self) -> impl Iterator<Item = Earlier> + use<'_> {
+    pub(crate) fn may_have_run(&self) -> impl Iterator<Item = PriorAttempt> + use<'_> {
         let own = self.attempts.iter().filter(|a| a.state != State::NeverRan);
-        let own = own.map(|a| Earlier {
+        let own = own.map(|a| PriorAttempt {
             zone: a.entry.zone,
             cell: a.entry.cell,
             since: a.sent_at,
         });
-        own.chain(self.req.earlier.iter().copied())
+        own.chain(self.req.prior_attempts.iter().copied())
     }
 
     pub(crate) fn erred_at_several(&self) -> bool {
@@ -84,7 +84,7 @@
 
 #[derive(Default)]
 pub(crate) struct Engine {
-    pub(crate) entry: Entry,
+    pub(crate) entry: Endpoint,
     pub(crate) listed: bool,
     pub(crate) cold_until: Micros,
     pub(crate) cold_sends: VecDeque<(Micros, f64, RequestId)>,
@@ -95,12 +95,12 @@
     pub(crate) spent: f64, // Decaying sums of time spent and of ideal time: their ratio is the stretch
     pub(crate) ideal: f64,
     pub(crate) stretch_at: Micros,
-    pub(crate) stretch: f64,
-    pub(crate) best: f64,
+    pub(crate) slowdown: f64,
+    pub(crate) best_slowdown: f64,
     pub(crate) pressed_until: Micros,
     pub(crate) vouched_until: Micros, // A report counted so few threads that latency shows no pressure
     /// Threads of others' queries by the last report, when that came, and when a probe was last sent.
-    pub(crate) others: f64,
+    pub(crate) foreign_load: f64,
     pub(crate) reported_at: Micros,
     pub(crate) asked_at: Micros,
     pub(crate) bad: f64,
@@ -116,25 +116,25 @@
 }
 
 impl Engine {
-    pub(crate) fn new(entry: Entry) -> Self {
+    pub(crate) fn new(entry: Endpoint) -> Self {
         Engine {
             entry,
             listed: true,
             width: 1.0,
-            best: 1.0,
-            stretch: 1.0,
+            best_slowdown: 1.0,
+            slowdown: 1.0,
             ..Default::default()
         }
     }
 
-    pub(crate) fn lesson(&self) -> EngineLesson {
-        EngineLesson {
+    pub(crate) fn lesson(&self) -> EngineEstimates {
+        EngineEstimates {
             engine: self.entry.engine,
             booted_at: self.entry.booted_at,
-            stretch: self.stretch,
-            best: self.best,
+            slowdown: self.slowdown,
+            best_slowdown: self.best_slowdown,
             bad: self.bad,
-            others: self.others,
+            foreign_load: self.foreign_load,
         }
     }
 
@@ -150,14 +150,14 @@
 
     /// Times longer than alone that work takes there.
     pub(crate) fn slowness(&self) -> f64 {
-        self.stretch.max(LEAST_STRETCH)
+        self.slowdown.max(MIN_STRETCH)
     }
 
     /// Time alone changes nothing of it: it holds no work, is warm and well, and what it showed has faded.
     pub(crate) fn rests(&self, now: Micros) -> bool {
         let idle = self.out.is_empty() && self.cold_sends.is_empty() && self.loading.is_empty();
         let well = self.listed && self.probation == 0 && now >= self.cold_until;
-        idle && well && self.ideal <= 1.0 && (self.stretch - self.best).abs() < SETTLED
+        idle && well && self.ideal <= 1.0 && (self.slowdown - self.best_slowdown).abs() < SETTLED
     }
 
     pub(crate) fn tally(&mut self) {
@@ -176,14 +176,14 @@
 }
 
 impl Learned {
-    pub(crate) fn lesson(&self) -> ClassLesson {
+    pub(crate) fn lesson(&self) -> ClassEstimates {
         let Learned {
             work_ratio,
             memory_ratio,
             work,
             memory,
         } = *self;
-        ClassLesson {
+        ClassEstimates {
             work_ratio,
             memory_ratio,
             work,
@@ -204,7 +204,7 @@
     pub(crate) hold: f64,
     pub(crate) groups: BTreeMap<u64, (f64, f64)>,
     /// Threads a core that engines hold by what reports say, and whether reports count queries.
-    pub(crate) level: f64,
+    pub(crate) baseline_load: f64,
     pub(crate) counted: bool,
     pub(crate) heard: bool,
     /// Share of bad outcomes among all.
--- a/tests/arcs.rs
+++ b/tests/arcs.rs
@@ -17,12 +17,12 @@
     set
 }
 
-fn fleet() -> Vec<Entry> {
+fn fleet() -> Vec<Endpoint> {
     (1..=ENGINES).map(ready).collect()
 }
 
 /// The engines that a gateway spreads a crowd of look-ups over.
-fn used(set: Settings, engines: &[Entry]) -> BTreeSet<EngineId> {
+fn used(set: Settings, engines: &[Endpoint]) -> BTreeSet<EngineId> {
     let mut bench = Bench::new(set, engines);
     let mut used = BTreeSet::new();
     for id in 0..40 {
@@ -66,7 +66,7 @@
 fn the_next_engine_of_the_ring_stands_in_for_one_that_is_closed() {
     let before = used(silent(0), &fleet());
     let gone = *before.first().unwrap();
-    let left: Vec<Entry> = fleet()
+    let left: Vec<Endpoint> = fleet()
         .into_iter()
         .filter(|entry| entry.engine != gone)
         .collect();
@@ -81,7 +81,7 @@
 
 #[test]
 fn with_counts_from_probes_or_too_few_engines_for_arcs_all_engines_are_in_use() {
-    let far = |set: Settings, engines: &[Entry]| {
+    let far = |set: Settings, engines: &[Endpoint]| {
         let mut asked = BTreeSet::new();
         for id in 0..60 {
             let mut bench = Bench::new(set.clone(), engines);
--- a/tests/begin.rs
+++ b/tests/begin.rs
@@ -6,7 +6,7 @@
 use eideryard::interface::*;
 
 fn begins(bench: &mut Bench, request: RequestId, attempt: usize) -> bool {
-    bench.gateway.begins(bench.now, request, attempt)
+    bench.gateway.may_begin(bench.now, request, attempt)
 }
 
 fn withdrawn(bench: &mut Bench, request: RequestId, attempt: usize) -> Vec<Action> {
@@ -14,7 +14,7 @@
         !begins(bench, request, attempt),
         "{request} may still begin"
     );
-    bench.end(request, attempt, Outcome::Unsent, 0)
+    bench.end(request, attempt, Outcome::NotSent, 0)
 }
 
 #[test]
@@ -56,11 +56,11 @@
     let mut bench = Bench::new(settings(), &[ready(1), ready(2)]);
     let deadline = bench.now + 9 * S;
     let chosen = sent(&bench.take(lookup(1, deadline)))[0].1;
-    let again = Entry {
+    let again = Endpoint {
         booted_at: bench.now,
         ..ready(chosen)
     };
-    bench.tell(Event::ListChanges(vec![again]));
+    bench.tell(Event::EndpointChanges(vec![again]));
     assert_eq!(
         sent(&withdrawn(&mut bench, 1, 0)),
         [(1, 3 - chosen)],
@@ -73,12 +73,12 @@
 fn what_a_late_dial_held_back_counts_when_it_begins() {
     // Two look-ups a window are all that this leaves of a cold engine's budget.
     let set = Settings {
-        fall_multiple: 0.2,
+        overload_multiple: 0.2,
         ..settings()
     };
     let mut bench = Bench::new(
         set.clone(),
-        &[Entry {
+        &[Endpoint {
             booted_at: 1_000 * S,
             ..ready(1)
         }],
@@ -94,7 +94,7 @@
             2 * (round + 1),
             "each window has its own budget"
         );
-        bench.pass(set.fall_window + 50 * MS);
+        bench.pass(set.overload_window + 50 * MS);
     }
     let begun = held
         .iter()
@@ -119,7 +119,7 @@
     let first = sent(&bench.take(lookup(1, deadline)))[0].1;
     assert!(begins(&mut bench, 1, 0));
     let second = sent(&bench.end(1, 0, Outcome::NoConnection, MS))[0].1;
-    bench.tell(Event::ListChanges(vec![Entry {
+    bench.tell(Event::EndpointChanges(vec![Endpoint {
         phase: Phase::Draining,
         ..ready(second)
     }]));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,9 +13,9 @@
 
 pub fn class(effect: Effect, aim: Micros, threads: f64) -> Class {
     Class {
-        aim,
-        aim_stretch: 2.0,
-        worth: 1.0,
+        latency_objective: aim,
+        latency_objective_per_work: 2.0,
+        priority_weight: 1.0,
         effect,
         scope: Scope::All,
         window: 10 * S,
@@ -29,12 +29,12 @@
 }
 
 pub fn settings() -> Settings {
-    let mut load = class(Effect::Keyed, 3 * S, 2.0);
+    let mut load = class(Effect::IdempotentWithKey, 3 * S, 2.0);
     load.is_load = true;
     Settings {
         classes: vec![
-            class(Effect::Safe, S, 1.0),
-            class(Effect::Safe, 3 * S, 2.0),
+            class(Effect::Idempotent, S, 1.0),
+            class(Effect::Idempotent, 3 * S, 2.0),
             load,
         ],
         tenants: Vec::new(),
@@ -57,28 +57,28 @@
         largest_share: 0.4,
         max_attempts: 4,
         may_cancel: true,
-        may_duplicate: false,
+        hedging_allowed: false,
         may_probe: false,
         counts_by_probe: true,
-        may_advise: true,
-        max_advice: S,
-        fall_multiple: 2.0,
-        fall_window: S,
+        retry_after_allowed: true,
+        max_retry_after: S,
+        overload_multiple: 2.0,
+        overload_window: S,
         start_capacity: 0.3,
-        warm_within: 15 * S,
-        order_pause: S,
+        warm_up_duration: 15 * S,
+        ordering_delay: S,
         attempt_budget: None,
-        ask_every: 10 * S,
-        over_share_worth: 0.2,
+        poll_interval: 10 * S,
+        over_quota_weight: 0.2,
         cross_zone_tariff: 0.0,
         probe_tariff: 0.0,
     }
 }
 
-pub fn ready(engine: EngineId) -> Entry {
-    Entry {
+pub fn ready(engine: EngineId) -> Endpoint {
+    Endpoint {
         engine,
-        ..Entry::default()
+        ..Endpoint::default()
     }
 }
 
@@ -92,7 +92,7 @@
         work: Some(100.0 * MS as f64),
         memory_mb: Some(10.0),
         group: 1,
-        earlier: Vec::new(),
+        prior_attempts: Vec::new(),
     }
 }
 
@@ -123,18 +123,18 @@
 }
 
 impl Bench {
-    pub fn new(set: Settings, engines: &[Entry]) -> Self {
+    pub fn new(set: Settings, engines: &[Endpoint]) -> Self {
         Self::seeded(set, 7, engines)
     }
 
-    pub fn seeded(set: Settings, seed: u64, engines: &[Entry]) -> Self {
+    pub fn seeded(set: Settings, seed: u64, engines: &[Endpoint]) -> Self {
         let mut bench = Bench {
             gateway: Balancer::new(set, seed, 1_000 * S),
             now: 1_000 * S,
             last: Vec::new(),
             timers: Vec::new(),
         };
-        bench.tell(Event::FullList(engines.to_vec()));
+        bench.tell(Event::EndpointSnapshot(engines.to_vec()));
         bench
     }
 
@@ -171,34 +171,39 @@
         attempt: usize,
         outcome: Outcome,
         spent: Micros,
-        more: impl FnOnce(&mut Ended),
+        more: impl FnOnce(&mut AttemptEnded),
     ) -> Vec<Action> {
         let complete = outcome == Outcome::Answered;
-        let mut ended = Ended {
+        let mut ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
             complete,
-            told: false,
-            bill: None,
+            already_reported: false,
+            usage: None,
             report: None,
         };
         more(&mut ended);
-        self.tell(Event::Ended(ended))
+        self.tell(Event::AttemptEnded(ended))
     }
 
-    pub fn answer_with(&mut self, request: RequestId, spent: Micros, bill: Bill) -> Vec<Action> {
+    pub fn answer_with(
+        &mut self,
+        request: RequestId,
+        spent: Micros,
+        bill: ResourceUsage,
+    ) -> Vec<Action> {
         self.end_with(request, 0, Outcome::Answered, spent, |ended| {
-            ended.bill = Some(bill)
+            ended.usage = Some(bill)
         })
     }
 
-    pub fn note(&mut self, request: RequestId, attempt: usize, note: Note) -> Vec<Action> {
-        self.tell(Event::Noted {
+    pub fn note(&mut self, request: RequestId, attempt: usize, note: Progress) -> Vec<Action> {
+        self.tell(Event::ProgressReported {
             request,
             attempt,
-            note,
+            progress: note,
         })
     }
 
@@ -237,7 +242,7 @@
 
 pub fn terms(actions: &[Action]) -> Vec<(RequestId, f64, u8)> {
     let pick = |action: &Action| match action {
-        Action::Terms {
+        Action::Grant {
             request,
             grant_mb,
             rank,
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -112,7 +112,7 @@
     let mut bench = Bench::new(settings(), &[ready(1)]);
     let before = reports_out(&mut bench, 3_000.0, 6);
     assert_eq!(before, 6);
-    bench.end(105, 0, Outcome::Full, MS);
+    bench.end(105, 0, Outcome::AtCapacity, MS);
     assert!(
         sent(&bench.take(report(200, bench.now + 20 * S, 12_000.0))).is_empty(),
         "pressure: the room binds"
@@ -138,7 +138,7 @@
             bench.answer_with(
                 id as u64,
                 S,
-                Bill {
+                ResourceUsage {
                     work: 2.0 * S as f64,
                     memory_mb,
                 },
@@ -197,7 +197,7 @@
             ..report(id, deadline, 10.0)
         });
     }
-    let left = sent(&bench.tell(Event::FullList(vec![ready(1)])));
+    let left = sent(&bench.tell(Event::EndpointSnapshot(vec![ready(1)])));
     assert_eq!(left.iter().map(|s| s.0).collect::<Vec<_>>(), [1, 2, 3]);
 }
 
@@ -215,11 +215,11 @@
 
 #[test]
 fn a_group_is_read_at_its_home_by_every_gateway_until_load_speaks_against_it() {
-    let engines: Vec<Entry> = (1..=6).map(ready).collect();
+    let engines: Vec<Endpoint> = (1..=6).map(ready).collect();
     let home_seen_by = |seed: u64| {
         let mut bench = Bench::new(settings(), &engines);
         bench.gateway = eideryard::balancer::Balancer::new(settings(), seed, bench.now);
-        bench.tell(Event::FullList(engines.clone()));
+        bench.tell(Event::EndpointSnapshot(engines.clone()));
         sent(&bench.take(lookup(1, bench.now + 4 * S)))[0].1
     };
     assert_eq!(home_seen_by(1), home_seen_by(2));
@@ -255,7 +255,9 @@
     let now = bench.now;
     let actions = bench.take(lookup(1, now + 4 * S));
     let given_up = actions.iter().find_map(|action| match action {
-        Action::Send { give_up_at, .. } => Some(*give_up_at),
+        Action::Send {
+            attempt_deadline, ..
+        } => Some(*attempt_deadline),
         _ => None,
     });
     assert_eq!(given_up, Some(now + 4 * S - 400 * MS - 10 * MS));
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -61,7 +61,7 @@
         self.requests.insert(request.id, seen);
     }
 
-    fn ends(&mut self, now: Micros, ended: &Ended) {
+    fn ends(&mut self, now: Micros, ended: &AttemptEnded) {
         let Some(seen) = self.requests.get_mut(&ended.request) else {
             return;
         };
@@ -71,9 +71,11 @@
             ended.outcome,
             Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled
         ) {
-            seen.key
-                .iter()
-                .for_each(|key| _ = self.rests.insert(key.clone(), now + self.set.order_pause));
+            seen.key.iter().for_each(|key| {
+                _ = self
+                    .rests
+                    .insert(key.clone(), now + self.set.ordering_delay)
+            });
         }
     }
 
@@ -108,7 +110,7 @@
         let seen = &self.requests[&request];
         let mut wrong = Vec::new();
         let out = seen.attempts.iter().any(Option::is_none);
-        if out && !self.set.may_duplicate {
+        if out && !self.set.hedging_allowed {
             wrong.push("two attempts are out");
         }
         if seen.class == UNSAFE && seen.attempts.iter().any(|a| !never_ran(a)) {
@@ -161,7 +163,9 @@
             .zip(&seen.begun)
             .filter(|(outcome, _)| !never_ran(outcome));
         let ran = before.filter_map(|(_, begun)| *begun).min();
-        if class.effect == Effect::Keyed && ran.is_some_and(|ran| now >= ran + class.window) {
+        if class.effect == Effect::IdempotentWithKey
+            && ran.is_some_and(|ran| now >= ran + class.window)
+        {
             wrong.push("its key is forgotten");
         }
         let again = seen.begun.iter().any(Option::is_some);
@@ -186,29 +190,29 @@
 fn never_ran(attempt: &Option<Outcome>) -> bool {
     matches!(
         attempt,
-        Some(Outcome::Full | Outcome::NoConnection | Outcome::Unsent)
+        Some(Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent)
     )
 }
 
 fn drawn(rng: &mut fastrand::Rng) -> Settings {
     let mut set = settings();
-    let mut last = class(Effect::Unsafe, 3 * S, 2.0);
+    let mut last = class(Effect::NonIdempotent, 3 * S, 2.0);
     last.is_load = true;
     set.classes.push(last);
     set.classes[LOAD].ordered = true;
     set.peers = [1.0, 3.0, 20.0, 30.0, 90.0][rng.usize(..5)];
     (set.may_probe, set.counts_by_probe) = (rng.bool(), rng.bool());
-    (set.may_cancel, set.may_duplicate) = (rng.bool(), rng.bool());
+    (set.may_cancel, set.hedging_allowed) = (rng.bool(), rng.bool());
     set.note_period = if rng.bool() { 500 * MS } else { 0 };
-    set.order_pause = rng.u64(0..2 * S);
+    set.ordering_delay = rng.u64(0..2 * S);
     set.max_attempts = rng.usize(1..7);
     set.classes
         .iter_mut()
         .for_each(|class| class.window = [100 * MS, S, 10 * S][rng.usize(..3)]);
     set.classes
         .iter_mut()
-        .for_each(|class| class.aim = [100 * MS, S, 5 * S][rng.usize(..3)]);
-    set.fall_window = [S, 3 * S][rng.usize(..2)];
+        .for_each(|class| class.latency_objective = [100 * MS, S, 5 * S][rng.usize(..3)]);
+    set.overload_window = [S, 3 * S][rng.usize(..2)];
     let ratio = rng.f64() * 0.5;
     set.attempt_budget = rng.bool().then_some(AttemptBudget {
         span: 5 * S,
@@ -222,7 +226,7 @@
 fn play(seed: u64) -> Judge {
     let mut rng = fastrand::Rng::with_seed(seed);
     let set = drawn(&mut rng);
-    let engines: Vec<Entry> = (1..=rng.u32(2..12)).map(ready).collect();
+    let engines: Vec<Endpoint> = (1..=rng.u32(2..12)).map(ready).collect();
     let mut bench = Bench::seeded(set.clone(), seed, &engines);
     let mut judge = Judge::new(set);
     let mut day = Day {
@@ -253,18 +257,18 @@
             }
             1 => {
                 let mut entry = engines[rng.usize(..engines.len())];
-                entry.phase = [Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(..3)];
+                entry.phase = [Phase::Ready, Phase::Draining, Phase::Removed][rng.usize(..3)];
                 match entry.phase {
                     Phase::Ready => judge.closed.remove(&entry.engine),
                     _ => judge.closed.insert(entry.engine),
                 };
-                bench.tell(Event::ListChanges(vec![entry]))
+                bench.tell(Event::EndpointChanges(vec![entry]))
             }
             2..=9 if !day.out.is_empty() => {
                 let (request, attempt) = day.out.swap_remove(rng.usize(..day.out.len()));
                 let bad = [
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::AtCapacity,
                     Outcome::TimedOut,
                     Outcome::NoConnection,
                 ];
@@ -319,8 +323,8 @@
         judge: &mut Judge,
         of: (RequestId, usize),
     ) -> Vec<Action> {
-        if !bench.gateway.begins(bench.now, of.0, of.1) {
-            return finish(bench, judge, of, Outcome::Unsent);
+        if !bench.gateway.may_begin(bench.now, of.0, of.1) {
+            return finish(bench, judge, of, Outcome::NotSent);
         }
         judge.begins(bench.now, of);
         self.out.push(of);
@@ -361,7 +365,7 @@
             }
             Action::Cancel { request, attempt } if day.held.contains(&(request, attempt)) => {
                 day.held.retain(|own| *own != (request, attempt));
-                actions.extend(finish(bench, judge, (request, attempt), Outcome::Unsent));
+                actions.extend(finish(bench, judge, (request, attempt), Outcome::NotSent));
             }
             Action::Probe { engine } => {
                 let report = Some(LoadReport {
@@ -405,20 +409,20 @@
     let send = |request| Action::Send {
         request,
         engine: 1,
-        give_up_at: 0,
+        attempt_deadline: 0,
     };
-    let ended = |request, outcome| Ended {
+    let ended = |request, outcome| AttemptEnded {
         request,
         attempt: 0,
         outcome,
         spent: 0,
         complete: false,
-        told: false,
-        bill: None,
+        already_reported: false,
+        usage: None,
         report: None,
     };
     let mut set = settings();
-    set.classes.push(class(Effect::Unsafe, S, 1.0));
+    set.classes.push(class(Effect::NonIdempotent, S, 1.0));
     set.classes[LOAD].ordered = true;
     set.attempt_budget = Some(AttemptBudget {
         span: 5 * S,
@@ -459,12 +463,12 @@
     };
     assert!(planted(LOOKUP, 2, None, false).is_empty());
     for (class, second, outcome, refused) in [
-        (LOOKUP, 1, None, false),                    // two attempts are out
-        (LOOKUP, 1, Some(Outcome::Full), false),     // the budget has nothing to spare
-        (UNSAFE, 1, Some(Outcome::TimedOut), false), // an effect may come twice
-        (UNSAFE, 1, Some(Outcome::Broken), true),    // and its client is told to come again
-        (LOAD, 2, None, false),                      // the one before of its key is out
-        (LOAD, 2, Some(Outcome::TimedOut), false),   // and may run still
+        (LOOKUP, 1, None, false),                      // two attempts are out
+        (LOOKUP, 1, Some(Outcome::AtCapacity), false), // the budget has nothing to spare
+        (UNSAFE, 1, Some(Outcome::TimedOut), false),   // an effect may come twice
+        (UNSAFE, 1, Some(Outcome::Broken), true),      // and its client is told to come again
+        (LOAD, 2, None, false),                        // the one before of its key is out
+        (LOAD, 2, Some(Outcome::TimedOut), false),     // and may run still
     ] {
         assert!(
             !planted(class, second, outcome, refused).is_empty(),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -39,7 +39,7 @@
 
 fn unsafe_settings() -> Settings {
     let mut set = settings();
-    set.classes[LOOKUP].effect = Effect::Unsafe;
+    set.classes[LOOKUP].effect = Effect::NonIdempotent;
     set
 }
 
@@ -66,13 +66,13 @@
 fn a_keyed_request_stays_in_its_scope_and_its_window() {
     let mut set = settings();
     set.classes[LOAD].scope = Scope::Zone;
-    let elsewhere = Entry {
+    let elsewhere = Endpoint {
         zone: 1,
         ..ready(2)
     };
     let mut bench = Bench::new(set.clone(), &[ready(1)]);
     bench.take(load(1, bench.now + 20 * S));
-    bench.tell(Event::FullList(vec![elsewhere]));
+    bench.tell(Event::EndpointSnapshot(vec![elsewhere]));
     let actions = bench.end(1, 0, Outcome::Broken, 10 * MS);
     assert!(
         sent(&actions).is_empty(),
@@ -97,7 +97,7 @@
     let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3)]);
     bench.take(report(1, bench.now + 20 * S, 100.0));
     bench.pass(600 * MS);
-    let actions = bench.note(1, 0, Note::Progress(0.001));
+    let actions = bench.note(1, 0, Progress::Share(0.001));
     assert_eq!(cancelled(&actions), [(1, 0)]);
     assert!(sent(&actions).is_empty(), "the first attempt is still out");
     assert_eq!(
@@ -120,18 +120,18 @@
 
 #[test]
 fn nothing_is_sent_to_an_engine_told_draining_gone_or_left_out_of_a_full_list() {
-    let draining = Entry {
+    let draining = Endpoint {
         phase: Phase::Draining,
         ..ready(1)
     };
-    let gone = Entry {
-        phase: Phase::Gone,
+    let gone = Endpoint {
+        phase: Phase::Removed,
         ..ready(1)
     };
     for event in [
-        Event::ListChanges(vec![draining]),
-        Event::ListChanges(vec![gone]),
-        Event::FullList(vec![ready(2)]),
+        Event::EndpointChanges(vec![draining]),
+        Event::EndpointChanges(vec![gone]),
+        Event::EndpointSnapshot(vec![ready(2)]),
     ] {
         let mut bench = Bench::new(settings(), &[ready(1)]);
         bench.tell(event);
@@ -145,7 +145,7 @@
     let now = 1_000 * S;
     let mut bench = Bench::new(
         set,
-        &[Entry {
+        &[Endpoint {
             booted_at: now,
             ..ready(1)
         }],
@@ -161,7 +161,7 @@
 #[test]
 fn a_cold_engine_gets_no_more_than_this_gateways_share_of_its_budget() {
     let set = settings();
-    let budget = set.fall_multiple * set.start_capacity * set.kinds[0].cores;
+    let budget = set.overload_multiple * set.start_capacity * set.kinds[0].cores;
     let alone = cold_work_sent(set.clone());
     assert!(
         alone > 0.0 && alone <= budget,
@@ -176,7 +176,7 @@
     let now = 1_000 * S;
     let mut bench = Bench::new(
         settings(),
-        &[Entry {
+        &[Endpoint {
             booted_at: now,
             ..ready(1)
         }],
@@ -185,7 +185,7 @@
     for id in 0..400 {
         if !sent(&bench.take(lookup(id, bench.now + 4 * S))).is_empty() {
             count += 1;
-            count += sent(&bench.end(id, 0, Outcome::Full, 1)).len();
+            count += sent(&bench.end(id, 0, Outcome::AtCapacity, 1)).len();
         }
     }
     assert!(count as f64 * 0.1 <= 2.0 * 0.3 * 8.0, "{count}");
@@ -256,7 +256,7 @@
     let mut further = 0;
     for id in 0..30 {
         bench.take(lookup(id, bench.now + 4 * S));
-        further += sent(&bench.end(id, 0, Outcome::Full, MS)).len();
+        further += sent(&bench.end(id, 0, Outcome::AtCapacity, MS)).len();
         bench.now += 10 * MS;
     }
     assert!(
@@ -270,40 +270,40 @@
 fn lessons_of_an_earlier_life_are_doubted_by_their_age_and_void_for_another_process() {
     let taught = |age, booted_at| {
         let engines = [
-            Entry {
+            Endpoint {
                 booted_at: 5,
                 ..ready(1)
             },
             ready(2),
         ];
         let mut bench = Bench::new(settings(), &engines);
-        let class = ClassLesson {
+        let class = ClassEstimates {
             work_ratio: 2.0,
             memory_ratio: 0.5,
             work: 10.0,
             memory_mb: Some(64.0),
         };
         let classes = vec![class; settings().classes.len()];
-        let lesson = EngineLesson {
+        let lesson = EngineEstimates {
             engine: 1,
             booted_at,
-            stretch: 2.0,
-            best: 1.0,
+            slowdown: 2.0,
+            best_slowdown: 1.0,
             bad: 0.4,
-            others: 0.0,
+            foreign_load: 0.0,
         };
-        bench.tell(Event::Remembered {
-            lessons: Lessons {
+        bench.tell(Event::CheckpointRestored {
+            learned: LearnedState {
                 classes,
                 engines: vec![lesson],
-                level: 0.5,
+                baseline_load: 0.5,
             },
             age,
         });
-        bench.gateway.lessons()
+        bench.gateway.learned_state()
     };
     let (now, later, old) = (taught(0, 5), taught(60 * S, 5), taught(3600 * S, 5));
-    let ratio = |lessons: &Lessons| (lessons.classes[0].work_ratio, lessons.engines[0].bad);
+    let ratio = |lessons: &LearnedState| (lessons.classes[0].work_ratio, lessons.engines[0].bad);
     assert_eq!(ratio(&now), (2.0, 0.4));
     assert!(
         ratio(&later).0 < 2.0 && ratio(&later).0 > 1.0 && ratio(&later).1 < 0.4,
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -16,7 +16,7 @@
     }
 }
 
-fn fleet() -> Vec<Entry> {
+fn fleet() -> Vec<Endpoint> {
     (1..=ENGINES).map(ready).collect()
 }
 
@@ -328,7 +328,7 @@
 /// Work that all gateways together send a cold engine within one window, over several windows.
 fn cold_work_of_all(set: &Settings) -> f64 {
     let start = 1_000 * S;
-    let cold = Entry {
+    let cold = Endpoint {
         booted_at: start,
         ..ready(1)
     };
@@ -340,7 +340,7 @@
     for window in 0..4 {
         let mut work = 0.0;
         for tick in 0..20u64 {
-            let now = start + window * set.fall_window + tick * set.fall_window / 20;
+            let now = start + window * set.overload_window + tick * set.overload_window / 20;
             for (number, gateway) in gateways.iter_mut().enumerate() {
                 // Two requests a second each, at times of their own.
                 if !(number as u64 + tick).is_multiple_of(10) {
@@ -370,7 +370,8 @@
 #[test]
 fn a_cold_engine_gets_work_from_hundreds_of_gateways_and_all_together_stay_in_its_budget() {
     let set = wide();
-    let budget = set.fall_multiple * set.start_capacity * 0.85 * 8.0 * set.fall_window as f64 / 1e6;
+    let budget =
+        set.overload_multiple * set.start_capacity * 0.85 * 8.0 * set.overload_window as f64 / 1e6;
     let most = cold_work_of_all(&set);
     assert!(
         most <= budget,
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -33,7 +33,7 @@
     for step in 1..=6 {
         cancels.extend(cancelled(&bench.pass(500 * MS)));
         for &(id, _) in at.iter().filter(|a| a.1 != hung) {
-            bench.note(id, 0, Note::Progress(0.15 * step as f64));
+            bench.note(id, 0, Progress::Share(0.15 * step as f64));
         }
     }
     let expected: Vec<(RequestId, usize)> = at
@@ -164,7 +164,9 @@
         .collect();
     assert!(out.len() > 5);
     for (at, (request, _)) in out.into_iter().enumerate() {
-        bench.end_with(request, 0, Outcome::Broken, MS, |ended| ended.told = at > 0);
+        bench.end_with(request, 0, Outcome::Broken, MS, |ended| {
+            ended.already_reported = at > 0
+        });
     }
     assert!(share_of(&mut bench, 1, 200, 40) > 0, "it stays in use");
 }
@@ -207,9 +209,12 @@
     bench.take(report(1, deadline, 10.0));
     bench.take(report(2, deadline, 10.0));
     bench.pass(500 * MS);
-    bench.note(2, 0, Note::WaitsForLoad);
-    assert_eq!(cancelled(&bench.note(1, 0, Note::Progress(0.04))), [(1, 0)]);
-    assert!(cancelled(&bench.note(2, 0, Note::Progress(0.04))).is_empty());
+    bench.note(2, 0, Progress::WaitsForLoad);
+    assert_eq!(
+        cancelled(&bench.note(1, 0, Progress::Share(0.04))),
+        [(1, 0)]
+    );
+    assert!(cancelled(&bench.note(2, 0, Progress::Share(0.04))).is_empty());
     assert_eq!(
         sent(&bench.end(1, 0, Outcome::Cancelled, 500 * MS)).len(),
         1
@@ -227,7 +232,7 @@
     );
     bench.take(report(1, bench.now + 20 * S, 10.0));
     bench.pass(500 * MS);
-    assert!(cancelled(&bench.note(1, 0, Note::Progress(0.01))).is_empty());
+    assert!(cancelled(&bench.note(1, 0, Progress::Share(0.01))).is_empty());
 }
 
 #[test]
@@ -267,7 +272,7 @@
 fn a_restarted_gateway_works_from_its_cached_list_and_a_failed_list_changes_nothing() {
     let mut bench = Bench::new(settings(), &[ready(1), ready(2)]);
     assert_eq!(sent(&bench.take(lookup(1, bench.now + 4 * S))).len(), 1);
-    bench.tell(Event::ListFailed);
+    bench.tell(Event::DiscoveryFailed);
     assert_eq!(sent(&bench.take(lookup(2, bench.now + 4 * S))).len(), 1);
 }
 
@@ -279,7 +284,9 @@
     };
     let mut bench = Bench::new(set, &[ready(1)]);
     assert!(bench.last.contains(&Action::Subscribe));
-    assert!(!bench.tell(Event::ListFailed).contains(&Action::Subscribe));
+    assert!(!bench
+        .tell(Event::DiscoveryFailed)
+        .contains(&Action::Subscribe));
     assert!(bench.pass(5 * S).contains(&Action::Subscribe));
 }
 
@@ -357,7 +364,7 @@
         work,
         ..report(2, now + 500 * MS, 10.0)
     });
-    let left = sent(&bench.tell(Event::FullList(vec![ready(1)])));
+    let left = sent(&bench.tell(Event::EndpointSnapshot(vec![ready(1)])));
     assert_eq!(left.iter().map(|s| s.0).collect::<Vec<_>>(), [2, 1]);
 }
 
@@ -367,7 +374,10 @@
     set.classes[LOOKUP].waits_for_load = true;
     let mut bench = Bench::new(set, &[ready(1), ready(2)]);
     let first = sent(&bench.take(lookup(1, bench.now + 4 * S)))[0].1;
-    assert_eq!(cancelled(&bench.note(1, 0, Note::WaitsForLoad)), [(1, 0)]);
+    assert_eq!(
+        cancelled(&bench.note(1, 0, Progress::WaitsForLoad)),
+        [(1, 0)]
+    );
     let second = sent(&bench.end(1, 0, Outcome::Cancelled, 10 * MS))[0].1;
     assert_ne!(first, second);
     assert_eq!(sent(&bench.take(lookup(2, bench.now + 4 * S)))[0].1, second);
@@ -444,7 +454,7 @@
                 break;
             };
             let outcome = if engine == 1 {
-                Outcome::Full
+                Outcome::AtCapacity
             } else {
                 Outcome::Answered
             };
--- a/tests/visits.rs
+++ b/tests/visits.rs
@@ -14,7 +14,7 @@
 fn bench(engines: u32, peers: f64) -> Bench {
     let mut set = settings();
     (set.counts_by_probe, set.peers, set.index) = (false, peers, Some(1.0));
-    let all: Vec<Entry> = (1..=engines).map(ready).collect();
+    let all: Vec<Endpoint> = (1..=engines).map(ready).collect();
     Bench::new(set, &all)
 }
 
@@ -59,11 +59,11 @@
         let mut bench = bench(engines, peers);
         let before = bench.gateway.visits();
         for engine in 1..=20 {
-            let entry = Entry {
+            let entry = Endpoint {
                 phase: Phase::Draining,
                 ..ready(engine)
             };
-            bench.tell(Event::ListChanges(vec![entry]));
+            bench.tell(Event::EndpointChanges(vec![entry]));
         }
         bench.gateway.visits() - before
     });
