--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -1,4 +1,5 @@
-//! An attempt has ended or a note tells of it: charges, what it teaches of estimates, and what follows.
+//! An attempt has ended or a note tells of it: charges, what it teaches of estimates, and what
+//! follows.
 
 use super::*;
 
@@ -49,7 +50,9 @@
         ) {
             // What may still run holds its key back a while longer.
             let line = key.and_then(|key| self.keys.get_mut(&key));
-            line.into_iter().for_each(|line| line.1 = rests_until);
+            for line in line.into_iter() {
+                line.1 = rests_until;
+            }
         }
         self.rerank(engine_id);
         match ended {
@@ -75,7 +78,8 @@
         Some(charge)
     }
 
-    /// Estimates are scaled by the class's mean true-to-estimated ratio, where answers tell the truth.
+    /// Estimates are scaled by the class's mean true-to-estimated ratio, where answers tell the
+    /// truth.
     pub(super) fn learn(
         &mut self,
         class: usize,
@@ -145,7 +149,8 @@
                 charge.noted = Some((elapsed, share * charge.ideal));
                 let bad_plan = !charge.waited && remaining > BAD_PLAN * fresh;
                 engine.observe(self.now, self.latency, None);
-                // Far slower than its own estimate where others run well: the plan is drawn anew elsewhere.
+                // Far slower than its own estimate where others run well: the plan is drawn anew
+                // elsewhere.
                 if bad_plan && self.now + fresh as Micros <= end_by {
                     self.take_back(id, attempt);
                 }
@@ -171,7 +176,8 @@
         if held.attempts.iter().any(|a| a.state == State::Out) {
             return;
         }
-        // No retry storm: the sicker the fleet, the fewer further attempts; own cancels don't count.
+        // No retry storm: the sicker the fleet, the fewer further attempts; own cancels don't
+        // count.
         let tried = held.attempts.iter().filter(|a| !a.cancelled).count();
         let sick = self.traffic.fleet_bad > SICK_FLEET;
         let most = if sick {
@@ -180,13 +186,12 @@
             usize::MAX
         };
         let left = held.attempts.len() < self.set.max_attempts && tried <= most;
-        match left
-            && self.may_repeat(held)
-            && self.now < held.end_by
-            && self.budget_allows_further()
-        {
-            true => _ = self.queue.insert((held.due, id), held.req.class),
-            false => self.end(id, 0),
+        let may_retry =
+            left && self.may_repeat(held) && self.now < held.end_by && self.budget_allows_further();
+        if may_retry {
+            self.queue.insert((held.due, id), held.req.class);
+        } else {
+            self.end(id, 0);
         }
     }
 }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -40,7 +40,8 @@
             }
             return;
         }
-        // It lost its connections and answers again: a restart that nobody told of, maybe, so it is cold.
+        // It lost its connections and answers again: a restart that nobody told of, maybe, so it is
+        // cold.
         if engine.probation > 0 && std::mem::take(&mut engine.lost_connection) {
             engine.cold_until = engine.cold_until.max(self.now + self.set.warm_up_duration);
         }
@@ -60,7 +61,8 @@
             .active()
             .filter(|e| e.listed && e.probation > 0)
             .count();
-        // When most engines look bad at once the cause is shared: shutting them out would leave nothing.
+        // When most engines look bad at once the cause is shared: shutting them out would leave
+        // nothing.
         let shared = (away + 1) as f64 > MAX_QUARANTINED * self.engines.listed_count() as f64;
         let (now, memory) = (self.now, self.latency);
         let Some(engine) = self.engines.get_mut(&engine_id) else {
@@ -115,9 +117,9 @@
             engine.silent = true;
             // What it holds is taken back, where cancels are allowed and a repeat is safe.
             let held_there: Vec<(RequestId, usize)> = engine.out.keys().copied().collect();
-            held_there
-                .into_iter()
-                .for_each(|(id, attempt)| self.take_back(id, attempt));
+            for (id, attempt) in held_there.into_iter() {
+                self.take_back(id, attempt);
+            }
         }
     }
 
--- a/src/balancer/sampling.rs
+++ b/src/balancer/sampling.rs
@@ -1,10 +1,12 @@
-//! The few engines that a request is placed among where shares are thin, and the probes that this takes.
+//! The few engines that a request is placed among where shares are thin, and the probes that this
+//! takes.
 
 use super::*;
 
 impl Balancer {
-    /// Draws the few engines that a request is placed among, and probes those with no fresh report. Reports
-    /// are late, so the best engine by them would draw every gateway at once: choice among few bounds that.
+    /// Draws the few engines that a request is placed among, and probes those with no fresh report.
+    /// Reports are late, so the best engine by them would draw every gateway at once: choice among
+    /// few bounds that.
     pub(super) fn draw(&mut self, id: RequestId) {
         if !self.thin {
             return;
@@ -50,8 +52,9 @@
         (held.asked, held.asked_at) = (asked, self.now);
     }
 
-    /// Held requests are drawn for again, earliest due first, at a rate that follows arrivals: reports are
-    /// late, and a backlog that looks at every one would rush as one into the first engine that shows room.
+    /// Held requests are drawn for again, earliest due first, at a rate that follows arrivals:
+    /// reports are late, and a backlog that looks at every one would rush as one into the first
+    /// engine that shows room.
     pub(super) fn draw_again(&mut self) {
         let idle = |id: &RequestId| !self.waits_for_reports(&self.requests[id]);
         let due: Vec<RequestId> = self.queue.keys().map(|&(_, id)| id).filter(idle).collect();
@@ -66,7 +69,8 @@
         self.now <= held.asked_at + BEAT_TICKS * self.set.tick && held.asked.iter().any(asked)
     }
 
-    /// Whether a request may be placed now; where shares are thin it has its engines, and they were heard.
+    /// Whether a request may be placed now; where shares are thin it has its engines, and they were
+    /// heard.
     pub(super) fn is_drawn(&self, held: &Held) -> bool {
         !self.thin || !held.asked.is_empty() && !self.waits_for_reports(held)
     }
--- a/src/balancer/subsetting.rs
+++ b/src/balancer/subsetting.rs
@@ -1,11 +1,13 @@
-//! What part of the engines is this gateway's own: one of each, an arc of them, or the whole with all others.
+//! What part of the engines is this gateway's own: one of each, an arc of them, or the whole with
+//! all others.
 
 use super::*;
 
 impl Balancer {
-    /// A share of an engine that no query fits in makes own sums meaningless. Where arcs can be short enough,
-    /// gateways keep to some of the engines each, at equal distances on a ring that all find alike: own sums
-    /// tell there again. Else, and where only probes count queries, the whole engine is looked at by reports.
+    /// A share of an engine that no query fits in makes own sums meaningless. Where arcs can be
+    /// short enough, gateways keep to some of the engines each, at equal distances on a ring that
+    /// all find alike: own sums tell there again. Else, and where only probes count queries, the
+    /// whole engine is looked at by reports.
     pub(super) fn count_shares(&mut self) {
         let cores = self
             .set
@@ -32,7 +34,8 @@
         self.share = if self.thin { 1.0 } else { own };
         self.pause = (self.latency * if self.thin { 1.0 } else { FULL_PAUSE }) as Micros;
         if self.traffic.arrivals == 0.0 && !self.traffic.heard {
-            // A stranger takes no engine for idle that none told of, and asks at once, where others are many.
+            // A stranger takes no engine for idle that none told of, and asks at once, where others
+            // are many.
             let (level, probes) = if self.thin {
                 (START_LEVEL, SAVED)
             } else {
@@ -42,8 +45,8 @@
         }
     }
 
-    /// The open engines that a class is placed among, in the order of the ring: all, or this gateway's arc,
-    /// where the successor stands in for what is closed for a while.
+    /// The open engines that a class is placed among, in the order of the ring: all, or this
+    /// gateway's arc, where the successor stands in for what is closed for a while.
     pub(super) fn subset(&self, class: usize) -> impl Iterator<Item = (u64, EngineId)> + '_ {
         let ring = self.engines.ring(class);
         let count = ring.len() as f64;
--- a/src/engines.rs
+++ b/src/engines.rs
@@ -1,9 +1,10 @@
-//! The table of engines, indexed so that a decision visits the engines that it is about and never all of
-//! them. Nothing here decides anything.
+//! The table of engines, indexed so that a decision visits the engines that it is about and never
+//! all of them. Nothing here decides anything.
 //!
-//! * A [`Ring`] for each placement that classes have: its open engines in the order of their hashes.
-//! * The *active* engines: those whose state time alone may change. All that is changed becomes active; it is
-//!   dropped from the index again when it has come to rest.
+//! * A [`Ring`] for each placement that classes have: its open engines in the order of their
+//!   hashes.
+//! * The *active* engines: those whose state time alone may change. All that is changed becomes
+//!   active; it is dropped from the index again when it has come to rest.
 //! * Sums over the engines that rest, so that nobody has to go over them.
 
 use crate::interface::{Class, Endpoint, EngineId, Kind, Micros};
@@ -14,7 +15,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Steps a core in which the capacity of resting engines is summed: whole numbers add and subtract exactly.
+/// Steps a core in which the capacity of resting engines is summed: whole numbers add and subtract
+/// exactly.
 const CAPACITY_STEPS: f64 = (1u64 << 20) as f64;
 /// A ring is built anew where more than one in so many of its engines has changed.
 const REBUILD_PART: usize = 16;
@@ -140,8 +142,8 @@
         self.open
     }
 
-    /// Sums of two figures over the open engines, each figure divided first. They have to depend on the list
-    /// alone: what they gave is kept until the list changes.
+    /// Sums of two figures over the open engines, each figure divided first. They have to depend on
+    /// the list alone: what they gave is kept until the list changes.
     pub(crate) fn sums_of_open(&self, over: f64, of: impl Fn(&Engine) -> (f64, f64)) -> (f64, f64) {
         self.sums.get().unwrap_or_else(|| {
             let open = self.listed().filter(|engine| engine.open()).map(of);
@@ -189,7 +191,8 @@
         self.sums.set(None);
     }
 
-    /// Brings the rings up to date with the list; `may_place` says whether a class may use an engine.
+    /// Brings the rings up to date with the list; `may_place` says whether a class may use an
+    /// engine.
     pub(crate) fn reindex(&mut self, may_place: impl Fn(usize, &Endpoint) -> bool) {
         let changed = std::mem::take(&mut self.changed);
         for (ring, &class) in self.rings.iter_mut().zip(&self.ring_class) {
@@ -209,8 +212,8 @@
         }
     }
 
-    /// Lets time pass over the active engines; drops what is neither listed nor holds work, and lets rest
-    /// what time changes no more.
+    /// Lets time pass over the active engines; drops what is neither listed nor holds work, and
+    /// lets rest what time changes no more.
     pub(crate) fn pass_time(&mut self, now: Micros, mut each: impl FnMut(&mut Engine)) {
         for id in self.active.iter().copied().collect::<Vec<_>>() {
             self.visit();
--- a/src/engines/tests.rs
+++ b/src/engines/tests.rs
@@ -115,7 +115,7 @@
             .into_iter()
             .for_each(|own| (own.best_slowdown, own.slowdown) = (0.8, 0.8 + rng.f64())),
         _ => engines.pass_time(now, |own| {
-            own.slowdown = own.best_slowdown + 1e-3 * (own.slowdown - own.best_slowdown)
+            own.slowdown = own.best_slowdown + 1e-3 * (own.slowdown - own.best_slowdown);
         }),
     }
 }
@@ -215,7 +215,7 @@
     assert_eq!(engines.active.iter().copied().collect::<Vec<_>>(), [1, 2]);
     for step in 0..20 {
         engines.pass_time(step * SECOND, |own| {
-            own.slowdown = own.best_slowdown + 0.1 * (own.slowdown - own.best_slowdown)
+            own.slowdown = own.best_slowdown + 0.1 * (own.slowdown - own.best_slowdown);
         });
     }
     assert!(engines.active.is_empty() && engines.get(&2).is_none());
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -15,8 +15,8 @@
     pub memory_mb: Option<f64>,
 }
 
-/// What was learned of one process of an engine: time over ideal time now and at its best, its share of bad
-/// outcomes, and the threads of others there.
+/// What was learned of one process of an engine: time over ideal time now and at its best, its
+/// share of bad outcomes, and the threads of others there.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineEstimates {
     /// The engine.
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -10,8 +10,8 @@
     request + 1
 }
 
-/// An attempt that an earlier life of this gateway, or another gateway, may have made of a request: its
-/// engine's scope, and since when it may have run. A time of 0 says that neither is known.
+/// An attempt that an earlier life of this gateway, or another gateway, may have made of a request:
+/// its engine's scope, and since when it may have run. A time of 0 says that neither is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PriorAttempt {
     /// Zone of the engine that may have run it.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,5 @@
-//! What the platform tells a gateway before it starts: classes, tenants, kinds of machine, limits and rules.
+//! What the platform tells a gateway before it starts: classes, tenants, kinds of machine, limits
+//! and rules.
 
 use super::Micros;
 
@@ -126,7 +127,8 @@
     pub retry_after_allowed: bool,
     /// The longest such advice.
     pub max_retry_after: Micros,
-    /// A cold engine sent more than `fall_multiple` times its present capacity for `fall_window` falls over.
+    /// A cold engine sent more than `fall_multiple` times its present capacity for `fall_window`
+    /// falls over.
     pub overload_multiple: f64,
     /// The time over which that is counted.
     pub overload_window: Micros,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,7 @@
 //! eideryard: a workload manager in front of analytic engines.
 //!
-//! [`balancer::Balancer`] makes every decision; [`interface`] holds the types that go in and out of it.
-
-#![warn(missing_docs)]
+//! [`balancer::Balancer`] makes every decision; [`interface`] holds the types that go in and out of
+//! it.
 
 pub mod balancer;
 mod engines;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! What a gateway remembers of requests, engines and traffic, and the hash that all gateways share. Nothing
-//! here decides anything: `src/balancer` does.
+//! What a gateway remembers of requests, engines and traffic, and the hash that all gateways share.
+//! Nothing here decides anything: `src/balancer` does.
 
 use crate::interface::*;
 use std::collections::{BTreeMap, VecDeque};
@@ -78,7 +78,8 @@
     pub(crate) ideal: f64,
     pub(crate) sent_at: Micros,
     pub(crate) waited: bool,
-    /// At the last note: time since it was sent, and how much of its ideal time that brought it forward.
+    /// At the last note: time since it was sent, and how much of its ideal time that brought it
+    /// forward.
     pub(crate) noted: Option<(f64, f64)>,
 }
 
@@ -99,7 +100,8 @@
     pub(crate) best_slowdown: f64,
     pub(crate) pressed_until: Micros,
     pub(crate) vouched_until: Micros, // A report counted so few threads that latency shows no pressure
-    /// Threads of others' queries by the last report, when that came, and when a probe was last sent.
+    /// Threads of others' queries by the last report, when that came, and when a probe was last
+    /// sent.
     pub(crate) foreign_load: f64,
     pub(crate) reported_at: Micros,
     pub(crate) asked_at: Micros,
@@ -153,7 +155,8 @@
         self.slowdown.max(MIN_STRETCH)
     }
 
-    /// Time alone changes nothing of it: it holds no work, is warm and well, and what it showed has faded.
+    /// Time alone changes nothing of it: it holds no work, is warm and well, and what it showed has
+    /// faded.
     pub(crate) fn rests(&self, now: Micros) -> bool {
         let idle = self.out.is_empty() && self.cold_sends.is_empty() && self.loading.is_empty();
         let well = self.listed && self.probation == 0 && now >= self.cold_until;
@@ -192,8 +195,8 @@
     }
 }
 
-/// What was taken: decayed means of work, time on an idle engine, that times memory, time between arrivals,
-/// and each group's decayed count, with the arrivals at which it was last counted.
+/// What was taken: decayed means of work, time on an idle engine, that times memory, time between
+/// arrivals, and each group's decayed count, with the arrivals at which it was last counted.
 #[derive(Default)]
 pub(crate) struct Traffic {
     pub(crate) arrivals: f64,
--- a/tests/arcs.rs
+++ b/tests/arcs.rs
@@ -50,8 +50,9 @@
             "gateway {index} spreads over {} engines",
             own.len()
         );
-        own.into_iter()
-            .for_each(|engine| *gateways.entry(engine).or_default() += 1);
+        for engine in own.into_iter() {
+            *gateways.entry(engine).or_default() += 1;
+        }
     }
     assert_eq!(
         gateways.len(),
@@ -109,8 +110,8 @@
     );
 }
 
-/// Engines take one to three times the ideal time, as chance has it, and are far from full. What a gateway holds
-/// of an engine must not rest on a single slow answer that it then never checks.
+/// Engines take one to three times the ideal time, as chance has it, and are far from full. What a
+/// gateway holds of an engine must not rest on a single slow answer that it then never checks.
 #[test]
 fn a_quiet_day_without_reports_is_served() {
     let mut bench = Bench::new(silent(3), &fleet());
@@ -142,7 +143,8 @@
     assert!(turned_away < 30, "{turned_away} of 600 turned away");
 }
 
-/// Look-ups run at the highest rank: a report that fills this gateway's share of its engines must not keep them.
+/// Look-ups run at the highest rank: a report that fills this gateway's share of its engines must
+/// not keep them.
 #[test]
 fn look_ups_are_not_kept_behind_reports_unless_the_engine_jams() {
     let fits = |may_cancel: bool, spent: Micros| {
--- a/tests/begin.rs
+++ b/tests/begin.rs
@@ -1,4 +1,5 @@
-//! What the module says when the first byte of an attempt is about to go out, and what a withdrawn one gives back.
+//! What the module says when the first byte of an attempt is about to go out, and what a withdrawn
+//! one gives back.
 
 mod common;
 
@@ -68,7 +69,8 @@
     );
 }
 
-/// Two windows' worth of sends wait for one dial: no more of them begin at once than a window allows.
+/// Two windows' worth of sends wait for one dial: no more of them begin at once than a window
+/// allows.
 #[test]
 fn what_a_late_dial_held_back_counts_when_it_begins() {
     // Two look-ups a window are all that this leaves of a cold engine's budget.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -195,7 +195,7 @@
         bill: ResourceUsage,
     ) -> Vec<Action> {
         self.end_with(request, 0, Outcome::Answered, spent, |ended| {
-            ended.usage = Some(bill)
+            ended.usage = Some(bill);
         })
     }
 
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -36,7 +36,7 @@
     };
     bench.take(lookup(51, bench.now + 4 * S));
     bench.end_with(51, 0, Outcome::Answered, 100 * MS, |ended| {
-        ended.report = Some(busy)
+        ended.report = Some(busy);
     });
     assert_eq!(
         reports_out(&mut bench, 8_000.0, 6),
@@ -46,8 +46,8 @@
     assert_eq!(sent(&bench.take(lookup(60, bench.now + 4 * S))).len(), 1);
 }
 
-/// Found on a recorded day: latency was at 1.2 times a best that warm tables had made, and queries were held for
-/// seconds in front of engines with idle cores.
+/// Found on a recorded day: latency was at 1.2 times a best that warm tables had made, and queries
+/// were held for seconds in front of engines with idle cores.
 #[test]
 fn a_report_that_counts_few_threads_vouches_against_pressure_by_latency() {
     let reports_with = |in_flight: Option<f64>| {
@@ -248,7 +248,8 @@
     assert_eq!(run(), run());
 }
 
-/// Found on sockets: a client's end of a connection may be read a tenth of a second late, far more than two ticks.
+/// Found on sockets: a client's end of a connection may be read a tenth of a second late, far more
+/// than two ticks.
 #[test]
 fn a_tenth_of_the_wait_is_left_for_the_answers_way() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,6 +1,7 @@
-//! Rules on days that nobody has drawn: drawn settings and events, the rule judged from outside by the actions alone.
-//! Order of a key, the budget of further attempts, effects that must never come twice, drains and clients that have
-//! gone. What counts is the first byte of an attempt, which some days hold back for a while.
+//! Rules on days that nobody has drawn: drawn settings and events, the rule judged from outside by
+//! the actions alone. Order of a key, the budget of further attempts, effects that must never come
+//! twice, drains and clients that have gone. What counts is the first byte of an attempt, which
+//! some days hold back for a while.
 
 mod common;
 use common::*;
@@ -74,7 +75,7 @@
             seen.key.iter().for_each(|key| {
                 _ = self
                     .rests
-                    .insert(key.clone(), now + self.set.ordering_delay)
+                    .insert(key.clone(), now + self.set.ordering_delay);
             });
         }
     }
@@ -100,7 +101,7 @@
                 self.requests
                     .get_mut(request)
                     .expect("a request that was taken")
-                    .over = true
+                    .over = true;
             }
             _ => {}
         }
@@ -223,6 +224,10 @@
 }
 
 /// One day of a gateway: what it took, how its attempts ended, in an order that chance has chosen.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, told from its beginning to its end"
+)]
 fn play(seed: u64) -> Judge {
     let mut rng = fastrand::Rng::with_seed(seed);
     let set = drawn(&mut rng);
@@ -272,13 +277,13 @@
                     Outcome::TimedOut,
                     Outcome::NoConnection,
                 ];
-                let outcome = match rng.f64() < sick {
-                    true => bad
-                        .into_iter()
+                let outcome = if rng.f64() < sick {
+                    bad.into_iter()
                         .chain([Outcome::Broken])
                         .nth(rng.usize(..5))
-                        .unwrap(),
-                    false => Outcome::Answered,
+                        .unwrap()
+                } else {
+                    Outcome::Answered
                 };
                 finish(&mut bench, &mut judge, (request, attempt), outcome)
             }
@@ -354,9 +359,10 @@
         match action {
             Action::Send { request, .. } => {
                 let of = (request, judge.requests[&request].attempts.len() - 1);
-                match day.rng.f64() < day.late {
-                    true => day.held.push(of),
-                    false => actions.extend(day.let_go(bench, judge, of)),
+                if day.rng.f64() < day.late {
+                    day.held.push(of);
+                } else {
+                    actions.extend(day.let_go(bench, judge, of));
                 }
             }
             Action::Cancel { request, attempt } if day.out.contains(&(request, attempt)) => {
@@ -405,6 +411,10 @@
 
 /// The judge objects to what breaks each rule.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, told from its beginning to its end"
+)]
 fn the_judge_finds_planted_breaks() {
     let send = |request| Action::Send {
         request,
@@ -440,13 +450,13 @@
                     key: key.clone(),
                     ..lookup(id, 9 * S)
                 },
-            )
+            );
         });
         judge.acts(S, &send(1));
         judge.begins(S, (1, 0));
-        outcome
-            .into_iter()
-            .for_each(|outcome| judge.ends(S, &ended(1, outcome)));
+        for outcome in outcome.into_iter() {
+            judge.ends(S, &ended(1, outcome));
+        }
         let next = if refused {
             Action::Refuse {
                 request: 1,
@@ -475,7 +485,8 @@
             "{class} {second} {outcome:?}"
         );
     }
-    // What has changed before the first byte: the client left, the engine drains, the key's window is over.
+    // What has changed before the first byte: the client left, the engine drains, the key's window
+    // is over.
     let changes: [fn(&mut Judge); 3] = [
         |judge| judge.requests.get_mut(&1).unwrap().over = true,
         |judge| _ = judge.closed.insert(1),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -265,7 +265,8 @@
     );
 }
 
-/// What an earlier life learned counts for less with age, and nothing of it for another process of an engine.
+/// What an earlier life learned counts for less with age, and nothing of it for another process of
+/// an engine.
 #[test]
 fn lessons_of_an_earlier_life_are_doubted_by_their_age_and_void_for_another_process() {
     let taught = |age, booted_at| {
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -79,8 +79,9 @@
     }
 }
 
-/// Gateways that start together take no engine for idle that none told of: what they add to one there is bounded as if
-/// others used it, until a report tells or that has faded. Where a probe may ask, the first request asks already.
+/// Gateways that start together take no engine for idle that none told of: what they add to one
+/// there is bounded as if others used it, until a report tells or that has faded. Where a probe may
+/// ask, the first request asks already.
 #[test]
 fn a_gateway_that_starts_takes_no_engine_for_idle() {
     let mut silent = Settings {
@@ -262,9 +263,9 @@
     for id in 2..40 {
         let sends = place(&mut bench, report(id, deadline, 10.0), |_| 0.0);
         assert!(!sends.contains(&asked[1]));
-        sends
-            .iter()
-            .for_each(|_| drop(bench.end(id, 0, Outcome::Answered, S)));
+        for _ in sends.iter() {
+            drop(bench.end(id, 0, Outcome::Answered, S));
+        }
     }
 }
 
@@ -302,9 +303,9 @@
                 group: id,
                 ..lookup(id, deadline)
             }));
-            homes
-                .iter()
-                .for_each(|&engine| drop(bench.tell(reported(engine, 0.0))));
+            for &engine in homes.iter() {
+                drop(bench.tell(reported(engine, 0.0)));
+            }
             let loaded = place(
                 &mut bench,
                 Request {
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -115,7 +115,8 @@
     );
 }
 
-/// Seen on a day with bad clients: what no engine could use went round and shut out one after the other.
+/// Seen on a day with bad clients: what no engine could use went round and shut out one after the
+/// other.
 #[test]
 fn what_errs_at_two_engines_ends_and_neither_is_to_blame() {
     let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3), ready(4)]);
@@ -165,7 +166,7 @@
     assert!(out.len() > 5);
     for (at, (request, _)) in out.into_iter().enumerate() {
         bench.end_with(request, 0, Outcome::Broken, MS, |ended| {
-            ended.already_reported = at > 0
+            ended.already_reported = at > 0;
         });
     }
     assert!(share_of(&mut bench, 1, 200, 40) > 0, "it stays in use");
@@ -499,7 +500,8 @@
 #[test]
 fn a_dead_engine_does_not_draw_the_queue_when_too_many_are_in_quarantine_to_add_it() {
     let mut bench = Bench::new(settings(), &[ready(1), ready(2)]);
-    // Engine 2 is quarantined first, for good; then engine 1, half of the fleet being away, dies too.
+    // Engine 2 is quarantined first, for good; then engine 1, half of the fleet being away, dies
+    // too.
     let mut tries = 0;
     for id in 0..200 {
         let mut next = sent(&bench.take(Request {
--- a/tests/visits.rs
+++ b/tests/visits.rs
@@ -1,5 +1,5 @@
-//! What a decision visits doesn't grow with the fleet: counts, at 80 engines and at 4,100, gateways in
-//! proportion.
+//! What a decision visits doesn't grow with the fleet: counts, at 80 engines and at 4,100, gateways
+//! in proportion.
 
 mod common;
 use common::*;
