--- a/crates/console/src/draw.rs
+++ b/crates/console/src/draw.rs
@@ -2,6 +2,7 @@
 
 use eideryard_event_analysis::series::Bucket;
 use eideryard_event_analysis::View;
+use eideryard_event_log::text::{outcome_name, phase_name};
 use eideryard_event_log::{AnswerKind, Lane};
 use eideryard_report::story::{self, clock, clock_ms, lasting};
 use ratatui::layout::{Constraint, Layout, Rect};
@@ -390,10 +391,10 @@
         );
         lines.push(Line::styled(
             format!(
-                "at {} (started {}): {:?}, {out}",
+                "at {} (started {}): {}, {out}",
                 start.name,
                 clock(start.epoch),
-                own.phase
+                phase_name(own.phase)
             ),
             bold(),
         ));
@@ -423,7 +424,7 @@
         let recent: Vec<String> = own
             .recent
             .iter()
-            .map(|outcome| format!("{outcome:?}"))
+            .map(|outcome| outcome_name(*outcome).to_string())
             .collect();
         lines.push(Line::from(format!("last: {}", recent.join(" "))));
     }
@@ -456,7 +457,13 @@
         for attempt in request.attempts() {
             let ended = attempt.ended.map_or_else(
                 || "out when it was answered".into(),
-                |(outcome, at)| format!("{outcome:?} after {}", lasting(at - attempt.sent_at)),
+                |(outcome, at)| {
+                    format!(
+                        "{} after {}",
+                        outcome_name(outcome),
+                        lasting(at - attempt.sent_at)
+                    )
+                },
             );
             lines.push(Line::from(format!(
                 "  {} to {}: {ended}",
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::checkpoint::{from_bytes, to_bytes};
+use crate::counter_text;
 use crate::counters::Counters;
 use eideryard::interface::{ClassEstimates, EngineEstimates, LearnedState};
 use eideryard_emulators::golden;
@@ -79,12 +80,12 @@
 #[test]
 fn counters_are_printed_as_before() {
     let text = format!(
-        "{}\n{:?}\n{:?}\n{:?}\n{:?}\n",
+        "{}\n{}\n{}\n{}\n{}\n",
         Counters::default(),
-        crate::intent_durability::Counted::default(),
-        crate::result_spool::Spooled::default(),
-        eideryard_replication::core::Counters::default(),
-        eideryard_leases::core::Counters::default(),
+        counter_text::intents(&crate::intent_durability::Counted::default()),
+        counter_text::spool(&crate::result_spool::Spooled::default()),
+        counter_text::replication(&eideryard_replication::core::Counters::default()),
+        counter_text::leases(&eideryard_leases::core::Counters::default()),
     );
     golden::check("counters.txt", text.as_bytes());
 }
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -134,7 +134,7 @@
         let spool = self
             .spooling
             .as_ref()
-            .map(|spooling| format!("; {:?}", spooling.counted));
+            .map(|spooling| format!("; {}", crate::counter_text::spool(&spooling.counted)));
         let kept = self.keeping.as_ref().map(|keeping| keeping.told());
         let more = [spool, kept].into_iter().flatten().collect::<String>();
         tracing::info!("counters: {counters}; tables {}{more}", tables.join(" "));
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -20,6 +20,7 @@
 use eideryard_store::{Batch, Config, Directory, RecoveryReport, RecoveryStatus, Store};
 
 use crate::checkpoint;
+use crate::counter_text;
 use crate::fingerprints::settings_fingerprint;
 use crate::replication::{self, ReplicationDriver};
 use crate::status::Status;
@@ -603,12 +604,17 @@
     /// What was counted, in words.
     pub fn told(&self) -> String {
         let shared = self.sharing.as_ref();
-        let shared = shared.map(|own| format!("; {:?}", own.counted()));
+        let shared = shared.map(|own| format!("; {}", counter_text::replication(&own.counted())));
         let owned = self.sharing.as_ref().and_then(|own| own.owned());
-        let owned = owned.map(|(owned, spared)| format!("; {owned:?}; probes_spared: {spared}"));
+        let owned = owned.map(|(owned, spared)| {
+            format!(
+                "; {}; probes_spared: {spared}",
+                counter_text::leases(&owned)
+            )
+        });
         format!(
-            "; {:?}{}{}",
-            self.counted,
+            "; {}{}{}",
+            counter_text::intents(&self.counted),
             shared.unwrap_or_default(),
             owned.unwrap_or_default()
         )
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,6 +6,7 @@
 mod clock;
 pub mod config;
 mod connection;
+mod counter_text;
 mod counters;
 mod deadlines;
 mod discovery_watch;
