--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -1,5 +1,5 @@
-//! Counters of the gateway's parts as the log prints them. The names are an interface for scripts that
-//! read the log; they are fixed here and are not the names of types and fields.
+//! Counters of the gateway's parts as the log prints them. The names are an interface for scripts
+//! that read the log; they are fixed here and are not the names of types and fields.
 
 use crate::intent_durability::Counted;
 use crate::result_spool::Spooled;
