--- a/crates/fleet-test/src/scale/processes.rs
+++ b/crates/fleet-test/src/scale/processes.rs
@@ -13,7 +13,7 @@
 use eideryard_emulators::ledger::Answers;
 use eideryard_emulators::scenario::Scenario;
 use eideryard_emulators::scripted::{Client, Engine};
-use eideryard_settings::Tree;
+use eideryard_settings::SettingsTree;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
@@ -324,8 +324,8 @@
 
     /// The settings that all gateways of the fleet share.
     pub fn settings(&self) -> io::Result<Settings> {
-        let tree = Tree::from_json(&self.nodes[0].config["settings"]);
-        eideryard_settings::settings(&tree).map_err(|e| io::Error::other(e.to_string()))
+        let tree = SettingsTree::from_json(&self.nodes[0].config["settings"]);
+        eideryard_settings::read_settings(&tree).map_err(|e| io::Error::other(e.to_string()))
     }
 
     /// Ends all gateways.
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -312,8 +312,9 @@
     let class =
         |repeat| serde_json::json!({"repeat": repeat, "group": "all", "window-us": 15_000_000});
     let grades = [class("pure"), class("token"), class("side_effect")];
-    let tree = eideryard_settings::Tree::from_json(&serde_json::json!({ "grades": grades }));
-    eideryard_settings::settings(&tree)
+    let tree =
+        eideryard_settings::SettingsTree::from_json(&serde_json::json!({ "grades": grades }));
+    eideryard_settings::read_settings(&tree)
         .expect("settings")
         .classes
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -70,7 +70,7 @@
                 .ok_or_else(|| format!("'limits.{key}' is {value}, no positive number")),
         };
         let seed = word("seed")?;
-        let tree = eideryard_settings::Tree::from_json(member("settings")?);
+        let tree = eideryard_settings::SettingsTree::from_json(member("settings")?);
         Ok(Config {
             name: word("name")?,
             listen: address("listen")?,
@@ -80,8 +80,8 @@
             sockets: limit("sockets", USUAL_SOCKETS)? as usize,
             bulletin: address("bulletin")?,
             known: Known::read(member("known")?).map_err(|e| format!("'known': {e}"))?,
-            settings: eideryard_settings::settings(&tree).map_err(|e| e.to_string())?,
-            host: eideryard_settings::host(&tree).map_err(|e| e.to_string())?,
+            settings: eideryard_settings::read_settings(&tree).map_err(|e| e.to_string())?,
+            host: eideryard_settings::read_host_settings(&tree).map_err(|e| e.to_string())?,
         })
     }
 }
--- a/crates/gateway/src/engines/answers.rs
+++ b/crates/gateway/src/engines/answers.rs
@@ -229,7 +229,7 @@
             "util" => "load_share",
             name => name,
         };
-        eideryard_settings::set_reported(&mut report, named, value);
+        eideryard_settings::set_reported_value(&mut report, named, value);
     }
     Some(report)
 }
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -6,7 +6,7 @@
 use crate::counters::Counters;
 use eideryard::interface::{ClassEstimates, EngineEstimates, LearnedState};
 use eideryard_emulators::golden;
-use eideryard_settings::{settings, Tree};
+use eideryard_settings::{read_settings, SettingsTree};
 
 /// Every setting that there is.
 const SETTINGS: &str = r#"{
@@ -34,13 +34,16 @@
 }"#;
 
 fn sample() -> Settings {
-    settings(&Tree::from_json(&serde_json::from_str(SETTINGS).unwrap())).unwrap()
+    read_settings(&SettingsTree::from_json(
+        &serde_json::from_str(SETTINGS).unwrap(),
+    ))
+    .unwrap()
 }
 
 #[test]
 fn fingerprints_of_settings_and_classes_are_as_before() {
     let every = sample();
-    let few = settings(&Tree::from_json(&serde_json::json!({}))).unwrap();
+    let few = read_settings(&SettingsTree::from_json(&serde_json::json!({}))).unwrap();
     let text = format!(
         "settings {:016x}\nsettings without anything {:016x}\nclasses {:016x}\n",
         settings_fingerprint(&every),
--- a/crates/gateway/src/requests/tests.rs
+++ b/crates/gateway/src/requests/tests.rs
@@ -87,13 +87,13 @@
 
 #[test]
 fn bounds_are_finite_also_where_the_settings_tell_none() {
-    let tree = eideryard_settings::Tree::from_pairs([
+    let tree = eideryard_settings::SettingsTree::from_pairs([
         ("grades.count", "1"),
         ("grades.0.name", "report"),
         ("limits.dial-timeout-us", "1000"),
     ]);
-    let host = eideryard_settings::host(&tree).unwrap();
-    let names = Names::new(&eideryard_settings::settings(&tree).unwrap(), &host);
+    let host = eideryard_settings::read_host_settings(&tree).unwrap();
+    let names = Names::new(&eideryard_settings::read_settings(&tree).unwrap(), &host);
     for (name, value) in [
         ("d", "1e300"),
         ("h", "1e300"),
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -1,7 +1,7 @@
 //! Settings in both of their forms, and errors that name the key.
 
 use eideryard::interface::Effect;
-use eideryard_settings::{host, settings, SettingsError, Tree};
+use eideryard_settings::{read_host_settings, read_settings, SettingsError, SettingsTree};
 use serde_json::json;
 
 const PAIRS: &str = "az=1 discovery=push extra.bills=true extra.class-waits=false,true extra.is-load=true,false \
@@ -15,8 +15,8 @@
     orgs.0.quota-rps=99.0 peers-total=3 rules.fall-multiple=2.0 rules.further-ratio=0.1 rules.spare-attempts=5 \
     rules.ratio-span-us=1000000 tick-us=5000 zones=hall-1,hall-2";
 
-fn pairs() -> Tree {
-    Tree::from_pairs(
+fn pairs() -> SettingsTree {
+    SettingsTree::from_pairs(
         PAIRS
             .split_whitespace()
             .map(|pair| pair.split_once('=').unwrap()),
@@ -44,17 +44,20 @@
 
 #[test]
 fn both_forms_of_the_same_settings_give_the_same() {
-    let (flat, nested) = (pairs(), Tree::from_json(&nested()));
+    let (flat, nested) = (pairs(), SettingsTree::from_json(&nested()));
     assert_eq!(
-        format!("{:?}", settings(&flat).unwrap()),
-        format!("{:?}", settings(&nested).unwrap())
+        format!("{:?}", read_settings(&flat).unwrap()),
+        format!("{:?}", read_settings(&nested).unwrap())
+    );
+    assert_eq!(
+        read_host_settings(&flat).unwrap(),
+        read_host_settings(&nested).unwrap()
     );
-    assert_eq!(host(&flat).unwrap(), host(&nested).unwrap());
 }
 
 #[test]
 fn values_land_where_they_belong() {
-    let read = settings(&pairs()).unwrap();
+    let read = read_settings(&pairs()).unwrap();
     assert_eq!(
         (read.zone, read.peers, read.tick, read.max_attempts),
         (1, 3.0, 5000, 4)
@@ -75,7 +78,7 @@
         (read.kinds[1].cores, read.kinds[1].memory_mb),
         (8.0, 16384.0)
     );
-    let host = host(&pairs()).unwrap();
+    let host = read_host_settings(&pairs()).unwrap();
     assert_eq!(
         (host.longest_wait, host.dial_timeout, host.streams),
         (15_000_000, 250_000, 100)
@@ -91,7 +94,10 @@
     let mut named = nested();
     named["grades"][0]["kinds-only"] = json!(["node-8"]);
     assert_eq!(
-        settings(&Tree::from_json(&named)).unwrap().classes[0].kinds_only,
+        read_settings(&SettingsTree::from_json(&named))
+            .unwrap()
+            .classes[0]
+            .kinds_only,
         Some(vec![1])
     );
 }
@@ -101,7 +107,9 @@
     let wrong = |path: &str, value: serde_json::Value| {
         let mut tree = nested();
         *tree.pointer_mut(path).unwrap() = value;
-        settings(&Tree::from_json(&tree)).unwrap_err().to_string()
+        read_settings(&SettingsTree::from_json(&tree))
+            .unwrap_err()
+            .to_string()
     };
     assert_eq!(
         wrong("/tick-us", json!("soon")),
@@ -115,22 +123,25 @@
     assert!(wrong("/limits/may-cancel", json!("maybe")).contains("'limits.may-cancel'"));
     assert!(wrong("/grades/0/kinds-only", json!(["node-9"])).contains("'grades.0.kinds-only'"));
     assert!(wrong("/extra/kind-cores", json!(["many", 8])).contains("'extra.kind-cores'"));
-    let none = host(&Tree::default()).unwrap_err();
+    let none = read_host_settings(&SettingsTree::default()).unwrap_err();
     assert_eq!(
         none,
-        SettingsError {
-            key: "grades".into(),
-            value: None
+        SettingsError::Missing {
+            key: "grades".into()
         }
     );
     let mut endless = nested();
     endless["limits"] = json!({});
-    let error = host(&Tree::from_json(&endless)).unwrap_err().to_string();
+    let error = read_host_settings(&SettingsTree::from_json(&endless))
+        .unwrap_err()
+        .to_string();
     assert_eq!(error, "setting 'limits.dial-timeout-us' is missing");
     let mut nameless = nested();
     nameless["orgs"][0] = json!({"quota-rps": 5});
     assert_eq!(
-        host(&Tree::from_json(&nameless)).unwrap_err().to_string(),
+        read_host_settings(&SettingsTree::from_json(&nameless))
+            .unwrap_err()
+            .to_string(),
         "setting 'orgs.0.name' is missing"
     );
 }
--- /dev/null
+++ b/crates/settings/tests/words.rs
@@ -0,0 +1,83 @@
+//! Every word of the platform's settings, each under its own key.
+
+use eideryard_settings::{read_host_settings, read_settings, SettingsTree};
+
+/// Keys that hold a number or a truth value of the balancer's settings.
+const BALANCER_KEYS: [&str; 39] = [
+    "peers-total",
+    "self-index",
+    "az",
+    "tick-us",
+    "over-share-worth",
+    "extra.note-period-us",
+    "extra.largest-share",
+    "extra.kind-cores",
+    "extra.kind-memory-mb",
+    "extra.threads-by-class",
+    "extra.is-load",
+    "extra.class-waits",
+    "grades.count",
+    "grades.0.aim-us",
+    "grades.0.aim-stretch",
+    "grades.0.deadline-us",
+    "grades.0.value",
+    "grades.0.window-us",
+    "grades.0.sequential",
+    "grades.0.zones-only",
+    "grades.0.kinds-only",
+    "limits.max-attempts",
+    "limits.may-cancel",
+    "limits.may-duplicate",
+    "limits.probes",
+    "limits.retry-after",
+    "limits.max-retry-after-us",
+    "orgs.count",
+    "orgs.0.quota-rps",
+    "rules.fall-multiple",
+    "rules.fall-us",
+    "rules.start-capacity",
+    "rules.warm-within-us",
+    "rules.order-pause-us",
+    "rules.further-ratio",
+    "rules.ratio-span-us",
+    "rules.spare-attempts",
+    "rules.ask-every-us",
+    "tariffs.cross-zone",
+];
+
+/// Keys that hold a number which only a host on sockets needs.
+const HOST_KEYS: [&str; 3] = [
+    "limits.dial-timeout-us",
+    "limits.conn-idle-us",
+    "limits.streams-per-conn",
+];
+
+/// A value that no number, truth value or name of a zone or kind is.
+const UNUSABLE: &str = "unusable";
+
+/// Settings with one class, one tenant and a budget, in which one key has another value.
+fn tree_with<'a>(key: &'a str, value: &'a str) -> SettingsTree {
+    let plain = [
+        ("grades.count", "1"),
+        ("grades.0.name", "report"),
+        ("orgs.count", "1"),
+        ("orgs.0.name", "acme"),
+        ("rules.further-ratio", "0.1"),
+        ("limits.dial-timeout-us", "250000"),
+    ];
+    SettingsTree::from_pairs(plain.into_iter().chain([(key, value)]))
+}
+
+#[test]
+fn an_unusable_value_is_reported_under_its_key() {
+    let expected =
+        |key: &str| format!("setting '{key}' has the value '{UNUSABLE}', which is not valid");
+    for key in BALANCER_KEYS.into_iter().chain(["tariffs.probe"]) {
+        let error = read_settings(&tree_with(key, UNUSABLE)).expect_err(key);
+        assert_eq!(error.to_string(), expected(key));
+    }
+    for key in HOST_KEYS {
+        let error = read_host_settings(&tree_with(key, UNUSABLE)).expect_err(key);
+        assert_eq!(error.to_string(), expected(key));
+    }
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,43 +1,53 @@
-//! Hosts any number of independent gateways on the bench's text protocol: parse, translate, drive,
-//! write.
+//! Hosts any number of independent gateways on the text protocol of the operators' bench, on
+//! standard input and output: [`line`] parses, [`events`] and [`actions`] translate, [`host`] drives
+//! the balancers. Nothing is decided here.
 
-mod wire;
+mod actions;
+mod error;
+mod events;
+mod host;
+mod line;
+mod lists;
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::process::ExitCode;
 
+use error::AdapterError;
+use host::Host;
+
+/// Bytes that are read from standard input at once.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
+
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("eideryard-simulator-adapter: {message}");
+        Err(error) => {
+            eprintln!("eideryard-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve() -> Result<(), String> {
-    let mut input = BufReader::with_capacity(1 << 20, io::stdin().lock());
+/// Answers every batch of standard input until its end.
+fn serve() -> Result<(), AdapterError> {
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
-    let mut host = wire::Host::default();
+    let mut host = Host::default();
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = input
+        let length = input
             .read_until(b'\n', &mut line)
-            .map_err(|e| format!("reading standard input: {e}"))?;
-        if read == 0 {
-            return host.at_rest();
+            .map_err(AdapterError::Read)?;
+        if length == 0 {
+            return host.end_input();
         }
-        let text =
-            std::str::from_utf8(&line).map_err(|_| "a line is not UTF-8 text".to_string())?;
-        if let Some(reply) = host.take_line(text.trim_end_matches(['\n', '\r']))? {
+        let text = std::str::from_utf8(&line).map_err(|_| AdapterError::NotUtf8)?;
+        if let Some(reply) = host.handle_line(text.trim_end_matches(['\n', '\r']))? {
             output
                 .write_all(reply.as_bytes())
-                .map_err(|e| format!("writing standard output: {e}"))?;
-            output
-                .flush()
-                .map_err(|e| format!("writing standard output: {e}"))?;
+                .map_err(AdapterError::Write)?;
+            output.flush().map_err(AdapterError::Write)?;
         }
     }
 }
