--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -11,7 +11,9 @@
 
 use arguments::{Arguments, Command, FleetCommand, RecordsCommand, StoreCommand};
 use clap::{CommandFactory, Parser};
-use eideryard_operator_config::OperatorConfig;
+use eideryard_gateway::config::Config;
+use eideryard_operator_config::{LogConfig, OperatorConfig};
+use std::error::Error;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -75,22 +77,28 @@
 
 /// The gateway itself: what fails goes to its log.
 fn run(operator: Option<&str>) -> ExitCode {
-    let operator =
-        operator.map_or_else(|| Ok(OperatorConfig::default()), OperatorConfig::from_file);
-    let log = operator
-        .as_ref()
-        .map(|operator| operator.log.clone())
-        .unwrap_or_default();
+    let operator = match operator {
+        Some(path) => OperatorConfig::from_file(path),
+        None => Ok(OperatorConfig::default()),
+    };
+    let log = match &operator {
+        Ok(operator) => operator.log.clone(),
+        Err(_) => LogConfig::default(),
+    };
     logger::start(std::env::var("EIDERYARD_LOG").ok().as_deref(), &log);
-    let served = operator.and_then(|operator| {
-        let config = eideryard_gateway::config::Config::from_environment()?;
-        eideryard_gateway::serve(config, &operator).map_err(|e| e.to_string())
-    });
-    match served {
+    match operator
+        .map_err(Into::into)
+        .and_then(|operator| serve(&operator))
+    {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            tracing::error!("{message}");
+        Err(error) => {
+            tracing::error!("{error}");
             ExitCode::FAILURE
         }
     }
 }
+
+fn serve(operator: &OperatorConfig) -> Result<(), Box<dyn Error>> {
+    let config = Config::from_environment()?;
+    eideryard_gateway::serve(config, operator)
+}
--- /dev/null
+++ b/crates/operator-config/src/event_log.rs
@@ -0,0 +1,62 @@
+//! The event log: `record-…`.
+
+use std::path::PathBuf;
+
+use eideryard_config_syntax::Fault;
+
+use crate::directives::{MB, SECOND};
+use crate::settings::Settings;
+
+/// Bytes of all segments where nothing is set.
+const DEFAULT_BUDGET: u64 = 256 * MB;
+/// Bytes of a segment where nothing is set; at most a quarter of the budget.
+const DEFAULT_SEGMENT: u64 = 8 * MB;
+/// Microseconds of a segment where nothing is set.
+const DEFAULT_SEGMENT_TIME: u64 = 600 * SECOND;
+
+/// Where the event log is written, and how much of it is kept.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EventLogConfig {
+    /// Directory of the segments.
+    pub directory: PathBuf,
+    /// Bytes of all segments together.
+    pub budget: u64,
+    /// Bytes at which a segment ends.
+    pub segment: u64,
+    /// Microseconds after which a segment ends.
+    pub segment_time: u64,
+}
+
+pub(crate) fn read(settings: &Settings<'_>) -> Result<Option<EventLogConfig>, Fault> {
+    let budget = settings.number_or("record-budget", DEFAULT_BUDGET);
+    let segment = settings.number_or("record-segment", DEFAULT_SEGMENT.min(budget / 4));
+    check_segment(settings, segment, budget)?;
+    let Some(directory) = settings.text("record-dir") else {
+        let remedy = "add record-dir PATH, which turns it on";
+        settings.reject_prefix("record-", "a record", remedy)?;
+        return Ok(None);
+    };
+    Ok(Some(EventLogConfig {
+        directory: PathBuf::from(directory),
+        budget,
+        segment,
+        segment_time: settings.number_or("record-segment-time", DEFAULT_SEGMENT_TIME),
+    }))
+}
+
+fn check_segment(settings: &Settings<'_>, segment: u64, budget: u64) -> Result<(), Fault> {
+    if segment <= budget / 2 {
+        return Ok(());
+    }
+    let setting = settings
+        .get("record-segment")
+        .or(settings.get("record-budget"));
+    let Some(setting) = setting else {
+        return Ok(());
+    };
+    Err(Fault::new(
+        setting.place.clone(),
+        "a segment takes more than half of the budget",
+        "raise record-budget or lower record-segment",
+    ))
+}
