--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -79,5 +79,8 @@
         .iter()
         .flat_map(|arguments| printed(arguments))
         .collect();
-    golden::check("help.txt", &text);
+    // Where lines break depends on the features of the argument parser that a build switches on.
+    let text = String::from_utf8(text).expect("text");
+    let words: Vec<&str> = text.split_whitespace().collect();
+    golden::check("help.txt", words.join(" ").as_bytes());
 }
