--- a/crates/config-syntax/src/table.rs
+++ b/crates/config-syntax/src/table.rs
@@ -1,73 +1,82 @@
-//! Tables of directives: statements are checked against one, and its reference page is made from
-//! it.
+//! Tables of directives, against which statements are checked.
 
-use crate::fault::{suggest, Fault, Place};
+use crate::error::{suggest, ConfigError, Location};
 use crate::grammar::{Statement, Word};
-use crate::value::{Kind, Value};
+use crate::value::{Value, ValueKind};
+
+/// A word behind a directive's values that takes a value itself.
+pub type DirectiveOption = (&'static str, ValueKind);
 
 /// One directive.
 #[derive(Debug)]
-pub struct Spec {
+pub struct Directive {
+    /// Its name, the first word of its statements.
     pub name: &'static str,
     /// The values that it takes, in order.
-    pub values: &'static [Kind],
+    pub values: &'static [ValueKind],
     /// One or more further values, all of one kind.
-    pub rest: Option<Kind>,
-    /// Behind the values, a word and its value each, in any order, none needed.
-    pub options: &'static [(&'static str, Kind)],
+    pub rest: Option<ValueKind>,
+    /// Behind the values, a word and its value each, in any order; none is needed.
+    pub options: &'static [DirectiveOption],
     /// Behind the values, another directive of this table.
-    pub nested: Option<&'static [Spec]>,
+    pub nested: Option<&'static [Directive]>,
     /// It takes a block, with directives of this table.
-    pub block: Option<&'static [Spec]>,
+    pub block: Option<&'static [Directive]>,
     /// It may be given more than once.
-    pub many: bool,
-    /// What holds where it isn't given.
-    pub usual: &'static str,
+    pub is_repeatable: bool,
+    /// What holds where it isn't given, in words.
+    pub default: &'static str,
+    /// What it is for, in words.
     pub help: &'static str,
 }
 
-impl Spec {
+impl Directive {
     /// A directive with plain values, given once.
     pub const fn new(
         name: &'static str,
-        values: &'static [Kind],
-        usual: &'static str,
+        values: &'static [ValueKind],
+        default: &'static str,
         help: &'static str,
     ) -> Self {
-        Spec {
+        Directive {
             name,
             values,
             rest: None,
             options: &[],
             nested: None,
             block: None,
-            many: false,
-            usual,
+            is_repeatable: false,
+            default,
             help,
         }
     }
 
-    pub const fn many(mut self) -> Self {
-        self.many = true;
+    /// The same, which may be given more than once.
+    pub const fn repeatable(mut self) -> Self {
+        self.is_repeatable = true;
         self
     }
 
-    pub const fn rest(mut self, kind: Kind) -> Self {
+    /// The same with one or more further values.
+    pub const fn rest(mut self, kind: ValueKind) -> Self {
         self.rest = Some(kind);
         self
     }
 
-    pub const fn options(mut self, options: &'static [(&'static str, Kind)]) -> Self {
+    /// The same with options behind its values.
+    pub const fn options(mut self, options: &'static [DirectiveOption]) -> Self {
         self.options = options;
         self
     }
 
-    pub const fn nested(mut self, table: &'static [Spec]) -> Self {
+    /// The same with another directive behind its values.
+    pub const fn nested(mut self, table: &'static [Directive]) -> Self {
         self.nested = Some(table);
         self
     }
 
-    pub const fn block(mut self, table: &'static [Spec]) -> Self {
+    /// The same with a block.
+    pub const fn block(mut self, table: &'static [Directive]) -> Self {
         self.block = Some(table);
         self
     }
@@ -75,15 +84,15 @@
     /// How it is written.
     pub fn usage(&self) -> String {
         let mut usage = self.name.to_string();
-        self.values
-            .iter()
-            .for_each(|kind| usage += &format!(" {}", kind.form()));
-        self.rest
-            .iter()
-            .for_each(|kind| usage += &format!(" {}...", kind.form()));
-        self.options
-            .iter()
-            .for_each(|(name, kind)| usage += &format!(" [{name} {}]", kind.form()));
+        for kind in self.values {
+            usage += &format!(" {}", kind.placeholder());
+        }
+        if let Some(kind) = &self.rest {
+            usage += &format!(" {}...", kind.placeholder());
+        }
+        for (name, kind) in self.options {
+            usage += &format!(" [{name} {}]", kind.placeholder());
+        }
         if self.nested.is_some() {
             usage += " DIRECTIVE...";
         }
@@ -92,26 +101,34 @@
         }
         usage
     }
+
+    fn option(&self, word: &Word) -> Option<&'static DirectiveOption> {
+        self.options.iter().find(|(name, _)| *name == word.text)
+    }
 }
 
 /// A statement that fits its directive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setting {
+    /// The directive's name.
     pub name: &'static str,
-    pub place: Place,
+    /// Where it stands.
+    pub location: Location,
     /// The values, and behind them the further ones.
     pub values: Vec<Value>,
+    /// The options that were given.
     pub options: Vec<(&'static str, Value)>,
+    /// The directive behind its values.
     pub nested: Option<Box<Setting>>,
+    /// The settings of its block.
     pub block: Vec<Setting>,
 }
 
 impl Setting {
+    /// The value of an option, where it is given.
     pub fn option(&self, name: &str) -> Option<&Value> {
-        self.options
-            .iter()
-            .find(|(own, _)| *own == name)
-            .map(|(_, value)| value)
+        let option = self.options.iter().find(|(known, _)| *known == name);
+        option.map(|(_, value)| value)
     }
 
     /// A setting of its block.
@@ -121,160 +138,199 @@
 
     /// The first value of a setting of its block.
     pub fn inner_value(&self, name: &str) -> Option<&Value> {
-        self.inner(name).and_then(|setting| setting.values.first())
+        self.inner(name)?.values.first()
     }
 }
 
-/// The first setting of a name.
+/// The first setting of a directive.
 pub fn find<'a>(settings: &'a [Setting], name: &str) -> Option<&'a Setting> {
     settings.iter().find(|setting| setting.name == name)
 }
 
-pub fn check(statements: &[Statement], table: &'static [Spec]) -> Result<Vec<Setting>, Fault> {
+/// Checks statements against a table.
+///
+/// # Errors
+///
+/// The first statement that doesn't fit, with the remedy.
+pub fn check(
+    statements: &[Statement],
+    table: &'static [Directive],
+) -> Result<Vec<Setting>, ConfigError> {
     let mut settings: Vec<Setting> = Vec::new();
     for statement in statements {
-        let setting = one(&statement.words, statement.block.as_deref(), table)?;
-        let spec = table.iter().find(|spec| spec.name == setting.name);
-        let before = settings.iter().find(|own| own.name == setting.name);
-        if let Some(before) = before.filter(|_| spec.is_some_and(|spec| !spec.many)) {
-            let what = format!("'{}' is given twice", setting.name);
-            let hint = format!("it stands at {} already; remove one", before.place);
-            return Err(Fault::new(setting.place, &what, &hint));
+        let block = statement.block.as_deref();
+        let directive = find_directive(&statement.words[0], table)?;
+        let setting = check_statement(directive, &statement.words, block)?;
+        if !directive.is_repeatable {
+            reject_second(&settings, &setting)?;
         }
         settings.push(setting);
     }
     Ok(settings)
 }
 
-fn value(kind: &Kind, word: &Word) -> Result<Value, Fault> {
-    kind.read(&word.text).ok_or_else(|| {
-        let hint = match kind {
-            Kind::Choice(words) => suggest(&word.text, words.iter().copied()),
-            kind => format!("expected {}", kind.expected()),
-        };
-        Fault::new(
-            word.place.clone(),
-            &format!("'{}' can't be used", word.text),
-            &hint,
+fn reject_second(settings: &[Setting], setting: &Setting) -> Result<(), ConfigError> {
+    let Some(first) = find(settings, setting.name) else {
+        return Ok(());
+    };
+    Err(ConfigError::new(
+        setting.location.clone(),
+        &format!("'{}' is given twice", setting.name),
+        &format!("it stands at {} already; remove one", first.location),
+    ))
+}
+
+fn find_directive(
+    word: &Word,
+    table: &'static [Directive],
+) -> Result<&'static Directive, ConfigError> {
+    let directive = table.iter().find(|directive| directive.name == word.text);
+    directive.ok_or_else(|| {
+        ConfigError::new(
+            word.location.clone(),
+            &format!("'{}' is no directive", word.text),
+            &suggest(&word.text, table.iter().map(|directive| directive.name)),
         )
     })
 }
 
-#[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-fn one(
+fn check_statement(
+    directive: &'static Directive,
     words: &[Word],
     block: Option<&[Statement]>,
-    table: &'static [Spec],
-) -> Result<Setting, Fault> {
-    let (first, mut left) = (&words[0], &words[1..]);
-    let Some(spec) = table.iter().find(|spec| spec.name == first.text) else {
-        let hint = suggest(&first.text, table.iter().map(|spec| spec.name));
-        return Err(Fault::new(
-            first.place.clone(),
-            &format!("'{}' is no directive", first.text),
-            &hint,
-        ));
+) -> Result<Setting, ConfigError> {
+    let mut checker = Checker {
+        directive,
+        first: &words[0],
+        words: &words[1..],
     };
-    let usage = format!("write: {}", spec.usage());
-    let missing = |what: &str| {
-        Fault::new(
-            first.place.clone(),
-            &format!("'{}' {what}", spec.name),
-            &usage,
-        )
+    let values = checker.take_values()?;
+    let options = checker.take_options()?;
+    let nested = checker.take_nested(block)?;
+    let block = match nested {
+        Some(_) => Vec::new(),
+        None => checker.take_block(block)?,
     };
-    let mut values = Vec::new();
-    for kind in spec.values {
-        let (word, rest) = left.split_first().ok_or_else(|| missing("lacks a value"))?;
-        values.push(value(kind, word)?);
-        left = rest;
-    }
-    if let Some(kind) = &spec.rest {
-        let is_option = |word: &Word| spec.options.iter().any(|(name, _)| *name == word.text);
-        let count = left.iter().position(is_option).unwrap_or(left.len());
-        if count == 0 {
-            return Err(missing("lacks a value"));
+    Ok(Setting {
+        name: directive.name,
+        location: words[0].location.clone(),
+        values,
+        options,
+        nested: nested.map(Box::new),
+        block,
+    })
+}
+
+/// Takes the words of one statement from the front, as its directive says.
+struct Checker<'a> {
+    directive: &'static Directive,
+    first: &'a Word,
+    /// What is not taken yet.
+    words: &'a [Word],
+}
+
+impl Checker<'_> {
+    fn take_values(&mut self) -> Result<Vec<Value>, ConfigError> {
+        let mut values = Vec::new();
+        for kind in self.directive.values {
+            let Some((word, rest)) = self.words.split_first() else {
+                return Err(self.error("lacks a value"));
+            };
+            values.push(parse_value(kind, word)?);
+            self.words = rest;
+        }
+        let Some(kind) = &self.directive.rest else {
+            return Ok(values);
+        };
+        let is_option = |word: &Word| self.directive.option(word).is_some();
+        let first_option = self.words.iter().position(is_option);
+        let (further, rest) = self
+            .words
+            .split_at(first_option.unwrap_or(self.words.len()));
+        if further.is_empty() {
+            return Err(self.error("lacks a value"));
         }
-        for word in &left[..count] {
-            values.push(value(kind, word)?);
+        for word in further {
+            values.push(parse_value(kind, word)?);
         }
-        left = &left[count..];
+        self.words = rest;
+        Ok(values)
     }
-    let mut options: Vec<(&'static str, Value)> = Vec::new();
-    while let Some((name, kind)) = left
-        .first()
-        .and_then(|word| spec.options.iter().find(|(name, _)| *name == word.text))
-    {
-        if options.iter().any(|(own, _)| own == name) {
-            return Err(Fault::new(
-                left[0].place.clone(),
-                &format!("'{name}' is given twice"),
-                "remove one",
-            ));
+
+    fn take_options(&mut self) -> Result<Vec<(&'static str, Value)>, ConfigError> {
+        let mut options: Vec<(&'static str, Value)> = Vec::new();
+        while let Some((word, rest)) = self.words.split_first() {
+            let Some((name, kind)) = self.directive.option(word) else {
+                break;
+            };
+            if options.iter().any(|(known, _)| known == name) {
+                return Err(ConfigError::new(
+                    word.location.clone(),
+                    &format!("'{name}' is given twice"),
+                    "remove one",
+                ));
+            }
+            let Some((value, rest)) = rest.split_first() else {
+                return Err(self.error(&format!("lacks a value behind '{name}'")));
+            };
+            options.push((name, parse_value(kind, value)?));
+            self.words = rest;
         }
-        let word = left
-            .get(1)
-            .ok_or_else(|| missing(&format!("lacks a value behind '{name}'")))?;
-        options.push((name, value(kind, word)?));
-        left = &left[2..];
+        Ok(options)
     }
-    let (mut nested, mut inner) = (None, Vec::new());
-    match (spec.nested, left.first()) {
-        (Some(table), Some(_)) => nested = Some(Box::new(one(left, block, table)?)),
-        (Some(_), None) => return Err(missing("lacks a directive behind its values")),
-        (None, Some(extra)) => {
-            let what = format!("'{}' is more than '{}' takes", extra.text, spec.name);
-            return Err(Fault::new(extra.place.clone(), &what, &usage));
+
+    /// Takes the directive behind the values, which the block then belongs to.
+    fn take_nested(&self, block: Option<&[Statement]>) -> Result<Option<Setting>, ConfigError> {
+        match (self.directive.nested, self.words.first()) {
+            (Some(table), Some(word)) => {
+                let directive = find_directive(word, table)?;
+                check_statement(directive, self.words, block).map(Some)
+            }
+            (Some(_), None) => Err(self.error("lacks a directive behind its values")),
+            (None, Some(extra)) => Err(ConfigError::new(
+                extra.location.clone(),
+                &format!(
+                    "'{}' is more than '{}' takes",
+                    extra.text, self.directive.name
+                ),
+                &self.usage(),
+            )),
+            (None, None) => Ok(None),
         }
-        (None, None) => match (spec.block, block) {
-            (Some(table), Some(block)) => inner = check(block, table)?,
-            (Some(_), None) => return Err(missing("lacks its block")),
-            (None, Some(_)) => return Err(missing("takes no block")),
-            (None, None) => {}
-        },
     }
-    Ok(Setting {
-        name: spec.name,
-        place: first.place.clone(),
-        values,
-        options,
-        nested,
-        block: inner,
-    })
-}
 
-/// The reference of a table, as Markdown.
-pub fn reference(table: &[Spec]) -> String {
-    let mut page = String::new();
-    let mut inner: Vec<(&Spec, &[Spec])> = Vec::new();
-    rows(table, &mut page, &mut inner);
-    while !inner.is_empty() {
-        for (spec, table) in std::mem::take(&mut inner) {
-            page += &format!("\nWithin `{}`:\n\n", spec.usage());
-            rows(table, &mut page, &mut inner);
+    fn take_block(&self, block: Option<&[Statement]>) -> Result<Vec<Setting>, ConfigError> {
+        match (self.directive.block, block) {
+            (Some(table), Some(block)) => check(block, table),
+            (Some(_), None) => Err(self.error("lacks its block")),
+            (None, Some(_)) => Err(self.error("takes no block")),
+            (None, None) => Ok(Vec::new()),
         }
     }
-    page
-}
 
-fn rows<'a>(table: &'a [Spec], page: &mut String, inner: &mut Vec<(&'a Spec, &'a [Spec])>) {
-    *page += "| directive | values | without it | meaning |\n| --- | --- | --- | --- |\n";
-    for spec in table {
-        let kinds = spec
-            .values
-            .iter()
-            .chain(spec.rest.iter())
-            .map(Kind::expected);
-        let options = spec
-            .options
-            .iter()
-            .map(|(name, kind)| format!("`{name}`: {}", kind.expected()));
-        let values = kinds.chain(options).collect::<Vec<_>>().join("; ");
-        let (usage, usual, help) = (spec.usage().replace('|', "\\|"), spec.usual, spec.help);
-        *page += &format!(
-            "| `{usage}` | {} | {usual} | {help} |\n",
-            values.replace('|', "\\|")
-        );
-        inner.extend(spec.block.or(spec.nested).map(|table| (spec, table)));
+    fn usage(&self) -> String {
+        format!("write: {}", self.directive.usage())
     }
+
+    fn error(&self, problem: &str) -> ConfigError {
+        ConfigError::new(
+            self.first.location.clone(),
+            &format!("'{}' {problem}", self.directive.name),
+            &self.usage(),
+        )
+    }
+}
+
+fn parse_value(kind: &ValueKind, word: &Word) -> Result<Value, ConfigError> {
+    kind.parse(&word.text).ok_or_else(|| {
+        let hint = match kind {
+            ValueKind::Choice(words) => suggest(&word.text, words.iter().copied()),
+            kind => format!("expected {}", kind.expected()),
+        };
+        ConfigError::new(
+            word.location.clone(),
+            &format!("'{}' can't be used", word.text),
+            &hint,
+        )
+    })
 }
--- a/crates/config-syntax/tests/texts.rs
+++ b/crates/config-syntax/tests/texts.rs
@@ -1,59 +1,65 @@
 //! Good and bad texts: what is read, and what is said of what can't be.
 
-use eideryard_config_syntax::{read, Fault, Kind, Setting, Spec};
+use eideryard_config_syntax::include::IncludedFile;
+use eideryard_config_syntax::{read, ConfigError, Directive, Setting, ValueKind};
 
-const INNER: &[Spec] = &[
-    Spec::new(
+const INNER: &[Directive] = &[
+    Directive::new(
         "cores",
-        &[Kind::Count { least: 1, most: 64 }],
+        &[ValueKind::Count { least: 1, most: 64 }],
         "8",
         "Cores.",
     ),
-    Spec::new("share", &[Kind::Share], "100%", "Share."),
+    Directive::new("share", &[ValueKind::Share], "100%", "Share."),
 ];
-const ACTIONS: &[Spec] = &[Spec::new("kill", &[], "", "Kill.")
-    .rest(Kind::Name)
+const ACTIONS: &[Directive] = &[Directive::new("kill", &[], "", "Kill.")
+    .rest(ValueKind::Name)
     .options(&[(
         "for",
-        Kind::Time {
+        ValueKind::Time {
             least: 0,
             most: 3_600_000_000,
         },
     )])];
-const TABLE: &[Spec] = &[
-    Spec::new(
+const TABLE: &[Directive] = &[
+    Directive::new(
         "size",
-        &[Kind::Size {
+        &[ValueKind::Size {
             least: 1 << 10,
             most: 1 << 30,
         }],
         "1MB",
         "A size.",
     ),
-    Spec::new(
+    Directive::new(
         "pause",
-        &[Kind::Time {
+        &[ValueKind::Time {
             least: 1000,
             most: 60_000_000,
         }],
         "1s",
         "A time.",
     ),
-    Spec::new(
+    Directive::new(
         "mode",
-        &[Kind::Choice(&["fast", "slow"])],
+        &[ValueKind::Choice(&["fast", "slow"])],
         "fast",
         "A choice.",
     ),
-    Spec::new("title", &[Kind::Text], "none", "A text."),
-    Spec::new("listen", &[Kind::Address], "none", "An address."),
-    Spec::new("rate", &[Kind::Rate { most: 1000.0 }], "1/s", "A rate."),
-    Spec::new("engine", &[Kind::Name], "none", "An engine.")
+    Directive::new("title", &[ValueKind::Text], "none", "A text."),
+    Directive::new("listen", &[ValueKind::Address], "none", "An address."),
+    Directive::new(
+        "rate",
+        &[ValueKind::Rate { most: 1000.0 }],
+        "1/s",
+        "A rate.",
+    ),
+    Directive::new("engine", &[ValueKind::Name], "none", "An engine.")
         .block(INNER)
-        .many(),
-    Spec::new(
+        .repeatable(),
+    Directive::new(
         "at",
-        &[Kind::Time {
+        &[ValueKind::Time {
             least: 0,
             most: 3_600_000_000,
         }],
@@ -61,14 +67,20 @@
         "When.",
     )
     .nested(ACTIONS)
-    .many(),
+    .repeatable(),
 ];
 
-fn parse(text: &str) -> Result<Vec<Setting>, Fault> {
+fn parse(text: &str) -> Result<Vec<Setting>, ConfigError> {
     read("a.conf", text, TABLE, &|_, name| match name {
-        "more.conf" => Ok(("more.conf".into(), "mode slow\n".into())),
-        "loop.conf" => Ok(("loop.conf".into(), "include loop.conf\n".into())),
-        _ => Err("no such file".into()),
+        "more.conf" => Ok(IncludedFile {
+            name: "more.conf".into(),
+            text: "mode slow\n".into(),
+        }),
+        "loop.conf" => Ok(IncludedFile {
+            name: "loop.conf".into(),
+            text: "include loop.conf\n".into(),
+        }),
+        _ => Err(std::io::Error::other("no such file")),
     })
 }
 
@@ -101,7 +113,7 @@
         (kill.values.len(), kill.option("for").unwrap().number()),
         (2, 250_000)
     );
-    assert_eq!(settings[8].place.file.as_ref(), "more.conf");
+    assert_eq!(settings[8].location.file.as_ref(), "more.conf");
 }
 
 /// Each with where it is found, and words of what is said.
@@ -161,19 +173,22 @@
         ("größe 1MB", 1, 1, "is no directive"),
     ];
     for (text, line, column, words) in cases {
-        let fault = parse(text).expect_err(text);
+        let error = parse(text).expect_err(text);
         assert_eq!(
-            (fault.place.line, fault.place.column),
+            (error.location.line, error.location.column),
             (line, column),
-            "{text}: {fault}"
+            "{text}: {error}"
         );
-        assert!(fault.to_string().contains(words), "{text}: {fault}");
+        assert!(error.to_string().contains(words), "{text}: {error}");
     }
     let deep = "engine e {\n".repeat(1000);
-    assert!(parse(&deep).unwrap_err().what.contains("too many blocks"));
+    assert!(parse(&deep)
+        .unwrap_err()
+        .problem
+        .contains("too many blocks"));
     assert!(parse(&" ".repeat(2 << 20))
         .unwrap_err()
-        .what
+        .problem
         .contains("too long"));
 }
 
@@ -218,13 +233,13 @@
             }
         }
         let text: String = text.into_iter().collect();
-        if let Err(fault) = parse(&text) {
+        if let Err(error) = parse(&text) {
             refused += 1;
             let lines: Vec<&str> = text.lines().collect();
-            let line = lines.get(fault.place.line - 1).copied().unwrap_or("");
+            let line = lines.get(error.location.line - 1).copied().unwrap_or("");
             assert!(
-                fault.place.column <= line.chars().count() + 1,
-                "{text:?}: {fault}"
+                error.location.column <= line.chars().count() + 1,
+                "{text:?}: {error}"
             );
         }
     }
--- a/crates/emulators/src/scenario.rs
+++ b/crates/emulators/src/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenarios: a script in the line-based form says what there is and what goes wrong when.
 
-use eideryard_config_syntax::{Fault, Kind, Setting, Spec, Value};
+use eideryard_config_syntax::{ConfigError, Directive, Setting, Value, ValueKind};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 impl Scenario {
     /// Reads its text; `file` is named where something is wrong.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub fn read(file: &str, text: &str) -> Result<Self, Fault> {
+    pub fn read(file: &str, text: &str) -> Result<Self, ConfigError> {
         let settings =
             eideryard_config_syntax::read(file, text, TABLE, &eideryard_config_syntax::from_files)?;
         let all = |name: &'static str| settings.iter().filter(move |setting| setting.name == name);
@@ -72,8 +72,8 @@
                         "load '{}' has {what} '{name}', which is not there",
                         load.name
                     );
-                    Err(Fault::new(
-                        setting.place.clone(),
+                    Err(ConfigError::new(
+                        setting.location.clone(),
                         &what,
                         &format!("there are: {}", names.join(", ")),
                     ))
@@ -129,8 +129,8 @@
                 .find(|name| !names.contains(&name.as_str()))
             {
                 let hint = format!("there are: {}", names.join(", "));
-                return Err(Fault::new(
-                    setting.place.clone(),
+                return Err(ConfigError::new(
+                    setting.location.clone(),
                     &format!("'{name}' is not there"),
                     &hint,
                 ));
@@ -215,7 +215,7 @@
     }
 }
 
-fn load(setting: &Setting) -> Result<LoadSpec, Fault> {
+fn load(setting: &Setting) -> Result<LoadSpec, ConfigError> {
     let value = |name: &str| setting.inner_value(name);
     let text = |name: &str, usual: &str| value(name).map_or(usual, Value::text).to_string();
     let from = text("from", "127.0.0.1");
@@ -224,8 +224,8 @@
         _ => {
             let place = setting
                 .inner("from")
-                .map_or(setting.place.clone(), |from| from.place.clone());
-            return Err(Fault::new(
+                .map_or(setting.location.clone(), |from| from.location.clone());
+            return Err(ConfigError::new(
                 place,
                 &format!("'{from}' can't be used"),
                 "expected one of 127.0.0.0/8",
--- a/crates/emulators/src/scenario/directives.rs
+++ b/crates/emulators/src/scenario/directives.rs
@@ -3,150 +3,150 @@
 use super::*;
 
 pub(super) const SECOND: u64 = 1_000_000;
-pub(super) const ANY_TIME: Kind = Kind::Time {
+pub(super) const ANY_TIME: ValueKind = ValueKind::Time {
     least: 0,
     most: 3600 * SECOND,
 };
-pub(super) const ANY_SIZE: Kind = Kind::Size {
+pub(super) const ANY_SIZE: ValueKind = ValueKind::Size {
     least: 0,
     most: 1 << 40,
 };
-pub(super) const ANY_RATE: Kind = Kind::Rate { most: 100_000.0 };
-pub(super) const FOR: (&str, Kind) = ("for", ANY_TIME);
+pub(super) const ANY_RATE: ValueKind = ValueKind::Rate { most: 100_000.0 };
+pub(super) const FOR: (&str, ValueKind) = ("for", ANY_TIME);
 
-pub(super) const ENGINE: &[Spec] = &[
-    Spec::new(
+pub(super) const ENGINE: &[Directive] = &[
+    Directive::new(
         "listen",
-        &[Kind::Address],
+        &[ValueKind::Address],
         "a port of the system",
         "Where it listens.",
     ),
-    Spec::new(
+    Directive::new(
         "cores",
-        &[Kind::Count {
+        &[ValueKind::Count {
             least: 1,
             most: 1024,
         }],
         "8",
         "Cores that its queries share.",
     ),
-    Spec::new(
+    Directive::new(
         "memory",
         &[ANY_SIZE],
         "16GB",
         "Memory that queries hold together.",
     ),
-    Spec::new(
+    Directive::new(
         "sessions",
-        &[Kind::Count {
+        &[ValueKind::Count {
             least: 1,
             most: 1 << 20,
         }],
         "512",
         "Queries at once; more are answered busy.",
     ),
-    Spec::new(
+    Directive::new(
         "warm-up",
         &[ANY_TIME],
         "0",
         "Time from a start until it has all its cores; 40% of them at first.",
     ),
-    Spec::new("kind", &[Kind::Name], "std", "Machine kind."),
-    Spec::new("zone", &[Kind::Name], "here", "Zone."),
-    Spec::new(
+    Directive::new("kind", &[ValueKind::Name], "std", "Machine kind."),
+    Directive::new("zone", &[ValueKind::Name], "here", "Zone."),
+    Directive::new(
         "cell",
-        &[Kind::Count {
+        &[ValueKind::Count {
             least: 0,
             most: 1 << 20,
         }],
         "0",
         "Engines of one cell know each other's keys in classes of that scope.",
     ),
-    Spec::new(
+    Directive::new(
         "orphans",
-        &[Kind::Choice(&["stop", "finish"])],
+        &[ValueKind::Choice(&["stop", "finish"])],
         "stop",
         "What becomes of a query whose connection ends.",
     ),
 ];
 
-pub(super) const LOAD: &[Spec] = &[
-    Spec::new("gateway", &[Kind::Name], "each in turn", "The gateway that it asks."),
-    Spec::new("class", &[Kind::Name], "report", "Class of its requests."),
-    Spec::new("tenant", &[Kind::Name], "acme", "Tenant."),
-    Spec::new("rate", &[ANY_RATE], "10/s", "Requests a second on average, at random times."),
-    Spec::new("begin", &[ANY_TIME], "0", "When it begins."),
-    Spec::new("end", &[ANY_TIME], "the scenario's", "When it ends."),
-    Spec::new("wait", &[ANY_TIME], "5s", "How long its clients wait."),
-    Spec::new("work", &[ANY_TIME], "80ms", "Median work on one core."),
-    Spec::new("memory", &[ANY_SIZE], "64MB", "Median memory."),
-    Spec::new(
+pub(super) const LOAD: &[Directive] = &[
+    Directive::new("gateway", &[ValueKind::Name], "each in turn", "The gateway that it asks."),
+    Directive::new("class", &[ValueKind::Name], "report", "Class of its requests."),
+    Directive::new("tenant", &[ValueKind::Name], "acme", "Tenant."),
+    Directive::new("rate", &[ANY_RATE], "10/s", "Requests a second on average, at random times."),
+    Directive::new("begin", &[ANY_TIME], "0", "When it begins."),
+    Directive::new("end", &[ANY_TIME], "the scenario's", "When it ends."),
+    Directive::new("wait", &[ANY_TIME], "5s", "How long its clients wait."),
+    Directive::new("work", &[ANY_TIME], "80ms", "Median work on one core."),
+    Directive::new("memory", &[ANY_SIZE], "64MB", "Median memory."),
+    Directive::new(
         "spread",
-        &[Kind::Count { least: 0, most: 300 }],
+        &[ValueKind::Count { least: 0, most: 300 }],
         "50",
         "Spread of both: sigma of their logarithm, in hundredths.",
     ),
-    Spec::new("rows", &[Kind::Count { least: 0, most: 2_000_000 }], "4", "Rows of a result."),
-    Spec::new(
+    Directive::new("rows", &[ValueKind::Count { least: 0, most: 2_000_000 }], "4", "Rows of a result."),
+    Directive::new(
         "connections",
-        &[Kind::Count { least: 1, most: 4096 }],
+        &[ValueKind::Count { least: 1, most: 4096 }],
         "2",
         "Connections that it spreads over.",
     ),
-    Spec::new("forgets", &[Kind::Share], "0%", "Part of its requests that it takes back soon after."),
-    Spec::new("from", &[Kind::Text], "127.0.0.1", "The address that it comes from."),
-    Spec::new(
+    Directive::new("forgets", &[ValueKind::Share], "0%", "Part of its requests that it takes back soon after."),
+    Directive::new("from", &[ValueKind::Text], "127.0.0.1", "The address that it comes from."),
+    Directive::new(
         "retries",
-        &[Kind::Count { least: 0, most: 10 }],
+        &[ValueKind::Count { least: 0, most: 10 }],
         "0",
         "Tries more after a refusal, when its advice is over.",
     ),
-    Spec::new(
+    Directive::new(
         "returns",
-        &[Kind::Count { least: 0, most: 10 }],
+        &[ValueKind::Count { least: 0, most: 10 }],
         "0",
         "Tries more after a connection that ended or an answer that never came; none in unsafe classes.",
     ),
-    Spec::new("back", &[Kind::Choice(&["any", "same", "other"])], "any", "The gateway that these go to."),
-    Spec::new("marked", &[Kind::Share], "100%", "Part of the tries more that say so (`r`)."),
-    Spec::new("hasty", &[Kind::Share], "0%", "Part of the tries more that come before the advice is over."),
-    Spec::new("late", &[Kind::Share], "0%", "Part of the tries more that come after the class's window."),
-    Spec::new(
+    Directive::new("back", &[ValueKind::Choice(&["any", "same", "other"])], "any", "The gateway that these go to."),
+    Directive::new("marked", &[ValueKind::Share], "100%", "Part of the tries more that say so (`r`)."),
+    Directive::new("hasty", &[ValueKind::Share], "0%", "Part of the tries more that come before the advice is over."),
+    Directive::new("late", &[ValueKind::Share], "0%", "Part of the tries more that come after the class's window."),
+    Directive::new(
         "keys",
-        &[Kind::Count { least: 1, most: 1 << 20 }],
+        &[ValueKind::Count { least: 1, most: 1 << 20 }],
         "a new one each",
         "Keys that it draws from.",
     ),
 ];
 
-pub(super) const CLASS: &[Spec] = &[
-    Spec::new(
+pub(super) const CLASS: &[Directive] = &[
+    Directive::new(
         "effect",
-        &[Kind::Choice(&["safe", "keyed", "unsafe"])],
+        &[ValueKind::Choice(&["safe", "keyed", "unsafe"])],
         "safe",
         "What a repeat may do.",
     ),
-    Spec::new(
+    Directive::new(
         "aim",
         &[ANY_TIME],
         "1s",
         "Answers within this earn the full worth.",
     ),
-    Spec::new(
+    Directive::new(
         "threads",
-        &[Kind::Count { least: 1, most: 64 }],
+        &[ValueKind::Count { least: 1, most: 64 }],
         "1",
         "Threads that a query runs on.",
     ),
-    Spec::new("load", &[], "no", "It holds its table group while it runs."),
-    Spec::new(
+    Directive::new("load", &[], "no", "It holds its table group while it runs."),
+    Directive::new(
         "scope",
-        &[Kind::Choice(&["all", "zone", "cell"])],
+        &[ValueKind::Choice(&["all", "zone", "cell"])],
         "all",
         "Engines that drop a key's repeats.",
     ),
-    Spec::new("window", &[ANY_TIME], "15s", "How long they remember it."),
-    Spec::new(
+    Directive::new("window", &[ANY_TIME], "15s", "How long they remember it."),
+    Directive::new(
         "ordered",
         &[],
         "no",
@@ -154,256 +154,258 @@
     ),
 ];
 
-pub(super) const GATEWAY: &[Spec] = &[
-    Spec::new(
+pub(super) const GATEWAY: &[Directive] = &[
+    Directive::new(
         "memory",
         &[ANY_SIZE],
         "192MB",
         "Limit on memory that it is told.",
     ),
-    Spec::new(
+    Directive::new(
         "sockets",
-        &[Kind::Count {
+        &[ValueKind::Count {
             least: 32,
             most: 65_536,
         }],
         "1024",
         "Limit on descriptors that it is told.",
     ),
-    Spec::new("start", &[ANY_TIME], "0", "When it starts."),
-    Spec::new(
+    Directive::new("start", &[ANY_TIME], "0", "When it starts."),
+    Directive::new(
         "operator",
-        &[Kind::Text],
+        &[ValueKind::Text],
         "none",
         "A line of its operator's file; {directory} is its own.",
     )
-    .many(),
+    .repeatable(),
 ];
 
 /// The ends of links: `clients`, gateways, engines, the `bulletin`; `any` stands for all,
 /// `gateways` and `engines` for all of these.
-pub(super) const LINK: &[Kind] = &[Kind::Name, Kind::Name];
-pub(super) const WAY: (&str, Kind) = ("way", Kind::Choice(&["both", "there", "back"]));
+pub(super) const LINK: &[ValueKind] = &[ValueKind::Name, ValueKind::Name];
+pub(super) const WAY: (&str, ValueKind) = ("way", ValueKind::Choice(&["both", "there", "back"]));
 
-pub(super) const ACTIONS: &[Spec] = &[
-    Spec::new(
+pub(super) const ACTIONS: &[Directive] = &[
+    Directive::new(
         "kill",
         &[],
         "",
         "Engines' processes end: connections are reset, new ones refused.",
     )
-    .rest(Kind::Name),
-    Spec::new(
+    .rest(ValueKind::Name),
+    Directive::new(
         "start",
         &[],
         "",
         "Engines that were killed start again, cold, and the list says so.",
     )
-    .rest(Kind::Name),
-    Spec::new(
+    .rest(ValueKind::Name),
+    Directive::new(
         "vanish",
         &[],
         "",
         "Engines say nothing more, and connections stay open.",
     )
-    .rest(Kind::Name)
+    .rest(ValueKind::Name)
     .options(&[FOR]),
-    Spec::new(
+    Directive::new(
         "reset",
         &[],
         "",
         "Engines reset their connections and go on.",
     )
-    .rest(Kind::Name),
-    Spec::new("stall", &[], "", "Engines stand still for a while.")
-        .rest(Kind::Name)
+    .rest(ValueKind::Name),
+    Directive::new("stall", &[], "", "Engines stand still for a while.")
+        .rest(ValueKind::Name)
         .options(&[FOR]),
-    Spec::new(
+    Directive::new(
         "errors",
-        &[Kind::Share],
+        &[ValueKind::Share],
         "",
         "Engines answer a share of queries with errors.",
     )
-    .rest(Kind::Name)
+    .rest(ValueKind::Name)
     .options(&[FOR]),
-    Spec::new("busy", &[], "", "Engines answer all new queries busy.")
-        .rest(Kind::Name)
+    Directive::new("busy", &[], "", "Engines answer all new queries busy.")
+        .rest(ValueKind::Name)
         .options(&[FOR]),
-    Spec::new("drain", &[], "", "The list says that engines drain.").rest(Kind::Name),
-    Spec::new("remove", &[], "", "The list drops engines.").rest(Kind::Name),
-    Spec::new("list", &[], "", "The list says that engines are up.").rest(Kind::Name),
-    Spec::new(
+    Directive::new("drain", &[], "", "The list says that engines drain.").rest(ValueKind::Name),
+    Directive::new("remove", &[], "", "The list drops engines.").rest(ValueKind::Name),
+    Directive::new("list", &[], "", "The list says that engines are up.").rest(ValueKind::Name),
+    Directive::new(
         "bulletin",
-        &[Kind::Choice(&["up", "down", "silent"])],
+        &[ValueKind::Choice(&["up", "down", "silent"])],
         "",
         "The bulletin answers, is out of reach, or says nothing.",
     ),
-    Spec::new("kill-gateway", &[], "", "Gateways are killed outright.").rest(Kind::Name),
-    Spec::new("stop-gateway", &[], "", "Gateways get SIGTERM.").rest(Kind::Name),
-    Spec::new(
+    Directive::new("kill-gateway", &[], "", "Gateways are killed outright.").rest(ValueKind::Name),
+    Directive::new("stop-gateway", &[], "", "Gateways get SIGTERM.").rest(ValueKind::Name),
+    Directive::new(
         "start-gateway",
         &[],
         "",
         "Gateways start again under their names.",
     )
-    .rest(Kind::Name),
-    Spec::new(
+    .rest(ValueKind::Name),
+    Directive::new(
         "pause-gateway",
         &[],
         "",
         "Gateways stand still (SIGSTOP), then go on.",
     )
-    .rest(Kind::Name)
+    .rest(ValueKind::Name)
     .options(&[FOR]),
-    Spec::new(
+    Directive::new(
         "stall-disk",
         &[],
         "",
         "The threads that write gateways' stores stand still, as on a disk that hangs.",
     )
-    .rest(Kind::Name)
+    .rest(ValueKind::Name)
     .options(&[FOR]),
-    Spec::new(
+    Directive::new(
         "save-directory",
         &[],
         "",
         "Gateways' directories are copied.",
     )
-    .rest(Kind::Name),
-    Spec::new(
+    .rest(ValueKind::Name),
+    Directive::new(
         "wipe-directory",
         &[],
         "",
         "Gateways' directories are emptied.",
     )
-    .rest(Kind::Name),
-    Spec::new(
+    .rest(ValueKind::Name),
+    Directive::new(
         "put-back-directory",
         &[],
         "",
         "The copies take the place of gateways' directories.",
     )
-    .rest(Kind::Name),
-    Spec::new(
+    .rest(ValueKind::Name),
+    Directive::new(
         "link-cut",
         LINK,
         "",
         "Nothing passes a link, and new connections never come up.",
     )
     .options(&[WAY, FOR]),
-    Spec::new(
+    Directive::new(
         "link-stall",
         LINK,
         "",
         "Nothing passes a link, but new connections come up.",
     )
     .options(&[WAY, FOR]),
-    Spec::new(
+    Directive::new(
         "link-swallow",
         LINK,
         "",
         "A link takes bytes and delivers none; it resets when that is over.",
     )
     .options(&[WAY, FOR]),
-    Spec::new("link-delay", LINK, "", "What passes a link takes longer.").options(&[BY, WAY, FOR]),
-    Spec::new(
+    Directive::new("link-delay", LINK, "", "What passes a link takes longer.")
+        .options(&[BY, WAY, FOR]),
+    Directive::new(
         "link-throttle",
         LINK,
         "",
         "Bytes a second that pass a link.",
     )
     .options(&[TO, WAY, FOR]),
-    Spec::new("link-flap", LINK, "", "A link is cut and whole in turn.").options(&[EVERY, FOR]),
-    Spec::new("link-reset", LINK, "", "Connections of a link end now."),
-    Spec::new(
+    Directive::new("link-flap", LINK, "", "A link is cut and whole in turn.")
+        .options(&[EVERY, FOR]),
+    Directive::new("link-reset", LINK, "", "Connections of a link end now."),
+    Directive::new(
         "power-loss",
         &[],
         "",
         "All gateways, engines and the bulletin end within a millisecond.",
     ),
-    Spec::new(
+    Directive::new(
         "power-back",
         &[],
         "",
         "They start again (`all`, or those named), in drawn order.",
     )
-    .rest(Kind::Name)
+    .rest(ValueKind::Name)
     .options(&[WITHIN]),
 ];
 
-pub(super) const BY: (&str, Kind) = ("by", ANY_TIME);
-pub(super) const TO: (&str, Kind) = ("to", ANY_SIZE);
-pub(super) const EVERY: (&str, Kind) = (
+pub(super) const BY: (&str, ValueKind) = ("by", ANY_TIME);
+pub(super) const TO: (&str, ValueKind) = ("to", ANY_SIZE);
+pub(super) const EVERY: (&str, ValueKind) = (
     "every",
-    Kind::Time {
+    ValueKind::Time {
         least: 1_000,
         most: 3600 * SECOND,
     },
 );
-pub(super) const WITHIN: (&str, Kind) = ("within", ANY_TIME);
+pub(super) const WITHIN: (&str, ValueKind) = ("within", ANY_TIME);
 
 /// All directives of a scenario.
-pub const TABLE: &[Spec] = &[
-    Spec::new(
+pub const TABLE: &[Directive] = &[
+    Directive::new(
         "seed",
-        &[Kind::Count {
+        &[ValueKind::Count {
             least: 0,
             most: u64::MAX,
         }],
         "1",
         "What all random numbers come of.",
     ),
-    Spec::new(
+    Directive::new(
         "time",
         &[ANY_TIME],
         "10s",
         "How long the loads run; `0` goes on until it is ended.",
     ),
-    Spec::new(
+    Directive::new(
         "bulletin",
-        &[Kind::Address],
+        &[ValueKind::Address],
         "a port of the system",
         "Where the bulletin listens.",
     ),
-    Spec::new(
+    Directive::new(
         "tenant",
-        &[Kind::Name, ANY_RATE],
+        &[ValueKind::Name, ANY_RATE],
         "acme 1000/s",
         "A tenant and its share over all gateways.",
     )
-    .many(),
-    Spec::new("class", &[Kind::Name], "report, safe", "A class.")
+    .repeatable(),
+    Directive::new("class", &[ValueKind::Name], "report, safe", "A class.")
         .block(CLASS)
-        .many(),
-    Spec::new("engine", &[Kind::Name], "none", "An engine.")
+        .repeatable(),
+    Directive::new("engine", &[ValueKind::Name], "none", "An engine.")
         .block(ENGINE)
-        .many(),
-    Spec::new(
+        .repeatable(),
+    Directive::new(
         "engines",
         &[
-            Kind::Count {
+            ValueKind::Count {
                 least: 1,
                 most: 999,
             },
-            Kind::Name,
+            ValueKind::Name,
         ],
         "none",
         "So many engines, named with their numbers from 1.",
     )
     .block(ENGINE)
-    .many(),
-    Spec::new(
+    .repeatable(),
+    Directive::new(
         "gateway",
-        &[Kind::Name],
+        &[ValueKind::Name],
         "none",
         "A gateway, where a program to start is given.",
     )
     .block(GATEWAY)
-    .many(),
-    Spec::new("load", &[Kind::Name], "none", "Clients.")
+    .repeatable(),
+    Directive::new("load", &[ValueKind::Name], "none", "Clients.")
         .block(LOAD)
-        .many(),
-    Spec::new("at", &[ANY_TIME], "none", "What goes wrong, and when.")
+        .repeatable(),
+    Directive::new("at", &[ANY_TIME], "none", "What goes wrong, and when.")
         .nested(ACTIONS)
-        .many(),
+        .repeatable(),
 ];
--- a/crates/operator-config/src/directives.rs
+++ b/crates/operator-config/src/directives.rs
@@ -1,6 +1,6 @@
 //! The directives of the operator's file, with their help. The words are an interface.
 
-use eideryard_config_syntax::{Kind, Spec};
+use eideryard_config_syntax::{Directive, ValueKind};
 
 /// Bytes of a megabyte.
 pub(crate) const MB: u64 = 1 << 20;
@@ -9,31 +9,31 @@
 /// Microseconds of a day.
 const DAY: u64 = 86_400 * SECOND;
 /// Directives of a `fleet` block.
-const FLEET: &[Spec] = &[
-    Spec::new(
+const FLEET: &[Directive] = &[
+    Directive::new(
         "listen",
-        &[Kind::Address],
+        &[ValueKind::Address],
         "nowhere; keepers need one",
         "Where other gateways of the fleet reach this one. No sign-in: a network of the fleet's own.",
     ),
-    Spec::new(
+    Directive::new(
         "keeper",
-        &[Kind::Name, Kind::Address],
+        &[ValueKind::Name, ValueKind::Address],
         "none; a fleet needs 3, 5 or 7",
         "A gateway that holds copies and votes, by its name in the platform's configuration.",
     )
-    .many(),
-    Spec::new(
+    .repeatable(),
+    Directive::new(
         "task",
-        &[Kind::Choice(&["probe"])],
+        &[ValueKind::Choice(&["probe"])],
         "none: each for itself",
         "Work that one gateway does for all: `probe` asks each engine for its load once a second; all \
          hear it.",
     )
-    .many(),
-    Spec::new(
+    .repeatable(),
+    Directive::new(
         "without-majority",
-        &[Kind::Choice(&["refuse", "send"])],
+        &[ValueKind::Choice(&["refuse", "send"])],
         "refuse",
         "Keyed and unsafe requests while no majority of keepers can hold their intents: refused with advice, \
          or sent at the risk of a second effect.",
@@ -41,114 +41,114 @@
 ];
 
 /// Every directive of the operator's file.
-pub const TABLE: &[Spec] = &[
-    Spec::new(
+pub const TABLE: &[Directive] = &[
+    Directive::new(
         "record-dir",
-        &[Kind::Path],
+        &[ValueKind::Path],
         "no record",
         "Directory of the event record; it is made where it is missing. Turns the record on.",
     ),
-    Spec::new(
+    Directive::new(
         "record-budget",
-        &[Kind::Size { least: MB, most: 1 << 40 }],
+        &[ValueKind::Size { least: MB, most: 1 << 40 }],
         "256MB",
         "Bytes of all segments of this gateway together; the oldest go first.",
     ),
-    Spec::new(
+    Directive::new(
         "record-segment",
-        &[Kind::Size { least: 64 << 10, most: 1 << 30 }],
+        &[ValueKind::Size { least: 64 << 10, most: 1 << 30 }],
         "8MB, a quarter of the budget at most",
         "A segment ends at this size. Reading can begin at each segment's start.",
     ),
-    Spec::new(
+    Directive::new(
         "record-segment-time",
-        &[Kind::Time { least: SECOND, most: DAY }],
+        &[ValueKind::Time { least: SECOND, most: DAY }],
         "10m",
         "A segment ends after this time, however small it is.",
     ),
-    Spec::new(
+    Directive::new(
         "spool-memory",
-        &[Kind::Size { least: MB, most: 1 << 40 }],
+        &[ValueKind::Size { least: MB, most: 1 << 40 }],
         "no spool",
         "Memory for results that clients take by pages. Turns the spool and its methods on.",
     ),
-    Spec::new(
+    Directive::new(
         "spool-dir",
-        &[Kind::Path],
+        &[ValueKind::Path],
         "memory only",
         "Directory of the spool's files, which are removed with their results.",
     ),
-    Spec::new(
+    Directive::new(
         "spool-disk",
-        &[Kind::Size { least: MB, most: 1 << 44 }],
+        &[ValueKind::Size { least: MB, most: 1 << 44 }],
         "1GB",
         "Bytes of these files at the most.",
     ),
-    Spec::new(
+    Directive::new(
         "spool-result",
-        &[Kind::Size { least: 48 << 10, most: 1 << 40 }],
+        &[ValueKind::Size { least: 48 << 10, most: 1 << 40 }],
         "a quarter of memory and disk",
         "The largest single result; a larger one fails.",
     ),
-    Spec::new(
+    Directive::new(
         "spool-unclaimed",
-        &[Kind::Time { least: SECOND, most: DAY }],
+        &[ValueKind::Time { least: SECOND, most: DAY }],
         "60s",
         "How long a result waits for its client, from its last use.",
     ),
-    Spec::new(
+    Directive::new(
         "spool-delivered",
-        &[Kind::Time { least: SECOND, most: DAY }],
+        &[ValueKind::Time { least: SECOND, most: DAY }],
         "15s",
         "How long one that was delivered is kept for a client that comes again.",
     ),
-    Spec::new(
+    Directive::new(
         "spool-key",
-        &[Kind::Text],
+        &[ValueKind::Text],
         "none; the spool needs one",
         "Secret that page tokens are made with, 16 characters at least.",
     ),
-    Spec::new(
+    Directive::new(
         "spool-previous-key",
-        &[Kind::Text],
+        &[ValueKind::Text],
         "none",
         "The secret before it: its tokens are taken still.",
     ),
-    Spec::new(
+    Directive::new(
         "store-dir",
-        &[Kind::Path],
+        &[ValueKind::Path],
         "no store",
         "Directory of this gateway's durable state, one for each; made where it is missing. Turns it on.",
     ),
-    Spec::new(
+    Directive::new(
         "store-budget",
-        &[Kind::Size { least: MB, most: 1 << 40 }],
+        &[ValueKind::Size { least: MB, most: 1 << 40 }],
         "64MB",
         "Bytes of the store's files at the most; a third of them may be live.",
     ),
-    Spec::new(
+    Directive::new(
         "fleet",
-        &[Kind::Name],
+        &[ValueKind::Name],
         "alone",
         "The fleet that this gateway shares its intents with, in a block. It needs store-dir.",
     )
     .block(FLEET),
-    Spec::new(
+    Directive::new(
         "log-level",
-        &[Kind::Choice(&["error", "warn", "info", "debug", "trace"])],
+        &[ValueKind::Choice(&["error", "warn", "info", "debug", "trace"])],
         "info",
         "The least serious lines that are logged. `EIDERYARD_LOG` goes before it.",
     ),
-    Spec::new(
+    Directive::new(
         "log-target",
-        &[Kind::Text, Kind::Choice(&["off", "error", "warn", "info", "debug", "trace"])],
+        &[ValueKind::Text, ValueKind::Choice(&["off", "error", "warn", "info", "debug", "trace"])],
         "as log-level",
         "Another level for one part of the program, by the target that its lines name.",
     )
-    .many(),
-    Spec::new(
+    .repeatable(),
+    Directive::new(
         "log-format",
-        &[Kind::Choice(&["text", "json"])],
+        &[ValueKind::Choice(&["text", "json"])],
         "text",
         "Lines of text, or one JSON object a line.",
     ),
--- a/crates/operator-config/src/event_log.rs
+++ b/crates/operator-config/src/event_log.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use eideryard_config_syntax::Fault;
+use eideryard_config_syntax::ConfigError;
 
 use crate::directives::{MB, SECOND};
 use crate::settings::Settings;
@@ -27,7 +27,7 @@
     pub segment_time: u64,
 }
 
-pub(crate) fn read(settings: &Settings<'_>) -> Result<Option<EventLogConfig>, Fault> {
+pub(crate) fn read(settings: &Settings<'_>) -> Result<Option<EventLogConfig>, ConfigError> {
     let budget = settings.number_or("record-budget", DEFAULT_BUDGET);
     let segment = settings.number_or("record-segment", DEFAULT_SEGMENT.min(budget / 4));
     check_segment(settings, segment, budget)?;
@@ -44,7 +44,7 @@
     }))
 }
 
-fn check_segment(settings: &Settings<'_>, segment: u64, budget: u64) -> Result<(), Fault> {
+fn check_segment(settings: &Settings<'_>, segment: u64, budget: u64) -> Result<(), ConfigError> {
     if segment <= budget / 2 {
         return Ok(());
     }
@@ -54,8 +54,8 @@
     let Some(setting) = setting else {
         return Ok(());
     };
-    Err(Fault::new(
-        setting.place.clone(),
+    Err(ConfigError::new(
+        setting.location.clone(),
         "a segment takes more than half of the budget",
         "raise record-budget or lower record-segment",
     ))
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use eideryard_config_syntax::{table, Fault, Setting, Value};
+use eideryard_config_syntax::{table, ConfigError, Setting, Value};
 
 use crate::settings::Settings;
 
@@ -24,13 +24,16 @@
     pub probes: bool,
 }
 
-pub(crate) fn read(settings: &Settings<'_>, has_store: bool) -> Result<Option<FleetConfig>, Fault> {
+pub(crate) fn read(
+    settings: &Settings<'_>,
+    has_store: bool,
+) -> Result<Option<FleetConfig>, ConfigError> {
     let Some(fleet) = settings.get("fleet") else {
         return Ok(None);
     };
     if !has_store {
-        return Err(Fault::new(
-            fleet.place.clone(),
+        return Err(ConfigError::new(
+            fleet.location.clone(),
             "a fleet without a store: intents could not be made durable",
             "add store-dir PATH",
         ));
@@ -46,7 +49,7 @@
     }))
 }
 
-fn read_voters(fleet: &Setting) -> Result<Vec<(String, SocketAddr)>, Fault> {
+fn read_voters(fleet: &Setting) -> Result<Vec<(String, SocketAddr)>, ConfigError> {
     let mut voters: Vec<(String, SocketAddr)> = Vec::new();
     for setting in fleet
         .block
@@ -55,15 +58,15 @@
     {
         let name = setting.values[0].text();
         let Some(address) = address(&setting.values[1]) else {
-            return Err(Fault::new(
-                setting.place.clone(),
+            return Err(ConfigError::new(
+                setting.location.clone(),
                 "a keeper's address can't be used",
                 "write ADDRESS:PORT",
             ));
         };
         if voters.iter().any(|(known, _)| known == name) {
-            return Err(Fault::new(
-                setting.place.clone(),
+            return Err(ConfigError::new(
+                setting.location.clone(),
                 &format!("keeper '{name}' stands there twice"),
                 "each keeper has one line",
             ));
@@ -71,8 +74,8 @@
         voters.push((name.to_string(), address));
     }
     if !VOTER_COUNTS.contains(&voters.len()) {
-        return Err(Fault::new(
-            fleet.place.clone(),
+        return Err(ConfigError::new(
+            fleet.location.clone(),
             &format!("a fleet with {} keepers", voters.len()),
             "name 3, 5 or 7: keeper NAME ADDRESS",
         ));
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -9,7 +9,7 @@
 //! let text = "store-dir /var/lib/eideryard/store\nstore-budget 64MB\n";
 //! let config = OperatorConfig::read("operator.conf", text)?;
 //! assert_eq!(config.store.map(|store| store.budget), Some(64 << 20));
-//! # Ok::<(), eideryard_config_syntax::Fault>(())
+//! # Ok::<(), eideryard_config_syntax::ConfigError>(())
 //! ```
 
 mod directives;
@@ -22,7 +22,7 @@
 
 use std::io;
 
-use eideryard_config_syntax::{from_files, Fault};
+use eideryard_config_syntax::{from_files, ConfigError};
 use thiserror::Error;
 
 pub use directives::TABLE;
@@ -47,7 +47,7 @@
     },
     /// Its text can't be used.
     #[error(transparent)]
-    Text(#[from] Fault),
+    Text(#[from] ConfigError),
 }
 
 /// All that an operator's file sets.
@@ -84,7 +84,7 @@
     /// # Errors
     ///
     /// The first place that can't be used, with the remedy.
-    pub fn read(file: &str, text: &str) -> Result<Self, Fault> {
+    pub fn read(file: &str, text: &str) -> Result<Self, ConfigError> {
         let settings = eideryard_config_syntax::read(file, text, TABLE, &from_files)?;
         let settings = Settings(&settings);
         let record = event_log::read(&settings)?;
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -1,6 +1,6 @@
 //! Look-ups in the settings of a file.
 
-use eideryard_config_syntax::{table, Fault, Setting, Value};
+use eideryard_config_syntax::{table, ConfigError, Setting, Value};
 
 /// The settings of a file, checked against the table of directives.
 pub(crate) struct Settings<'a>(pub(crate) &'a [Setting]);
@@ -33,7 +33,7 @@
         prefix: &str,
         missing: &str,
         remedy: &str,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ConfigError> {
         let useless = self
             .0
             .iter()
@@ -42,7 +42,7 @@
             return Ok(());
         };
         let problem = format!("'{}' without {missing}", setting.name);
-        Err(Fault::new(setting.place.clone(), &problem, remedy))
+        Err(ConfigError::new(setting.location.clone(), &problem, remedy))
     }
 
     fn value(&self, name: &str) -> Option<&'a Value> {
--- a/crates/operator-config/src/spool.rs
+++ b/crates/operator-config/src/spool.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::path::PathBuf;
 
-use eideryard_config_syntax::{Fault, Setting};
+use eideryard_config_syntax::{ConfigError, Setting};
 
 use crate::directives::SECOND;
 use crate::settings::Settings;
@@ -50,7 +50,7 @@
     }
 }
 
-pub(crate) fn read(settings: &Settings<'_>) -> Result<Option<SpoolConfig>, Fault> {
+pub(crate) fn read(settings: &Settings<'_>) -> Result<Option<SpoolConfig>, ConfigError> {
     let Some(turns_on) = settings.get("spool-memory") else {
         let remedy = "add spool-memory SIZE, which turns it on";
         settings.reject_prefix("spool-", "a spool", remedy)?;
@@ -74,13 +74,13 @@
     }))
 }
 
-fn read_key(settings: &Settings<'_>, turns_on: &Setting) -> Result<String, Fault> {
+fn read_key(settings: &Settings<'_>, turns_on: &Setting) -> Result<String, ConfigError> {
     match settings.text("spool-key") {
         Some(key) if key.len() >= MIN_KEY_LENGTH => Ok(key),
         _ => {
             let setting = settings.get("spool-key").unwrap_or(turns_on);
-            Err(Fault::new(
-                setting.place.clone(),
+            Err(ConfigError::new(
+                setting.location.clone(),
                 "the spool has no secret of 16 characters",
                 "add spool-key SECRET",
             ))
--- a/crates/operator-config/src/store.rs
+++ b/crates/operator-config/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use eideryard_config_syntax::Fault;
+use eideryard_config_syntax::ConfigError;
 
 use crate::directives::MB;
 use crate::settings::Settings;
@@ -19,7 +19,7 @@
     pub budget: u64,
 }
 
-pub(crate) fn read(settings: &Settings<'_>) -> Result<Option<StoreConfig>, Fault> {
+pub(crate) fn read(settings: &Settings<'_>) -> Result<Option<StoreConfig>, ConfigError> {
     if let Some(directory) = settings.text("store-dir") {
         return Ok(Some(StoreConfig {
             directory: PathBuf::from(directory),
@@ -29,8 +29,8 @@
     let Some(setting) = settings.get("store-budget") else {
         return Ok(None);
     };
-    Err(Fault::new(
-        setting.place.clone(),
+    Err(ConfigError::new(
+        setting.location.clone(),
         "'store-budget' without a store",
         "add store-dir PATH, which turns it on",
     ))
