--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,32 +1,50 @@
-//! The bulletin: a list of engines told as numbered server-sent events over HTTP. Bytes in, items
+//! Service discovery: a list of engines as numbered server-sent events over HTTP. Bytes in, events
 //! out, no I/O.
+//!
+//! [`Reader`] holds the state of one response; [`Item`] is what an event's data says. The words of
+//! the protocol stand in this package and nowhere else.
+//!
+//! ```
+//! use eideryard_discovery::{Item, Reader, StreamEvent};
+//!
+//! let mut events = Vec::new();
+//! let response = b"HTTP/1.1 200 OK\r\n\r\nid: 7\ndata: {\"no\": 7}\n\n";
+//! Reader::default().read(response, &mut events)?;
+//! let StreamEvent::Event { data, .. } = &events[0] else { panic!("an event") };
+//! assert_eq!(Item::read(data).map(|item| item.no), Ok(7));
+//! # Ok::<(), eideryard_discovery::StreamError>(())
+//! ```
 
-#![expect(missing_docs, reason = "public items are still to be described")]
-
+mod error;
 mod http;
 mod item;
 mod sse;
 
-pub use http::{request, Malformed, MAX_HEAD};
+pub use error::StreamError;
+pub use http::{request, MAX_HEAD};
 pub use item::{DiscoveredEngine, Item, ItemError, Known, Roster, State};
 pub use sse::{StreamEvent, MAX_EVENT};
 
-/// Reads one response of the bulletin, in pieces as they come.
+/// Reads one response of service discovery, in pieces as they come.
 #[derive(Default)]
 pub struct Reader {
-    http: http::Body,
+    body: http::Body,
     events: sse::Events,
 }
 
 impl Reader {
-    /// Takes what came in and puts what it tells behind `heard`.
-    pub fn take(&mut self, bytes: &[u8], heard: &mut Vec<StreamEvent>) -> Result<(), Malformed> {
-        let events = &mut self.events;
-        self.http.take(bytes, &mut |body| events.take(body, heard))
+    /// Reads the next bytes and appends the events that are whole now.
+    ///
+    /// # Errors
+    ///
+    /// The response can't be read.
+    pub fn read(&mut self, bytes: &[u8], events: &mut Vec<StreamEvent>) -> Result<(), StreamError> {
+        let parser = &mut self.events;
+        self.body.read(bytes, &mut |body| parser.read(body, events))
     }
 
-    /// The response said that it is over.
+    /// Whether the response said that it is over.
     pub fn is_over(&self) -> bool {
-        self.http.is_over()
+        self.body.is_over()
     }
 }
--- a/crates/discovery/tests/reader.rs
+++ b/crates/discovery/tests/reader.rs
@@ -37,10 +37,10 @@
     )
 }
 
-fn read(response: &str, piece: usize) -> Result<(Vec<StreamEvent>, bool), Malformed> {
+fn read(response: &str, piece: usize) -> Result<(Vec<StreamEvent>, bool), StreamError> {
     let (mut reader, mut heard) = (Reader::default(), Vec::new());
     for bytes in response.as_bytes().chunks(piece) {
-        reader.take(bytes, &mut heard)?;
+        reader.read(bytes, &mut heard)?;
     }
     Ok((heard, reader.is_over()))
 }
@@ -112,7 +112,7 @@
         }
         let (mut reader, mut heard) = (Reader::default(), Vec::new());
         for piece in bytes.chunks(rng.usize(1..200)) {
-            if reader.take(piece, &mut heard).is_err() {
+            if reader.read(piece, &mut heard).is_err() {
                 break;
             }
         }
--- a/crates/fleet-test/src/scale/discovery.rs
+++ b/crates/fleet-test/src/scale/discovery.rs
@@ -87,7 +87,7 @@
         let mut reader = Reader::default();
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
         reader
-            .take(head.as_bytes(), &mut Vec::new())
+            .read(head.as_bytes(), &mut Vec::new())
             .expect("a good head");
         Watch { reader }
     }
@@ -96,7 +96,7 @@
     pub fn take(&mut self, text: &str) -> Vec<ListUpdate> {
         let mut heard = Vec::new();
         self.reader
-            .take(text.as_bytes(), &mut heard)
+            .read(text.as_bytes(), &mut heard)
             .expect("a good event");
         let items = heard.iter().filter_map(item);
         items
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -156,7 +156,7 @@
         for _ in 0..MAX_READS {
             let filled = connection.fill().map_err(|e| e.to_string())?;
             let taken = reader
-                .take(connection.input.filled(), &mut heard)
+                .read(connection.input.filled(), &mut heard)
                 .map_err(|e| e.to_string());
             connection.input.clear();
             if !heard.is_empty() {
