--- a/crates/fleet-test/src/owned.rs
+++ b/crates/fleet-test/src/owned.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use eideryard_leases::{Config, Core, FencingToken, Message, Output, Task};
+use eideryard_leases::{Config, FencingToken, LeaseCore, Message, Output, Task, VoterReadiness};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -73,7 +73,7 @@
 }
 
 struct Gateway {
-    core: Core,
+    core: LeaseCore,
     up: bool,
     start: u64,
     paused_until: Micros,
@@ -149,15 +149,16 @@
         fleet
     }
 
-    fn core(&self, at: usize, start: u64, disk: &BTreeMap<Task, FencingToken>) -> Core {
-        let own = (at < self.size.keepers).then_some(at);
-        let plan = Config {
-            keepers: self.size.keepers,
-            own,
+    fn core(&self, at: usize, start: u64, disk: &BTreeMap<Task, FencingToken>) -> LeaseCore {
+        let config = Config {
+            voter_count: self.size.keepers,
+            voter_index: (at < self.size.keepers).then_some(at),
             owner: at as u64 + 1 + start * 1_000_000,
         };
-        let mut core = Core::start(plan, disk.clone().into_iter(), self.time.now);
-        tasks(&self.size).for_each(|task| core.wants(self.time.now, task));
+        let mut core = LeaseCore::new(config, disk.clone().into_iter(), self.time.now);
+        for task in tasks(&self.size) {
+            core.add_candidate(self.time.now, task);
+        }
         core
     }
 
@@ -213,9 +214,14 @@
                 }
                 let core = &mut self.gateways[to].core;
                 let outputs = if to_keeper {
-                    core.hears_asker(self.time.now, from as u64, message, true)
+                    core.on_requester_message(
+                        self.time.now,
+                        from as u64,
+                        message,
+                        VoterReadiness::Ready,
+                    )
                 } else {
-                    core.hears_keeper(self.time.now, from, message)
+                    core.on_voter_message(self.time.now, from, message)
                 };
                 self.perform(to, outputs);
             }
@@ -273,13 +279,15 @@
     }
 
     fn look(&mut self, at: usize) {
-        let outputs = self.gateways[at]
-            .core
-            .work(self.time.now, self.time.now / MS, true);
+        let outputs = self.gateways[at].core.on_timer(
+            self.time.now,
+            self.time.now / MS,
+            VoterReadiness::Ready,
+        );
         self.perform(at, outputs);
         let owned: Vec<Task> = self.gateways[at]
             .core
-            .owned(self.time.now)
+            .held_tokens(self.time.now)
             .map(|(task, _)| task)
             .collect();
         for task in owned {
@@ -323,20 +331,22 @@
     fn perform(&mut self, at: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Keeper(keeper, message) => {
+                Output::ToVoter { voter, message } => {
                     if let Message::VoteRequest { task, .. } = message {
                         self.handovers.asks(self.time.now, task, at);
                     }
-                    self.send(at, keeper, true, message);
+                    self.send(at, voter, true, message);
+                }
+                Output::ToRequester { requester, message } => {
+                    self.send(at, requester as usize, false, message);
                 }
-                Output::Asker(asker, message) => self.send(at, asker as usize, false, message),
-                Output::Askers { but, message } => {
-                    for asker in (0..self.gateways.len()).filter(|asker| Some(*asker as u64) != but)
-                    {
-                        self.send(at, asker, false, message.clone());
+                Output::ToAllRequesters { except, message } => {
+                    let gateways = 0..self.gateways.len();
+                    for requester in gateways.filter(|at| Some(*at as u64) != except) {
+                        self.send(at, requester, false, message.clone());
                     }
                 }
-                Output::Store { task, token, then } => {
+                Output::StoreToken { task, token, then } => {
                     let own = &mut self.gateways[at];
                     own.unflushed.push((task, token, then));
                     if !std::mem::replace(&mut own.flushing, true) {
@@ -345,9 +355,11 @@
                         self.at(takes, Event::Flush { keeper: at, start });
                     }
                 }
-                Output::Forget(task) => _ = self.gateways[at].disk.remove(&task),
-                Output::OwnVote { task, token } => {
-                    let outputs = self.gateways[at].core.own_vote(self.time.now, task, token);
+                Output::RemoveToken(task) => _ = self.gateways[at].disk.remove(&task),
+                Output::VoteForSelf { task, token } => {
+                    let outputs = self.gateways[at]
+                        .core
+                        .on_own_vote(self.time.now, task, token);
                     self.perform(at, outputs);
                 }
                 Output::Apply { task, token, .. } => {
@@ -361,7 +373,7 @@
                     *counted = token.max(*counted);
                 }
                 Output::Fenced { .. } => self.figures.fenced += 1,
-                Output::Won { task, .. } => {
+                Output::LeaseAcquired { task, .. } => {
                     self.owned.insert(task, at);
                     self.handovers.won(self.time.now, task, at);
                     let all = self.owned.len() == self.size.tasks as usize;
@@ -379,7 +391,7 @@
                         *figure = took / MS;
                     }
                 }
-                Output::Lost { task, .. } => {
+                Output::LeaseLost { task, .. } => {
                     self.figures.lapsed += 1;
                     if self.owned.get(&task) == Some(&at) {
                         self.owned.remove(&task);
@@ -402,7 +414,7 @@
         for (task, token, then) in std::mem::take(&mut own.unflushed) {
             let known = self.gateways[keeper].disk.entry(task).or_default();
             *known = token.max(*known);
-            self.gateways[keeper].core.durable(task, token);
+            self.gateways[keeper].core.mark_durable(task, token);
             self.perform(keeper, then);
         }
     }
--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -3,7 +3,9 @@
 
 use std::time::Duration;
 
-use eideryard_leases::{self as owners, FencingToken, Task};
+use eideryard_leases::{
+    self as lease_protocol, FencingToken, Output as LeaseOutput, Task, VoterReadiness,
+};
 use eideryard_peer_transport::failure_detector::{Detector, BEAT};
 use eideryard_peer_transport::frame::{self, Frame};
 use eideryard_replication::entry::{Origin, Phase, WireRecord};
@@ -185,41 +187,46 @@
 
 /// The core of a voter that may own so many tasks, all of which another gateway owns.
 pub fn lease_core(tasks: u32) -> LeaseCore {
-    let plan = owners::Config {
-        keepers: 3,
-        own: Some(0),
+    let config = lease_protocol::Config {
+        voter_count: 3,
+        voter_index: Some(0),
         owner: 1,
     };
-    let mut core = owners::Core::start(plan, std::iter::empty(), 0);
+    let mut core = lease_protocol::LeaseCore::new(config, std::iter::empty(), 0);
     let task = |number| Task {
         kind: 1,
         number: number % tasks,
     };
     let token = FencingToken { term: 1, owner: 2 };
-    (0..tasks).for_each(|number| core.wants(0, task(number)));
-    let ask = |number| owners::Message::VoteRequest {
+    for number in 0..tasks {
+        core.add_candidate(0, task(number));
+    }
+    let vote_request = |number| lease_protocol::Message::VoteRequest {
         task: task(number),
         token,
     };
     for number in 0..tasks {
-        core.hears_asker(0, 1, ask(number), true);
-        core.durable(task(number), token);
+        core.on_requester_message(0, 1, vote_request(number), VoterReadiness::Ready);
+        core.mark_durable(task(number), token);
     }
     let before = thread_time();
     for number in 0..TIMED {
         let mut bytes = Vec::new();
-        frame::write(&mut bytes, &Frame::Message(ask(number)));
-        let Ok(Some((Frame::Message(message), _))) = frame::read::<owners::Message>(&bytes) else {
+        frame::write(&mut bytes, &Frame::Message(vote_request(number)));
+        let Ok(Some((Frame::Message(message), _))) = frame::read::<lease_protocol::Message>(&bytes)
+        else {
             continue;
         };
-        for output in core.hears_asker(1, 1, message, true) {
-            if let owners::Output::Asker(_, answer) = output {
-                frame::write(&mut bytes, &Frame::Message(answer));
+        for output in core.on_requester_message(1, 1, message, VoterReadiness::Ready) {
+            if let LeaseOutput::ToRequester { message, .. } = output {
+                frame::write(&mut bytes, &Frame::Message(message));
             }
         }
     }
     let renewed = thread_time();
-    let outputs: usize = (0..TIMED).map(|_| core.work(1, 0, true).len()).sum();
+    let outputs: usize = (0..TIMED)
+        .map(|_| core.on_timer(1, 0, VoterReadiness::Ready).len())
+        .sum();
     let looked = thread_time();
     assert_eq!(outputs, 0, "nothing is due");
     let each = |spent: Duration| spent.as_secs_f64() * 1e6 / f64::from(TIMED);
--- a/crates/fleet-test/src/scale/shared_sweeps.rs
+++ b/crates/fleet-test/src/scale/shared_sweeps.rs
@@ -5,7 +5,7 @@
 use std::panic::resume_unwind;
 use std::thread::ScopedJoinHandle;
 
-use eideryard_leases::core::MAX_TASKS;
+use eideryard_leases::MAX_TASKS;
 
 use super::measure::{Axis, Figure, Size, Source};
 use super::replication;
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -7,7 +7,7 @@
 use eideryard_engine_protocol as engine_line;
 use eideryard_gateway::links::{classes_fingerprint, PeerMessage};
 use eideryard_intent_log::{entry as intents, Intent, Place};
-use eideryard_leases::{self as owners, FencingToken, Task};
+use eideryard_leases::{self as leases, FencingToken, Task};
 use eideryard_msgpack_rpc as rpc;
 use eideryard_peer_transport::frame::{self, Frame};
 use eideryard_peer_transport::Handshake;
@@ -245,34 +245,34 @@
         Message::Stands { votes: true },
     ];
     let (task, token, greatest) = (TASK, TOKEN, FencingToken { term: 6, owner: 1 });
-    let leases = vec![
-        owners::Message::VoteRequest { task, token },
-        owners::Message::VoteGranted { task, token },
-        owners::Message::VoteDenied {
+    let lease_messages = vec![
+        leases::Message::VoteRequest { task, token },
+        leases::Message::VoteGranted { task, token },
+        leases::Message::VoteDenied {
             task,
             token,
             greatest,
-            left: 300_000,
+            remaining: 300_000,
         },
-        owners::Message::Release { task, token },
-        owners::Message::Work {
+        leases::Message::Release { task, token },
+        leases::Message::Work {
             task,
             token,
-            work: vec![9, 8],
+            payload: vec![9, 8],
         },
-        owners::Message::StaleToken {
+        leases::Message::StaleToken {
             task,
             token,
             greatest,
         },
-        owners::Message::Tokens {
+        leases::Message::Tokens {
             tokens: vec![(task, token)],
         },
     ];
     replicas
         .into_iter()
-        .map(PeerMessage::Copies)
-        .chain(leases.into_iter().map(PeerMessage::Owners))
+        .map(PeerMessage::Replication)
+        .chain(lease_messages.into_iter().map(PeerMessage::Leases))
         .collect()
 }
 
--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -66,15 +66,15 @@
 }
 
 /// What was counted of leases.
-pub fn leases(counters: &eideryard_leases::core::Counters) -> String {
+pub fn leases(counters: &eideryard_leases::Counters) -> String {
     group(
         "Counted",
         &[
-            ("won", counters.won),
+            ("won", counters.acquired),
             ("lost", counters.lost),
             ("applied", counters.applied),
             ("fenced", counters.fenced),
-            ("turned_away", counters.turned_away),
+            ("turned_away", counters.rejected),
         ],
     )
 }
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -85,7 +85,7 @@
         counter_text::intents(&crate::intent_durability::Counted::default()),
         counter_text::spool(&crate::result_spool::Spooled::default()),
         counter_text::replication(&eideryard_replication::core::Counters::default()),
-        counter_text::leases(&eideryard_leases::core::Counters::default()),
+        counter_text::leases(&eideryard_leases::Counters::default()),
     );
     golden::check("counters.txt", text.as_bytes());
 }
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -183,8 +183,8 @@
                 .map(|value| value.bytes.to_vec()),
             copies: copies.collect(),
             tokens: store
-                .prefix(crate::leases::PREFIX)
-                .filter_map(|(key, value)| crate::leases::stored(key, &value.bytes))
+                .prefix(crate::leases::TOKEN_KEY_PREFIX)
+                .filter_map(|(key, value)| crate::leases::decode_token(key, &value.bytes))
                 .collect(),
         }
     }
@@ -550,35 +550,38 @@
         let Some(sharing) = &mut self.sharing else {
             return Default::default();
         };
-        sharing.ask_owning(|own| (own.probes(now), own.fresh()))
+        let Some(leases) = sharing.leases_mut() else {
+            return Default::default();
+        };
+        (leases.take_due_probes(now), leases.take_fresh_reports())
     }
 
     /// A report that stands in for a probe of this gateway's own.
     pub fn report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
-        self.sharing
-            .as_mut()?
-            .ask_owning(|own| own.report(now, engine))
+        let leases = self.sharing.as_mut()?.leases_mut()?;
+        leases.recent_report(now, engine)
     }
 
     /// An engine has answered a probe.
     pub fn reported(&mut self, now: Micros, engine: EngineId, report: &LoadReport) {
         if let (Some(sharing), Some(worker)) = (&mut self.sharing, &mut self.worker) {
-            sharing.owning(|own| own.reported(now, engine, report, worker));
+            sharing.run_leases(|leases| leases.publish_report(now, engine, report, worker));
         }
     }
 
     /// The engines that there are.
     pub fn engines(&mut self, now: Micros) {
         let engines: Vec<EngineId> = self.places.keys().copied().collect();
-        if let Some(sharing) = &mut self.sharing {
-            sharing.ask_owning(|own| own.engines(now, engines.into_iter()));
+        let sharing = self.sharing.as_mut();
+        if let Some(leases) = sharing.and_then(|sharing| sharing.leases_mut()) {
+            leases.set_engines(now, engines.into_iter());
         }
     }
 
     /// This gateway is told to end: others need not wait for what it owns.
     pub fn hands_over(&mut self, now: Micros) {
         if let (Some(sharing), Some(worker)) = (&mut self.sharing, &mut self.worker) {
-            sharing.owning(|own| own.ends(now, worker));
+            sharing.run_leases(|leases| leases.stop(now, worker));
             sharing.flush();
         }
     }
@@ -605,11 +608,12 @@
     pub fn told(&self) -> String {
         let shared = self.sharing.as_ref();
         let shared = shared.map(|own| format!("; {}", counter_text::replication(&own.counted())));
-        let owned = self.sharing.as_ref().and_then(|own| own.owned());
-        let owned = owned.map(|(owned, spared)| {
+        let leases = self.sharing.as_ref().and_then(|sharing| sharing.leases());
+        let owned = leases.map(|leases| {
             format!(
-                "; {}; probes_spared: {spared}",
-                counter_text::leases(&owned)
+                "; {}; probes_spared: {}",
+                counter_text::leases(&leases.counters()),
+                leases.probes_spared()
             )
         });
         format!(
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -1,338 +1,340 @@
-//! Joins the tasks that have one owner to the links and the store. One task is there: probes of an
-//! engine, whose report goes to all. Off without `task` in the operator's file. Decides nothing:
-//! `eideryard_leases` does.
+//! Joins the lease state (`eideryard_leases`, which decides) to the store and, through
+//! [`LeaseAction`]s that the replication driver carries out, to the links among gateways.
+//!
+//! One kind of task is in use: probing an engine, whose report goes to all gateways. Without `task`
+//! in the operator's file there is no driver.
+
+use std::collections::BTreeSet;
 
 use eideryard::interface::{EngineId, LoadReport, Micros};
 use eideryard_event_log::FleetEvent;
-use eideryard_leases::probe::{task, Reports};
-use eideryard_leases::{Config, Core, FencingToken, Message, Output, Task};
+use eideryard_leases::probe::{probe_task, ReceivedReport, ReportOutcome, Reports};
+use eideryard_leases::{
+    Config, Counters, FencingToken, LeaseCore, Message, Output, Task, VoterReadiness,
+};
 use eideryard_replication::Origin;
 use eideryard_store::worker::Worker;
-use eideryard_store::Batch;
-use serde::{Deserialize, Serialize};
 
-/// The store's keys of tokens: a prefix, then the task.
-pub const PREFIX: &[u8] = b"t";
-/// An engine's report as its owner sends it: a number that only grows under one token, since each
-/// keeper passes it on and one copy counts, and the age.
-#[derive(Serialize, Deserialize)]
-struct Work {
-    number: u64,
-    age: Micros,
-    report: [Option<f64>; 5],
-}
+mod probe_report;
+mod stored_tokens;
+
+use probe_report::ProbeReport;
+pub use stored_tokens::{decode_token, TOKEN_KEY_PREFIX};
+use stored_tokens::{remove_token, store_token};
 
-/// What a gateway is to do.
-pub enum Todo {
-    /// To a keeper, one who made a link here, or all of these but one.
-    Keeper(usize, Message),
-    Asker(u64, Message),
-    Askers(Option<u64>, Message),
-    /// Once a ticket of the store is durable.
-    Then(u64, Task, FencingToken, Vec<Output>),
+/// What the replication driver is to do for the lease driver.
+pub enum LeaseAction {
+    /// Send a message to a voter.
+    SendToVoter { voter: usize, message: Message },
+    /// Send a message to a gateway that made a link here.
+    SendToRequester { requester: u64, message: Message },
+    /// Send a message to all gateways that made links here.
+    SendToAllRequesters {
+        except: Option<u64>,
+        message: Message,
+    },
+    /// Call [`LeaseDriver::on_token_durable`] once the write is durable.
+    AwaitDurable(PendingToken),
 }
 
-pub struct LeaseDriver {
-    core: Core,
-    numbers: u64,
-    reports: Reports<LoadReport>,
-    /// Reports that the module is to hear of.
-    fresh: Vec<(EngineId, LoadReport)>,
-    words: Vec<FleetEvent>,
-    /// Probes that a fresh report stood in for.
-    pub spared: u64,
+/// A token that is written to the store but not durable yet.
+pub struct PendingToken {
+    /// Number of the write, as the store's worker counts them.
+    pub ticket: u64,
+    pub task: Task,
+    pub token: FencingToken,
+    /// What follows once the token is durable.
+    pub then: Vec<Output>,
 }
 
-/// Engines whose probing is owned here, with the term; of each engine the greatest token that is
-/// known.
+/// Engines whose probing is owned here, and the greatest known token of each engine, for the status
+/// file.
 #[derive(Default)]
-pub struct Terms {
+pub struct LeaseStatus {
+    /// Engine and term.
     pub owned: Vec<(u32, u64)>,
+    /// Engine, term and owner.
     pub known: Vec<(u32, u64, u64)>,
 }
 
-fn store_key(task: Task) -> Vec<u8> {
-    let mut key = PREFIX.to_vec();
-    key.push(task.kind);
-    key.extend_from_slice(&task.number.to_be_bytes());
-    key
-}
-
-/// A task's token as the store holds it.
-pub fn stored(key: &[u8], value: &[u8]) -> Option<(Task, FencingToken)> {
-    let key = key.strip_prefix(PREFIX)?;
-    let (kind, number) = key.split_first()?;
-    let task = Task {
-        kind: *kind,
-        number: u32::from_be_bytes(number.try_into().ok()?),
-    };
-    postcard::from_bytes(value).ok().map(|token| (task, token))
+/// Leases of one gateway.
+pub struct LeaseDriver {
+    core: LeaseCore,
+    last_report_number: u64,
+    reports: Reports<LoadReport>,
+    /// Reports that the balancer has not seen yet.
+    fresh_reports: Vec<(EngineId, LoadReport)>,
+    events: Vec<FleetEvent>,
+    probes_spared: u64,
 }
 
 impl LeaseDriver {
-    pub fn start(
-        keepers: usize,
-        own: Option<usize>,
+    /// A driver with the tokens that the store holds. `voter_index` is this gateway's place among
+    /// the voters, if it is one.
+    pub fn new(
+        voter_count: usize,
+        voter_index: Option<usize>,
         origin: Origin,
         tokens: Vec<(Task, FencingToken)>,
         now: Micros,
     ) -> Self {
-        // Another one for each life, so that no two lives share a token.
-        let owner = origin.identity ^ origin.start.rotate_left(40);
-        let core = Core::start(
-            Config {
-                keepers,
-                own,
-                owner,
-            },
-            tokens.into_iter(),
-            now,
-        );
+        let config = Config {
+            voter_count,
+            voter_index,
+            // Differs between starts, so that no two incarnations share a token.
+            owner: origin.identity ^ origin.start.rotate_left(40),
+        };
         LeaseDriver {
-            core,
-            numbers: 0,
+            core: LeaseCore::new(config, tokens.into_iter(), now),
+            last_report_number: 0,
             reports: Reports::default(),
-            fresh: Vec::new(),
-            words: Vec::new(),
-            spared: 0,
+            fresh_reports: Vec::new(),
+            events: Vec::new(),
+            probes_spared: 0,
         }
     }
 
-    fn perform(&mut self, now: Micros, outputs: Vec<Output>, worker: &mut Worker) -> Vec<Todo> {
-        let mut todo = Vec::new();
+    fn perform(
+        &mut self,
+        now: Micros,
+        outputs: Vec<Output>,
+        worker: &mut Worker,
+    ) -> Vec<LeaseAction> {
+        let mut actions = Vec::new();
         for output in outputs {
             match output {
-                Output::Keeper(keeper, message) => todo.push(Todo::Keeper(keeper, message)),
-                Output::Asker(link, message) => todo.push(Todo::Asker(link, message)),
-                Output::Askers { but, message } => todo.push(Todo::Askers(but, message)),
-                Output::Store { task, token, then } => {
-                    let mut batch = Batch::default();
-                    batch.put(
-                        store_key(task),
-                        postcard::to_stdvec(&token).unwrap_or_default(),
-                        0,
-                    );
-                    // A promise that can't be made durable is never given.
-                    let ticket = worker.write(batch).into_iter();
-                    todo.extend(ticket.map(|ticket| Todo::Then(ticket, task, token, then.clone())));
+                Output::ToVoter { voter, message } => {
+                    actions.push(LeaseAction::SendToVoter { voter, message });
+                }
+                Output::ToRequester { requester, message } => {
+                    actions.push(LeaseAction::SendToRequester { requester, message });
+                }
+                Output::ToAllRequesters { except, message } => {
+                    actions.push(LeaseAction::SendToAllRequesters { except, message });
                 }
-                Output::Forget(task) => {
-                    let mut batch = Batch::default();
-                    batch.remove(store_key(task));
-                    // What stays in the store is forgotten after the next start.
-                    worker.write(batch);
+                Output::StoreToken { task, token, then } => {
+                    // A promise that can't be made durable is never sent.
+                    if let Some(ticket) = worker.write(store_token(task, token)) {
+                        actions.push(LeaseAction::AwaitDurable(PendingToken {
+                            ticket,
+                            task,
+                            token,
+                            then,
+                        }));
+                    }
                 }
-                Output::OwnVote { task, token } => {
-                    let outputs = self.core.own_vote(now, task, token);
-                    todo.extend(self.perform(now, outputs, worker));
+                Output::RemoveToken(task) => {
+                    // If the write fails, the token is removed after the next start.
+                    worker.write(remove_token(task));
                 }
-                Output::Apply { task, token, work } => self.applies(now, task, token, &work),
-                Output::Fenced { task, token, .. } => self.tells(task, token, false),
-                Output::Won { task, token } => self.owns(task, token, true),
-                Output::Lost { task, token } => self.owns(task, token, false),
+                Output::VoteForSelf { task, token } => {
+                    let outputs = self.core.on_own_vote(now, task, token);
+                    actions.extend(self.perform(now, outputs, worker));
+                }
+                Output::Apply {
+                    task,
+                    token,
+                    payload,
+                } => self.apply_report(now, task, token, &payload),
+                Output::Fenced { task, token, .. } => self.record_work(task, token, false),
+                Output::LeaseAcquired { task, token } => self.record_ownership(task, token, true),
+                Output::LeaseLost { task, token } => self.record_ownership(task, token, false),
             }
         }
-        todo
+        actions
     }
 
-    fn owns(&mut self, task: Task, token: FencingToken, owns: bool) {
+    fn record_ownership(&mut self, task: Task, token: FencingToken, is_owner: bool) {
         tracing::debug!(
-            "task {} {}: term {} {owns}",
+            "task {} {}: term {} {is_owner}",
             task.kind,
             task.number,
             token.term
         );
-        self.words.push(FleetEvent::Owns {
+        self.events.push(FleetEvent::Owns {
             task: task.number,
             term: token.term,
-            owns,
+            owns: is_owner,
         });
     }
 
-    fn tells(&mut self, task: Task, FencingToken { term, owner }: FencingToken, counts: bool) {
-        self.words.push(FleetEvent::Work {
+    fn record_work(&mut self, task: Task, token: FencingToken, is_applied: bool) {
+        self.events.push(FleetEvent::Work {
             task: task.number,
-            term,
-            owner,
-            counts,
+            term: token.term,
+            owner: token.owner,
+            counts: is_applied,
         });
     }
 
-    fn applies(&mut self, now: Micros, task: Task, token: FencingToken, work: &[u8]) {
-        let Ok(Work {
-            number,
-            age,
-            report,
-        }) = postcard::from_bytes(work)
-        else {
+    fn apply_report(&mut self, now: Micros, task: Task, token: FencingToken, payload: &[u8]) {
+        let Some(probe_report) = ProbeReport::from_bytes(payload) else {
             return;
         };
-        let [in_flight, waiting_for_memory, cores_busy, memory_granted, disks_busy] = report;
-        let report = LoadReport {
-            in_flight,
-            waiting_for_memory,
-            cores_busy,
-            memory_granted,
-            disks_busy,
+        let report = probe_report.load_report();
+        let received = ReceivedReport {
+            token,
+            number: probe_report.number,
+            age: probe_report.age,
+            report,
         };
-        let Some(fresh) = self
-            .reports
-            .take(now, task.number, (token, number), age, report)
-        else {
+        let outcome = self.reports.on_report(now, task.number, received);
+        if outcome == ReportOutcome::Duplicate {
             return;
-        };
-        self.tells(task, token, true);
-        self.fresh.extend(fresh.then_some((task.number, report)));
+        }
+        self.record_work(task, token, true);
+        if outcome == ReportOutcome::Fresh {
+            self.fresh_reports.push((task.number, report));
+        }
     }
 
-    pub fn hears_asker(
+    /// A message of a gateway that made a link here.
+    pub fn on_requester_message(
         &mut self,
         now: Micros,
-        from: u64,
+        requester: u64,
         message: Message,
-        votes: bool,
+        readiness: VoterReadiness,
         worker: &mut Worker,
-    ) -> Vec<Todo> {
-        let outputs = self.core.hears_asker(now, from, message, votes);
+    ) -> Vec<LeaseAction> {
+        let outputs = self
+            .core
+            .on_requester_message(now, requester, message, readiness);
         self.perform(now, outputs, worker)
     }
 
-    pub fn hears_keeper(
+    /// A message of a voter that this gateway has a link to.
+    pub fn on_voter_message(
         &mut self,
         now: Micros,
-        keeper: usize,
+        voter: usize,
         message: Message,
         worker: &mut Worker,
-    ) -> Vec<Todo> {
-        let outputs = self.core.hears_keeper(now, keeper, message);
+    ) -> Vec<LeaseAction> {
+        let outputs = self.core.on_voter_message(now, voter, message);
         self.perform(now, outputs, worker)
     }
 
-    /// A ticket is durable: what waited for it follows.
-    pub fn durable(
+    /// A token is durable: what waited for it follows.
+    pub fn on_token_durable(
         &mut self,
         now: Micros,
-        (task, token): (Task, FencingToken),
-        outputs: Vec<Output>,
+        pending: PendingToken,
         worker: &mut Worker,
-    ) -> Vec<Todo> {
-        self.core.durable(task, token);
-        self.perform(now, outputs, worker)
+    ) -> Vec<LeaseAction> {
+        self.core.mark_durable(pending.task, pending.token);
+        self.perform(now, pending.then, worker)
     }
 
-    pub fn work(&mut self, now: Micros, votes: bool, worker: &mut Worker) -> Vec<Todo> {
-        // The host's clock is fixed to Unix time at its start.
-        let outputs = self.core.work(now, now / 1000, votes);
+    /// Acts on the passing of time.
+    pub fn on_timer(
+        &mut self,
+        now: Micros,
+        readiness: VoterReadiness,
+        worker: &mut Worker,
+    ) -> Vec<LeaseAction> {
+        // The gateway's clock begins at Unix time.
+        let unix_ms = now / 1000;
+        let outputs = self.core.on_timer(now, unix_ms, readiness);
         self.perform(now, outputs, worker)
     }
 
-    /// The engines that there are: each is a task that this gateway may own.
-    pub fn engines(&mut self, now: Micros, engines: impl Iterator<Item = EngineId>) {
-        let known: std::collections::BTreeSet<EngineId> = engines.collect();
-        for engine in known.iter() {
-            self.core.wants(now, task(*engine));
+    /// Sets the engines that exist: the probing of each is a task that this gateway may own.
+    pub fn set_engines(&mut self, now: Micros, engines: impl Iterator<Item = EngineId>) {
+        let engines: BTreeSet<EngineId> = engines.collect();
+        for engine in &engines {
+            self.core.add_candidate(now, probe_task(*engine));
         }
-        self.core.forgets(|task| !known.contains(&task.number));
-        self.reports.retain(|engine| known.contains(&engine));
+        self.core
+            .remove_candidates(|task| !engines.contains(&task.number));
+        self.reports
+            .retain_engines(|engine| engines.contains(&engine));
     }
 
-    /// Engines that this gateway is to probe for all.
-    pub fn probes(&mut self, now: Micros) -> Vec<EngineId> {
-        self.reports
-            .due(now, self.core.owned(now).map(|(task, _)| task))
+    /// Engines that this gateway is to probe now on behalf of all.
+    pub fn take_due_probes(&mut self, now: Micros) -> Vec<EngineId> {
+        let owned = self.core.held_tokens(now).map(|(task, _)| task);
+        self.reports.take_due_probes(now, owned)
     }
 
-    /// An engine has answered a probe of this gateway's: all hear of it, if it owns the probing of
-    /// it.
-    pub fn reported(
+    /// An engine has answered a probe of this gateway: sends the report to all, if this gateway
+    /// owns its probing.
+    pub fn publish_report(
         &mut self,
         now: Micros,
         engine: EngineId,
         report: &LoadReport,
         worker: &mut Worker,
-    ) -> Vec<Todo> {
-        self.numbers += 1;
-        let LoadReport {
-            in_flight,
-            waiting_for_memory,
-            cores_busy,
-            memory_granted,
-            disks_busy,
-        } = *report;
-        let report = [
-            in_flight,
-            waiting_for_memory,
-            cores_busy,
-            memory_granted,
-            disks_busy,
-        ];
-        let work = Work {
-            number: self.numbers,
-            age: 0,
-            report,
-        };
-        let work = postcard::to_stdvec(&work).unwrap_or_default();
-        let outputs = self.core.act(now, task(engine), work);
-        let todo = self.perform(now, outputs, worker);
-        // The module has heard of it already.
-        self.fresh.retain(|(own, _)| *own != engine);
-        todo
+    ) -> Vec<LeaseAction> {
+        self.last_report_number += 1;
+        let payload = ProbeReport::new(self.last_report_number, report).to_bytes();
+        let outputs = self.core.act(now, probe_task(engine), payload);
+        let actions = self.perform(now, outputs, worker);
+        // The balancer has this report already.
+        self.fresh_reports
+            .retain(|(reported, _)| *reported != engine);
+        actions
     }
 
-    /// A report that stands in for a probe.
-    pub fn report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
-        let report = self.reports.stands_in(now, engine);
-        self.spared += u64::from(report.is_some());
+    /// A report recent enough to replace a probe of this gateway's own.
+    pub fn recent_report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
+        let report = self.reports.recent_report(now, engine);
+        self.probes_spared += u64::from(report.is_some());
         report
     }
 
-    pub fn fresh(&mut self) -> Vec<(EngineId, LoadReport)> {
-        std::mem::take(&mut self.fresh)
+    /// Reports of other gateways since the last call.
+    pub fn take_fresh_reports(&mut self) -> Vec<(EngineId, LoadReport)> {
+        std::mem::take(&mut self.fresh_reports)
     }
 
-    pub fn words(&mut self) -> Vec<FleetEvent> {
-        std::mem::take(&mut self.words)
+    /// Events for the event log since the last call.
+    pub fn take_events(&mut self) -> Vec<FleetEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    pub fn tokens(&self) -> Option<Message> {
-        self.core.tokens()
+    /// All tokens known here, for a peer that catches up.
+    pub fn tokens_message(&self) -> Option<Message> {
+        self.core.tokens_message()
     }
 
-    pub fn ends(&mut self, now: Micros, worker: &mut Worker) -> Vec<Todo> {
-        let outputs = self.core.ends();
+    /// The gateway shuts down: its tasks are free at once.
+    pub fn stop(&mut self, now: Micros, worker: &mut Worker) -> Vec<LeaseAction> {
+        let outputs = self.core.stop();
         self.perform(now, outputs, worker)
     }
 
-    pub fn due(&self, now: Micros) -> Micros {
-        let probes = self
-            .reports
-            .next(now, self.core.owned(now).map(|(task, _)| task));
-        probes
-            .into_iter()
-            .chain([self.core.due()])
-            .min()
-            .unwrap_or(now)
+    /// When [`LeaseDriver::on_timer`] or [`LeaseDriver::take_due_probes`] has something to do.
+    pub fn deadline(&self, now: Micros) -> Micros {
+        let owned = self.core.held_tokens(now).map(|(task, _)| task);
+        let next_timer = self.core.deadline();
+        match self.reports.next_probe_at(now, owned) {
+            Some(next_probe) => next_probe.min(next_timer),
+            None => next_timer,
+        }
     }
 
-    pub fn counted(&self) -> eideryard_leases::core::Counters {
-        self.core.counted
+    /// What was counted since the start.
+    pub fn counters(&self) -> Counters {
+        self.core.counters()
     }
 
-    /// Tasks that this gateway owns, and the greatest term of each that it knows.
-    pub fn status(&self, now: Micros) -> Terms {
-        let owned = self
-            .core
-            .owned(now)
-            .map(|(task, token)| (task.number, token.term))
-            .collect();
-        let known = self
-            .core
-            .fences()
-            .all()
-            .map(|(task, token)| (task.number, token.term, token.owner));
-        Terms {
-            owned,
-            known: known.collect(),
+    /// Probes that a recent report replaced, since the start.
+    pub fn probes_spared(&self) -> u64 {
+        self.probes_spared
+    }
+
+    /// Owned tasks and known tokens, for the status file.
+    pub fn status(&self, now: Micros) -> LeaseStatus {
+        let held = self.core.held_tokens(now);
+        let known = self.core.fences().tokens();
+        LeaseStatus {
+            owned: held
+                .map(|(task, token)| (task.number, token.term))
+                .collect(),
+            known: known
+                .map(|(task, token)| (task.number, token.term, token.owner))
+                .collect(),
         }
     }
 }
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -10,7 +10,7 @@
 use eideryard_event_log::{FleetEvent, RejectReason};
 use eideryard_intent_log::state::RETENTION_MARGIN;
 use eideryard_intent_log::{Intent, Place};
-use eideryard_leases::{self as owners, FencingToken, Task};
+use eideryard_leases::VoterReadiness;
 use eideryard_operator_config::FleetConfig;
 use eideryard_peer_transport::{Handshake, Hub, Peer as End, PeerEvent, State};
 use eideryard_replication::core::ClaimError;
@@ -24,7 +24,7 @@
 
 use crate::fingerprints::classes_fingerprint;
 use crate::intent_durability::Shared;
-use crate::leases::{LeaseDriver, Todo};
+use crate::leases::{LeaseAction, LeaseDriver, PendingToken};
 
 mod lease_messages;
 mod status;
@@ -63,17 +63,17 @@
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
     /// Replicas of intents.
-    Copies(Message),
+    Replication(Message),
     /// Leases of tasks, and work under them.
-    Owners(owners::Message),
+    Leases(eideryard_leases::Message),
 }
 
 pub struct ReplicationDriver {
     core: Core,
     hub: Hub<PeerMessage>,
-    owning: Option<LeaseDriver>,
-    /// What owners' work waits for, by the store's tickets.
-    promised: VecDeque<(u64, Task, FencingToken, Vec<owners::Output>)>,
+    leases: Option<LeaseDriver>,
+    /// Fencing tokens that are written but not durable yet, in the order of their tickets.
+    pending_tokens: VecDeque<PendingToken>,
     /// What follows once a write of the store is durable, by its ticket.
     then: VecDeque<(u64, Vec<Output>)>,
     verdicts: Vec<(u64, Verdict)>,
@@ -178,17 +178,17 @@
                 plan.name
             ),
         }
-        let owning = plan
+        let leases = plan
             .probes
-            .then(|| LeaseDriver::start(keepers.len(), own, origin, tokens, now));
+            .then(|| LeaseDriver::new(keepers.len(), own, origin, tokens, now));
         let words = Vec::from_iter(own.map(|_| FleetEvent::Votes {
             votes: core.standing.votes(),
         }));
         Ok(ReplicationDriver {
             core,
             hub,
-            owning,
-            promised: VecDeque::new(),
+            leases,
+            pending_tokens: VecDeque::new(),
             then: VecDeque::new(),
             verdicts: Vec::new(),
             numbers: 0,
@@ -264,12 +264,13 @@
                         message,
                         Message::Part { last: true, .. } | Message::Stands { .. }
                     ) {
-                        let tokens = self.owning.as_ref().and_then(|owning| owning.tokens());
-                        for told in tokens.into_iter() {
-                            _ = self.hub.tell(to_end(peer), PeerMessage::Owners(told));
+                        let tokens = self.leases.as_ref().and_then(LeaseDriver::tokens_message);
+                        if let Some(tokens) = tokens {
+                            self.send_lease_message(to_end(peer), tokens);
                         }
                     }
-                    self.hub.tell(to_end(peer), PeerMessage::Copies(message));
+                    self.hub
+                        .tell(to_end(peer), PeerMessage::Replication(message));
                 }
                 Output::Store { key, copy, then } => {
                     let (mut batch, key) = (Batch::default(), entry::stored_key(&key));
@@ -322,18 +323,20 @@
         let outputs = match heard {
             PeerEvent::Message {
                 peer,
-                message: PeerMessage::Owners(message),
+                message: PeerMessage::Leases(message),
             } => {
-                let votes = self.core.standing.votes();
-                self.owning(|own| match peer {
-                    End::Requester(link) => own.hears_asker(now, link, message, votes, worker),
-                    End::Voter(keeper) => own.hears_keeper(now, keeper, message, worker),
+                let readiness = self.voter_readiness();
+                self.run_leases(|leases| match peer {
+                    End::Requester(link) => {
+                        leases.on_requester_message(now, link, message, readiness, worker)
+                    }
+                    End::Voter(voter) => leases.on_voter_message(now, voter, message, worker),
                 });
                 Vec::new()
             }
             PeerEvent::Message {
                 peer,
-                message: PeerMessage::Copies(message),
+                message: PeerMessage::Replication(message),
             } => self.core.hears(now, of_end(peer), message),
             PeerEvent::Up { peer, name } => {
                 self.turned.remove(&name);
@@ -400,18 +403,9 @@
             let outputs = self.then.pop_front().map(|(_, outputs)| outputs);
             self.perform(now, outputs.unwrap_or_default(), worker);
         }
-        while self
-            .promised
-            .front()
-            .is_some_and(|(ticket, ..)| *ticket <= durable)
-        {
-            let Some((_, task, token, outputs)) = self.promised.pop_front() else {
-                break;
-            };
-            self.owning(|own| own.durable(now, (task, token), outputs, worker));
-        }
-        let votes = self.core.standing.votes();
-        self.owning(|own| own.work(now, votes, worker));
+        self.continue_durable_tokens(now, durable, worker);
+        let readiness = self.voter_readiness();
+        self.run_leases(|leases| leases.on_timer(now, readiness, worker));
         if now >= self.core.due() {
             let outputs = self.core.work(now);
             self.perform(now, outputs, worker);
@@ -465,7 +459,8 @@
     }
 
     pub fn due(&self, now: Micros) -> Micros {
-        let owners = self.owning.as_ref().map_or(Micros::MAX, |own| own.due(now));
-        self.core.due().min(self.status_at).min(owners)
+        let leases = self.leases.as_ref();
+        let lease_deadline = leases.map_or(Micros::MAX, |leases| leases.deadline(now));
+        self.core.due().min(self.status_at).min(lease_deadline)
     }
 }
--- a/crates/gateway/src/replication/lease_messages.rs
+++ b/crates/gateway/src/replication/lease_messages.rs
@@ -1,42 +1,69 @@
-//! Work with one owner: what the owners' core wants done, over links and through the store.
+//! Carries out what the lease driver asks for, over the links and through the store.
 
 use super::*;
 
 impl ReplicationDriver {
-    /// Carries out what owners' part asks for.
-    pub(super) fn owners(&mut self, todo: Vec<Todo>) {
-        for next in todo {
-            match next {
-                Todo::Keeper(keeper, message) => {
-                    self.hub
-                        .tell(End::Voter(keeper), PeerMessage::Owners(message));
+    /// Whether this voter has everything that it ever promised.
+    pub(super) fn voter_readiness(&self) -> VoterReadiness {
+        if self.core.standing.votes() {
+            VoterReadiness::Ready
+        } else {
+            VoterReadiness::Recovering
+        }
+    }
+
+    fn perform_lease_actions(&mut self, actions: Vec<LeaseAction>) {
+        for action in actions {
+            match action {
+                LeaseAction::SendToVoter { voter, message } => {
+                    self.send_lease_message(End::Voter(voter), message);
                 }
-                Todo::Asker(link, message) => {
-                    _ = self
-                        .hub
-                        .tell(End::Requester(link), PeerMessage::Owners(message));
+                LeaseAction::SendToRequester { requester, message } => {
+                    self.send_lease_message(End::Requester(requester), message);
                 }
-                Todo::Askers(but, message) => {
-                    for link in self.askers.keys().filter(|link| Some(**link) != but) {
+                LeaseAction::SendToAllRequesters { except, message } => {
+                    for link in self.askers.keys().filter(|link| Some(**link) != except) {
                         self.hub
-                            .tell(End::Requester(*link), PeerMessage::Owners(message.clone()));
+                            .tell(End::Requester(*link), PeerMessage::Leases(message.clone()));
                     }
                 }
-                Todo::Then(ticket, task, token, then) => {
-                    self.promised.push_back((ticket, task, token, then));
-                }
+                LeaseAction::AwaitDurable(pending) => self.pending_tokens.push_back(pending),
             }
         }
     }
 
-    /// Does something of owners' part, where it is on.
-    pub fn owning(&mut self, act: impl FnOnce(&mut LeaseDriver) -> Vec<Todo>) {
-        let todo = self.owning.as_mut().map(act);
-        self.owners(todo.unwrap_or_default());
+    /// What a full queue loses is requested again or expires.
+    pub(super) fn send_lease_message(&mut self, peer: End, message: eideryard_leases::Message) {
+        self.hub.tell(peer, PeerMessage::Leases(message));
+    }
+
+    /// Calls the lease driver, if there is one, and carries out what it asks for.
+    pub fn run_leases(&mut self, call: impl FnOnce(&mut LeaseDriver) -> Vec<LeaseAction>) {
+        if let Some(leases) = &mut self.leases {
+            let actions = call(leases);
+            self.perform_lease_actions(actions);
+        }
+    }
+
+    /// The lease driver, where there is one.
+    pub fn leases_mut(&mut self) -> Option<&mut LeaseDriver> {
+        self.leases.as_mut()
     }
 
-    /// Asks owners' part something, where it is on.
-    pub fn ask_owning<T: Default>(&mut self, ask: impl FnOnce(&mut LeaseDriver) -> T) -> T {
-        self.owning.as_mut().map(ask).unwrap_or_default()
+    /// Calls the lease driver with each token that has become durable.
+    pub(super) fn continue_durable_tokens(
+        &mut self,
+        now: Micros,
+        durable_ticket: u64,
+        worker: &mut Worker,
+    ) {
+        while let Some(pending) = self.pending_tokens.front() {
+            if pending.ticket > durable_ticket {
+                break;
+            }
+            if let Some(pending) = self.pending_tokens.pop_front() {
+                self.run_leases(|leases| leases.on_token_durable(now, pending, worker));
+            }
+        }
     }
 }
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -5,13 +5,15 @@
 impl ReplicationDriver {
     pub fn words(&mut self) -> Vec<FleetEvent> {
         let mut words = std::mem::take(&mut self.words);
-        words.extend(self.ask_owning(LeaseDriver::words));
+        if let Some(leases) = &mut self.leases {
+            words.extend(leases.take_events());
+        }
         words
     }
 
-    /// What the owners' part counted.
-    pub fn owned(&self) -> Option<(owners::core::Counters, u64)> {
-        self.owning.as_ref().map(|own| (own.counted(), own.spared))
+    /// The lease driver, where there is one.
+    pub fn leases(&self) -> Option<&LeaseDriver> {
+        self.leases.as_ref()
     }
 
     /// All that the record knows of the fleet, for the beginning of a segment.
@@ -63,13 +65,15 @@
             .fold(0u64, |sum, print| sum.rotate_left(7) ^ print);
         let (core, origin) = (&self.core, self.core.origin());
         let counted = core.counted;
-        let owning = self.owning.as_ref();
-        let terms = owning.map(|own| own.status(now)).unwrap_or_default();
-        let owners = owning.map(|own| own.counted()).unwrap_or_default();
+        let leases = self.leases.as_ref();
+        let lease_status = leases.map(|leases| leases.status(now)).unwrap_or_default();
+        let lease_counters = leases.map(LeaseDriver::counters).unwrap_or_default();
         Some(json!({
             "owner": format!("{:016x}", origin.identity ^ origin.start.rotate_left(40)),
-            "owned": terms.owned, "terms": terms.known, "won": owners.won, "lost": owners.lost,
-            "applied": owners.applied, "fenced": owners.fenced, "own_fenced": owners.turned_away,
+            "owned": lease_status.owned, "terms": lease_status.known,
+            "won": lease_counters.acquired, "lost": lease_counters.lost,
+            "applied": lease_counters.applied, "fenced": lease_counters.fenced,
+            "own_fenced": lease_counters.rejected,
             "name": self.name, "fleet": self.fleet, "at_ms": now / 1000,
             "identity": format!("{:016x}", origin.identity), "start": origin.start,
             "keeper": self.keepers.contains(&self.name), "votes": core.standing.votes(),
--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -1,59 +1,82 @@
-//! One gateway's way to a task: waits its turn, asks, owns, renews, and finds on waking that its
-//! lease is over.
+//! The state of one gateway with respect to one task: it waits for its turn, requests votes, owns
+//! the task and renews its lease, and notices by its clock that the lease has expired.
 
 use std::collections::BTreeSet;
 
-use crate::fencing_token::{weight, FencingToken, Task};
-use crate::{Micros, LEASE, MARGIN, RENEW};
+use crate::fencing_token::{candidate_weight, FencingToken, Task};
+use crate::{Micros, LEASE_DURATION, LEASE_MARGIN, RENEW_INTERVAL};
 
-/// Gateways of lesser weight try up to this much later.
-const SPREAD: Micros = 1_500_000;
-/// Votes that have not come by then are not waited for.
-const PATIENCE: Micros = 400_000;
+/// Candidates of the least weight request votes this much later than those of the greatest.
+const MAX_TURN_DELAY: Micros = 1_500_000;
+/// Votes that have not arrived after this time are not waited for.
+const VOTE_TIMEOUT: Micros = 400_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    Waits {
+    Waiting {
         until: Micros,
     },
-    Asks {
+    RequestingVotes {
         token: FencingToken,
-        asked: Micros,
+        requested_at: Micros,
         votes: BTreeSet<usize>,
-        denied: BTreeSet<usize>,
+        denials: BTreeSet<usize>,
     },
-    Owns {
+    Owning {
         token: FencingToken,
         until: Micros,
-        renews: Option<(Micros, BTreeSet<usize>)>,
-        renewed: Micros,
+        renewal: Option<Renewal>,
+        renewed_at: Micros,
     },
-    /// It is told to end, and tries no more.
-    Gone,
+    /// The gateway shuts down.
+    Stopped,
 }
 
+/// A renewal under way.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Renewal {
+    requested_at: Micros,
+    votes: BTreeSet<usize>,
+}
+
+/// One gateway as candidate for, or owner of, one task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     task: Task,
     owner: u64,
     majority: usize,
     stage: Stage,
-    greatest: u64,
+    greatest_term: u64,
 }
 
+/// What a candidate's caller must act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    Nothing,
-    /// All keepers are to be asked for a vote for this.
-    Ask(FencingToken),
-    Won(FencingToken),
-    /// Its lease is over before it was renewed.
+pub enum Transition {
+    /// Nothing.
+    None,
+    /// All voters are to be asked for a vote for this token.
+    RequestVotes(FencingToken),
+    /// The lease was acquired.
+    Acquired(FencingToken),
+    /// The lease expired before it was renewed, or another gateway has a greater token.
     Lost(FencingToken),
-    /// It got no majority: who voted for it is free to vote for others at once.
+    /// No majority was reached: those who voted for the token may vote for others at once.
     Withdrew(FencingToken),
 }
 
+/// A voter's refusal, as its message carries it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Denial {
+    /// The token that was requested.
+    pub token: FencingToken,
+    /// The greatest token that the voter knows.
+    pub greatest: FencingToken,
+    /// How long the lease of that token's owner still holds.
+    pub remaining: Micros,
+}
+
 impl Candidate {
+    /// A candidate that waits for its turn. `greatest` is the greatest known token of the task.
     pub fn new(
         task: Task,
         owner: u64,
@@ -61,186 +84,195 @@
         greatest: FencingToken,
         now: Micros,
     ) -> Self {
-        let stage = Stage::Waits {
-            until: now + Self::turn(task, owner),
-        };
         Candidate {
             task,
             owner,
             majority,
-            stage,
-            greatest: greatest.term,
+            stage: Stage::Waiting {
+                until: now + turn_delay(task, owner),
+            },
+            greatest_term: greatest.term,
         }
     }
 
-    /// How long after the first that could one of this weight tries.
-    fn turn(task: Task, owner: u64) -> Micros {
-        ((1.0 - weight(task, owner)) * SPREAD as f64) as Micros
-    }
-
-    fn waits(&mut self, now: Micros, left: Micros) {
-        self.stage = Stage::Waits {
-            until: now + left + Self::turn(self.task, self.owner),
+    fn wait(&mut self, now: Micros, remaining: Micros) {
+        self.stage = Stage::Waiting {
+            until: now + remaining + turn_delay(self.task, self.owner),
         };
     }
 
-    /// The token to act under, as far as this clock knows. What is sent under it may still come too
-    /// late: the fence knows.
-    pub fn owns(&self, now: Micros) -> Option<FencingToken> {
+    /// The token under which this gateway owns the task, as far as its clock knows. Work sent under
+    /// it may still arrive too late; the fences of its receivers reject it then.
+    pub fn held_token(&self, now: Micros) -> Option<FencingToken> {
         match self.stage {
-            Stage::Owns { token, until, .. } if now < until => Some(token),
+            Stage::Owning { token, until, .. } if now < until => Some(token),
             _ => None,
         }
     }
 
-    /// When [`Candidate::work`] has something to do. To the point, since of hundreds some turns lie
-    /// close together, and two that ask at once may split the votes.
-    pub fn due(&self) -> Micros {
+    /// When [`Candidate::on_timer`] has something to do. It is exact: among hundreds of candidates
+    /// some turns lie close together, and two that request votes at once may split them.
+    pub fn deadline(&self) -> Micros {
         match &self.stage {
-            Stage::Waits { until } => *until,
-            Stage::Asks { asked, .. } => asked + PATIENCE,
-            Stage::Owns { until, renewed, .. } => (renewed + RENEW).min(*until),
-            Stage::Gone => Micros::MAX,
+            Stage::Waiting { until } => *until,
+            Stage::RequestingVotes { requested_at, .. } => requested_at + VOTE_TIMEOUT,
+            Stage::Owning {
+                until, renewed_at, ..
+            } => (renewed_at + RENEW_INTERVAL).min(*until),
+            Stage::Stopped => Micros::MAX,
         }
     }
 
-    /// What time brings. `unix_ms` keeps terms growing where every keeper lost its store; nothing
-    /// that is promised rests on it.
-    pub fn work(&mut self, now: Micros, unix_ms: u64) -> Step {
+    /// Acts on the passing of time. `unix_ms` keeps terms growing where every voter lost its store;
+    /// no guarantee rests on it.
+    pub fn on_timer(&mut self, now: Micros, unix_ms: u64) -> Transition {
         match &mut self.stage {
-            Stage::Waits { until } if now >= *until => {
-                self.greatest = (self.greatest + 1).max(unix_ms);
-                let token = FencingToken {
-                    term: self.greatest,
-                    owner: self.owner,
-                };
-                let (votes, denied) = Default::default();
-                self.stage = Stage::Asks {
-                    token,
-                    asked: now,
-                    votes,
-                    denied,
-                };
-                Step::Ask(token)
-            }
-            Stage::Asks { token, asked, .. } if now >= *asked + PATIENCE => {
+            Stage::Waiting { until } if now >= *until => self.request_votes(now, unix_ms),
+            Stage::RequestingVotes {
+                token,
+                requested_at,
+                ..
+            } if now >= *requested_at + VOTE_TIMEOUT => {
                 let token = *token;
-                self.waits(now, PATIENCE);
-                Step::Withdrew(token)
+                self.wait(now, VOTE_TIMEOUT);
+                Transition::Withdrew(token)
             }
-            Stage::Owns { token, until, .. } if now >= *until => {
-                // It stood still, or no majority renewed it: it asks anew before it acts again.
+            Stage::Owning { token, until, .. } if now >= *until => {
+                // The process stood still, or no majority renewed the lease.
                 let token = *token;
-                self.waits(now, 0);
-                Step::Lost(token)
+                self.wait(now, 0);
+                Transition::Lost(token)
             }
-            Stage::Owns {
+            Stage::Owning {
                 token,
-                renews,
-                renewed,
+                renewal,
+                renewed_at,
                 ..
-            } if now >= *renewed + RENEW => {
-                *renewed = now;
-                *renews = Some((now, BTreeSet::new()));
-                Step::Ask(*token)
+            } if now >= *renewed_at + RENEW_INTERVAL => {
+                *renewed_at = now;
+                *renewal = Some(Renewal {
+                    requested_at: now,
+                    votes: BTreeSet::new(),
+                });
+                Transition::RequestVotes(*token)
             }
-            _ => Step::Nothing,
+            _ => Transition::None,
         }
     }
 
-    pub fn vote(&mut self, now: Micros, keeper: usize, of: FencingToken) -> Step {
+    fn request_votes(&mut self, now: Micros, unix_ms: u64) -> Transition {
+        self.greatest_term = (self.greatest_term + 1).max(unix_ms);
+        let token = FencingToken {
+            term: self.greatest_term,
+            owner: self.owner,
+        };
+        self.stage = Stage::RequestingVotes {
+            token,
+            requested_at: now,
+            votes: BTreeSet::new(),
+            denials: BTreeSet::new(),
+        };
+        Transition::RequestVotes(token)
+    }
+
+    /// A voter has granted its vote for a token.
+    pub fn on_vote_granted(
+        &mut self,
+        now: Micros,
+        voter: usize,
+        granted: FencingToken,
+    ) -> Transition {
         let majority = self.majority;
         match &mut self.stage {
-            Stage::Asks {
+            Stage::RequestingVotes {
                 token,
-                asked,
+                requested_at,
                 votes,
                 ..
-            } if *token == of => {
-                votes.insert(keeper);
-                let until = *asked + LEASE - MARGIN;
-                // A majority that comes too late is none.
+            } if *token == granted => {
+                votes.insert(voter);
+                let until = *requested_at + LEASE_DURATION - LEASE_MARGIN;
+                // A majority that arrives after the lease would have expired does not count.
                 if votes.len() < majority || now >= until {
-                    return Step::Nothing;
+                    return Transition::None;
                 }
-                let (token, renewed) = (*token, *asked);
-                self.stage = Stage::Owns {
-                    token,
+                let renewed_at = *requested_at;
+                self.stage = Stage::Owning {
+                    token: granted,
                     until,
-                    renews: None,
-                    renewed,
+                    renewal: None,
+                    renewed_at,
                 };
-                Step::Won(token)
+                Transition::Acquired(granted)
             }
-            Stage::Owns {
+            Stage::Owning {
                 token,
                 until,
-                renews: Some((asked, votes)),
+                renewal: Some(renewal),
                 ..
-            } if *token == of => {
-                votes.insert(keeper);
-                if votes.len() >= majority {
-                    *until = (*until).max(*asked + LEASE - MARGIN);
+            } if *token == granted => {
+                renewal.votes.insert(voter);
+                if renewal.votes.len() >= majority {
+                    let renewed_until = renewal.requested_at + LEASE_DURATION - LEASE_MARGIN;
+                    *until = (*until).max(renewed_until);
                 }
-                Step::Nothing
+                Transition::None
             }
-            _ => Step::Nothing,
+            _ => Transition::None,
         }
     }
 
-    /// A keeper has promised more to another one.
-    pub fn denied(
-        &mut self,
-        now: Micros,
-        keeper: usize,
-        of: FencingToken,
-        greatest: FencingToken,
-        left: Micros,
-    ) -> Step {
-        self.greatest = self.greatest.max(greatest.term);
+    /// A voter has promised a greater token to another gateway.
+    pub fn on_vote_denied(&mut self, now: Micros, voter: usize, denial: Denial) -> Transition {
+        self.greatest_term = self.greatest_term.max(denial.greatest.term);
         match &mut self.stage {
-            Stage::Asks { token, denied, .. } if *token == of => {
-                denied.insert(keeper);
-                let token = *token;
-                if denied.len() < self.majority {
-                    return Step::Nothing;
+            Stage::RequestingVotes { token, denials, .. } if *token == denial.token => {
+                denials.insert(voter);
+                if denials.len() < self.majority {
+                    return Transition::None;
                 }
-                self.waits(now, left);
-                Step::Withdrew(token)
+                self.wait(now, denial.remaining);
+                Transition::Withdrew(denial.token)
             }
-            Stage::Owns { token, .. } if *token == of && greatest > of => {
-                let token = *token;
-                self.waits(now, left);
-                Step::Lost(token)
+            Stage::Owning { token, .. }
+                if *token == denial.token && denial.greatest > denial.token =>
+            {
+                self.wait(now, denial.remaining);
+                Transition::Lost(denial.token)
             }
-            _ => Step::Nothing,
+            _ => Transition::None,
         }
     }
 
-    /// A greater token was seen: another one owns it.
-    pub fn seen(&mut self, now: Micros, token: FencingToken) -> Step {
-        self.greatest = self.greatest.max(token.term);
+    /// A token of the task was seen; if it is greater, another gateway owns the task.
+    pub fn on_token_seen(&mut self, now: Micros, seen: FencingToken) -> Transition {
+        self.greatest_term = self.greatest_term.max(seen.term);
         match self.stage {
-            Stage::Owns { token: own, .. } if token > own => {
-                self.waits(now, LEASE);
-                Step::Lost(own)
+            Stage::Owning { token, .. } if seen > token => {
+                self.wait(now, LEASE_DURATION);
+                Transition::Lost(token)
             }
-            Stage::Waits { until } if token.owner != self.owner => {
-                let later = now + LEASE + Self::turn(self.task, self.owner);
-                self.stage = Stage::Waits {
-                    until: until.max(later),
+            Stage::Waiting { until } if seen.owner != self.owner => {
+                let after_lease = now + LEASE_DURATION + turn_delay(self.task, self.owner);
+                self.stage = Stage::Waiting {
+                    until: until.max(after_lease),
                 };
-                Step::Nothing
+                Transition::None
             }
-            _ => Step::Nothing,
+            _ => Transition::None,
         }
     }
 
-    /// It is told to end. The token to release, if it owned.
-    pub fn ends(&mut self) -> Option<FencingToken> {
-        match std::mem::replace(&mut self.stage, Stage::Gone) {
-            Stage::Owns { token, .. } => Some(token),
+    /// Stops for good. Returns the token to release, if the task was owned.
+    pub fn stop(&mut self) -> Option<FencingToken> {
+        match std::mem::replace(&mut self.stage, Stage::Stopped) {
+            Stage::Owning { token, .. } => Some(token),
             _ => None,
         }
     }
 }
+
+/// How long after the earliest possible time a candidate requests votes.
+fn turn_delay(task: Task, owner: u64) -> Micros {
+    ((1.0 - candidate_weight(task, owner)) * MAX_TURN_DELAY as f64) as Micros
+}
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,123 +1,111 @@
-//! Remembers the greatest token of each task that was promised or seen, and turns lesser ones away.
+//! The fence of one gateway: it remembers the greatest token of each task that was promised or
+//! seen, and rejects work under a lesser one.
 
 use std::collections::BTreeMap;
 
 use crate::fencing_token::{FencingToken, Task};
 
+#[cfg(test)]
+mod tests;
+
+/// Greatest known token of each task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fences {
     greatest: BTreeMap<Task, FencingToken>,
-    /// Of these, what the store holds.
+    /// Greatest token of each task that the store holds.
     durable: BTreeMap<Task, FencingToken>,
 }
 
+/// What the fence decides on a piece of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It counts; waits: once its token is durable here.
-    Admitted { waits: bool },
-    /// There has been a greater one.
-    Stale(FencingToken),
+    /// It may be applied now.
+    Admitted,
+    /// It may be applied once its token is durable here.
+    AdmittedOnceDurable,
+    /// A greater token is known.
+    Stale {
+        /// The greatest known token of the task.
+        greatest: FencingToken,
+    },
 }
 
 impl Fences {
-    pub fn restore(found: impl Iterator<Item = (Task, FencingToken)>) -> Self {
-        let greatest: BTreeMap<Task, FencingToken> = found.collect();
+    /// The fence with the tokens that the store holds.
+    pub fn restore(stored: impl Iterator<Item = (Task, FencingToken)>) -> Self {
+        let greatest: BTreeMap<Task, FencingToken> = stored.collect();
         Fences {
             durable: greatest.clone(),
             greatest,
         }
     }
 
+    /// The greatest known token of a task; the least possible one if none is known.
     pub fn greatest(&self, task: Task) -> FencingToken {
         self.greatest.get(&task).copied().unwrap_or_default()
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (Task, FencingToken)> + '_ {
+    /// All tasks with their greatest known token.
+    pub fn tokens(&self) -> impl Iterator<Item = (Task, FencingToken)> + '_ {
         self.greatest.iter().map(|(task, token)| (*task, *token))
     }
 
+    /// Number of tasks with a known token.
     pub fn len(&self) -> usize {
         self.greatest.len()
     }
 
+    /// Whether no token is known.
     pub fn is_empty(&self) -> bool {
         self.greatest.is_empty()
     }
 
-    /// Where there are more tasks than this, those go of which the last term is the oldest, as
-    /// terms begin with the time at which they were asked for: engines come under new names all
-    /// day, and what is late for one that was replaced thousands of tasks ago does no harm.
-    pub fn trim(&mut self, most: usize) -> Vec<Task> {
-        let mut gone = Vec::new();
-        while self.greatest.len() > most {
-            let oldest = self
-                .greatest
-                .iter()
-                .min_by_key(|(_, token)| **token)
-                .map(|(task, _)| *task);
-            let Some(task) = oldest else { break };
+    /// Removes the tasks with the oldest tokens until at most `max_tasks` are left, and returns
+    /// those removed.
+    ///
+    /// Terms begin with the time at which they were requested, so the least token is the oldest.
+    /// Engines come under new names all day; late work for one that was replaced thousands of tasks
+    /// ago does no harm.
+    pub fn trim(&mut self, max_tasks: usize) -> Vec<Task> {
+        let mut removed = Vec::new();
+        while self.greatest.len() > max_tasks {
+            let oldest = self.greatest.iter().min_by_key(|(_, token)| **token);
+            let Some((&task, _)) = oldest else { break };
             self.greatest.remove(&task);
             self.durable.remove(&task);
-            gone.push(task);
+            removed.push(task);
         }
-        gone
+        removed
     }
 
-    /// Raises the fence. True: it was lower.
+    /// Raises the fence of a task to a token. Returns whether it was lower.
     pub fn raise(&mut self, task: Task, token: FencingToken) -> bool {
-        let higher = token > self.greatest(task);
-        if higher {
+        let is_higher = token > self.greatest(task);
+        if is_higher {
             self.greatest.insert(task, token);
         }
-        higher
+        is_higher
     }
 
-    /// The store holds a token.
-    pub fn durable(&mut self, task: Task, token: FencingToken) {
-        let known = self.durable.entry(task).or_default();
-        *known = token.max(*known);
+    /// Records that the store holds a token.
+    pub fn mark_durable(&mut self, task: Task, token: FencingToken) {
+        let durable = self.durable.entry(task).or_default();
+        *durable = token.max(*durable);
     }
 
-    /// Work counts only once a restart would turn lesser work away: a token that was promised a
-    /// moment ago and is not durable yet is waited for.
+    /// Decides on work under a token, and raises the fence to it.
+    ///
+    /// Work may be applied only once a restarted gateway would reject lesser work: a token that was
+    /// promised but is not durable yet is waited for.
     pub fn admit(&mut self, task: Task, token: FencingToken) -> Admission {
         let greatest = self.greatest(task);
         if token < greatest && !cfg!(feature = "unfenced") {
-            return Admission::Stale(greatest);
+            return Admission::Stale { greatest };
         }
         self.raise(task, token);
-        Admission::Admitted {
-            waits: self
-                .durable
-                .get(&task)
-                .is_none_or(|durable| *durable < token),
+        match self.durable.get(&task) {
+            Some(durable) if *durable >= token => Admission::Admitted,
+            _ => Admission::AdmittedOnceDurable,
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn work_waits_for_its_token_and_of_too_many_tasks_the_oldest_go() {
-        let mut fences = Fences::default();
-        let (task, token) = (
-            |number| Task { kind: 1, number },
-            |term| FencingToken { term, owner: 1 },
-        );
-        assert_eq!(
-            fences.admit(task(1), token(5)),
-            Admission::Admitted { waits: true }
-        );
-        fences.durable(task(1), token(5));
-        assert_eq!(
-            fences.admit(task(1), token(5)),
-            Admission::Admitted { waits: false }
-        );
-        assert_eq!(fences.admit(task(1), token(4)), Admission::Stale(token(5)));
-        (2..10).for_each(|number| _ = fences.raise(task(number), token(u64::from(number))));
-        assert_eq!(fences.trim(6), [2, 3, 4].map(task));
-        assert!(fences.len() == 6 && fences.greatest(task(1)) == token(5));
-    }
-}
--- a/crates/leases/src/probe.rs
+++ b/crates/leases/src/probe.rs
@@ -1,152 +1,145 @@
-//! The task that is there: probes of an engine for all. Which copy of a report counts, how long one
-//! stands in for a probe of one's own, and when an owner probes.
+//! The one kind of task in use: probing an engine on behalf of all gateways. Decides which copy of
+//! a report counts, how long a report replaces a probe of one's own, and when an owner probes.
 
 use std::collections::BTreeMap;
 
 use crate::fencing_token::{FencingToken, Task};
 use crate::Micros;
 
-/// The kind of these tasks; their number is the engine's.
-pub const PROBE: u8 = 1;
-/// An owner probes its engines so often.
-pub const EVERY: Micros = 1_000_000;
-/// A report that is no older answers a probe that a gateway would have sent.
-pub const FRESH: Micros = 300_000;
+#[cfg(test)]
+mod tests;
+
+/// [`Task::kind`] of probes; the task's number is the engine's.
+pub const PROBE_TASK_KIND: u8 = 1;
+/// Interval at which an owner probes each of its engines.
+pub const PROBE_INTERVAL: Micros = 1_000_000;
+/// A younger report replaces a probe that a gateway would have sent itself.
+pub const MAX_REPORT_AGE: Micros = 300_000;
 
-pub fn task(engine: u32) -> Task {
+/// The task of probing an engine.
+pub fn probe_task(engine: u32) -> Task {
     Task {
-        kind: PROBE,
+        kind: PROBE_TASK_KIND,
         number: engine,
     }
 }
 
-/// Reports of others and times of own probes, by engine; `R` is a report.
+/// A report of an engine's owner as it was received.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReceivedReport<R> {
+    /// The owner's token.
+    pub token: FencingToken,
+    /// Grows with each report under one token.
+    pub number: u64,
+    /// How old the report was when it arrived.
+    pub age: Micros,
+    /// What the engine answered.
+    pub report: R,
+}
+
+/// Whether a received report counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReportOutcome {
+    /// It, or a later one, was received before.
+    Duplicate,
+    /// It counts and is recent.
+    Fresh,
+    /// It counts but is older than [`MAX_REPORT_AGE`].
+    Outdated,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct LastReport<R> {
+    token: FencingToken,
+    number: u64,
+    report: R,
+    made_at: Micros,
+}
+
+/// Reports of other gateways and times of own probes, by engine; `R` is a report.
 #[derive(Clone, Debug)]
 pub struct Reports<R> {
-    /// The last that counted: under which token, its number there, what it said, and when.
-    heard: BTreeMap<u32, (FencingToken, u64, R, Micros)>,
+    last: BTreeMap<u32, LastReport<R>>,
     probed_at: BTreeMap<u32, Micros>,
 }
 
 impl<R> Default for Reports<R> {
     fn default() -> Self {
         Reports {
-            heard: BTreeMap::new(),
+            last: BTreeMap::new(),
             probed_at: BTreeMap::new(),
         }
     }
 }
 
 impl<R: Copy> Reports<R> {
-    /// Every keeper passes a report on, and numbers only grow under one token: one copy counts.
-    /// Gives whether it is fresh; nothing: it came before.
-    pub fn take(
+    /// Takes in a report. Every voter passes it on, and numbers only grow under one token, so one
+    /// copy of it counts.
+    pub fn on_report(
         &mut self,
         now: Micros,
         engine: u32,
-        (token, number): (FencingToken, u64),
-        age: Micros,
-        report: R,
-    ) -> Option<bool> {
-        let known = self
-            .heard
-            .get(&engine)
-            .map(|(token, number, ..)| (*token, *number));
-        // Without the fence an old owner's work is to be seen to count.
-        if known >= Some((token, number)) && !cfg!(feature = "unfenced") {
-            return None;
+        received: ReceivedReport<R>,
+    ) -> ReportOutcome {
+        let ReceivedReport {
+            token,
+            number,
+            age,
+            report,
+        } = received;
+        let last = self.last.get(&engine);
+        let is_known = last.is_some_and(|last| (last.token, last.number) >= (token, number));
+        // Without the fence the tests need to see that work of a former owner counts.
+        if is_known && !cfg!(feature = "unfenced") {
+            return ReportOutcome::Duplicate;
         }
-        self.heard
-            .insert(engine, (token, number, report, now.saturating_sub(age)));
-        Some(age < FRESH)
-    }
-
-    /// A report that stands in for a probe.
-    pub fn stands_in(&self, now: Micros, engine: u32) -> Option<R> {
-        let (.., report, at) = self.heard.get(&engine)?;
-        (now < at + FRESH).then_some(*report)
-    }
-
-    /// Of the engines that this gateway owns those that it probes now.
-    pub fn due(&mut self, now: Micros, owned: impl Iterator<Item = Task>) -> Vec<u32> {
-        let engines = owned
-            .filter(|task| task.kind == PROBE)
-            .map(|task| task.number);
-        let due = |engine: &u32| {
-            self.probed_at
-                .get(engine)
-                .is_none_or(|at| at + EVERY <= now)
+        let last = LastReport {
+            token,
+            number,
+            report,
+            made_at: now.saturating_sub(age),
         };
-        let due: Vec<u32> = engines.filter(due).collect();
-        for engine in due.iter() {
-            _ = self.probed_at.insert(*engine, now);
+        self.last.insert(engine, last);
+        if age < MAX_REPORT_AGE {
+            ReportOutcome::Fresh
+        } else {
+            ReportOutcome::Outdated
         }
-        due
     }
 
-    /// When [`Reports::due`] gives something.
-    pub fn next(&self, now: Micros, owned: impl Iterator<Item = Task>) -> Option<Micros> {
-        owned
-            .map(|task| {
-                self.probed_at
-                    .get(&task.number)
-                    .map_or(now, |at| at + EVERY)
-            })
-            .min()
+    /// A report recent enough to replace a probe.
+    pub fn recent_report(&self, now: Micros, engine: u32) -> Option<R> {
+        let last = self.last.get(&engine)?;
+        (now < last.made_at + MAX_REPORT_AGE).then_some(last.report)
     }
 
-    /// What is known of engines that are no more goes.
-    pub fn retain(&mut self, known: impl Fn(u32) -> bool) {
-        self.heard.retain(|engine, _| known(*engine));
-        self.probed_at.retain(|engine, _| known(*engine));
+    /// The engines among the owned tasks that are to be probed now; they count as probed.
+    pub fn take_due_probes(&mut self, now: Micros, owned: impl Iterator<Item = Task>) -> Vec<u32> {
+        let mut engines = Vec::new();
+        for task in owned.filter(|task| task.kind == PROBE_TASK_KIND) {
+            let probed_at = self.probed_at.get(&task.number);
+            if probed_at.is_none_or(|probed_at| probed_at + PROBE_INTERVAL <= now) {
+                engines.push(task.number);
+            }
+        }
+        for engine in &engines {
+            self.probed_at.insert(*engine, now);
+        }
+        engines
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn one_copy_of_a_report_counts_for_its_time_and_an_owner_probes_once_a_second() {
-        let mut reports = Reports::default();
-        let token = |term| FencingToken { term, owner: 1 };
-        assert_eq!(reports.take(S, 7, (token(1), 1), 0, 'a'), Some(true));
-        assert_eq!(
-            reports.take(S, 7, (token(1), 1), 0, 'a'),
-            None,
-            "another keeper's copy"
-        );
-        assert_eq!(
-            reports.take(S, 7, (token(1), 2), FRESH, 'b'),
-            Some(false),
-            "it was long under way"
-        );
-        assert_eq!(reports.stands_in(S, 7), None);
-        assert_eq!(
-            reports.take(S, 7, (token(2), 1), 0, 'c'),
-            Some(true),
-            "a new owner counts anew"
-        );
-        assert_eq!(reports.take(S, 7, (token(1), 9), 0, 'd'), None);
-        assert_eq!(
-            (reports.stands_in(S, 7), reports.stands_in(S + FRESH, 7)),
-            (Some('c'), None)
-        );
-        let owned = || [task(7), Task { kind: 9, number: 8 }].into_iter();
-        assert_eq!(
-            (reports.due(S, owned()), reports.due(S + EVERY - 1, owned())),
-            (vec![7], vec![])
-        );
-        assert_eq!(
-            (
-                reports.next(S, owned().take(1)),
-                reports.due(S + EVERY, owned())
-            ),
-            (Some(S + EVERY), vec![7])
-        );
-        reports.retain(|_| false);
-        assert!(reports.heard.is_empty() && reports.probed_at.is_empty());
+    /// When [`Reports::take_due_probes`] next returns an engine.
+    pub fn next_probe_at(&self, now: Micros, owned: impl Iterator<Item = Task>) -> Option<Micros> {
+        let due_at = |task: Task| match self.probed_at.get(&task.number) {
+            Some(probed_at) => probed_at + PROBE_INTERVAL,
+            None => now,
+        };
+        owned.map(due_at).min()
     }
 
-    const S: Micros = 1_000_000;
+    /// Forgets engines that no longer exist.
+    pub fn retain_engines(&mut self, exists: impl Fn(u32) -> bool) {
+        self.last.retain(|engine, _| exists(*engine));
+        self.probed_at.retain(|engine, _| exists(*engine));
+    }
 }
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -1,68 +1,82 @@
-//! A keeper's votes: each is a promise of its fence, durable before it leaves.
+//! The votes that a voter grants. Each is a promise of its fence, durable before it is sent.
 
 use std::collections::BTreeMap;
 
 use crate::fence::Fences;
 use crate::fencing_token::{FencingToken, Task};
-use crate::{Micros, LEASE};
+use crate::{Micros, LEASE_DURATION};
 
+/// The leases that a voter has granted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voter {
-    /// Until when each task's vote holds, by this clock.
-    leases: BTreeMap<Task, Micros>,
+    /// When the last granted lease of each task expires, by this clock.
+    lease_expiry: BTreeMap<Task, Micros>,
 }
 
+/// How a voter answers a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Vote {
-    /// New: once the fence's new token is durable.
-    Given { new: bool },
-    /// The greatest token, and how long its owner's lease still holds.
+pub enum VoteDecision {
+    /// Granted; the fence's token was raised and must be durable before the vote is sent.
+    GrantedOnceDurable,
+    /// Granted for a token that was promised before.
+    Granted,
+    /// Denied.
     Denied {
+        /// Greatest known token of the task.
         greatest: FencingToken,
-        left: Micros,
+        /// How long the lease of its owner still holds.
+        remaining: Micros,
     },
 }
 
 impl Voter {
-    /// After a start: whose leases still hold is not known, so all do.
+    /// A voter after a start. Which leases still hold is not known, so all are taken to have just
+    /// been granted.
     pub fn restore(fences: &Fences, now: Micros) -> Self {
+        let expiry = now + LEASE_DURATION;
         Voter {
-            leases: fences.all().map(|(task, _)| (task, now + LEASE)).collect(),
+            lease_expiry: fences.tokens().map(|(task, _)| (task, expiry)).collect(),
         }
     }
 
-    pub fn ask(
+    /// Decides on a request for a vote; if it is granted, the fence is raised to its token.
+    pub fn on_vote_request(
         &mut self,
         fences: &mut Fences,
         now: Micros,
         task: Task,
         token: FencingToken,
-    ) -> Vote {
+    ) -> VoteDecision {
         let greatest = fences.greatest(task);
-        let until = self.leases.get(&task).copied().unwrap_or(0);
-        let left = until.saturating_sub(now);
-        // Its own last owner gets a new term at once: nobody else is harmed by it.
-        let held_by_other = left > 0 && token.owner != greatest.owner;
-        // A term has one owner: of two that ask for the same one the second needs a greater.
-        let other = token.term <= greatest.term && token != greatest;
-        if other || (token > greatest && held_by_other) {
-            return Vote::Denied { greatest, left };
+        let expiry = self.lease_expiry.get(&task).copied().unwrap_or(0);
+        let remaining = expiry.saturating_sub(now);
+        // The last owner itself gets a new term at once: nobody else is harmed by it.
+        let is_held_by_other = remaining > 0 && token.owner != greatest.owner;
+        // A term has one owner: of two that request the same one the second needs a greater.
+        let is_outdated = token.term <= greatest.term && token != greatest;
+        if is_outdated || (token > greatest && is_held_by_other) {
+            return VoteDecision::Denied {
+                greatest,
+                remaining,
+            };
         }
-        self.leases.insert(task, now + LEASE);
-        Vote::Given {
-            new: fences.raise(task, token),
+        self.lease_expiry.insert(task, now + LEASE_DURATION);
+        if fences.raise(task, token) {
+            VoteDecision::GrantedOnceDurable
+        } else {
+            VoteDecision::Granted
         }
     }
 
-    /// Its task is not kept any more.
+    /// Forgets a task whose token is no longer stored.
     pub fn forget(&mut self, task: Task) {
-        self.leases.remove(&task);
+        self.lease_expiry.remove(&task);
     }
 
-    /// The owner gives it up: the next one need not wait.
+    /// The owner gives up its lease: the next one need not wait for it to expire.
     pub fn release(&mut self, fences: &Fences, task: Task, token: FencingToken) {
         if fences.greatest(task) == token {
-            self.leases.remove(&task);
+            self.lease_expiry.remove(&task);
         }
     }
 }
