--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -6,8 +6,9 @@
 use eideryard_leases::{
     self as lease_protocol, FencingToken, Output as LeaseOutput, Task, VoterReadiness,
 };
-use eideryard_peer_transport::failure_detector::{Detector, BEAT};
-use eideryard_peer_transport::frame::{self, Frame};
+use eideryard_peer_transport::frame::{self, ReadFrame};
+use eideryard_peer_transport::limits::HEARTBEAT_INTERVAL;
+use eideryard_peer_transport::{FailureDetector, Frame};
 use eideryard_replication::entry::{Origin, Phase, WireRecord};
 use eideryard_replication::replica_set::Limits;
 use eideryard_replication::{Config, Core, Message, Micros, Output, Peer};
@@ -78,12 +79,16 @@
     let before = thread_time();
     for number in entries..entries + TIMED_CLAIMS {
         let mut frame = Vec::new();
-        frame::write(&mut frame, &Frame::Message(claim(number)));
-        let Ok(Some((Frame::Message(message), _))) = frame::read::<Message>(&frame) else {
+        frame::write(&mut frame, &Frame::Message(claim(number))).expect("short enough for a frame");
+        let Ok(Some(ReadFrame {
+            frame: Frame::Message(message),
+            ..
+        })) = frame::read::<Message>(&frame)
+        else {
             continue;
         };
         for answer in sent(core.hears(number, asker, message)) {
-            frame::write(&mut frame, &Frame::Message(answer));
+            frame::write(&mut frame, &Frame::Message(answer)).expect("short enough for a frame");
         }
     }
     (thread_time() - before).as_secs_f64() * 1e6 / TIMED_CLAIMS as f64
@@ -212,14 +217,19 @@
     let before = thread_time();
     for number in 0..TIMED {
         let mut bytes = Vec::new();
-        frame::write(&mut bytes, &Frame::Message(vote_request(number)));
-        let Ok(Some((Frame::Message(message), _))) = frame::read::<lease_protocol::Message>(&bytes)
+        frame::write(&mut bytes, &Frame::Message(vote_request(number)))
+            .expect("short enough for a frame");
+        let Ok(Some(ReadFrame {
+            frame: Frame::Message(message),
+            ..
+        })) = frame::read::<lease_protocol::Message>(&bytes)
         else {
             continue;
         };
         for output in core.on_requester_message(1, 1, message, VoterReadiness::Ready) {
             if let LeaseOutput::ToRequester { message, .. } = output {
-                frame::write(&mut bytes, &Frame::Message(message));
+                frame::write(&mut bytes, &Frame::Message(message))
+                    .expect("short enough for a frame");
             }
         }
     }
@@ -325,7 +335,7 @@
 
 fn frame_bytes(message: &Message) -> u64 {
     let mut bytes = Vec::new();
-    frame::write(&mut bytes, &Frame::Message(message.clone()));
+    frame::write(&mut bytes, &Frame::Message(message.clone())).expect("short enough for a frame");
     bytes.len() as u64
 }
 
@@ -342,29 +352,32 @@
 
 /// So many links for so many heartbeats of each.
 pub fn heartbeats(links: usize, beats: u64) -> Heartbeats {
-    let mut detectors = vec![Detector::new(0); links];
+    let mut detectors = vec![FailureDetector::new(0); links];
     let (mut bytes, mut messages) = (0u64, 0u64);
     let before = thread_time();
     for number in 1..=beats {
-        let now = number * BEAT;
+        let now = number * HEARTBEAT_INTERVAL;
         for detector in &mut detectors {
-            let Some(beat) = detector.beats(now) else {
+            let Some(heartbeat) = detector.take_due_heartbeat(now) else {
                 continue;
             };
             // Its own heartbeat, and the answer to that of the other end.
-            for carried in [Frame::<u32>::Heartbeat(beat), Frame::HeartbeatReply(beat)] {
+            for carried in [
+                Frame::<u32>::Heartbeat(heartbeat),
+                Frame::HeartbeatReply(heartbeat),
+            ] {
                 let mut out = Vec::new();
-                frame::write(&mut out, &carried);
+                frame::write(&mut out, &carried).expect("short enough for a frame");
                 let read = frame::read::<u32>(&out);
                 messages += u64::from(matches!(read, Ok(Some(_))));
                 bytes += out.len() as u64 + HEADERS;
             }
-            detector.heard(now);
-            detector.answered(now, beat);
+            detector.on_frame(now);
+            detector.on_heartbeat_reply(now, heartbeat);
             detector.state(now);
         }
     }
-    let seconds = (beats * BEAT) as f64 / 1e6 * links as f64;
+    let seconds = (beats * HEARTBEAT_INTERVAL) as f64 / 1e6 * links as f64;
     Heartbeats {
         bytes_a_second: bytes as f64 / seconds,
         messages_a_second: messages as f64 / seconds,
--- a/crates/fleet-test/src/scale/sizes.rs
+++ b/crates/fleet-test/src/scale/sizes.rs
@@ -1,7 +1,7 @@
 //! Sizes of a scale run, and what of them the machine can't carry.
 
 use clap::Args;
-use eideryard_peer_transport::hub::MAX_LINKS;
+use eideryard_peer_transport::limits::MAX_LINKS;
 use thiserror::Error;
 
 /// Processes of a run in all: the real gateways, at the most.
--- a/crates/fleet-test/src/scale/voter_sweeps.rs
+++ b/crates/fleet-test/src/scale/voter_sweeps.rs
@@ -3,7 +3,7 @@
 
 use std::io;
 
-use eideryard_peer_transport::hub::MAX_LINKS;
+use eideryard_peer_transport::limits::MAX_LINKS;
 
 use super::checks;
 use super::measure::{Axis, Figure, Source};
--- a/crates/fleet-test/src/scale/voters.rs
+++ b/crates/fleet-test/src/scale/voters.rs
@@ -12,8 +12,7 @@
 use eideryard_emulators::ledger::Answers;
 use eideryard_emulators::scripted::unused_address;
 use eideryard_gateway::links::{classes_fingerprint, PeerMessage};
-use eideryard_peer_transport::hub::Hub;
-use eideryard_peer_transport::{Config, Handshake, PeerEvent};
+use eideryard_peer_transport::{Config, Handshake, Hub, PeerEvent, VoterAddress};
 
 use super::clients::Asks;
 use super::measure::Size;
@@ -137,24 +136,30 @@
 
     fn hollow(&self, number: usize) -> io::Result<Hub<PeerMessage>> {
         let settings = self.fleet.settings()?;
-        let hello = Handshake {
-            version: eideryard_peer_transport::handshake::VERSION,
+        let handshake = Handshake {
+            version: eideryard_peer_transport::VERSION,
             fleet: FLEET.into(),
             name: format!("h{number}"),
-            keepers: (0..VOTERS).map(|at| format!("g{at}")).collect(),
-            classes: classes_fingerprint(&settings.classes),
+            voters: (0..VOTERS).map(|at| format!("g{at}")).collect(),
+            classes_fingerprint: classes_fingerprint(&settings.classes),
             identity: number as u64 + 1,
-            start: 1,
+            start_number: 1,
         };
-        let keepers = self.addresses.iter().enumerate();
-        let keepers = keepers
-            .map(|(at, address)| (at, format!("g{at}"), *address))
+        let voters = self
+            .addresses
+            .iter()
+            .enumerate()
+            .map(|(index, address)| VoterAddress {
+                index,
+                name: format!("g{index}"),
+                address: *address,
+            })
             .collect();
         Hub::start(
             Config {
-                hello,
-                listen: None,
-                keepers,
+                handshake,
+                listen_address: None,
+                voters,
                 seed: number as u64,
             },
             Box::new(|| ()),
@@ -229,7 +234,7 @@
 
 /// Takes all that a hollow gateway received; how many of its links came up.
 fn links_that_came_up(hub: &mut Hub<PeerMessage>) -> usize {
-    std::iter::from_fn(|| hub.take())
-        .filter(|heard| matches!(heard, PeerEvent::Up { .. }))
+    std::iter::from_fn(|| hub.try_recv())
+        .filter(|event| matches!(event, PeerEvent::Connected { .. }))
         .count()
 }
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -278,17 +278,17 @@
 
 #[test]
 fn frames_between_gateways_are_as_before() {
-    let hello = Handshake {
-        version: eideryard_peer_transport::handshake::VERSION,
+    let handshake = Handshake {
+        version: eideryard_peer_transport::VERSION,
         fleet: "north".into(),
         name: "g1".into(),
-        keepers: vec!["g1".into(), "g2".into(), "g3".into()],
-        classes: 0x1234_5678_9abc_def0,
+        voters: vec!["g1".into(), "g2".into(), "g3".into()],
+        classes_fingerprint: 0x1234_5678_9abc_def0,
         identity: 0xfeed,
-        start: 3,
+        start_number: 3,
     };
     let mut carried: Vec<Frame<PeerMessage>> = vec![
-        Frame::Handshake(hello),
+        Frame::Handshake(handshake),
         Frame::Rejected("another fleet".into()),
         Frame::Heartbeat(7),
         Frame::HeartbeatReply(8),
@@ -296,13 +296,13 @@
     carried.extend(messages().into_iter().map(Frame::Message));
     let mut bytes = Vec::new();
     for one in &carried {
-        assert!(frame::write(&mut bytes, one));
+        frame::write(&mut bytes, one).expect("written");
     }
     golden::check("peer-frames.bin", &bytes);
     let (mut at, mut again) = (0, Vec::new());
-    while let Some((one, length)) = frame::read::<PeerMessage>(&bytes[at..]).expect("sound") {
-        assert!(frame::write(&mut again, &one));
-        at += length;
+    while let Some(read) = frame::read::<PeerMessage>(&bytes[at..]).expect("sound") {
+        frame::write(&mut again, &read.frame).expect("written");
+        at += read.length;
     }
     assert_eq!(again, bytes);
 }
@@ -320,28 +320,26 @@
 
 #[test]
 fn handshakes_are_as_before() {
-    let hello = Handshake {
-        version: eideryard_peer_transport::handshake::VERSION,
+    let handshake = Handshake {
+        version: eideryard_peer_transport::VERSION,
         fleet: "north".into(),
         name: "g2".into(),
-        keepers: vec!["g2".into(), "g3".into(), "n0".into()],
-        classes: classes_fingerprint(&classes()),
+        voters: vec!["g2".into(), "g3".into(), "n0".into()],
+        classes_fingerprint: classes_fingerprint(&classes()),
         identity: 7,
-        start: 1,
+        start_number: 1,
     };
-    let written = |hello: Handshake| {
+    let written = |handshake: Handshake| {
         let mut bytes = Vec::new();
-        assert!(frame::write(
-            &mut bytes,
-            &Frame::<PeerMessage>::Handshake(hello)
-        ));
+        let frame = Frame::<PeerMessage>::Handshake(handshake);
+        frame::write(&mut bytes, &frame).expect("written");
         bytes
     };
-    golden::check("handshake-g2.bin", &written(hello.clone()));
+    golden::check("handshake-g2.bin", &written(handshake.clone()));
     let other = Handshake {
         name: "g3".into(),
-        classes: hello.classes ^ 1,
-        ..hello
+        classes_fingerprint: handshake.classes_fingerprint ^ 1,
+        ..handshake
     };
     golden::check("handshake-other-classes.bin", &written(other));
 }
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -4,7 +4,6 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
-use std::net::SocketAddr;
 
 use eideryard::interface::{Effect, Micros, PriorAttempt, Settings};
 use eideryard_event_log::{FleetEvent, RejectReason};
@@ -12,7 +11,7 @@
 use eideryard_intent_log::{Intent, Place};
 use eideryard_leases::VoterReadiness;
 use eideryard_operator_config::FleetConfig;
-use eideryard_peer_transport::{Handshake, Hub, Peer as End, PeerEvent, State};
+use eideryard_peer_transport::{Handshake, Hub, Peer as End, PeerEvent, PeerState, VoterAddress};
 use eideryard_replication::core::ClaimError;
 use eideryard_replication::drains::Drain;
 use eideryard_replication::replica_set::Limits;
@@ -80,7 +79,7 @@
     numbers: u64,
     keepers: Vec<String>,
     askers: BTreeMap<u64, String>,
-    states: BTreeMap<String, (State, Micros)>,
+    states: BTreeMap<String, (PeerState, Micros)>,
     turned: BTreeMap<String, String>,
     /// What peers' lists say of engines, and what a peer had learned when this gateway began.
     drains: Vec<Drain>,
@@ -139,34 +138,37 @@
         let whole = whole && voted.as_deref() == Some(&origin.identity.to_be_bytes()[..]);
         let held = copies.len();
         let core = Core::start(core, origin, whole, copies.into_iter(), now);
-        let hello = Handshake {
-            version: eideryard_peer_transport::handshake::VERSION,
+        let handshake = Handshake {
+            version: eideryard_peer_transport::VERSION,
             fleet: plan.name.clone(),
             name: name.to_string(),
-            keepers: keepers.clone(),
-            classes: classes_fingerprint(&settings.classes),
+            voters: keepers.clone(),
+            classes_fingerprint: classes_fingerprint(&settings.classes),
             identity: origin.identity,
-            start: origin.start,
+            start_number: origin.start,
         };
-        let others = plan
+        let other_voters = plan
             .keepers
             .iter()
             .enumerate()
-            .filter(|(_, (keeper, _))| keeper != name);
-        let others: Vec<(usize, String, SocketAddr)> = others
-            .map(|(at, (name, address))| (at, name.clone(), *address))
+            .filter(|(_, (voter, _))| voter != name)
+            .map(|(index, (voter, address))| VoterAddress {
+                index,
+                name: voter.clone(),
+                address: *address,
+            })
             .collect();
         let links = eideryard_peer_transport::Config {
-            hello,
-            listen: plan.listen,
-            keepers: others,
+            handshake,
+            listen_address: plan.listen,
+            voters: other_voters,
             seed,
         };
         let hub = Hub::start(links, wake).map_err(|e| {
             let what = format!("fleet: {e}; see 'listen' in the operator's file");
             io::Error::new(e.kind(), what)
         })?;
-        if let Some(address) = hub.listens {
+        if let Some(address) = hub.local_address() {
             tracing::info!("fleet {}: peers reach this gateway at {address}", plan.name);
         }
         match (own, core.standing.votes()) {
@@ -270,7 +272,7 @@
                         }
                     }
                     self.hub
-                        .tell(to_end(peer), PeerMessage::Replication(message));
+                        .send(to_end(peer), PeerMessage::Replication(message));
                 }
                 Output::Store { key, copy, then } => {
                     let (mut batch, key) = (Batch::default(), entry::stored_key(&key));
@@ -338,30 +340,35 @@
                 peer,
                 message: PeerMessage::Replication(message),
             } => self.core.hears(now, of_end(peer), message),
-            PeerEvent::Up { peer, name } => {
+            PeerEvent::Connected { peer, name } => {
                 self.turned.remove(&name);
                 match peer {
                     End::Requester(link) => _ = self.askers.insert(link, name),
-                    End::Voter(_) => self.does(name, State::Up, 0),
+                    End::Voter(_) => self.does(name, PeerState::Up, 0),
                 }
                 self.core.link(now, of_end(peer), true)
             }
-            PeerEvent::State { peer, state, trip } => {
+            PeerEvent::State {
+                peer,
+                state,
+                round_trip: trip,
+            } => {
                 if let (End::Voter(_), Some(name)) = (peer, self.name_of(peer)) {
                     self.does(name, state, trip);
                 }
                 match (peer, state) {
-                    (End::Requester(link), State::Gone) => {
+                    (End::Requester(link), PeerState::Disconnected) => {
                         self.askers.remove(&link);
                         self.core.link(now, of_end(peer), false)
                     }
                     (End::Requester(_), _) => Vec::new(),
-                    (_, state) => self
-                        .core
-                        .hears_state(now, of_end(peer), state < State::Silent),
+                    (_, state) => {
+                        self.core
+                            .hears_state(now, of_end(peer), state < PeerState::Silent)
+                    }
                 }
             }
-            PeerEvent::Rejected { name, why } => {
+            PeerEvent::Rejected { name, reason: why } => {
                 let known = self.turned.contains_key(&name) || self.turned.len() < MAX_TURNED;
                 if known && self.turned.get(&name) != Some(&why) {
                     tracing::warn!("fleet {}: no link with '{name}': {why}", self.fleet);
@@ -377,7 +384,7 @@
         self.perform(now, outputs, worker);
     }
 
-    fn does(&mut self, name: String, state: State, trip: Micros) {
+    fn does(&mut self, name: String, state: PeerState, trip: Micros) {
         let before = self.states.insert(name.clone(), (state, trip));
         if before.is_none_or(|(before, _)| before != state) {
             tracing::info!("fleet {}: {name} is {}", self.fleet, state.name());
@@ -391,7 +398,9 @@
     /// What has come, what is durable, and what time brings; gives what became of claims.
     pub fn work(&mut self, now: Micros, worker: &mut Worker) -> Vec<(u64, Verdict)> {
         for _ in 0..LOOK {
-            let Some(heard) = self.hub.take() else { break };
+            let Some(heard) = self.hub.try_recv() else {
+                break;
+            };
             self.hears(now, heard, worker);
         }
         let durable = worker.durable();
--- a/crates/gateway/src/replication/lease_messages.rs
+++ b/crates/gateway/src/replication/lease_messages.rs
@@ -24,7 +24,7 @@
                 LeaseAction::SendToAllRequesters { except, message } => {
                     for link in self.askers.keys().filter(|link| Some(**link) != except) {
                         self.hub
-                            .tell(End::Requester(*link), PeerMessage::Leases(message.clone()));
+                            .send(End::Requester(*link), PeerMessage::Leases(message.clone()));
                     }
                 }
                 LeaseAction::AwaitDurable(pending) => self.pending_tokens.push_back(pending),
@@ -34,7 +34,7 @@
 
     /// What a full queue loses is requested again or expires.
     pub(super) fn send_lease_message(&mut self, peer: End, message: eideryard_leases::Message) {
-        self.hub.tell(peer, PeerMessage::Leases(message));
+        self.hub.send(peer, PeerMessage::Leases(message));
     }
 
     /// Calls the lease driver, if there is one, and carries out what it asks for.
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -18,7 +18,7 @@
 
     /// All that the record knows of the fleet, for the beginning of a segment.
     pub fn state(&self) -> Vec<FleetEvent> {
-        let peer = |(name, (state, _)): (&String, &(State, Micros))| FleetEvent::Peer {
+        let peer = |(name, (state, _)): (&String, &(PeerState, Micros))| FleetEvent::Peer {
             name: name.clone(),
             state: state.name().into(),
         };
--- a/crates/peer-transport/src/failure_detector.rs
+++ b/crates/peer-transport/src/failure_detector.rs
@@ -1,56 +1,60 @@
-//! How a peer does, by the times at which it was heard. Pure.
+//! The state of a peer, by the times at which its frames arrived. No I/O.
 //!
-//! No one limit holds for all links: what is late is measured against the mean of the times between
-//! what was heard on this link and their deviation, and against its own round trips.
-
-/// Microseconds.
-pub type Micros = u64;
-
-/// A peer of which nothing is heard is asked so often whether it lives.
-pub const BEAT: Micros = 300_000;
-/// What a machine under load may add to any time between two arrivals.
-const FLOOR: Micros = 60_000;
-/// Deviations over the mean at which one is late, and at which one is silent.
-const LATE: f64 = 4.0;
-const SILENT: f64 = 10.0;
-/// Nothing was heard for so long: the link is given up.
-pub const GONE: Micros = 4_000_000;
-/// A round trip that takes so many times the usual one is slow.
-const SLOW_TRIP: f64 = 4.0;
-/// Weights of one more observation, as for round trips of connections.
+//! No fixed limit suits all links. Lateness is measured against the mean and deviation of the
+//! intervals between arrivals on this link, and against the link's own round trips.
+
+use crate::limits::{DISCONNECT_TIMEOUT, HEARTBEAT_INTERVAL};
+use crate::Micros;
+
+#[cfg(test)]
+mod tests;
+
+/// What a loaded machine may add to any interval between two arrivals.
+const SCHEDULING_MARGIN: Micros = 60_000;
+/// Deviations above the mean interval at which a peer is slow.
+const SLOW_DEVIATIONS: f64 = 4.0;
+/// Deviations above the mean interval at which a peer is silent.
+const SILENT_DEVIATIONS: f64 = 10.0;
+/// A round trip of this many times the mean is slow.
+const SLOW_ROUND_TRIP_FACTOR: f64 = 4.0;
+/// Weight of one more observation in the mean, as TCP weights round trips.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
+/// Weight of one more observation in the deviation.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 
+/// How a peer does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum PeerState {
+    /// Its frames arrive as usual.
     Up,
-    /// It is heard, but later than it was, or it answers slowly.
+    /// Its frames arrive later than usual, or it answers slowly.
     Slow,
-    /// It should have been heard long since.
+    /// A frame is long overdue.
     Silent,
-    /// The link is no more.
-    Gone,
+    /// The link no longer exists.
+    Disconnected,
 }
 
-impl State {
+impl PeerState {
+    /// The word for a state in the log, the event log and the status file.
     pub fn name(self) -> &'static str {
         match self {
-            State::Up => "up",
-            State::Slow => "slow",
-            State::Silent => "silent",
-            State::Gone => "gone",
+            PeerState::Up => "up",
+            PeerState::Slow => "slow",
+            PeerState::Silent => "silent",
+            PeerState::Disconnected => "gone",
         }
     }
 }
 
-/// A mean and its deviation, of times between 0 and some seconds.
+/// Weighted mean and deviation of durations, in microseconds.
 #[derive(Clone, Copy, Debug)]
-struct Usual {
+struct RunningMean {
     mean: f64,
     deviation: f64,
 }
 
-impl Usual {
+impl RunningMean {
     fn add(&mut self, value: f64) {
         let error = value - self.mean;
         self.mean += MEAN_WEIGHT * error;
@@ -58,161 +62,113 @@
     }
 }
 
+#[derive(Clone, Copy, Debug)]
+struct SentHeartbeat {
+    number: u64,
+    sent_at: Micros,
+}
+
+/// Failure detector of one link. All times are the caller's.
 #[derive(Clone, Debug)]
-pub struct Detector {
-    heard_at: Micros,
-    between: Usual,
-    trip: Usual,
-    slow_trip: bool,
-    /// A beat that has no answer yet: its number, and when it left.
-    beat: Option<(u64, Micros)>,
-    numbers: u64,
-    asked_at: Micros,
+pub struct FailureDetector {
+    last_received_at: Micros,
+    intervals: RunningMean,
+    round_trips: RunningMean,
+    is_round_trip_slow: bool,
+    /// The oldest heartbeat without an answer.
+    unanswered: Option<SentHeartbeat>,
+    last_number: u64,
+    last_sent_at: Micros,
 }
 
-impl Detector {
-    /// A link that was just made.
+impl FailureDetector {
+    /// The detector of a link that was just made.
     pub fn new(now: Micros) -> Self {
-        let between = Usual {
-            mean: BEAT as f64,
-            deviation: BEAT as f64 / 4.0,
-        };
-        let trip = Usual {
-            mean: 0.0,
-            deviation: 0.0,
-        };
-        Detector {
-            heard_at: now,
-            between,
-            trip,
-            slow_trip: false,
-            beat: None,
-            numbers: 0,
-            asked_at: now,
+        FailureDetector {
+            last_received_at: now,
+            intervals: RunningMean {
+                mean: HEARTBEAT_INTERVAL as f64,
+                deviation: HEARTBEAT_INTERVAL as f64 / 4.0,
+            },
+            round_trips: RunningMean {
+                mean: 0.0,
+                deviation: 0.0,
+            },
+            is_round_trip_slow: false,
+            unanswered: None,
+            last_number: 0,
+            last_sent_at: now,
         }
     }
 
-    pub fn heard(&mut self, now: Micros) {
-        let time = now.saturating_sub(self.heard_at);
-        // Many frames of one moment say nothing of how long a pause may be.
-        if time >= BEAT / 4 {
-            self.between.add(time as f64);
+    /// A frame has arrived.
+    pub fn on_frame(&mut self, now: Micros) {
+        let interval = now.saturating_sub(self.last_received_at);
+        // Frames that arrive together say nothing about how long a pause may be.
+        if interval >= HEARTBEAT_INTERVAL / 4 {
+            self.intervals.add(interval as f64);
         }
-        self.heard_at = now;
+        self.last_received_at = now;
     }
 
-    /// The number of a beat that is to be sent now, if one is.
-    pub fn beats(&mut self, now: Micros) -> Option<u64> {
-        if now < self.asked_at + BEAT {
+    /// The number of a heartbeat that is to be sent now, if one is.
+    pub fn take_due_heartbeat(&mut self, now: Micros) -> Option<u64> {
+        if now < self.next_heartbeat_at() {
             return None;
         }
-        self.asked_at = now;
-        self.numbers += 1;
-        // The oldest without an answer is the one that tells how long answers take.
-        self.beat.get_or_insert((self.numbers, now));
-        Some(self.numbers)
+        self.last_sent_at = now;
+        self.last_number += 1;
+        // The oldest one without an answer shows how long answers take.
+        self.unanswered.get_or_insert(SentHeartbeat {
+            number: self.last_number,
+            sent_at: now,
+        });
+        Some(self.last_number)
     }
 
-    /// A beat was answered.
-    pub fn answered(&mut self, now: Micros, number: u64) {
-        let Some((_, sent)) = self.beat.take_if(|(own, _)| *own <= number) else {
+    /// A heartbeat was answered.
+    pub fn on_heartbeat_reply(&mut self, now: Micros, number: u64) {
+        let Some(sent) = self.unanswered.take_if(|sent| sent.number <= number) else {
             return;
         };
-        let trip = now.saturating_sub(sent) as f64;
-        let limit = SLOW_TRIP * self.trip.mean + FLOOR as f64;
-        self.slow_trip = trip > limit;
-        // A link that stays slow becomes usual, but not by one answer.
-        self.trip.add(trip.min(limit));
+        let round_trip = now.saturating_sub(sent.sent_at) as f64;
+        let limit = SLOW_ROUND_TRIP_FACTOR * self.round_trips.mean + SCHEDULING_MARGIN as f64;
+        self.is_round_trip_slow = round_trip > limit;
+        // A link that stays slow becomes usual, but not by a single answer.
+        self.round_trips.add(round_trip.min(limit));
     }
 
     /// Mean time of a round trip.
-    pub fn trip(&self) -> Micros {
-        self.trip.mean as Micros
+    pub fn round_trip(&self) -> Micros {
+        self.round_trips.mean as Micros
     }
 
-    fn limit(&self, deviations: f64) -> Micros {
-        (self.between.mean + deviations * self.between.deviation) as Micros + FLOOR
+    fn interval_limit(&self, deviations: f64) -> Micros {
+        let interval = self.intervals.mean + deviations * self.intervals.deviation;
+        interval as Micros + SCHEDULING_MARGIN
     }
 
-    pub fn state(&self, now: Micros) -> State {
-        let quiet = now.saturating_sub(self.heard_at);
-        let waits = self.beat.map_or(0, |(_, sent)| now.saturating_sub(sent)) as f64;
-        if quiet >= GONE {
-            State::Gone
-        } else if quiet > self.limit(SILENT).min(GONE / 2) {
-            State::Silent
-        } else if quiet > self.limit(LATE) || self.slow_trip || waits > self.limit(LATE) as f64 {
-            State::Slow
+    /// The state of the peer now.
+    pub fn state(&self, now: Micros) -> PeerState {
+        let quiet_for = now.saturating_sub(self.last_received_at);
+        let unanswered_for = self
+            .unanswered
+            .map_or(0, |sent| now.saturating_sub(sent.sent_at));
+        let slow_limit = self.interval_limit(SLOW_DEVIATIONS);
+        let silent_limit = self.interval_limit(SILENT_DEVIATIONS);
+        if quiet_for >= DISCONNECT_TIMEOUT {
+            PeerState::Disconnected
+        } else if quiet_for > silent_limit.min(DISCONNECT_TIMEOUT / 2) {
+            PeerState::Silent
+        } else if quiet_for > slow_limit || self.is_round_trip_slow || unanswered_for > slow_limit {
+            PeerState::Slow
         } else {
-            State::Up
-        }
-    }
-
-    /// When the state may change though nothing comes.
-    pub fn due(&self) -> Micros {
-        self.asked_at + BEAT
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// One that beats at a pace, with a little scatter, for a time.
-    fn paced(pace: Micros, count: u64) -> (Detector, Micros) {
-        let (mut detector, mut now) = (Detector::new(0), 0);
-        for number in 0..count {
-            now += pace + (number * 7919) % (pace / 10);
-            let beat = detector.beats(now);
-            detector.heard(now);
-            for beat in beat.into_iter() {
-                detector.answered(now + 2_000, beat);
-            }
+            PeerState::Up
         }
-        (detector, now)
     }
 
-    #[test]
-    fn a_steady_peer_is_up_and_one_that_stops_becomes_slow_silent_and_gone() {
-        let (detector, last) = paced(BEAT, 100);
-        let states: Vec<State> = (0..GONE / 10_000 + 2)
-            .map(|step| detector.state(last + step * 10_000))
-            .collect();
-        assert!(
-            states.windows(2).all(|pair| pair[0] <= pair[1]),
-            "it never gets better by silence"
-        );
-        for state in [State::Up, State::Slow, State::Silent, State::Gone] {
-            assert!(states.contains(&state), "{state:?}");
-        }
-        assert_eq!(detector.state(last + BEAT + FLOOR / 2), State::Up);
-    }
-
-    #[test]
-    fn a_link_that_always_took_long_is_given_longer() {
-        let silent_after = |pace| {
-            let (detector, last) = paced(pace, 100);
-            (0..)
-                .step_by(1_000)
-                .find(|quiet| detector.state(last + quiet) >= State::Silent)
-                .expect("some time")
-        };
-        assert!(
-            silent_after(BEAT) < silent_after(2 * BEAT)
-                && silent_after(2 * BEAT) < silent_after(4 * BEAT)
-        );
-    }
-
-    #[test]
-    fn a_peer_whose_answers_slow_down_is_slow_while_it_is_heard() {
-        let (mut detector, mut now) = paced(BEAT, 50);
-        assert_eq!(detector.state(now), State::Up);
-        for _ in 0..3 {
-            now += BEAT;
-            let beat = detector.beats(now).expect("it is time");
-            detector.heard(now);
-            detector.answered(now + 250_000, beat);
-        }
-        assert_eq!(detector.state(now), State::Slow);
+    /// When a heartbeat is due, and the state may change though nothing arrives.
+    pub fn next_heartbeat_at(&self) -> Micros {
+        self.last_sent_at + HEARTBEAT_INTERVAL
     }
 }
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -1,126 +1,103 @@
-//! Frames: a length, a checksum, and what a serialization library made. Pure.
+//! Frames on a link: the length and the checksum of the content, then the content as `postcard`
+//! encodes it. No I/O.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 use crate::handshake::Handshake;
+use crate::limits::MAX_FRAME_BYTES;
 
-/// Bytes of what a frame carries.
-pub const MOST: usize = 256 << 10;
-const HEAD: usize = 8;
+#[cfg(test)]
+mod tests;
+
+/// Bytes before the content: its length and its checksum, four bytes each, in network byte order.
+const HEADER_BYTES: usize = 8;
 
-/// What goes over a link.
+/// The content of a frame; `M` is the host's message. The order of variants is the format on the
+/// wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame<M> {
+    /// The first frame of each end.
     Handshake(Handshake),
-    /// Why this link ends, in words.
+    /// Why the sender closes the link, as text for the operator.
     Rejected(String),
+    /// Asks for a reply with the same number.
     Heartbeat(u64),
+    /// Answers a heartbeat.
     HeartbeatReply(u64),
+    /// A message of the host.
     Message(M),
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why received bytes are no frame.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
+    /// The header announces more than [`MAX_FRAME_BYTES`].
+    #[error("a frame of {0} bytes, of which {MAX_FRAME_BYTES} are the most")]
     TooLong(u32),
+    /// The content doesn't match its checksum.
+    #[error("a frame's checksum is wrong")]
     Checksum,
+    /// The content can't be decoded.
+    #[error("a frame can't be read as this version writes them")]
     Unreadable,
 }
 
-impl std::fmt::Display for FrameError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            FrameError::TooLong(length) => {
-                write!(f, "a frame of {length} bytes, of which {MOST} are the most")
-            }
-            FrameError::Checksum => write!(f, "a frame's checksum is wrong"),
-            FrameError::Unreadable => {
-                write!(f, "a frame can't be read as this version writes them")
-            }
-        }
-    }
+/// Why a frame can't be written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum WriteError {
+    /// The content has this many bytes, more than [`MAX_FRAME_BYTES`].
+    #[error("a frame of {0} bytes can't be sent, {MAX_FRAME_BYTES} are the most")]
+    TooLong(usize),
+    /// The content can't be encoded.
+    #[error("a frame's content can't be encoded")]
+    Unserializable,
 }
 
-/// Appends a frame. False: it is too long, and nothing was written.
-pub fn write<M: Serialize>(out: &mut Vec<u8>, carried: &Frame<M>) -> bool {
-    let Ok(bytes) = postcard::to_stdvec(carried) else {
-        return false;
-    };
-    if bytes.len() > MOST {
-        return false;
+/// A frame that was read.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ReadFrame<M> {
+    /// The frame.
+    pub frame: Frame<M>,
+    /// Bytes that it took, header included.
+    pub length: usize,
+}
+
+/// Appends a frame to a buffer. If it fails, nothing is appended.
+pub fn write<M: Serialize>(buffer: &mut Vec<u8>, frame: &Frame<M>) -> Result<(), WriteError> {
+    let content = postcard::to_stdvec(frame).map_err(|_| WriteError::Unserializable)?;
+    if content.len() > MAX_FRAME_BYTES {
+        return Err(WriteError::TooLong(content.len()));
     }
-    out.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
-    out.extend_from_slice(&crc32fast::hash(&bytes).to_be_bytes());
-    out.extend_from_slice(&bytes);
-    true
+    buffer.extend_from_slice(&(content.len() as u32).to_be_bytes());
+    buffer.extend_from_slice(&crc32fast::hash(&content).to_be_bytes());
+    buffer.extend_from_slice(&content);
+    Ok(())
 }
 
-/// Takes the first whole frame off the front of what was read, and says how long it was.
-pub fn read<M: DeserializeOwned>(bytes: &[u8]) -> Result<Option<(Frame<M>, usize)>, FrameError> {
-    let Some((head, rest)) = bytes.split_at_checked(HEAD) else {
+/// Reads the first frame of a buffer; nothing if it is not whole yet.
+pub fn read<M: DeserializeOwned>(buffer: &[u8]) -> Result<Option<ReadFrame<M>>, FrameError> {
+    let Some((header, rest)) = buffer.split_first_chunk::<HEADER_BYTES>() else {
         return Ok(None);
     };
-    let number =
-        |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let (length, checksum) = (number(0), number(4));
-    if length as usize > MOST {
+    let [l0, l1, l2, l3, c0, c1, c2, c3] = *header;
+    let length = u32::from_be_bytes([l0, l1, l2, l3]);
+    let checksum = u32::from_be_bytes([c0, c1, c2, c3]);
+    if length as usize > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(length));
     }
-    let Some(body) = rest.get(..length as usize) else {
+    let Some(content) = rest.get(..length as usize) else {
         return Ok(None);
     };
-    if crc32fast::hash(body) != checksum {
+    if crc32fast::hash(content) != checksum {
         return Err(FrameError::Checksum);
     }
-    match postcard::take_from_bytes(body) {
-        Ok((carried, [])) => Ok(Some((carried, HEAD + body.len()))),
+    match postcard::take_from_bytes(content) {
+        Ok((frame, [])) => Ok(Some(ReadFrame {
+            frame,
+            length: HEADER_BYTES + content.len(),
+        })),
         _ => Err(FrameError::Unreadable),
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn framed() -> Vec<u8> {
-        let mut bytes = Vec::new();
-        assert!(write(&mut bytes, &Frame::Message("first".to_string())));
-        assert!(write(&mut bytes, &Frame::<String>::Heartbeat(7)));
-        bytes
-    }
-
-    #[test]
-    fn frames_come_back_whole_and_only_whole() {
-        let bytes = framed();
-        let (first, length) = read::<String>(&bytes).expect("sound").expect("whole");
-        assert_eq!(first, Frame::Message("first".into()));
-        let (second, rest) = read::<String>(&bytes[length..])
-            .expect("sound")
-            .expect("whole");
-        assert_eq!((second, length + rest), (Frame::Heartbeat(7), bytes.len()));
-        for cut in 0..length {
-            assert_eq!(read::<String>(&bytes[..cut]), Ok(None), "cut at {cut}");
-        }
-    }
-
-    #[test]
-    fn a_changed_byte_never_gives_another_message() {
-        let bytes = framed();
-        let (first, length) = read::<String>(&bytes).expect("sound").expect("whole");
-        for at in 0..length {
-            for bit in 0..8 {
-                let mut spoilt = bytes.clone();
-                spoilt[at] ^= 1 << bit;
-                if let Ok(Some((other, _))) = read::<String>(&spoilt) {
-                    assert_eq!(other, first, "bit {bit} of byte {at}");
-                }
-            }
-        }
-        let mut out = Vec::new();
-        assert!(!write(&mut out, &Frame::Message("x".repeat(MOST))) && out.is_empty());
-        assert_eq!(
-            read::<String>(&[0xff; 64]),
-            Err(FrameError::TooLong(u32::MAX))
-        );
-    }
-}
--- a/crates/peer-transport/src/handshake.rs
+++ b/crates/peer-transport/src/handshake.rs
@@ -1,184 +1,157 @@
-//! Who is let in: what both ends of a link say first, and why one is turned away. Pure.
-
-use std::fmt;
+//! Handshakes: what both ends of a link send first, and why a peer is rejected. No I/O.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
+
+#[cfg(test)]
+mod tests;
 
-/// Of the frames and of all that they carry: two versions don't talk to each other.
+/// Version of the frames and of all that they carry. Gateways of different versions reject each
+/// other.
 pub const VERSION: u32 = 1;
 
+/// How a gateway introduces itself. The order of fields is the format on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
+    /// [`VERSION`] of the sender.
     pub version: u32,
+    /// Name of its fleet.
     pub fleet: String,
+    /// Its own name.
     pub name: String,
-    /// Keepers of the fleet as this one's operator's file names them, in the order of their names.
-    pub keepers: Vec<String>,
-    /// Of the classes that copies are kept for: a key's class is a number in them.
-    pub classes: u64,
-    /// Its store's identity and the number of this start.
+    /// Names of the fleet's voters in its operator's file, in the order of their names.
+    pub voters: Vec<String>,
+    /// Fingerprint of its request classes, since replicas refer to a class by its number.
+    pub classes_fingerprint: u64,
+    /// Identity of its store.
+    pub identity: u64,
+    /// How often a gateway was started with this store.
+    pub start_number: u64,
+}
+
+/// Identity and start number under which a name was last accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownStart {
+    /// Identity of the peer's store.
     pub identity: u64,
-    pub start: u64,
+    /// The peer's start number.
+    pub start_number: u64,
 }
 
-/// Why a peer is turned away, as both ends say it.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a peer is rejected. Its text is sent to the peer and logged at both ends.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HandshakeError {
+    /// The versions differ.
+    #[error("one speaks version {theirs}, the other {ours}: run the same program on both")]
     Version {
-        own: u32,
+        /// This gateway's version.
+        ours: u32,
+        /// The peer's version.
         theirs: u32,
     },
+    /// The fleets differ.
+    #[error("one is of fleet '{theirs}', the other of '{ours}': see 'fleet' in both files")]
     Fleet {
-        own: String,
+        /// This gateway's fleet.
+        ours: String,
+        /// The peer's fleet.
         theirs: String,
     },
+    /// Another gateway than the dialed voter answers.
+    #[error("'{theirs}' answers at the address of keeper '{expected}': see its 'keeper' line")]
     Name {
+        /// Name of the voter that was dialed.
         expected: String,
+        /// Name of the gateway that answers.
         theirs: String,
     },
-    Own(String),
-    Keepers {
-        own: Vec<String>,
+    /// Both have the same name.
+    #[error("both call themselves '{0}': each gateway of a fleet needs a name of its own")]
+    SameName(String),
+    /// The lists of voters differ.
+    #[error(
+        "the files name different keepers, {} and {}: they must be the same in all of a fleet's",
+        theirs.join(" "),
+        ours.join(" ")
+    )]
+    Voters {
+        /// This gateway's list.
+        ours: Vec<String>,
+        /// The peer's list.
         theirs: Vec<String>,
     },
+    /// The request classes differ.
+    #[error("their settings name different classes: a fleet's gateways need the same settings")]
     Classes,
-    Older {
+    /// A later start of the peer's store was accepted before.
+    #[error(
+        "'{name}' says that this is its start {start_number}, but start {known} was heard: \
+         an old copy or a second process"
+    )]
+    OutdatedStart {
+        /// Name of the peer.
         name: String,
-        start: u64,
+        /// The peer's start number.
+        start_number: u64,
+        /// The latest start number that was accepted.
         known: u64,
     },
 }
 
-impl fmt::Display for HandshakeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            HandshakeError::Version { own, theirs } => {
-                write!(f, "one speaks version {theirs}, the other {own}: run the same program on both")
-            }
-            HandshakeError::Fleet { own, theirs } => {
-                write!(f, "one is of fleet '{theirs}', the other of '{own}': see 'fleet' in both files")
-            }
-            HandshakeError::Name { expected, theirs } => {
-                write!(f, "'{theirs}' answers at the address of keeper '{expected}': see its 'keeper' line")
-            }
-            HandshakeError::Own(name) => {
-                write!(f, "both call themselves '{name}': each gateway of a fleet needs a name of its own")
-            }
-            HandshakeError::Keepers { own, theirs } => write!(
-                f,
-                "the files name different keepers, {} and {}: they must be the same in all of a fleet's",
-                theirs.join(" "),
-                own.join(" ")
-            ),
-            HandshakeError::Classes => {
-                write!(f, "their settings name different classes: a fleet's gateways need the same settings")
-            }
-            HandshakeError::Older { name, start, known } => write!(
-                f,
-                "'{name}' says that this is its start {start}, but start {known} was heard: an old copy or a \
-                 second process"
-            ),
-        }
-    }
-}
-
-/// Whether one end takes the other. `expected`: the name of the keeper that was called; `known`:
-/// identity and start under which this name was heard last.
-pub fn takes(
-    own: &Handshake,
+/// Decides whether a peer is accepted.
+///
+/// `expected_name` is the name of the voter if this gateway dialed one; `known_start` is under what
+/// the peer's name was last accepted.
+pub fn check_handshake(
+    ours: &Handshake,
     theirs: &Handshake,
-    expected: Option<&str>,
-    known: Option<(u64, u64)>,
+    expected_name: Option<&str>,
+    known_start: Option<KnownStart>,
 ) -> Result<(), HandshakeError> {
-    if own.version != theirs.version {
+    if ours.version != theirs.version {
         return Err(HandshakeError::Version {
-            own: own.version,
+            ours: ours.version,
             theirs: theirs.version,
         });
     }
-    if own.fleet != theirs.fleet {
+    if ours.fleet != theirs.fleet {
         return Err(HandshakeError::Fleet {
-            own: own.fleet.clone(),
+            ours: ours.fleet.clone(),
             theirs: theirs.fleet.clone(),
         });
     }
-    if let Some(expected) = expected.filter(|expected| **expected != theirs.name) {
+    if let Some(expected) = expected_name.filter(|expected| *expected != theirs.name) {
         return Err(HandshakeError::Name {
             expected: expected.into(),
             theirs: theirs.name.clone(),
         });
     }
-    if own.name == theirs.name {
-        return Err(HandshakeError::Own(own.name.clone()));
+    if ours.name == theirs.name {
+        return Err(HandshakeError::SameName(ours.name.clone()));
     }
-    if own.keepers != theirs.keepers {
-        return Err(HandshakeError::Keepers {
-            own: own.keepers.clone(),
-            theirs: theirs.keepers.clone(),
+    if ours.voters != theirs.voters {
+        return Err(HandshakeError::Voters {
+            ours: ours.voters.clone(),
+            theirs: theirs.voters.clone(),
         });
     }
-    if own.classes != theirs.classes {
+    if ours.classes_fingerprint != theirs.classes_fingerprint {
         return Err(HandshakeError::Classes);
     }
-    match known {
-        Some((identity, start)) if identity == theirs.identity && start > theirs.start => {
-            Err(HandshakeError::Older {
-                name: theirs.name.clone(),
-                start: theirs.start,
-                known: start,
-            })
-        }
-        _ => Ok(()),
-    }
+    check_start(theirs, known_start)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn hello(name: &str) -> Handshake {
-        let keepers = ["g1", "g2", "g3"].map(str::to_string).to_vec();
-        let (version, fleet, name) = (VERSION, "north".into(), name.into());
-        Handshake {
-            version,
-            fleet,
-            name,
-            keepers,
-            classes: 5,
-            identity: 7,
-            start: 3,
-        }
-    }
-
-    #[test]
-    fn every_difference_has_its_own_sentence_and_none_lets_in() {
-        let own = hello("g1");
-        assert_eq!(takes(&own, &hello("g2"), Some("g2"), Some((7, 3))), Ok(()));
-        assert_eq!(
-            takes(&own, &hello("g2"), None, Some((8, 9))),
-            Ok(()),
-            "a new store begins anew"
-        );
-        type Change = fn(&mut Handshake);
-        let changes: [(&str, Change); 6] = [
-            ("version", |hello| hello.version += 1),
-            ("fleet", |hello| hello.fleet = "south".into()),
-            ("answers at the address", |hello| hello.name = "g3".into()),
-            ("different keepers", |hello| _ = hello.keepers.pop()),
-            ("different classes", |hello| hello.classes += 1),
-            ("an old copy or a second process", |hello| hello.start -= 1),
-        ];
-        for (word, change) in changes {
-            let mut theirs = hello("g2");
-            change(&mut theirs);
-            let why = takes(&own, &theirs, Some("g2"), Some((7, 3)))
-                .expect_err(word)
-                .to_string();
-            assert!(why.contains(word), "{why}");
-        }
-        let why = takes(&own, &hello("g1"), None, None)
-            .expect_err("itself")
-            .to_string();
-        assert!(why.contains("a name of its own"), "{why}");
+fn check_start(theirs: &Handshake, known_start: Option<KnownStart>) -> Result<(), HandshakeError> {
+    let Some(known) = known_start else {
+        return Ok(());
+    };
+    // A new store begins to count its starts anew.
+    if known.identity == theirs.identity && known.start_number > theirs.start_number {
+        return Err(HandshakeError::OutdatedStart {
+            name: theirs.name.clone(),
+            start_number: theirs.start_number,
+            known: known.start_number,
+        });
     }
+    Ok(())
 }
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -1,23 +1,71 @@
 //! Links among the gateways of a fleet, as the operator's file names them.
 //!
-//! Every gateway makes a link to each keeper; what is asked on a link is answered on it, so two
-//! keepers have two. [`hub`] is the one thread that holds all of them; [`link`] one connection with
-//! its buffers. Pure are [`failure_detector`], which says how a peer does by when it was heard;
-//! [`frame`], checksummed frames of bounded length; and [`handshake`], who is let in. What is
-//! carried is the host's own, by a serialization library.
+//! Every gateway dials each voter and sends its requests on that link, which carries the answers
+//! too; two voters have two links between them. [`Hub`] is the host's side: it owns one thread, and
+//! the thread owns all links. What the links carry is the host's own type, encoded with `postcard`.
 //!
-//! Bounds: [`hub::MAX_LINKS`] links that others made, [`hub::MAX_WAITING`] messages each way
-//! between the host and the thread, [`link::MAX_UNSENT`] bytes that a peer has not taken (then its
-//! link is dropped and made anew), [`frame::MOST`] bytes a frame.
-
-#![expect(missing_docs, reason = "public items are still to be described")]
+//! - [`hub`]: the host's queues, and behind them the thread with its event loop, dialer and links;
+//! - [`link`]: one connection with its buffers;
+//! - [`frame`]: checksummed frames of bounded length (no I/O);
+//! - [`handshake`]: decides which peer is accepted (no I/O);
+//! - [`failure_detector`]: the state of a peer by the times at which its frames arrived (no I/O);
+//! - [`limits`]: all bounds.
+//!
+//! # Example
+//!
+//! Two gateways, of which the second dials the first:
+//!
+//! ```
+//! use eideryard_peer_transport::{Config, Handshake, Hub, PeerEvent, VoterAddress, VERSION};
+//!
+//! let handshake = |name: &str| Handshake {
+//!     version: VERSION,
+//!     fleet: "north".into(),
+//!     name: name.into(),
+//!     voters: vec!["g1".into()],
+//!     classes_fingerprint: 0,
+//!     identity: 1,
+//!     start_number: 1,
+//! };
+//! let voter = Config {
+//!     handshake: handshake("g1"),
+//!     listen_address: Some("127.0.0.1:0".parse().unwrap()),
+//!     voters: Vec::new(),
+//!     seed: 1,
+//! };
+//! let voter: Hub<String> = Hub::start(voter, Box::new(|| ()))?;
+//! let requester = Config {
+//!     handshake: handshake("g2"),
+//!     listen_address: None,
+//!     voters: vec![VoterAddress {
+//!         index: 0,
+//!         name: "g1".into(),
+//!         address: voter.local_address().unwrap(),
+//!     }],
+//!     seed: 2,
+//! };
+//! let mut requester: Hub<String> = Hub::start(requester, Box::new(|| ()))?;
+//! let event = loop {
+//!     match requester.try_recv() {
+//!         Some(event) => break event,
+//!         None => std::thread::sleep(std::time::Duration::from_millis(1)),
+//!     }
+//! };
+//! assert!(matches!(event, PeerEvent::Connected { name, .. } if name == "g1"));
+//! # Ok::<(), std::io::Error>(())
+//! ```
 
 pub mod failure_detector;
 pub mod frame;
 pub mod handshake;
 pub mod hub;
+pub mod limits;
 pub mod link;
 
-pub use failure_detector::State;
-pub use handshake::{Handshake, HandshakeError};
-pub use hub::{Config, Hub, Peer, PeerEvent};
+pub use failure_detector::{FailureDetector, PeerState};
+pub use frame::Frame;
+pub use handshake::{Handshake, HandshakeError, VERSION};
+pub use hub::{Config, Hub, Peer, PeerEvent, VoterAddress};
+
+/// Microseconds, of durations or since the start of the thread.
+pub type Micros = u64;
