--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -195,7 +195,7 @@
         if let Some((lessons, age)) = gateway
             .keeping
             .as_mut()
-            .and_then(|keeping| keeping.lessons())
+            .and_then(|keeping| keeping.take_restored_state())
         {
             gateway.events.push_back(Event::CheckpointRestored {
                 learned: lessons,
@@ -219,7 +219,7 @@
         let keeping = self
             .keeping
             .as_ref()
-            .and_then(|keeping| keeping.due(self.clock.now()));
+            .and_then(|keeping| keeping.deadline(self.clock.now()));
         let next = self
             .due
             .next()
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -23,7 +23,7 @@
                 if let Some(report) = self
                     .keeping
                     .as_mut()
-                    .and_then(|keeping| keeping.report(now, engine))
+                    .and_then(|keeping| keeping.recent_report(now, engine))
                 {
                     let (outcome, report) = (Outcome::Answered, Some(report));
                     return self.events.push_back(Event::Probed(Probed {
@@ -120,7 +120,9 @@
         self.counters.sent += 1;
         let (class, name) = (request.class, request.key.as_deref());
         let sending = match &mut self.keeping {
-            Some(keeping) => keeping.sends(now, class, name, engine, give_up_at, &request.earlier),
+            Some(keeping) => {
+                keeping.prepare_send(now, class, name, engine, give_up_at, &request.earlier)
+            }
             None => Sending::Now,
         };
         let waits = matches!(sending, Sending::Waits { .. });
@@ -158,7 +160,7 @@
                 };
                 self.keeping
                     .iter_mut()
-                    .for_each(|keeping| keeping.waits(now, waiting));
+                    .for_each(|keeping| keeping.add_pending_send(now, waiting));
             }
         }
     }
@@ -218,15 +220,15 @@
         let Some(keeping) = &mut self.keeping else {
             return;
         };
-        if keeping.wants_lessons(now) {
-            keeping.learns(now, &self.module.learned_state());
+        if keeping.is_checkpoint_due(now) {
+            keeping.save_checkpoint(now, &self.module.learned_state());
         }
-        let (Ready { go, late, earlier }, words) = (keeping.work(now), keeping.words());
+        let (Ready { go, late, earlier }, words) = (keeping.poll(now), keeping.take_fleet_events());
         for word in words.into_iter() {
             self.tap.host(now, Host::Fleet(word));
         }
-        let (drains, hints) = (keeping.drains(), keeping.hints());
-        let (probes, reports) = keeping.probes(now);
+        let (drains, hints) = (keeping.take_drains(), keeping.take_peer_hint());
+        let (probes, reports) = keeping.take_probe_work(now);
         let nothing = probes.is_empty()
             && reports.is_empty()
             && go.is_empty()
@@ -273,7 +275,9 @@
                 continue;
             }
             let own = self.requests.get(request).zip(self.keeping.as_ref());
-            if own.is_none_or(|(own, keeping)| keeping.in_time(now, own.class, &own.earlier)) {
+            if own
+                .is_none_or(|(own, keeping)| keeping.is_within_window(now, own.class, &own.earlier))
+            {
                 self.dispatch(now, request, attempt, engine, give_up_at);
             } else {
                 self.over(request, attempt, Outcome::NotSent, false, None, None);
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -49,7 +49,7 @@
                 } => {
                     let now = self.clock.now();
                     if let Some((keeping, report)) = self.keeping.as_mut().zip(report.as_ref()) {
-                        keeping.reported(now, engine, report);
+                        keeping.publish_report(now, engine, report);
                     }
                     self.events.push_back(Event::Probed(Probed {
                         engine,
@@ -129,7 +129,7 @@
                 outcome,
                 Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent
             );
-            keeping.ended(
+            keeping.on_attempt_ended(
                 self.clock.now(),
                 request.class,
                 request.key.as_deref(),
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -24,7 +24,7 @@
                 self.last_entries.insert(entry.engine, *entry);
             }
             if let Some(keeping) = &mut self.keeping {
-                keeping.listed(entry.engine, entry.zone, entry.cell);
+                keeping.set_place(entry.engine, entry.zone, entry.cell);
             }
             let (due, heard) = (&mut self.due, &mut self.from_engines);
             self.engines
@@ -57,7 +57,7 @@
             self.forget_engines();
         }
         if let Some(keeping) = &mut self.keeping {
-            keeping.engines(self.clock.now());
+            keeping.update_lease_tasks(self.clock.now());
         }
     }
 
@@ -72,7 +72,7 @@
         self.last_entries
             .retain(|&engine, _| self.engines.knows(engine));
         if let Some(keeping) = &mut self.keeping {
-            keeping.forget_engines(|engine| self.engines.knows(engine));
+            keeping.retain_engines(|engine| self.engines.knows(engine));
         }
     }
 
@@ -89,13 +89,13 @@
             booted_at: entry.booted_at,
             gone: entry.phase == Phase::Removed,
         });
-        keeping.drained(now, told.collect());
+        keeping.publish_drains(now, told.collect());
         for entry in entries
             .iter_mut()
             .filter(|entry| entry.phase == Phase::Ready)
         {
             if keeping
-                .binds(entry.engine, entry.booted_at, number)
+                .binding_drain(entry.engine, entry.booted_at, number)
                 .is_some()
             {
                 entry.phase = Phase::Draining;
@@ -115,7 +115,10 @@
                 .get_mut(&drain.engine)
                 .filter(|told| told.phase == Phase::Ready);
             let Some(told) = told else { continue };
-            if keeping.binds(told.engine, told.booted_at, number).is_some() {
+            if keeping
+                .binding_drain(told.engine, told.booted_at, number)
+                .is_some()
+            {
                 told.phase = Phase::Draining;
                 bound.push(*told);
             }
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -112,7 +112,7 @@
     /// The last word of the record, the store and of the log.
     pub fn end(&mut self) {
         if let Some(keeping) = &mut self.keeping {
-            keeping.learns(self.clock.now(), &self.module.learned_state());
+            keeping.save_checkpoint(self.clock.now(), &self.module.learned_state());
         }
         self.tell_changes();
         let counters = self
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -63,7 +63,7 @@
             }
         }
         let earlier = self.keeping.as_mut().map_or(Ok(Vec::new()), |keeping| {
-            keeping.arrives(now, call.class, call.key.as_deref(), call.marked)
+            keeping.admit_request(now, call.class, call.key.as_deref(), call.marked)
         });
         let earlier = match earlier {
             Ok(earlier) => earlier,
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -15,7 +15,7 @@
         self.clients.well = false;
         self.keeping
             .iter_mut()
-            .for_each(|keeping| keeping.hands_over(now));
+            .for_each(|keeping| keeping.release_leases(now));
         for at in self.shutdown.due() {
             self.due.set(at, Due::Shutdown);
         }
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -304,16 +304,16 @@
     }
 
     /// What an earlier life had learned, once.
-    pub fn lessons(&mut self) -> Option<(LearnedState, Micros)> {
+    pub fn take_restored_state(&mut self) -> Option<(LearnedState, Micros)> {
         self.found.take()
     }
 
     /// Whether it is time for a checkpoint.
-    pub fn wants_lessons(&self, now: Micros) -> bool {
+    pub fn is_checkpoint_due(&self, now: Micros) -> bool {
         self.worker.is_some() && now >= self.learned_at + checkpoint::EVERY
     }
 
-    pub fn learns(&mut self, now: Micros, learned: &LearnedState) {
+    pub fn save_checkpoint(&mut self, now: Micros, learned: &LearnedState) {
         self.learned_at = now;
         // A hint has no time but its age.
         let hint = checkpoint::to_bytes(learned, 0, self.settings);
@@ -333,16 +333,16 @@
     }
 
     /// Where an engine's scope is, as the list says.
-    pub fn listed(&mut self, engine: EngineId, zone: u32, cell: u32) {
+    pub fn set_place(&mut self, engine: EngineId, zone: u32, cell: u32) {
         self.places.insert(engine, Place { zone, cell });
     }
 
-    pub fn forget_engines(&mut self, known: impl Fn(EngineId) -> bool) {
+    pub fn retain_engines(&mut self, known: impl Fn(EngineId) -> bool) {
         self.places.retain(|engine, _| known(*engine));
     }
 
     /// What of a request that comes may have run before, or why it is refused.
-    pub fn arrives(
+    pub fn admit_request(
         &mut self,
         now: Micros,
         class: usize,
@@ -394,7 +394,7 @@
     }
 
     /// A request is to be sent to an engine. `known`: what the module was told of it.
-    pub fn sends(
+    pub fn prepare_send(
         &mut self,
         now: Micros,
         class: usize,
@@ -438,18 +438,24 @@
     }
 
     /// Whether a send that waited is still within the window of what may have run before it.
-    pub fn in_time(&self, now: Micros, class: usize, known: &[PriorAttempt]) -> bool {
+    pub fn is_within_window(&self, now: Micros, class: usize, known: &[PriorAttempt]) -> bool {
         in_time(now, self.windows.get(class).copied().unwrap_or(0), known)
     }
 
-    pub fn waits(&mut self, now: Micros, waiting: Waiting) {
+    pub fn add_pending_send(&mut self, now: Micros, waiting: Waiting) {
         self.counted.waited += 1;
         self.waiting
             .put(now, waiting.ticket, waiting.claim, waiting);
     }
 
     /// An attempt has its end; the store hears of it by and by.
-    pub fn ended(&mut self, now: Micros, class: usize, key: Option<&str>, never_ran: bool) {
+    pub fn on_attempt_ended(
+        &mut self,
+        now: Micros,
+        class: usize,
+        key: Option<&str>,
+        never_ran: bool,
+    ) {
         let Some(wish) = self.ledger.ended(now, class, key, never_ran) else {
             return;
         };
@@ -466,7 +472,7 @@
 
     /// What has become of sends that wait: those that are durable and granted go, those that have
     /// waited for too long don't.
-    pub fn work(&mut self, now: Micros) -> Ready {
+    pub fn poll(&mut self, now: Micros) -> Ready {
         let mut ready = Ready::default();
         for wish in self.ledger.expire(now) {
             self.write(wish.key, wish.intent.as_ref());
@@ -514,7 +520,7 @@
     }
 
     /// What a peer had learned, where this gateway began without a checkpoint; once.
-    pub fn hints(&mut self) -> Option<(LearnedState, Micros)> {
+    pub fn take_peer_hint(&mut self) -> Option<(LearnedState, Micros)> {
         let (bytes, age) = self.sharing.as_mut()?.hints()?;
         if std::mem::replace(&mut self.taught, true) {
             return None;
@@ -525,14 +531,14 @@
     }
 
     /// What peers' lists say of engines that the own list doesn't, since the last call.
-    pub fn drains(&mut self) -> Vec<Drain> {
+    pub fn take_drains(&mut self) -> Vec<Drain> {
         self.sharing
             .as_mut()
             .map_or(Vec::new(), |sharing| sharing.drains())
     }
 
     /// The own list says so of engines.
-    pub fn drained(&mut self, now: Micros, drains: Vec<Drain>) {
+    pub fn publish_drains(&mut self, now: Micros, drains: Vec<Drain>) {
         if let (Some(sharing), Some(worker), false) =
             (&mut self.sharing, &mut self.worker, drains.is_empty())
         {
@@ -541,12 +547,12 @@
     }
 
     /// A peer's newer list forbids what this gateway's own list allows.
-    pub fn binds(&self, engine: EngineId, booted_at: Micros, number: u64) -> Option<Drain> {
+    pub fn binding_drain(&self, engine: EngineId, booted_at: Micros, number: u64) -> Option<Drain> {
         self.sharing.as_ref()?.binds(engine, booted_at, number)
     }
 
     /// Engines that this gateway is to probe for all, and reports of others' probes.
-    pub fn probes(&mut self, now: Micros) -> (Vec<EngineId>, Vec<(EngineId, LoadReport)>) {
+    pub fn take_probe_work(&mut self, now: Micros) -> (Vec<EngineId>, Vec<(EngineId, LoadReport)>) {
         let Some(sharing) = &mut self.sharing else {
             return Default::default();
         };
@@ -557,20 +563,20 @@
     }
 
     /// A report that stands in for a probe of this gateway's own.
-    pub fn report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
+    pub fn recent_report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
         let leases = self.sharing.as_mut()?.leases_mut()?;
         leases.recent_report(now, engine)
     }
 
     /// An engine has answered a probe.
-    pub fn reported(&mut self, now: Micros, engine: EngineId, report: &LoadReport) {
+    pub fn publish_report(&mut self, now: Micros, engine: EngineId, report: &LoadReport) {
         if let (Some(sharing), Some(worker)) = (&mut self.sharing, &mut self.worker) {
             sharing.run_leases(|leases| leases.publish_report(now, engine, report, worker));
         }
     }
 
     /// The engines that there are.
-    pub fn engines(&mut self, now: Micros) {
+    pub fn update_lease_tasks(&mut self, now: Micros) {
         let engines: Vec<EngineId> = self.places.keys().copied().collect();
         let sharing = self.sharing.as_mut();
         if let Some(leases) = sharing.and_then(|sharing| sharing.leases_mut()) {
@@ -579,7 +585,7 @@
     }
 
     /// This gateway is told to end: others need not wait for what it owns.
-    pub fn hands_over(&mut self, now: Micros) {
+    pub fn release_leases(&mut self, now: Micros) {
         if let (Some(sharing), Some(worker)) = (&mut self.sharing, &mut self.worker) {
             sharing.run_leases(|leases| leases.stop(now, worker));
             sharing.flush();
@@ -592,7 +598,7 @@
     }
 
     /// What the record is to be told of the fleet: news, or all of it.
-    pub fn words(&mut self) -> Vec<FleetEvent> {
+    pub fn take_fleet_events(&mut self) -> Vec<FleetEvent> {
         self.sharing
             .as_mut()
             .map_or(Vec::new(), |sharing| sharing.words())
@@ -624,8 +630,8 @@
         )
     }
 
-    /// When [`IntentDurability::work`] has something to do.
-    pub fn due(&self, now: Micros) -> Option<Micros> {
+    /// When [`IntentDurability::poll`] has something to do.
+    pub fn deadline(&self, now: Micros) -> Option<Micros> {
         let shared = self.sharing.as_ref().map(|sharing| sharing.due(now));
         self.ledger
             .due()
