--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -3,9 +3,12 @@
 
 use std::time::Duration;
 
-use eideryard_leases::{self as owners, FencingToken, Task};
-use eideryard_peer_transport::failure_detector::{Detector, BEAT};
-use eideryard_peer_transport::frame::{self, Frame};
+use eideryard_leases::{
+    self as lease_protocol, FencingToken, Output as LeaseOutput, Task, VoterReadiness,
+};
+use eideryard_peer_transport::frame::{self, ReadFrame};
+use eideryard_peer_transport::limits::HEARTBEAT_INTERVAL;
+use eideryard_peer_transport::{FailureDetector, Frame};
 use eideryard_replication::entry::{Origin, Phase, WireRecord};
 use eideryard_replication::replica_set::Limits;
 use eideryard_replication::{Config, Core, Message, Micros, Output, Peer};
@@ -76,12 +79,16 @@
     let before = thread_time();
     for number in entries..entries + TIMED_CLAIMS {
         let mut frame = Vec::new();
-        frame::write(&mut frame, &Frame::Message(claim(number)));
-        let Ok(Some((Frame::Message(message), _))) = frame::read::<Message>(&frame) else {
+        frame::write(&mut frame, &Frame::Message(claim(number))).expect("short enough for a frame");
+        let Ok(Some(ReadFrame {
+            frame: Frame::Message(message),
+            ..
+        })) = frame::read::<Message>(&frame)
+        else {
             continue;
         };
         for answer in sent(core.hears(number, asker, message)) {
-            frame::write(&mut frame, &Frame::Message(answer));
+            frame::write(&mut frame, &Frame::Message(answer)).expect("short enough for a frame");
         }
     }
     (thread_time() - before).as_secs_f64() * 1e6 / TIMED_CLAIMS as f64
@@ -185,41 +192,51 @@
 
 /// The core of a voter that may own so many tasks, all of which another gateway owns.
 pub fn lease_core(tasks: u32) -> LeaseCore {
-    let plan = owners::Config {
-        keepers: 3,
-        own: Some(0),
+    let config = lease_protocol::Config {
+        voter_count: 3,
+        voter_index: Some(0),
         owner: 1,
     };
-    let mut core = owners::Core::start(plan, std::iter::empty(), 0);
+    let mut core = lease_protocol::LeaseCore::new(config, std::iter::empty(), 0);
     let task = |number| Task {
         kind: 1,
         number: number % tasks,
     };
     let token = FencingToken { term: 1, owner: 2 };
-    (0..tasks).for_each(|number| core.wants(0, task(number)));
-    let ask = |number| owners::Message::VoteRequest {
+    for number in 0..tasks {
+        core.add_candidate(0, task(number));
+    }
+    let vote_request = |number| lease_protocol::Message::VoteRequest {
         task: task(number),
         token,
     };
     for number in 0..tasks {
-        core.hears_asker(0, 1, ask(number), true);
-        core.durable(task(number), token);
+        core.on_requester_message(0, 1, vote_request(number), VoterReadiness::Ready);
+        core.mark_durable(task(number), token);
     }
     let before = thread_time();
     for number in 0..TIMED {
         let mut bytes = Vec::new();
-        frame::write(&mut bytes, &Frame::Message(ask(number)));
-        let Ok(Some((Frame::Message(message), _))) = frame::read::<owners::Message>(&bytes) else {
+        frame::write(&mut bytes, &Frame::Message(vote_request(number)))
+            .expect("short enough for a frame");
+        let Ok(Some(ReadFrame {
+            frame: Frame::Message(message),
+            ..
+        })) = frame::read::<lease_protocol::Message>(&bytes)
+        else {
             continue;
         };
-        for output in core.hears_asker(1, 1, message, true) {
-            if let owners::Output::Asker(_, answer) = output {
-                frame::write(&mut bytes, &Frame::Message(answer));
+        for output in core.on_requester_message(1, 1, message, VoterReadiness::Ready) {
+            if let LeaseOutput::ToRequester { message, .. } = output {
+                frame::write(&mut bytes, &Frame::Message(message))
+                    .expect("short enough for a frame");
             }
         }
     }
     let renewed = thread_time();
-    let outputs: usize = (0..TIMED).map(|_| core.work(1, 0, true).len()).sum();
+    let outputs: usize = (0..TIMED)
+        .map(|_| core.on_timer(1, 0, VoterReadiness::Ready).len())
+        .sum();
     let looked = thread_time();
     assert_eq!(outputs, 0, "nothing is due");
     let each = |spent: Duration| spent.as_secs_f64() * 1e6 / f64::from(TIMED);
@@ -318,7 +335,7 @@
 
 fn frame_bytes(message: &Message) -> u64 {
     let mut bytes = Vec::new();
-    frame::write(&mut bytes, &Frame::Message(message.clone()));
+    frame::write(&mut bytes, &Frame::Message(message.clone())).expect("short enough for a frame");
     bytes.len() as u64
 }
 
@@ -335,29 +352,32 @@
 
 /// So many links for so many heartbeats of each.
 pub fn heartbeats(links: usize, beats: u64) -> Heartbeats {
-    let mut detectors = vec![Detector::new(0); links];
+    let mut detectors = vec![FailureDetector::new(0); links];
     let (mut bytes, mut messages) = (0u64, 0u64);
     let before = thread_time();
     for number in 1..=beats {
-        let now = number * BEAT;
+        let now = number * HEARTBEAT_INTERVAL;
         for detector in &mut detectors {
-            let Some(beat) = detector.beats(now) else {
+            let Some(heartbeat) = detector.take_due_heartbeat(now) else {
                 continue;
             };
             // Its own heartbeat, and the answer to that of the other end.
-            for carried in [Frame::<u32>::Heartbeat(beat), Frame::HeartbeatReply(beat)] {
+            for carried in [
+                Frame::<u32>::Heartbeat(heartbeat),
+                Frame::HeartbeatReply(heartbeat),
+            ] {
                 let mut out = Vec::new();
-                frame::write(&mut out, &carried);
+                frame::write(&mut out, &carried).expect("short enough for a frame");
                 let read = frame::read::<u32>(&out);
                 messages += u64::from(matches!(read, Ok(Some(_))));
                 bytes += out.len() as u64 + HEADERS;
             }
-            detector.heard(now);
-            detector.answered(now, beat);
+            detector.on_frame(now);
+            detector.on_heartbeat_reply(now, heartbeat);
             detector.state(now);
         }
     }
-    let seconds = (beats * BEAT) as f64 / 1e6 * links as f64;
+    let seconds = (beats * HEARTBEAT_INTERVAL) as f64 / 1e6 * links as f64;
     Heartbeats {
         bytes_a_second: bytes as f64 / seconds,
         messages_a_second: messages as f64 / seconds,
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -4,15 +4,14 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
-use std::net::SocketAddr;
 
 use eideryard::interface::{Effect, Micros, PriorAttempt, Settings};
 use eideryard_event_log::{FleetEvent, RejectReason};
 use eideryard_intent_log::state::RETENTION_MARGIN;
 use eideryard_intent_log::{Intent, Place};
-use eideryard_leases::{self as owners, FencingToken, Task};
+use eideryard_leases::VoterReadiness;
 use eideryard_operator_config::FleetConfig;
-use eideryard_peer_transport::{Handshake, Hub, Peer as End, PeerEvent, State};
+use eideryard_peer_transport::{Handshake, Hub, Peer as End, PeerEvent, PeerState, VoterAddress};
 use eideryard_replication::core::ClaimError;
 use eideryard_replication::drains::Drain;
 use eideryard_replication::replica_set::Limits;
@@ -24,7 +23,7 @@
 
 use crate::fingerprints::classes_fingerprint;
 use crate::intent_durability::Shared;
-use crate::leases::{LeaseDriver, Todo};
+use crate::leases::{LeaseAction, LeaseDriver, PendingToken};
 
 mod lease_messages;
 mod status;
@@ -63,24 +62,24 @@
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
     /// Replicas of intents.
-    Copies(Message),
+    Replication(Message),
     /// Leases of tasks, and work under them.
-    Owners(owners::Message),
+    Leases(eideryard_leases::Message),
 }
 
 pub struct ReplicationDriver {
     core: Core,
     hub: Hub<PeerMessage>,
-    owning: Option<LeaseDriver>,
-    /// What owners' work waits for, by the store's tickets.
-    promised: VecDeque<(u64, Task, FencingToken, Vec<owners::Output>)>,
+    leases: Option<LeaseDriver>,
+    /// Fencing tokens that are written but not durable yet, in the order of their tickets.
+    pending_tokens: VecDeque<PendingToken>,
     /// What follows once a write of the store is durable, by its ticket.
     then: VecDeque<(u64, Vec<Output>)>,
     verdicts: Vec<(u64, Verdict)>,
     numbers: u64,
     keepers: Vec<String>,
     askers: BTreeMap<u64, String>,
-    states: BTreeMap<String, (State, Micros)>,
+    states: BTreeMap<String, (PeerState, Micros)>,
     turned: BTreeMap<String, String>,
     /// What peers' lists say of engines, and what a peer had learned when this gateway began.
     drains: Vec<Drain>,
@@ -139,34 +138,37 @@
         let whole = whole && voted.as_deref() == Some(&origin.identity.to_be_bytes()[..]);
         let held = copies.len();
         let core = Core::start(core, origin, whole, copies.into_iter(), now);
-        let hello = Handshake {
-            version: eideryard_peer_transport::handshake::VERSION,
+        let handshake = Handshake {
+            version: eideryard_peer_transport::VERSION,
             fleet: plan.name.clone(),
             name: name.to_string(),
-            keepers: keepers.clone(),
-            classes: classes_fingerprint(&settings.classes),
+            voters: keepers.clone(),
+            classes_fingerprint: classes_fingerprint(&settings.classes),
             identity: origin.identity,
-            start: origin.start,
+            start_number: origin.start,
         };
-        let others = plan
+        let other_voters = plan
             .keepers
             .iter()
             .enumerate()
-            .filter(|(_, (keeper, _))| keeper != name);
-        let others: Vec<(usize, String, SocketAddr)> = others
-            .map(|(at, (name, address))| (at, name.clone(), *address))
+            .filter(|(_, (voter, _))| voter != name)
+            .map(|(index, (voter, address))| VoterAddress {
+                index,
+                name: voter.clone(),
+                address: *address,
+            })
             .collect();
         let links = eideryard_peer_transport::Config {
-            hello,
-            listen: plan.listen,
-            keepers: others,
+            handshake,
+            listen_address: plan.listen,
+            voters: other_voters,
             seed,
         };
         let hub = Hub::start(links, wake).map_err(|e| {
             let what = format!("fleet: {e}; see 'listen' in the operator's file");
             io::Error::new(e.kind(), what)
         })?;
-        if let Some(address) = hub.listens {
+        if let Some(address) = hub.local_address() {
             tracing::info!("fleet {}: peers reach this gateway at {address}", plan.name);
         }
         match (own, core.standing.votes()) {
@@ -178,17 +180,17 @@
                 plan.name
             ),
         }
-        let owning = plan
+        let leases = plan
             .probes
-            .then(|| LeaseDriver::start(keepers.len(), own, origin, tokens, now));
+            .then(|| LeaseDriver::new(keepers.len(), own, origin, tokens, now));
         let words = Vec::from_iter(own.map(|_| FleetEvent::Votes {
             votes: core.standing.votes(),
         }));
         Ok(ReplicationDriver {
             core,
             hub,
-            owning,
-            promised: VecDeque::new(),
+            leases,
+            pending_tokens: VecDeque::new(),
             then: VecDeque::new(),
             verdicts: Vec::new(),
             numbers: 0,
@@ -264,12 +266,13 @@
                         message,
                         Message::Part { last: true, .. } | Message::Stands { .. }
                     ) {
-                        let tokens = self.owning.as_ref().and_then(|owning| owning.tokens());
-                        for told in tokens.into_iter() {
-                            _ = self.hub.tell(to_end(peer), PeerMessage::Owners(told));
+                        let tokens = self.leases.as_ref().and_then(LeaseDriver::tokens_message);
+                        if let Some(tokens) = tokens {
+                            self.send_lease_message(to_end(peer), tokens);
                         }
                     }
-                    self.hub.tell(to_end(peer), PeerMessage::Copies(message));
+                    self.hub
+                        .send(to_end(peer), PeerMessage::Replication(message));
                 }
                 Output::Store { key, copy, then } => {
                     let (mut batch, key) = (Batch::default(), entry::stored_key(&key));
@@ -322,43 +325,50 @@
         let outputs = match heard {
             PeerEvent::Message {
                 peer,
-                message: PeerMessage::Owners(message),
+                message: PeerMessage::Leases(message),
             } => {
-                let votes = self.core.standing.votes();
-                self.owning(|own| match peer {
-                    End::Requester(link) => own.hears_asker(now, link, message, votes, worker),
-                    End::Voter(keeper) => own.hears_keeper(now, keeper, message, worker),
+                let readiness = self.voter_readiness();
+                self.run_leases(|leases| match peer {
+                    End::Requester(link) => {
+                        leases.on_requester_message(now, link, message, readiness, worker)
+                    }
+                    End::Voter(voter) => leases.on_voter_message(now, voter, message, worker),
                 });
                 Vec::new()
             }
             PeerEvent::Message {
                 peer,
-                message: PeerMessage::Copies(message),
+                message: PeerMessage::Replication(message),
             } => self.core.hears(now, of_end(peer), message),
-            PeerEvent::Up { peer, name } => {
+            PeerEvent::Connected { peer, name } => {
                 self.turned.remove(&name);
                 match peer {
                     End::Requester(link) => _ = self.askers.insert(link, name),
-                    End::Voter(_) => self.does(name, State::Up, 0),
+                    End::Voter(_) => self.does(name, PeerState::Up, 0),
                 }
                 self.core.link(now, of_end(peer), true)
             }
-            PeerEvent::State { peer, state, trip } => {
+            PeerEvent::State {
+                peer,
+                state,
+                round_trip: trip,
+            } => {
                 if let (End::Voter(_), Some(name)) = (peer, self.name_of(peer)) {
                     self.does(name, state, trip);
                 }
                 match (peer, state) {
-                    (End::Requester(link), State::Gone) => {
+                    (End::Requester(link), PeerState::Disconnected) => {
                         self.askers.remove(&link);
                         self.core.link(now, of_end(peer), false)
                     }
                     (End::Requester(_), _) => Vec::new(),
-                    (_, state) => self
-                        .core
-                        .hears_state(now, of_end(peer), state < State::Silent),
+                    (_, state) => {
+                        self.core
+                            .hears_state(now, of_end(peer), state < PeerState::Silent)
+                    }
                 }
             }
-            PeerEvent::Rejected { name, why } => {
+            PeerEvent::Rejected { name, reason: why } => {
                 let known = self.turned.contains_key(&name) || self.turned.len() < MAX_TURNED;
                 if known && self.turned.get(&name) != Some(&why) {
                     tracing::warn!("fleet {}: no link with '{name}': {why}", self.fleet);
@@ -374,7 +384,7 @@
         self.perform(now, outputs, worker);
     }
 
-    fn does(&mut self, name: String, state: State, trip: Micros) {
+    fn does(&mut self, name: String, state: PeerState, trip: Micros) {
         let before = self.states.insert(name.clone(), (state, trip));
         if before.is_none_or(|(before, _)| before != state) {
             tracing::info!("fleet {}: {name} is {}", self.fleet, state.name());
@@ -388,7 +398,9 @@
     /// What has come, what is durable, and what time brings; gives what became of claims.
     pub fn work(&mut self, now: Micros, worker: &mut Worker) -> Vec<(u64, Verdict)> {
         for _ in 0..LOOK {
-            let Some(heard) = self.hub.take() else { break };
+            let Some(heard) = self.hub.try_recv() else {
+                break;
+            };
             self.hears(now, heard, worker);
         }
         let durable = worker.durable();
@@ -400,18 +412,9 @@
             let outputs = self.then.pop_front().map(|(_, outputs)| outputs);
             self.perform(now, outputs.unwrap_or_default(), worker);
         }
-        while self
-            .promised
-            .front()
-            .is_some_and(|(ticket, ..)| *ticket <= durable)
-        {
-            let Some((_, task, token, outputs)) = self.promised.pop_front() else {
-                break;
-            };
-            self.owning(|own| own.durable(now, (task, token), outputs, worker));
-        }
-        let votes = self.core.standing.votes();
-        self.owning(|own| own.work(now, votes, worker));
+        self.continue_durable_tokens(now, durable, worker);
+        let readiness = self.voter_readiness();
+        self.run_leases(|leases| leases.on_timer(now, readiness, worker));
         if now >= self.core.due() {
             let outputs = self.core.work(now);
             self.perform(now, outputs, worker);
@@ -465,7 +468,8 @@
     }
 
     pub fn due(&self, now: Micros) -> Micros {
-        let owners = self.owning.as_ref().map_or(Micros::MAX, |own| own.due(now));
-        self.core.due().min(self.status_at).min(owners)
+        let leases = self.leases.as_ref();
+        let lease_deadline = leases.map_or(Micros::MAX, |leases| leases.deadline(now));
+        self.core.due().min(self.status_at).min(lease_deadline)
     }
 }
