--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -37,7 +37,8 @@
     }
     Config::read(&text)
         .map(|_| "configuration")
-        .map_err(|message| {
+        .map_err(|error| {
+            let message = error.to_string();
             let (line, column) = place(&text, &message);
             format!(
                 "{name}:{line}:{column}: {message}; see docs/operating for what each member holds"
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -83,7 +83,8 @@
         .unwrap_or_default();
     logger::start(std::env::var("EIDERYARD_LOG").ok().as_deref(), &log);
     let served = operator.and_then(|operator| {
-        let config = eideryard_gateway::config::Config::from_environment()?;
+        let config = eideryard_gateway::config::Config::from_environment()
+            .map_err(|error| error.to_string())?;
         eideryard_gateway::serve(config, &operator).map_err(|e| e.to_string())
     });
     match served {
--- a/crates/gateway/src/clients/closing.rs
+++ b/crates/gateway/src/clients/closing.rs
@@ -1,186 +1,171 @@
-//! How a client's connection ends from this side. Where it may have more to say it is half-closed,
-//! read on for a while and passed over (a lingering close): to close over what is unread would
-//! reset it, and take answers along that are still on their way.
+//! How a client's connection ends from this side. Where the client may send more, the connection is
+//! half-closed and its input is discarded for a while (a lingering close): to close a socket with
+//! unread input would reset it, and lose answers that are still in transfer.
 
-use super::*;
+use std::cmp::Reverse;
 
-/// How long a connection that gets no more from here is still read.
-const LINGER: Micros = 500_000;
-/// Connections that are looked at for one that is idle in truth: the first may all just have said
-/// something.
-const MAX_LOOKS: usize = 16;
+use eideryard::interface::Micros;
+use eideryard_event_log::CloseReason;
+
+use super::client::Client;
+use super::{ClientContext, ClientEvent, Clients, ConnectionChange, ConnectionState};
+use crate::deadlines::Deadline;
+use crate::table::Key;
+
+/// How long a connection that gets no more answers is still read.
+const LINGER_TIMEOUT: Micros = 500_000;
+/// Connections that are tried for eviction: the first ones may all have sent something by now.
+const MAX_EVICTION_ATTEMPTS: usize = 16;
+/// Clients usually send their first request within this time of connecting.
+const FIRST_REQUEST_INTERVAL: Micros = 200_000;
 
 impl Clients {
-    /// Room for another connection, at the cost of the one that asked for nothing for the longest
-    /// time; first go those that never asked though they had the time to, then those that only
-    /// linger.
-    pub(super) fn close_idlest(
-        &mut self,
-        now: Micros,
-        names: &Names,
-        due: &mut Deadlines,
-        counters: &mut Counters,
-        heard: &mut Vec<Heard>,
-    ) -> bool {
-        for _ in 0..MAX_LOOKS {
-            let idle = self
-                .table
-                .iter()
-                .filter(|(_, c)| c.open.is_empty() && c.connection.output.is_empty());
-            let order = |c: &Client| {
-                let lingers = c.closing != Closing::No;
-                (
-                    lingers || c.asked || now - c.used_at < FIRST_WORD,
-                    !lingers,
-                    c.used_at,
-                )
-            };
-            let Some((key, _)) = idle.min_by_key(|(_, client)| order(client)) else {
+    /// Makes room for another connection by closing the one that has been idle for the longest
+    /// time. Connections that had time to send a request and never did go first, lingering ones
+    /// next. False: none is idle.
+    pub(super) fn evict_idlest(&mut self, context: &mut ClientContext<'_>) -> bool {
+        for _ in 0..MAX_EVICTION_ATTEMPTS {
+            let Some(key) = self.idlest(context.now) else {
                 return false;
             };
-            // What has come by now was taken, though nobody has looked at it: such a one isn't
-            // idle.
-            let before = counters.bytes_in;
-            self.read(key, now, names, due, counters, heard);
+            // A connection that has sent something by now isn't idle, though it was not read yet.
+            let bytes_before = context.counters.bytes_in;
+            self.read(key, context);
             if self.table.get(key).is_none() {
                 return true;
             }
-            if counters.bytes_in == before {
-                counters.ended.evicted += 1;
-                self.tell(key, Change::Ends(CloseReason::Evicted));
-                self.close(key, due, heard);
+            if context.counters.bytes_in == bytes_before {
+                context.counters.ended.evicted += 1;
+                self.record_change(key, ConnectionChange::Closing(CloseReason::Evicted));
+                self.close(key, context);
                 return true;
             }
         }
         false
     }
 
-    /// It was silent for too long, or has had the time to take its last answers.
-    pub fn client_due(
-        &mut self,
-        key: Key,
-        now: Micros,
-        names: &Names,
-        due: &mut Deadlines,
-        counters: &mut Counters,
-        heard: &mut Vec<Heard>,
-    ) {
+    fn idlest(&self, now: Micros) -> Option<Key> {
+        let eviction_order = |client: &Client| {
+            let is_lingering = client.state != ConnectionState::Open;
+            let is_recent = now - client.used_at < FIRST_REQUEST_INTERVAL;
+            let goes_later = is_lingering || client.has_requested || is_recent;
+            (goes_later, Reverse(is_lingering), client.used_at)
+        };
+        let idle = self
+            .table
+            .iter()
+            .filter(|(_, client)| client.open.is_empty() && client.connection.output.is_empty());
+        let idlest = idle.min_by_key(|(_, client)| eviction_order(client));
+        idlest.map(|(key, _)| key)
+    }
+
+    /// The connection's deadline has passed: it was silent for too long, or its linger time is
+    /// over.
+    pub fn handle_deadline(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
         };
         client.deadline = None;
-        if client.closing != Closing::No {
-            return self.close(key, due, heard);
+        if client.state != ConnectionState::Open {
+            return self.close(key, context);
         }
-        // What has come by now is in time, though nobody has looked at it.
-        let (messages, mut before) = (client.messages, None);
-        while before != Some(counters.bytes_in) {
-            before = Some(counters.bytes_in);
-            self.read(key, now, names, due, counters, heard);
-            let waits =
-                |client: &&Client| client.closing == Closing::No && client.messages == messages;
-            if self.table.get(key).filter(waits).is_none() {
+        // What has arrived by now is in time, though it was not read yet.
+        let message_reads = client.message_reads;
+        let mut bytes_before = None;
+        while bytes_before != Some(context.counters.bytes_in) {
+            bytes_before = Some(context.counters.bytes_in);
+            self.read(key, context);
+            let is_silent = self.table.get(key).is_some_and(|client| {
+                client.state == ConnectionState::Open && client.message_reads == message_reads
+            });
+            if !is_silent {
                 return;
             }
         }
-        counters.ended.silent += 1;
-        self.tell(key, Change::Ends(CloseReason::Silent));
-        self.spoil(key, now, due, heard);
+        context.counters.ended.silent += 1;
+        self.record_change(key, ConnectionChange::Closing(CloseReason::Silent));
+        self.reject_connection(key, context);
     }
 
-    /// Nothing more is taken from a connection: what is open on it ends now, and what it says is
-    /// passed over.
-    pub(super) fn spoil(
-        &mut self,
-        key: Key,
-        now: Micros,
-        due: &mut Deadlines,
-        heard: &mut Vec<Heard>,
-    ) {
+    /// Accepts nothing more from a connection: its open requests end now, and its input is
+    /// discarded.
+    pub(super) fn reject_connection(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
         };
-        client.closing = Closing::Answers;
-        self.unread -= client.connection.input.len();
+        client.state = ConnectionState::Draining;
+        self.unread_bytes -= client.connection.input.len();
         client.connection.input.clear();
-        due.renew(&mut client.deadline, now + LINGER, Due::Client(key));
-        // What has no slot yet gets an error anyway, as it is no more taken from here.
-        heard.extend(
-            client
-                .open
-                .iter()
-                .filter_map(|(_, request)| request.map(Heard::Spoilt)),
-        );
+        set_linger_deadline(key, client, context);
+        // A request without a slot gets an error anyway, as its connection accepts no more.
+        let requests = client.open.iter().filter_map(|open| open.request);
+        context
+            .events
+            .extend(requests.map(ClientEvent::ConnectionRejected));
         self.unflushed.push(key);
     }
 
-    /// It doesn't read: what waits for it is dropped, and nothing more is written behind a part of
-    /// an answer.
-    pub(super) fn mute(
-        &mut self,
-        key: Key,
-        now: Micros,
-        due: &mut Deadlines,
-        heard: &mut Vec<Heard>,
-    ) {
+    /// The client doesn't read: unwritten answers are dropped, and nothing more is written behind a
+    /// part of an answer.
+    pub(super) fn stop_writing(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
         };
-        client.closing = Closing::Mute;
-        self.unread -= client.connection.input.len();
+        client.state = ConnectionState::Discarding;
+        self.unread_bytes -= client.connection.input.len();
         client.connection.input.clear();
-        self.unsent = self.unsent.saturating_sub(client.connection.output.len());
+        self.unsent_bytes = self
+            .unsent_bytes
+            .saturating_sub(client.connection.output.len());
         client.connection.output.clear();
         client.connection.end_output();
-        due.renew(&mut client.deadline, now + LINGER, Due::Client(key));
-        heard.extend(
-            client
-                .open
-                .drain(..)
-                .filter_map(|(_, request)| request.map(Heard::Left)),
-        );
+        set_linger_deadline(key, client, context);
+        let requests = client.open.drain(..).filter_map(|open| open.request);
+        context
+            .events
+            .extend(requests.map(ClientEvent::Disconnected));
     }
 
-    /// Half-closes the connections that rest. One that has said something by now isn't at rest, and
-    /// neither is one that is half way through a message: that may still be served.
-    pub fn end_resting(
-        &mut self,
-        now: Micros,
-        names: &Names,
-        due: &mut Deadlines,
-        counters: &mut Counters,
-        heard: &mut Vec<Heard>,
-    ) {
-        let resting = self
-            .table
-            .iter()
-            .filter(|(_, client)| client.rests())
-            .map(|(key, _)| key);
-        for key in resting.collect::<Vec<_>>() {
-            self.read(key, now, names, due, counters, heard);
-            let Some(client) = self.table.get_mut(key).filter(|client| client.rests()) else {
+    /// Half-closes idle connections. One that has sent something by now isn't idle, and neither is
+    /// one that has sent a part of a message: that request may still be served.
+    pub fn close_idle_connections(&mut self, context: &mut ClientContext<'_>) {
+        let idle = self.table.iter().filter(|(_, client)| client.is_idle());
+        let keys: Vec<Key> = idle.map(|(key, _)| key).collect();
+        for key in keys {
+            self.read(key, context);
+            let Some(client) = self.table.get_mut(key) else {
                 continue;
             };
-            client.closing = Closing::Answers;
-            client.connection.end_output();
-            due.renew(&mut client.deadline, now + LINGER, Due::Client(key));
+            if client.is_idle() {
+                client.state = ConnectionState::Draining;
+                client.connection.end_output();
+                set_linger_deadline(key, client, context);
+            }
         }
     }
 
-    /// The one place that gives a client's connection back.
-    pub(super) fn close(&mut self, key: Key, due: &mut Deadlines, heard: &mut Vec<Heard>) {
+    /// The one place that frees the slot of a client's connection.
+    pub(super) fn close(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.remove(key) else {
             return;
         };
-        self.tell(key, Change::Gone);
-        due.take_back(client.deadline);
-        self.unsent = self.unsent.saturating_sub(client.connection.output.len());
-        self.unread -= client.connection.input.len();
-        heard.extend(
-            client
-                .open
-                .into_iter()
-                .filter_map(|(_, request)| request.map(Heard::Left)),
-        );
+        self.record_change(key, ConnectionChange::Closed);
+        context.deadlines.cancel(client.deadline);
+        self.unsent_bytes = self
+            .unsent_bytes
+            .saturating_sub(client.connection.output.len());
+        self.unread_bytes -= client.connection.input.len();
+        let requests = client.open.into_iter().filter_map(|open| open.request);
+        context
+            .events
+            .extend(requests.map(ClientEvent::Disconnected));
     }
 }
+
+fn set_linger_deadline(key: Key, client: &mut Client, context: &mut ClientContext<'_>) {
+    let deadline = Deadline::ClientConnection(key);
+    let closes_at = context.now + LINGER_TIMEOUT;
+    context
+        .deadlines
+        .replace(&mut client.deadline, closes_at, deadline);
+}
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,87 +1,170 @@
-//! What the platform tells a gateway: the file that `EDGE_CONFIG` names.
+//! The configuration that the platform gives a gateway: the file that `EDGE_CONFIG` names. The keys
+//! of the file stand here only.
+
+use std::net::SocketAddr;
 
 use eideryard::interface::Settings;
 use eideryard_discovery::Known;
+use eideryard_settings::{HostSettings, Tree};
 use serde_json::Value;
-use std::net::SocketAddr;
+
+/// The environment variable that names the file.
+const PATH_VARIABLE: &str = "EDGE_CONFIG";
+/// Memory where the platform sets no limit: what the operators promise at least.
+const DEFAULT_MEMORY_MB: u64 = 192;
+/// Descriptors where the platform sets no limit: what the operators promise at least.
+const DEFAULT_SOCKETS: u64 = 1024;
 
 /// The configuration of one gateway.
 pub struct Config {
-    /// Its name, which keepers know it by.
+    /// Its name, by which peers and voters know it.
     pub name: String,
     /// Where clients reach it.
     pub listen: SocketAddr,
-    /// What its random numbers come of.
+    /// Its random numbers are derived from this.
     pub seed: u64,
     /// Memory that the platform grants.
     pub memory_mb: u64,
     /// Descriptors that the platform grants.
     pub sockets: usize,
     /// Where service discovery listens.
-    pub bulletin: SocketAddr,
-    /// What service discovery had told when the file was written.
+    pub discovery: SocketAddr,
+    /// What service discovery had reported when the file was written.
     pub known: Known,
-    /// Settings of the decisions.
+    /// Settings of the balancer.
     pub settings: Settings,
-    /// Settings of the host round them.
-    pub host: eideryard_settings::HostSettings,
+    /// Settings of the process around it.
+    pub host: HostSettings,
 }
 
-/// Where the platform sets no limits, those that the operators promise at least.
-const USUAL_MEMORY_MB: u64 = 192;
-const USUAL_SOCKETS: u64 = 1024;
+/// Why a configuration can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The environment names no file.
+    #[error("EDGE_CONFIG names no configuration file")]
+    NoPath,
+    /// The file can't be read.
+    #[error("configuration {path}: {error}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// What the system says.
+        error: std::io::Error,
+    },
+    /// The file's text is invalid.
+    #[error("configuration {path}: {error}")]
+    Invalid {
+        /// The file.
+        path: String,
+        /// What is wrong where.
+        error: ConfigTextError,
+    },
+}
+
+/// What is wrong in the text of a configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigTextError {
+    /// The text is no JSON.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// A member isn't there.
+    #[error("'{0}' is missing")]
+    Missing(&'static str),
+    /// A member isn't a string.
+    #[error("'{0}' is no text")]
+    NotText(&'static str),
+    /// A member isn't a socket address.
+    #[error("'{key}' is '{text}', no address with a port")]
+    NotAddress {
+        /// The member.
+        key: &'static str,
+        /// Its text.
+        text: String,
+    },
+    /// A limit isn't a positive number.
+    #[error("'limits.{key}' is {value}, no positive number")]
+    NotPositive {
+        /// The limit.
+        key: &'static str,
+        /// Its value.
+        value: Value,
+    },
+    /// The seed isn't a hexadecimal number.
+    #[error("'seed' is '{0}', no hex number")]
+    NotHex(String),
+    /// The endpoints that were known can't be read.
+    #[error("'known': {0}")]
+    Known(String),
+    /// The settings can't be read.
+    #[error("{0}")]
+    Settings(String),
+}
 
 impl Config {
-    /// The file that `EDGE_CONFIG` names.
-    pub fn from_environment() -> Result<Self, String> {
-        let path =
-            std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no configuration file")?;
-        let text =
-            std::fs::read_to_string(&path).map_err(|e| format!("configuration {path}: {e}"))?;
-        Self::read(&text).map_err(|e| format!("configuration {path}: {e}"))
+    /// Reads the file that `EDGE_CONFIG` names.
+    pub fn from_environment() -> Result<Self, ConfigError> {
+        let path = std::env::var(PATH_VARIABLE).map_err(|_| ConfigError::NoPath)?;
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(error) => return Err(ConfigError::Unreadable { path, error }),
+        };
+        Self::read(&text).map_err(|error| ConfigError::Invalid { path, error })
     }
 
-    /// Reads the text of such a file; an error says what is wrong where.
-    pub fn read(text: &str) -> Result<Self, String> {
-        let root: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let member = |key: &str| root.get(key).ok_or_else(|| format!("'{key}' is missing"));
-        let word = |key: &str| {
-            member(key)?
-                .as_str()
-                .map(str::to_string)
-                .ok_or_else(|| format!("'{key}' is no text"))
-        };
-        let address = |key: &str| {
-            let text = word(key)?;
-            text.parse::<SocketAddr>()
-                .map_err(|_| format!("'{key}' is '{text}', no address with a port"))
-        };
-        let limit = |key: &str, usual| match root.get("limits").and_then(|limits| limits.get(key)) {
-            None => Ok(usual),
-            Some(value) => value
-                .as_u64()
-                .or_else(|| {
-                    value
-                        .as_f64()
-                        .filter(|value| *value >= 1.0)
-                        .map(|value| value as u64)
-                })
-                .filter(|&value| value > 0)
-                .ok_or_else(|| format!("'limits.{key}' is {value}, no positive number")),
-        };
-        let seed = word("seed")?;
-        let tree = eideryard_settings::Tree::from_json(member("settings")?);
+    /// Reads the text of such a file.
+    pub fn read(text: &str) -> Result<Self, ConfigTextError> {
+        let root: Value = serde_json::from_str(text)?;
+        let seed = text_member(&root, "seed")?;
+        let tree = Tree::from_json(member(&root, "settings")?);
         Ok(Config {
-            name: word("name")?,
-            listen: address("listen")?,
-            seed: u64::from_str_radix(&seed, 16)
-                .map_err(|_| format!("'seed' is '{seed}', no hex number"))?,
-            memory_mb: limit("memory_mb", USUAL_MEMORY_MB)?,
-            sockets: limit("sockets", USUAL_SOCKETS)? as usize,
-            bulletin: address("bulletin")?,
-            known: Known::read(member("known")?).map_err(|e| format!("'known': {e}"))?,
-            settings: eideryard_settings::settings(&tree).map_err(|e| e.to_string())?,
-            host: eideryard_settings::host(&tree).map_err(|e| e.to_string())?,
+            name: text_member(&root, "name")?,
+            listen: address_member(&root, "listen")?,
+            seed: u64::from_str_radix(&seed, 16).map_err(|_| ConfigTextError::NotHex(seed))?,
+            memory_mb: limit(&root, "memory_mb", DEFAULT_MEMORY_MB)?,
+            sockets: limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
+            discovery: address_member(&root, "bulletin")?,
+            known: Known::read(member(&root, "known")?)
+                .map_err(|error| ConfigTextError::Known(error.to_string()))?,
+            settings: eideryard_settings::settings(&tree)
+                .map_err(|error| ConfigTextError::Settings(error.to_string()))?,
+            host: eideryard_settings::host(&tree)
+                .map_err(|error| ConfigTextError::Settings(error.to_string()))?,
         })
     }
 }
+
+fn member<'a>(root: &'a Value, key: &'static str) -> Result<&'a Value, ConfigTextError> {
+    root.get(key).ok_or(ConfigTextError::Missing(key))
+}
+
+fn text_member(root: &Value, key: &'static str) -> Result<String, ConfigTextError> {
+    match member(root, key)?.as_str() {
+        Some(text) => Ok(text.to_string()),
+        None => Err(ConfigTextError::NotText(key)),
+    }
+}
+
+fn address_member(root: &Value, key: &'static str) -> Result<SocketAddr, ConfigTextError> {
+    let text = text_member(root, key)?;
+    text.parse()
+        .map_err(|_| ConfigTextError::NotAddress { key, text })
+}
+
+/// A limit that the platform sets, or its default where the platform sets none. Fractions are cut
+/// off.
+fn limit(root: &Value, key: &'static str, default: u64) -> Result<u64, ConfigTextError> {
+    let Some(value) = root.get("limits").and_then(|limits| limits.get(key)) else {
+        return Ok(default);
+    };
+    let fraction = || value.as_f64().filter(|number| *number >= 1.0);
+    let number = value
+        .as_u64()
+        .or_else(|| fraction().map(|number| number as u64));
+    match number {
+        Some(number) if number > 0 => Ok(number),
+        _ => Err(ConfigTextError::NotPositive {
+            key,
+            value: value.clone(),
+        }),
+    }
+}
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -12,28 +12,28 @@
 
 /// What there is to look at.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wake {
+pub enum WakeReason {
     Listener,
     Client(Key),
     Engine(Key),
-    Bulletin,
+    Discovery,
     /// The spool's worker has done something.
-    Spool,
+    ResultSpool,
     /// The store's thread has made something durable.
-    Store,
+    IntentDurability,
     Stop,
     Reload,
-    Report,
+    LogCounters,
 }
 
 /// The state of the event loop: what woke it.
-pub type Wakes = Vec<Wake>;
-pub type Loop = LoopHandle<'static, Wakes>;
+pub type PendingWakes = Vec<WakeReason>;
+pub type EventLoopHandle = LoopHandle<'static, PendingWakes>;
 
 /// The most that is read at once, and the capacity that an emptied buffer keeps.
-const CHUNK: usize = 16 << 10;
+const READ_CHUNK_BYTES: usize = 16 << 10;
 /// Reads of one connection in a row, before others get their turn.
-pub const MAX_READS: usize = 16;
+pub const MAX_READS_PER_TURN: usize = 16;
 
 /// Bytes that came in and weren't used yet, or are to go out; one allocation, compacted in place.
 #[derive(Default)]
@@ -74,7 +74,7 @@
         if self.start == self.bytes.len() {
             self.start = 0;
             self.bytes.clear();
-            self.bytes.shrink_to(CHUNK);
+            self.bytes.shrink_to(READ_CHUNK_BYTES);
         } else if self.start >= self.bytes.len() / 2 {
             self.bytes.copy_within(self.start.., 0);
             self.bytes.truncate(self.bytes.len() - self.start);
@@ -87,16 +87,21 @@
 pub struct Watched<F: AsFd + 'static> {
     pub file: Rc<F>,
     token: RegistrationToken,
-    events: Loop,
+    event_loop: EventLoopHandle,
 }
 
 impl<F: AsFd + 'static> Watched<F> {
-    pub fn new(events: &Loop, file: F, interest: Interest, wake: Wake) -> io::Result<Self> {
+    pub fn new(
+        event_loop: &EventLoopHandle,
+        file: F,
+        interest: Interest,
+        wake: WakeReason,
+    ) -> io::Result<Self> {
         let file = Rc::new(file);
         // Edges only: whoever is woken reads and writes until the socket would block.
         let source = Generic::new(file.clone(), interest, Mode::Edge);
-        let token = events
-            .insert_source(source, move |_, _, wakes: &mut Wakes| {
+        let token = event_loop
+            .insert_source(source, move |_, _, wakes: &mut PendingWakes| {
                 wakes.push(wake);
                 Ok(PostAction::Continue)
             })
@@ -104,14 +109,14 @@
         Ok(Watched {
             file,
             token,
-            events: events.clone(),
+            event_loop: event_loop.clone(),
         })
     }
 }
 
 impl<F: AsFd + 'static> Drop for Watched<F> {
     fn drop(&mut self) {
-        self.events.remove(self.token);
+        self.event_loop.remove(self.token);
     }
 }
 
@@ -126,22 +131,30 @@
 
 /// What a read found.
 #[derive(Debug, PartialEq)]
-pub enum Filled {
-    Some,
+pub enum ReadOutcome {
+    Data,
     /// Nothing more for now.
-    Blocked,
-    Ended,
+    WouldBlock,
+    Closed,
 }
 
 impl Connection {
-    pub fn accepted(events: &Loop, stream: TcpStream, wake: Wake) -> io::Result<Self> {
+    pub fn accepted(
+        event_loop: &EventLoopHandle,
+        stream: TcpStream,
+        wake: WakeReason,
+    ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        Self::new(events, stream, wake, false)
+        Self::new(event_loop, stream, wake, false)
     }
 
     /// Begins to connect; the end of that shows in [`Connection::is_up`] after a wake.
-    pub fn dial(events: &Loop, address: SocketAddr, wake: Wake) -> io::Result<Self> {
+    pub fn dial(
+        event_loop: &EventLoopHandle,
+        address: SocketAddr,
+        wake: WakeReason,
+    ) -> io::Result<Self> {
         let socket = socket2::Socket::new(
             socket2::Domain::for_address(address),
             socket2::Type::STREAM,
@@ -154,11 +167,16 @@
             Err(e) if e.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {}
             Err(e) => return Err(e),
         }
-        Self::new(events, socket.into(), wake, true)
+        Self::new(event_loop, socket.into(), wake, true)
     }
 
-    fn new(events: &Loop, stream: TcpStream, wake: Wake, connecting: bool) -> io::Result<Self> {
-        let socket = Watched::new(events, stream, Interest::BOTH, wake)?;
+    fn new(
+        event_loop: &EventLoopHandle,
+        stream: TcpStream,
+        wake: WakeReason,
+        connecting: bool,
+    ) -> io::Result<Self> {
+        let socket = Watched::new(event_loop, stream, Interest::BOTH, wake)?;
         Ok(Connection {
             socket,
             input: Buffer::default(),
@@ -184,9 +202,9 @@
         Ok(!self.connecting)
     }
 
-    pub fn fill(&mut self) -> io::Result<Filled> {
+    pub fn read_available(&mut self) -> io::Result<ReadOutcome> {
         let before = self.input.bytes.len();
-        self.input.bytes.resize(before + CHUNK, 0);
+        self.input.bytes.resize(before + READ_CHUNK_BYTES, 0);
         let read = loop {
             match (&*self.socket.file).read(&mut self.input.bytes[before..]) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -197,9 +215,9 @@
             .bytes
             .truncate(before + *read.as_ref().unwrap_or(&0));
         match read {
-            Ok(0) => Ok(Filled::Ended),
-            Ok(_) => Ok(Filled::Some),
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(Filled::Blocked),
+            Ok(0) => Ok(ReadOutcome::Closed),
+            Ok(_) => Ok(ReadOutcome::Data),
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(ReadOutcome::WouldBlock),
             Err(e) => Err(e),
         }
     }
@@ -253,7 +271,10 @@
 
 /// Listens with the deepest queue that the system grants: what the system accepted is owed an
 /// answer.
-pub fn listen(events: &Loop, address: SocketAddr) -> io::Result<Watched<TcpListener>> {
+pub fn listen(
+    event_loop: &EventLoopHandle,
+    address: SocketAddr,
+) -> io::Result<Watched<TcpListener>> {
     let socket = socket2::Socket::new(
         socket2::Domain::for_address(address),
         socket2::Type::STREAM,
@@ -263,7 +284,12 @@
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
     socket.listen(i32::MAX)?;
-    Watched::new(events, socket.into(), Interest::READ, Wake::Listener)
+    Watched::new(
+        event_loop,
+        socket.into(),
+        Interest::READ,
+        WakeReason::Listener,
+    )
 }
 
 #[cfg(test)]
@@ -280,10 +306,10 @@
         assert_eq!(buffer.filled(), b"dgh");
         buffer.consume(1);
         assert_eq!((buffer.filled(), buffer.start), (&b"gh"[..], 0));
-        buffer.tail().resize(100 * CHUNK, 0);
+        buffer.tail().resize(100 * READ_CHUNK_BYTES, 0);
         buffer.clear();
         assert!(
-            buffer.is_empty() && buffer.bytes.capacity() <= 2 * CHUNK,
+            buffer.is_empty() && buffer.bytes.capacity() <= 2 * READ_CHUNK_BYTES,
             "{}",
             buffer.bytes.capacity()
         );
--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -2,7 +2,7 @@
 //! that read the log; they are fixed here and are not the names of types and fields.
 
 use crate::intent_durability::Counted;
-use crate::result_spool::Spooled;
+use crate::result_spool::ResultSpoolCounters;
 
 /// A group's name and its counters: `Name { first: 1, second: 2 }`.
 fn group(name: &str, counters: &[(&str, u64)]) -> String {
@@ -31,7 +31,7 @@
 }
 
 /// What was counted of spooled results.
-pub fn spool(counted: &Spooled) -> String {
+pub fn spool(counted: &ResultSpoolCounters) -> String {
     group(
         "Spooled",
         &[
--- a/crates/gateway/src/deadlines.rs
+++ b/crates/gateway/src/deadlines.rs
@@ -11,19 +11,19 @@
 
 /// What can fall due.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Due {
-    /// A timer that the module set, by its tag.
-    Timer(u64),
+pub enum Deadline {
+    /// A timer that the balancer set, by its tag.
+    BalancerTimer(u64),
     /// An attempt of a request has had its time.
     Attempt(Key, usize),
     /// A client's connection should have asked for something, or be over.
-    Client(Key),
+    ClientConnection(Key),
     /// A connection to an engine should be up, or was idle for long enough.
-    Conn(Key),
+    EngineConnection(Key),
     /// A probe on a connection should be answered.
     Probe(Key, u64),
-    /// The bulletin should have said something, or may be called again.
-    Bulletin,
+    /// Service discovery should have said something, or may be called again.
+    Discovery,
     /// Descriptors may be free again for clients that wait.
     Accept,
     /// After SIGTERM: a phase of the shutdown is over.
@@ -33,46 +33,46 @@
 pub type DeadlineKey = (Micros, u64);
 
 pub struct Deadlines {
-    ahead: BTreeMap<DeadlineKey, Due>,
-    set: u64,
+    pending: BTreeMap<DeadlineKey, Deadline>,
+    sequence: u64,
 }
 
 impl Deadlines {
     pub fn new() -> Self {
         Deadlines {
-            ahead: BTreeMap::new(),
-            set: 0,
+            pending: BTreeMap::new(),
+            sequence: 0,
         }
     }
 
-    pub fn set(&mut self, at: Micros, what: Due) -> DeadlineKey {
-        self.set += 1;
-        self.ahead.insert((at, self.set), what);
-        (at, self.set)
+    pub fn set(&mut self, at: Micros, deadline: Deadline) -> DeadlineKey {
+        self.sequence += 1;
+        self.pending.insert((at, self.sequence), deadline);
+        (at, self.sequence)
     }
 
     /// Sets one in the place of another that its owner keeps the key of.
-    pub fn renew(&mut self, kept: &mut Option<DeadlineKey>, at: Micros, what: Due) {
-        self.take_back(kept.take());
-        *kept = Some(self.set(at, what));
+    pub fn replace(&mut self, slot: &mut Option<DeadlineKey>, at: Micros, deadline: Deadline) {
+        self.cancel(slot.take());
+        *slot = Some(self.set(at, deadline));
     }
 
-    pub fn take_back(&mut self, key: Option<DeadlineKey>) {
-        key.map(|key| self.ahead.remove(&key));
+    pub fn cancel(&mut self, key: Option<DeadlineKey>) {
+        key.map(|key| self.pending.remove(&key));
     }
 
     pub fn len(&self) -> usize {
-        self.ahead.len()
+        self.pending.len()
     }
 
     pub fn next(&self) -> Option<Micros> {
-        self.ahead.first_key_value().map(|((at, _), _)| *at)
+        self.pending.first_key_value().map(|((at, _), _)| *at)
     }
 
     /// The first that is due, which is then no longer set.
-    pub fn due(&mut self, now: Micros) -> Option<Due> {
+    pub fn pop_expired(&mut self, now: Micros) -> Option<Deadline> {
         let first = self
-            .ahead
+            .pending
             .first_entry()
             .filter(|entry| entry.key().0 <= now)?;
         Some(first.remove())
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -1,193 +1,258 @@
-//! The watch on the list of engines (service discovery): keeps one connection to the bulletin open,
-//! hands each event on once and in order, and calls again when the stream ends, skips an event or
-//! falls silent.
+//! The watch on service discovery: keeps one connection open on which engines are reported as
+//! numbered events, hands each event on once and in order, and connects again when the stream ends,
+//! skips an event or falls silent. The gateway's main loop owns one.
 
+use std::io;
 use std::net::SocketAddr;
 
 use eideryard::interface::Micros;
 use eideryard_discovery::{request, Item, Reader, StreamEvent};
 
-use crate::connection::{Connection, Filled, Loop, Wake, MAX_READS};
+use crate::connection::{Connection, EventLoopHandle, ReadOutcome, WakeReason, MAX_READS_PER_TURN};
 use crate::counters::Counters;
-use crate::deadlines::{DeadlineKey, Deadlines, Due};
+use crate::deadlines::{Deadline, DeadlineKey, Deadlines};
 
 #[cfg(test)]
 mod tests;
 
-/// A comment comes each second: a stream that has missed two is dead. What it would have told
-/// counts as told 4 s after it fell silent, and asking again takes a while too.
-const SILENCE: Micros = 2_200_000;
-/// The first pause before another call, after a call that brought nothing, and the longest: what a
-/// broken stream would have told counts as told 2 s after the break.
-const FIRST_PAUSE: Micros = 100_000;
-const LONGEST_PAUSE: Micros = 500_000;
+/// A comment arrives each second: a stream that has missed two is dead. The operators allow 4 s of
+/// silence before an event must be known, and connecting again takes a while too.
+const SILENCE_TIMEOUT: Micros = 2_200_000;
+/// The delay before the first retry, after a connection that brought no event.
+const MIN_RETRY_DELAY: Micros = 100_000;
+/// The operators allow 2 s from a break before an event must be known.
+const MAX_RETRY_DELAY: Micros = 500_000;
 
-pub struct Watch {
-    events: Loop,
+/// Why a connection to service discovery ended.
+#[derive(Debug, thiserror::Error)]
+enum DisconnectReason {
+    #[error("its address has changed")]
+    AddressChanged,
+    #[error("it is silent")]
+    Silent,
+    #[error("the stream ended")]
+    StreamEnded,
+    #[error("the response is over")]
+    ResponseEnded,
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    #[error("{0}")]
+    InvalidStream(String),
+    #[error("an event can't be read: {0}")]
+    InvalidEvent(String),
+    #[error("event {received} came after {last}")]
+    MissedEvents { received: u64, last: u64 },
+}
+
+/// A connection and the decoder of its stream.
+struct DiscoveryStream {
+    connection: Connection,
+    reader: Reader,
+}
+
+/// The connection to service discovery.
+pub struct DiscoveryWatch {
+    event_loop: EventLoopHandle,
     address: SocketAddr,
-    connection: Option<(Connection, Reader)>,
-    /// Something came on this connection.
-    heard: bool,
+    stream: Option<DiscoveryStream>,
+    /// Something was received on this connection.
+    has_received: bool,
     /// The number of the last event that was handed on.
-    last: u64,
-    /// How long a call may take to come up.
+    last_event: u64,
+    /// How long a connection may take to come up.
     dial_timeout: Micros,
-    pause: Micros,
+    retry_delay: Micros,
     deadline: Option<DeadlineKey>,
     rng: fastrand::Rng,
 }
 
-impl Watch {
-    /// The list's last event that was heard.
-    pub fn number(&self) -> u64 {
-        self.last
-    }
-
+impl DiscoveryWatch {
+    /// A watch that isn't connected yet and knows all events up to `last_event`.
     pub fn new(
-        events: &Loop,
+        event_loop: &EventLoopHandle,
         address: SocketAddr,
-        last: u64,
+        last_event: u64,
         dial_timeout: Micros,
         seed: u64,
     ) -> Self {
-        Watch {
-            events: events.clone(),
+        DiscoveryWatch {
+            event_loop: event_loop.clone(),
             address,
-            connection: None,
-            heard: false,
-            last,
+            stream: None,
+            has_received: false,
+            last_event,
             dial_timeout,
-            pause: 0,
+            retry_delay: 0,
             deadline: None,
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
+    /// The number of the last event that was received.
+    pub fn last_event(&self) -> u64 {
+        self.last_event
+    }
+
+    /// Whether there is a connection, also one that is not established yet.
     pub fn is_up(&self) -> bool {
-        self.connection.is_some()
+        self.stream.is_some()
     }
 
-    /// Whether the bulletin speaks: a connection that is only being made proves nothing.
-    pub fn is_heard(&self) -> bool {
-        self.heard
+    /// Whether something was received on the present connection.
+    pub fn is_receiving(&self) -> bool {
+        self.has_received
     }
 
-    /// Calls the bulletin for all events after the last.
-    pub fn call(&mut self, now: Micros, due: &mut Deadlines, counters: &mut Counters) {
-        due.take_back(self.deadline.take());
+    /// Connects and requests all events after the last.
+    pub fn connect(&mut self, now: Micros, deadlines: &mut Deadlines, counters: &mut Counters) {
+        deadlines.cancel(self.deadline.take());
         counters.list_connections += 1;
-        match Connection::dial(&self.events, self.address, Wake::Bulletin) {
+        match Connection::dial(&self.event_loop, self.address, WakeReason::Discovery) {
             Ok(mut connection) => {
-                let text = request(&self.address.to_string(), self.last);
+                let text = request(&self.address.to_string(), self.last_event);
                 connection.output.tail().extend_from_slice(text.as_bytes());
-                self.connection = Some((connection, Reader::default()));
-                self.deadline = Some(due.set(now + self.dial_timeout.min(SILENCE), Due::Bulletin));
+                self.stream = Some(DiscoveryStream {
+                    connection,
+                    reader: Reader::default(),
+                });
+                let timeout_at = now + self.dial_timeout.min(SILENCE_TIMEOUT);
+                self.deadline = Some(deadlines.set(timeout_at, Deadline::Discovery));
             }
-            Err(e) => self.hang_up(&e.to_string(), now, due),
+            Err(error) => self.disconnect(&error.into(), now, deadlines),
         }
     }
 
-    /// Another address, by a new configuration: what is there tells the events that come now, so
-    /// the old watch ends, whatever it is about.
-    pub fn move_to(&mut self, address: SocketAddr, now: Micros, due: &mut Deadlines) {
+    /// Moves to another address, by a new configuration. The present stream ends, since events are
+    /// reported at the new address from now on.
+    pub fn change_address(&mut self, address: SocketAddr, now: Micros, deadlines: &mut Deadlines) {
         if self.address != address {
             self.address = address;
-            // Without a pause the next call follows at once.
-            self.pause = 0;
-            self.hang_up("its address has changed", now, due);
+            // Without a delay the next connection follows at once.
+            self.retry_delay = 0;
+            self.disconnect(&DisconnectReason::AddressChanged, now, deadlines);
         }
     }
 
-    /// Not up in time, silent for too long, or the pause is over.
-    pub fn due(&mut self, now: Micros, due: &mut Deadlines, counters: &mut Counters) {
+    /// The connection is not up in time or was silent for too long, or the retry delay is over.
+    pub fn handle_deadline(
+        &mut self,
+        now: Micros,
+        deadlines: &mut Deadlines,
+        counters: &mut Counters,
+    ) {
         self.deadline = None;
-        match self.connection {
-            Some(_) => self.hang_up("it is silent", now, due),
-            None => self.call(now, due, counters),
+        if self.is_up() {
+            self.disconnect(&DisconnectReason::Silent, now, deadlines);
+        } else {
+            self.connect(now, deadlines, counters);
         }
     }
 
-    /// The one place that gives the connection back. After one that brought an event the next call
-    /// follows at once, else after a pause that grows: one that greets and breaks off isn't called
-    /// in a tight loop.
-    fn hang_up(&mut self, reason: &str, now: Micros, due: &mut Deadlines) {
-        tracing::info!("bulletin: {reason}; events up to {} are known", self.last);
-        self.connection = None;
-        self.heard = false;
-        let pause = (self.pause as f64 * (0.5 + 0.5 * self.rng.f64())) as Micros;
-        due.renew(&mut self.deadline, now + pause, Due::Bulletin);
-        self.pause = (2 * self.pause).clamp(FIRST_PAUSE, LONGEST_PAUSE);
+    /// The one place that ends the connection. After one that brought an event, the next follows at
+    /// once, else after a delay that grows: a server that accepts and breaks off isn't called in a
+    /// tight loop.
+    fn disconnect(&mut self, reason: &DisconnectReason, now: Micros, deadlines: &mut Deadlines) {
+        let last_event = self.last_event;
+        tracing::info!("discovery: {reason}; events up to {last_event} are known");
+        self.stream = None;
+        self.has_received = false;
+        let jitter = 0.5 + 0.5 * self.rng.f64();
+        let delay = (self.retry_delay as f64 * jitter) as Micros;
+        deadlines.replace(&mut self.deadline, now + delay, Deadline::Discovery);
+        self.retry_delay = (2 * self.retry_delay).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     }
 
-    /// Reads what has come. True: there may be more, others first.
+    /// Reads what has arrived and appends the new events' items. True: there may be more, others
+    /// get their turn first.
     pub fn read(
         &mut self,
         now: Micros,
-        due: &mut Deadlines,
+        deadlines: &mut Deadlines,
         counters: &mut Counters,
         items: &mut Vec<Item>,
     ) -> bool {
-        let more = self.take(now, due, counters, items);
-        if let Err(reason) = &more {
-            self.hang_up(reason, now, due);
+        match self.read_events(now, deadlines, counters, items) {
+            Ok(may_have_more) => may_have_more,
+            Err(reason) => {
+                self.disconnect(&reason, now, deadlines);
+                false
+            }
         }
-        more == Ok(true)
     }
 
-    fn take(
+    fn read_events(
         &mut self,
         now: Micros,
-        due: &mut Deadlines,
+        deadlines: &mut Deadlines,
         counters: &mut Counters,
         items: &mut Vec<Item>,
-    ) -> Result<bool, String> {
-        let Some((connection, reader)) = &mut self.connection else {
+    ) -> Result<bool, DisconnectReason> {
+        let Some(DiscoveryStream { connection, .. }) = &mut self.stream else {
             return Ok(false);
         };
         let was_up = connection.was_up();
-        if !connection.is_up().map_err(|e| e.to_string())? {
+        if !connection.is_up()? {
             return Ok(false);
         }
         if !was_up {
-            due.renew(&mut self.deadline, now + SILENCE, Due::Bulletin);
+            let timeout_at = now + SILENCE_TIMEOUT;
+            deadlines.replace(&mut self.deadline, timeout_at, Deadline::Discovery);
         }
-        connection.flush().map_err(|e| e.to_string())?;
-        let mut heard = Vec::new();
-        for _ in 0..MAX_READS {
-            let filled = connection.fill().map_err(|e| e.to_string())?;
-            let taken = reader
-                .take(connection.input.filled(), &mut heard)
-                .map_err(|e| e.to_string());
+        connection.flush()?;
+        for _ in 0..MAX_READS_PER_TURN {
+            let Some(DiscoveryStream { connection, reader }) = &mut self.stream else {
+                return Ok(false);
+            };
+            let outcome = connection.read_available()?;
+            let mut events = Vec::new();
+            let parsed = reader.take(connection.input.filled(), &mut events);
             connection.input.clear();
-            if !heard.is_empty() {
-                self.heard = true;
-                due.renew(&mut self.deadline, now + SILENCE, Due::Bulletin);
+            let has_ended = reader.is_over();
+            if !events.is_empty() {
+                self.has_received = true;
+                let timeout_at = now + SILENCE_TIMEOUT;
+                deadlines.replace(&mut self.deadline, timeout_at, Deadline::Discovery);
             }
-            for heard in heard.drain(..) {
-                let StreamEvent::Event { data, .. } = heard else {
-                    continue;
-                };
-                let item = Item::read(&data).map_err(|e| format!("an event can't be read: {e}"))?;
-                if item.no <= self.last {
-                    continue;
-                }
-                let whole = item.roster.as_ref().is_some_and(|roster| roster.whole);
-                if item.no > self.last + 1 && !whole {
-                    return Err(format!("event {} came after {}", item.no, self.last));
+            for event in events {
+                if let StreamEvent::Event { data, .. } = event {
+                    self.handle_event(&data, counters, items)?;
                 }
-                self.last = item.no;
-                self.pause = 0;
-                counters.list_events += 1;
-                items.push(item);
             }
-            taken?;
-            match filled {
-                Filled::Blocked => return Ok(false),
-                Filled::Ended => return Err("the stream ended".into()),
-                Filled::Some if reader.is_over() => return Err("the response is over".into()),
-                Filled::Some => {}
+            parsed.map_err(|error| DisconnectReason::InvalidStream(error.to_string()))?;
+            match outcome {
+                ReadOutcome::WouldBlock => return Ok(false),
+                ReadOutcome::Closed => return Err(DisconnectReason::StreamEnded),
+                ReadOutcome::Data if has_ended => return Err(DisconnectReason::ResponseEnded),
+                ReadOutcome::Data => {}
             }
         }
         Ok(true)
     }
+
+    /// Appends the item of an event that wasn't known yet. A gap is an error, unless the event
+    /// lists all engines.
+    fn handle_event(
+        &mut self,
+        data: &str,
+        counters: &mut Counters,
+        items: &mut Vec<Item>,
+    ) -> Result<(), DisconnectReason> {
+        let item =
+            Item::read(data).map_err(|error| DisconnectReason::InvalidEvent(error.to_string()))?;
+        if item.no <= self.last_event {
+            return Ok(());
+        }
+        let is_snapshot = item.roster.as_ref().is_some_and(|roster| roster.whole);
+        if item.no > self.last_event + 1 && !is_snapshot {
+            return Err(DisconnectReason::MissedEvents {
+                received: item.no,
+                last: self.last_event,
+            });
+        }
+        self.last_event = item.no;
+        self.retry_delay = 0;
+        counters.list_events += 1;
+        items.push(item);
+        Ok(())
+    }
 }
--- a/crates/gateway/src/discovery_watch/tests.rs
+++ b/crates/gateway/src/discovery_watch/tests.rs
@@ -1,21 +1,26 @@
-//! When a bulletin that greets and breaks off is called again.
+//! When a discovery server that greets and breaks off is called again.
 
 use super::*;
-use crate::connection::Wakes;
+use crate::connection::PendingWakes;
 use calloop::EventLoop;
 use std::io::{Read, Write};
 
 /// Lets the watch read until its stream has ended.
-fn streamed(watch: &mut Watch, listener: &std::net::TcpListener, due: &mut Deadlines, text: &str) {
+fn streamed(
+    watch: &mut DiscoveryWatch,
+    listener: &std::net::TcpListener,
+    deadlines: &mut Deadlines,
+    text: &str,
+) {
     let (mut counters, mut items) = (Counters::default(), Vec::new());
-    watch.call(0, due, &mut counters);
+    watch.connect(0, deadlines, &mut counters);
     let (mut stream, _) = listener.accept().unwrap();
     while watch
-        .connection
+        .stream
         .as_ref()
-        .is_some_and(|(connection, _)| connection.written == 0)
+        .is_some_and(|stream| stream.connection.written == 0)
     {
-        watch.read(0, due, &mut counters, &mut items);
+        watch.read(0, deadlines, &mut counters, &mut items);
     }
     assert!(stream.read(&mut [0; 512]).unwrap() > 0);
     stream
@@ -23,17 +28,17 @@
         .unwrap();
     drop(stream);
     while watch.is_up() {
-        watch.read(0, due, &mut counters, &mut items);
+        watch.read(0, deadlines, &mut counters, &mut items);
     }
 }
 
 #[test]
-fn a_bulletin_that_greets_and_breaks_off_is_called_after_pauses_until_it_tells_something() {
+fn server_that_accepts_and_breaks_off_is_called_after_delays_until_it_sends_an_event() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let events: EventLoop<'_, Wakes> = EventLoop::try_new().unwrap();
+    let events: EventLoop<'_, PendingWakes> = EventLoop::try_new().unwrap();
     let address = listener.local_addr().unwrap();
-    let (mut watch, mut due) = (
-        Watch::new(&events.handle(), address, 0, SILENCE, 7),
+    let (mut watch, mut deadlines) = (
+        DiscoveryWatch::new(&events.handle(), address, 0, SILENCE_TIMEOUT, 7),
         Deadlines::new(),
     );
     let pauses = [
@@ -43,8 +48,8 @@
         ": hello\n\n",
     ]
     .map(|text| {
-        streamed(&mut watch, &listener, &mut due, text);
-        due.next()
+        streamed(&mut watch, &listener, &mut deadlines, text);
+        deadlines.next()
     });
     assert!(
         pauses[0] == Some(0) && pauses[1] > Some(0) && pauses[2] == Some(0),
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,103 +1,77 @@
-//! Connections to engines: dials them when there is something to send, carries many attempts on
-//! each, and tells how each attempt ended. A connection lives in a slot of the table;
-//! [`Engines::close`] is the one place where it is given back, and with it what was open on it.
+//! Connections to engines. The gateway's main loop owns one [`Engines`]: it dials an engine when
+//! there is something to send, carries many attempts on each connection, and reports by
+//! [`EngineEvent`]s how each attempt ended. A connection lives in a slot of the table;
+//! [`Engines::close`] is the one place that frees a slot and ends what was open on it.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 
-use eideryard::interface::{EngineId, LoadReport, Micros, Outcome, Progress, ResourceUsage};
-use eideryard_engine_protocol::{self as line, decode, Serve, Word};
+use eideryard::interface::{EngineId, Micros, Outcome};
+use eideryard_engine_protocol as engine_protocol;
 
-use crate::connection::{is_shortage, Connection, Filled, Loop, Wake, MAX_READS};
-use crate::counters::Counters;
-use crate::deadlines::{Deadlines, Due};
+use crate::connection::EventLoopHandle;
+use crate::deadlines::Deadline;
 use crate::table::{Key, Table};
-use answers::{pages, report, take};
-use conn::{Conn, Open, Stage};
+use engine_connection::{AttemptStage, EngineConnection};
 
+pub use events::{AttemptEnd, AttemptTarget, EngineContext, EngineEvent};
+pub use writing::MayBegin;
+
+mod answer_fields;
 mod answers;
-mod conn;
+mod engine_connection;
+mod events;
+mod reading;
 mod sending;
 #[cfg(test)]
 mod tests;
+mod writing;
 
-/// Pages of one result that are asked for at once, whatever room there is: their answers may come
-/// in any order.
-const MAX_ASKED: usize = 64;
 /// Part of the idle time after which a connection is closed from this side, so that no request
 /// crosses the engine's own closing.
-const IDLE_PART: f64 = 0.8;
-/// Ids on a connection that ended without a result, before it takes no more requests.
-const MAX_ENDED: usize = 1024;
-/// Note periods without a word after which a connection is held to be dead, if what it carries is
-/// given up.
-const QUIET_PERIODS: Micros = 2;
-
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
+/// Ids on a connection that ended without a result, before it accepts no more attempts.
+const MAX_ENDED_IDS: usize = 1024;
+/// Progress periods without any answer after which a connection is considered dead if an attempt on
+/// it is cancelled.
+const MAX_SILENT_PROGRESS_PERIODS: Micros = 2;
+
+/// An engine that is listed, or to which a connection is still open.
 struct Engine {
+    /// Where new connections go; `None` once the engine was removed.
     address: Option<SocketAddr>,
-    conns: Vec<Key>,
-}
-
-/// What engines said, and what became of attempts and probes.
-pub enum Heard {
-    Over {
-        request: Key,
-        attempt: usize,
-        outcome: Outcome,
-        report: Option<LoadReport>,
-        /// The loss of a connection that another attempt's end has told of.
-        told: bool,
-    },
-    Served {
-        request: Key,
-        attempt: usize,
-        pages: Vec<Vec<u8>>,
-        bill: Option<ResourceUsage>,
-        report: Option<LoadReport>,
-    },
-    /// The next page of a result for the spool.
-    Page { request: Key, rows: Vec<u8> },
-    /// It has had its last page.
-    Spooled {
-        request: Key,
-        attempt: usize,
-        bill: Option<ResourceUsage>,
-        report: Option<LoadReport>,
-    },
-    Noted {
-        request: Key,
-        attempt: usize,
-        note: Progress,
-    },
-    Probed {
-        engine: EngineId,
-        outcome: Outcome,
-        report: Option<LoadReport>,
-    },
+    connections: Vec<Key>,
 }
 
+/// Limits on the connections to engines.
 pub struct Limits {
     pub dial_timeout: Micros,
+    /// How long engines keep an idle connection open; 0: for ever.
     pub idle: Micros,
+    /// How often engines report the progress of a running attempt.
     pub note_period: Micros,
+    /// Requests on one connection at once.
     pub streams: usize,
+    /// Connections to all engines.
     pub connections: usize,
 }
 
+/// All connections to engines.
 pub struct Engines {
-    events: Loop,
+    event_loop: EventLoopHandle,
     limits: Limits,
     engines: BTreeMap<EngineId, Engine>,
-    table: Table<Conn>,
+    table: Table<EngineConnection>,
     unflushed: Vec<Key>,
     probes_sent: u64,
 }
 
 impl Engines {
-    pub fn new(events: &Loop, limits: Limits) -> Self {
+    /// No engine is known yet.
+    pub fn new(event_loop: &EventLoopHandle, limits: Limits) -> Self {
         Engines {
-            events: events.clone(),
+            event_loop: event_loop.clone(),
             limits,
             engines: BTreeMap::new(),
             table: Table::new(),
@@ -106,50 +80,50 @@
         }
     }
 
-    /// The list tells of an engine. Connections to another address, or opened before the process
-    /// started that runs there now, carry nothing new; what ran in a process before that start has
-    /// ended with it.
-    pub fn listed(
+    /// Service discovery reports an engine. Connections to another address, or opened before the
+    /// process started that runs there now, carry nothing new; what ran in a process before that
+    /// start has ended with it.
+    pub fn update_endpoint(
         &mut self,
         engine: EngineId,
         address: Option<SocketAddr>,
         started_at: Micros,
-        due: &mut Deadlines,
-        heard: &mut Vec<Heard>,
+        context: &mut EngineContext<'_>,
     ) {
         let known = self.engines.entry(engine).or_insert(Engine {
             address,
-            conns: Vec::new(),
+            connections: Vec::new(),
         });
-        let moved = known.address != address;
+        let has_moved = known.address != address;
         known.address = address;
-        for key in known.conns.clone() {
-            let Some(conn) = self.table.get_mut(key) else {
+        for key in known.connections.clone() {
+            let Some(connection) = self.table.get_mut(key) else {
                 continue;
             };
-            if conn.opened_at < started_at {
-                self.close(key, Outcome::Broken, due, heard);
-            } else if moved {
-                conn.retired = true;
-                self.settle(key, started_at, due, heard);
+            if connection.opened_at < started_at {
+                self.close(key, Outcome::Broken, context);
+            } else if has_moved {
+                connection.is_retired = true;
+                self.close_if_idle(key, context);
             }
         }
         self.forget_unused(engine);
     }
 
-    /// An engine is gone: nothing new goes there, what is open may still end.
-    pub fn unlisted(&mut self, engine: EngineId, due: &mut Deadlines, heard: &mut Vec<Heard>) {
+    /// An engine was removed: nothing new is sent there, what is open may still end.
+    pub fn remove_endpoint(&mut self, engine: EngineId, context: &mut EngineContext<'_>) {
         if self.engines.contains_key(&engine) {
-            self.listed(engine, None, 0, due, heard);
+            self.update_endpoint(engine, None, 0, context);
         }
     }
 
+    /// All engines that are listed, or to which a connection is still open.
     pub fn ids(&self) -> Vec<EngineId> {
         self.engines.keys().copied().collect()
     }
 
     /// Whether an engine is listed, or a connection to it is still open.
-    pub fn knows(&self, engine: EngineId) -> bool {
+    pub fn contains(&self, engine: EngineId) -> bool {
         self.engines.contains_key(&engine)
     }
 
@@ -159,296 +133,116 @@
     }
 
     fn forget_unused(&mut self, engine: EngineId) {
-        let unused = |e: &Engine| e.address.is_none() && e.conns.is_empty();
-        if self.engines.get(&engine).is_some_and(unused) {
+        let is_unused = |engine: &Engine| engine.address.is_none() && engine.connections.is_empty();
+        if self.engines.get(&engine).is_some_and(is_unused) {
             self.engines.remove(&engine);
         }
     }
 
-    /// Gives an attempt up. What still waits to be written is never sent: nothing may go out for a
-    /// request after its answer. True: the engine may have seen it, and is told, also where it
-    /// stops nothing for that and where only time ends attempts: until then the attempt counts as
-    /// out there.
-    pub fn give_up(
-        &mut self,
-        now: Micros,
-        key: Key,
-        id: &str,
-        due: &mut Deadlines,
-        heard: &mut Vec<Heard>,
-    ) -> bool {
-        let Some(conn) = self.table.get_mut(key) else {
+    /// Cancels an attempt. What still waits to be written is never sent: nothing may be sent for a
+    /// request after its answer. True: the engine may have received the attempt and is told of the
+    /// cancel, also where the engine doesn't stop for that.
+    pub fn cancel_attempt(&mut self, key: Key, id: &str, context: &mut EngineContext<'_>) -> bool {
+        let Some(connection) = self.table.get_mut(key) else {
             return false;
         };
-        if conn.withdraw(id) {
-            self.settle(key, now, due, heard);
+        if connection.cancel_unsent(id) {
+            self.close_if_idle(key, context);
             return false;
         }
-        let Some(open) = conn.open.remove(id) else {
+        let Some(open) = connection.open.remove(id) else {
             return false;
         };
-        if conn.connection.written < open.sent.1 {
-            // The engine has a part of it and doesn't read: only the end of the connection keeps it
-            // from the rest.
-            self.close(key, Outcome::Broken, due, heard);
+        if connection.stream.written < open.output.end {
+            // The engine has a part of the request and doesn't read: only the end of the connection
+            // keeps it from the rest.
+            self.close(key, Outcome::Broken, context);
             return false;
         }
-        let out = conn.connection.output.tail();
+        let output = connection.stream.output.tail();
         match open.stage {
-            Stage::Running => line::write_cancel(out, id),
-            Stage::Reading { .. } | Stage::ResultSpoolDriver { .. } => line::write_release(out, id),
+            AttemptStage::Running => engine_protocol::write_cancel(output, id),
+            AttemptStage::ReadingPages(_) | AttemptStage::SpoolingPages(_) => {
+                engine_protocol::write_release(output, id);
+            }
         }
-        // Nothing at all has come since: other requests may have an engine that still answers, on
-        // another connection. This guards against one that stands and is of no further use.
-        let quiet = QUIET_PERIODS * self.limits.note_period + self.limits.dial_timeout;
-        conn.retired |= conn.heard_at.max(open.sent_at) + quiet <= now;
-        conn.ended.insert(id.into());
+        // Nothing at all has arrived since: an engine that still answers may have other requests on
+        // another connection. This guards against a connection that stands and is of no use.
+        let max_silence =
+            MAX_SILENT_PROGRESS_PERIODS * self.limits.note_period + self.limits.dial_timeout;
+        let last_activity = connection.last_received_at.max(open.sent_at);
+        connection.is_retired |= last_activity + max_silence <= context.now;
+        connection.ended_ids.insert(id.into());
         self.unflushed.push(key);
-        self.settle(key, now, due, heard);
+        self.close_if_idle(key, context);
         true
     }
 
-    /// A connection that has nothing to do closes, at once or after a while.
-    fn settle(&mut self, key: Key, now: Micros, due: &mut Deadlines, heard: &mut Vec<Heard>) {
-        let idle = (self.limits.idle as f64 * IDLE_PART) as Micros;
-        let Some(conn) = self.table.get_mut(key) else {
+    /// Closes a connection on which nothing is open: at once if it accepts no more attempts, else
+    /// after the idle time.
+    fn close_if_idle(&mut self, key: Key, context: &mut EngineContext<'_>) {
+        let idle_timeout = (self.limits.idle as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
+        let Some(connection) = self.table.get_mut(key) else {
             return;
         };
-        if !conn.open.is_empty() || !conn.probes.is_empty() {
+        if !connection.is_idle() {
             return;
         }
-        if conn.retired || conn.ended.len() >= MAX_ENDED {
-            self.close(key, Outcome::Broken, due, heard);
-        } else if conn.connection.was_up() && conn.deadline.is_none() && idle > 0 {
-            conn.deadline = Some(due.set(now + idle, Due::Conn(key)));
+        let has_no_deadline = connection.stream.was_up() && connection.deadline.is_none();
+        if connection.is_retired || connection.ended_ids.len() >= MAX_ENDED_IDS {
+            self.close(key, Outcome::Broken, context);
+        } else if has_no_deadline && idle_timeout > 0 {
+            let deadline = Deadline::EngineConnection(key);
+            let closes_at = context.now + idle_timeout;
+            connection.deadline = Some(context.deadlines.set(closes_at, deadline));
         }
     }
 
-    /// Not up in time, idle for so long that the engine might close it, or stuck within an answer.
-    pub fn conn_due(&mut self, key: Key, due: &mut Deadlines, heard: &mut Vec<Heard>) {
-        self.close(key, Outcome::Broken, due, heard);
-    }
-
-    /// Reads what has come. True: there may be more, others first.
-    pub fn read(
-        &mut self,
-        key: Key,
-        now: Micros,
-        due: &mut Deadlines,
-        counters: &mut Counters,
-        heard: &mut Vec<Heard>,
-    ) -> bool {
-        let Some(conn) = self.table.get_mut(key) else {
-            return false;
-        };
-        let was_up = conn.connection.was_up();
-        match conn.connection.is_up() {
-            Ok(false) => return false,
-            Ok(true) if !was_up => due.take_back(conn.deadline.take()),
-            Ok(true) => {}
-            Err(_) => {
-                counters.dials_failed += 1;
-                self.close(key, Outcome::NoConnection, due, heard);
-                return false;
-            }
-        }
-        self.unflushed.push(key);
-        for _ in 0..MAX_READS {
-            let Some(conn) = self.table.get_mut(key) else {
-                return false;
-            };
-            match conn.connection.fill() {
-                Ok(Filled::Some) => {
-                    conn.heard_at = now;
-                    if let Err(reason) = Self::understand(conn, due, counters, heard) {
-                        tracing::warn!(
-                            "the connection to engine {} is closed: {reason}",
-                            conn.engine
-                        );
-                        self.close(key, Outcome::Broken, due, heard);
-                        return false;
-                    }
-                }
-                Ok(Filled::Blocked) => {
-                    // The rest of an answer waits for nothing, so it may take as long as a
-                    // connection may. This guards against answers that stop short, drip, or are
-                    // shorter than they say.
-                    if conn.connection.input.is_empty() {
-                        due.take_back(conn.rest.take());
-                    } else if conn.rest.is_none() {
-                        conn.rest = Some(due.set(now + self.limits.dial_timeout, Due::Conn(key)));
-                    }
-                    self.settle(key, now, due, heard);
-                    return false;
-                }
-                Ok(Filled::Ended) | Err(_) => {
-                    self.close(key, Outcome::Broken, due, heard);
-                    return false;
-                }
-            }
-        }
-        true
-    }
-
-    fn understand(
-        conn: &mut Conn,
-        due: &mut Deadlines,
-        counters: &mut Counters,
-        heard: &mut Vec<Heard>,
-    ) -> Result<(), &'static str> {
-        let Connection { input, output, .. } = &mut conn.connection;
-        let (bytes, mut used) = (input.filled(), 0);
-        let result = loop {
-            let (answer, length) = match decode(&bytes[used..]) {
-                Ok(Some(decoded)) => decoded,
-                Ok(None) => break Ok(()),
-                Err(_) => break Err("what it says is no answer"),
-            };
-            used += length;
-            due.take_back(conn.rest.take());
-            if let Some(deadline) = conn.probes.remove(answer.id) {
-                due.take_back(Some(deadline));
-                let up = answer.word == Word::Up;
-                let outcome = if up {
-                    Outcome::Answered
-                } else {
-                    Outcome::AtCapacity
-                };
-                heard.push(Heard::Probed {
-                    engine: conn.engine,
-                    outcome,
-                    report: report(&answer.fields),
-                });
-                continue;
-            }
-            let Some(open) = conn.open.get_mut(answer.id) else {
-                // Of something given up, a second copy, or of nothing that was asked for: more than
-                // belongs to an answer does no harm. A good end that crossed the cancel may have
-                // left pages there.
-                if answer.word == Word::Ok
-                    && pages(&answer) > Some(1)
-                    && conn.ended.contains(answer.id)
-                {
-                    line::write_release(output.tail(), answer.id);
-                }
-                continue;
-            };
-            counters.notes += (answer.word == Word::Note) as u64;
-            counters.pages += (answer.word == Word::Rows) as u64;
-            match take(open, &answer, output.tail(), heard) {
-                Ok(None) => {}
-                Ok(Some(what)) => {
-                    if matches!(what, Heard::Over { .. }) {
-                        conn.ended.insert(answer.id.into());
-                    }
-                    if !matches!(what, Heard::Noted { .. }) {
-                        conn.open.remove(answer.id);
-                    }
-                    heard.push(what);
-                }
-                Err(reason) => break Err(reason),
-            }
-        };
-        input.consume(used);
-        result
+    /// A connection is not up in time, has been idle for so long that the engine might close it, or
+    /// stopped within an answer.
+    pub fn handle_connection_deadline(&mut self, key: Key, context: &mut EngineContext<'_>) {
+        self.close(key, Outcome::Broken, context);
     }
 
-    /// Writes what was sent since the last time. The one place where the first byte of an attempt
-    /// is let go: `begins` says whether it still may be, else it is withdrawn. Where nobody can
-    /// say, what has not begun waits, and what it waits behind with it.
-    pub fn flush(
-        &mut self,
-        now: Micros,
-        mut begins: Option<&mut dyn FnMut(Key, usize) -> bool>,
-        due: &mut Deadlines,
-        heard: &mut Vec<Heard>,
-    ) {
-        let mut unflushed = std::mem::take(&mut self.unflushed);
-        unflushed.sort_unstable();
-        unflushed.dedup();
-        for key in unflushed.drain(..) {
-            // One that isn't up yet is marked again once it is.
-            let up = |conn: &&mut Conn| conn.connection.was_up();
-            let Some(conn) = self.table.get_mut(key).filter(up) else {
-                continue;
-            };
-            let unbegun = conn.unbegun();
-            if begins.is_none() && !unbegun.is_empty() {
-                self.unflushed.push(key);
-                continue;
-            }
-            let mut withdrawn = false;
-            for (id, request, attempt) in unbegun {
-                // A connection that takes no more leads to where the engine isn't any longer, or to
-                // nobody.
-                let may = !conn.retired
-                    && begins
-                        .as_mut()
-                        .is_some_and(|begins| begins(request, attempt));
-                if !may && conn.withdraw(&id) {
-                    let outcome = Outcome::NotSent;
-                    heard.push(Heard::Over {
-                        request,
-                        attempt,
-                        outcome,
-                        report: None,
-                        told: false,
-                    });
-                    withdrawn = true;
-                }
-            }
-            if conn.connection.flush().is_err() || conn.tell_later_ranks().is_err() {
-                self.close(key, Outcome::Broken, due, heard);
-            } else if withdrawn {
-                self.settle(key, now, due, heard);
-            }
-        }
-    }
-
-    /// The one place that gives an engine's connection back. What was not written whole never came
-    /// to the engine.
-    fn close(&mut self, key: Key, outcome: Outcome, due: &mut Deadlines, heard: &mut Vec<Heard>) {
-        let Some(conn) = self.table.remove(key) else {
+    /// The one place that frees the slot of a connection. A request that was not written whole
+    /// never reached the engine.
+    fn close(&mut self, key: Key, outcome: Outcome, context: &mut EngineContext<'_>) {
+        let Some(connection) = self.table.remove(key) else {
             return;
         };
-        due.take_back(conn.deadline);
-        due.take_back(conn.rest);
-        if let Some(engine) = self.engines.get_mut(&conn.engine) {
-            engine.conns.retain(|&other| other != key);
+        context.deadlines.cancel(connection.deadline);
+        context.deadlines.cancel(connection.message_deadline);
+        if let Some(engine) = self.engines.get_mut(&connection.engine) {
+            engine.connections.retain(|&other| other != key);
         }
-        let mut told = false;
-        for open in conn.open.into_values() {
-            let whole = conn.connection.written >= open.sent.1;
-            let outcome = if whole {
+        let mut already_reported = false;
+        for open in connection.open.into_values() {
+            let is_written = connection.stream.written >= open.output.end;
+            let outcome = if is_written {
                 outcome
             } else {
                 Outcome::NoConnection
             };
-            let (request, attempt) = (open.request, open.attempt);
-            heard.push(Heard::Over {
-                request,
-                attempt,
-                outcome,
-                report: None,
-                told,
-            });
-            // One that never came up says more of its engine than one that breaks.
-            told = conn.connection.was_up();
+            let mut end = AttemptEnd::new(open.request, open.attempt, outcome);
+            end.already_reported = already_reported;
+            context.events.push(EngineEvent::AttemptEnded(end));
+            // A connection that never came up says more of its engine than one that breaks.
+            already_reported = connection.stream.was_up();
         }
-        for deadline in conn.probes.into_values() {
-            due.take_back(Some(deadline));
-            heard.push(Heard::Probed {
-                engine: conn.engine,
+        for deadline in connection.probes.into_values() {
+            context.deadlines.cancel(Some(deadline));
+            context.events.push(EngineEvent::ProbeEnded {
+                engine: connection.engine,
                 outcome,
                 report: None,
             });
         }
-        self.forget_unused(conn.engine);
+        self.forget_unused(connection.engine);
     }
 }
 
-/// An address as the list writes it.
-pub fn address(text: &str) -> Result<SocketAddr, io::Error> {
+/// Reads an engine's address as service discovery writes it.
+pub fn parse_address(text: &str) -> Result<SocketAddr, io::Error> {
     text.parse()
         .map_err(|_| io::Error::other(format!("'{text}' is no address with a port")))
 }
--- a/crates/gateway/src/engines/answers.rs
+++ b/crates/gateway/src/engines/answers.rs
@@ -1,235 +1,215 @@
-//! What an engine's answers mean for the attempts that they answer.
+//! What an engine's answers mean for the attempts that they belong to.
 
 use std::collections::BTreeMap;
 
-use eideryard::interface::{LoadReport, Outcome, Progress, ResourceUsage};
-use eideryard_engine_protocol::{self as line, Answer, Fields, Word};
+use eideryard::interface::Outcome;
+use eideryard_engine_protocol::{self as engine_protocol, Answer, Word};
 
-use super::conn::{Open, Stage};
-use super::Heard;
+use super::answer_fields::{
+    check_page, load_report, page_count, page_index, progress, resource_usage, spooled_page_count,
+};
+use super::engine_connection::{
+    AttemptStage, OpenAttempt, ReportedEnd, ResultReader, SpooledResultReader,
+};
+use super::{AttemptEnd, EngineEvent};
 
-/// Pages of one result, and its bytes: the protocol allows 48,000, in pages of whole rows.
-const MAX_PAGES: usize = 256;
-const MAX_RESULT: usize = 48_000;
-/// Pages of a result that is spooled: the spool's budget for one result ends it sooner.
-const MAX_SPOOLED_PAGES: usize = 1 << 20;
+/// Bytes of a result that goes to the client as a whole, as the protocol allows.
+const MAX_RESULT_BYTES: usize = 48_000;
 
-/// What an answer means for the attempt that it answers; asks for what is still to come.
-#[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-pub(super) fn take(
-    open: &mut Open,
+/// Why an engine's answer can't be used, which ends its connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum AnswerError {
+    #[error("what it says is no answer")]
+    Malformed,
+    #[error("a result with no readable number of pages")]
+    PageCount,
+    #[error("a page that was not asked for")]
+    UnexpectedPage,
+    #[error("a result is too long")]
+    ResultTooLong,
+    #[error("an answer that fits nothing asked for")]
+    UnexpectedAnswer,
+    #[error("a page is not UTF-8")]
+    PageNotUtf8,
+    #[error("a page doesn't hold whole rows")]
+    IncompleteRows,
+}
+
+/// Applies an answer to its attempt: requests further pages in `output`, appends pages for the
+/// result spool to `events`, and returns the event that the answer completes, if it does.
+pub(super) fn handle_answer(
+    open: &mut OpenAttempt,
     answer: &Answer<'_>,
-    out: &mut Vec<u8>,
-    heard: &mut Vec<Heard>,
-) -> Result<Option<Heard>, &'static str> {
-    let (request, attempt) = (open.request, open.attempt);
-    let over = |outcome| {
-        let report = report(&answer.fields);
-        Ok(Some(Heard::Over {
-            request,
-            attempt,
-            outcome,
-            report,
-            told: false,
-        }))
-    };
+    output: &mut Vec<u8>,
+    events: &mut Vec<EngineEvent>,
+) -> Result<Option<EngineEvent>, AnswerError> {
     match (&mut open.stage, answer.word) {
-        (Stage::Running, Word::Ok) if open.spooled => {
-            let count = answer
-                .fields
-                .number("count")
-                .filter(|count| (1..=MAX_SPOOLED_PAGES).contains(count));
-            let count = count.ok_or("a result with no readable number of pages")?;
-            check_page(answer.payload)?;
-            let (bill, report) = (bill(&answer.fields), report(&answer.fields));
-            heard.push(Heard::Page {
-                request,
-                rows: answer.payload.to_vec(),
-            });
-            if count == 1 {
-                return Ok(Some(Heard::Spooled {
-                    request,
-                    attempt,
-                    bill,
-                    report,
-                }));
-            }
-            let (bytes, early) = (answer.payload.len(), BTreeMap::new());
-            open.stage = Stage::ResultSpoolDriver {
-                count,
-                next: 1,
-                asked: 1,
-                early,
-                bytes,
-                bill,
-                report,
-            };
-            Ok(None)
+        (AttemptStage::Running, Word::Ok) if open.is_spooled => {
+            start_spooling(open, answer, events)
         }
-        (
-            Stage::ResultSpoolDriver {
-                count,
-                next,
-                asked,
-                early,
-                bytes,
-                bill,
-                report,
-            },
-            Word::Rows,
-        ) => {
-            let at = answer.fields.number("pos").filter(|at: &usize| at < asked);
-            let at = at.ok_or("a page that was not asked for")?;
-            if at < *next || early.contains_key(&at) {
-                // A second copy.
-                return Ok(None);
-            }
-            check_page(answer.payload)?;
-            early.insert(at, answer.payload.to_vec());
-            while let Some(rows) = early.remove(next) {
-                *next += 1;
-                *bytes += rows.len();
-                heard.push(Heard::Page { request, rows });
-            }
-            if *next < *count {
-                return Ok(None);
-            }
-            line::write_release(out, answer.id);
-            Ok(Some(Heard::Spooled {
-                request,
-                attempt,
-                bill: *bill,
-                report: report.take(),
-            }))
+        (AttemptStage::Running, Word::Ok) => start_reading(open, answer, output),
+        (AttemptStage::Running, Word::Busy | Word::Void) => {
+            Ok(Some(ended(open, answer, Outcome::AtCapacity)))
         }
-        (Stage::Running, Word::Ok) => {
-            let count = pages(answer).ok_or("a result with no readable number of pages")?;
-            check_page(answer.payload)?;
-            let (bill, report) = (bill(&answer.fields), report(&answer.fields));
-            let first = answer.payload.to_vec();
-            if count <= 1 {
-                return Ok(Some(Heard::Served {
-                    request,
-                    attempt,
-                    pages: vec![first],
-                    bill,
-                    report,
-                }));
-            }
-            (1..count).for_each(|page| line::write_read(out, answer.id, page));
-            let bytes = first.len();
-            let pages = std::iter::once(Some(first))
-                .chain((1..count).map(|_| None))
-                .collect();
-            open.stage = Stage::Reading {
-                pages,
-                bytes,
-                bill,
-                report,
-            };
-            Ok(None)
-        }
-        (
-            Stage::Reading {
-                pages,
-                bytes,
-                bill,
-                report,
-            },
-            Word::Rows,
-        ) => {
-            let place = answer
-                .fields
-                .number("pos")
-                .and_then(|at: usize| pages.get_mut(at));
-            let place = place.ok_or("a page that was not asked for")?;
-            if place.is_some() {
-                return Ok(None);
-            }
-            check_page(answer.payload)?;
-            *place = Some(answer.payload.to_vec());
-            *bytes += answer.payload.len();
-            if *bytes > MAX_RESULT {
-                return Err("a result is too long");
-            }
-            if pages.iter().any(Option::is_none) {
-                return Ok(None);
-            }
-            line::write_release(out, answer.id);
-            let pages = pages.iter_mut().filter_map(Option::take).collect();
-            Ok(Some(Heard::Served {
-                request,
-                attempt,
-                pages,
-                bill: *bill,
-                report: report.take(),
+        (AttemptStage::SpoolingPages(_), Word::Rows) => spool_page(open, answer, output, events),
+        (AttemptStage::ReadingPages(_), Word::Rows) => read_page(open, answer, output),
+        // A second copy of the first page.
+        (AttemptStage::ReadingPages(_) | AttemptStage::SpoolingPages(_), Word::Ok) => Ok(None),
+        (_, Word::Note) => {
+            let progress = progress(&answer.fields);
+            Ok(progress.map(|progress| EngineEvent::Progress {
+                request: open.request,
+                attempt: open.attempt,
+                progress,
             }))
         }
-        (_, Word::Note) => Ok(note(&answer.fields).map(|note| Heard::Noted {
-            request,
-            attempt,
-            note,
-        })),
-        (Stage::Running, Word::Busy | Word::Void) => over(Outcome::AtCapacity),
-        (_, Word::Err) => over(Outcome::Error),
-        // A second copy of the first page.
-        (Stage::Reading { .. } | Stage::ResultSpoolDriver { .. }, Word::Ok) => Ok(None),
-        _ => Err("an answer that fits nothing asked for"),
+        (_, Word::Err) => Ok(Some(ended(open, answer, Outcome::Error))),
+        _ => Err(AnswerError::UnexpectedAnswer),
     }
 }
 
-/// How many pages a good end says that it has, if that can be.
-pub(super) fn pages(answer: &Answer<'_>) -> Option<usize> {
-    answer
-        .fields
-        .number("count")
-        .filter(|count| (1..=MAX_PAGES).contains(count))
+/// An attempt that ended without a result.
+fn ended(open: &OpenAttempt, answer: &Answer<'_>, outcome: Outcome) -> EngineEvent {
+    let mut end = AttemptEnd::new(open.request, open.attempt, outcome);
+    end.report = load_report(&answer.fields);
+    EngineEvent::AttemptEnded(end)
 }
 
-/// A page holds whole rows of three columns as text: what doesn't came spoilt, and so may all that
-/// follows.
-fn check_page(page: &[u8]) -> Result<(), &'static str> {
-    let row =
-        |row: &str| row.ends_with('\n') && row.bytes().filter(|&byte| byte == b'\t').count() == 2;
-    let text = std::str::from_utf8(page).map_err(|_| "a page is not UTF-8")?;
-    if text.split_inclusive('\n').all(row) {
-        Ok(())
-    } else {
-        Err("a page doesn't hold whole rows")
+/// An attempt that ended with a result.
+fn succeeded(open: &OpenAttempt, end: ReportedEnd) -> AttemptEnd {
+    AttemptEnd {
+        usage: end.usage,
+        report: end.report,
+        ..AttemptEnd::new(open.request, open.attempt, Outcome::Answered)
     }
 }
 
-/// What a good end says it cost: `ticks` is work in milliseconds, `footprint` memory in MB.
-fn bill(fields: &Fields<'_>) -> Option<ResourceUsage> {
-    let work: f64 = fields.number("ticks").filter(|work| *work > 0.0)?;
-    Some(ResourceUsage {
-        work: work * 1e3,
-        memory_mb: fields.number("footprint").unwrap_or(0.0),
-    })
+fn reported_end(answer: &Answer<'_>) -> ReportedEnd {
+    ReportedEnd {
+        usage: resource_usage(&answer.fields),
+        report: load_report(&answer.fields),
+    }
 }
 
-fn note(fields: &Fields<'_>) -> Option<Progress> {
-    let level: f64 = fields.number("reading").unwrap_or(0.0);
-    match fields.get("remark")? {
-        "share" => Some(Progress::Share(level)),
-        "short" => Some(Progress::Spilling(level)),
-        "held" if level == 2.0 => Some(Progress::WaitsForLoad),
-        "held" => Some(Progress::WaitsForMemory),
-        _ => None,
+/// The first page of a result that goes to the client as a whole; requests all others.
+fn start_reading(
+    open: &mut OpenAttempt,
+    answer: &Answer<'_>,
+    output: &mut Vec<u8>,
+) -> Result<Option<EngineEvent>, AnswerError> {
+    let count = page_count(answer).ok_or(AnswerError::PageCount)?;
+    check_page(answer.payload)?;
+    let end = reported_end(answer);
+    let first_page = answer.payload.to_vec();
+    if count <= 1 {
+        return Ok(Some(EngineEvent::ResultComplete {
+            pages: vec![first_page],
+            end: succeeded(open, end),
+        }));
+    }
+    let bytes = first_page.len();
+    let mut pages = vec![Some(first_page)];
+    for page in 1..count {
+        engine_protocol::write_read(output, answer.id, page);
+        pages.push(None);
     }
+    open.stage = AttemptStage::ReadingPages(ResultReader { pages, bytes, end });
+    Ok(None)
 }
 
-/// A load report, by the names of the settings or by those of the engines.
-pub(super) fn report(fields: &Fields<'_>) -> Option<LoadReport> {
-    let mut report = LoadReport::default();
-    for (name, value) in fields.report()? {
-        let named = match name {
-            "inflight" => "concurrent",
-            "queue" => "depth",
-            "util" => "load_share",
-            name => name,
-        };
-        eideryard_settings::set_reported(&mut report, named, value);
+/// A further page of a result that goes to the client as a whole.
+fn read_page(
+    open: &mut OpenAttempt,
+    answer: &Answer<'_>,
+    output: &mut Vec<u8>,
+) -> Result<Option<EngineEvent>, AnswerError> {
+    let AttemptStage::ReadingPages(reader) = &mut open.stage else {
+        return Err(AnswerError::UnexpectedAnswer);
+    };
+    let slot = page_index(answer)
+        .and_then(|index| reader.pages.get_mut(index))
+        .ok_or(AnswerError::UnexpectedPage)?;
+    if slot.is_some() {
+        return Ok(None);
+    }
+    check_page(answer.payload)?;
+    *slot = Some(answer.payload.to_vec());
+    reader.bytes += answer.payload.len();
+    if reader.bytes > MAX_RESULT_BYTES {
+        return Err(AnswerError::ResultTooLong);
+    }
+    if reader.pages.iter().any(Option::is_none) {
+        return Ok(None);
+    }
+    engine_protocol::write_release(output, answer.id);
+    let pages = std::mem::take(&mut reader.pages);
+    let end = reader.end;
+    Ok(Some(EngineEvent::ResultComplete {
+        pages: pages.into_iter().flatten().collect(),
+        end: succeeded(open, end),
+    }))
+}
+
+/// The first page of a result for the result spool.
+fn start_spooling(
+    open: &mut OpenAttempt,
+    answer: &Answer<'_>,
+    events: &mut Vec<EngineEvent>,
+) -> Result<Option<EngineEvent>, AnswerError> {
+    let count = spooled_page_count(answer).ok_or(AnswerError::PageCount)?;
+    check_page(answer.payload)?;
+    let end = reported_end(answer);
+    events.push(EngineEvent::ResultPage {
+        request: open.request,
+        rows: answer.payload.to_vec(),
+    });
+    if count == 1 {
+        let end = succeeded(open, end);
+        return Ok(Some(EngineEvent::SpooledResultComplete(end)));
+    }
+    open.stage = AttemptStage::SpoolingPages(SpooledResultReader {
+        count,
+        next: 1,
+        next_requested: 1,
+        early: BTreeMap::new(),
+        bytes: answer.payload.len(),
+        end,
+    });
+    Ok(None)
+}
+
+/// A further page of a result for the result spool; hands on all pages whose turn it is.
+fn spool_page(
+    open: &mut OpenAttempt,
+    answer: &Answer<'_>,
+    output: &mut Vec<u8>,
+    events: &mut Vec<EngineEvent>,
+) -> Result<Option<EngineEvent>, AnswerError> {
+    let AttemptStage::SpoolingPages(reader) = &mut open.stage else {
+        return Err(AnswerError::UnexpectedAnswer);
+    };
+    let index = page_index(answer)
+        .filter(|index| *index < reader.next_requested)
+        .ok_or(AnswerError::UnexpectedPage)?;
+    let is_second_copy = index < reader.next || reader.early.contains_key(&index);
+    if is_second_copy {
+        return Ok(None);
+    }
+    check_page(answer.payload)?;
+    reader.early.insert(index, answer.payload.to_vec());
+    while let Some(rows) = reader.early.remove(&reader.next) {
+        reader.next += 1;
+        reader.bytes += rows.len();
+        events.push(EngineEvent::ResultPage {
+            request: open.request,
+            rows,
+        });
+    }
+    if reader.next < reader.count {
+        return Ok(None);
     }
-    Some(report)
+    engine_protocol::write_release(output, answer.id);
+    let end = reader.end;
+    let end = succeeded(open, end);
+    Ok(Some(EngineEvent::SpooledResultComplete(end)))
 }
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -1,204 +1,214 @@
-//! What goes to engines: attempts, probes, new priorities, wishes for pages; the connection that
-//! carries them.
+//! Queues what goes to engines: attempts, probes, ranks and requests for pages; opens the
+//! connections that carry them.
 
-use super::*;
+use eideryard::interface::{EngineId, Outcome};
+use eideryard_engine_protocol::{self as engine_protocol, Serve};
+
+use super::engine_connection::{AttemptStage, EngineConnection, OpenAttempt, OutputRange};
+use super::{AttemptTarget, EngineContext, EngineEvent, Engines, MAX_ENDED_IDS};
+use crate::connection::{is_shortage, Connection, WakeReason};
+use crate::deadlines::Deadline;
+use crate::table::Key;
+
+/// Pages of one result that are requested at once, whatever room there is: their answers may
+/// arrive in any order.
+const MAX_REQUESTED_PAGES: usize = 64;
 
 impl Engines {
-    /// Sends an attempt; gives the connection that carries it, or what became of the attempt.
+    /// Queues an attempt; returns the connection that carries it, or the attempt's outcome.
     pub fn send(
         &mut self,
-        now: Micros,
         engine: EngineId,
-        (request, attempt, spooled): (Key, usize, bool),
+        target: AttemptTarget,
         serve: &Serve<'_>,
-        due: &mut Deadlines,
-        counters: &mut Counters,
+        context: &mut EngineContext<'_>,
     ) -> Result<Key, Outcome> {
-        let streams = self.limits.streams;
-        let takes = |conn: &Conn| {
-            let free =
-                conn.open.len() + conn.probes.len() < streams && conn.ended.len() < MAX_ENDED;
-            free && !conn.open.contains_key(serve.id) && !conn.ended.contains(serve.id)
+        let max_streams = self.limits.streams;
+        let accepts = |connection: &EngineConnection| {
+            let is_known_id =
+                connection.open.contains_key(serve.id) || connection.ended_ids.contains(serve.id);
+            connection.has_free_stream(max_streams)
+                && connection.ended_ids.len() < MAX_ENDED_IDS
+                && !is_known_id
         };
-        let key = self.connection_to(now, engine, takes, due, counters)?;
-        let conn = self.table.get_mut(key).ok_or(Outcome::NoConnection)?;
-        conn.is_used(due);
-        let begin = conn.connection.end_of_output();
-        serve.write(conn.connection.output.tail());
-        let sent = (begin, conn.connection.end_of_output());
-        conn.open.insert(
-            serve.id.into(),
-            Open {
-                request,
-                attempt,
-                stage: Stage::Running,
-                spooled,
-                sent_at: now,
-                sent,
-                later_rank: None,
-            },
-        );
+        let key = self.connection_to(engine, accepts, context)?;
+        let connection = self.table.get_mut(key).ok_or(Outcome::NoConnection)?;
+        connection.mark_used(context.deadlines);
+        let begin = connection.stream.end_of_output();
+        serve.write(connection.stream.output.tail());
+        let end = connection.stream.end_of_output();
+        let open = OpenAttempt {
+            request: target.request,
+            attempt: target.attempt,
+            stage: AttemptStage::Running,
+            is_spooled: target.is_spooled,
+            sent_at: context.now,
+            output: OutputRange { begin, end },
+            deferred_rank: None,
+        };
+        connection.open.insert(serve.id.into(), open);
         self.unflushed.push(key);
         Ok(key)
     }
 
-    /// The first connection that takes more, else a new one. What is short on this side
-    /// (descriptors, memory) says nothing of the engine, so that ends as never sent.
+    /// The first connection that accepts one request more, else a new one.
     fn connection_to(
         &mut self,
-        now: Micros,
         engine: EngineId,
-        takes: impl Fn(&Conn) -> bool,
-        due: &mut Deadlines,
-        counters: &mut Counters,
+        accepts: impl Fn(&EngineConnection) -> bool,
+        context: &mut EngineContext<'_>,
     ) -> Result<Key, Outcome> {
         let known = self.engines.get(&engine).ok_or(Outcome::NoConnection)?;
-        let usable = |key: &&Key| {
-            self.table
-                .get(**key)
-                .is_some_and(|conn| !conn.retired && takes(conn))
+        let is_usable = |key: &&Key| {
+            let connection = self.table.get(**key);
+            connection.is_some_and(|connection| !connection.is_retired && accepts(connection))
         };
-        if let Some(&key) = known.conns.iter().find(usable) {
+        if let Some(&key) = known.connections.iter().find(is_usable) {
             return Ok(key);
         }
+        self.dial(engine, context)
+    }
+
+    /// Opens a connection. A shortage on this side (descriptors, memory) says nothing of the
+    /// engine, so that the outcome is [`Outcome::NotSent`].
+    fn dial(&mut self, engine: EngineId, context: &mut EngineContext<'_>) -> Result<Key, Outcome> {
+        let known = self.engines.get(&engine).ok_or(Outcome::NoConnection)?;
         let address = known.address.ok_or(Outcome::NoConnection)?;
-        counters.dials += 1;
-        if self.table.len() >= self.limits.connections && !self.close_idlest(due) {
-            counters.dials_short += 1;
+        context.counters.dials += 1;
+        if self.table.len() >= self.limits.connections && !self.close_idlest(context) {
+            context.counters.dials_short += 1;
             return Err(Outcome::NotSent);
         }
         let key = self.table.next_key();
-        let connection =
-            Connection::dial(&self.events, address, Wake::Engine(key)).map_err(|e| {
+        let stream = match Connection::dial(&self.event_loop, address, WakeReason::Engine(key)) {
+            Ok(stream) => stream,
+            Err(e) => {
                 tracing::debug!("no connection to engine {engine}: {e}");
-                let (count, outcome) = if is_shortage(&e) {
-                    (&mut counters.dials_short, Outcome::NotSent)
-                } else {
-                    (&mut counters.dials_failed, Outcome::NoConnection)
-                };
-                *count += 1;
-                outcome
-            })?;
-        self.engines
-            .entry(engine)
-            .and_modify(|known| known.conns.push(key));
-        Ok(self.table.insert(Conn {
-            engine,
-            connection,
-            open: BTreeMap::new(),
-            ended: BTreeSet::new(),
-            probes: BTreeMap::new(),
-            retired: false,
-            opened_at: now,
-            heard_at: now,
-            deadline: Some(due.set(now + self.limits.dial_timeout, Due::Conn(key))),
-            rest: None,
-        }))
+                if is_shortage(&e) {
+                    context.counters.dials_short += 1;
+                    return Err(Outcome::NotSent);
+                }
+                context.counters.dials_failed += 1;
+                return Err(Outcome::NoConnection);
+            }
+        };
+        if let Some(known) = self.engines.get_mut(&engine) {
+            known.connections.push(key);
+        }
+        let timeout_at = context.now + self.limits.dial_timeout;
+        let deadline = Deadline::EngineConnection(key);
+        let deadline = context.deadlines.set(timeout_at, deadline);
+        let connection = EngineConnection::new(engine, stream, context.now, deadline);
+        Ok(self.table.insert(connection))
     }
 
-    /// Room for another connection, at the cost of one that carries nothing.
-    fn close_idlest(&mut self, due: &mut Deadlines) -> bool {
-        let idle = |conn: &Conn| {
-            conn.open.is_empty() && conn.probes.is_empty() && conn.connection.was_up()
-        };
-        let conns = self.table.iter().filter(|(_, conn)| idle(conn));
-        let Some((key, _)) = conns.min_by_key(|(_, conn)| conn.heard_at) else {
+    /// Makes room for another connection by closing the one that has been idle for the longest
+    /// time. False: none is idle.
+    fn close_idlest(&mut self, context: &mut EngineContext<'_>) -> bool {
+        let idle = self
+            .table
+            .iter()
+            .filter(|(_, connection)| connection.is_idle() && connection.stream.was_up());
+        let idlest = idle.min_by_key(|(_, connection)| connection.last_received_at);
+        let Some((key, _)) = idlest else {
             return false;
         };
-        self.close(key, Outcome::NotSent, due, &mut Vec::new());
+        self.close(key, Outcome::NotSent, context);
         true
     }
 
-    /// Asks an engine for its load, or tells what became of that.
+    /// Queues a request for an engine's load; an error is the probe's outcome.
     pub fn probe(
         &mut self,
-        now: Micros,
         engine: EngineId,
-        due: &mut Deadlines,
-        counters: &mut Counters,
+        context: &mut EngineContext<'_>,
     ) -> Result<(), Outcome> {
-        let streams = self.limits.streams;
-        let takes = |conn: &Conn| conn.open.len() + conn.probes.len() < streams;
-        let key = self.connection_to(now, engine, takes, due, counters)?;
-        let conn = self.table.get_mut(key).ok_or(Outcome::NoConnection)?;
+        let max_streams = self.limits.streams;
+        let accepts = |connection: &EngineConnection| connection.has_free_stream(max_streams);
+        let key = self.connection_to(engine, accepts, context)?;
+        let connection = self.table.get_mut(key).ok_or(Outcome::NoConnection)?;
         self.probes_sent += 1;
-        counters.probes += 1;
-        let tag = format!("probe-{}", self.probes_sent);
-        line::write_gauges(conn.connection.output.tail(), &tag);
-        // An answer may take as long as a connection may: neither waits for the engine's work.
-        let deadline = due.set(
-            now + self.limits.dial_timeout,
-            Due::Probe(key, self.probes_sent),
-        );
-        conn.probes.insert(tag.into(), deadline);
-        conn.is_used(due);
+        context.counters.probes += 1;
+        let tag = probe_tag(self.probes_sent);
+        engine_protocol::write_gauges(connection.stream.output.tail(), &tag);
+        // An answer waits for no work of the engine, so it gets as long as a dial.
+        let timeout_at = context.now + self.limits.dial_timeout;
+        let deadline = Deadline::Probe(key, self.probes_sent);
+        let deadline = context.deadlines.set(timeout_at, deadline);
+        connection.probes.insert(tag.into(), deadline);
+        connection.mark_used(context.deadlines);
         self.unflushed.push(key);
         Ok(())
     }
 
-    pub fn probe_late(&mut self, key: Key, number: u64, heard: &mut Vec<Heard>) {
-        let Some(conn) = self.table.get_mut(key) else {
+    /// A probe was not answered in time.
+    pub fn handle_probe_deadline(
+        &mut self,
+        key: Key,
+        number: u64,
+        context: &mut EngineContext<'_>,
+    ) {
+        let Some(connection) = self.table.get_mut(key) else {
             return;
         };
-        if conn
-            .probes
-            .remove(format!("probe-{number}").as_str())
-            .is_some()
-        {
-            heard.push(Heard::Probed {
-                engine: conn.engine,
+        let tag = probe_tag(number);
+        if connection.probes.remove(tag.as_str()).is_some() {
+            context.events.push(EngineEvent::ProbeEnded {
+                engine: connection.engine,
                 outcome: Outcome::TimedOut,
                 report: None,
             });
         }
     }
 
-    /// A new priority for what is out. False: it is over there, its pages are being read.
-    pub fn weigh(&mut self, key: Key, id: &str, rank: u8) -> bool {
-        let Some(conn) = self.table.get_mut(key) else {
+    /// Sends a new rank for a running attempt. False: it has ended there, its pages are being read.
+    pub fn update_rank(&mut self, key: Key, id: &str, rank: u8) -> bool {
+        let Some(connection) = self.table.get_mut(key) else {
             return false;
         };
-        let Some(open) = conn.open.get_mut(id) else {
+        let Some(open) = connection.open.get_mut(id) else {
             return false;
         };
-        let running = matches!(open.stage, Stage::Running);
-        if running && conn.connection.written < open.sent.1 {
-            open.later_rank = Some(rank);
-        } else if running {
-            line::write_weigh(conn.connection.output.tail(), id, rank);
+        let is_running = matches!(open.stage, AttemptStage::Running);
+        if is_running {
+            if connection.stream.written < open.output.end {
+                open.deferred_rank = Some(rank);
+            } else {
+                engine_protocol::write_weigh(connection.stream.output.tail(), id, rank);
+            }
         }
         self.unflushed.push(key);
-        running
+        is_running
     }
 
-    /// Asks for more pages of a result for the spool, as many as so many bytes hold.
-    pub fn read_on(&mut self, key: Key, id: &str, ahead: u64) {
-        let Some(conn) = self.table.get_mut(key) else {
+    /// Requests more pages of a result for the result spool, as many as `free_bytes` can hold.
+    pub fn request_pages(&mut self, key: Key, id: &str, free_bytes: u64) {
+        let Some(connection) = self.table.get_mut(key) else {
+            return;
+        };
+        let Some(open) = connection.open.get_mut(id) else {
             return;
         };
-        let Some(Open {
-            stage:
-                Stage::ResultSpoolDriver {
-                    count,
-                    next,
-                    asked,
-                    bytes,
-                    ..
-                },
-            ..
-        }) = conn.open.get_mut(id)
-        else {
+        let AttemptStage::SpoolingPages(reader) = &mut open.stage else {
             return;
         };
-        let page = (*bytes / (*next).max(1)).max(1) as u64;
-        let most = (ahead / page).clamp(0, MAX_ASKED as u64) as usize;
-        let before = *asked;
-        while *asked < *count && *asked - *next < most {
-            line::write_read(conn.connection.output.tail(), id, *asked);
-            *asked += 1;
+        let average_page = (reader.bytes / reader.next.max(1)).max(1) as u64;
+        let max_ahead = (free_bytes / average_page).min(MAX_REQUESTED_PAGES as u64) as usize;
+        let requested_before = reader.next_requested;
+        while reader.next_requested < reader.count
+            && reader.next_requested - reader.next < max_ahead
+        {
+            let output = connection.stream.output.tail();
+            engine_protocol::write_read(output, id, reader.next_requested);
+            reader.next_requested += 1;
         }
-        if *asked > before {
+        if reader.next_requested > requested_before {
             self.unflushed.push(key);
         }
     }
 }
+
+/// The id of a probe on its connection.
+fn probe_tag(number: u64) -> String {
+    format!("probe-{number}")
+}
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,8 +1,12 @@
-//! Attempts that are withdrawn from a connection before they begin.
+//! Attempts that are cancelled from a connection before they begin.
 
+use super::engine_connection::OutputRange;
 use super::*;
-use crate::connection::Wakes;
+use crate::connection::PendingWakes;
+use crate::counters::Counters;
+use crate::deadlines::Deadlines;
 use calloop::EventLoop;
+use eideryard_engine_protocol::Serve;
 
 const NOW: Micros = 1_000_000;
 
@@ -19,12 +23,11 @@
     }
 }
 
-/// Three requests wait to be written; the second is taken back, and the rank it was to get goes
-/// with it.
+/// Three requests wait to be written; the second is cancelled, and its deferred rank goes with it.
 #[test]
-fn what_is_given_up_unwritten_leaves_nothing_behind() {
+fn cancelled_unwritten_attempt_leaves_no_bytes_and_no_rank() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let events: EventLoop<'_, Wakes> = EventLoop::try_new().unwrap();
+    let event_loop: EventLoop<'_, PendingWakes> = EventLoop::try_new().unwrap();
     let limits = Limits {
         dial_timeout: NOW,
         idle: 0,
@@ -32,38 +35,52 @@
         streams: 32,
         connections: 8,
     };
-    let mut engines = Engines::new(&events.handle(), limits);
-    let (mut due, mut counters, mut heard) = (Deadlines::new(), Counters::default(), Vec::new());
-    engines.listed(5, listener.local_addr().ok(), 0, &mut due, &mut heard);
+    let mut engines = Engines::new(&event_loop.handle(), limits);
+    let (mut deadlines, mut counters, mut events) =
+        (Deadlines::new(), Counters::default(), Vec::new());
+    let mut context = EngineContext {
+        now: NOW,
+        deadlines: &mut deadlines,
+        counters: &mut counters,
+        events: &mut events,
+    };
+    engines.update_endpoint(5, listener.local_addr().ok(), 0, &mut context);
     let mut requests = Table::new();
-    let mut conns = ["a", "b", "c"].map(|id| {
-        let tried = (requests.insert(()), 0, false);
-        engines
-            .send(NOW, 5, tried, &serve(id), &mut due, &mut counters)
-            .unwrap()
+    let mut connections = ["a", "b", "c"].map(|id| {
+        let target = AttemptTarget {
+            request: requests.insert(()),
+            attempt: 0,
+            is_spooled: false,
+        };
+        engines.send(5, target, &serve(id), &mut context).unwrap()
     });
-    conns.sort();
+    connections.sort();
     assert_eq!(
-        (conns[0], counters.dials),
-        (conns[2], 1),
+        (connections[0], context.counters.dials),
+        (connections[2], 1),
         "one connection carries all three"
     );
-    assert!(engines.weigh(conns[0], "b", 1) && engines.weigh(conns[0], "c", 0));
-    assert!(!engines.give_up(NOW, conns[0], "b", &mut due, &mut heard));
+    assert!(
+        engines.update_rank(connections[0], "b", 1) && engines.update_rank(connections[0], "c", 0)
+    );
+    assert!(!engines.cancel_attempt(connections[0], "b", &mut context));
     let mut expected = Vec::new();
     for id in ["a", "c"].iter() {
         serve(id).write(&mut expected);
     }
-    let conn = engines.table.get_mut(conns[0]).unwrap();
-    assert_eq!(conn.connection.output.filled(), expected);
+    let connection = engines.table.get_mut(connections[0]).unwrap();
+    assert_eq!(connection.stream.output.filled(), expected);
     assert_eq!(
-        conn.open["c"].sent,
-        (expected.len() as u64 / 2, expected.len() as u64)
+        connection.open["c"].output,
+        OutputRange {
+            begin: expected.len() as u64 / 2,
+            end: expected.len() as u64
+        }
     );
-    // Once all is out, the rank that came too early follows.
-    conn.connection.written = expected.len() as u64;
-    conn.connection.output.clear();
-    let _ = conn.tell_later_ranks();
-    assert_eq!(conn.open["c"].later_rank, None);
-    assert!(heard.is_empty());
+    // Once everything is written, the deferred rank follows.
+    connection.stream.written = expected.len() as u64;
+    connection.stream.output.clear();
+    let _ = connection.send_deferred_ranks();
+    assert_eq!(connection.open["c"].deferred_rank, None);
+    assert!(events.is_empty());
 }
--- /dev/null
+++ b/crates/gateway/src/engines/writing.rs
@@ -0,0 +1,61 @@
+//! Writes what was queued for engines. The first byte of an attempt is released here only.
+
+use eideryard::interface::Outcome;
+
+use super::{AttemptEnd, EngineContext, EngineEvent, Engines};
+use crate::table::Key;
+
+/// Whether an attempt (its request, its index) may still begin.
+pub type MayBegin<'a> = &'a mut dyn FnMut(Key, usize) -> bool;
+
+impl Engines {
+    /// Writes what was queued since the last call. An attempt that has not begun is cancelled if
+    /// `may_begin` denies it. Without `may_begin`, connections with such attempts are left for a
+    /// later call.
+    pub fn flush(&mut self, mut may_begin: Option<MayBegin<'_>>, context: &mut EngineContext<'_>) {
+        let mut unflushed = std::mem::take(&mut self.unflushed);
+        unflushed.sort_unstable();
+        unflushed.dedup();
+        for key in unflushed.drain(..) {
+            self.flush_connection(key, &mut may_begin, context);
+        }
+    }
+
+    fn flush_connection(
+        &mut self,
+        key: Key,
+        may_begin: &mut Option<MayBegin<'_>>,
+        context: &mut EngineContext<'_>,
+    ) {
+        let Some(connection) = self.table.get_mut(key) else {
+            return;
+        };
+        // A connection that isn't up yet is marked again once it is.
+        if !connection.stream.was_up() {
+            return;
+        }
+        let unsent = connection.unsent_attempts();
+        if may_begin.is_none() && !unsent.is_empty() {
+            self.unflushed.push(key);
+            return;
+        }
+        let mut has_cancelled = false;
+        for attempt in unsent {
+            // A retired connection leads to where the engine no longer is, or to nobody.
+            let is_allowed = !connection.is_retired
+                && may_begin
+                    .as_mut()
+                    .is_some_and(|may_begin| may_begin(attempt.request, attempt.attempt));
+            if !is_allowed && connection.cancel_unsent(&attempt.id) {
+                let end = AttemptEnd::new(attempt.request, attempt.attempt, Outcome::NotSent);
+                context.events.push(EngineEvent::AttemptEnded(end));
+                has_cancelled = true;
+            }
+        }
+        if connection.stream.flush().is_err() || connection.send_deferred_ranks().is_err() {
+            self.close(key, Outcome::Broken, context);
+        } else if has_cancelled {
+            self.close_if_idle(key, context);
+        }
+    }
+}
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -1,94 +1,119 @@
-//! Where the gateway's record is tapped: nothing at all without a record, else every event, action
-//! and word of the host goes to the recorder, which never waits.
+//! Hands events, actions and entries of the host to the event log's recorder, which never blocks
+//! the main loop. Without an event log it does nothing.
 
 use eideryard::interface::{Action, Event, Micros};
 use eideryard_event_log::entry::EntryRef;
+use eideryard_event_log::recorder::PAUSE;
 use eideryard_event_log::writer::Directory;
 use eideryard_event_log::{Config, Host, Names, Recorder};
 use eideryard_operator_config::EventLogConfig;
 
+/// The recorder, with the names that begin each segment.
+struct ActiveRecorder {
+    recorder: Recorder,
+    names: Names,
+}
+
+/// The gateway's end of the event log.
 #[derive(Default)]
 pub struct EventRecorder {
-    recorder: Option<Box<(Recorder, Names)>>,
+    active: Option<Box<ActiveRecorder>>,
 }
 
 impl EventRecorder {
-    /// A record that can't be started is said and done without.
-    pub fn start(name: &str, epoch: Micros, names: Names, record: Option<&EventLogConfig>) -> Self {
-        let Some(record) = record else {
+    /// Starts the recorder. An event log that can't be started is reported, and the gateway goes on
+    /// without it.
+    pub fn start(
+        name: &str,
+        epoch: Micros,
+        names: Names,
+        event_log: Option<&EventLogConfig>,
+    ) -> Self {
+        let Some(event_log) = event_log else {
             return EventRecorder::default();
         };
-        let plan = Config {
+        let config = Config {
             name: name.to_string(),
             epoch,
-            budget: record.budget,
-            segment: record.segment,
-            segment_time: record.segment_time,
-            pause: eideryard_event_log::recorder::PAUSE,
+            budget: event_log.budget,
+            segment: event_log.segment,
+            segment_time: event_log.segment_time,
+            pause: PAUSE,
             classes: names.classes.len(),
             tenants: names.tenants.len(),
         };
-        match Recorder::start(plan, Box::new(Directory(record.directory.clone()))) {
+        let directory = Directory(event_log.directory.clone());
+        match Recorder::start(config, Box::new(directory)) {
             Ok(recorder) => EventRecorder {
-                recorder: Some(Box::new((recorder, names))),
+                active: Some(Box::new(ActiveRecorder { recorder, names })),
             },
             Err(e) => {
-                tracing::error!("no record is kept: {e}");
+                tracing::error!("no event log is kept: {e}");
                 EventRecorder::default()
             }
         }
     }
 
-    pub fn is_on(&self) -> bool {
-        self.recorder.is_some()
+    /// Whether an event log is written.
+    pub fn is_enabled(&self) -> bool {
+        self.active.is_some()
     }
 
-    pub fn event(&mut self, now: Micros, event: &Event) {
+    /// Records an event for the balancer.
+    pub fn record_event(&mut self, now: Micros, event: &Event) {
         self.record(now, EntryRef::In(event));
     }
 
-    pub fn action(&mut self, now: Micros, action: &Action) {
+    /// Records an action of the balancer.
+    pub fn record_action(&mut self, now: Micros, action: &Action) {
         self.record(now, EntryRef::Out(action));
     }
 
-    #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-    pub fn host(&mut self, now: Micros, host: Host) {
-        self.record(now, EntryRef::Host(&host));
+    /// Records what the gateway itself did or received.
+    pub fn record_host(&mut self, now: Micros, host: &Host) {
+        self.record(now, EntryRef::Host(host));
     }
 
     fn record(&mut self, now: Micros, entry: EntryRef<'_>) {
-        if let Some(tap) = &mut self.recorder {
-            tap.0.record(now, entry);
+        if let Some(active) = &mut self.active {
+            active.recorder.record(now, entry);
         }
     }
 
-    /// Whether a segment should begin, with what is known.
-    pub fn wants_state(&self, now: Micros) -> bool {
-        self.recorder
-            .as_ref()
-            .is_some_and(|tap| tap.0.wants_state(now))
+    /// Whether a segment should begin, with the current state.
+    pub fn needs_state(&self, now: Micros) -> bool {
+        match &self.active {
+            Some(active) => active.recorder.wants_state(now),
+            None => false,
+        }
     }
 
-    /// Begins a segment with what is known now.
-    pub fn state(&mut self, now: Micros, known: impl Iterator<Item = Host>) {
-        let Some(tap) = &mut self.recorder else {
+    /// Begins a segment with the current state.
+    pub fn record_state(&mut self, now: Micros, state: impl Iterator<Item = Host>) {
+        let Some(active) = &mut self.active else {
             return;
         };
-        let (recorder, names) = &mut **tap;
-        if recorder.begin(now) {
-            recorder.state(now, &Host::Names(names.clone()));
-            known.for_each(|host| recorder.state(now, &host));
-            recorder.state_whole(now);
+        let ActiveRecorder { recorder, names } = active.as_mut();
+        if !recorder.begin(now) {
+            return;
+        }
+        recorder.state(now, &Host::Names(names.clone()));
+        for host in state {
+            recorder.state(now, &host);
         }
+        recorder.state_whole(now);
     }
 
-    pub fn due(&self) -> Option<Micros> {
-        self.recorder.as_ref().and_then(|tap| tap.0.due())
+    /// When [`EventRecorder::flush`] has something to do, if nothing else happens.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        let active = self.active.as_ref()?;
+        active.recorder.due()
     }
 
+    /// Hands recorded entries to the writer's thread.
     pub fn flush(&mut self, now: Micros) {
-        if let Some(tap) = &mut self.recorder {
-            tap.0.flush(now);
+        if let Some(active) = &mut self.active {
+            active.recorder.flush(now);
         }
     }
 }
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -83,7 +83,7 @@
         "{}\n{}\n{}\n{}\n{}\n",
         Counters::default(),
         counter_text::intents(&crate::intent_durability::Counted::default()),
-        counter_text::spool(&crate::result_spool::Spooled::default()),
+        counter_text::spool(&crate::result_spool::ResultSpoolCounters::default()),
         counter_text::replication(&eideryard_replication::core::Counters::default()),
         counter_text::leases(&eideryard_leases::core::Counters::default()),
     );
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -1,19 +1,30 @@
-//! Carries out the module's actions; sends wait here for their intents.
+//! Carries out the balancer's actions; sends wait here for their intents.
+
+use eideryard::interface::end_tag;
+use eideryard_engine_protocol::Serve;
+use eideryard_intent_log::state::RETRY_AFTER;
 
 use super::*;
+use crate::engines::AttemptTarget;
+use crate::intent_durability::{Ready, Sending, Waiting};
+use crate::requests::Attempt;
+use crate::result_spool::ResultOwner;
+
+/// Shorter delays are not advised to clients: the wire states whole milliseconds.
+const MIN_RETRY_AFTER: Micros = 1000;
 
 impl Gateway {
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub(super) fn act(&mut self, now: Micros, action: Action) {
+    pub(super) fn execute_action(&mut self, now: Micros, action: Action) {
         if !matches!(action, Action::Send { .. }) {
-            self.tap.action(now, &action);
+            self.event_recorder.record_action(now, &action);
         }
         match action {
             Action::Grant {
                 request,
                 grant_mb,
                 rank,
-            } => self.terms(Key::from_number(request), grant_mb, rank),
+            } => self.apply_grant(Key::from_number(request), grant_mb, rank),
             Action::Send {
                 request,
                 engine,
@@ -21,9 +32,9 @@
             } => self.send(now, Key::from_number(request), engine, attempt_deadline),
             Action::Probe { engine } => {
                 if let Some(report) = self
-                    .keeping
+                    .intent_durability
                     .as_mut()
-                    .and_then(|keeping| keeping.report(now, engine))
+                    .and_then(|intent_durability| intent_durability.report(now, engine))
                 {
                     let (outcome, report) = (Outcome::Answered, Some(report));
                     return self.events.push_back(Event::Probed(Probed {
@@ -32,10 +43,8 @@
                         report,
                     }));
                 }
-                if let Err(outcome) =
-                    self.engines
-                        .probe(now, engine, &mut self.due, &mut self.counters)
-                {
+                let result = self.with_engines(|engines, context| engines.probe(engine, context));
+                if let Err(outcome) = result {
                     self.events.push_back(Event::Probed(Probed {
                         engine,
                         outcome,
@@ -44,40 +53,42 @@
                 }
             }
             Action::Cancel { request, attempt } => {
-                self.give_up(Key::from_number(request), attempt, Outcome::Cancelled);
+                self.cancel_attempt(Key::from_number(request), attempt, Outcome::Cancelled);
             }
             Action::Refuse {
                 request,
                 retry_after,
             } => {
-                let wait = (retry_after / 1000).to_string();
-                let advice = [("w", wait.as_str())];
-                let advice = if retry_after >= 1000 {
-                    &advice[..]
-                } else {
-                    &[]
+                let reply = ErrorReply {
+                    retry_after: Some(retry_after).filter(|after| *after >= MIN_RETRY_AFTER),
+                    ..ErrorReply::new(ErrorKind::TryLater)
                 };
-                self.turn_down(Key::from_number(request), "TryLater", advice);
+                self.answer_error(Key::from_number(request), &reply);
+            }
+            Action::Fail { request } => {
+                let reply = ErrorReply::new(ErrorKind::Failed);
+                self.answer_error(Key::from_number(request), &reply);
             }
-            Action::Fail { request } => self.turn_down(Key::from_number(request), "Failed", &[]),
             Action::SetTimer { after, tag } => {
-                let timer = self.due.set(now + after, Due::Timer(tag));
+                let timer = self
+                    .deadlines
+                    .set(now + after, Deadline::BalancerTimer(tag));
                 // A request's own timer goes with it; others fire.
                 let request = tag.checked_sub(end_tag(0)).map(Key::from_number);
-                request
-                    .and_then(|key| self.requests.get_mut(key))
-                    .map(|r| r.timer.replace(timer));
+                if let Some(request) = request.and_then(|key| self.requests.get_mut(key)) {
+                    request.timer = Some(timer);
+                }
             }
-            // The bulletin tells of changes by itself, whenever it can be reached.
-            Action::Subscribe if self.watch.is_up() => {
+            // Service discovery tells of changes by itself, whenever it can be reached.
+            Action::Subscribe if self.discovery.is_up() => {
                 self.events.push_back(Event::EndpointChanges(Vec::new()));
             }
             Action::Subscribe => self.events.push_back(Event::DiscoveryFailed),
-            Action::Log(text) => tracing::info!("{}", self.with_names(&text)),
+            Action::Log(text) => tracing::info!("{}", self.with_engine_names(&text)),
         }
     }
 
-    pub(super) fn terms(&mut self, key: Key, grant_mb: f64, rank: u8) {
+    pub(super) fn apply_grant(&mut self, key: Key, grant_mb: f64, rank: u8) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -85,8 +96,12 @@
         if request.rank.replace(rank) == Some(rank) {
             return;
         }
-        for conn in request.attempts.iter().filter_map(|attempt| attempt.conn) {
-            self.counters.ranks += self.engines.weigh(conn, &request.id, rank) as u64;
+        for conn in request
+            .attempts
+            .iter()
+            .filter_map(|attempt| attempt.connection)
+        {
+            self.counters.ranks += self.engines.update_rank(conn, &request.id, rank) as u64;
         }
     }
 
@@ -96,7 +111,7 @@
             return;
         };
         // Here and not with the other actions: one for a request that is no more sends nothing.
-        self.tap.action(
+        self.event_recorder.record_action(
             now,
             &Action::Send {
                 request: key.number(),
@@ -105,48 +120,56 @@
             },
         );
         let attempt = request.attempts.len();
-        if request.spooled {
+        if request.is_spooled {
             // Of an earlier attempt that ended half way.
-            let of = (
-                request.class,
-                request.tenant,
-                self.clients.address_of(request.client),
-            );
-            self.spooling
-                .iter_mut()
-                .for_each(|spooling| spooling.restart(key.number(), of, now));
-            self.coming.remove(&key);
+            let owner = ResultOwner {
+                labels: request.labels(),
+                address: self.clients.address_of(request.client),
+            };
+            if let Some(result_spool) = &mut self.result_spool {
+                result_spool.restart(key.number(), owner, now);
+            }
+            self.incoming_results.remove(&key);
         }
         self.counters.sent += 1;
         let (class, name) = (request.class, request.key.as_deref());
-        let sending = match &mut self.keeping {
-            Some(keeping) => keeping.sends(now, class, name, engine, give_up_at, &request.earlier),
+        let sending = match &mut self.intent_durability {
+            Some(intent_durability) => intent_durability.sends(
+                now,
+                class,
+                name,
+                engine,
+                give_up_at,
+                &request.prior_attempts,
+            ),
             None => Sending::Now,
         };
         let waits = matches!(sending, Sending::Waits { .. });
         let kept = waits || matches!(sending, Sending::Not);
         request.attempts.push(Attempt {
             engine,
-            conn: None,
+            connection: None,
             sent_at: now,
             deadline: None,
-            waits,
-            kept,
+            awaits_durability: waits,
+            has_intent: kept,
         });
         match sending {
             Sending::Now => self.dispatch(now, key, attempt, engine, give_up_at),
-            Sending::Not => self.over(key, attempt, Outcome::NotSent, false, None, None),
+            Sending::Not => self.end_attempt(AttemptEnd::new(key, attempt, Outcome::NotSent)),
             Sending::Untold(ran) => {
-                request.earlier.push(ran);
+                request.prior_attempts.push(ran);
                 self.events.push_back(Event::PriorAttempts {
                     request: key.number(),
                     prior_attempts: vec![ran],
                 });
-                self.over(key, attempt, Outcome::NotSent, false, None, None);
+                self.end_attempt(AttemptEnd::new(key, attempt, Outcome::NotSent));
             }
             Sending::Waits { ticket, claim, ran } => {
-                request.earlier.push(ran);
-                let deadline = self.due.set(give_up_at, Due::Attempt(key, attempt));
+                request.prior_attempts.push(ran);
+                let deadline = self
+                    .deadlines
+                    .set(give_up_at, Deadline::Attempt(key, attempt));
                 request.attempts[attempt].deadline = Some(deadline);
                 let waiting = Waiting {
                     ticket,
@@ -156,9 +179,9 @@
                     engine,
                     give_up_at,
                 };
-                self.keeping
+                self.intent_durability
                     .iter_mut()
-                    .for_each(|keeping| keeping.waits(now, waiting));
+                    .for_each(|intent_durability| intent_durability.waits(now, waiting));
             }
         }
     }
@@ -188,45 +211,50 @@
         let conn = match wait_ms {
             0 => Err(Outcome::NotSent),
             _ => {
-                let tried = (key, attempt, request.spooled);
-                self.engines.send(
+                let target = AttemptTarget {
+                    request: key,
+                    attempt,
+                    is_spooled: request.is_spooled,
+                };
+                let mut context = EngineContext {
                     now,
-                    engine,
-                    tried,
-                    &serve,
-                    &mut self.due,
-                    &mut self.counters,
-                )
+                    deadlines: &mut self.deadlines,
+                    counters: &mut self.counters,
+                    events: &mut self.engine_events,
+                };
+                self.engines.send(engine, target, &serve, &mut context)
             }
         };
         match conn {
             Ok(conn) => {
                 let own = &mut request.attempts[attempt];
-                own.conn = Some(conn);
-                let due = &mut self.due;
-                own.deadline
-                    .get_or_insert_with(|| due.set(give_up_at, Due::Attempt(key, attempt)));
+                own.connection = Some(conn);
+                let deadlines = &mut self.deadlines;
+                own.deadline.get_or_insert_with(|| {
+                    deadlines.set(give_up_at, Deadline::Attempt(key, attempt))
+                });
             }
-            Err(outcome) => self.over(key, attempt, outcome, false, None, None),
+            Err(outcome) => self.end_attempt(AttemptEnd::new(key, attempt, outcome)),
         }
     }
 
     /// Intents that are durable let their sends go; those that wait for too long are refused.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub(super) fn keep_work(&mut self) {
+    pub(super) fn poll_intent_durability(&mut self) {
         let now = self.clock.now();
-        let Some(keeping) = &mut self.keeping else {
+        let Some(intent_durability) = &mut self.intent_durability else {
             return;
         };
-        if keeping.wants_lessons(now) {
-            keeping.learns(now, &self.module.learned_state());
+        if intent_durability.wants_lessons(now) {
+            intent_durability.learns(now, &self.balancer.learned_state());
         }
-        let (Ready { go, late, earlier }, words) = (keeping.work(now), keeping.words());
+        let (Ready { go, late, earlier }, words) =
+            (intent_durability.work(now), intent_durability.words());
         for word in words.into_iter() {
-            self.tap.host(now, Host::Fleet(word));
+            self.event_recorder.record_host(now, &Host::Fleet(word));
         }
-        let (drains, hints) = (keeping.drains(), keeping.hints());
-        let (probes, reports) = keeping.probes(now);
+        let (drains, hints) = (intent_durability.drains(), intent_durability.hints());
+        let (probes, reports) = intent_durability.probes(now);
         let nothing = probes.is_empty()
             && reports.is_empty()
             && go.is_empty()
@@ -234,13 +262,11 @@
             && hints.is_none()
             && late.is_empty()
             && earlier.is_empty();
-        self.heed_drains(drains);
+        self.handle_peer_drains(drains);
         for engine in probes {
             // One that can't be reached is no news from here: each gateway finds that out for
             // itself.
-            let _ = self
-                .engines
-                .probe(now, engine, &mut self.due, &mut self.counters);
+            let _ = self.with_engines(|engines, context| engines.probe(engine, context));
         }
         for (engine, report) in reports {
             let (outcome, report) = (Outcome::Answered, Some(report));
@@ -269,14 +295,19 @@
                 .get_mut(request)
                 .and_then(|own| own.attempts.get_mut(attempt));
             // One that was given up meanwhile waits no more.
-            if !tried.is_some_and(|tried| std::mem::take(&mut tried.waits)) {
+            if !tried.is_some_and(|tried| std::mem::take(&mut tried.awaits_durability)) {
                 continue;
             }
-            let own = self.requests.get(request).zip(self.keeping.as_ref());
-            if own.is_none_or(|(own, keeping)| keeping.in_time(now, own.class, &own.earlier)) {
+            let own = self
+                .requests
+                .get(request)
+                .zip(self.intent_durability.as_ref());
+            if own.is_none_or(|(own, intent_durability)| {
+                intent_durability.in_time(now, own.class, &own.prior_attempts)
+            }) {
                 self.dispatch(now, request, attempt, engine, give_up_at);
             } else {
-                self.over(request, attempt, Outcome::NotSent, false, None, None);
+                self.end_attempt(AttemptEnd::new(request, attempt, Outcome::NotSent));
             }
         }
         for (
@@ -289,15 +320,14 @@
             let Some(own) = self.requests.get_mut(request) else {
                 continue;
             };
-            own.earlier.extend(ran.iter().copied());
-            // The module knows it before it hears that the attempt was not sent.
+            own.prior_attempts.extend(ran.iter().copied());
+            // The balancer knows it before it hears that the attempt was not sent.
             self.events.push_back(Event::PriorAttempts {
                 request: request.number(),
                 prior_attempts: ran,
             });
-            self.give_up(request, attempt, Outcome::NotSent);
+            self.cancel_attempt(request, attempt, Outcome::NotSent);
         }
-        let wait = (eideryard_intent_log::state::RETRY_AFTER / 1000).to_string();
         for (
             Waiting {
                 request, attempt, ..
@@ -306,8 +336,9 @@
         ) in late
         {
             let own = self.requests.get(request);
-            let alone = own.is_some_and(|own| own.attempts.len() == 1 && own.attempts[0].waits);
-            // The module hears that nobody waits before it hears of the attempt's end: else it
+            let alone =
+                own.is_some_and(|own| own.attempts.len() == 1 && own.attempts[0].awaits_durability);
+            // The balancer hears that nobody waits before it hears of the attempt's end: else it
             // would send a further one, of a request that is no more here, and never hear of that
             // one's end.
             if alone {
@@ -315,50 +346,31 @@
                     request: request.number(),
                 });
             }
-            self.give_up(request, attempt, Outcome::NotSent);
+            self.cancel_attempt(request, attempt, Outcome::NotSent);
             if alone {
-                let advice = [("why", why.name()), ("w", wait.as_str())];
-                let advice = if self.may_advise {
-                    &advice[..]
-                } else {
-                    &advice[..1]
+                let because = Host::Because {
+                    request: request.number(),
+                    why,
                 };
-                self.tap.host(
-                    now,
-                    Host::Because {
-                        request: request.number(),
-                        why,
-                    },
-                );
-                self.turn_down(request, "TryLater", advice);
+                self.event_recorder.record_host(now, &because);
+                let reply = ErrorReply {
+                    retry_after: self.retry_after_allowed.then_some(RETRY_AFTER),
+                    ..ErrorReply::with_reason(ErrorKind::TryLater, why.name())
+                };
+                self.answer_error(request, &reply);
             }
         }
         if !nothing {
-            self.settle();
+            self.run_balancer();
             self.flush();
         }
-        self.keeping.iter_mut().for_each(|keeping| keeping.flush());
-    }
-
-    /// Refused or failed.
-    pub(super) fn turn_down(&mut self, key: Key, word: &str, fields: &[(&str, &str)]) {
-        let how = if word == "TryLater" {
-            AnswerKind::Refused
-        } else {
-            AnswerKind::Failed
-        };
-        self.spool_over(key, how == AnswerKind::Refused);
-        if self.answer(key, how, |out, call| write_error(out, call, word, fields)) {
-            match how {
-                AnswerKind::Refused => self.counters.refused += 1,
-                _ => self.counters.failed += 1,
-            }
-        }
-        self.requests.give_back(key, &mut self.due);
+        self.intent_durability
+            .iter_mut()
+            .for_each(|intent_durability| intent_durability.flush());
     }
 
-    /// Log lines of the module say numbers where an operator knows engines by name.
-    pub(super) fn with_names(&self, text: &str) -> String {
+    /// Log lines of the balancer say numbers where an operator knows engines by name.
+    pub(super) fn with_engine_names(&self, text: &str) -> String {
         let named = |word: &str| {
             let number = word.parse().ok();
             number
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -1,55 +1,43 @@
-//! What engines said: final answers for clients, ends of attempts for the module.
+//! The way of an engine's answers: results go to clients, the ends of attempts to the balancer.
+
+use eideryard::interface::AttemptEnded;
+use eideryard_msgpack_rpc::write_result;
 
 use super::*;
 
 impl Gateway {
-    pub(super) fn hear_engines(&mut self) {
-        for heard in std::mem::take(&mut self.from_engines) {
-            match heard {
-                engines::Heard::Over {
-                    request,
-                    attempt,
-                    outcome,
-                    report,
-                    told,
-                } => self.over(request, attempt, outcome, told, None, report),
-                engines::Heard::Served {
-                    request,
-                    attempt,
-                    pages,
-                    bill,
-                    report,
-                } => {
-                    self.serve(request, &pages);
-                    self.over(request, attempt, Outcome::Answered, false, bill, report);
+    pub(super) fn handle_engine_events(&mut self) {
+        for event in std::mem::take(&mut self.engine_events) {
+            match event {
+                EngineEvent::AttemptEnded(end) => self.end_attempt(end),
+                EngineEvent::ResultComplete { pages, end } => {
+                    self.answer_result(end.request, &pages);
+                    self.end_attempt(end);
                 }
-                engines::Heard::Page { request, rows } => self.page(request, rows),
-                engines::Heard::Spooled {
-                    request,
-                    attempt,
-                    bill,
-                    report,
-                } => {
-                    self.spooled(request);
-                    self.over(request, attempt, Outcome::Answered, false, bill, report);
+                EngineEvent::ResultPage { request, rows } => self.handle_result_page(request, rows),
+                EngineEvent::SpooledResultComplete(end) => {
+                    self.handle_spooled_result(end.request);
+                    self.end_attempt(end);
                 }
-                engines::Heard::Noted {
+                EngineEvent::Progress {
                     request,
                     attempt,
-                    note,
+                    progress,
                 } => self.events.push_back(Event::ProgressReported {
                     request: request.number(),
                     attempt,
-                    progress: note,
+                    progress,
                 }),
-                engines::Heard::Probed {
+                EngineEvent::ProbeEnded {
                     engine,
                     outcome,
                     report,
                 } => {
                     let now = self.clock.now();
-                    if let Some((keeping, report)) = self.keeping.as_mut().zip(report.as_ref()) {
-                        keeping.reported(now, engine, report);
+                    if let (Some(intent_durability), Some(report)) =
+                        (&mut self.intent_durability, &report)
+                    {
+                        intent_durability.reported(now, engine, report);
                     }
                     self.events.push_back(Event::Probed(Probed {
                         engine,
@@ -61,120 +49,136 @@
         }
     }
 
-    /// The first good answer goes to the client.
-    pub(super) fn serve(&mut self, key: Key, pages: &[Vec<u8>]) {
+    /// Sends the first successful result to the client.
+    fn answer_result(&mut self, key: Key, pages: &[Vec<u8>]) {
         let pages = pages.iter().map(Vec::as_slice);
-        if self.answer(key, AnswerKind::Served, |out, call| {
-            write_result(out, call, pages);
-        }) {
+        let is_sent = self.answer(key, AnswerKind::Served, |output, call_id| {
+            write_result(output, call_id, pages);
+        });
+        if is_sent {
             self.counters.served += 1;
         }
     }
 
-    /// A request's final answer, unless it has had one or nobody waits. True: it is on its way to
-    /// the client.
-    pub(super) fn answer(
+    /// Sends a request's final answer, unless it has had one or nobody waits. True: it is queued
+    /// for the client.
+    fn answer(
         &mut self,
         key: Key,
-        how: AnswerKind,
+        kind: AnswerKind,
         write: impl FnOnce(&mut Vec<u8>, u32),
     ) -> bool {
-        let Some(request) = self
-            .requests
-            .get_mut(key)
-            .filter(|request| !request.answered)
-        else {
+        let Some(request) = self.requests.get_mut(key) else {
             return false;
         };
-        request.answered = true;
-        let late = self.clock.now() > request.deadline;
-        self.counters.late += late as u64;
-        let call = request.call;
-        let told = self
+        if request.is_answered {
+            return false;
+        }
+        request.is_answered = true;
+        let is_late = self.clock.now() > request.deadline;
+        self.counters.late += u64::from(is_late);
+        let call_id = request.call_id;
+        let is_sent = self
             .clients
-            .answer(request.client, call, |out| write(out, call));
-        self.counters.lost += !told as u64;
-        let how = if told { how } else { AnswerKind::Lost };
-        self.span(key)
-            .in_scope(|| tracing::debug!(late, "{}", how.name()));
-        self.tell_end(key, how, late);
-        told
+            .answer(request.client, call_id, |output| write(output, call_id));
+        self.counters.lost += u64::from(!is_sent);
+        let kind = if is_sent { kind } else { AnswerKind::Lost };
+        self.request_span(key)
+            .in_scope(|| tracing::debug!(late = is_late, "{}", kind.name()));
+        self.record_answer(key, kind, is_late);
+        is_sent
     }
 
-    /// An attempt has its outcome.
-    pub(super) fn over(
-        &mut self,
-        key: Key,
-        attempt: usize,
-        outcome: Outcome,
-        told: bool,
-        bill: Option<ResourceUsage>,
-        report: Option<LoadReport>,
-    ) {
-        let Some(request) = self.requests.get_mut(key) else {
+    /// Answers a request with an error: it is rejected or has failed.
+    pub(super) fn answer_error(&mut self, key: Key, reply: &ErrorReply<'_>) {
+        self.end_spooled_run(key, reply.kind);
+        let is_rejected = reply.kind == ErrorKind::TryLater;
+        let kind = if is_rejected {
+            AnswerKind::Refused
+        } else {
+            AnswerKind::Failed
+        };
+        let is_sent = self.answer(key, kind, |output, call_id| reply.write(output, call_id));
+        if is_sent && is_rejected {
+            self.counters.refused += 1;
+        } else if is_sent {
+            self.counters.failed += 1;
+        }
+        self.requests.release(key, &mut self.deadlines);
+    }
+
+    /// An attempt has its outcome: its intent is closed, and the balancer learns of it.
+    pub(super) fn end_attempt(&mut self, end: AttemptEnd) {
+        let now = self.clock.now();
+        let Some(request) = self.requests.get_mut(end.request) else {
             return;
         };
-        let Some(tried) = request.attempts.get_mut(attempt) else {
+        let is_answered = request.is_answered;
+        let Some(attempt) = request.attempts.get_mut(end.attempt) else {
             return;
         };
-        let engine = tried.engine;
-        (tried.conn, tried.waits) = (None, false);
-        self.due.take_back(tried.deadline.take());
-        if let Some(keeping) = self
-            .keeping
-            .as_mut()
-            .filter(|_| std::mem::take(&mut tried.kept))
-        {
-            let never_ran = matches!(
-                outcome,
-                Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent
-            );
-            keeping.ended(
-                self.clock.now(),
-                request.class,
-                request.key.as_deref(),
-                never_ran,
-            );
+        let engine = attempt.engine;
+        attempt.connection = None;
+        attempt.awaits_durability = false;
+        self.deadlines.cancel(attempt.deadline.take());
+        if let Some(intent_durability) = &mut self.intent_durability {
+            if std::mem::take(&mut attempt.has_intent) {
+                let never_ran = matches!(
+                    end.outcome,
+                    Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent
+                );
+                let key = request.key.as_deref();
+                intent_durability.ended(now, request.class, key, never_ran);
+            }
         }
-        self.counters.attempts.count(outcome);
+        self.counters.attempts.count(end.outcome);
         self.events.push_back(Event::AttemptEnded(AttemptEnded {
-            request: key.number(),
-            attempt,
-            outcome,
-            spent: self.clock.now().saturating_sub(tried.sent_at),
-            complete: request.answered,
-            already_reported: told,
-            usage: bill,
-            report,
+            request: end.request.number(),
+            attempt: end.attempt,
+            outcome: end.outcome,
+            spent: now.saturating_sub(attempt.sent_at),
+            complete: is_answered,
+            already_reported: end.already_reported,
+            usage: end.usage,
+            report: end.report,
         }));
         if tracing::enabled!(tracing::Level::DEBUG) {
-            let _span = self.attempt_span(key, engine);
-            tracing::debug!(?outcome, "attempt {attempt} is over");
+            let _span = self.attempt_span(end.request, engine);
+            let outcome = end.outcome;
+            tracing::debug!(?outcome, "attempt {} is over", end.attempt);
         }
-        self.requests.give_back(key, &mut self.due);
+        self.requests.release(end.request, &mut self.deadlines);
     }
 
-    /// No answer of an attempt is waited for any more: it ends with this outcome, or as never sent.
-    pub(super) fn give_up(&mut self, key: Key, attempt: usize, outcome: Outcome) {
-        let Some(request) = self.requests.get_mut(key) else {
+    /// Cancels an attempt: it ends with this outcome, or as never sent.
+    pub(super) fn cancel_attempt(&mut self, key: Key, attempt: usize, outcome: Outcome) {
+        let Some(request) = self.requests.get(key) else {
             return;
         };
-        let Some(tried) = request.attempts.get_mut(attempt) else {
+        let Some(cancelled) = request.attempts.get(attempt) else {
             return;
         };
-        if tried.waits {
-            return self.over(key, attempt, Outcome::NotSent, false, None, None);
+        if cancelled.awaits_durability {
+            let end = AttemptEnd::new(key, attempt, Outcome::NotSent);
+            return self.end_attempt(end);
         }
-        let Some(conn) = tried.conn else { return };
-        let (now, due, heard) = (self.clock.now(), &mut self.due, &mut self.from_engines);
-        let sent = self.engines.give_up(now, conn, &request.id, due, heard);
-        self.over(
-            key,
-            attempt,
-            if sent { outcome } else { Outcome::NotSent },
-            false,
-            None,
-            None,
-        );
+        let Some(connection) = cancelled.connection else {
+            return;
+        };
+        let mut context = EngineContext {
+            now: self.clock.now(),
+            deadlines: &mut self.deadlines,
+            counters: &mut self.counters,
+            events: &mut self.engine_events,
+        };
+        let may_have_begun = self
+            .engines
+            .cancel_attempt(connection, &request.id, &mut context);
+        let outcome = if may_have_begun {
+            outcome
+        } else {
+            Outcome::NotSent
+        };
+        self.end_attempt(AttemptEnd::new(key, attempt, outcome));
     }
 }
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -1,191 +1,234 @@
-//! The list of engines: entries for the module, and what peers' lists forbid.
+//! The way of an update of the engines: from service discovery and from peers to the balancer and
+//! to the connections.
+
+use eideryard::interface::Phase;
+use eideryard_discovery::{DiscoveredEngine, Item, State};
+use eideryard_replication::drains::Drain;
 
 use super::*;
-use std::collections::BTreeSet;
+use crate::engines::parse_address;
+use crate::requests::index_of;
+use crate::shutdown::Phase as ShutdownPhase;
+
+const MICROS_PER_MS: Micros = 1000;
+/// Constants of the FNV-1a hash, which engines' numbers are derived by.
+const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+const FNV_PRIME: u32 = 0x0100_0193;
 
 impl Gateway {
-    pub(super) fn listed(&mut self, item: Item) {
+    /// Reads from service discovery. True: there may be more.
+    pub(super) fn read_discovery(&mut self) -> bool {
+        let mut items = Vec::new();
+        let before = self.discovery_state();
+        let may_have_more = self.discovery.read(
+            self.clock.now(),
+            &mut self.deadlines,
+            &mut self.counters,
+            &mut items,
+        );
+        self.record_discovery_changes(&before, &items);
+        for item in items {
+            self.handle_discovery_item(item);
+        }
+        may_have_more
+    }
+
+    /// Service discovery reports engines that have changed, or all engines.
+    pub(super) fn handle_discovery_item(&mut self, item: Item) {
         let Some(roster) = item.roster else { return };
-        let mut entries: Vec<Endpoint> = roster
+        let mut endpoints: Vec<Endpoint> = roster
             .hosts
             .iter()
-            .map(|listed| self.entry(listed))
+            .map(|discovered| self.endpoint_of(discovered))
             .collect();
-        self.share_drains(item.no, &mut entries);
-        for (entry, listed) in entries.iter().zip(&roster.hosts) {
-            let address = match entry.phase {
-                Phase::Removed => None,
-                _ => engines::address(&listed.dial)
-                    .inspect_err(|e| tracing::warn!("engine {}: {e}", listed.host))
-                    .ok(),
-            };
-            self.tell_listed(entry, listed);
-            if self.keeping.is_some() {
-                self.last_entries.insert(entry.engine, *entry);
-            }
-            if let Some(keeping) = &mut self.keeping {
-                keeping.listed(entry.engine, entry.zone, entry.cell);
-            }
-            let (due, heard) = (&mut self.due, &mut self.from_engines);
-            self.engines
-                .listed(entry.engine, address, entry.booted_at, due, heard);
+        self.exchange_drains(item.no, &mut endpoints);
+        for (endpoint, discovered) in endpoints.iter().zip(&roster.hosts) {
+            self.update_endpoint(endpoint, discovered);
         }
         if roster.whole {
-            let told: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
-            for engine in self
-                .engines
-                .ids()
-                .into_iter()
-                .filter(|engine| !told.contains(engine))
-            {
-                self.engines
-                    .unlisted(engine, &mut self.due, &mut self.from_engines);
-            }
+            self.remove_unlisted(&endpoints);
         }
-        let takes_away = roster.whole || entries.iter().any(|entry| entry.phase == Phase::Removed);
+        let has_removed = endpoints
+            .iter()
+            .any(|endpoint| endpoint.phase == Phase::Removed);
         let event = if roster.whole {
-            Event::EndpointSnapshot(entries)
+            Event::EndpointSnapshot(endpoints)
         } else {
-            Event::EndpointChanges(entries)
+            Event::EndpointChanges(endpoints)
         };
-        // What the list ended comes after the list itself.
+        // The ends of attempts that the update caused come after the update itself.
         self.events.push_back(event);
-        self.hear_engines();
-        self.clients.well |=
-            self.shutdown.phase() == Stage::Serving && !self.engine_names.is_empty();
-        if takes_away {
+        self.handle_engine_events();
+        let is_serving = self.shutdown.phase() == ShutdownPhase::Serving;
+        self.clients.is_healthy |= is_serving && !self.engine_names.is_empty();
+        if roster.whole || has_removed {
             self.forget_engines();
         }
-        if let Some(keeping) = &mut self.keeping {
-            keeping.engines(self.clock.now());
+        if let Some(intent_durability) = &mut self.intent_durability {
+            intent_durability.engines(self.clock.now());
+        }
+    }
+
+    /// Applies one engine's update to everything but the balancer.
+    fn update_endpoint(&mut self, endpoint: &Endpoint, discovered: &DiscoveredEngine) {
+        let address = match endpoint.phase {
+            Phase::Removed => None,
+            _ => parse_address(&discovered.dial)
+                .inspect_err(|e| tracing::warn!("engine {}: {e}", discovered.host))
+                .ok(),
+        };
+        self.record_endpoint(endpoint, discovered);
+        if let Some(intent_durability) = &mut self.intent_durability {
+            self.last_endpoints.insert(endpoint.engine, *endpoint);
+            intent_durability.listed(endpoint.engine, endpoint.zone, endpoint.cell);
+        }
+        self.with_engines(|engines, context| {
+            engines.update_endpoint(endpoint.engine, address, endpoint.booted_at, context);
+        });
+    }
+
+    /// Removes all engines that a snapshot doesn't list.
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<EngineId> = endpoints.iter().map(|endpoint| endpoint.engine).collect();
+        for engine in self.engines.ids() {
+            if !listed.contains(&engine) {
+                self.with_engines(|engines, context| engines.remove_endpoint(engine, context));
+            }
         }
     }
 
     /// Engines come under new names all day: a name stays as long as its engine or a connection to
-    /// it, and goes with the next list that takes an engine away. Other changes of the list need no
-    /// walk over all.
+    /// it, and goes with the next update that removes an engine. Other updates need no walk over
+    /// all names.
     fn forget_engines(&mut self) {
+        let engines = &self.engines;
         self.engine_names
-            .retain(|&engine, _| self.engines.knows(engine));
+            .retain(|&engine, _| engines.contains(engine));
         self.last_listed
-            .retain(|&engine, _| self.engines.knows(engine));
-        self.last_entries
-            .retain(|&engine, _| self.engines.knows(engine));
-        if let Some(keeping) = &mut self.keeping {
-            keeping.forget_engines(|engine| self.engines.knows(engine));
+            .retain(|&engine, _| engines.contains(engine));
+        self.last_endpoints
+            .retain(|&engine, _| engines.contains(engine));
+        if let Some(intent_durability) = &mut self.intent_durability {
+            intent_durability.forget_engines(|engine| engines.contains(engine));
         }
     }
 
-    /// Drains of the own list are told to peers; what a peer's newer list forbids binds here too.
-    pub(super) fn share_drains(&mut self, number: u64, entries: &mut [Endpoint]) {
+    /// Reports drains to peers; an engine that a peer with a newer list reported as draining counts
+    /// as draining here too.
+    fn exchange_drains(&mut self, number: u64, endpoints: &mut [Endpoint]) {
         let now = self.clock.now();
-        let Some(keeping) = &mut self.keeping else {
+        let Some(intent_durability) = &mut self.intent_durability else {
             return;
         };
-        let closed = entries.iter().filter(|entry| entry.phase != Phase::Ready);
-        let told = closed.map(|entry| Drain {
+        let not_ready = endpoints
+            .iter()
+            .filter(|endpoint| endpoint.phase != Phase::Ready);
+        let drains = not_ready.map(|endpoint| Drain {
             number,
-            engine: entry.engine,
-            booted_at: entry.booted_at,
-            gone: entry.phase == Phase::Removed,
+            engine: endpoint.engine,
+            booted_at: endpoint.booted_at,
+            gone: endpoint.phase == Phase::Removed,
         });
-        keeping.drained(now, told.collect());
-        for entry in entries
-            .iter_mut()
-            .filter(|entry| entry.phase == Phase::Ready)
-        {
-            if keeping
-                .binds(entry.engine, entry.booted_at, number)
-                .is_some()
-            {
-                entry.phase = Phase::Draining;
+        intent_durability.drained(now, drains.collect());
+        for endpoint in endpoints {
+            if endpoint.phase != Phase::Ready {
+                continue;
+            }
+            let binding = intent_durability.binds(endpoint.engine, endpoint.booted_at, number);
+            if binding.is_some() {
+                endpoint.phase = Phase::Draining;
             }
         }
     }
 
-    /// What peers' lists say of engines that are usable by the own one: they take nothing new.
-    pub(super) fn heed_drains(&mut self, drains: Vec<Drain>) {
-        let (number, mut bound) = (self.watch.number(), Vec::new());
-        let Some(keeping) = &mut self.keeping else {
+    /// Peers report engines as draining that are ready by the list of this gateway: they get
+    /// nothing new.
+    pub(super) fn handle_peer_drains(&mut self, drains: Vec<Drain>) {
+        let number = self.discovery.last_event();
+        let Some(intent_durability) = &mut self.intent_durability else {
             return;
         };
+        let mut draining = Vec::new();
         for drain in drains {
-            let told = self
-                .last_entries
-                .get_mut(&drain.engine)
-                .filter(|told| told.phase == Phase::Ready);
-            let Some(told) = told else { continue };
-            if keeping.binds(told.engine, told.booted_at, number).is_some() {
-                told.phase = Phase::Draining;
-                bound.push(*told);
+            let Some(endpoint) = self.last_endpoints.get_mut(&drain.engine) else {
+                continue;
+            };
+            if endpoint.phase != Phase::Ready {
+                continue;
+            }
+            let binding = intent_durability.binds(endpoint.engine, endpoint.booted_at, number);
+            if binding.is_some() {
+                endpoint.phase = Phase::Draining;
+                draining.push(*endpoint);
             }
         }
-        if !bound.is_empty() {
-            keeping.counted.drains_heard += bound.len() as u64;
-            self.events.push_back(Event::EndpointChanges(bound));
+        if !draining.is_empty() {
+            intent_durability.counted.drains_heard += draining.len() as u64;
+            self.events.push_back(Event::EndpointChanges(draining));
         }
     }
 
-    pub(super) fn tell_listed(&mut self, entry: &Endpoint, listed: &DiscoveredEngine) {
-        if !self.tap.is_on() {
+    fn record_endpoint(&mut self, endpoint: &Endpoint, discovered: &DiscoveredEngine) {
+        if !self.event_recorder.is_enabled() {
             return;
         }
-        let told = ListedEngine {
-            engine: entry.engine,
-            name: listed.host.clone(),
-            address: listed.dial.clone(),
-            zone: entry.zone,
-            kind: entry.kind,
-            phase: entry.phase,
-            booted_at: entry.booted_at,
+        let listed = ListedEngine {
+            engine: endpoint.engine,
+            name: discovered.host.clone(),
+            address: discovered.dial.clone(),
+            zone: endpoint.zone,
+            kind: endpoint.kind,
+            phase: endpoint.phase,
+            booted_at: endpoint.booted_at,
         };
-        self.tap.host(self.clock.now(), Host::Engine(told.clone()));
-        self.last_listed.insert(entry.engine, told);
+        self.event_recorder
+            .record_host(self.clock.now(), &Host::Engine(listed.clone()));
+        self.last_listed.insert(endpoint.engine, listed);
     }
 
-    pub(super) fn entry(&mut self, listed: &DiscoveredEngine) -> Endpoint {
-        let engine = self.number(&listed.host);
-        let position = |names: &[String], name: &str, what| {
-            let known = place(names, name);
-            if known.is_none() {
+    /// The endpoint that the balancer gets for an engine. A zone or kind that the settings don't
+    /// know gets the index behind the last one.
+    fn endpoint_of(&mut self, discovered: &DiscoveredEngine) -> Endpoint {
+        let engine = self.engine_number(&discovered.host);
+        let index_in = |names: &[String], name: &str, list| {
+            let index = index_of(names, name);
+            if index.is_none() {
                 tracing::warn!(
-                    "engine {}: {what} '{name}' is not in the settings",
-                    listed.host
+                    "engine {}: {list} '{name}' is not in the settings",
+                    discovered.host
                 );
             }
-            known.unwrap_or(names.len()) as u32
+            index.unwrap_or(names.len()) as u32
         };
         Endpoint {
             engine,
-            zone: position(&self.names.zones, &listed.site, "zone"),
-            kind: position(&self.names.kinds, &listed.class, "kind"),
-            cell: listed.block,
-            phase: match listed.health {
+            zone: index_in(&self.names.zones, &discovered.site, "zone"),
+            kind: index_in(&self.names.kinds, &discovered.class, "kind"),
+            cell: discovered.block,
+            phase: match discovered.health {
                 State::Up => Phase::Ready,
                 State::Draining => Phase::Draining,
                 State::Removed => Phase::Removed,
             },
-            booted_at: listed.born_ms.saturating_mul(1000),
+            booted_at: discovered.born_ms.saturating_mul(MICROS_PER_MS),
         }
     }
 
-    /// An engine's number: the same at every gateway and after every restart, since it comes of the
-    /// name alone.
-    pub(super) fn number(&mut self, name: &str) -> EngineId {
-        let hash = name.bytes().fold(0x811c_9dc5, |hash: u32, b| {
-            (hash ^ b as u32).wrapping_mul(0x0100_0193)
+    /// An engine's number: the same at every gateway and after every restart, since it is a hash of
+    /// the name. Of two names with one hash, the later gets the next free number.
+    fn engine_number(&mut self, name: &str) -> EngineId {
+        let mut number = name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
+            (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
         });
-        let mut number = hash;
-        while self
-            .engine_names
-            .get(&number)
-            .is_some_and(|other| other != name)
-        {
-            number = number.wrapping_add(1);
+        loop {
+            match self.engine_names.get(&number) {
+                Some(other) if other != name => number = number.wrapping_add(1),
+                Some(_) => return number,
+                None => {
+                    self.engine_names.insert(number, name.to_string());
+                    return number;
+                }
+            }
         }
-        self.engine_names
-            .entry(number)
-            .or_insert_with(|| name.to_string());
-        number
     }
 }
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -1,12 +1,31 @@
-//! What the record, the store and the log are told.
+//! What goes to the event log, to the store at the end, and to the log.
+
+use eideryard_discovery::Item;
+use eideryard_event_log::{Offer, OpenRequest};
 
 use super::*;
+use crate::clients::ConnectionChange;
+use crate::requests::{Request, RequestLabels};
 
 impl Gateway {
-    /// What is known, at the beginning of a segment of the record.
-    pub(super) fn tell_state(&mut self) {
+    /// The span of log lines about a request.
+    pub(super) fn request_span(&self, key: Key) -> tracing::Span {
+        let request = self.requests.get(key);
+        let class = request.and_then(|request| self.names.classes.get(request.class));
+        tracing::debug_span!("request", id = request.map(|request| &*request.id), class)
+    }
+
+    /// The span of log lines about an attempt at an engine.
+    pub(super) fn attempt_span(&self, key: Key, engine: EngineId) -> tracing::span::EnteredSpan {
+        let request = self.request_span(key);
+        let engine = self.engine_names.get(&engine);
+        tracing::debug_span!(parent: &request, "attempt", engine).entered()
+    }
+
+    /// Records the current state, where a segment of the event log begins.
+    pub(super) fn record_state(&mut self) {
         let now = self.clock.now();
-        if !self.tap.wants_state(now) {
+        if !self.event_recorder.needs_state(now) {
             return;
         }
         let engines = self.last_listed.values().cloned().map(Host::Engine);
@@ -17,144 +36,185 @@
                 connection: key.number(),
                 address,
             });
-        let open = self.requests.open().map(|(key, request)| {
-            let out = request
-                .attempts
-                .iter()
-                .rev()
-                .find(|attempt| attempt.conn.is_some());
-            Host::Open(OpenRequest {
-                offer: offer(key, request),
-                class: request.class,
-                tenant: request.tenant,
-                arrived_at: request.taken_at,
-                deadline: request.deadline,
-                attempts: request.attempts.len() as u64,
-                out: out.map(|attempt| (attempt.engine, attempt.sent_at)),
-            })
-        });
+        let requests = self
+            .requests
+            .open()
+            .map(|(key, request)| Host::Open(open_request(key, request)));
         let link = Host::Link {
-            up: self.watch.is_heard(),
+            up: self.discovery.is_receiving(),
         };
         let fleet = self
-            .keeping
+            .intent_durability
             .iter()
-            .flat_map(|keeping| keeping.fleet_state())
+            .flat_map(|intent_durability| intent_durability.fleet_state())
             .map(Host::Fleet);
-        self.tap.state(
-            now,
-            engines
-                .chain(connections)
-                .chain(open)
-                .chain([link])
-                .chain(fleet),
-        );
+        let state = engines
+            .chain(connections)
+            .chain(requests)
+            .chain([link])
+            .chain(fleet);
+        self.event_recorder.record_state(now, state);
     }
 
-    /// Connections of clients that have come and gone.
-    pub(super) fn tell_changes(&mut self) {
+    /// Records connections of clients that were opened, are closing or have ended.
+    pub(super) fn record_connection_changes(&mut self) {
         let now = self.clock.now();
         for (key, change) in self.clients.changes.drain(..) {
             let connection = key.number();
             let host = match change {
-                clients::Change::Came(address) => Host::Connected {
+                ConnectionChange::Opened(address) => Host::Connected {
                     connection,
                     address,
                 },
-                clients::Change::Ends(why) => Host::Ending { connection, why },
-                clients::Change::Gone => Host::Disconnected { connection },
+                ConnectionChange::Closing(why) => Host::Ending { connection, why },
+                ConnectionChange::Closed => Host::Disconnected { connection },
             };
-            self.tap.host(now, host);
+            self.event_recorder.record_host(now, &host);
+        }
+    }
+
+    pub(super) fn discovery_state(&self) -> DiscoveryState {
+        DiscoveryState {
+            is_receiving: self.discovery.is_receiving(),
+            event_count: self.counters.list_events,
         }
     }
 
-    pub(super) fn tell_watch(
-        &mut self,
-        now: Micros,
-        (was_heard, had): (bool, u64),
-        items: &[Item],
-    ) {
-        if self.watch.is_heard() != was_heard {
-            self.tap.host(now, Host::Link { up: !was_heard });
+    /// Records what has changed at the connection to service discovery since `before`, with the
+    /// items that were received.
+    pub(super) fn record_discovery_changes(&mut self, before: &DiscoveryState, items: &[Item]) {
+        let now = self.clock.now();
+        let is_receiving = self.discovery.is_receiving();
+        if is_receiving != before.is_receiving {
+            let link = Host::Link { up: is_receiving };
+            self.event_recorder.record_host(now, &link);
         }
-        if had != self.counters.list_events {
-            for item in items.iter() {
-                self.tap.host(now, Host::ListEvent { number: item.no });
+        if self.counters.list_events != before.event_count {
+            for item in items {
+                let list_event = Host::ListEvent { number: item.no };
+                self.event_recorder.record_host(now, &list_event);
             }
         }
     }
 
-    /// A request that was taken has had its end.
-    pub(super) fn tell_end(&mut self, key: Key, how: AnswerKind, late: bool) {
-        let now = self.clock.now();
-        let Some(request) = self.requests.get_mut(key) else {
+    /// Records a request that was taken.
+    pub(super) fn record_offer(&mut self, key: Key) {
+        if !self.event_recorder.is_enabled() {
+            return;
+        }
+        if let Some(request) = self.requests.get(key) {
+            let offered = Host::Offered(offer(key, request));
+            self.event_recorder.record_host(self.clock.now(), &offered);
+        }
+    }
+
+    /// Records the end of a request that was taken.
+    pub(super) fn record_answer(&mut self, key: Key, kind: AnswerKind, is_late: bool) {
+        let Some(request) = self.requests.get(key) else {
             return;
         };
-        let (class, tenant) = (request.class, request.tenant);
-        self.tap.host(
-            now,
-            Host::Answered {
-                request: key.number(),
-                class,
-                tenant,
-                how,
-                late,
-            },
-        );
+        let answered = Host::Answered {
+            request: key.number(),
+            class: request.class,
+            tenant: request.tenant,
+            how: kind,
+            late: is_late,
+        };
+        self.event_recorder.record_host(self.clock.now(), &answered);
     }
 
-    pub(super) fn tell_untaken(&mut self, how: RejectReason, of: Option<(usize, usize)>) {
-        let (class, tenant) = (of.map(|of| of.0), of.map(|of| of.1));
-        self.tap
-            .host(self.clock.now(), Host::NotTaken { how, class, tenant });
+    /// Records a request that was not taken.
+    pub(super) fn record_rejection(&mut self, reason: RejectReason, labels: Option<RequestLabels>) {
+        let rejected = Host::NotTaken {
+            how: reason,
+            class: labels.map(|labels| labels.class),
+            tenant: labels.map(|labels| labels.tenant),
+        };
+        self.event_recorder.record_host(self.clock.now(), &rejected);
     }
 
-    /// The last word of the record, the store and of the log.
-    pub fn end(&mut self) {
-        if let Some(keeping) = &mut self.keeping {
-            keeping.learns(self.clock.now(), &self.module.learned_state());
+    /// Writes the last entries of the store, the event log and the log.
+    pub fn finish(&mut self) {
+        let now = self.clock.now();
+        if let Some(intent_durability) = &mut self.intent_durability {
+            intent_durability.learns(now, &self.balancer.learned_state());
         }
-        self.tell_changes();
+        self.record_connection_changes();
         let counters = self
             .counters
             .pairs()
             .map(|(name, value)| (name.to_string(), value))
             .collect();
-        self.tap.host(self.clock.now(), Host::Ended { counters });
-        self.report();
+        let ended = Host::Ended { counters };
+        self.event_recorder.record_host(self.clock.now(), &ended);
+        self.log_counters();
     }
 
-    /// What was counted, and how much each table holds.
-    pub fn report(&self) {
+    /// Logs all counters, and the size of each table.
+    pub fn log_counters(&self) {
         let tables = self
-            .tables()
+            .table_sizes()
             .into_iter()
             .map(|(name, size)| format!("{name}={size}"));
-        let (counters, tables) = (&self.counters, tables.collect::<Vec<_>>());
-        let spool = self
-            .spooling
-            .as_ref()
-            .map(|spooling| format!("; {}", crate::counter_text::spool(&spooling.counted)));
-        let kept = self.keeping.as_ref().map(|keeping| keeping.told());
-        let more = [spool, kept].into_iter().flatten().collect::<String>();
-        tracing::info!("counters: {counters}; tables {}{more}", tables.join(" "));
+        let counters = &self.counters;
+        let tables = tables.collect::<Vec<_>>().join(" ");
+        let result_spool = match &self.result_spool {
+            Some(spool) => format!("; {}", crate::counter_text::spool(&spool.counters)),
+            None => String::new(),
+        };
+        let intents = match &self.intent_durability {
+            Some(intent_durability) => intent_durability.told(),
+            None => String::new(),
+        };
+        tracing::info!("counters: {counters}; tables {tables}{result_spool}{intents}");
     }
 
-    /// All that may grow, with its size: none of these may go on growing through a long day.
-    pub(super) fn tables(&self) -> Vec<(&'static str, usize)> {
-        let (engines, conns) = self.engines.sizes();
+    /// Everything that may grow, with its size: none of these may go on growing through a long day.
+    fn table_sizes(&self) -> Vec<(&'static str, usize)> {
+        let (engines, connections) = self.engines.sizes();
         let (requests, ids) = self.requests.sizes();
         let mut tables = vec![
             ("clients", self.clients.len()),
             ("requests", requests),
             ("ids", ids),
             ("engines", engines),
-            ("engine_conns", conns),
+            ("engine_conns", connections),
             ("engine_names", self.engine_names.len()),
-            ("deadlines", self.due.len()),
+            ("deadlines", self.deadlines.len()),
         ];
-        tables.extend(self.spooling.iter().flat_map(|spooling| spooling.sizes()));
-        tables.extend(self.keeping.iter().flat_map(|keeping| keeping.sizes()));
+        if let Some(result_spool) = &self.result_spool {
+            tables.extend(result_spool.sizes());
+        }
+        if let Some(intent_durability) = &self.intent_durability {
+            tables.extend(intent_durability.sizes());
+        }
         tables
     }
 }
+
+/// What the event log holds of a request beside what the balancer gets.
+fn offer(key: Key, request: &Request) -> Offer {
+    let id = u64::from_str_radix(&request.id, 16).unwrap_or_default();
+    Offer {
+        request: key.number(),
+        id,
+        connection: request.client.number(),
+    }
+}
+
+fn open_request(key: Key, request: &Request) -> OpenRequest {
+    let in_flight = request
+        .attempts
+        .iter()
+        .rev()
+        .find(|attempt| attempt.connection.is_some());
+    OpenRequest {
+        offer: offer(key, request),
+        class: request.class,
+        tenant: request.tenant,
+        arrived_at: request.taken_at,
+        deadline: request.deadline,
+        attempts: request.attempts.len() as u64,
+        out: in_flight.map(|attempt| (attempt.engine, attempt.sent_at)),
+    }
+}
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -1,170 +1,254 @@
-//! Calls of clients: taken into a slot, or answered at once.
+//! The way of a request from a client's connection into a slot of the table, or to an immediate
+//! answer.
+
+use eideryard::interface::{PriorAttempt, Request};
+use eideryard_intent_log::state::RETRY_AFTER;
 
 use super::*;
+use crate::requests::{Call, CallError, InsertError, RequestLabels};
+use crate::result_spool::{ResultOwner, Waiter};
+
+/// The number that a client gave a request on its connection.
+#[derive(Clone, Copy)]
+struct CallId {
+    client: Key,
+    id: u32,
+}
 
 impl Gateway {
-    #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub(super) fn called(&mut self, client: Key, id: u32, call: Result<Call, &'static str>) {
-        let now = self.clock.now();
+    pub(super) fn handle_client_events(&mut self) {
+        for event in std::mem::take(&mut self.client_events) {
+            match event {
+                ClientEvent::Call { client, id, call } => self.handle_call(client, id, call),
+                ClientEvent::ResultQuery { client, id, query } => {
+                    self.handle_result_query(client, id, query);
+                }
+                ClientEvent::Forgotten(request) => {
+                    self.counters.forgotten += 1;
+                    self.handle_client_left(request, AnswerKind::Forgotten);
+                }
+                ClientEvent::ConnectionRejected(request) => {
+                    self.events.push_back(Event::ClientLeft {
+                        request: request.number(),
+                    });
+                    self.answer_error(request, &ErrorReply::new(ErrorKind::Failed));
+                }
+                ClientEvent::Disconnected(request) => {
+                    self.counters.lost += 1;
+                    if !self.detach_spooled_request(request) {
+                        self.handle_client_left(request, AnswerKind::Lost);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Takes a request in, or answers it at once: invalid ones, those that attach to an earlier run
+    /// of the same key, and those for which there is no room or no durable intent.
+    fn handle_call(&mut self, client: Key, id: u32, call: Result<Call, CallError>) {
         self.counters.taken += 1;
-        let call = match (self.clients.takes(client), call) {
+        let call_id = CallId { client, id };
+        let call = match (self.clients.accepts_requests(client), call) {
             (Some(true), Ok(call)) => call,
-            (Some(true), Err(field)) => return self.invalid(client, id, field),
-            (Some(false), _) => return self.invalid(client, id, "one behind it"),
+            (Some(true), Err(error)) => return self.answer_invalid(call_id, error),
+            (Some(false), _) => return self.answer_invalid(call_id, CallError::ConnectionClosing),
             (None, _) => {
                 self.counters.lost += 1;
-                self.tell_untaken(RejectReason::Gone, None);
+                self.record_rejection(RejectReason::Gone, None);
                 return;
             }
         };
-        let of = (call.class, call.tenant);
-        let spooled = call.paged && self.spooling.is_some();
-        let address = self.clients.address_of(client);
-        let name = call.key.clone().filter(|_| spooled);
-        if let Some((name, spooling)) = name
-            .zip(self.spooling.as_mut())
-            .filter(|(name, own)| own.knows(name))
-        {
-            // The same key again: the answer of its one run is this one's too, and no room and no
-            // attempt is taken.
-            let who = Waiter {
-                client,
-                call: id,
-                counts: Some(of),
-            };
-            let told = spooling.again(&name, who, now);
-            self.tap.host(
-                now,
-                Host::Attached {
-                    class: of.0,
-                    tenant: of.1,
-                },
-            );
-            for word in told.into_iter() {
-                self.tell(word);
-            }
+        let is_spooled = call.wants_pages && self.result_spool.is_some();
+        if is_spooled && self.attach_to_run(call_id, &call) {
             return;
         }
-        if let Some(spooling) = self.spooling.as_mut().filter(|_| spooled) {
-            if let Err((wait, why)) = spooling.admit(of.0, of.1, address, now) {
-                self.counters.refused += 1;
-                self.counters.no_room += 1;
-                self.tell_untaken(RejectReason::NoRoom, Some(of));
-                let wait = wait.map(|wait| (wait / 1000).to_string());
-                let mut fields = vec![("why", why)];
-                fields.extend(
-                    wait.as_deref()
-                        .filter(|_| self.may_advise)
-                        .map(|wait| ("w", wait)),
-                );
-                self.clients
-                    .answer(client, id, |out| write_error(out, id, "TryLater", &fields));
-                return;
-            }
+        if is_spooled && !self.admit_to_spool(call_id, &call) {
+            return;
         }
-        let earlier = self.keeping.as_mut().map_or(Ok(Vec::new()), |keeping| {
-            keeping.arrives(now, call.class, call.key.as_deref(), call.marked)
-        });
-        let earlier = match earlier {
-            Ok(earlier) => earlier,
-            Err(why) => return self.no_store(client, id, of, why),
+        match self.prior_attempts(&call) {
+            Ok(prior_attempts) => self.take_request(call_id, call, prior_attempts, is_spooled),
+            Err(reason) => self.answer_not_durable(call_id, call.labels(), reason),
+        }
+    }
+
+    /// A request whose key is that of an earlier run gets that run's result, without room or an
+    /// attempt of its own. False: there is no such run.
+    fn attach_to_run(&mut self, call_id: CallId, call: &Call) -> bool {
+        let (Some(key), Some(result_spool)) = (&call.key, &mut self.result_spool) else {
+            return false;
         };
+        if !result_spool.is_known(key) {
+            return false;
+        }
+        let now = self.clock.now();
+        let labels = call.labels();
+        let waiter = Waiter {
+            client: call_id.client,
+            call_id: call_id.id,
+            counted_as: Some(labels),
+        };
+        let delivery = result_spool.reattach(key, waiter, now);
+        let attached = Host::Attached {
+            class: labels.class,
+            tenant: labels.tenant,
+        };
+        self.event_recorder.record_host(now, &attached);
+        if let Some(delivery) = delivery {
+            self.deliver(&delivery);
+        }
+        true
+    }
+
+    /// Whether the request's result will fit into the result spool; answers the request if not.
+    fn admit_to_spool(&mut self, call_id: CallId, call: &Call) -> bool {
+        let owner = ResultOwner {
+            labels: call.labels(),
+            address: self.clients.address_of(call_id.client),
+        };
+        let now = self.clock.now();
+        let Some(result_spool) = &mut self.result_spool else {
+            return true;
+        };
+        let Err(rejection) = result_spool.admit(owner, now) else {
+            return true;
+        };
+        self.count_no_room(RejectReason::NoRoom, owner.labels);
+        let reply = ErrorReply {
+            retry_after: rejection.retry_after.filter(|_| self.retry_after_allowed),
+            ..ErrorReply::with_reason(ErrorKind::TryLater, rejection.reason.word())
+        };
+        self.answer_call(call_id, &reply);
+        false
+    }
+
+    /// Attempts of this request that may have run before; an error if its intent can't be made
+    /// durable now.
+    fn prior_attempts(&mut self, call: &Call) -> Result<Vec<PriorAttempt>, RejectReason> {
+        let now = self.clock.now();
+        match &mut self.intent_durability {
+            Some(intent_durability) => {
+                intent_durability.arrives(now, call.class, call.key.as_deref(), call.is_retry)
+            }
+            None => Ok(Vec::new()),
+        }
+    }
+
+    /// Gives a request a slot and reports it to the balancer.
+    fn take_request(
+        &mut self,
+        call_id: CallId,
+        call: Call,
+        prior_attempts: Vec<PriorAttempt>,
+        is_spooled: bool,
+    ) {
+        let now = self.clock.now();
+        let labels = call.labels();
         let deadline = now + call.wait;
-        let arrived = Request {
+        let answer_by = match self.shutdown.last_answer() {
+            Some(last_answer) => deadline.min(last_answer),
+            None => deadline,
+        };
+        // The balancer orders requests by this key; a request without an ordering key has an order
+        // of its own.
+        let order_key = call.order_key.as_deref().or(call.key.as_deref());
+        let mut arrived = Request {
             id: 0,
             class: call.class,
             tenant: call.tenant,
-            // The module keeps the order of classes that have one by it; one that comes without is
-            // its own.
-            key: call
-                .order_key
-                .as_deref()
-                .or(call.key.as_deref())
-                .map(str::to_string),
-            deadline: self
-                .shutdown
-                .last_answer()
-                .map_or(deadline, |stop| deadline.min(stop)),
+            key: order_key.map(str::to_string),
+            deadline: answer_by,
             work: call.work,
             memory_mb: call.memory_mb,
             group: call.group.unwrap_or(0),
-            prior_attempts: earlier.clone(),
+            prior_attempts: prior_attempts.clone(),
         };
+        let CallId { client, id } = call_id;
         let request = match self.requests.insert(client, id, now, deadline, call) {
             Ok(request) => request,
-            Err(NotTaken::Again) => return self.invalid(client, id, "i"),
-            Err(NotTaken::NoRoom) => {
-                self.counters.refused += 1;
-                self.counters.no_room += 1;
-                self.tell_untaken(RejectReason::NoRoom, Some(of));
-                self.clients
-                    .answer(client, id, |out| write_error(out, id, "TryLater", &[]));
+            Err(InsertError::DuplicateId) => return self.answer_invalid(call_id, CallError::Id),
+            Err(InsertError::NoRoom) => {
+                self.count_no_room(RejectReason::NoRoom, labels);
+                self.answer_call(call_id, &ErrorReply::new(ErrorKind::TryLater));
                 return;
             }
         };
-        self.clients.opened(client, id, request);
-        let mut own = self.requests.get_mut(request);
-        for own in own.iter_mut() {
-            own.earlier.clone_from(&earlier);
+        self.clients.assign_request(client, id, request);
+        if let Some(slot) = self.requests.get_mut(request) {
+            slot.prior_attempts = prior_attempts;
         }
-        if let Some((spooling, own)) = self.spooling.as_mut().filter(|_| spooled).zip(own) {
-            own.spooled = true;
-            let who = Waiter {
-                client,
-                call: id,
-                counts: None,
-            };
-            let name = own.key.as_ref().unwrap_or(&own.id);
-            spooling.begin(request.number(), name, who, (of.0, of.1, address), now);
+        if is_spooled {
+            self.begin_spooling(request);
         }
-        self.span(request).in_scope(|| tracing::debug!("taken"));
-        if self.tap.is_on() {
-            let offered = self
-                .requests
-                .get_mut(request)
-                .map(|own| Host::Offered(offer(request, own)));
-            for offered in offered.into_iter() {
-                self.tap.host(now, offered);
-            }
-        }
-        self.events.push_back(Event::Arrived(Request {
-            id: request.number(),
-            ..arrived
-        }));
+        self.request_span(request)
+            .in_scope(|| tracing::debug!("taken"));
+        self.record_offer(request);
+        arrived.id = request.number();
+        self.events.push_back(Event::Arrived(arrived));
     }
 
-    /// A keyed request is not taken, since its intent can't be kept now.
-    fn no_store(&mut self, client: Key, id: u32, of: (usize, usize), why: RejectReason) {
-        self.counters.refused += 1;
-        self.counters.no_room += 1;
-        self.tell_untaken(why, Some(of));
-        let wait = (eideryard_intent_log::state::RETRY_AFTER / 1000).to_string();
-        let mut fields = vec![("why", why.name())];
-        fields.extend(Some(("w", wait.as_str())).filter(|_| self.may_advise));
-        self.clients
-            .answer(client, id, |out| write_error(out, id, "TryLater", &fields));
+    /// Prepares the result spool for a request's result.
+    fn begin_spooling(&mut self, key: Key) {
+        let now = self.clock.now();
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
+        let Some(result_spool) = &mut self.result_spool else {
+            return;
+        };
+        request.is_spooled = true;
+        let owner = ResultOwner {
+            labels: request.labels(),
+            address: self.clients.address_of(request.client),
+        };
+        let name = request.key.as_ref().unwrap_or(&request.id);
+        result_spool.begin(key.number(), name, Waiter::of_request(request), owner, now);
     }
 
-    /// A request that can't be used gets an error that names the field.
-    fn invalid(&mut self, client: Key, id: u32, field: &str) {
+    /// Rejects a request with a key, since its intent can't be made durable now.
+    fn answer_not_durable(&mut self, call_id: CallId, labels: RequestLabels, reason: RejectReason) {
+        self.count_no_room(reason, labels);
+        let reply = ErrorReply {
+            retry_after: self.retry_after_allowed.then_some(RETRY_AFTER),
+            ..ErrorReply::with_reason(ErrorKind::TryLater, reason.name())
+        };
+        self.answer_call(call_id, &reply);
+    }
+
+    /// Answers an invalid request with the field that is at fault.
+    fn answer_invalid(&mut self, call_id: CallId, error: CallError) {
+        let field = error.wire_word();
         tracing::debug!("a request can't be used: {field}");
         self.counters.invalid += 1;
-        self.tell_untaken(RejectReason::Invalid, None);
-        self.clients.answer(client, id, |out| {
-            write_error(out, id, "Invalid", &[("field", field)]);
-        });
+        self.record_rejection(RejectReason::Invalid, None);
+        let reply = ErrorReply {
+            field: Some(field),
+            ..ErrorReply::new(ErrorKind::Invalid)
+        };
+        self.answer_call(call_id, &reply);
+    }
+
+    fn count_no_room(&mut self, reason: RejectReason, labels: RequestLabels) {
+        self.counters.refused += 1;
+        self.counters.no_room += 1;
+        self.record_rejection(reason, Some(labels));
+    }
+
+    fn answer_call(&mut self, call_id: CallId, reply: &ErrorReply<'_>) {
+        let CallId { client, id } = call_id;
+        self.clients
+            .answer(client, id, |output| reply.write(output, id));
     }
 
-    /// Nobody waits for this any more.
-    pub(super) fn left(&mut self, key: Key, how: AnswerKind) {
-        self.spool_over(key, true);
-        self.tell_end(key, how, false);
+    /// Nobody waits for the answer of this request any more.
+    fn handle_client_left(&mut self, key: Key, kind: AnswerKind) {
+        self.end_spooled_run(key, ErrorKind::TryLater);
+        self.record_answer(key, kind, false);
         if let Some(request) = self.requests.get_mut(key) {
-            request.answered = true;
+            request.is_answered = true;
             self.events.push_back(Event::ClientLeft {
                 request: key.number(),
             });
-            self.requests.give_back(key, &mut self.due);
+            self.requests.release(key, &mut self.deadlines);
         }
     }
 }
