--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -1,202 +1,208 @@
-//! Spooled results: pages that come, who takes them, who comes again.
+//! The way of spooled results: pages arrive from engines, clients query them.
+
+use eideryard_msgpack_rpc::write_part;
 
 use super::*;
+use crate::clients::ResultQuery;
+use crate::result_spool::{Delivery, ResultPart, Waiter};
 
 impl Gateway {
-    /// The client of a request whose result is spooled has gone: the run goes on for when it comes
-    /// again.
-    pub(super) fn left_running(&mut self, key: Key) -> bool {
-        let Some(request) = self.requests.get_mut(key).filter(|request| request.spooled) else {
+    /// The client of a request whose result is spooled has gone: the run goes on, for when the
+    /// client asks again. False: the request isn't spooled.
+    pub(super) fn detach_spooled_request(&mut self, key: Key) -> bool {
+        let Some(request) = self.requests.get_mut(key) else {
             return false;
         };
-        request.answered = true;
-        let who = Waiter {
-            client: request.client,
-            call: request.call,
-            counts: None,
-        };
-        self.spooling
-            .iter_mut()
-            .for_each(|spooling| spooling.leaves(key.number(), &who));
-        self.tell_end(key, AnswerKind::Lost, false);
+        if !request.is_spooled {
+            return false;
+        }
+        request.is_answered = true;
+        if let Some(result_spool) = &mut self.result_spool {
+            result_spool.detach(key.number(), &Waiter::of_request(request));
+        }
+        self.record_answer(key, AnswerKind::Lost, false);
         true
     }
 
-    /// The next page of a result has come. One that can't be kept fails at once.
-    pub(super) fn page(&mut self, key: Key, rows: Vec<u8>) {
+    /// The next page of a result has arrived. A request whose result can't be kept fails at once.
+    pub(super) fn handle_result_page(&mut self, key: Key, rows: Vec<u8>) {
         let now = self.clock.now();
-        let Some(spooling) = &mut self.spooling else {
+        let Some(result_spool) = &mut self.result_spool else {
             return;
         };
-        match spooling.page(key.number(), rows, now) {
-            Ok(()) => _ = self.coming.insert(key),
-            Err(why) => {
+        match result_spool.add_page(key.number(), rows, now) {
+            Ok(()) => {
+                self.incoming_results.insert(key);
+            }
+            Err(reason) => {
                 self.events.push_back(Event::ClientLeft {
                     request: key.number(),
                 });
-                self.turn_down(key, "Failed", &[("why", why)]);
+                let reply = ErrorReply::with_reason(ErrorKind::Failed, reason.word());
+                self.answer_error(key, &reply);
             }
         }
     }
 
-    /// A result is whole: all who wait for it get it.
-    pub(super) fn spooled(&mut self, key: Key) {
+    /// A result is complete: everybody who waits for it gets it.
+    pub(super) fn handle_spooled_result(&mut self, key: Key) {
         let now = self.clock.now();
-        self.coming.remove(&key);
-        let Some(spooling) = &mut self.spooling else {
+        self.incoming_results.remove(&key);
+        let Some(result_spool) = &mut self.result_spool else {
             return;
         };
-        let told = spooling.whole(key.number(), now);
-        if let Some(request) = self
-            .requests
-            .get_mut(key)
-            .filter(|request| !request.answered)
-        {
-            request.answered = true;
-            let late = now > request.deadline;
-            self.counters.late += late as u64;
-            self.counters.served += 1;
-            self.tell_end(key, AnswerKind::Served, late);
+        let deliveries = result_spool.complete(key.number(), now);
+        if let Some(request) = self.requests.get_mut(key) {
+            if !request.is_answered {
+                request.is_answered = true;
+                let is_late = now > request.deadline;
+                self.counters.late += u64::from(is_late);
+                self.counters.served += 1;
+                self.record_answer(key, AnswerKind::Served, is_late);
+            }
         }
-        for word in told.into_iter() {
-            self.tell(word);
+        for delivery in deliveries {
+            self.deliver(&delivery);
         }
     }
 
-    /// A run ended without a result: who came again for it is told the same.
-    pub(super) fn spool_over(&mut self, key: Key, refused: bool) {
-        self.coming.remove(&key);
+    /// A run ended without a result, by `TryLater` or another error: all others who wait for it are
+    /// told the same as its own client.
+    pub(super) fn end_spooled_run(&mut self, key: Key, error: ErrorKind) {
+        self.incoming_results.remove(&key);
         let now = self.clock.now();
-        let own = self.requests.get(key).map(|request| Waiter {
-            client: request.client,
-            call: request.call,
-            counts: None,
-        });
-        let Some(spooling) = self
-            .spooling
-            .as_mut()
-            .filter(|spooling| spooling.is_spooled(key.number()))
-        else {
+        let own_client = self.requests.get(key).map(Waiter::of_request);
+        let Some(result_spool) = &mut self.result_spool else {
             return;
         };
-        let waiting = spooling.over(key.number(), refused, now);
-        let word = if refused { "TryLater" } else { "Failed" };
-        for waiter in waiting.into_iter().filter(|waiter| Some(*waiter) != own) {
-            self.tell(Word::Error(
-                waiter,
-                word,
-                "the run that it asked for ended so".into(),
-            ));
+        if !result_spool.is_spooled(key.number()) {
+            return;
+        }
+        let is_rejected = error == ErrorKind::TryLater;
+        let kind = if is_rejected {
+            ErrorKind::TryLater
+        } else {
+            ErrorKind::Failed
+        };
+        for waiter in result_spool.end_without_result(key.number(), is_rejected, now) {
+            if Some(waiter) != own_client {
+                self.deliver(&Delivery::Error {
+                    waiter,
+                    kind,
+                    reason: "the run that it asked for ended so".into(),
+                });
+            }
         }
     }
 
-    pub(super) fn asked(&mut self, client: Key, call: u32, what: clients::Asked) {
+    /// A client asks for a spooled result or releases it.
+    pub(super) fn handle_result_query(&mut self, client: Key, call_id: u32, query: ResultQuery) {
         let now = self.clock.now();
-        let who = Waiter {
+        let waiter = Waiter {
             client,
-            call,
-            counts: None,
+            call_id,
+            counted_as: None,
         };
-        let Some(spooling) = &mut self.spooling else {
+        let Some(result_spool) = &mut self.result_spool else {
             return;
         };
-        let told = match what {
-            clients::Asked::Page { token, id } => spooling.by_token(&token, &id, who, now),
-            clients::Asked::Again { id } => spooling.again(&id, who, now),
-            clients::Asked::Release { token, id } => {
-                spooling.release(&token, &id, now);
-                self.clients.answer(client, call, |out| {
-                    write_part(out, call, std::iter::empty(), &[]);
+        let delivery = match query {
+            ResultQuery::Page { token, id } => result_spool.page_by_token(&token, &id, waiter, now),
+            ResultQuery::Reattach { id } => result_spool.reattach(&id, waiter, now),
+            ResultQuery::Release { token, id } => {
+                result_spool.release(&token, &id, now);
+                self.clients.answer(client, call_id, |output| {
+                    write_part(output, call_id, std::iter::empty(), &[]);
                 });
                 None
             }
         };
-        for word in told.into_iter() {
-            self.tell(word);
+        if let Some(delivery) = delivery {
+            self.deliver(&delivery);
         }
     }
 
-    pub(super) fn tell(&mut self, word: Word) {
-        // Whose connection has ended comes again, or doesn't.
-        let (told, counts, how) = match word {
-            Word::Part(part) => {
-                let Waiter {
-                    client,
-                    call,
-                    counts,
-                } = part.waiter;
-                let fields = [
-                    ("token", part.token.as_str()),
-                    ("more", if part.more { "1" } else { "0" }),
-                ];
-                let rows = part.rows.iter().map(Vec::as_slice);
-                let told = self
+    /// Sends a part of a result, or an error, to a client who waits for it. Where the connection
+    /// has ended, the client asks again or not at all.
+    pub(super) fn deliver(&mut self, delivery: &Delivery) {
+        let waiter = delivery.waiter();
+        let (is_sent, kind) = match delivery {
+            Delivery::Part(part) => (self.send_part(part), AnswerKind::Served),
+            Delivery::Error { kind, reason, .. } => {
+                let reply = ErrorReply::with_reason(*kind, reason);
+                let is_sent = self
                     .clients
-                    .answer(client, call, |out| write_part(out, call, rows, &fields));
-                (told, counts, AnswerKind::Served)
-            }
-            Word::Error(
-                Waiter {
-                    client,
-                    call,
-                    counts,
-                },
-                word,
-                why,
-            ) => {
-                let told = self.clients.answer(client, call, |out| {
-                    write_error(out, call, word, &[("why", &why)]);
-                });
-                (
-                    told,
-                    counts,
-                    if word == "TryLater" {
-                        AnswerKind::Refused
-                    } else {
-                        AnswerKind::Failed
-                    },
-                )
+                    .answer(waiter.client, waiter.call_id, |output| {
+                        reply.write(output, waiter.call_id);
+                    });
+                let answer_kind = if *kind == ErrorKind::TryLater {
+                    AnswerKind::Refused
+                } else {
+                    AnswerKind::Failed
+                };
+                (is_sent, answer_kind)
             }
         };
-        let Some((class, tenant)) = counts else {
+        let kind = if is_sent { kind } else { AnswerKind::Lost };
+        self.count_delivery(&waiter, kind);
+    }
+
+    fn send_part(&mut self, part: &ResultPart) -> bool {
+        let Waiter {
+            client, call_id, ..
+        } = part.waiter;
+        let fields = [
+            ("token", part.token.as_str()),
+            ("more", if part.has_more { "1" } else { "0" }),
+        ];
+        let rows = part.rows.iter().map(Vec::as_slice);
+        self.clients.answer(client, call_id, |output| {
+            write_part(output, call_id, rows, &fields);
+        })
+    }
+
+    /// Counts the answer of a waiter that is a request of its own.
+    fn count_delivery(&mut self, waiter: &Waiter, kind: AnswerKind) {
+        let Some(labels) = waiter.counted_as else {
             return;
         };
-        let how = if told { how } else { AnswerKind::Lost };
-        *match how {
-            AnswerKind::Served => &mut self.counters.served,
-            AnswerKind::Refused => &mut self.counters.refused,
-            AnswerKind::Failed => &mut self.counters.failed,
-            _ => &mut self.counters.lost,
-        } += 1;
-        self.tap.host(
-            self.clock.now(),
-            Host::Answered {
-                request: 0,
-                class,
-                tenant,
-                how,
-                late: false,
-            },
-        );
+        match kind {
+            AnswerKind::Served => self.counters.served += 1,
+            AnswerKind::Refused => self.counters.refused += 1,
+            AnswerKind::Failed => self.counters.failed += 1,
+            _ => self.counters.lost += 1,
+        }
+        let answered = Host::Answered {
+            request: 0,
+            class: labels.class,
+            tenant: labels.tenant,
+            how: kind,
+            late: false,
+        };
+        self.event_recorder.record_host(self.clock.now(), &answered);
     }
 
-    /// What waits in the spool, and pages of results that there is room for now.
-    pub(super) fn spool_work(&mut self) {
+    /// Lets the result spool work, and requests pages of results that there is room for now.
+    pub(super) fn poll_result_spool(&mut self) {
         let now = self.clock.now();
-        let Some(spooling) = &mut self.spooling else {
+        let Some(result_spool) = &mut self.result_spool else {
             return;
         };
-        let told = spooling.work(now);
-        for key in &self.coming {
+        let deliveries = result_spool.poll(now);
+        for key in &self.incoming_results {
             let Some(request) = self.requests.get(*key) else {
                 continue;
             };
-            let conns = request.attempts.iter().filter_map(|attempt| attempt.conn);
-            let ahead = spooling.ahead(key.number());
-            conns.for_each(|conn| self.engines.read_on(conn, &request.id, ahead));
+            let free_bytes = result_spool.free_bytes(key.number());
+            for attempt in &request.attempts {
+                if let Some(connection) = attempt.connection {
+                    self.engines
+                        .request_pages(connection, &request.id, free_bytes);
+                }
+            }
         }
-        for word in told.into_iter() {
-            self.tell(word);
+        for delivery in deliveries {
+            self.deliver(&delivery);
         }
         self.flush();
     }
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -1,47 +1,42 @@
-//! The end: graceful shutdown at the pace of [`Shutdown`].
+//! Graceful shutdown of the gateway, in the phases of [`Shutdown`].
+
+use eideryard::interface::end_tag;
 
 use super::*;
+use crate::shutdown::{Phase, Remaining, ShutdownStep};
 
 impl Gateway {
-    /// SIGTERM: everything that comes is still served, until clients have stopped coming and all
-    /// have their answers.
-    pub(super) fn stop(&mut self) {
+    /// SIGTERM: everything that arrives is still served, until clients have stopped connecting and
+    /// all requests are answered.
+    pub(super) fn begin_shutdown(&mut self) {
         let now = self.clock.now();
         if !self.shutdown.begin(now, self.longest_wait) {
             return;
         }
         tracing::info!("stopping; {} requests are open", self.counters.open());
-        self.tap.host(now, Host::Stopping);
-        self.clients.well = false;
-        self.keeping
-            .iter_mut()
-            .for_each(|keeping| keeping.hands_over(now));
-        for at in self.shutdown.due() {
-            self.due.set(at, Due::Shutdown);
+        self.event_recorder.record_host(now, &Host::Stopping);
+        self.clients.is_healthy = false;
+        if let Some(intent_durability) = &mut self.intent_durability {
+            intent_durability.hands_over(now);
+        }
+        for phase_start in self.shutdown.phase_starts() {
+            self.deadlines.set(phase_start, Deadline::Shutdown);
         }
     }
 
-    /// The steps that are due, at the end of each look.
-    pub(super) fn stop_work(&mut self) {
-        while self.shutdown.phase() != Stage::Serving {
-            if self.shutdown.phase() >= Stage::Closing {
-                self.close_resting();
+    /// Takes the steps whose time has come, at the end of each poll.
+    pub(super) fn poll_shutdown(&mut self) {
+        while self.shutdown.phase() != Phase::Serving {
+            if self.shutdown.phase() >= Phase::Closing {
+                self.close_idle_connections();
             }
-            let left = Left {
+            let remaining = Remaining {
                 requests: self.counters.open() as usize,
                 connections: self.clients.len(),
             };
-            match self.shutdown.next(self.clock.now(), left) {
-                Some(Step::Close | Step::Leave) => {}
-                Some(Step::End) => {
-                    for request in self.requests.owing() {
-                        // The request's own timer fires early: its time is up now.
-                        self.events.push_back(Event::Timer {
-                            tag: end_tag(request.number()),
-                        });
-                    }
-                    self.settle();
-                }
+            match self.shutdown.next_step(self.clock.now(), remaining) {
+                Some(ShutdownStep::CloseIdle | ShutdownStep::Exit) => {}
+                Some(ShutdownStep::AnswerOpen) => self.expire_open_requests(),
                 None => return,
             }
             if self.is_done() {
@@ -50,20 +45,27 @@
         }
     }
 
-    fn close_resting(&mut self) {
-        // What waits to connect is owed an answer; who comes later finds nobody.
+    /// Lets the balancer's timer of each open request fire now, so that it gets its final answer.
+    fn expire_open_requests(&mut self) {
+        for request in self.requests.open_keys() {
+            let tag = end_tag(request.number());
+            self.events.push_back(Event::Timer { tag });
+        }
+        self.run_balancer();
+    }
+
+    fn close_idle_connections(&mut self) {
+        // Connections that wait are owed an answer; later ones are not accepted.
         if self.accept() {
             self.clients.stop_listening();
         }
-        let (now, names, heard) = (self.clock.now(), &self.names, &mut self.from_clients);
-        self.clients
-            .end_resting(now, names, &mut self.due, &mut self.counters, heard);
-        self.hear_clients();
-        self.settle();
+        self.with_clients(Clients::close_idle_connections);
+        self.handle_client_events();
+        self.run_balancer();
     }
 
     /// Whether nothing is left to do.
     pub fn is_done(&self) -> bool {
-        self.shutdown.phase() == Stage::Over
+        self.shutdown.phase() == Phase::Finished
     }
 }
--- /dev/null
+++ b/crates/gateway/src/gateway/startup.rs
@@ -0,0 +1,183 @@
+//! Starts the gateway's parts, from the configurations of the platform and of the operator.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::io;
+
+use eideryard::balancer::Balancer;
+use eideryard::interface::{Event, Micros};
+use eideryard_operator_config::OperatorConfig;
+
+use super::Gateway;
+use crate::clients::{Clients, ClientsConfig};
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::connection::{EventLoopHandle, WakeReason};
+use crate::counters::Counters;
+use crate::deadlines::Deadlines;
+use crate::discovery_watch::DiscoveryWatch;
+use crate::engines::{Engines, Limits};
+use crate::event_recorder::EventRecorder;
+use crate::intent_durability::IntentDurability;
+use crate::replication::About;
+use crate::requests::{Names, Requests};
+use crate::result_spool::ResultSpoolDriver;
+use crate::shutdown::Shutdown;
+
+/// Descriptors for what is neither a client nor an engine: listener, service discovery, event loop,
+/// signals, standard streams.
+const OTHER_DESCRIPTORS: usize = 24;
+
+/// Wakes the main loop from another thread.
+type Waker = Box<dyn Fn() + Send>;
+
+impl Gateway {
+    /// Starts all parts and listens for clients.
+    pub fn start(
+        config: Config,
+        operator: &OperatorConfig,
+        clock: Clock,
+        event_loop: &EventLoopHandle,
+    ) -> io::Result<Self> {
+        let now = clock.now();
+        let names = Names::new(&config.settings, &config.host);
+        let result_spool = start_result_spool(&config, operator, now, event_loop)?;
+        let intent_durability = start_intent_durability(&config, operator, now, event_loop)?;
+        let event_recorder = EventRecorder::start(
+            &config.name,
+            now,
+            names.for_event_log(),
+            operator.record.as_ref(),
+        );
+        let clients_config = ClientsConfig {
+            listen: config.listen,
+            sockets: config.sockets,
+            memory_mb: config.memory_mb,
+            records_changes: event_recorder.is_enabled(),
+            accepts_result_queries: result_spool.is_some(),
+        };
+        let mut gateway = Gateway {
+            clients: Clients::new(event_loop, &clients_config)?,
+            engines: Engines::new(event_loop, engine_limits(&config)),
+            discovery: DiscoveryWatch::new(
+                event_loop,
+                config.discovery,
+                config.known.no,
+                config.host.dial_timeout,
+                config.seed,
+            ),
+            requests: Requests::new(config.memory_mb),
+            names,
+            deadlines: Deadlines::new(),
+            counters: Counters::default(),
+            event_recorder,
+            result_spool,
+            intent_durability,
+            incoming_results: BTreeSet::new(),
+            events: VecDeque::new(),
+            actions: Vec::new(),
+            retry_after_allowed: config.settings.retry_after_allowed,
+            longest_wait: config.host.longest_wait,
+            engine_names: BTreeMap::new(),
+            last_listed: BTreeMap::new(),
+            last_endpoints: BTreeMap::new(),
+            client_events: Vec::new(),
+            engine_events: Vec::new(),
+            shutdown: Shutdown::default(),
+            balancer: Balancer::new(config.settings, config.seed, now),
+            clock,
+        };
+        gateway.record_state();
+        for item in config.known.items {
+            gateway.handle_discovery_item(item);
+        }
+        gateway
+            .discovery
+            .connect(now, &mut gateway.deadlines, &mut gateway.counters);
+        gateway.run_balancer();
+        // After the endpoints: the checkpoint is compared with the engines that are there now.
+        gateway.restore_checkpoint();
+        gateway.run_balancer();
+        tracing::info!("{} listens on {}", config.name, gateway.clients.address()?);
+        Ok(gateway)
+    }
+
+    /// Hands what was learned before the last restart to the balancer.
+    fn restore_checkpoint(&mut self) {
+        let Some(intent_durability) = &mut self.intent_durability else {
+            return;
+        };
+        if let Some((learned, age)) = intent_durability.lessons() {
+            self.events
+                .push_back(Event::CheckpointRestored { learned, age });
+        }
+    }
+}
+
+fn engine_limits(config: &Config) -> Limits {
+    let connections = (config.sockets / 2).saturating_sub(OTHER_DESCRIPTORS);
+    Limits {
+        dial_timeout: config.host.dial_timeout,
+        idle: config.host.idle,
+        note_period: config.settings.note_period,
+        streams: config.host.streams,
+        connections: connections.max(1),
+    }
+}
+
+fn start_result_spool(
+    config: &Config,
+    operator: &OperatorConfig,
+    now: Micros,
+    event_loop: &EventLoopHandle,
+) -> io::Result<Option<Box<ResultSpoolDriver>>> {
+    let Some(spool_config) = &operator.spool else {
+        return Ok(None);
+    };
+    let waker = waker(event_loop, WakeReason::ResultSpool)?;
+    let result_spool = ResultSpoolDriver::start(&config.name, now, spool_config, waker)?;
+    Ok(Some(Box::new(result_spool)))
+}
+
+fn start_intent_durability(
+    config: &Config,
+    operator: &OperatorConfig,
+    now: Micros,
+    event_loop: &EventLoopHandle,
+) -> io::Result<Option<Box<IntentDurability>>> {
+    let Some(store_config) = &operator.store else {
+        return Ok(None);
+    };
+    // Different for each start and gateway: the seed alone is the same after a restart.
+    let seed = config.seed ^ now.rotate_left(23) ^ u64::from(std::process::id());
+    let store_waker = waker(event_loop, WakeReason::IntentDurability)?;
+    let (mut intent_durability, shared) = IntentDurability::start(
+        store_config,
+        &config.settings,
+        config.memory_mb,
+        now,
+        seed,
+        store_waker,
+    );
+    if let Some(fleet_config) = &operator.fleet {
+        let peers_waker = waker(event_loop, WakeReason::IntentDurability)?;
+        let about = About {
+            name: &config.name,
+            settings: &config.settings,
+            longest_wait: config.host.longest_wait,
+            entries: IntentDurability::room_for_copies(config.memory_mb),
+            now,
+            seed,
+        };
+        intent_durability.join((fleet_config, store_config), about, shared, peers_waker)?;
+    }
+    Ok(Some(Box::new(intent_durability)))
+}
+
+/// A function by which another thread wakes the main loop for a reason.
+fn waker(event_loop: &EventLoopHandle, reason: WakeReason) -> io::Result<Waker> {
+    let (ping, source) = calloop::ping::make_ping()?;
+    event_loop
+        .insert_source(source, move |(), _, wakes| wakes.push(reason))
+        .map_err(io::Error::other)?;
+    Ok(Box::new(move || ping.ping()))
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,6 +11,7 @@
 mod deadlines;
 mod discovery_watch;
 mod engines;
+mod error_reply;
 mod event_recorder;
 mod fingerprints;
 mod gateway;
@@ -26,21 +27,21 @@
 
 use calloop::signals::{Signal, Signals};
 use calloop::EventLoop;
-use connection::{Wake, Wakes};
+use connection::{PendingWakes, WakeReason};
 use eideryard_operator_config::OperatorConfig;
 use std::time::{Duration, Instant};
 
 /// Least time between two looks at the sockets, in ticks of the settings: what comes in between is
 /// read, decided and written together, which spares both ends of each connection. A message after a
 /// quiet spell waits for nothing.
-const TICKS_BETWEEN_LOOKS: u64 = 4;
+const TICKS_BETWEEN_POLLS: u64 = 4;
 
 /// Serves until SIGTERM or SIGINT, and what was open then has ended.
 pub fn serve(
     config: config::Config,
     operator: &OperatorConfig,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let mut events: EventLoop<'_, Wakes> = EventLoop::try_new()?;
+    let mut events: EventLoop<'_, PendingWakes> = EventLoop::try_new()?;
     let signals = Signals::new(&[
         Signal::SIGTERM,
         Signal::SIGINT,
@@ -49,30 +50,34 @@
     ])?;
     events.handle().insert_source(signals, |event, _, wakes| {
         wakes.push(match event.signal() {
-            Signal::SIGUSR1 => Wake::Report,
-            Signal::SIGHUP => Wake::Reload,
-            _ => Wake::Stop,
+            Signal::SIGUSR1 => WakeReason::LogCounters,
+            Signal::SIGHUP => WakeReason::Reload,
+            _ => WakeReason::Stop,
         });
     })?;
-    let spacing = Duration::from_micros(TICKS_BETWEEN_LOOKS * config.settings.tick);
+    let min_interval = Duration::from_micros(TICKS_BETWEEN_POLLS * config.settings.tick);
     let clock = clock::Clock::start();
     let mut gateway = gateway::Gateway::start(config, operator, clock, &events.handle())?;
-    let mut wakes = Wakes::new();
-    let mut looked = Instant::now();
+    let mut wakes = PendingWakes::new();
+    let mut last_poll = Instant::now();
     while !gateway.is_done() {
-        std::thread::sleep(spacing.saturating_sub(looked.elapsed()));
-        match events.dispatch(gateway.patience(&wakes), &mut wakes) {
+        std::thread::sleep(min_interval.saturating_sub(last_poll.elapsed()));
+        match events.dispatch(gateway.next_wait(&wakes), &mut wakes) {
             Ok(()) => {}
             Err(calloop::Error::IoError(e)) if e.kind() == std::io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e.into()),
         }
         // What the store's or the peers' thread brings is no look at the sockets: a client or an
         // engine that comes right behind it waits for nothing. Without them every look counts.
-        if wakes.is_empty() || wakes.iter().any(|wake| !matches!(wake, Wake::Store)) {
-            looked = Instant::now();
+        if wakes.is_empty()
+            || wakes
+                .iter()
+                .any(|wake| !matches!(wake, WakeReason::IntentDurability))
+        {
+            last_poll = Instant::now();
         }
-        gateway.work(&mut wakes);
+        gateway.poll(&mut wakes);
     }
-    gateway.end();
+    gateway.finish();
     Ok(())
 }
--- a/crates/gateway/src/requests/tests.rs
+++ b/crates/gateway/src/requests/tests.rs
@@ -1,7 +1,7 @@
 //! Fields of requests, ids, and the bound on statements.
 
 use super::*;
-use crate::deadlines::Due;
+use crate::deadlines::Deadline;
 
 const ID: &str = "9b1f03aa5c7e2d41";
 const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -18,14 +18,14 @@
     let words = |list: &[&str]| list.iter().map(|word| word.to_string()).collect();
     Names {
         classes: words(&["report", "load"]),
-        keyed: vec![false, true],
+        requires_key: vec![false, true],
         tenants: words(&["acme"]),
         zones: vec![],
         kinds: vec![],
         threads: vec![],
-        longest_wait: 4e6,
-        most_work: 9e9,
-        most_memory_mb: 16384.0,
+        max_wait: 4e6,
+        max_work: 9e9,
+        max_memory_mb: 16384.0,
     }
 }
 
@@ -53,7 +53,9 @@
     {
         let fields = FIELDS.map(|(own, usual)| (own, if own == *name { value } else { usual }));
         assert_eq!(
-            Call::read(&names(), "load", &fields, statement).unwrap_err(),
+            Call::read(&names(), "load", &fields, statement)
+                .unwrap_err()
+                .wire_word(),
             *name,
             "{value}"
         );
@@ -66,20 +68,24 @@
         Call::read(&names(), "load", &fields, statement)
     };
     for name in ["i", "d", "t", "k"].iter() {
-        assert_eq!(missing(name).unwrap_err(), *name);
+        assert_eq!(missing(name).unwrap_err().wire_word(), *name);
     }
     for name in ["h", "ram"].iter() {
         assert!(missing(name).is_ok());
     }
     assert_eq!(
-        Call::read(&names(), "nonsense", &FIELDS, statement).unwrap_err(),
+        Call::read(&names(), "nonsense", &FIELDS, statement)
+            .unwrap_err()
+            .wire_word(),
         "class"
     );
     let twice = [&FIELDS[..], &[("d", "1500")]].concat();
     assert!(Call::read(&names(), "load", &twice, statement).is_err());
     for statement in [&b""[..], b"SELECT \xff", b"SELECT \0"] {
         assert_eq!(
-            Call::read(&names(), "load", &FIELDS, statement).unwrap_err(),
+            Call::read(&names(), "load", &FIELDS, statement)
+                .unwrap_err()
+                .wire_word(),
             "statement"
         );
     }
@@ -103,7 +109,9 @@
     ] {
         let fields = FIELDS.map(|(own, usual)| (own, if own == name { value } else { usual }));
         assert_eq!(
-            Call::read(&names, "report", &fields, b"SELECT 1").unwrap_err(),
+            Call::read(&names, "report", &fields, b"SELECT 1")
+                .unwrap_err()
+                .wire_word(),
             name,
             "{value}"
         );
@@ -122,24 +130,24 @@
     let first = requests.insert(client, 1, 0, 0, read(ID)).unwrap();
     assert_eq!(
         requests.insert(client, 2, 0, 0, read(ID)),
-        Err(NotTaken::Again),
+        Err(InsertError::DuplicateId),
         "it is open"
     );
-    let mut due = Deadlines::new();
+    let mut deadlines = Deadlines::new();
     let mut end = |requests: &mut Requests, key| {
         let request = requests.get_mut(key).unwrap();
-        request.answered = true;
-        request.timer = Some(due.set(1, Due::Timer(1)));
-        requests.give_back(key, &mut due);
-        assert_eq!(due.next(), None, "its timer goes with it");
+        request.is_answered = true;
+        request.timer = Some(deadlines.set(1, Deadline::BalancerTimer(1)));
+        requests.release(key, &mut deadlines);
+        assert_eq!(deadlines.next(), None, "its timer goes with it");
     };
     end(&mut requests, first);
     assert_eq!(
         requests.insert(client, 2, 0, 0, read(ID)),
-        Err(NotTaken::Again),
+        Err(InsertError::DuplicateId),
         "it was open"
     );
-    for number in 0..3 * MAX_OVER {
+    for number in 0..3 * MAX_FINISHED_IDS {
         let key = requests
             .insert(client, 3, 0, 0, read(&format!("{number:016x}")))
             .unwrap();
@@ -149,9 +157,9 @@
         (
             requests.table.len(),
             requests.ids.len(),
-            requests.over.len()
+            requests.finished_ids.len()
         ),
-        (0, MAX_OVER, MAX_OVER)
+        (0, MAX_FINISHED_IDS, MAX_FINISHED_IDS)
     );
 }
 
@@ -174,9 +182,9 @@
     insert(&mut requests, "0000000000000002").unwrap();
     assert_eq!(
         insert(&mut requests, "0000000000000003"),
-        Err(NotTaken::NoRoom)
+        Err(InsertError::NoRoom)
     );
-    requests.get_mut(first).unwrap().answered = true;
-    requests.give_back(first, &mut Deadlines::new());
+    requests.get_mut(first).unwrap().is_answered = true;
+    requests.release(first, &mut Deadlines::new());
     insert(&mut requests, "0000000000000003").unwrap();
 }
--- /dev/null
+++ b/crates/gateway/src/result_spool/disk.rs
@@ -0,0 +1,199 @@
+//! Pages on disk: those that are moved there, those that are read back, and the segment files that
+//! are freed.
+
+use std::io;
+
+use eideryard::interface::Micros;
+use eideryard_background_scheduler::Urgency;
+use eideryard_result_spool::segments::Place;
+use eideryard_result_spool::worker::{Done, Order};
+use eideryard_result_spool::Choice;
+
+use super::{Delivery, ResultId, ResultSpoolDriver, StoredPage, Work, DISK_RETRY_DELAY};
+use crate::error_reply::ErrorKind;
+
+impl ResultSpoolDriver {
+    /// Schedules moves of pages to disk, where memory runs short.
+    pub(super) fn make_room(&mut self, now: Micros) {
+        if self.worker.is_none() {
+            return;
+        }
+        for Choice::Move { result, page } in self.spool.moves(now) {
+            let Some(StoredPage::Memory(rows)) = self
+                .stored
+                .get(&result)
+                .and_then(|stored| stored.pages.get(page))
+            else {
+                continue;
+            };
+            let bytes = rows.len() as u64;
+            self.spool.moving(result, page);
+            let work = Work::Move(result, page);
+            if self
+                .background
+                .offer(now, Urgency::Room, work, bytes)
+                .is_err()
+            {
+                self.spool.moved(result, page, false, now);
+                return;
+            }
+        }
+    }
+
+    /// Hands a page to the disk worker.
+    pub(super) fn write_page(&mut self, result: ResultId, page: usize, now: Micros) {
+        // The page may be that of another run than the one that was to move.
+        if !self.spool.is_moving(result, page) {
+            return;
+        }
+        let Some(StoredPage::Memory(rows)) = self
+            .stored
+            .get(&result)
+            .and_then(|stored| stored.pages.get(page))
+        else {
+            return;
+        };
+        let (place, begins) = self.segments.place(rows.len() as u32);
+        let order = Order::Write {
+            result,
+            page: page as u32,
+            place,
+            begins,
+            bytes: rows.clone(),
+        };
+        let is_ordered = match &self.worker {
+            Some(worker) => worker.order(order).is_ok(),
+            None => false,
+        };
+        if !is_ordered {
+            self.abandon_segment(place, now);
+            self.spool.moved(result, page, false, now);
+            return;
+        }
+        let Some(stored) = self.stored.get_mut(&result) else {
+            return;
+        };
+        let Some(page) = stored.pages.get_mut(page) else {
+            return;
+        };
+        if let StoredPage::Memory(rows) = page {
+            let rows = std::mem::take(rows);
+            *page = StoredPage::Moving(rows, place);
+        }
+    }
+
+    /// The worker has written or read a page.
+    pub(super) fn handle_done(&mut self, done: Done, now: Micros, deliveries: &mut Vec<Delivery>) {
+        match done {
+            Done::Written {
+                result,
+                page,
+                place,
+                outcome,
+            } => self.handle_written(result, page as usize, place, outcome, now),
+            Done::Read {
+                result,
+                page,
+                outcome,
+            } => self.handle_read(result, page as usize, &outcome, now, deliveries),
+        }
+    }
+
+    fn handle_written(
+        &mut self,
+        result: ResultId,
+        page: usize,
+        place: Place,
+        outcome: io::Result<()>,
+        now: Micros,
+    ) {
+        let stored_page = self
+            .stored
+            .get_mut(&result)
+            .and_then(|stored| stored.pages.get_mut(page));
+        // A page that was dropped meanwhile has given its place back.
+        let Some(stored_page) = stored_page else {
+            return;
+        };
+        let StoredPage::Moving(rows, moving_to) = stored_page else {
+            return;
+        };
+        if *moving_to != place {
+            return;
+        }
+        *stored_page = if outcome.is_ok() {
+            StoredPage::Disk(place)
+        } else {
+            StoredPage::Memory(std::mem::take(rows))
+        };
+        let retry_at = now + DISK_RETRY_DELAY;
+        self.spool.moved(result, page, outcome.is_ok(), retry_at);
+        if let Err(e) = outcome {
+            self.counters.disk_errors += 1;
+            tracing::warn!("the spool's disk fails, what is in memory goes on: {e}");
+            self.abandon_segment(place, now);
+        }
+    }
+
+    /// A page was read from disk, for all parts that wait for it.
+    fn handle_read(
+        &mut self,
+        result: ResultId,
+        page: usize,
+        outcome: &io::Result<Vec<u8>>,
+        now: Micros,
+        deliveries: &mut Vec<Delivery>,
+    ) {
+        for mut part in std::mem::take(&mut self.pending) {
+            let index = page
+                .checked_sub(part.first)
+                .filter(|_| part.result == result);
+            let slot = index
+                .and_then(|index| part.rows.get_mut(index))
+                .filter(|rows| rows.is_none());
+            match (slot, outcome) {
+                (Some(slot), Ok(rows)) => *slot = Some(rows.clone()),
+                (Some(_), Err(e)) => {
+                    self.counters.disk_errors += 1;
+                    tracing::warn!("a page of the spool can't be read: {e}");
+                    self.spool.close(result, false, now);
+                    let reason = "a page of it can't be read";
+                    deliveries.push(Delivery::error(part.waiter, ErrorKind::Failed, reason));
+                    continue;
+                }
+                (None, _) => {}
+            }
+            if part.is_complete() {
+                deliveries.extend(self.finish_part(part, now));
+            } else {
+                self.pending.push_back(part);
+            }
+        }
+    }
+
+    /// Nothing that follows in a segment whose write failed can be relied on.
+    fn abandon_segment(&mut self, place: Place, now: Micros) {
+        let freed = [self.segments.free(place), self.segments.abandon()];
+        for segment in freed.into_iter().flatten() {
+            self.remove_segment(segment, now);
+        }
+    }
+
+    /// Frees the places of pages that are dropped.
+    pub(super) fn free_pages(&mut self, pages: Vec<StoredPage>, now: Micros) {
+        for page in pages {
+            if let StoredPage::Disk(place) | StoredPage::Moving(_, place) = page {
+                if let Some(segment) = self.segments.free(place) {
+                    self.remove_segment(segment, now);
+                }
+            }
+        }
+    }
+
+    /// Schedules the removal of a segment file. Where the schedule is full, the file is removed at
+    /// the next start.
+    pub(super) fn remove_segment(&mut self, segment: u64, now: Micros) {
+        let work = Work::Remove(segment);
+        let _ = self.background.offer(now, Urgency::Tidy, work, 0);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -0,0 +1,90 @@
+//! Background work and the expiry of results.
+
+use eideryard::interface::Micros;
+use eideryard_result_spool::worker::{Done, Order, Worker};
+
+use super::{Delivery, ResultId, ResultSpoolDriver, Work};
+
+impl ResultSpoolDriver {
+    /// Handles what the disk worker has done, starts work that may be done now, and drops results
+    /// that have expired. Returns what goes to clients.
+    pub fn poll(&mut self, now: Micros) -> Vec<Delivery> {
+        let mut deliveries = Vec::new();
+        let done: Vec<Done> = self.worker.iter().flat_map(Worker::done).collect();
+        for done in done {
+            self.handle_done(done, now, &mut deliveries);
+        }
+        self.start_work(now);
+        while let Some(id) = self.expiry.due(now) {
+            self.handle_expiry(id, now);
+        }
+        deliveries
+    }
+
+    /// When [`ResultSpoolDriver::poll`] has something to do, if nothing else happens.
+    pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
+        let deadlines = [self.expiry.next(), self.background.due(now)];
+        deadlines.into_iter().flatten().min()
+    }
+
+    fn start_work(&mut self, now: Micros) {
+        self.background.look();
+        while let Some(job) = self.background.next(now) {
+            match job.what {
+                Work::Move(result, page) => self.write_page(result, page, now),
+                Work::Remove(segment) => {
+                    let Some(worker) = &self.worker else {
+                        continue;
+                    };
+                    if worker.order(Order::Remove { segment }).is_err() {
+                        // The disk is behind: later, with the others that wait.
+                        self.remove_segment(segment, now);
+                        break;
+                    }
+                }
+            }
+        }
+    }
+
+    fn handle_expiry(&mut self, id: ResultId, now: Micros) {
+        if let Some(stored) = self.stored.get_mut(&id) {
+            stored.expiry = None;
+        }
+        match self.spool.expires(id) {
+            Some(expires_at) if expires_at <= now => self.drop_result(id, now),
+            Some(_) => self.schedule_expiry(id),
+            // A failure that was remembered for long enough.
+            None if !self.spool.holds(id) => self.drop_result(id, now),
+            None => {}
+        }
+    }
+
+    pub(super) fn schedule_expiry(&mut self, id: ResultId) {
+        let Some(expires_at) = self.spool.expires(id) else {
+            return;
+        };
+        let Some(stored) = self.stored.get_mut(&id) else {
+            return;
+        };
+        let timer = self.expiry.set(expires_at, id);
+        if let Some(previous_timer) = stored.expiry.replace(timer) {
+            self.expiry.take_back(previous_timer);
+        }
+    }
+
+    /// Drops a result, unless a part of it is being sent.
+    pub(super) fn drop_result(&mut self, id: ResultId, now: Micros) {
+        if self.spool.holds(id) && !self.spool.drop(id, now) {
+            return;
+        }
+        let Some(stored) = self.stored.remove(&id) else {
+            return;
+        };
+        if let Some(timer) = stored.expiry {
+            self.expiry.take_back(timer);
+        }
+        self.returns.drops(&stored.name);
+        self.free_pages(stored.pages, now);
+        self.counters.dropped += 1;
+    }
+}
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -9,10 +9,10 @@
 
 /// New connections come for at most 0.4 s after the signal, and requests on open ones for 0.2 s
 /// more; who closes later than this has waited for all.
-const LAST_CLIENTS: Micros = 700_000;
+const LAST_CLIENT_TIMEOUT: Micros = 700_000;
 /// The process may be killed after the longest wait of a client, at most so long, and
 /// `LAST_CLIENTS`.
-const LONGEST_STOP: Micros = 3_000_000;
+const MAX_STOP_TIME: Micros = 3_000_000;
 /// What is still open so long before that gets its answer then, and half as long before that all is
 /// over: an answer that isn't out by then has a client that doesn't read.
 const STOP_MARGIN: Micros = 200_000;
@@ -30,12 +30,12 @@
     /// What is still open gets its final answer.
     Ending,
     /// The process may end.
-    Over,
+    Finished,
 }
 
 /// What the gateway still has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Left {
+pub struct Remaining {
     /// Requests without a final answer.
     pub requests: usize,
     /// Connections of clients, also those that are half-closed.
@@ -44,14 +44,14 @@
 
 /// What is to be done now, once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ShutdownStep {
     /// Take in what waits to connect, then no more; half-close what rests, now and whenever one
     /// comes to rest.
-    Close,
+    CloseIdle,
     /// Answer what is open.
-    End,
+    AnswerOpen,
     /// End the process.
-    Leave,
+    Exit,
 }
 
 /// The state of the shutdown.
@@ -59,7 +59,7 @@
 pub struct Shutdown {
     phase: Phase,
     /// When the phases that wait for nothing else begin: closing, ending, over.
-    bounds: [Micros; 3],
+    phase_starts: [Micros; 3],
 }
 
 impl Shutdown {
@@ -68,12 +68,12 @@
         if self.phase != Phase::Serving {
             return false;
         }
-        let killed_at = now + LAST_CLIENTS + longest_wait.min(LONGEST_STOP);
-        let ends_at = killed_at - STOP_MARGIN;
-        self.bounds = [
-            ends_at.min(now + LAST_CLIENTS),
-            ends_at,
-            killed_at - STOP_MARGIN / 2,
+        let kill_deadline = now + LAST_CLIENT_TIMEOUT + longest_wait.min(MAX_STOP_TIME);
+        let ending_at = kill_deadline - STOP_MARGIN;
+        self.phase_starts = [
+            ending_at.min(now + LAST_CLIENT_TIMEOUT),
+            ending_at,
+            kill_deadline - STOP_MARGIN / 2,
         ];
         self.phase = Phase::Draining;
         true
@@ -86,23 +86,23 @@
 
     /// When what is taken from now on must have its answer at the latest.
     pub fn last_answer(&self) -> Option<Micros> {
-        (self.phase != Phase::Serving).then_some(self.bounds[1])
+        (self.phase != Phase::Serving).then_some(self.phase_starts[1])
     }
 
     /// When a look is due though nothing else happens.
-    pub fn due(&self) -> [Micros; 3] {
-        self.bounds
+    pub fn phase_starts(&self) -> [Micros; 3] {
+        self.phase_starts
     }
 
     /// The next step, if one is due by now; the host asks again until there is none.
-    pub fn next(&mut self, now: Micros, left: Left) -> Option<Step> {
-        let [closes_at, ends_at, leaves_at] = self.bounds;
-        let done = left == Left::default();
+    pub fn next_step(&mut self, now: Micros, remaining: Remaining) -> Option<ShutdownStep> {
+        let [closing_at, ending_at, finished_at] = self.phase_starts;
+        let done = remaining == Remaining::default();
         let (phase, step) = match self.phase {
-            Phase::Draining if now >= closes_at => (Phase::Closing, Step::Close),
-            Phase::Closing if now >= ends_at => (Phase::Ending, Step::End),
-            Phase::Closing if done => (Phase::Over, Step::Leave),
-            Phase::Ending if done || now >= leaves_at => (Phase::Over, Step::Leave),
+            Phase::Draining if now >= closing_at => (Phase::Closing, ShutdownStep::CloseIdle),
+            Phase::Closing if now >= ending_at => (Phase::Ending, ShutdownStep::AnswerOpen),
+            Phase::Closing if done => (Phase::Finished, ShutdownStep::Exit),
+            Phase::Ending if done || now >= finished_at => (Phase::Finished, ShutdownStep::Exit),
             _ => return None,
         };
         self.phase = phase;
