--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -4,8 +4,10 @@
 use std::net::SocketAddr;
 
 use eideryard::interface::Settings;
-use eideryard_discovery::Known;
-use eideryard_settings::{HostSettings, Tree};
+use eideryard_discovery::{ItemError, Known};
+use eideryard_settings::{
+    read_host_settings, read_settings, HostSettings, SettingsError, SettingsTree,
+};
 use serde_json::Value;
 
 /// The environment variable that names the file.
@@ -94,10 +96,10 @@
     NotHex(String),
     /// The endpoints that were known can't be read.
     #[error("'known': {0}")]
-    Known(String),
+    Known(ItemError),
     /// The settings can't be read.
     #[error("{0}")]
-    Settings(String),
+    Settings(#[from] SettingsError),
 }
 
 impl Config {
@@ -115,7 +117,7 @@
     pub fn read(text: &str) -> Result<Self, ConfigTextError> {
         let root: Value = serde_json::from_str(text)?;
         let seed = text_member(&root, "seed")?;
-        let tree = Tree::from_json(member(&root, "settings")?);
+        let tree = SettingsTree::from_json(member(&root, "settings")?);
         Ok(Config {
             name: text_member(&root, "name")?,
             listen: address_member(&root, "listen")?,
@@ -123,12 +125,9 @@
             memory_mb: limit(&root, "memory_mb", DEFAULT_MEMORY_MB)?,
             sockets: limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
             discovery: address_member(&root, "bulletin")?,
-            known: Known::read(member(&root, "known")?)
-                .map_err(|error| ConfigTextError::Known(error.to_string()))?,
-            settings: eideryard_settings::settings(&tree)
-                .map_err(|error| ConfigTextError::Settings(error.to_string()))?,
-            host: eideryard_settings::host(&tree)
-                .map_err(|error| ConfigTextError::Settings(error.to_string()))?,
+            known: Known::read(member(&root, "known")?).map_err(ConfigTextError::Known)?,
+            settings: read_settings(&tree)?,
+            host: read_host_settings(&tree)?,
         })
     }
 }
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use eideryard::interface::Micros;
-use eideryard_discovery::{request, Item, Reader, StreamEvent};
+use eideryard_discovery::{request, Item, ItemError, Malformed, Reader, StreamEvent};
 
 use crate::connection::{Connection, EventLoopHandle, ReadOutcome, WakeReason, MAX_READS_PER_TURN};
 use crate::counters::Counters;
@@ -37,9 +37,9 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    InvalidStream(String),
+    InvalidStream(Malformed),
     #[error("an event can't be read: {0}")]
-    InvalidEvent(String),
+    InvalidEvent(ItemError),
     #[error("event {received} came after {last}")]
     MissedEvents { received: u64, last: u64 },
 }
@@ -218,7 +218,7 @@
                     self.handle_event(&data, counters, items)?;
                 }
             }
-            parsed.map_err(|error| DisconnectReason::InvalidStream(error.to_string()))?;
+            parsed.map_err(DisconnectReason::InvalidStream)?;
             match outcome {
                 ReadOutcome::WouldBlock => return Ok(false),
                 ReadOutcome::Closed => return Err(DisconnectReason::StreamEnded),
@@ -237,8 +237,7 @@
         counters: &mut Counters,
         items: &mut Vec<Item>,
     ) -> Result<(), DisconnectReason> {
-        let item =
-            Item::read(data).map_err(|error| DisconnectReason::InvalidEvent(error.to_string()))?;
+        let item = Item::read(data).map_err(DisconnectReason::InvalidEvent)?;
         if item.no <= self.last_event {
             return Ok(());
         }
--- a/crates/gateway/src/engines/answer_fields.rs
+++ b/crates/gateway/src/engines/answer_fields.rs
@@ -79,7 +79,7 @@
             "util" => "load_share",
             name => name,
         };
-        eideryard_settings::set_reported(&mut report, setting_name, value);
+        eideryard_settings::set_reported_value(&mut report, setting_name, value);
     }
     Some(report)
 }
