--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,5 +1,6 @@
-//! One TCP connection: its socket, known to the event loop as long as this lives, and a buffer each
-//! way. What woke the loop is put on a list, which the host works off after the wait.
+//! One TCP connection: its socket, registered with the event loop as long as this lives, and a
+//! buffer for each direction. What woke the event loop is appended to a list, which the main loop
+//! works off after the wait.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -9,81 +10,43 @@
 use std::rc::Rc;
 
 use crate::table::Key;
+pub use buffer::Buffer;
+use buffer::READ_CHUNK_BYTES;
 
-/// What there is to look at.
+mod buffer;
+
+/// Why the event loop woke.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WakeReason {
+    /// Clients wait to connect.
     Listener,
+    /// A client's connection can be read or written.
     Client(Key),
+    /// An engine's connection can be read or written.
     Engine(Key),
+    /// The connection to service discovery can be read or written.
     Discovery,
-    /// The spool's worker has done something.
+    /// The disk worker of the result spool has done something.
     ResultSpool,
-    /// The store's thread has made something durable.
+    /// The store's thread has made something durable, or peers have sent something.
     IntentDurability,
+    /// SIGTERM or SIGINT.
     Stop,
+    /// SIGHUP.
     Reload,
+    /// SIGUSR1.
     LogCounters,
 }
 
-/// The state of the event loop: what woke it.
+/// The state of the event loop: what woke it and was not handled yet.
 pub type PendingWakes = Vec<WakeReason>;
+/// By this, sockets and pings are registered with the event loop.
 pub type EventLoopHandle = LoopHandle<'static, PendingWakes>;
 
-/// The most that is read at once, and the capacity that an emptied buffer keeps.
-const READ_CHUNK_BYTES: usize = 16 << 10;
 /// Reads of one connection in a row, before others get their turn.
 pub const MAX_READS_PER_TURN: usize = 16;
 
-/// Bytes that came in and weren't used yet, or are to go out; one allocation, compacted in place.
-#[derive(Default)]
-pub struct Buffer {
-    bytes: Vec<u8>,
-    start: usize,
-}
-
-impl Buffer {
-    pub fn filled(&self) -> &[u8] {
-        &self.bytes[self.start..]
-    }
-
-    pub fn len(&self) -> usize {
-        self.bytes.len() - self.start
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.len() == 0
-    }
-
-    pub fn clear(&mut self) {
-        self.consume(self.len());
-    }
-
-    /// To write behind what is there.
-    pub fn tail(&mut self) -> &mut Vec<u8> {
-        &mut self.bytes
-    }
-
-    /// Takes bytes out of the middle, counted from the start of what is there.
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.bytes.drain(self.start + from..self.start + to);
-    }
-
-    pub fn consume(&mut self, count: usize) {
-        self.start += count;
-        if self.start == self.bytes.len() {
-            self.start = 0;
-            self.bytes.clear();
-            self.bytes.shrink_to(READ_CHUNK_BYTES);
-        } else if self.start >= self.bytes.len() / 2 {
-            self.bytes.copy_within(self.start.., 0);
-            self.bytes.truncate(self.bytes.len() - self.start);
-            self.start = 0;
-        }
-    }
-}
-
-/// What the event loop knows of a descriptor; dropping this ends that.
+/// A descriptor that is registered with the event loop until this is dropped.
 pub struct Watched<F: AsFd + 'static> {
     pub file: Rc<F>,
     token: RegistrationToken,
@@ -91,6 +54,7 @@
 }
 
 impl<F: AsFd + 'static> Watched<F> {
+    /// Registers a descriptor, which wakes the event loop for this reason.
     pub fn new(
         event_loop: &EventLoopHandle,
         file: F,
@@ -120,6 +84,7 @@
     }
 }
 
+/// A TCP connection.
 pub struct Connection {
     socket: Watched<TcpStream>,
     pub input: Buffer,
@@ -129,16 +94,19 @@
     connecting: bool,
 }
 
-/// What a read found.
+/// What a read brought.
 #[derive(Debug, PartialEq)]
 pub enum ReadOutcome {
+    /// Bytes were appended to the input.
     Data,
     /// Nothing more for now.
     WouldBlock,
+    /// The other end sends nothing more.
     Closed,
 }
 
 impl Connection {
+    /// A connection that a client has made.
     pub fn accepted(
         event_loop: &EventLoopHandle,
         stream: TcpStream,
@@ -149,7 +117,7 @@
         Self::new(event_loop, stream, wake, false)
     }
 
-    /// Begins to connect; the end of that shows in [`Connection::is_up`] after a wake.
+    /// Begins to connect; after a wake, [`Connection::is_up`] tells whether that has succeeded.
     pub fn dial(
         event_loop: &EventLoopHandle,
         address: SocketAddr,
@@ -186,12 +154,12 @@
         })
     }
 
-    /// Whether the connection stood at the last look.
+    /// Whether the connection was established at the last check.
     pub fn was_up(&self) -> bool {
         !self.connecting
     }
 
-    /// Whether the connection stands; an error where it never will.
+    /// Checks whether the connection is established; an error if it never will be.
     pub fn is_up(&mut self) -> io::Result<bool> {
         if self.connecting {
             if let Some(error) = self.socket.file.take_error()? {
@@ -202,18 +170,18 @@
         Ok(!self.connecting)
     }
 
+    /// Reads at most one chunk and appends it to the input.
     pub fn read_available(&mut self) -> io::Result<ReadOutcome> {
-        let before = self.input.bytes.len();
-        self.input.bytes.resize(before + READ_CHUNK_BYTES, 0);
+        let input = self.input.tail();
+        let before = input.len();
+        input.resize(before + READ_CHUNK_BYTES, 0);
         let read = loop {
-            match (&*self.socket.file).read(&mut self.input.bytes[before..]) {
+            match (&*self.socket.file).read(&mut input[before..]) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 read => break read,
             }
         };
-        self.input
-            .bytes
-            .truncate(before + *read.as_ref().unwrap_or(&0));
+        input.truncate(before + *read.as_ref().unwrap_or(&0));
         match read {
             Ok(0) => Ok(ReadOutcome::Closed),
             Ok(_) => Ok(ReadOutcome::Data),
@@ -222,7 +190,7 @@
         }
     }
 
-    /// Writes what it can.
+    /// Writes as much of the output as the socket accepts.
     pub fn flush(&mut self) -> io::Result<()> {
         if self.connecting {
             return Ok(());
@@ -242,19 +210,19 @@
         Ok(())
     }
 
-    /// Tells the other end that nothing more comes; what it says can still be read.
+    /// Half-closes the connection; what the other end sends can still be read.
     pub fn end_output(&self) {
         // It fails only where the connection has ended already, which the next read finds.
         let _ = self.socket.file.shutdown(std::net::Shutdown::Write);
     }
 
-    /// The place in the stream at which what is buffered ends.
+    /// The offset in everything that is ever written at which the buffered output ends.
     pub fn end_of_output(&self) -> u64 {
         self.written + self.output.len() as u64
     }
 }
 
-/// Whether an error says that this side has too few descriptors, addresses or memory.
+/// Whether an error states that this side has too few descriptors, addresses or memory.
 pub fn is_shortage(error: &io::Error) -> bool {
     use rustix::io::Errno;
     let short = [
@@ -269,8 +237,8 @@
         .any(|errno| error.raw_os_error() == Some(errno.raw_os_error()))
 }
 
-/// Listens with the deepest queue that the system grants: what the system accepted is owed an
-/// answer.
+/// Listens with the longest queue that the system grants: clients that the system has accepted are
+/// owed an answer.
 pub fn listen(
     event_loop: &EventLoopHandle,
     address: SocketAddr,
@@ -291,27 +259,3 @@
         WakeReason::Listener,
     )
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_buffer_is_compacted_in_place_and_shrinks_when_emptied() {
-        let mut buffer = Buffer::default();
-        buffer.tail().extend_from_slice(b"abcdefgh");
-        buffer.consume(3);
-        assert_eq!((buffer.filled(), buffer.start), (&b"defgh"[..], 3));
-        buffer.cut(1, 3);
-        assert_eq!(buffer.filled(), b"dgh");
-        buffer.consume(1);
-        assert_eq!((buffer.filled(), buffer.start), (&b"gh"[..], 0));
-        buffer.tail().resize(100 * READ_CHUNK_BYTES, 0);
-        buffer.clear();
-        assert!(
-            buffer.is_empty() && buffer.bytes.capacity() <= 2 * READ_CHUNK_BYTES,
-            "{}",
-            buffer.bytes.capacity()
-        );
-    }
-}
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -1,14 +1,16 @@
-//! What came in, went out and was answered, by outcome; printed on SIGUSR1 and at the end.
+//! Counters of the main loop, printed on SIGUSR1 and at the end. Their names in the log stand in the
+//! table [`GROUPS`], independent of the names of the fields.
 
 use eideryard::interface::Outcome;
 use std::fmt;
 
+/// Everything that is counted since the start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
     pub connections: u64,
     pub bytes_in: u64,
     pub health_asked: u64,
-    pub ended: Ended,
+    pub ended: ClosedConnections,
     /// Requests taken; each ends as one of the six that follow, or is open.
     pub taken: u64,
     pub served: u64,
@@ -19,18 +21,18 @@
     pub no_room: u64,
     pub forgotten: u64,
     pub lost: u64,
-    /// Answers, of those above, that came after the client's time.
+    /// Answers, of those above, that were sent after the request's deadline.
     pub late: u64,
-    /// Attempts sent to engines; each ends with one outcome, or is out.
+    /// Attempts sent to engines; each ends with one outcome, or is in flight.
     pub sent: u64,
-    pub attempts: Attempts,
+    pub attempts: AttemptOutcomes,
     pub pages: u64,
     pub notes: u64,
     pub ranks: u64,
     pub probes: u64,
     pub dials: u64,
     pub dials_failed: u64,
-    /// Dials that something was short for on this side.
+    /// Dials for which this side had too few descriptors or too little memory.
     pub dials_short: u64,
     pub list_events: u64,
     pub list_connections: u64,
@@ -40,22 +42,22 @@
 
 /// Connections of clients that this side ended, by reason.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ended {
-    /// What it held can't be read, or two open requests had one number.
+pub struct ClosedConnections {
+    /// It sent something that can't be decoded, or two open requests had one number.
     pub malformed: u64,
     /// No request, or only a part of one, for too long.
     pub silent: u64,
-    /// Messages that aren't whole took more than its part of the memory for them.
+    /// Its incomplete messages took more than its share of the memory for them.
     pub hoarding: u64,
-    /// It didn't read its answers, which took more than its part of the memory for them.
+    /// It didn't read its answers, which took more than its share of the memory for them.
     pub deaf: u64,
     /// It was idle when descriptors ran short.
     pub evicted: u64,
 }
 
-/// Attempts that are over, by outcome.
+/// Attempts that have ended, by outcome.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Attempts {
+pub struct AttemptOutcomes {
     pub answered: u64,
     pub error: u64,
     pub full: u64,
@@ -66,7 +68,8 @@
     pub unsent: u64,
 }
 
-impl Attempts {
+impl AttemptOutcomes {
+    /// Counts the end of an attempt.
     pub fn count(&mut self, outcome: Outcome) {
         *match outcome {
             Outcome::Answered => &mut self.answered,
@@ -90,11 +93,10 @@
     }
 }
 
+/// A counter: its name in the log, and its value.
+type Counter = (&'static str, fn(&Counters) -> u64);
 /// A word that begins a group of counters in the log, and the counters.
-type Group = (
-    &'static str,
-    &'static [(&'static str, fn(&Counters) -> u64)],
-);
+type Group = (&'static str, &'static [Counter]);
 
 const GROUPS: &[Group] = &[
     (
@@ -184,17 +186,13 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, (word, counters)) in GROUPS.iter().enumerate() {
+        for (index, (word, counters)) in GROUPS.iter().enumerate() {
+            let separator = if index > 0 { "; " } else { "" };
             let pairs: Vec<String> = counters
                 .iter()
                 .map(|(name, value)| format!("{name}={}", value(self)))
                 .collect();
-            write!(
-                f,
-                "{}{word}{}",
-                if at > 0 { "; " } else { "" },
-                pairs.join(" ")
-            )?;
+            write!(f, "{separator}{word}{}", pairs.join(" "))?;
         }
         Ok(())
     }
--- a/crates/gateway/src/deadlines/tests.rs
+++ b/crates/gateway/src/deadlines/tests.rs
@@ -1,15 +1,15 @@
-//! Deadlines fire in order, once.
+//! The order in which deadlines expire.
 
 use super::*;
 
 #[test]
-fn deadlines_fire_in_order_once_and_not_when_taken_back() {
+fn deadlines_expire_in_order_once_and_not_when_cancelled() {
     let mut deadlines = Deadlines::new();
     deadlines.set(20, Deadline::BalancerTimer(1));
     deadlines.set(10, Deadline::BalancerTimer(2));
-    let gone = deadlines.set(10, Deadline::BalancerTimer(3));
+    let cancelled = deadlines.set(10, Deadline::BalancerTimer(3));
     deadlines.set(10, Deadline::BalancerTimer(4));
-    deadlines.cancel(Some(gone));
+    deadlines.cancel(Some(cancelled));
     deadlines.cancel(None);
     assert_eq!(
         (deadlines.next(), deadlines.pop_expired(9)),
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,39 +1,40 @@
-//! Graceful shutdown in stated phases; pure: times and what is left in, steps out.
+//! Graceful shutdown in phases. This state machine has no side effects: the gateway's main loop
+//! gives it the time and what remains, and takes the steps that it returns.
 //!
-//! *Serving* until the signal; *draining*: all that comes is still taken and served, as clients go
-//! on coming for a while; *closing*: no new connection, and each connection that rests is
-//! half-closed and read on until its other end has closed; *ending*: what is still open gets its
-//! final answer; *over*: the process may end.
+//! *Serving* until the signal; *draining*: requests and connections are still accepted, as clients
+//! go on sending for a while; *closing*: no new connection, and each idle connection is half-closed
+//! and read until its other end has closed; *ending*: open requests get their final answers;
+//! *finished*: the process may end.
 
 use eideryard::interface::Micros;
 
-/// New connections come for at most 0.4 s after the signal, and requests on open ones for 0.2 s
-/// more; who closes later than this has waited for all.
+/// Clients connect for at most 0.4 s after the signal, and send requests on open connections for
+/// 0.2 s more; after this time nothing new arrives.
 const LAST_CLIENT_TIMEOUT: Micros = 700_000;
-/// The process may be killed after the longest wait of a client, at most so long, and
-/// `LAST_CLIENTS`.
+/// The process may be killed after [`LAST_CLIENT_TIMEOUT`] and the longest wait of a client, of
+/// which at most so much counts.
 const MAX_STOP_TIME: Micros = 3_000_000;
-/// What is still open so long before that gets its answer then, and half as long before that all is
-/// over: an answer that isn't out by then has a client that doesn't read.
+/// Open requests are answered so long before the kill; the process ends half as long before it,
+/// since a client that has not received its answer by then doesn't read.
 const STOP_MARGIN: Micros = 200_000;
 
-/// How far the shutdown has come.
+/// A phase of the shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// No signal has come.
+    /// There was no signal yet.
     #[default]
     Serving,
-    /// All that comes is still served.
+    /// Everything that arrives is still served.
     Draining,
-    /// No new connection; those that rest are closed.
+    /// No new connection; idle ones are closed.
     Closing,
-    /// What is still open gets its final answer.
+    /// Open requests get their final answers.
     Ending,
     /// The process may end.
     Finished,
 }
 
-/// What the gateway still has.
+/// What is still open at the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Remaining {
     /// Requests without a final answer.
@@ -45,10 +46,10 @@
 /// What is to be done now, once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
-    /// Take in what waits to connect, then no more; half-close what rests, now and whenever one
-    /// comes to rest.
+    /// Accept the connections that wait, then no more; half-close idle connections, now and
+    /// whenever one becomes idle.
     CloseIdle,
-    /// Answer what is open.
+    /// Answer all open requests.
     AnswerOpen,
     /// End the process.
     Exit,
@@ -58,12 +59,12 @@
 #[derive(Debug, Default)]
 pub struct Shutdown {
     phase: Phase,
-    /// When the phases that wait for nothing else begin: closing, ending, over.
+    /// The latest times at which closing, ending and finished begin.
     phase_starts: [Micros; 3],
 }
 
 impl Shutdown {
-    /// The signal. False: it came before, which changes nothing.
+    /// There was a signal. False: it is not the first, which changes nothing.
     pub fn begin(&mut self, now: Micros, longest_wait: Micros) -> bool {
         if self.phase != Phase::Serving {
             return false;
@@ -79,30 +80,32 @@
         true
     }
 
-    /// How far it has come.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When what is taken from now on must have its answer at the latest.
+    /// When requests that are taken from now on must be answered at the latest.
     pub fn last_answer(&self) -> Option<Micros> {
         (self.phase != Phase::Serving).then_some(self.phase_starts[1])
     }
 
-    /// When a look is due though nothing else happens.
+    /// When [`Shutdown::next_step`] is to be called though nothing else happens.
     pub fn phase_starts(&self) -> [Micros; 3] {
         self.phase_starts
     }
 
-    /// The next step, if one is due by now; the host asks again until there is none.
+    /// The next step, if its time has come; the caller asks again until there is none.
     pub fn next_step(&mut self, now: Micros, remaining: Remaining) -> Option<ShutdownStep> {
         let [closing_at, ending_at, finished_at] = self.phase_starts;
-        let done = remaining == Remaining::default();
+        let is_drained = remaining == Remaining::default();
         let (phase, step) = match self.phase {
             Phase::Draining if now >= closing_at => (Phase::Closing, ShutdownStep::CloseIdle),
             Phase::Closing if now >= ending_at => (Phase::Ending, ShutdownStep::AnswerOpen),
-            Phase::Closing if done => (Phase::Finished, ShutdownStep::Exit),
-            Phase::Ending if done || now >= finished_at => (Phase::Finished, ShutdownStep::Exit),
+            Phase::Closing if is_drained => (Phase::Finished, ShutdownStep::Exit),
+            Phase::Ending if is_drained || now >= finished_at => {
+                (Phase::Finished, ShutdownStep::Exit)
+            }
             _ => return None,
         };
         self.phase = phase;
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -1,17 +1,25 @@
-//! Tables of numbered slots. A key bears the generation of its slot's tenant, so that a late event
-//! finds nothing where a new tenant has moved in.
+//! Tables of numbered slots. A key holds the generation of its slot, so that a late event finds
+//! nothing once the slot is reused.
 
 use slab::Slab;
 
-/// Slot and generation; as a number it is never 0.
+#[cfg(test)]
+mod tests;
+
+/// Bits of the slot's index in a key.
+const SLOT_BITS: u32 = 32;
+
+/// Slot and generation of an entry; as a number it is never 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(u64);
 
 impl Key {
+    /// The key as a number, as the balancer knows it.
     pub fn number(self) -> u64 {
         self.0
     }
 
+    /// The key that has this number.
     pub fn from_number(number: u64) -> Self {
         Key(number)
     }
@@ -21,8 +29,14 @@
     }
 }
 
+struct Entry<T> {
+    key: Key,
+    value: T,
+}
+
+/// A table whose entries are found by their keys.
 pub struct Table<T> {
-    slots: Slab<(Key, T)>,
+    slots: Slab<Entry<T>>,
     generation: u32,
 }
 
@@ -36,6 +50,7 @@
 }
 
 impl<T> Table<T> {
+    /// An empty table.
     pub fn new() -> Self {
         Self::default()
     }
@@ -43,73 +58,46 @@
     /// The key that the next insertion gets.
     pub fn next_key(&self) -> Key {
         let generation = self.generation.wrapping_add(1).max(1);
-        Key((generation as u64) << 32 | self.slots.vacant_key() as u64)
+        let slot = self.slots.vacant_key() as u64;
+        Key(u64::from(generation) << SLOT_BITS | slot)
     }
 
-    pub fn insert(&mut self, tenant: T) -> Key {
+    /// Adds an entry and returns its key.
+    pub fn insert(&mut self, value: T) -> Key {
         let key = self.next_key();
-        self.generation = (key.0 >> 32) as u32;
-        self.slots.insert((key, tenant));
+        self.generation = (key.0 >> SLOT_BITS) as u32;
+        self.slots.insert(Entry { key, value });
         key
     }
 
+    /// The entry of a key, if it was not removed.
     pub fn get(&self, key: Key) -> Option<&T> {
-        self.slots
-            .get(key.slot())
-            .filter(|(own, _)| *own == key)
-            .map(|(_, tenant)| tenant)
+        let entry = self.slots.get(key.slot())?;
+        (entry.key == key).then_some(&entry.value)
     }
 
+    /// The same, to change it.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        self.slots
-            .get_mut(key.slot())
-            .filter(|(own, _)| *own == key)
-            .map(|(_, tenant)| tenant)
+        let entry = self.slots.get_mut(key.slot())?;
+        (entry.key == key).then_some(&mut entry.value)
     }
 
+    /// Removes the entry of a key and returns it.
     pub fn remove(&mut self, key: Key) -> Option<T> {
         self.get(key)?;
-        self.slots.try_remove(key.slot()).map(|(_, tenant)| tenant)
+        let entry = self.slots.try_remove(key.slot())?;
+        Some(entry.value)
     }
 
+    /// How many entries there are.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
+    /// All entries with their keys, in the order of their slots.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
-        self.slots.iter().map(|(_, (key, tenant))| (*key, tenant))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_late_event_finds_nothing_where_a_new_tenant_has_moved_in() {
-        let mut table = Table::new();
-        let promised = table.next_key();
-        let first = table.insert("first");
-        assert_eq!((promised, table.get(first)), (first, Some(&"first")));
-        assert_eq!(table.remove(first), Some("first"));
-        let second = table.insert("second");
-        assert_eq!(first.slot(), second.slot());
-        assert_eq!(
-            (table.remove(first), table.get(first), table.len()),
-            (None, None, 1)
-        );
-        assert_eq!(
-            table.get(Key::from_number(second.number())),
-            Some(&"second")
-        );
-    }
-
-    #[test]
-    fn generations_go_round_without_the_number_0() {
-        let mut table = Table {
-            slots: Slab::new(),
-            generation: u32::MAX,
-        };
-        assert_ne!(table.insert(()).number(), 0);
+        self.slots
+            .iter()
+            .map(|(_, entry)| (entry.key, &entry.value))
     }
 }
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -4,18 +4,18 @@
 
 const START: u64 = 50_000_000;
 
-/// Asks until nothing is left to do, as a host does.
-fn look(shutdown: &mut Shutdown, now: u64, left: Remaining) -> Vec<ShutdownStep> {
-    std::iter::from_fn(|| shutdown.next_step(now, left)).collect()
+/// Asks until there is no further step, as the main loop does.
+fn next_steps(shutdown: &mut Shutdown, now: u64, remaining: Remaining) -> Vec<ShutdownStep> {
+    std::iter::from_fn(|| shutdown.next_step(now, remaining)).collect()
 }
 
 /// What can happen, in any order: the signal, again, time that passes, and what is left comes and
 /// goes.
 #[derive(Clone, Copy)]
-enum Happens {
+enum Happening {
     Signal,
     Pass(u64),
-    Remaining(usize, usize),
+    Remain(usize, usize),
 }
 
 #[test]
@@ -25,25 +25,25 @@
 )]
 fn every_order_of_events_takes_the_steps_in_order_once_and_ends_in_bounded_time() {
     let all = [
-        Happens::Signal,
-        Happens::Signal,
-        Happens::Pass(300_000),
-        Happens::Pass(500_000),
-        Happens::Remaining(0, 0),
-        Happens::Remaining(0, 2),
-        Happens::Remaining(1, 1),
+        Happening::Signal,
+        Happening::Signal,
+        Happening::Pass(300_000),
+        Happening::Pass(500_000),
+        Happening::Remain(0, 0),
+        Happening::Remain(0, 2),
+        Happening::Remain(1, 1),
     ];
     let mut orders = 0;
     let mut indices: Vec<usize> = (0..all.len()).collect();
     permutations(&mut indices, 0, &mut |order| {
         for wait in [100_000, 900_000, 20_000_000] {
             orders += 1;
-            let (mut shutdown, mut now, mut left) =
+            let (mut shutdown, mut now, mut remaining) =
                 (Shutdown::default(), START, Remaining::default());
             let (mut steps, mut signalled) = (Vec::new(), None);
-            for &what in order {
-                match all[what] {
-                    Happens::Signal => {
+            for &index in order {
+                match all[index] {
+                    Happening::Signal => {
                         assert_eq!(
                             shutdown.begin(now, wait),
                             signalled.is_none(),
@@ -51,32 +51,33 @@
                         );
                         signalled.get_or_insert(now);
                     }
-                    Happens::Pass(time) => now += time,
-                    Happens::Remaining(requests, connections) => {
-                        left = Remaining {
+                    Happening::Pass(time) => now += time,
+                    Happening::Remain(requests, connections) => {
+                        remaining = Remaining {
                             requests,
                             connections,
                         }
                     }
                 }
-                let taken = look(&mut shutdown, now, left);
+                let new_steps = next_steps(&mut shutdown, now, remaining);
                 assert!(
-                    signalled.is_some() || taken.is_empty(),
+                    signalled.is_some() || new_steps.is_empty(),
                     "nothing happens before the signal"
                 );
-                let may_leave = left == Remaining::default() || now >= shutdown.phase_starts()[2];
+                let may_exit =
+                    remaining == Remaining::default() || now >= shutdown.phase_starts()[2];
                 assert!(
-                    !taken.contains(&ShutdownStep::Exit) || may_leave,
-                    "left early with {left:?} of {wait}"
+                    !new_steps.contains(&ShutdownStep::Exit) || may_exit,
+                    "left early with {remaining:?} of {wait}"
                 );
-                steps.extend(taken);
+                steps.extend(new_steps);
             }
             // Whatever is left for good, the end comes before the process may be killed.
             let killed_at = signalled.unwrap() + 700_000 + wait.min(3_000_000);
             for bound in shutdown.phase_starts() {
                 assert!(bound < killed_at);
                 now = now.max(bound);
-                steps.extend(look(&mut shutdown, now, left));
+                steps.extend(next_steps(&mut shutdown, now, remaining));
             }
             assert_eq!(shutdown.phase(), Phase::Finished);
             let whole = [
@@ -111,20 +112,23 @@
     let mut shutdown = Shutdown::default();
     assert!(shutdown.begin(START, 2_000_000));
     assert_eq!(
-        look(&mut shutdown, START + 650_000, Remaining::default()),
+        next_steps(&mut shutdown, START + 650_000, Remaining::default()),
         []
     );
-    let rests = Remaining {
+    let idle_connection = Remaining {
         requests: 0,
         connections: 1,
     };
     assert_eq!(
-        look(&mut shutdown, START + 700_000, rests),
+        next_steps(&mut shutdown, START + 700_000, idle_connection),
         [ShutdownStep::CloseIdle]
     );
-    assert_eq!(look(&mut shutdown, START + 710_000, rests), []);
     assert_eq!(
-        look(&mut shutdown, START + 720_000, Remaining::default()),
+        next_steps(&mut shutdown, START + 710_000, idle_connection),
+        []
+    );
+    assert_eq!(
+        next_steps(&mut shutdown, START + 720_000, Remaining::default()),
         [ShutdownStep::Exit]
     );
     // A wait so short that the kill comes at once after the last clients still leaves time to
@@ -132,11 +136,11 @@
     let mut shutdown = Shutdown::default();
     shutdown.begin(START, 100_000);
     assert_eq!(
-        look(&mut shutdown, START + 600_000, rests),
+        next_steps(&mut shutdown, START + 600_000, idle_connection),
         [ShutdownStep::CloseIdle, ShutdownStep::AnswerOpen]
     );
     assert_eq!(
-        look(&mut shutdown, START + 700_000, rests),
+        next_steps(&mut shutdown, START + 700_000, idle_connection),
         [ShutdownStep::Exit]
     );
 }
