--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -7,7 +7,7 @@
 use eideryard_engine_protocol as engine_line;
 use eideryard_gateway::links::{classes_fingerprint, PeerMessage};
 use eideryard_intent_log::{entry as intents, Intent, Place};
-use eideryard_leases::{self as owners, FencingToken, Task};
+use eideryard_leases::{self as leases, FencingToken, Task};
 use eideryard_msgpack_rpc as rpc;
 use eideryard_peer_transport::frame::{self, Frame};
 use eideryard_peer_transport::Handshake;
@@ -245,50 +245,50 @@
         Message::Stands { votes: true },
     ];
     let (task, token, greatest) = (TASK, TOKEN, FencingToken { term: 6, owner: 1 });
-    let leases = vec![
-        owners::Message::VoteRequest { task, token },
-        owners::Message::VoteGranted { task, token },
-        owners::Message::VoteDenied {
+    let lease_messages = vec![
+        leases::Message::VoteRequest { task, token },
+        leases::Message::VoteGranted { task, token },
+        leases::Message::VoteDenied {
             task,
             token,
             greatest,
-            left: 300_000,
+            remaining: 300_000,
         },
-        owners::Message::Release { task, token },
-        owners::Message::Work {
+        leases::Message::Release { task, token },
+        leases::Message::Work {
             task,
             token,
-            work: vec![9, 8],
+            payload: vec![9, 8],
         },
-        owners::Message::StaleToken {
+        leases::Message::StaleToken {
             task,
             token,
             greatest,
         },
-        owners::Message::Tokens {
+        leases::Message::Tokens {
             tokens: vec![(task, token)],
         },
     ];
     replicas
         .into_iter()
-        .map(PeerMessage::Copies)
-        .chain(leases.into_iter().map(PeerMessage::Owners))
+        .map(PeerMessage::Replication)
+        .chain(lease_messages.into_iter().map(PeerMessage::Leases))
         .collect()
 }
 
 #[test]
 fn frames_between_gateways_are_as_before() {
-    let hello = Handshake {
-        version: eideryard_peer_transport::handshake::VERSION,
+    let handshake = Handshake {
+        version: eideryard_peer_transport::VERSION,
         fleet: "north".into(),
         name: "g1".into(),
-        keepers: vec!["g1".into(), "g2".into(), "g3".into()],
-        classes: 0x1234_5678_9abc_def0,
+        voters: vec!["g1".into(), "g2".into(), "g3".into()],
+        classes_fingerprint: 0x1234_5678_9abc_def0,
         identity: 0xfeed,
-        start: 3,
+        start_number: 3,
     };
     let mut carried: Vec<Frame<PeerMessage>> = vec![
-        Frame::Handshake(hello),
+        Frame::Handshake(handshake),
         Frame::Rejected("another fleet".into()),
         Frame::Heartbeat(7),
         Frame::HeartbeatReply(8),
@@ -296,13 +296,13 @@
     carried.extend(messages().into_iter().map(Frame::Message));
     let mut bytes = Vec::new();
     for one in &carried {
-        assert!(frame::write(&mut bytes, one));
+        frame::write(&mut bytes, one).expect("written");
     }
     golden::check("peer-frames.bin", &bytes);
     let (mut at, mut again) = (0, Vec::new());
-    while let Some((one, length)) = frame::read::<PeerMessage>(&bytes[at..]).expect("sound") {
-        assert!(frame::write(&mut again, &one));
-        at += length;
+    while let Some(read) = frame::read::<PeerMessage>(&bytes[at..]).expect("sound") {
+        frame::write(&mut again, &read.frame).expect("written");
+        at += read.length;
     }
     assert_eq!(again, bytes);
 }
@@ -321,28 +321,26 @@
 
 #[test]
 fn handshakes_are_as_before() {
-    let hello = Handshake {
-        version: eideryard_peer_transport::handshake::VERSION,
+    let handshake = Handshake {
+        version: eideryard_peer_transport::VERSION,
         fleet: "north".into(),
         name: "g2".into(),
-        keepers: vec!["g2".into(), "g3".into(), "n0".into()],
-        classes: classes_fingerprint(&classes()),
+        voters: vec!["g2".into(), "g3".into(), "n0".into()],
+        classes_fingerprint: classes_fingerprint(&classes()),
         identity: 7,
-        start: 1,
+        start_number: 1,
     };
-    let written = |hello: Handshake| {
+    let written = |handshake: Handshake| {
         let mut bytes = Vec::new();
-        assert!(frame::write(
-            &mut bytes,
-            &Frame::<PeerMessage>::Handshake(hello)
-        ));
+        let frame = Frame::<PeerMessage>::Handshake(handshake);
+        frame::write(&mut bytes, &frame).expect("written");
         bytes
     };
-    golden::check("handshake-g2.bin", &written(hello.clone()));
+    golden::check("handshake-g2.bin", &written(handshake.clone()));
     let other = Handshake {
         name: "g3".into(),
-        classes: hello.classes ^ 1,
-        ..hello
+        classes_fingerprint: handshake.classes_fingerprint ^ 1,
+        ..handshake
     };
     golden::check("handshake-other-classes.bin", &written(other));
 }
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use eideryard::interface::Micros;
-use eideryard_discovery::{request, Item, ItemError, Malformed, Reader, StreamEvent};
+use eideryard_discovery::{request, Item, ItemError, StreamError, Reader, StreamEvent};
 
 use crate::connection::{Connection, EventLoopHandle, ReadOutcome, WakeReason, MAX_READS_PER_TURN};
 use crate::counters::Counters;
@@ -37,7 +37,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    InvalidStream(Malformed),
+    InvalidStream(StreamError),
     #[error("an event can't be read: {0}")]
     InvalidEvent(ItemError),
     #[error("event {received} came after {last}")]
@@ -205,7 +205,7 @@
             };
             let outcome = connection.read_available()?;
             let mut events = Vec::new();
-            let parsed = reader.take(connection.input.filled(), &mut events);
+            let parsed = reader.read(connection.input.filled(), &mut events);
             connection.input.clear();
             let has_ended = reader.is_over();
             if !events.is_empty() {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -92,7 +92,7 @@
             self.deadlines.next(),
             self.event_recorder.next_deadline(),
             result_spool.and_then(|result_spool| result_spool.next_deadline(now)),
-            intent_durability.and_then(|intent_durability| intent_durability.due(now)),
+            intent_durability.and_then(|intent_durability| intent_durability.deadline(now)),
         ];
         let next = next_deadlines.into_iter().flatten().min()?;
         Some(Duration::from_micros(next.saturating_sub(self.clock.now())))
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -34,7 +34,7 @@
                 if let Some(report) = self
                     .intent_durability
                     .as_mut()
-                    .and_then(|intent_durability| intent_durability.report(now, engine))
+                    .and_then(|intent_durability| intent_durability.recent_report(now, engine))
                 {
                     let (outcome, report) = (Outcome::Answered, Some(report));
                     return self.events.push_back(Event::Probed(Probed {
@@ -134,7 +134,7 @@
         self.counters.sent += 1;
         let (class, name) = (request.class, request.key.as_deref());
         let sending = match &mut self.intent_durability {
-            Some(intent_durability) => intent_durability.sends(
+            Some(intent_durability) => intent_durability.prepare_send(
                 now,
                 class,
                 name,
@@ -181,7 +181,7 @@
                 };
                 self.intent_durability
                     .iter_mut()
-                    .for_each(|intent_durability| intent_durability.waits(now, waiting));
+                    .for_each(|intent_durability| intent_durability.add_pending_send(now, waiting));
             }
         }
     }
@@ -245,16 +245,21 @@
         let Some(intent_durability) = &mut self.intent_durability else {
             return;
         };
-        if intent_durability.wants_lessons(now) {
-            intent_durability.learns(now, &self.balancer.learned_state());
+        if intent_durability.is_checkpoint_due(now) {
+            intent_durability.save_checkpoint(now, &self.balancer.learned_state());
         }
-        let (Ready { go, late, earlier }, words) =
-            (intent_durability.work(now), intent_durability.words());
+        let (Ready { go, late, earlier }, words) = (
+            intent_durability.poll(now),
+            intent_durability.take_fleet_events(),
+        );
         for word in words.into_iter() {
             self.event_recorder.record_host(now, &Host::Fleet(word));
         }
-        let (drains, hints) = (intent_durability.drains(), intent_durability.hints());
-        let (probes, reports) = intent_durability.probes(now);
+        let (drains, hints) = (
+            intent_durability.take_drains(),
+            intent_durability.take_peer_hint(),
+        );
+        let (probes, reports) = intent_durability.take_probe_work(now);
         let nothing = probes.is_empty()
             && reports.is_empty()
             && go.is_empty()
@@ -303,7 +308,7 @@
                 .get(request)
                 .zip(self.intent_durability.as_ref());
             if own.is_none_or(|(own, intent_durability)| {
-                intent_durability.in_time(now, own.class, &own.prior_attempts)
+                intent_durability.is_within_window(now, own.class, &own.prior_attempts)
             }) {
                 self.dispatch(now, request, attempt, engine, give_up_at);
             } else {
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -37,7 +37,7 @@
                     if let (Some(intent_durability), Some(report)) =
                         (&mut self.intent_durability, &report)
                     {
-                        intent_durability.reported(now, engine, report);
+                        intent_durability.publish_report(now, engine, report);
                     }
                     self.events.push_back(Event::Probed(Probed {
                         engine,
@@ -128,7 +128,7 @@
                     Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent
                 );
                 let key = request.key.as_deref();
-                intent_durability.ended(now, request.class, key, never_ran);
+                intent_durability.on_attempt_ended(now, request.class, key, never_ran);
             }
         }
         self.counters.attempts.count(end.outcome);
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -65,7 +65,7 @@
             self.forget_engines();
         }
         if let Some(intent_durability) = &mut self.intent_durability {
-            intent_durability.engines(self.clock.now());
+            intent_durability.update_lease_tasks(self.clock.now());
         }
     }
 
@@ -80,7 +80,7 @@
         self.record_endpoint(endpoint, discovered);
         if let Some(intent_durability) = &mut self.intent_durability {
             self.last_endpoints.insert(endpoint.engine, *endpoint);
-            intent_durability.listed(endpoint.engine, endpoint.zone, endpoint.cell);
+            intent_durability.set_place(endpoint.engine, endpoint.zone, endpoint.cell);
         }
         self.with_engines(|engines, context| {
             engines.update_endpoint(endpoint.engine, address, endpoint.booted_at, context);
@@ -109,7 +109,7 @@
         self.last_endpoints
             .retain(|&engine, _| engines.contains(engine));
         if let Some(intent_durability) = &mut self.intent_durability {
-            intent_durability.forget_engines(|engine| engines.contains(engine));
+            intent_durability.retain_engines(|engine| engines.contains(engine));
         }
     }
 
@@ -129,12 +129,13 @@
             booted_at: endpoint.booted_at,
             gone: endpoint.phase == Phase::Removed,
         });
-        intent_durability.drained(now, drains.collect());
+        intent_durability.publish_drains(now, drains.collect());
         for endpoint in endpoints {
             if endpoint.phase != Phase::Ready {
                 continue;
             }
-            let binding = intent_durability.binds(endpoint.engine, endpoint.booted_at, number);
+            let binding =
+                intent_durability.binding_drain(endpoint.engine, endpoint.booted_at, number);
             if binding.is_some() {
                 endpoint.phase = Phase::Draining;
             }
@@ -156,7 +157,8 @@
             if endpoint.phase != Phase::Ready {
                 continue;
             }
-            let binding = intent_durability.binds(endpoint.engine, endpoint.booted_at, number);
+            let binding =
+                intent_durability.binding_drain(endpoint.engine, endpoint.booted_at, number);
             if binding.is_some() {
                 endpoint.phase = Phase::Draining;
                 draining.push(*endpoint);
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -137,7 +137,7 @@
     pub fn finish(&mut self) {
         let now = self.clock.now();
         if let Some(intent_durability) = &mut self.intent_durability {
-            intent_durability.learns(now, &self.balancer.learned_state());
+            intent_durability.save_checkpoint(now, &self.balancer.learned_state());
         }
         self.record_connection_changes();
         let counters = self
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -127,7 +127,7 @@
         let now = self.clock.now();
         match &mut self.intent_durability {
             Some(intent_durability) => {
-                intent_durability.arrives(now, call.class, call.key.as_deref(), call.is_retry)
+                intent_durability.admit_request(now, call.class, call.key.as_deref(), call.is_retry)
             }
             None => Ok(Vec::new()),
         }
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -17,7 +17,7 @@
         self.event_recorder.record_host(now, &Host::Stopping);
         self.clients.is_healthy = false;
         if let Some(intent_durability) = &mut self.intent_durability {
-            intent_durability.hands_over(now);
+            intent_durability.release_leases(now);
         }
         for phase_start in self.shutdown.phase_starts() {
             self.deadlines.set(phase_start, Deadline::Shutdown);
--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -106,7 +106,7 @@
         let Some(intent_durability) = &mut self.intent_durability else {
             return;
         };
-        if let Some((learned, age)) = intent_durability.lessons() {
+        if let Some((learned, age)) = intent_durability.take_restored_state() {
             self.events
                 .push_back(Event::CheckpointRestored { learned, age });
         }
