--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,9 +1,10 @@
-//! One clock for the module and the host: monotonic, fixed to Unix time at the start, in
-//! microseconds. Times that the protocol gives as Unix times are on it as they are.
+//! The clock of the balancer and of the main loop: monotonic, set to Unix time at the start, in
+//! microseconds. Times that the protocol states as Unix times are used as they are.
 
 use eideryard::interface::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// A clock that was started once for the process; copies show the same time.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -11,6 +12,7 @@
 }
 
 impl Clock {
+    /// Starts a clock at the system's present time.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -21,6 +23,7 @@
         }
     }
 
+    /// The present time.
     pub fn now(&self) -> Micros {
         self.started_at + self.started.elapsed().as_micros() as Micros
     }
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use eideryard::interface::Micros;
-use eideryard_discovery::{request, Item, ItemError, StreamError, Reader, StreamEvent};
+use eideryard_discovery::{request, Item, ItemError, Reader, StreamError, StreamEvent};
 
 use crate::connection::{Connection, EventLoopHandle, ReadOutcome, WakeReason, MAX_READS_PER_TURN};
 use crate::counters::Counters;
--- a/crates/gateway/src/error_reply.rs
+++ b/crates/gateway/src/error_reply.rs
@@ -4,6 +4,9 @@
 use eideryard::interface::Micros;
 use eideryard_msgpack_rpc::write_error;
 
+#[cfg(test)]
+mod tests;
+
 const MICROS_PER_MS: Micros = 1000;
 
 /// The kind of an error.
--- /dev/null
+++ b/crates/gateway/src/error_reply/tests.rs
@@ -0,0 +1,50 @@
+//! Words and fields of errors on the wire.
+
+use eideryard_msgpack_rpc::write_error;
+
+use super::*;
+
+fn written(reply: &ErrorReply<'_>) -> Vec<u8> {
+    let mut output = Vec::new();
+    reply.write(&mut output, 7);
+    output
+}
+
+fn expected(word: &str, fields: &[(&str, &str)]) -> Vec<u8> {
+    let mut output = Vec::new();
+    write_error(&mut output, 7, word, fields);
+    output
+}
+
+#[test]
+fn each_kind_of_error_has_its_word_on_the_wire() {
+    let words = [
+        (ErrorKind::TryLater, "TryLater"),
+        (ErrorKind::Failed, "Failed"),
+        (ErrorKind::Invalid, "Invalid"),
+        (ErrorKind::Gone, "Gone"),
+        (ErrorKind::Forged, "Forged"),
+    ];
+    for (kind, word) in words {
+        assert_eq!(written(&ErrorReply::new(kind)), expected(word, &[]));
+    }
+}
+
+#[test]
+fn reason_comes_before_the_delay_in_milliseconds() {
+    let reply = ErrorReply {
+        retry_after: Some(1_250_999),
+        ..ErrorReply::with_reason(ErrorKind::TryLater, "full")
+    };
+    let fields = [("why", "full"), ("w", "1250")];
+    assert_eq!(written(&reply), expected("TryLater", &fields));
+}
+
+#[test]
+fn invalid_request_is_answered_with_the_name_of_its_field() {
+    let reply = ErrorReply {
+        field: Some("d"),
+        ..ErrorReply::new(ErrorKind::Invalid)
+    };
+    assert_eq!(written(&reply), expected("Invalid", &[("field", "d")]));
+}
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -11,7 +11,7 @@
 
 use eideryard::balancer::Balancer;
 use eideryard::interface::{Action, Endpoint, EngineId, Event, Micros, Outcome, Probed};
-use eideryard_event_log::{AnswerKind, Host, ListedEngine, RejectReason};
+use eideryard_event_log::{Host, ListedEngine};
 
 use crate::clients::{ClientContext, ClientEvent, Clients};
 use crate::clock::Clock;
@@ -52,7 +52,7 @@
     discovery: DiscoveryWatch,
     requests: Requests,
     names: Names,
-    pub counters: Counters,
+    counters: Counters,
     event_recorder: EventRecorder,
     result_spool: Option<Box<ResultSpoolDriver>>,
     intent_durability: Option<Box<IntentDurability>>,
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -1,9 +1,13 @@
 //! The way of an engine's answers: results go to clients, the ends of attempts to the balancer.
 
-use eideryard::interface::AttemptEnded;
+use eideryard::interface::{AttemptEnded, Event, Outcome, Probed};
+use eideryard_event_log::AnswerKind;
 use eideryard_msgpack_rpc::write_result;
 
-use super::*;
+use super::Gateway;
+use crate::engines::{AttemptEnd, EngineContext, EngineEvent};
+use crate::error_reply::{ErrorKind, ErrorReply};
+use crate::table::Key;
 
 impl Gateway {
     pub(super) fn handle_engine_events(&mut self) {
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -1,11 +1,14 @@
 //! The way of an update of the engines: from service discovery and from peers to the balancer and
 //! to the connections.
 
-use eideryard::interface::Phase;
+use std::collections::BTreeSet;
+
+use eideryard::interface::{Endpoint, EngineId, Event, Micros, Phase};
 use eideryard_discovery::{DiscoveredEngine, Item, State};
+use eideryard_event_log::{Host, ListedEngine};
 use eideryard_replication::drains::Drain;
 
-use super::*;
+use super::Gateway;
 use crate::engines::parse_address;
 use crate::requests::index_of;
 use crate::shutdown::Phase as ShutdownPhase;
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -1,11 +1,13 @@
 //! What goes to the event log, to the store at the end, and to the log.
 
+use eideryard::interface::EngineId;
 use eideryard_discovery::Item;
-use eideryard_event_log::{Offer, OpenRequest};
+use eideryard_event_log::{AnswerKind, Host, Offer, OpenRequest, RejectReason};
 
-use super::*;
+use super::{DiscoveryState, Gateway};
 use crate::clients::ConnectionChange;
 use crate::requests::{Request, RequestLabels};
+use crate::table::Key;
 
 impl Gateway {
     /// The span of log lines about a request.
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -1,12 +1,16 @@
 //! The way of a request from a client's connection into a slot of the table, or to an immediate
 //! answer.
 
-use eideryard::interface::{PriorAttempt, Request};
+use eideryard::interface::{Event, PriorAttempt, Request};
+use eideryard_event_log::{AnswerKind, Host, RejectReason};
 use eideryard_intent_log::state::RETRY_AFTER;
 
-use super::*;
+use super::Gateway;
+use crate::clients::ClientEvent;
+use crate::error_reply::{ErrorKind, ErrorReply};
 use crate::requests::{Call, CallError, InsertError, RequestLabels};
 use crate::result_spool::{ResultOwner, Waiter};
+use crate::table::Key;
 
 /// The number that a client gave a request on its connection.
 #[derive(Clone, Copy)]
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -1,10 +1,14 @@
 //! The way of spooled results: pages arrive from engines, clients query them.
 
+use eideryard::interface::Event;
+use eideryard_event_log::{AnswerKind, Host};
 use eideryard_msgpack_rpc::write_part;
 
-use super::*;
+use super::Gateway;
 use crate::clients::ResultQuery;
+use crate::error_reply::{ErrorKind, ErrorReply};
 use crate::result_spool::{Delivery, ResultPart, Waiter};
+use crate::table::Key;
 
 impl Gateway {
     /// The client of a request whose result is spooled has gone: the run goes on, for when the
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -1,8 +1,11 @@
 //! Graceful shutdown of the gateway, in the phases of [`Shutdown`].
 
-use eideryard::interface::end_tag;
+use eideryard::interface::{end_tag, Event};
+use eideryard_event_log::Host;
 
-use super::*;
+use super::Gateway;
+use crate::clients::Clients;
+use crate::deadlines::Deadline;
 use crate::shutdown::{Phase, Remaining, ShutdownStep};
 
 impl Gateway {
--- a/crates/gateway/src/requests/tests.rs
+++ b/crates/gateway/src/requests/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn fields_are_read_in_their_units_and_what_cannot_be_used_is_named() {
+fn fields_are_read_in_their_units_and_invalid_ones_are_named() {
     let statement = b"COPY sales_17.orders";
     let call = Call::read(&names(), "load", &FIELDS, statement).unwrap();
     assert_eq!((call.class, call.tenant, call.wait), (1, 0, 1_500_000));
@@ -51,7 +51,8 @@
         .iter()
         .flat_map(|(name, values)| values.iter().map(move |v| (name, *v)))
     {
-        let fields = FIELDS.map(|(own, usual)| (own, if own == *name { value } else { usual }));
+        let fields =
+            FIELDS.map(|(field, usual)| (field, if field == *name { value } else { usual }));
         assert_eq!(
             Call::read(&names(), "load", &fields, statement)
                 .unwrap_err()
@@ -63,7 +64,7 @@
     let missing = |left_out: &str| {
         let fields: Vec<_> = FIELDS
             .into_iter()
-            .filter(|(own, _)| *own != left_out)
+            .filter(|(field, _)| *field != left_out)
             .collect();
         Call::read(&names(), "load", &fields, statement)
     };
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn bounds_are_finite_also_where_the_settings_tell_none() {
+fn bounds_are_finite_where_the_settings_state_none() {
     let tree = eideryard_settings::SettingsTree::from_pairs([
         ("grades.count", "1"),
         ("grades.0.name", "report"),
@@ -107,7 +108,8 @@
         ("ram", "inf"),
         ("ram", "1e300"),
     ] {
-        let fields = FIELDS.map(|(own, usual)| (own, if own == name { value } else { usual }));
+        let fields =
+            FIELDS.map(|(field, usual)| (field, if field == name { value } else { usual }));
         assert_eq!(
             Call::read(&names, "report", &fields, b"SELECT 1")
                 .unwrap_err()
@@ -120,11 +122,11 @@
 }
 
 #[test]
-fn an_id_is_taken_once_and_what_is_kept_of_them_has_a_bound() {
+fn id_is_accepted_once_and_remembered_ids_are_bounded() {
     let mut requests = Requests::new(1);
     let client = Table::new().insert(());
     let read = |id: &str| {
-        let fields = FIELDS.map(|(own, usual)| (own, if own == "i" { id } else { usual }));
+        let fields = FIELDS.map(|(field, usual)| (field, if field == "i" { id } else { usual }));
         Call::read(&names(), "load", &fields, b"COPY sales_17.orders").unwrap()
     };
     let first = requests.insert(client, 1, 0, 0, read(ID)).unwrap();
@@ -164,12 +166,12 @@
 }
 
 #[test]
-fn statements_have_a_bound_for_all_together() {
+fn bytes_of_all_statements_are_bounded() {
     let mut requests = Requests::new(1);
     let client = Table::new().insert(());
     let long = vec![b' '; 50_000];
     let insert = |requests: &mut Requests, id: &str| {
-        let fields = FIELDS.map(|(own, usual)| (own, if own == "i" { id } else { usual }));
+        let fields = FIELDS.map(|(field, usual)| (field, if field == "i" { id } else { usual }));
         requests.insert(
             client,
             1,
