--- a/crates/gateway/src/engines/writing.rs
+++ b/crates/gateway/src/engines/writing.rs
@@ -41,7 +41,7 @@
         }
         let mut has_cancelled = false;
         for attempt in unsent {
-            // A retired connection leads to where the engine no longer is, or to nobody.
+            // A retired connection leads to an address that the engine has left.
             let is_allowed = !connection.is_retired
                 && may_begin
                     .as_mut()
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -110,7 +110,12 @@
         }
     }
 
-    /// Records the end of a request that was taken.
+    /// Records the end of a request that was taken and got no answer.
+    pub(super) fn record_unanswered(&mut self, key: Key, kind: AnswerKind) {
+        self.record_answer(key, kind, false);
+    }
+
+    /// Records the answer of a request that was taken.
     pub(super) fn record_answer(&mut self, key: Key, kind: AnswerKind, is_late: bool) {
         let Some(request) = self.requests.get(key) else {
             return;
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -246,7 +246,7 @@
     /// Nobody waits for the answer of this request any more.
     fn handle_client_left(&mut self, key: Key, kind: AnswerKind) {
         self.end_spooled_run(key, ErrorKind::TryLater);
-        self.record_answer(key, kind, false);
+        self.record_unanswered(key, kind);
         if let Some(request) = self.requests.get_mut(key) {
             request.is_answered = true;
             self.events.push_back(Event::ClientLeft {
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -11,8 +11,8 @@
 use crate::table::Key;
 
 impl Gateway {
-    /// The client of a request whose result is spooled has gone: the run goes on, for when the
-    /// client asks again. False: the request isn't spooled.
+    /// The client of a request whose result is spooled has disconnected: the run continues, so that
+    /// the client can ask for its result later. False: the request isn't spooled.
     pub(super) fn detach_spooled_request(&mut self, key: Key) -> bool {
         let Some(request) = self.requests.get_mut(key) else {
             return false;
@@ -24,7 +24,7 @@
         if let Some(result_spool) = &mut self.result_spool {
             result_spool.detach(key.number(), &Waiter::of_request(request));
         }
-        self.record_answer(key, AnswerKind::Lost, false);
+        self.record_unanswered(key, AnswerKind::Lost);
         true
     }
 
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -9,8 +9,8 @@
     std::iter::from_fn(|| shutdown.next_step(now, remaining)).collect()
 }
 
-/// What can happen, in any order: the signal, again, time that passes, and what is left comes and
-/// goes.
+/// What can happen, in any order: the signal, a second one, time that passes, and requests and
+/// connections that end or begin.
 #[derive(Clone, Copy)]
 enum Happening {
     Signal,
@@ -18,77 +18,108 @@
     Remain(usize, usize),
 }
 
+const HAPPENINGS: [Happening; 7] = [
+    Happening::Signal,
+    Happening::Signal,
+    Happening::Pass(300_000),
+    Happening::Pass(500_000),
+    Happening::Remain(0, 0),
+    Happening::Remain(0, 2),
+    Happening::Remain(1, 1),
+];
+
+/// A gateway that shuts down, with the steps that it has taken.
+struct Run {
+    shutdown: Shutdown,
+    longest_wait: u64,
+    now: u64,
+    remaining: Remaining,
+    signalled_at: Option<u64>,
+    steps: Vec<ShutdownStep>,
+}
+
+impl Run {
+    fn new(longest_wait: u64) -> Self {
+        Run {
+            shutdown: Shutdown::default(),
+            longest_wait,
+            now: START,
+            remaining: Remaining::default(),
+            signalled_at: None,
+            steps: Vec::new(),
+        }
+    }
+
+    fn apply(&mut self, happening: Happening) {
+        match happening {
+            Happening::Signal => {
+                assert_eq!(
+                    self.shutdown.begin(self.now, self.longest_wait),
+                    self.signalled_at.is_none(),
+                    "a second signal changes nothing"
+                );
+                self.signalled_at.get_or_insert(self.now);
+            }
+            Happening::Pass(time) => self.now += time,
+            Happening::Remain(requests, connections) => {
+                self.remaining = Remaining {
+                    requests,
+                    connections,
+                }
+            }
+        }
+        let new_steps = next_steps(&mut self.shutdown, self.now, self.remaining);
+        assert!(
+            self.signalled_at.is_some() || new_steps.is_empty(),
+            "nothing happens before the signal"
+        );
+        let is_last_phase = self.now >= self.shutdown.phase_starts()[2];
+        let may_exit = self.remaining == Remaining::default() || is_last_phase;
+        assert!(
+            !new_steps.contains(&ShutdownStep::Exit) || may_exit,
+            "left early with {:?} of {}",
+            self.remaining,
+            self.longest_wait
+        );
+        self.steps.extend(new_steps);
+    }
+
+    /// Whatever remains for good, the end comes before the process may be killed.
+    fn check_end(&mut self) {
+        let killed_at = self.signalled_at.unwrap() + 700_000 + self.longest_wait.min(3_000_000);
+        for phase_start in self.shutdown.phase_starts() {
+            assert!(phase_start < killed_at);
+            self.now = self.now.max(phase_start);
+            let new_steps = next_steps(&mut self.shutdown, self.now, self.remaining);
+            self.steps.extend(new_steps);
+        }
+        assert_eq!(self.shutdown.phase(), Phase::Finished);
+        let all_steps = [
+            ShutdownStep::CloseIdle,
+            ShutdownStep::AnswerOpen,
+            ShutdownStep::Exit,
+        ];
+        let without_open_requests = [ShutdownStep::CloseIdle, ShutdownStep::Exit];
+        assert!(
+            self.steps == all_steps || self.steps == without_open_requests,
+            "{:?}",
+            self.steps
+        );
+    }
+}
+
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, told from its beginning to its end"
-)]
 fn every_order_of_events_takes_the_steps_in_order_once_and_ends_in_bounded_time() {
-    let all = [
-        Happening::Signal,
-        Happening::Signal,
-        Happening::Pass(300_000),
-        Happening::Pass(500_000),
-        Happening::Remain(0, 0),
-        Happening::Remain(0, 2),
-        Happening::Remain(1, 1),
-    ];
     let mut orders = 0;
-    let mut indices: Vec<usize> = (0..all.len()).collect();
+    let mut indices: Vec<usize> = (0..HAPPENINGS.len()).collect();
     permutations(&mut indices, 0, &mut |order| {
-        for wait in [100_000, 900_000, 20_000_000] {
+        for longest_wait in [100_000, 900_000, 20_000_000] {
             orders += 1;
-            let (mut shutdown, mut now, mut remaining) =
-                (Shutdown::default(), START, Remaining::default());
-            let (mut steps, mut signalled) = (Vec::new(), None);
+            let mut run = Run::new(longest_wait);
             for &index in order {
-                match all[index] {
-                    Happening::Signal => {
-                        assert_eq!(
-                            shutdown.begin(now, wait),
-                            signalled.is_none(),
-                            "a second one is none"
-                        );
-                        signalled.get_or_insert(now);
-                    }
-                    Happening::Pass(time) => now += time,
-                    Happening::Remain(requests, connections) => {
-                        remaining = Remaining {
-                            requests,
-                            connections,
-                        }
-                    }
-                }
-                let new_steps = next_steps(&mut shutdown, now, remaining);
-                assert!(
-                    signalled.is_some() || new_steps.is_empty(),
-                    "nothing happens before the signal"
-                );
-                let may_exit =
-                    remaining == Remaining::default() || now >= shutdown.phase_starts()[2];
-                assert!(
-                    !new_steps.contains(&ShutdownStep::Exit) || may_exit,
-                    "left early with {remaining:?} of {wait}"
-                );
-                steps.extend(new_steps);
-            }
-            // Whatever is left for good, the end comes before the process may be killed.
-            let killed_at = signalled.unwrap() + 700_000 + wait.min(3_000_000);
-            for bound in shutdown.phase_starts() {
-                assert!(bound < killed_at);
-                now = now.max(bound);
-                steps.extend(next_steps(&mut shutdown, now, remaining));
+                run.apply(HAPPENINGS[index]);
             }
-            assert_eq!(shutdown.phase(), Phase::Finished);
-            let whole = [
-                ShutdownStep::CloseIdle,
-                ShutdownStep::AnswerOpen,
-                ShutdownStep::Exit,
-            ];
-            assert!(
-                steps == whole || steps == [ShutdownStep::CloseIdle, ShutdownStep::Exit],
-                "{steps:?}"
-            );
+            run.check_end();
         }
     });
     assert_eq!(orders, 3 * 5040);
@@ -108,7 +139,7 @@
 /// Requests come until 0.6 s after the signal: nothing closes before that, unless the kill comes
 /// sooner.
 #[test]
-fn closing_waits_for_the_last_clients_and_is_over_once_nothing_is_left() {
+fn closing_waits_for_the_last_clients_and_finishes_once_nothing_remains() {
     let mut shutdown = Shutdown::default();
     assert!(shutdown.begin(START, 2_000_000));
     assert_eq!(
