--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use eideryard_replication::compare::{compare, held, Held};
+use eideryard_replication::compare::{compare, read_replicas, VoterReplicas};
 use serde_json::Value;
 
 /// A status file that is older than this is of a gateway that does not run.
@@ -150,7 +150,7 @@
 
 /// Which copies differ between keepers, and why.
 pub fn copies(directories: &[PathBuf]) -> Result<(), String> {
-    let mut keepers: Vec<(String, Held)> = Vec::new();
+    let mut keepers: Vec<(String, VoterReplicas)> = Vec::new();
     for directory in directories {
         let told = read(directory)?;
         if told["keeper"] != true {
@@ -162,23 +162,28 @@
             .keys
             .iter()
             .map(|(key, value)| (&key[..], &value.bytes[..]));
-        keepers.push((told["name"].as_str().unwrap_or("?").to_string(), held(keys)));
+        keepers.push((
+            told["name"].as_str().unwrap_or("?").to_string(),
+            read_replicas(keys),
+        ));
     }
     if keepers.len() < 2 {
         return Err(
             "copies are compared between keepers: name the store-dir of two or more".into(),
         );
     }
-    let all: Vec<Held> = keepers.iter().map(|(_, held)| held.clone()).collect();
-    let (compared, differ) = compare(&all, now_ms());
+    let all: Vec<VoterReplicas> = keepers.iter().map(|(_, held)| held.clone()).collect();
+    let comparison = compare(&all, now_ms());
+    let differ = &comparison.differences;
     println!(
-        "{compared} keys at {} keepers, {} differ",
+        "{} keys at {} keepers, {} differ",
+        comparison.compared,
         keepers.len(),
         differ.len()
     );
-    for own in &differ {
+    for own in differ {
         let key: String = own.key.iter().map(|byte| format!("{byte:02x}")).collect();
-        for ((name, _), lacks) in keepers.iter().zip(&own.lacks) {
+        for ((name, _), lacks) in keepers.iter().zip(&own.missing) {
             for (origin, had) in lacks {
                 let of = format!(
                     "what start {} of {:016x} said",
--- a/crates/fleet-test/src/check/copies.rs
+++ b/crates/fleet-test/src/check/copies.rs
@@ -1,20 +1,20 @@
 //! Copies agree: what keepers hold of a key at the end is the same, unless its origin has let go of
 //! it.
 
-use eideryard_replication::compare::{compare, Held};
+use eideryard_replication::compare::{compare, VoterReplicas};
 
 use super::{About, Break, Rule, Verdict};
 
 /// Compares the replicas of one group of keepers at a time in Unix milliseconds.
-pub fn check(keepers: &[(String, Held)], now_ms: u64, verdict: &mut Verdict) {
-    let held: Vec<Held> = keepers.iter().map(|(_, held)| held.clone()).collect();
-    let (compared, differ) = compare(&held, now_ms);
-    verdict.add_to_figure("copies", compared);
-    verdict.add_to_figure("differ", differ.len() as u64);
-    for own in differ {
+pub fn check(keepers: &[(String, VoterReplicas)], now_ms: u64, verdict: &mut Verdict) {
+    let held: Vec<VoterReplicas> = keepers.iter().map(|(_, held)| held.clone()).collect();
+    let comparison = compare(&held, now_ms);
+    verdict.add_to_figure("copies", comparison.compared);
+    verdict.add_to_figure("differ", comparison.differences.len() as u64);
+    for own in comparison.differences {
         let lacks = keepers
             .iter()
-            .zip(&own.lacks)
+            .zip(&own.missing)
             .filter(|(_, lacks)| !lacks.is_empty());
         let lacks: Vec<String> = lacks
             .map(|((name, _), lacks)| format!("{name} lacks {lacks:?}"))
@@ -40,13 +40,13 @@
     fn a_keeper_that_lacks_a_record_breaks_the_rule() {
         let record = Record {
             version: 1,
-            phase: Phase::Out,
+            phase: Phase::InFlight,
             place: None,
             since: 1,
             until: 2,
             nominal_ms: 20_000,
         };
-        let held: Held = [(
+        let held: VoterReplicas = [(
             b"key".to_vec(),
             [(
                 Origin {
@@ -58,7 +58,7 @@
             .into(),
         )]
         .into();
-        let count = |other: Held| {
+        let count = |other: VoterReplicas| {
             let mut verdict = Verdict::default();
             check(
                 &[("g1".into(), held.clone()), ("g2".into(), other)],
@@ -67,6 +67,9 @@
             );
             (verdict.count(Rule::Copies), verdict.figures["differ"])
         };
-        assert_eq!((count(held.clone()), count(Held::new())), ((0, 0), (1, 1)));
+        assert_eq!(
+            (count(held.clone()), count(VoterReplicas::new())),
+            ((0, 0), (1, 1))
+        );
     }
 }
--- a/crates/fleet-test/src/run.rs
+++ b/crates/fleet-test/src/run.rs
@@ -98,7 +98,10 @@
             .keys
             .iter()
             .map(|(key, value)| (&key[..], &value.bytes[..]));
-        replicas.push((name.clone(), eideryard_replication::compare::held(keys)));
+        replicas.push((
+            name.clone(),
+            eideryard_replication::compare::read_replicas(keys),
+        ));
         for figure in ["mended", "caught_up_bytes"] {
             verdict.add_to_figure(figure, status[figure].as_u64().unwrap_or(0));
         }
--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -69,9 +69,9 @@
 pub fn micros_a_vote(entries: u64) -> f64 {
     let mut core = voter_core(0, true, entries);
     let asker = Peer::Requester(1);
-    core.link(0, asker, true);
+    core.on_link(0, asker, true);
     for number in 0..entries {
-        core.hears(number, asker, claim(number));
+        core.on_message(number, asker, claim(number));
     }
     let before = thread_time();
     for number in entries..entries + TIMED_CLAIMS {
@@ -80,7 +80,7 @@
         let Ok(Some((Frame::Message(message), _))) = frame::read::<Message>(&frame) else {
             continue;
         };
-        for answer in sent(core.hears(number, asker, message)) {
+        for answer in sent(core.on_message(number, asker, message)) {
             frame::write(&mut frame, &Frame::Message(answer));
         }
     }
@@ -90,10 +90,10 @@
 fn claim(number: u64) -> Message {
     let record = WireRecord {
         version: 1,
-        phase: Phase::Out,
+        phase: Phase::InFlight,
         place: None,
         age: 0,
-        left: KEPT,
+        remaining: KEPT,
         nominal_ms: KEPT / 1_000,
     };
     // Keys as the ledger makes them, of an even spread.
@@ -250,45 +250,45 @@
 pub fn transfer(entries: u64) -> Transfer {
     let mut giver = voter_core(0, true, entries);
     let mut taker = voter_core(1, false, entries);
-    giver.link(0, Peer::Requester(1), true);
+    giver.on_link(0, Peer::Requester(1), true);
     for number in 0..entries {
-        giver.hears(0, Peer::Requester(1), claim(number));
+        giver.on_message(0, Peer::Requester(1), claim(number));
     }
     let (mut now, mut bytes, mut over) = (0, 0, false);
     let before = thread_time();
-    taker.link(now, Peer::Voter(0), true);
+    taker.on_link(now, Peer::Voter(0), true);
     while !over && now < TRANSFER_HANGS {
         now += TRANSFER_LOOK;
-        let mut to_giver = sent(taker.work(now));
-        let mut to_taker = sent(giver.work(now));
+        let mut to_giver = sent(taker.poll(now));
+        let mut to_taker = sent(giver.poll(now));
         while let Some(message) = to_giver.pop() {
             bytes += frame_bytes(&message);
-            to_taker.extend(sent(giver.hears(now, Peer::Requester(1), message)));
+            to_taker.extend(sent(giver.on_message(now, Peer::Requester(1), message)));
         }
         for message in to_taker {
             bytes += frame_bytes(&message);
-            over |= matches!(message, Message::Part { last: true, .. });
-            taker.hears(now, Peer::Voter(0), message);
+            over |= matches!(message, Message::StatePart { is_last: true, .. });
+            taker.on_message(now, Peer::Voter(0), message);
         }
     }
     Transfer {
         bytes,
         lasts: now,
         time: thread_time() - before,
-        entries: taker.copies().len() as u64,
+        entries: taker.replicas().len() as u64,
     }
 }
 
 fn voter_core(own: usize, whole: bool, entries: u64) -> Core {
     let plan = Config {
-        keepers: 3,
-        own: Some(own),
-        longest: KEPT,
+        voters: 3,
+        voter_index: Some(own),
+        max_retention: KEPT,
         limits: Limits {
             entries: (entries + TIMED_CLAIMS) as usize,
         },
-        bytes_per_s: CATCH_UP,
-        send_without: false,
+        transfer_bytes_per_s: CATCH_UP,
+        send_without_majority: false,
     };
     Core::start(
         plan,
@@ -309,7 +309,7 @@
     for output in outputs {
         match output {
             Output::Send(_, message) => messages.push(message),
-            Output::Store { then, .. } => messages.extend(sent(then)),
+            Output::Store { after_durable, .. } => messages.extend(sent(after_durable)),
             _ => {}
         }
     }
--- a/crates/fleet-test/src/simulated.rs
+++ b/crates/fleet-test/src/simulated.rs
@@ -13,7 +13,7 @@
 use eideryard_replication::core::Counters;
 use eideryard_replication::replica_set::Limits;
 use eideryard_replication::{
-    Config, Core, Message, Origin, Output, Peer, PriorRuns, ReplicaRecord, Verdict,
+    Config, Core, Message, Origin, Output, Peer, PriorRun, PriorRuns, ReplicaRecord, Verdict,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -247,12 +247,12 @@
         disk: &BTreeMap<Vec<u8>, ReplicaRecord>,
     ) -> Core {
         let plan = Config {
-            keepers: self.size.keepers,
-            own: (at < self.size.keepers).then_some(at),
-            longest: LONGEST,
+            voters: self.size.keepers,
+            voter_index: (at < self.size.keepers).then_some(at),
+            max_retention: LONGEST,
             limits: Limits { entries: 100_000 },
-            bytes_per_s: 1 << 20,
-            send_without: false,
+            transfer_bytes_per_s: 1 << 20,
+            send_without_majority: false,
         };
         let whole = whole || self.without == Without::CatchUp;
         Core::start(
@@ -355,8 +355,8 @@
         let keepers = &self.gateways[..self.size.keepers];
         let keys: BTreeSet<&Vec<u8>> = keepers.iter().flat_map(|own| own.disk.keys()).collect();
         let print = |own: &Gateway, key: &[u8]| {
-            own.core.copies().get(key).map_or(0, |copy| {
-                eideryard_replication::replica_set::print_of(key, copy, self.time.now)
+            own.core.replicas().get(key).map_or(0, |copy| {
+                eideryard_replication::replica_set::fingerprint_of(key, copy, self.time.now)
             })
         };
         let differs = |key: &&&Vec<u8>| {
@@ -367,12 +367,12 @@
         self.figures.differ = keys.iter().filter(differs).count() as u64;
         for own in &self.gateways {
             let Counters {
-                caught_up_bytes,
-                mended,
+                transferred_bytes,
+                repaired,
                 ..
-            } = own.core.counted;
-            self.figures.caught_up_bytes += caught_up_bytes;
-            self.figures.mended += mended;
+            } = own.core.counters();
+            self.figures.caught_up_bytes += transferred_bytes;
+            self.figures.mended += repaired;
         }
         self.figures
     }
--- a/crates/fleet-test/src/simulated/events.rs
+++ b/crates/fleet-test/src/simulated/events.rs
@@ -41,7 +41,9 @@
                     } else {
                         Peer::Voter(link.1)
                     };
-                    let outputs = self.gateways[to].core.hears(self.time.now, from, message);
+                    let outputs = self.gateways[to]
+                        .core
+                        .on_message(self.time.now, from, message);
                     self.perform(to, outputs);
                 }
             }
@@ -52,7 +54,7 @@
                     return self.at(wait, Event::Look(at));
                 }
                 if self.gateways[at].up {
-                    let outputs = self.gateways[at].core.work(self.time.now);
+                    let outputs = self.gateways[at].core.poll(self.time.now);
                     self.perform(at, outputs);
                 }
                 self.at(LOOK, Event::Look(at));
--- a/crates/fleet-test/src/simulated/links.rs
+++ b/crates/fleet-test/src/simulated/links.rs
@@ -19,7 +19,7 @@
         ];
         for (at, peer) in ends {
             if self.gateways[at].up {
-                let outputs = self.gateways[at].core.link(self.time.now, peer, up);
+                let outputs = self.gateways[at].core.on_link(self.time.now, peer, up);
                 self.perform(at, outputs);
             }
         }
@@ -28,8 +28,7 @@
     pub(super) fn send(&mut self, link: (usize, usize), to_keeper: bool, message: Message) {
         let about = self.traced.map(key_of).is_some_and(|key| match &message {
             Message::Claim { key: own, .. } | Message::Update { key: own, .. } => *own == key,
-            Message::Part { entries, .. } => entries.iter().any(|entry| entry.key == key),
-            Message::Claimed { .. } | Message::NotNow { .. } => false,
+            Message::StatePart { entries, .. } => entries.iter().any(|entry| entry.key == key),
             _ => false,
         });
         if about {
@@ -70,24 +69,29 @@
                 Output::Send(Peer::Requester(asker), message) => {
                     self.send((asker as usize, at), false, message);
                 }
-                Output::Store { key, copy, then } => {
+                Output::Store {
+                    key,
+                    replica,
+                    after_durable,
+                } => {
                     let own = &mut self.gateways[at];
-                    own.unflushed.push((key, copy, then));
+                    own.unflushed.push((key, replica, after_durable));
                     if !std::mem::replace(&mut own.flushing, true) {
                         let start = own.start;
                         let takes = self.rng.random_range(300..4 * MS);
                         self.at(takes, Event::Flush { keeper: at, start });
                     }
                 }
-                Output::OwnVote { number, seen } => {
-                    let verdict = self.gateways[at]
-                        .core
-                        .own_vote(self.time.now, number, &seen);
+                Output::LocalVote { number, views } => {
+                    let verdict =
+                        self.gateways[at]
+                            .core
+                            .on_local_vote(self.time.now, number, &views);
                     self.perform(at, verdict.into_iter().collect());
                 }
                 Output::Verdict(number, verdict) => self.decided(at, number, verdict),
-                Output::Drained(_) | Output::Hints { .. } => {}
-                Output::Votes => {
+                Output::EngineDrained(_) | Output::Hints { .. } => {}
+                Output::BecameVoter => {
                     self.tell(None, || format!("{at} votes"));
                     let own = &mut self.gateways[at];
                     own.voted = true;
@@ -101,7 +105,7 @@
                         .copied()
                         .collect();
                     for link in askers.into_iter() {
-                        self.send(link, false, Message::Stands { votes: true });
+                        self.send(link, false, Message::VoterStatus { is_voting: true });
                     }
                 }
             }
--- a/crates/fleet-test/src/simulated/requests.rs
+++ b/crates/fleet-test/src/simulated/requests.rs
@@ -1,5 +1,7 @@
 //! Keyed requests: asked, claimed, sent, ended, asked again.
 
+use eideryard_replication::core::{ClaimRequest, EndedRun};
+
 use super::*;
 
 impl Fleet {
@@ -37,13 +39,13 @@
             },
         );
         let known = match self.gateways[gateway].local.get(&request) {
-            Some(own) => vec![(
-                Some(Place {
+            Some(own) => vec![PriorRun {
+                place: Some(Place {
                     zone: 0,
                     cell: own.cell,
                 }),
-                own.since,
-            )],
+                since: own.since,
+            }],
             None => PriorRuns::new(),
         };
         self.decide(request, gateway, known);
@@ -54,11 +56,11 @@
     pub(super) fn decide(&mut self, request: usize, gateway: usize, known: PriorRuns) {
         let mut cells: Vec<_> = known
             .iter()
-            .map(|(place, _)| place.map(|place| place.cell))
+            .map(|run| run.place.map(|place| place.cell))
             .collect();
         cells.sort();
         cells.dedup();
-        let since = known.iter().map(|(_, since)| *since).min();
+        let since = known.iter().map(|run| run.since).min();
         // What an engine would get after the window of the first is not sent.
         let in_time = since.is_none_or(|since| self.time.now + 50 * MS < since + WINDOW);
         let cell = match &cells[..] {
@@ -88,15 +90,15 @@
             .insert(number, (request, cell, self.time.now, known.clone()));
         let (place, keep) = (Some(Place { zone: 0, cell }), WAIT + WINDOW + SLACK);
         let since = since.unwrap_or(self.time.now);
-        let outputs = own.core.claim(
-            self.time.now,
+        let claim = ClaimRequest {
             number,
-            &key_of(request),
+            key: &key_of(request),
             place,
             since,
-            keep,
+            retention: keep,
             known,
-        );
+        };
+        let outputs = own.core.claim(self.time.now, claim);
         self.perform(gateway, outputs);
     }
 
@@ -115,13 +117,13 @@
             self.gateways[gateway].local.remove(&key);
         }
         let place = Some(Place { zone: 0, cell });
-        let outputs = self.gateways[gateway].core.ended(
-            self.time.now,
-            &key_of(key),
+        let ended = EndedRun {
+            key: &key_of(key),
             place,
-            ran,
-            WINDOW + SLACK,
-        );
+            may_have_run: ran,
+            retention: WINDOW + SLACK,
+        };
+        let outputs = self.gateways[gateway].core.on_ended(self.time.now, ended);
         self.perform(gateway, outputs);
     }
 
@@ -138,13 +140,13 @@
             Verdict::Granted if waits => {
                 let took = (self.time.now - asked) / MS;
                 self.figures.longest_claim_ms = self.figures.longest_claim_ms.max(took);
-                let since = known.iter().map(|(_, since)| *since).min();
+                let since = known.iter().map(|run| run.since).min();
                 self.dispatch(request, gateway, cell, since);
             }
             verdict => {
                 self.ended(gateway, request, cell, false);
                 match verdict {
-                    Verdict::Earlier(told) if waits => {
+                    Verdict::PriorRunsFound(told) if waits => {
                         known.extend(told);
                         self.decide(request, gateway, known);
                     }
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -55,14 +55,17 @@
         nominal_ms: AT_MS + 9_000,
     };
     ReplicaRecord::from([
-        (ORIGIN, record(1, Phase::Out, Some(PLACE))),
-        (Origin { start: 4, ..ORIGIN }, record(2, Phase::Void, None)),
+        (ORIGIN, record(1, Phase::InFlight, Some(PLACE))),
+        (
+            Origin { start: 4, ..ORIGIN },
+            record(2, Phase::NeverRan, None),
+        ),
         (
             Origin {
                 identity: 7,
                 start: 1,
             },
-            record(300, Phase::Ran, Some(PLACE)),
+            record(300, Phase::MayHaveRun, Some(PLACE)),
         ),
     ])
 }
@@ -150,10 +153,10 @@
 fn travelling() -> WireRecord {
     WireRecord {
         version: 300,
-        phase: Phase::Ran,
+        phase: Phase::MayHaveRun,
         place: Some(PLACE),
         age: 70_000,
-        left: 9_000_000,
+        remaining: 9_000_000,
         nominal_ms: AT_MS,
     }
 }
@@ -180,7 +183,7 @@
         (
             ORIGIN,
             WireRecord {
-                phase: Phase::Out,
+                phase: Phase::InFlight,
                 place: None,
                 ..record
             },
@@ -194,7 +197,7 @@
         number: 9,
         engine: 17,
         booted_at: 3,
-        gone: true,
+        is_removed: true,
     };
     let replicas = vec![
         Message::Claim {
@@ -203,46 +206,52 @@
             origin,
             record,
         },
-        Message::Claimed { number: 1, seen },
-        Message::NotNow {
+        Message::ClaimAccepted {
+            number: 1,
+            views: seen,
+        },
+        Message::ClaimRejected {
             number: 2,
-            why: ClaimRejection::CatchingUp,
+            reason: ClaimRejection::CatchingUp,
         },
-        Message::NotNow {
+        Message::ClaimRejected {
             number: 2,
-            why: ClaimRejection::Full,
+            reason: ClaimRejection::Full,
         },
         Message::Update {
             key: key.clone(),
             origin,
             record,
         },
-        Message::Updated { key, version: 300 },
-        Message::Ask {
+        Message::UpdateAcknowledged { key, version: 300 },
+        Message::StateRequest {
             number: 4,
-            prints: vec![1, u64::MAX],
+            fingerprints: vec![1, u64::MAX],
         },
-        Message::Part {
+        Message::StatePart {
             number: 4,
             entries,
-            last: true,
-            votes: false,
+            is_last: true,
+            is_voting: false,
+        },
+        Message::RetryLater {
+            number: 4,
+            delay_ms: 250,
         },
-        Message::Later { number: 4, ms: 250 },
         Message::Drains {
             drains: vec![
                 drain,
                 Drain {
-                    gone: false,
+                    is_removed: false,
                     ..drain
                 },
             ],
         },
         Message::Hints {
-            lessons: vec![1, 2, 3],
+            checkpoint: vec![1, 2, 3],
             age: 900,
         },
-        Message::Stands { votes: true },
+        Message::VoterStatus { is_voting: true },
     ];
     let (task, token, greatest) = (TASK, TOKEN, FencingToken { term: 6, owner: 1 });
     let leases = vec![
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -87,7 +87,7 @@
             number,
             engine: entry.engine,
             booted_at: entry.booted_at,
-            gone: entry.phase == Phase::Removed,
+            is_removed: entry.phase == Phase::Removed,
         });
         keeping.drained(now, told.collect());
         for entry in entries
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -478,7 +478,7 @@
         for (claim, verdict) in verdicts {
             match verdict {
                 Verdict::Granted => self.waiting.granted(claim),
-                Verdict::Earlier(told) => {
+                Verdict::PriorRunsFound(told) => {
                     let waited = self.waiting.take(claim);
                     ready
                         .earlier
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -13,7 +13,7 @@
 use eideryard_leases::{self as owners, FencingToken, Task};
 use eideryard_operator_config::FleetConfig;
 use eideryard_peer_transport::{Handshake, Hub, Peer as End, PeerEvent, State};
-use eideryard_replication::core::ClaimError;
+use eideryard_replication::core::{ClaimError, ClaimRequest, EndedRun};
 use eideryard_replication::drains::Drain;
 use eideryard_replication::replica_set::Limits;
 use eideryard_replication::{entry, Config, Core, Message, Output, Peer, PriorRuns, Verdict};
@@ -129,12 +129,12 @@
             .filter(|class| class.effect != Effect::Idempotent);
         let window = kept.map(|class| class.window).max().unwrap_or(0);
         let core = Config {
-            keepers: keepers.len(),
-            own,
-            longest: longest_wait + window + RETENTION_MARGIN,
+            voters: keepers.len(),
+            voter_index: own,
+            max_retention: longest_wait + window + RETENTION_MARGIN,
             limits: Limits { entries },
-            bytes_per_s: CATCH_UP,
-            send_without: plan.send_without,
+            transfer_bytes_per_s: CATCH_UP,
+            send_without_majority: plan.send_without,
         };
         let whole = whole && voted.as_deref() == Some(&origin.identity.to_be_bytes()[..]);
         let held = copies.len();
@@ -169,7 +169,7 @@
         if let Some(address) = hub.listens {
             tracing::info!("fleet {}: peers reach this gateway at {address}", plan.name);
         }
-        match (own, core.standing.votes()) {
+        match (own, core.is_voting()) {
             (None, _) => tracing::info!("fleet {}: no keeper; it asks {}", plan.name, keepers.join(" ")),
             (Some(_), true) => tracing::info!("fleet {}: a keeper with {held} copies; it votes", plan.name),
             (Some(_), false) => tracing::info!(
@@ -182,7 +182,7 @@
             .probes
             .then(|| LeaseDriver::start(keepers.len(), own, origin, tokens, now));
         let words = Vec::from_iter(own.map(|_| FleetEvent::Votes {
-            votes: core.standing.votes(),
+            votes: core.is_voting(),
         }));
         Ok(ReplicationDriver {
             core,
@@ -213,7 +213,7 @@
 
     /// Why no claim is taken up now, if none is.
     pub fn refuses(&self) -> Option<RejectReason> {
-        self.core.refuses().map(|why| match why {
+        self.core.claim_error().map(|why| match why {
             ClaimError::Full => RejectReason::LedgerFull,
             ClaimError::NoMajority => RejectReason::NoMajority,
         })
@@ -232,9 +232,15 @@
         self.numbers += 1;
         let since = if intent.since > 0 { intent.since } else { now };
         let (number, place) = (self.numbers, place_of(intent));
-        let outputs = self
-            .core
-            .claim(now, number, &key[1..], place, since, keep, told(known));
+        let request = ClaimRequest {
+            number,
+            key: &key[1..],
+            place,
+            since,
+            retention: keep,
+            known: told(known),
+        };
+        let outputs = self.core.claim(now, request);
         self.perform(now, outputs, worker);
         number
     }
@@ -249,7 +255,13 @@
         worker: &mut Worker,
     ) {
         let (place, ran) = (intent.and_then(place_of), intent.is_some());
-        let outputs = self.core.ended(now, &key[1..], place, ran, keep);
+        let ended = EndedRun {
+            key: &key[1..],
+            place,
+            may_have_run: ran,
+            retention: keep,
+        };
+        let outputs = self.core.on_ended(now, ended);
         self.perform(now, outputs, worker);
     }
 
@@ -262,7 +274,7 @@
                     // Who catches up hears of all promises before it has all copies, and votes.
                     if matches!(
                         message,
-                        Message::Part { last: true, .. } | Message::Stands { .. }
+                        Message::StatePart { is_last: true, .. } | Message::VoterStatus { .. }
                     ) {
                         let tokens = self.owning.as_ref().and_then(|owning| owning.tokens());
                         for told in tokens.into_iter() {
@@ -271,10 +283,14 @@
                     }
                     self.hub.tell(to_end(peer), PeerMessage::Copies(message));
                 }
-                Output::Store { key, copy, then } => {
+                Output::Store {
+                    key,
+                    replica,
+                    after_durable: then,
+                } => {
                     let (mut batch, key) = (Batch::default(), entry::stored_key(&key));
-                    match copy {
-                        Some(copy) => batch.put(key, entry::to_bytes(&copy), 0),
+                    match replica {
+                        Some(replica) => batch.put(key, entry::to_bytes(&replica), 0),
                         None => batch.remove(key),
                     }
                     // What can't be made durable is never acknowledged.
@@ -283,13 +299,15 @@
                         self.then.push_back((ticket, then.clone()));
                     }
                 }
-                Output::OwnVote { number, seen } => {
-                    outputs.extend(self.core.own_vote(now, number, &seen));
+                Output::LocalVote { number, views } => {
+                    outputs.extend(self.core.on_local_vote(now, number, &views));
                 }
                 Output::Verdict(number, verdict) => self.verdicts.push((number, verdict)),
-                Output::Drained(drain) => self.drains.push(drain),
-                Output::Hints { lessons, age } => _ = self.hints.get_or_insert((lessons, age)),
-                Output::Votes => {
+                Output::EngineDrained(drain) => self.drains.push(drain),
+                Output::Hints { checkpoint, age } => {
+                    _ = self.hints.get_or_insert((checkpoint, age));
+                }
+                Output::BecameVoter => {
                     tracing::info!("fleet {}: caught up; this keeper votes", self.fleet);
                     self.words.push(FleetEvent::Votes { votes: true });
                     let mut batch = Batch::default();
@@ -299,7 +317,10 @@
                         0,
                     );
                     let told = self.askers.keys().map(|link| {
-                        Output::Send(Peer::Requester(*link), Message::Stands { votes: true })
+                        Output::Send(
+                            Peer::Requester(*link),
+                            Message::VoterStatus { is_voting: true },
+                        )
                     });
                     let told: Vec<Output> = told.collect();
                     worker
@@ -324,7 +345,7 @@
                 peer,
                 message: PeerMessage::Owners(message),
             } => {
-                let votes = self.core.standing.votes();
+                let votes = self.core.is_voting();
                 self.owning(|own| match peer {
                     End::Requester(link) => own.hears_asker(now, link, message, votes, worker),
                     End::Voter(keeper) => own.hears_keeper(now, keeper, message, worker),
@@ -334,14 +355,14 @@
             PeerEvent::Message {
                 peer,
                 message: PeerMessage::Copies(message),
-            } => self.core.hears(now, of_end(peer), message),
+            } => self.core.on_message(now, of_end(peer), message),
             PeerEvent::Up { peer, name } => {
                 self.turned.remove(&name);
                 match peer {
                     End::Requester(link) => _ = self.askers.insert(link, name),
                     End::Voter(_) => self.does(name, State::Up, 0),
                 }
-                self.core.link(now, of_end(peer), true)
+                self.core.on_link(now, of_end(peer), true)
             }
             PeerEvent::State { peer, state, trip } => {
                 if let (End::Voter(_), Some(name)) = (peer, self.name_of(peer)) {
@@ -350,12 +371,13 @@
                 match (peer, state) {
                     (End::Requester(link), State::Gone) => {
                         self.askers.remove(&link);
-                        self.core.link(now, of_end(peer), false)
+                        self.core.on_link(now, of_end(peer), false)
                     }
                     (End::Requester(_), _) => Vec::new(),
-                    (_, state) => self
-                        .core
-                        .hears_state(now, of_end(peer), state < State::Silent),
+                    (_, state) => {
+                        self.core
+                            .on_reachability(now, of_end(peer), state < State::Silent)
+                    }
                 }
             }
             PeerEvent::Rejected { name, why } => {
@@ -410,13 +432,13 @@
             };
             self.owning(|own| own.durable(now, (task, token), outputs, worker));
         }
-        let votes = self.core.standing.votes();
+        let votes = self.core.is_voting();
         self.owning(|own| own.work(now, votes, worker));
-        if now >= self.core.due() {
-            let outputs = self.core.work(now);
+        if now >= self.core.next_deadline() {
+            let outputs = self.core.poll(now);
             self.perform(now, outputs, worker);
         }
-        let stands = self.core.majority_stands();
+        let stands = self.core.has_majority();
         if std::mem::replace(&mut self.majority, stands) != stands {
             self.words.push(FleetEvent::Majority { stands });
             tracing::info!(
@@ -436,18 +458,18 @@
 
     /// The own list says so.
     pub fn drained(&mut self, now: Micros, drains: Vec<Drain>, worker: &mut Worker) {
-        let outputs = self.core.drained(drains);
+        let outputs = self.core.on_local_drains(drains);
         self.perform(now, outputs, worker);
         // What this gateway told itself it knows.
         self.drains.clear();
     }
 
     pub fn binds(&self, engine: u32, booted_at: u64, number: u64) -> Option<Drain> {
-        self.core.binds(engine, booted_at, number)
+        self.core.overriding_drain(engine, booted_at, number)
     }
 
     pub fn learned(&mut self, now: Micros, lessons: Vec<u8>) {
-        self.core.learned(now, lessons);
+        self.core.set_hints(now, lessons);
     }
 
     /// What a peer had learned, once.
@@ -466,6 +488,6 @@
 
     pub fn due(&self, now: Micros) -> Micros {
         let owners = self.owning.as_ref().map_or(Micros::MAX, |own| own.due(now));
-        self.core.due().min(self.status_at).min(owners)
+        self.core.next_deadline().min(self.status_at).min(owners)
     }
 }
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -23,7 +23,7 @@
         let mut words: Vec<FleetEvent> = self.states.iter().map(peer).collect();
         if self.keepers.contains(&self.name) {
             words.push(FleetEvent::Votes {
-                votes: self.core.standing.votes(),
+                votes: self.core.is_voting(),
             });
         }
         words.push(FleetEvent::Majority {
@@ -33,14 +33,14 @@
     }
 
     pub fn counted(&self) -> eideryard_replication::core::Counters {
-        self.core.counted
+        self.core.counters()
     }
 
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         [
-            ("copies", self.core.copies().len()),
-            ("claims", self.core.claims().open()),
-            ("own_copies", self.core.claims().own()),
+            ("copies", self.core.replicas().len()),
+            ("claims", self.core.claims().pending()),
+            ("own_copies", self.core.claims().records()),
             ("acknowledgements", self.then.len()),
         ]
     }
@@ -57,12 +57,15 @@
             .map(|(name, (state, trip))| (name, json!({"state": state.name(), "trip_us": trip})))
             .collect();
         // As of a whole second: two keepers' files of one second can be held against each other.
-        let prints = self.core.copies().prints(now - now % 1_000_000);
+        let prints = self
+            .core
+            .replicas()
+            .range_fingerprints(now - now % 1_000_000);
         let print = prints
             .iter()
             .fold(0u64, |sum, print| sum.rotate_left(7) ^ print);
         let (core, origin) = (&self.core, self.core.origin());
-        let counted = core.counted;
+        let counted = core.counters();
         let owning = self.owning.as_ref();
         let terms = owning.map(|own| own.status(now)).unwrap_or_default();
         let owners = owning.map(|own| own.counted()).unwrap_or_default();
@@ -72,13 +75,13 @@
             "applied": owners.applied, "fenced": owners.fenced, "own_fenced": owners.turned_away,
             "name": self.name, "fleet": self.fleet, "at_ms": now / 1000,
             "identity": format!("{:016x}", origin.identity), "start": origin.start,
-            "keeper": self.keepers.contains(&self.name), "votes": core.standing.votes(),
+            "keeper": self.keepers.contains(&self.name), "votes": core.is_voting(),
             "majority": self.majority, "peers": peers, "turned": self.turned,
-            "askers": self.askers.len(), "copies": core.copies().len(), "print": format!("{print:016x}"),
-            "lagging": core.claims().lagging(), "claims": counted.claims, "granted": counted.granted,
-            "earlier": counted.earlier, "without_majority": counted.without_majority,
-            "answered": counted.answered, "turned_away": counted.turned_away, "mended": counted.mended,
-            "caught_up_bytes": counted.caught_up_bytes, "resent": counted.resent,
+            "askers": self.askers.len(), "copies": core.replicas().len(), "print": format!("{print:016x}"),
+            "lagging": core.claims().replication_lag(), "claims": counted.claims, "granted": counted.granted,
+            "earlier": counted.prior_runs_found, "without_majority": counted.without_majority,
+            "answered": counted.accepted, "turned_away": counted.rejected, "mended": counted.repaired,
+            "caught_up_bytes": counted.transferred_bytes, "resent": counted.resent,
         }))
     }
 }
--- a/crates/gateway/src/replication/translation.rs
+++ b/crates/gateway/src/replication/translation.rs
@@ -1,5 +1,7 @@
 //! Peers, places and earlier runs, as the links, the replicas and the module each name them.
 
+use eideryard_replication::PriorRun;
+
 use super::*;
 
 pub(super) fn of_end(end: End) -> Peer {
@@ -18,11 +20,11 @@
 
 /// As the module is told: nothing is known of one that may have run at several places.
 pub fn earlier(told: &PriorRuns) -> Vec<PriorAttempt> {
-    let of = |(place, since): &(Option<Place>, Micros)| match place {
+    let of = |run: &PriorRun| match run.place {
         Some(place) => PriorAttempt {
             zone: place.zone,
             cell: place.cell,
-            since: (*since).max(NO_ZERO),
+            since: run.since.max(NO_ZERO),
         },
         None => PriorAttempt {
             zone: 0,
@@ -40,7 +42,13 @@
             cell: own.cell,
         })
     };
-    earlier.iter().map(|own| (place(own), own.since)).collect()
+    earlier
+        .iter()
+        .map(|own| PriorRun {
+            place: place(own),
+            since: own.since,
+        })
+        .collect()
 }
 
 pub(super) fn place_of(intent: &Intent) -> Option<Place> {
--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -1,106 +1,127 @@
-//! When a keeper votes. One that has all that it ever acknowledged does at once. One that lost some
-//! of it, by a new, wiped, damaged or restored store, first gets what the others have, or waits
-//! until whatever it may have lost is over.
+//! When a voter may vote, and the budget of state transfers.
 //!
-//! Of N keepers a write was acknowledged by M, a majority. One that may have been among them misses
-//! nothing of it once it has heard M others that vote: of the N - 1 others at least M - 1 hold it,
-//! and M - 1 and M of N - 1 share one.
+//! A voter that has all records that it ever acknowledged votes at once. One that may have lost
+//! some, because its store is new, wiped, damaged or restored, first gets the records of the other
+//! voters, or waits until everything that it may have lost has expired.
+//!
+//! Of N voters a write was acknowledged by M, a majority. A voter that may have been among them has
+//! the write again once M others that vote have sent all their records: at least M - 1 of the N - 1
+//! others hold it, and M - 1 and M of N - 1 overlap.
 
 use std::collections::BTreeSet;
 
 use crate::Micros;
 
-/// A keeper that was asked is asked again after this, where its answer has not come.
-pub const PATIENCE: Micros = 1_000_000;
-/// Copies are compared with one other keeper's so often.
-pub const SCRUB: Micros = 3_000_000;
+/// A state request is repeated when no part of its answer has come for so long.
+pub const TRANSFER_TIMEOUT: Micros = 1_000_000;
+/// Interval between comparisons with one other voter.
+pub const SCRUB_INTERVAL: Micros = 3_000_000;
 
+/// How far this gateway is from voting.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReplicationProgress {
-    /// It has no copies for others.
-    Asker,
-    Votes,
-    CatchesUp {
-        /// What it may have lost is over then.
+    /// It is no voter: it holds no records for others.
+    Requester,
+    /// It votes.
+    Voting,
+    /// It is a voter that may lack records.
+    CatchingUp {
+        /// Time at which all that it may have lost has expired.
         until: Micros,
-        /// Keepers that vote and have sent all that they had since it asked.
-        heard: BTreeSet<usize>,
+        /// Voting voters that have sent all their records since it asked.
+        complete_from: BTreeSet<usize>,
     },
 }
 
-/// Others that one which lost its copies must hear before it votes.
-pub fn needed(keepers: usize) -> usize {
-    keepers / 2 + 1
+/// Number of other voters whose records a voter needs before it votes again.
+pub fn needed_transfers(voters: usize) -> usize {
+    voters / 2 + 1
 }
 
 impl ReplicationProgress {
-    pub fn votes(&self) -> bool {
-        *self == ReplicationProgress::Votes
+    /// Whether this gateway votes.
+    pub fn is_voting(&self) -> bool {
+        *self == ReplicationProgress::Voting
     }
 
-    /// A keeper has sent all that it had. True: now this one votes.
-    pub fn heard(&mut self, keeper: usize, votes: bool, keepers: usize) -> bool {
-        let ReplicationProgress::CatchesUp { heard, .. } = self else {
+    /// `voter` has sent all its records. Returns whether this gateway votes from now on.
+    pub fn on_transfer_complete(&mut self, voter: usize, is_voting: bool, voters: usize) -> bool {
+        let ReplicationProgress::CatchingUp { complete_from, .. } = self else {
             return false;
         };
-        if votes {
-            heard.insert(keeper);
+        if is_voting {
+            complete_from.insert(voter);
         }
-        let done = heard.len() >= needed(keepers);
-        if done {
-            *self = ReplicationProgress::Votes;
+        let is_done = complete_from.len() >= needed_transfers(voters);
+        if is_done {
+            *self = ReplicationProgress::Voting;
         }
-        done
+        is_done
     }
 
-    /// What it may have lost is over. True: now this one votes.
-    pub fn work(&mut self, now: Micros) -> bool {
-        let over = matches!(self, ReplicationProgress::CatchesUp { until, .. } if *until <= now);
-        if over {
-            *self = ReplicationProgress::Votes;
+    /// Ends catching up once all that may be lost has expired. Returns whether this gateway votes
+    /// from now on.
+    pub fn poll(&mut self, now: Micros) -> bool {
+        let has_expired =
+            matches!(self, ReplicationProgress::CatchingUp { until, .. } if *until <= now);
+        if has_expired {
+            *self = ReplicationProgress::Voting;
         }
-        over
+        has_expired
     }
 }
 
-/// Bytes of catch-up that a keeper sends a second, to all that ask together.
+/// Token bucket of bytes that a voter sends in state transfers, over all receivers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Budget {
+pub struct TransferBudget {
     bytes_per_s: u64,
-    left: u64,
-    at: Micros,
+    available: u64,
+    refilled_at: Micros,
 }
 
-/// So much may go at once after a pause.
-const BURST: u64 = 4;
+/// The bucket holds this part of a second's bytes.
+const BURSTS_PER_S: u64 = 4;
+
+/// The budget is spent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BudgetExhausted {
+    /// Delay after which to ask again, in milliseconds.
+    pub retry_after_ms: u64,
+}
 
-impl Budget {
+impl TransferBudget {
+    /// A full bucket.
     pub fn new(bytes_per_s: u64) -> Self {
-        Budget {
+        TransferBudget {
             bytes_per_s,
-            left: bytes_per_s / BURST,
-            at: 0,
+            available: bytes_per_s / BURSTS_PER_S,
+            refilled_at: 0,
         }
     }
 
-    fn fill(&mut self, now: Micros) {
-        let gained = self.bytes_per_s as u128 * u128::from(now.saturating_sub(self.at)) / 1_000_000;
+    fn refill(&mut self, now: Micros) {
+        let elapsed = u128::from(now.saturating_sub(self.refilled_at));
+        let gained = u128::from(self.bytes_per_s) * elapsed / 1_000_000;
         if gained > 0 {
-            self.left = (self.left as u128 + gained).min((self.bytes_per_s / BURST) as u128) as u64;
-            self.at = now;
+            let capacity = u128::from(self.bytes_per_s / BURSTS_PER_S);
+            self.available = (u128::from(self.available) + gained).min(capacity) as u64;
+            self.refilled_at = now;
         }
     }
 
-    /// How many bytes may go now; 0: in how many milliseconds to ask again.
-    pub fn may(&mut self, now: Micros) -> Result<usize, u64> {
-        self.fill(now);
-        match self.left {
-            0 => Err(1_000 / BURST),
-            left => Ok(left as usize),
+    /// Bytes that may be sent now.
+    pub fn available(&mut self, now: Micros) -> Result<usize, BudgetExhausted> {
+        self.refill(now);
+        match self.available {
+            0 => Err(BudgetExhausted {
+                retry_after_ms: 1_000 / BURSTS_PER_S,
+            }),
+            available => Ok(available as usize),
         }
     }
 
-    pub fn went(&mut self, bytes: usize) {
-        self.left = self.left.saturating_sub(bytes as u64);
+    /// Takes bytes that were sent.
+    pub fn spend(&mut self, bytes: usize) {
+        self.available = self.available.saturating_sub(bytes as u64);
     }
 }
--- a/crates/replication/src/claims.rs
+++ b/crates/replication/src/claims.rs
@@ -1,9 +1,10 @@
-//! What a gateway asks of the keepers before it sends: a claim is granted once a majority holds it
-//! durably and none of them knows of a run that the module was not told of.
+//! Claims of this gateway, and the records that it wrote itself.
 //!
-//! Claim and question are one message, so a first try costs one round trip. Each keeper joins a
-//! claim before it answers, and two majorities share a keeper: of two claims on a key at least one
-//! hears of the other.
+//! Before a gateway sends a request it claims the key at all voters. The claim is granted once a
+//! majority holds it durably and none of them knows of a run that the balancer was not told of.
+//! Claim and query are one message, so a first attempt costs one round trip. A voter merges a claim
+//! before it answers, and two majorities overlap in a voter: of two claims on a key at least one
+//! learns of the other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,275 +14,317 @@
 use crate::message::ClaimRejection;
 use crate::Micros;
 
-/// A claim without a majority by then is given up.
-pub const BOUND: Micros = 500_000;
-/// Ages of one run as two messages told them may differ so much.
-const JITTER: Micros = 50_000;
-/// Updates that go to a keeper in one look, where its link came up anew or it missed some.
-pub const RESENT: usize = 64;
+/// A claim without a majority after this time is given up.
+pub const CLAIM_TIMEOUT: Micros = 500_000;
+/// Two reports of the same run may differ in its start by so much.
+const REPORT_TOLERANCE: Micros = 50_000;
+/// Updates that are sent to one voter in one poll, where its link has come up or it missed some.
+pub const MAX_RESENT_UPDATES: usize = 64;
 
-/// Where a key may have run, and since when by this gateway's clock.
-pub type PriorRuns = Vec<(Option<Place>, Micros)>;
+/// A run that may have happened.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct PriorRun {
+    /// Where; `None` for several places.
+    pub place: Option<Place>,
+    /// Earliest time at which it may have run, by this gateway's clock.
+    pub since: Micros,
+}
+
+/// Runs of one key that may have happened.
+pub type PriorRuns = Vec<PriorRun>;
 
-/// What becomes of a claim.
+/// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// It may be sent.
+    /// The request may be sent.
     Granted,
-    /// The module has to be told first.
-    Earlier(PriorRuns),
-    /// What a minority told of runs that the module was not told of.
+    /// The balancer has to be told of these runs first.
+    PriorRunsFound(PriorRuns),
+    /// No majority answered; the runs that the others reported and the balancer was not told of.
     NoMajority(PriorRuns),
 }
 
+/// A claim that has no verdict yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Claim {
+struct PendingClaim {
     key: Vec<u8>,
     version: u32,
-    asked: Micros,
-    /// Keepers that hold it, and that said why not.
-    votes: BTreeSet<usize>,
-    turned: BTreeMap<usize, ClaimRejection>,
-    /// What the module was told before, and what keepers told now: place and since when.
+    requested_at: Micros,
+    /// Voters that hold the claim.
+    accepted: BTreeSet<usize>,
+    rejected: BTreeMap<usize, ClaimRejection>,
+    /// Runs that the balancer was told of.
     known: PriorRuns,
-    seen: PriorRuns,
+    /// Runs that voters reported.
+    reported: PriorRuns,
 }
 
-impl Claim {
-    /// What the module was not told, one for each place: the earliest.
-    fn untold(self) -> PriorRuns {
-        let Claim {
-            known, mut seen, ..
+impl PendingClaim {
+    /// The reported runs, the earliest of each place, if the balancer was not told of one of them.
+    fn into_unknown_runs(self) -> PriorRuns {
+        let PendingClaim {
+            known,
+            mut reported,
+            ..
         } = self;
-        let told = |place: &Option<_>, since: Micros| {
-            known
-                .iter()
-                .any(|(own, at)| own == place && *at <= since + JITTER)
+        let is_known = |run: &PriorRun| {
+            known.iter().any(|known| {
+                known.place == run.place && known.since <= run.since + REPORT_TOLERANCE
+            })
         };
-        if seen.iter().all(|(place, since)| told(place, *since)) {
+        if reported.iter().all(is_known) {
             return PriorRuns::new();
         }
-        seen.sort();
-        seen.dedup_by_key(|(place, _)| *place);
-        seen
+        reported.sort();
+        reported.dedup_by_key(|run| run.place);
+        reported
+    }
+
+    fn is_timed_out(&self, now: Micros) -> bool {
+        self.requested_at + CLAIM_TIMEOUT <= now
     }
 }
 
-/// A record of this gateway's own, until all keepers have its last version.
+/// A record that this gateway wrote, until all voters have its last version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Own {
-    pub record: Record,
-    written: Micros,
-    lacking: BTreeSet<usize>,
+struct LocalRecord {
+    record: Record,
+    written_at: Micros,
+    missing_at: BTreeSet<usize>,
 }
 
+/// Claims without a verdict, and the records that this gateway wrote.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Claims {
-    keepers: usize,
-    /// Versions of this incarnation's records: one that was forgotten here must not begin anew.
+    voters: usize,
+    /// Versions given by this incarnation, over all keys: a key that was forgotten and is claimed
+    /// again must not restart at the first version.
     versions: u32,
-    open: BTreeMap<u64, Claim>,
-    own: BTreeMap<Vec<u8>, Own>,
-    /// Own keys that each keeper lacks.
-    lacking: BTreeMap<usize, BTreeSet<Vec<u8>>>,
+    pending: BTreeMap<u64, PendingClaim>,
+    records: BTreeMap<Vec<u8>, LocalRecord>,
+    /// For each voter, the keys whose last version it does not have.
+    missing_keys: BTreeMap<usize, BTreeSet<Vec<u8>>>,
     expiry: BTreeSet<(Micros, Vec<u8>)>,
 }
 
 impl Claims {
-    pub fn new(keepers: usize) -> Self {
+    /// No claims, in a fleet with so many voters.
+    pub fn new(voters: usize) -> Self {
         Claims {
-            keepers,
+            voters,
             ..Claims::default()
         }
     }
 
+    /// Voters that make a majority.
     pub fn majority(&self) -> usize {
-        self.keepers / 2 + 1
+        self.voters / 2 + 1
     }
 
-    pub fn open(&self) -> usize {
-        self.open.len()
+    /// Number of claims without a verdict.
+    pub fn pending(&self) -> usize {
+        self.pending.len()
     }
 
-    pub fn own(&self) -> usize {
-        self.own.len()
+    /// Number of records that this gateway wrote and still holds.
+    pub fn records(&self) -> usize {
+        self.records.len()
     }
 
-    /// Keys whose last version some keeper lacks.
-    pub fn lagging(&self) -> usize {
-        self.lacking.values().map(BTreeSet::len).max().unwrap_or(0)
+    /// Largest number of keys whose last version one voter does not have.
+    pub fn replication_lag(&self) -> usize {
+        self.missing_keys
+            .values()
+            .map(BTreeSet::len)
+            .max()
+            .unwrap_or(0)
     }
 
-    /// A new version of an own record, which all keepers lack now.
+    /// Writes a new version of a record, which no voter has yet, and returns it.
     pub fn write(&mut self, now: Micros, key: &[u8], mut record: Record) -> Record {
-        let before = self.own.get(key).map(|own| own.record);
-        if let Some(before) = before {
-            record.since = record.since.min(before.since);
-            record.until = record.until.max(before.until);
-            self.expiry.remove(&(before.until, key.to_vec()));
+        if let Some(previous) = self.records.get(key).map(|local| local.record) {
+            record.since = record.since.min(previous.since);
+            record.until = record.until.max(previous.until);
+            self.expiry.remove(&(previous.until, key.to_vec()));
         }
         self.versions += 1;
         record.version = self.versions;
-        let lacking = (0..self.keepers).collect();
-        self.own.insert(
-            key.to_vec(),
-            Own {
-                record,
-                written: now,
-                lacking,
-            },
-        );
+        let local = LocalRecord {
+            record,
+            written_at: now,
+            missing_at: (0..self.voters).collect(),
+        };
+        self.records.insert(key.to_vec(), local);
         self.expiry.insert((record.until, key.to_vec()));
-        for keeper in 0..self.keepers {
-            self.lacking.entry(keeper).or_default().insert(key.to_vec());
+        for voter in 0..self.voters {
+            let missing = self.missing_keys.entry(voter).or_default();
+            missing.insert(key.to_vec());
         }
         record
     }
 
+    /// The record that this gateway wrote of a key.
     pub fn get(&self, key: &[u8]) -> Option<&Record> {
-        self.own.get(key).map(|own| &own.record)
+        self.records.get(key).map(|local| &local.record)
     }
 
-    /// A keeper has a version of an own record.
-    pub fn has(&mut self, keeper: usize, key: &[u8], version: u32) {
-        let Some(own) = self
-            .own
-            .get_mut(key)
-            .filter(|own| own.record.version <= version)
-        else {
+    /// A voter has a version of a record durably.
+    pub fn on_acknowledged(&mut self, voter: usize, key: &[u8], version: u32) {
+        let Some(local) = self.records.get_mut(key) else {
             return;
         };
-        own.lacking.remove(&keeper);
-        let done = own.lacking.is_empty() && own.record.phase != Phase::Out;
-        self.lacking.get_mut(&keeper).map(|keys| keys.remove(key));
-        if done {
-            self.forget(&key.to_vec());
+        if local.record.version > version {
+            return;
+        }
+        local.missing_at.remove(&voter);
+        let is_done = local.missing_at.is_empty() && local.record.phase != Phase::InFlight;
+        self.remove_missing(voter, key);
+        if is_done {
+            self.forget(key);
+        }
+    }
+
+    fn remove_missing(&mut self, voter: usize, key: &[u8]) {
+        if let Some(missing) = self.missing_keys.get_mut(&voter) {
+            missing.remove(key);
         }
     }
 
-    fn forget(&mut self, key: &Vec<u8>) {
-        if let Some(own) = self.own.remove(key) {
-            self.expiry.remove(&(own.record.until, key.clone()));
-            for keeper in own.lacking {
-                self.lacking.get_mut(&keeper).map(|keys| keys.remove(key));
-            }
+    fn forget(&mut self, key: &[u8]) {
+        let Some(local) = self.records.remove(key) else {
+            return;
+        };
+        self.expiry.remove(&(local.record.until, key.to_vec()));
+        for voter in local.missing_at {
+            self.remove_missing(voter, key);
         }
     }
 
-    /// What a keeper lacks of what was written up to a time, a part of it.
-    pub fn lacks(&self, keeper: usize, written: Micros) -> Vec<(Vec<u8>, Record)> {
-        let keys = self.lacking.get(&keeper).into_iter().flatten();
-        let known = keys.filter_map(|key| Some((key, self.own.get(key)?)));
-        let known = known.filter(|(_, own)| own.written <= written);
-        known
-            .take(RESENT)
-            .map(|(key, own)| (key.clone(), own.record))
+    /// Records written up to a time that a voter does not have, at most [`MAX_RESENT_UPDATES`].
+    pub fn missing_records(&self, voter: usize, written_until: Micros) -> Vec<(Vec<u8>, Record)> {
+        self.missing_keys
+            .get(&voter)
+            .into_iter()
+            .flatten()
+            .filter_map(|key| Some((key, self.records.get(key)?)))
+            .filter(|(_, local)| local.written_at <= written_until)
+            .take(MAX_RESENT_UPDATES)
+            .map(|(key, local)| (key.clone(), local.record))
             .collect()
     }
 
-    pub fn begin(&mut self, now: Micros, number: u64, key: &[u8], version: u32, known: PriorRuns) {
-        let (votes, turned, seen) = Default::default();
-        let claim = Claim {
+    /// Opens a claim for a version of a record. `known` are the runs that the balancer was told of.
+    pub fn open(&mut self, now: Micros, number: u64, key: &[u8], version: u32, known: PriorRuns) {
+        let claim = PendingClaim {
             key: key.to_vec(),
             version,
-            asked: now,
-            votes,
-            turned,
+            requested_at: now,
+            accepted: BTreeSet::new(),
+            rejected: BTreeMap::new(),
             known,
-            seen,
+            reported: PriorRuns::new(),
         };
-        self.open.insert(number, claim);
+        self.pending.insert(number, claim);
     }
 
-    /// Key and version of a claim that is open.
-    pub fn asked(&self, number: u64) -> Option<(Vec<u8>, u32)> {
-        self.open
-            .get(&number)
-            .map(|claim| (claim.key.clone(), claim.version))
+    /// Key and version of a claim without a verdict.
+    pub fn pending_version(&self, number: u64) -> Option<(Vec<u8>, u32)> {
+        let claim = self.pending.get(&number)?;
+        Some((claim.key.clone(), claim.version))
     }
 
-    /// A keeper holds a claim. A verdict, once there is one. Votes that are looked at too late, as
-    /// by a process that stood still, grant nothing: keepers may have let go of the claim by then.
-    pub fn vote(
+    /// A voter holds a claim. Returns the verdict, once there is one. A vote that is processed
+    /// after the timeout, as by a process that was stopped, grants nothing: voters may have dropped
+    /// the claim by then.
+    pub fn on_accepted(
         &mut self,
         now: Micros,
         number: u64,
-        keeper: usize,
-        seen: &[ReplicaView],
+        voter: usize,
+        views: &[ReplicaView],
     ) -> Option<Verdict> {
         let majority = self.majority();
-        let claim = self.open.get_mut(&number)?;
-        let late = claim.asked + BOUND <= now;
-        claim.votes.insert(keeper);
-        // It was told after it was asked: it may be older than that by now, never younger.
-        let told = seen
-            .iter()
-            .map(|seen| (seen.place, claim.asked.saturating_sub(seen.age)));
-        claim.seen.extend(told);
-        if late {
-            let claim = self.open.remove(&number)?;
-            return Some(Verdict::NoMajority(claim.untold()));
+        let claim = self.pending.get_mut(&number)?;
+        claim.accepted.insert(voter);
+        // The voter measured the age after the request was sent, so the run may be older than that
+        // by now, but never younger.
+        let requested_at = claim.requested_at;
+        claim.reported.extend(views.iter().map(|view| PriorRun {
+            place: view.place,
+            since: requested_at.saturating_sub(view.age),
+        }));
+        if claim.is_timed_out(now) {
+            return self.close_without_majority(number);
         }
-        if claim.votes.len() < majority {
+        if claim.accepted.len() < majority {
             return None;
         }
-        let untold = self.open.remove(&number)?.untold();
-        Some(if untold.is_empty() {
+        let unknown = self.pending.remove(&number)?.into_unknown_runs();
+        Some(if unknown.is_empty() {
             Verdict::Granted
         } else {
-            Verdict::Earlier(untold)
+            Verdict::PriorRunsFound(unknown)
         })
     }
 
-    /// A keeper doesn't answer it. A verdict, where no majority is left.
-    pub fn turned(&mut self, number: u64, keeper: usize, why: ClaimRejection) -> Option<Verdict> {
+    /// A voter rejects a claim. Returns a verdict where a majority can't be reached any more.
+    pub fn on_rejected(
+        &mut self,
+        number: u64,
+        voter: usize,
+        reason: ClaimRejection,
+    ) -> Option<Verdict> {
         let majority = self.majority();
-        let claim = self.open.get_mut(&number)?;
-        claim.turned.insert(keeper, why);
-        if self.keepers - claim.turned.len() >= majority {
+        let claim = self.pending.get_mut(&number)?;
+        claim.rejected.insert(voter, reason);
+        if self.voters - claim.rejected.len() >= majority {
             return None;
         }
-        let claim = self.open.remove(&number)?;
-        Some(Verdict::NoMajority(claim.untold()))
+        self.close_without_majority(number)
+    }
+
+    fn close_without_majority(&mut self, number: u64) -> Option<Verdict> {
+        let claim = self.pending.remove(&number)?;
+        Some(Verdict::NoMajority(claim.into_unknown_runs()))
     }
 
-    /// Claims that have waited for too long.
-    pub fn late(&mut self, now: Micros) -> Vec<(u64, Verdict)> {
-        let late = self
-            .open
+    /// Closes claims that are past [`CLAIM_TIMEOUT`].
+    pub fn time_out(&mut self, now: Micros) -> Vec<(u64, Verdict)> {
+        let timed_out: Vec<u64> = self
+            .pending
             .iter()
-            .filter(|(_, claim)| claim.asked + BOUND <= now);
-        let late: Vec<u64> = late.map(|(number, _)| *number).collect();
-        let ended = late
+            .filter(|(_, claim)| claim.is_timed_out(now))
+            .map(|(number, _)| *number)
+            .collect();
+        timed_out
             .into_iter()
-            .filter_map(|number| Some((number, self.open.remove(&number)?.untold())));
-        ended
-            .map(|(number, untold)| (number, Verdict::NoMajority(untold)))
+            .filter_map(|number| Some((number, self.close_without_majority(number)?)))
             .collect()
     }
 
-    /// The claim is not asked for any more.
-    pub fn drop_claim(&mut self, number: u64) {
-        self.open.remove(&number);
+    /// Drops a claim that is no longer wanted.
+    pub fn cancel(&mut self, number: u64) {
+        self.pending.remove(&number);
     }
 
-    /// Forgets own records that their keepers drop by now too.
+    /// Forgets records that voters drop by now too.
     pub fn expire(&mut self, now: Micros) {
-        while let Some((until, key)) = self
-            .expiry
-            .first()
-            .cloned()
-            .filter(|(until, _)| *until <= now)
-        {
-            self.expiry.remove(&(until, key.clone()));
+        while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
+            let Some((_, key)) = self.expiry.pop_first() else {
+                break;
+            };
             self.forget(&key);
         }
     }
 
-    pub fn due(&self) -> Option<Micros> {
-        let late = self.open.values().map(|claim| claim.asked + BOUND).min();
-        late.into_iter()
-            .chain(self.expiry.first().map(|(until, _)| *until))
-            .min()
+    /// When [`Claims::time_out`] or [`Claims::expire`] has something to do.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        let timeout = self
+            .pending
+            .values()
+            .map(|claim| claim.requested_at + CLAIM_TIMEOUT)
+            .min();
+        let expiry = self.expiry.first().map(|(until, _)| *until);
+        timeout.into_iter().chain(expiry).min()
     }
 }
--- /dev/null
+++ b/crates/replication/src/core/hints.rs
@@ -0,0 +1,73 @@
+//! What gateways tell each other without being asked: drains of engines and learned figures. Both
+//! go over the links of [`Core`] and need no vote.
+
+use super::{Core, Output, Peer};
+use crate::drains::Drain;
+use crate::message::Message;
+use crate::Micros;
+
+impl Core {
+    /// Messages to a gateway that opened a link here: whether this one votes, its drains and its
+    /// learned figures.
+    pub(super) fn greet_requester(&self, now: Micros, peer: Peer) -> Vec<Output> {
+        let status = Message::VoterStatus {
+            is_voting: self.is_voting(),
+        };
+        let mut outputs = vec![Output::Send(peer, status)];
+        outputs.extend(self.send_known_drains(peer));
+        if let Some((checkpoint, taken_at)) = &self.hints {
+            let hints = Message::Hints {
+                checkpoint: checkpoint.clone(),
+                age: now.saturating_sub(*taken_at),
+            };
+            outputs.push(Output::Send(peer, hints));
+        }
+        outputs
+    }
+
+    /// All drains that are known, if there are any.
+    pub(super) fn send_known_drains(&self, peer: Peer) -> Option<Output> {
+        let drains: Vec<Drain> = self.drains.iter().collect();
+        (!drains.is_empty()).then_some(Output::Send(peer, Message::Drains { drains }))
+    }
+
+    /// Sets this gateway's learned figures, which other gateways may take as a hint at their start.
+    pub fn set_hints(&mut self, now: Micros, checkpoint: Vec<u8>) {
+        self.hints = Some((checkpoint, now));
+    }
+
+    /// This gateway's own list drains or removes engines.
+    pub fn on_local_drains(&mut self, drains: Vec<Drain>) -> Vec<Output> {
+        self.spread_drains(drains, None)
+    }
+
+    /// Sends new drains on to all linked gateways except the one that sent them.
+    pub(super) fn spread_drains(&mut self, drains: Vec<Drain>, from: Option<Peer>) -> Vec<Output> {
+        let mut new_drains = drains;
+        new_drains.retain(|drain| self.drains.record(*drain));
+        if new_drains.is_empty() {
+            return Vec::new();
+        }
+        let mut outputs: Vec<Output> = new_drains
+            .iter()
+            .copied()
+            .map(Output::EngineDrained)
+            .collect();
+        let voters = self.reachable_voters().into_iter().map(Peer::Voter);
+        let requesters = self.requesters.iter().copied().map(Peer::Requester);
+        for peer in voters.chain(requesters) {
+            if Some(peer) == from {
+                continue;
+            }
+            let drains = new_drains.clone();
+            outputs.push(Output::Send(peer, Message::Drains { drains }));
+        }
+        outputs
+    }
+
+    /// The drain that overrides this gateway's own list; see
+    /// [`Drains::overriding`](crate::drains::Drains::overriding).
+    pub fn overriding_drain(&self, engine: u32, booted_at: u64, number: u64) -> Option<Drain> {
+        self.drains.overriding(engine, booted_at, number)
+    }
+}
--- /dev/null
+++ b/crates/replication/src/core/voting.rs
@@ -0,0 +1,242 @@
+//! Claims: those that this gateway makes, and those of others that this voter answers.
+
+use super::{ClaimError, ClaimRequest, Core, EndedRun, Output, Peer};
+use crate::claims::{PriorRuns, Verdict, CLAIM_TIMEOUT};
+use crate::entry::{self, Origin, Phase, Record, ReplicaView};
+use crate::message::{ClaimRejection, Message};
+use crate::replica_set::MergeResult;
+use crate::Micros;
+
+/// A claim of another gateway, its record by this voter's clock.
+#[derive(Clone, Copy)]
+pub(super) struct RemoteClaim<'a> {
+    pub number: u64,
+    pub key: &'a [u8],
+    pub origin: Origin,
+    pub record: Record,
+}
+
+impl Core {
+    /// Why no request that needs a claim is accepted now, if that is so.
+    pub fn claim_error(&self) -> Option<ClaimError> {
+        if self.claims.records() >= self.config.limits.entries {
+            return Some(ClaimError::Full);
+        }
+        if !self.config.send_without_majority && !self.has_majority() {
+            return Some(ClaimError::NoMajority);
+        }
+        None
+    }
+
+    /// Whether a majority of voters, as far as this gateway knows, can grant a claim.
+    pub fn has_majority(&self) -> bool {
+        let remote_votes = self
+            .voters
+            .iter()
+            .filter(|voter| voter.is_up && voter.is_voting)
+            .count();
+        let has_local_vote = self.config.voter_index.is_some() && self.is_voting();
+        remote_votes + usize::from(has_local_vote) >= self.claims.majority()
+    }
+
+    /// Claims a key before its request is sent. The verdict comes as [`Output::Verdict`].
+    pub fn claim(&mut self, now: Micros, request: ClaimRequest<'_>) -> Vec<Output> {
+        let ClaimRequest {
+            number, key, since, ..
+        } = request;
+        self.counters.claims += 1;
+        let until = now + request.retention.min(self.config.max_retention);
+        let record = Record {
+            version: 0,
+            phase: Phase::InFlight,
+            place: request.place,
+            since,
+            until,
+            nominal_ms: until / 1000,
+        };
+        let record = self.claims.write(now, key, record);
+        self.claims
+            .open(now, number, key, record.version, request.known);
+        let mut outputs = self.send_claim(now, number, key, record);
+        if let Some(voter) = self.config.voter_index {
+            outputs.extend(self.claim_locally(now, number, voter, key, record));
+        }
+        outputs
+    }
+
+    fn send_claim(&self, now: Micros, number: u64, key: &[u8], record: Record) -> Vec<Output> {
+        let mut wire_record = record.to_wire(now);
+        if record.since < now {
+            // The request is in flight already and ages while the claim waits.
+            wire_record.age += CLAIM_TIMEOUT;
+        }
+        self.reachable_voters()
+            .into_iter()
+            .map(|voter| {
+                let claim = Message::Claim {
+                    number,
+                    key: key.to_vec(),
+                    origin: self.origin,
+                    record: wire_record,
+                };
+                Output::Send(Peer::Voter(voter), claim)
+            })
+            .collect()
+    }
+
+    /// A claim of this gateway at itself, where it is a voter.
+    fn claim_locally(
+        &mut self,
+        now: Micros,
+        number: u64,
+        voter: usize,
+        key: &[u8],
+        record: Record,
+    ) -> Vec<Output> {
+        let views = self.views_of_others(key, self.origin, now);
+        if self.replicas.merge(key, self.origin, record) == MergeResult::Full {
+            return Vec::from_iter(self.on_rejection(number, voter, ClaimRejection::Full));
+        }
+        self.claims.on_acknowledged(voter, key, record.version);
+        if self.is_voting() {
+            return vec![self.store(key, vec![Output::LocalVote { number, views }])];
+        }
+        let mut outputs = vec![self.store(key, Vec::new())];
+        outputs.extend(self.on_rejection(number, voter, ClaimRejection::CatchingUp));
+        outputs
+    }
+
+    fn views_of_others(&self, key: &[u8], requester: Origin, now: Micros) -> Vec<ReplicaView> {
+        self.replicas.get(key).map_or(Vec::new(), |replica| {
+            entry::views_of_others(replica, requester, now)
+        })
+    }
+
+    /// Answers a claim of another gateway.
+    pub(super) fn on_claim(
+        &mut self,
+        now: Micros,
+        link: u64,
+        claim: RemoteClaim<'_>,
+    ) -> Vec<Output> {
+        let RemoteClaim {
+            number,
+            key,
+            origin,
+            record,
+        } = claim;
+        let reply = |message| Output::Send(Peer::Requester(link), message);
+        let views = self.views_of_others(key, origin, now);
+        if self.replicas.merge(key, origin, record) == MergeResult::Full {
+            self.counters.rejected += 1;
+            let reason = ClaimRejection::Full;
+            return vec![reply(Message::ClaimRejected { number, reason })];
+        }
+        if !self.is_voting() {
+            // The record is kept, but a voter that may lack records of others gives no vote.
+            self.counters.rejected += 1;
+            let reason = ClaimRejection::CatchingUp;
+            let rejection = reply(Message::ClaimRejected { number, reason });
+            return vec![self.store(key, Vec::new()), rejection];
+        }
+        self.counters.accepted += 1;
+        let vote = reply(Message::ClaimAccepted { number, views });
+        vec![self.store(key, vec![vote])]
+    }
+
+    /// This voter's record of its own claim is durable, as requested by [`Output::LocalVote`].
+    pub fn on_local_vote(
+        &mut self,
+        now: Micros,
+        number: u64,
+        views: &[ReplicaView],
+    ) -> Option<Output> {
+        let voter = self.config.voter_index?;
+        self.on_vote(now, number, voter, views)
+    }
+
+    pub(super) fn on_vote(
+        &mut self,
+        now: Micros,
+        number: u64,
+        voter: usize,
+        views: &[ReplicaView],
+    ) -> Option<Output> {
+        let verdict = self.claims.on_accepted(now, number, voter, views)?;
+        Some(self.decide(number, verdict))
+    }
+
+    pub(super) fn on_rejection(
+        &mut self,
+        number: u64,
+        voter: usize,
+        reason: ClaimRejection,
+    ) -> Option<Output> {
+        let verdict = self.claims.on_rejected(number, voter, reason)?;
+        Some(self.decide(number, verdict))
+    }
+
+    /// Counts a verdict, and applies the setting for claims without a majority.
+    pub(super) fn decide(&mut self, number: u64, verdict: Verdict) -> Output {
+        match verdict {
+            Verdict::Granted => self.counters.granted += 1,
+            Verdict::PriorRunsFound(_) => self.counters.prior_runs_found += 1,
+            Verdict::NoMajority(_) => self.counters.without_majority += 1,
+        }
+        let verdict = match verdict {
+            Verdict::NoMajority(runs) if self.config.send_without_majority => {
+                self.decide_without_majority(runs)
+            }
+            verdict => verdict,
+        };
+        Output::Verdict(number, verdict)
+    }
+
+    /// Runs that a minority reported are respected all the same.
+    fn decide_without_majority(&mut self, reported: PriorRuns) -> Verdict {
+        if !reported.is_empty() {
+            return Verdict::PriorRunsFound(reported);
+        }
+        self.counters.sent_without_majority += 1;
+        Verdict::Granted
+    }
+
+    /// Drops a claim that is no longer wanted. What voters hold of it is resolved by
+    /// [`Core::on_ended`].
+    pub fn cancel_claim(&mut self, number: u64) {
+        self.claims.cancel(number);
+    }
+
+    /// All attempts at a key that this gateway claimed have ended, for now.
+    pub fn on_ended(&mut self, now: Micros, ended: EndedRun<'_>) -> Vec<Output> {
+        let key = ended.key;
+        let Some(previous) = self.claims.get(key).copied() else {
+            return Vec::new();
+        };
+        let until = now + ended.retention.min(self.config.max_retention);
+        let phase = if ended.may_have_run {
+            Phase::MayHaveRun
+        } else {
+            Phase::NeverRan
+        };
+        let record = Record {
+            phase,
+            place: ended.place,
+            until,
+            nominal_ms: until / 1000,
+            ..previous
+        };
+        let record = self.claims.write(now, key, record);
+        let mut outputs = Vec::new();
+        if let Some(voter) = self.config.voter_index {
+            if self.replicas.merge(key, self.origin, record) != MergeResult::Full {
+                self.claims.on_acknowledged(voter, key, record.version);
+                outputs.push(self.store(key, Vec::new()));
+            }
+        }
+        for voter in self.reachable_voters() {
+            outputs.push(self.update(now, voter, key.to_vec(), record));
+        }
+        outputs
+    }
+}
--- a/crates/replication/src/drains.rs
+++ b/crates/replication/src/drains.rs
@@ -1,108 +1,75 @@
-//! Drains and removals of engines that any gateway has heard of: they bind all that are linked, and
-//! never allow anything. Ordered by the list's own numbers; a list that is as new says for itself.
-//! Pure.
+//! Drains and removals of engines learned from any gateway's endpoint list.
+//!
+//! They close engines at all linked gateways and never open one. Events are ordered by the number
+//! of the list that reported them; a gateway whose own list is as new follows its own list.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Engines that are remembered; with one more the one of the oldest list goes.
-pub const MOST: usize = 4096;
+/// Engines that are remembered; beyond it the entry of the oldest list is dropped.
+pub const MAX_DRAINS: usize = 4096;
 
-/// What a list said of an engine's process.
+/// What a list reported of an engine's process. Ordered by list number first; the order of fields
+/// is also the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Drain {
-    /// Of the list's event.
+    /// Number of the list's event.
     pub number: u64,
+    /// The engine.
     pub engine: u32,
-    /// Its process: another one under the name is not meant.
+    /// Start of its process: another process under the same name is not meant.
     pub booted_at: u64,
-    /// It is gone, not only to take nothing new.
-    pub gone: bool,
+    /// Whether it was removed, rather than only closed for new requests.
+    pub is_removed: bool,
 }
 
+/// The latest drain of each engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Drains {
-    known: BTreeMap<u32, Drain>,
+    latest: BTreeMap<u32, Drain>,
 }
 
 impl Drains {
-    /// True: it is news, to be passed on.
-    pub fn hears(&mut self, drain: Drain) -> bool {
-        if self
-            .known
-            .get(&drain.engine)
-            .is_some_and(|known| *known >= drain)
-        {
+    /// Records a drain. Returns whether it is new and so has to be sent on.
+    pub fn record(&mut self, drain: Drain) -> bool {
+        let latest = self.latest.get(&drain.engine);
+        if latest.is_some_and(|latest| *latest >= drain) {
             return false;
         }
-        self.known.insert(drain.engine, drain);
-        if self.known.len() > MOST {
-            let oldest = self.known.values().min().map(|own| own.engine);
-            for engine in oldest.into_iter() {
-                _ = self.known.remove(&engine);
-            }
+        self.latest.insert(drain.engine, drain);
+        if self.latest.len() > MAX_DRAINS {
+            self.remove_oldest();
         }
         true
     }
 
-    /// What binds one who has the list up to a number, of an engine that its list calls usable.
-    pub fn binds(&self, engine: u32, booted_at: u64, number: u64) -> Option<Drain> {
-        let drain = self.known.get(&engine)?;
+    fn remove_oldest(&mut self) {
+        let oldest = self.latest.values().min().map(|drain| drain.engine);
+        if let Some(engine) = oldest {
+            self.latest.remove(&engine);
+        }
+    }
+
+    /// The drain that overrides a gateway's own list up to event `number`, in which the engine is
+    /// usable.
+    pub fn overriding(&self, engine: u32, booted_at: u64, number: u64) -> Option<Drain> {
+        let drain = self.latest.get(&engine)?;
         (drain.number > number && drain.booted_at >= booted_at).then_some(*drain)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = Drain> + '_ {
-        self.known.values().copied()
+    /// All drains that are remembered.
+    pub fn iter(&self) -> impl Iterator<Item = Drain> + '_ {
+        self.latest.values().copied()
     }
 
+    /// Number of drains that are remembered.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.latest.len()
     }
 
+    /// Whether no drain is remembered.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_drain_binds_until_the_own_list_is_as_new_and_never_another_process() {
-        let drain = Drain {
-            number: 7,
-            engine: 1,
-            booted_at: 100,
-            gone: false,
-        };
-        let mut drains = Drains::default();
-        assert!(drains.hears(drain) && !drains.hears(drain));
-        assert!(
-            !drains.hears(Drain {
-                number: 6,
-                gone: true,
-                ..drain
-            }),
-            "older news is none"
-        );
-        assert_eq!(drains.binds(1, 100, 6), Some(drain));
-        assert_eq!(
-            drains.binds(1, 100, 7),
-            None,
-            "a list that is as new says for itself"
-        );
-        assert_eq!(drains.binds(1, 101, 6), None, "it started anew since");
-        assert_eq!(drains.binds(2, 100, 0), None);
-        for engine in 0..2 * MOST as u32 {
-            drains.hears(Drain {
-                number: u64::from(engine),
-                engine: 9 + engine,
-                booted_at: 1,
-                gone: true,
-            });
-        }
-        assert_eq!(drains.len(), MOST);
+        self.latest.is_empty()
     }
 }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,10 +1,12 @@
-//! What a copy holds of a key, and how two copies become one.
+//! What a replica holds of a key, how two replicas merge, and how a record is stored.
 //!
-//! A key has a record of each incarnation of a gateway that claimed it. That incarnation alone
-//! writes it, and counts its versions up, so of two the greater version is the later. Times are
-//! each copy's own: the join keeps the earliest that it may have run and the latest until which it
-//! is kept. So joins are commutative, associative and idempotent, whatever order messages came in.
+//! A key has one record for each incarnation of a gateway that claimed it. Only that incarnation
+//! writes the record, and it increases the version with each write, so the greater version is the
+//! later one. Times are local to each replica: a merge keeps the earliest time at which the request
+//! may have run and the latest time until which the record is retained. Merges are therefore
+//! commutative, associative and idempotent, whatever order messages arrive in.
 
+use std::collections::btree_map;
 use std::collections::BTreeMap;
 
 use eideryard_intent_log::Place;
@@ -12,66 +14,87 @@
 
 use crate::Micros;
 
-/// One life of a gateway's state: its store's identity and the number of the start.
+/// One incarnation of a gateway's state.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Origin {
+    /// Identity of the gateway's store.
     pub identity: u64,
+    /// Number of the start with that store.
     pub start: u64,
 }
 
-/// What is known of a run; later ones are greater.
+/// What is known of a run; later phases are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// An attempt may be out.
-    Out,
-    /// All its attempts have ended, and none ever ran.
-    Void,
-    /// It has ended, and may have run.
-    Ran,
+    /// An attempt may be in flight.
+    InFlight,
+    /// All attempts have ended, and none of them ran.
+    NeverRan,
+    /// All attempts have ended, and one of them may have run.
+    MayHaveRun,
 }
 
+/// What one incarnation did with a key, in times of the replica's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
+    /// Increases with each write of the origin.
     pub version: u32,
+    /// What is known of the run.
     pub phase: Phase,
-    /// Where; nothing: at several places, so that no engine can be relied on to drop a repeat.
+    /// Where it may have run; `None` for several places, so that no engine can be relied on to drop
+    /// a repeat.
     pub place: Option<Place>,
-    /// Since when it may have run, by this copy's clock.
+    /// Earliest time at which it may have run, in microseconds of this replica's clock.
     pub since: Micros,
-    /// This copy is dropped then, by this copy's clock.
+    /// Time at which this replica drops the record, in microseconds of its clock.
     pub until: Micros,
-    /// When its origin lets go of it, in Unix milliseconds of the origin's clock: two copies are
-    /// compared by it, nothing is decided by it.
+    /// Expiry at the origin, in Unix milliseconds of the origin's clock. Used to compare replicas,
+    /// never to decide anything.
     pub nominal_ms: u64,
 }
 
-/// A record as it travels: with ages instead of times.
+/// A record in a message: ages and durations in place of times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WireRecord {
+    /// As in [`Record`].
     pub version: u32,
+    /// As in [`Record`].
     pub phase: Phase,
+    /// As in [`Record`].
     pub place: Option<Place>,
+    /// Microseconds since it may have run.
     pub age: Micros,
-    pub left: Micros,
+    /// Microseconds for which the record is still retained.
+    pub remaining: Micros,
+    /// As in [`Record`].
     pub nominal_ms: u64,
 }
 
-/// What another one may have done with a key.
+/// What another gateway may have done with a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaView {
+    /// Where it may have run; `None` for several places.
     pub place: Option<Place>,
+    /// Microseconds since it may have run.
     pub age: Micros,
 }
 
-/// All that is known of one key.
+/// All records of one key, by their origin.
 pub type ReplicaRecord = BTreeMap<Origin, Record>;
 
 impl Record {
-    /// Two records of one origin.
-    pub fn join(self, other: Record) -> Record {
-        let order = |own: &Record| (own.version, own.phase, own.place, own.nominal_ms);
+    /// Merges two records of the same origin.
+    pub fn merge(self, other: Record) -> Record {
+        let order = |record: &Record| {
+            (
+                record.version,
+                record.phase,
+                record.place,
+                record.nominal_ms,
+            )
+        };
         let later = if order(&self) >= order(&other) {
             self
         } else {
@@ -84,74 +107,61 @@
         }
     }
 
-    pub fn travels(&self, now: Micros) -> WireRecord {
-        let Record {
-            version,
-            phase,
-            place,
-            nominal_ms,
-            ..
-        } = *self;
-        let (age, left) = (
-            now.saturating_sub(self.since),
-            self.until.saturating_sub(now),
-        );
+    /// The record as a message carries it.
+    pub fn to_wire(&self, now: Micros) -> WireRecord {
         WireRecord {
-            version,
-            phase,
-            place,
-            age,
-            left,
-            nominal_ms,
+            version: self.version,
+            phase: self.phase,
+            place: self.place,
+            age: now.saturating_sub(self.since),
+            remaining: self.until.saturating_sub(now),
+            nominal_ms: self.nominal_ms,
         }
     }
 }
 
 impl WireRecord {
-    /// By the clock of one that receives it. `asked`: since when it may have been under way, where
-    /// that is known; else it is taken for as old as it says on arrival.
-    pub fn arrives(&self, now: Micros, asked: Option<Micros>) -> Record {
-        let WireRecord {
-            version,
-            phase,
-            place,
-            nominal_ms,
-            ..
-        } = *self;
-        let since = asked.unwrap_or(now).saturating_sub(self.age);
+    /// The record by the clock of its receiver. `requested_at` is the earliest time at which the
+    /// message may have been sent, where that is known; otherwise the record is taken to be as old
+    /// as it states on arrival.
+    pub fn to_record(&self, now: Micros, requested_at: Option<Micros>) -> Record {
         Record {
-            version,
-            phase,
-            place,
-            since,
-            until: now + self.left,
-            nominal_ms,
+            version: self.version,
+            phase: self.phase,
+            place: self.place,
+            since: requested_at.unwrap_or(now).saturating_sub(self.age),
+            until: now + self.remaining,
+            nominal_ms: self.nominal_ms,
         }
     }
 }
 
-/// Joins a record into a copy. False: nothing that is compared changed.
-pub fn join(copy: &mut ReplicaRecord, origin: Origin, record: Record) -> bool {
-    match copy.entry(origin) {
-        std::collections::btree_map::Entry::Vacant(place) => {
-            place.insert(record);
+/// Merges a record into a replica record. Returns whether anything that is compared between
+/// replicas changed.
+pub fn merge(replica: &mut ReplicaRecord, origin: Origin, record: Record) -> bool {
+    match replica.entry(origin) {
+        btree_map::Entry::Vacant(vacant) => {
+            vacant.insert(record);
             true
         }
-        std::collections::btree_map::Entry::Occupied(mut place) => {
-            let joined = place.get().join(record);
-            let changed = print_of(&origin, &joined) != print_of(&origin, place.get());
-            place.insert(joined);
-            changed
+        btree_map::Entry::Occupied(mut occupied) => {
+            let merged = occupied.get().merge(record);
+            let has_changed = fingerprint(&origin, &merged) != fingerprint(&origin, occupied.get());
+            occupied.insert(merged);
+            has_changed
         }
     }
 }
 
-/// What origins other than one's own may have done, ages by this copy's clock.
-pub fn seen(copy: &ReplicaRecord, own: Origin, now: Micros) -> Vec<ReplicaView> {
-    let others = copy
+/// What origins other than `requester` may have done, with ages by this replica's clock.
+pub fn views_of_others(
+    replica: &ReplicaRecord,
+    requester: Origin,
+    now: Micros,
+) -> Vec<ReplicaView> {
+    replica
         .iter()
-        .filter(|(origin, record)| **origin != own && record.phase != Phase::Void);
-    others
+        .filter(|(origin, record)| **origin != requester && record.phase != Phase::NeverRan)
         .map(|(_, record)| ReplicaView {
             place: record.place,
             age: now.saturating_sub(record.since),
@@ -159,38 +169,40 @@
         .collect()
 }
 
-/// Of what two copies of a record must agree on: its version and what it says, not each one's
-/// times.
-pub fn print_of(origin: &Origin, record: &Record) -> u64 {
-    print_in(&[], origin, record)
+/// Fingerprint of what two replicas of a record must agree on: version, phase and place, but not
+/// each replica's times.
+pub fn fingerprint(origin: &Origin, record: &Record) -> u64 {
+    fingerprint_with_key(&[], origin, record)
 }
 
-/// The same within a table of many keys.
-pub fn print_in(key: &[u8], origin: &Origin, record: &Record) -> u64 {
-    let said = (key, origin, record.version, record.phase, record.place);
-    let bytes = postcard::to_stdvec(&said).unwrap_or_default();
+/// Fingerprint of a record within a table of many keys.
+pub fn fingerprint_with_key(key: &[u8], origin: &Origin, record: &Record) -> u64 {
+    let compared = (key, origin, record.version, record.phase, record.place);
+    let bytes = postcard::to_stdvec(&compared).unwrap_or_default();
     let hash = blake3::hash(&bytes);
     hash.as_bytes()[..8]
         .iter()
         .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-/// The key of a copy in a keeper's store: a prefix of its own, then the ledger's key without its
-/// own.
+/// Prefix of replica records among the keys of a voter's store.
 pub const PREFIX: &[u8] = b"c";
 
+/// Key of a replica record in a voter's store. `key` is the intent log's key without its prefix.
 pub fn stored_key(key: &[u8]) -> Vec<u8> {
     [PREFIX, key].concat()
 }
 
-pub fn to_bytes(copy: &ReplicaRecord) -> Vec<u8> {
-    // Plain numbers always can.
-    postcard::to_stdvec(copy).unwrap_or_default()
+/// Bytes of a replica record in the store.
+pub fn to_bytes(replica: &ReplicaRecord) -> Vec<u8> {
+    // Serialization of plain numbers does not fail.
+    postcard::to_stdvec(replica).unwrap_or_default()
 }
 
+/// Reads a replica record from the store; `None` where the bytes are not exactly one record.
 pub fn from_bytes(bytes: &[u8]) -> Option<ReplicaRecord> {
     postcard::take_from_bytes(bytes)
         .ok()
         .filter(|(_, rest)| rest.is_empty())
-        .map(|(copy, _)| copy)
+        .map(|(replica, _)| replica)
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,19 +1,56 @@
-//! Copies of intents among the gateways of a fleet: who may have sent which keyed or unsafe
-//! request, kept by a few of them, the keepers, so that a retry at another gateway is not run
-//! twice.
+//! Replication of intents among the gateways of a fleet: a few of them, the voters, remember which
+//! gateway may have sent which keyed request, so that a retry at another gateway does not run the
+//! request a second time.
 //!
-//! Pure: messages, time and what became durable in; messages, writes and verdicts out. [`entry`]
-//! has what a copy holds and how two copies join, [`replica_set`] a keeper's table of them,
-//! [`claims`] what a gateway asks of the keepers before it sends, [`anti_entropy`] when a keeper
-//! votes, [`compare`] which copies differ, and [`drains`] what was heard of engines; [`core`] joins
-//! them to one gateway's part. The same core runs in the program, in the rig's simulated fleet and
-//! in the model check.
+//! The package does no I/O. Messages, time and notices of durable writes go in; messages, writes
+//! and verdicts come out as [`Output`]. The gateway runs a [`Core`] over its links and its store;
+//! the simulated fleet of `eideryard-fleet-test` and the model check run the same one.
 //!
-//! No clock is compared with another one's: messages carry ages and durations, each receiver counts
-//! them by its own clock. Bounds: [`replica_set::Limits`], one claim for each request that waits,
-//! [`claims::BOUND`].
-
-#![expect(missing_docs, reason = "public items are still to be described")]
+//! State and its owner:
+//!
+//! - [`entry`]: what a replica holds of a key, and how two replicas merge;
+//! - [`replica_set`]: a voter's table of replica records, bounded by [`replica_set::Limits`];
+//! - [`claims`]: this gateway's claims in flight and the records that it wrote itself;
+//! - [`anti_entropy`]: whether this voter may vote, and the budget of state transfers;
+//! - [`drains`]: removals and drains of engines learned from any gateway;
+//! - [`compare`]: differences between the stores of several voters, for tools;
+//! - [`core`]: joins them to one gateway's part of the protocol ([`message`]).
+//!
+//! Clocks of different gateways are never compared: messages carry ages and durations, and each
+//! receiver counts them by its own clock.
+//!
+//! ```
+//! use eideryard_replication::core::ClaimRequest;
+//! use eideryard_replication::replica_set::Limits;
+//! use eideryard_replication::{Config, Core, Message, Origin, Output, Peer, Verdict};
+//!
+//! let config = Config {
+//!     voters: 3,
+//!     voter_index: None,
+//!     max_retention: 20_000_000,
+//!     limits: Limits { entries: 1_000 },
+//!     transfer_bytes_per_s: 1 << 20,
+//!     send_without_majority: false,
+//! };
+//! let origin = Origin { identity: 1, start: 1 };
+//! let mut core = Core::start(config, origin, true, std::iter::empty(), 0);
+//! for voter in 0..3 {
+//!     core.on_link(0, Peer::Voter(voter), true);
+//! }
+//! let request = ClaimRequest {
+//!     number: 1,
+//!     key: b"key",
+//!     place: None,
+//!     since: 0,
+//!     retention: 5_000_000,
+//!     known: Vec::new(),
+//! };
+//! assert_eq!(core.claim(0, request).len(), 3, "one message to each voter");
+//! let accepted = Message::ClaimAccepted { number: 1, views: Vec::new() };
+//! assert_eq!(core.on_message(10, Peer::Voter(0), accepted.clone()), []);
+//! let outputs = core.on_message(20, Peer::Voter(2), accepted);
+//! assert_eq!(outputs, [Output::Verdict(1, Verdict::Granted)]);
+//! ```
 
 pub mod anti_entropy;
 pub mod claims;
@@ -25,7 +62,7 @@
 pub mod replica_set;
 
 pub use crate::core::{Config, Core, Output, Peer};
-pub use claims::{PriorRuns, Verdict};
+pub use claims::{PriorRun, PriorRuns, Verdict};
 pub use entry::{Origin, Phase, Record, ReplicaRecord, ReplicaView};
 pub use message::Message;
 
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,84 +1,115 @@
-//! What gateways say to each other about copies.
+//! Messages between a gateway and the voters.
+//!
+//! They are encoded with postcard: the order of variants and fields is the format and must not
+//! change. Names are free.
 
 use serde::{Deserialize, Serialize};
 
 use crate::drains::Drain;
 use crate::entry::{Origin, ReplicaView, WireRecord};
 
-/// Why a keeper doesn't answer a claim.
+/// Why a voter rejects a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimRejection {
-    /// It came back without all that it had, and has not caught up.
+    /// It may have lost records and has not caught up yet.
     CatchingUp,
-    /// Its table of copies is full: it forgets nothing early.
+    /// Its table of replica records is full; records are never dropped early.
     Full,
 }
 
+/// A message about replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// I am about to send this; what do you know of the key?
+    /// The sender is about to run the key and asks what the voter knows of it.
     Claim {
+        /// Number of the claim at its sender.
         number: u64,
+        /// The claimed key.
         key: Vec<u8>,
+        /// Incarnation of the sender.
         origin: Origin,
+        /// The sender's record of the key.
         record: WireRecord,
     },
-    /// It is durable here, and this is what others may have done.
-    Claimed {
+    /// The claim is durable at the voter.
+    ClaimAccepted {
+        /// Number of the claim.
         number: u64,
-        seen: Vec<ReplicaView>,
+        /// What other gateways may have done with the key.
+        views: Vec<ReplicaView>,
     },
-    NotNow {
+    /// The voter gives no vote.
+    ClaimRejected {
+        /// Number of the claim.
         number: u64,
-        why: ClaimRejection,
+        /// Why.
+        reason: ClaimRejection,
     },
-    /// News of an own key; no vote is asked.
+    /// A new version of the sender's record; no vote is requested.
     Update {
+        /// The key.
         key: Vec<u8>,
+        /// Incarnation of the sender.
         origin: Origin,
+        /// The sender's record of the key.
         record: WireRecord,
     },
-    Updated {
+    /// An update is durable at the voter.
+    UpdateAcknowledged {
+        /// The key.
         key: Vec<u8>,
+        /// Version that is durable.
         version: u32,
     },
-    /// A keeper's summary, one print for each range of keys: send me what you have in those that
-    /// differ.
-    Ask {
+    /// A voter requests all entries in ranges of keys where the receiver's replicas differ.
+    StateRequest {
+        /// Number of the request at its sender.
         number: u64,
-        prints: Vec<u64>,
+        /// The sender's fingerprint of each range.
+        fingerprints: Vec<u64>,
     },
-    /// A part of it. `last`: that was all; `votes`: the one who answers has all that it ever
-    /// acknowledged.
-    Part {
+    /// A part of the answer to [`Message::StateRequest`].
+    StatePart {
+        /// Number of the request.
         number: u64,
+        /// Entries of this part.
         entries: Vec<Entry>,
-        last: bool,
-        votes: bool,
+        /// Whether this is the last part.
+        is_last: bool,
+        /// Whether the sender votes, so has all records that it ever acknowledged.
+        is_voting: bool,
     },
-    /// Ask again after this time.
-    Later {
+    /// The budget of state transfers is spent.
+    RetryLater {
+        /// Number of the request.
         number: u64,
-        ms: u64,
+        /// Delay before the next request, in milliseconds.
+        delay_ms: u64,
     },
-    /// What lists said of engines: news for whoever hears it.
+    /// Drains and removals of engines, sent on to every linked gateway.
     Drains {
+        /// All of them, or those that are new.
         drains: Vec<Drain>,
     },
-    /// What the teller has learned, as a checkpoint, and how old that is.
+    /// Learned figures of the sender, as a hint for a gateway that starts without any.
     Hints {
-        lessons: Vec<u8>,
+        /// Bytes of a checkpoint.
+        checkpoint: Vec<u8>,
+        /// Microseconds since the checkpoint was taken.
         age: u64,
     },
-    /// Whether this keeper votes: said when a link comes up and whenever it changes.
-    Stands {
-        votes: bool,
+    /// Whether the sender votes; sent when a link comes up and at each change.
+    VoterStatus {
+        /// Whether it votes.
+        is_voting: bool,
     },
 }
 
-/// A key with what is known of it.
+/// A key and all its records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
+    /// The key.
     pub key: Vec<u8>,
+    /// Records by origin.
     pub records: Vec<(Origin, WireRecord)>,
 }
--- a/crates/replication/src/replica_set.rs
+++ b/crates/replication/src/replica_set.rs
@@ -1,5 +1,5 @@
-//! A keeper's table of copies: joins, bounds, what is dropped when, prints by range, and pages of
-//! what another one lacks.
+//! A voter's table of replica records: merges, limits, expiry, fingerprints by range of keys, and
+//! pages of what another voter lacks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -8,218 +8,267 @@
 use crate::message::Entry;
 use crate::Micros;
 
-/// Ranges that a summary has a print for.
+/// Ranges of keys that have a fingerprint each.
 pub const RANGES: usize = 64;
-/// Copies that their origins let go of within this are no longer compared: another keeper may have
+/// Records that expire at their origin within this time are not compared: another voter may have
 /// dropped them already.
-pub const FADES: Micros = 1_000_000;
-/// Records of one key: each incarnation that tried it. One more is refused.
+pub const EXPIRY_MARGIN: Micros = 1_000_000;
+/// Records of one key, one for each incarnation that claimed it. A further one is rejected.
 pub const MAX_RECORDS: usize = 32;
 
+/// Estimated bytes on the wire of one record.
+const RECORD_WIRE_BYTES: usize = 40;
+/// Estimated bytes on the wire of an entry, without its key and records.
+const ENTRY_WIRE_BYTES: usize = 4;
+
+/// Bounds of a [`ReplicaSet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Keys of the whole fleet that a keeper holds.
+    /// Keys of the whole fleet that a voter holds.
     pub entries: usize,
 }
 
+/// All replica records of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicaSet {
     limits: Limits,
-    copies: BTreeMap<Vec<u8>, ReplicaRecord>,
-    /// All keys, by when they may be dropped.
+    replicas: BTreeMap<Vec<u8>, ReplicaRecord>,
+    /// All keys, by the time at which they are dropped.
     expiry: BTreeSet<(Micros, Vec<u8>)>,
-    /// Prints of all records by the second in which their origins let go of them, one for each
-    /// range: kept with every change, so that a summary costs the same however many copies there
-    /// are.
-    prints: BTreeMap<u64, Vec<u64>>,
+    /// Fingerprints of each range, by the second in which records expire at their origin. They are
+    /// updated with each change, so a summary costs the same for any number of records.
+    fingerprints: BTreeMap<u64, Vec<u64>>,
 }
 
-/// What a join did.
+/// Effect of [`ReplicaSet::merge`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeResult {
+    /// Something that is compared between replicas changed.
     Changed,
-    /// Nothing that others would see.
-    Same,
-    /// There is no room.
+    /// Nothing that is compared changed.
+    Unchanged,
+    /// There is no room; the record was not taken.
     Full,
 }
 
-fn until(copy: &ReplicaRecord) -> Micros {
-    copy.values().map(|record| record.until).max().unwrap_or(0)
+/// Position of a page of entries in the table.
+#[derive(Clone, Copy, Debug)]
+pub struct PageRequest<'a> {
+    /// For each range, whether its entries are wanted.
+    pub differing_ranges: &'a [bool],
+    /// Only keys behind this one.
+    pub after: Option<&'a [u8]>,
+    /// No further entry is begun once the page has so many bytes.
+    pub max_bytes: usize,
+}
+
+/// A page of entries.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Page {
+    /// Entries in the order of their keys.
+    pub entries: Vec<Entry>,
+    /// Whether more follow.
+    pub has_more: bool,
 }
 
 /// The range of a key.
-pub fn range(key: &[u8]) -> usize {
+pub fn range_of(key: &[u8]) -> usize {
     usize::from(blake3::hash(key).as_bytes()[0]) % RANGES
 }
 
+/// Estimated bytes of an entry on the wire.
+pub fn wire_bytes(entry: &Entry) -> usize {
+    entry.key.len() + ENTRY_WIRE_BYTES + entry.records.len() * RECORD_WIRE_BYTES
+}
+
+/// Fingerprint of what all voters should agree on of a key at a time.
+pub fn fingerprint_of(key: &[u8], replica: &ReplicaRecord, now: Micros) -> u64 {
+    replica
+        .iter()
+        .filter(|(_, record)| expiry_second(**record) >= first_compared_second(now))
+        .fold(0, |sum, (origin, record)| {
+            sum ^ entry::fingerprint_with_key(key, origin, record)
+        })
+}
+
 impl ReplicaSet {
+    /// An empty table.
     pub fn new(limits: Limits) -> Self {
         ReplicaSet {
             limits,
-            copies: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             expiry: BTreeSet::new(),
-            prints: BTreeMap::new(),
+            fingerprints: BTreeMap::new(),
         }
     }
 
+    /// Number of keys.
     pub fn len(&self) -> usize {
-        self.copies.len()
+        self.replicas.len()
     }
 
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
-        self.copies.is_empty()
+        self.replicas.is_empty()
     }
 
+    /// The replica record of a key.
     pub fn get(&self, key: &[u8]) -> Option<&ReplicaRecord> {
-        self.copies.get(key)
+        self.replicas.get(key)
     }
 
-    /// From the store, at a start. How long the keeper was away is not known: what is kept is kept
-    /// for its whole time once more, and what is dated in the future is pinned to no place.
-    pub fn restore(&mut self, key: Vec<u8>, mut copy: ReplicaRecord, longest: Micros, now: Micros) {
-        for record in copy.values_mut() {
+    /// Takes a replica record from the store at a start. For how long the voter was down is not
+    /// known: records are retained for the whole time once more, and a record dated in the future
+    /// is bound to no place.
+    pub fn restore(
+        &mut self,
+        key: Vec<u8>,
+        mut replica: ReplicaRecord,
+        max_retention: Micros,
+        now: Micros,
+    ) {
+        for record in replica.values_mut() {
             if record.since > now {
-                (record.since, record.place) = (now, None);
+                record.since = now;
+                record.place = None;
             }
-            record.until = now + longest;
+            record.until = now + max_retention;
         }
-        for (origin, record) in copy.iter() {
-            self.printed(&key, origin, record);
+        for (origin, record) in &replica {
+            self.toggle_fingerprint(&key, origin, record);
         }
-        self.expiry.insert((until(&copy), key.clone()));
-        self.copies.insert(key, copy);
+        self.expiry.insert((expires_at(&replica), key.clone()));
+        self.replicas.insert(key, replica);
     }
 
-    pub fn join(&mut self, key: &[u8], origin: Origin, record: Record) -> MergeResult {
-        let known = self.copies.get(key);
-        let full = known.map_or(self.copies.len() >= self.limits.entries, |copy| {
-            copy.len() >= MAX_RECORDS && !copy.contains_key(&origin)
-        });
-        if full {
+    /// Merges a record of an origin into the replica record of a key.
+    pub fn merge(&mut self, key: &[u8], origin: Origin, record: Record) -> MergeResult {
+        if !self.has_room_for(key, origin) {
             return MergeResult::Full;
         }
-        let copy = self.copies.entry(key.to_vec()).or_default();
-        let (before, old) = (until(copy), copy.get(&origin).copied());
-        let changed = entry::join(copy, origin, record);
-        let (after, new) = (until(copy), copy.get(&origin).copied());
-        if old.map(seconds_of) != new.map(seconds_of) || changed {
-            old.iter()
-                .chain(&new)
-                .for_each(|record| self.printed(key, &origin, record));
+        let replica = self.replicas.entry(key.to_vec()).or_default();
+        let old_expiry = expires_at(replica);
+        let old_record = replica.get(&origin).copied();
+        let has_changed = entry::merge(replica, origin, record);
+        let new_expiry = expires_at(replica);
+        let new_record = replica.get(&origin).copied();
+        if has_changed || old_record.map(expiry_second) != new_record.map(expiry_second) {
+            for record in old_record.iter().chain(&new_record) {
+                self.toggle_fingerprint(key, &origin, record);
+            }
         }
-        if before != after {
-            self.expiry.remove(&(before, key.to_vec()));
-            self.expiry.insert((after, key.to_vec()));
+        if old_expiry != new_expiry {
+            self.expiry.remove(&(old_expiry, key.to_vec()));
+            self.expiry.insert((new_expiry, key.to_vec()));
         }
-        if changed {
+        if has_changed {
             MergeResult::Changed
         } else {
-            MergeResult::Same
+            MergeResult::Unchanged
         }
     }
 
-    /// Drops what is over; gives the keys.
+    fn has_room_for(&self, key: &[u8], origin: Origin) -> bool {
+        match self.replicas.get(key) {
+            Some(replica) => replica.len() < MAX_RECORDS || replica.contains_key(&origin),
+            None => self.replicas.len() < self.limits.entries,
+        }
+    }
+
+    /// Drops what has expired, and returns its keys.
     pub fn expire(&mut self, now: Micros) -> Vec<Vec<u8>> {
-        let mut gone = Vec::new();
+        let mut expired = Vec::new();
         while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
             let Some((_, key)) = self.expiry.pop_first() else {
                 break;
             };
-            let copy = self.copies.remove(&key).unwrap_or_default();
-            for (origin, record) in copy.iter() {
-                self.printed(&key, origin, record);
+            let replica = self.replicas.remove(&key).unwrap_or_default();
+            for (origin, record) in &replica {
+                self.toggle_fingerprint(&key, origin, record);
             }
-            gone.push(key);
+            expired.push(key);
         }
-        gone
+        expired
     }
 
-    pub fn due(&self) -> Option<Micros> {
+    /// When [`ReplicaSet::expire`] has something to drop.
+    pub fn next_deadline(&self) -> Option<Micros> {
         self.expiry.first().map(|(until, _)| *until)
     }
 
-    /// One print for each range, of what is not about to be dropped.
-    pub fn prints(&self, now: Micros) -> Vec<u64> {
-        let mut prints = vec![0u64; RANGES];
-        for own in self.prints.range(lasts_from(now)..).map(|(_, own)| own) {
-            prints
-                .iter_mut()
-                .zip(own)
-                .for_each(|(sum, print)| *sum ^= print);
+    /// One fingerprint for each range, of records that are not about to expire.
+    pub fn range_fingerprints(&self, now: Micros) -> Vec<u64> {
+        let mut sums = vec![0u64; RANGES];
+        for (_, of_second) in self.fingerprints.range(first_compared_second(now)..) {
+            for (sum, fingerprint) in sums.iter_mut().zip(of_second) {
+                *sum ^= fingerprint;
+            }
         }
-        prints
+        sums
     }
 
-    /// Puts a record's print in, or takes it out: the same.
-    fn printed(&mut self, key: &[u8], origin: &Origin, record: &Record) {
-        let prints = self
-            .prints
-            .entry(seconds_of(*record))
+    /// Adds a record's fingerprint, or removes it again: both are an exclusive or.
+    fn toggle_fingerprint(&mut self, key: &[u8], origin: &Origin, record: &Record) {
+        let second = expiry_second(*record);
+        let of_second = self
+            .fingerprints
+            .entry(second)
             .or_insert_with(|| vec![0; RANGES]);
-        prints[range(key)] ^= entry::print_in(key, origin, record);
-        if prints.iter().all(|print| *print == 0) {
-            self.prints.remove(&seconds_of(*record));
+        of_second[range_of(key)] ^= entry::fingerprint_with_key(key, origin, record);
+        if of_second.iter().all(|fingerprint| *fingerprint == 0) {
+            self.fingerprints.remove(&second);
         }
     }
 
-    /// The next entries, behind a key, of ranges whose prints differ from another one's; up to so
-    /// many bytes, and whether there are more.
-    pub fn page(
-        &self,
-        differ: &[bool],
-        behind: Option<&[u8]>,
-        bytes: usize,
-        now: Micros,
-    ) -> (Vec<Entry>, bool) {
-        if !differ.contains(&true) {
-            return (Vec::new(), false);
+    /// The next entries of ranges that differ from another voter's.
+    pub fn page(&self, request: PageRequest<'_>, now: Micros) -> Page {
+        let mut page = Page {
+            entries: Vec::new(),
+            has_more: false,
+        };
+        if !request.differing_ranges.contains(&true) {
+            return page;
         }
-        let from = behind.map_or(Bound::Unbounded, Bound::Excluded);
-        let (mut entries, mut size) = (Vec::new(), 0);
-        for (key, copy) in self.copies.range::<[u8], _>((from, Bound::Unbounded)) {
-            if !differ.get(range(key)).copied().unwrap_or(true) {
+        let first = request.after.map_or(Bound::Unbounded, Bound::Excluded);
+        let mut page_bytes = 0;
+        for (key, replica) in self.replicas.range::<[u8], _>((first, Bound::Unbounded)) {
+            let is_wanted = request.differing_ranges.get(range_of(key)).copied();
+            if !is_wanted.unwrap_or(true) {
                 continue;
             }
-            if size >= bytes {
-                return (entries, true);
+            if page_bytes >= request.max_bytes {
+                page.has_more = true;
+                return page;
             }
-            let records = copy
+            let records = replica
                 .iter()
-                .map(|(origin, record)| (*origin, record.travels(now)))
+                .map(|(origin, record)| (*origin, record.to_wire(now)))
                 .collect();
             let entry = Entry {
                 key: key.clone(),
                 records,
             };
-            size += cost(&entry);
-            entries.push(entry);
+            page_bytes += wire_bytes(&entry);
+            page.entries.push(entry);
         }
-        (entries, false)
+        page
     }
 }
 
-/// What an entry takes on the wire, about.
-pub fn cost(entry: &Entry) -> usize {
-    entry.key.len() + 4 + entry.records.len() * 40
+fn expires_at(replica: &ReplicaRecord) -> Micros {
+    replica
+        .values()
+        .map(|record| record.until)
+        .max()
+        .unwrap_or(0)
 }
 
-/// The second in which a record's origin lets go of it.
-fn seconds_of(record: Record) -> u64 {
+/// The second in which a record expires at its origin.
+fn expiry_second(record: Record) -> u64 {
     record.nominal_ms / 1000
 }
 
-/// Records that end in this second or later are compared.
-fn lasts_from(now: Micros) -> u64 {
-    (now + FADES) / 1_000_000 + 1
-}
-
-/// Of what all keepers should agree on of a key.
-pub fn print_of(key: &[u8], copy: &ReplicaRecord, now: Micros) -> u64 {
-    let lasting = copy
-        .iter()
-        .filter(|(_, record)| seconds_of(**record) >= lasts_from(now));
-    lasting.fold(0, |sum, (origin, record)| {
-        sum ^ entry::print_in(key, origin, record)
-    })
+/// Records that expire in this second or later are compared.
+fn first_compared_second(now: Micros) -> u64 {
+    (now + EXPIRY_MARGIN) / 1_000_000 + 1
 }
--- /dev/null
+++ b/crates/replication/tests/compare.rs
@@ -0,0 +1,42 @@
+//! Comparison of voters' stores.
+
+use eideryard_replication::compare::{compare, Comparison, VoterReplicas};
+use eideryard_replication::{Origin, Phase, Record};
+
+const ORIGIN: Origin = Origin {
+    identity: 1,
+    start: 1,
+};
+
+fn replicas(version: u32, nominal_ms: u64) -> VoterReplicas {
+    let record = Record {
+        version,
+        phase: Phase::MayHaveRun,
+        place: None,
+        since: 1,
+        until: 2,
+        nominal_ms,
+    };
+    [(b"key".to_vec(), [(ORIGIN, record)].into())].into()
+}
+
+#[test]
+fn a_missing_or_older_record_is_a_difference_until_it_expires_at_its_origin() {
+    let compared = |a: VoterReplicas, b: VoterReplicas| compare(&[a, b], 10_000);
+    assert_eq!(
+        compared(replicas(2, 20_000), replicas(2, 20_000)),
+        Comparison {
+            compared: 1,
+            differences: Vec::new()
+        }
+    );
+    let older = compared(replicas(2, 20_000), replicas(1, 20_000)).differences;
+    assert_eq!(older[0].missing, [vec![], vec![(ORIGIN, Some(1))]]);
+    let missing = compared(replicas(2, 20_000), VoterReplicas::new()).differences;
+    assert_eq!(missing[0].missing, [vec![], vec![(ORIGIN, None)]]);
+    assert_eq!(
+        compared(replicas(2, 10_500), VoterReplicas::new()).differences,
+        Vec::new(),
+        "it is about to be dropped"
+    );
+}
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -1,51 +1,58 @@
 //! Model check of write, acknowledge, crash, lost disk and retry at another gateway, to a stated
-//! depth. The world runs the cores that ship: two gateways that send, three keepers, one client
-//! that asks its key at one and then at the other. All orders of claims, flushes and faults are
-//! tried; an answer arrives as it leaves, or is lost with its keeper. With the cores as they ship
-//! nothing takes effect twice; each of three planted bugs is found.
+//! depth. The model runs the real cores: two gateways that send, three voters, one client that
+//! sends its key to one gateway and then to the other. All orders of claims, flushes and faults are
+//! tried; an answer arrives when it is sent, or is lost with its voter. The cores never let the
+//! request take effect twice; each of three injected bugs is found.
 
 use std::collections::BTreeMap;
 
 use eideryard_intent_log::Place;
+use eideryard_replication::core::ClaimRequest;
 use eideryard_replication::replica_set::Limits;
 use eideryard_replication::{Config, Core, Message, Origin, Output, Peer, ReplicaRecord, Verdict};
 use stateright::{Checker, Model, Property};
 
-const KEEPERS: usize = 3;
+const VOTERS: usize = 3;
 const SENDERS: usize = 2;
 const KEY: &[u8] = b"\0\0key";
-/// One moment: all that happens fits well into every window.
+/// Time does not advance: the whole run fits into every window.
 const NOW: u64 = 1_000_000_000;
-const LONGEST: u64 = 20_000_000;
+const MAX_RETENTION: u64 = 20_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Bug {
     None,
-    /// A keeper acknowledges before its flush.
+    /// A voter acknowledges before its flush.
     EarlyAcknowledgement,
-    /// A gateway sends with the word of one keeper.
-    OneIsEnough,
-    /// A keeper that lost its disk votes at once.
+    /// A gateway sends with one vote.
+    SingleVote,
+    /// A voter that lost its disk votes at once.
     WipedVotes,
 }
 
-/// The link of a gateway to a keeper.
-type Way = (usize, usize);
+/// The link of a gateway to a voter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct Link {
+    sender: usize,
+    voter: usize,
+}
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Keeper {
+struct Voter {
     core: Core,
-    /// Copies that are durable, those that are written, and what waits for the flush.
+    /// Replica records that are durable.
     disk: BTreeMap<Vec<u8>, ReplicaRecord>,
+    /// Replica records that are written, flushed or not.
     written: BTreeMap<Vec<u8>, ReplicaRecord>,
-    then: Vec<(usize, Message)>,
+    /// Answers that wait for the flush, by their receiver.
+    waiting_for_flush: Vec<(usize, Message)>,
     starts: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Sender {
     core: Core,
-    /// The client's request is here: not asked, claimed, sent or refused.
+    /// State of the client's request at this gateway.
     stage: Stage,
     up: bool,
 }
@@ -53,16 +60,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     Idle,
-    Claims,
+    Claimed,
     Sent,
-    Over,
+    Refused,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     senders: Vec<Sender>,
-    keepers: Vec<Keeper>,
-    wire: Vec<(Way, Message)>,
+    voters: Vec<Voter>,
+    messages: Vec<(Link, Message)>,
     effects: u8,
     kills: u8,
     wipes: u8,
@@ -70,99 +77,109 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// The client asks at a gateway.
-    Ask(usize),
+    /// The client sends its request to a gateway.
+    Request(usize),
     /// The first message of a link arrives.
-    Deliver(Way),
+    Deliver(Link),
     Flush(usize),
-    /// The process of a keeper is killed and starts again, with its disk or without.
+    /// The process of a voter is killed and restarts with its disk.
     Kill(usize),
+    /// The process of a voter is killed and restarts without its disk.
     Wipe(usize),
-    /// A gateway that has sent dies for good; its client comes again elsewhere.
-    Die(usize),
+    /// A gateway that has sent stops for good; its client retries elsewhere.
+    Stop(usize),
+}
+
+/// What a restarted voter finds.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Disk {
+    Kept,
+    Lost,
 }
 
 struct World {
     bug: Bug,
 }
 
-fn plan(own: Option<usize>) -> Config {
+fn config(voter_index: Option<usize>) -> Config {
     Config {
-        keepers: KEEPERS,
-        own,
-        longest: LONGEST,
+        voters: VOTERS,
+        voter_index,
+        max_retention: MAX_RETENTION,
         limits: Limits { entries: 9 },
-        bytes_per_s: 1 << 20,
-        send_without: false,
+        transfer_bytes_per_s: 1 << 20,
+        send_without_majority: false,
     }
 }
 
 impl World {
-    fn keeper(
+    fn voter_core(
         &self,
-        at: usize,
+        index: usize,
         starts: u64,
-        whole: bool,
+        is_complete: bool,
         disk: &BTreeMap<Vec<u8>, ReplicaRecord>,
     ) -> Core {
         let origin = Origin {
-            identity: 100 + at as u64,
+            identity: 100 + index as u64,
             start: starts,
         };
-        let whole = whole || self.bug == Bug::WipedVotes;
-        Core::start(plan(Some(at)), origin, whole, disk.clone().into_iter(), NOW)
+        let is_complete = is_complete || self.bug == Bug::WipedVotes;
+        let stored = disk.clone().into_iter();
+        Core::start(config(Some(index)), origin, is_complete, stored, NOW)
     }
 
-    /// Carries out what a sender's core put out.
-    fn sends(&self, state: &mut State, sender: usize, outputs: Vec<Output>) {
+    /// Carries out the outputs of a sender's core.
+    fn perform_sender(&self, state: &mut State, sender: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Send(Peer::Voter(keeper), message) => {
-                    state.wire.push(((sender, keeper), message));
+                Output::Send(Peer::Voter(voter), message) => {
+                    state.messages.push((Link { sender, voter }, message));
                 }
-                Output::Verdict(_, verdict) => self.decided(state, sender, verdict),
+                Output::Verdict(_, verdict) => self.on_verdict(state, sender, &verdict),
                 _ => {}
             }
         }
     }
 
-    #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-    fn decided(&self, state: &mut State, sender: usize, verdict: Verdict) {
-        if state.senders[sender].stage != Stage::Claims {
+    fn on_verdict(&self, state: &mut State, sender: usize, verdict: &Verdict) {
+        if state.senders[sender].stage != Stage::Claimed {
             return;
         }
         state.senders[sender].stage = match verdict {
             Verdict::Granted => {
-                // The engine runs it: another cell for each gateway, so no engine knows the
-                // other's.
+                // The engine runs it. Each gateway sends to its own cell, so no engine drops the
+                // other's request as a repeat.
                 state.effects += 1;
                 Stage::Sent
             }
-            // Told of another run in another cell, the module sends nothing.
-            _ => Stage::Over,
+            // With a run known in another cell the balancer sends nothing.
+            _ => Stage::Refused,
         };
     }
 
-    /// Carries out what a keeper's core put out.
-    fn keeps(&self, state: &mut State, keeper: usize, outputs: Vec<Output>) {
+    /// Carries out the outputs of a voter's core.
+    fn perform_voter(&self, state: &mut State, voter: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                // Asks among keepers are not answered here: a wiped one stays silent.
+                // State requests between voters are not answered here: a wiped voter does not catch
+                // up.
                 Output::Send(Peer::Requester(sender), message) => {
-                    self.answered(state, keeper, sender as usize, message);
+                    self.on_answer(state, voter, sender as usize, message);
                 }
                 Output::Store {
                     key,
-                    copy: Some(copy),
-                    then,
+                    replica: Some(replica),
+                    after_durable,
                 } => {
-                    state.keepers[keeper].written.insert(key, copy);
-                    for output in then {
+                    state.voters[voter].written.insert(key, replica);
+                    for output in after_durable {
                         if let Output::Send(Peer::Requester(sender), message) = output {
                             if self.bug == Bug::EarlyAcknowledgement {
-                                self.answered(state, keeper, sender as usize, message);
+                                self.on_answer(state, voter, sender as usize, message);
                             } else {
-                                state.keepers[keeper].then.push((sender as usize, message));
+                                let waiting = &mut state.voters[voter].waiting_for_flush;
+                                waiting.push((sender as usize, message));
                             }
                         }
                     }
@@ -172,33 +189,35 @@
         }
     }
 
-    /// A keeper's answer arrives.
-    fn answered(&self, state: &mut State, keeper: usize, sender: usize, message: Message) {
+    /// A voter's answer arrives.
+    fn on_answer(&self, state: &mut State, voter: usize, sender: usize, message: Message) {
         if !state.senders[sender].up {
             return;
         }
-        let unseen = matches!(&message, Message::Claimed { seen, .. } if seen.is_empty());
+        let is_unopposed =
+            matches!(&message, Message::ClaimAccepted { views, .. } if views.is_empty());
         let outputs = state.senders[sender]
             .core
-            .hears(NOW, Peer::Voter(keeper), message);
-        if self.bug == Bug::OneIsEnough && unseen {
-            self.decided(state, sender, Verdict::Granted);
+            .on_message(NOW, Peer::Voter(voter), message);
+        if self.bug == Bug::SingleVote && is_unopposed {
+            self.on_verdict(state, sender, &Verdict::Granted);
         } else {
-            self.sends(state, sender, outputs);
+            self.perform_sender(state, sender, outputs);
         }
     }
 
-    fn restart(&self, state: &mut State, keeper: usize, wiped: bool) {
-        let own = &mut state.keepers[keeper];
-        own.starts += 1;
-        if wiped {
-            own.disk.clear();
+    fn restart(&self, state: &mut State, index: usize, disk: Disk) {
+        let voter = &mut state.voters[index];
+        voter.starts += 1;
+        if disk == Disk::Lost {
+            voter.disk.clear();
         }
-        (own.written, own.then) = (own.disk.clone(), Vec::new());
-        let voted = own.core.standing.votes();
-        own.core = self.keeper(keeper, own.starts, voted && !wiped, &own.disk);
-        // Its links went with it; senders claim once, so what was under way is lost.
-        state.wire.retain(|((_, to), _)| *to != keeper);
+        voter.written = voter.disk.clone();
+        voter.waiting_for_flush.clear();
+        let is_complete = voter.core.is_voting() && disk == Disk::Kept;
+        voter.core = self.voter_core(index, voter.starts, is_complete, &voter.disk);
+        // Its links are closed; senders claim once, so messages in flight are lost.
+        state.messages.retain(|(link, _)| link.voter != index);
     }
 }
 
@@ -212,17 +231,19 @@
                 identity: at as u64 + 1,
                 start: 1,
             };
-            let mut core = Core::start(plan(None), origin, true, std::iter::empty(), NOW);
-            (0..KEEPERS).for_each(|keeper| _ = core.link(NOW, Peer::Voter(keeper), true));
+            let mut core = Core::start(config(None), origin, true, std::iter::empty(), NOW);
+            for voter in 0..VOTERS {
+                core.on_link(NOW, Peer::Voter(voter), true);
+            }
             Sender {
                 core,
                 stage: Stage::Idle,
                 up: true,
             }
         };
-        let keeper = |at: usize| Keeper {
+        let voter = |at: usize| Voter {
             core: Core::start(
-                plan(Some(at)),
+                config(Some(at)),
                 Origin {
                     identity: 100 + at as u64,
                     start: 1,
@@ -233,15 +254,15 @@
             ),
             disk: BTreeMap::new(),
             written: BTreeMap::new(),
-            then: Vec::new(),
+            waiting_for_flush: Vec::new(),
             starts: 1,
         };
         let senders = (0..SENDERS).map(sender).collect();
-        let keepers = (0..KEEPERS).map(keeper).collect();
+        let voters = (0..VOTERS).map(voter).collect();
         vec![State {
             senders,
-            keepers,
-            wire: Vec::new(),
+            voters,
+            messages: Vec::new(),
             effects: 0,
             kills: 0,
             wipes: 0,
@@ -250,23 +271,23 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
         for (at, sender) in state.senders.iter().enumerate() {
-            // First at one; at the other once that has not answered, or at the same time.
+            // First at one gateway, then at the other, answered or not.
             if sender.up
                 && sender.stage == Stage::Idle
                 && (at == 0 || state.senders[0].stage != Stage::Idle)
             {
-                actions.push(Step::Ask(at));
+                actions.push(Step::Request(at));
             }
             if sender.up && sender.stage == Stage::Sent && at == 0 {
-                actions.push(Step::Die(at));
+                actions.push(Step::Stop(at));
             }
         }
-        let mut ways: Vec<&Way> = state.wire.iter().map(|(way, _)| way).collect();
-        ways.sort();
-        ways.dedup();
-        actions.extend(ways.into_iter().copied().map(Step::Deliver));
-        for (at, keeper) in state.keepers.iter().enumerate() {
-            if keeper.written != keeper.disk || !keeper.then.is_empty() {
+        let mut links: Vec<Link> = state.messages.iter().map(|(link, _)| *link).collect();
+        links.sort();
+        links.dedup();
+        actions.extend(links.into_iter().map(Step::Deliver));
+        for (at, voter) in state.voters.iter().enumerate() {
+            if voter.written != voter.disk || !voter.waiting_for_flush.is_empty() {
                 actions.push(Step::Flush(at));
             }
             if state.kills < 1 {
@@ -281,41 +302,48 @@
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
-            Step::Ask(at) => {
+            Step::Request(at) => {
                 let sender = &mut state.senders[at];
-                sender.stage = Stage::Claims;
+                sender.stage = Stage::Claimed;
                 let place = Some(Place {
                     zone: 0,
                     cell: at as u32,
                 });
-                let outputs = sender
-                    .core
-                    .claim(NOW, 1, KEY, place, NOW, LONGEST, Vec::new());
-                self.sends(&mut state, at, outputs);
+                let claim = ClaimRequest {
+                    number: 1,
+                    key: KEY,
+                    place,
+                    since: NOW,
+                    retention: MAX_RETENTION,
+                    known: Vec::new(),
+                };
+                let outputs = sender.core.claim(NOW, claim);
+                self.perform_sender(&mut state, at, outputs);
             }
-            Step::Deliver(way) => {
-                let place = state.wire.iter().position(|(own, _)| *own == way)?;
-                let ((sender, keeper), message) = state.wire.remove(place);
-                let from = Peer::Requester(sender as u64);
-                let outputs = state.keepers[keeper].core.hears(NOW, from, message);
-                self.keeps(&mut state, keeper, outputs);
+            Step::Deliver(link) => {
+                let first = state.messages.iter().position(|(of, _)| *of == link)?;
+                let (_, message) = state.messages.remove(first);
+                let from = Peer::Requester(link.sender as u64);
+                let voter = &mut state.voters[link.voter];
+                let outputs = voter.core.on_message(NOW, from, message);
+                self.perform_voter(&mut state, link.voter, outputs);
             }
             Step::Flush(at) => {
-                let keeper = &mut state.keepers[at];
-                keeper.disk = keeper.written.clone();
-                for (sender, message) in std::mem::take(&mut keeper.then) {
-                    self.answered(&mut state, at, sender, message);
+                let voter = &mut state.voters[at];
+                voter.disk = voter.written.clone();
+                for (sender, message) in std::mem::take(&mut voter.waiting_for_flush) {
+                    self.on_answer(&mut state, at, sender, message);
                 }
             }
             Step::Kill(at) => {
                 state.kills += 1;
-                self.restart(&mut state, at, false);
+                self.restart(&mut state, at, Disk::Kept);
             }
             Step::Wipe(at) => {
                 state.wipes += 1;
-                self.restart(&mut state, at, true);
+                self.restart(&mut state, at, Disk::Lost);
             }
-            Step::Die(at) => state.senders[at].up = false,
+            Step::Stop(at) => state.senders[at].up = false,
         }
         Some(state)
     }
@@ -326,9 +354,13 @@
             Property::sometimes("an effect after a wipe", |_, state: &State| {
                 state.wipes > 0 && state.effects == 1
             }),
-            Property::sometimes("a retry that is told of the first", |_, state: &State| {
-                state.senders[0].stage == Stage::Sent && state.senders[1].stage == Stage::Over
-            }),
+            Property::sometimes(
+                "a retry that learns of the first attempt",
+                |_, state: &State| {
+                    state.senders[0].stage == Stage::Sent
+                        && state.senders[1].stage == Stage::Refused
+                },
+            ),
         ]
     }
 }
@@ -352,8 +384,8 @@
 }
 
 #[test]
-fn planted_bugs_are_found() {
-    for bug in [Bug::EarlyAcknowledgement, Bug::OneIsEnough, Bug::WipedVotes] {
+fn injected_bugs_are_found() {
+    for bug in [Bug::EarlyAcknowledgement, Bug::SingleVote, Bug::WipedVotes] {
         let checker = World { bug }
             .checker()
             .target_max_depth(DEPTH)
