--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -2,7 +2,7 @@
 
 use super::{ClaimError, ClaimRequest, Core, EndedRun, Output, Peer};
 use crate::claims::{PriorRuns, Verdict, CLAIM_TIMEOUT};
-use crate::entry::{self, Origin, Phase, Record, ReplicaView};
+use crate::entry::{self, Origin, Phase, Record, ReplicaView, WireRecord};
 use crate::message::{ClaimRejection, Message};
 use crate::replica_set::MergeResult;
 use crate::Micros;
@@ -57,19 +57,19 @@
         let record = self.claims.write(now, key, record);
         self.claims
             .open(now, number, key, record.version, request.known);
-        let mut outputs = self.send_claim(now, number, key, record);
+        let mut wire_record = record.to_wire(now);
+        if since < now {
+            // The request is in flight already and ages while the claim waits.
+            wire_record.age += CLAIM_TIMEOUT;
+        }
+        let mut outputs = self.send_claim(number, key, wire_record);
         if let Some(voter) = self.config.voter_index {
             outputs.extend(self.claim_locally(now, number, voter, key, record));
         }
         outputs
     }
 
-    fn send_claim(&self, now: Micros, number: u64, key: &[u8], record: Record) -> Vec<Output> {
-        let mut wire_record = record.to_wire(now);
-        if record.since < now {
-            // The request is in flight already and ages while the claim waits.
-            wire_record.age += CLAIM_TIMEOUT;
-        }
+    fn send_claim(&self, number: u64, key: &[u8], record: WireRecord) -> Vec<Output> {
         self.reachable_voters()
             .into_iter()
             .map(|voter| {
@@ -77,7 +77,7 @@
                     number,
                     key: key.to_vec(),
                     origin: self.origin,
-                    record: wire_record,
+                    record,
                 };
                 Output::Send(Peer::Voter(voter), claim)
             })
