--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -130,7 +130,7 @@
             number,
             engine: endpoint.engine,
             booted_at: endpoint.booted_at,
-            gone: endpoint.phase == Phase::Removed,
+            is_removed: endpoint.phase == Phase::Removed,
         });
         intent_durability.publish_drains(now, drains.collect());
         for endpoint in endpoints {
