--- a/crates/cli/benches/day.rs
+++ b/crates/cli/benches/day.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{plan, served, state};
-use eideryard_event_log::writer::Directory;
+use eideryard_event_log::disk::Directory;
 use eideryard_event_log::Recorder;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
@@ -46,7 +46,7 @@
     let directory = tempfile::tempdir().expect("a directory");
     let records = directory.path().join("records");
     let plan = eideryard_event_log::Config {
-        budget: 1 << 30,
+        max_total_bytes: 1 << 30,
         ..plan("g1", 8 << 20)
     };
     let mut recorder =
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -1,9 +1,9 @@
 //! `eideryard records`: what is in records, and whether it is whole.
 
 use eideryard_event_log::reader::ReadContent;
-use eideryard_event_log::tally::Counted;
+use eideryard_event_log::tally::RunningTally;
 use eideryard_event_log::text::EntryText;
-use eideryard_event_log::{Entry, Host, Merged};
+use eideryard_event_log::{Entry, HostEvent, MergedReader};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeSet;
 use std::io::{BufWriter, Write};
@@ -12,7 +12,7 @@
 /// What one start of a gateway told.
 #[derive(Default)]
 struct Start {
-    counted: Counted,
+    counted: RunningTally,
     entries: u64,
     gaps: u64,
     missing: u64,
@@ -33,14 +33,14 @@
         };
         self.last_at = at;
         self.entries += 1;
-        self.counted.read(entry.as_ref());
+        self.counted.add(entry.as_ref());
         match entry {
-            Entry::Host(Host::Tally(_)) => self.damaged = false,
-            Entry::Host(Host::Gap { entries, .. }) => {
+            Entry::Host(HostEvent::Tally(_)) => self.damaged = false,
+            Entry::Host(HostEvent::Gap { entries, .. }) => {
                 self.gaps += 1;
                 self.missing += entries;
             }
-            Entry::Host(Host::Ended { counters }) => self.own = Some(counters.clone()),
+            Entry::Host(HostEvent::Ended { counters }) => self.own = Some(counters.clone()),
             _ => {}
         }
     }
@@ -65,11 +65,11 @@
     }
 }
 
-fn read(directories: &[PathBuf]) -> Result<(Merged, Vec<Start>), String> {
-    let mut merged = Merged::open(directories).map_err(|e| e.to_string())?;
+fn read(directories: &[PathBuf]) -> Result<(MergedReader, Vec<Start>), String> {
+    let mut merged = MergedReader::open(directories).map_err(|e| e.to_string())?;
     let mut starts: Vec<Start> = merged.sources().iter().map(|_| Start::default()).collect();
-    while let Some(told) = merged.next().map_err(|e| e.to_string())? {
-        starts[told.source].take(told.at, &told.what);
+    while let Some(told) = merged.next_entry().map_err(|e| e.to_string())? {
+        starts[told.source].take(told.at, &told.content);
     }
     Ok((merged, starts))
 }
@@ -163,8 +163,8 @@
     let mut known = BTreeSet::new();
     print(directories, |source, entry| {
         let offered = match entry {
-            Entry::Host(Host::Offered(offer)) => Some(offer),
-            Entry::Host(Host::Open(open)) => Some(&open.offer),
+            Entry::Host(HostEvent::RequestReceived(offer)) => Some(offer),
+            Entry::Host(HostEvent::OpenRequest(open)) => Some(&open.client_request),
             _ => None,
         };
         known.extend(
@@ -187,12 +187,12 @@
     directories: &[PathBuf],
     mut wanted: impl FnMut(usize, &Entry) -> bool,
 ) -> Result<(), String> {
-    let mut merged = Merged::open(directories).map_err(|e| e.to_string())?;
+    let mut merged = MergedReader::open(directories).map_err(|e| e.to_string())?;
     let mut out = BufWriter::new(std::io::stdout().lock());
-    while let Some(told) = merged.next().map_err(|e| e.to_string())? {
+    while let Some(told) = merged.next_entry().map_err(|e| e.to_string())? {
         let name = &merged.sources()[told.source].name;
         let (seconds, micros) = (told.at / 1_000_000, told.at % 1_000_000);
-        let written = match &told.what {
+        let written = match &told.content {
             ReadContent::Damaged => {
                 writeln!(
                     out,
--- a/crates/cli/src/view.rs
+++ b/crates/cli/src/view.rs
@@ -3,13 +3,13 @@
 use crate::arguments::Span;
 use crate::moment::Moment;
 use eideryard_event_analysis::View;
-use eideryard_event_log::Merged;
+use eideryard_event_log::MergedReader;
 use std::path::PathBuf;
 
 /// A time on the last day that records tell of.
 pub fn moment(directories: &[PathBuf], at: Option<Moment>) -> Result<Option<u64>, String> {
     let Some(at) = at else { return Ok(None) };
-    let last = Merged::open(directories)
+    let last = MergedReader::open(directories)
         .and_then(|merged| merged.last_at())
         .map_err(|e| e.to_string())?;
     Ok(Some(at.on_day_of(last)))
@@ -17,7 +17,7 @@
 
 /// Folds what records hold of a span of time, each from the last segment that begins before it.
 pub fn fold(directories: &[PathBuf], span: Span) -> Result<View, String> {
-    let mut merged = Merged::open(directories).map_err(|e| e.to_string())?;
+    let mut merged = MergedReader::open(directories).map_err(|e| e.to_string())?;
     let last = merged.last_at().map_err(|e| e.to_string())?;
     let from = span.from.map(|from| from.on_day_of(last));
     let to = span.to.map_or(u64::MAX, |to| to.on_day_of(last));
@@ -25,16 +25,16 @@
         return Err("--from is not before --to".into());
     }
     if let Some(from) = from {
-        merged = Merged::open_from(directories, from).map_err(|e| e.to_string())?;
+        merged = MergedReader::open_from(directories, from).map_err(|e| e.to_string())?;
     }
     let mut view = View::since(from.unwrap_or(0));
     let mut cut = false;
-    while let Some(told) = merged.next().map_err(|e| e.to_string())? {
+    while let Some(told) = merged.next_entry().map_err(|e| e.to_string())? {
         if told.at > to {
             cut = true;
             break;
         }
-        view.take(merged.sources(), told.source, told.at, &told.what);
+        view.take(merged.sources(), told.source, told.at, &told.content);
     }
     view.finish(cut);
     Ok(view)
--- a/crates/console/src/draw.rs
+++ b/crates/console/src/draw.rs
@@ -3,7 +3,7 @@
 use eideryard_event_analysis::series::Bucket;
 use eideryard_event_analysis::View;
 use eideryard_event_log::text::{outcome_name, phase_name};
-use eideryard_event_log::{AnswerKind, Lane};
+use eideryard_event_log::{AnswerKind, GroupTotals};
 use eideryard_report::story::{self, clock, clock_ms, lasting};
 use ratatui::layout::{Constraint, Layout, Rect};
 use ratatui::style::{Modifier, Style};
@@ -234,7 +234,7 @@
     let mut sums: Vec<[u64; 7]> = Vec::new();
     for (_, start) in view.fleet.known() {
         let tally = start.tally();
-        let lanes: &[Lane] = if classes {
+        let lanes: &[GroupTotals] = if classes {
             &tally.classes
         } else {
             &tally.tenants
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -7,7 +7,7 @@
 use crossterm::event::{self, Event, KeyCode, KeyEventKind, KeyModifiers};
 use eideryard::interface::Micros;
 use eideryard_event_analysis::View;
-use eideryard_event_log::Merged;
+use eideryard_event_log::MergedReader;
 
 use crate::draw::{draw, Look};
 use crate::model::{Key, Model, Wish};
@@ -20,7 +20,7 @@
 /// The records, folded up to a time.
 struct Records {
     directories: Vec<PathBuf>,
-    merged: Merged,
+    merged: MergedReader,
     view: View,
     /// What was read beyond the time that is shown.
     ahead: Option<eideryard_event_log::ReadEntry>,
@@ -30,8 +30,8 @@
     fn open(directories: &[PathBuf], from: Option<Micros>) -> Result<Self, String> {
         let merged = match from {
             // Some past before it makes what is usual known.
-            Some(from) => Merged::follow_from(directories, from),
-            None => Merged::follow(directories),
+            Some(from) => MergedReader::follow_from(directories, from),
+            None => MergedReader::follow(directories),
         };
         let merged = merged.map_err(|e| e.to_string())?;
         Ok(Records {
@@ -47,7 +47,7 @@
         for _ in 0..MAX_AT_ONCE {
             let told = match self.ahead.take() {
                 Some(told) => Some(told),
-                None => self.merged.next().map_err(|e| e.to_string())?,
+                None => self.merged.next_entry().map_err(|e| e.to_string())?,
             };
             let Some(told) = told else { return Ok(false) };
             if told.at > to {
@@ -55,7 +55,7 @@
                 return Ok(false);
             }
             self.view
-                .take(self.merged.sources(), told.source, told.at, &told.what);
+                .take(self.merged.sources(), told.source, told.at, &told.content);
         }
         Ok(true)
     }
--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -9,7 +9,7 @@
 use eideryard_console::draw::{draw, Look};
 use eideryard_console::model::{Key, Model, Page, Wish};
 use eideryard_event_analysis::View;
-use eideryard_event_log::{AnswerKind, Host};
+use eideryard_event_log::{AnswerKind, HostEvent};
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
 
@@ -27,7 +27,7 @@
     script.fails(0, 10.0, 1);
     script.fails(0, 10.1, 2);
     script.listed(0, 25.0, 4, Phase::Draining, 0);
-    script.host(1, 18.0, Host::Link { up: false });
+    script.host(1, 18.0, HostEvent::DiscoveryLink { is_up: false });
     script.flood(1, 20, 24, 120, 2);
     for number in 0..5 {
         let seconds = 21.0 + number as f64 * 0.1;
--- a/crates/event-analysis/src/state.rs
+++ b/crates/event-analysis/src/state.rs
@@ -6,9 +6,10 @@
 
 use eideryard::interface::{Action, EngineId, Event, Micros, Outcome, Phase, RequestId};
 use eideryard_event_log::reader::ReadContent;
-use eideryard_event_log::tally::{Counted, Tally};
+use eideryard_event_log::tally::RunningTally;
+use eideryard_event_log::totals::Tally;
 use eideryard_event_log::{
-    AnswerKind, Entry, FleetEvent, Host, ListedEngine, Names, RejectReason, Source,
+    AnswerKind, Entry, FleetEvent, HostEvent, ListedEngine, Names, RejectReason, Source,
 };
 use hdrhistogram::Histogram;
 
@@ -155,7 +156,7 @@
     pub name: String,
     pub epoch: Micros,
     pub names: Names,
-    pub counted: Counted,
+    pub counted: RunningTally,
     pub engines: BTreeMap<EngineId, Engine>,
     pub open: HashMap<RequestId, Request>,
     /// Those that were open before the segment that begins; what it doesn't tell again has ended
@@ -198,7 +199,7 @@
             name: source.name.clone(),
             epoch: source.epoch,
             names: Names::default(),
-            counted: Counted::default(),
+            counted: RunningTally::default(),
             engines: BTreeMap::new(),
             open: HashMap::new(),
             before: HashMap::new(),
@@ -438,12 +439,12 @@
 
 impl Start {
     fn take(&mut self, source: usize, at: Micros, entry: &Entry, tell: Tell<'_>) {
-        let in_state = self.counted.is_state();
-        self.counted.read(entry.as_ref());
+        let in_state = self.counted.is_in_state();
+        self.counted.add(entry.as_ref());
         let mut say = |fact| tell(LoggedText { source, at, fact });
         match entry {
-            Entry::In(event) => self.event(at, event, &mut say),
-            Entry::Out(action) => self.action(at, action, &mut say),
+            Entry::Event(event) => self.event(at, event, &mut say),
+            Entry::Action(action) => self.action(at, action, &mut say),
             Entry::Host(host) => self.host(at, host, in_state, &mut say),
         }
     }
@@ -474,7 +475,7 @@
                 };
                 tried.ended = Some((ended.outcome, at));
                 let (engine, rank, grant) = (tried.engine, open.rank, open.grant_mb);
-                let threads = self.names.of_class(open.class);
+                let threads = self.names.threads_of_class(open.class);
                 let done =
                     open.answered && open.attempts.iter().all(|attempt| attempt.ended.is_some());
                 if done {
@@ -517,7 +518,7 @@
                     return;
                 };
                 let (old_rank, old_grant) = (open.rank, open.grant_mb);
-                let threads = self.names.of_class(open.class);
+                let threads = self.names.threads_of_class(open.class);
                 (open.rank, open.grant_mb) = (*rank, *grant_mb);
                 let out = open
                     .attempts
@@ -538,7 +539,11 @@
                 let Some(open) = self.open.get_mut(request) else {
                     return;
                 };
-                own.enter(open.rank, open.grant_mb, self.names.of_class(open.class));
+                own.enter(
+                    open.rank,
+                    open.grant_mb,
+                    self.names.threads_of_class(open.class),
+                );
                 let again = open.tries() > 0;
                 if open.attempts.len() >= MAX_ATTEMPTS {
                     open.attempts.remove(0);
@@ -578,23 +583,23 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    fn host(&mut self, at: Micros, host: &Host, in_state: bool, say: &mut dyn FnMut(Fact)) {
+    fn host(&mut self, at: Micros, host: &HostEvent, in_state: bool, say: &mut dyn FnMut(Fact)) {
         match host {
-            Host::Begin { .. } => {
+            HostEvent::SegmentStarted { .. } => {
                 self.before = std::mem::take(&mut self.open);
                 self.connections.clear();
                 for own in self.engines.values_mut() {
                     (own.in_flight, own.granted_mb, own.threads, own.ranks) = (0, 0.0, 0.0, [0; 4]);
                 }
             }
-            Host::StateWhole => {
+            HostEvent::StateComplete => {
                 // Answered ones stay while attempts of theirs are out: the state doesn't tell of
                 // them.
                 let late = std::mem::take(&mut self.before)
                     .into_iter()
                     .filter(|(_, request)| request.answered);
                 for (key, request) in late {
-                    let threads = self.names.of_class(request.class);
+                    let threads = self.names.threads_of_class(request.class);
                     for attempt in request
                         .attempts
                         .iter()
@@ -606,38 +611,41 @@
                     self.open.insert(key, request);
                 }
             }
-            Host::Names(names) => self.names = names.clone(),
-            Host::Tally(_) => self.exact = true,
-            Host::Engine(listed) => self.listed(listed, in_state, say),
-            Host::Open(told) => {
-                let known = self.before.remove(&told.offer.request);
+            HostEvent::Names(names) => self.names = names.clone(),
+            HostEvent::Tally(_) => self.exact = true,
+            HostEvent::Engine(listed) => self.listed(listed, in_state, say),
+            HostEvent::OpenRequest(told) => {
+                let known = self.before.remove(&told.client_request.request);
                 let (grant_mb, rank) = known
                     .as_ref()
                     .map_or((0.0, 0), |own| (own.grant_mb, own.rank));
                 let attempts = match known {
                     Some(known) => known.attempts,
                     None => {
-                        let out = told.out.into_iter();
-                        out.map(|(engine, sent_at)| Attempt {
-                            engine,
-                            sent_at,
+                        let out = told.running.into_iter();
+                        out.map(|running| Attempt {
+                            engine: running.engine,
+                            sent_at: running.sent_at,
                             ended: None,
                         })
                         .collect()
                     }
                 };
                 for attempt in attempts.iter().filter(|attempt| attempt.ended.is_none()) {
-                    let threads = self.names.of_class(told.class);
+                    let threads = self.names.threads_of_class(told.class);
                     self.engines
                         .entry(attempt.engine)
                         .or_default()
                         .enter(rank, grant_mb, threads);
                 }
                 let request = Request {
-                    id: told.offer.id,
+                    id: told.client_request.id,
                     class: told.class,
                     tenant: told.tenant,
-                    from: self.connections.get(&told.offer.connection).copied(),
+                    from: self
+                        .connections
+                        .get(&told.client_request.connection)
+                        .copied(),
                     arrived_at: told.arrived_at,
                     grant_mb,
                     rank,
@@ -646,9 +654,9 @@
                     arrived: true,
                     answered: false,
                 };
-                self.keep(told.offer.request, request);
+                self.keep(told.client_request.request, request);
             }
-            Host::Connected {
+            HostEvent::Connected {
                 connection,
                 address,
             } => {
@@ -656,8 +664,8 @@
                     self.connections.insert(*connection, *address);
                 }
             }
-            Host::Disconnected { connection } => _ = self.connections.remove(connection),
-            Host::Offered(offer) => {
+            HostEvent::Disconnected { connection } => _ = self.connections.remove(connection),
+            HostEvent::RequestReceived(offer) => {
                 let request = Request {
                     id: offer.id,
                     class: 0,
@@ -673,20 +681,27 @@
                 };
                 self.keep(offer.request, request);
             }
-            Host::NotTaken { how, class, tenant } => {
-                if !matches!(how, RejectReason::Invalid | RejectReason::Gone) {
+            HostEvent::RequestRejected {
+                reason: how,
+                class,
+                tenant,
+            } => {
+                if !matches!(
+                    how,
+                    RejectReason::Invalid | RejectReason::ClientDisconnected
+                ) {
                     say(Fact::Refused {
                         class: *class,
                         tenant: *tenant,
                     });
                 }
             }
-            Host::Answered {
+            HostEvent::Answered {
                 request,
                 class,
                 tenant,
-                how,
-                late,
+                kind: how,
+                is_late: late,
             } => {
                 let open = self.open.get_mut(request);
                 let took = open.as_ref().map(|open| at.saturating_sub(open.arrived_at));
@@ -729,7 +744,7 @@
                     }
                 }
             }
-            Host::Link { up } => {
+            HostEvent::DiscoveryLink { is_up: up } => {
                 if self.heard_roster != *up || in_state {
                     self.heard_roster = *up;
                     if !in_state {
@@ -737,55 +752,63 @@
                     }
                 }
             }
-            Host::ListEvent { number } => say(Fact::RosterEvent { number: *number }),
-            Host::Stopping => {
+            HostEvent::DiscoveryEvent { number } => say(Fact::RosterEvent { number: *number }),
+            HostEvent::Stopping => {
                 self.stopping = true;
                 say(Fact::Stopping);
             }
-            Host::Ended { counters } => {
+            HostEvent::Ended { counters } => {
                 self.own = Some(counters.clone());
                 say(Fact::Over);
             }
-            Host::Gap { from, entries, .. } => {
+            HostEvent::Gap { from, entries, .. } => {
                 self.left_out += entries;
                 say(Fact::Missing {
                     from: *from,
                     entries: Some(*entries),
                 });
             }
-            Host::Attached { class, tenant } => say(Fact::Taken {
+            HostEvent::RetryAttached { class, tenant } => say(Fact::Taken {
                 class: *class,
                 tenant: *tenant,
                 from: None,
             }),
-            Host::Fleet(word) => self.fleet_word(word),
-            Host::Reloaded { .. } | Host::Ending { .. } | Host::Alive | Host::Because { .. } => {}
+            HostEvent::Fleet(word) => self.fleet_word(word),
+            HostEvent::ConfigReloaded { .. }
+            | HostEvent::ConnectionClosing { .. }
+            | HostEvent::Heartbeat
+            | HostEvent::RefusalExplained { .. } => {}
         }
     }
 
     fn fleet_word(&mut self, word: &FleetEvent) {
         match word {
-            FleetEvent::Peer { name, state } => {
+            FleetEvent::PeerState { name, state } => {
                 if self.peers.len() < MAX_PEERS || self.peers.contains_key(name) {
                     self.peers.insert(name.clone(), state.clone());
                 }
                 self.turned.remove(name);
             }
-            FleetEvent::Turned { name, why } if self.turned.len() < MAX_PEERS => {
+            FleetEvent::PeerRejected { name, reason: why } if self.turned.len() < MAX_PEERS => {
                 self.turned.insert(name.clone(), why.clone());
             }
-            FleetEvent::Turned { .. } => {}
-            FleetEvent::Votes { votes } => self.votes = Some(*votes),
-            FleetEvent::Majority { stands } => self.majority = Some(*stands),
-            FleetEvent::Owns {
+            FleetEvent::PeerRejected { .. } => {}
+            FleetEvent::VotingChanged { is_voter: votes } => self.votes = Some(*votes),
+            FleetEvent::MajorityChanged {
+                is_reachable: stands,
+            } => self.majority = Some(*stands),
+            FleetEvent::LeaseChanged {
                 task,
                 term,
-                owns: true,
+                is_held: true,
             } if self.owns.len() < MAX_PEERS => {
                 self.owns.insert(*task, *term);
             }
-            FleetEvent::Owns { task, .. } => _ = self.owns.remove(task),
-            FleetEvent::Work { counts, .. } => self.fenced += u64::from(!counts),
+            FleetEvent::LeaseChanged { task, .. } => _ = self.owns.remove(task),
+            FleetEvent::WorkReceived {
+                is_accepted: counts,
+                ..
+            } => self.fenced += u64::from(!counts),
         }
     }
 
--- a/crates/event-analysis/tests/common/mod.rs
+++ b/crates/event-analysis/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use eideryard::interface::{self as i, Action, Event, Micros, Outcome, Phase};
 use eideryard_event_analysis::View;
 use eideryard_event_log::reader::ReadContent;
-use eideryard_event_log::tally::Counted;
+use eideryard_event_log::tally::RunningTally;
 use eideryard_event_log::*;
 use std::path::PathBuf;
 
@@ -30,8 +30,8 @@
     late: false,
 };
 
-pub fn gap(from: f64, to: f64, entries: u64) -> Host {
-    Host::Gap {
+pub fn gap(from: f64, to: f64, entries: u64) -> HostEvent {
+    HostEvent::Gap {
         from: at(from),
         to: at(to),
         entries,
@@ -67,13 +67,13 @@
         self.told.push((source, time, entry));
     }
 
-    pub fn host(&mut self, source: usize, seconds: f64, host: Host) {
+    pub fn host(&mut self, source: usize, seconds: f64, host: HostEvent) {
         self.tell(source, at(seconds), Entry::Host(host));
     }
 
-    fn engine(engine: u32, phase: Phase, booted_at: Micros, address: &str) -> Host {
+    fn engine(engine: u32, phase: Phase, booted_at: Micros, address: &str) -> HostEvent {
         let (name, address) = (format!("e-{engine}"), address.to_string());
-        Host::Engine(ListedEngine {
+        HostEvent::Engine(ListedEngine {
             engine,
             name,
             address,
@@ -128,7 +128,7 @@
         self.tell(
             source,
             time,
-            Entry::Host(Host::Offered(Offer {
+            Entry::Host(HostEvent::RequestReceived(ClientRequest {
                 request,
                 id: self.requests,
                 connection,
@@ -141,11 +141,11 @@
             deadline: time + 5_000_000,
             ..i::Request::default()
         };
-        self.tell(source, time, Entry::In(Event::Arrived(arrived)));
+        self.tell(source, time, Entry::Event(Event::Arrived(arrived)));
         self.tell(
             source,
             time,
-            Entry::Out(Action::Grant {
+            Entry::Action(Action::Grant {
                 request,
                 grant_mb: 64.0,
                 rank: 1,
@@ -154,7 +154,7 @@
         self.tell(
             source,
             time,
-            Entry::Out(Action::Send {
+            Entry::Action(Action::Send {
                 request,
                 engine,
                 attempt_deadline: time + 5_000_000,
@@ -186,18 +186,18 @@
             .iter()
             .rev()
             .find_map(|(_, _, entry)| match entry {
-                Entry::In(Event::Arrived(arrived)) if arrived.id == request => {
+                Entry::Event(Event::Arrived(arrived)) if arrived.id == request => {
                     Some((arrived.class, arrived.tenant))
                 }
                 _ => None,
             });
         let (class, tenant) = arrived.unwrap_or_default();
-        let answered = Host::Answered {
+        let answered = HostEvent::Answered {
             request,
             class,
             tenant,
-            how,
-            late,
+            kind: how,
+            is_late: late,
         };
         self.tell(source, time, Entry::Host(answered));
         let ended = i::AttemptEnded {
@@ -210,7 +210,7 @@
             usage: None,
             report: None,
         };
-        self.tell(source, time, Entry::In(Event::AttemptEnded(ended)));
+        self.tell(source, time, Entry::Event(Event::AttemptEnded(ended)));
     }
 
     pub fn request(
@@ -274,7 +274,7 @@
         self.tell(
             source,
             at(seconds),
-            Entry::Host(Host::Begin {
+            Entry::Host(HostEvent::SegmentStarted {
                 name: String::new(),
                 epoch: 0,
                 segment: 2,
@@ -283,7 +283,9 @@
         self.sort();
         self.told
             .iter()
-            .position(|(_, _, entry)| matches!(entry, Entry::Host(Host::Begin { .. })))
+            .position(|(_, _, entry)| {
+                matches!(entry, Entry::Host(HostEvent::SegmentStarted { .. }))
+            })
             .unwrap()
             + STATE
     }
@@ -301,10 +303,11 @@
         self.sort();
         let mut whole: Vec<(usize, Micros, Entry)> = Vec::new();
         let mut first = vec![None; self.names.len()];
-        let mut counted: Vec<Counted> = self.names.iter().map(|_| Counted::default()).collect();
+        let mut counted: Vec<RunningTally> =
+            self.names.iter().map(|_| RunningTally::default()).collect();
         let mut open: std::collections::BTreeMap<(usize, u64), OpenRequest> = Default::default();
         for (source, time, entry) in std::mem::take(&mut self.told) {
-            let marks = matches!(entry, Entry::Host(Host::Begin { .. }));
+            let marks = matches!(entry, Entry::Host(HostEvent::SegmentStarted { .. }));
             if first[source].is_none() || marks {
                 let epoch = *first[source].get_or_insert(time);
                 let segment = 1 + marks as u64;
@@ -315,27 +318,27 @@
                     ..Names::default()
                 };
                 let mut state = vec![
-                    Host::Begin {
+                    HostEvent::SegmentStarted {
                         name: self.names[source].clone(),
                         epoch,
                         segment,
                     },
-                    Host::Names(names),
+                    HostEvent::Names(names),
                 ];
                 state.extend(
                     (1..=4).map(|engine| {
                         Self::engine(engine, Phase::Ready, 0, &Self::address(engine))
                     }),
                 );
-                state.extend([1u64, 2].map(|number| Host::Connected {
+                state.extend([1u64, 2].map(|number| HostEvent::Connected {
                     connection: number << 32,
                     address: [127, 0, 0, if number == 2 { 9 } else { 1 }].into(),
                 }));
                 let own = open.iter().filter(|((of, _), _)| *of == source);
-                state.extend(own.map(|(_, request)| Host::Open(*request)));
-                state.push(Host::Link { up: true });
-                state.push(Host::Tally(Box::new(counted[source].tally.clone())));
-                state.push(Host::StateWhole);
+                state.extend(own.map(|(_, request)| HostEvent::OpenRequest(*request)));
+                state.push(HostEvent::DiscoveryLink { is_up: true });
+                state.push(HostEvent::Tally(Box::new(counted[source].tally.clone())));
+                state.push(HostEvent::StateComplete);
                 whole.extend(
                     state
                         .into_iter()
@@ -346,30 +349,35 @@
                 continue;
             }
             match &entry {
-                Entry::Out(Action::Send {
+                Entry::Action(Action::Send {
                     request, engine, ..
                 }) => {
-                    let offer = Offer {
+                    let offer = ClientRequest {
                         request: *request,
                         id: request >> 32,
                         connection: 1 << 32,
                     };
-                    let (deadline, out) = (time + 5_000_000, Some((*engine, time)));
+                    let running = RunningAttempt {
+                        engine: *engine,
+                        sent_at: time,
+                    };
                     let own = OpenRequest {
-                        offer,
+                        client_request: offer,
                         class: 0,
                         tenant: 2,
                         arrived_at: time,
-                        deadline,
+                        deadline: time + 5_000_000,
                         attempts: 1,
-                        out,
+                        running: Some(running),
                     };
                     open.insert((source, *request), own);
                 }
-                Entry::Host(Host::Answered { request, .. }) => _ = open.remove(&(source, *request)),
+                Entry::Host(HostEvent::Answered { request, .. }) => {
+                    _ = open.remove(&(source, *request))
+                }
                 _ => {}
             }
-            counted[source].read(entry.as_ref());
+            counted[source].add(entry.as_ref());
             whole.push((source, time, entry));
         }
         let source = |(number, name): (usize, &String)| Source {
--- a/crates/event-analysis/tests/folds.rs
+++ b/crates/event-analysis/tests/folds.rs
@@ -7,7 +7,7 @@
 use eideryard_event_analysis::episodes::Kind;
 use eideryard_event_analysis::{Episode, View};
 use eideryard_event_log::reader::ReadContent;
-use eideryard_event_log::{AnswerKind, Entry, Host};
+use eideryard_event_log::{AnswerKind, Entry, HostEvent};
 
 fn only<'a>(view: &'a View, word: &str) -> Vec<&'a Episode> {
     view.detector
@@ -51,10 +51,10 @@
     let mut script = Script::new(&["g1", "g2"]);
     script.calm(0, 0, 40, 20);
     script.calm(1, 0, 40, 20);
-    script.host(1, 18.5, Host::Link { up: false });
-    script.host(0, 18.6, Host::Link { up: false });
-    script.host(0, 25.0, Host::Link { up: true });
-    script.host(1, 25.1, Host::Link { up: true });
+    script.host(1, 18.5, HostEvent::DiscoveryLink { is_up: false });
+    script.host(0, 18.6, HostEvent::DiscoveryLink { is_up: false });
+    script.host(0, 25.0, HostEvent::DiscoveryLink { is_up: true });
+    script.host(1, 25.1, HostEvent::DiscoveryLink { is_up: true });
     script.flood(1, 20, 24, 200, 2);
     let view = script.finish();
     let (flood, roster) = (only(&view, "flood"), only(&view, "roster silent"));
@@ -271,8 +271,8 @@
 fn clocks_that_are_apart_are_told_by_the_events_that_both_heard() {
     let mut script = Script::new(&["g1", "g2"]);
     for number in 1..=5 {
-        script.host(0, number as f64, Host::ListEvent { number });
-        script.host(1, number as f64 + 3.2, Host::ListEvent { number });
+        script.host(0, number as f64, HostEvent::DiscoveryEvent { number });
+        script.host(1, number as f64 + 3.2, HostEvent::DiscoveryEvent { number });
     }
     let view = script.finish();
     assert_eq!(view.skew.ahead(1, 0), Some((3_200_000, 5)));
--- a/crates/event-log/benches/record.rs
+++ b/crates/event-log/benches/record.rs
@@ -10,9 +10,9 @@
 use divan::Bencher;
 use eideryard::interface::*;
 use eideryard_event_log::codec::{Context, Decoder};
+use eideryard_event_log::disk::Directory;
 use eideryard_event_log::entry::EntryRef;
-use eideryard_event_log::writer::Directory;
-use eideryard_event_log::{Entry, Merged, Recorder};
+use eideryard_event_log::{Entry, MergedReader, Recorder};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 use std::io::Write;
@@ -45,8 +45,8 @@
 fn json_line(out: &mut Vec<u8>, at: Micros, entry: &Entry) {
     // Writing to a vector cannot fail.
     let _ = match entry.as_ref() {
-        EntryRef::In(event) => writeln!(out, "{{\"at\":{at},\"in\":\"{event:?}\"}}"),
-        EntryRef::Out(action) => writeln!(out, "{{\"at\":{at},\"out\":\"{action:?}\"}}"),
+        EntryRef::Event(event) => writeln!(out, "{{\"at\":{at},\"in\":\"{event:?}\"}}"),
+        EntryRef::Action(action) => writeln!(out, "{{\"at\":{at},\"out\":\"{action:?}\"}}"),
         EntryRef::Host(host) => writeln!(out, "{{\"at\":{at},\"host\":\"{host:?}\"}}"),
     };
 }
@@ -61,7 +61,7 @@
     let entries = entries(110_000);
     let (mut bytes, mut context, mut json) = (Vec::new(), Context::new(START), Vec::new());
     for (at, entry) in &entries {
-        context.put(&mut bytes, *at, entry.as_ref());
+        context.encode(&mut bytes, *at, entry.as_ref());
         json_line(&mut json, *at, entry);
     }
     let each = |bytes: &[u8]| bytes.len() as f64 / entries.len() as f64;
@@ -108,7 +108,7 @@
                 recorder.record(*at, entry.as_ref());
             }
         });
-    assert!(!recorder.wants_state(START), "entries were left out");
+    assert!(!recorder.needs_segment(START), "entries were left out");
 }
 
 /// The codec alone.
@@ -122,7 +122,7 @@
             out.clear();
             let mut context = Context::new(START);
             for (at, entry) in entries.iter() {
-                context.put(&mut out, *at, entry.as_ref());
+                context.encode(&mut out, *at, entry.as_ref());
             }
         });
 }
@@ -146,7 +146,7 @@
     let entries = entries(11_000);
     let (mut bytes, mut context) = (Vec::new(), Context::new(START));
     for (at, entry) in entries.iter() {
-        context.put(&mut bytes, *at, entry.as_ref());
+        context.encode(&mut bytes, *at, entry.as_ref());
     }
     bencher
         .counter(ItemsCount::new(entries.len()))
@@ -154,7 +154,7 @@
         .bench_local(|| {
             let mut decoder = Decoder::new(&bytes, Context::new(START));
             let mut count = 0;
-            while let Ok(Some(_)) = decoder.next() {
+            while let Ok(Some(_)) = decoder.next_entry() {
                 count += 1;
             }
             assert_eq!(count, entries.len());
@@ -185,9 +185,9 @@
     bencher
         .counter(ItemsCount::new(2 * entries.len()))
         .bench_local(|| {
-            let mut merged = Merged::open(&[directory.path().into()]).expect("records");
+            let mut merged = MergedReader::open(&[directory.path().into()]).expect("records");
             let mut count = 0;
-            while merged.next().expect("whole records").is_some() {
+            while merged.next_entry().expect("whole records").is_some() {
                 count += 1;
             }
             assert!(count >= 2 * entries.len());
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -1,7 +1,7 @@
-//! The event loop's side of a record: encodes entries into buffers that were allocated at the start
-//! and hands them to the writer. It never waits and never allocates while it records. Where the
-//! writer can't keep up, entries are counted and left out; the writer tells of the gap, and a new
-//! segment begins behind it with the state as it is then.
+//! The event loop's side of a log: it encodes entries into buffers that were allocated at the start
+//! and passes them to the writer thread. It never waits, and recording allocates nothing. Where the
+//! writer can't keep up, entries are counted and left out; a new segment then starts with the state
+//! as it is, followed by an entry that describes the gap.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
@@ -12,233 +12,252 @@
 use eideryard::interface::Micros;
 
 use crate::codec::Context;
-use crate::entry::{EntryRef, Host};
-use crate::plan::Batch;
-pub use crate::plan::Config;
-use crate::tally::Tally;
-use crate::writer::{self, Disk};
-
-/// Buffers between the loop and the writer, and the bytes of each: what a disk may lag behind
-/// before entries are left out. At 500 requests a second and some 100 bytes each this is half a
-/// minute's worth.
-pub const BATCHES: usize = 24;
-pub const BATCH: usize = 64 << 10;
-/// No entry but a list of engines is longer; what is left of a buffer behind the limit is room for
-/// one.
-const MAX_ENTRY: usize = 4 << 10;
-/// What was recorded goes to the writer after this time at the latest: a killed gateway loses no
-/// more.
-const MAX_WAIT: Micros = 200_000;
-/// A gateway that has nothing to record says so much more often than a reader takes silence for its
-/// end: a few bytes, so that a gap begins where the gateway ended.
-pub const ALIVE_EVERY: Micros = 1_000_000;
-/// A tally is told this often, so that totals are exact again behind damage.
-const TALLY_EVERY: Micros = 5_000_000;
-/// The usual pause after a fault of the disk.
-pub const PAUSE: Duration = Duration::from_millis(500);
-/// How long the end of the program waits for the writer.
-const LAST_WRITES: Duration = Duration::from_millis(300);
+use crate::config::Batch;
+pub use crate::config::Config;
+use crate::disk::Disk;
+use crate::entry::{EntryRef, HostEvent};
+use crate::totals::Tally;
+use crate::writer::Writer;
 
+/// Buffers between the event loop and the writer. At 500 requests a second and some 100 bytes each
+/// they hold half a minute of entries.
+pub const BATCH_COUNT: usize = 24;
+/// Bytes after which a buffer goes to the writer.
+pub const BATCH_BYTES: usize = 64 << 10;
+/// Extra room in each buffer for its last entry. Only lists of endpoints are longer.
+const MAX_ENTRY_BYTES: usize = 4 << 10;
+/// Longest time that an entry stays in memory before it goes to the writer.
+const MAX_BATCH_AGE: Micros = 200_000;
+/// A gateway that has nothing else to record writes a heartbeat this often, so that the reader
+/// notices its end.
+pub const HEARTBEAT_INTERVAL: Micros = 1_000_000;
+/// Totals are repeated this often, so that they are exact again after damage.
+const TALLY_INTERVAL: Micros = 5_000_000;
+/// The usual [`Config::retry_delay`].
+pub const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// How long dropping the recorder waits for the writer.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
+/// How often dropping the recorder looks whether the writer has ended.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// Records the entries of one gateway. Dropping it writes what is left.
 pub struct Recorder {
-    plan: Config,
+    config: Config,
+    /// `None` once the recorder is being dropped; the writer then ends.
     filled: Option<SyncSender<Batch>>,
     empty: Receiver<Batch>,
     /// Set by the writer when it had to leave something out.
-    lost: Arc<AtomicBool>,
+    has_lost: Arc<AtomicBool>,
     writer: Option<JoinHandle<()>>,
     batch: Option<Batch>,
     context: Context,
     tally: Tally,
-    told_at: Micros,
-    /// When the last entry was recorded.
-    last_at: Micros,
+    last_tally_at: Micros,
+    last_entry_at: Micros,
     segment: u64,
     segment_bytes: u64,
-    segment_at: Micros,
-    /// The next entry needs a segment that begins with the state.
-    stale: bool,
+    segment_started_at: Micros,
+    /// Entries are left out until a segment starts with the state.
+    needs_state: bool,
 }
 
 impl Recorder {
-    pub fn start(plan: Config, disk: Box<dyn Disk>) -> std::io::Result<Self> {
-        let (filled, to_write) = sync_channel(BATCHES);
-        let (written, empty) = sync_channel(BATCHES);
-        let lost = Arc::new(AtomicBool::new(false));
-        let tally = Tally::sized(plan.classes, plan.tenants);
-        for _ in 0..BATCHES {
-            let batch = Batch {
-                bytes: Vec::with_capacity(BATCH + MAX_ENTRY),
-                entries: 0,
-                first_at: 0,
-                last_at: 0,
-                begins: false,
-                before: tally.clone(),
-                after: tally.clone(),
-            };
-            // The channel holds as many as there are.
-            let _ = written.try_send(batch);
+    /// Starts the writer thread.
+    ///
+    /// # Errors
+    /// If the thread can't be started. Errors of the disk are logged and tried again later.
+    pub fn start(config: Config, disk: Box<dyn Disk>) -> std::io::Result<Self> {
+        let (filled, to_write) = sync_channel(BATCH_COUNT);
+        let (written, empty) = sync_channel(BATCH_COUNT);
+        let has_lost = Arc::new(AtomicBool::new(false));
+        let tally = Tally::with_groups(config.classes, config.tenants);
+        for _ in 0..BATCH_COUNT {
+            // The channel has room for all buffers.
+            let _ = written.try_send(empty_batch(&tally));
         }
-        let worker = writer::Writer::new(plan.clone(), disk, lost.clone());
-        let thread = std::thread::Builder::new().name("record".into());
-        let writer = thread.spawn(move || worker.run(to_write, written))?;
+        let writer = Writer::new(config.clone(), disk, has_lost.clone());
+        let thread = std::thread::Builder::new()
+            .name("record".into())
+            .spawn(move || writer.run(&to_write, &written))?;
         Ok(Recorder {
-            plan,
+            config,
             filled: Some(filled),
             empty,
-            lost,
-            writer: Some(writer),
+            has_lost,
+            writer: Some(thread),
             batch: None,
             context: Context::default(),
             tally,
-            told_at: 0,
-            last_at: 0,
+            last_tally_at: 0,
+            last_entry_at: 0,
             segment: 0,
             segment_bytes: 0,
-            segment_at: 0,
-            stale: true,
+            segment_started_at: 0,
+            needs_state: true,
         })
     }
 
-    /// What was counted since the start, recorded or not.
+    /// The totals since the start, recorded or not.
     pub fn tally(&self) -> &Tally {
         &self.tally
     }
 
-    /// Whether a segment should begin: the caller then calls [`Recorder::begin`], tells the state
-    /// and calls [`Recorder::state_whole`].
-    pub fn wants_state(&self, now: Micros) -> bool {
-        let aged = now.saturating_sub(self.segment_at) >= self.plan.segment_time;
-        self.stale
-            || aged
-            || self.segment_bytes >= self.plan.segment
-            || self.lost.load(Ordering::Relaxed)
+    /// Whether a segment should start. The caller then calls [`Recorder::start_segment`], records
+    /// the state with [`Recorder::record_state`] and calls [`Recorder::finish_state`].
+    pub fn needs_segment(&self, now: Micros) -> bool {
+        let age = now.saturating_sub(self.segment_started_at);
+        self.needs_state
+            || age >= self.config.max_segment_age
+            || self.segment_bytes >= self.config.max_segment_bytes
+            || self.has_lost.load(Ordering::Relaxed)
     }
 
-    /// False: there is no buffer for it now.
-    pub fn begin(&mut self, now: Micros) -> bool {
-        self.hand_over();
-        if !self.has_batch(now) {
+    /// Starts a segment. Returns false if no buffer is free now; the caller tries again later.
+    pub fn start_segment(&mut self, now: Micros) -> bool {
+        self.send_batch();
+        if !self.ensure_batch(now) {
             return false;
         }
-        self.lost.store(false, Ordering::Relaxed);
-        self.stale = false;
+        self.has_lost.store(false, Ordering::Relaxed);
+        self.needs_state = false;
         self.segment += 1;
-        (self.segment_bytes, self.segment_at, self.told_at) = (0, now, now);
+        self.segment_bytes = 0;
+        self.segment_started_at = now;
+        self.last_tally_at = now;
         if let Some(batch) = &mut self.batch {
-            batch.begins = true;
+            batch.starts_segment = true;
         }
-        let Config { name, epoch, .. } = &self.plan;
-        let begin = Host::Begin {
-            name: name.clone(),
-            epoch: *epoch,
+        let started = HostEvent::SegmentStarted {
+            name: self.config.name.clone(),
+            epoch: self.config.epoch,
             segment: self.segment,
         };
-        self.state(now, &begin);
+        self.record_state(now, &started);
         true
     }
 
-    /// Something that was told before and is told again: it isn't counted.
-    pub fn state(&mut self, now: Micros, host: &Host) {
-        if !self.stale && self.has_batch(now) {
-            self.put(now, EntryRef::Host(host), 0);
+    /// Records part of the state at the start of a segment, which is not counted.
+    pub fn record_state(&mut self, now: Micros, event: &HostEvent) {
+        if !self.needs_state && self.ensure_batch(now) {
+            self.append(now, EntryRef::Host(event));
         }
     }
 
-    pub fn state_whole(&mut self, now: Micros) {
-        self.state(now, &Host::Tally(Box::new(self.tally.clone())));
-        self.state(now, &Host::StateWhole);
+    /// Ends the state at the start of a segment.
+    pub fn finish_state(&mut self, now: Micros) {
+        self.record_tally(now);
+        self.record_state(now, &HostEvent::StateComplete);
     }
 
     /// Records an entry, or counts it as left out.
     pub fn record(&mut self, now: Micros, entry: EntryRef<'_>) {
-        let recorded = !self.stale && self.has_batch(now);
+        // A new batch starts from the totals without this entry.
+        let can_append = !self.needs_state && self.ensure_batch(now);
         self.tally.count(entry);
-        if recorded {
-            self.put(now, entry, 1);
+        if can_append {
+            self.append(now, entry);
         }
     }
 
-    fn put(&mut self, now: Micros, entry: EntryRef<'_>, counts: u64) {
+    /// When [`Recorder::flush`] has something to do, if nothing else happens.
+    pub fn next_flush_at(&self) -> Option<Micros> {
+        if let Some(batch) = &self.batch {
+            return Some(batch.first_at + MAX_BATCH_AGE);
+        }
+        (!self.needs_state).then_some(self.last_entry_at + HEARTBEAT_INTERVAL)
+    }
+
+    /// Sends a batch that is old enough to the writer, and records totals and heartbeats that are
+    /// due.
+    pub fn flush(&mut self, now: Micros) {
+        let is_tally_due = now.saturating_sub(self.last_tally_at) >= TALLY_INTERVAL;
+        if self.batch.is_some() && !self.needs_state && is_tally_due {
+            self.last_tally_at = now;
+            self.record_tally(now);
+        }
+        let is_idle = now.saturating_sub(self.last_entry_at) >= HEARTBEAT_INTERVAL;
+        if self.batch.is_none() && !self.needs_state && is_idle {
+            self.record(now, EntryRef::Host(&HostEvent::Heartbeat));
+            self.send_batch();
+            return;
+        }
+        let is_batch_due = |batch: &Batch| batch.first_at + MAX_BATCH_AGE <= now;
+        if self.batch.as_ref().is_some_and(is_batch_due) {
+            self.send_batch();
+        }
+    }
+
+    fn record_tally(&mut self, now: Micros) {
+        let tally = HostEvent::Tally(Box::new(self.tally.clone()));
+        self.record_state(now, &tally);
+    }
+
+    fn append(&mut self, now: Micros, entry: EntryRef<'_>) {
         let Some(batch) = &mut self.batch else { return };
-        self.context.put(&mut batch.bytes, now, entry);
-        batch.entries += counts;
+        self.context.encode(&mut batch.bytes, now, entry);
         batch.last_at = now;
-        self.last_at = now;
-        if batch.bytes.len() >= BATCH {
-            self.hand_over();
+        self.last_entry_at = now;
+        if batch.bytes.len() >= BATCH_BYTES {
+            self.send_batch();
         }
     }
 
-    fn has_batch(&mut self, now: Micros) -> bool {
+    /// Takes a free buffer if none is in use. Returns false, and leaves entries out from now on, if
+    /// none is free.
+    fn ensure_batch(&mut self, now: Micros) -> bool {
         if self.batch.is_some() {
             return true;
         }
         let Ok(mut batch) = self.empty.try_recv() else {
-            // From here on entries are missing.
-            self.stale = true;
+            self.needs_state = true;
             return false;
         };
         batch.bytes.clear();
-        (batch.entries, batch.begins) = (0, false);
-        (batch.first_at, batch.last_at) = (now, now);
+        batch.starts_segment = false;
+        batch.first_at = now;
+        batch.last_at = now;
         batch.before.clone_from(&self.tally);
         self.context = Context::new(now);
         self.batch = Some(batch);
         true
     }
 
-    fn hand_over(&mut self) {
+    fn send_batch(&mut self) {
         let Some(mut batch) = self.batch.take() else {
             return;
         };
         self.segment_bytes += batch.bytes.len() as u64;
         batch.after.clone_from(&self.tally);
-        // The channel holds as many as there are, so it is never full; the writer ends only with
-        // the program.
-        self.stale |= self
-            .filled
-            .as_ref()
-            .is_some_and(|filled| filled.try_send(batch).is_err());
+        // The channel has room for all buffers, so this fails only if the writer has ended.
+        if let Some(filled) = &self.filled {
+            self.needs_state |= filled.try_send(batch).is_err();
+        }
     }
+}
 
-    /// When [`Recorder::flush`] has something to do, if nothing else happens.
-    pub fn due(&self) -> Option<Micros> {
-        let alive = (!self.stale).then_some(self.last_at + ALIVE_EVERY);
-        self.batch
-            .as_ref()
-            .map(|batch| batch.first_at + MAX_WAIT)
-            .or(alive)
-    }
-
-    /// Hands on what has waited for long enough.
-    pub fn flush(&mut self, now: Micros) {
-        if self.batch.is_some() && !self.stale && now.saturating_sub(self.told_at) >= TALLY_EVERY {
-            self.told_at = now;
-            self.state(now, &Host::Tally(Box::new(self.tally.clone())));
-        }
-        if self.batch.is_none() && !self.stale && now.saturating_sub(self.last_at) >= ALIVE_EVERY {
-            self.record(now, EntryRef::Host(&Host::Alive));
-            return self.hand_over();
-        }
-        if self
-            .batch
-            .as_ref()
-            .is_some_and(|batch| batch.first_at + MAX_WAIT <= now)
-        {
-            self.hand_over();
-        }
+fn empty_batch(tally: &Tally) -> Batch {
+    Batch {
+        bytes: Vec::with_capacity(BATCH_BYTES + MAX_ENTRY_BYTES),
+        first_at: 0,
+        last_at: 0,
+        starts_segment: false,
+        before: tally.clone(),
+        after: tally.clone(),
     }
 }
 
-/// The end: the writer gets what is left, and a little time for it.
+/// Sends the writer what is left and gives it a limited time: a disk that hangs doesn't keep the
+/// process from ending.
 impl Drop for Recorder {
     fn drop(&mut self) {
-        self.hand_over();
+        self.send_batch();
         self.filled = None;
-        let (until, writer) = (Instant::now() + LAST_WRITES, self.writer.take());
-        while writer.as_ref().is_some_and(|writer| !writer.is_finished()) && Instant::now() < until
-        {
-            std::thread::sleep(Duration::from_millis(2));
+        let Some(writer) = self.writer.take() else {
+            return;
+        };
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+        while !writer.is_finished() && Instant::now() < deadline {
+            std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
     }
 }
--- a/crates/event-log/src/tally.rs
+++ b/crates/event-log/src/tally.rs
@@ -1,156 +1,187 @@
-//! Counting entries. Writer and reader count by the same code, so that what was left out of a
-//! record can be told exactly.
+//! Counting of entries. Recorder and reader count with the same code, so that the totals of entries
+//! that were left out are exact.
 
-use crate::entry::{AnswerKind, CloseReason, EntryRef, Host, RejectReason};
-use crate::totals::lane;
-pub use crate::totals::{Lane, Tally, Totals, MAX_LANES};
 use eideryard::interface::{Action, Event, Outcome};
 
-/// Counts what is read. A segment opens with the state that it begins in, which tells again what
-/// was told before and so counts nothing, and with the tally up to then.
+use crate::entry::{AnswerKind, CloseReason, EntryRef, HostEvent, RejectReason};
+use crate::totals::{group_mut, GroupTotals, Tally, Totals};
+
+/// Totals of a log while it is read. A segment starts with a state that repeats earlier entries and
+/// so counts nothing, and with the totals up to then.
 #[derive(Clone, Debug, Default)]
-pub struct Counted {
+pub struct RunningTally {
+    /// The totals up to the last entry.
     pub tally: Tally,
-    in_state: bool,
+    is_in_state: bool,
 }
 
-impl Counted {
-    /// Whether what comes now is told again.
-    pub fn is_state(&self) -> bool {
-        self.in_state
+impl RunningTally {
+    /// Whether the next entry belongs to the state at the start of a segment.
+    pub fn is_in_state(&self) -> bool {
+        self.is_in_state
     }
 
-    pub fn read(&mut self, entry: EntryRef<'_>) {
+    /// Counts an entry that was read.
+    pub fn add(&mut self, entry: EntryRef<'_>) {
         match entry {
-            EntryRef::Host(Host::Begin { .. }) => self.in_state = true,
-            EntryRef::Host(Host::StateWhole) => self.in_state = false,
-            EntryRef::Host(Host::Tally(told)) => self.tally.clone_from(told),
-            EntryRef::Host(Host::Gap { .. }) => {}
-            entry if !self.in_state => self.tally.count(entry),
-            _ => {}
-        }
-    }
-}
-
-impl Totals {
-    /// Something that intents need was wanting.
-    fn wants(&mut self, why: RejectReason) {
-        match why {
-            RejectReason::LedgerFull => self.ledger_full += 1,
-            RejectReason::StoreStalled => self.store_stalled += 1,
-            RejectReason::NoMajority => self.no_majority += 1,
+            EntryRef::Host(HostEvent::SegmentStarted { .. }) => self.is_in_state = true,
+            EntryRef::Host(HostEvent::StateComplete) => self.is_in_state = false,
+            EntryRef::Host(HostEvent::Tally(tally)) => self.tally.clone_from(tally),
+            EntryRef::Host(HostEvent::Gap { .. }) => {}
+            entry if !self.is_in_state => self.tally.count(entry),
             _ => {}
         }
     }
 }
 
 impl Tally {
-    #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
+    /// Counts an entry.
     pub fn count(&mut self, entry: EntryRef<'_>) {
         self.entries += 1;
-        let totals = &mut self.totals;
         match entry {
-            EntryRef::In(Event::Arrived(request)) => {
-                totals.taken += 1;
-                for lane in lane(&mut self.classes, request.class).into_iter() {
-                    lane.taken += 1;
-                }
-                for lane in lane(&mut self.tenants, request.tenant).into_iter() {
-                    lane.taken += 1;
-                }
+            EntryRef::Event(Event::Arrived(request)) => {
+                self.count_received(request.class, request.tenant);
             }
-            EntryRef::In(Event::AttemptEnded(ended)) => {
-                *match ended.outcome {
-                    Outcome::Answered => &mut totals.answered,
-                    Outcome::Error => &mut totals.error,
-                    Outcome::AtCapacity => &mut totals.full,
-                    Outcome::TimedOut => &mut totals.timed_out,
-                    Outcome::NoConnection => &mut totals.no_connection,
-                    Outcome::Broken => &mut totals.broken,
-                    Outcome::Cancelled => &mut totals.cancelled,
-                    Outcome::NotSent => &mut totals.unsent,
-                } += 1;
+            EntryRef::Event(Event::AttemptEnded(ended)) => {
+                *self.totals.outcome_mut(ended.outcome) += 1;
             }
-            EntryRef::Out(Action::Send { .. }) => totals.sent += 1,
-            EntryRef::Host(Host::Answered {
+            EntryRef::Action(Action::Send { .. }) => self.totals.sent += 1,
+            EntryRef::Host(event) => self.count_host_event(event),
+            _ => {}
+        }
+    }
+
+    fn count_host_event(&mut self, event: &HostEvent) {
+        match event {
+            HostEvent::Answered {
                 class,
                 tenant,
-                how,
-                late,
+                kind,
+                is_late,
                 ..
-            }) => {
-                *match how {
-                    AnswerKind::Served => &mut totals.served,
-                    AnswerKind::Refused => &mut totals.refused,
-                    AnswerKind::Failed => &mut totals.failed,
-                    AnswerKind::Forgotten => &mut totals.forgotten,
-                    AnswerKind::Lost => &mut totals.lost,
-                } += 1;
-                totals.late += *late as u64;
-                let lanes = [
-                    lane(&mut self.classes, *class),
-                    lane(&mut self.tenants, *tenant),
-                ];
-                for lane in lanes.into_iter().flatten() {
-                    lane.ended[*how as usize] += 1;
-                    lane.late += *late as u64;
-                }
+            } => self.count_answered(*class, *tenant, *kind, *is_late),
+            HostEvent::RetryAttached { class, tenant } => self.count_received(*class, *tenant),
+            HostEvent::RequestRejected {
+                reason,
+                class,
+                tenant,
+            } => self.count_rejected(*reason, *class, *tenant),
+            HostEvent::RefusalExplained { reason, .. } => self.totals.count_refusal(*reason),
+            HostEvent::DiscoveryEvent { .. } => self.totals.discovery_events += 1,
+            HostEvent::Connected { .. } => self.totals.connections += 1,
+            HostEvent::ConnectionClosing { reason, .. } => {
+                *self.totals.close_reason_mut(*reason) += 1;
             }
-            EntryRef::Host(Host::Attached { class, tenant }) => {
-                totals.taken += 1;
-                for lane in lane(&mut self.classes, *class).into_iter() {
-                    lane.taken += 1;
-                }
-                for lane in lane(&mut self.tenants, *tenant).into_iter() {
-                    lane.taken += 1;
-                }
+            HostEvent::ConfigReloaded { succeeded: true } => self.totals.reloads += 1,
+            HostEvent::ConfigReloaded { succeeded: false } => self.totals.reloads_failed += 1,
+            _ => {}
+        }
+    }
+
+    fn count_received(&mut self, class: usize, tenant: usize) {
+        self.totals.received += 1;
+        self.for_groups(Some(class), Some(tenant), |group| group.received += 1);
+    }
+
+    fn count_answered(&mut self, class: usize, tenant: usize, kind: AnswerKind, is_late: bool) {
+        let late = u64::from(is_late);
+        *self.totals.answer_mut(kind) += 1;
+        self.totals.late += late;
+        self.for_groups(Some(class), Some(tenant), |group| {
+            group.ended[kind as usize] += 1;
+            group.late += late;
+        });
+    }
+
+    fn count_rejected(
+        &mut self,
+        reason: RejectReason,
+        class: Option<usize>,
+        tenant: Option<usize>,
+    ) {
+        self.totals.received += 1;
+        let kind = match reason {
+            RejectReason::Invalid => {
+                // It has no class and no tenant.
+                self.totals.invalid += 1;
+                return;
             }
-            EntryRef::Host(Host::NotTaken { how, class, tenant }) => {
-                totals.taken += 1;
-                let ended = match how {
-                    RejectReason::Invalid => {
-                        totals.invalid += 1;
-                        return;
-                    }
-                    RejectReason::NoRoom => {
-                        totals.no_room += 1;
-                        totals.refused += 1;
-                        AnswerKind::Refused
-                    }
-                    RejectReason::Gone => {
-                        totals.lost += 1;
-                        AnswerKind::Lost
-                    }
-                    why => {
-                        totals.refused += 1;
-                        totals.wants(*why);
-                        AnswerKind::Refused
-                    }
-                };
-                let lanes = [
-                    class.and_then(|at| lane(&mut self.classes, at)),
-                    tenant.and_then(|at| lane(&mut self.tenants, at)),
-                ];
-                for lane in lanes.into_iter().flatten() {
-                    lane.taken += 1;
-                    lane.ended[ended as usize] += 1;
-                }
+            RejectReason::ClientDisconnected => AnswerKind::Lost,
+            RejectReason::StatementMemoryFull => {
+                self.totals.statement_memory_full += 1;
+                AnswerKind::Refused
             }
-            EntryRef::Host(Host::Because { why, .. }) => totals.wants(*why),
-            EntryRef::Host(Host::ListEvent { .. }) => totals.list_events += 1,
-            EntryRef::Host(Host::Connected { .. }) => totals.connections += 1,
-            EntryRef::Host(Host::Ending { why, .. }) => {
-                *match why {
-                    CloseReason::Malformed => &mut totals.malformed,
-                    CloseReason::Silent => &mut totals.silent,
-                    CloseReason::Hoarding => &mut totals.hoarding,
-                    CloseReason::Deaf => &mut totals.deaf,
-                    CloseReason::Evicted => &mut totals.evicted,
-                } += 1;
+            RejectReason::IntentLogFull | RejectReason::StoreStalled | RejectReason::NoMajority => {
+                self.totals.count_refusal(reason);
+                AnswerKind::Refused
             }
-            EntryRef::Host(Host::Reloaded { done: true }) => totals.reloads += 1,
-            EntryRef::Host(Host::Reloaded { done: false }) => totals.reloads_failed += 1,
-            _ => {}
+        };
+        *self.totals.answer_mut(kind) += 1;
+        self.for_groups(class, tenant, |group| {
+            group.received += 1;
+            group.ended[kind as usize] += 1;
+        });
+    }
+
+    /// Changes the totals of a class and of a tenant, where they are known.
+    fn for_groups(
+        &mut self,
+        class: Option<usize>,
+        tenant: Option<usize>,
+        change: impl Fn(&mut GroupTotals),
+    ) {
+        if let Some(group) = class.and_then(|class| group_mut(&mut self.classes, class)) {
+            change(group);
+        }
+        if let Some(group) = tenant.and_then(|tenant| group_mut(&mut self.tenants, tenant)) {
+            change(group);
+        }
+    }
+}
+
+impl Totals {
+    /// Counts a refusal for want of a durable intent; other reasons have totals of their own.
+    fn count_refusal(&mut self, reason: RejectReason) {
+        match reason {
+            RejectReason::IntentLogFull => self.intent_log_full += 1,
+            RejectReason::StoreStalled => self.store_stalled += 1,
+            RejectReason::NoMajority => self.no_majority += 1,
+            RejectReason::Invalid
+            | RejectReason::StatementMemoryFull
+            | RejectReason::ClientDisconnected => {}
+        }
+    }
+
+    fn outcome_mut(&mut self, outcome: Outcome) -> &mut u64 {
+        match outcome {
+            Outcome::Answered => &mut self.answered,
+            Outcome::Error => &mut self.error,
+            Outcome::AtCapacity => &mut self.at_capacity,
+            Outcome::TimedOut => &mut self.timed_out,
+            Outcome::NoConnection => &mut self.no_connection,
+            Outcome::Broken => &mut self.broken,
+            Outcome::Cancelled => &mut self.cancelled,
+            Outcome::NotSent => &mut self.not_sent,
+        }
+    }
+
+    fn answer_mut(&mut self, kind: AnswerKind) -> &mut u64 {
+        match kind {
+            AnswerKind::Served => &mut self.served,
+            AnswerKind::Refused => &mut self.refused,
+            AnswerKind::Failed => &mut self.failed,
+            AnswerKind::Forgotten => &mut self.forgotten,
+            AnswerKind::Lost => &mut self.lost,
+        }
+    }
+
+    fn close_reason_mut(&mut self, reason: CloseReason) -> &mut u64 {
+        match reason {
+            CloseReason::Malformed => &mut self.malformed,
+            CloseReason::IdleTimeout => &mut self.idle_timeout,
+            CloseReason::TooMuchUnread => &mut self.too_much_unread,
+            CloseReason::NotReading => &mut self.not_reading,
+            CloseReason::Evicted => &mut self.evicted,
         }
     }
 }
--- /dev/null
+++ b/crates/event-log/src/text/mod.rs
@@ -0,0 +1,54 @@
+//! Entries as text, for `eideryard records dump` and `eideryard records find`. Users search this
+//! text, so its names are an interface: they stand here as strings and are independent of the names
+//! of types and fields.
+
+mod action;
+mod event;
+mod fleet;
+mod host;
+mod names;
+
+use std::fmt::{self, Debug, Display, Formatter};
+
+use crate::entry::EntryRef;
+
+use action::ActionText;
+use event::EventText;
+use host::HostText;
+pub use names::{outcome_name, phase_name};
+
+/// Displays an entry on one line: where it comes from (`in`, `out` or `host`) and what it holds.
+pub struct EntryText<'a>(pub EntryRef<'a>);
+
+impl Display for EntryText<'_> {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            EntryRef::Event(event) => write!(f, "in {:?}", EventText(event)),
+            EntryRef::Action(action) => write!(f, "out {:?}", ActionText(action)),
+            EntryRef::Host(event) => write!(f, "host {:?}", HostText(event)),
+        }
+    }
+}
+
+/// A name that is written without quotes.
+struct Bare(&'static str);
+
+impl Debug for Bare {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        f.write_str(self.0)
+    }
+}
+
+/// Writes `NAME { FIELD: VALUE, … }`.
+fn write_struct(f: &mut Formatter<'_>, name: &str, fields: &[(&str, &dyn Debug)]) -> fmt::Result {
+    let mut text = f.debug_struct(name);
+    for (field, value) in fields {
+        text.field(field, value);
+    }
+    text.finish()
+}
+
+/// Writes `NAME(VALUE)`.
+fn write_tuple(f: &mut Formatter<'_>, name: &str, value: &dyn Debug) -> fmt::Result {
+    f.debug_tuple(name).field(value).finish()
+}
--- a/crates/event-log/src/totals.rs
+++ b/crates/event-log/src/totals.rs
@@ -1,76 +1,132 @@
-//! Totals of entries, as plain data: what is counted, by class and tenant, and differences between
-//! states of it. How entries count stands in [`crate::tally`].
+//! Totals of entries as plain data: over all requests, by class and by tenant, and the difference
+//! between two states of them. [`crate::tally`] does the counting.
 
-/// More classes or tenants than this are counted in the totals only; it bounds a record that was
-/// tampered with.
-pub const MAX_LANES: usize = 256;
+use std::fmt::{self, Debug, Formatter};
 
-macro_rules! counts {
-    ($($name:ident),*) => {
-        /// Totals, named as in the gateway's counters.
-        #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+/// Classes and tenants beyond this number count in the overall totals only. It bounds the memory
+/// that a damaged log can claim.
+pub const MAX_GROUPS: usize = 256;
+/// Values of one [`GroupTotals`].
+pub const GROUP_VALUES: usize = 7;
+
+/// Defines [`Totals`]: the fields in the order in which the log stores them, each with its name in
+/// counters, commands and JSON.
+macro_rules! define_totals {
+    ($($(#[$documentation:meta])* $field:ident = $name:literal),* $(,)?) => {
+        /// Totals over all requests, connections and events of one gateway.
+        #[derive(Clone, Copy, Default, PartialEq, Eq)]
         pub struct Totals {
-            $(pub $name: u64),*
+            $($(#[$documentation])* pub $field: u64),*
         }
 
         impl Totals {
-            pub const NAMES: &'static [&'static str] = &[$(stringify!($name)),*];
+            /// The names of all totals, in their order.
+            pub const NAMES: &'static [&'static str] = &[$($name),*];
 
+            /// All totals with their names, in their order.
             pub fn pairs(&self) -> impl Iterator<Item = (&'static str, u64)> {
-                [$((stringify!($name), self.$name)),*].into_iter()
+                [$(($name, self.$field)),*].into_iter()
             }
 
+            /// All totals in their order, for changing them.
             pub fn values_mut(&mut self) -> impl Iterator<Item = &mut u64> {
-                [$(&mut self.$name),*].into_iter()
+                [$(&mut self.$field),*].into_iter()
             }
         }
     };
 }
 
-counts!(
-    taken,
-    served,
-    refused,
-    failed,
-    invalid,
-    forgotten,
-    lost,
-    late,
-    no_room,
-    sent,
-    answered,
-    error,
-    full,
-    timed_out,
-    no_connection,
-    broken,
-    cancelled,
-    unsent,
-    list_events,
-    connections,
-    reloads,
-    reloads_failed,
-    malformed,
-    silent,
-    hoarding,
-    deaf,
-    evicted,
-    ledger_full,
-    store_stalled,
-    no_majority
+define_totals!(
+    /// Requests that clients sent, rejected ones included.
+    received = "taken",
+    /// Requests answered with a result.
+    served = "served",
+    /// Requests refused, to be tried again later.
+    refused = "refused",
+    /// Requests answered with an error.
+    failed = "failed",
+    /// Messages that could not be used.
+    invalid = "invalid",
+    /// Requests that their clients cancelled.
+    forgotten = "forgotten",
+    /// Requests whose clients disconnected before the answer.
+    lost = "lost",
+    /// Requests answered after their deadline.
+    late = "late",
+    /// Requests refused because open statements filled their memory.
+    statement_memory_full = "no_room",
+    /// Attempts sent to engines.
+    sent = "sent",
+    /// Attempts that engines answered.
+    answered = "answered",
+    /// Attempts that ended with an engine's error.
+    error = "error",
+    /// Attempts that an engine rejected because it was full.
+    at_capacity = "full",
+    /// Attempts that ran into their deadline.
+    timed_out = "timed_out",
+    /// Attempts for which no connection could be made.
+    no_connection = "no_connection",
+    /// Attempts whose connection broke.
+    broken = "broken",
+    /// Attempts that the gateway cancelled.
+    cancelled = "cancelled",
+    /// Attempts that were withdrawn before they were sent.
+    not_sent = "unsent",
+    /// Numbered events of the discovery service.
+    discovery_events = "list_events",
+    /// Connections of clients.
+    connections = "connections",
+    /// Configurations applied while running.
+    reloads = "reloads",
+    /// Configurations rejected while running.
+    reloads_failed = "reloads_failed",
+    /// Connections closed because of malformed messages.
+    malformed = "malformed",
+    /// Connections closed because the client was idle for too long.
+    idle_timeout = "silent",
+    /// Connections closed because of too many unread bytes.
+    too_much_unread = "hoarding",
+    /// Connections closed because the client didn't read.
+    not_reading = "deaf",
+    /// Connections closed in favour of new ones.
+    evicted = "evicted",
+    /// Requests refused because the intent log was full.
+    intent_log_full = "ledger_full",
+    /// Requests refused because the store had not written for too long.
+    store_stalled = "store_stalled",
+    /// Requests refused because no majority of voters confirmed the intent.
+    no_majority = "no_majority",
 );
 
-/// How a request that was taken ended.
+/// Prints the names of [`Totals::NAMES`]: `records dump` shows this text.
+impl Debug for Totals {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let mut text = f.debug_struct("Totals");
+        for (name, value) in self.pairs() {
+            text.field(name, &value);
+        }
+        text.finish()
+    }
+}
+
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AnswerKind {
+    /// With a result.
     Served,
+    /// It may be tried again later.
     Refused,
+    /// With an error.
     Failed,
+    /// The client cancelled it.
     Forgotten,
+    /// The client disconnected.
     Lost,
 }
 
 impl AnswerKind {
+    /// All kinds; the index of each is its number in the log.
     pub const ALL: [AnswerKind; 5] = [
         AnswerKind::Served,
         AnswerKind::Refused,
@@ -79,6 +135,7 @@
         AnswerKind::Lost,
     ];
 
+    /// The kind as logs and pages name it.
     pub fn name(self) -> &'static str {
         match self {
             AnswerKind::Served => "served",
@@ -90,45 +147,92 @@
     }
 }
 
-/// What was counted of one class or tenant.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Lane {
-    pub taken: u64,
-    /// By [`AnswerKind`], in its order.
-    pub ended: [u64; 5],
+/// Totals of one class or tenant.
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+pub struct GroupTotals {
+    /// Requests that clients sent.
+    pub received: u64,
+    /// Requests that ended, indexed by [`AnswerKind`].
+    pub ended: [u64; AnswerKind::ALL.len()],
+    /// Requests answered after their deadline.
     pub late: u64,
 }
 
-impl Lane {
-    pub fn ended(&self, how: AnswerKind) -> u64 {
-        self.ended[how as usize]
+impl GroupTotals {
+    /// Requests that ended in this way.
+    pub fn ended(&self, kind: AnswerKind) -> u64 {
+        self.ended[kind as usize]
     }
 
-    pub fn values(&self) -> [u64; 7] {
-        let [a, b, c, d, e] = self.ended;
-        [self.taken, a, b, c, d, e, self.late]
+    /// All values: received, by [`AnswerKind`], late.
+    pub fn values(&self) -> [u64; GROUP_VALUES] {
+        let [served, refused, failed, forgotten, lost] = self.ended;
+        [
+            self.received,
+            served,
+            refused,
+            failed,
+            forgotten,
+            lost,
+            self.late,
+        ]
     }
 
-    pub fn from_values(values: [u64; 7]) -> Self {
-        let [taken, a, b, c, d, e, late] = values;
-        Lane {
-            taken,
-            ended: [a, b, c, d, e],
+    pub(crate) fn from_values(values: [u64; GROUP_VALUES]) -> Self {
+        let [received, ended @ .., late] = values;
+        GroupTotals {
+            received,
+            ended,
             late,
         }
     }
+
+    fn since(&self, before: &GroupTotals) -> GroupTotals {
+        let mut values = self.values();
+        for (value, earlier) in values.iter_mut().zip(before.values()) {
+            *value = value.saturating_sub(earlier);
+        }
+        GroupTotals::from_values(values)
+    }
+}
+
+/// The names are those of `records dump`.
+impl Debug for GroupTotals {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Lane")
+            .field("taken", &self.received)
+            .field("ended", &self.ended)
+            .field("late", &self.late)
+            .finish()
+    }
 }
 
-#[derive(Debug, Default, PartialEq, Eq)]
+/// All totals of one gateway since its start.
+#[derive(Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Entries that count: all but those of a segment's opening state.
+    /// Entries that count: all but those that repeat the state at the start of a segment.
     pub entries: u64,
+    /// Totals over everything.
     pub totals: Totals,
-    pub classes: Vec<Lane>,
-    pub tenants: Vec<Lane>,
+    /// Totals by class.
+    pub classes: Vec<GroupTotals>,
+    /// Totals by tenant.
+    pub tenants: Vec<GroupTotals>,
 }
 
-/// By hand, so that a tally is copied over another without allocation.
+/// The names are those of `records dump`.
+impl Debug for Tally {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Tally")
+            .field("entries", &self.entries)
+            .field("totals", &self.totals)
+            .field("classes", &self.classes)
+            .field("tenants", &self.tenants)
+            .finish()
+    }
+}
+
+/// By hand, so that `clone_from` reuses the vectors: the recorder must not allocate.
 impl Clone for Tally {
     fn clone(&self) -> Self {
         let mut copy = Tally::default();
@@ -137,62 +241,64 @@
     }
 
     fn clone_from(&mut self, other: &Self) {
-        (self.entries, self.totals) = (other.entries, other.totals);
+        self.entries = other.entries;
+        self.totals = other.totals;
         self.classes.clone_from(&other.classes);
         self.tenants.clone_from(&other.tenants);
     }
 }
 
-pub(crate) fn lane(lanes: &mut Vec<Lane>, at: usize) -> Option<&mut Lane> {
-    if at >= lanes.len() && at < MAX_LANES {
-        lanes.resize(at + 1, Lane::default());
-    }
-    lanes.get_mut(at)
-}
-
 impl Tally {
-    /// Room for so many classes and tenants, so that counting allocates nothing.
-    pub fn sized(classes: usize, tenants: usize) -> Self {
-        let lanes = |count: usize| vec![Lane::default(); count.min(MAX_LANES)];
+    /// Zero totals with room for so many classes and tenants, so that counting allocates nothing.
+    pub fn with_groups(classes: usize, tenants: usize) -> Self {
+        let zeros = |count: usize| vec![GroupTotals::default(); count.min(MAX_GROUPS)];
         Tally {
-            classes: lanes(classes),
-            tenants: lanes(tenants),
+            classes: zeros(classes),
+            tenants: zeros(tenants),
             ..Tally::default()
         }
     }
 
-    /// What was counted between an earlier state and this.
+    /// What was counted between an earlier state and this one.
     pub fn since(&self, before: &Tally) -> Tally {
         let mut totals = self.totals;
-        for (value, (_, old)) in totals.values_mut().zip(before.totals.pairs()) {
-            *value = value.saturating_sub(old);
+        for (value, (_, earlier)) in totals.values_mut().zip(before.totals.pairs()) {
+            *value = value.saturating_sub(earlier);
         }
-        let lanes = |now: &[Lane], old: &[Lane]| {
-            let less = |(at, lane): (usize, &Lane)| {
-                let (mut values, old) = (
-                    lane.values(),
-                    old.get(at).copied().unwrap_or_default().values(),
-                );
-                values
-                    .iter_mut()
-                    .zip(old)
-                    .for_each(|(value, old)| *value = value.saturating_sub(old));
-                Lane::from_values(values)
-            };
-            now.iter().enumerate().map(less).collect()
-        };
         Tally {
             entries: self.entries.saturating_sub(before.entries),
             totals,
-            classes: lanes(&self.classes, &before.classes),
-            tenants: lanes(&self.tenants, &before.tenants),
+            classes: groups_since(&self.classes, &before.classes),
+            tenants: groups_since(&self.tenants, &before.tenants),
         }
     }
 
-    /// Requests taken that have no end yet.
+    /// Requests received that have not ended.
     pub fn open(&self) -> u64 {
-        let t = &self.totals;
-        t.taken
-            .saturating_sub(t.served + t.refused + t.failed + t.invalid + t.forgotten + t.lost)
+        let totals = &self.totals;
+        let ended = totals.served
+            + totals.refused
+            + totals.failed
+            + totals.invalid
+            + totals.forgotten
+            + totals.lost;
+        totals.received.saturating_sub(ended)
+    }
+}
+
+fn groups_since(groups: &[GroupTotals], before: &[GroupTotals]) -> Vec<GroupTotals> {
+    let mut differences = Vec::with_capacity(groups.len());
+    for (index, group) in groups.iter().enumerate() {
+        let earlier = before.get(index).copied().unwrap_or_default();
+        differences.push(group.since(&earlier));
+    }
+    differences
+}
+
+/// The totals of a class or tenant; `None` beyond [`MAX_GROUPS`].
+pub(crate) fn group_mut(groups: &mut Vec<GroupTotals>, index: usize) -> Option<&mut GroupTotals> {
+    if index >= groups.len() && index < MAX_GROUPS {
+        groups.resize(index + 1, GroupTotals::default());
     }
+    groups.get_mut(index)
 }
--- a/crates/event-log/tests/common/mod.rs
+++ b/crates/event-log/tests/common/mod.rs
@@ -5,8 +5,8 @@
     Action, AttemptEnded, Event, LoadReport, Micros, Outcome, Phase, Probed, Progress, Request,
     RequestId, ResourceUsage,
 };
+use eideryard_event_log::disk::{Directory, Disk, Segment};
 use eideryard_event_log::entry::EntryRef;
-use eideryard_event_log::writer::{Directory, Disk, Segment};
 use eideryard_event_log::*;
 use fastrand::Rng;
 use std::io;
@@ -82,15 +82,15 @@
     let id = request(rng);
     let class = rng.usize(0..4);
     let tenant = rng.usize(0..3);
-    let offer = Offer {
+    let offer = ClientRequest {
         request: id,
         id: rng.u64(..),
         connection: request(rng),
     };
     match rng.u8(0..36) {
-        0 => Entry::In(Event::EndpointSnapshot(listed(rng))),
-        1 => Entry::In(Event::EndpointChanges(listed(rng))),
-        2 if rng.bool() => Entry::In(Event::DiscoveryFailed),
+        0 => Entry::Event(Event::EndpointSnapshot(listed(rng))),
+        1 => Entry::Event(Event::EndpointChanges(listed(rng))),
+        2 if rng.bool() => Entry::Event(Event::DiscoveryFailed),
         2 => {
             let class = |rng: &mut Rng| eideryard::interface::ClassEstimates {
                 work_ratio: real(rng),
@@ -115,12 +115,12 @@
                 engines,
                 baseline_load: real(rng),
             };
-            Entry::In(Event::CheckpointRestored {
+            Entry::Event(Event::CheckpointRestored {
                 learned: lessons,
                 age: rng.u64(..),
             })
         }
-        3..=6 => Entry::In(Event::Arrived(Request {
+        3..=6 => Entry::Event(Event::Arrived(Request {
             id,
             class,
             tenant,
@@ -137,31 +137,35 @@
                 })
                 .collect(),
         })),
-        7 => Entry::In(Event::StreamBegan { request: id }),
+        7 => Entry::Event(Event::StreamBegan { request: id }),
         34 => match rng.u8(0..6) {
-            4 => Entry::Host(Host::Fleet(FleetEvent::Owns {
+            4 => Entry::Host(HostEvent::Fleet(FleetEvent::LeaseChanged {
                 task: rng.u32(..),
                 term: rng.u64(..),
-                owns: true,
+                is_held: true,
             })),
-            5 => Entry::Host(Host::Fleet(FleetEvent::Work {
+            5 => Entry::Host(HostEvent::Fleet(FleetEvent::WorkReceived {
                 task: rng.u32(..),
                 term: rng.u64(..),
                 owner: rng.u64(..),
-                counts: rng.bool(),
+                is_accepted: rng.bool(),
             })),
-            0 => Entry::Host(Host::Fleet(FleetEvent::Peer {
+            0 => Entry::Host(HostEvent::Fleet(FleetEvent::PeerState {
                 name: "g1".into(),
                 state: "slow".into(),
             })),
-            1 => Entry::Host(Host::Fleet(FleetEvent::Turned {
+            1 => Entry::Host(HostEvent::Fleet(FleetEvent::PeerRejected {
                 name: "g2".into(),
-                why: "another".into(),
+                reason: "another".into(),
+            })),
+            2 => Entry::Host(HostEvent::Fleet(FleetEvent::VotingChanged {
+                is_voter: rng.bool(),
+            })),
+            _ => Entry::Host(HostEvent::Fleet(FleetEvent::MajorityChanged {
+                is_reachable: rng.bool(),
             })),
-            2 => Entry::Host(Host::Fleet(FleetEvent::Votes { votes: rng.bool() })),
-            _ => Entry::Host(Host::Fleet(FleetEvent::Majority { stands: rng.bool() })),
         },
-        35 if rng.bool() => Entry::In(Event::PriorAttempts {
+        35 if rng.bool() => Entry::Event(Event::PriorAttempts {
             request: id,
             prior_attempts: vec![eideryard::interface::PriorAttempt {
                 zone: 1,
@@ -169,9 +173,9 @@
                 since: rng.u64(..),
             }],
         }),
-        35 => Entry::Host(Host::Because {
+        35 => Entry::Host(HostEvent::RefusalExplained {
             request: id,
-            why: *rng.choice(&RejectReason::ALL).unwrap(),
+            reason: *rng.choice(&RejectReason::ALL).unwrap(),
         }),
         8 => {
             let notes = [
@@ -180,13 +184,13 @@
                 Progress::WaitsForMemory,
                 Progress::WaitsForLoad,
             ];
-            Entry::In(Event::ProgressReported {
+            Entry::Event(Event::ProgressReported {
                 request: id,
                 attempt: rng.usize(0..9),
                 progress: *rng.choice(&notes).unwrap(),
             })
         }
-        9..=12 => Entry::In(Event::AttemptEnded(AttemptEnded {
+        9..=12 => Entry::Event(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt: rng.usize(0..9),
             outcome: outcome(rng),
@@ -199,72 +203,72 @@
             }),
             report: report(rng),
         })),
-        13 => Entry::In(Event::Probed(Probed {
+        13 => Entry::Event(Event::Probed(Probed {
             engine: rng.u32(..),
             outcome: outcome(rng),
             report: report(rng),
         })),
-        14 => Entry::In(Event::ClientLeft { request: id }),
-        15 => Entry::In(Event::Timer {
+        14 => Entry::Event(Event::ClientLeft { request: id }),
+        15 => Entry::Event(Event::Timer {
             tag: *rng.choice(&[0, id + 1]).unwrap(),
         }),
-        16 => Entry::Out(Action::Grant {
+        16 => Entry::Action(Action::Grant {
             request: id,
             grant_mb: real(rng),
             rank: rng.u8(0..4),
         }),
-        17 | 18 => Entry::Out(Action::Send {
+        17 | 18 => Entry::Action(Action::Send {
             request: id,
             engine: rng.u32(..),
             attempt_deadline: at + rng.u64(0..99_999),
         }),
-        19 => Entry::Out(Action::Probe {
+        19 => Entry::Action(Action::Probe {
             engine: rng.u32(..),
         }),
-        20 => Entry::Out(Action::Cancel {
+        20 => Entry::Action(Action::Cancel {
             request: id,
             attempt: rng.usize(0..9),
         }),
-        21 => Entry::Out(Action::Refuse {
+        21 => Entry::Action(Action::Refuse {
             request: id,
             retry_after: rng.u64(0..9_000_000),
         }),
-        22 => Entry::Out(Action::Fail { request: id }),
-        23 => Entry::Out(Action::SetTimer {
+        22 => Entry::Action(Action::Fail { request: id }),
+        23 => Entry::Action(Action::SetTimer {
             after: rng.u64(0..9_000_000),
             tag: *rng.choice(&[0, id + 1]).unwrap(),
         }),
-        24 => Entry::Out(Action::Log("engine 17 quarantined: silent".into())),
-        25 => Entry::Host(Host::Connected {
+        24 => Entry::Action(Action::Log("engine 17 quarantined: silent".into())),
+        25 => Entry::Host(HostEvent::Connected {
             connection: id,
             address: [127, 0, 0, rng.u8(..)].into(),
         }),
-        31 => Entry::Host(Host::Ending {
+        31 => Entry::Host(HostEvent::ConnectionClosing {
             connection: id,
-            why: *rng.choice(&CloseReason::ALL).unwrap(),
+            reason: *rng.choice(&CloseReason::ALL).unwrap(),
         }),
-        32 => Entry::Host(Host::Attached { class, tenant }),
-        26 => Entry::Host(Host::Disconnected { connection: id }),
-        27 => Entry::Host(Host::Offered(offer)),
+        32 => Entry::Host(HostEvent::RetryAttached { class, tenant }),
+        26 => Entry::Host(HostEvent::Disconnected { connection: id }),
+        27 => Entry::Host(HostEvent::RequestReceived(offer)),
         28 => {
             let how = *rng.choice(&RejectReason::ALL).unwrap();
-            Entry::Host(Host::NotTaken {
-                how,
+            Entry::Host(HostEvent::RequestRejected {
+                reason: how,
                 class: rng.bool().then_some(class),
                 tenant: rng.bool().then_some(tenant),
             })
         }
         29 | 30 => {
             let how = *rng.choice(&AnswerKind::ALL).unwrap();
-            Entry::Host(Host::Answered {
+            Entry::Host(HostEvent::Answered {
                 request: id,
                 class,
                 tenant,
-                how,
-                late: rng.bool(),
+                kind: how,
+                is_late: rng.bool(),
             })
         }
-        _ => Entry::Host(Host::ListEvent {
+        _ => Entry::Host(HostEvent::DiscoveryEvent {
             number: rng.u64(0..999),
         }),
     }
@@ -274,10 +278,10 @@
     Config {
         name: name.into(),
         epoch: START,
-        budget: 64 << 20,
-        segment,
-        segment_time: 600_000_000,
-        pause: std::time::Duration::from_millis(20),
+        max_total_bytes: 64 << 20,
+        max_segment_bytes: segment,
+        max_segment_age: 600_000_000,
+        retry_delay: std::time::Duration::from_millis(20),
         classes: 4,
         tenants: 3,
     }
@@ -285,22 +289,22 @@
 
 /// Begins a segment where one is due, as a gateway does.
 pub fn state(recorder: &mut Recorder, at: Micros) {
-    if recorder.wants_state(at) && recorder.begin(at) {
-        recorder.state(
+    if recorder.needs_segment(at) && recorder.start_segment(at) {
+        recorder.record_state(
             at,
-            &Host::Names(Names {
+            &HostEvent::Names(Names {
                 classes: vec!["report".into()],
                 ..Names::default()
             }),
         );
-        recorder.state(
+        recorder.record_state(
             at,
-            &Host::Connected {
+            &HostEvent::Connected {
                 connection: 1 << 32,
                 address: [127, 0, 0, 1].into(),
             },
         );
-        recorder.state_whole(at);
+        recorder.finish_state(at);
     }
 }
 
@@ -386,9 +390,9 @@
         self.inner.append(bytes)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         Failing::call(&self.until_failure, self.failures)?;
-        self.inner.cut(length)
+        self.inner.truncate(length)
     }
 }
 
@@ -404,20 +408,20 @@
 }
 
 pub fn read(directory: &Path) -> Result<Read, eideryard_event_log::reader::ReadError> {
-    let mut merged = Merged::open(&[directory.to_path_buf()])?;
-    let mut counted = eideryard_event_log::tally::Counted::default();
+    let mut merged = MergedReader::open(&[directory.to_path_buf()])?;
+    let mut counted = eideryard_event_log::tally::RunningTally::default();
     let (mut entries, mut gaps, mut damages, mut before_gaps) =
         (Vec::new(), Vec::new(), 0, Vec::new());
     let mut folded = Tally::default();
-    while let Some(told) = merged.next()? {
-        match told.what {
+    while let Some(told) = merged.next_entry()? {
+        match told.content {
             reader::ReadContent::Damaged => damages += 1,
             reader::ReadContent::Entry(entry) => {
-                if matches!(entry, Entry::Host(Host::Begin { .. })) {
+                if matches!(entry, Entry::Host(HostEvent::SegmentStarted { .. })) {
                     folded = counted.tally.clone();
                 }
-                counted.read(entry.as_ref());
-                if let EntryRef::Host(Host::Gap {
+                counted.add(entry.as_ref());
+                if let EntryRef::Host(HostEvent::Gap {
                     entries, counted, ..
                 }) = entry.as_ref()
                 {
@@ -451,7 +455,7 @@
 pub fn served(number: u64) -> Vec<(Micros, Entry)> {
     let (id, begin) = ((number << 32) | (number % 300), START + number * 2000);
     let engine = 0x9e37_0000 + (number % 12) as u32;
-    let offer = Offer {
+    let offer = ClientRequest {
         request: id,
         id: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         connection: (77 << 32) | 3,
@@ -487,19 +491,19 @@
     };
     // Of one that came forty before it.
     let before = id - (40 << 32);
-    let answered = Host::Answered {
+    let answered = HostEvent::Answered {
         request: before,
         class: arrived.class,
         tenant: arrived.tenant,
-        how: AnswerKind::Served,
-        late: false,
+        kind: AnswerKind::Served,
+        is_late: false,
     };
     let beat = |at| {
         [
-            (at, Entry::In(Event::Timer { tag: 0 })),
+            (at, Entry::Event(Event::Timer { tag: 0 })),
             (
                 at,
-                Entry::Out(Action::SetTimer {
+                Entry::Action(Action::SetTimer {
                     after: 10_000,
                     tag: 0,
                 }),
@@ -507,18 +511,18 @@
         ]
     };
     let mut entries = vec![
-        (begin, Entry::Host(Host::Offered(offer))),
-        (begin + 14, Entry::In(Event::Arrived(arrived))),
+        (begin, Entry::Host(HostEvent::RequestReceived(offer))),
+        (begin + 14, Entry::Event(Event::Arrived(arrived))),
         (
             begin + 14,
-            Entry::Out(Action::SetTimer {
+            Entry::Action(Action::SetTimer {
                 after: 1_349_900,
                 tag: id + 1,
             }),
         ),
         (
             begin + 14,
-            Entry::Out(Action::Grant {
+            Entry::Action(Action::Grant {
                 request: id,
                 grant_mb: 120.0,
                 rank: 2,
@@ -526,7 +530,7 @@
         ),
         (
             begin + 14,
-            Entry::Out(Action::Send {
+            Entry::Action(Action::Send {
                 request: id,
                 engine,
                 attempt_deadline: begin + 1_490_000,
@@ -535,7 +539,7 @@
         (begin + 900, Entry::Host(answered)),
         (
             begin + 950,
-            Entry::In(Event::AttemptEnded(AttemptEnded {
+            Entry::Event(Event::AttemptEnded(AttemptEnded {
                 request: before,
                 ..ended
             })),
--- a/crates/event-log/tests/failures.rs
+++ b/crates/event-log/tests/failures.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use eideryard_event_log::codec::{Context, Decoder};
-use eideryard_event_log::writer::Directory;
+use eideryard_event_log::disk::Directory;
 use eideryard_event_log::*;
 use fastrand::Rng;
 use std::collections::BTreeSet;
@@ -30,14 +30,14 @@
         .collect();
     let (mut bytes, mut context) = (Vec::new(), Context::new(START));
     for (at, entry) in entries.iter() {
-        context.put(&mut bytes, *at, entry.as_ref());
+        context.encode(&mut bytes, *at, entry.as_ref());
     }
     let mut decoder = Decoder::new(&bytes, Context::new(START));
     for (at, entry) in &entries {
-        let (told_at, told) = decoder.next().unwrap().unwrap();
+        let (told_at, told) = decoder.next_entry().unwrap().unwrap();
         assert_eq!((*at, format!("{entry:?}")), (told_at, format!("{told:?}")));
     }
-    assert!(decoder.next().unwrap().is_none());
+    assert!(decoder.next_entry().unwrap().is_none());
 }
 
 #[test]
@@ -63,7 +63,7 @@
     let directory = tempfile::tempdir().unwrap();
     let budget = 512 << 10;
     let plan = Config {
-        budget,
+        max_total_bytes: budget,
         ..plan("g1", 64 << 10)
     };
     let mut recorder = Recorder::start(plan, Box::new(Directory(directory.path().into()))).unwrap();
@@ -129,12 +129,12 @@
 
 /// Entries that count.
 fn told(read: &Read) -> u64 {
-    let mut counted = eideryard_event_log::tally::Counted::default();
+    let mut counted = eideryard_event_log::tally::RunningTally::default();
     let mut count = 0;
     for (_, entry) in &read.entries {
         let before = counted.tally.entries;
-        counted.read(entry.as_ref());
-        if !matches!(entry, Entry::Host(Host::Tally(_))) {
+        counted.add(entry.as_ref());
+        if !matches!(entry, Entry::Host(HostEvent::Tally(_))) {
             count += counted.tally.entries - before;
         }
     }
@@ -144,25 +144,25 @@
 #[test]
 fn a_full_queue_leaves_a_gap_and_no_one_waits() {
     struct Slow(Directory);
-    struct SlowSegment(Box<dyn writer::Segment>);
-    impl writer::Disk for Slow {
+    struct SlowSegment(Box<dyn disk::Segment>);
+    impl disk::Disk for Slow {
         fn list(&mut self) -> std::io::Result<Vec<(String, u64)>> {
             self.0.list()
         }
-        fn create(&mut self, name: &str) -> std::io::Result<Box<dyn writer::Segment>> {
+        fn create(&mut self, name: &str) -> std::io::Result<Box<dyn disk::Segment>> {
             Ok(Box::new(SlowSegment(self.0.create(name)?)))
         }
         fn remove(&mut self, name: &str) -> std::io::Result<()> {
             self.0.remove(name)
         }
     }
-    impl writer::Segment for SlowSegment {
+    impl disk::Segment for SlowSegment {
         fn append(&mut self, bytes: &[u8]) -> std::io::Result<()> {
             std::thread::sleep(std::time::Duration::from_millis(2));
             self.0.append(bytes)
         }
-        fn cut(&mut self, length: u64) -> std::io::Result<()> {
-            self.0.cut(length)
+        fn truncate(&mut self, length: u64) -> std::io::Result<()> {
+            self.0.truncate(length)
         }
     }
     let directory = tempfile::tempdir().unwrap();
@@ -246,7 +246,7 @@
         let epoch = START + start * 100_000_000;
         let plan = Config {
             epoch,
-            budget: 400 << 10,
+            max_total_bytes: 400 << 10,
             ..plan("g1", 64 << 10)
         };
         let mut recorder =
@@ -255,13 +255,13 @@
     }
     let starts: BTreeSet<u64> = segments(directory.path())
         .iter()
-        .filter_map(|path| Some(writer::read_file_name(path)?.1))
+        .filter_map(|path| Some(file_name::parse_file_name(path)?.epoch))
         .collect();
     assert!(
         starts.len() < 6 && starts.contains(&(START + 500_000_000)),
         "the oldest went"
     );
-    let merged = Merged::open(&[directory.path().into()]).unwrap();
+    let merged = MergedReader::open(&[directory.path().into()]).unwrap();
     assert_eq!(merged.sources().len(), starts.len());
 }
 
@@ -294,7 +294,7 @@
     let idle = 120;
     while at < START + idle * 1_000_000 {
         // As the loop does: nothing happens before the recorder wants to be called.
-        at = recorder.due().unwrap_or(at);
+        at = recorder.next_flush_at().unwrap_or(at);
         state(&mut recorder, at);
         recorder.flush(at);
         // A minute here is a moment for the writer, which has to keep up.
@@ -306,26 +306,26 @@
         .map(|file| file.metadata().unwrap().len())
         .sum();
     assert!(bytes < idle * 100, "{bytes} bytes");
-    let mut merged = Merged::open(&[directory.path().into()]).unwrap();
+    let mut merged = MergedReader::open(&[directory.path().into()]).unwrap();
     let mut last = START;
-    while let Some(told) = merged.next().unwrap() {
+    while let Some(told) = merged.next_entry().unwrap() {
         assert!(
-            told.at - last <= recorder::ALIVE_EVERY + 200_000,
+            told.at - last <= recorder::HEARTBEAT_INTERVAL + 200_000,
             "silent for {} us",
             told.at - last
         );
         last = told.at;
     }
-    assert!(START + idle * 1_000_000 - last <= recorder::ALIVE_EVERY);
+    assert!(START + idle * 1_000_000 - last <= recorder::HEARTBEAT_INTERVAL);
 }
 
 #[test]
 fn what_is_still_written_is_followed_and_a_frame_is_told_when_it_is_whole() {
     let directory = tempfile::tempdir().unwrap();
     let mut recorder = recorder(directory.path(), 64 << 10);
-    let mut merged = Merged::follow(&[directory.path().into()]).unwrap();
+    let mut merged = MergedReader::follow(&[directory.path().into()]).unwrap();
     let (mut told, mut rng, mut at) = (0, Rng::with_seed(1), START);
-    let mut counted = eideryard_event_log::tally::Counted::default();
+    let mut counted = eideryard_event_log::tally::RunningTally::default();
     for round in 0..40 {
         for _ in 0..500 {
             at += 1000;
@@ -338,11 +338,11 @@
         // The writer is a thread: what it has not written yet comes later.
         let until = std::time::Instant::now() + std::time::Duration::from_secs(20);
         while counted.tally != *recorder.tally() && std::time::Instant::now() < until {
-            while let Some(next) = merged.next().unwrap() {
-                let reader::ReadContent::Entry(entry) = next.what else {
+            while let Some(next) = merged.next_entry().unwrap() {
+                let reader::ReadContent::Entry(entry) = next.content else {
                     panic!("damage")
                 };
-                counted.read(entry.as_ref());
+                counted.add(entry.as_ref());
                 told += 1;
             }
             std::thread::sleep(std::time::Duration::from_millis(1));
@@ -360,13 +360,13 @@
     let counted = fill(&mut recorder, 3, 50_000);
     drop(recorder);
     let from = START + 40_000_000;
-    let mut merged = Merged::open_from(&[directory.path().into()], from).unwrap();
-    let mut folded = eideryard_event_log::tally::Counted::default();
+    let mut merged = MergedReader::open_from(&[directory.path().into()], from).unwrap();
+    let mut folded = eideryard_event_log::tally::RunningTally::default();
     let mut first = None;
-    while let Some(told) = merged.next().unwrap() {
+    while let Some(told) = merged.next_entry().unwrap() {
         first.get_or_insert(told.at);
-        if let reader::ReadContent::Entry(entry) = told.what {
-            folded.read(entry.as_ref());
+        if let reader::ReadContent::Entry(entry) = told.content {
+            folded.add(entry.as_ref());
         }
     }
     let first = first.unwrap();
@@ -389,7 +389,7 @@
             let mut payload: Vec<u8> = (0..rng.usize(0..300)).map(|_| rng.u8(0..60)).collect();
             if rng.bool() {
                 let (mut good, mut context) = (Vec::new(), Context::new(START));
-                context.put(&mut good, START, entry(&mut rng, START).as_ref());
+                context.encode(&mut good, START, entry(&mut rng, START).as_ref());
                 payload.splice(0..0, good);
             }
             if rng.u8(0..4) > 0 {
@@ -397,7 +397,7 @@
             }
             bytes.extend(payload);
         }
-        let path = directory.path().join(writer::file_name("g1", START, 1));
+        let path = directory.path().join(file_name::file_name("g1", START, 1));
         std::fs::write(path, &bytes).unwrap();
         read(directory.path()).unwrap_or_else(|e| panic!("round {round}: {e}"));
     }
--- a/crates/event-log/tests/golden.rs
+++ b/crates/event-log/tests/golden.rs
@@ -6,7 +6,7 @@
 use eideryard::interface::{Action, Micros, Phase};
 use eideryard_emulators::golden;
 use eideryard_event_log::codec::Context;
-use eideryard_event_log::writer::Directory;
+use eideryard_event_log::disk::Directory;
 use eideryard_event_log::*;
 use fastrand::Rng;
 use std::collections::BTreeSet;
@@ -17,13 +17,28 @@
 /// Bytes after which the next segment begins.
 const SEGMENT: u64 = 9_000;
 
+fn open_request() -> OpenRequest {
+    OpenRequest {
+        client_request: ClientRequest {
+            request: 9 << 32 | 7,
+            id: 0xfeed,
+            connection: 3 << 32 | 1,
+        },
+        class: 1,
+        tenant: 2,
+        arrived_at: START + 1,
+        deadline: START + 900_000,
+        attempts: 2,
+        running: Some(RunningAttempt {
+            engine: 17,
+            sent_at: START + 3,
+        }),
+    }
+}
+
 /// What the random entries of the other tests leave out.
 fn more_entries() -> Vec<Entry> {
-    let offer = Offer {
-        request: 9 << 32 | 7,
-        id: 0xfeed,
-        connection: 3 << 32 | 1,
-    };
+    let open = open_request();
     let listed = ListedEngine {
         engine: 17,
         name: "s-17".into(),
@@ -33,46 +48,40 @@
         phase: Phase::Draining,
         booted_at: START - 5,
     };
-    let open = OpenRequest {
-        offer,
-        class: 1,
-        tenant: 2,
-        arrived_at: START + 1,
-        deadline: START + 900_000,
-        attempts: 2,
-        out: Some((17, START + 3)),
-    };
     let hosts = vec![
-        Host::Engine(listed),
-        Host::Open(open),
-        Host::Open(OpenRequest { out: None, ..open }),
-        Host::Link { up: true },
-        Host::Link { up: false },
-        Host::Reloaded { done: true },
-        Host::Stopping,
-        Host::Alive,
-        Host::Ended {
+        HostEvent::Engine(listed),
+        HostEvent::OpenRequest(open),
+        HostEvent::OpenRequest(OpenRequest {
+            running: None,
+            ..open
+        }),
+        HostEvent::DiscoveryLink { is_up: true },
+        HostEvent::DiscoveryLink { is_up: false },
+        HostEvent::ConfigReloaded { succeeded: true },
+        HostEvent::Stopping,
+        HostEvent::Heartbeat,
+        HostEvent::Ended {
             counters: vec![("taken".into(), 12), ("served".into(), 11)],
         },
-        Host::Gap {
+        HostEvent::Gap {
             from: START,
             to: START + 9,
             entries: 3,
-            counted: Box::new(Tally::sized(4, 3)),
+            counted: Box::new(Tally::with_groups(4, 3)),
         },
-        Host::Fleet(FleetEvent::Turned {
+        HostEvent::Fleet(FleetEvent::PeerRejected {
             name: "g2".into(),
-            why: "another fleet".into(),
+            reason: "another fleet".into(),
         }),
-        Host::Fleet(FleetEvent::Work {
+        HostEvent::Fleet(FleetEvent::WorkReceived {
             task: 17,
             term: 5,
             owner: 7,
-            counts: false,
+            is_accepted: false,
         }),
     ];
     let mut entries: Vec<Entry> = hosts.into_iter().map(Entry::Host).collect();
-    entries.push(Entry::Out(Action::Subscribe));
+    entries.push(Entry::Action(Action::Subscribe));
     entries
 }
 
@@ -122,14 +131,14 @@
 
 #[test]
 fn golden_segments_are_read_whole_and_hold_every_kind() {
-    let mut merged = Merged::open(&[golden::path("event-log")]).expect("a record");
+    let mut merged = MergedReader::open(&[golden::path("event-log")]).expect("a record");
     let (mut kinds, mut bytes) = (BTreeSet::new(), Vec::new());
-    while let Some(told) = merged.next().expect("readable") {
-        let reader::ReadContent::Entry(entry) = told.what else {
+    while let Some(told) = merged.next_entry().expect("readable") {
+        let reader::ReadContent::Entry(entry) = told.content else {
             panic!("damaged")
         };
         let begin = bytes.len();
-        Context::new(told.at).put(&mut bytes, told.at, entry.as_ref());
+        Context::new(told.at).encode(&mut bytes, told.at, entry.as_ref());
         kinds.insert(bytes[begin]);
     }
     assert_eq!(merged.problems().count(), 0);
--- a/crates/fleet-test/src/check/owners.rs
+++ b/crates/fleet-test/src/check/owners.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use eideryard_emulators::history::{Micros, Name};
-use eideryard_event_log::reader::{Merged, ReadContent};
-use eideryard_event_log::{Entry, FleetEvent, Host};
+use eideryard_event_log::reader::{MergedReader, ReadContent};
+use eideryard_event_log::{Entry, FleetEvent, HostEvent};
 
 use super::{About, Break, Rule, Verdict};
 
@@ -27,16 +27,16 @@
 /// All that the records in a directory tell of owners' work, by time.
 pub fn of_records(directory: &Path) -> Vec<Worked> {
     let mut worked = Vec::new();
-    let Ok(mut merged) = Merged::open(&[directory.to_path_buf()]) else {
+    let Ok(mut merged) = MergedReader::open(&[directory.to_path_buf()]) else {
         return worked;
     };
-    while let Ok(Some(told)) = merged.next() {
-        let ReadContent::Entry(Entry::Host(Host::Fleet(FleetEvent::Work {
+    while let Ok(Some(told)) = merged.next_entry() {
+        let ReadContent::Entry(Entry::Host(HostEvent::Fleet(FleetEvent::WorkReceived {
             task,
             term,
             owner,
-            counts,
-        }))) = &told.what
+            is_accepted: counts,
+        }))) = &told.content
         else {
             continue;
         };
--- a/crates/fleet-test/src/check/records.rs
+++ b/crates/fleet-test/src/check/records.rs
@@ -6,8 +6,8 @@
 
 use eideryard::interface::{Action, Event, Outcome};
 use eideryard_emulators::history::{How, Micros, Name};
-use eideryard_event_log::reader::{Merged, ReadContent};
-use eideryard_event_log::{AnswerKind, Entry, Host};
+use eideryard_event_log::reader::{MergedReader, ReadContent};
+use eideryard_event_log::{AnswerKind, Entry, HostEvent};
 
 use super::{About, Break, History, Rule, Verdict};
 
@@ -41,17 +41,17 @@
 /// nothing.
 pub fn of_records(directory: &Path) -> Vec<Recorded> {
     let mut recorded = Vec::new();
-    let Ok(mut merged) = Merged::open(&[directory.to_path_buf()]) else {
+    let Ok(mut merged) = MergedReader::open(&[directory.to_path_buf()]) else {
         return recorded;
     };
     // The client's id of each request that is open, and engines' names, by source.
     let mut ids: HashMap<(usize, u64), u64> = HashMap::new();
     let mut engines: HashMap<(usize, u32), Name> = HashMap::new();
-    while let Ok(Some(told)) = merged.next() {
-        let ReadContent::Entry(entry) = &told.what else {
+    while let Ok(Some(told)) = merged.next_entry() {
+        let ReadContent::Entry(entry) = &told.content else {
             continue;
         };
-        if let Entry::Host(Host::Engine(listed)) = entry {
+        if let Entry::Host(HostEvent::Engine(listed)) = entry {
             engines.insert((told.source, listed.engine), listed.name.as_str().into());
         }
         let Some(request) = entry.request() else {
@@ -59,22 +59,22 @@
         };
         let place = (told.source, request);
         let what = match entry {
-            Entry::Host(Host::Offered(offer)) => {
+            Entry::Host(HostEvent::RequestReceived(offer)) => {
                 ids.insert(place, offer.id);
                 Said::Taken
             }
-            Entry::Host(Host::Open(open)) => {
-                ids.insert(place, open.offer.id);
+            Entry::Host(HostEvent::OpenRequest(open)) => {
+                ids.insert(place, open.client_request.id);
                 continue;
             }
-            Entry::Out(Action::Send { engine, .. }) => Said::Sent(
+            Entry::Action(Action::Send { engine, .. }) => Said::Sent(
                 engines
                     .get(&(told.source, *engine))
                     .cloned()
                     .unwrap_or_else(|| "an engine".into()),
             ),
-            Entry::In(Event::AttemptEnded(ended)) => Said::Ended(ended.outcome),
-            Entry::Host(Host::Answered { how, .. }) => Said::Answered(*how),
+            Entry::Event(Event::AttemptEnded(ended)) => Said::Ended(ended.outcome),
+            Entry::Host(HostEvent::Answered { kind: how, .. }) => Said::Answered(*how),
             _ => continue,
         };
         let Some(id) = ids.get(&place).copied() else {
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -284,7 +284,7 @@
                 self.close(key, due, heard);
             } else if self.unsent > self.most_unsent && left > fair {
                 counters.ended.deaf += 1;
-                self.tell(key, Change::Ends(CloseReason::Deaf));
+                self.tell(key, Change::Ends(CloseReason::NotReading));
                 self.mute(key, now, due, heard);
             }
         }
--- a/crates/gateway/src/clients/closing.rs
+++ b/crates/gateway/src/clients/closing.rs
@@ -84,7 +84,7 @@
             }
         }
         counters.ended.silent += 1;
-        self.tell(key, Change::Ends(CloseReason::Silent));
+        self.tell(key, Change::Ends(CloseReason::IdleTimeout));
         self.spoil(key, now, due, heard);
     }
 
--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -54,7 +54,7 @@
                         self.tell(
                             key,
                             Change::Ends(if understood {
-                                CloseReason::Hoarding
+                                CloseReason::TooMuchUnread
                             } else {
                                 CloseReason::Malformed
                             }),
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -2,9 +2,9 @@
 //! and word of the host goes to the recorder, which never waits.
 
 use eideryard::interface::{Action, Event, Micros};
+use eideryard_event_log::disk::Directory;
 use eideryard_event_log::entry::EntryRef;
-use eideryard_event_log::writer::Directory;
-use eideryard_event_log::{Config, Host, Names, Recorder};
+use eideryard_event_log::{Config, HostEvent, Names, Recorder};
 use eideryard_operator_config::EventLogConfig;
 
 #[derive(Default)]
@@ -21,10 +21,10 @@
         let plan = Config {
             name: name.to_string(),
             epoch,
-            budget: record.budget,
-            segment: record.segment,
-            segment_time: record.segment_time,
-            pause: eideryard_event_log::recorder::PAUSE,
+            max_total_bytes: record.budget,
+            max_segment_bytes: record.segment,
+            max_segment_age: record.segment_time,
+            retry_delay: eideryard_event_log::recorder::RETRY_DELAY,
             classes: names.classes.len(),
             tenants: names.tenants.len(),
         };
@@ -44,15 +44,15 @@
     }
 
     pub fn event(&mut self, now: Micros, event: &Event) {
-        self.record(now, EntryRef::In(event));
+        self.record(now, EntryRef::Event(event));
     }
 
     pub fn action(&mut self, now: Micros, action: &Action) {
-        self.record(now, EntryRef::Out(action));
+        self.record(now, EntryRef::Action(action));
     }
 
     #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-    pub fn host(&mut self, now: Micros, host: Host) {
+    pub fn host(&mut self, now: Micros, host: HostEvent) {
         self.record(now, EntryRef::Host(&host));
     }
 
@@ -66,24 +66,24 @@
     pub fn wants_state(&self, now: Micros) -> bool {
         self.recorder
             .as_ref()
-            .is_some_and(|tap| tap.0.wants_state(now))
+            .is_some_and(|tap| tap.0.needs_segment(now))
     }
 
     /// Begins a segment with what is known now.
-    pub fn state(&mut self, now: Micros, known: impl Iterator<Item = Host>) {
+    pub fn state(&mut self, now: Micros, known: impl Iterator<Item = HostEvent>) {
         let Some(tap) = &mut self.recorder else {
             return;
         };
         let (recorder, names) = &mut **tap;
-        if recorder.begin(now) {
-            recorder.state(now, &Host::Names(names.clone()));
-            known.for_each(|host| recorder.state(now, &host));
-            recorder.state_whole(now);
+        if recorder.start_segment(now) {
+            recorder.record_state(now, &HostEvent::Names(names.clone()));
+            known.for_each(|host| recorder.record_state(now, &host));
+            recorder.finish_state(now);
         }
     }
 
     pub fn due(&self) -> Option<Micros> {
-        self.recorder.as_ref().and_then(|tap| tap.0.due())
+        self.recorder.as_ref().and_then(|tap| tap.0.next_flush_at())
     }
 
     pub fn flush(&mut self, now: Micros) {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,7 +9,9 @@
 use eideryard::interface::*;
 use eideryard_discovery::{DiscoveredEngine, Item, State};
 use eideryard_engine_protocol::Serve;
-use eideryard_event_log::{AnswerKind, Host, ListedEngine, Offer, OpenRequest, RejectReason};
+use eideryard_event_log::{
+    AnswerKind, ClientRequest, HostEvent, ListedEngine, OpenRequest, RejectReason, RunningAttempt,
+};
 use eideryard_msgpack_rpc::{write_error, write_part, write_result};
 use eideryard_operator_config::OperatorConfig;
 use eideryard_replication::drains::Drain;
@@ -425,16 +427,20 @@
         match Config::from_environment() {
             Ok(config) => {
                 self.counters.reloads += 1;
-                self.tap
-                    .host(self.clock.now(), Host::Reloaded { done: true });
+                self.tap.host(
+                    self.clock.now(),
+                    HostEvent::ConfigReloaded { succeeded: true },
+                );
                 tracing::info!("reloaded; the bulletin is at {}", config.bulletin);
                 self.watch
                     .move_to(config.bulletin, self.clock.now(), &mut self.due);
             }
             Err(message) => {
                 self.counters.reloads_failed += 1;
-                self.tap
-                    .host(self.clock.now(), Host::Reloaded { done: false });
+                self.tap.host(
+                    self.clock.now(),
+                    HostEvent::ConfigReloaded { succeeded: false },
+                );
                 tracing::error!("not reloaded, the old configuration stays: {message}");
             }
         }
@@ -442,9 +448,9 @@
 }
 
 /// What the record says of a request beside what the module is told.
-fn offer(key: Key, request: &requests::Request) -> Offer {
+fn offer(key: Key, request: &requests::Request) -> ClientRequest {
     let id = u64::from_str_radix(&request.id, 16).unwrap_or_default();
-    Offer {
+    ClientRequest {
         request: key.number(),
         id,
         connection: request.client.number(),
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -223,7 +223,7 @@
         }
         let (Ready { go, late, earlier }, words) = (keeping.work(now), keeping.words());
         for word in words.into_iter() {
-            self.tap.host(now, Host::Fleet(word));
+            self.tap.host(now, HostEvent::Fleet(word));
         }
         let (drains, hints) = (keeping.drains(), keeping.hints());
         let (probes, reports) = keeping.probes(now);
@@ -325,9 +325,9 @@
                 };
                 self.tap.host(
                     now,
-                    Host::Because {
+                    HostEvent::RefusalExplained {
                         request: request.number(),
-                        why,
+                        reason: why,
                     },
                 );
                 self.turn_down(request, "TryLater", advice);
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -139,7 +139,8 @@
             phase: entry.phase,
             booted_at: entry.booted_at,
         };
-        self.tap.host(self.clock.now(), Host::Engine(told.clone()));
+        self.tap
+            .host(self.clock.now(), HostEvent::Engine(told.clone()));
         self.last_listed.insert(entry.engine, told);
     }
 
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -9,11 +9,11 @@
         if !self.tap.wants_state(now) {
             return;
         }
-        let engines = self.last_listed.values().cloned().map(Host::Engine);
+        let engines = self.last_listed.values().cloned().map(HostEvent::Engine);
         let connections = self
             .clients
             .addresses()
-            .map(|(key, address)| Host::Connected {
+            .map(|(key, address)| HostEvent::Connected {
                 connection: key.number(),
                 address,
             });
@@ -23,24 +23,27 @@
                 .iter()
                 .rev()
                 .find(|attempt| attempt.conn.is_some());
-            Host::Open(OpenRequest {
-                offer: offer(key, request),
+            HostEvent::OpenRequest(OpenRequest {
+                client_request: offer(key, request),
                 class: request.class,
                 tenant: request.tenant,
                 arrived_at: request.taken_at,
                 deadline: request.deadline,
                 attempts: request.attempts.len() as u64,
-                out: out.map(|attempt| (attempt.engine, attempt.sent_at)),
+                running: out.map(|attempt| RunningAttempt {
+                    engine: attempt.engine,
+                    sent_at: attempt.sent_at,
+                }),
             })
         });
-        let link = Host::Link {
-            up: self.watch.is_heard(),
+        let link = HostEvent::DiscoveryLink {
+            is_up: self.watch.is_heard(),
         };
         let fleet = self
             .keeping
             .iter()
             .flat_map(|keeping| keeping.fleet_state())
-            .map(Host::Fleet);
+            .map(HostEvent::Fleet);
         self.tap.state(
             now,
             engines
@@ -57,12 +60,15 @@
         for (key, change) in self.clients.changes.drain(..) {
             let connection = key.number();
             let host = match change {
-                clients::Change::Came(address) => Host::Connected {
+                clients::Change::Came(address) => HostEvent::Connected {
                     connection,
                     address,
                 },
-                clients::Change::Ends(why) => Host::Ending { connection, why },
-                clients::Change::Gone => Host::Disconnected { connection },
+                clients::Change::Ends(why) => HostEvent::ConnectionClosing {
+                    connection,
+                    reason: why,
+                },
+                clients::Change::Gone => HostEvent::Disconnected { connection },
             };
             self.tap.host(now, host);
         }
@@ -75,11 +81,13 @@
         items: &[Item],
     ) {
         if self.watch.is_heard() != was_heard {
-            self.tap.host(now, Host::Link { up: !was_heard });
+            self.tap
+                .host(now, HostEvent::DiscoveryLink { is_up: !was_heard });
         }
         if had != self.counters.list_events {
             for item in items.iter() {
-                self.tap.host(now, Host::ListEvent { number: item.no });
+                self.tap
+                    .host(now, HostEvent::DiscoveryEvent { number: item.no });
             }
         }
     }
@@ -93,20 +101,26 @@
         let (class, tenant) = (request.class, request.tenant);
         self.tap.host(
             now,
-            Host::Answered {
+            HostEvent::Answered {
                 request: key.number(),
                 class,
                 tenant,
-                how,
-                late,
+                kind: how,
+                is_late: late,
             },
         );
     }
 
     pub(super) fn tell_untaken(&mut self, how: RejectReason, of: Option<(usize, usize)>) {
         let (class, tenant) = (of.map(|of| of.0), of.map(|of| of.1));
-        self.tap
-            .host(self.clock.now(), Host::NotTaken { how, class, tenant });
+        self.tap.host(
+            self.clock.now(),
+            HostEvent::RequestRejected {
+                reason: how,
+                class,
+                tenant,
+            },
+        );
     }
 
     /// The last word of the record, the store and of the log.
@@ -120,7 +134,8 @@
             .pairs()
             .map(|(name, value)| (name.to_string(), value))
             .collect();
-        self.tap.host(self.clock.now(), Host::Ended { counters });
+        self.tap
+            .host(self.clock.now(), HostEvent::Ended { counters });
         self.report();
     }
 
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -13,7 +13,7 @@
             (Some(false), _) => return self.invalid(client, id, "one behind it"),
             (None, _) => {
                 self.counters.lost += 1;
-                self.tell_untaken(RejectReason::Gone, None);
+                self.tell_untaken(RejectReason::ClientDisconnected, None);
                 return;
             }
         };
@@ -35,7 +35,7 @@
             let told = spooling.again(&name, who, now);
             self.tap.host(
                 now,
-                Host::Attached {
+                HostEvent::RetryAttached {
                     class: of.0,
                     tenant: of.1,
                 },
@@ -49,7 +49,7 @@
             if let Err((wait, why)) = spooling.admit(of.0, of.1, address, now) {
                 self.counters.refused += 1;
                 self.counters.no_room += 1;
-                self.tell_untaken(RejectReason::NoRoom, Some(of));
+                self.tell_untaken(RejectReason::StatementMemoryFull, Some(of));
                 let wait = wait.map(|wait| (wait / 1000).to_string());
                 let mut fields = vec![("why", why)];
                 fields.extend(
@@ -96,7 +96,7 @@
             Err(NotTaken::NoRoom) => {
                 self.counters.refused += 1;
                 self.counters.no_room += 1;
-                self.tell_untaken(RejectReason::NoRoom, Some(of));
+                self.tell_untaken(RejectReason::StatementMemoryFull, Some(of));
                 self.clients
                     .answer(client, id, |out| write_error(out, id, "TryLater", &[]));
                 return;
@@ -122,7 +122,7 @@
             let offered = self
                 .requests
                 .get_mut(request)
-                .map(|own| Host::Offered(offer(request, own)));
+                .map(|own| HostEvent::RequestReceived(offer(request, own)));
             for offered in offered.into_iter() {
                 self.tap.host(now, offered);
             }
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -170,12 +170,12 @@
         } += 1;
         self.tap.host(
             self.clock.now(),
-            Host::Answered {
+            HostEvent::Answered {
                 request: 0,
                 class,
                 tenant,
-                how,
-                late: false,
+                kind: how,
+                is_late: false,
             },
         );
     }
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -11,7 +11,7 @@
             return;
         }
         tracing::info!("stopping; {} requests are open", self.counters.open());
-        self.tap.host(now, Host::Stopping);
+        self.tap.host(now, HostEvent::Stopping);
         self.clients.well = false;
         self.keeping
             .iter_mut()
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -91,7 +91,7 @@
 impl Counted {
     fn refused(&mut self, why: RejectReason) {
         match why {
-            RejectReason::LedgerFull => self.refused_full += 1,
+            RejectReason::IntentLogFull => self.refused_full += 1,
             RejectReason::NoMajority => self.refused_no_majority += 1,
             _ => self.refused_stalled += 1,
         }
@@ -355,7 +355,7 @@
         let marked = marked && self.sharing.is_none();
         let told = self.ledger.arrives(now, class, key, marked, failing);
         let told = told.map_err(|why| match why {
-            IntentError::Full => RejectReason::LedgerFull,
+            IntentError::Full => RejectReason::IntentLogFull,
             IntentError::Stalled => RejectReason::StoreStalled,
         });
         let kept = key.is_some() && self.ledger.keeps(class);
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -142,19 +142,19 @@
             task.number,
             token.term
         );
-        self.words.push(FleetEvent::Owns {
+        self.words.push(FleetEvent::LeaseChanged {
             task: task.number,
             term: token.term,
-            owns,
+            is_held: owns,
         });
     }
 
     fn tells(&mut self, task: Task, FencingToken { term, owner }: FencingToken, counts: bool) {
-        self.words.push(FleetEvent::Work {
+        self.words.push(FleetEvent::WorkReceived {
             task: task.number,
             term,
             owner,
-            counts,
+            is_accepted: counts,
         });
     }
 
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -181,8 +181,8 @@
         let owning = plan
             .probes
             .then(|| LeaseDriver::start(keepers.len(), own, origin, tokens, now));
-        let words = Vec::from_iter(own.map(|_| FleetEvent::Votes {
-            votes: core.standing.votes(),
+        let words = Vec::from_iter(own.map(|_| FleetEvent::VotingChanged {
+            is_voter: core.standing.votes(),
         }));
         Ok(ReplicationDriver {
             core,
@@ -214,7 +214,7 @@
     /// Why no claim is taken up now, if none is.
     pub fn refuses(&self) -> Option<RejectReason> {
         self.core.refuses().map(|why| match why {
-            ClaimError::Full => RejectReason::LedgerFull,
+            ClaimError::Full => RejectReason::IntentLogFull,
             ClaimError::NoMajority => RejectReason::NoMajority,
         })
     }
@@ -291,7 +291,8 @@
                 Output::Hints { lessons, age } => _ = self.hints.get_or_insert((lessons, age)),
                 Output::Votes => {
                     tracing::info!("fleet {}: caught up; this keeper votes", self.fleet);
-                    self.words.push(FleetEvent::Votes { votes: true });
+                    self.words
+                        .push(FleetEvent::VotingChanged { is_voter: true });
                     let mut batch = Batch::default();
                     batch.put(
                         VOTES.to_vec(),
@@ -362,9 +363,9 @@
                 let known = self.turned.contains_key(&name) || self.turned.len() < MAX_TURNED;
                 if known && self.turned.get(&name) != Some(&why) {
                     tracing::warn!("fleet {}: no link with '{name}': {why}", self.fleet);
-                    self.words.push(FleetEvent::Turned {
+                    self.words.push(FleetEvent::PeerRejected {
                         name: name.clone(),
-                        why: why.clone(),
+                        reason: why.clone(),
                     });
                     self.turned.insert(name, why);
                 }
@@ -378,7 +379,7 @@
         let before = self.states.insert(name.clone(), (state, trip));
         if before.is_none_or(|(before, _)| before != state) {
             tracing::info!("fleet {}: {name} is {}", self.fleet, state.name());
-            self.words.push(FleetEvent::Peer {
+            self.words.push(FleetEvent::PeerState {
                 name,
                 state: state.name().into(),
             });
@@ -418,7 +419,9 @@
         }
         let stands = self.core.majority_stands();
         if std::mem::replace(&mut self.majority, stands) != stands {
-            self.words.push(FleetEvent::Majority { stands });
+            self.words.push(FleetEvent::MajorityChanged {
+                is_reachable: stands,
+            });
             tracing::info!(
                 "fleet {}: {} majority of keepers can be asked",
                 self.fleet,
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -16,18 +16,18 @@
 
     /// All that the record knows of the fleet, for the beginning of a segment.
     pub fn state(&self) -> Vec<FleetEvent> {
-        let peer = |(name, (state, _)): (&String, &(State, Micros))| FleetEvent::Peer {
+        let peer = |(name, (state, _)): (&String, &(State, Micros))| FleetEvent::PeerState {
             name: name.clone(),
             state: state.name().into(),
         };
         let mut words: Vec<FleetEvent> = self.states.iter().map(peer).collect();
         if self.keepers.contains(&self.name) {
-            words.push(FleetEvent::Votes {
-                votes: self.core.standing.votes(),
+            words.push(FleetEvent::VotingChanged {
+                is_voter: self.core.standing.votes(),
             });
         }
-        words.push(FleetEvent::Majority {
-            stands: self.majority,
+        words.push(FleetEvent::MajorityChanged {
+            is_reachable: self.majority,
         });
         words
     }
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -5,7 +5,7 @@
 use eideryard::interface::{EngineId, Micros};
 use eideryard_event_analysis::episodes::Kind;
 use eideryard_event_analysis::View;
-use eideryard_event_log::{AnswerKind, Lane};
+use eideryard_event_log::{AnswerKind, GroupTotals};
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 
 use crate::plot::{self, Band, Bar, Line, Span};
@@ -417,7 +417,7 @@
     view: &View,
     caption: &str,
     what: &str,
-    of: &dyn Fn(&eideryard_event_analysis::Start) -> Vec<Lane>,
+    of: &dyn Fn(&eideryard_event_analysis::Start) -> Vec<GroupTotals>,
     name: &dyn Fn(usize) -> String,
 ) -> Markup {
     let mut sums: Vec<[u64; 7]> = Vec::new();
--- a/crates/report/src/story.rs
+++ b/crates/report/src/story.rs
@@ -3,7 +3,7 @@
 use eideryard::interface::Micros;
 use eideryard_event_analysis::episodes::Kind;
 use eideryard_event_analysis::{Episode, View};
-use eideryard_event_log::tally::Totals;
+use eideryard_event_log::totals::Totals;
 use eideryard_event_log::RejectReason;
 use time::macros::format_description;
 use time::OffsetDateTime;
@@ -203,7 +203,7 @@
 /// Refusals for want of something that intents need, by reason.
 pub fn wanting(totals: &Totals) -> Option<String> {
     let reasons = [
-        (totals.ledger_full, RejectReason::LedgerFull),
+        (totals.intent_log_full, RejectReason::IntentLogFull),
         (totals.store_stalled, RejectReason::StoreStalled),
         (totals.no_majority, RejectReason::NoMajority),
     ];
@@ -265,7 +265,7 @@
     let totals = totals(view);
     let counts = format!(
         "of {} requests {} refused{}, {} failed, {} lost{}",
-        totals.taken,
+        totals.received,
         totals.refused,
         wanting(&totals)
             .map(|reasons| format!(" ({reasons})"))
--- a/crates/report/tests/pages.rs
+++ b/crates/report/tests/pages.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use eideryard::interface::Phase;
-use eideryard_event_log::{Entry, Host, ListedEngine};
+use eideryard_event_log::{Entry, HostEvent, ListedEngine};
 use eideryard_report::{page, story};
 
 #[test]
@@ -24,7 +24,7 @@
     script.calm(0, 10, 20, 20);
     script.fails(0, 10.0, 1);
     script.fails(0, 10.2, 2);
-    script.host(0, 12.0, Host::Link { up: false });
+    script.host(0, 12.0, HostEvent::DiscoveryLink { is_up: false });
     let view = script.finish();
     let head = story::headline(&view);
     assert!(
@@ -80,7 +80,7 @@
         phase,
         booted_at: 0,
     };
-    script.tell(0, at(2.0), Entry::Host(Host::Engine(listed)));
+    script.tell(0, at(2.0), Entry::Host(HostEvent::Engine(listed)));
     let page = page(&script.finish());
     assert!(!page.contains("<script>alert") && !page.contains("<svg onload"));
     assert!(page.contains("&lt;script&gt;alert(1)"));
--- a/fuzz/fuzz_targets/record.rs
+++ b/fuzz/fuzz_targets/record.rs
@@ -3,22 +3,22 @@
 #![no_main]
 
 use eideryard_event_log::codec::{Context, Decoder};
-use eideryard_event_log::frame::{find, Found, FRAME_HEAD};
+use eideryard_event_log::frame::{find_frame, FrameSearch, FRAME_HEAD};
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|bytes: &[u8]| {
     let mut rest = bytes;
     while !rest.is_empty() {
-        rest = match find(rest) {
-            Found::Frame(frame) => &rest[FRAME_HEAD + frame.length..],
-            Found::No(count) => &rest[count.min(rest.len())..],
-            Found::More(_) => &rest[1..],
+        rest = match find_frame(rest) {
+            FrameSearch::Frame(frame) => &rest[FRAME_HEAD + frame.length..],
+            FrameSearch::NotFound(count) => &rest[count.min(rest.len())..],
+            FrameSearch::Incomplete(_) => &rest[1..],
         };
     }
     let mut decoder = Decoder::new(bytes, Context::new(0));
     let (mut out, mut context) = (Vec::new(), Context::new(0));
-    while let Ok(Some((at, entry))) = decoder.next() {
+    while let Ok(Some((at, entry))) = decoder.next_entry() {
         out.clear();
-        context.put(&mut out, at, entry.as_ref());
+        context.encode(&mut out, at, entry.as_ref());
     }
 });
