--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -83,6 +83,6 @@
         }
         let fair_share = self.max_unread_bytes / self.table.len();
         let has_excess = self.unread_bytes > self.max_unread_bytes && undecoded > fair_share;
-        has_excess.then_some(CloseReason::Hoarding)
+        has_excess.then_some(CloseReason::TooMuchUnread)
     }
 }
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -253,7 +253,8 @@
             intent_durability.take_fleet_events(),
         );
         for word in words.into_iter() {
-            self.event_recorder.record_host(now, &Host::Fleet(word));
+            self.event_recorder
+                .record_host(now, &HostEvent::Fleet(word));
         }
         let (drains, hints) = (
             intent_durability.take_drains(),
@@ -353,9 +354,9 @@
             }
             self.cancel_attempt(request, attempt, Outcome::NotSent);
             if alone {
-                let because = Host::Because {
+                let because = HostEvent::RefusalExplained {
                     request: request.number(),
-                    why,
+                    reason: why,
                 };
                 self.event_recorder.record_host(now, &because);
                 let reply = ErrorReply {
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -5,7 +5,7 @@
 
 use eideryard::interface::{Endpoint, EngineId, Event, Micros, Phase};
 use eideryard_discovery::{DiscoveredEngine, Item, State};
-use eideryard_event_log::{Host, ListedEngine};
+use eideryard_event_log::{HostEvent, ListedEngine};
 use eideryard_replication::drains::Drain;
 
 use super::Gateway;
@@ -187,7 +187,7 @@
             booted_at: endpoint.booted_at,
         };
         self.event_recorder
-            .record_host(self.clock.now(), &Host::Engine(listed.clone()));
+            .record_host(self.clock.now(), &HostEvent::Engine(listed.clone()));
         self.last_listed.insert(endpoint.engine, listed);
     }
 
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -2,7 +2,8 @@
 
 use eideryard::interface::EngineId;
 use eideryard_discovery::Item;
-use eideryard_event_log::{AnswerKind, Host, Offer, OpenRequest, RejectReason};
+use eideryard_event_log::entry::RunningAttempt;
+use eideryard_event_log::{AnswerKind, ClientRequest, HostEvent, OpenRequest, RejectReason};
 
 use super::{DiscoveryState, Gateway};
 use crate::clients::ConnectionChange;
@@ -30,26 +31,26 @@
         if !self.event_recorder.needs_state(now) {
             return;
         }
-        let engines = self.last_listed.values().cloned().map(Host::Engine);
+        let engines = self.last_listed.values().cloned().map(HostEvent::Engine);
         let connections = self
             .clients
             .addresses()
-            .map(|(key, address)| Host::Connected {
+            .map(|(key, address)| HostEvent::Connected {
                 connection: key.number(),
                 address,
             });
         let requests = self
             .requests
             .open()
-            .map(|(key, request)| Host::Open(open_request(key, request)));
-        let link = Host::Link {
-            up: self.discovery.is_receiving(),
+            .map(|(key, request)| HostEvent::OpenRequest(open_request(key, request)));
+        let link = HostEvent::DiscoveryLink {
+            is_up: self.discovery.is_receiving(),
         };
         let fleet = self
             .intent_durability
             .iter()
             .flat_map(|intent_durability| intent_durability.fleet_state())
-            .map(Host::Fleet);
+            .map(HostEvent::Fleet);
         let state = engines
             .chain(connections)
             .chain(requests)
@@ -64,12 +65,15 @@
         for (key, change) in self.clients.changes.drain(..) {
             let connection = key.number();
             let host = match change {
-                ConnectionChange::Opened(address) => Host::Connected {
+                ConnectionChange::Opened(address) => HostEvent::Connected {
                     connection,
                     address,
                 },
-                ConnectionChange::Closing(why) => Host::Ending { connection, why },
-                ConnectionChange::Closed => Host::Disconnected { connection },
+                ConnectionChange::Closing(why) => HostEvent::ConnectionClosing {
+                    connection,
+                    reason: why,
+                },
+                ConnectionChange::Closed => HostEvent::Disconnected { connection },
             };
             self.event_recorder.record_host(now, &host);
         }
@@ -88,12 +92,14 @@
         let now = self.clock.now();
         let is_receiving = self.discovery.is_receiving();
         if is_receiving != before.is_receiving {
-            let link = Host::Link { up: is_receiving };
+            let link = HostEvent::DiscoveryLink {
+                is_up: is_receiving,
+            };
             self.event_recorder.record_host(now, &link);
         }
         if self.counters.list_events != before.event_count {
             for item in items {
-                let list_event = Host::ListEvent { number: item.no };
+                let list_event = HostEvent::DiscoveryEvent { number: item.no };
                 self.event_recorder.record_host(now, &list_event);
             }
         }
@@ -105,7 +111,7 @@
             return;
         }
         if let Some(request) = self.requests.get(key) {
-            let offered = Host::Offered(offer(key, request));
+            let offered = HostEvent::RequestReceived(offer(key, request));
             self.event_recorder.record_host(self.clock.now(), &offered);
         }
     }
@@ -120,20 +126,20 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let answered = Host::Answered {
+        let answered = HostEvent::Answered {
             request: key.number(),
             class: request.class,
             tenant: request.tenant,
-            how: kind,
-            late: is_late,
+            kind,
+            is_late,
         };
         self.event_recorder.record_host(self.clock.now(), &answered);
     }
 
     /// Records a request that was not taken.
     pub(super) fn record_rejection(&mut self, reason: RejectReason, labels: Option<RequestLabels>) {
-        let rejected = Host::NotTaken {
-            how: reason,
+        let rejected = HostEvent::RequestRejected {
+            reason,
             class: labels.map(|labels| labels.class),
             tenant: labels.map(|labels| labels.tenant),
         };
@@ -152,7 +158,7 @@
             .pairs()
             .map(|(name, value)| (name.to_string(), value))
             .collect();
-        let ended = Host::Ended { counters };
+        let ended = HostEvent::Ended { counters };
         self.event_recorder.record_host(self.clock.now(), &ended);
         self.log_counters();
     }
@@ -200,9 +206,9 @@
 }
 
 /// What the event log holds of a request beside what the balancer gets.
-fn offer(key: Key, request: &Request) -> Offer {
+fn offer(key: Key, request: &Request) -> ClientRequest {
     let id = u64::from_str_radix(&request.id, 16).unwrap_or_default();
-    Offer {
+    ClientRequest {
         request: key.number(),
         id,
         connection: request.client.number(),
@@ -216,12 +222,15 @@
         .rev()
         .find(|attempt| attempt.connection.is_some());
     OpenRequest {
-        offer: offer(key, request),
+        client_request: offer(key, request),
         class: request.class,
         tenant: request.tenant,
         arrived_at: request.taken_at,
         deadline: request.deadline,
         attempts: request.attempts.len() as u64,
-        out: in_flight.map(|attempt| (attempt.engine, attempt.sent_at)),
+        running: in_flight.map(|attempt| RunningAttempt {
+            engine: attempt.engine,
+            sent_at: attempt.sent_at,
+        }),
     }
 }
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown of the gateway, in the phases of [`Shutdown`].
 
 use eideryard::interface::{end_tag, Event};
-use eideryard_event_log::Host;
+use eideryard_event_log::HostEvent;
 
 use super::Gateway;
 use crate::clients::Clients;
@@ -17,7 +17,7 @@
             return;
         }
         tracing::info!("stopping; {} requests are open", self.counters.open());
-        self.event_recorder.record_host(now, &Host::Stopping);
+        self.event_recorder.record_host(now, &HostEvent::Stopping);
         self.clients.is_healthy = false;
         if let Some(intent_durability) = &mut self.intent_durability {
             intent_durability.release_leases(now);
