--- a/crates/fleet-test/src/scale/node.rs
+++ b/crates/fleet-test/src/scale/node.rs
@@ -88,7 +88,7 @@
     pub fn counted(&self) -> Counted {
         Counted {
             requests: self.next,
-            visits: self.module.visits() - self.list_visits,
+            visits: self.module.engine_visits() - self.list_visits,
             spent: self.spent,
         }
     }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,230 +1,245 @@
-//! Every decision of one gateway. Types, events and actions are in `src/interface.rs`, what is
-//! remembered in `src/state.rs`. A request passes through arrival, draws, admission, choice, rules
-//! and send, outcome, ending; then health, shedding, the list of engines. The mechanism is that of
-//! the BI Batch Manager paper for many gateways and engines; docs/design.md says what was kept and
-//! what changed.
+//! Every decision of one gateway: admission, placement, priority, retries, health of engines.
+//!
+//! A host hands [`Balancer`] events and carries out the actions that come back. A request passes
+//! through `arrival`, `sampling`, `admission`, `engine_selection`, `constraints`, `dispatch`,
+//! `outcome` and `completion`. State that one concern owns stands in its part: `subsetting`,
+//! `load_estimate`, `class_estimates`, `slow_start`, `outlier_detection`, `retry_budget`,
+//! `key_ordering`, `tenant_quotas`, `pending_queue`, `sampling`. The mechanism is that of the BI
+//! Batch Manager paper for many gateways and engines; docs/design.md says what was changed.
 
 mod admission;
+mod affinity;
 mod arrival;
 mod checkpoint;
+mod class_estimates;
 mod completion;
 mod constraints;
 mod dispatch;
 mod endpoints;
 mod engine_selection;
+mod health;
+mod key_ordering;
 mod load_estimate;
 mod load_shedding;
 mod outcome;
 mod outlier_detection;
+mod pending_queue;
+mod progress;
+mod queue_release;
+mod retry_budget;
 mod sampling;
+mod slow_start;
 mod subsetting;
+mod tenant_quotas;
 
-use crate::engines::Engines;
-use crate::interface::*;
-use crate::state::*;
-use constraints::may_place;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-
-// Tuned values. Each is a ratio of something told in the settings or learned, or a count of
-// observations.
-
-const START_ROOM: f64 = 3.0; // Memories of an engine at the start: so far a gradient keeps pace (paper, 4.2)
-const START_BOUND: f64 = 2.0; // Threads a core of this gateway's share at the start: gains end there
-const START_LEVEL: f64 = 1.0; // Threads a core that others are held to have until a report tells; it fades
-const LESSON_SPAN: f64 = 20.0; // Times to warm up over which what an earlier life learned fades
-const MIN_LESSON: f64 = 0.05; // Part of it that is left, under which it is void
-const MIN_BOUND: f64 = 0.7; // Part of its start that pressure leaves of a bound: it must not choke
-const BOUND_STEP: f64 = 0.01; // Step by which calm widens the bounds
-const BOUND_CUT: f64 = 4.0; // Such steps that an outcome under pressure cuts
-const PRESSURE: f64 = 1.2; // Stretch over the engine's best at which it counts as under pressure
-const IMPLIED: f64 = 1.6; // Threads a core that imply pressure before latency can show it
-const BUSY_REPORT: f64 = 0.95; // Share of busy cores, disks or granted memory in a report that is pressure
-const FULL_PAUSE: f64 = 0.1; // Pause after an engine refused as full or failed all, part of latency memory
-const UNKNOWN_MEMORY: f64 = 0.125; // Part of the room a query counts as before its class's memory is known
-const GRANT_MARGIN: f64 = 1.25; // A grant over the corrected estimate, as the engines' own default does it
-const TOP_RANK: u8 = 2; // Rank of the largest report or load; dashboards run one higher
-const DASHBOARD_WORK: f64 = 0.5; // A class with mean work under this part of the mean of all is a dashboard
-const ANSWER_MARGIN: f64 = 0.1; // Part of a client's wait that is left for its answer to come through
-const LEARN: f64 = 0.05; // Weight of one more observation in what is learned: the last twenty or so count
-const CLIP: f64 = 3.0; // Times that one observation is held to be off at most: runaways don't bend a ratio
-const BAD_WEIGHT: f64 = 0.15; // Weight of a bad outcome in an engine's bad share: five in a row are enough
-const BAD_SHARE: f64 = 0.5; // Bad share that leads to quarantine: below it an engine is worth its price
-const PROBATION: u32 = 6; // Good answers in a row that end the probation after a quarantine
-const QUARANTINE: f64 = 0.07; // The first, in parts of the time to warm up; each relapse doubles it
-const LONGEST_QUARANTINE: f64 = 0.5; // The longest, in the same parts
-const SILENCE: f64 = 3.0; // Note periods without a word after which an engine that holds work is silent
-const MAX_QUARANTINED: f64 = 0.5; // Share of engines in quarantine beyond which the cause must be shared
-const BAD_PLAN: f64 = 3.0; // Remaining time over that of a fresh attempt that shows a bad plan
-const COLD_MARGIN: f64 = 0.6; // Part of the cold budget in use: estimates scatter, others round up as well
-const CHANCE: f64 = 3.0; // Deviations of chance that the cold budget leaves room for
-const CAPACITY_BUSY: f64 = 0.85; // Capacity is counted at this part of busy cores
-const MIN_ARC: f64 = 0.75; // Part of an arc of homes that must be one's own, in shares that a query fits in
-const HOMES: usize = 2; // Engines that are home to a group
-const HOME_GAIN: f64 = 0.25; // Part of a query's cost that reading its group warm saves, at the homes
-const GROUP_MEMORY: f64 = 100.0; // Requests over which a group's part of all is counted
-const GROUP_FADED: f64 = 5.0; // Such memories after which a group that did not come again is forgotten
-const GROUP_PRIOR: f64 = 0.2; // Of these, how many count as other groups' before any was seen
-const HOT_SPREAD: f64 = 2.0; // Homes of a hot group, in multiples of the engines that its part would fill
-const CROSSING: f64 = 10.0; // Cost of crossing zones in multiples of its tariff
-const SHED_SLACK: f64 = 0.1; // Part of the aim by which a queue may run late before something is shed
-const SICK_FLEET: f64 = 0.3; // Bad share of all outcomes from which attempts fall: to its inverse, three here
-const BEAT_TICKS: u64 = 10; // Ticks between two looks at held requests, silent engines and overload
-const STRETCH_MEMORY: f64 = 0.2; // Time constant of latency memory, in parts of the time to warm up
-const THIN_BOUND: f64 = 1.2; // Threads a core that hold queries back where shares are thin
-const PROBE_SPEND: f64 = 0.02; // Part of all worth that probes may cost where shares are thin
-const ASKED: usize = 2; // Engines drawn for a query: two choices spread well even by reports that are late
-const REDRAWS: f64 = 1.0; // Draws for held requests that each arrival pays for
-const POOL: f64 = 3.0; // Threads a core of its share of all engines that a gateway may have out there
-const SAVED: f64 = 6.0; // Draws or probes that may be saved up
-const FRESH: f64 = 0.1; // Age up to which a report is fresh, in parts of latency memory
-const BEAT: u64 = 0; // Timer tag of the beat; a request's own bears `end_tag`
+use crate::engine_table::EngineTable;
+use crate::interface::{Action, Discovery, Event, Micros, PriorAttempt, RequestId, Settings};
+use crate::request_state::PendingRequest;
+use crate::traffic::Traffic;
+use affinity::{GROUP_EXPIRY, GROUP_MEMORY};
+use class_estimates::ClassEstimator;
+use key_ordering::KeyOrdering;
+use load_estimate::LoadEstimates;
+use outlier_detection::OutlierDetection;
+use pending_queue::PendingQueue;
+use retry_budget::RetryBudget;
+use sampling::SamplingBudget;
+use slow_start::SlowStart;
+use std::collections::BTreeMap;
+use subsetting::Subsetting;
+use tenant_quotas::TenantQuotas;
+
+/// Ticks between two runs of the maintenance.
+const MAINTENANCE_TICKS: u64 = 10;
+/// Timer tag of the maintenance; a request's own timer has the tag of `end_tag`.
+const MAINTENANCE_TAG: u64 = 0;
+/// A failed subscription is tried again after the poll interval divided by this.
+const RESUBSCRIBE_DIVISOR: u64 = 8;
 
 /// One gateway: all it knows comes from its settings and the events it was handed.
 pub struct Balancer {
-    set: Settings,
+    settings: Settings,
     rng: fastrand::Rng,
     now: Micros,
-    pub(crate) engines: Engines,
-    requests: BTreeMap<RequestId, Held>,
-    queue: BTreeMap<(Micros, RequestId), usize>, // Class of each that is held, by due time
-    /// For each key of an ordered class: its requests in the order taken, and until when it rests.
-    keys: BTreeMap<String, (VecDeque<RequestId>, Micros)>,
-    learned: Vec<Learned>,
+    engines: EngineTable,
+    requests: BTreeMap<RequestId, PendingRequest>,
+    queue: PendingQueue,
+    key_ordering: KeyOrdering,
+    class_estimates: ClassEstimator,
     traffic: Traffic,
-    thin: bool, // This gateway's share of an engine is under one query: the whole of it is looked at
-    few: bool, // It keeps to an arc of the engines, so that its share of each of these is none so small
-    place: f64, // Where on the ring of engines its arc begins, as a part of the whole
-    share: f64, // What both bounds are a part of: 1/peers of an engine, or all of it where that is thin
-    tokens: Vec<(f64, Micros)>, // Tokens left to each tenant, and when they were last filled
-    beating: bool,
-    subscribe_at: Option<Micros>,
-    latency: f64,  // Time constant of latency memory
-    pause: Micros, // For which an engine that refused as full or failed a probe is closed
+    subsetting: Subsetting,
+    load_estimates: LoadEstimates,
+    slow_start: SlowStart,
+    outlier_detection: OutlierDetection,
+    retry_budget: RetryBudget,
+    tenant_quotas: TenantQuotas,
+    sampling_budget: SamplingBudget,
+    is_maintenance_scheduled: bool,
+    resubscribe_at: Option<Micros>,
+    /// Actions of the event that is being handled.
     actions: Vec<Action>,
 }
+
 impl Balancer {
-    /// One that knows its settings and nothing else; equal seeds and events give equal actions.
-    pub fn new(set: Settings, seed: u64, now: Micros) -> Self {
-        let latency = (STRETCH_MEMORY * set.warm_up_duration as f64).max(1.0);
-        let fresh = Learned {
-            work_ratio: 1.0,
-            memory_ratio: 1.0,
-            work: 0.0,
-            memory: None,
-        };
+    /// A gateway that knows its settings and nothing else; equal seeds and events give equal
+    /// actions.
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut own = Balancer {
-            place: set
-                .index
-                .map_or_else(|| rng.f64(), |index| index / set.peers),
+        let ring_position = match settings.index {
+            Some(index) => index / settings.peers,
+            None => rng.f64(),
+        };
+        let must_subscribe = settings.discovery == Discovery::Ask;
+        let load_estimates = LoadEstimates::new(settings.warm_up_duration);
+        let latency_memory = load_estimates.latency_memory();
+        let mut balancer = Balancer {
             rng,
             now,
-            engines: Engines::new(&set.classes, &set.kinds),
+            engines: EngineTable::new(&settings.classes, &settings.kinds),
             requests: BTreeMap::new(),
-            queue: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            learned: vec![fresh; set.classes.len()],
+            queue: PendingQueue::default(),
+            key_ordering: KeyOrdering::default(),
+            class_estimates: ClassEstimator::new(settings.classes.len()),
             traffic: Traffic {
-                last: now,
+                last_arrival: now,
                 ..Default::default()
             },
-            share: 1.0,
-            thin: false,
-            few: false,
-            tokens: set
-                .tenants
-                .iter()
-                .map(|t| (t.quota_per_s / set.peers, now))
-                .collect(),
-            beating: false,
-            subscribe_at: (set.discovery == Discovery::Ask).then_some(now),
-            latency,
-            pause: 0,
+            subsetting: Subsetting::new(&settings, ring_position),
+            load_estimates,
+            slow_start: SlowStart::new(&settings),
+            outlier_detection: OutlierDetection::new(&settings, latency_memory),
+            retry_budget: RetryBudget::new(settings.attempt_budget),
+            tenant_quotas: TenantQuotas::new(&settings, now),
+            sampling_budget: SamplingBudget::new(settings.probe_tariff),
+            is_maintenance_scheduled: false,
+            resubscribe_at: must_subscribe.then_some(now),
             actions: Vec::new(),
-            set,
+            settings,
         };
-        own.count_shares();
-        own
+        balancer.update_subsetting();
+        balancer
     }
 
-    /// Takes an event in, and puts what comes of it behind `actions`.
+    /// Takes an event in and appends what it leads to to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        let quiet = matches!(
+        let may_free_room = !matches!(
             event,
             Event::Arrived(_) | Event::ProgressReported { .. } | Event::StreamBegan { .. }
         );
+        self.handle_event(event);
+        self.resubscribe_if_needed();
+        if may_free_room {
+            self.release_queue();
+        }
+        self.schedule_maintenance();
+        actions.append(&mut self.actions);
+    }
+
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrived(request) => self.take(request),
-            Event::AttemptEnded(ended) => self.outcome(ended),
+            Event::Arrived(request) => self.on_arrival(request),
+            Event::AttemptEnded(ended) => self.on_attempt_ended(&ended),
             Event::PriorAttempts {
                 request,
                 prior_attempts,
-            } => {
-                _ = self
-                    .requests
-                    .get_mut(&request)
-                    .map(|held| held.req.prior_attempts.extend(prior_attempts));
-            }
+            } => self.add_prior_attempts(request, prior_attempts),
             Event::ProgressReported {
                 request,
                 attempt,
                 progress,
-            } => self.noted(request, attempt, progress),
-            Event::StreamBegan { request } => {
-                _ = self.requests.get_mut(&request).map(|h| h.streaming = true);
+            } => self.on_progress(request, attempt, progress),
+            Event::StreamBegan { request } => self.mark_streaming(request),
+            Event::Probed(probed) => self.on_probed(&probed),
+            Event::ClientLeft { request } => self.close_request(request),
+            Event::Timer {
+                tag: MAINTENANCE_TAG,
+            } => self.run_maintenance(),
+            Event::Timer { tag } => self.end_request(tag - 1, 0),
+            Event::EndpointSnapshot(endpoints) => self.on_endpoint_snapshot(&endpoints),
+            Event::EndpointChanges(endpoints) => self.on_endpoint_changes(&endpoints),
+            Event::CheckpointRestored { learned, age } => self.restore_checkpoint(&learned, age),
+            Event::DiscoveryFailed => {
+                let delay = self.settings.poll_interval / RESUBSCRIBE_DIVISOR;
+                self.resubscribe_at = Some(self.now + delay);
             }
-            Event::Probed(probed) => self.probed(probed),
-            Event::ClientLeft { request } => self.close(request),
-            Event::Timer { tag: BEAT } => self.beat(),
-            Event::Timer { tag } => self.end(tag - 1, 0),
-            Event::EndpointSnapshot(entries) => self.full_list(entries),
-            Event::EndpointChanges(entries) => self.list_changes(entries),
-            Event::CheckpointRestored { learned, age } => self.remember(learned, age),
-            Event::DiscoveryFailed => self.subscribe_at = Some(now + self.set.poll_interval / 8),
         }
-        self.actions.extend(
-            self.subscribe_at
-                .take_if(|at| *at <= now)
-                .map(|_| Action::Subscribe),
-        );
-        // A note or an arrival frees no room, so only what else happens is worth a look at the
-        // whole queue.
-        if !quiet {
-            self.release();
+    }
+
+    fn add_prior_attempts(&mut self, id: RequestId, prior_attempts: Vec<PriorAttempt>) {
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.request.prior_attempts.extend(prior_attempts);
+        }
+    }
+
+    fn mark_streaming(&mut self, id: RequestId) {
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.is_streaming = true;
         }
-        let awake = !self.requests.is_empty() || self.subscribe_at.is_some();
-        if awake && !std::mem::replace(&mut self.beating, awake) {
+    }
+
+    fn resubscribe_if_needed(&mut self) {
+        if self.resubscribe_at.is_some_and(|at| at <= self.now) {
+            self.resubscribe_at = None;
+            self.actions.push(Action::Subscribe);
+        }
+    }
+
+    /// Sets the timer of the maintenance while there is something to maintain.
+    fn schedule_maintenance(&mut self) {
+        let is_needed = !self.requests.is_empty() || self.resubscribe_at.is_some();
+        if is_needed && !self.is_maintenance_scheduled {
+            self.is_maintenance_scheduled = true;
             self.actions.push(Action::SetTimer {
-                after: BEAT_TICKS * self.set.tick,
-                tag: BEAT,
+                after: MAINTENANCE_TICKS * self.settings.tick,
+                tag: MAINTENANCE_TAG,
             });
         }
-        actions.append(&mut self.actions);
     }
 
-    fn beat(&mut self) {
-        self.beating = false;
-        self.watch_silence();
-        self.release();
-        self.draw_again();
-        self.shed();
-        let (now, memory) = (self.now, self.latency);
-        // Where nobody reports, what a stranger assumes must not outlive its start.
-        let kept = (-((BEAT_TICKS * self.set.tick) as f64) / memory).exp();
-        self.traffic.baseline_load *= if self.traffic.heard { 1.0 } else { kept };
-        self.keys
-            .retain(|_, (line, rests_until)| !line.is_empty() || *rests_until > now);
-        let since = now.saturating_sub(self.set.attempt_budget.map_or(0, |budget| budget.span));
-        self.traffic.forget(since);
+    fn run_maintenance(&mut self) {
+        self.is_maintenance_scheduled = false;
+        self.quarantine_silent_engines();
+        self.release_queue();
+        self.redraw_candidates();
+        self.shed_load();
+        self.load_estimates
+            .fade_assumed_load(MAINTENANCE_TICKS * self.settings.tick);
+        self.forget_expired();
+        self.update_active_engines();
+    }
+
+    fn forget_expired(&mut self) {
+        self.key_ordering.forget_idle(self.now);
+        self.retry_budget.forget_expired(self.now);
+        let arrivals = self.traffic.arrivals;
         self.traffic
             .groups
-            .retain(|_, (_, at)| self.traffic.arrivals - *at < GROUP_FADED * GROUP_MEMORY);
-        let since = now.saturating_sub(self.set.overload_window);
-        self.engines.pass_time(now, |engine| {
-            engine.observe(now, memory, None);
-            engine.loading.retain(|_, at| *at + memory as Micros > now);
-            engine.cold_sends.retain(|(at, ..)| *at >= since);
+            .retain(|_, group| arrivals - group.counted_at < GROUP_EXPIRY * GROUP_MEMORY);
+    }
+
+    fn update_active_engines(&mut self) {
+        let now = self.now;
+        let latency_memory = self.load_estimates.latency_memory();
+        let window_start = self.slow_start.window_start(now);
+        self.engines.update_active(now, |engine| {
+            engine.update_slowdown(now, latency_memory, None);
+            engine
+                .active_loads
+                .retain(|_, at| *at + latency_memory as Micros > now);
+            engine
+                .cold_sends
+                .retain(|send| send.sent_at >= window_start);
         });
     }
+
+    /// How often an engine was accessed so far: what decisions cost, as a count.
+    pub fn engine_visits(&self) -> u64 {
+        self.engines.visits()
+    }
+
+    /// Engines that the list names.
+    pub fn listed_engines(&self) -> usize {
+        self.engines.listed_count()
+    }
 }
--- a/src/balancer/arrival.rs
+++ b/src/balancer/arrival.rs
@@ -1,118 +1,122 @@
-//! A request is taken: what it is held to need, until when, and what it adds to what is known of
-//! the traffic.
+//! Arrival of a request: its corrected estimates and deadlines, and what it adds to the traffic
+//! statistics.
 
-use super::*;
+use super::affinity::GROUP_MEMORY;
+use super::class_estimates::LEARNING_RATE;
+use super::Balancer;
+use crate::interface::{end_tag, Action, Micros, Request, RequestId};
+use crate::request_state::PendingRequest;
+use crate::traffic::{GroupCount, Traffic};
+
+/// Part of a client's wait that is left for its answer to come through.
+const ANSWER_MARGIN: f64 = 0.1;
 
 impl Balancer {
-    #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub(super) fn take(&mut self, req: Request) {
-        let class = self.set.classes[req.class].clone();
-        let known = &self.learned[req.class];
-        let usual = if known.work > 0.0 {
-            known.work
+    /// Takes a request: sends it, queues it, or ends it where it can't be served.
+    pub(super) fn on_arrival(&mut self, request: Request) {
+        let id = request.id;
+        let pending = self.estimate_request(request);
+        self.register_request(&pending);
+        let is_servable = self.may_repeat(&pending) && !self.exceeds_deadline(&pending);
+        let class = pending.request.class;
+        let work = pending.work;
+        if is_servable {
+            self.class_estimates.record_request(class, work);
+            self.traffic.record_arrival(&pending, self.now);
+            self.sampling_budget.record_arrival();
+        }
+        self.requests.insert(id, pending);
+        if is_servable {
+            self.place_new_request(id);
         } else {
-            class.latency_objective as f64 * class.threads / 2.0
-        };
-        let work = req
-            .work
-            .map_or(usual, |estimate| estimate * known.work_ratio);
-        let memory = req
-            .memory_mb
-            .map_or(known.memory.unwrap_or(0.0), |mb| mb * known.memory_ratio);
-        let (id, class_id, group, ideal) = (req.id, req.class, req.group, work / class.threads);
-        // Early, so that the answer is in the client's hands in time, also where both were held up.
-        let margin = 2 * self.set.tick
-            + (ANSWER_MARGIN * req.deadline.saturating_sub(self.now) as f64) as Micros;
-        let end_by = req.deadline.saturating_sub(margin).max(self.now);
-        // A client may be less patient than its class: after it has gone, the aim is worth nothing.
-        let due = (self.now
-            + class.latency_objective
-            + (class.latency_objective_per_work * ideal) as Micros)
-            .min(end_by);
-        let worth = class.priority_weight
-            * if self.within_share(req.tenant) {
-                1.0
-            } else {
-                self.set.over_quota_weight
-            };
-        if let Some(key) = req.key.as_ref().filter(|_| class.ordered) {
-            self.keys
-                .entry(key.clone())
-                .or_default()
-                .0
-                .push_back(req.id);
+            self.end_request(id, 0);
         }
-        self.traffic.taken.push_back(self.now);
-        self.actions.push(Action::SetTimer {
-            after: end_by - self.now,
-            tag: end_tag(req.id),
-        });
-        self.queue.insert((due, req.id), req.class);
-        let held = Held {
-            req,
-            work,
-            ideal,
-            memory,
-            due,
-            end_by,
-            priority_weight: worth,
-            ..Default::default()
-        };
-        let over = !self.may_repeat(&held); // It may have run before, when or where none may repeat it
-        self.requests.insert(id, held);
-        // Work that cannot end in time only holds what others need, for long where no cancel is
-        // heeded.
-        if over || self.now as f64 + ideal > end_by as f64 {
-            return self.end(id, 0);
+    }
+
+    /// Work that can't end in time would only hold threads and memory that others need.
+    fn exceeds_deadline(&self, pending: &PendingRequest) -> bool {
+        self.now as f64 + pending.ideal_duration > pending.end_deadline as f64
+    }
+
+    fn place_new_request(&mut self, id: RequestId) {
+        self.draw_candidates(id);
+        if let Some(engine) = self.choose_engine(id) {
+            self.send(id, engine);
         }
-        let known = &mut self.learned[class_id].work;
-        *known = if *known > 0.0 {
-            *known + LEARN * (work - *known)
+    }
+
+    /// Corrects a request's estimates and computes its deadlines and weight.
+    fn estimate_request(&mut self, request: Request) -> PendingRequest {
+        let class = &self.settings.classes[request.class];
+        let fallback_work = class.latency_objective as f64 * class.threads / 2.0;
+        let work = self.class_estimates.estimate_work(&request, fallback_work);
+        let ideal_duration = work / class.threads;
+        let end_deadline = self.end_deadline(&request);
+        let objective =
+            class.latency_objective + (class.latency_objective_per_work * ideal_duration) as Micros;
+        let quota_weight = if self.tenant_quotas.try_take(request.tenant, self.now) {
+            1.0
         } else {
-            work
+            self.settings.over_quota_weight
         };
-        self.count(group, work, ideal, memory);
-        self.draw(id);
-        self.choose(id)
-            .into_iter()
-            .for_each(|engine| self.send(id, engine));
+        PendingRequest {
+            work,
+            ideal_duration,
+            memory_mb: self.class_estimates.estimate_memory(&request),
+            // After a client has given up, its objective is worth nothing.
+            objective_deadline: (self.now + objective).min(end_deadline),
+            end_deadline,
+            priority_weight: class.priority_weight * quota_weight,
+            request,
+            ..Default::default()
+        }
     }
 
-    /// Each arrival adds to what is known of the traffic, and pays for probes and draws.
-    pub(super) fn count(&mut self, group: u64, work: f64, ideal: f64, memory: f64) {
-        let seen = &mut self.traffic;
-        seen.arrivals += 1.0;
-        let weight = (LEARN / 2.0).max(1.0 / seen.arrivals);
-        seen.gap += weight * ((self.now - seen.last) as f64 - seen.gap);
-        seen.last = self.now;
-        seen.work += weight * (work - seen.work);
-        seen.ideal += weight * (ideal - seen.ideal);
-        seen.hold += weight * (ideal * memory - seen.hold);
-        let (count, at) = seen.groups.entry(group).or_insert((0.0, seen.arrivals));
-        *count = 1.0 + *count * ((*at - seen.arrivals) / GROUP_MEMORY).exp();
-        *at = seen.arrivals;
-        seen.probes =
-            SAVED.min(seen.probes + (PROBE_SPEND / self.set.probe_tariff).min(2.0 * ASKED as f64));
-        seen.redraws = (seen.redraws + REDRAWS).min(SAVED);
+    /// When a request has to be ended so that its client has the answer before it gives up.
+    fn end_deadline(&self, request: &Request) -> Micros {
+        let wait = request.deadline.saturating_sub(self.now) as f64;
+        let margin = 2 * self.settings.tick + (ANSWER_MARGIN * wait) as Micros;
+        request.deadline.saturating_sub(margin).max(self.now)
     }
 
-    /// A tenant's own bucket on this gateway, filled at its quota over the gateways, one second
-    /// deep.
-    pub(super) fn within_share(&mut self, tenant: usize) -> bool {
-        let Some(set) = self.set.tenants.get(tenant) else {
-            return true;
-        };
-        let quota = set.quota_per_s / self.set.peers;
-        let (tokens, filled) = &mut self.tokens[tenant];
-        *tokens = (*tokens + quota * (self.now - *filled) as f64 / 1e6).min(quota.max(1.0));
-        *filled = self.now;
-        let within = *tokens >= 1.0;
-        *tokens -= if within { 1.0 } else { 0.0 };
-        within
+    /// Adds a request to queue, order and budget, and sets the timer that ends it.
+    fn register_request(&mut self, pending: &PendingRequest) {
+        let request = &pending.request;
+        let is_ordered = self.settings.classes[request.class].ordered;
+        if let Some(key) = request.key.as_ref().filter(|_| is_ordered) {
+            self.key_ordering.push(key, request.id);
+        }
+        self.retry_budget.record_request(self.now);
+        self.actions.push(Action::SetTimer {
+            after: pending.end_deadline - self.now,
+            tag: end_tag(request.id),
+        });
+        self.queue.insert(pending);
+    }
+}
+
+impl Traffic {
+    fn record_arrival(&mut self, pending: &PendingRequest, now: Micros) {
+        self.arrivals += 1.0;
+        let weight = (LEARNING_RATE / 2.0).max(1.0 / self.arrivals);
+        let gap = (now - self.last_arrival) as f64;
+        let memory_time = pending.ideal_duration * pending.memory_mb;
+        self.last_arrival = now;
+        self.mean_gap += weight * (gap - self.mean_gap);
+        self.mean_work += weight * (pending.work - self.mean_work);
+        self.mean_ideal_duration += weight * (pending.ideal_duration - self.mean_ideal_duration);
+        self.mean_memory_time += weight * (memory_time - self.mean_memory_time);
+        self.record_group(pending.request.group);
     }
 
-    pub(super) fn is_dashboard(&self, class: usize) -> bool {
-        !self.set.classes[class].is_load
-            && self.learned[class].work < DASHBOARD_WORK * self.traffic.work
+    fn record_group(&mut self, group: u64) {
+        let unseen = GroupCount {
+            count: 0.0,
+            counted_at: self.arrivals,
+        };
+        let group = self.groups.entry(group).or_insert(unseen);
+        let remaining = ((group.counted_at - self.arrivals) / GROUP_MEMORY).exp();
+        group.count = 1.0 + group.count * remaining;
+        group.counted_at = self.arrivals;
     }
 }
--- a/src/balancer/checkpoint.rs
+++ b/src/balancer/checkpoint.rs
@@ -1,52 +1,62 @@
-//! What a later life of a gateway may know of this one, and what an earlier one is believed.
+//! Checkpoint: what is kept of the learned state, and how far a restored one is trusted.
 
-use super::*;
+use super::outlier_detection::MAX_BAD_SHARE;
+use super::Balancer;
+use crate::engine_state::EngineState;
+use crate::interface::{EngineEstimates, LearnedState, Micros};
+
+/// Warm-up durations over which a checkpoint's weight fades.
+const CHECKPOINT_FADE_WARM_UPS: f64 = 20.0;
+/// Weight below which a checkpoint is dropped.
+const MIN_CHECKPOINT_WEIGHT: f64 = 0.05;
 
 impl Balancer {
-    /// What a later life of this gateway may want to know.
+    /// What a later process of this gateway may restore.
     pub fn learned_state(&self) -> LearnedState {
-        let classes = self.learned.iter().map(Learned::lesson).collect();
-        let engines = self.engines.listed().map(Engine::lesson).collect();
         LearnedState {
-            classes,
-            engines,
-            baseline_load: self.traffic.baseline_load,
+            classes: self.class_estimates.to_checkpoint(),
+            engines: self.engines.listed().map(EngineState::estimates).collect(),
+            baseline_load: self.load_estimates.baseline_load(),
         }
     }
 
-    /// Doubt grows with age: what was learned moves back to what a stranger holds. Of another
-    /// process than the one that runs now, or where this life has learned already, nothing is taken
-    /// back.
-    #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-    pub(super) fn remember(&mut self, lessons: LearnedState, age: Micros) {
-        let kept = (-(age as f64) / (LESSON_SPAN * self.set.warm_up_duration.max(1) as f64)).exp();
-        if kept < MIN_LESSON {
+    /// Restores what was learned `age` ago. Its weight against the defaults falls with age. What
+    /// concerns another process of an engine, or what was learned anew already, is left out.
+    pub(super) fn restore_checkpoint(&mut self, stored: &LearnedState, age: Micros) {
+        let warm_up_duration = self.settings.warm_up_duration.max(1) as f64;
+        let weight = (-(age as f64) / (CHECKPOINT_FADE_WARM_UPS * warm_up_duration)).exp();
+        if weight < MIN_CHECKPOINT_WEIGHT {
             return;
         }
-        let doubted = |stranger: f64, learned: f64| stranger + kept * (learned - stranger);
-        for (own, told) in self
-            .learned
-            .iter_mut()
-            .zip(&lessons.classes)
-            .filter(|(own, _)| own.work == 0.0)
-        {
-            own.work_ratio = doubted(own.work_ratio, told.work_ratio.clamp(1.0 / CLIP, CLIP));
-            own.memory_ratio = doubted(own.memory_ratio, told.memory_ratio.clamp(1.0 / CLIP, CLIP));
-            (own.work, own.memory) = (told.work, told.memory_mb);
-        }
-        for told in &lessons.engines {
-            let same =
-                |e: &&mut Engine| e.listed && e.entry.booted_at == told.booted_at && e.ideal == 0.0;
-            let Some(own) = self.engines.get_mut(&told.engine).filter(same) else {
-                continue;
-            };
-            own.best_slowdown = doubted(1.0, told.best_slowdown.clamp(0.0, 1.0));
-            own.slowdown = doubted(own.best_slowdown, told.slowdown.max(own.best_slowdown));
-            own.bad = doubted(0.0, told.bad.clamp(0.0, BAD_SHARE));
-            (own.stretch_at, own.foreign_load) = (self.now, told.foreign_load.max(0.0));
-            own.reported_at = self.now.saturating_sub(age);
+        let fade = |default: f64, stored: f64| default + weight * (stored - default);
+        self.class_estimates.restore(&stored.classes, fade);
+        for estimates in &stored.engines {
+            if let Some(engine) = self.engines.get_mut(&estimates.engine) {
+                restore_engine(engine, estimates, fade, self.now, age);
+            }
         }
-        self.traffic.baseline_load =
-            doubted(self.traffic.baseline_load, lessons.baseline_load.max(0.0));
+        let stored_load = stored.baseline_load.max(0.0);
+        let baseline_load = fade(self.load_estimates.baseline_load(), stored_load);
+        self.load_estimates.restore_baseline_load(baseline_load);
+    }
+}
+
+fn restore_engine(
+    engine: &mut EngineState,
+    stored: &EngineEstimates,
+    fade: impl Fn(f64, f64) -> f64,
+    now: Micros,
+    age: Micros,
+) {
+    let is_same_process = engine.is_listed && engine.endpoint.booted_at == stored.booted_at;
+    if !is_same_process || engine.ideal_sum != 0.0 {
+        return;
     }
+    engine.best_slowdown = fade(1.0, stored.best_slowdown.clamp(0.0, 1.0));
+    let slowdown = stored.slowdown.max(engine.best_slowdown);
+    engine.slowdown = fade(engine.best_slowdown, slowdown);
+    engine.bad_share = fade(0.0, stored.bad.clamp(0.0, MAX_BAD_SHARE));
+    engine.observed_at = now;
+    engine.foreign_load = stored.foreign_load.max(0.0);
+    engine.reported_at = now.saturating_sub(age);
 }
--- a/src/balancer/constraints.rs
+++ b/src/balancer/constraints.rs
@@ -1,123 +1,99 @@
-//! The rules on sending, each asked in one place, before every send.
+//! The rules on sending, checked before every send: placement, effects, order, budgets.
 
-use super::*;
+use super::slow_start::ColdCandidate;
+use super::Balancer;
+use crate::engine_state::EngineState;
+use crate::interface::{Class, Effect, Endpoint, PriorAttempt, Scope};
+use crate::request_state::PendingRequest;
 
 impl Balancer {
-    /// All rules on sending, in one place.
-    pub(super) fn rules_allow(&self, held: &Held, engine: &Engine) -> bool {
-        let class = &self.set.classes[held.req.class];
-        // Drains are kept by `open`: from the moment this gateway is told, whatever the grace.
-        engine.open()
-            && may_place(class, &engine.entry)
-            && !held.ended
-            && self.now < held.end_by
-            && held.attempts.len() < self.set.max_attempts
-            && (held.attempts.is_empty() || self.budget_allows_further())
-            && self.effect_allows(held, class, engine)
-            && self.order_allows(held, class)
-            && self.cold_budget_allows(held, engine)
+    /// Whether all rules allow an attempt of the request on the engine now.
+    pub(super) fn rules_allow(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
+        let class = &self.settings.classes[pending.request.class];
+        // A draining engine isn't open: drains are kept from the moment they are known.
+        engine.is_open()
+            && may_place(class, &engine.endpoint)
+            && !pending.has_ended
+            && self.now < pending.end_deadline
+            && pending.attempts.len() < self.settings.max_attempts
+            && (pending.attempts.is_empty() || self.retry_budget.allows_retry(self.now))
+            && self.effect_allows(pending, class, engine)
+            && self.order_allows(pending, class)
+            && self.slow_start_allows(pending, engine)
     }
 
-    /// Effects: whether any engine at all may still be sent this.
-    pub(super) fn may_repeat(&self, held: &Held) -> bool {
-        let class = &self.set.classes[held.req.class];
-        let first = held.may_have_run().map(|ran| ran.since).min();
+    /// Whether the request's effect allows another attempt on any engine at all.
+    pub(super) fn may_repeat(&self, pending: &PendingRequest) -> bool {
+        let class = &self.settings.classes[pending.request.class];
+        let first_run = pending.possible_runs().map(|run| run.since).min();
         match class.effect {
             Effect::Idempotent => true,
-            Effect::NonIdempotent => first.is_none(),
+            Effect::NonIdempotent => first_run.is_none(),
             Effect::IdempotentWithKey => {
-                first.is_none_or(|at| self.now + 2 * self.set.tick < at + class.window)
+                let margin = 2 * self.settings.tick;
+                first_run.is_none_or(|since| self.now + margin < since + class.window)
             }
         }
     }
 
-    /// Effects: what an earlier attempt may have done decides where a further one may go.
-    pub(super) fn effect_allows(&self, held: &Held, class: &Class, engine: &Engine) -> bool {
-        let same = |ran: PriorAttempt| match class.scope {
+    /// What an earlier attempt may have done decides where another one may go.
+    fn effect_allows(&self, pending: &PendingRequest, class: &Class, engine: &EngineState) -> bool {
+        let endpoint = &engine.endpoint;
+        let is_in_scope = |run: PriorAttempt| match class.scope {
             Scope::All => true,
-            Scope::Zone => ran.zone == engine.entry.zone,
-            Scope::Cell => ran.cell == engine.entry.cell,
+            Scope::Zone => run.zone == endpoint.zone,
+            Scope::Cell => run.cell == endpoint.cell,
         };
-        let out = held.attempts.iter().any(|a| a.state == State::Out);
-        (!out || self.set.hedging_allowed)
-            && self.may_repeat(held)
-            && (class.effect != Effect::IdempotentWithKey || held.may_have_run().all(same))
+        let is_keyed = class.effect == Effect::IdempotentWithKey;
+        (self.settings.hedging_allowed || !pending.has_attempt_in_flight())
+            && self.may_repeat(pending)
+            && (!is_keyed || pending.possible_runs().all(is_in_scope))
     }
 
-    /// Order: only the first of its key that is not over, and after the pause that its forerunner
-    /// left.
-    pub(super) fn order_allows(&self, held: &Held, class: &Class) -> bool {
-        let Some(key) = held.req.key.as_ref().filter(|_| class.ordered) else {
+    /// Of an ordered class only the first request of its key may be sent, and after the pause that
+    /// the one before left.
+    fn order_allows(&self, pending: &PendingRequest, class: &Class) -> bool {
+        let Some(key) = &pending.request.key else {
             return true;
         };
-        let Some((line, rests_until)) = self.keys.get(key) else {
-            return false;
-        };
-        line.front() == Some(&held.req.id)
-            && (self.now >= *rests_until || !held.attempts.is_empty())
-    }
-
-    pub(super) fn budget_allows_further(&self) -> bool {
-        let Some(budget) = self.set.attempt_budget else {
+        if !class.ordered {
             return true;
-        };
-        let since = self.now.saturating_sub(budget.span);
-        let taken = self
-            .traffic
-            .taken
-            .iter()
-            .rev()
-            .take_while(|&&at| at > since)
-            .count() as f64;
-        let further = self
-            .traffic
-            .further
-            .iter()
-            .rev()
-            .take_while(|&&at| at >= since)
-            .count() as f64;
-        further + 1.0 <= budget.spare + budget.ratio * taken
+        }
+        let may_start = !pending.attempts.is_empty() || !self.key_ordering.is_paused(key, self.now);
+        self.key_ordering.is_first(key, pending.request.id) && may_start
     }
 
-    /// Cold engines: this gateway's share of the budget, in usual work of the classes sent.
-    pub(super) fn cold_budget_allows(&self, held: &Held, engine: &Engine) -> bool {
-        let (usual, window) = (
-            self.learned[held.req.class].work,
-            self.set.overload_window as f64,
-        );
-        let capacity = self.set.start_capacity * CAPACITY_BUSY * self.kind(engine).cores;
-        let whole = self.set.overload_multiple * capacity * window;
+    /// Whether a cold engine's budget has room.
+    fn slow_start_allows(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         if self.now >= engine.cold_until {
             return true;
         }
-        if self.thin {
-            // Less than a query is given by lot, at odds that make the sum of gateways fit, chance
-            // included.
-            let safe =
-                ((CHANCE * CHANCE * usual + 4.0 * whole).sqrt() - CHANCE * usual.sqrt()) / 2.0;
-            let asked = self.traffic.work * window / self.traffic.gap.max(1.0) * self.set.peers;
-            return chance(held.req.id ^ mix(engine.entry.engine as u64))
-                < COLD_MARGIN * safe * safe / asked;
+        let candidate = ColdCandidate {
+            request: pending.request.id,
+            usual_work: self.class_estimates.mean_work(pending.request.class),
+            engine,
+            cores: self.kind(engine).cores,
+        };
+        if self.subsetting.share_below_one_query() {
+            return self
+                .slow_start
+                .is_admitted_by_lot(&candidate, &self.traffic);
         }
-        let since = self.now.saturating_sub(self.set.overload_window);
-        let sent: f64 = engine
-            .cold_sends
-            .iter()
-            .filter(|(at, ..)| *at >= since)
-            .map(|(_, work, _)| work)
-            .sum();
-        sent + usual <= COLD_MARGIN * whole * self.share
+        let engine_share = self.subsetting.engine_share();
+        self.slow_start
+            .fits_share(&candidate, engine_share, self.now)
     }
 }
 
-/// Placement, also when all allowed engines are down or full.
-pub(super) fn may_place(class: &Class, entry: &Endpoint) -> bool {
-    class
-        .zones_only
-        .as_ref()
-        .is_none_or(|zones| zones.contains(&entry.zone))
-        && class
-            .kinds_only
-            .as_ref()
-            .is_none_or(|kinds| kinds.contains(&entry.kind))
+/// Whether a class may use an engine, by zones and machine kinds.
+pub(super) fn may_place(class: &Class, endpoint: &Endpoint) -> bool {
+    let allows_zone = match &class.zones_only {
+        Some(zones) => zones.contains(&endpoint.zone),
+        None => true,
+    };
+    let allows_kind = match &class.kinds_only {
+        Some(kinds) => kinds.contains(&endpoint.kind),
+        None => true,
+    };
+    allows_zone && allows_kind
 }
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -1,154 +1,180 @@
-//! The only place that sends, with the grant and the rank that go before it.
+//! Dispatch: the only place that sends, with the grant and the rank of an attempt.
 
-use super::*;
+use super::Balancer;
+use crate::engine_state::{ColdSend, EngineState, Reservation};
+use crate::interface::{Action, EngineId, Micros, RequestId};
+use crate::request_state::{Attempt, AttemptState, PendingRequest};
+
+/// A grant over the corrected estimate of memory.
+const GRANT_MARGIN: f64 = 1.25;
+/// Rank of the largest report or load on an engine; dashboards run one higher.
+const TOP_RANK: u8 = 2;
 
 impl Balancer {
-    /// The only place that sends.
+    /// Sends an attempt, where the rules allow it. Nothing else sends.
     pub(super) fn send(&mut self, id: RequestId, engine_id: EngineId) {
-        let (held, engine) = (&self.requests[&id], &self.engines[&engine_id]);
-        if !self.rules_allow(held, engine) {
+        let pending = &self.requests[&id];
+        let engine = &self.engines[&engine_id];
+        if !self.rules_allow(pending, engine) {
             return;
         }
-        let class = held.req.class;
-        let memory = if self.is_dashboard(class) {
-            held.memory
-        } else {
-            self.charged_memory(held, engine)
+        let reservation = self.reservation(pending, engine);
+        let grant_mb = self.memory_grant(pending, engine);
+        let attempt = Attempt {
+            endpoint: engine.endpoint,
+            sent_at: self.now,
+            state: AttemptState::InFlight,
+            is_cancelled: false,
+            has_errored: false,
         };
-        let (threads, group) = (self.set.classes[class].threads, held.req.group);
-        let (ideal, sent_at) = (held.ideal, self.now);
-        let charge = Charge {
-            class,
-            group,
-            memory,
-            threads,
-            ideal,
-            sent_at,
-            waited: false,
-            noted: None,
-        };
-        let grant = self.grant(held, engine);
-        let (entry, state, attempt) = (engine.entry, State::Out, held.attempts.len());
+        let attempt_key = (id, pending.attempts.len());
         let Some(engine) = self.engines.get_mut(&engine_id) else {
             return;
         };
-        engine.last_heard = if engine.out.is_empty() {
-            self.now
-        } else {
-            engine.last_heard
-        };
-        engine.out.insert((id, attempt), charge);
-        engine.tally();
-        self.count_sent(
-            id,
-            Attempt {
-                entry,
-                sent_at,
-                state,
-                cancelled: false,
-                erred: false,
-            },
-        );
-        let Some(held) = self.requests.get_mut(&id) else {
+        if engine.in_flight.is_empty() {
+            engine.last_activity = self.now;
+        }
+        engine.in_flight.insert(attempt_key, reservation);
+        engine.update_totals();
+        self.record_attempt(id, attempt);
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        self.queue.remove(&(held.due, id));
-        (held.grant, held.rank) = (grant, None);
-        let give_up_at = held.end_by;
-        self.rerank(engine_id);
+        self.queue.remove(pending);
+        pending.grant_mb = grant_mb;
+        pending.rank = None;
+        let attempt_deadline = pending.end_deadline;
+        self.update_ranks(engine_id);
         self.actions.push(Action::Send {
             request: id,
             engine: engine_id,
-            attempt_deadline: give_up_at,
+            attempt_deadline,
         });
     }
 
-    /// Asked when the first byte of an attempt is let go: what held when it was sent may hold no
-    /// more. False: it is withdrawn, to end as never sent.
+    /// Asked when the first byte of an attempt is about to go out, since what held when it was sent
+    /// may hold no more. False: the host withdraws the attempt and reports it as never sent.
     pub fn may_begin(&mut self, now: Micros, id: RequestId, attempt: usize) -> bool {
         self.now = now;
-        let last = self
-            .requests
-            .get_mut(&id)
-            .filter(|held| held.attempts.len() == attempt + 1);
-        let Some(mut tried) = last.and_then(|held| held.attempts.pop()) else {
+        let Some(pending) = self.requests.get_mut(&id) else {
             return false;
         };
-        self.uncount_sent(id, attempt, &tried);
-        let (held, engine) = (&self.requests[&id], self.engines.get(&tried.entry.engine));
-        let same = engine.filter(|own| own.entry.booted_at == tried.entry.booted_at);
-        let goes = !tried.cancelled && same.is_some_and(|engine| self.rules_allow(held, engine));
-        tried.sent_at = now;
-        self.count_sent(id, tried);
-        goes
+        if pending.attempts.len() != attempt + 1 {
+            return false;
+        }
+        let Some(mut last) = pending.attempts.pop() else {
+            return false;
+        };
+        self.forget_attempt(id, attempt, &last);
+        let may_begin = !last.is_cancelled && self.may_still_send(id, &last);
+        last.sent_at = now;
+        self.record_attempt(id, last);
+        may_begin
+    }
+
+    /// Whether the rules still allow an attempt, on the same process of the engine.
+    fn may_still_send(&self, id: RequestId, attempt: &Attempt) -> bool {
+        let pending = &self.requests[&id];
+        let Some(engine) = self.engines.get(&attempt.endpoint.engine) else {
+            return false;
+        };
+        engine.endpoint.booted_at == attempt.endpoint.booted_at && self.rules_allow(pending, engine)
     }
 
-    /// Budgets count an attempt from its first byte on, as far as the host tells of that.
-    fn count_sent(&mut self, id: RequestId, tried: Attempt) {
-        let Some(held) = self.requests.get_mut(&id) else {
+    /// Adds an attempt to its request and to the budgets, which count it from its first byte on.
+    fn record_attempt(&mut self, id: RequestId, attempt: Attempt) {
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        let cold = self
-            .engines
-            .get_mut(&tried.entry.engine)
-            .filter(|own| self.now < own.cold_until);
-        let usual = self.learned[held.req.class].work;
-        for own in cold.into_iter() {
-            own.cold_sends.push_back((tried.sent_at, usual, id));
+        if let Some(engine) = self.engines.get_mut(&attempt.endpoint.engine) {
+            if self.now < engine.cold_until {
+                engine.cold_sends.push_back(ColdSend {
+                    sent_at: attempt.sent_at,
+                    work: self.class_estimates.mean_work(pending.request.class),
+                    request: id,
+                });
+            }
+        }
+        if !pending.attempts.is_empty() {
+            self.retry_budget.record_retry(attempt.sent_at);
         }
-        self.traffic
-            .further
-            .extend((!held.attempts.is_empty()).then_some(tried.sent_at));
-        held.attempts.push(tried);
+        pending.attempts.push(attempt);
     }
 
-    pub(super) fn uncount_sent(&mut self, id: RequestId, attempt: usize, tried: &Attempt) {
-        self.traffic.uncount_further(attempt, tried.sent_at);
-        self.engines
-            .get_mut(&tried.entry.engine)
-            .into_iter()
-            .for_each(|own| own.uncount(id, tried.sent_at));
+    /// Takes an attempt out of the budgets.
+    pub(super) fn forget_attempt(&mut self, id: RequestId, number: usize, attempt: &Attempt) {
+        if number > 0 {
+            self.retry_budget.remove_retry(attempt.sent_at);
+        }
+        if let Some(engine) = self.engines.get_mut(&attempt.endpoint.engine) {
+            engine.remove_cold_send(id, attempt.sent_at);
+        }
     }
 
-    /// A quarter over the corrected estimate, never under the engine's default, within the largest
-    /// grant.
-    pub(super) fn grant(&self, held: &Held, engine: &Engine) -> f64 {
-        let estimate = held.memory.max(held.req.memory_mb.unwrap_or(0.0));
-        (GRANT_MARGIN * estimate).min(self.set.largest_share * self.kind(engine).memory_mb)
+    /// What an attempt will take on an engine.
+    fn reservation(&self, pending: &PendingRequest, engine: &EngineState) -> Reservation {
+        let class = pending.request.class;
+        let memory_mb = if self.is_dashboard(class) {
+            pending.memory_mb
+        } else {
+            self.charged_memory(pending, engine)
+        };
+        Reservation {
+            class,
+            group: pending.request.group,
+            memory_mb,
+            threads: self.settings.classes[class].threads,
+            ideal_duration: pending.ideal_duration,
+            sent_at: self.now,
+            has_waited: false,
+            progress: None,
+        }
+    }
+
+    /// Memory that a request is granted: somewhat over its corrected estimate, not under the
+    /// client's, within the largest grant of the engine.
+    fn memory_grant(&self, pending: &PendingRequest, engine: &EngineState) -> f64 {
+        let client_estimate = pending.request.memory_mb.unwrap_or(0.0);
+        let estimate = pending.memory_mb.max(client_estimate);
+        let largest = self.settings.largest_share * self.kind(engine).memory_mb;
+        (GRANT_MARGIN * estimate).min(largest)
     }
 
-    /// Largest report or load on the engine at 2, next 1, others 0; dashboards at 3. Told where it
-    /// changes.
-    pub(super) fn rerank(&mut self, engine_id: EngineId) {
+    /// Ranks what is in flight on an engine: dashboards highest, then reports and loads by memory,
+    /// largest first. Changes are sent as grants.
+    pub(super) fn update_ranks(&mut self, engine_id: EngineId) {
         let Some(engine) = self.engines.get(&engine_id) else {
             return;
         };
-        let mut sized: Vec<(f64, RequestId, usize)> = engine
-            .out
+        let mut by_memory: Vec<(f64, RequestId, usize)> = engine
+            .in_flight
             .iter()
-            .map(|(&(id, _), charge)| (charge.memory, id, charge.class))
+            .map(|(&(id, _), reservation)| (reservation.memory_mb, id, reservation.class))
             .collect();
-        sized.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        let mut next = TOP_RANK;
-        for (_, id, class) in sized {
-            let dashboard = self.is_dashboard(class);
-            let rank = if dashboard { TOP_RANK + 1 } else { next };
-            next = if dashboard {
-                next
+        by_memory.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        let mut next_rank = TOP_RANK;
+        for (_, id, class) in by_memory {
+            if self.is_dashboard(class) {
+                self.set_rank(id, TOP_RANK + 1);
             } else {
-                next.saturating_sub(1)
-            };
-            let Some(held) = self.requests.get_mut(&id) else {
-                continue;
-            };
-            if held.rank != Some(rank) && !held.ended {
-                held.rank = Some(rank);
-                self.actions.push(Action::Grant {
-                    request: id,
-                    grant_mb: held.grant,
-                    rank,
-                });
+                self.set_rank(id, next_rank);
+                next_rank = next_rank.saturating_sub(1);
             }
         }
     }
+
+    fn set_rank(&mut self, id: RequestId, rank: u8) {
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if pending.rank == Some(rank) || pending.has_ended {
+            return;
+        }
+        pending.rank = Some(rank);
+        self.actions.push(Action::Grant {
+            request: id,
+            grant_mb: pending.grant_mb,
+            rank,
+        });
+    }
 }
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,52 +1,73 @@
-//! The list of engines: births, restarts, drains, ends.
+//! Endpoint updates: engines that start, restart, drain or are removed.
 
-use super::*;
+use super::constraints::may_place;
+use super::Balancer;
+use crate::engine_state::EngineState;
+use crate::interface::{Endpoint, EngineId, Phase};
+use std::collections::BTreeSet;
 
 impl Balancer {
-    pub(super) fn full_list(&mut self, entries: Vec<Endpoint>) {
-        let told: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
-        let listed = self.engines.listed().map(|own| own.entry);
-        let lacking: Vec<Endpoint> = listed
-            .filter(|entry| !told.contains(&entry.engine))
+    /// Takes in the complete list: an engine that it lacks is removed.
+    pub(super) fn on_endpoint_snapshot(&mut self, endpoints: &[Endpoint]) {
+        let present: BTreeSet<EngineId> = endpoints.iter().map(|own| own.engine).collect();
+        let removed: Vec<Endpoint> = self
+            .engines
+            .listed()
+            .map(|engine| engine.endpoint)
+            .filter(|endpoint| !present.contains(&endpoint.engine))
             .collect();
-        for entry in lacking.into_iter() {
-            self.engines.relist(entry, self.now, |e| e.listed = false);
+        for endpoint in removed {
+            self.engines.update_listing(endpoint, self.now, |engine| {
+                engine.is_listed = false;
+            });
         }
-        self.list_changes(entries);
+        self.on_endpoint_changes(endpoints);
     }
 
-    pub(super) fn list_changes(&mut self, entries: Vec<Endpoint>) {
-        for entry in entries.into_iter() {
-            self.listed(entry);
+    /// Takes in entries that have changed.
+    pub(super) fn on_endpoint_changes(&mut self, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            self.update_endpoint(*endpoint);
         }
+        let classes = &self.settings.classes;
         self.engines
-            .reindex(|class, entry| may_place(&self.set.classes[class], entry));
-        self.count_shares();
+            .update_rings(|class, endpoint| may_place(&classes[class], endpoint));
+        self.update_subsetting();
     }
 
-    fn listed(&mut self, entry: Endpoint) {
-        let warm_at = entry.booted_at + self.set.warm_up_duration;
-        self.engines.relist(entry, self.now, |engine| {
-            if entry.booted_at > engine.entry.booted_at {
-                // A restart: what was learned of the process before is void, what it is charged
-                // with is not.
-                let (out, threads, memory) = (
-                    std::mem::take(&mut engine.out),
-                    engine.threads,
-                    engine.memory,
-                );
-                *engine = Engine {
-                    out,
-                    threads,
-                    memory,
-                    ..Engine::new(entry)
-                };
+    fn update_endpoint(&mut self, endpoint: Endpoint) {
+        let warm_at = self.slow_start.warm_at(endpoint.booted_at);
+        self.engines.update_listing(endpoint, self.now, |engine| {
+            if endpoint.booted_at > engine.endpoint.booted_at {
+                reset_restarted(engine, endpoint);
             }
-            if entry.booted_at > 0 {
+            if endpoint.booted_at > 0 {
                 engine.cold_until = engine.cold_until.max(warm_at);
             }
-            engine.entry = entry;
-            engine.listed = entry.phase != Phase::Removed;
+            engine.endpoint = endpoint;
+            engine.is_listed = endpoint.phase != Phase::Removed;
         });
     }
+
+    /// Counts the open engines anew.
+    pub(super) fn update_subsetting(&mut self) {
+        self.subsetting.update(self.engines.open_count());
+        let knows_load = self.traffic.arrivals > 0.0 || self.load_estimates.has_reports();
+        if !knows_load {
+            let share_below_one_query = self.subsetting.share_below_one_query();
+            self.load_estimates.assume_start_load(share_below_one_query);
+            self.sampling_budget.set_start_probes(share_below_one_query);
+        }
+    }
+}
+
+/// After a restart nothing that was learned of the process before holds, but what is in flight
+/// still has to end.
+fn reset_restarted(engine: &mut EngineState, endpoint: Endpoint) {
+    *engine = EngineState {
+        in_flight: std::mem::take(&mut engine.in_flight),
+        threads: engine.threads,
+        memory_mb: engine.memory_mb,
+        ..EngineState::new(endpoint)
+    };
 }
--- a/src/balancer/engine_selection.rs
+++ b/src/balancer/engine_selection.rs
@@ -1,114 +1,130 @@
-//! Which engine of those with room: homes of a group, price, health, loads that hold a group.
+//! Engine selection: the engine with the least expected cost among those with room.
 
-use super::*;
+use super::outlier_detection::BAD_OUTCOME_WEIGHT;
+use super::Balancer;
+use crate::engine_state::EngineState;
+use crate::engine_table::RingEntry;
+use crate::interface::{Effect, EngineId, RequestId};
+use crate::request_state::PendingRequest;
+
+/// Part of a query's cost that finding its group cached saves.
+const AFFINITY_GAIN: f64 = 0.25;
+/// Cost of crossing zones, in multiples of its tariff.
+const ZONE_CROSSING_COST: f64 = 10.0;
+/// Expected crowding of an engine that is empty but for the request.
+const BASE_CROWDING: f64 = 0.5;
+/// Least share of good outcomes that is counted with.
+const MIN_GOOD_SHARE: f64 = 0.05;
 
 impl Balancer {
-    /// The engine with the least expected cost among those that may take the request now.
-    pub(super) fn choose(&self, id: RequestId) -> Option<EngineId> {
-        let held = Some(&self.requests[&id]).filter(|held| self.is_drawn(held))?;
-        if self.thin && !self.pool_has_room(held) {
+    /// The engine with the least expected cost among those that may run the request now.
+    pub(super) fn choose_engine(&self, id: RequestId) -> Option<EngineId> {
+        let pending = &self.requests[&id];
+        if !self.is_ready_to_place(pending) {
+            return None;
+        }
+        let share_below_one_query = self.subsetting.share_below_one_query();
+        if share_below_one_query && !self.has_in_flight_quota(pending) {
             return None;
         }
-        let (order, homes) = self.homes(held);
-        // An engine that erred on it isn't asked for it again while there are others.
-        let erred = |id: &EngineId| held.erred_at().any(|other| other == *id);
-        let others = order.iter().any(|id| !erred(id));
-        let among = if self.thin { &held.asked } else { &order };
-        let able =
-            |e: &Engine| e.asked_at == 0 && self.rules_allow(held, e) && self.has_room(held, e);
-        let known = among
+        let order = self.affinity_order(pending);
+        // An engine that the request failed on is not used for it again while there are others.
+        let has_untried = order.engines.iter().any(|&id| !pending.has_error_on(id));
+        let candidates = if share_below_one_query {
+            &pending.candidates
+        } else {
+            &order.engines
+        };
+        candidates
             .iter()
-            .filter(|&id| !(others && erred(id)))
-            .filter_map(|id| self.engines.get(id));
-        let priced = known
-            .filter(|e| able(e))
-            .map(|e| (self.cost(held, e, &order[..homes]), e.entry.engine));
-        priced
+            .filter(|&&id| !(has_untried && pending.has_error_on(id)))
+            .filter_map(|id| self.engines.get(id))
+            .filter(|engine| self.may_send(pending, engine))
+            .map(|engine| {
+                let cost = self.expected_cost(pending, engine, order.affinity_engines());
+                (cost, engine.id())
+            })
             .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
             .map(|(_, id)| id)
     }
 
-    /// All open engines, highest hash of group and engine first, and how many of them are home to
-    /// the group: every gateway finds the same without talking. Where shares are thin, a hot group
-    /// has more homes.
-    pub(super) fn homes(&self, held: &Held) -> (Vec<EngineId>, usize) {
-        let (group, class) = (held.req.group, held.req.class);
-        let mut order: Vec<_> = self
-            .subset(class)
-            .map(|(hash, id)| (mix(group ^ hash), id))
-            .collect();
-        order.sort_unstable_by(|a, b| b.cmp(a));
-        let seen =
-            GROUP_MEMORY * (1.0 + GROUP_PRIOR - (-self.traffic.arrivals / GROUP_MEMORY).exp());
-        let part = self
-            .traffic
-            .groups
-            .get(&group)
-            .map_or(0.0, |(count, _)| count / seen);
-        let hot = if self.thin {
-            part * order.len() as f64 * HOT_SPREAD
-        } else {
-            0.0
-        };
-        let homes = (hot as usize).max(HOMES).min(order.len());
-        (order.into_iter().map(|(_, id)| id).collect(), homes)
+    fn may_send(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
+        engine.probe_sent_at == 0
+            && self.rules_allow(pending, engine)
+            && self.has_room(pending, engine)
     }
 
-    pub(super) fn cost(&self, held: &Held, engine: &Engine, homes: &[EngineId]) -> f64 {
-        let class = &self.set.classes[held.req.class];
-        let cores = self.kind(engine).cores * self.warmth(engine);
-        let crowd = (engine.threads + self.others(engine) + class.threads) / cores;
-        let mut cost = held.ideal
-            * (0.5 + crowd)
-            * if self.thin {
-                1.0
-            } else {
-                engine.slowdown / engine.best_slowdown
-            };
-        if homes.contains(&engine.entry.engine) != self.keeps_away(held.req.class) {
-            cost *= 1.0 - HOME_GAIN;
-        }
-        if engine.entry.zone != self.set.zone {
-            cost *= 1.0 + CROSSING * self.set.cross_zone_tariff;
-        }
-        // An engine on probation is tried at once: nothing else would tell that it is well again.
-        let good = (1.0 - engine.bad) * (1.0 - BAD_WEIGHT).powi(engine.doubts);
-        cost * if engine.probation > 0 {
-            0.0
+    /// The open engines that a class is placed among, in the order of the ring.
+    pub(super) fn subset(&self, class: usize) -> impl Iterator<Item = RingEntry> + '_ {
+        self.subsetting.engines(&self.engines, class, self.now)
+    }
+
+    fn expected_cost(
+        &self,
+        pending: &PendingRequest,
+        engine: &EngineState,
+        affinity_engines: &[EngineId],
+    ) -> f64 {
+        let class_id = pending.request.class;
+        let class = &self.settings.classes[class_id];
+        let threads = engine.threads + self.foreign_threads(engine) + class.threads;
+        let crowding = threads / self.warm_cores(engine);
+        let slowdown = if self.subsetting.share_below_one_query() {
+            1.0
         } else {
-            1.0 / good.max(LEARN)
+            engine.slowdown / engine.best_slowdown
+        };
+        let mut cost = pending.ideal_duration * (BASE_CROWDING + crowding) * slowdown;
+        let has_affinity = affinity_engines.contains(&engine.id());
+        if has_affinity != self.avoids_affinity(class_id) {
+            cost *= 1.0 - AFFINITY_GAIN;
         }
+        if engine.endpoint.zone != self.settings.zone {
+            cost *= 1.0 + ZONE_CROSSING_COST * self.settings.cross_zone_tariff;
+        }
+        cost * health_cost_factor(engine)
     }
 
-    /// Not in quarantine; on probation an engine gets one safe request at a time.
-    pub(super) fn may_take(&self, held: &Held, engine: &Engine) -> bool {
-        let safe = self.set.classes[held.req.class].effect == Effect::Idempotent;
-        let well = engine.probation == 0 || safe && engine.out.is_empty();
-        self.now >= engine.quarantined_until && well && !self.load_holds(held, engine)
+    /// Whether an engine is neither quarantined nor, on probation, busy, and no load blocks the
+    /// request there. On probation an engine gets one idempotent request at a time.
+    pub(super) fn is_available(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
+        let class = &self.settings.classes[pending.request.class];
+        let is_idempotent = class.effect == Effect::Idempotent;
+        let passes_probation =
+            engine.probation_left == 0 || is_idempotent && engine.in_flight.is_empty();
+        self.now >= engine.quarantined_until
+            && passes_probation
+            && !self.is_blocked_on(pending, engine)
     }
 
-    /// Whether a load holds the group there, this gateway's own or one that a note told of lately:
-    /// what would only stand still there, keeping its memory, may as well leave later or go
-    /// elsewhere.
-    pub(super) fn load_holds(&self, held: &Held, engine: &Engine) -> bool {
-        let own = |c: &Charge| c.group == held.req.group && self.set.classes[c.class].is_load;
-        let held_back =
-            engine.loading.contains_key(&held.req.group) || engine.out.values().any(own);
-        held_back && self.concerned(held.req.class)
+    /// Whether a load, of this gateway or lately reported, holds the request's group there: the
+    /// request would only wait there and keep its memory.
+    fn is_blocked_on(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
+        if !self.is_blocked_by_loads(pending.request.class) {
+            return false;
+        }
+        let group = pending.request.group;
+        engine.active_loads.contains_key(&group)
+            || engine
+                .in_flight
+                .values()
+                .any(|other| other.group == group && self.settings.classes[other.class].is_load)
     }
 
-    pub(super) fn concerned(&self, class: usize) -> bool {
-        self.set.classes[class].is_load || self.set.classes[class].waits_for_load
+    /// Whether requests of a class wait where a load holds their group.
+    pub(super) fn is_blocked_by_loads(&self, class: usize) -> bool {
+        let class = &self.settings.classes[class];
+        class.is_load || class.waits_for_load
     }
+}
 
-    /// A load would stop the reading of its group where that is read, so it keeps away from the
-    /// homes.
-    pub(super) fn keeps_away(&self, class: usize) -> bool {
-        self.set.classes[class].is_load
-            && self
-                .set
-                .classes
-                .iter()
-                .any(|c| c.waits_for_load && !c.is_load)
+/// Bad outcomes make an engine dearer. One on probation is tried at once: nothing else would show
+/// that it is healthy again.
+fn health_cost_factor(engine: &EngineState) -> f64 {
+    if engine.probation_left > 0 {
+        return 0.0;
     }
+    let unattributed = (1.0 - BAD_OUTCOME_WEIGHT).powi(engine.unattributed_errors);
+    let good_share = (1.0 - engine.bad_share) * unattributed;
+    1.0 / good_share.max(MIN_GOOD_SHARE)
 }
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -1,204 +1,165 @@
-//! An attempt has ended or a note tells of it: charges, what it teaches of estimates, and what
-//! follows.
+//! The end of an attempt: its reservation is released, estimates learn from it, and its request is
+//! closed, tried again or ended.
 
-use super::*;
+use super::load_estimate::EndedRun;
+use super::Balancer;
+use crate::engine_state::Reservation;
+use crate::interface::{AttemptEnded, EngineId, Micros, Outcome, RequestId, ResourceUsage};
+use crate::request_state::{AttemptState, PendingRequest};
+
+/// Share of bad outcomes on all engines from which attempts are limited, to its inverse.
+const MAX_HEALTHY_BAD_SHARE: f64 = 0.3;
+/// Part of the latency memory for which an engine at capacity counts as under pressure.
+const CAPACITY_PRESSURE_DIVISOR: Micros = 3;
+
+/// What the end of an attempt may have left running.
+fn execution_state(outcome: Outcome) -> AttemptState {
+    match outcome {
+        Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent => AttemptState::NeverRan,
+        Outcome::Answered
+        | Outcome::Error
+        | Outcome::TimedOut
+        | Outcome::Broken
+        | Outcome::Cancelled => AttemptState::MayHaveRun,
+    }
+}
 
 impl Balancer {
-    pub(super) fn outcome(&mut self, end: AttemptEnded) {
-        let Some(held) = self.requests.get_mut(&end.request) else {
+    /// Takes in how an attempt ended.
+    pub(super) fn on_attempt_ended(&mut self, ended: &AttemptEnded) {
+        let id = ended.request;
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(tried) = held.attempts.get_mut(end.attempt) else {
+        let Some(attempt) = pending.attempts.get_mut(ended.attempt) else {
             return;
         };
-        let never_ran = matches!(
-            end.outcome,
-            Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent
-        );
-        tried.state = if never_ran {
-            State::NeverRan
-        } else {
-            State::MayHaveRun
-        };
-        tried.erred = end.outcome == Outcome::Error;
-        let (engine_id, tried) = (tried.entry.engine, *tried);
-        held.ended |= end.complete;
-        let unusable = held.erred_at_several();
-        let (ended, class) = (held.ended, held.req.class);
-        let (estimate, key) = ((held.req.work, held.req.memory_mb), held.req.key.clone());
-        if end.outcome == Outcome::NotSent {
-            self.uncount_sent(end.request, end.attempt, &tried);
-        }
-        let rests_until = self.now + self.set.ordering_delay + self.set.tick;
-        let charge = self.uncharge(engine_id, &end);
-        if let Some(charge) = charge.filter(|_| end.outcome == Outcome::Answered) {
-            end.usage
-                .into_iter()
-                .for_each(|bill| self.learn(class, estimate, bill));
-            self.learn_stretch(engine_id, &charge, end.spent, end.usage);
-        }
-        // Whose fault an error is shows when the request is over, in `close`.
-        if end.outcome != Outcome::Error && !end.already_reported {
-            self.judge(engine_id, end.outcome);
+        attempt.state = execution_state(ended.outcome);
+        attempt.has_errored = ended.outcome == Outcome::Error;
+        let attempt = *attempt;
+        pending.has_ended |= ended.complete;
+        if ended.outcome == Outcome::NotSent {
+            self.forget_attempt(id, ended.attempt, &attempt);
         }
-        end.report
-            .into_iter()
-            .for_each(|report| self.heed_report(engine_id, report));
-        if matches!(
-            end.outcome,
-            Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled
-        ) {
-            // What may still run holds its key back a while longer.
-            let line = key.and_then(|key| self.keys.get_mut(&key));
-            for line in line.into_iter() {
-                line.1 = rests_until;
+        let engine = attempt.endpoint.engine;
+        self.learn_from_attempt(engine, ended);
+        self.pause_key_after(ended);
+        self.update_ranks(engine);
+        self.continue_request(id);
+    }
+
+    /// Releases the attempt's reservation and updates all estimates of class and engine.
+    fn learn_from_attempt(&mut self, engine: EngineId, ended: &AttemptEnded) {
+        let reservation = self.release_reservation(engine, ended);
+        if let Some(reservation) = reservation.filter(|_| ended.outcome == Outcome::Answered) {
+            if let Some(usage) = &ended.usage {
+                let request = &self.requests[&ended.request].request;
+                self.class_estimates.record_usage(request, usage);
             }
+            self.learn_slowdown(engine, &reservation, ended.spent, ended.usage);
         }
-        self.rerank(engine_id);
-        match ended {
-            true => self.close(end.request),
-            false if unusable => self.end(end.request, self.set.max_retry_after),
-            false => self.further_or_end(end.request),
+        // An error is attributed to engine or request when the request is closed.
+        if ended.outcome != Outcome::Error && !ended.already_reported {
+            self.record_outcome(engine, ended.outcome);
+        }
+        if let Some(report) = &ended.report {
+            self.on_load_report(engine, report);
         }
     }
 
-    /// Takes the charge off; a refusal as full also closes the engine for a while.
-    pub(super) fn uncharge(&mut self, engine: EngineId, end: &AttemptEnded) -> Option<Charge> {
+    /// Takes the reservation off; an engine at capacity is also closed for a while, since what
+    /// refuses at once frees its reservations and would draw the whole queue.
+    fn release_reservation(
+        &mut self,
+        engine: EngineId,
+        ended: &AttemptEnded,
+    ) -> Option<Reservation> {
+        let pause_ends = self.now + self.engine_pause();
+        let pressure = self.load_estimates.latency_memory() as Micros / CAPACITY_PRESSURE_DIVISOR;
         let engine = self.engines.get_mut(&engine)?;
-        let charge = engine.out.remove(&(end.request, end.attempt))?;
-        engine.doubts += (end.outcome == Outcome::Error) as i32;
-        if end.outcome == Outcome::AtCapacity {
-            // What refuses at once frees its charges at once and would draw the whole queue.
-            let pause_ends = self.now + self.pause;
+        let attempt_key = (ended.request, ended.attempt);
+        let reservation = engine.in_flight.remove(&attempt_key)?;
+        if ended.outcome == Outcome::Error {
+            engine.unattributed_errors += 1;
+        }
+        if ended.outcome == Outcome::AtCapacity {
             engine.quarantined_until = engine.quarantined_until.max(pause_ends);
-            engine.pressed_until = pause_ends + self.latency as Micros / 3;
-            engine.widen(-BOUND_CUT);
+            engine.pressure_until = pause_ends + pressure;
+            engine.cut_bounds();
         }
-        engine.tally();
-        Some(charge)
-    }
-
-    /// Estimates are scaled by the class's mean true-to-estimated ratio, where answers tell the
-    /// truth.
-    pub(super) fn learn(
-        &mut self,
-        class: usize,
-        estimate: (Option<f64>, Option<f64>),
-        bill: ResourceUsage,
-    ) {
-        let known = &mut self.learned[class];
-        known.work_ratio = nudged(known.work_ratio, estimate.0.map(|work| bill.work / work));
-        known.memory_ratio = nudged(
-            known.memory_ratio,
-            estimate.1.map(|memory| bill.memory_mb / memory),
-        );
-        let mean = known.memory.unwrap_or(bill.memory_mb);
-        known.memory = Some(mean + LEARN * (bill.memory_mb - mean));
+        engine.update_totals();
+        Some(reservation)
     }
 
-    pub(super) fn learn_stretch(
+    fn learn_slowdown(
         &mut self,
-        id: EngineId,
-        charge: &Charge,
+        engine: EngineId,
+        reservation: &Reservation,
         spent: Micros,
-        bill: Option<ResourceUsage>,
+        usage: Option<ResourceUsage>,
     ) {
-        let ideal = bill.map_or(charge.ideal, |bill| bill.work / charge.threads);
-        let Some(engine) = self.engines.get_mut(&id) else {
-            return;
+        let ideal = match usage {
+            Some(usage) => usage.work / reservation.threads,
+            None => reservation.ideal_duration,
         };
-        engine.observe(
-            self.now,
-            self.latency,
-            (!charge.waited).then_some((spent as f64, ideal)),
-        );
-        engine.widen(if engine.under_pressure(self.now) {
-            -BOUND_CUT
-        } else {
-            1.0
-        });
+        let run = EndedRun {
+            spent: spent as f64,
+            ideal,
+        };
+        let run = (!reservation.has_waited).then_some(run);
+        let latency_memory = self.load_estimates.latency_memory();
+        if let Some(engine) = self.engines.get_mut(&engine) {
+            engine.update_slowdown(self.now, latency_memory, run);
+            engine.adapt_bounds(self.now);
+        }
     }
 
-    /// A word on an attempt that is out: the engine lives, and a plan may prove bad.
-    pub(super) fn noted(&mut self, id: RequestId, attempt: usize, note: Progress) {
-        let Some(held) = self.requests.get(&id) else {
-            return;
-        };
-        let Some(engine_id) = held.attempts.get(attempt).map(|a| a.entry.engine) else {
-            return;
-        };
-        let end_by = held.end_by;
-        self.heard(engine_id);
-        let warmth = self
-            .engines
-            .get(&engine_id)
-            .map_or(1.0, |engine| self.warmth(engine));
-        let Some(engine) = self.engines.get_mut(&engine_id) else {
-            return;
-        };
-        // A cold engine is slow for all: that is no bad plan.
-        let stretch = engine.slowdown.max(1.0) / warmth;
-        let Some(charge) = engine.out.get_mut(&(id, attempt)) else {
+    /// An attempt that may still run holds the next request of its key back.
+    fn pause_key_after(&mut self, ended: &AttemptEnded) {
+        let may_still_run = matches!(
+            ended.outcome,
+            Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled
+        );
+        if !may_still_run {
             return;
-        };
-        match note {
-            Progress::Share(share) => {
-                let elapsed = (self.now - charge.sent_at) as f64;
-                let remaining = elapsed * (1.0 - share).max(0.0) / share.max(1e-6);
-                let fresh = charge.ideal * stretch;
-                charge.noted = Some((elapsed, share * charge.ideal));
-                let bad_plan = !charge.waited && remaining > BAD_PLAN * fresh;
-                engine.observe(self.now, self.latency, None);
-                // Far slower than its own estimate where others run well: the plan is drawn anew
-                // elsewhere.
-                if bad_plan && self.now + fresh as Micros <= end_by {
-                    self.take_back(id, attempt);
-                }
-            }
-            Progress::WaitsForMemory => charge.waited = true,
-            // Nothing is done yet, so nothing is lost elsewhere; one attempt is kept for worse.
-            Progress::WaitsForLoad => {
-                charge.waited = true;
-                engine.loading.insert(charge.group, self.now);
-                if attempt + 2 < self.set.max_attempts {
-                    self.take_back(id, attempt);
-                }
-            }
-            Progress::Spilling(_) => {}
+        }
+        let paused_until = self.now + self.settings.ordering_delay + self.settings.tick;
+        if let Some(key) = &self.requests[&ended.request].request.key {
+            self.key_ordering.pause(key, paused_until);
         }
     }
 
-    /// Another attempt where rules, time and the fleet's health allow one; else the end.
-    pub(super) fn further_or_end(&mut self, id: RequestId) {
-        let Some(held) = self.requests.get(&id) else {
-            return;
-        };
-        if held.attempts.iter().any(|a| a.state == State::Out) {
-            return;
+    /// Decides what follows after an attempt of a request.
+    fn continue_request(&mut self, id: RequestId) {
+        let pending = &self.requests[&id];
+        if pending.has_ended {
+            self.close_request(id);
+        } else if pending.has_errors_on_several_engines() {
+            self.end_request(id, self.settings.max_retry_after);
+        } else if pending.has_attempt_in_flight() {
+            // That attempt's end decides.
+        } else if self.may_retry(pending) {
+            self.queue.insert(pending);
+        } else {
+            self.end_request(id, 0);
         }
-        // No retry storm: the sicker the fleet, the fewer further attempts; own cancels don't
-        // count.
-        let tried = held.attempts.iter().filter(|a| !a.cancelled).count();
-        let sick = self.traffic.fleet_bad > SICK_FLEET;
-        let most = if sick {
-            (1.0 / self.traffic.fleet_bad) as usize
+    }
+
+    /// Whether rules, time and the health of the engines allow another attempt.
+    fn may_retry(&self, pending: &PendingRequest) -> bool {
+        // The more bad outcomes, the fewer attempts: retries must not add to an overload. Attempts
+        // that this gateway cancelled don't count.
+        let tried = pending.attempts.iter().filter(|own| !own.is_cancelled);
+        let bad_share = self.outlier_detection.fleet_bad_share();
+        let max_tried = if bad_share > MAX_HEALTHY_BAD_SHARE {
+            (1.0 / bad_share) as usize
         } else {
             usize::MAX
         };
-        let left = held.attempts.len() < self.set.max_attempts && tried <= most;
-        let may_retry =
-            left && self.may_repeat(held) && self.now < held.end_by && self.budget_allows_further();
-        if may_retry {
-            self.queue.insert((held.due, id), held.req.class);
-        } else {
-            self.end(id, 0);
-        }
+        pending.attempts.len() < self.settings.max_attempts
+            && tried.count() <= max_tried
+            && self.may_repeat(pending)
+            && self.now < pending.end_deadline
+            && self.retry_budget.allows_retry(self.now)
     }
 }
-
-/// A ratio moved toward an observation, which counts as at most `CLIP` times off.
-pub(super) fn nudged(ratio: f64, seen: Option<f64>) -> f64 {
-    seen.map_or(ratio, |seen| {
-        ratio + LEARN * (seen.clamp(ratio / CLIP, ratio * CLIP) - ratio)
-    })
-}
--- /dev/null
+++ b/src/balancer/pending_queue.rs
@@ -0,0 +1,34 @@
+//! The queue of requests that wait to be sent, ordered by the end of their latency objective.
+
+use crate::interface::{Micros, RequestId};
+use crate::request_state::PendingRequest;
+use std::collections::BTreeMap;
+
+/// Requests that wait, earliest objective first, with their classes.
+#[derive(Default)]
+pub(super) struct PendingQueue {
+    classes: BTreeMap<(Micros, RequestId), usize>,
+}
+
+impl PendingQueue {
+    pub(super) fn insert(&mut self, pending: &PendingRequest) {
+        let request = &pending.request;
+        let position = (pending.objective_deadline, request.id);
+        self.classes.insert(position, request.class);
+    }
+
+    pub(super) fn remove(&mut self, pending: &PendingRequest) {
+        let position = (pending.objective_deadline, pending.request.id);
+        self.classes.remove(&position);
+    }
+
+    /// Numbers of the requests, in their order.
+    pub(super) fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
+        self.classes.keys().map(|&(_, id)| id)
+    }
+
+    /// Numbers and classes of the requests, in their order.
+    pub(super) fn ids_and_classes(&self) -> impl Iterator<Item = (RequestId, usize)> + '_ {
+        self.classes.iter().map(|(&(_, id), &class)| (id, class))
+    }
+}
--- /dev/null
+++ b/src/balancer/progress.rs
@@ -0,0 +1,117 @@
+//! Progress notes of attempts in flight: an attempt with a bad plan, or one that waits for a load,
+//! is cancelled to be tried elsewhere.
+
+use super::Balancer;
+use crate::engine_state::ProgressMark;
+use crate::interface::{Action, EngineId, Micros, Progress, RequestId};
+
+/// Remaining time over that of a fresh attempt that shows a bad plan.
+const BAD_PLAN_MULTIPLE: f64 = 3.0;
+/// Least share done that the remaining time is computed from.
+const MIN_SHARE_DONE: f64 = 1e-6;
+/// Attempts that are kept for worse when one waits for a load.
+const RESERVED_ATTEMPTS: usize = 2;
+
+impl Balancer {
+    /// Takes in what an engine reported of an attempt in flight.
+    pub(super) fn on_progress(&mut self, id: RequestId, attempt: usize, progress: Progress) {
+        let Some(pending) = self.requests.get(&id) else {
+            return;
+        };
+        let Some(engine) = pending.attempts.get(attempt) else {
+            return;
+        };
+        let engine = engine.endpoint.engine;
+        self.record_activity(engine);
+        match progress {
+            Progress::Share(share) => {
+                if self.has_bad_plan(engine, id, attempt, share) {
+                    self.cancel_for_retry(id, attempt);
+                }
+            }
+            Progress::WaitsForMemory => self.mark_waiting(engine, id, attempt),
+            Progress::WaitsForLoad => self.on_waits_for_load(engine, id, attempt),
+            Progress::Spilling(_) => {}
+        }
+    }
+
+    /// Records the share done. True: the attempt is far slower than its estimate while others run
+    /// well, and a fresh one would still end in time.
+    fn has_bad_plan(
+        &mut self,
+        engine: EngineId,
+        id: RequestId,
+        attempt: usize,
+        share: f64,
+    ) -> bool {
+        let now = self.now;
+        let latency_memory = self.load_estimates.latency_memory();
+        // A cold engine is slow for all: that is no bad plan.
+        let capacity_part = self
+            .engines
+            .get(&engine)
+            .map_or(1.0, |engine| self.slow_start.capacity_part(engine, now));
+        let Some(engine) = self.engines.get_mut(&engine) else {
+            return false;
+        };
+        let slowdown = engine.slowdown.max(1.0) / capacity_part;
+        let Some(reservation) = engine.in_flight.get_mut(&(id, attempt)) else {
+            return false;
+        };
+        let elapsed = (now - reservation.sent_at) as f64;
+        let remaining = elapsed * (1.0 - share).max(0.0) / share.max(MIN_SHARE_DONE);
+        let fresh_duration = reservation.ideal_duration * slowdown;
+        let has_waited = reservation.has_waited;
+        reservation.progress = Some(ProgressMark {
+            elapsed,
+            done: share * reservation.ideal_duration,
+        });
+        engine.update_slowdown(now, latency_memory, None);
+        !has_waited
+            && remaining > BAD_PLAN_MULTIPLE * fresh_duration
+            && now + fresh_duration as Micros <= self.requests[&id].end_deadline
+    }
+
+    fn mark_waiting(&mut self, engine: EngineId, id: RequestId, attempt: usize) {
+        if let Some(engine) = self.engines.get_mut(&engine) {
+            if let Some(reservation) = engine.in_flight.get_mut(&(id, attempt)) {
+                reservation.has_waited = true;
+            }
+        }
+    }
+
+    /// Nothing is done yet, so nothing is lost by another attempt elsewhere.
+    fn on_waits_for_load(&mut self, engine: EngineId, id: RequestId, attempt: usize) {
+        self.mark_waiting(engine, id, attempt);
+        let Some(engine) = self.engines.get_mut(&engine) else {
+            return;
+        };
+        let Some(reservation) = engine.in_flight.get(&(id, attempt)) else {
+            return;
+        };
+        engine.active_loads.insert(reservation.group, self.now);
+        if attempt + RESERVED_ATTEMPTS < self.settings.max_attempts {
+            self.cancel_for_retry(id, attempt);
+        }
+    }
+
+    /// Cancels an attempt so that its request can go elsewhere, where that is allowed.
+    pub(super) fn cancel_for_retry(&mut self, id: RequestId, attempt: usize) {
+        let Some(pending) = self.requests.get(&id) else {
+            return;
+        };
+        let may_retry = self.may_repeat(pending)
+            && pending.attempts.len() < self.settings.max_attempts
+            && !pending.is_streaming;
+        if !may_retry || !self.settings.may_cancel || pending.attempts[attempt].is_cancelled {
+            return;
+        }
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.attempts[attempt].is_cancelled = true;
+            self.actions.push(Action::Cancel {
+                request: id,
+                attempt,
+            });
+        }
+    }
+}
--- a/src/balancer/subsetting.rs
+++ b/src/balancer/subsetting.rs
@@ -1,67 +1,118 @@
-//! What part of the engines is this gateway's own: one of each, an arc of them, or the whole with
-//! all others.
+//! Subsetting: which part of the engines this gateway uses, and its share of each.
+//!
+//! With many gateways a share of every engine may be too small for a query. Where possible each
+//! gateway then uses a few engines only, chosen on a ring that all gateways compute alike. Else
+//! shares are below one query, and whole engines are judged by their reports.
 
-use super::*;
+use super::admission::START_THREADS_PER_CORE;
+use crate::engine_table::{EngineTable, RingEntry};
+use crate::interface::{EngineId, Micros, Settings};
 
-impl Balancer {
-    /// A share of an engine that no query fits in makes own sums meaningless. Where arcs can be
-    /// short enough, gateways keep to some of the engines each, at equal distances on a ring that
-    /// all find alike: own sums tell there again. Else, and where only probes count queries, the
-    /// whole engine is looked at by reports.
-    pub(super) fn count_shares(&mut self) {
-        let cores = self
-            .set
+/// Engines in the smallest subset, and those that a table group has an affinity to.
+pub(super) const MIN_SUBSET: usize = 2;
+/// Least share of an engine in a subset of that size, in shares that the widest query fits in.
+const MIN_SUBSET_SHARE: f64 = 0.75;
+
+/// This gateway's part of the engines.
+pub(super) struct Subsetting {
+    /// Gateways in this tier.
+    peers: f64,
+    /// Where the subset begins on a ring of engines, as a part of the whole.
+    ring_position: f64,
+    /// Queries of the widest class that the largest engine runs at its thread bound.
+    queries_per_engine: f64,
+    /// Only probes count queries.
+    counts_by_probe: bool,
+    uses_subset: bool,
+    share_below_one_query: bool,
+    engine_share: f64,
+}
+
+impl Subsetting {
+    pub(super) fn new(settings: &Settings, ring_position: f64) -> Self {
+        let most_cores = settings
             .kinds
             .iter()
             .map(|kind| kind.cores)
             .fold(0.0, f64::max);
-        let widest = self
-            .set
+        let most_threads = settings
             .classes
             .iter()
             .map(|class| class.threads)
             .fold(1.0, f64::max);
-        let (fit, peers) = (START_BOUND * cores / widest, self.set.peers);
-        let open = self.engines.open_count() as f64;
-        let arcs = !self.set.counts_by_probe && fit * open >= MIN_ARC * HOMES as f64 * peers;
-        (self.few, self.thin) = (peers > fit && arcs, peers > fit && !arcs);
-        let wide = (fit * open / peers).round().max(HOMES as f64);
-        let own = if self.few {
-            open / peers / wide
+        Subsetting {
+            peers: settings.peers,
+            ring_position,
+            queries_per_engine: START_THREADS_PER_CORE * most_cores / most_threads,
+            counts_by_probe: settings.counts_by_probe,
+            uses_subset: false,
+            share_below_one_query: false,
+            engine_share: 1.0,
+        }
+    }
+
+    /// Chooses the mode and the share for so many open engines.
+    pub(super) fn update(&mut self, open_engines: usize) {
+        let open = open_engines as f64;
+        let is_share_too_small = self.peers > self.queries_per_engine;
+        let min_capacity = MIN_SUBSET_SHARE * MIN_SUBSET as f64 * self.peers;
+        let can_use_subsets =
+            !self.counts_by_probe && self.queries_per_engine * open >= min_capacity;
+        self.uses_subset = is_share_too_small && can_use_subsets;
+        self.share_below_one_query = is_share_too_small && !can_use_subsets;
+        self.engine_share = if self.share_below_one_query {
+            1.0
+        } else if self.uses_subset {
+            let subset_size = (self.queries_per_engine * open / self.peers)
+                .round()
+                .max(MIN_SUBSET as f64);
+            open / self.peers / subset_size
         } else {
-            1.0 / peers
+            1.0 / self.peers
         };
-        self.share = if self.thin { 1.0 } else { own };
-        self.pause = (self.latency * if self.thin { 1.0 } else { FULL_PAUSE }) as Micros;
-        if self.traffic.arrivals == 0.0 && !self.traffic.heard {
-            // A stranger takes no engine for idle that none told of, and asks at once, where others
-            // are many.
-            let (level, probes) = if self.thin {
-                (START_LEVEL, SAVED)
-            } else {
-                (0.0, 0.0)
-            };
-            (self.traffic.baseline_load, self.traffic.probes) = (level, probes);
-        }
+    }
+
+    /// Whether this gateway's share of an engine is less than one query, so that whole engines are
+    /// judged by their reports.
+    pub(super) fn share_below_one_query(&self) -> bool {
+        self.share_below_one_query
+    }
+
+    /// The part of an engine's capacity that this gateway's bounds are computed from.
+    pub(super) fn engine_share(&self) -> f64 {
+        self.engine_share
     }
 
     /// The open engines that a class is placed among, in the order of the ring: all, or this
-    /// gateway's arc, where the successor stands in for what is closed for a while.
-    pub(super) fn subset(&self, class: usize) -> impl Iterator<Item = (u64, EngineId)> + '_ {
-        let ring = self.engines.ring(class);
-        let count = ring.len() as f64;
-        let wide = ((count / self.set.peers / self.share).round() as usize).max(HOMES);
-        let (wide, begin) = if self.few {
-            (wide, (self.place * count) as usize)
+    /// gateway's subset, where the next on the ring replaces a quarantined one.
+    pub(super) fn engines<'a>(
+        &'a self,
+        table: &'a EngineTable,
+        class: usize,
+        now: Micros,
+    ) -> impl Iterator<Item = RingEntry> + 'a {
+        let ring = table.ring(class);
+        let (first, size) = if self.uses_subset {
+            self.subset_bounds(ring.len())
         } else {
-            (ring.len(), 0)
+            (0, ring.len())
         };
-        let (before, from) = ring.split_at(begin.min(ring.len().saturating_sub(1)));
-        let usable = |id: &EngineId| !self.few || self.now >= self.engines[id].quarantined_until;
-        from.iter()
+        let (before, after) = ring.split_at(first.min(ring.len().saturating_sub(1)));
+        let is_usable =
+            move |id: &EngineId| !self.uses_subset || now >= table[id].quarantined_until;
+        after
+            .iter()
             .chain(before)
             .copied()
-            .filter(move |(_, id)| usable(id))
-            .take(wide)
+            .filter(move |(_, id)| is_usable(id))
+            .take(size)
+    }
+
+    /// Index of the subset's first engine on a ring of this length, and its size.
+    fn subset_bounds(&self, ring_length: usize) -> (usize, usize) {
+        let length = ring_length as f64;
+        let size = (length / self.peers / self.engine_share).round() as usize;
+        let first = (self.ring_position * length) as usize;
+        (first, size.max(MIN_SUBSET))
     }
 }
--- a/src/engines/tests.rs
+++ b/src/engine_table/tests.rs
@@ -1,8 +1,8 @@
 //! The index of the table against plain walks over all engines, after drawn changes.
 
 use super::*;
+use crate::engine_state::Reservation;
 use crate::interface::*;
-use crate::state::Charge;
 
 const SECOND: Micros = 1_000_000;
 const ENGINES: u32 = 60;
@@ -47,8 +47,8 @@
     ]
 }
 
-fn empty() -> Engines {
-    Engines::new(&classes(), &kinds())
+fn empty() -> EngineTable {
+    EngineTable::new(&classes(), &kinds())
 }
 
 fn may_place(class: usize, entry: &Endpoint) -> bool {
@@ -74,58 +74,58 @@
     }
 }
 
-fn list(engines: &mut Engines, entry: Endpoint, now: Micros) {
-    engines.relist(entry, now, |engine| {
-        engine.entry = entry;
-        engine.listed = entry.phase != Phase::Removed;
+fn list(engines: &mut EngineTable, entry: Endpoint, now: Micros) {
+    engines.update_listing(entry, now, |engine| {
+        engine.endpoint = entry;
+        engine.is_listed = entry.phase != Phase::Removed;
     });
 }
 
 /// One change of the kinds that decisions make.
-fn change(engines: &mut Engines, rng: &mut fastrand::Rng, now: Micros) {
+fn change(engines: &mut EngineTable, rng: &mut fastrand::Rng, now: Micros) {
     let id = rng.u32(..ENGINES);
     match rng.u8(..6) {
         0 | 1 => {
             for _ in 0..rng.usize(1..9) {
                 list(engines, drawn(rng), now);
             }
-            engines.reindex(may_place);
+            engines.update_rings(may_place);
         }
         2 => {
-            let charge = Charge {
+            let charge = Reservation {
                 class: 0,
                 group: 0,
-                memory: 1.0,
+                memory_mb: 1.0,
                 threads: 1.0,
-                ideal: 1e4,
+                ideal_duration: 1e4,
                 sent_at: now,
-                waited: false,
-                noted: None,
+                has_waited: false,
+                progress: None,
             };
             if let Some(own) = engines.get_mut(&id) {
-                own.out.insert((0, 0), charge);
+                own.in_flight.insert((0, 0), charge);
             }
         }
         3 => engines
             .get_mut(&id)
             .into_iter()
-            .for_each(|own| own.out.clear()),
+            .for_each(|own| own.in_flight.clear()),
         4 => engines
             .get_mut(&id)
             .into_iter()
             .for_each(|own| (own.best_slowdown, own.slowdown) = (0.8, 0.8 + rng.f64())),
-        _ => engines.pass_time(now, |own| {
+        _ => engines.update_active(now, |own| {
             own.slowdown = own.best_slowdown + 1e-3 * (own.slowdown - own.best_slowdown);
         }),
     }
 }
 
-fn check(engines: &Engines, now: Micros, seed: u64) {
-    let all = || engines.table.values();
+fn check(engines: &EngineTable, now: Micros, seed: u64) {
+    let all = || engines.engines.values();
     for class in 0..classes().len() {
-        let open = all().filter(|own| own.open() && may_place(class, &own.entry));
+        let open = all().filter(|own| own.is_open() && may_place(class, &own.endpoint));
         let mut plain: Vec<_> = open
-            .map(|own| (mix(own.entry.engine as u64), own.entry.engine))
+            .map(|own| (mix(own.endpoint.engine as u64), own.endpoint.engine))
             .collect();
         plain.sort_unstable();
         assert_eq!(
@@ -136,30 +136,34 @@
     }
     assert_eq!(
         engines.listed_count(),
-        all().filter(|own| own.listed).count(),
+        all().filter(|own| own.is_listed).count(),
         "listed, seed {seed}"
     );
     assert_eq!(
         engines.open_count(),
-        all().filter(|own| own.open()).count(),
+        all().filter(|own| own.is_open()).count(),
         "open, seed {seed}"
     );
-    let cores = |own: &Engine| kinds()[engines.kind_of(own)].cores;
-    let plain: f64 = all().filter(|own| own.open()).map(cores).sum();
+    let cores = |own: &EngineState| kinds()[engines.kind_index(own)].cores;
+    let capacity = |own: &EngineState| Capacity {
+        threads: cores(own),
+        memory_mb: 1.0,
+    };
+    let plain: f64 = all().filter(|own| own.is_open()).map(cores).sum();
     assert_eq!(
-        engines.sums_of_open(1.0, |own| (cores(own), 1.0)).0,
+        engines.open_capacity(1.0, capacity).threads,
         plain,
         "open cores, seed {seed}"
     );
-    let active: BTreeSet<EngineId> = engines.active().map(|own| own.entry.engine).collect();
-    let resting = || all().filter(|own| !active.contains(&own.entry.engine));
+    let active: BTreeSet<EngineId> = engines.active().map(|own| own.endpoint.engine).collect();
+    let resting = || all().filter(|own| !active.contains(&own.endpoint.engine));
     assert!(
-        resting().all(|own| own.rests(now)),
+        resting().all(|own| own.is_at_rest(now)),
         "what time may change is active, seed {seed}"
     );
     let plain: f64 = resting()
-        .filter(|own| own.open())
-        .map(|own| cores(own) / own.slowness())
+        .filter(|own| own.is_open())
+        .map(|own| cores(own) / own.capacity_slowdown())
         .sum();
     let error = (engines.resting_cores() - plain).abs();
     assert!(
@@ -179,7 +183,7 @@
             check(&engines, now, seed);
         }
         assert!(
-            engines.active.len() < engines.table.len(),
+            engines.active.len() < engines.engines.len(),
             "some rest, seed {seed}"
         );
     }
@@ -214,7 +218,7 @@
     );
     assert_eq!(engines.active.iter().copied().collect::<Vec<_>>(), [1, 2]);
     for step in 0..20 {
-        engines.pass_time(step * SECOND, |own| {
+        engines.update_active(step * SECOND, |own| {
             own.slowdown = own.best_slowdown + 0.1 * (own.slowdown - own.best_slowdown);
         });
     }
--- /dev/null
+++ b/src/hash.rs
@@ -0,0 +1,13 @@
+//! Hashes that all gateways compute alike, so that they agree without talking to each other.
+
+/// A fixed mixing of bits, the same on every gateway.
+pub(crate) fn mix(value: u64) -> u64 {
+    let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    value ^ (value >> 31)
+}
+
+/// A pseudo-random number in [0, 1) derived from `value`.
+pub(crate) fn unit_interval(value: u64) -> f64 {
+    (mix(value) >> 11) as f64 / (1u64 << 53) as f64
+}
--- a/tests/visits.rs
+++ b/tests/visits.rs
@@ -22,7 +22,7 @@
 fn visits(engines: u32, peers: f64) -> [f64; 2] {
     let mut bench = bench(engines, peers);
     let mut counted = |answered: bool| {
-        let before = bench.gateway.visits();
+        let before = bench.gateway.engine_visits();
         for number in 0..REQUESTS {
             let id = number + if answered { 0 } else { REQUESTS };
             let actions = bench.take(Request {
@@ -34,7 +34,7 @@
                 bench.end(request, 0, Outcome::Answered, 10 * MS);
             }
         }
-        (bench.gateway.visits() - before) as f64 / REQUESTS as f64
+        (bench.gateway.engine_visits() - before) as f64 / REQUESTS as f64
     };
     [counted(true), counted(false)]
 }
@@ -57,7 +57,7 @@
 fn a_change_of_the_list_visits_the_engines_that_it_names() {
     let counted = FLEETS.map(|(engines, peers)| {
         let mut bench = bench(engines, peers);
-        let before = bench.gateway.visits();
+        let before = bench.gateway.engine_visits();
         for engine in 1..=20 {
             let entry = Endpoint {
                 phase: Phase::Draining,
@@ -65,7 +65,7 @@
             };
             bench.tell(Event::EndpointChanges(vec![entry]));
         }
-        bench.gateway.visits() - before
+        bench.gateway.engine_visits() - before
     });
     let least = counted.iter().min().copied().unwrap_or(0);
     assert!(
