--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -204,7 +204,8 @@
         let counted = report
             .in_flight
             .map(|queries| queries * context.threads_per_query);
-        // Latency also varies with what queries find cached, so a count of few threads overrules it.
+        // Latency also varies with what queries find cached, so a count of few threads overrules
+        // it.
         engine.latency_ignored_until = if counted.is_some_and(|threads| threads <= max_threads) {
             now + self.latency_memory as Micros
         } else {
--- a/src/engine_table/tests.rs
+++ b/src/engine_table/tests.rs
@@ -102,20 +102,24 @@
                 has_waited: false,
                 progress: None,
             };
-            if let Some(own) = engines.get_mut(&id) {
-                own.in_flight.insert((0, 0), charge);
+            if let Some(engine) = engines.get_mut(&id) {
+                engine.in_flight.insert((0, 0), charge);
             }
         }
-        3 => engines
-            .get_mut(&id)
-            .into_iter()
-            .for_each(|own| own.in_flight.clear()),
-        4 => engines
-            .get_mut(&id)
-            .into_iter()
-            .for_each(|own| (own.best_slowdown, own.slowdown) = (0.8, 0.8 + rng.f64())),
-        _ => engines.update_active(now, |own| {
-            own.slowdown = own.best_slowdown + 1e-3 * (own.slowdown - own.best_slowdown);
+        3 => {
+            if let Some(engine) = engines.get_mut(&id) {
+                engine.in_flight.clear();
+            }
+        }
+        4 => {
+            if let Some(engine) = engines.get_mut(&id) {
+                engine.best_slowdown = 0.8;
+                engine.slowdown = 0.8 + rng.f64();
+            }
+        }
+        _ => engines.update_active(now, |engine| {
+            engine.slowdown =
+                engine.best_slowdown + 1e-3 * (engine.slowdown - engine.best_slowdown);
         }),
     }
 }
@@ -123,9 +127,9 @@
 fn check(engines: &EngineTable, now: Micros, seed: u64) {
     let all = || engines.engines.values();
     for class in 0..classes().len() {
-        let open = all().filter(|own| own.is_open() && may_place(class, &own.endpoint));
+        let open = all().filter(|engine| engine.is_open() && may_place(class, &engine.endpoint));
         let mut plain: Vec<_> = open
-            .map(|own| (mix(own.endpoint.engine as u64), own.endpoint.engine))
+            .map(|engine| (mix(engine.endpoint.engine as u64), engine.endpoint.engine))
             .collect();
         plain.sort_unstable();
         assert_eq!(
@@ -136,34 +140,37 @@
     }
     assert_eq!(
         engines.listed_count(),
-        all().filter(|own| own.is_listed).count(),
+        all().filter(|engine| engine.is_listed).count(),
         "listed, seed {seed}"
     );
     assert_eq!(
         engines.open_count(),
-        all().filter(|own| own.is_open()).count(),
+        all().filter(|engine| engine.is_open()).count(),
         "open, seed {seed}"
     );
-    let cores = |own: &EngineState| kinds()[engines.kind_index(own)].cores;
-    let capacity = |own: &EngineState| Capacity {
-        threads: cores(own),
+    let cores = |engine: &EngineState| kinds()[engines.kind_index(engine)].cores;
+    let capacity = |engine: &EngineState| Capacity {
+        threads: cores(engine),
         memory_mb: 1.0,
     };
-    let plain: f64 = all().filter(|own| own.is_open()).map(cores).sum();
+    let plain: f64 = all().filter(|engine| engine.is_open()).map(cores).sum();
     assert_eq!(
         engines.open_capacity(1.0, capacity).threads,
         plain,
         "open cores, seed {seed}"
     );
-    let active: BTreeSet<EngineId> = engines.active().map(|own| own.endpoint.engine).collect();
-    let resting = || all().filter(|own| !active.contains(&own.endpoint.engine));
+    let active: BTreeSet<EngineId> = engines
+        .active()
+        .map(|engine| engine.endpoint.engine)
+        .collect();
+    let resting = || all().filter(|engine| !active.contains(&engine.endpoint.engine));
     assert!(
-        resting().all(|own| own.is_at_rest(now)),
+        resting().all(|engine| engine.is_at_rest(now)),
         "what time may change is active, seed {seed}"
     );
     let plain: f64 = resting()
-        .filter(|own| own.is_open())
-        .map(|own| cores(own) / own.capacity_slowdown())
+        .filter(|engine| engine.is_open())
+        .map(|engine| cores(engine) / engine.capacity_slowdown())
         .sum();
     let error = (engines.resting_cores() - plain).abs();
     assert!(
@@ -174,7 +181,7 @@
 }
 
 #[test]
-fn the_index_says_what_a_walk_over_all_engines_says() {
+fn index_agrees_with_a_walk_over_all_engines() {
     for seed in 0..20 {
         let (mut rng, mut engines) = (fastrand::Rng::with_seed(seed), empty());
         for step in 0..STEPS {
@@ -190,7 +197,7 @@
 }
 
 #[test]
-fn what_is_neither_listed_nor_in_use_is_dropped_and_the_rest_comes_to_rest() {
+fn unlisted_idle_engine_is_dropped_and_others_come_to_rest() {
     let mut engines = empty();
     for engine in 0..4 {
         list(
@@ -218,8 +225,8 @@
     );
     assert_eq!(engines.active.iter().copied().collect::<Vec<_>>(), [1, 2]);
     for step in 0..20 {
-        engines.update_active(step * SECOND, |own| {
-            own.slowdown = own.best_slowdown + 0.1 * (own.slowdown - own.best_slowdown);
+        engines.update_active(step * SECOND, |engine| {
+            engine.slowdown = engine.best_slowdown + 0.1 * (engine.slowdown - engine.best_slowdown);
         });
     }
     assert!(engines.active.is_empty() && engines.get(&2).is_none());
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,9 +1,8 @@
-//! What goes into the decision module and what comes out of it: settings, events, actions.
+//! Types that go into the balancer and come out of it: settings, events, actions.
 //!
 //! Nothing here decides anything and nothing here knows a protocol. A host translates its own
 //! messages into [`Event`]s, carries out the [`Action`]s in the order given, and may host many
-//! gateways side by side. Times are microseconds on one clock that never runs backward; its start
-//! means nothing.
+//! gateways side by side. Times are microseconds on one monotonic clock with an arbitrary start.
 
 mod actions;
 mod endpoints;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -2,14 +2,14 @@
 
 use super::{EngineId, Micros, RequestId};
 
-/// What a gateway wants of its host.
+/// What a host has to do, in the order in which the balancer returns it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Grant and rank of a request from now on.
+    /// Give a request this grant and rank from now on.
     Grant {
         /// The request.
         request: RequestId,
-        /// Memory that it is granted.
+        /// Memory that it is granted, in megabytes.
         grant_mb: f64,
         /// Its rank; the highest runs first.
         rank: u8,
@@ -18,12 +18,12 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The engine to send it to.
         engine: EngineId,
-        /// When the attempt's time is up.
+        /// When the attempt has to be given up.
         attempt_deadline: Micros,
     },
-    /// Ask an engine for a report.
+    /// Request a load report from an engine.
     Probe {
         /// The engine.
         engine: EngineId,
@@ -35,14 +35,14 @@
         /// Which of its attempts.
         attempt: usize,
     },
-    /// Answer that it was refused.
+    /// Answer the client that its request was refused.
     Refuse {
         /// The request.
         request: RequestId,
-        /// When to come again; 0: nothing is said.
+        /// When the client may retry; 0: the answer doesn't say.
         retry_after: Micros,
     },
-    /// Answer that it failed.
+    /// Answer the client that its request failed.
     Fail {
         /// The request.
         request: RequestId,
@@ -54,7 +54,7 @@
         /// The tag that comes back with it.
         tag: u64,
     },
-    /// Subscribe to the list of engines.
+    /// Subscribe to service discovery.
     Subscribe,
     /// Write a line to the log.
     Log(String),
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -5,57 +5,57 @@
     RequestId,
 };
 
-/// What a host tells a gateway.
+/// An event that the balancer has to take in.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// What an earlier life had learned, so long ago.
+    /// A checkpoint of an earlier process of this gateway.
     CheckpointRestored {
-        /// What it was.
+        /// The learned state.
         learned: LearnedState,
-        /// How long ago it was kept.
+        /// Time since it was written.
         age: Micros,
     },
-    /// The complete list: an engine that it lacks is gone.
+    /// The complete list of engines: one that it lacks is removed.
     EndpointSnapshot(Vec<Endpoint>),
     /// Entries of the list that have changed.
     EndpointChanges(Vec<Endpoint>),
-    /// The list can't be reached.
+    /// Service discovery can't be reached.
     DiscoveryFailed,
-    /// A client has asked.
+    /// A client has sent a request.
     Arrived(Request),
-    /// Of a request that was taken: others may have run it, as its keepers told before it was sent.
+    /// Others may have run a request that was taken, as replicas reported before it was sent.
     PriorAttempts {
         /// The request.
         request: RequestId,
-        /// Where and since when.
+        /// Attempts that may have run.
         prior_attempts: Vec<PriorAttempt>,
     },
-    /// The first part of its answer has gone to its client.
+    /// The first part of a request's answer has gone to its client.
     StreamBegan {
         /// The request.
         request: RequestId,
     },
-    /// An engine said something of an attempt.
+    /// An engine reported on an attempt in flight.
     ProgressReported {
         /// The request.
         request: RequestId,
         /// Which of its attempts.
         attempt: usize,
-        /// What was said.
+        /// What it reported.
         progress: Progress,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnded),
     /// A probe has ended.
     Probed(Probed),
-    /// A client cancelled its request or went.
+    /// A client cancelled its request or disconnected.
     ClientLeft {
         /// The request.
         request: RequestId,
     },
     /// A timer that was set has fired.
     Timer {
-        /// The tag with which it was set.
+        /// The tag that it was set with.
         tag: u64,
     },
 }
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -1,45 +1,44 @@
-//! What a gateway has learned from outcomes, in the form in which a checkpoint keeps it.
+//! What a gateway has learned from outcomes, as a checkpoint stores it.
 
 use super::{EngineId, Micros};
 
-/// What outcomes taught of a class: true over estimated work and memory, and means (work 0: none).
+/// Estimates of a class of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClassEstimates {
     /// True over estimated work.
     pub work_ratio: f64,
     /// True over estimated memory.
     pub memory_ratio: f64,
-    /// Mean work.
+    /// Mean work of all threads, as time on one in microseconds; 0: no request yet.
     pub work: f64,
-    /// Mean memory, once it is known.
+    /// Mean memory in megabytes, once it is known.
     pub memory_mb: Option<f64>,
 }
 
-/// What was learned of one process of an engine: time over ideal time now and at its best, its
-/// share of bad outcomes, and the threads of others there.
+/// Estimates of one process of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineEstimates {
     /// The engine.
     pub engine: EngineId,
-    /// The start of the process of which this was learned.
+    /// Start of the process that they were learned from.
     pub booted_at: Micros,
-    /// Time over ideal time.
+    /// Time spent over ideal time.
     pub slowdown: f64,
-    /// The least of that ever seen.
+    /// The least slowdown observed.
     pub best_slowdown: f64,
     /// Share of bad outcomes.
     pub bad: f64,
-    /// Threads of others there.
+    /// Threads of other gateways' queries.
     pub foreign_load: f64,
 }
 
-/// What a gateway has learned, to be told to a later life of it.
+/// What a gateway has learned, for a later process of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// By class.
+    /// Estimates of the classes, by their numbers.
     pub classes: Vec<ClassEstimates>,
-    /// By engine.
+    /// Estimates of the engines.
     pub engines: Vec<EngineEstimates>,
-    /// Threads a core that engines hold on the whole.
+    /// Threads a core of other gateways' queries on the mean engine.
     pub baseline_load: f64,
 }
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -5,39 +5,39 @@
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered as asked.
+    /// Answered without an error.
     Answered,
     /// The engine answered with an error; it may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// Rejected, as the engine is at capacity; it never ran.
     AtCapacity,
-    /// No reply in time; it may have run, or run still.
+    /// No reply in time; it may have run or still run.
     TimedOut,
     /// No connection; it never ran.
     NoConnection,
     /// The connection broke; it may have run.
     Broken,
-    /// Withdrawn by this gateway; it may have run.
+    /// Cancelled by this gateway; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
 }
 
-/// What an answer says it cost.
+/// What a request took, as its answer reports it.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceUsage {
-    /// Work of all its threads.
+    /// Work of all its threads, as time on one in microseconds.
     pub work: f64,
-    /// The most memory that it held.
+    /// Its peak memory in megabytes.
     pub memory_mb: f64,
 }
 
-/// A word on an attempt that is out.
+/// Progress of an attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub enum Progress {
-    /// Share done, rough.
+    /// Approximate share of the work that is done.
     Share(f64),
-    /// Megabytes short: it spills to disk.
+    /// It spills to disk, short of so many megabytes.
     Spilling(f64),
     /// It waits for memory at its engine.
     WaitsForMemory,
@@ -45,10 +45,10 @@
     WaitsForLoad,
 }
 
-/// What an engine reports of itself; what it doesn't tell is missing.
+/// An engine's load, as far as it reports it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Queries that it holds.
+    /// Queries in flight.
     pub in_flight: Option<f64>,
     /// Queries that wait for memory.
     pub waiting_for_memory: Option<f64>,
@@ -73,21 +73,21 @@
     pub spent: Micros,
     /// The request has had its final answer.
     pub complete: bool,
-    /// What broke this was one event that another attempt's end has told of.
+    /// Its failure is part of an event that another attempt's end has reported.
     pub already_reported: bool,
-    /// What it cost, where the answer says so.
+    /// What it took, where the answer says so.
     pub usage: Option<ResourceUsage>,
-    /// What its engine reported with the answer.
+    /// Load report that came with the answer.
     pub report: Option<LoadReport>,
 }
 
-/// How a probe of an engine ended; it proves no more than that the process runs.
+/// How a probe of an engine ended; an answer proves only that the process runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Probed {
     /// The engine.
     pub engine: EngineId,
     /// How the probe ended.
     pub outcome: Outcome,
-    /// What the engine reported.
+    /// The load report, if one came.
     pub report: Option<LoadReport>,
 }
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -2,27 +2,27 @@
 
 use super::Micros;
 
-/// The host's number of a request; it is never used again.
+/// The host's number of a request; it is never reused.
 pub type RequestId = u64;
 
-/// The tag of a request's own timer, whose firing ends it.
+/// Tag of the timer that ends a request.
 pub fn end_tag(request: RequestId) -> u64 {
     request + 1
 }
 
-/// An attempt that an earlier life of this gateway, or another gateway, may have made of a request:
-/// its engine's scope, and since when it may have run. A time of 0 says that neither is known.
+/// An attempt that an earlier process of this gateway, or another gateway, may have made of a
+/// request. With `since` 0 neither scope nor time is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PriorAttempt {
     /// Zone of the engine that may have run it.
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
-    /// Since when it may have run.
+    /// The earliest time at which it may have run.
     pub since: Micros,
 }
 
-/// A request that a client has asked.
+/// A request of a client.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// Its number.
@@ -31,16 +31,16 @@
     pub class: usize,
     /// Its tenant.
     pub tenant: usize,
-    /// What its order goes by, where its class is ordered.
+    /// Key whose requests run in order, where its class is ordered.
     pub key: Option<String>,
-    /// When its client gives up.
+    /// When its client stops waiting.
     pub deadline: Micros,
-    /// Estimated work of all its threads, as time on one.
+    /// Estimated work of all its threads, as time on one in microseconds.
     pub work: Option<f64>,
-    /// Estimated memory.
+    /// Estimated memory in megabytes.
     pub memory_mb: Option<f64>,
     /// The group of tables that it reads or loads.
     pub group: u64,
-    /// What of it may have run before it came here.
+    /// Attempts that may have run before it came to this gateway.
     pub prior_attempts: Vec<PriorAttempt>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,9 +1,8 @@
-//! What the platform tells a gateway before it starts: classes, tenants, kinds of machine, limits
-//! and rules.
+//! Settings of a gateway: classes, tenants, kinds of machine, limits and rules.
 
 use super::Micros;
 
-/// What a further attempt of a request may do to its effect.
+/// Whether a request may be attempted again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Safe to repeat anywhere, any time.
@@ -14,7 +13,7 @@
     NonIdempotent,
 }
 
-/// The engines that know each other's keyed requests.
+/// The engines among which a repeated key is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// All engines.
@@ -28,7 +27,7 @@
 /// How the list of engines comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes of the list arrive by themselves.
+    /// Changes of the list arrive unasked.
     Push,
     /// The list must be subscribed to.
     Ask,
@@ -37,13 +36,14 @@
 /// A class of requests, as the settings name it.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Answers within `aim` plus `aim_stretch` times the true work per thread earn the full worth.
+    /// Answers within this time, plus `latency_objective_per_work` times the true work per thread,
+    /// count in full.
     pub latency_objective: Micros,
-    /// Part of the work a thread that is added to `aim`.
+    /// Part of the work per thread that is added to `latency_objective`.
     pub latency_objective_per_work: f64,
-    /// What a request is worth when it is answered in time.
+    /// Weight of a request that is answered in time.
     pub priority_weight: f64,
-    /// What a further attempt may do.
+    /// Whether it may be attempted again.
     pub effect: Effect,
     /// The engines that drop a repeat of a keyed request.
     pub scope: Scope,
@@ -51,15 +51,15 @@
     pub window: Micros,
     /// Requests that carry the same key run one at a time, in the order taken.
     pub ordered: bool,
-    /// The only zones and machine kinds that may serve it, where bound.
+    /// The only zones that may serve it, where it is bound to some.
     pub zones_only: Option<Vec<u32>>,
-    /// The only machine kinds.
+    /// The only machine kinds that may serve it, where it is bound to some.
     pub kinds_only: Option<Vec<u32>>,
     /// Threads that a query runs on.
     pub threads: f64,
     /// It holds its table group on its engine while it runs.
     pub is_load: bool,
-    /// It stands still while a load holds its group there.
+    /// It waits while a load holds its group on its engine.
     pub waits_for_load: bool,
 }
 
@@ -75,22 +75,22 @@
 pub struct Kind {
     /// Cores of one engine.
     pub cores: f64,
-    /// Memory of one engine.
+    /// Memory of one engine in megabytes.
     pub memory_mb: f64,
 }
 
-/// How many further attempts a gateway may make.
+/// How many retries a gateway may make.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptBudget {
     /// The time over which attempts are counted.
     pub span: Micros,
-    /// Further attempts for each request taken in that time.
+    /// Retries for each request taken in that time.
     pub ratio: f64,
-    /// Further attempts beside these.
+    /// Retries beside these.
     pub spare: f64,
 }
 
-/// What the platform tells a gateway before it starts.
+/// Settings of a gateway, fixed while it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Classes, by their numbers.
@@ -101,7 +101,7 @@
     pub kinds: Vec<Kind>,
     /// Gateways in this tier, this one included.
     pub peers: f64,
-    /// This gateway's number among them, from 0, where it is told.
+    /// This gateway's number among them, from 0, where it is known.
     pub index: Option<f64>,
     /// The zone of this gateway.
     pub zone: u32,
@@ -109,7 +109,7 @@
     pub tick: Micros,
     /// How the list of engines comes.
     pub discovery: Discovery,
-    /// Time between progress notes; 0 where there are none.
+    /// Interval of progress notes; 0 where there are none.
     pub note_period: Micros,
     /// Share of an engine's memory that one query gets at most.
     pub largest_share: f64,
@@ -117,32 +117,32 @@
     pub max_attempts: usize,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Two attempts of a request may be out at once.
+    /// Two attempts of a request may be in flight at once.
     pub hedging_allowed: bool,
     /// Engines may be probed.
     pub may_probe: bool,
-    /// Probes, and they alone, tell how many queries an engine holds.
+    /// Only probes report how many queries an engine has in flight.
     pub counts_by_probe: bool,
-    /// Refusals may say when to come again.
+    /// Refusals may say when to retry.
     pub retry_after_allowed: bool,
-    /// The longest such advice.
+    /// The longest such time.
     pub max_retry_after: Micros,
-    /// A cold engine sent more than `fall_multiple` times its present capacity for `fall_window`
-    /// falls over.
+    /// A cold engine that is sent more than this multiple of its present capacity over
+    /// `overload_window` falls over.
     pub overload_multiple: f64,
-    /// The time over which that is counted.
+    /// The time over which work sent to a cold engine is counted.
     pub overload_window: Micros,
     /// Part of its capacity that a cold engine has at its start.
     pub start_capacity: f64,
     /// Time from its start until an engine is warm.
     pub warm_up_duration: Micros,
-    /// Rest of an ordered key after an attempt that may still run.
+    /// Pause of an ordered key after an attempt that may still run.
     pub ordering_delay: Micros,
-    /// The budget of further attempts, if there is one.
+    /// The retry budget, if there is one.
     pub attempt_budget: Option<AttemptBudget>,
-    /// Time between two subscriptions to the list.
+    /// Interval of subscriptions to service discovery.
     pub poll_interval: Micros,
-    /// Part of its worth that a request over its tenant's quota keeps.
+    /// Part of its weight that a request over its tenant's quota keeps.
     pub over_quota_weight: f64,
     /// Part of all worth that crossing zones costs.
     pub cross_zone_tariff: f64,
--- a/tests/mechanism.rs
+++ b/tests/admission_and_ranking.rs
@@ -8,12 +8,12 @@
 fn reports_out(bench: &mut Bench, memory_mb: f64, most: u64) -> usize {
     let deadline = bench.now + 20 * S;
     (0..most)
-        .filter(|id| !sent(&bench.take(report(100 + id, deadline, memory_mb))).is_empty())
+        .filter(|id| !sent(&bench.request(report(100 + id, deadline, memory_mb))).is_empty())
         .count()
 }
 
 #[test]
-fn without_pressure_the_memory_room_does_not_bind() {
+fn memory_bound_does_not_apply_without_pressure() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
     assert_eq!(
         reports_out(&mut bench, 8_000.0, 6),
@@ -23,19 +23,19 @@
 }
 
 #[test]
-fn under_pressure_the_memory_room_binds_reports_but_not_dashboards() {
+fn memory_bound_applies_to_reports_but_not_dashboards_under_pressure() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
     for id in 0..20 {
-        bench.take(lookup(id, bench.now + 4 * S));
-        bench.end(id, 0, Outcome::Answered, 100 * MS);
+        bench.request(lookup(id, bench.now + 4 * S));
+        bench.end_attempt(id, 0, Outcome::Answered, 100 * MS);
     }
-    bench.take(report(50, bench.now + 20 * S, 100.0));
+    bench.request(report(50, bench.now + 20 * S, 100.0));
     let busy = LoadReport {
         cores_busy: Some(1.0),
         ..LoadReport::default()
     };
-    bench.take(lookup(51, bench.now + 4 * S));
-    bench.end_with(51, 0, Outcome::Answered, 100 * MS, |ended| {
+    bench.request(lookup(51, bench.now + 4 * S));
+    bench.end_attempt_with(51, 0, Outcome::Answered, 100 * MS, |ended| {
         ended.report = Some(busy);
     });
     assert_eq!(
@@ -43,27 +43,27 @@
         2,
         "three times the memory"
     );
-    assert_eq!(sent(&bench.take(lookup(60, bench.now + 4 * S))).len(), 1);
+    assert_eq!(sent(&bench.request(lookup(60, bench.now + 4 * S))).len(), 1);
 }
 
 /// Found on a recorded day: latency was at 1.2 times a best that warm tables had made, and queries
 /// were held for seconds in front of engines with idle cores.
 #[test]
-fn a_report_that_counts_few_threads_vouches_against_pressure_by_latency() {
+fn load_report_of_few_threads_overrules_pressure_by_latency() {
     let reports_with = |in_flight: Option<f64>| {
         let mut bench = Bench::new(settings(), &[ready(1)]);
         for id in 0..40 {
-            bench.take(lookup(id, bench.now + 4 * S));
+            bench.request(lookup(id, bench.now + 4 * S));
             bench.now += 100 * MS;
             let spent = if id < 20 { 50 * MS } else { 150 * MS };
-            bench.end_with(id, 0, Outcome::Answered, spent, |ended| {
+            bench.end_attempt_with(id, 0, Outcome::Answered, spent, |ended| {
                 ended.report = in_flight.map(|_| LoadReport {
                     in_flight,
                     ..LoadReport::default()
                 });
             });
         }
-        bench.take(report(50, bench.now + 20 * S, 100.0));
+        bench.request(report(50, bench.now + 20 * S, 100.0));
         reports_out(&mut bench, 8_000.0, 6)
     };
     // With the last the thread bound is the next to bind.
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn threads_over_the_cores_imply_pressure_and_the_thread_bound_binds() {
+fn threads_over_the_cores_imply_pressure_and_the_thread_bound_applies() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
     let out = reports_out(&mut bench, 10.0, 40);
     assert!(
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_idle_gateway_may_send_an_engine_one_query_of_any_size() {
+fn idle_engine_may_be_sent_one_query_of_any_size() {
     let mut bench = Bench::new(
         Settings {
             peers: 50.0,
@@ -101,31 +101,31 @@
         &[ready(1)],
     );
     assert_eq!(
-        sent(&bench.take(report(1, bench.now + 20 * S, 1e6))).len(),
+        sent(&bench.request(report(1, bench.now + 20 * S, 1e6))).len(),
         1
     );
-    assert!(sent(&bench.take(report(2, bench.now + 20 * S, 1e6))).is_empty());
+    assert!(sent(&bench.request(report(2, bench.now + 20 * S, 1e6))).is_empty());
 }
 
 #[test]
-fn an_engine_that_says_full_is_given_less() {
+fn engine_at_capacity_is_sent_less() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
     let before = reports_out(&mut bench, 3_000.0, 6);
     assert_eq!(before, 6);
-    bench.end(105, 0, Outcome::AtCapacity, MS);
+    bench.end_attempt(105, 0, Outcome::AtCapacity, MS);
     assert!(
-        sent(&bench.take(report(200, bench.now + 20 * S, 12_000.0))).is_empty(),
+        sent(&bench.request(report(200, bench.now + 20 * S, 12_000.0))).is_empty(),
         "pressure: the room binds"
     );
 }
 
 #[test]
-fn a_grant_is_a_quarter_over_the_corrected_estimate_within_the_largest_share() {
+fn grant_is_a_quarter_over_the_corrected_estimate_within_the_largest_share() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
-    let first = bench.take(report(1, bench.now + 20 * S, 400.0));
-    assert_eq!(terms(&first)[0].1, 500.0);
-    let large = bench.take(report(2, bench.now + 20 * S, 8_000.0));
-    let own = terms(&large).into_iter().find(|t| t.0 == 2).map(|t| t.1);
+    let first = bench.request(report(1, bench.now + 20 * S, 400.0));
+    assert_eq!(grants(&first)[0].1, 500.0);
+    let large = bench.request(report(2, bench.now + 20 * S, 8_000.0));
+    let own = grants(&large).into_iter().find(|t| t.0 == 2).map(|t| t.1);
     assert_eq!(own, Some(0.4 * 8_000.0));
 }
 
@@ -134,8 +134,8 @@
     let grant_after = |bills: &[f64]| {
         let mut bench = Bench::new(settings(), &[ready(1)]);
         for (id, &memory_mb) in bills.iter().enumerate() {
-            bench.take(report(id as u64, bench.now + 20 * S, 100.0));
-            bench.answer_with(
+            bench.request(report(id as u64, bench.now + 20 * S, 100.0));
+            bench.answer_with_usage(
                 id as u64,
                 S,
                 ResourceUsage {
@@ -144,7 +144,7 @@
                 },
             );
         }
-        terms(&bench.take(report(99, bench.now + 20 * S, 100.0)))[0].1
+        grants(&bench.request(report(99, bench.now + 20 * S, 100.0)))[0].1
     };
     let doubled = grant_after(&[200.0; 200]);
     assert!((doubled - 250.0).abs() < 5.0, "{doubled}");
@@ -154,78 +154,78 @@
 }
 
 #[test]
-fn the_largest_run_highest_and_are_ranked_anew_as_each_ends() {
+fn largest_queries_rank_highest_and_ranks_are_updated_as_each_ends() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
     let deadline = bench.now + 20 * S;
     for id in 0..10 {
-        bench.take(lookup(1000 + id, bench.now + 4 * S));
-        bench.end(1000 + id, 0, Outcome::Answered, 100 * MS);
+        bench.request(lookup(1000 + id, bench.now + 4 * S));
+        bench.end_attempt(1000 + id, 0, Outcome::Answered, 100 * MS);
     }
     assert_eq!(
-        terms(&bench.take(report(1, deadline, 100.0))),
+        grants(&bench.request(report(1, deadline, 100.0))),
         [(1, 125.0, 2)]
     );
     assert_eq!(
-        terms(&bench.take(report(2, deadline, 300.0))),
+        grants(&bench.request(report(2, deadline, 300.0))),
         [(2, 375.0, 2), (1, 125.0, 1)]
     );
     assert_eq!(
-        terms(&bench.take(report(3, deadline, 200.0))),
+        grants(&bench.request(report(3, deadline, 200.0))),
         [(3, 250.0, 1), (1, 125.0, 0)]
     );
     assert_eq!(
-        terms(&bench.take(lookup(4, deadline)))[0].2,
+        grants(&bench.request(lookup(4, deadline)))[0].2,
         3,
         "dashboards above all"
     );
-    let ended = bench.end(2, 0, Outcome::Answered, S);
+    let ended = bench.end_attempt(2, 0, Outcome::Answered, S);
     assert_eq!(
-        terms(&ended),
+        grants(&ended),
         [(3, 250.0, 2), (1, 125.0, 1)],
         "told only where it changes"
     );
 }
 
 #[test]
-fn held_queries_leave_earliest_due_first() {
+fn queued_requests_leave_earliest_objective_first() {
     let mut bench = Bench::new(settings(), &[]);
     let deadline = bench.now + 20 * S;
     for id in [3, 1, 2] {
         let work = id as f64 * 1e5;
-        bench.take(Request {
+        bench.request(Request {
             work: Some(work),
             ..report(id, deadline, 10.0)
         });
     }
-    let left = sent(&bench.tell(Event::EndpointSnapshot(vec![ready(1)])));
+    let left = sent(&bench.handle(Event::EndpointSnapshot(vec![ready(1)])));
     assert_eq!(left.iter().map(|s| s.0).collect::<Vec<_>>(), [1, 2, 3]);
 }
 
 #[test]
-fn one_that_cannot_leave_does_not_block_a_later_one_that_can() {
-    let mut set = settings();
-    set.classes[REPORT].kinds_only = Some(vec![1]);
-    let mut bench = Bench::new(set, &[ready(1)]);
-    bench.take(Request {
+fn queued_request_without_room_does_not_block_a_later_one() {
+    let mut settings = settings();
+    settings.classes[REPORT].kinds_only = Some(vec![1]);
+    let mut bench = Bench::new(settings, &[ready(1)]);
+    bench.request(Request {
         work: Some(1.0),
         ..report(1, bench.now + 20 * S, 10.0)
     });
-    assert_eq!(sent(&bench.take(lookup(2, bench.now + 4 * S))).len(), 1);
+    assert_eq!(sent(&bench.request(lookup(2, bench.now + 4 * S))).len(), 1);
 }
 
 #[test]
-fn a_group_is_read_at_its_home_by_every_gateway_until_load_speaks_against_it() {
+fn every_gateway_prefers_the_affinity_engines_of_a_group_until_they_are_loaded() {
     let engines: Vec<Endpoint> = (1..=6).map(ready).collect();
     let home_seen_by = |seed: u64| {
         let mut bench = Bench::new(settings(), &engines);
-        bench.gateway = eideryard::balancer::Balancer::new(settings(), seed, bench.now);
-        bench.tell(Event::EndpointSnapshot(engines.clone()));
-        sent(&bench.take(lookup(1, bench.now + 4 * S)))[0].1
+        bench.balancer = eideryard::balancer::Balancer::new(settings(), seed, bench.now);
+        bench.handle(Event::EndpointSnapshot(engines.clone()));
+        sent(&bench.request(lookup(1, bench.now + 4 * S)))[0].1
     };
     assert_eq!(home_seen_by(1), home_seen_by(2));
     let mut bench = Bench::new(settings(), &engines);
     let used: std::collections::BTreeSet<EngineId> = (0..60)
-        .flat_map(|id| sent(&bench.take(report(id, bench.now + 20 * S, 10.0))))
+        .flat_map(|id| sent(&bench.request(report(id, bench.now + 20 * S, 10.0))))
         .map(|s| s.1)
         .collect();
     assert!(used.len() > 3, "{used:?}");
@@ -237,11 +237,11 @@
         let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3)]);
         let mut all = Vec::new();
         for id in 0..200 {
-            all.extend(bench.take(report(id, bench.now + 8 * S, 50.0 * (id % 7) as f64)));
+            all.extend(bench.request(report(id, bench.now + 8 * S, 50.0 * (id % 7) as f64)));
             if id % 3 == 0 {
-                all.extend(bench.end(id, 0, Outcome::Answered, S));
+                all.extend(bench.end_attempt(id, 0, Outcome::Answered, S));
             }
-            all.extend(bench.pass(30 * MS));
+            all.extend(bench.advance(30 * MS));
         }
         all
     };
@@ -251,10 +251,10 @@
 /// Found on sockets: a client's end of a connection may be read a tenth of a second late, far more
 /// than two ticks.
 #[test]
-fn a_tenth_of_the_wait_is_left_for_the_answers_way() {
+fn a_tenth_of_the_wait_is_left_for_the_answer_to_arrive() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
     let now = bench.now;
-    let actions = bench.take(lookup(1, now + 4 * S));
+    let actions = bench.request(lookup(1, now + 4 * S));
     let given_up = actions.iter().find_map(|action| match action {
         Action::Send {
             attempt_deadline, ..
@@ -271,7 +271,7 @@
     let out = reports_out(&mut bench, 4_000.0, 200);
     assert!(out < 200, "reports are held: {out} of 200 are out");
     assert_eq!(
-        sent(&bench.end(100, 0, Outcome::Answered, 100 * MS)).len(),
+        sent(&bench.end_attempt(100, 0, Outcome::Answered, 100 * MS)).len(),
         1,
         "one leaves for one that ended"
     );
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! A gateway with small settings, and shorthands to drive it and to look at what it did.
 #![allow(dead_code)] // each test file uses its own part
 
+pub mod small_shares;
+
 use eideryard::balancer::Balancer;
 use eideryard::interface::*;
 
@@ -11,9 +13,9 @@
 pub const REPORT: usize = 1;
 pub const LOAD: usize = 2;
 
-pub fn class(effect: Effect, aim: Micros, threads: f64) -> Class {
+pub fn class(effect: Effect, latency_objective: Micros, threads: f64) -> Class {
     Class {
-        latency_objective: aim,
+        latency_objective,
         latency_objective_per_work: 2.0,
         priority_weight: 1.0,
         effect,
@@ -116,31 +118,31 @@
 
 /// A gateway, its clock, the actions of the last event and its timers, which fire as time passes.
 pub struct Bench {
-    pub gateway: Balancer,
+    pub balancer: Balancer,
     pub now: Micros,
     pub last: Vec<Action>,
     timers: Vec<(Micros, u64)>,
 }
 
 impl Bench {
-    pub fn new(set: Settings, engines: &[Endpoint]) -> Self {
-        Self::seeded(set, 7, engines)
+    pub fn new(settings: Settings, engines: &[Endpoint]) -> Self {
+        Self::seeded(settings, 7, engines)
     }
 
-    pub fn seeded(set: Settings, seed: u64, engines: &[Endpoint]) -> Self {
+    pub fn seeded(settings: Settings, seed: u64, engines: &[Endpoint]) -> Self {
         let mut bench = Bench {
-            gateway: Balancer::new(set, seed, 1_000 * S),
+            balancer: Balancer::new(settings, seed, 1_000 * S),
             now: 1_000 * S,
             last: Vec::new(),
             timers: Vec::new(),
         };
-        bench.tell(Event::EndpointSnapshot(engines.to_vec()));
+        bench.handle(Event::EndpointSnapshot(engines.to_vec()));
         bench
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::SetTimer { after, tag } = action {
                 self.timers.push((self.now + (*after).max(1), *tag));
@@ -150,28 +152,28 @@
         actions
     }
 
-    pub fn take(&mut self, request: Request) -> Vec<Action> {
-        self.tell(Event::Arrived(request))
+    pub fn request(&mut self, request: Request) -> Vec<Action> {
+        self.handle(Event::Arrived(request))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: usize,
         outcome: Outcome,
         spent: Micros,
     ) -> Vec<Action> {
-        self.end_with(request, attempt, outcome, spent, |_| ())
+        self.end_attempt_with(request, attempt, outcome, spent, |_| ())
     }
 
     /// An end that bears more than its outcome.
-    pub fn end_with(
+    pub fn end_attempt_with(
         &mut self,
         request: RequestId,
         attempt: usize,
         outcome: Outcome,
         spent: Micros,
-        more: impl FnOnce(&mut AttemptEnded),
+        change: impl FnOnce(&mut AttemptEnded),
     ) -> Vec<Action> {
         let complete = outcome == Outcome::Answered;
         let mut ended = AttemptEnded {
@@ -184,31 +186,36 @@
             usage: None,
             report: None,
         };
-        more(&mut ended);
-        self.tell(Event::AttemptEnded(ended))
+        change(&mut ended);
+        self.handle(Event::AttemptEnded(ended))
     }
 
-    pub fn answer_with(
+    pub fn answer_with_usage(
         &mut self,
         request: RequestId,
         spent: Micros,
-        bill: ResourceUsage,
+        usage: ResourceUsage,
     ) -> Vec<Action> {
-        self.end_with(request, 0, Outcome::Answered, spent, |ended| {
-            ended.usage = Some(bill);
+        self.end_attempt_with(request, 0, Outcome::Answered, spent, |ended| {
+            ended.usage = Some(usage);
         })
     }
 
-    pub fn note(&mut self, request: RequestId, attempt: usize, note: Progress) -> Vec<Action> {
-        self.tell(Event::ProgressReported {
+    pub fn report_progress(
+        &mut self,
+        request: RequestId,
+        attempt: usize,
+        progress: Progress,
+    ) -> Vec<Action> {
+        self.handle(Event::ProgressReported {
             request,
             attempt,
-            progress: note,
+            progress,
         })
     }
 
     /// Lets time pass; gives all that the timers brought about.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let until = self.now + time;
         let mut all = Vec::new();
         while let Some(next) = self
@@ -223,7 +230,7 @@
             }
             let (at, tag) = self.timers.swap_remove(next);
             self.now = self.now.max(at);
-            all.extend(self.tell(Event::Timer { tag }));
+            all.extend(self.handle(Event::Timer { tag }));
         }
         self.now = self.now.max(until);
         all
@@ -240,7 +247,7 @@
     actions.iter().filter_map(pick).collect()
 }
 
-pub fn terms(actions: &[Action]) -> Vec<(RequestId, f64, u8)> {
+pub fn grants(actions: &[Action]) -> Vec<(RequestId, f64, u8)> {
     let pick = |action: &Action| match action {
         Action::Grant {
             request,
--- a/tests/rules.rs
+++ b/tests/constraints.rs
@@ -5,85 +5,85 @@
 use eideryard::interface::*;
 
 #[test]
-fn a_held_request_is_ended_before_its_clients_deadline() {
+fn queued_request_is_ended_before_its_clients_deadline() {
     let mut bench = Bench::new(settings(), &[]);
     let deadline = bench.now + 2 * S;
     let mut load = load(1, deadline);
     load.work = Some(1.0);
-    bench.take(load);
-    let early = bench.pass(S);
-    let actions = bench.pass(S - 1);
+    bench.request(load);
+    let early = bench.advance(S);
+    let actions = bench.advance(S - 1);
     let ends = refused(&early).len() + refused(&actions).len() + failed(&actions).len();
     assert_eq!(ends, 1, "one final answer: {actions:?}");
 }
 
 #[test]
-fn a_request_out_on_a_mute_engine_is_ended_once_and_nothing_is_sent_after() {
+fn request_on_a_silent_engine_is_ended_once_and_nothing_is_sent_after() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
     let deadline = bench.now + 4 * S;
-    assert_eq!(sent(&bench.take(lookup(1, deadline))), [(1, 1)]);
-    let actions = bench.pass(4 * S);
+    assert_eq!(sent(&bench.request(lookup(1, deadline))), [(1, 1)]);
+    let actions = bench.advance(4 * S);
     assert_eq!(refused(&actions), [1]);
-    assert!(sent(&bench.end(1, 0, Outcome::Cancelled, 4 * S)).is_empty());
-    assert!(refused(&bench.end(1, 0, Outcome::Cancelled, 4 * S)).is_empty());
+    assert!(sent(&bench.end_attempt(1, 0, Outcome::Cancelled, 4 * S)).is_empty());
+    assert!(refused(&bench.end_attempt(1, 0, Outcome::Cancelled, 4 * S)).is_empty());
 }
 
 #[test]
-fn events_for_requests_no_longer_held_are_passed_over() {
+fn events_for_unknown_requests_are_ignored() {
     let mut bench = Bench::new(settings(), &[ready(1)]);
-    bench.take(lookup(1, bench.now + 4 * S));
-    bench.end(1, 0, Outcome::Answered, 100 * MS);
-    assert!(bench.tell(Event::ClientLeft { request: 1 }).is_empty());
-    assert!(bench.end(1, 0, Outcome::Error, 1).is_empty());
+    bench.request(lookup(1, bench.now + 4 * S));
+    bench.end_attempt(1, 0, Outcome::Answered, 100 * MS);
+    assert!(bench.handle(Event::ClientLeft { request: 1 }).is_empty());
+    assert!(bench.end_attempt(1, 0, Outcome::Error, 1).is_empty());
 }
 
 fn unsafe_settings() -> Settings {
-    let mut set = settings();
-    set.classes[LOOKUP].effect = Effect::NonIdempotent;
-    set
+    let mut settings = settings();
+    settings.classes[LOOKUP].effect = Effect::NonIdempotent;
+    settings
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
+fn non_idempotent_request_that_may_have_run_fails_without_retry() {
     let mut bench = Bench::new(unsafe_settings(), &[ready(1), ready(2)]);
-    bench.take(lookup(1, bench.now + 4 * S));
-    let actions = bench.end(1, 0, Outcome::Broken, 10 * MS);
+    bench.request(lookup(1, bench.now + 4 * S));
+    let actions = bench.end_attempt(1, 0, Outcome::Broken, 10 * MS);
     assert!(sent(&actions).is_empty() && refused(&actions).is_empty());
     assert_eq!(failed(&actions), [1]);
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_is_sent_again() {
+fn non_idempotent_request_that_never_ran_is_retried() {
     let mut bench = Bench::new(unsafe_settings(), &[ready(1), ready(2)]);
-    bench.take(lookup(1, bench.now + 4 * S));
+    bench.request(lookup(1, bench.now + 4 * S));
     assert_eq!(
-        sent(&bench.end(1, 0, Outcome::NoConnection, 250 * MS)).len(),
+        sent(&bench.end_attempt(1, 0, Outcome::NoConnection, 250 * MS)).len(),
         1
     );
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_scope_and_its_window() {
-    let mut set = settings();
-    set.classes[LOAD].scope = Scope::Zone;
+fn keyed_request_is_retried_within_its_scope_and_window_only() {
+    let mut settings = settings();
+    settings.classes[LOAD].scope = Scope::Zone;
     let elsewhere = Endpoint {
         zone: 1,
         ..ready(2)
     };
-    let mut bench = Bench::new(set.clone(), &[ready(1)]);
-    bench.take(load(1, bench.now + 20 * S));
-    bench.tell(Event::EndpointSnapshot(vec![elsewhere]));
-    let actions = bench.end(1, 0, Outcome::Broken, 10 * MS);
+    let mut bench = Bench::new(settings.clone(), &[ready(1)]);
+    bench.request(load(1, bench.now + 20 * S));
+    bench.handle(Event::EndpointSnapshot(vec![elsewhere]));
+    let actions = bench.end_attempt(1, 0, Outcome::Broken, 10 * MS);
     assert!(
         sent(&actions).is_empty(),
         "another zone does not know the key"
     );
 
-    set.classes[LOAD].window = S;
-    let mut bench = Bench::new(set, &[ready(1)]);
-    bench.take(load(1, bench.now + 20 * S));
+    settings.classes[LOAD].window = S;
+    let mut bench = Bench::new(settings, &[ready(1)]);
+    bench.request(load(1, bench.now + 20 * S));
     bench.now += S;
-    let actions = bench.end(1, 0, Outcome::Broken, S);
+    let actions = bench.end_attempt(1, 0, Outcome::Broken, S);
     assert!(sent(&actions).is_empty(), "the window has passed");
     assert_eq!(
         failed(&actions),
@@ -93,33 +93,33 @@
 }
 
 #[test]
-fn never_two_attempts_at_once_where_copies_are_not_allowed() {
+fn never_two_attempts_at_once_where_hedging_is_not_allowed() {
     let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3)]);
-    bench.take(report(1, bench.now + 20 * S, 100.0));
-    bench.pass(600 * MS);
-    let actions = bench.note(1, 0, Progress::Share(0.001));
+    bench.request(report(1, bench.now + 20 * S, 100.0));
+    bench.advance(600 * MS);
+    let actions = bench.report_progress(1, 0, Progress::Share(0.001));
     assert_eq!(cancelled(&actions), [(1, 0)]);
     assert!(sent(&actions).is_empty(), "the first attempt is still out");
     assert_eq!(
-        sent(&bench.end(1, 0, Outcome::Cancelled, 600 * MS)).len(),
+        sent(&bench.end_attempt(1, 0, Outcome::Cancelled, 600 * MS)).len(),
         1
     );
 }
 
 #[test]
-fn attempts_end_at_the_most_allowed() {
-    let mut set = settings();
-    set.max_attempts = 2;
-    let mut bench = Bench::new(set, &[ready(1), ready(2)]);
-    bench.take(lookup(1, bench.now + 4 * S));
-    assert_eq!(sent(&bench.end(1, 0, Outcome::Error, MS)).len(), 1);
-    let actions = bench.end(1, 1, Outcome::Error, MS);
+fn attempts_stay_within_their_maximum() {
+    let mut settings = settings();
+    settings.max_attempts = 2;
+    let mut bench = Bench::new(settings, &[ready(1), ready(2)]);
+    bench.request(lookup(1, bench.now + 4 * S));
+    assert_eq!(sent(&bench.end_attempt(1, 0, Outcome::Error, MS)).len(), 1);
+    let actions = bench.end_attempt(1, 1, Outcome::Error, MS);
     assert!(sent(&actions).is_empty());
     assert_eq!(refused(&actions), [1]);
 }
 
 #[test]
-fn nothing_is_sent_to_an_engine_told_draining_gone_or_left_out_of_a_full_list() {
+fn nothing_is_sent_to_an_engine_that_drains_or_is_removed_or_missing_from_a_snapshot() {
     let draining = Endpoint {
         phase: Phase::Draining,
         ..ready(1)
@@ -134,17 +134,17 @@
         Event::EndpointSnapshot(vec![ready(2)]),
     ] {
         let mut bench = Bench::new(settings(), &[ready(1)]);
-        bench.tell(event);
-        let mut later = sent(&bench.take(lookup(1, bench.now + 4 * S)));
-        later.extend(sent(&bench.pass(3 * S)));
+        bench.handle(event);
+        let mut later = sent(&bench.request(lookup(1, bench.now + 4 * S)));
+        later.extend(sent(&bench.advance(3 * S)));
         assert!(later.iter().all(|&(_, engine)| engine != 1), "{later:?}");
     }
 }
 
-fn cold_work_sent(set: Settings) -> f64 {
+fn cold_work_sent(settings: Settings) -> f64 {
     let now = 1_000 * S;
     let mut bench = Bench::new(
-        set,
+        settings,
         &[Endpoint {
             booted_at: now,
             ..ready(1)
@@ -152,27 +152,30 @@
     );
     let mut count = 0;
     for id in 0..400 {
-        count += sent(&bench.take(lookup(id, bench.now + 4 * S))).len();
+        count += sent(&bench.request(lookup(id, bench.now + 4 * S))).len();
         bench.now += MS;
     }
     count as f64 * 0.1
 }
 
 #[test]
-fn a_cold_engine_gets_no_more_than_this_gateways_share_of_its_budget() {
-    let set = settings();
-    let budget = set.overload_multiple * set.start_capacity * set.kinds[0].cores;
-    let alone = cold_work_sent(set.clone());
+fn cold_engine_is_sent_no_more_than_this_gateways_share_of_its_budget() {
+    let settings = settings();
+    let budget = settings.overload_multiple * settings.start_capacity * settings.kinds[0].cores;
+    let alone = cold_work_sent(settings.clone());
     assert!(
         alone > 0.0 && alone <= budget,
         "{alone} of {budget} thread seconds"
     );
-    let three = cold_work_sent(Settings { peers: 3.0, ..set });
+    let three = cold_work_sent(Settings {
+        peers: 3.0,
+        ..settings
+    });
     assert!(three <= budget / 3.0, "{three}");
 }
 
 #[test]
-fn what_a_cold_engine_rejects_counts_as_well() {
+fn sends_that_a_cold_engine_rejects_count_in_its_budget() {
     let now = 1_000 * S;
     let mut bench = Bench::new(
         settings(),
@@ -183,18 +186,18 @@
     );
     let mut count = 0;
     for id in 0..400 {
-        if !sent(&bench.take(lookup(id, bench.now + 4 * S))).is_empty() {
+        if !sent(&bench.request(lookup(id, bench.now + 4 * S))).is_empty() {
             count += 1;
-            count += sent(&bench.end(id, 0, Outcome::AtCapacity, 1)).len();
+            count += sent(&bench.end_attempt(id, 0, Outcome::AtCapacity, 1)).len();
         }
     }
     assert!(count as f64 * 0.1 <= 2.0 * 0.3 * 8.0, "{count}");
 }
 
 fn ordered_settings() -> Settings {
-    let mut set = settings();
-    set.classes[LOOKUP].ordered = true;
-    set
+    let mut settings = settings();
+    settings.classes[LOOKUP].ordered = true;
+    settings
 }
 
 fn keyed(id: RequestId, deadline: Micros) -> Request {
@@ -208,55 +211,58 @@
 fn requests_of_one_key_run_one_at_a_time_in_order() {
     let mut bench = Bench::new(ordered_settings(), &[ready(1), ready(2)]);
     let deadline = bench.now + 4 * S;
-    assert_eq!(sent(&bench.take(keyed(1, deadline))).len(), 1);
-    assert!(sent(&bench.take(keyed(2, deadline))).is_empty());
+    assert_eq!(sent(&bench.request(keyed(1, deadline))).len(), 1);
+    assert!(sent(&bench.request(keyed(2, deadline))).is_empty());
     assert_eq!(
-        sent(&bench.take(lookup(3, deadline))).len(),
+        sent(&bench.request(lookup(3, deadline))).len(),
         1,
         "no key, no order"
     );
-    assert_eq!(sent(&bench.end(1, 0, Outcome::Answered, 100 * MS))[0].0, 2);
+    assert_eq!(
+        sent(&bench.end_attempt(1, 0, Outcome::Answered, 100 * MS))[0].0,
+        2
+    );
 }
 
 #[test]
-fn a_key_rests_after_an_attempt_that_may_still_run() {
+fn key_is_paused_after_an_attempt_that_may_still_run() {
     let mut bench = Bench::new(ordered_settings(), &[ready(1)]);
-    bench.take(keyed(1, bench.now + 500 * MS));
-    bench.take(Request {
+    bench.request(keyed(1, bench.now + 500 * MS));
+    bench.request(Request {
         work: Some(S as f64),
         ..keyed(2, bench.now + 4 * S)
     });
-    bench.pass(500 * MS);
-    assert!(sent(&bench.end(1, 0, Outcome::Cancelled, 500 * MS)).is_empty());
-    assert!(sent(&bench.pass(S)).is_empty(), "the pause is not over");
-    assert_eq!(sent(&bench.pass(100 * MS)).len(), 1);
+    bench.advance(500 * MS);
+    assert!(sent(&bench.end_attempt(1, 0, Outcome::Cancelled, 500 * MS)).is_empty());
+    assert!(sent(&bench.advance(S)).is_empty(), "the pause is not over");
+    assert_eq!(sent(&bench.advance(100 * MS)).len(), 1);
 }
 
 #[test]
 fn placement_holds_when_the_only_allowed_engine_is_down() {
-    let mut set = settings();
-    set.classes[LOOKUP].kinds_only = Some(vec![1]);
-    set.classes[REPORT].zones_only = Some(vec![2]);
-    let mut bench = Bench::new(set, &[ready(1)]);
-    let mut actions = bench.take(lookup(1, bench.now + 4 * S));
-    actions.extend(bench.take(report(2, bench.now + 20 * S, 10.0)));
-    actions.extend(bench.pass(20 * S));
+    let mut settings = settings();
+    settings.classes[LOOKUP].kinds_only = Some(vec![1]);
+    settings.classes[REPORT].zones_only = Some(vec![2]);
+    let mut bench = Bench::new(settings, &[ready(1)]);
+    let mut actions = bench.request(lookup(1, bench.now + 4 * S));
+    actions.extend(bench.request(report(2, bench.now + 20 * S, 10.0)));
+    actions.extend(bench.advance(20 * S));
     assert!(sent(&actions).is_empty());
 }
 
 #[test]
-fn further_attempts_stay_within_their_budget() {
-    let mut set = settings();
-    set.attempt_budget = Some(AttemptBudget {
+fn retries_stay_within_their_budget() {
+    let mut settings = settings();
+    settings.attempt_budget = Some(AttemptBudget {
         span: 10 * S,
         ratio: 0.1,
         spare: 2.0,
     });
-    let mut bench = Bench::new(set, &[ready(1), ready(2)]);
+    let mut bench = Bench::new(settings, &[ready(1), ready(2)]);
     let mut further = 0;
     for id in 0..30 {
-        bench.take(lookup(id, bench.now + 4 * S));
-        further += sent(&bench.end(id, 0, Outcome::AtCapacity, MS)).len();
+        bench.request(lookup(id, bench.now + 4 * S));
+        further += sent(&bench.end_attempt(id, 0, Outcome::AtCapacity, MS)).len();
         bench.now += 10 * MS;
     }
     assert!(
@@ -268,7 +274,7 @@
 /// What an earlier life learned counts for less with age, and nothing of it for another process of
 /// an engine.
 #[test]
-fn lessons_of_an_earlier_life_are_doubted_by_their_age_and_void_for_another_process() {
+fn checkpoint_loses_weight_with_age_and_is_dropped_for_another_process() {
     let taught = |age, booted_at| {
         let engines = [
             Endpoint {
@@ -293,7 +299,7 @@
             bad: 0.4,
             foreign_load: 0.0,
         };
-        bench.tell(Event::CheckpointRestored {
+        bench.handle(Event::CheckpointRestored {
             learned: LearnedState {
                 classes,
                 engines: vec![lesson],
@@ -301,7 +307,7 @@
             },
             age,
         });
-        bench.gateway.learned_state()
+        bench.balancer.learned_state()
     };
     let (now, later, old) = (taught(0, 5), taught(60 * S, 5), taught(3600 * S, 5));
     let ratio = |lessons: &LearnedState| (lessons.classes[0].work_ratio, lessons.engines[0].bad);
--- a/tests/arcs.rs
+++ b/tests/subsetting.rs
@@ -10,11 +10,14 @@
 
 /// Queries take up to four threads of engines with twelve cores; nothing tells of load.
 fn silent(index: u32) -> Settings {
-    let mut set = settings();
-    (set.counts_by_probe, set.peers, set.index) = (false, GATEWAYS as f64, Some(index as f64));
-    set.kinds.iter_mut().for_each(|kind| kind.cores = 12.0);
-    set.classes[REPORT].threads = 4.0;
-    set
+    let mut settings = settings();
+    (settings.counts_by_probe, settings.peers, settings.index) =
+        (false, GATEWAYS as f64, Some(index as f64));
+    for kind in &mut settings.kinds {
+        kind.cores = 12.0;
+    }
+    settings.classes[REPORT].threads = 4.0;
+    settings
 }
 
 fn fleet() -> Vec<Endpoint> {
@@ -22,8 +25,8 @@
 }
 
 /// The engines that a gateway spreads a crowd of look-ups over.
-fn used(set: Settings, engines: &[Endpoint]) -> BTreeSet<EngineId> {
-    let mut bench = Bench::new(set, engines);
+fn used(settings: Settings, engines: &[Endpoint]) -> BTreeSet<EngineId> {
+    let mut bench = Bench::new(settings, engines);
     let mut used = BTreeSet::new();
     for id in 0..40 {
         let deadline = bench.now + 4 * S;
@@ -32,7 +35,7 @@
             ..lookup(id, deadline)
         };
         used.extend(
-            sent(&bench.take(asked))
+            sent(&bench.request(asked))
                 .into_iter()
                 .map(|(_, engine)| engine),
         );
@@ -41,7 +44,7 @@
 }
 
 #[test]
-fn arcs_cover_all_engines_and_none_is_shared_by_more_than_a_query_each_has_room_for() {
+fn subsets_cover_all_engines_and_leave_each_gateway_room_for_a_query() {
     let mut gateways: BTreeMap<EngineId, u32> = BTreeMap::new();
     for index in 0..GATEWAYS {
         let own = used(silent(index), &fleet());
@@ -50,7 +53,7 @@
             "gateway {index} spreads over {} engines",
             own.len()
         );
-        for engine in own.into_iter() {
+        for engine in own {
             *gateways.entry(engine).or_default() += 1;
         }
     }
@@ -64,7 +67,7 @@
 }
 
 #[test]
-fn the_next_engine_of_the_ring_stands_in_for_one_that_is_closed() {
+fn next_engine_on_the_ring_replaces_a_removed_one() {
     let before = used(silent(0), &fleet());
     let gone = *before.first().unwrap();
     let left: Vec<Endpoint> = fleet()
@@ -81,13 +84,13 @@
 }
 
 #[test]
-fn with_counts_from_probes_or_too_few_engines_for_arcs_all_engines_are_in_use() {
-    let far = |set: Settings, engines: &[Endpoint]| {
+fn all_engines_are_used_with_counts_from_probes_or_too_few_engines_for_subsets() {
+    let far = |settings: Settings, engines: &[Endpoint]| {
         let mut asked = BTreeSet::new();
         for id in 0..60 {
-            let mut bench = Bench::new(set.clone(), engines);
+            let mut bench = Bench::new(settings.clone(), engines);
             let deadline = bench.now + 4 * S;
-            let actions = bench.take(Request {
+            let actions = bench.request(Request {
                 group: id,
                 ..lookup(id, deadline)
             });
@@ -113,26 +116,27 @@
 /// Engines take one to three times the ideal time, as chance has it, and are far from full. What a
 /// gateway holds of an engine must not rest on a single slow answer that it then never checks.
 #[test]
-fn a_quiet_day_without_reports_is_served() {
+fn low_load_without_reports_is_served() {
     let mut bench = Bench::new(silent(3), &fleet());
-    let (mut out, mut turned_away): (Vec<(Micros, RequestId, Micros)>, usize) = Default::default();
+    let (mut out, mut refused_count): (Vec<(Micros, RequestId, Micros)>, usize) =
+        Default::default();
     for id in 0..600 {
         let until = bench.now + 100 * MS;
         out.sort_unstable();
         while out.first().is_some_and(|own| own.0 <= until) {
             let (at, id, spent) = out.remove(0);
             let wait = at.saturating_sub(bench.now);
-            turned_away += refused(&bench.pass(wait)).len();
-            bench.end(id, 0, Outcome::Answered, spent);
+            refused_count += refused(&bench.advance(wait)).len();
+            bench.end_attempt(id, 0, Outcome::Answered, spent);
         }
         let wait = until - bench.now;
-        turned_away += refused(&bench.pass(wait)).len();
+        refused_count += refused(&bench.advance(wait)).len();
         let deadline = bench.now + 4 * S;
-        let actions = bench.take(Request {
+        let actions = bench.request(Request {
             group: id % 50,
             ..lookup(id, deadline)
         });
-        turned_away += refused(&actions).len();
+        refused_count += refused(&actions).len();
         let spent = 100 * MS * (1 + id * 7 % 3);
         out.extend(
             sent(&actions)
@@ -140,20 +144,20 @@
                 .map(|(id, _)| (bench.now + spent, id, spent)),
         );
     }
-    assert!(turned_away < 30, "{turned_away} of 600 turned away");
+    assert!(refused_count < 30, "{refused_count} of 600 turned away");
 }
 
 /// Look-ups run at the highest rank: a report that fills this gateway's share of its engines must
 /// not keep them.
 #[test]
-fn look_ups_are_not_kept_behind_reports_unless_the_engine_jams() {
+fn dashboards_are_not_held_behind_reports_unless_the_engine_is_jammed() {
     let fits = |may_cancel: bool, spent: Micros| {
-        let set = Settings {
+        let settings = Settings {
             may_cancel,
             peers: 4.0,
             ..silent(0)
         };
-        let mut bench = Bench::new(set, &[ready(1)]);
+        let mut bench = Bench::new(settings, &[ready(1)]);
         for id in 0..2 {
             let deadline = bench.now + 20 * S;
             let asked = if id == 0 {
@@ -161,16 +165,16 @@
             } else {
                 report(id, deadline, 100.0)
             };
-            bench.take(asked);
-            bench.pass(spent);
-            bench.end(id, 0, Outcome::Answered, spent);
+            bench.request(asked);
+            bench.advance(spent);
+            bench.end_attempt(id, 0, Outcome::Answered, spent);
         }
         for id in 2..5 {
             let deadline = bench.now + 20 * S;
-            bench.take(report(id, deadline, 100.0));
+            bench.request(report(id, deadline, 100.0));
         }
         let deadline = bench.now + 4 * S;
-        !sent(&bench.take(lookup(9, deadline))).is_empty()
+        !sent(&bench.request(lookup(9, deadline))).is_empty()
     };
     assert!(fits(true, 100 * MS), "kept behind reports");
     assert!(fits(false, 100 * MS), "kept behind reports");
--- a/tests/visits.rs
+++ b/tests/visits.rs
@@ -12,35 +12,35 @@
 const ALIKE: f64 = 1.25;
 
 fn bench(engines: u32, peers: f64) -> Bench {
-    let mut set = settings();
-    (set.counts_by_probe, set.peers, set.index) = (false, peers, Some(1.0));
+    let mut settings = settings();
+    (settings.counts_by_probe, settings.peers, settings.index) = (false, peers, Some(1.0));
     let all: Vec<Endpoint> = (1..=engines).map(ready).collect();
-    Bench::new(set, &all)
+    Bench::new(settings, &all)
 }
 
 /// Visits a request while engines answer, and while none does and requests wait and are shed.
 fn visits(engines: u32, peers: f64) -> [f64; 2] {
     let mut bench = bench(engines, peers);
     let mut counted = |answered: bool| {
-        let before = bench.gateway.engine_visits();
+        let before = bench.balancer.engine_visits();
         for number in 0..REQUESTS {
             let id = number + if answered { 0 } else { REQUESTS };
-            let actions = bench.take(Request {
+            let actions = bench.request(Request {
                 group: id,
                 ..lookup(id, bench.now + 4 * S)
             });
-            bench.pass(10 * MS);
+            bench.advance(10 * MS);
             for (request, _) in sent(&actions).into_iter().filter(|_| answered) {
-                bench.end(request, 0, Outcome::Answered, 10 * MS);
+                bench.end_attempt(request, 0, Outcome::Answered, 10 * MS);
             }
         }
-        (bench.gateway.engine_visits() - before) as f64 / REQUESTS as f64
+        (bench.balancer.engine_visits() - before) as f64 / REQUESTS as f64
     };
     [counted(true), counted(false)]
 }
 
 #[test]
-fn a_decision_visits_as_many_engines_in_a_fleet_of_any_size() {
+fn decision_visits_as_many_engines_in_a_fleet_of_any_size() {
     let counted = FLEETS.map(|(engines, peers)| visits(engines, peers));
     for (phase, name) in ["answered", "held"].iter().enumerate() {
         let least = counted
@@ -57,15 +57,15 @@
 fn a_change_of_the_list_visits_the_engines_that_it_names() {
     let counted = FLEETS.map(|(engines, peers)| {
         let mut bench = bench(engines, peers);
-        let before = bench.gateway.engine_visits();
+        let before = bench.balancer.engine_visits();
         for engine in 1..=20 {
             let entry = Endpoint {
                 phase: Phase::Draining,
                 ..ready(engine)
             };
-            bench.tell(Event::EndpointChanges(vec![entry]));
+            bench.handle(Event::EndpointChanges(vec![entry]));
         }
-        bench.gateway.engine_visits() - before
+        bench.balancer.engine_visits() - before
     });
     let least = counted.iter().min().copied().unwrap_or(0);
     assert!(
