--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -21,7 +21,7 @@
 /// Step by which an outcome without pressure widens the bounds.
 const BOUND_STEP: f64 = 0.01;
 /// Steps by which an outcome under pressure cuts the bounds.
-pub(super) const BOUND_CUT_STEPS: f64 = 4.0;
+const BOUND_CUT_STEPS: f64 = 4.0;
 
 impl EngineState {
     /// Whether the engine's bounds apply.
--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -9,6 +9,7 @@
 use common::*;
 use eideryard::interface::*;
 use rule_checker::RuleChecker;
+use std::collections::VecDeque;
 
 const NON_IDEMPOTENT: usize = 3;
 const SEEDS: u64 = 150;
@@ -41,185 +42,208 @@
     settings
 }
 
-/// One day of a gateway: what it took, how its attempts ended, in an order that chance has chosen.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, told from its beginning to its end"
-)]
-fn play(seed: u64) -> RuleChecker {
-    let mut rng = fastrand::Rng::with_seed(seed);
-    let settings = random_settings(&mut rng);
-    let engines: Vec<Endpoint> = (1..=rng.u32(2..12)).map(ready).collect();
-    let mut bench = Bench::seeded(settings.clone(), seed, &engines);
-    let mut checker = RuleChecker::new(settings);
-    let mut scenario = Scenario {
-        late_share: [0.0, 0.5][rng.usize(..2)],
-        in_flight: Vec::new(),
-        held_back: Vec::new(),
-        rng: rng.fork(),
-    };
-    let failure_rate = rng.f64();
-    for id in 0..250 {
-        let (now, class) = (bench.now, rng.usize(..4));
-        let deadline = now
-            + if rng.bool() {
-                rng.u64(S..20 * S)
-            } else {
-                100 * MS
-            };
-        let key = (class == LOAD).then(|| format!("k{}", rng.u32(..4)));
-        let mut actions = match rng.u32(..20) {
-            0 => {
-                let request = rng.u64(..id + 1);
-                if let Some(observed) = checker.requests.get_mut(&request) {
-                    observed.has_ended = true;
-                }
-                bench.handle(Event::ClientLeft { request })
-            }
-            1 => {
-                let mut entry = engines[rng.usize(..engines.len())];
-                entry.phase = [Phase::Ready, Phase::Draining, Phase::Removed][rng.usize(..3)];
-                match entry.phase {
-                    Phase::Ready => checker.closed_engines.remove(&entry.engine),
-                    _ => checker.closed_engines.insert(entry.engine),
-                };
-                bench.handle(Event::EndpointChanges(vec![entry]))
-            }
-            2..=9 if !scenario.in_flight.is_empty() => {
-                let (request, attempt) = scenario
-                    .in_flight
-                    .swap_remove(rng.usize(..scenario.in_flight.len()));
-                let bad = [
-                    Outcome::Error,
-                    Outcome::AtCapacity,
-                    Outcome::TimedOut,
-                    Outcome::NoConnection,
-                ];
-                let outcome = if rng.f64() < failure_rate {
-                    bad.into_iter()
-                        .chain([Outcome::Broken])
-                        .nth(rng.usize(..5))
-                        .unwrap()
-                } else {
-                    Outcome::Answered
-                };
-                finish(&mut bench, &mut checker, (request, attempt), outcome)
+/// Requests of one scenario.
+const REQUESTS: u64 = 250;
+const FAILURES: [Outcome; 5] = [
+    Outcome::Error,
+    Outcome::AtCapacity,
+    Outcome::TimedOut,
+    Outcome::NoConnection,
+    Outcome::Broken,
+];
+
+/// Number of a request and of its attempt.
+type AttemptKey = (RequestId, usize);
+
+/// A gateway with random settings and random events, and what is in flight.
+struct Scenario {
+    rng: fastrand::Rng,
+    /// Draws what concerns the first bytes of attempts.
+    dial_rng: fastrand::Rng,
+    bench: Bench,
+    checker: RuleChecker,
+    engines: Vec<Endpoint>,
+    /// Share of attempts that end in a failure.
+    failure_rate: f64,
+    /// Share of attempts whose first byte is held back, as by a slow dial.
+    late_share: f64,
+    in_flight: Vec<AttemptKey>,
+    held_back: Vec<AttemptKey>,
+}
+
+impl Scenario {
+    fn new(seed: u64) -> Self {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let settings = random_settings(&mut rng);
+        let engines: Vec<Endpoint> = (1..=rng.u32(2..12)).map(ready).collect();
+        let late_share = [0.0, 0.5][rng.usize(..2)];
+        let dial_rng = rng.fork();
+        let failure_rate = rng.f64();
+        Scenario {
+            rng,
+            dial_rng,
+            bench: Bench::seeded(settings.clone(), seed, &engines),
+            checker: RuleChecker::new(settings),
+            engines,
+            failure_rate,
+            late_share,
+            in_flight: Vec::new(),
+            held_back: Vec::new(),
+        }
+    }
+
+    /// Plays a scenario to its end.
+    fn play(seed: u64) -> RuleChecker {
+        let mut scenario = Scenario::new(seed);
+        for id in 0..REQUESTS {
+            let actions = scenario.random_event(id);
+            scenario.apply_actions(actions);
+            // In small steps, so that what timers lead to is checked at its own time.
+            for _ in 0..scenario.rng.u32(..40) {
+                let actions = scenario.bench.advance(5 * MS);
+                scenario.apply_actions(actions);
             }
-            10..=12 if !scenario.held_back.is_empty() => {
-                let of = scenario
-                    .held_back
-                    .swap_remove(scenario.rng.usize(..scenario.held_back.len()));
-                scenario.begin_attempt(&mut bench, &mut checker, of)
+        }
+        scenario.checker
+    }
+
+    fn random_event(&mut self, id: RequestId) -> Vec<Action> {
+        let request = self.random_request(id);
+        match self.rng.u32(..20) {
+            0 => self.disconnect_client(id),
+            1 => self.change_endpoint(),
+            2..=9 if !self.in_flight.is_empty() => self.end_random_attempt(),
+            10..=12 if !self.held_back.is_empty() => {
+                let index = self.dial_rng.usize(..self.held_back.len());
+                let attempt = self.held_back.swap_remove(index);
+                self.begin_attempt(attempt)
             }
             _ => {
-                let asked = Request {
-                    class,
-                    key,
-                    group: rng.u64(..30),
-                    ..lookup(id, deadline)
+                let request = Request {
+                    group: self.rng.u64(..30),
+                    ..request
                 };
-                checker.on_request(now, &asked);
-                bench.request(asked)
+                self.checker.on_request(self.bench.now, &request);
+                self.bench.request(request)
             }
+        }
+    }
+
+    fn random_request(&mut self, id: RequestId) -> Request {
+        let class = self.rng.usize(..4);
+        let wait = if self.rng.bool() {
+            self.rng.u64(S..20 * S)
+        } else {
+            100 * MS
         };
-        apply_actions(&mut bench, &mut checker, &mut scenario, &mut actions);
-        // In small steps, so that what timers bring about is judged at its own time.
-        for _ in 0..rng.u32(..40) {
-            let mut actions = bench.advance(5 * MS);
-            apply_actions(&mut bench, &mut checker, &mut scenario, &mut actions);
+        let key = (class == LOAD).then(|| format!("k{}", self.rng.u32(..4)));
+        Request {
+            class,
+            key,
+            ..lookup(id, self.bench.now + wait)
         }
     }
-    checker
-}
 
-/// What is out, and what has no byte out yet since its dial isn't up.
-struct Scenario {
-    late_share: f64,
-    in_flight: Vec<(RequestId, usize)>,
-    held_back: Vec<(RequestId, usize)>,
-    rng: fastrand::Rng,
-}
+    fn disconnect_client(&mut self, last_id: RequestId) -> Vec<Action> {
+        let request = self.rng.u64(..last_id + 1);
+        if let Some(observed) = self.checker.requests.get_mut(&request) {
+            observed.has_ended = true;
+        }
+        self.bench.handle(Event::ClientLeft { request })
+    }
 
-impl Scenario {
-    /// The dial is up: the module is asked, and told where it says no.
-    fn begin_attempt(
-        &mut self,
-        bench: &mut Bench,
-        checker: &mut RuleChecker,
-        of: (RequestId, usize),
-    ) -> Vec<Action> {
-        if !bench.balancer.may_begin(bench.now, of.0, of.1) {
-            return finish(bench, checker, of, Outcome::NotSent);
+    fn change_endpoint(&mut self) -> Vec<Action> {
+        let mut endpoint = self.engines[self.rng.usize(..self.engines.len())];
+        endpoint.phase = [Phase::Ready, Phase::Draining, Phase::Removed][self.rng.usize(..3)];
+        if endpoint.phase == Phase::Ready {
+            self.checker.closed_engines.remove(&endpoint.engine);
+        } else {
+            self.checker.closed_engines.insert(endpoint.engine);
         }
-        checker.on_first_byte(bench.now, of);
-        self.in_flight.push(of);
+        self.bench.handle(Event::EndpointChanges(vec![endpoint]))
+    }
+
+    fn end_random_attempt(&mut self) -> Vec<Action> {
+        let index = self.rng.usize(..self.in_flight.len());
+        let attempt = self.in_flight.swap_remove(index);
+        let outcome = if self.rng.f64() < self.failure_rate {
+            FAILURES[self.rng.usize(..FAILURES.len())]
+        } else {
+            Outcome::Answered
+        };
+        self.end_attempt(attempt, outcome)
+    }
+
+    /// The first byte of an attempt may go out: asks the balancer, which may withdraw the attempt.
+    fn begin_attempt(&mut self, attempt: AttemptKey) -> Vec<Action> {
+        let (request, number) = attempt;
+        let now = self.bench.now;
+        if !self.bench.balancer.may_begin(now, request, number) {
+            return self.end_attempt(attempt, Outcome::NotSent);
+        }
+        self.checker.on_first_byte(now, attempt);
+        self.in_flight.push(attempt);
         Vec::new()
     }
-}
 
-fn finish(
-    bench: &mut Bench,
-    checker: &mut RuleChecker,
-    of: (RequestId, usize),
-    outcome: Outcome,
-) -> Vec<Action> {
-    let complete = outcome == Outcome::Answered || checker.requests[&of.0].has_ended;
-    let now = bench.now;
-    bench.end_attempt_with(of.0, of.1, outcome, S, |ended| {
-        ended.complete = complete;
-        checker.on_attempt_ended(now, ended);
-    })
-}
+    fn end_attempt(&mut self, attempt: AttemptKey, outcome: Outcome) -> Vec<Action> {
+        let (request, number) = attempt;
+        let checker = &mut self.checker;
+        let complete = outcome == Outcome::Answered || checker.requests[&request].has_ended;
+        let now = self.bench.now;
+        self.bench
+            .end_attempt_with(request, number, outcome, S, |ended| {
+                ended.complete = complete;
+                checker.on_attempt_ended(now, ended);
+            })
+    }
 
-/// Judges actions in their order; a cancel is heeded at once, a probe finds an idle engine.
-fn apply_actions(
-    bench: &mut Bench,
-    checker: &mut RuleChecker,
-    scenario: &mut Scenario,
-    actions: &mut Vec<Action>,
-) {
-    while !actions.is_empty() {
-        let action = actions.remove(0);
-        checker.on_action(bench.now, &action);
-        match action {
+    /// Checks actions in their order and carries them out; what they lead to comes after them.
+    fn apply_actions(&mut self, actions: Vec<Action>) {
+        let mut pending = VecDeque::from(actions);
+        while let Some(action) = pending.pop_front() {
+            self.checker.on_action(self.bench.now, &action);
+            pending.extend(self.apply_action(&action));
+        }
+    }
+
+    /// A cancel is heeded at once; a probe finds an idle engine.
+    fn apply_action(&mut self, action: &Action) -> Vec<Action> {
+        match *action {
             Action::Send { request, .. } => {
-                let of = (request, checker.requests[&request].attempts.len() - 1);
-                if scenario.rng.f64() < scenario.late_share {
-                    scenario.held_back.push(of);
+                let attempt = (request, self.checker.requests[&request].attempts.len() - 1);
+                if self.dial_rng.f64() < self.late_share {
+                    self.held_back.push(attempt);
+                    Vec::new()
                 } else {
-                    actions.extend(scenario.begin_attempt(bench, checker, of));
+                    self.begin_attempt(attempt)
                 }
             }
-            Action::Cancel { request, attempt }
-                if scenario.in_flight.contains(&(request, attempt)) =>
-            {
-                scenario.in_flight.retain(|own| *own != (request, attempt));
-                actions.extend(finish(
-                    bench,
-                    checker,
-                    (request, attempt),
-                    Outcome::Cancelled,
-                ));
-            }
-            Action::Cancel { request, attempt }
-                if scenario.held_back.contains(&(request, attempt)) =>
-            {
-                scenario.held_back.retain(|own| *own != (request, attempt));
-                actions.extend(finish(bench, checker, (request, attempt), Outcome::NotSent));
-            }
+            Action::Cancel { request, attempt } => self.cancel_attempt((request, attempt)),
             Action::Probe { engine } => {
-                let report = Some(LoadReport {
+                let report = LoadReport {
                     in_flight: Some(1.0),
                     ..LoadReport::default()
-                });
-                let probed = Probed {
+                };
+                self.bench.handle(Event::Probed(Probed {
                     engine,
                     outcome: Outcome::Answered,
-                    report,
-                };
-                actions.extend(bench.handle(Event::Probed(probed)));
+                    report: Some(report),
+                }))
             }
-            _ => {}
+            _ => Vec::new(),
+        }
+    }
+
+    fn cancel_attempt(&mut self, attempt: AttemptKey) -> Vec<Action> {
+        if self.in_flight.contains(&attempt) {
+            self.in_flight.retain(|other| *other != attempt);
+            self.end_attempt(attempt, Outcome::Cancelled)
+        } else if self.held_back.contains(&attempt) {
+            self.held_back.retain(|other| *other != attempt);
+            self.end_attempt(attempt, Outcome::NotSent)
+        } else {
+            Vec::new()
         }
     }
 }
@@ -228,7 +252,7 @@
 fn order_budget_and_effects_are_kept_in_random_scenarios() {
     let (mut sends, mut retries) = (0, 0);
     for seed in 0..SEEDS {
-        let checker = play(seed);
+        let checker = Scenario::play(seed);
         assert!(
             checker.violations.is_empty(),
             "seed {seed}: {:?}",
@@ -247,28 +271,22 @@
     );
 }
 
-/// The judge objects to what breaks each rule.
-#[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, told from its beginning to its end"
-)]
-fn rule_checker_finds_planted_violations() {
-    let send = |request| Action::Send {
+/// What a planted scenario does after the first request was sent and has begun.
+#[derive(Clone, Copy, Debug)]
+enum NextAction {
+    Send(RequestId),
+    Refuse,
+}
+
+fn send(request: RequestId) -> Action {
+    Action::Send {
         request,
         engine: 1,
         attempt_deadline: 0,
-    };
-    let ended = |request, outcome| AttemptEnded {
-        request,
-        attempt: 0,
-        outcome,
-        spent: 0,
-        complete: false,
-        already_reported: false,
-        usage: None,
-        report: None,
-    };
+    }
+}
+
+fn strict_settings() -> Settings {
     let mut settings = settings();
     settings.classes.push(class(Effect::NonIdempotent, S, 1.0));
     settings.classes[LOAD].ordered = true;
@@ -277,82 +295,120 @@
         ratio: 0.0,
         spare: 0.0,
     });
-    let planted = |class: usize, second: RequestId, outcome: Option<Outcome>, refused: bool| {
-        let mut checker = RuleChecker::new(settings.clone());
-        let key = (class == LOAD).then(|| "k".to_string());
-        for id in 1..=2 {
-            checker.on_request(
-                S,
-                &Request {
-                    class,
-                    key: key.clone(),
-                    ..lookup(id, 9 * S)
-                },
-            );
-        }
-        checker.on_action(S, &send(1));
-        checker.on_first_byte(S, (1, 0));
-        if let Some(outcome) = outcome {
-            checker.on_attempt_ended(S, &ended(1, outcome));
-        }
-        let next = if refused {
-            Action::Refuse {
+    settings
+}
+
+/// Violations found in two requests of a class, of which the first ends with `outcome` if any.
+fn planted_violations(class: usize, outcome: Option<Outcome>, next: NextAction) -> Vec<String> {
+    let mut checker = RuleChecker::new(strict_settings());
+    let key = (class == LOAD).then(|| "k".to_string());
+    for id in 1..=2 {
+        let request = Request {
+            class,
+            key: key.clone(),
+            ..lookup(id, 9 * S)
+        };
+        checker.on_request(S, &request);
+    }
+    checker.on_action(S, &send(1));
+    checker.on_first_byte(S, (1, 0));
+    if let Some(outcome) = outcome {
+        let ended = AttemptEnded {
+            request: 1,
+            attempt: 0,
+            outcome,
+            spent: 0,
+            complete: false,
+            already_reported: false,
+            usage: None,
+            report: None,
+        };
+        checker.on_attempt_ended(S, &ended);
+    }
+    match next {
+        NextAction::Refuse => {
+            let refusal = Action::Refuse {
                 request: 1,
                 retry_after: 0,
-            }
-        } else {
-            send(second)
-        };
-        checker.on_action(S, &next);
-        if !refused {
-            checker.on_first_byte(S, (second, (second == 1) as usize));
+            };
+            checker.on_action(S, &refusal);
+        }
+        NextAction::Send(request) => {
+            checker.on_action(S, &send(request));
+            let attempt = usize::from(request == 1);
+            checker.on_first_byte(S, (request, attempt));
         }
-        checker.violations
-    };
-    assert!(planted(LOOKUP, 2, None, false).is_empty());
-    for (class, second, outcome, refused) in [
-        (LOOKUP, 1, None, false),                            // two attempts are out
-        (LOOKUP, 1, Some(Outcome::AtCapacity), false),       // the budget has nothing to spare
-        (NON_IDEMPOTENT, 1, Some(Outcome::TimedOut), false), // an effect may come twice
-        (NON_IDEMPOTENT, 1, Some(Outcome::Broken), true),    // and its client is told to come again
-        (LOAD, 2, None, false),                              // the one before of its key is out
-        (LOAD, 2, Some(Outcome::TimedOut), false),           // and may run still
+    }
+    checker.violations
+}
+
+#[test]
+fn rule_checker_finds_planted_violations() {
+    use NextAction::{Refuse, Send};
+    assert!(planted_violations(LOOKUP, None, Send(2)).is_empty());
+    for (class, outcome, next) in [
+        // Two attempts are in flight.
+        (LOOKUP, None, Send(1)),
+        // The retry budget has nothing to spare.
+        (LOOKUP, Some(Outcome::AtCapacity), Send(1)),
+        // An effect may come twice.
+        (NON_IDEMPOTENT, Some(Outcome::TimedOut), Send(1)),
+        // The client is told that it may retry.
+        (NON_IDEMPOTENT, Some(Outcome::Broken), Refuse),
+        // The earlier request of its key is in flight.
+        (LOAD, None, Send(2)),
+        // The earlier request of its key may still run.
+        (LOAD, Some(Outcome::TimedOut), Send(2)),
     ] {
         assert!(
-            !planted(class, second, outcome, refused).is_empty(),
-            "{class} {second} {outcome:?}"
+            !planted_violations(class, outcome, next).is_empty(),
+            "{class} {outcome:?} {next:?}"
         );
     }
-    // What has changed before the first byte: the client left, the engine drains, the key's window
-    // is over.
-    let changes: [fn(&mut RuleChecker); 3] = [
-        |checker| checker.requests.get_mut(&1).unwrap().has_ended = true,
-        |checker| {
-            checker.closed_engines.insert(1);
-        },
-        |checker| {
-            let observed = checker.requests.get_mut(&1).unwrap();
-            (observed.class, observed.attempts, observed.first_bytes) =
-                (LOAD, vec![Some(Outcome::Broken)], vec![Some(0)]);
-        },
-    ];
-    for (number, change) in changes.into_iter().enumerate() {
-        let mut checker = RuleChecker::new(Settings {
-            attempt_budget: None,
-            ..settings.clone()
-        });
-        checker.on_request(S, &lookup(1, 90 * S));
-        if number == 2 {
-            change(&mut checker);
-            checker.requests.get_mut(&1).unwrap().engines.push(1);
-        }
-        checker.on_action(11 * S, &send(1));
-        if number < 2 {
-            change(&mut checker);
-        }
-        assert!(checker.violations.is_empty());
-        let last = checker.requests[&1].attempts.len() - 1;
-        checker.on_first_byte(11 * S, (1, last));
-        assert!(!checker.violations.is_empty(), "change {number}");
-    }
+}
+
+/// A checker that knows of one request without key or budget.
+fn checker_of_one_request() -> RuleChecker {
+    let mut checker = RuleChecker::new(Settings {
+        attempt_budget: None,
+        ..strict_settings()
+    });
+    checker.on_request(S, &lookup(1, 90 * S));
+    checker
+}
+
+/// The latest attempt of the request begins; it must be the first violation.
+fn assert_first_byte_is_a_violation(mut checker: RuleChecker) {
+    assert!(checker.violations.is_empty());
+    let last = checker.requests[&1].attempts.len() - 1;
+    checker.on_first_byte(11 * S, (1, last));
+    assert!(!checker.violations.is_empty());
+}
+
+#[test]
+fn rule_checker_finds_a_first_byte_after_the_client_left() {
+    let mut checker = checker_of_one_request();
+    checker.on_action(11 * S, &send(1));
+    checker.requests.get_mut(&1).unwrap().has_ended = true;
+    assert_first_byte_is_a_violation(checker);
+}
+
+#[test]
+fn rule_checker_finds_a_first_byte_to_a_closed_engine() {
+    let mut checker = checker_of_one_request();
+    checker.on_action(11 * S, &send(1));
+    checker.closed_engines.insert(1);
+    assert_first_byte_is_a_violation(checker);
+}
+
+#[test]
+fn rule_checker_finds_a_first_byte_after_the_keys_window() {
+    let mut checker = checker_of_one_request();
+    let observed = checker.requests.get_mut(&1).unwrap();
+    observed.class = LOAD;
+    observed.attempts = vec![Some(Outcome::Broken)];
+    observed.first_bytes = vec![Some(0)];
+    observed.engines.push(1);
+    checker.on_action(11 * S, &send(1));
+    assert_first_byte_is_a_violation(checker);
 }
