--- a/crates/background-scheduler/benches/deadlines.rs
+++ b/crates/background-scheduler/benches/deadlines.rs
@@ -30,7 +30,7 @@
         .bench_local(|| {
             for _ in 0..OPERATIONS {
                 let place = rng.usize(0..size);
-                wheel.take_back(timers[place]);
+                wheel.cancel(timers[place]);
                 timers[place] = wheel.set(rng.u64(0..MINUTE), place);
             }
         });
@@ -73,7 +73,7 @@
         .bench_local_values(|mut wheel| {
             let mut fired = 0;
             for look in 0..=MINUTE / 4000 + 1 {
-                while wheel.due(look * 4000).is_some() {
+                while wheel.pop_expired(look * 4000).is_some() {
                     fired += 1;
                 }
             }
--- a/crates/background-scheduler/src/lib.rs
+++ b/crates/background-scheduler/src/lib.rs
@@ -1,11 +1,20 @@
-//! Work that may wait, done a little at a time so that what may not wait never does.
+//! Work that may wait, done a little at a time so that urgent work never does.
 //!
-//! [`scheduler`] says what is done next, by priority, within a budget of time for each look at the
-//! sockets and of bytes for each second. [`wheel`] holds deadlines in a hierarchical timing wheel:
-//! setting and taking back one costs the same however many there are. Both are pure: the time is an
-//! argument, the host does the work.
-
-#![expect(missing_docs, reason = "public items are still to be described")]
+//! [`Scheduler`] chooses the next job by priority, within a budget of time for each round of the
+//! event loop and of bytes for each second. [`Wheel`] holds deadlines in a hierarchical timing
+//! wheel: setting and cancelling one costs the same however many there are. Both are pure and own
+//! nothing but their queues: the time is an argument, the host does the work.
+//!
+//! ```
+//! use eideryard_background_scheduler::{Budget, Scheduler, Urgency};
+//!
+//! let budget = Budget { round_time: 500, bytes_per_s: 64e6 };
+//! let mut scheduler = Scheduler::new(budget, 0);
+//! scheduler.offer(0, Urgency::Tidy, "tidy", 100).expect("room");
+//! scheduler.offer(0, Urgency::Room, "move to disk", 100).expect("room");
+//! let job = scheduler.next_job(10).expect("a job");
+//! assert_eq!(job.work, "move to disk");
+//! ```
 
 pub mod scheduler;
 pub mod wheel;
--- a/crates/background-scheduler/src/scheduler.rs
+++ b/crates/background-scheduler/src/scheduler.rs
@@ -1,35 +1,37 @@
-//! What is done next of the work that may wait.
+//! Which job is done next of the work that may wait.
 //!
-//! Each kind of work has an urgency; the most urgent that has something to do and may do it now
-//! comes first. Two budgets bound it: time in each look at the sockets, so that requests wait for
-//! no more than that, and bytes in each second, so that a disk has room for what matters. Work that
-//! was passed over for long enough goes before more urgent work, so that none starves.
+//! Each kind of work has an urgency; the most urgent that has something to do comes first. Two
+//! budgets bound it: time in each round of the event loop, so that requests wait for no more than
+//! that, and bytes in each second, so that a disk has room for what matters. A job that has waited
+//! for long enough goes before more urgent ones, so that none starves.
 
 use std::collections::VecDeque;
 
+/// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// Jobs of one urgency that wait at the most; who offers more is told so and keeps it.
+/// Jobs of one urgency that may wait; further ones are returned to whoever offers them.
 const MAX_WAITING: usize = 65_536;
-/// What has waited for so long goes first, whatever its urgency.
-const STARVES: Micros = 10_000_000;
+/// A job that has waited for so long goes first, whatever its urgency.
+const STARVATION_LIMIT: Micros = 10_000_000;
 /// Bytes that may be saved up, as a part of a second's.
-const BURST: f64 = 0.25;
+const BURST_SECONDS: f64 = 0.25;
 
-/// The most urgent first.
+/// How urgent a job is, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
     /// Room that is needed now: moves to disk, deletion when full.
     Room,
-    /// What has expired.
+    /// Deletion of what has expired.
     Expiry,
     /// Deletion and tidying with room to spare.
     Tidy,
-    /// Checks of what is stored.
+    /// Checks of stored data.
     Verify,
 }
 
 impl Urgency {
+    /// All urgencies, the most urgent first.
     pub const ALL: [Urgency; 4] = [
         Urgency::Room,
         Urgency::Expiry,
@@ -38,113 +40,129 @@
     ];
 }
 
+/// What background work may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Time of one look that background work may take.
-    pub look: Micros,
+    /// Time of one round of the event loop.
+    pub round_time: Micros,
     /// Bytes a second that it may read and write.
     pub bytes_per_s: f64,
 }
 
-#[derive(Clone, Debug, PartialEq)]
+/// A piece of work.
+#[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job<W> {
+    /// How urgent it is.
     pub urgency: Urgency,
-    pub what: W,
-    /// What it will read and write.
+    /// What is to be done.
+    pub work: W,
+    /// Bytes that it will read and write.
     pub bytes: u64,
     offered_at: Micros,
 }
 
+/// Queues of jobs, and what of the budgets is left.
 pub struct Scheduler<W> {
     budget: Budget,
-    waiting: [VecDeque<Job<W>>; 4],
-    /// Bytes that may be used now; it goes below nothing by at most one job.
+    /// One queue an urgency.
+    queues: [VecDeque<Job<W>>; Urgency::ALL.len()],
+    /// Bytes that may be used now; it falls below 0 by at most one job.
     allowance: f64,
-    filled_at: Micros,
-    /// Time used in this look.
+    refilled_at: Micros,
+    /// Time used in this round.
     used: Micros,
 }
 
 impl<W> Scheduler<W> {
+    /// A scheduler without jobs.
     pub fn new(budget: Budget, now: Micros) -> Self {
-        let waiting = Default::default();
         Scheduler {
             budget,
-            waiting,
-            allowance: budget.bytes_per_s * BURST,
-            filled_at: now,
+            queues: Default::default(),
+            allowance: budget.bytes_per_s * BURST_SECONDS,
+            refilled_at: now,
             used: 0,
         }
     }
 
-    /// Takes work to be done, or gives it back where too much waits already.
-    pub fn offer(&mut self, now: Micros, urgency: Urgency, what: W, bytes: u64) -> Result<(), W> {
-        let waiting = &mut self.waiting[urgency as usize];
-        if waiting.len() >= MAX_WAITING {
-            return Err(what);
+    /// Adds a job.
+    ///
+    /// # Errors
+    ///
+    /// The work itself, where too many jobs of its urgency wait.
+    pub fn offer(&mut self, now: Micros, urgency: Urgency, work: W, bytes: u64) -> Result<(), W> {
+        let queue = &mut self.queues[urgency as usize];
+        if queue.len() >= MAX_WAITING {
+            return Err(work);
         }
-        waiting.push_back(Job {
+        queue.push_back(Job {
             urgency,
-            what,
+            work,
             bytes,
             offered_at: now,
         });
         Ok(())
     }
 
+    /// Jobs of an urgency that wait.
     pub fn waiting(&self, urgency: Urgency) -> usize {
-        self.waiting[urgency as usize].len()
+        self.queues[urgency as usize].len()
     }
 
-    /// A new look at the sockets begins.
-    pub fn look(&mut self) {
+    /// Begins a round of the event loop.
+    pub fn start_round(&mut self) {
         self.used = 0;
     }
 
-    /// What is to be done now; [`Scheduler::done`] tells how long it took. Nothing where a budget
-    /// is used up.
-    pub fn next(&mut self, now: Micros) -> Option<Job<W>> {
-        let passed = now.saturating_sub(self.filled_at) as f64 / 1e6;
-        self.filled_at = self.filled_at.max(now);
-        let most = self.budget.bytes_per_s * BURST;
-        self.allowance = (self.allowance + passed * self.budget.bytes_per_s).min(most);
-        if self.used >= self.budget.look || self.allowance < 0.0 {
+    /// Takes the job to be done now; none where a budget is used up. [`Scheduler::finish_job`]
+    /// reports how long it took.
+    pub fn next_job(&mut self, now: Micros) -> Option<Job<W>> {
+        self.refill(now);
+        if self.used >= self.budget.round_time || self.allowance < 0.0 {
             return None;
         }
-        let starving = |queue: &VecDeque<Job<W>>| {
-            queue
-                .front()
-                .is_some_and(|job| job.offered_at + STARVES <= now)
-        };
-        let urgency = Urgency::ALL
-            .into_iter()
-            .filter(|urgency| starving(&self.waiting[*urgency as usize]));
-        let oldest = urgency.min_by_key(|urgency| {
-            self.waiting[*urgency as usize]
-                .front()
-                .map(|job| job.offered_at)
-        });
-        let first = || {
-            Urgency::ALL
-                .into_iter()
-                .find(|urgency| !self.waiting[*urgency as usize].is_empty())
-        };
-        let urgency = oldest.or_else(first)?;
-        let job = self.waiting[urgency as usize].pop_front()?;
+        let urgency = self.starving(now).or_else(|| self.most_urgent())?;
+        let job = self.queues[urgency as usize].pop_front()?;
         self.allowance -= job.bytes as f64;
         Some(job)
     }
 
-    pub fn done(&mut self, took: Micros) {
-        self.used += took;
+    /// Reports how long a job took.
+    pub fn finish_job(&mut self, duration: Micros) {
+        self.used += duration;
     }
 
-    /// When there may be something to do again, if nothing is offered meanwhile.
-    pub fn due(&self, now: Micros) -> Option<Micros> {
-        if self.waiting.iter().all(VecDeque::is_empty) {
+    /// When there may be a job to be done again, if none is offered meanwhile.
+    pub fn next_job_at(&self, now: Micros) -> Option<Micros> {
+        if self.queues.iter().all(VecDeque::is_empty) {
             return None;
         }
-        let lacks = (-self.allowance).max(0.0) / self.budget.bytes_per_s.max(1.0);
-        Some(now + (lacks * 1e6).ceil() as Micros)
+        let missing_bytes = (-self.allowance).max(0.0);
+        let seconds = missing_bytes / self.budget.bytes_per_s.max(1.0);
+        Some(now + (seconds * 1e6).ceil() as Micros)
+    }
+
+    fn refill(&mut self, now: Micros) {
+        let seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.refilled_at = self.refilled_at.max(now);
+        let most = self.budget.bytes_per_s * BURST_SECONDS;
+        self.allowance = (self.allowance + seconds * self.budget.bytes_per_s).min(most);
+    }
+
+    /// The urgency of the job that has waited longest, if that is too long.
+    fn starving(&self, now: Micros) -> Option<Urgency> {
+        let mut oldest: Option<&Job<W>> = None;
+        for job in self.queues.iter().filter_map(VecDeque::front) {
+            let is_starving = job.offered_at + STARVATION_LIMIT <= now;
+            if is_starving && oldest.is_none_or(|oldest| job.offered_at < oldest.offered_at) {
+                oldest = Some(job);
+            }
+        }
+        oldest.map(|job| job.urgency)
+    }
+
+    fn most_urgent(&self) -> Option<Urgency> {
+        let mut urgencies = Urgency::ALL.into_iter();
+        urgencies.find(|urgency| self.waiting(*urgency) > 0)
     }
 }
--- a/crates/background-scheduler/tests/model.rs
+++ b/crates/background-scheduler/tests/model.rs
@@ -45,16 +45,16 @@
                 Step::TakeBack(which) if !model.is_empty() => {
                     let key = *model.keys().nth(which % model.len()).unwrap();
                     let timer = model.remove(&key).unwrap();
-                    prop_assert_eq!(wheel.take_back(timer), Some(key.1));
-                    prop_assert_eq!(wheel.take_back(timer), None);
+                    prop_assert_eq!(wheel.cancel(timer), Some(key.1));
+                    prop_assert_eq!(wheel.cancel(timer), None);
                 }
                 Step::TakeBack(_) => {}
                 Step::Pass(distance) => {
-                    if let (Some(next), Some(((tick, _), _))) = (wheel.next(), model.first_key_value()) {
+                    if let (Some(next), Some(((tick, _), _))) = (wheel.next_expiry(), model.first_key_value()) {
                         prop_assert!(next <= tick * TICK, "next {} after {}", next, tick * TICK);
                     }
                     now += distance;
-                    while let Some(fired) = wheel.due(now) {
+                    while let Some(fired) = wheel.pop_expired(now) {
                         let ((tick, number), _) = model.pop_first().expect("something is set");
                         prop_assert_eq!(fired, number);
                         prop_assert!(tick <= now / TICK);
@@ -71,7 +71,7 @@
 fn urgent_work_goes_first_and_none_starves() {
     let mut scheduler = Scheduler::new(
         Budget {
-            look: 1000,
+            round_time: 1000,
             bytes_per_s: 1e9,
         },
         0,
@@ -79,23 +79,23 @@
     scheduler.offer(0, Urgency::Verify, "old", 10).unwrap();
     scheduler.offer(5, Urgency::Tidy, "tidy", 10).unwrap();
     scheduler.offer(9, Urgency::Room, "room", 10).unwrap();
-    assert_eq!(scheduler.next(10).unwrap().what, "room");
+    assert_eq!(scheduler.next_job(10).unwrap().work, "room");
     scheduler
         .offer(9_999_000, Urgency::Room, "room again", 10)
         .unwrap();
     assert_eq!(
-        scheduler.next(10_000_001).unwrap().what,
+        scheduler.next_job(10_000_001).unwrap().work,
         "old",
         "it has waited for too long"
     );
-    assert_eq!(scheduler.next(10_000_001).unwrap().what, "room again");
+    assert_eq!(scheduler.next_job(10_000_001).unwrap().work, "room again");
 }
 
 #[test]
 fn a_look_and_a_second_have_their_budgets() {
     let mut scheduler = Scheduler::new(
         Budget {
-            look: 100,
+            round_time: 100,
             bytes_per_s: 1000.0,
         },
         0,
@@ -103,9 +103,9 @@
     (0..100).for_each(|n| scheduler.offer(0, Urgency::Tidy, n, 100).unwrap());
     let mut done = 0;
     for _ in 0..50 {
-        scheduler.look();
-        while scheduler.next(0).is_some() {
-            scheduler.done(40);
+        scheduler.start_round();
+        while scheduler.next_job(0).is_some() {
+            scheduler.finish_job(40);
             done += 1;
         }
     }
@@ -115,10 +115,10 @@
     );
     let mut looks = Vec::new();
     for second in 1..=5u64 {
-        scheduler.look();
+        scheduler.start_round();
         let mut count = 0;
-        while scheduler.next(second * 1_000_000).is_some() {
-            scheduler.done(40);
+        while scheduler.next_job(second * 1_000_000).is_some() {
+            scheduler.finish_job(40);
             count += 1;
         }
         looks.push(count);
@@ -127,14 +127,14 @@
         looks.iter().all(|count| *count <= 3),
         "no look takes more than its time: {looks:?}"
     );
-    assert!(scheduler.due(5_000_000).is_some());
+    assert!(scheduler.next_job_at(5_000_000).is_some());
 }
 
 #[test]
 fn what_is_too_much_is_given_back() {
     let mut scheduler = Scheduler::new(
         Budget {
-            look: 1,
+            round_time: 1,
             bytes_per_s: 1.0,
         },
         0,
--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -29,7 +29,7 @@
 /// Background work for each poll and each second: a page's write is handed over in microseconds,
 /// and a disk that takes 64 MB a second is a slow one.
 const WORK_BUDGET: WorkBudget = WorkBudget {
-    look: 500,
+    round_time: 500,
     bytes_per_s: 64e6,
 };
 /// How long a failed disk is not used.
--- a/crates/gateway/src/result_spool/maintenance.rs
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -15,7 +15,7 @@
             self.handle_done(done, now, &mut deliveries);
         }
         self.start_work(now);
-        while let Some(id) = self.expiry.due(now) {
+        while let Some(id) = self.expiry.pop_expired(now) {
             self.handle_expiry(id, now);
         }
         deliveries
@@ -23,14 +23,14 @@
 
     /// When [`ResultSpoolDriver::poll`] has something to do, if nothing else happens.
     pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
-        let deadlines = [self.expiry.next(), self.background.due(now)];
+        let deadlines = [self.expiry.next_expiry(), self.background.next_job_at(now)];
         deadlines.into_iter().flatten().min()
     }
 
     fn start_work(&mut self, now: Micros) {
-        self.background.look();
-        while let Some(job) = self.background.next(now) {
-            match job.what {
+        self.background.start_round();
+        while let Some(job) = self.background.next_job(now) {
+            match job.work {
                 Work::Move(result, page) => self.write_page(result, page, now),
                 Work::Remove(segment) => {
                     let Some(worker) = &self.worker else {
@@ -68,7 +68,7 @@
         };
         let timer = self.expiry.set(expires_at, id);
         if let Some(previous_timer) = stored.expiry.replace(timer) {
-            self.expiry.take_back(previous_timer);
+            self.expiry.cancel(previous_timer);
         }
     }
 
@@ -81,7 +81,7 @@
             return;
         };
         if let Some(timer) = stored.expiry {
-            self.expiry.take_back(timer);
+            self.expiry.cancel(timer);
         }
         self.returns.drops(&stored.name);
         self.free_pages(stored.pages, now);
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -163,7 +163,7 @@
             let previous_timer = stored.expiry.replace(timer);
             let pages = std::mem::take(&mut stored.pages);
             if let Some(previous_timer) = previous_timer {
-                self.expiry.take_back(previous_timer);
+                self.expiry.cancel(previous_timer);
             }
             self.free_pages(pages, now);
         }
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use eideryard_background_scheduler::scheduler::{Budget, Scheduler, Urgency};
+use eideryard_background_scheduler::{Budget, Scheduler, Urgency};
 
 use crate::frame::Batch;
 use crate::store::Store;
@@ -103,7 +103,7 @@
     let began = Instant::now();
     let mut slices: Scheduler<()> = Scheduler::new(
         Budget {
-            look: u64::MAX,
+            round_time: u64::MAX,
             bytes_per_s: SLICES_PER_S,
         },
         0,
@@ -113,8 +113,12 @@
         let now = || began.elapsed().as_micros() as u64;
         let rewrites = store.wants_rewriting();
         let wait = if rewrites {
-            Duration::from_micros(slices.due(now()).map_or(0, |due| due.saturating_sub(now())))
-                .min(IDLE)
+            Duration::from_micros(
+                slices
+                    .next_job_at(now())
+                    .map_or(0, |due| due.saturating_sub(now())),
+            )
+            .min(IDLE)
         } else {
             IDLE
         };
@@ -161,8 +165,8 @@
             if slices.waiting(Urgency::Tidy) == 0 {
                 let _ = slices.offer(now(), Urgency::Tidy, (), SLICE);
             }
-            slices.look();
-            if slices.next(now()).is_some() {
+            slices.start_round();
+            if slices.next_job(now()).is_some() {
                 if let Err(e) = store.rewrite(unix_ms(), SLICE as usize) {
                     log::warn!("the store's log could not be rewritten, which is tried again: {e}");
                     not_before = Instant::now() + PAUSE;
