--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,74 +1,140 @@
 //! `eideryard check`: a configuration is JSON, all else is an operator's file.
 
-use eideryard_gateway::config::Config;
-use eideryard_operator_config::OperatorConfig;
+use std::io;
 use std::path::{Path, PathBuf};
 
-pub fn check(files: &[PathBuf]) -> Result<(), String> {
-    let mut wrong = 0;
+use eideryard_config_syntax::ConfigError as OperatorFileError;
+use eideryard_gateway::config::{Config, ConfigTextError};
+use eideryard_operator_config::OperatorConfig;
+use thiserror::Error;
+
+use crate::error::CliError;
+
+/// What a good file is.
+enum FileKind {
+    Configuration,
+    OperatorFile,
+}
+
+impl FileKind {
+    fn name(&self) -> &'static str {
+        match self {
+            FileKind::Configuration => "configuration",
+            FileKind::OperatorFile => "operator's file",
+        }
+    }
+}
+
+/// Why a file can't be used.
+#[derive(Debug, Error)]
+enum FileError {
+    #[error("{name}: {error}")]
+    Io { name: String, error: io::Error },
+    #[error("{name}:{line}:{column}: {error}; expected JSON, as the platform writes it")]
+    Json {
+        name: String,
+        line: usize,
+        column: usize,
+        error: serde_json::Error,
+    },
+    #[error("{name}:{line}:{column}: {error}; see docs/operating for what each member holds")]
+    Configuration {
+        name: String,
+        line: usize,
+        column: usize,
+        error: ConfigTextError,
+    },
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorFileError),
+}
+
+/// Checks files and prints a line for each.
+///
+/// # Errors
+///
+/// Some of the files can't be used.
+pub fn check(files: &[PathBuf]) -> Result<(), CliError> {
+    let mut unusable = 0;
     for file in files {
-        match one(file) {
-            Ok(kind) => println!("{}: a good {kind}", file.display()),
-            Err(message) => {
-                wrong += 1;
-                println!("{message}");
+        match check_file(file) {
+            Ok(kind) => println!("{}: a good {}", file.display(), kind.name()),
+            Err(error) => {
+                unusable += 1;
+                println!("{error}");
             }
         }
     }
-    match wrong {
-        0 => Ok(()),
-        count => Err(format!("{count} of {} files can't be used", files.len())),
+    if unusable > 0 {
+        return Err(CliError::UnusableFiles {
+            unusable,
+            total: files.len(),
+        });
+    }
+    Ok(())
+}
+
+fn check_file(file: &Path) -> Result<FileKind, FileError> {
+    let name = file.display().to_string();
+    let text = match std::fs::read_to_string(file) {
+        Ok(text) => text,
+        Err(error) => return Err(FileError::Io { name, error }),
+    };
+    if text.trim_start().starts_with('{') {
+        check_configuration(name, &text)?;
+        return Ok(FileKind::Configuration);
     }
+    OperatorConfig::read(&name, &text)?;
+    Ok(FileKind::OperatorFile)
 }
 
-fn one(file: &Path) -> Result<&'static str, String> {
-    let name = file.display();
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    if !text.trim_start().starts_with('{') {
-        return OperatorConfig::read(&name.to_string(), &text)
-            .map(|_| "operator's file")
-            .map_err(|e| e.to_string());
+fn check_configuration(name: String, text: &str) -> Result<(), FileError> {
+    if let Err(error) = serde_json::from_str::<serde_json::Value>(text) {
+        return Err(FileError::Json {
+            name,
+            line: error.line(),
+            column: error.column(),
+            error,
+        });
     }
-    if let Err(e) = serde_json::from_str::<serde_json::Value>(&text) {
-        let (line, column) = (e.line(), e.column());
-        return Err(format!(
-            "{name}:{line}:{column}: {e}; expected JSON, as the platform writes it"
-        ));
+    if let Err(error) = Config::read(text) {
+        let (line, column) = find_member(text, &error.to_string());
+        return Err(FileError::Configuration {
+            name,
+            line,
+            column,
+            error,
+        });
     }
-    Config::read(&text)
-        .map(|_| "configuration")
-        .map_err(|error| {
-            let message = error.to_string();
-            let (line, column) = place(&text, &message);
-            format!(
-                "{name}:{line}:{column}: {message}; see docs/operating for what each member holds"
-            )
-        })
+    Ok(())
 }
 
-/// Where the member stands that a message names in quotes, as far as it does: its last part that
-/// the text holds as a name. Else the beginning.
-fn place(text: &str, message: &str) -> (usize, usize) {
-    let quoted = message.split('\'').nth(1).unwrap_or("");
-    let parts: Vec<&str> = quoted.split('.').collect();
-    let (mut from, mut found) = (0, None);
-    for part in parts {
-        if let Ok(item) = part.parse::<usize>() {
-            // The item of a list: each of ours begins with a brace.
-            let starts = text[from..].match_indices('{').map(|(at, _)| at);
-            from += starts.take(item + 1).last().unwrap_or(0);
+/// Line and column of the member that a message names in quotes: of the last part of its path that
+/// the text holds as a name, else of the beginning.
+fn find_member(text: &str, message: &str) -> (usize, usize) {
+    let path = message.split('\'').nth(1).unwrap_or("");
+    let mut position = 0;
+    let mut found = 0;
+    for part in path.split('.') {
+        if let Ok(index) = part.parse::<usize>() {
+            // The item of a list: each of them begins with a brace.
+            let braces = text[position..].match_indices('{').map(|(at, _)| at);
+            position += braces.take(index + 1).last().unwrap_or(0);
             continue;
         }
-        let Some(at) = text[from..].find(&format!("\"{part}\"")) else {
+        let Some(offset) = text[position..].find(&format!("\"{part}\"")) else {
             break;
         };
-        from += at;
-        found = Some(from);
+        position += offset;
+        found = position;
     }
-    let at = found.unwrap_or(0);
-    let line_start = text[..at].rfind('\n').map_or(0, |end| end + 1);
-    (
-        text[..at].matches('\n').count() + 1,
-        text[line_start..at].chars().count() + 1,
-    )
+    line_and_column(text, found)
+}
+
+/// Both from 1; columns count characters.
+fn line_and_column(text: &str, position: usize) -> (usize, usize) {
+    let before = &text[..position];
+    let line_start = before.rfind('\n').map_or(0, |end| end + 1);
+    let line = before.matches('\n').count() + 1;
+    let column = before[line_start..].chars().count() + 1;
+    (line, column)
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,41 +1,112 @@
 //! `eideryard fleet`: how the gateways of a fleet stand, from their status files and stores.
 
+use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
+use std::time::{SystemTime, UNIX_EPOCH};
 
 use eideryard_replication::compare::{compare, read_replicas, VoterReplicas};
 use serde_json::Value;
 
+use crate::error::{CliError, StatusFileProblem, StoreProblem};
+
 /// A status file that is older than this is of a gateway that does not run.
-const OLD_MS: u64 = 3_000;
+const MAX_STATUS_AGE_MS: u64 = 3_000;
+/// Name of the status file in a store's directory.
+const STATUS_FILE: &str = "STATUS";
+/// States of peers that are reported, as the status file names them.
+const REPORTED_STATES: [&str; 3] = ["slow", "silent", "gone"];
 
 fn now_ms() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
 }
 
-fn read(directory: &Path) -> Result<Value, String> {
-    let path = directory.join("STATUS");
-    let wrong = |e: &dyn std::fmt::Display| {
-        format!(
-            "{}: {e}; name the store-dir of a gateway whose file has 'fleet'",
-            path.display()
-        )
-    };
-    let text = std::fs::read(&path).map_err(|e| wrong(&e))?;
-    serde_json::from_slice(&text).map_err(|e| wrong(&e))
-}
+/// The status file of a gateway.
+struct Status(Value);
+
+impl Status {
+    fn read(directory: &Path) -> Result<Self, CliError> {
+        let path = directory.join(STATUS_FILE);
+        let value = std::fs::read(&path)
+            .map_err(StatusFileProblem::from)
+            .and_then(|text| Ok(serde_json::from_slice(&text)?));
+        match value {
+            Ok(value) => Ok(Status(value)),
+            Err(problem) => Err(CliError::StatusFile { path, problem }),
+        }
+    }
+
+    fn name(&self) -> &str {
+        self.0["name"].as_str().unwrap_or("?")
+    }
+
+    fn number(&self, name: &str) -> u64 {
+        self.0[name].as_u64().unwrap_or(0)
+    }
+
+    fn flag(&self, name: &str) -> bool {
+        self.0[name] == true
+    }
+
+    /// What the gateway runs as.
+    fn role(&self) -> &'static str {
+        match (self.flag("keeper"), self.flag("votes")) {
+            (false, _) => "asker",
+            (true, true) => "votes",
+            (true, false) => "catch-up",
+        }
+    }
 
-fn names(told: &Value, state: &str) -> Vec<String> {
-    let peers = told["peers"].as_object().into_iter().flatten();
-    peers
-        .filter(|(_, own)| own["state"] == state)
-        .map(|(name, _)| name.clone())
-        .collect()
+    /// When the gateway wrote it, in words.
+    fn age(&self) -> String {
+        let age_ms = now_ms().saturating_sub(self.number("at_ms"));
+        if age_ms > MAX_STATUS_AGE_MS {
+            format!("{} s ago", age_ms / 1000)
+        } else {
+            "now".into()
+        }
+    }
+
+    /// Names of the peers in a state.
+    fn peers_in(&self, state: &str) -> Vec<&str> {
+        let peers = self.0["peers"].as_object().into_iter().flatten();
+        let peers = peers.filter(|(_, peer)| peer["state"] == state);
+        peers.map(|(name, _)| name.as_str()).collect()
+    }
+
+    fn print(&self) {
+        println!(
+            "{:<12} {:<9} {:<9} {:<8} {:>7} {:>7} {:>8} {:>8} {:>7} {:>7}",
+            self.name(),
+            self.role(),
+            if self.flag("majority") { "yes" } else { "NO" },
+            self.age(),
+            self.number("copies"),
+            self.number("lagging"),
+            self.number("claims"),
+            self.number("earlier"),
+            self.number("without_majority"),
+            self.number("mended")
+        );
+        for state in REPORTED_STATES {
+            let names = self.peers_in(state);
+            if !names.is_empty() {
+                println!("    {state}: {}", names.join(" "));
+            }
+        }
+        for (peer, reason) in self.0["turned"].as_object().into_iter().flatten() {
+            let reason = reason.as_str().unwrap_or_default();
+            println!("    no link with {peer}: {reason}");
+        }
+    }
 }
 
-/// One line for each gateway, and what is wrong below it.
-#[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-pub fn status(directories: &[PathBuf]) -> Result<(), String> {
+/// Prints a line for each gateway, and what is wrong below it.
+///
+/// # Errors
+///
+/// A status file can't be read, or a gateway reaches no majority.
+pub fn status(directories: &[PathBuf]) -> Result<(), CliError> {
     println!(
         "{:<12} {:<9} {:<9} {:<8} {:>7} {:>7} {:>8} {:>8} {:>7} {:>7}",
         "gateway",
@@ -49,155 +120,140 @@
         "refused",
         "mended"
     );
-    let mut apart = Vec::new();
+    let mut without_majority = Vec::new();
     for directory in directories {
-        let told = read(directory)?;
-        let age = now_ms().saturating_sub(told["at_ms"].as_u64().unwrap_or(0));
-        let name = told["name"].as_str().unwrap_or("?");
-        let role = match (told["keeper"] == true, told["votes"] == true) {
-            (false, _) => "asker",
-            (true, true) => "votes",
-            (true, false) => "catch-up",
-        };
-        let majority = if told["majority"] == true {
-            "yes"
-        } else {
-            "NO"
-        };
-        let seen = if age > OLD_MS {
-            format!("{} s ago", age / 1000)
-        } else {
-            "now".into()
-        };
-        let count = |name: &str| told[name].as_u64().unwrap_or(0);
-        println!(
-            "{name:<12} {role:<9} {majority:<9} {seen:<8} {:>7} {:>7} {:>8} {:>8} {:>7} {:>7}",
-            count("copies"),
-            count("lagging"),
-            count("claims"),
-            count("earlier"),
-            count("without_majority"),
-            count("mended")
-        );
-        for state in ["slow", "silent", "gone"] {
-            let names = names(&told, state);
-            if !names.is_empty() {
-                println!("    {state}: {}", names.join(" "));
-            }
-        }
-        for (peer, why) in told["turned"].as_object().into_iter().flatten() {
-            println!(
-                "    no link with {peer}: {}",
-                why.as_str().unwrap_or_default()
-            );
+        let status = Status::read(directory)?;
+        status.print();
+        if !status.flag("majority") {
+            without_majority.push(status.name().to_string());
         }
-        apart.extend((told["majority"] != true).then(|| name.to_string()));
     }
-    if apart.is_empty() {
+    if without_majority.is_empty() {
         Ok(())
     } else {
-        Err(format!(
-        "no majority of keepers at {}: keyed and unsafe requests are refused there, or sent at a risk",
-        apart.join(" ")
-    ))
+        Err(CliError::NoMajority(without_majority.join(" ")))
     }
 }
 
-/// Who owns what since which term, and what fences turned away.
-pub fn owners(directories: &[PathBuf]) -> Result<(), String> {
-    let mut told = Vec::new();
+/// Prints who holds which lease since which term, and what fences rejected.
+///
+/// # Errors
+///
+/// A status file can't be read.
+pub fn owners(directories: &[PathBuf]) -> Result<(), CliError> {
+    let mut statuses = Vec::new();
     for directory in directories {
-        told.push(read(directory)?);
+        statuses.push(Status::read(directory)?);
     }
-    let name = |own: &Value| own["name"].as_str().unwrap_or("?").to_string();
     println!(
         "{:<12} {:>6} {:>6} {:>6} {:>8} {:>7} {:>10}",
         "gateway", "owns", "won", "lost", "applied", "fenced", "own fenced"
     );
-    for own in &told {
-        let count = |name: &str| own[name].as_u64().unwrap_or(0);
+    for status in &statuses {
         println!(
             "{:<12} {:>6} {:>6} {:>6} {:>8} {:>7} {:>10}",
-            name(own),
-            own["owned"].as_array().map_or(0, Vec::len),
-            count("won"),
-            count("lost"),
-            count("applied"),
-            count("fenced"),
-            count("own_fenced")
+            status.name(),
+            status.0["owned"].as_array().map_or(0, Vec::len),
+            status.number("won"),
+            status.number("lost"),
+            status.number("applied"),
+            status.number("fenced"),
+            status.number("own_fenced")
         );
     }
-    // Of each task the greatest term that any of them knows, and who held it.
-    let mut terms: std::collections::BTreeMap<u64, (u64, u64)> = Default::default();
-    for term in told
-        .iter()
-        .filter_map(|own| own["terms"].as_array())
-        .flatten()
-    {
-        let number = |at: usize| term[at].as_u64().unwrap_or(0);
-        let known = terms.entry(number(0)).or_default();
-        *known = (number(1), number(2)).max(*known);
-    }
-    for (task, (term, owner)) in terms {
-        let holds = told
+    for (task, (term, owner)) in greatest_terms(&statuses) {
+        let holder = format!("{owner:016x}");
+        let status = statuses
             .iter()
-            .find(|own| own["owner"].as_str() == Some(&format!("{owner:016x}")));
-        let of = holds.map_or_else(|| format!("another ({owner:016x})"), name);
-        println!("probe {task:08x}: term {term}, {of}");
+            .find(|status| status.0["owner"].as_str() == Some(&holder));
+        let name = match status {
+            Some(status) => status.name().to_string(),
+            None => format!("another ({holder})"),
+        };
+        println!("probe {task:08x}: term {term}, {name}");
     }
     Ok(())
 }
 
-/// Which copies differ between keepers, and why.
-pub fn copies(directories: &[PathBuf]) -> Result<(), String> {
-    let mut keepers: Vec<(String, VoterReplicas)> = Vec::new();
+/// Of each task the greatest term that any gateway knows, with its owner.
+fn greatest_terms(statuses: &[Status]) -> BTreeMap<u64, (u64, u64)> {
+    let mut greatest: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
+    let terms = statuses
+        .iter()
+        .filter_map(|status| status.0["terms"].as_array());
+    for term in terms.flatten() {
+        let number = |index: usize| term[index].as_u64().unwrap_or(0);
+        let known = greatest.entry(number(0)).or_default();
+        *known = (number(1), number(2)).max(*known);
+    }
+    greatest
+}
+
+/// A voter's replicas, as its store holds them.
+struct NamedReplicas {
+    name: String,
+    replicas: VoterReplicas,
+}
+
+/// Prints which replicas differ between voters, and why.
+///
+/// # Errors
+///
+/// A status file or store can't be read, or fewer than two voters are named.
+pub fn copies(directories: &[PathBuf]) -> Result<(), CliError> {
+    let mut voters = Vec::new();
     for directory in directories {
-        let told = read(directory)?;
-        if told["keeper"] != true {
-            continue;
+        let status = Status::read(directory)?;
+        if status.flag("keeper") {
+            let name = status.name().to_string();
+            let replicas = read_voter(directory)?;
+            voters.push(NamedReplicas { name, replicas });
         }
-        let found = eideryard_store::look(directory)
-            .map_err(|e| format!("{}: {e}", directory.display()))?;
-        let keys = found
-            .keys
-            .iter()
-            .map(|(key, value)| (&key[..], &value.bytes[..]));
-        keepers.push((
-            told["name"].as_str().unwrap_or("?").to_string(),
-            read_replicas(keys),
-        ));
-    }
-    if keepers.len() < 2 {
-        return Err(
-            "copies are compared between keepers: name the store-dir of two or more".into(),
-        );
     }
-    let all: Vec<VoterReplicas> = keepers.iter().map(|(_, held)| held.clone()).collect();
-    let comparison = compare(&all, now_ms());
-    let differ = &comparison.differences;
+    if voters.len() < 2 {
+        return Err(CliError::TooFewVoters);
+    }
+    let replicas: Vec<VoterReplicas> = voters.iter().map(|voter| voter.replicas.clone()).collect();
+    let comparison = compare(&replicas, now_ms());
     println!(
         "{} keys at {} keepers, {} differ",
         comparison.compared,
-        keepers.len(),
-        differ.len()
+        voters.len(),
+        comparison.differences.len()
     );
-    for own in differ {
-        let key: String = own.key.iter().map(|byte| format!("{byte:02x}")).collect();
-        for ((name, _), lacks) in keepers.iter().zip(&own.missing) {
-            for (origin, had) in lacks {
-                let of = format!(
-                    "what start {} of {:016x} said",
-                    origin.start, origin.identity
+    for difference in &comparison.differences {
+        let key = hex(&difference.key);
+        for (voter, missing) in voters.iter().zip(&difference.missing) {
+            for (origin, version) in missing {
+                let held = match version {
+                    Some(version) => format!("version {version}"),
+                    None => "nothing of it".into(),
+                };
+                println!(
+                    "{key}: {} has {held} of what start {} of {:016x} said, others have more",
+                    voter.name, origin.start, origin.identity
                 );
-                let had = had.map_or("nothing of it".into(), |version| {
-                    format!("version {version}")
-                });
-                println!("{key}: {name} has {had} of {of}, others have more");
             }
         }
     }
-    if !differ.is_empty() {
+    if !comparison.differences.is_empty() {
         println!("keepers that run and reach each other mend this by themselves within seconds");
     }
     Ok(())
 }
+
+fn read_voter(directory: &Path) -> Result<VoterReplicas, CliError> {
+    let recovered = eideryard_store::look(directory).map_err(|error| CliError::Store {
+        directory: directory.to_path_buf(),
+        problem: StoreProblem::Open(error),
+    })?;
+    let keys = recovered.keys.iter();
+    Ok(read_replicas(
+        keys.map(|(key, value)| (&key[..], &value.bytes[..])),
+    ))
+}
+
+/// Bytes as hexadecimal digits.
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -2,6 +2,7 @@
 
 mod arguments;
 mod check;
+mod error;
 mod fleet;
 mod logger;
 mod moment;
@@ -9,17 +10,34 @@
 mod store;
 mod view;
 
-use arguments::{Arguments, Command, FleetCommand, RecordsCommand, StoreCommand};
+use arguments::{Arguments, Command, FleetCommand, RecordsCommand, Span, StoreCommand};
 use clap::{CommandFactory, Parser};
 use eideryard_gateway::config::Config;
 use eideryard_operator_config::{LogConfig, OperatorConfig};
+use error::CliError;
 use std::error::Error;
+use std::path::PathBuf;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let done = match arguments.command.unwrap_or(Command::Run) {
+    let result = match arguments.command.unwrap_or(Command::Run) {
         Command::Run => return run(arguments.operator.as_deref()),
+        command => execute(command),
+    };
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("eideryard: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Executes a command other than `run`.
+fn execute(command: Command) -> Result<(), CliError> {
+    match command {
+        Command::Run => Ok(()),
         Command::Check { files } => check::check(&files),
         Command::Records { what } => match what {
             RecordsCommand::Verify { directories } => records::verify(&directories),
@@ -38,26 +56,23 @@
             FleetCommand::Copies { directories } => fleet::copies(&directories),
         },
         Command::Console { directories, at } => {
-            view::moment(&directories, at).and_then(|at| eideryard_console::run(&directories, at))
+            let at = view::resolve_moment(&directories, at)?;
+            Ok(eideryard_console::run(&directories, at)?)
         }
         Command::Report {
             directories,
             out,
             span,
-        } => view::fold(&directories, span).and_then(|view| {
-            let page = eideryard_report::page(&view);
-            std::fs::write(&out, page).map_err(|e| format!("{}: {e}", out.display()))?;
-            println!("{}", eideryard_report::story::headline(&view));
-            Ok(())
-        }),
+        } => write_report(&directories, out, span),
         Command::Completions { shell } => {
             let mut command = Arguments::command();
             clap_complete::generate(shell, &mut command, "eideryard", &mut std::io::stdout());
             Ok(())
         }
-        Command::Man => clap_mangen::Man::new(Arguments::command())
-            .render(&mut std::io::stdout())
-            .map_err(|e| e.to_string()),
+        Command::Man => {
+            let page = clap_mangen::Man::new(Arguments::command());
+            Ok(page.render(&mut std::io::stdout())?)
+        }
         Command::Reference => {
             print!(
                 "{}",
@@ -65,16 +80,19 @@
             );
             Ok(())
         }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("eideryard: {message}");
-            ExitCode::FAILURE
-        }
     }
 }
 
+fn write_report(directories: &[PathBuf], path: PathBuf, span: Span) -> Result<(), CliError> {
+    let view = view::fold(directories, span)?;
+    let page = eideryard_report::page(&view);
+    if let Err(error) = std::fs::write(&path, page) {
+        return Err(CliError::Report { path, error });
+    }
+    println!("{}", eideryard_report::story::headline(&view));
+    Ok(())
+}
+
 /// The gateway itself: what fails goes to its log.
 fn run(operator: Option<&str>) -> ExitCode {
     let operator = match operator {
--- a/crates/cli/src/moment.rs
+++ b/crates/cli/src/moment.rs
@@ -1,71 +1,90 @@
 //! Times on the command line.
 
-/// A Unix time, or a time of day that a record's own day completes; microseconds.
-#[derive(Clone, Copy, Debug, PartialEq)]
+use thiserror::Error;
+
+#[cfg(test)]
+mod tests;
+
+/// Microseconds of a day.
+const DAY: u64 = 86_400_000_000;
+/// Unix seconds from here on are no time.
+const MAX_UNIX_SECONDS: f64 = 1e11;
+
+/// A Unix time, or a time of day that an event log's own day completes; microseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Moment {
-    At(u64),
+    /// A Unix time.
+    Unix(u64),
+    /// A time of day.
     OfDay(u64),
 }
 
-const DAY: u64 = 86_400_000_000;
+/// A text that names no time.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("'{0}' is neither HH:MM[:SS] nor a Unix time in seconds")]
+pub struct MomentError(String);
+
+/// A part of a time of day: its seconds, and the bound of its value.
+struct TimePart {
+    seconds: f64,
+    bound: f64,
+}
+
+const HOURS: TimePart = TimePart {
+    seconds: 3600.0,
+    bound: 24.0,
+};
+const MINUTES: TimePart = TimePart {
+    seconds: 60.0,
+    bound: 60.0,
+};
+const SECONDS: TimePart = TimePart {
+    seconds: 1.0,
+    bound: 60.0,
+};
+
+/// Parses a time.
+///
+/// # Errors
+///
+/// The text names no time.
+pub fn parse(text: &str) -> Result<Moment, MomentError> {
+    let moment = if text.contains(':') {
+        parse_time_of_day(text)
+    } else {
+        parse_unix_seconds(text)
+    };
+    moment.ok_or_else(|| MomentError(text.to_string()))
+}
+
+fn parse_unix_seconds(text: &str) -> Option<Moment> {
+    let seconds: f64 = text.parse().ok()?;
+    let is_time = (0.0..MAX_UNIX_SECONDS).contains(&seconds);
+    is_time.then_some(Moment::Unix((seconds * 1e6) as u64))
+}
 
-pub fn parse(text: &str) -> Result<Moment, String> {
-    let wrong = || format!("'{text}' is neither HH:MM[:SS] nor a Unix time in seconds");
-    if !text.contains(':') {
-        let seconds: f64 = text.parse().map_err(|_| wrong())?;
-        return if (0.0..1e11).contains(&seconds) {
-            Ok(Moment::At((seconds * 1e6) as u64))
-        } else {
-            Err(wrong())
-        };
+fn parse_time_of_day(text: &str) -> Option<Moment> {
+    let values: Vec<&str> = text.split(':').collect();
+    if !(2..=3).contains(&values.len()) {
+        return None;
     }
     let mut seconds = 0.0;
-    let parts: Vec<&str> = text.split(':').collect();
-    if !(2..=3).contains(&parts.len()) {
-        return Err(wrong());
-    }
-    for (part, (unit, most)) in parts
-        .iter()
-        .zip([(3600.0, 24.0), (60.0, 60.0), (1.0, 60.0)])
-    {
-        let value: f64 = part.parse().map_err(|_| wrong())?;
-        if !(0.0..most).contains(&value) {
-            return Err(wrong());
+    for (value, part) in values.iter().zip([HOURS, MINUTES, SECONDS]) {
+        let value: f64 = value.parse().ok()?;
+        if !(0.0..part.bound).contains(&value) {
+            return None;
         }
-        seconds += unit * value;
+        seconds += part.seconds * value;
     }
-    Ok(Moment::OfDay((seconds * 1e6) as u64))
+    Some(Moment::OfDay((seconds * 1e6) as u64))
 }
 
 impl Moment {
-    /// On the day of another time.
+    /// The Unix time, with the day of another time where this one has none.
     pub fn on_day_of(self, at: u64) -> u64 {
         match self {
-            Moment::At(at) => at,
+            Moment::Unix(at) => at,
             Moment::OfDay(of_day) => at - at % DAY + of_day,
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn times_are_read_and_wrong_ones_named() {
-        assert_eq!(
-            parse("05:07").unwrap().on_day_of(3 * DAY + 5),
-            3 * DAY + 18_420_000_000
-        );
-        assert_eq!(parse("05:07:02.5").unwrap(), Moment::OfDay(18_422_500_000));
-        assert_eq!(
-            parse("1796147675.5").unwrap().on_day_of(0),
-            1_796_147_675_500_000
-        );
-        for wrong in [
-            "", "5", "25:00", "05:60", "05:07:61", "a:b", "1:2:3:4", "-1", "nan", "1e300", "05:",
-        ] {
-            assert!(wrong == "5" || parse(wrong).is_err(), "{wrong}");
-        }
-    }
-}
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -1,218 +1,239 @@
-//! `eideryard records`: what is in records, and whether it is whole.
+//! `eideryard records`: what is in event logs, and whether they are whole.
 
-use eideryard_event_log::reader::ReadContent;
+use std::collections::BTreeSet;
+use std::io::{self, BufWriter, Write};
+use std::path::PathBuf;
+
+use eideryard::interface::RequestId;
+use eideryard_event_log::reader::{ReadContent, ReadError, Source};
 use eideryard_event_log::tally::RunningTally;
 use eideryard_event_log::text::EntryText;
 use eideryard_event_log::{Entry, HostEvent, MergedReader};
 use serde_json::{json, Map, Value};
-use std::collections::BTreeSet;
-use std::io::{BufWriter, Write};
-use std::path::PathBuf;
 
-/// What one start of a gateway told.
+use crate::error::CliError;
+
+/// Hexadecimal digits of a client's id of a request.
+const ID_DIGITS: usize = 16;
+
+/// What the log of one start of a gateway holds.
 #[derive(Default)]
-struct Start {
-    counted: RunningTally,
+struct StartSummary {
+    tally: RunningTally,
     entries: u64,
     gaps: u64,
-    missing: u64,
-    damaged: bool,
-    last_at: u64,
+    missing_entries: u64,
+    /// Something could not be read, and no tally has come since.
+    is_damaged: bool,
     /// The counters that the gateway ended with.
-    own: Option<Vec<(String, u64)>>,
+    final_counters: Option<Vec<(String, u64)>>,
 }
 
-impl Start {
-    fn take(&mut self, at: u64, what: &ReadContent) {
-        let entry = match what {
+impl StartSummary {
+    fn add(&mut self, content: &ReadContent) {
+        let entry = match content {
             ReadContent::Damaged => {
-                self.damaged = true;
+                self.is_damaged = true;
                 return;
             }
             ReadContent::Entry(entry) => entry,
         };
-        self.last_at = at;
         self.entries += 1;
-        self.counted.add(entry.as_ref());
+        self.tally.add(entry.as_ref());
         match entry {
-            Entry::Host(HostEvent::Tally(_)) => self.damaged = false,
+            Entry::Host(HostEvent::Tally(_)) => self.is_damaged = false,
             Entry::Host(HostEvent::Gap { entries, .. }) => {
                 self.gaps += 1;
-                self.missing += entries;
+                self.missing_entries += entries;
+            }
+            Entry::Host(HostEvent::Ended { counters }) => {
+                self.final_counters = Some(counters.clone());
             }
-            Entry::Host(HostEvent::Ended { counters }) => self.own = Some(counters.clone()),
             _ => {}
         }
     }
 
-    /// Counters that the gateway and its record give different figures for.
+    /// Counters of which the gateway and its log give different figures, a line for each.
     fn differences(&self) -> Vec<String> {
-        let own = self.own.as_deref().unwrap_or_default();
-        let told = |name: &str| {
-            own.iter()
-                .find(|(own, _)| own == name)
-                .map(|(_, value)| *value)
-        };
-        let pairs = self.counted.tally.totals.pairs();
-        let differ = pairs.filter_map(|(name, value)| {
-            told(name)
-                .filter(|own| *own != value)
-                .map(|o| (name, value, o))
-        });
-        differ
-            .map(|(name, value, own)| format!("{name}: {value} recorded, {own} counted"))
-            .collect()
+        let counters = self.final_counters.as_deref().unwrap_or_default();
+        let mut differences = Vec::new();
+        for (name, recorded) in self.tally.tally.totals.pairs() {
+            let counter = counters.iter().find(|(counter, _)| counter == name);
+            if let Some((_, counted)) = counter.filter(|(_, counted)| *counted != recorded) {
+                differences.push(format!("{name}: {recorded} recorded, {counted} counted"));
+            }
+        }
+        differences
+    }
+
+    fn to_json(&self, source: &Source) -> Value {
+        let tally = &self.tally.tally;
+        let mut object = Map::new();
+        object.insert("name".into(), json!(source.name));
+        object.insert("epoch".into(), json!(source.epoch));
+        for (name, value) in tally.totals.pairs() {
+            object.insert(name.to_string(), json!(value));
+        }
+        object.insert("open".into(), json!(tally.open()));
+        object.insert("ended".into(), json!(self.final_counters.is_some()));
+        object.insert("gaps".into(), json!(self.gaps));
+        object.insert("left_out".into(), json!(self.missing_entries));
+        object.insert("exact".into(), json!(!self.is_damaged));
+        Value::Object(object)
+    }
+
+    fn to_line(&self, source: &Source) -> String {
+        let tally = &self.tally.tally;
+        let pairs = tally.totals.pairs();
+        let totals: Vec<String> = pairs
+            .map(|(name, value)| format!("{name}={value}"))
+            .collect();
+        format!(
+            "{} {:016x} {} open={}",
+            source.name,
+            source.epoch,
+            totals.join(" "),
+            tally.open()
+        )
     }
 }
 
-fn read(directories: &[PathBuf]) -> Result<(MergedReader, Vec<Start>), String> {
-    let mut merged = MergedReader::open(directories).map_err(|e| e.to_string())?;
-    let mut starts: Vec<Start> = merged.sources().iter().map(|_| Start::default()).collect();
-    while let Some(told) = merged.next_entry().map_err(|e| e.to_string())? {
-        starts[told.source].take(told.at, &told.content);
+/// Reads all logs, and summarizes each start of a gateway.
+fn summarize(directories: &[PathBuf]) -> Result<(MergedReader, Vec<StartSummary>), ReadError> {
+    let mut reader = MergedReader::open(directories)?;
+    let mut starts = Vec::new();
+    starts.resize_with(reader.sources().len(), StartSummary::default);
+    while let Some(entry) = reader.next_entry()? {
+        starts[entry.source].add(&entry.content);
     }
-    Ok((merged, starts))
+    Ok((reader, starts))
 }
 
-pub fn verify(directories: &[PathBuf]) -> Result<(), String> {
-    let (merged, starts) = read(directories)?;
-    let mut wrong = 0;
-    for (source, start) in merged.sources().iter().zip(&starts) {
-        let (entries, bytes, gaps, missing) =
-            (start.entries, source.bytes, start.gaps, start.missing);
+/// Prints whether logs are whole and agree with the gateways' own counters.
+///
+/// # Errors
+///
+/// The logs can't be read, are damaged, or don't agree.
+pub fn verify(directories: &[PathBuf]) -> Result<(), CliError> {
+    let (reader, starts) = summarize(directories)?;
+    let mut problems = 0;
+    for (source, start) in reader.sources().iter().zip(&starts) {
         println!(
-            "{} {:016x}: {entries} entries in {bytes} bytes, {gaps} gaps that left out {missing}",
-            source.name, source.epoch
+            "{} {:016x}: {} entries in {} bytes, {} gaps that left out {}",
+            source.name,
+            source.epoch,
+            start.entries,
+            source.bytes,
+            start.gaps,
+            start.missing_entries
         );
-        match &start.own {
-            None => println!("  it doesn't end: the gateway runs still, or was killed"),
-            Some(_) if start.differences().is_empty() => {
-                println!("  it agrees with the gateway's own counters");
-            }
-            Some(_) => {
-                wrong += 1;
-                start
-                    .differences()
-                    .iter()
-                    .for_each(|line| println!("  DIFFERS: {line}"));
+        let differences = start.differences();
+        if start.final_counters.is_none() {
+            println!("  it doesn't end: the gateway runs still, or was killed");
+        } else if differences.is_empty() {
+            println!("  it agrees with the gateway's own counters");
+        } else {
+            problems += 1;
+            for difference in differences {
+                println!("  DIFFERS: {difference}");
             }
         }
     }
-    let problems: Vec<String> = merged
-        .problems()
-        .map(|(_, problem)| problem.to_string())
-        .collect();
-    for problem in problems.iter() {
+    for (_, problem) in reader.problems() {
+        problems += 1;
         println!("skipped: {problem}");
     }
-    match wrong + problems.len() {
-        0 => Ok(()),
-        count => Err(format!("{count} things are wrong with these records")),
+    if problems > 0 {
+        return Err(CliError::DamagedRecords(problems));
     }
+    Ok(())
 }
 
-pub fn tally(directories: &[PathBuf], json: bool) -> Result<(), String> {
-    let (merged, starts) = read(directories)?;
-    let mut out = BufWriter::new(std::io::stdout().lock());
-    for (source, start) in merged.sources().iter().zip(&starts) {
-        let tally = &start.counted.tally;
-        let line = if json {
-            let mut object = Map::new();
-            object.insert("name".into(), json!(source.name));
-            object.insert("epoch".into(), json!(source.epoch));
-            object.extend(
-                tally
-                    .totals
-                    .pairs()
-                    .map(|(name, value)| (name.to_string(), json!(value))),
-            );
-            object.insert("open".into(), json!(tally.open()));
-            object.insert("ended".into(), json!(start.own.is_some()));
-            object.insert("gaps".into(), json!(start.gaps));
-            object.insert("left_out".into(), json!(start.missing));
-            object.insert("exact".into(), json!(!start.damaged));
-            Value::Object(object).to_string()
+/// Prints the totals of each start of a gateway, as a line of text or JSON.
+///
+/// # Errors
+///
+/// The logs can't be read, or standard output can't be written.
+pub fn tally(directories: &[PathBuf], json: bool) -> Result<(), CliError> {
+    let (reader, starts) = summarize(directories)?;
+    let mut out = BufWriter::new(io::stdout().lock());
+    for (source, start) in reader.sources().iter().zip(&starts) {
+        if json {
+            writeln!(out, "{}", start.to_json(source))?;
         } else {
-            let pairs: Vec<String> = tally
-                .totals
-                .pairs()
-                .map(|(name, value)| format!("{name}={value}"))
-                .collect();
-            format!(
-                "{} {:016x} {} open={}",
-                source.name,
-                source.epoch,
-                pairs.join(" "),
-                tally.open()
-            )
-        };
-        writeln!(out, "{line}").map_err(|e| e.to_string())?;
+            writeln!(out, "{}", start.to_line(source))?;
+        }
     }
-    out.flush().map_err(|e| e.to_string())
+    out.flush()?;
+    Ok(())
 }
 
-pub fn dump(directories: &[PathBuf]) -> Result<(), String> {
+/// Prints every entry.
+///
+/// # Errors
+///
+/// The logs can't be read, or standard output can't be written.
+pub fn dump(directories: &[PathBuf]) -> Result<(), CliError> {
     print(directories, |_, _| true)
 }
 
-/// The life of the requests that clients named so: from their offers to the ends of their last
-/// attempts.
-pub fn find(id: &str, directories: &[PathBuf]) -> Result<(), String> {
-    let wanted = u64::from_str_radix(id, 16).ok().filter(|_| id.len() == 16);
-    let wanted = wanted.ok_or_else(|| format!("'{id}' is no id; expected 16 hex digits"))?;
-    let mut known = BTreeSet::new();
+/// Prints the entries about requests that clients gave an id, from their arrival to the end of their
+/// last attempt.
+///
+/// # Errors
+///
+/// The id is malformed or unknown, the logs can't be read, or standard output can't be written.
+pub fn find(id: &str, directories: &[PathBuf]) -> Result<(), CliError> {
+    let wanted = match u64::from_str_radix(id, 16) {
+        Ok(wanted) if id.len() == ID_DIGITS => wanted,
+        _ => return Err(CliError::MalformedId(id.to_string())),
+    };
+    let mut found: BTreeSet<(usize, RequestId)> = BTreeSet::new();
     print(directories, |source, entry| {
-        let offered = match entry {
-            Entry::Host(HostEvent::RequestReceived(offer)) => Some(offer),
+        let client_request = match entry {
+            Entry::Host(HostEvent::RequestReceived(client_request)) => Some(client_request),
             Entry::Host(HostEvent::OpenRequest(open)) => Some(&open.client_request),
             _ => None,
         };
-        known.extend(
-            offered
-                .filter(|offer| offer.id == wanted)
-                .map(|offer| (source, offer.request)),
-        );
-        entry
-            .request()
-            .is_some_and(|request| known.contains(&(source, request)))
+        if let Some(client_request) = client_request.filter(|request| request.id == wanted) {
+            found.insert((source, client_request.request));
+        }
+        let request = entry.request();
+        request.is_some_and(|request| found.contains(&(source, request)))
     })?;
-    if known.is_empty() {
-        Err(format!("no record tells of {id}"))
-    } else {
-        Ok(())
+    if found.is_empty() {
+        return Err(CliError::UnknownId(id.to_string()));
     }
+    Ok(())
 }
 
+/// Prints the entries that are wanted, by the index of their source.
 fn print(
     directories: &[PathBuf],
-    mut wanted: impl FnMut(usize, &Entry) -> bool,
-) -> Result<(), String> {
-    let mut merged = MergedReader::open(directories).map_err(|e| e.to_string())?;
-    let mut out = BufWriter::new(std::io::stdout().lock());
-    while let Some(told) = merged.next_entry().map_err(|e| e.to_string())? {
-        let name = &merged.sources()[told.source].name;
-        let (seconds, micros) = (told.at / 1_000_000, told.at % 1_000_000);
-        let written = match &told.content {
-            ReadContent::Damaged => {
-                writeln!(
-                    out,
-                    "{seconds}.{micros:06} {name} -- something before this can't be read"
-                )
-            }
-            ReadContent::Entry(entry) if !wanted(told.source, entry) => Ok(()),
-            ReadContent::Entry(entry) => {
-                writeln!(
-                    out,
-                    "{seconds}.{micros:06} {name} {}",
-                    EntryText(entry.as_ref())
-                )
+    mut is_wanted: impl FnMut(usize, &Entry) -> bool,
+) -> Result<(), CliError> {
+    let mut reader = MergedReader::open(directories)?;
+    let mut out = BufWriter::new(io::stdout().lock());
+    while let Some(entry) = reader.next_entry()? {
+        let name = &reader.sources()[entry.source].name;
+        let (seconds, micros) = (entry.at / 1_000_000, entry.at % 1_000_000);
+        let written = match &entry.content {
+            ReadContent::Damaged => writeln!(
+                out,
+                "{seconds}.{micros:06} {name} -- something before this can't be read"
+            ),
+            ReadContent::Entry(content) if !is_wanted(entry.source, content) => Ok(()),
+            ReadContent::Entry(content) => {
+                let text = EntryText(content.as_ref());
+                writeln!(out, "{seconds}.{micros:06} {name} {text}")
             }
         };
         match written {
-            // Whoever read this has seen enough.
-            Err(e) if e.kind() == std::io::ErrorKind::BrokenPipe => return Ok(()),
-            written => written.map_err(|e| e.to_string())?,
+            // The reader of standard output has seen enough.
+            Err(error) if error.kind() == io::ErrorKind::BrokenPipe => return Ok(()),
+            written => written?,
         }
     }
-    out.flush().map_err(|e| e.to_string())
+    out.flush()?;
+    Ok(())
 }
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,4 +1,4 @@
-//! `eideryard store`: what a gateway's store holds, said without changing it, and its rewriting.
+//! `eideryard store`: what a gateway's store holds, and its rewriting.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -7,6 +7,9 @@
 use eideryard_store::recovery::Recovered;
 use eideryard_store::{Config, Directory, RecoveryStatus, Store};
 
+use crate::error::{CliError, StoreProblem};
+use crate::fleet::hex;
+
 /// A store that is rewritten by hand may grow as it has to.
 const ANY_BUDGET: u64 = 1 << 44;
 
@@ -17,18 +20,27 @@
         .as_millis() as u64
 }
 
-fn recovered(directory: &Path) -> Result<Recovered, String> {
-    let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", directory.display());
+fn error(directory: &Path, problem: impl Into<StoreProblem>) -> CliError {
+    CliError::Store {
+        directory: directory.to_path_buf(),
+        problem: problem.into(),
+    }
+}
+
+fn read(directory: &Path) -> Result<Recovered, CliError> {
     if !directory.is_dir() {
-        return Err(wrong(
-            &"no such directory; name the one that store-dir names",
-        ));
+        return Err(error(directory, StoreProblem::NoDirectory));
     }
-    eideryard_store::look(directory).map_err(|e| wrong(&e))
+    eideryard_store::look(directory).map_err(|problem| error(directory, problem))
 }
 
-pub fn check(directory: &Path) -> Result<(), String> {
-    let found = recovered(directory)?;
+/// Prints whether a store is whole, without changing it.
+///
+/// # Errors
+///
+/// The store can't be read, or is damaged.
+pub fn check(directory: &Path) -> Result<(), CliError> {
+    let found = read(directory)?;
     let Some(newest) = found.newest else {
         println!("no store is there: a gateway would begin as a stranger");
         return Ok(());
@@ -46,16 +58,11 @@
             found.torn
         );
     }
-    match found.damaged {
-        None => {
-            println!("whole");
-            Ok(())
-        }
-        Some((segment, at)) => Err(format!(
-            "{segment} is damaged at byte {at}: a gateway takes what lies before it as hints and begins as a \
-             stranger; nothing has to be done by hand"
-        )),
+    if let Some((segment, at)) = found.damaged {
+        return Err(CliError::DamagedStore { segment, at });
     }
+    println!("whole");
+    Ok(())
 }
 
 /// An intent as `eideryard store dump` prints it; the names in it are an interface.
@@ -73,13 +80,19 @@
     )
 }
 
-pub fn dump(directory: &Path) -> Result<(), String> {
-    for (key, value) in &recovered(directory)?.keys {
-        let name: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
-        match entry::from_bytes(&value.bytes).filter(|_| key.starts_with(entry::prefix())) {
-            Some(intent) => println!("{name} {}", intent_text(&intent)),
+/// Prints every key of a store.
+///
+/// # Errors
+///
+/// The store can't be read.
+pub fn dump(directory: &Path) -> Result<(), CliError> {
+    for (key, value) in &read(directory)?.keys {
+        let is_intent = key.starts_with(entry::prefix());
+        match entry::from_bytes(&value.bytes).filter(|_| is_intent) {
+            Some(intent) => println!("{} {}", hex(key), intent_text(&intent)),
             None => println!(
-                "{name} {} bytes until {}",
+                "{} {} bytes until {}",
+                hex(key),
                 value.bytes.len(),
                 value.until_ms
             ),
@@ -88,14 +101,19 @@
     Ok(())
 }
 
-pub fn compact(directory: &Path) -> Result<(), String> {
-    let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", directory.display());
-    if recovered(directory)?.newest.is_none() {
-        return Err(wrong(&"no store is there"));
+/// Rewrites a store that no gateway has open.
+///
+/// # Errors
+///
+/// There is no store, or it can't be opened or rewritten.
+pub fn compact(directory: &Path) -> Result<(), CliError> {
+    if read(directory)?.newest.is_none() {
+        return Err(error(directory, StoreProblem::NoStore));
     }
     let files = Box::new(Directory::new(directory));
-    let (mut store, found) = Store::open(files, Config { budget: ANY_BUDGET }, now_ms(), now_ms())
-        .map_err(|e| wrong(&e))?;
+    let config = Config { budget: ANY_BUDGET };
+    let (mut store, found) = Store::open(files, config, now_ms(), now_ms())
+        .map_err(|problem| error(directory, problem))?;
     if !matches!(found.status, RecoveryStatus::Whole) {
         println!(
             "it was not whole ({:?}): the gateway that starts with it begins as a stranger",
@@ -103,7 +121,9 @@
         );
     }
     let before = store.bytes();
-    store.rescue(now_ms()).map_err(|e| wrong(&e))?;
+    store
+        .rescue(now_ms())
+        .map_err(|problem| error(directory, problem))?;
     println!(
         "{} keys; {before} bytes are {} now",
         store.len(),
--- a/crates/cli/src/view.rs
+++ b/crates/cli/src/view.rs
@@ -1,41 +1,56 @@
-//! Records to views: what the report and the console show.
+//! Event logs folded to views, which the report and the console show.
+
+use std::path::PathBuf;
 
-use crate::arguments::Span;
-use crate::moment::Moment;
 use eideryard_event_analysis::View;
+use eideryard_event_log::reader::ReadError;
 use eideryard_event_log::MergedReader;
-use std::path::PathBuf;
 
-/// A time on the last day that records tell of.
-pub fn moment(directories: &[PathBuf], at: Option<Moment>) -> Result<Option<u64>, String> {
-    let Some(at) = at else { return Ok(None) };
-    let last = MergedReader::open(directories)
-        .and_then(|merged| merged.last_at())
-        .map_err(|e| e.to_string())?;
+use crate::arguments::Span;
+use crate::error::CliError;
+use crate::moment::Moment;
+
+/// A time on the last day of the logs.
+///
+/// # Errors
+///
+/// The logs can't be read.
+pub fn resolve_moment(
+    directories: &[PathBuf],
+    at: Option<Moment>,
+) -> Result<Option<u64>, ReadError> {
+    let Some(at) = at else {
+        return Ok(None);
+    };
+    let last = MergedReader::open(directories)?.last_at()?;
     Ok(Some(at.on_day_of(last)))
 }
 
-/// Folds what records hold of a span of time, each from the last segment that begins before it.
-pub fn fold(directories: &[PathBuf], span: Span) -> Result<View, String> {
-    let mut merged = MergedReader::open(directories).map_err(|e| e.to_string())?;
-    let last = merged.last_at().map_err(|e| e.to_string())?;
+/// Folds a span of time of the logs, each from the last segment that begins before it.
+///
+/// # Errors
+///
+/// The logs can't be read, or the span is empty.
+pub fn fold(directories: &[PathBuf], span: Span) -> Result<View, CliError> {
+    let mut reader = MergedReader::open(directories)?;
+    let last = reader.last_at()?;
     let from = span.from.map(|from| from.on_day_of(last));
     let to = span.to.map_or(u64::MAX, |to| to.on_day_of(last));
     if from.is_some_and(|from| from >= to) {
-        return Err("--from is not before --to".into());
+        return Err(CliError::EmptySpan);
     }
     if let Some(from) = from {
-        merged = MergedReader::open_from(directories, from).map_err(|e| e.to_string())?;
+        reader = MergedReader::open_from(directories, from)?;
     }
     let mut view = View::since(from.unwrap_or(0));
-    let mut cut = false;
-    while let Some(told) = merged.next_entry().map_err(|e| e.to_string())? {
-        if told.at > to {
-            cut = true;
+    let mut is_cut = false;
+    while let Some(entry) = reader.next_entry()? {
+        if entry.at > to {
+            is_cut = true;
             break;
         }
-        view.take(merged.sources(), told.source, told.at, &told.content);
+        view.take(reader.sources(), entry.source, entry.at, &entry.content);
     }
-    view.finish(cut);
+    view.finish(is_cut);
     Ok(view)
 }
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -9,4 +9,4 @@
 pub mod model;
 mod run;
 
-pub use run::run;
+pub use run::{run, ConsoleError};
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -7,7 +7,9 @@
 use crossterm::event::{self, Event, KeyCode, KeyEventKind, KeyModifiers};
 use eideryard::interface::Micros;
 use eideryard_event_analysis::View;
+use eideryard_event_log::reader::ReadError;
 use eideryard_event_log::MergedReader;
+use thiserror::Error;
 
 use crate::draw::{draw, Look};
 use crate::model::{Key, Model, Wish};
@@ -17,6 +19,20 @@
 /// Entries that are folded at once, so that keys are heard while a long record is read.
 const MAX_AT_ONCE: usize = 200_000;
 
+/// Why the console ends.
+#[derive(Debug, Error)]
+pub enum ConsoleError {
+    /// The event logs can't be read.
+    #[error(transparent)]
+    Read(#[from] ReadError),
+    /// There is no terminal.
+    #[error("no terminal: {0}")]
+    NoTerminal(io::Error),
+    /// The terminal fails.
+    #[error(transparent)]
+    Terminal(#[from] io::Error),
+}
+
 /// The records, folded up to a time.
 struct Records {
     directories: Vec<PathBuf>,
@@ -27,13 +43,13 @@
 }
 
 impl Records {
-    fn open(directories: &[PathBuf], from: Option<Micros>) -> Result<Self, String> {
+    fn open(directories: &[PathBuf], from: Option<Micros>) -> Result<Self, ReadError> {
         let merged = match from {
             // Some past before it makes what is usual known.
             Some(from) => MergedReader::follow_from(directories, from),
             None => MergedReader::follow(directories),
         };
-        let merged = merged.map_err(|e| e.to_string())?;
+        let merged = merged?;
         Ok(Records {
             directories: directories.to_vec(),
             merged,
@@ -43,11 +59,11 @@
     }
 
     /// Folds on, up to a time. True: there may be more at once.
-    fn fold(&mut self, to: Micros) -> Result<bool, String> {
+    fn fold(&mut self, to: Micros) -> Result<bool, ReadError> {
         for _ in 0..MAX_AT_ONCE {
             let told = match self.ahead.take() {
                 Some(told) => Some(told),
-                None => self.merged.next_entry().map_err(|e| e.to_string())?,
+                None => self.merged.next_entry()?,
             };
             let Some(told) = told else { return Ok(false) };
             if told.at > to {
@@ -62,7 +78,7 @@
 
     /// Back to a time before what is shown: from the beginning, or from a segment's state where
     /// that is far.
-    fn rewind(&mut self, to: Micros) -> Result<(), String> {
+    fn rewind(&mut self, to: Micros) -> Result<(), ReadError> {
         *self = Records::open(&self.directories, Some(to.saturating_sub(PAST)))?;
         Ok(())
     }
@@ -94,7 +110,7 @@
 }
 
 /// Shows records until it is ended.
-pub fn run(directories: &[PathBuf], at: Option<Micros>) -> Result<(), String> {
+pub fn run(directories: &[PathBuf], at: Option<Micros>) -> Result<(), ConsoleError> {
     let mut records = Records::open(directories, at.map(|at| at.saturating_sub(PAST)))?;
     let look = Look {
         colours: std::env::var_os("NO_COLOR").is_none(),
@@ -103,7 +119,7 @@
             .find_map(|name| std::env::var(name).ok().filter(|value| !value.is_empty()))
             .is_some_and(|value| value.to_lowercase().contains("utf")),
     };
-    let mut terminal = ratatui::try_init().map_err(|e| format!("no terminal: {e}"))?;
+    let mut terminal = ratatui::try_init().map_err(ConsoleError::NoTerminal)?;
     let mut model = Model::new();
     model.paused_at = at;
     let done = show(&mut terminal, &mut records, &mut model, look);
@@ -116,8 +132,7 @@
     records: &mut Records,
     model: &mut Model,
     look: Look,
-) -> Result<(), String> {
-    let failed = |e: io::Error| e.to_string();
+) -> Result<(), ConsoleError> {
     loop {
         let began = Instant::now();
         let more = records.fold(model.paused_at.unwrap_or(Micros::MAX))?;
@@ -125,18 +140,16 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         model.silent_for = (clock.as_micros() as Micros).saturating_sub(records.view.fleet.now);
-        terminal
-            .draw(|frame| draw(frame, model, &records.view, look))
-            .map_err(failed)?;
+        terminal.draw(|frame| draw(frame, model, &records.view, look))?;
         let patience = if more {
             Duration::ZERO
         } else {
             TICK.saturating_sub(began.elapsed())
         };
-        if !event::poll(patience).map_err(failed)? {
+        if !event::poll(patience)? {
             continue;
         }
-        let Event::Key(pressed) = event::read().map_err(failed)? else {
+        let Event::Key(pressed) = event::read()? else {
             continue;
         };
         if pressed.kind == KeyEventKind::Release {
