--- a/src/balancer/class_estimates.rs
+++ b/src/balancer/class_estimates.rs
@@ -56,7 +56,7 @@
         self.classes[class].mean_work
     }
 
-    /// Corrected work of a request, where neither it nor its class tells `fallback`.
+    /// Corrected work of a request; `fallback` where neither it nor its class has an estimate.
     pub(super) fn estimate_work(&self, request: &Request, fallback: f64) -> f64 {
         let class = &self.classes[request.class];
         match request.work {
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -9,7 +9,8 @@
 impl Balancer {
     /// Takes in the complete list: an engine that it lacks is removed.
     pub(super) fn on_endpoint_snapshot(&mut self, endpoints: &[Endpoint]) {
-        let present: BTreeSet<EngineId> = endpoints.iter().map(|own| own.engine).collect();
+        let present: BTreeSet<EngineId> =
+            endpoints.iter().map(|endpoint| endpoint.engine).collect();
         let removed: Vec<Endpoint> = self
             .engines
             .listed()
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -47,7 +47,10 @@
         self.ideal_sum = self.ideal_sum * remaining + ended.ideal;
         let mut spent = self.spent_sum;
         let mut ideal = self.ideal_sum;
-        for reservation in self.in_flight.values().filter(|own| !own.has_waited) {
+        for reservation in self.in_flight.values() {
+            if reservation.has_waited {
+                continue;
+            }
             let age = (now - reservation.sent_at) as f64;
             let (elapsed, done) = match reservation.progress {
                 Some(mark) => (mark.elapsed, mark.done),
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -149,7 +149,10 @@
     fn may_retry(&self, pending: &PendingRequest) -> bool {
         // The more bad outcomes, the fewer attempts: retries must not add to an overload. Attempts
         // that this gateway cancelled don't count.
-        let tried = pending.attempts.iter().filter(|own| !own.is_cancelled);
+        let tried = pending
+            .attempts
+            .iter()
+            .filter(|attempt| !attempt.is_cancelled);
         let bad_share = self.outlier_detection.fleet_bad_share();
         let max_tried = if bad_share > MAX_HEALTHY_BAD_SHARE {
             (1.0 / bad_share) as usize
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -212,7 +212,8 @@
         let limit = if self.progress_interval > 0 {
             self.progress_interval as f64
         } else {
-            let durations = engine.in_flight.values().map(|own| own.ideal_duration);
+            let reservations = engine.in_flight.values();
+            let durations = reservations.map(|reservation| reservation.ideal_duration);
             let longest = durations.fold(0.0, f64::max) * engine.slowdown;
             longest.max(self.latency_memory / SILENCE_MULTIPLE)
         };
--- a/src/engine_state.rs
+++ b/src/engine_state.rs
@@ -148,7 +148,9 @@
     /// Sums up what is in flight.
     pub(crate) fn update_totals(&mut self) {
         let reservations = || self.in_flight.values();
-        self.threads = reservations().map(|own| own.threads).sum();
-        self.memory_mb = reservations().map(|own| own.memory_mb).sum();
+        self.threads = reservations().map(|reservation| reservation.threads).sum();
+        self.memory_mb = reservations()
+            .map(|reservation| reservation.memory_mb)
+            .sum();
     }
 }
