--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -151,19 +151,19 @@
             task.number,
             token.term
         );
-        self.events.push(FleetEvent::Owns {
+        self.events.push(FleetEvent::LeaseChanged {
             task: task.number,
             term: token.term,
-            owns: is_owner,
+            is_held: is_owner,
         });
     }
 
     fn record_work(&mut self, task: Task, token: FencingToken, is_applied: bool) {
-        self.events.push(FleetEvent::Work {
+        self.events.push(FleetEvent::WorkReceived {
             task: task.number,
             term: token.term,
             owner: token.owner,
-            counts: is_applied,
+            is_accepted: is_applied,
         });
     }
 
--- a/crates/gateway/src/replication/lease_messages.rs
+++ b/crates/gateway/src/replication/lease_messages.rs
@@ -5,7 +5,7 @@
 impl ReplicationDriver {
     /// Whether this voter has everything that it ever promised.
     pub(super) fn voter_readiness(&self) -> VoterReadiness {
-        if self.core.standing.votes() {
+        if self.core.is_voting() {
             VoterReadiness::Ready
         } else {
             VoterReadiness::Recovering
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,41 +1,42 @@
-//! Graceful shutdown in stated phases; pure: times and what is left in, steps out.
+//! Graceful shutdown in phases. This state machine has no side effects: the gateway's main loop
+//! gives it the time and what remains, and takes the steps that it returns.
 //!
-//! *Serving* until the signal; *draining*: all that comes is still taken and served, as clients go
-//! on coming for a while; *closing*: no new connection, and each connection that rests is
-//! half-closed and read on until its other end has closed; *ending*: what is still open gets its
-//! final answer; *over*: the process may end.
+//! *Serving* until the signal; *draining*: requests and connections are still accepted, as clients
+//! go on sending for a while; *closing*: no new connection, and each idle connection is half-closed
+//! and read until its other end has closed; *ending*: open requests get their final answers;
+//! *finished*: the process may end.
 
 use eideryard::interface::Micros;
 
-/// New connections come for at most 0.4 s after the signal, and requests on open ones for 0.2 s
-/// more; who closes later than this has waited for all.
-const LAST_CLIENTS: Micros = 700_000;
-/// The process may be killed after the longest wait of a client, at most so long, and
-/// `LAST_CLIENTS`.
-const LONGEST_STOP: Micros = 3_000_000;
-/// What is still open so long before that gets its answer then, and half as long before that all is
-/// over: an answer that isn't out by then has a client that doesn't read.
+/// Clients connect for at most 0.4 s after the signal, and send requests on open connections for
+/// 0.2 s more; after this time nothing new arrives.
+const LAST_CLIENT_TIMEOUT: Micros = 700_000;
+/// The process may be killed after [`LAST_CLIENT_TIMEOUT`] and the longest wait of a client, of
+/// which at most so much counts.
+const MAX_STOP_TIME: Micros = 3_000_000;
+/// Open requests are answered so long before the kill; the process ends half as long before it,
+/// since a client that has not received its answer by then doesn't read.
 const STOP_MARGIN: Micros = 200_000;
 
-/// How far the shutdown has come.
+/// A phase of the shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// No signal has come.
+    /// There was no signal yet.
     #[default]
     Serving,
-    /// All that comes is still served.
+    /// Everything that arrives is still served.
     Draining,
-    /// No new connection; those that rest are closed.
+    /// No new connection; idle ones are closed.
     Closing,
-    /// What is still open gets its final answer.
+    /// Open requests get their final answers.
     Ending,
     /// The process may end.
-    Over,
+    Finished,
 }
 
-/// What the gateway still has.
+/// What is still open at the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Left {
+pub struct Remaining {
     /// Requests without a final answer.
     pub requests: usize,
     /// Connections of clients, also those that are half-closed.
@@ -44,65 +45,67 @@
 
 /// What is to be done now, once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Take in what waits to connect, then no more; half-close what rests, now and whenever one
-    /// comes to rest.
-    Close,
-    /// Answer what is open.
-    End,
+pub enum ShutdownStep {
+    /// Accept the connections that wait, then no more; half-close idle connections, now and
+    /// whenever one becomes idle.
+    CloseIdle,
+    /// Answer all open requests.
+    AnswerOpen,
     /// End the process.
-    Leave,
+    Exit,
 }
 
 /// The state of the shutdown.
 #[derive(Debug, Default)]
 pub struct Shutdown {
     phase: Phase,
-    /// When the phases that wait for nothing else begin: closing, ending, over.
-    bounds: [Micros; 3],
+    /// The latest times at which closing, ending and finished begin.
+    phase_starts: [Micros; 3],
 }
 
 impl Shutdown {
-    /// The signal. False: it came before, which changes nothing.
+    /// There was a signal. False: it is not the first, which changes nothing.
     pub fn begin(&mut self, now: Micros, longest_wait: Micros) -> bool {
         if self.phase != Phase::Serving {
             return false;
         }
-        let killed_at = now + LAST_CLIENTS + longest_wait.min(LONGEST_STOP);
-        let ends_at = killed_at - STOP_MARGIN;
-        self.bounds = [
-            ends_at.min(now + LAST_CLIENTS),
-            ends_at,
-            killed_at - STOP_MARGIN / 2,
+        let kill_deadline = now + LAST_CLIENT_TIMEOUT + longest_wait.min(MAX_STOP_TIME);
+        let ending_at = kill_deadline - STOP_MARGIN;
+        self.phase_starts = [
+            ending_at.min(now + LAST_CLIENT_TIMEOUT),
+            ending_at,
+            kill_deadline - STOP_MARGIN / 2,
         ];
         self.phase = Phase::Draining;
         true
     }
 
-    /// How far it has come.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When what is taken from now on must have its answer at the latest.
+    /// When requests that are taken from now on must be answered at the latest.
     pub fn last_answer(&self) -> Option<Micros> {
-        (self.phase != Phase::Serving).then_some(self.bounds[1])
+        (self.phase != Phase::Serving).then_some(self.phase_starts[1])
     }
 
-    /// When a look is due though nothing else happens.
-    pub fn due(&self) -> [Micros; 3] {
-        self.bounds
+    /// When [`Shutdown::next_step`] is to be called though nothing else happens.
+    pub fn phase_starts(&self) -> [Micros; 3] {
+        self.phase_starts
     }
 
-    /// The next step, if one is due by now; the host asks again until there is none.
-    pub fn next(&mut self, now: Micros, left: Left) -> Option<Step> {
-        let [closes_at, ends_at, leaves_at] = self.bounds;
-        let done = left == Left::default();
+    /// The next step, if its time has come; the caller asks again until there is none.
+    pub fn next_step(&mut self, now: Micros, remaining: Remaining) -> Option<ShutdownStep> {
+        let [closing_at, ending_at, finished_at] = self.phase_starts;
+        let is_drained = remaining == Remaining::default();
         let (phase, step) = match self.phase {
-            Phase::Draining if now >= closes_at => (Phase::Closing, Step::Close),
-            Phase::Closing if now >= ends_at => (Phase::Ending, Step::End),
-            Phase::Closing if done => (Phase::Over, Step::Leave),
-            Phase::Ending if done || now >= leaves_at => (Phase::Over, Step::Leave),
+            Phase::Draining if now >= closing_at => (Phase::Closing, ShutdownStep::CloseIdle),
+            Phase::Closing if now >= ending_at => (Phase::Ending, ShutdownStep::AnswerOpen),
+            Phase::Closing if is_drained => (Phase::Finished, ShutdownStep::Exit),
+            Phase::Ending if is_drained || now >= finished_at => {
+                (Phase::Finished, ShutdownStep::Exit)
+            }
             _ => return None,
         };
         self.phase = phase;
