--- a/crates/gateway/src/clients/decoding.rs
+++ b/crates/gateway/src/clients/decoding.rs
@@ -19,22 +19,20 @@
 #[derive(Debug)]
 pub(super) struct MalformedInput;
 
-/// What the answer to a message depends on besides its connection.
-pub(super) struct MessageDecoder {
+/// Decodes the messages of one connection.
+pub(super) struct MessageDecoder<'a, 'b> {
+    pub(super) key: Key,
+    pub(super) client: &'a mut Client,
+    pub(super) context: &'a mut ClientContext<'b>,
     pub(super) is_healthy: bool,
     pub(super) accepts_result_queries: bool,
 }
 
-impl MessageDecoder {
-    /// Handles all complete messages in a connection's buffer.
-    pub(super) fn decode_all(
-        &self,
-        key: Key,
-        client: &mut Client,
-        context: &mut ClientContext<'_>,
-    ) -> Result<(), MalformedInput> {
+impl MessageDecoder<'_, '_> {
+    /// Handles all complete messages in the connection's buffer.
+    pub(super) fn decode_all(&mut self) -> Result<(), MalformedInput> {
         // The input is moved out while its messages borrow it.
-        let mut input = std::mem::take(&mut client.connection.input);
+        let mut input = std::mem::take(&mut self.client.connection.input);
         let mut used = 0;
         let result = loop {
             let (message, length) = match decode(&input.filled()[used..]) {
@@ -43,22 +41,16 @@
                 Err(_) => break Err(MalformedInput),
             };
             used += length;
-            if let Err(error) = self.handle(message, key, client, context) {
+            if let Err(error) = self.handle(message) {
                 break Err(error);
             }
         };
         input.consume(used);
-        client.connection.input = input;
+        self.client.connection.input = input;
         result
     }
 
-    fn handle(
-        &self,
-        message: Message<'_>,
-        key: Key,
-        client: &mut Client,
-        context: &mut ClientContext<'_>,
-    ) -> Result<(), MalformedInput> {
+    fn handle(&mut self, message: Message<'_>) -> Result<(), MalformedInput> {
         match message {
             Message::Call {
                 id,
@@ -66,84 +58,91 @@
                 fields,
                 body,
             } => {
-                let call = Call::read(context.names, method, &fields, body);
-                handle_call(id, call, key, client, context)
+                let call = Call::read(self.context.names, method, &fields, body);
+                self.handle_call(id, call)
             }
             Message::Ask {
                 id,
                 method: HEALTH_METHOD,
                 ..
             } => {
-                context.counters.health_asked += 1;
-                client.has_requested = true;
-                write_health(client.connection.output.tail(), id, self.is_healthy);
+                self.answer_health(id);
                 Ok(())
             }
             Message::Ask { id, method, fields } => {
-                let query = result_query(method, &fields).filter(|_| self.accepts_result_queries);
-                match query {
-                    Some(query) => handle_result_query(id, query, key, client, context),
-                    None => handle_call(id, Err(CallError::Parameters), key, client, context),
+                let query = result_query(method, &fields);
+                match query.filter(|_| self.accepts_result_queries) {
+                    Some(query) => self.handle_result_query(id, query),
+                    None => self.handle_call(id, Err(CallError::Parameters)),
                 }
             }
-            Message::Unusable { id } => {
-                handle_call(id, Err(CallError::Parameters), key, client, context)
-            }
+            Message::Unusable { id } => self.handle_call(id, Err(CallError::Parameters)),
             Message::Forget { ids } => {
                 for id in ids {
-                    forget(id, key, client, context);
+                    self.forget(id);
                 }
                 Ok(())
             }
             Message::Other => Ok(()),
         }
     }
-}
 
-fn handle_call(
-    id: u32,
-    call: Result<Call, CallError>,
-    key: Key,
-    client: &mut Client,
-    context: &mut ClientContext<'_>,
-) -> Result<(), MalformedInput> {
-    client.has_requested = true;
-    if client.open.iter().any(|open| open.id == id) {
-        return Err(MalformedInput);
+    fn answer_health(&mut self, id: u32) {
+        self.context.counters.health_asked += 1;
+        self.client.has_requested = true;
+        let output = self.client.connection.output.tail();
+        write_health(output, id, self.is_healthy);
+    }
+
+    fn handle_call(
+        &mut self,
+        id: u32,
+        call: Result<Call, CallError>,
+    ) -> Result<(), MalformedInput> {
+        self.client.has_requested = true;
+        if self.client.open.iter().any(|open| open.id == id) {
+            return Err(MalformedInput);
+        }
+        let call = if self.client.open.len() < MAX_OPEN_REQUESTS {
+            call
+        } else {
+            Err(CallError::TooManyOpen)
+        };
+        self.client.open.push(OpenRequest { id, request: None });
+        self.context.events.push(ClientEvent::Call {
+            client: self.key,
+            id,
+            call,
+        });
+        Ok(())
     }
-    let call = if client.open.len() < MAX_OPEN_REQUESTS {
-        call
-    } else {
-        Err(CallError::TooManyOpen)
-    };
-    client.open.push(OpenRequest { id, request: None });
-    context.events.push(ClientEvent::Call {
-        client: key,
-        id,
-        call,
-    });
-    Ok(())
-}
 
-fn handle_result_query(
-    id: u32,
-    query: ResultQuery,
-    key: Key,
-    client: &mut Client,
-    context: &mut ClientContext<'_>,
-) -> Result<(), MalformedInput> {
-    client.has_requested = true;
-    let is_open = client.open.iter().any(|open| open.id == id);
-    if is_open || client.open.len() >= MAX_OPEN_REQUESTS {
-        return Err(MalformedInput);
+    fn handle_result_query(&mut self, id: u32, query: ResultQuery) -> Result<(), MalformedInput> {
+        self.client.has_requested = true;
+        let is_open = self.client.open.iter().any(|open| open.id == id);
+        if is_open || self.client.open.len() >= MAX_OPEN_REQUESTS {
+            return Err(MalformedInput);
+        }
+        self.client.open.push(OpenRequest { id, request: None });
+        self.context.events.push(ClientEvent::ResultQuery {
+            client: self.key,
+            id,
+            query,
+        });
+        Ok(())
+    }
+
+    fn forget(&mut self, id: u32) {
+        let Some(index) = self.client.open.iter().position(|open| open.id == id) else {
+            return;
+        };
+        let events = &mut self.context.events;
+        match self.client.open.swap_remove(index).request {
+            Some(request) => events.push(ClientEvent::Forgotten(request)),
+            // It has only just arrived, so its event is removed before anybody handles it.
+            None => events.retain(|event| !event.is_call(self.key, id)),
+        }
     }
-    client.open.push(OpenRequest { id, request: None });
-    context.events.push(ClientEvent::ResultQuery {
-        client: key,
-        id,
-        query,
-    });
-    Ok(())
 }
 
 /// The query that a method and its fields stand for; a field that is missing is read as empty.
@@ -165,14 +164,3 @@
         _ => None,
     }
 }
-
-fn forget(id: u32, key: Key, client: &mut Client, context: &mut ClientContext<'_>) {
-    let Some(index) = client.open.iter().position(|open| open.id == id) else {
-        return;
-    };
-    match client.open.swap_remove(index).request {
-        Some(request) => context.events.push(ClientEvent::Forgotten(request)),
-        // It has only just arrived, so its event is removed before anybody handles it.
-        None => context.events.retain(|event| !event.is_call(key, id)),
-    }
-}
--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -46,11 +46,14 @@
         };
         client.used_at = context.now;
         let received = client.connection.input.len();
-        let decoder = MessageDecoder {
+        let mut decoder = MessageDecoder {
+            key,
+            client,
+            context,
             is_healthy: self.is_healthy,
             accepts_result_queries: self.accepts_result_queries,
         };
-        let is_malformed = decoder.decode_all(key, client, context).is_err();
+        let is_malformed = decoder.decode_all().is_err();
         let remaining = client.connection.input.len();
         let has_message = remaining < received;
         // Each message has a deadline of its own, from when it begins; the first request has it
