--- a/crates/gateway/src/clients/answering.rs
+++ b/crates/gateway/src/clients/answering.rs
@@ -51,7 +51,7 @@
             self.close(key, context);
         } else if self.unsent_bytes > self.max_unsent_bytes && remaining > fair_share {
             context.counters.ended.deaf += 1;
-            self.record_change(key, ConnectionChange::Closing(CloseReason::Deaf));
+            self.record_change(key, ConnectionChange::Closing(CloseReason::NotReading));
             self.stop_writing(key, context);
         }
     }
--- a/crates/gateway/src/clients/closing.rs
+++ b/crates/gateway/src/clients/closing.rs
@@ -83,7 +83,7 @@
             }
         }
         context.counters.ended.silent += 1;
-        self.record_change(key, ConnectionChange::Closing(CloseReason::Silent));
+        self.record_change(key, ConnectionChange::Closing(CloseReason::IdleTimeout));
         self.reject_connection(key, context);
     }
 
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -2,10 +2,10 @@
 //! the main loop. Without an event log it does nothing.
 
 use eideryard::interface::{Action, Event, Micros};
+use eideryard_event_log::disk::Directory;
 use eideryard_event_log::entry::EntryRef;
-use eideryard_event_log::recorder::PAUSE;
-use eideryard_event_log::writer::Directory;
-use eideryard_event_log::{Config, Host, Names, Recorder};
+use eideryard_event_log::recorder::RETRY_DELAY;
+use eideryard_event_log::{Config, HostEvent, Names, Recorder};
 use eideryard_operator_config::EventLogConfig;
 
 /// The recorder, with the names that begin each segment.
@@ -35,10 +35,10 @@
         let config = Config {
             name: name.to_string(),
             epoch,
-            budget: event_log.budget,
-            segment: event_log.segment,
-            segment_time: event_log.segment_time,
-            pause: PAUSE,
+            max_total_bytes: event_log.budget,
+            max_segment_bytes: event_log.segment,
+            max_segment_age: event_log.segment_time,
+            retry_delay: RETRY_DELAY,
             classes: names.classes.len(),
             tenants: names.tenants.len(),
         };
@@ -61,16 +61,16 @@
 
     /// Records an event for the balancer.
     pub fn record_event(&mut self, now: Micros, event: &Event) {
-        self.record(now, EntryRef::In(event));
+        self.record(now, EntryRef::Event(event));
     }
 
     /// Records an action of the balancer.
     pub fn record_action(&mut self, now: Micros, action: &Action) {
-        self.record(now, EntryRef::Out(action));
+        self.record(now, EntryRef::Action(action));
     }
 
     /// Records what the gateway itself did or received.
-    pub fn record_host(&mut self, now: Micros, host: &Host) {
+    pub fn record_host(&mut self, now: Micros, host: &HostEvent) {
         self.record(now, EntryRef::Host(host));
     }
 
@@ -83,31 +83,31 @@
     /// Whether a segment should begin, with the current state.
     pub fn needs_state(&self, now: Micros) -> bool {
         match &self.active {
-            Some(active) => active.recorder.wants_state(now),
+            Some(active) => active.recorder.needs_segment(now),
             None => false,
         }
     }
 
     /// Begins a segment with the current state.
-    pub fn record_state(&mut self, now: Micros, state: impl Iterator<Item = Host>) {
+    pub fn record_state(&mut self, now: Micros, state: impl Iterator<Item = HostEvent>) {
         let Some(active) = &mut self.active else {
             return;
         };
         let ActiveRecorder { recorder, names } = active.as_mut();
-        if !recorder.begin(now) {
+        if !recorder.start_segment(now) {
             return;
         }
-        recorder.state(now, &Host::Names(names.clone()));
+        recorder.record_state(now, &HostEvent::Names(names.clone()));
         for host in state {
-            recorder.state(now, &host);
+            recorder.record_state(now, &host);
         }
-        recorder.state_whole(now);
+        recorder.finish_state(now);
     }
 
     /// When [`EventRecorder::flush`] has something to do, if nothing else happens.
     pub fn next_deadline(&self) -> Option<Micros> {
         let active = self.active.as_ref()?;
-        active.recorder.due()
+        active.recorder.next_flush_at()
     }
 
     /// Hands recorded entries to the writer's thread.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -11,7 +11,7 @@
 
 use eideryard::balancer::Balancer;
 use eideryard::interface::{Action, Endpoint, EngineId, Event, Micros, Outcome, Probed};
-use eideryard_event_log::{Host, ListedEngine};
+use eideryard_event_log::{HostEvent, ListedEngine};
 
 use crate::clients::{ClientContext, ClientEvent, Clients};
 use crate::clock::Clock;
@@ -284,7 +284,7 @@
             Ok(config) => {
                 self.counters.reloads += 1;
                 self.event_recorder
-                    .record_host(now, &Host::Reloaded { done: true });
+                    .record_host(now, &HostEvent::ConfigReloaded { succeeded: true });
                 tracing::info!("reloaded; the bulletin is at {}", config.discovery);
                 self.discovery
                     .change_address(config.discovery, now, &mut self.deadlines);
@@ -292,7 +292,7 @@
             Err(error) => {
                 self.counters.reloads_failed += 1;
                 self.event_recorder
-                    .record_host(now, &Host::Reloaded { done: false });
+                    .record_host(now, &HostEvent::ConfigReloaded { succeeded: false });
                 tracing::error!("not reloaded, the old configuration stays: {error}");
             }
         }
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -2,7 +2,7 @@
 //! answer.
 
 use eideryard::interface::{Event, PriorAttempt, Request};
-use eideryard_event_log::{AnswerKind, Host, RejectReason};
+use eideryard_event_log::{AnswerKind, HostEvent, RejectReason};
 use eideryard_intent_log::state::RETRY_AFTER;
 
 use super::Gateway;
@@ -58,7 +58,7 @@
             (Some(false), _) => return self.answer_invalid(call_id, CallError::ConnectionClosing),
             (None, _) => {
                 self.counters.lost += 1;
-                self.record_rejection(RejectReason::Gone, None);
+                self.record_rejection(RejectReason::ClientDisconnected, None);
                 return;
             }
         };
@@ -92,7 +92,7 @@
             counted_as: Some(labels),
         };
         let delivery = result_spool.reattach(key, waiter, now);
-        let attached = Host::Attached {
+        let attached = HostEvent::RetryAttached {
             class: labels.class,
             tenant: labels.tenant,
         };
@@ -116,7 +116,7 @@
         let Err(rejection) = result_spool.admit(owner, now) else {
             return true;
         };
-        self.count_no_room(RejectReason::NoRoom, owner.labels);
+        self.count_no_room(RejectReason::StatementMemoryFull, owner.labels);
         let reply = ErrorReply {
             retry_after: rejection.retry_after.filter(|_| self.retry_after_allowed),
             ..ErrorReply::with_reason(ErrorKind::TryLater, rejection.reason.word())
@@ -171,7 +171,7 @@
             Ok(request) => request,
             Err(InsertError::DuplicateId) => return self.answer_invalid(call_id, CallError::Id),
             Err(InsertError::NoRoom) => {
-                self.count_no_room(RejectReason::NoRoom, labels);
+                self.count_no_room(RejectReason::StatementMemoryFull, labels);
                 self.answer_call(call_id, &ErrorReply::new(ErrorKind::TryLater));
                 return;
             }
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -1,7 +1,7 @@
 //! The way of spooled results: pages arrive from engines, clients query them.
 
 use eideryard::interface::Event;
-use eideryard_event_log::{AnswerKind, Host};
+use eideryard_event_log::{AnswerKind, HostEvent};
 use eideryard_msgpack_rpc::write_part;
 
 use super::Gateway;
@@ -176,12 +176,12 @@
             AnswerKind::Failed => self.counters.failed += 1,
             _ => self.counters.lost += 1,
         }
-        let answered = Host::Answered {
+        let answered = HostEvent::Answered {
             request: 0,
             class: labels.class,
             tenant: labels.tenant,
-            how: kind,
-            late: false,
+            kind,
+            is_late: false,
         };
         self.event_recorder.record_host(self.clock.now(), &answered);
     }
