--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -1,7 +1,7 @@
 //! Counters of the gateway's parts as the log prints them. The names are an interface for scripts
 //! that read the log; they are fixed here and are not the names of types and fields.
 
-use crate::intent_durability::Counted;
+use crate::intent_durability::{IntentCounters, IntentDurability};
 use crate::result_spool::Spooled;
 
 /// A group's name and its counters: `Name { first: 1, second: 2 }`.
@@ -13,35 +13,52 @@
     format!("{name} {{ {} }}", pairs.join(", "))
 }
 
+/// What the intent durability and, in a fleet, replication and leases have counted.
+pub fn durability(durability: &IntentDurability) -> String {
+    let mut text = format!("; {}", intents(&durability.counters));
+    let Some(driver) = durability.replication() else {
+        return text;
+    };
+    text.push_str(&format!("; {}", replication(&driver.counters())));
+    if let Some(driver) = driver.leases() {
+        text.push_str(&format!(
+            "; {}; probes_spared: {}",
+            leases(&driver.counters()),
+            driver.probes_spared()
+        ));
+    }
+    text
+}
+
 /// What was counted of intents.
-pub fn intents(counted: &Counted) -> String {
+pub fn intents(counters: &IntentCounters) -> String {
     group(
         "Counted",
         &[
-            ("intents", counted.intents),
-            ("waited", counted.waited),
-            ("pinned", counted.pinned),
-            ("doubted", counted.doubted),
-            ("refused_full", counted.refused_full),
-            ("refused_stalled", counted.refused_stalled),
-            ("refused_no_majority", counted.refused_no_majority),
-            ("drains_heard", counted.drains_heard),
+            ("intents", counters.intents),
+            ("waited", counters.waited),
+            ("pinned", counters.pinned),
+            ("doubted", counters.doubted),
+            ("refused_full", counters.refused_full),
+            ("refused_stalled", counters.refused_stalled),
+            ("refused_no_majority", counters.refused_no_majority),
+            ("drains_heard", counters.drains_heard),
         ],
     )
 }
 
 /// What was counted of spooled results.
-pub fn spool(counted: &Spooled) -> String {
+pub fn spool(counters: &Spooled) -> String {
     group(
         "Spooled",
         &[
-            ("begun", counted.begun),
-            ("whole", counted.whole),
-            ("dropped", counted.dropped),
-            ("parts", counted.parts),
-            ("returned", counted.returned),
-            ("gone", counted.gone),
-            ("disk_errors", counted.disk_errors),
+            ("begun", counters.begun),
+            ("whole", counters.whole),
+            ("dropped", counters.dropped),
+            ("parts", counters.parts),
+            ("returned", counters.returned),
+            ("gone", counters.gone),
+            ("disk_errors", counters.disk_errors),
         ],
     )
 }
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -27,23 +27,22 @@
     hasher.finish()
 }
 
-/// A fingerprint of the classes that intents are kept for: their places, effects, scopes and
-/// windows.
+/// A fingerprint of the classes that need intents: their indexes, effects, scopes and windows.
 pub fn classes_fingerprint(classes: &[Class]) -> u64 {
-    let kept = classes
-        .iter()
-        .enumerate()
-        .filter(|(_, class)| class.effect != Effect::Idempotent);
-    let lines: Vec<String> = kept
-        .map(|(index, class)| {
-            let (effect, scope) = (effect_name(class.effect), scope_name(class.scope));
-            format!("{index} {effect} {scope} {}", class.window)
-        })
-        .collect();
+    let mut lines = Vec::new();
+    for (index, class) in classes.iter().enumerate() {
+        if class.effect != Effect::Idempotent {
+            let effect = effect_name(class.effect);
+            let scope = scope_name(class.scope);
+            lines.push(format!("{index} {effect} {scope} {}", class.window));
+        }
+    }
     let hash = blake3::hash(lines.join("\n").as_bytes());
-    hash.as_bytes()[..8]
-        .iter()
-        .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+    let mut fingerprint = 0;
+    for byte in &hash.as_bytes()[..8] {
+        fingerprint = fingerprint << 8 | u64::from(*byte);
+    }
+    fingerprint
 }
 
 fn effect_name(effect: Effect) -> &'static str {
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -69,15 +69,15 @@
         bad: 0.1,
         foreign_load: 3.0,
     };
-    let lessons = LearnedState {
+    let learned = LearnedState {
         classes: vec![class(Some(3.0)), class(None)],
         engines: vec![engine],
         baseline_load: 0.5,
     };
     let fingerprint = settings_fingerprint(&sample());
-    golden::check("checkpoint.bin", &to_bytes(&lessons, 100, fingerprint));
+    golden::check("checkpoint.bin", &to_bytes(&learned, 100, fingerprint));
     let stored = std::fs::read(golden::path("checkpoint.bin")).unwrap();
-    assert_eq!(from_bytes(&stored, 130, fingerprint), Ok((lessons, 30)));
+    assert_eq!(from_bytes(&stored, 130, fingerprint), Ok((learned, 30)));
 }
 
 #[test]
@@ -85,7 +85,7 @@
     let text = format!(
         "{}\n{}\n{}\n{}\n{}\n",
         Counters::default(),
-        counter_text::intents(&crate::intent_durability::Counted::default()),
+        counter_text::intents(&crate::intent_durability::IntentCounters::default()),
         counter_text::spool(&crate::result_spool::Spooled::default()),
         counter_text::replication(&eideryard_replication::core::Counters::default()),
         counter_text::leases(&eideryard_leases::Counters::default()),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -23,8 +23,8 @@
 use crate::discovery_watch::Watch;
 use crate::engines::{self, Engines};
 use crate::event_recorder::EventRecorder;
-use crate::intent_durability::{IntentDurability, Ready, Sending, Waiting};
-use crate::replication::About;
+use crate::intent_durability::IntentDurability;
+use crate::replication::ReplicationContext;
 use crate::requests::{self, place, Attempt, Call, Names, NotTaken, Requests};
 use crate::result_spool::{ResultSpoolDriver, Told as Word, Waiter};
 use crate::shutdown::{Left, Phase as Stage, Shutdown, Step};
@@ -123,15 +123,16 @@
                     events
                         .insert_source(woken, |(), _, wakes| wakes.push(Wake::Store))
                         .map_err(io::Error::other)?;
-                    let about = About {
+                    let context = ReplicationContext {
                         name: &config.name,
                         settings,
                         longest_wait: config.host.longest_wait,
-                        entries: IntentDurability::room_for_copies(memory_mb),
+                        max_replicas: IntentDurability::max_replicas(memory_mb),
                         now,
                         seed: random,
                     };
-                    keeping.join((fleet, plan), about, shared, Box::new(move || ping.ping()))?;
+                    let wake = Box::new(move || ping.ping());
+                    keeping.join_fleet(fleet, plan, context, shared, wake)?;
                 }
                 Some(Box::new(keeping))
             }
@@ -246,7 +247,7 @@
             self.settle();
         }
         self.spool_work();
-        self.keep_work();
+        self.poll_intent_durability();
         if !self.events.is_empty() {
             self.settle();
         }
@@ -405,7 +406,7 @@
                     self.events.push_back(Event::ClientLeft {
                         request: request.number(),
                     });
-                    self.turn_down(request, "Failed", &[]);
+                    self.fail(request, &[]);
                 }
                 clients::Heard::Left(request) => {
                     self.counters.lost += 1;
--- /dev/null
+++ b/crates/gateway/src/gateway/actions/durability_results.rs
@@ -0,0 +1,147 @@
+//! What the intent durability and the fleet bring: sends whose intents are durable, refused sends,
+//! shared probes, drains of engines and hints of peers.
+
+use super::*;
+use crate::intent_durability::{
+    PendingSend, ProbeWork, RefusedSend, SendResults, SendWithPriorRuns,
+};
+
+impl Gateway {
+    /// Polls the intent durability and handles all that it brings.
+    pub(in crate::gateway) fn poll_intent_durability(&mut self) {
+        let now = self.clock.now();
+        let Some(durability) = &mut self.keeping else {
+            return;
+        };
+        if durability.is_checkpoint_due(now) {
+            durability.save_checkpoint(now, &self.module.learned_state());
+        }
+        let results = durability.poll(now);
+        let fleet_events = durability.take_fleet_events();
+        let drains = durability.take_drains();
+        let hint = durability.take_peer_hint();
+        let probe_work = durability.take_probe_work(now);
+        for event in fleet_events {
+            self.tap.host(now, Host::Fleet(event));
+        }
+        let has_news = !results.is_empty()
+            || !drains.is_empty()
+            || hint.is_some()
+            || !probe_work.due_engines.is_empty()
+            || !probe_work.reports.is_empty();
+        self.heed_drains(drains);
+        self.apply_probe_work(now, probe_work);
+        if let Some((learned, age)) = hint {
+            self.events
+                .push_back(Event::CheckpointRestored { learned, age });
+        }
+        self.apply_send_results(now, results);
+        if has_news {
+            self.settle();
+            self.flush();
+        }
+        if let Some(durability) = &mut self.keeping {
+            durability.flush();
+        }
+    }
+
+    fn apply_probe_work(&mut self, now: Micros, probe_work: ProbeWork) {
+        for engine in probe_work.due_engines {
+            // That an engine can't be reached from here is not reported: each gateway finds that
+            // out for itself.
+            let _ = self
+                .engines
+                .probe(now, engine, &mut self.due, &mut self.counters);
+        }
+        for (engine, report) in probe_work.reports {
+            self.add_probed(engine, Outcome::Answered, Some(report));
+        }
+    }
+
+    fn apply_send_results(&mut self, now: Micros, results: SendResults) {
+        for send in results.ready {
+            self.dispatch_durable(now, send);
+        }
+        for send in results.with_prior_runs {
+            self.end_with_prior_runs(send);
+        }
+        for refused in results.refused {
+            self.refuse_send(now, &refused);
+        }
+    }
+
+    /// The intent of a send is durable.
+    fn dispatch_durable(&mut self, now: Micros, send: PendingSend) {
+        let key = send.request;
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
+        let Some(attempt) = request.attempts.get_mut(send.attempt) else {
+            return;
+        };
+        // An attempt that was given up meanwhile no longer waits.
+        if !std::mem::take(&mut attempt.waits) {
+            return;
+        }
+        let is_within_window = self.keeping.as_ref().is_none_or(|durability| {
+            durability.is_within_window(now, request.class, &request.earlier)
+        });
+        if is_within_window {
+            self.dispatch(now, key, send.attempt, send.engine, send.attempt_deadline);
+        } else {
+            self.end_unsent(key, send.attempt);
+        }
+    }
+
+    /// Other gateways may have run a request: the balancer learns that before it learns that the
+    /// attempt was not sent.
+    fn end_with_prior_runs(&mut self, found: SendWithPriorRuns) {
+        let PendingSend {
+            request, attempt, ..
+        } = found.send;
+        if self.requests.get(request).is_none() {
+            return;
+        }
+        self.add_prior_attempts(request, found.prior_attempts);
+        self.give_up(request, attempt, Outcome::NotSent);
+    }
+
+    /// A send has waited for too long; its request is refused if nothing else of it was sent.
+    fn refuse_send(&mut self, now: Micros, refused: &RefusedSend) {
+        let PendingSend {
+            request, attempt, ..
+        } = refused.send;
+        let is_only_attempt = self
+            .requests
+            .get(request)
+            .is_some_and(|state| state.attempts.len() == 1 && state.attempts[0].waits);
+        // The balancer learns that the client is gone before it learns of the attempt's end.
+        // Otherwise it would send a further attempt, of a request that no longer exists here, and
+        // never learn of that one's end.
+        if is_only_attempt {
+            self.events.push_back(Event::ClientLeft {
+                request: request.number(),
+            });
+        }
+        self.give_up(request, attempt, Outcome::NotSent);
+        if is_only_attempt {
+            self.reject_for(now, request, refused.reason);
+        }
+    }
+
+    /// Refuses a request with the reason, and with a time to retry after where that is allowed.
+    fn reject_for(&mut self, now: Micros, request: Key, reason: RejectReason) {
+        let retry_after_ms = eideryard_intent_log::state::RETRY_AFTER / 1000;
+        let retry_after = retry_after_ms.to_string();
+        let mut fields = vec![("why", reason.name())];
+        if self.may_advise {
+            fields.push(("w", &retry_after));
+        }
+        let event = Host::Because {
+            request: request.number(),
+            why: reason,
+        };
+        self.tap.host(now, event);
+        self.end_with_error(request, ErrorAnswer::TryLater, &fields);
+    }
+}
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -124,7 +124,7 @@
             }
         }
         if !bound.is_empty() {
-            keeping.counted.drains_heard += bound.len() as u64;
+            keeping.counters.drains_heard += bound.len() as u64;
             self.events.push_back(Event::EndpointChanges(bound));
         }
     }
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -135,7 +135,10 @@
             .spooling
             .as_ref()
             .map(|spooling| format!("; {}", crate::counter_text::spool(&spooling.counted)));
-        let kept = self.keeping.as_ref().map(|keeping| keeping.told());
+        let kept = self
+            .keeping
+            .as_ref()
+            .map(|keeping| crate::counter_text::durability(keeping));
         let more = [spool, kept].into_iter().flatten().collect::<String>();
         tracing::info!("counters: {counters}; tables {}{more}", tables.join(" "));
     }
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -34,7 +34,7 @@
                 self.events.push_back(Event::ClientLeft {
                     request: key.number(),
                 });
-                self.turn_down(key, "Failed", &[("why", why)]);
+                self.fail(key, &[("why", why)]);
             }
         }
     }
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -57,6 +57,12 @@
     pub known: Vec<(u32, u64, u64)>,
 }
 
+/// How fencing tokens name this incarnation of the gateway: differs between starts, so that no two
+/// incarnations share a token.
+pub fn lease_owner(origin: Origin) -> u64 {
+    origin.identity ^ origin.start.rotate_left(40)
+}
+
 /// Leases of one gateway.
 pub struct LeaseDriver {
     core: LeaseCore,
@@ -81,8 +87,7 @@
         let config = Config {
             voter_count,
             voter_index,
-            // Differs between starts, so that no two incarnations share a token.
-            owner: origin.identity ^ origin.start.rotate_left(40),
+            owner: lease_owner(origin),
         };
         LeaseDriver {
             core: LeaseCore::new(config, tokens.into_iter(), now),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -17,6 +17,7 @@
 mod intent_durability;
 mod leases;
 pub mod links;
+mod recovered_state;
 mod replication;
 mod requests;
 mod result_spool;
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -1,64 +1,42 @@
-//! Joins the fleet's copies to the links among gateways and to the store: carries messages, makes
-//! copies durable before they are acknowledged, and tells what became of claims. Off without
-//! `fleet` in the operator's file. Decides nothing: `eideryard_replication` does.
+//! Joins the replication core (`eideryard_replication`, which decides) to the links among gateways
+//! and to the store: carries messages, makes replicas durable before they are acknowledged, and
+//! reports what became of claims. The intent durability owns the driver and calls it from the
+//! gateway's loop. Without `fleet` in the operator's file there is none.
 
-use std::collections::{BTreeMap, VecDeque};
-use std::io;
+use std::collections::VecDeque;
 
-use eideryard::interface::{Effect, Micros, PriorAttempt, Settings};
+use eideryard::interface::{Micros, PriorAttempt};
 use eideryard_event_log::{FleetEvent, RejectReason};
-use eideryard_intent_log::state::RETENTION_MARGIN;
-use eideryard_intent_log::{Intent, Place};
+use eideryard_intent_log::Intent;
 use eideryard_leases::VoterReadiness;
-use eideryard_operator_config::FleetConfig;
-use eideryard_peer_transport::{Handshake, Hub, Peer as End, PeerEvent, PeerState, VoterAddress};
+use eideryard_peer_transport::{Hub, Peer as TransportPeer, PeerEvent, PeerState};
 use eideryard_replication::core::ClaimError;
 use eideryard_replication::drains::Drain;
-use eideryard_replication::replica_set::Limits;
-use eideryard_replication::{entry, Config, Core, Message, Output, Peer, PriorRuns, Verdict};
+use eideryard_replication::{entry, Core, Message, Origin, Output, Peer, ReplicaRecord, Verdict};
 use eideryard_store::worker::Worker;
 use eideryard_store::Batch;
 use serde::{Deserialize, Serialize};
-use serde_json::{json, Value};
 
-use crate::fingerprints::classes_fingerprint;
-use crate::intent_durability::Shared;
-use crate::leases::{LeaseAction, LeaseDriver, PendingToken};
+use crate::leases::{lease_owner, LeaseAction, LeaseDriver, PendingToken};
+use crate::recovered_state::VOTER_IDENTITY_KEY;
 
 mod lease_messages;
+mod outputs;
+mod peer_events;
+mod peers;
+mod startup;
 mod status;
 mod translation;
 
-pub use translation::earlier;
-use translation::{of_end, place_of, to_end, told};
+use peers::PeerTable;
+pub use startup::ReplicationContext;
+pub use translation::prior_attempts;
+use translation::{known_place, prior_runs, replication_peer, transport_peer};
 
-/// The store's key under which a keeper remembers that it votes, and the identity that it voted
-/// under.
-const VOTES: &[u8] = b"v";
-/// Bytes of catch-up that a keeper sends a second, to all that ask together.
-const CATCH_UP: u64 = 2 << 20;
-/// The status file is written anew so often.
-const STATUS_EVERY: Micros = 250_000;
-/// Peers that were turned away and are remembered, with the reason.
-const MAX_TURNED: usize = 400;
-/// Heard messages that are taken in one look: clients and engines wait no longer than for these.
-const LOOK: usize = 512;
-/// A gateway's identity is told to peers as its settings' classes are; what else differs does no
-/// harm.
-const NO_ZERO: Micros = 1;
+/// Events of peers that are handled at a time: clients and engines wait no longer than for these.
+const MAX_PEER_EVENTS: usize = 512;
 
-/// What a gateway is, beside its store.
-pub struct About<'a> {
-    pub name: &'a str,
-    pub settings: &'a Settings,
-    pub longest_wait: Micros,
-    /// Copies that a keeper has room for.
-    pub entries: usize,
-    pub now: Micros,
-    pub seed: u64,
-}
-
-/// What links carry.
+/// What links among gateways carry. The order of variants is the format on the wire.
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
     /// Replicas of intents.
@@ -67,409 +45,180 @@
     Leases(eideryard_leases::Message),
 }
 
+/// Outputs of the core that wait for a write of the store.
+struct PendingOutputs {
+    /// Number of the write, as the store's worker counts them.
+    ticket: u64,
+    outputs: Vec<Output>,
+}
+
+/// A claim of a key before its request is sent.
+pub struct Claim<'a> {
+    /// The key as the store holds it.
+    pub stored_key: &'a [u8],
+    /// The intent to send.
+    pub intent: &'a Intent,
+    /// How long the claim's record is kept.
+    pub retention: Micros,
+    /// Prior attempts that the balancer knows of.
+    pub known: &'a [PriorAttempt],
+}
+
+/// Replication of one gateway.
 pub struct ReplicationDriver {
     core: Core,
     hub: Hub<PeerMessage>,
     leases: Option<LeaseDriver>,
     /// Fencing tokens that are written but not durable yet, in the order of their tickets.
     pending_tokens: VecDeque<PendingToken>,
-    /// What follows once a write of the store is durable, by its ticket.
-    then: VecDeque<(u64, Vec<Output>)>,
+    /// In the order of their tickets.
+    pending_outputs: VecDeque<PendingOutputs>,
+    /// What became of claims since the last call, by the claims' numbers.
     verdicts: Vec<(u64, Verdict)>,
-    numbers: u64,
-    keepers: Vec<String>,
-    askers: BTreeMap<u64, String>,
-    states: BTreeMap<String, (PeerState, Micros)>,
-    turned: BTreeMap<String, String>,
-    /// What peers' lists say of engines, and what a peer had learned when this gateway began.
+    last_claim_number: u64,
+    peers: PeerTable,
+    /// What peers' endpoint lists say of engines, since the last call.
     drains: Vec<Drain>,
-    hints: Option<(Vec<u8>, Micros)>,
-    /// What the record is to be told.
-    words: Vec<FleetEvent>,
-    majority: bool,
+    /// What a peer had learned when this gateway started, and its age.
+    peer_hint: Option<(Vec<u8>, Micros)>,
+    /// Events for the event log since the last call.
+    events: Vec<FleetEvent>,
+    has_majority: bool,
     fleet: String,
     name: String,
     status_at: Micros,
 }
 
 impl ReplicationDriver {
-    #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-    #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub fn start(
-        plan: &FleetConfig,
-        about: About<'_>,
-        shared: Shared,
-        wake: Box<dyn Fn() + Send>,
-    ) -> io::Result<Self> {
-        let About {
-            name,
-            settings,
-            longest_wait,
-            entries,
-            now,
-            seed,
-        } = about;
-        let Shared {
-            origin,
-            whole,
-            voted,
-            copies,
-            tokens,
-        } = shared;
-        let keepers: Vec<String> = plan.keepers.iter().map(|(name, _)| name.clone()).collect();
-        let own = keepers.iter().position(|keeper| keeper == name);
-        if own.is_some() && plan.listen.is_none() {
-            let what = format!("fleet: '{name}' is a keeper and has no 'listen' line");
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, what));
-        }
-        let kept = settings
-            .classes
-            .iter()
-            .filter(|class| class.effect != Effect::Idempotent);
-        let window = kept.map(|class| class.window).max().unwrap_or(0);
-        let core = Config {
-            keepers: keepers.len(),
-            own,
-            longest: longest_wait + window + RETENTION_MARGIN,
-            limits: Limits { entries },
-            bytes_per_s: CATCH_UP,
-            send_without: plan.send_without,
-        };
-        let whole = whole && voted.as_deref() == Some(&origin.identity.to_be_bytes()[..]);
-        let held = copies.len();
-        let core = Core::start(core, origin, whole, copies.into_iter(), now);
-        let handshake = Handshake {
-            version: eideryard_peer_transport::VERSION,
-            fleet: plan.name.clone(),
-            name: name.to_string(),
-            voters: keepers.clone(),
-            classes_fingerprint: classes_fingerprint(&settings.classes),
-            identity: origin.identity,
-            start_number: origin.start,
-        };
-        let other_voters = plan
-            .keepers
-            .iter()
-            .enumerate()
-            .filter(|(_, (voter, _))| voter != name)
-            .map(|(index, (voter, address))| VoterAddress {
-                index,
-                name: voter.clone(),
-                address: *address,
-            })
-            .collect();
-        let links = eideryard_peer_transport::Config {
-            handshake,
-            listen_address: plan.listen,
-            voters: other_voters,
-            seed,
-        };
-        let hub = Hub::start(links, wake).map_err(|e| {
-            let what = format!("fleet: {e}; see 'listen' in the operator's file");
-            io::Error::new(e.kind(), what)
-        })?;
-        if let Some(address) = hub.local_address() {
-            tracing::info!("fleet {}: peers reach this gateway at {address}", plan.name);
-        }
-        match (own, core.standing.votes()) {
-            (None, _) => tracing::info!("fleet {}: no keeper; it asks {}", plan.name, keepers.join(" ")),
-            (Some(_), true) => tracing::info!("fleet {}: a keeper with {held} copies; it votes", plan.name),
-            (Some(_), false) => tracing::info!(
-                "fleet {}: a keeper that may lack what it had ({held} copies are hints); it catches up \
-                 before it votes",
-                plan.name
-            ),
-        }
-        let leases = plan
-            .probes
-            .then(|| LeaseDriver::new(keepers.len(), own, origin, tokens, now));
-        let words = Vec::from_iter(own.map(|_| FleetEvent::Votes {
-            votes: core.standing.votes(),
-        }));
-        Ok(ReplicationDriver {
-            core,
-            hub,
-            leases,
-            pending_tokens: VecDeque::new(),
-            then: VecDeque::new(),
-            verdicts: Vec::new(),
-            numbers: 0,
-            keepers,
-            askers: BTreeMap::new(),
-            states: BTreeMap::new(),
-            turned: BTreeMap::new(),
-            drains: Vec::new(),
-            hints: None,
-            words,
-            majority: false,
-            fleet: plan.name.clone(),
-            name: name.to_string(),
-            status_at: 0,
-        })
-    }
-
-    /// What the store's key of a keeper's vote is, for the start.
-    pub fn votes_key() -> &'static [u8] {
-        VOTES
-    }
-
-    /// Why no claim is taken up now, if none is.
-    pub fn refuses(&self) -> Option<RejectReason> {
-        self.core.refuses().map(|why| match why {
+    /// Why no claim can be made now, if none can.
+    pub fn claim_rejection(&self) -> Option<RejectReason> {
+        let reason = match self.core.refuses()? {
             ClaimError::Full => RejectReason::LedgerFull,
             ClaimError::NoMajority => RejectReason::NoMajority,
-        })
+        };
+        Some(reason)
     }
 
-    /// Claims a key before it is sent; gives the claim's number.
-    pub fn claim(
-        &mut self,
-        now: Micros,
-        key: &[u8],
-        intent: &Intent,
-        keep: Micros,
-        known: &[PriorAttempt],
-        worker: &mut Worker,
-    ) -> u64 {
-        self.numbers += 1;
+    /// Claims a key before its request is sent. Returns the claim's number.
+    pub fn claim(&mut self, now: Micros, claim: &Claim<'_>, worker: &mut Worker) -> u64 {
+        self.last_claim_number += 1;
+        let number = self.last_claim_number;
+        let intent = claim.intent;
         let since = if intent.since > 0 { intent.since } else { now };
-        let (number, place) = (self.numbers, place_of(intent));
-        let outputs = self
-            .core
-            .claim(now, number, &key[1..], place, since, keep, told(known));
+        let outputs = self.core.claim(
+            now,
+            number,
+            replicated_key(claim.stored_key),
+            known_place(intent),
+            since,
+            claim.retention,
+            prior_runs(claim.known),
+        );
         self.perform(now, outputs, worker);
         number
     }
 
-    /// The ledger has the end of all attempts at a key.
-    pub fn ended(
+    /// All attempts at a key have ended; `intent` is what is left of it, if it ran.
+    pub fn on_attempts_ended(
         &mut self,
         now: Micros,
-        key: &[u8],
+        stored_key: &[u8],
         intent: Option<&Intent>,
-        keep: Micros,
+        retention: Micros,
         worker: &mut Worker,
     ) {
-        let (place, ran) = (intent.and_then(place_of), intent.is_some());
-        let outputs = self.core.ended(now, &key[1..], place, ran, keep);
-        self.perform(now, outputs, worker);
-    }
-
-    fn perform(&mut self, now: Micros, outputs: Vec<Output>, worker: &mut Worker) {
-        let mut outputs = VecDeque::from(outputs);
-        while let Some(output) = outputs.pop_front() {
-            match output {
-                // What a full queue loses is sent again or given up by the core.
-                Output::Send(peer, message) => {
-                    // Who catches up hears of all promises before it has all copies, and votes.
-                    if matches!(
-                        message,
-                        Message::Part { last: true, .. } | Message::Stands { .. }
-                    ) {
-                        let tokens = self.leases.as_ref().and_then(LeaseDriver::tokens_message);
-                        if let Some(tokens) = tokens {
-                            self.send_lease_message(to_end(peer), tokens);
-                        }
-                    }
-                    self.hub
-                        .send(to_end(peer), PeerMessage::Replication(message));
-                }
-                Output::Store { key, copy, then } => {
-                    let (mut batch, key) = (Batch::default(), entry::stored_key(&key));
-                    match copy {
-                        Some(copy) => batch.put(key, entry::to_bytes(&copy), 0),
-                        None => batch.remove(key),
-                    }
-                    // What can't be made durable is never acknowledged.
-                    let ticket = worker.write(batch).filter(|_| !then.is_empty());
-                    for ticket in ticket.into_iter() {
-                        self.then.push_back((ticket, then.clone()));
-                    }
-                }
-                Output::OwnVote { number, seen } => {
-                    outputs.extend(self.core.own_vote(now, number, &seen));
-                }
-                Output::Verdict(number, verdict) => self.verdicts.push((number, verdict)),
-                Output::Drained(drain) => self.drains.push(drain),
-                Output::Hints { lessons, age } => _ = self.hints.get_or_insert((lessons, age)),
-                Output::Votes => {
-                    tracing::info!("fleet {}: caught up; this keeper votes", self.fleet);
-                    self.words.push(FleetEvent::Votes { votes: true });
-                    let mut batch = Batch::default();
-                    batch.put(
-                        VOTES.to_vec(),
-                        self.core.origin().identity.to_be_bytes().to_vec(),
-                        0,
-                    );
-                    let told = self.askers.keys().map(|link| {
-                        Output::Send(Peer::Requester(*link), Message::Stands { votes: true })
-                    });
-                    let told: Vec<Output> = told.collect();
-                    worker
-                        .write(batch)
-                        .into_iter()
-                        .for_each(|ticket| self.then.push_back((ticket, told.clone())));
-                }
-            }
-        }
-    }
-
-    fn name_of(&self, end: End) -> Option<String> {
-        match end {
-            End::Voter(keeper) => self.keepers.get(keeper).cloned(),
-            End::Requester(link) => self.askers.get(&link).cloned(),
-        }
-    }
-
-    fn hears(&mut self, now: Micros, heard: PeerEvent<PeerMessage>, worker: &mut Worker) {
-        let outputs = match heard {
-            PeerEvent::Message {
-                peer,
-                message: PeerMessage::Leases(message),
-            } => {
-                let readiness = self.voter_readiness();
-                self.run_leases(|leases| match peer {
-                    End::Requester(link) => {
-                        leases.on_requester_message(now, link, message, readiness, worker)
-                    }
-                    End::Voter(voter) => leases.on_voter_message(now, voter, message, worker),
-                });
-                Vec::new()
-            }
-            PeerEvent::Message {
-                peer,
-                message: PeerMessage::Replication(message),
-            } => self.core.hears(now, of_end(peer), message),
-            PeerEvent::Connected { peer, name } => {
-                self.turned.remove(&name);
-                match peer {
-                    End::Requester(link) => _ = self.askers.insert(link, name),
-                    End::Voter(_) => self.does(name, PeerState::Up, 0),
-                }
-                self.core.link(now, of_end(peer), true)
-            }
-            PeerEvent::State {
-                peer,
-                state,
-                round_trip: trip,
-            } => {
-                if let (End::Voter(_), Some(name)) = (peer, self.name_of(peer)) {
-                    self.does(name, state, trip);
-                }
-                match (peer, state) {
-                    (End::Requester(link), PeerState::Disconnected) => {
-                        self.askers.remove(&link);
-                        self.core.link(now, of_end(peer), false)
-                    }
-                    (End::Requester(_), _) => Vec::new(),
-                    (_, state) => {
-                        self.core
-                            .hears_state(now, of_end(peer), state < PeerState::Silent)
-                    }
-                }
-            }
-            PeerEvent::Rejected { name, reason: why } => {
-                let known = self.turned.contains_key(&name) || self.turned.len() < MAX_TURNED;
-                if known && self.turned.get(&name) != Some(&why) {
-                    tracing::warn!("fleet {}: no link with '{name}': {why}", self.fleet);
-                    self.words.push(FleetEvent::Turned {
-                        name: name.clone(),
-                        why: why.clone(),
-                    });
-                    self.turned.insert(name, why);
-                }
-                Vec::new()
-            }
-        };
+        let place = intent.and_then(known_place);
+        let has_run = intent.is_some();
+        let key = replicated_key(stored_key);
+        let outputs = self.core.ended(now, key, place, has_run, retention);
         self.perform(now, outputs, worker);
     }
 
-    fn does(&mut self, name: String, state: PeerState, trip: Micros) {
-        let before = self.states.insert(name.clone(), (state, trip));
-        if before.is_none_or(|(before, _)| before != state) {
-            tracing::info!("fleet {}: {name} is {}", self.fleet, state.name());
-            self.words.push(FleetEvent::Peer {
-                name,
-                state: state.name().into(),
-            });
-        }
-    }
-
-    /// What has come, what is durable, and what time brings; gives what became of claims.
-    pub fn work(&mut self, now: Micros, worker: &mut Worker) -> Vec<(u64, Verdict)> {
-        for _ in 0..LOOK {
-            let Some(heard) = self.hub.try_recv() else {
+    /// Handles what has arrived, what is durable and what is due. Returns what became of claims.
+    pub fn poll(&mut self, now: Micros, worker: &mut Worker) -> Vec<(u64, Verdict)> {
+        for _ in 0..MAX_PEER_EVENTS {
+            let Some(event) = self.hub.try_recv() else {
                 break;
             };
-            self.hears(now, heard, worker);
-        }
-        let durable = worker.durable();
-        while self
-            .then
-            .front()
-            .is_some_and(|(ticket, _)| *ticket <= durable)
-        {
-            let outputs = self.then.pop_front().map(|(_, outputs)| outputs);
-            self.perform(now, outputs.unwrap_or_default(), worker);
+            self.on_peer_event(now, event, worker);
         }
-        self.continue_durable_tokens(now, durable, worker);
+        let durable_ticket = worker.durable();
+        self.perform_durable_outputs(now, durable_ticket, worker);
+        self.continue_durable_tokens(now, durable_ticket, worker);
         let readiness = self.voter_readiness();
         self.run_leases(|leases| leases.on_timer(now, readiness, worker));
         if now >= self.core.due() {
             let outputs = self.core.work(now);
             self.perform(now, outputs, worker);
         }
-        let stands = self.core.majority_stands();
-        if std::mem::replace(&mut self.majority, stands) != stands {
-            self.words.push(FleetEvent::Majority { stands });
-            tracing::info!(
-                "fleet {}: {} majority of keepers can be asked",
-                self.fleet,
-                if stands { "a" } else { "NO" }
-            );
-        }
+        self.check_majority();
         self.hub.flush();
         std::mem::take(&mut self.verdicts)
     }
 
-    /// What peers' lists say of engines, since the last call.
-    pub fn drains(&mut self) -> Vec<Drain> {
+    fn check_majority(&mut self) {
+        let has_majority = self.core.majority_stands();
+        if self.has_majority == has_majority {
+            return;
+        }
+        self.has_majority = has_majority;
+        self.events.push(FleetEvent::Majority {
+            stands: has_majority,
+        });
+        let article = if has_majority { "a" } else { "NO" };
+        tracing::info!(
+            "fleet {}: {article} majority of keepers can be asked",
+            self.fleet
+        );
+    }
+
+    /// What peers' endpoint lists say of engines, since the last call.
+    pub fn take_drains(&mut self) -> Vec<Drain> {
         std::mem::take(&mut self.drains)
     }
 
-    /// The own list says so.
-    pub fn drained(&mut self, now: Micros, drains: Vec<Drain>, worker: &mut Worker) {
+    /// Tells peers what this gateway's own endpoint list says of engines.
+    pub fn publish_drains(&mut self, now: Micros, drains: Vec<Drain>, worker: &mut Worker) {
         let outputs = self.core.drained(drains);
         self.perform(now, outputs, worker);
-        // What this gateway told itself it knows.
+        // What this gateway published itself it knows already.
         self.drains.clear();
     }
 
-    pub fn binds(&self, engine: u32, booted_at: u64, number: u64) -> Option<Drain> {
-        self.core.binds(engine, booted_at, number)
+    /// A peer's newer endpoint list that closes an engine, if there is one.
+    pub fn binding_drain(&self, engine: u32, booted_at: u64, list_number: u64) -> Option<Drain> {
+        self.core.binds(engine, booted_at, list_number)
     }
 
-    pub fn learned(&mut self, now: Micros, lessons: Vec<u8>) {
-        self.core.learned(now, lessons);
+    /// Sets the learned state that peers get as a hint when they start.
+    pub fn set_learned_state(&mut self, now: Micros, checkpoint: Vec<u8>) {
+        self.core.learned(now, checkpoint);
     }
 
-    /// What a peer had learned, once.
-    pub fn hints(&mut self) -> Option<(Vec<u8>, Micros)> {
-        let taken = self
-            .hints
-            .as_mut()
-            .filter(|(lessons, _)| !lessons.is_empty());
-        taken.map(|(lessons, age)| (std::mem::take(lessons), *age))
+    /// What a peer had learned when this gateway started, and its age; once.
+    pub fn take_peer_hint(&mut self) -> Option<(Vec<u8>, Micros)> {
+        let (checkpoint, age) = self.peer_hint.as_mut()?;
+        if checkpoint.is_empty() {
+            return None;
+        }
+        // An empty hint stays, so that no second one is taken.
+        Some((std::mem::take(checkpoint), *age))
     }
 
-    /// What was handed over since goes out.
+    /// Sends the messages that were queued since.
     pub fn flush(&mut self) {
         self.hub.flush();
     }
 
-    pub fn due(&self, now: Micros) -> Micros {
+    /// When [`ReplicationDriver::poll`] has something to do.
+    pub fn deadline(&self, now: Micros) -> Micros {
         let leases = self.leases.as_ref();
         let lease_deadline = leases.map_or(Micros::MAX, |leases| leases.deadline(now));
         self.core.due().min(self.status_at).min(lease_deadline)
     }
 }
+
+/// The key that voters know: without the prefix of this gateway's store.
+fn replicated_key(stored_key: &[u8]) -> &[u8] {
+    &stored_key[1..]
+}
--- a/crates/gateway/src/replication/lease_messages.rs
+++ b/crates/gateway/src/replication/lease_messages.rs
@@ -12,19 +12,37 @@
         }
     }
 
+    pub(super) fn on_lease_message(
+        &mut self,
+        now: Micros,
+        peer: TransportPeer,
+        message: eideryard_leases::Message,
+        worker: &mut Worker,
+    ) {
+        let readiness = self.voter_readiness();
+        self.run_leases(|leases| match peer {
+            TransportPeer::Requester(link) => {
+                leases.on_requester_message(now, link, message, readiness, worker)
+            }
+            TransportPeer::Voter(voter) => leases.on_voter_message(now, voter, message, worker),
+        });
+    }
+
     fn perform_lease_actions(&mut self, actions: Vec<LeaseAction>) {
         for action in actions {
             match action {
                 LeaseAction::SendToVoter { voter, message } => {
-                    self.send_lease_message(End::Voter(voter), message);
+                    self.send_lease_message(TransportPeer::Voter(voter), message);
                 }
                 LeaseAction::SendToRequester { requester, message } => {
-                    self.send_lease_message(End::Requester(requester), message);
+                    self.send_lease_message(TransportPeer::Requester(requester), message);
                 }
                 LeaseAction::SendToAllRequesters { except, message } => {
-                    for link in self.askers.keys().filter(|link| Some(**link) != except) {
-                        self.hub
-                            .send(End::Requester(*link), PeerMessage::Leases(message.clone()));
+                    for link in self.peers.requester_links() {
+                        if Some(link) != except {
+                            let peer = TransportPeer::Requester(link);
+                            self.hub.send(peer, PeerMessage::Leases(message.clone()));
+                        }
                     }
                 }
                 LeaseAction::AwaitDurable(pending) => self.pending_tokens.push_back(pending),
@@ -33,7 +51,11 @@
     }
 
     /// What a full queue loses is requested again or expires.
-    pub(super) fn send_lease_message(&mut self, peer: End, message: eideryard_leases::Message) {
+    pub(super) fn send_lease_message(
+        &mut self,
+        peer: TransportPeer,
+        message: eideryard_leases::Message,
+    ) {
         self.hub.send(peer, PeerMessage::Leases(message));
     }
 
--- /dev/null
+++ b/crates/gateway/src/replication/outputs.rs
@@ -0,0 +1,101 @@
+//! Carries out what the replication core asks for, over the links and through the store.
+
+use super::*;
+
+impl ReplicationDriver {
+    pub(super) fn perform(&mut self, now: Micros, outputs: Vec<Output>, worker: &mut Worker) {
+        let mut outputs = VecDeque::from(outputs);
+        while let Some(output) = outputs.pop_front() {
+            match output {
+                Output::Send(peer, message) => self.send(peer, message),
+                Output::Store { key, copy, then } => {
+                    self.store_replica(&key, copy.as_ref(), then, worker);
+                }
+                Output::OwnVote { number, seen } => {
+                    outputs.extend(self.core.own_vote(now, number, &seen));
+                }
+                Output::Verdict(claim, verdict) => self.verdicts.push((claim, verdict)),
+                Output::Drained(drain) => self.drains.push(drain),
+                Output::Hints { lessons, age } => {
+                    self.peer_hint.get_or_insert((lessons, age));
+                }
+                Output::Votes => self.begin_voting(worker),
+            }
+        }
+    }
+
+    /// What a full queue loses is sent again or given up by the core.
+    fn send(&mut self, peer: Peer, message: Message) {
+        let peer = transport_peer(peer);
+        // A peer that catches up gets all fencing tokens before it has all replicas, and votes.
+        if matches!(
+            message,
+            Message::Part { last: true, .. } | Message::Stands { .. }
+        ) {
+            let tokens = self.leases.as_ref().and_then(LeaseDriver::tokens_message);
+            if let Some(tokens) = tokens {
+                self.send_lease_message(peer, tokens);
+            }
+        }
+        self.hub.send(peer, PeerMessage::Replication(message));
+    }
+
+    fn store_replica(
+        &mut self,
+        key: &[u8],
+        replica: Option<&ReplicaRecord>,
+        then: Vec<Output>,
+        worker: &mut Worker,
+    ) {
+        let stored_key = entry::stored_key(key);
+        let mut batch = Batch::default();
+        match replica {
+            Some(replica) => batch.put(stored_key, entry::to_bytes(replica), 0),
+            None => batch.remove(stored_key),
+        }
+        let ticket = worker.write(batch);
+        if then.is_empty() {
+            return;
+        }
+        // What can't be made durable is never acknowledged.
+        if let Some(ticket) = ticket {
+            let pending = PendingOutputs {
+                ticket,
+                outputs: then,
+            };
+            self.pending_outputs.push_back(pending);
+        }
+    }
+
+    /// This voter has caught up: it tells the requesters once that is durable.
+    fn begin_voting(&mut self, worker: &mut Worker) {
+        tracing::info!("fleet {}: caught up; this keeper votes", self.fleet);
+        self.events.push(FleetEvent::Votes { votes: true });
+        let identity = self.core.origin().identity.to_be_bytes();
+        let mut batch = Batch::default();
+        batch.put(VOTER_IDENTITY_KEY.to_vec(), identity.to_vec(), 0);
+        let announce = |link| Output::Send(Peer::Requester(link), Message::Stands { votes: true });
+        let outputs = self.peers.requester_links().map(announce).collect();
+        if let Some(ticket) = worker.write(batch) {
+            self.pending_outputs
+                .push_back(PendingOutputs { ticket, outputs });
+        }
+    }
+
+    /// Carries out what waited for writes that are durable now.
+    pub(super) fn perform_durable_outputs(
+        &mut self,
+        now: Micros,
+        durable_ticket: u64,
+        worker: &mut Worker,
+    ) {
+        while let Some(pending) = self.pending_outputs.front() {
+            if pending.ticket > durable_ticket {
+                break;
+            }
+            if let Some(pending) = self.pending_outputs.pop_front() {
+                self.perform(now, pending.outputs, worker);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/replication/peers.rs
@@ -0,0 +1,97 @@
+//! The peers of this gateway: who is linked, how voters do, and who was rejected.
+
+use std::collections::BTreeMap;
+
+use eideryard::interface::Micros;
+use eideryard_peer_transport::{Peer as TransportPeer, PeerState};
+
+/// Rejected peers that are remembered with the reason.
+const MAX_REJECTED_PEERS: usize = 400;
+
+/// How a voter does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct VoterHealth {
+    pub(super) state: PeerState,
+    /// Mean time of a round trip.
+    pub(super) round_trip: Micros,
+}
+
+/// All that is known of peers.
+pub(super) struct PeerTable {
+    voter_names: Vec<String>,
+    /// Names of the gateways that made links here, by the links' numbers.
+    requesters: BTreeMap<u64, String>,
+    voter_health: BTreeMap<String, VoterHealth>,
+    /// Why a peer was last rejected, by its name.
+    rejected: BTreeMap<String, String>,
+}
+
+impl PeerTable {
+    pub(super) fn new(voter_names: Vec<String>) -> Self {
+        PeerTable {
+            voter_names,
+            requesters: BTreeMap::new(),
+            voter_health: BTreeMap::new(),
+            rejected: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn is_voter(&self, name: &str) -> bool {
+        self.voter_names.iter().any(|voter| voter == name)
+    }
+
+    /// Name of the peer at the other end of a link.
+    pub(super) fn name_of(&self, peer: TransportPeer) -> Option<&String> {
+        match peer {
+            TransportPeer::Voter(index) => self.voter_names.get(index),
+            TransportPeer::Requester(link) => self.requesters.get(&link),
+        }
+    }
+
+    /// Numbers of the links that other gateways made here.
+    pub(super) fn requester_links(&self) -> impl Iterator<Item = u64> + '_ {
+        self.requesters.keys().copied()
+    }
+
+    pub(super) fn requester_count(&self) -> usize {
+        self.requesters.len()
+    }
+
+    pub(super) fn add_requester(&mut self, link: u64, name: String) {
+        self.requesters.insert(link, name);
+    }
+
+    pub(super) fn remove_requester(&mut self, link: u64) {
+        self.requesters.remove(&link);
+    }
+
+    /// Sets how a voter does. Returns whether its state has changed.
+    pub(super) fn set_voter_health(&mut self, name: &str, health: VoterHealth) -> bool {
+        let previous = self.voter_health.insert(name.to_string(), health);
+        previous.is_none_or(|previous| previous.state != health.state)
+    }
+
+    pub(super) fn voter_health(&self) -> &BTreeMap<String, VoterHealth> {
+        &self.voter_health
+    }
+
+    /// A peer was accepted: that it was rejected before no longer matters.
+    pub(super) fn clear_rejection(&mut self, name: &str) {
+        self.rejected.remove(name);
+    }
+
+    /// Remembers why a peer was rejected. Returns whether that is new.
+    pub(super) fn set_rejection(&mut self, name: &str, reason: &str) -> bool {
+        let previous = self.rejected.get(name);
+        let has_room = previous.is_some() || self.rejected.len() < MAX_REJECTED_PEERS;
+        if !has_room || previous.is_some_and(|previous| previous == reason) {
+            return false;
+        }
+        self.rejected.insert(name.to_string(), reason.to_string());
+        true
+    }
+
+    pub(super) fn rejections(&self) -> &BTreeMap<String, String> {
+        &self.rejected
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/replication/startup.rs
@@ -0,0 +1,213 @@
+//! Starts the replication driver from the operator's file and the recovered state.
+
+use std::io;
+
+use eideryard::interface::{Effect, Settings};
+use eideryard_intent_log::state::RETENTION_MARGIN;
+use eideryard_operator_config::FleetConfig;
+use eideryard_peer_transport::{Handshake, VoterAddress};
+use eideryard_replication::replica_set::Limits;
+use eideryard_replication::Config;
+use thiserror::Error;
+
+use super::peers::PeerTable;
+use super::*;
+use crate::fingerprints::classes_fingerprint;
+use crate::recovered_state::RecoveredState;
+
+/// Bytes of replicas that a voter sends to peers that catch up, in a second and to all together.
+const CATCH_UP_BYTES_PER_SECOND: u64 = 2 << 20;
+
+/// The gateway that the driver belongs to.
+#[derive(Clone, Copy)]
+pub struct ReplicationContext<'a> {
+    /// Name of the gateway.
+    pub name: &'a str,
+    /// Settings of the balancer.
+    pub settings: &'a Settings,
+    /// The longest that a request may wait.
+    pub longest_wait: Micros,
+    /// Replicas that a voter has room for.
+    pub max_replicas: usize,
+    /// Time of the start.
+    pub now: Micros,
+    /// Differs between starts.
+    pub seed: u64,
+}
+
+/// Why the driver can't start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// A voter must be reachable.
+    #[error("fleet: '{name}' is a keeper and has no 'listen' line")]
+    NoListenAddress {
+        /// Name of the gateway.
+        name: String,
+    },
+    /// The links can't be started.
+    #[error("fleet: {0}; see 'listen' in the operator's file")]
+    Links(io::Error),
+}
+
+impl From<StartError> for io::Error {
+    fn from(error: StartError) -> Self {
+        let kind = match &error {
+            StartError::NoListenAddress { .. } => io::ErrorKind::InvalidInput,
+            StartError::Links(cause) => cause.kind(),
+        };
+        io::Error::new(kind, error.to_string())
+    }
+}
+
+impl ReplicationDriver {
+    /// Starts the driver and the thread of its links, which calls `wake` when there are events.
+    pub fn start(
+        config: &FleetConfig,
+        context: ReplicationContext<'_>,
+        recovered: RecoveredState,
+        wake: Box<dyn Fn() + Send>,
+    ) -> Result<Self, StartError> {
+        let voter_names: Vec<String> = config
+            .keepers
+            .iter()
+            .map(|(name, _)| name.clone())
+            .collect();
+        let voter_index = voter_names.iter().position(|name| name == context.name);
+        if voter_index.is_some() && config.listen.is_none() {
+            return Err(StartError::NoListenAddress {
+                name: context.name.to_string(),
+            });
+        }
+        let origin = recovered.origin;
+        let replica_count = recovered.replicas.len();
+        let core = Core::start(
+            core_config(config, &context, voter_index),
+            origin,
+            may_vote_at_once(&recovered),
+            recovered.replicas.into_iter(),
+            context.now,
+        );
+        let links = transport_config(config, &context, &voter_names, origin);
+        let hub = Hub::start(links, wake).map_err(StartError::Links)?;
+        if let Some(address) = hub.local_address() {
+            tracing::info!(
+                "fleet {}: peers reach this gateway at {address}",
+                config.name
+            );
+        }
+        let can_vote = core.standing.votes();
+        log_role(config, voter_index, can_vote, replica_count);
+        let mut events = Vec::new();
+        if voter_index.is_some() {
+            events.push(FleetEvent::Votes { votes: can_vote });
+        }
+        let voter_count = voter_names.len();
+        let tokens = recovered.tokens;
+        let leases = config
+            .probes
+            .then(|| LeaseDriver::new(voter_count, voter_index, origin, tokens, context.now));
+        Ok(ReplicationDriver {
+            core,
+            hub,
+            leases,
+            pending_tokens: VecDeque::new(),
+            pending_outputs: VecDeque::new(),
+            verdicts: Vec::new(),
+            last_claim_number: 0,
+            peers: PeerTable::new(voter_names),
+            drains: Vec::new(),
+            peer_hint: None,
+            events,
+            has_majority: false,
+            fleet: config.name.clone(),
+            name: context.name.to_string(),
+            status_at: 0,
+        })
+    }
+}
+
+/// Whether the store holds everything that this gateway ever promised under its identity.
+fn may_vote_at_once(recovered: &RecoveredState) -> bool {
+    let identity = recovered.origin.identity.to_be_bytes();
+    recovered.is_complete && recovered.voter_identity.as_deref() == Some(&identity[..])
+}
+
+fn core_config(
+    config: &FleetConfig,
+    context: &ReplicationContext<'_>,
+    voter_index: Option<usize>,
+) -> Config {
+    let durable_classes = context
+        .settings
+        .classes
+        .iter()
+        .filter(|class| class.effect != Effect::Idempotent);
+    let longest_window = durable_classes.map(|class| class.window).max().unwrap_or(0);
+    Config {
+        keepers: config.keepers.len(),
+        own: voter_index,
+        longest: context.longest_wait + longest_window + RETENTION_MARGIN,
+        limits: Limits {
+            entries: context.max_replicas,
+        },
+        bytes_per_s: CATCH_UP_BYTES_PER_SECOND,
+        send_without: config.send_without,
+    }
+}
+
+fn transport_config(
+    config: &FleetConfig,
+    context: &ReplicationContext<'_>,
+    voter_names: &[String],
+    origin: Origin,
+) -> eideryard_peer_transport::Config {
+    let handshake = Handshake {
+        version: eideryard_peer_transport::VERSION,
+        fleet: config.name.clone(),
+        name: context.name.to_string(),
+        voters: voter_names.to_vec(),
+        classes_fingerprint: classes_fingerprint(&context.settings.classes),
+        identity: origin.identity,
+        start_number: origin.start,
+    };
+    let mut other_voters = Vec::new();
+    for (index, (name, address)) in config.keepers.iter().enumerate() {
+        if name != context.name {
+            other_voters.push(VoterAddress {
+                index,
+                name: name.clone(),
+                address: *address,
+            });
+        }
+    }
+    eideryard_peer_transport::Config {
+        handshake,
+        listen_address: config.listen,
+        voters: other_voters,
+        seed: context.seed,
+    }
+}
+
+fn log_role(
+    config: &FleetConfig,
+    voter_index: Option<usize>,
+    can_vote: bool,
+    replica_count: usize,
+) {
+    let fleet = &config.name;
+    if voter_index.is_none() {
+        let names: Vec<&str> = config
+            .keepers
+            .iter()
+            .map(|(name, _)| name.as_str())
+            .collect();
+        tracing::info!("fleet {fleet}: no keeper; it asks {}", names.join(" "));
+    } else if can_vote {
+        tracing::info!("fleet {fleet}: a keeper with {replica_count} copies; it votes");
+    } else {
+        tracing::info!(
+            "fleet {fleet}: a keeper that may lack what it had ({replica_count} copies are hints); \
+             it catches up before it votes"
+        );
+    }
+}
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -1,14 +1,25 @@
-//! How the fleet's shared state stands: for the record, the counters and the status file.
+//! The state of the replication, for the event log, the counters and the status file.
+
+use std::collections::BTreeMap;
+
+use serde_json::{json, Value};
 
 use super::*;
 
+/// Interval at which the status file is written.
+const STATUS_INTERVAL: Micros = 250_000;
+/// Fingerprints of replicas are taken at whole multiples of this time, so that the files that two
+/// voters wrote within one second can be compared.
+const FINGERPRINT_INTERVAL: Micros = 1_000_000;
+
 impl ReplicationDriver {
-    pub fn words(&mut self) -> Vec<FleetEvent> {
-        let mut words = std::mem::take(&mut self.words);
+    /// Events for the event log since the last call.
+    pub fn take_events(&mut self) -> Vec<FleetEvent> {
+        let mut events = std::mem::take(&mut self.events);
         if let Some(leases) = &mut self.leases {
-            words.extend(leases.take_events());
+            events.extend(leases.take_events());
         }
-        words
+        events
     }
 
     /// The lease driver, where there is one.
@@ -16,73 +27,94 @@
         self.leases.as_ref()
     }
 
-    /// All that the record knows of the fleet, for the beginning of a segment.
-    pub fn state(&self) -> Vec<FleetEvent> {
-        let peer = |(name, (state, _)): (&String, &(PeerState, Micros))| FleetEvent::Peer {
-            name: name.clone(),
-            state: state.name().into(),
-        };
-        let mut words: Vec<FleetEvent> = self.states.iter().map(peer).collect();
-        if self.keepers.contains(&self.name) {
-            words.push(FleetEvent::Votes {
+    /// All that the event log knows of the fleet, for the beginning of a segment.
+    pub fn state_events(&self) -> Vec<FleetEvent> {
+        let mut events = Vec::new();
+        for (name, health) in self.peers.voter_health() {
+            events.push(FleetEvent::Peer {
+                name: name.clone(),
+                state: health.state.name().into(),
+            });
+        }
+        if self.peers.is_voter(&self.name) {
+            events.push(FleetEvent::Votes {
                 votes: self.core.standing.votes(),
             });
         }
-        words.push(FleetEvent::Majority {
-            stands: self.majority,
+        events.push(FleetEvent::Majority {
+            stands: self.has_majority,
         });
-        words
+        events
     }
 
-    pub fn counted(&self) -> eideryard_replication::core::Counters {
+    /// What was counted since the start.
+    pub fn counters(&self) -> eideryard_replication::core::Counters {
         self.core.counted
     }
 
+    /// Sizes of the tables, by the names that the log prints.
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         [
             ("copies", self.core.copies().len()),
             ("claims", self.core.claims().open()),
             ("own_copies", self.core.claims().own()),
-            ("acknowledgements", self.then.len()),
+            ("acknowledgements", self.pending_outputs.len()),
         ]
     }
 
-    /// The status file's text, where it is time for one.
+    /// The content of the status file, if it is time to write it.
     pub fn status(&mut self, now: Micros) -> Option<Value> {
         if now < self.status_at {
             return None;
         }
-        self.status_at = now + STATUS_EVERY;
-        let peers: BTreeMap<&String, Value> = self
-            .states
-            .iter()
-            .map(|(name, (state, trip))| (name, json!({"state": state.name(), "trip_us": trip})))
-            .collect();
-        // As of a whole second: two keepers' files of one second can be held against each other.
-        let prints = self.core.copies().prints(now - now % 1_000_000);
-        let print = prints
-            .iter()
-            .fold(0u64, |sum, print| sum.rotate_left(7) ^ print);
-        let (core, origin) = (&self.core, self.core.origin());
-        let counted = core.counted;
+        self.status_at = now + STATUS_INTERVAL;
+        Some(self.status_content(now))
+    }
+
+    /// The keys are read by scripts.
+    fn status_content(&self, now: Micros) -> Value {
+        let core = &self.core;
+        let origin = core.origin();
+        let counters = core.counted;
         let leases = self.leases.as_ref();
         let lease_status = leases.map(|leases| leases.status(now)).unwrap_or_default();
         let lease_counters = leases.map(LeaseDriver::counters).unwrap_or_default();
-        Some(json!({
-            "owner": format!("{:016x}", origin.identity ^ origin.start.rotate_left(40)),
+        json!({
+            "owner": format!("{:016x}", lease_owner(origin)),
             "owned": lease_status.owned, "terms": lease_status.known,
             "won": lease_counters.acquired, "lost": lease_counters.lost,
             "applied": lease_counters.applied, "fenced": lease_counters.fenced,
             "own_fenced": lease_counters.rejected,
             "name": self.name, "fleet": self.fleet, "at_ms": now / 1000,
             "identity": format!("{:016x}", origin.identity), "start": origin.start,
-            "keeper": self.keepers.contains(&self.name), "votes": core.standing.votes(),
-            "majority": self.majority, "peers": peers, "turned": self.turned,
-            "askers": self.askers.len(), "copies": core.copies().len(), "print": format!("{print:016x}"),
-            "lagging": core.claims().lagging(), "claims": counted.claims, "granted": counted.granted,
-            "earlier": counted.earlier, "without_majority": counted.without_majority,
-            "answered": counted.answered, "turned_away": counted.turned_away, "mended": counted.mended,
-            "caught_up_bytes": counted.caught_up_bytes, "resent": counted.resent,
-        }))
+            "keeper": self.peers.is_voter(&self.name), "votes": core.standing.votes(),
+            "majority": self.has_majority, "peers": self.peer_status(),
+            "turned": self.peers.rejections(), "askers": self.peers.requester_count(),
+            "copies": core.copies().len(),
+            "print": format!("{:016x}", self.replicas_fingerprint(now)),
+            "lagging": core.claims().lagging(), "claims": counters.claims,
+            "granted": counters.granted, "earlier": counters.earlier,
+            "without_majority": counters.without_majority, "answered": counters.answered,
+            "turned_away": counters.turned_away, "mended": counters.mended,
+            "caught_up_bytes": counters.caught_up_bytes, "resent": counters.resent,
+        })
+    }
+
+    fn peer_status(&self) -> BTreeMap<&String, Value> {
+        let mut peers = BTreeMap::new();
+        for (name, health) in self.peers.voter_health() {
+            let status = json!({"state": health.state.name(), "trip_us": health.round_trip});
+            peers.insert(name, status);
+        }
+        peers
+    }
+
+    fn replicas_fingerprint(&self, now: Micros) -> u64 {
+        let as_of = now - now % FINGERPRINT_INTERVAL;
+        let mut sum = 0u64;
+        for fingerprint in self.core.copies().prints(as_of) {
+            sum = sum.rotate_left(7) ^ fingerprint;
+        }
+        sum
     }
 }
--- a/crates/gateway/src/replication/translation.rs
+++ b/crates/gateway/src/replication/translation.rs
@@ -1,28 +1,35 @@
-//! Peers, places and earlier runs, as the links, the replicas and the module each name them.
+//! Peers, places and prior attempts, as the links, the replicas and the balancer each name them.
 
-use super::*;
+use eideryard::interface::{Micros, PriorAttempt};
+use eideryard_intent_log::{Intent, Place};
+use eideryard_peer_transport::Peer as TransportPeer;
+use eideryard_replication::{Peer, PriorRuns};
 
-pub(super) fn of_end(end: End) -> Peer {
-    match end {
-        End::Voter(keeper) => Peer::Voter(keeper),
-        End::Requester(link) => Peer::Requester(link),
+/// Time zero means "unknown" to the balancer, so a known time is at least this.
+const MIN_KNOWN_TIME: Micros = 1;
+
+pub(super) fn replication_peer(peer: TransportPeer) -> Peer {
+    match peer {
+        TransportPeer::Voter(index) => Peer::Voter(index),
+        TransportPeer::Requester(link) => Peer::Requester(link),
     }
 }
 
-pub(super) fn to_end(peer: Peer) -> End {
+pub(super) fn transport_peer(peer: Peer) -> TransportPeer {
     match peer {
-        Peer::Voter(keeper) => End::Voter(keeper),
-        Peer::Requester(link) => End::Requester(link),
+        Peer::Voter(index) => TransportPeer::Voter(index),
+        Peer::Requester(link) => TransportPeer::Requester(link),
     }
 }
 
-/// As the module is told: nothing is known of one that may have run at several places.
-pub fn earlier(told: &PriorRuns) -> Vec<PriorAttempt> {
-    let of = |(place, since): &(Option<Place>, Micros)| match place {
+/// Prior attempts as the balancer knows them. An attempt that may have run in several places has an
+/// unknown place and time.
+pub fn prior_attempts(runs: &PriorRuns) -> Vec<PriorAttempt> {
+    let prior_attempt = |(place, since): &(Option<Place>, Micros)| match place {
         Some(place) => PriorAttempt {
             zone: place.zone,
             cell: place.cell,
-            since: (*since).max(NO_ZERO),
+            since: (*since).max(MIN_KNOWN_TIME),
         },
         None => PriorAttempt {
             zone: 0,
@@ -30,19 +37,24 @@
             since: 0,
         },
     };
-    told.iter().map(of).collect()
+    runs.iter().map(prior_attempt).collect()
 }
 
-pub(super) fn told(earlier: &[PriorAttempt]) -> PriorRuns {
-    let place = |own: &PriorAttempt| {
-        (own.since > 0).then_some(Place {
-            zone: own.zone,
-            cell: own.cell,
+/// Prior attempts as voters know them.
+pub(super) fn prior_runs(attempts: &[PriorAttempt]) -> PriorRuns {
+    let place = |attempt: &PriorAttempt| {
+        (attempt.since > 0).then_some(Place {
+            zone: attempt.zone,
+            cell: attempt.cell,
         })
     };
-    earlier.iter().map(|own| (place(own), own.since)).collect()
+    attempts
+        .iter()
+        .map(|attempt| (place(attempt), attempt.since))
+        .collect()
 }
 
-pub(super) fn place_of(intent: &Intent) -> Option<Place> {
+/// Where an intent's attempt runs, if it is known.
+pub(super) fn known_place(intent: &Intent) -> Option<Place> {
     (intent.since > 0).then_some(intent.place)
 }
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,35 +1,47 @@
-//! The status file of a gateway of a fleet: a thread of its own writes the latest text over the
-//! file, so that the loop never waits for it. What it is too slow for is left out.
+//! The status file of a gateway of a fleet: a thread of its own writes the latest content over the
+//! file, so that the gateway's loop never waits for the disk.
 
-use std::path::PathBuf;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, SyncSender};
 
-/// Its name in the store's directory.
-pub const NAME: &str = "STATUS";
+/// Name of the file in the store's directory.
+pub const FILE_NAME: &str = "STATUS";
+/// Name under which new content is written before it replaces the file.
+const TEMPORARY_FILE_NAME: &str = "STATUS.next";
+const THREAD_NAME: &str = "status";
 
-pub struct Status {
-    sender: SyncSender<String>,
+/// Handle of the thread. The thread ends when it is dropped; it isn't joined, so that a disk that
+/// hangs doesn't hold up the shutdown.
+pub struct StatusWriter {
+    contents: SyncSender<String>,
 }
 
-impl Status {
-    pub fn start(directory: PathBuf) -> std::io::Result<Self> {
-        let (sender, texts) = sync_channel::<String>(1);
-        let thread = std::thread::Builder::new().name("status".into());
-        thread.spawn(move || {
-            let (own, next) = (directory.join(NAME), directory.join("STATUS.next"));
-            for text in texts {
-                // Who reads it sees the text before or this one, never a part.
-                let written =
-                    std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, &own));
-                if let Err(e) = written {
-                    tracing::debug!("status file: {e}");
+impl StatusWriter {
+    /// Starts the thread.
+    pub fn start(directory: PathBuf) -> io::Result<Self> {
+        let (contents, received) = sync_channel::<String>(1);
+        std::thread::Builder::new()
+            .name(THREAD_NAME.into())
+            .spawn(move || {
+                for content in received {
+                    if let Err(e) = replace_file(&directory, &content) {
+                        tracing::debug!("status file: {e}");
+                    }
                 }
-            }
-        })?;
-        Ok(Status { sender })
+            })?;
+        Ok(StatusWriter { contents })
     }
 
-    pub fn tell(&self, text: String) {
-        let _ = self.sender.try_send(text);
+    /// Queues new content. It is dropped if the thread still writes earlier content.
+    pub fn write(&self, content: String) {
+        let _ = self.contents.try_send(content);
     }
 }
+
+/// Readers see either the content before or the new one.
+fn replace_file(directory: &Path, content: &str) -> io::Result<()> {
+    let temporary = directory.join(TEMPORARY_FILE_NAME);
+    std::fs::write(&temporary, content)?;
+    std::fs::rename(&temporary, directory.join(FILE_NAME))
+}
