--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -51,10 +51,10 @@
 /// file.
 #[derive(Default)]
 pub struct LeaseStatus {
-    /// Engine and term.
-    pub owned: Vec<(u32, u64)>,
-    /// Engine, term and owner.
-    pub known: Vec<(u32, u64, u64)>,
+    /// Engines whose probing this gateway owns, and the terms under which it does.
+    pub owned: Vec<(EngineId, u64)>,
+    /// The greatest known token of each engine.
+    pub known: Vec<(EngineId, FencingToken)>,
 }
 
 /// How fencing tokens name this incarnation of the gateway: differs between starts, so that no two
@@ -337,9 +337,7 @@
             owned: held
                 .map(|(task, token)| (task.number, token.term))
                 .collect(),
-            known: known
-                .map(|(task, token)| (task.number, token.term, token.owner))
-                .collect(),
+            known: known.map(|(task, token)| (task.number, token)).collect(),
         }
     }
 }
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -5,6 +5,7 @@
 use serde_json::{json, Value};
 
 use super::*;
+use crate::leases::LeaseStatus;
 
 /// Interval at which the status file is written.
 const STATUS_INTERVAL: Micros = 250_000;
@@ -81,7 +82,7 @@
         let lease_counters = leases.map(LeaseDriver::counters).unwrap_or_default();
         json!({
             "owner": format!("{:016x}", lease_owner(origin)),
-            "owned": lease_status.owned, "terms": lease_status.known,
+            "owned": lease_status.owned, "terms": known_terms(&lease_status),
             "won": lease_counters.acquired, "lost": lease_counters.lost,
             "applied": lease_counters.applied, "fenced": lease_counters.fenced,
             "own_fenced": lease_counters.rejected,
@@ -118,3 +119,12 @@
         sum
     }
 }
+
+/// The known tokens, as the status file lists them: engine, term and owner.
+fn known_terms(status: &LeaseStatus) -> Vec<Value> {
+    let mut terms = Vec::new();
+    for (engine, token) in &status.known {
+        terms.push(json!([engine, token.term, token.owner]));
+    }
+    terms
+}
--- a/crates/leases/src/lease_core.rs
+++ b/crates/leases/src/lease_core.rs
@@ -178,8 +178,8 @@
         removed.into_iter().map(Output::RemoveToken).collect()
     }
 
-    /// When [`LeaseCore::on_timer`] has something to do, but no more often than
-    /// [`POLL_INTERVAL`].
+    /// When [`LeaseCore::on_timer`] has something to do, but no more often than every
+    /// `POLL_INTERVAL`.
     pub fn deadline(&self) -> Micros {
         let next = self.candidates.values().map(Candidate::deadline).min();
         next.unwrap_or(Micros::MAX)
--- a/crates/peer-transport/src/hub/dialer.rs
+++ b/crates/peer-transport/src/hub/dialer.rs
@@ -48,7 +48,7 @@
     }
 
     /// Positions of the voters that are to be dialed now.
-    pub(super) fn due(&self, now: Micros) -> Vec<usize> {
+    pub(super) fn due_positions(&self, now: Micros) -> Vec<usize> {
         let is_due = |dial: &Dial| match dial.state {
             DialState::Waiting { retry_at } => retry_at <= now,
             DialState::Linked(_) => false,
@@ -101,7 +101,7 @@
 
     /// A link was dropped; if a voter was dialed for it, that voter is dialed again.
     pub(super) fn on_dropped(&mut self, token: Token, now: Micros) {
-        let is_link = |dial: &Dial| matches!(dial.state, DialState::Linked(own) if own == token);
+        let is_link = |dial: &Dial| matches!(dial.state, DialState::Linked(link) if link == token);
         if let Some(position) = self.dials.iter().position(is_link) {
             self.retry_later(position, now);
         }
--- a/crates/peer-transport/src/hub/event_loop.rs
+++ b/crates/peer-transport/src/hub/event_loop.rs
@@ -252,7 +252,7 @@
     /// Dials voters, sends heartbeats and drops links that are late.
     fn on_timer(&mut self) {
         let now = self.now();
-        for position in self.dialer.due(now) {
+        for position in self.dialer.due_positions(now) {
             self.dial(position);
         }
         for token in self.links.tokens() {
