--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -1,44 +1,27 @@
 //! Carries out the balancer's actions.
 
+use eideryard::interface::{end_tag, LoadReport};
+
 use super::*;
 
 mod durability_results;
 mod sends;
 
-/// Shorter advice to retry is not given to clients.
+/// Shorter delays are not advised to clients: the wire states whole milliseconds.
 const MIN_RETRY_AFTER: Micros = 1000;
 
-/// How a request ends without a result, as its client reads it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ErrorAnswer {
-    /// The client may try again later.
-    TryLater,
-    /// The request has failed.
-    Failed,
-}
-
-impl ErrorAnswer {
-    /// The word on the wire.
-    fn word(self) -> &'static str {
-        match self {
-            ErrorAnswer::TryLater => "TryLater",
-            ErrorAnswer::Failed => "Failed",
-        }
-    }
-}
-
 impl Gateway {
     /// Carries out one action.
-    pub(super) fn act(&mut self, now: Micros, action: Action) {
+    pub(super) fn execute_action(&mut self, now: Micros, action: Action) {
         if !matches!(action, Action::Send { .. }) {
-            self.tap.action(now, &action);
+            self.event_recorder.record_action(now, &action);
         }
         match action {
             Action::Grant {
                 request,
                 grant_mb,
                 rank,
-            } => self.set_grant(Key::from_number(request), grant_mb, rank),
+            } => self.apply_grant(Key::from_number(request), grant_mb, rank),
             Action::Send {
                 request,
                 engine,
@@ -46,16 +29,16 @@
             } => self.send(now, Key::from_number(request), engine, attempt_deadline),
             Action::Probe { engine } => self.probe(now, engine),
             Action::Cancel { request, attempt } => {
-                self.give_up(Key::from_number(request), attempt, Outcome::Cancelled);
+                self.cancel_attempt(Key::from_number(request), attempt, Outcome::Cancelled);
             }
             Action::Refuse {
                 request,
                 retry_after,
             } => self.refuse(Key::from_number(request), retry_after),
-            Action::Fail { request } => self.fail(Key::from_number(request), &[]),
+            Action::Fail { request } => self.fail(Key::from_number(request)),
             Action::SetTimer { after, tag } => self.set_timer(now, after, tag),
             // The discovery service reports changes by itself whenever it can be reached.
-            Action::Subscribe if self.watch.is_up() => {
+            Action::Subscribe if self.discovery.is_up() => {
                 self.events.push_back(Event::EndpointChanges(Vec::new()));
             }
             Action::Subscribe => self.events.push_back(Event::DiscoveryFailed),
@@ -64,7 +47,7 @@
     }
 
     /// Sets the memory and the rank of a request; engines that run it are told of a new rank.
-    fn set_grant(&mut self, key: Key, grant_mb: f64, rank: u8) {
+    pub(super) fn apply_grant(&mut self, key: Key, grant_mb: f64, rank: u8) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -72,22 +55,24 @@
         if request.rank.replace(rank) == Some(rank) {
             return;
         }
-        for conn in request.attempts.iter().filter_map(|attempt| attempt.conn) {
-            let is_sent = self.engines.weigh(conn, &request.id, rank);
+        for connection in request
+            .attempts
+            .iter()
+            .filter_map(|attempt| attempt.connection)
+        {
+            let is_sent = self.engines.update_rank(connection, &request.id, rank);
             self.counters.ranks += u64::from(is_sent);
         }
     }
 
     /// Probes an engine, unless the owner of its probing reported a moment ago.
     fn probe(&mut self, now: Micros, engine: EngineId) {
-        let durability = self.keeping.as_mut();
+        let durability = self.intent_durability.as_mut();
         let shared = durability.and_then(|durability| durability.recent_report(now, engine));
         if shared.is_some() {
             return self.add_probed(engine, Outcome::Answered, shared);
         }
-        let probed = self
-            .engines
-            .probe(now, engine, &mut self.due, &mut self.counters);
+        let probed = self.with_engines(|engines, context| engines.probe(engine, context));
         if let Err(outcome) = probed {
             self.add_probed(engine, outcome, None);
         }
@@ -102,20 +87,21 @@
     }
 
     fn refuse(&mut self, key: Key, retry_after: Micros) {
-        let retry_after_ms = (retry_after / 1000).to_string();
-        let fields = [("w", retry_after_ms.as_str())];
-        let has_advice = retry_after >= MIN_RETRY_AFTER;
-        let fields = if has_advice { &fields[..] } else { &[] };
-        self.end_with_error(key, ErrorAnswer::TryLater, fields);
+        let reply = ErrorReply {
+            retry_after: Some(retry_after).filter(|after| *after >= MIN_RETRY_AFTER),
+            ..ErrorReply::new(ErrorKind::TryLater)
+        };
+        self.answer_error(key, &reply);
     }
 
-    /// Ends a request as failed; `fields` go to its client beside the error.
-    pub(super) fn fail(&mut self, key: Key, fields: &[(&str, &str)]) {
-        self.end_with_error(key, ErrorAnswer::Failed, fields);
+    fn fail(&mut self, key: Key) {
+        self.answer_error(key, &ErrorReply::new(ErrorKind::Failed));
     }
 
     fn set_timer(&mut self, now: Micros, after: Micros, tag: u64) {
-        let timer = self.due.set(now + after, Due::Timer(tag));
+        let timer = self
+            .deadlines
+            .set(now + after, Deadline::BalancerTimer(tag));
         // A request's own timer is removed with it; others fire.
         let Some(number) = tag.checked_sub(end_tag(0)) else {
             return;
@@ -125,25 +111,6 @@
         }
     }
 
-    /// Answers a request with an error, and removes it.
-    fn end_with_error(&mut self, key: Key, error: ErrorAnswer, fields: &[(&str, &str)]) {
-        let kind = match error {
-            ErrorAnswer::TryLater => AnswerKind::Refused,
-            ErrorAnswer::Failed => AnswerKind::Failed,
-        };
-        self.spool_over(key, error == ErrorAnswer::TryLater);
-        let is_answered = self.answer(key, kind, |buffer, call| {
-            write_error(buffer, call, error.word(), fields);
-        });
-        if is_answered {
-            match error {
-                ErrorAnswer::TryLater => self.counters.refused += 1,
-                ErrorAnswer::Failed => self.counters.failed += 1,
-            }
-        }
-        self.requests.give_back(key, &mut self.due);
-    }
-
     /// Log lines of the balancer name engines by number; operators know them by name.
     fn with_engine_names(&self, text: &str) -> String {
         let mut words = Vec::new();
--- a/crates/gateway/src/gateway/actions/durability_results.rs
+++ b/crates/gateway/src/gateway/actions/durability_results.rs
@@ -1,6 +1,9 @@
 //! What the intent durability and the fleet bring: sends whose intents are durable, refused sends,
 //! shared probes, drains of engines and hints of peers.
 
+use eideryard_event_log::RejectReason;
+use eideryard_intent_log::state::RETRY_AFTER;
+
 use super::*;
 use crate::intent_durability::{
     PendingSend, ProbeWork, RefusedSend, SendResults, SendWithPriorRuns,
@@ -10,11 +13,11 @@
     /// Polls the intent durability and handles all that it brings.
     pub(in crate::gateway) fn poll_intent_durability(&mut self) {
         let now = self.clock.now();
-        let Some(durability) = &mut self.keeping else {
+        let Some(durability) = &mut self.intent_durability else {
             return;
         };
         if durability.is_checkpoint_due(now) {
-            durability.save_checkpoint(now, &self.module.learned_state());
+            durability.save_checkpoint(now, &self.balancer.learned_state());
         }
         let results = durability.poll(now);
         let fleet_events = durability.take_fleet_events();
@@ -22,36 +25,35 @@
         let hint = durability.take_peer_hint();
         let probe_work = durability.take_probe_work(now);
         for event in fleet_events {
-            self.tap.host(now, Host::Fleet(event));
+            self.event_recorder
+                .record_host(now, &HostEvent::Fleet(event));
         }
         let has_news = !results.is_empty()
             || !drains.is_empty()
             || hint.is_some()
             || !probe_work.due_engines.is_empty()
             || !probe_work.reports.is_empty();
-        self.heed_drains(drains);
-        self.apply_probe_work(now, probe_work);
+        self.handle_peer_drains(drains);
+        self.apply_probe_work(probe_work);
         if let Some((learned, age)) = hint {
             self.events
                 .push_back(Event::CheckpointRestored { learned, age });
         }
         self.apply_send_results(now, results);
         if has_news {
-            self.settle();
+            self.run_balancer();
             self.flush();
         }
-        if let Some(durability) = &mut self.keeping {
+        if let Some(durability) = &mut self.intent_durability {
             durability.flush();
         }
     }
 
-    fn apply_probe_work(&mut self, now: Micros, probe_work: ProbeWork) {
+    fn apply_probe_work(&mut self, probe_work: ProbeWork) {
         for engine in probe_work.due_engines {
             // That an engine can't be reached from here is not reported: each gateway finds that
             // out for itself.
-            let _ = self
-                .engines
-                .probe(now, engine, &mut self.due, &mut self.counters);
+            let _ = self.with_engines(|engines, context| engines.probe(engine, context));
         }
         for (engine, report) in probe_work.reports {
             self.add_probed(engine, Outcome::Answered, Some(report));
@@ -80,11 +82,11 @@
             return;
         };
         // An attempt that was given up meanwhile no longer waits.
-        if !std::mem::take(&mut attempt.waits) {
+        if !std::mem::take(&mut attempt.awaits_durability) {
             return;
         }
-        let is_within_window = self.keeping.as_ref().is_none_or(|durability| {
-            durability.is_within_window(now, request.class, &request.earlier)
+        let is_within_window = self.intent_durability.as_ref().is_none_or(|durability| {
+            durability.is_within_window(now, request.class, &request.prior_attempts)
         });
         if is_within_window {
             self.dispatch(now, key, send.attempt, send.engine, send.attempt_deadline);
@@ -103,7 +105,7 @@
             return;
         }
         self.add_prior_attempts(request, found.prior_attempts);
-        self.give_up(request, attempt, Outcome::NotSent);
+        self.cancel_attempt(request, attempt, Outcome::NotSent);
     }
 
     /// A send has waited for too long; its request is refused if nothing else of it was sent.
@@ -114,7 +116,7 @@
         let is_only_attempt = self
             .requests
             .get(request)
-            .is_some_and(|state| state.attempts.len() == 1 && state.attempts[0].waits);
+            .is_some_and(|state| state.attempts.len() == 1 && state.attempts[0].awaits_durability);
         // The balancer learns that the client is gone before it learns of the attempt's end.
         // Otherwise it would send a further attempt, of a request that no longer exists here, and
         // never learn of that one's end.
@@ -123,7 +125,7 @@
                 request: request.number(),
             });
         }
-        self.give_up(request, attempt, Outcome::NotSent);
+        self.cancel_attempt(request, attempt, Outcome::NotSent);
         if is_only_attempt {
             self.reject_for(now, request, refused.reason);
         }
@@ -131,17 +133,15 @@
 
     /// Refuses a request with the reason, and with a time to retry after where that is allowed.
     fn reject_for(&mut self, now: Micros, request: Key, reason: RejectReason) {
-        let retry_after_ms = eideryard_intent_log::state::RETRY_AFTER / 1000;
-        let retry_after = retry_after_ms.to_string();
-        let mut fields = vec![("why", reason.name())];
-        if self.may_advise {
-            fields.push(("w", &retry_after));
-        }
-        let event = Host::Because {
+        let event = HostEvent::RefusalExplained {
             request: request.number(),
-            why: reason,
+            reason,
+        };
+        self.event_recorder.record_host(now, &event);
+        let reply = ErrorReply {
+            retry_after: self.retry_after_allowed.then_some(RETRY_AFTER),
+            ..ErrorReply::with_reason(ErrorKind::TryLater, reason.name())
         };
-        self.tap.host(now, event);
-        self.end_with_error(request, ErrorAnswer::TryLater, &fields);
+        self.answer_error(request, &reply);
     }
 }
--- a/crates/gateway/src/gateway/actions/sends.rs
+++ b/crates/gateway/src/gateway/actions/sends.rs
@@ -1,7 +1,13 @@
 //! The way of a send: its intent is prepared, then its first byte may go out.
 
+use eideryard::interface::PriorAttempt;
+use eideryard_engine_protocol::Serve;
+
 use super::*;
+use crate::engines::AttemptTarget;
 use crate::intent_durability::{PendingSend, SendPlan, SendRequest};
+use crate::requests::Attempt;
+use crate::result_spool::ResultOwner;
 
 impl Gateway {
     /// Carries out the balancer's decision to send a request to an engine.
@@ -22,8 +28,8 @@
             engine,
             attempt_deadline,
         };
-        self.tap.action(now, &action);
-        if request.spooled {
+        self.event_recorder.record_action(now, &action);
+        if request.is_spooled {
             self.restart_spooling(now, key);
         }
         self.counters.sent += 1;
@@ -61,12 +67,14 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let address = self.clients.address_of(request.client);
-        let owner = (request.class, request.tenant, address);
-        if let Some(spooling) = &mut self.spooling {
-            spooling.restart(key.number(), owner, now);
+        let owner = ResultOwner {
+            labels: request.labels(),
+            address: self.clients.address_of(request.client),
+        };
+        if let Some(result_spool) = &mut self.result_spool {
+            result_spool.restart(key.number(), owner, now);
         }
-        self.coming.remove(&key);
+        self.incoming_results.remove(&key);
     }
 
     fn prepare_send(
@@ -76,7 +84,9 @@
         engine: EngineId,
         attempt_deadline: Micros,
     ) -> SendPlan {
-        let Some((durability, request)) = self.keeping.as_mut().zip(self.requests.get(key)) else {
+        let Some((durability, request)) =
+            self.intent_durability.as_mut().zip(self.requests.get(key))
+        else {
             return SendPlan::Immediate;
         };
         let send_request = SendRequest {
@@ -84,7 +94,7 @@
             key: request.key.as_deref(),
             engine,
             attempt_deadline,
-            known: &request.earlier,
+            known: &request.prior_attempts,
         };
         durability.prepare_send(now, &send_request)
     }
@@ -97,27 +107,27 @@
         engine: EngineId,
         plan: &SendPlan,
     ) -> Option<usize> {
-        let waits = matches!(plan, SendPlan::AfterWrite { .. });
+        let awaits_durability = matches!(plan, SendPlan::AfterWrite { .. });
         let request = self.requests.get_mut(key)?;
         request.attempts.push(Attempt {
             engine,
-            conn: None,
+            connection: None,
             sent_at: now,
             deadline: None,
-            waits,
-            kept: waits || matches!(plan, SendPlan::StoreFull),
+            awaits_durability,
+            has_intent: awaits_durability || matches!(plan, SendPlan::StoreFull),
         });
         Some(request.attempts.len() - 1)
     }
 
     fn wait_for_intent(&mut self, now: Micros, send: PendingSend, prior_attempt: PriorAttempt) {
-        let deadline = Due::Attempt(send.request, send.attempt);
-        let timer = self.due.set(send.attempt_deadline, deadline);
+        let deadline = Deadline::Attempt(send.request, send.attempt);
+        let timer = self.deadlines.set(send.attempt_deadline, deadline);
         if let Some(request) = self.requests.get_mut(send.request) {
-            request.earlier.push(prior_attempt);
+            request.prior_attempts.push(prior_attempt);
             request.attempts[send.attempt].deadline = Some(timer);
         }
-        if let Some(durability) = &mut self.keeping {
+        if let Some(durability) = &mut self.intent_durability {
             durability.add_pending_send(now, send);
         }
     }
@@ -127,7 +137,9 @@
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        request.earlier.extend(prior_attempts.iter().copied());
+        request
+            .prior_attempts
+            .extend(prior_attempts.iter().copied());
         self.events.push_back(Event::PriorAttempts {
             request: key.number(),
             prior_attempts,
@@ -136,7 +148,7 @@
 
     /// An attempt ends before anything of it was sent.
     pub(super) fn end_unsent(&mut self, key: Key, attempt: usize) {
-        self.over(key, attempt, Outcome::NotSent, false, None, None);
+        self.end_attempt(AttemptEnd::new(key, attempt, Outcome::NotSent));
     }
 
     /// Sends an attempt to its engine.
@@ -164,24 +176,28 @@
             rank: request.rank,
             statement: &request.statement,
         };
-        let sent = self.engines.send(
+        let target = AttemptTarget {
+            request: key,
+            attempt,
+            is_spooled: request.is_spooled,
+        };
+        let mut context = EngineContext {
             now,
-            engine,
-            (key, attempt, request.spooled),
-            &serve,
-            &mut self.due,
-            &mut self.counters,
-        );
+            deadlines: &mut self.deadlines,
+            counters: &mut self.counters,
+            events: &mut self.engine_events,
+        };
+        let sent = self.engines.send(engine, target, &serve, &mut context);
         match sent {
-            Ok(conn) => {
+            Ok(connection) => {
                 let attempt_state = &mut request.attempts[attempt];
-                attempt_state.conn = Some(conn);
-                let due = &mut self.due;
-                attempt_state
-                    .deadline
-                    .get_or_insert_with(|| due.set(attempt_deadline, Due::Attempt(key, attempt)));
+                attempt_state.connection = Some(connection);
+                let deadlines = &mut self.deadlines;
+                attempt_state.deadline.get_or_insert_with(|| {
+                    deadlines.set(attempt_deadline, Deadline::Attempt(key, attempt))
+                });
             }
-            Err(outcome) => self.over(key, attempt, outcome, false, None, None),
+            Err(outcome) => self.end_attempt(AttemptEnd::new(key, attempt, outcome)),
         }
     }
 }
--- a/crates/gateway/src/intent_durability/counters.rs
+++ b/crates/gateway/src/intent_durability/counters.rs
@@ -27,7 +27,7 @@
     /// Counts a refused request by its reason.
     pub(super) fn count_refusal(&mut self, reason: RejectReason) {
         match reason {
-            RejectReason::LedgerFull => self.refused_full += 1,
+            RejectReason::IntentLogFull => self.refused_full += 1,
             RejectReason::NoMajority => self.refused_no_majority += 1,
             _ => self.refused_stalled += 1,
         }
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -139,7 +139,7 @@
             .intent_log
             .arrives(now, class, key, is_retry, is_failing)
             .map_err(|error| match error {
-                IntentError::Full => RejectReason::LedgerFull,
+                IntentError::Full => RejectReason::IntentLogFull,
                 IntentError::Stalled => RejectReason::StoreStalled,
             })?;
         if key.is_some() && self.intent_log.keeps(class) {
@@ -282,7 +282,7 @@
         for (claim, verdict) in replication.poll(now, worker) {
             match verdict {
                 Verdict::Granted => self.pending_sends.granted(claim),
-                Verdict::Earlier(runs) => {
+                Verdict::PriorRunsFound(runs) => {
                     if let Some(send) = self.pending_sends.take(claim) {
                         let prior_attempts = prior_attempts(&runs);
                         results.with_prior_runs.push(SendWithPriorRuns {
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -10,7 +10,7 @@
 use eideryard_intent_log::Intent;
 use eideryard_leases::VoterReadiness;
 use eideryard_peer_transport::{Hub, Peer as TransportPeer, PeerEvent, PeerState};
-use eideryard_replication::core::ClaimError;
+use eideryard_replication::core::{ClaimError, ClaimRequest, EndedRun};
 use eideryard_replication::drains::Drain;
 use eideryard_replication::{entry, Core, Message, Origin, Output, Peer, ReplicaRecord, Verdict};
 use eideryard_store::worker::Worker;
@@ -92,8 +92,8 @@
 impl ReplicationDriver {
     /// Why no claim can be made now, if none can.
     pub fn claim_rejection(&self) -> Option<RejectReason> {
-        let reason = match self.core.refuses()? {
-            ClaimError::Full => RejectReason::LedgerFull,
+        let reason = match self.core.claim_error()? {
+            ClaimError::Full => RejectReason::IntentLogFull,
             ClaimError::NoMajority => RejectReason::NoMajority,
         };
         Some(reason)
@@ -105,15 +105,15 @@
         let number = self.last_claim_number;
         let intent = claim.intent;
         let since = if intent.since > 0 { intent.since } else { now };
-        let outputs = self.core.claim(
-            now,
+        let request = ClaimRequest {
             number,
-            replicated_key(claim.stored_key),
-            known_place(intent),
+            key: replicated_key(claim.stored_key),
+            place: known_place(intent),
             since,
-            claim.retention,
-            prior_runs(claim.known),
-        );
+            retention: claim.retention,
+            known: prior_runs(claim.known),
+        };
+        let outputs = self.core.claim(now, request);
         self.perform(now, outputs, worker);
         number
     }
@@ -127,10 +127,13 @@
         retention: Micros,
         worker: &mut Worker,
     ) {
-        let place = intent.and_then(known_place);
-        let has_run = intent.is_some();
-        let key = replicated_key(stored_key);
-        let outputs = self.core.ended(now, key, place, has_run, retention);
+        let ended = EndedRun {
+            key: replicated_key(stored_key),
+            place: intent.and_then(known_place),
+            may_have_run: intent.is_some(),
+            retention,
+        };
+        let outputs = self.core.on_ended(now, ended);
         self.perform(now, outputs, worker);
     }
 
@@ -147,8 +150,8 @@
         self.continue_durable_tokens(now, durable_ticket, worker);
         let readiness = self.voter_readiness();
         self.run_leases(|leases| leases.on_timer(now, readiness, worker));
-        if now >= self.core.due() {
-            let outputs = self.core.work(now);
+        if now >= self.core.next_deadline() {
+            let outputs = self.core.poll(now);
             self.perform(now, outputs, worker);
         }
         self.check_majority();
@@ -157,13 +160,13 @@
     }
 
     fn check_majority(&mut self) {
-        let has_majority = self.core.majority_stands();
+        let has_majority = self.core.has_majority();
         if self.has_majority == has_majority {
             return;
         }
         self.has_majority = has_majority;
-        self.events.push(FleetEvent::Majority {
-            stands: has_majority,
+        self.events.push(FleetEvent::MajorityChanged {
+            is_reachable: has_majority,
         });
         let article = if has_majority { "a" } else { "NO" };
         tracing::info!(
@@ -179,7 +182,7 @@
 
     /// Tells peers what this gateway's own endpoint list says of engines.
     pub fn publish_drains(&mut self, now: Micros, drains: Vec<Drain>, worker: &mut Worker) {
-        let outputs = self.core.drained(drains);
+        let outputs = self.core.on_local_drains(drains);
         self.perform(now, outputs, worker);
         // What this gateway published itself it knows already.
         self.drains.clear();
@@ -187,12 +190,12 @@
 
     /// A peer's newer endpoint list that closes an engine, if there is one.
     pub fn binding_drain(&self, engine: u32, booted_at: u64, list_number: u64) -> Option<Drain> {
-        self.core.binds(engine, booted_at, list_number)
+        self.core.overriding_drain(engine, booted_at, list_number)
     }
 
     /// Sets the learned state that peers get as a hint when they start.
     pub fn set_learned_state(&mut self, now: Micros, checkpoint: Vec<u8>) {
-        self.core.learned(now, checkpoint);
+        self.core.set_hints(now, checkpoint);
     }
 
     /// What a peer had learned when this gateway started, and its age; once.
@@ -214,7 +217,10 @@
     pub fn deadline(&self, now: Micros) -> Micros {
         let leases = self.leases.as_ref();
         let lease_deadline = leases.map_or(Micros::MAX, |leases| leases.deadline(now));
-        self.core.due().min(self.status_at).min(lease_deadline)
+        self.core
+            .next_deadline()
+            .min(self.status_at)
+            .min(lease_deadline)
     }
 }
 
--- a/crates/gateway/src/replication/outputs.rs
+++ b/crates/gateway/src/replication/outputs.rs
@@ -8,18 +8,22 @@
         while let Some(output) = outputs.pop_front() {
             match output {
                 Output::Send(peer, message) => self.send(peer, message),
-                Output::Store { key, copy, then } => {
-                    self.store_replica(&key, copy.as_ref(), then, worker);
+                Output::Store {
+                    key,
+                    replica,
+                    after_durable,
+                } => {
+                    self.store_replica(&key, replica.as_ref(), after_durable, worker);
                 }
-                Output::OwnVote { number, seen } => {
-                    outputs.extend(self.core.own_vote(now, number, &seen));
+                Output::LocalVote { number, views } => {
+                    outputs.extend(self.core.on_local_vote(now, number, &views));
                 }
                 Output::Verdict(claim, verdict) => self.verdicts.push((claim, verdict)),
-                Output::Drained(drain) => self.drains.push(drain),
-                Output::Hints { lessons, age } => {
-                    self.peer_hint.get_or_insert((lessons, age));
+                Output::EngineDrained(drain) => self.drains.push(drain),
+                Output::Hints { checkpoint, age } => {
+                    self.peer_hint.get_or_insert((checkpoint, age));
                 }
-                Output::Votes => self.begin_voting(worker),
+                Output::BecameVoter => self.begin_voting(worker),
             }
         }
     }
@@ -30,7 +34,7 @@
         // A peer that catches up gets all fencing tokens before it has all replicas, and votes.
         if matches!(
             message,
-            Message::Part { last: true, .. } | Message::Stands { .. }
+            Message::StatePart { is_last: true, .. } | Message::VoterStatus { .. }
         ) {
             let tokens = self.leases.as_ref().and_then(LeaseDriver::tokens_message);
             if let Some(tokens) = tokens {
@@ -44,7 +48,7 @@
         &mut self,
         key: &[u8],
         replica: Option<&ReplicaRecord>,
-        then: Vec<Output>,
+        after_durable: Vec<Output>,
         worker: &mut Worker,
     ) {
         let stored_key = entry::stored_key(key);
@@ -54,14 +58,14 @@
             None => batch.remove(stored_key),
         }
         let ticket = worker.write(batch);
-        if then.is_empty() {
+        if after_durable.is_empty() {
             return;
         }
         // What can't be made durable is never acknowledged.
         if let Some(ticket) = ticket {
             let pending = PendingOutputs {
                 ticket,
-                outputs: then,
+                outputs: after_durable,
             };
             self.pending_outputs.push_back(pending);
         }
@@ -70,11 +74,17 @@
     /// This voter has caught up: it tells the requesters once that is durable.
     fn begin_voting(&mut self, worker: &mut Worker) {
         tracing::info!("fleet {}: caught up; this keeper votes", self.fleet);
-        self.events.push(FleetEvent::Votes { votes: true });
+        self.events
+            .push(FleetEvent::VotingChanged { is_voter: true });
         let identity = self.core.origin().identity.to_be_bytes();
         let mut batch = Batch::default();
         batch.put(VOTER_IDENTITY_KEY.to_vec(), identity.to_vec(), 0);
-        let announce = |link| Output::Send(Peer::Requester(link), Message::Stands { votes: true });
+        let announce = |link| {
+            Output::Send(
+                Peer::Requester(link),
+                Message::VoterStatus { is_voting: true },
+            )
+        };
         let outputs = self.peers.requester_links().map(announce).collect();
         if let Some(ticket) = worker.write(batch) {
             self.pending_outputs
--- a/crates/gateway/src/replication/peer_events.rs
+++ b/crates/gateway/src/replication/peer_events.rs
@@ -16,7 +16,7 @@
                     return self.on_lease_message(now, peer, message, worker);
                 }
                 PeerMessage::Replication(message) => {
-                    self.core.hears(now, replication_peer(peer), message)
+                    self.core.on_message(now, replication_peer(peer), message)
                 }
             },
             PeerEvent::Connected { peer, name } => self.on_connected(now, peer, name),
@@ -42,7 +42,7 @@
                 self.on_voter_health(name, health);
             }
         }
-        self.core.link(now, replication_peer(peer), true)
+        self.core.on_link(now, replication_peer(peer), true)
     }
 
     fn on_peer_state(
@@ -57,7 +57,7 @@
                     return Vec::new();
                 }
                 self.peers.remove_requester(link);
-                self.core.link(now, replication_peer(peer), false)
+                self.core.on_link(now, replication_peer(peer), false)
             }
             TransportPeer::Voter(_) => {
                 if let Some(name) = self.peers.name_of(peer).cloned() {
@@ -65,7 +65,7 @@
                 }
                 let is_reachable = health.state < PeerState::Silent;
                 self.core
-                    .hears_state(now, replication_peer(peer), is_reachable)
+                    .on_reachability(now, replication_peer(peer), is_reachable)
             }
         }
     }
@@ -76,7 +76,7 @@
         }
         let state = health.state.name();
         tracing::info!("fleet {}: {name} is {state}", self.fleet);
-        self.events.push(FleetEvent::Peer {
+        self.events.push(FleetEvent::PeerState {
             name,
             state: state.into(),
         });
@@ -87,6 +87,6 @@
             return;
         }
         tracing::warn!("fleet {}: no link with '{name}': {reason}", self.fleet);
-        self.events.push(FleetEvent::Turned { name, why: reason });
+        self.events.push(FleetEvent::PeerRejected { name, reason });
     }
 }
--- a/crates/gateway/src/replication/startup.rs
+++ b/crates/gateway/src/replication/startup.rs
@@ -95,11 +95,11 @@
                 config.name
             );
         }
-        let can_vote = core.standing.votes();
+        let can_vote = core.is_voting();
         log_role(config, voter_index, can_vote, replica_count);
         let mut events = Vec::new();
         if voter_index.is_some() {
-            events.push(FleetEvent::Votes { votes: can_vote });
+            events.push(FleetEvent::VotingChanged { is_voter: can_vote });
         }
         let voter_count = voter_names.len();
         let tokens = recovered.tokens;
@@ -144,14 +144,14 @@
         .filter(|class| class.effect != Effect::Idempotent);
     let longest_window = durable_classes.map(|class| class.window).max().unwrap_or(0);
     Config {
-        keepers: config.keepers.len(),
-        own: voter_index,
-        longest: context.longest_wait + longest_window + RETENTION_MARGIN,
+        voters: config.keepers.len(),
+        voter_index,
+        max_retention: context.longest_wait + longest_window + RETENTION_MARGIN,
         limits: Limits {
             entries: context.max_replicas,
         },
-        bytes_per_s: CATCH_UP_BYTES_PER_SECOND,
-        send_without: config.send_without,
+        transfer_bytes_per_s: CATCH_UP_BYTES_PER_SECOND,
+        send_without_majority: config.send_without,
     }
 }
 
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -32,33 +32,33 @@
     pub fn state_events(&self) -> Vec<FleetEvent> {
         let mut events = Vec::new();
         for (name, health) in self.peers.voter_health() {
-            events.push(FleetEvent::Peer {
+            events.push(FleetEvent::PeerState {
                 name: name.clone(),
                 state: health.state.name().into(),
             });
         }
         if self.peers.is_voter(&self.name) {
-            events.push(FleetEvent::Votes {
-                votes: self.core.standing.votes(),
+            events.push(FleetEvent::VotingChanged {
+                is_voter: self.core.is_voting(),
             });
         }
-        events.push(FleetEvent::Majority {
-            stands: self.has_majority,
+        events.push(FleetEvent::MajorityChanged {
+            is_reachable: self.has_majority,
         });
         events
     }
 
     /// What was counted since the start.
     pub fn counters(&self) -> eideryard_replication::core::Counters {
-        self.core.counted
+        self.core.counters()
     }
 
     /// Sizes of the tables, by the names that the log prints.
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         [
-            ("copies", self.core.copies().len()),
-            ("claims", self.core.claims().open()),
-            ("own_copies", self.core.claims().own()),
+            ("copies", self.core.replicas().len()),
+            ("claims", self.core.claims().pending()),
+            ("own_copies", self.core.claims().records()),
             ("acknowledgements", self.pending_outputs.len()),
         ]
     }
@@ -76,7 +76,7 @@
     fn status_content(&self, now: Micros) -> Value {
         let core = &self.core;
         let origin = core.origin();
-        let counters = core.counted;
+        let counters = core.counters();
         let leases = self.leases.as_ref();
         let lease_status = leases.map(|leases| leases.status(now)).unwrap_or_default();
         let lease_counters = leases.map(LeaseDriver::counters).unwrap_or_default();
@@ -88,16 +88,16 @@
             "own_fenced": lease_counters.rejected,
             "name": self.name, "fleet": self.fleet, "at_ms": now / 1000,
             "identity": format!("{:016x}", origin.identity), "start": origin.start,
-            "keeper": self.peers.is_voter(&self.name), "votes": core.standing.votes(),
+            "keeper": self.peers.is_voter(&self.name), "votes": core.is_voting(),
             "majority": self.has_majority, "peers": self.peer_status(),
             "turned": self.peers.rejections(), "askers": self.peers.requester_count(),
-            "copies": core.copies().len(),
+            "copies": core.replicas().len(),
             "print": format!("{:016x}", self.replicas_fingerprint(now)),
-            "lagging": core.claims().lagging(), "claims": counters.claims,
-            "granted": counters.granted, "earlier": counters.earlier,
-            "without_majority": counters.without_majority, "answered": counters.answered,
-            "turned_away": counters.turned_away, "mended": counters.mended,
-            "caught_up_bytes": counters.caught_up_bytes, "resent": counters.resent,
+            "lagging": core.claims().replication_lag(), "claims": counters.claims,
+            "granted": counters.granted, "earlier": counters.prior_runs_found,
+            "without_majority": counters.without_majority, "answered": counters.accepted,
+            "turned_away": counters.rejected, "mended": counters.repaired,
+            "caught_up_bytes": counters.transferred_bytes, "resent": counters.resent,
         })
     }
 
@@ -113,7 +113,7 @@
     fn replicas_fingerprint(&self, now: Micros) -> u64 {
         let as_of = now - now % FINGERPRINT_INTERVAL;
         let mut sum = 0u64;
-        for fingerprint in self.core.copies().prints(as_of) {
+        for fingerprint in self.core.replicas().range_fingerprints(as_of) {
             sum = sum.rotate_left(7) ^ fingerprint;
         }
         sum
--- a/crates/gateway/src/replication/translation.rs
+++ b/crates/gateway/src/replication/translation.rs
@@ -3,7 +3,7 @@
 use eideryard::interface::{Micros, PriorAttempt};
 use eideryard_intent_log::{Intent, Place};
 use eideryard_peer_transport::Peer as TransportPeer;
-use eideryard_replication::{Peer, PriorRuns};
+use eideryard_replication::{Peer, PriorRun, PriorRuns};
 
 /// Time zero means "unknown" to the balancer, so a known time is at least this.
 const MIN_KNOWN_TIME: Micros = 1;
@@ -25,11 +25,11 @@
 /// Prior attempts as the balancer knows them. An attempt that may have run in several places has an
 /// unknown place and time.
 pub fn prior_attempts(runs: &PriorRuns) -> Vec<PriorAttempt> {
-    let prior_attempt = |(place, since): &(Option<Place>, Micros)| match place {
+    let prior_attempt = |run: &PriorRun| match run.place {
         Some(place) => PriorAttempt {
             zone: place.zone,
             cell: place.cell,
-            since: (*since).max(MIN_KNOWN_TIME),
+            since: run.since.max(MIN_KNOWN_TIME),
         },
         None => PriorAttempt {
             zone: 0,
@@ -50,7 +50,10 @@
     };
     attempts
         .iter()
-        .map(|attempt| (place(attempt), attempt.since))
+        .map(|attempt| PriorRun {
+            place: place(attempt),
+            since: attempt.since,
+        })
         .collect()
 }
 
--- a/crates/gateway/src/requests/tests.rs
+++ b/crates/gateway/src/requests/tests.rs
@@ -1,7 +1,7 @@
 //! Fields of requests, ids, and the bound on statements.
 
 use super::*;
-use crate::deadlines::Due;
+use crate::deadlines::Deadline;
 
 const ID: &str = "9b1f03aa5c7e2d41";
 const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -18,19 +18,19 @@
     let words = |list: &[&str]| list.iter().map(|word| word.to_string()).collect();
     Names {
         classes: words(&["report", "load"]),
-        keyed: vec![false, true],
+        requires_key: vec![false, true],
         tenants: words(&["acme"]),
         zones: vec![],
         kinds: vec![],
         threads: vec![],
-        longest_wait: 4e6,
-        most_work: 9e9,
-        most_memory_mb: 16384.0,
+        max_wait: 4e6,
+        max_work: 9e9,
+        max_memory_mb: 16384.0,
     }
 }
 
 #[test]
-fn fields_are_read_in_their_units_and_what_cannot_be_used_is_named() {
+fn fields_are_read_in_their_units_and_invalid_ones_are_named() {
     let statement = b"COPY sales_17.orders";
     let call = Call::read(&names(), "load", &FIELDS, statement).unwrap();
     assert_eq!((call.class, call.tenant, call.wait), (1, 0, 1_500_000));
@@ -51,9 +51,12 @@
         .iter()
         .flat_map(|(name, values)| values.iter().map(move |v| (name, *v)))
     {
-        let fields = FIELDS.map(|(own, usual)| (own, if own == *name { value } else { usual }));
+        let fields =
+            FIELDS.map(|(field, usual)| (field, if field == *name { value } else { usual }));
         assert_eq!(
-            Call::read(&names(), "load", &fields, statement).unwrap_err(),
+            Call::read(&names(), "load", &fields, statement)
+                .unwrap_err()
+                .wire_word(),
             *name,
             "{value}"
         );
@@ -61,32 +64,36 @@
     let missing = |left_out: &str| {
         let fields: Vec<_> = FIELDS
             .into_iter()
-            .filter(|(own, _)| *own != left_out)
+            .filter(|(field, _)| *field != left_out)
             .collect();
         Call::read(&names(), "load", &fields, statement)
     };
     for name in ["i", "d", "t", "k"].iter() {
-        assert_eq!(missing(name).unwrap_err(), *name);
+        assert_eq!(missing(name).unwrap_err().wire_word(), *name);
     }
     for name in ["h", "ram"].iter() {
         assert!(missing(name).is_ok());
     }
     assert_eq!(
-        Call::read(&names(), "nonsense", &FIELDS, statement).unwrap_err(),
+        Call::read(&names(), "nonsense", &FIELDS, statement)
+            .unwrap_err()
+            .wire_word(),
         "class"
     );
     let twice = [&FIELDS[..], &[("d", "1500")]].concat();
     assert!(Call::read(&names(), "load", &twice, statement).is_err());
     for statement in [&b""[..], b"SELECT \xff", b"SELECT \0"] {
         assert_eq!(
-            Call::read(&names(), "load", &FIELDS, statement).unwrap_err(),
+            Call::read(&names(), "load", &FIELDS, statement)
+                .unwrap_err()
+                .wire_word(),
             "statement"
         );
     }
 }
 
 #[test]
-fn bounds_are_finite_also_where_the_settings_tell_none() {
+fn bounds_are_finite_where_the_settings_state_none() {
     let tree = eideryard_settings::SettingsTree::from_pairs([
         ("grades.count", "1"),
         ("grades.0.name", "report"),
@@ -101,9 +108,12 @@
         ("ram", "inf"),
         ("ram", "1e300"),
     ] {
-        let fields = FIELDS.map(|(own, usual)| (own, if own == name { value } else { usual }));
+        let fields =
+            FIELDS.map(|(field, usual)| (field, if field == name { value } else { usual }));
         assert_eq!(
-            Call::read(&names, "report", &fields, b"SELECT 1").unwrap_err(),
+            Call::read(&names, "report", &fields, b"SELECT 1")
+                .unwrap_err()
+                .wire_word(),
             name,
             "{value}"
         );
@@ -112,34 +122,34 @@
 }
 
 #[test]
-fn an_id_is_taken_once_and_what_is_kept_of_them_has_a_bound() {
+fn id_is_accepted_once_and_remembered_ids_are_bounded() {
     let mut requests = Requests::new(1);
     let client = Table::new().insert(());
     let read = |id: &str| {
-        let fields = FIELDS.map(|(own, usual)| (own, if own == "i" { id } else { usual }));
+        let fields = FIELDS.map(|(field, usual)| (field, if field == "i" { id } else { usual }));
         Call::read(&names(), "load", &fields, b"COPY sales_17.orders").unwrap()
     };
     let first = requests.insert(client, 1, 0, 0, read(ID)).unwrap();
     assert_eq!(
         requests.insert(client, 2, 0, 0, read(ID)),
-        Err(NotTaken::Again),
+        Err(InsertError::DuplicateId),
         "it is open"
     );
-    let mut due = Deadlines::new();
+    let mut deadlines = Deadlines::new();
     let mut end = |requests: &mut Requests, key| {
         let request = requests.get_mut(key).unwrap();
-        request.answered = true;
-        request.timer = Some(due.set(1, Due::Timer(1)));
-        requests.give_back(key, &mut due);
-        assert_eq!(due.next(), None, "its timer goes with it");
+        request.is_answered = true;
+        request.timer = Some(deadlines.set(1, Deadline::BalancerTimer(1)));
+        requests.release(key, &mut deadlines);
+        assert_eq!(deadlines.next(), None, "its timer goes with it");
     };
     end(&mut requests, first);
     assert_eq!(
         requests.insert(client, 2, 0, 0, read(ID)),
-        Err(NotTaken::Again),
+        Err(InsertError::DuplicateId),
         "it was open"
     );
-    for number in 0..3 * MAX_OVER {
+    for number in 0..3 * MAX_FINISHED_IDS {
         let key = requests
             .insert(client, 3, 0, 0, read(&format!("{number:016x}")))
             .unwrap();
@@ -149,19 +159,19 @@
         (
             requests.table.len(),
             requests.ids.len(),
-            requests.over.len()
+            requests.finished_ids.len()
         ),
-        (0, MAX_OVER, MAX_OVER)
+        (0, MAX_FINISHED_IDS, MAX_FINISHED_IDS)
     );
 }
 
 #[test]
-fn statements_have_a_bound_for_all_together() {
+fn bytes_of_all_statements_are_bounded() {
     let mut requests = Requests::new(1);
     let client = Table::new().insert(());
     let long = vec![b' '; 50_000];
     let insert = |requests: &mut Requests, id: &str| {
-        let fields = FIELDS.map(|(own, usual)| (own, if own == "i" { id } else { usual }));
+        let fields = FIELDS.map(|(field, usual)| (field, if field == "i" { id } else { usual }));
         requests.insert(
             client,
             1,
@@ -174,9 +184,9 @@
     insert(&mut requests, "0000000000000002").unwrap();
     assert_eq!(
         insert(&mut requests, "0000000000000003"),
-        Err(NotTaken::NoRoom)
+        Err(InsertError::NoRoom)
     );
-    requests.get_mut(first).unwrap().answered = true;
-    requests.give_back(first, &mut Deadlines::new());
+    requests.get_mut(first).unwrap().is_answered = true;
+    requests.release(first, &mut Deadlines::new());
     insert(&mut requests, "0000000000000003").unwrap();
 }
--- a/crates/peer-transport/src/hub.rs
+++ b/crates/peer-transport/src/hub.rs
@@ -186,8 +186,7 @@
             }
             std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
-        if thread.join().is_err() {
-            log::error!("fleet: the thread of the links has panicked");
-        }
+        // If it has panicked, the panic has been reported where it happened.
+        let _ = thread.join();
     }
 }
