--- a/crates/cli/src/view.rs
+++ b/crates/cli/src/view.rs
@@ -34,7 +34,7 @@
             cut = true;
             break;
         }
-        view.take(merged.sources(), told.source, told.at, &told.content);
+        view.add(merged.sources(), told.source, told.at, &told.content);
     }
     view.finish(cut);
     Ok(view)
--- a/crates/console/src/draw.rs
+++ b/crates/console/src/draw.rs
@@ -79,7 +79,7 @@
     };
     let mut gateways: Vec<&str> = view
         .fleet
-        .running()
+        .active_runs()
         .map(|(_, start)| start.name.as_str())
         .collect();
     if gateways.is_empty() {
@@ -87,8 +87,8 @@
     }
     let open: usize = view
         .fleet
-        .running()
-        .map(|(_, start)| start.unanswered().count())
+        .active_runs()
+        .map(|(_, start)| start.unanswered_requests().count())
         .sum();
     let last = view
         .series
@@ -109,7 +109,7 @@
     );
     let second = format!(
         "requests/s {:.0}  served {:.0}  refused {:.0}  failed {:.0}  lost {:.0}  open {open}",
-        rate(&|bucket| bucket.total(|class| class.taken)),
+        rate(&|bucket| bucket.total(|class| class.received)),
         ended(AnswerKind::Served),
         ended(AnswerKind::Refused),
         ended(AnswerKind::Failed),
@@ -117,13 +117,13 @@
     );
     let lasting: Vec<String> = view
         .detector
-        .episodes
+        .episodes()
         .iter()
-        .filter(|episode| episode.end.is_none())
+        .filter(|episode| episode.ended_at.is_none())
         .map(|episode| {
             format!(
                 "{} ({})",
-                episode.kind.word(),
+                episode.kind.name(),
                 story::subject(view, &episode.kind)
             )
         })
@@ -133,8 +133,8 @@
     let second = second + &wanting.unwrap_or_default();
     let apart = view
         .fleet
-        .running()
-        .filter(|(_, start)| start.majority == Some(false));
+        .active_runs()
+        .filter(|(_, start)| start.has_majority == Some(false));
     let apart: Vec<&str> = apart.map(|(_, start)| start.name.as_str()).collect();
     let third = if lasting.is_empty() {
         "no trouble now".to_string()
@@ -232,7 +232,7 @@
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 fn lanes(frame: &mut Frame<'_>, view: &View, look: Look, area: Rect, classes: bool) {
     let mut sums: Vec<[u64; 7]> = Vec::new();
-    for (_, start) in view.fleet.known() {
+    for (_, start) in view.fleet.runs() {
         let tally = start.tally();
         let lanes: &[GroupTotals] = if classes {
             &tally.classes
@@ -265,7 +265,7 @@
                 .iter()
                 .map(|bucket| {
                     if classes {
-                        bucket.classes.get(&at).map_or(0, |own| own.taken as u64)
+                        bucket.classes.get(&at).map_or(0, |own| own.received as u64)
                     } else {
                         bucket.tenants.get(&at).map_or(0, |own| *own as u64)
                     }
@@ -302,16 +302,16 @@
 
 fn episodes(frame: &mut Frame<'_>, model: &Model, view: &View, area: Rect) {
     let now = view.detector.now();
-    let rows = view.detector.episodes.iter().map(|episode| {
+    let rows = view.detector.episodes().iter().map(|episode| {
         let (from, to) = episode.span(now);
         vec![
             clock(from),
-            if episode.end.is_some() {
+            if episode.ended_at.is_some() {
                 clock(to)
             } else {
                 "lasts".into()
             },
-            episode.kind.word().to_string(),
+            episode.kind.name().to_string(),
             story::clause(view, episode),
         ]
     });
@@ -339,16 +339,16 @@
                 .id
                 .map_or_else(|| "-".into(), |id| format!("{id:016x}")),
             view.fleet
-                .start(request.source)
+                .run(request.source)
                 .map_or_else(String::new, |start| start.name.clone()),
             view.fleet.class(request.class),
             view.fleet.tenant(request.tenant),
             format!(
                 "{}{}",
-                request.how.name(),
-                if request.late { " late" } else { "" }
+                request.kind.name(),
+                if request.is_late { " late" } else { "" }
             ),
-            request.tries.to_string(),
+            request.attempt_count.to_string(),
         ]
     });
     let columns = [
@@ -380,7 +380,7 @@
         "answers, 20 s: {}",
         spark(&crate::model::rates(view, engine), look)
     )));
-    for (_, start) in view.fleet.known() {
+    for (_, start) in view.fleet.runs() {
         let Some(own) = start.engines.get(&engine) else {
             continue;
         };
@@ -440,19 +440,19 @@
     {
         let gateway = view
             .fleet
-            .start(request.source)
+            .run(request.source)
             .map_or("", |start| start.name.as_str());
         let took = request
-            .took
+            .duration
             .map_or_else(|| "a time not known".into(), lasting);
         lines.push(Line::from(format!(
             "{} at {gateway}: class {}, tenant {}: {}{} after {took} and {}",
             clock_ms(request.at),
             view.fleet.class(request.class),
             view.fleet.tenant(request.tenant),
-            request.how.name(),
-            if request.late { ", late," } else { "" },
-            story::plural(request.tries as u64, "attempt"),
+            request.kind.name(),
+            if request.is_late { ", late," } else { "" },
+            story::plural(request.attempt_count as u64, "attempt"),
         )));
         for attempt in request.attempts() {
             let ended = attempt.ended.map_or_else(
--- a/crates/console/src/model.rs
+++ b/crates/console/src/model.rs
@@ -218,8 +218,8 @@
     /// To the worst moment of the episode under the cursor.
     fn jump(&mut self, view: &View) -> Wish {
         let episode = Some(self.page).filter(|page| *page == Page::Episodes);
-        match episode.and_then(|_| view.detector.episodes.get(self.cursor)) {
-            Some(episode) => self.travel(episode.peak_at.max(episode.begin) + STEP),
+        match episode.and_then(|_| view.detector.episodes().get(self.cursor)) {
+            Some(episode) => self.travel(episode.peak_at.max(episode.started_at) + STEP),
             None => Wish::Nothing,
         }
     }
@@ -227,7 +227,7 @@
     pub fn rows(&self, view: &View) -> usize {
         match self.page {
             Page::Engines => self.engines(view).len(),
-            Page::Episodes => view.detector.episodes.len(),
+            Page::Episodes => view.detector.episodes().len(),
             Page::Requests => view.notables.iter().count(),
             _ => 0,
         }
@@ -236,7 +236,7 @@
     /// Engines over the last start of each gateway.
     pub fn engines(&self, view: &View) -> Vec<EngineRow> {
         let mut rows: std::collections::BTreeMap<EngineId, EngineRow> = Default::default();
-        for (_, start) in view.fleet.latest() {
+        for (_, start) in view.fleet.latest_runs() {
             for (engine, own) in &start.engines {
                 let row = rows.entry(*engine).or_insert_with(|| EngineRow {
                     engine: *engine,
@@ -252,15 +252,15 @@
                 row.phase = match own.phase {
                     Phase::Draining => "draining",
                     Phase::Removed => "removed",
-                    Phase::Ready if view.detector.is_missed(*engine) => "missed",
-                    Phase::Ready if own.quarantined => "quarantine",
+                    Phase::Ready if view.detector.is_down(*engine) => "missed",
+                    Phase::Ready if own.is_quarantined => "quarantine",
                     Phase::Ready => row.phase,
                 };
                 row.in_flight += own.in_flight;
                 row.granted_mb += own.granted_mb;
                 row.ranks
                     .iter_mut()
-                    .zip(own.ranks)
+                    .zip(own.in_flight_by_rank)
                     .for_each(|(sum, rank)| *sum += rank);
                 let [answered, error, full, timed_out, no_connection, broken, ..] = own.outcomes;
                 row.answered += answered;
@@ -285,7 +285,7 @@
     pub fn requests<'a>(
         &self,
         view: &'a View,
-    ) -> Vec<&'a eideryard_event_analysis::notable::Notable> {
+    ) -> Vec<&'a eideryard_event_analysis::notable::NotableRequest> {
         let mut requests: Vec<_> = view.notables.iter().collect();
         requests.reverse();
         requests
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -55,7 +55,7 @@
                 return Ok(false);
             }
             self.view
-                .take(self.merged.sources(), told.source, told.at, &told.content);
+                .add(self.merged.sources(), told.source, told.at, &told.content);
         }
         Ok(true)
     }
--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -46,7 +46,7 @@
     let (told, sources) = script.told();
     let mut view = View::new();
     for (source, at, entry) in told {
-        view.take(
+        view.add(
             &sources,
             source,
             at,
@@ -141,14 +141,14 @@
         (Wish::Follow, None)
     );
     model.page = Page::Episodes;
-    let episodes = view.detector.episodes.len();
+    let episodes = view.detector.episodes().len();
     (0..100).for_each(|_| _ = model.key(Key::Down, &view));
     assert_eq!(model.cursor, episodes - 1);
     (0..100).for_each(|_| _ = model.key(Key::Up, &view));
-    let first = &view.detector.episodes[0];
+    let first = &view.detector.episodes()[0];
     assert_eq!(
         model.key(Key::Open, &view),
-        Wish::Go(first.peak_at.max(first.begin) + 1_000_000)
+        Wish::Go(first.peak_at.max(first.started_at) + 1_000_000)
     );
     // Nothing to open and no way back are no trouble.
     let empty = View::new();
--- a/crates/event-analysis/src/series.rs
+++ b/crates/event-analysis/src/series.rs
@@ -1,135 +1,195 @@
-//! Facts summed in buckets of time, for plots. The buckets widen as the record grows, so that their
-//! number stays.
+//! Facts summed in buckets of time, for plots. Buckets widen as a log grows, so that their number
+//! is bounded.
+
+mod sketch;
+#[cfg(test)]
+mod tests;
 
 use std::collections::BTreeMap;
 
 use eideryard::interface::{EngineId, Micros, Outcome};
 use eideryard_event_log::AnswerKind;
 
-use crate::state::{Fact, LoggedText};
+use crate::state::{Fact, TimedFact};
+pub use sketch::LatencySketch;
 
-/// Buckets at the most; when a record is longer, two become one.
+/// Most buckets; in a longer log each two become one.
 pub const MAX_BUCKETS: usize = 720;
-const FIRST_WIDTH: Micros = 1_000_000;
-/// Classes, tenants and engines that have lines of their own.
-const MAX_LINES: usize = 256;
-
-/// Latencies in steps of the square root of two from a millisecond on: a percentile to a fifth, in
-/// little room.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sketch {
-    counts: [u32; Sketch::STEPS],
-}
-
-impl Sketch {
-    const STEPS: usize = 32;
-
-    pub fn add(&mut self, took: Micros) {
-        let step = ((took as f64 / 1e3).max(1.0).log2() * 2.0) as usize;
-        self.counts[step.min(Self::STEPS - 1)] += 1;
-    }
-
-    pub fn merge(&mut self, other: &Sketch) {
-        self.counts
-            .iter_mut()
-            .zip(other.counts)
-            .for_each(|(own, count)| *own += count);
-    }
-
-    pub fn count(&self) -> u32 {
-        self.counts.iter().sum()
-    }
-
-    /// The latency in milliseconds that a share of all stay below, to a fifth.
-    pub fn percentile(&self, share: f64) -> Option<f64> {
-        let count = self.count();
-        let wanted = (count as f64 * share).ceil().max(1.0) as u32;
-        let mut seen = 0;
-        for (step, of) in self.counts.iter().enumerate() {
-            seen += of;
-            if seen >= wanted && count > 0 {
-                return Some(2f64.powf((step as f64 + 0.5) / 2.0));
-            }
-        }
-        None
-    }
-}
+const INITIAL_WIDTH: Micros = 1_000_000;
+/// Most classes, tenants and engines that have sums of their own.
+const MAX_GROUPS: usize = 256;
 
+/// Sums of one class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassBucket {
-    pub taken: u32,
-    /// By [`AnswerKind`].
-    pub ended: [u32; 5],
+    /// Requests received.
+    pub received: u32,
+    /// Requests ended, indexed by [`AnswerKind`].
+    pub ended: [u32; AnswerKind::ALL.len()],
+    /// Requests that ended after their deadline.
     pub late: u32,
-    pub again: u32,
-    pub latency: Sketch,
+    /// Attempts that were not the first of their request.
+    pub retries: u32,
+    /// Latency of served requests.
+    pub latency: LatencySketch,
 }
 
 impl ClassBucket {
     fn merge(&mut self, other: &ClassBucket) {
-        self.taken += other.taken;
-        self.ended
-            .iter_mut()
-            .zip(other.ended)
-            .for_each(|(own, count)| *own += count);
+        self.received += other.received;
+        for (count, more) in self.ended.iter_mut().zip(other.ended) {
+            *count += more;
+        }
         self.late += other.late;
-        self.again += other.again;
+        self.retries += other.retries;
         self.latency.merge(&other.latency);
     }
 
-    pub fn ended(&self, how: AnswerKind) -> u32 {
-        self.ended[how as usize]
+    /// Requests that ended in this way.
+    pub fn ended(&self, kind: AnswerKind) -> u32 {
+        self.ended[kind as usize]
     }
 }
 
+/// Sums of one engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineBucket {
+    /// Attempts sent.
     pub sent: u32,
+    /// Attempts that it answered.
     pub answered: u32,
-    /// Ended any other way, but for those that were withdrawn.
+    /// Attempts that ended any other way, without those that were cancelled or not sent.
     pub bad: u32,
 }
 
+/// Sums of one stretch of time.
 #[derive(Clone, Debug, Default)]
 pub struct Bucket {
+    /// By class.
     pub classes: BTreeMap<usize, ClassBucket>,
+    /// By engine.
     pub engines: BTreeMap<EngineId, EngineBucket>,
+    /// Requests received, by tenant.
     pub tenants: BTreeMap<usize, u32>,
 }
 
 impl Bucket {
+    /// The sum of a value over all classes.
+    pub fn total(&self, value: impl Fn(&ClassBucket) -> u32) -> u32 {
+        self.classes.values().map(value).sum()
+    }
+
     fn merge(&mut self, other: Bucket) {
         for (class, bucket) in other.classes {
             self.classes.entry(class).or_default().merge(&bucket);
         }
         for (engine, bucket) in other.engines {
-            let own = self.engines.entry(engine).or_default();
-            own.sent += bucket.sent;
-            own.answered += bucket.answered;
-            own.bad += bucket.bad;
+            let sums = self.engines.entry(engine).or_default();
+            sums.sent += bucket.sent;
+            sums.answered += bucket.answered;
+            sums.bad += bucket.bad;
+        }
+        for (tenant, received) in other.tenants {
+            *self.tenants.entry(tenant).or_default() += received;
+        }
+    }
+
+    fn add(&mut self, fact: &Fact) {
+        match *fact {
+            Fact::RequestReceived { class, tenant, .. } => self.add_received(class, tenant),
+            Fact::RequestRefused {
+                class: Some(class),
+                tenant,
+            } => self.add_refused(class, tenant),
+            Fact::RequestEnded {
+                class,
+                kind,
+                is_late,
+                duration,
+                ..
+            } => self.add_ended(class, kind, is_late, duration),
+            Fact::AttemptSent {
+                engine,
+                class,
+                is_retry,
+            } => self.add_sent(engine, class, is_retry),
+            Fact::AttemptEnded { engine, outcome } => self.add_outcome(engine, outcome),
+            _ => {}
+        }
+    }
+
+    fn add_received(&mut self, class: usize, tenant: usize) {
+        if let Some(sums) = group_mut(&mut self.classes, class) {
+            sums.received += 1;
+        }
+        if let Some(received) = group_mut(&mut self.tenants, tenant) {
+            *received += 1;
+        }
+    }
+
+    fn add_refused(&mut self, class: usize, tenant: Option<usize>) {
+        if let Some(sums) = group_mut(&mut self.classes, class) {
+            sums.received += 1;
+            sums.ended[AnswerKind::Refused as usize] += 1;
+        }
+        if let Some(received) = tenant.and_then(|tenant| group_mut(&mut self.tenants, tenant)) {
+            *received += 1;
+        }
+    }
+
+    fn add_ended(
+        &mut self,
+        class: usize,
+        kind: AnswerKind,
+        is_late: bool,
+        duration: Option<Micros>,
+    ) {
+        let Some(sums) = group_mut(&mut self.classes, class) else {
+            return;
+        };
+        sums.ended[kind as usize] += 1;
+        sums.late += u32::from(is_late);
+        if let (AnswerKind::Served, Some(duration)) = (kind, duration) {
+            sums.latency.add(duration);
+        }
+    }
+
+    fn add_sent(&mut self, engine: EngineId, class: usize, is_retry: bool) {
+        if let Some(sums) = group_mut(&mut self.engines, engine) {
+            sums.sent += 1;
         }
-        for (tenant, taken) in other.tenants {
-            *self.tenants.entry(tenant).or_default() += taken;
+        if let Some(sums) = group_mut(&mut self.classes, class) {
+            sums.retries += u32::from(is_retry);
         }
     }
 
-    pub fn total(&self, of: impl Fn(&ClassBucket) -> u32) -> u32 {
-        self.classes.values().map(of).sum()
+    fn add_outcome(&mut self, engine: EngineId, outcome: Outcome) {
+        let Some(sums) = group_mut(&mut self.engines, engine) else {
+            return;
+        };
+        match outcome {
+            Outcome::Answered => sums.answered += 1,
+            Outcome::Cancelled | Outcome::NotSent => {}
+            _ => sums.bad += 1,
+        }
     }
 }
 
-/// An entry of a map that doesn't grow beyond the lines that are kept.
-fn line<K: Ord, V: Default>(lines: &mut BTreeMap<K, V>, key: K) -> Option<&mut V> {
-    if lines.len() >= MAX_LINES && !lines.contains_key(&key) {
+/// The sums of a group; `None` for a new one beyond [`MAX_GROUPS`].
+fn group_mut<K: Ord, V: Default>(groups: &mut BTreeMap<K, V>, key: K) -> Option<&mut V> {
+    if groups.len() >= MAX_GROUPS && !groups.contains_key(&key) {
         return None;
     }
-    Some(lines.entry(key).or_default())
+    Some(groups.entry(key).or_default())
 }
 
+/// Sums over time.
 pub struct Series {
+    /// Time of one bucket.
     pub width: Micros,
-    /// Where the first bucket begins.
+    /// When the first bucket starts.
     pub from: Micros,
+    /// The buckets, without pauses between them.
     pub buckets: Vec<Bucket>,
 }
 
@@ -140,167 +200,67 @@
 }
 
 impl Series {
+    /// An empty series.
     pub fn new() -> Self {
         Series {
-            width: FIRST_WIDTH,
+            width: INITIAL_WIDTH,
             from: 0,
             buckets: Vec::new(),
         }
     }
 
-    fn bucket(&mut self, at: Micros) -> &mut Bucket {
-        if self.buckets.is_empty() {
-            self.from = at - at % self.width;
-            self.buckets.push(Bucket::default());
-        }
-        // Clocks that are apart may tell something of before the first: it belongs to the first
-        // then.
-        let after = at.saturating_sub(self.from);
-        while (after / self.width) as usize >= MAX_BUCKETS {
-            let mut halved: Vec<Bucket> = Vec::with_capacity(MAX_BUCKETS);
-            for (at, bucket) in std::mem::take(&mut self.buckets).into_iter().enumerate() {
-                match halved.last_mut().filter(|_| at % 2 == 1) {
-                    Some(last) => last.merge(bucket),
-                    None => halved.push(bucket),
-                }
-            }
-            self.buckets = halved;
-            self.width *= 2;
-        }
-        let place = (after / self.width) as usize;
-        if self.buckets.len() <= place {
-            self.buckets.resize_with(place + 1, Bucket::default);
-        }
-        &mut self.buckets[place]
-    }
-
-    #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub fn take(&mut self, said: &LoggedText) {
-        let bucket = match said.fact {
-            Fact::Taken { .. }
-            | Fact::Ended { .. }
-            | Fact::Sent { .. }
-            | Fact::Out { .. }
-            | Fact::Refused { .. } => self.bucket(said.at),
-            _ => return,
-        };
-        match said.fact {
-            Fact::Taken { class, tenant, .. } => {
-                for own in line(&mut bucket.classes, class).into_iter() {
-                    own.taken += 1;
-                }
-                for own in line(&mut bucket.tenants, tenant).into_iter() {
-                    *own += 1;
-                }
-            }
-            Fact::Refused {
-                class: Some(class),
-                tenant,
-            } => {
-                let own = line(&mut bucket.classes, class);
-                for own in own.into_iter() {
-                    own.taken += 1;
-                    own.ended[AnswerKind::Refused as usize] += 1;
-                }
-                let tenant = tenant.and_then(|tenant| line(&mut bucket.tenants, tenant));
-                for own in tenant.into_iter() {
-                    *own += 1;
-                }
-            }
-            Fact::Ended {
-                class,
-                how,
-                late,
-                took,
-                ..
-            } => {
-                let Some(own) = line(&mut bucket.classes, class) else {
-                    return;
-                };
-                own.ended[how as usize] += 1;
-                own.late += late as u32;
-                if how == AnswerKind::Served {
-                    for took in took.into_iter() {
-                        own.latency.add(took);
-                    }
-                }
-            }
-            Fact::Sent {
-                engine,
-                class,
-                again,
-            } => {
-                for own in line(&mut bucket.engines, engine).into_iter() {
-                    own.sent += 1;
-                }
-                for own in line(&mut bucket.classes, class).into_iter() {
-                    own.again += again as u32;
-                }
-            }
-            Fact::Out {
-                engine, outcome, ..
-            } => {
-                let Some(own) = line(&mut bucket.engines, engine) else {
-                    return;
-                };
-                match outcome {
-                    Outcome::Answered => own.answered += 1,
-                    Outcome::Cancelled | Outcome::NotSent => {}
-                    _ => own.bad += 1,
-                }
-            }
-            _ => {}
+    /// Adds a fact to the bucket of its time.
+    pub fn add(&mut self, fact: &TimedFact) {
+        let is_summed = matches!(
+            fact.fact,
+            Fact::RequestReceived { .. }
+                | Fact::RequestRefused { .. }
+                | Fact::RequestEnded { .. }
+                | Fact::AttemptSent { .. }
+                | Fact::AttemptEnded { .. }
+        );
+        if is_summed {
+            self.bucket_mut(fact.at).add(&fact.fact);
         }
     }
 
-    /// The time at which a bucket begins.
-    pub fn begins(&self, bucket: usize) -> Micros {
+    /// When a bucket starts.
+    pub fn start_of(&self, bucket: usize) -> Micros {
         self.from + self.width * bucket as Micros
     }
 
+    /// When the last bucket ends.
     pub fn until(&self) -> Micros {
-        self.begins(self.buckets.len())
+        self.start_of(self.buckets.len())
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn a_day_keeps_its_sums_in_as_many_buckets_as_ten_minutes() {
-        let mut series = Series::new();
-        let fact = Fact::Taken {
-            class: 0,
-            tenant: 0,
-            from: None,
-        };
-        (0..86_400).for_each(|second| {
-            series.take(&LoggedText {
-                source: 0,
-                at: second * 1_000_000,
-                fact,
-            });
-        });
-        assert!(series.buckets.len() <= MAX_BUCKETS && series.width > FIRST_WIDTH);
-        assert_eq!(
-            series
-                .buckets
-                .iter()
-                .map(|bucket| bucket.total(|class| class.taken))
-                .sum::<u32>(),
-            86_400
-        );
+    fn bucket_mut(&mut self, at: Micros) -> &mut Bucket {
+        if self.buckets.is_empty() {
+            self.from = at - at % self.width;
+            self.buckets.push(Bucket::default());
+        }
+        // Where clocks differ, a fact may be older than the first bucket: it then counts there.
+        let offset = at.saturating_sub(self.from);
+        while (offset / self.width) as usize >= MAX_BUCKETS {
+            self.double_width();
+        }
+        let index = (offset / self.width) as usize;
+        if self.buckets.len() <= index {
+            self.buckets.resize_with(index + 1, Bucket::default);
+        }
+        &mut self.buckets[index]
     }
 
-    #[test]
-    fn a_sketch_tells_percentiles_to_a_fifth() {
-        let mut sketch = Sketch::default();
-        (1..=1000).for_each(|ms| sketch.add(ms * 1000));
-        for share in [0.1, 0.5, 0.9, 0.99] {
-            let (told, true_ms) = (sketch.percentile(share).unwrap(), 1000.0 * share);
-            assert!((told / true_ms - 1.0).abs() < 0.2, "{share}: {told}");
+    /// Merges each two buckets into one.
+    fn double_width(&mut self) {
+        let mut merged: Vec<Bucket> = Vec::with_capacity(MAX_BUCKETS);
+        for (index, bucket) in std::mem::take(&mut self.buckets).into_iter().enumerate() {
+            match merged.last_mut() {
+                Some(last) if index % 2 == 1 => last.merge(bucket),
+                _ => merged.push(bucket),
+            }
         }
-        assert_eq!(Sketch::default().percentile(0.5), None);
+        self.buckets = merged;
+        self.width *= 2;
     }
 }
--- /dev/null
+++ b/crates/event-analysis/src/state/fleet.rs
@@ -0,0 +1,154 @@
+//! The state of all gateways.
+
+use eideryard::interface::{EngineId, Micros};
+use eideryard_event_log::reader::ReadContent;
+use eideryard_event_log::Source;
+
+use super::fact::{Fact, TimedFact};
+use super::run::GatewayRun;
+use super::FactSink;
+
+/// The runs of all gateways.
+#[derive(Default)]
+pub struct Fleet {
+    /// One for each source, in their order; `None` before the first entry.
+    runs: Vec<Option<GatewayRun>>,
+    /// The latest time of any entry.
+    pub now: Micros,
+}
+
+impl Fleet {
+    /// The run of a source, if it has an entry.
+    pub fn run(&self, source: usize) -> Option<&GatewayRun> {
+        self.runs.get(source).and_then(Option::as_ref)
+    }
+
+    /// All runs that have an entry, with the index of their source.
+    pub fn runs(&self) -> impl Iterator<Item = (usize, &GatewayRun)> {
+        self.runs
+            .iter()
+            .enumerate()
+            .filter_map(|(source, run)| Some((source, run.as_ref()?)))
+    }
+
+    /// The last run of each gateway.
+    pub fn latest_runs(&self) -> impl Iterator<Item = (usize, &GatewayRun)> {
+        self.runs().filter(|(_, run)| !self.is_superseded(run))
+    }
+
+    /// The last run of each gateway that has not ended.
+    pub fn active_runs(&self) -> impl Iterator<Item = (usize, &GatewayRun)> {
+        self.latest_runs().filter(|(_, run)| !run.has_ended())
+    }
+
+    /// An engine's name as any of the gateways knows it: all of them number engines alike.
+    pub fn engine(&self, engine: EngineId) -> String {
+        let known = self.runs().filter_map(|(_, run)| run.engines.get(&engine));
+        let mut names = known.map(|engine| &engine.name);
+        match names.find(|name| !name.is_empty()) {
+            Some(name) => name.clone(),
+            None => format!("engine {engine:08x}"),
+        }
+    }
+
+    /// A class's name: gateways of one fleet have the same settings.
+    pub fn class(&self, class: usize) -> String {
+        let mut runs = self.runs();
+        match runs.find(|(_, run)| class < run.names.classes.len()) {
+            Some((_, run)) => run.class(class),
+            None => format!("class {class}"),
+        }
+    }
+
+    /// A tenant's name.
+    pub fn tenant(&self, tenant: usize) -> String {
+        let mut runs = self.runs();
+        match runs.find(|(_, run)| tenant < run.names.tenants.len()) {
+            Some((_, run)) => run.tenant(tenant),
+            None => format!("tenant {tenant}"),
+        }
+    }
+
+    fn is_superseded(&self, run: &GatewayRun) -> bool {
+        self.runs()
+            .any(|(_, other)| other.name == run.name && other.epoch > run.epoch)
+    }
+
+    // ---- Changes ----
+
+    /// Makes what a source counted before `from` the past.
+    pub(crate) fn set_baseline(&mut self, source: usize, from: Micros) {
+        if let Some(Some(run)) = self.runs.get_mut(source) {
+            run.set_baseline(from);
+        }
+    }
+
+    /// Applies what was read next and passes its facts to `receiver`.
+    pub fn add(
+        &mut self,
+        sources: &[Source],
+        source: usize,
+        at: Micros,
+        content: &ReadContent,
+        receiver: &mut dyn FnMut(TimedFact),
+    ) {
+        if self.runs.len() < sources.len() {
+            self.runs.resize_with(sources.len(), || None);
+        }
+        self.now = self.now.max(at);
+        if self.runs[source].is_none() {
+            self.start_run(source, &sources[source], at, receiver);
+        }
+        let Some(run) = &mut self.runs[source] else {
+            return;
+        };
+        match content {
+            ReadContent::Damaged => run.add_damage(),
+            ReadContent::Entry(entry) => {
+                let mut sink = FactSink {
+                    source,
+                    at,
+                    receiver,
+                };
+                run.add_entry(entry, &mut sink);
+            }
+        }
+    }
+
+    /// Starts the run of a source. An earlier run of the same gateway that had not ended has broken
+    /// off.
+    fn start_run(
+        &mut self,
+        source: usize,
+        description: &Source,
+        at: Micros,
+        receiver: &mut dyn FnMut(TimedFact),
+    ) {
+        let mut restart_of = None;
+        for (number, run) in self.runs.iter_mut().enumerate() {
+            let Some(run) = run.as_mut().filter(|run| run.name == description.name) else {
+                continue;
+            };
+            restart_of = Some(number);
+            run.break_off(number, at, receiver);
+        }
+        self.runs[source] = Some(GatewayRun::new(description, at));
+        receiver(TimedFact {
+            source,
+            at,
+            fact: Fact::Started { restart_of },
+        });
+    }
+
+    /// Ends the fleet after the last entry of all logs: runs that had been silent for a while
+    /// before that without having ended have broken off.
+    pub fn finish(&mut self, receiver: &mut dyn FnMut(TimedFact)) {
+        let now = self.now;
+        for (source, run) in self.runs.iter_mut().enumerate() {
+            let Some(run) = run else { continue };
+            if run.is_silent(now) {
+                run.break_off(source, now, receiver);
+            }
+        }
+    }
+}
--- a/crates/event-analysis/tests/common/mod.rs
+++ b/crates/event-analysis/tests/common/mod.rs
@@ -373,7 +373,7 @@
                     open.insert((source, *request), own);
                 }
                 Entry::Host(HostEvent::Answered { request, .. }) => {
-                    _ = open.remove(&(source, *request))
+                    open.remove(&(source, *request));
                 }
                 _ => {}
             }
@@ -394,7 +394,7 @@
         let (told, sources) = self.told();
         let mut view = View::new();
         for (source, time, entry) in told {
-            view.take(&sources, source, time, &ReadContent::Entry(entry));
+            view.add(&sources, source, time, &ReadContent::Entry(entry));
         }
         view.finish(false);
         view
--- a/crates/event-analysis/tests/folds.rs
+++ b/crates/event-analysis/tests/folds.rs
@@ -4,16 +4,16 @@
 
 use common::*;
 use eideryard::interface::Phase;
-use eideryard_event_analysis::episodes::Kind;
+use eideryard_event_analysis::EpisodeKind;
 use eideryard_event_analysis::{Episode, View};
 use eideryard_event_log::reader::ReadContent;
 use eideryard_event_log::{AnswerKind, Entry, HostEvent};
 
 fn only<'a>(view: &'a View, word: &str) -> Vec<&'a Episode> {
     view.detector
-        .episodes
+        .episodes()
         .iter()
-        .filter(|episode| episode.kind.word() == word)
+        .filter(|episode| episode.kind.name() == word)
         .collect()
 }
 
@@ -22,12 +22,12 @@
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 60, 20);
     let view = script.finish();
-    assert_eq!(view.detector.episodes, [], "nothing happened");
-    let start = view.fleet.start(0).unwrap();
+    assert_eq!(view.detector.episodes(), [], "nothing happened");
+    let start = view.fleet.run(0).unwrap();
     assert_eq!(
         (
-            start.counted.tally.totals.served,
-            start.unanswered().count()
+            start.running_tally.tally.totals.served,
+            start.unanswered_requests().count()
         ),
         (1200, 0)
     );
@@ -39,7 +39,7 @@
         view.series
             .buckets
             .iter()
-            .map(|bucket| bucket.total(|class| class.taken))
+            .map(|bucket| bucket.total(|class| class.received))
             .sum::<u32>(),
         1200
     );
@@ -62,31 +62,34 @@
         (flood.len(), roster.len()),
         (1, 1),
         "{:?}",
-        view.detector.episodes
+        view.detector.episodes()
     );
-    assert_eq!(flood[0].kind, Kind::FloodOfTenant(2));
-    assert_eq!(flood[0].from, Some([127, 0, 0, 9].into()));
+    assert_eq!(flood[0].kind, EpisodeKind::TenantFlood(2));
+    assert_eq!(flood[0].address, Some([127, 0, 0, 9].into()));
     assert!(
         (150.0..=210.0).contains(&flood[0].peak),
         "{}",
         flood[0].peak
     );
-    assert_eq!(roster[0].kind, Kind::RosterSilent([0, 1].into()));
-    assert_eq!((roster[0].begin, roster[0].end), (at(18.5), Some(at(25.1))));
+    assert_eq!(roster[0].kind, EpisodeKind::DiscoveryDown([0, 1].into()));
+    assert_eq!(
+        (roster[0].started_at, roster[0].ended_at),
+        (at(18.5), Some(at(25.1)))
+    );
     let near = |told: u64, wanted: f64| told.abs_diff(at(wanted)) <= 1_500_000;
     assert!(
-        near(flood[0].begin, 20.0) && near(flood[0].end.unwrap(), 24.0),
+        near(flood[0].started_at, 20.0) && near(flood[0].ended_at.unwrap(), 24.0),
         "{flood:?}"
     );
     let overlaps = view.detector.overlaps();
-    let episodes = &view.detector.episodes;
+    let episodes = view.detector.episodes();
     let both = |o: &&eideryard_event_analysis::Overlap| {
         [&episodes[o.first], &episodes[o.second]]
             .iter()
-            .all(|e| ["flood", "roster silent"].contains(&e.kind.word()))
+            .all(|e| ["flood", "roster silent"].contains(&e.kind.name()))
     };
     let overlap: Vec<_> = overlaps.iter().filter(both).collect();
-    assert_eq!((overlap.len(), overlap[0].from), (1, flood[0].begin));
+    assert_eq!((overlap.len(), overlap[0].from), (1, flood[0].started_at));
 }
 
 /// Under many tenants' names no tenant floods, but the address does.
@@ -105,9 +108,9 @@
         .collect();
     assert_eq!(
         floods,
-        [Kind::FloodOfAddress([127, 0, 0, 9].into())],
+        [EpisodeKind::AddressFlood([127, 0, 0, 9].into())],
         "{:?}",
-        view.detector.episodes
+        view.detector.episodes()
     );
 }
 
@@ -132,10 +135,10 @@
     script.answers(0, 20.3, 4);
     let view = script.finish();
     let gone = only(&view, "engines gone");
-    assert_eq!(gone.len(), 1, "{:?}", view.detector.episodes);
-    assert_eq!(gone[0].kind, Kind::EnginesGone([1, 2, 3].into()));
+    assert_eq!(gone.len(), 1, "{:?}", view.detector.episodes());
+    assert_eq!(gone[0].kind, EpisodeKind::EnginesDown([1, 2, 3].into()));
     assert_eq!(
-        (gone[0].begin, gone[0].end, gone[0].peak),
+        (gone[0].started_at, gone[0].ended_at, gone[0].peak),
         (at(10.0), Some(at(17.0)), 3.0)
     );
 }
@@ -150,13 +153,13 @@
     let view = script.finish();
     let drains: Vec<_> = only(&view, "drain")
         .into_iter()
-        .map(|e| (e.kind.clone(), e.begin, e.end))
+        .map(|e| (e.kind.clone(), e.started_at, e.ended_at))
         .collect();
     assert_eq!(
         drains,
         [
-            (Kind::Drain(2), at(3.0), Some(at(6.0))),
-            (Kind::Drain(3), at(7.0), None)
+            (EpisodeKind::Drain(2), at(3.0), Some(at(6.0))),
+            (EpisodeKind::Drain(3), at(7.0), None)
         ]
     );
 }
@@ -170,18 +173,18 @@
     let view = script.finish();
     let gaps = only(&view, "gap");
     assert_eq!(
-        (gaps.len(), &gaps[0].kind, gaps[0].end),
-        (1, &Kind::Gap(0), Some(at(14.0))),
+        (gaps.len(), &gaps[0].kind, gaps[0].ended_at),
+        (1, &EpisodeKind::LogGap(0), Some(at(14.0))),
         "{gaps:?}"
     );
-    assert!(gaps[0].begin.abs_diff(at(10.0)) < 1_000_000);
+    assert!(gaps[0].started_at.abs_diff(at(10.0)) < 1_000_000);
     assert_eq!(
-        view.detector.episodes.len(),
+        view.detector.episodes().len(),
         1,
         "{:?}",
-        view.detector.episodes
+        view.detector.episodes()
     );
-    assert_eq!(view.fleet.latest().count(), 1);
+    assert_eq!(view.fleet.latest_runs().count(), 1);
 }
 
 #[test]
@@ -199,7 +202,7 @@
         [(at(12.0), at(16.1))],
         "two gaps that touch are one stretch"
     );
-    assert_eq!(only(&view, "gap")[0].left_out, Some(100));
+    assert_eq!(only(&view, "gap")[0].missing_entries, Some(100));
 }
 
 #[test]
@@ -233,16 +236,17 @@
     let view = script.finish();
     for word in ["refusals", "latency"] {
         let found = only(&view, word);
-        assert_eq!(found.len(), 1, "{word}: {:?}", view.detector.episodes);
+        assert_eq!(found.len(), 1, "{word}: {:?}", view.detector.episodes());
         assert!(
-            (at(20.0)..at(25.0)).contains(&found[0].begin) && found[0].end.unwrap() <= at(30.0),
+            (at(20.0)..at(25.0)).contains(&found[0].started_at)
+                && found[0].ended_at.unwrap() <= at(30.0),
             "{found:?}"
         );
     }
     assert_eq!(
         view.notables
             .iter()
-            .filter(|own| own.how == AnswerKind::Refused)
+            .filter(|own| own.kind == AnswerKind::Refused)
             .count(),
         100
     );
@@ -255,13 +259,13 @@
     script.fails(0, 5.0, 1);
     script.moved(0, 6.0, 1, "127.0.0.1:9999");
     let view = script.finish();
-    let engine = &view.fleet.start(0).unwrap().engines[&1];
+    let engine = &view.fleet.run(0).unwrap().engines[&1];
     assert_eq!(
         (engine.address.as_str(), engine.recent.len()),
         ("127.0.0.1:9999", 0)
     );
     assert_eq!(
-        only(&view, "engines gone")[0].end,
+        only(&view, "engines gone")[0].ended_at,
         Some(at(6.0)),
         "its predecessor is missed no more"
     );
@@ -292,22 +296,22 @@
     let fold = |told: &[(usize, u64, Entry)]| {
         let mut view = View::new();
         for (source, at, entry) in told.iter() {
-            view.take(&sources, *source, *at, &ReadContent::Entry(entry.clone()));
+            view.add(&sources, *source, *at, &ReadContent::Entry(entry.clone()));
         }
         view
     };
     let (all, part) = (fold(&told), fold(&told[from..]));
     let state = |view: &View| {
-        let start = view.fleet.start(0).unwrap();
+        let start = view.fleet.run(0).unwrap();
         let engines: Vec<_> = start
             .engines
             .iter()
             .map(|(id, own)| (*id, own.in_flight, own.phase))
             .collect();
         (
-            start.counted.tally.clone(),
+            start.running_tally.tally.clone(),
             engines,
-            start.unanswered().count(),
+            start.unanswered_requests().count(),
         )
     };
     assert_eq!(state(&all), state(&part));
@@ -316,9 +320,9 @@
         .take_while(|(_, time, _)| *time < at(11.0))
         .count();
     let mid = fold(&told[from..from + early]);
-    let mid = mid.fleet.start(0).unwrap();
+    let mid = mid.fleet.run(0).unwrap();
     let open = mid
-        .open
+        .open_requests
         .values()
         .find(|own| own.arrived_at == at(9.5))
         .expect("it is open");
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -3,8 +3,7 @@
 use std::collections::BTreeMap;
 
 use eideryard::interface::{EngineId, Micros};
-use eideryard_event_analysis::episodes::Kind;
-use eideryard_event_analysis::View;
+use eideryard_event_analysis::{EpisodeKind, View};
 use eideryard_event_log::{AnswerKind, GroupTotals};
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 
@@ -24,7 +23,7 @@
 pub fn page(view: &View) -> String {
     let span = span(view);
     let bands = bands(view);
-    let title = if view.detector.episodes.is_empty() {
+    let title = if view.detector.episodes().is_empty() {
         format!("Fleet report, {}", story::date(span.from))
     } else {
         format!("Incident report, {}", story::date(span.from))
@@ -66,7 +65,7 @@
                     }
                     section aria-labelledby="episodes" {
                         h2 id="episodes" { "Episodes" }
-                        @if view.detector.episodes.is_empty() {
+                        @if view.detector.episodes().is_empty() {
                             p { "No trouble was found by its symptoms." }
                         } @else {
                             (timeline(view, span))
@@ -116,7 +115,7 @@
 fn span(view: &View) -> Span {
     let from = view
         .fleet
-        .known()
+        .runs()
         .map(|(_, start)| start.first_at)
         .min()
         .unwrap_or(0)
@@ -127,24 +126,27 @@
 
 fn bands(view: &View) -> Vec<Band> {
     let now = view.detector.now();
-    let shown = view.detector.episodes.iter().filter(|episode| {
+    let shown = view.detector.episodes().iter().filter(|episode| {
         !matches!(
             episode.kind,
-            Kind::Refusals | Kind::Resends | Kind::Latency(_) | Kind::Quarantine(_)
+            EpisodeKind::Refusals
+                | EpisodeKind::Retries
+                | EpisodeKind::Latency(_)
+                | EpisodeKind::Quarantine(_)
         )
     });
     let band = |episode: &eideryard_event_analysis::Episode| {
         let (from, to) = episode.span(now);
         let name = format!(
             "{} ({})",
-            episode.kind.word(),
+            episode.kind.name(),
             story::subject(view, &episode.kind)
         );
         Band {
             from,
             to,
             name,
-            gap: matches!(episode.kind, Kind::Gap(_)),
+            gap: matches!(episode.kind, EpisodeKind::LogGap(_)),
         }
     };
     shown.map(band).collect()
@@ -153,24 +155,26 @@
 fn timeline(view: &View, span: Span) -> Markup {
     let now = view.detector.now();
     let mut rows: BTreeMap<(u8, String), Vec<Bar>> = BTreeMap::new();
-    for episode in &view.detector.episodes {
+    for episode in view.detector.episodes() {
         let (order, style) = match episode.kind {
-            Kind::EnginesGone(_) => (0, "bad"),
-            Kind::FloodOfTenant(_) | Kind::FloodOfAddress(_) => (1, "s2"),
-            Kind::RosterSilent(_) => (2, "s5"),
-            Kind::Drain(_) => (3, "s4"),
-            Kind::Quarantine(_) => (4, "s4"),
-            Kind::Refusals => (5, "refused"),
-            Kind::Resends => (6, "s3"),
-            Kind::Latency(_) => (7, "s1"),
-            Kind::Gap(_) => (8, "unknown"),
+            EpisodeKind::EnginesDown(_) => (0, "bad"),
+            EpisodeKind::TenantFlood(_) | EpisodeKind::AddressFlood(_) => (1, "s2"),
+            EpisodeKind::DiscoveryDown(_) => (2, "s5"),
+            EpisodeKind::Drain(_) => (3, "s4"),
+            EpisodeKind::Quarantine(_) => (4, "s4"),
+            EpisodeKind::Refusals => (5, "refused"),
+            EpisodeKind::Retries => (6, "s3"),
+            EpisodeKind::Latency(_) => (7, "s1"),
+            EpisodeKind::LogGap(_) => (8, "unknown"),
         };
         let subject = match &episode.kind {
-            Kind::EnginesGone(_) | Kind::Refusals | Kind::Resends => String::new(),
+            EpisodeKind::EnginesDown(_) | EpisodeKind::Refusals | EpisodeKind::Retries => {
+                String::new()
+            }
             kind => format!(": {}", story::subject(view, kind)),
         };
         let row = rows
-            .entry((order, format!("{}{subject}", episode.kind.word())))
+            .entry((order, format!("{}{subject}", episode.kind.name())))
             .or_default();
         let (from, to) = episode.span(now);
         let text = format!(
@@ -203,7 +207,7 @@
         .collect();
     let text = format!(
         "{} in {} rows; the table below says the same.",
-        plural(view.detector.episodes.len() as u64, "episode"),
+        plural(view.detector.episodes().len() as u64, "episode"),
         rows.len()
     );
     plot::rows("Timeline of episodes", &text, span, &rows)
@@ -218,13 +222,13 @@
                 th scope="col" { "kind" } th scope="col" { "what" } th scope="col" { "worst at" }
             } }
             tbody {
-                @for episode in &view.detector.episodes {
+                @for episode in view.detector.episodes() {
                     @let (from, to) = episode.span(view.detector.now());
                     tr {
                         td { (clock_ms(from)) }
-                        td { @if episode.end.is_some() { (clock_ms(to)) } @else { "lasts" } }
+                        td { @if episode.ended_at.is_some() { (clock_ms(to)) } @else { "lasts" } }
                         td class="n" { (lasting(to - from)) }
-                        td { (episode.kind.word()) }
+                        td { (episode.kind.name()) }
                         td {
                             (story::clause(view, episode))
                             @if !episode.unknown.is_empty() { " " (story::MARK) }
@@ -234,7 +238,7 @@
                 }
             }
         }
-        @if view.detector.episodes.iter().any(|episode| !episode.unknown.is_empty()) {
+        @if view.detector.episodes().iter().any(|episode| !episode.unknown.is_empty()) {
             p { (story::MARK) " " (story::PARTLY) }
         }
     }
@@ -263,22 +267,22 @@
                 th scope="col" class="n" { "left out" }
             } }
             tbody {
-                @for (_, start) in view.fleet.known() {
+                @for (_, start) in view.fleet.runs() {
                     tr {
                         th scope="row" { (start.name) }
                         td { (clock(start.epoch)) }
                         td { (clock_ms(start.last_at)) }
                         td {
-                            @if start.own.is_some() { "stopped" }
-                            @else if start.broke_off { "broke off" }
+                            @if start.has_ended() { "stopped" }
+                            @else if start.is_broken_off { "broke off" }
                             @else { "runs" }
                         }
                         @let totals = start.tally().totals;
                         @for (_, value) in totals.pairs().filter(|(name, _)| columns.contains(name)) {
                             td class="n" { (value) }
                         }
-                        td class="n" { (start.counted.tally.open()) }
-                        td class="n" { (start.left_out) }
+                        td class="n" { (start.running_tally.tally.open()) }
+                        td class="n" { (start.missing_entries) }
                     }
                 }
                 @let sums = story::totals(view);
@@ -287,9 +291,9 @@
                     @for (_, value) in sums.pairs().filter(|(name, _)| columns.contains(name)) {
                         td class="n" { (value) }
                     }
-                    @let open = view.fleet.known().map(|(_, start)| start.counted.tally.open());
+                    @let open = view.fleet.runs().map(|(_, start)| start.running_tally.tally.open());
                     td class="n" { (open.sum::<u64>()) }
-                    td class="n" { (view.fleet.known().map(|(_, start)| start.left_out).sum::<u64>()) }
+                    td class="n" { (view.fleet.runs().map(|(_, start)| start.missing_entries).sum::<u64>()) }
                 }
             }
         }
@@ -303,7 +307,7 @@
     let seconds = view.series.width as f64 / 1e6;
     let buckets = view.series.buckets.iter().enumerate();
     buckets
-        .map(|(at, bucket)| (view.series.begins(at), Some(of(bucket) / seconds)))
+        .map(|(at, bucket)| (view.series.start_of(at), Some(of(bucket) / seconds)))
         .collect()
 }
 
@@ -342,7 +346,7 @@
         .iter()
         .flat_map(|bucket| &bucket.classes)
     {
-        *taken.entry(*class).or_default() += bucket.taken as u64;
+        *taken.entry(*class).or_default() += bucket.received as u64;
     }
     let mut classes: Vec<(u64, usize)> = taken
         .into_iter()
@@ -365,7 +369,7 @@
             .map(|at| {
                 let own = view.series.buckets[at].classes.get(class);
                 (
-                    view.series.begins(at),
+                    view.series.start_of(at),
                     own.and_then(|own| own.latency.percentile(0.9)),
                 )
             })
@@ -417,11 +421,11 @@
     view: &View,
     caption: &str,
     what: &str,
-    of: &dyn Fn(&eideryard_event_analysis::Start) -> Vec<GroupTotals>,
+    of: &dyn Fn(&eideryard_event_analysis::GatewayRun) -> Vec<GroupTotals>,
     name: &dyn Fn(usize) -> String,
 ) -> Markup {
     let mut sums: Vec<[u64; 7]> = Vec::new();
-    for (_, start) in view.fleet.known() {
+    for (_, start) in view.fleet.runs() {
         for (at, lane) in of(start).iter().enumerate() {
             if sums.len() <= at {
                 sums.resize(at + 1, [0; 7]);
@@ -435,7 +439,7 @@
     let latency = |class: usize, share: f64| {
         let mut all = view
             .fleet
-            .known()
+            .runs()
             .filter_map(|(_, start)| start.latency.get(class));
         let mut sum = all.next()?.clone();
         // All have the same bounds.
@@ -477,7 +481,7 @@
 fn all_engines(view: &View) -> Vec<EngineId> {
     let mut engines: Vec<EngineId> = view
         .fleet
-        .known()
+        .runs()
         .flat_map(|(_, start)| start.engines.keys().copied())
         .collect();
     engines.sort_by_key(|engine| (view.fleet.engine(*engine), *engine));
@@ -500,7 +504,7 @@
             let Some(own) = bucket.engines.get(engine) else {
                 continue;
             };
-            let (from, to) = (view.series.begins(at), view.series.begins(at + 1));
+            let (from, to) = (view.series.start_of(at), view.series.start_of(at + 1));
             let text = format!(
                 "{}: {} sent, {} answered, {} ended badly",
                 clock(from),
@@ -552,7 +556,7 @@
             } }
             tbody {
                 @for engine in all_engines(view) {
-                    @let starts = view.fleet.known().map(|(_, start)| start);
+                    @let starts = view.fleet.runs().map(|(_, start)| start);
                     @let own: Vec<_> = starts.filter_map(|start| start.engines.get(&engine)).collect();
                     tr {
                         th scope="row" { (view.fleet.engine(engine)) }
@@ -597,13 +601,17 @@
         source: own.source,
         class: own.class,
         tenant: own.tenant,
-        end: format!("{}{}", own.how.name(), if own.late { ", late" } else { "" }),
-        took: own.took,
-        tries: own.tries,
+        end: format!(
+            "{}{}",
+            own.kind.name(),
+            if own.is_late { ", late" } else { "" }
+        ),
+        took: own.duration,
+        tries: own.attempt_count,
     });
     let mut asked: Vec<Asked> = ended.collect();
-    for (source, start) in view.fleet.known().filter(|(_, start)| start.broke_off) {
-        asked.extend(start.unanswered().take(MAX_OPEN).map(|own| Asked {
+    for (source, start) in view.fleet.runs().filter(|(_, start)| start.is_broken_off) {
+        asked.extend(start.unanswered_requests().take(MAX_OPEN).map(|own| Asked {
             at: start.last_at,
             id: Some(own.id),
             source,
@@ -611,7 +619,7 @@
             tenant: own.tenant,
             end: "open when the record broke off".into(),
             took: None,
-            tries: own.tries(),
+            tries: own.attempt_count(),
         }));
     }
     asked.sort_by_key(|own| own.at);
@@ -648,7 +656,7 @@
                         td class="id" {
                             @if let Some(id) = request.id { (format!("{id:016x}")) } @else { "–" }
                         }
-                        td { (view.fleet.start(request.source).map_or("", |start| start.name.as_str())) }
+                        td { (view.fleet.run(request.source).map_or("", |start| start.name.as_str())) }
                         td { (view.fleet.class(request.class)) }
                         td { (view.fleet.tenant(request.tenant)) }
                         td { (request.end) }
--- a/crates/report/src/story.rs
+++ b/crates/report/src/story.rs
@@ -1,8 +1,8 @@
 //! What happened, in plain words.
 
 use eideryard::interface::Micros;
-use eideryard_event_analysis::episodes::Kind;
-use eideryard_event_analysis::{Episode, View};
+use eideryard_event_analysis::episodes::LogGap;
+use eideryard_event_analysis::{Episode, EpisodeKind, View};
 use eideryard_event_log::totals::Totals;
 use eideryard_event_log::RejectReason;
 use time::macros::format_description;
@@ -65,7 +65,7 @@
 /// Sums over all starts of all gateways.
 pub fn totals(view: &View) -> Totals {
     let mut sum = Totals::default();
-    for (_, start) in view.fleet.known() {
+    for (_, start) in view.fleet.runs() {
         let own = start.tally();
         let own = own.totals.pairs();
         sum.values_mut()
@@ -77,14 +77,14 @@
 
 fn source(view: &View, source: usize) -> String {
     view.fleet
-        .start(source)
+        .run(source)
         .map_or_else(|| format!("gateway {source}"), |start| start.name.clone())
 }
 
 /// Whom or what an episode is about.
-pub fn subject(view: &View, kind: &Kind) -> String {
+pub fn subject(view: &View, kind: &EpisodeKind) -> String {
     match kind {
-        Kind::EnginesGone(engines) => {
+        EpisodeKind::EnginesDown(engines) => {
             let mut names: Vec<String> = engines
                 .iter()
                 .map(|engine| view.fleet.engine(*engine))
@@ -92,17 +92,17 @@
             names.sort();
             listed(names)
         }
-        Kind::Drain(engine) | Kind::Quarantine(engine) => view.fleet.engine(*engine),
-        Kind::Refusals | Kind::Resends => "the fleet".into(),
-        Kind::Latency(class) => view.fleet.class(*class),
-        Kind::RosterSilent(sources) => {
+        EpisodeKind::Drain(engine) | EpisodeKind::Quarantine(engine) => view.fleet.engine(*engine),
+        EpisodeKind::Refusals | EpisodeKind::Retries => "the fleet".into(),
+        EpisodeKind::Latency(class) => view.fleet.class(*class),
+        EpisodeKind::DiscoveryDown(sources) => {
             let names: std::collections::BTreeSet<String> =
                 sources.iter().map(|at| source(view, *at)).collect();
             listed(names.into_iter().collect())
         }
-        Kind::FloodOfTenant(tenant) => view.fleet.tenant(*tenant),
-        Kind::FloodOfAddress(from) => from.to_string(),
-        Kind::Gap(at) => source(view, *at),
+        EpisodeKind::TenantFlood(tenant) => view.fleet.tenant(*tenant),
+        EpisodeKind::AddressFlood(from) => from.to_string(),
+        EpisodeKind::LogGap(at) => source(view, *at),
     }
 }
 
@@ -112,10 +112,10 @@
     let subject = subject(view, &episode.kind);
     let share = |value: f64| format!("{:.0}%", 100.0 * value);
     match &episode.kind {
-        Kind::EnginesGone(engines) => {
+        EpisodeKind::EnginesDown(engines) => {
             let known = view
                 .fleet
-                .known()
+                .runs()
                 .map(|(_, start)| start.engines.len())
                 .max()
                 .unwrap_or(0);
@@ -125,41 +125,41 @@
                 engines.len()
             )
         }
-        Kind::Drain(_) => format!("{subject} drained"),
-        Kind::Quarantine(_) => format!("{subject} was in quarantine"),
-        Kind::Refusals => {
+        EpisodeKind::Drain(_) => format!("{subject} drained"),
+        EpisodeKind::Quarantine(_) => format!("{subject} was in quarantine"),
+        EpisodeKind::Refusals => {
             format!(
                 "{} of answers were refusals at the worst (usually {})",
                 share(episode.peak),
-                share(episode.usual)
+                share(episode.baseline)
             )
         }
-        Kind::Resends => {
+        EpisodeKind::Retries => {
             format!(
                 "{} of attempts were further ones at the worst (usually {})",
                 share(episode.peak),
-                share(episode.usual)
+                share(episode.baseline)
             )
         }
-        Kind::Latency(_) => {
-            let (peak, usual) = (episode.peak, episode.usual);
+        EpisodeKind::Latency(_) => {
+            let (peak, usual) = (episode.peak, episode.baseline);
             format!(
                 "nine in ten answers of {subject} took up to {peak:.0} ms (usually {usual:.0} ms)"
             )
         }
-        Kind::RosterSilent(_) => format!("the bulletin was out of reach of {subject}"),
-        Kind::FloodOfTenant(_) | Kind::FloodOfAddress(_) => {
+        EpisodeKind::DiscoveryDown(_) => format!("the bulletin was out of reach of {subject}"),
+        EpisodeKind::TenantFlood(_) | EpisodeKind::AddressFlood(_) => {
             let from = episode
-                .from
+                .address
                 .map(|from| format!(" from {from}"))
                 .unwrap_or_default();
             format!(
                 "{subject} flooded{from}: {:.0} requests a second (usually {:.0})",
-                episode.peak, episode.usual
+                episode.peak, episode.baseline
             )
         }
-        Kind::Gap(_) => {
-            let left_out = episode.left_out.map(|entries| {
+        EpisodeKind::LogGap(_) => {
+            let left_out = episode.missing_entries.map(|entries| {
                 format!(
                     ", which left out {}",
                     plural(entries, "entry").replace("entrys", "entries")
@@ -181,13 +181,15 @@
 /// Requests that were open where a record breaks off: their clients had no answer from that
 /// gateway.
 pub fn broken_off(view: &View) -> u64 {
-    let broken = view.fleet.known().filter(|(_, start)| start.broke_off);
-    broken.map(|(_, start)| start.counted.tally.open()).sum()
+    let broken = view.fleet.runs().filter(|(_, start)| start.is_broken_off);
+    broken
+        .map(|(_, start)| start.running_tally.tally.open())
+        .sum()
 }
 
 /// What clients may have lost that no record can know: where gateways broke off.
 pub fn unseen(view: &View) -> Option<String> {
-    let broken = view.fleet.known().filter(|(_, start)| start.broke_off);
+    let broken = view.fleet.runs().filter(|(_, start)| start.is_broken_off);
     let names: std::collections::BTreeSet<&str> =
         broken.map(|(_, start)| start.name.as_str()).collect();
     let open = plural(broken_off(view), "request");
@@ -217,8 +219,8 @@
 /// How gateways stand to each other: one line for each that said something of it.
 pub fn fleet(view: &View) -> Vec<String> {
     let mut lines = Vec::new();
-    for (_, start) in view.fleet.latest() {
-        if start.peers.is_empty() && start.turned.is_empty() && start.votes.is_none() {
+    for (_, start) in view.fleet.latest_runs() {
+        if start.peers.is_empty() && start.rejected_peers.is_empty() && start.is_voter.is_none() {
             continue;
         }
         let mut states: std::collections::BTreeMap<&str, Vec<&str>> = Default::default();
@@ -232,18 +234,18 @@
             .collect();
         parts.extend(
             start
-                .turned
+                .rejected_peers
                 .iter()
                 .map(|(name, why)| format!("{name} turned away ({why})")),
         );
         parts.extend(
             start
-                .votes
+                .is_voter
                 .map(|votes| if votes { "votes" } else { "catches up" }.to_string()),
         );
-        if !start.owns.is_empty() {
+        if !start.leases.is_empty() {
             let owned = start
-                .owns
+                .leases
                 .iter()
                 .map(|(engine, term)| format!("{} (term {term})", view.fleet.engine(*engine)));
             parts.push(format!(
@@ -252,9 +254,10 @@
             ));
         }
         parts.extend(
-            (start.fenced > 0).then(|| format!("turned away {} of late owners", start.fenced)),
+            (start.rejected_work > 0)
+                .then(|| format!("turned away {} of late owners", start.rejected_work)),
         );
-        parts.extend((start.majority == Some(false)).then(|| "NO MAJORITY".to_string()));
+        parts.extend((start.has_majority == Some(false)).then(|| "NO MAJORITY".to_string()));
         lines.push(format!("{}: {}", start.name, parts.join("; ")));
     }
     lines
@@ -279,20 +282,23 @@
     // What explains the others comes first: engines, then who floods, then the roster, then mere
     // symptoms.
     let weight = |episode: &Episode| match episode.kind {
-        Kind::EnginesGone(_) => 6,
-        Kind::FloodOfTenant(_) | Kind::FloodOfAddress(_) => 5,
-        Kind::RosterSilent(_) => 4,
-        Kind::Gap(_) => 3,
-        Kind::Refusals | Kind::Latency(_) => 2,
+        EpisodeKind::EnginesDown(_) => 6,
+        EpisodeKind::TenantFlood(_) | EpisodeKind::AddressFlood(_) => 5,
+        EpisodeKind::DiscoveryDown(_) => 4,
+        EpisodeKind::LogGap(_) => 3,
+        EpisodeKind::Refusals | EpisodeKind::Latency(_) => 2,
         _ => 1,
     };
-    let episodes = &view.detector.episodes;
+    let episodes = view.detector.episodes();
     let Some(most) = episodes.iter().map(weight).max().filter(|most| *most > 1) else {
         return format!("No trouble was found; {counts}");
     };
     let now = view.detector.now();
     let causes = || episodes.iter().filter(|episode| weight(episode) > 1);
-    let begin = causes().map(|episode| episode.begin).min().unwrap_or(0);
+    let begin = causes()
+        .map(|episode| episode.started_at)
+        .min()
+        .unwrap_or(0);
     let end = causes()
         .map(|episode| episode.span(now).1)
         .max()
@@ -317,11 +323,14 @@
 
 /// A sentence for each two troubles at the same time, causes before symptoms.
 pub fn overlaps(view: &View) -> Vec<String> {
-    let episodes = &view.detector.episodes;
-    let is_cause = |kind: &Kind| {
+    let episodes = view.detector.episodes();
+    let is_cause = |kind: &EpisodeKind| {
         !matches!(
             kind,
-            Kind::Refusals | Kind::Resends | Kind::Latency(_) | Kind::Quarantine(_)
+            EpisodeKind::Refusals
+                | EpisodeKind::Retries
+                | EpisodeKind::Latency(_)
+                | EpisodeKind::Quarantine(_)
         )
     };
     let overlaps = view.detector.overlaps().into_iter();
@@ -332,7 +341,7 @@
             let name = |at: usize| {
                 format!(
                     "{} ({})",
-                    episodes[at].kind.word(),
+                    episodes[at].kind.name(),
                     subject(view, &episodes[at].kind)
                 )
             };
@@ -349,18 +358,18 @@
 /// What a reader must know of the records themselves.
 pub fn caveats(view: &View) -> Vec<String> {
     let mut said = Vec::new();
-    for (_, start) in view.fleet.known() {
-        if start.broke_off {
+    for (_, start) in view.fleet.runs() {
+        if start.is_broken_off {
             let at = clock_ms(start.last_at);
             said.push(format!(
                 "{} (started {}) did not end by itself: its figures are those up to {at}, its last whole \
                  frame; {} open then",
                 start.name,
                 clock(start.epoch),
-                plural(start.counted.tally.open(), "request")
+                plural(start.running_tally.tally.open(), "request")
             ));
         }
-        if !start.exact {
+        if !start.are_totals_exact {
             said.push(format!(
                 "{}: a part of the record can't be read and no tally follows, so its figures are at least \
                  those",
@@ -368,7 +377,7 @@
             ));
         }
     }
-    for (source, from, to) in view.detector.gaps() {
+    for LogGap { source, from, to } in view.detector.gaps() {
         let name = self::source(view, *source);
         said.push(format!(
             "{name}: not known from {} to {}",
@@ -378,14 +387,14 @@
     }
     let sources: Vec<(usize, &str)> = view
         .fleet
-        .known()
+        .runs()
         .map(|(at, start)| (at, start.name.as_str()))
         .collect();
     for (place, (at, name)) in sources.iter().enumerate().skip(1) {
         let mut before = sources[..place].iter().filter(|(_, other)| other != name);
         let apart = before.find_map(|(of, other)| Some((other, view.skew.ahead(*at, *of)?)));
         if let Some((other, (micros, events))) = apart {
-            if micros.unsigned_abs() > eideryard_event_analysis::skew::NOISE {
+            if micros.unsigned_abs() > eideryard_event_analysis::skew::MIN_SIGNIFICANT_SKEW {
                 let way = if micros > 0 { "ahead of" } else { "behind" };
                 let by = lasting(micros.unsigned_abs());
                 said.push(format!(
