--- a/crates/event-log/benches/record.rs
+++ b/crates/event-log/benches/record.rs
@@ -1,11 +1,11 @@
-//! Cost of the record: an entry on the loop's thread, its bytes, and reading it back, each beside
-//! plain JSON lines. `cargo bench -p eideryard-event-log`; the entries are those of a gateway's
-//! usual request.
+//! Cost of the event log: recording an entry on the event loop's thread, its bytes, and reading it
+//! back, each compared with plain JSON lines. The entries are those of a usual request. Run with
+//! `cargo bench -p eideryard-event-log`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{plan, served, state, START};
+use common::{config, served_request_entries, start_segment_if_needed, START};
 use divan::counter::{BytesCount, ItemsCount};
 use divan::Bencher;
 use eideryard::interface::*;
@@ -38,10 +38,12 @@
 static ALLOCATOR: Counting = Counting;
 
 fn entries(count: u64) -> Vec<(Micros, Entry)> {
-    (100..100 + count / 11).flat_map(served).collect()
+    (100..100 + count / 11)
+        .flat_map(served_request_entries)
+        .collect()
 }
 
-/// A plain record: one JSON object a line, as a text log of the same events would be.
+/// One JSON object a line, as a text log of the same events would be.
 fn json_line(out: &mut Vec<u8>, at: Micros, entry: &Entry) {
     // Writing to a vector cannot fail.
     let _ = match entry.as_ref() {
@@ -84,14 +86,14 @@
 }
 
 fn recorder(directory: &std::path::Path) -> Recorder {
-    let plan = plan("bench", 1 << 30);
+    let config = config("bench", 1 << 30);
     let mut recorder =
-        Recorder::start(plan, Box::new(Directory(directory.into()))).expect("a thread");
-    state(&mut recorder, START);
+        Recorder::start(config, Box::new(Directory(directory.into()))).expect("a thread");
+    start_segment_if_needed(&mut recorder, START);
     recorder
 }
 
-/// On the loop's thread, with the writer beside it: 11,000 entries at a time.
+/// On the event loop's thread, with the writer running: 11,000 entries at a time.
 #[divan::bench(sample_count = 200)]
 fn record(bencher: Bencher<'_, '_>) {
     let entries = entries(11_000);
@@ -161,20 +163,20 @@
         });
 }
 
-/// From files, with checksums, merged by time: two gateways' records of 550,000 entries each.
+/// From files, with checksums, merged by time: two gateways' logs of 550,000 entries each.
 #[divan::bench(sample_count = 5)]
 fn read_two_records(bencher: Bencher<'_, '_>) {
     let directory = tempfile::tempdir().expect("a directory");
     let entries = entries(550_000);
     for name in ["g1", "g2"] {
-        let plan = eideryard_event_log::Config {
+        let config = eideryard_event_log::Config {
             name: name.into(),
-            ..plan(name, 8 << 20)
+            ..config(name, 8 << 20)
         };
-        let mut recorder =
-            Recorder::start(plan, Box::new(Directory(directory.path().into()))).expect("a thread");
+        let mut recorder = Recorder::start(config, Box::new(Directory(directory.path().into())))
+            .expect("a thread");
         for (number, (at, entry)) in entries.iter().enumerate() {
-            state(&mut recorder, *at);
+            start_segment_if_needed(&mut recorder, *at);
             recorder.record(*at, entry.as_ref());
             if number % 20_000 == 0 {
                 // The writer keeps up, so that nothing is left out.
--- a/crates/event-log/tests/failures.rs
+++ b/crates/event-log/tests/failures.rs
@@ -1,4 +1,4 @@
-//! The failures that a record is for: a disk that fails, a queue that is full, bytes that are cut
+//! Failures that the event log has to survive: a disk that fails, a full queue, bytes that are cut
 //! or flipped.
 
 mod common;
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 
 fn recorder(directory: &Path, segment: u64) -> Recorder {
-    Recorder::start(plan("g1", segment), Box::new(Directory(directory.into()))).unwrap()
+    Recorder::start(config("g1", segment), Box::new(Directory(directory.into()))).unwrap()
 }
 
 fn segments(directory: &Path) -> Vec<PathBuf> {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn every_entry_comes_back_as_it_was() {
+fn entries_are_decoded_as_encoded() {
     let mut rng = Rng::with_seed(7);
     let entries: Vec<_> = (0..20_000)
         .map(|n| (START + n * 37, entry(&mut rng, START + n * 37)))
@@ -41,16 +41,19 @@
 }
 
 #[test]
-fn a_record_tells_all_that_was_recorded_through_many_segments() {
+fn all_entries_are_read_back_through_many_segments() {
     let directory = tempfile::tempdir().unwrap();
     let mut recorder = recorder(directory.path(), 64 << 10);
-    let counted = fill(&mut recorder, 3, 50_000);
+    let counted = record_random_entries(&mut recorder, 3, 50_000);
     drop(recorder);
     assert!(segments(directory.path()).len() > 5);
-    let read = read(directory.path()).unwrap();
+    let read = read_log(directory.path()).unwrap();
     // A writer that a busy machine holds up leaves gaps, which tell what they left out.
     let left_out: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
-    assert_eq!((told(&read) + left_out, read.problems.len()), (50_000, 0));
+    assert_eq!(
+        (counting_entries(&read) + left_out, read.problems.len()),
+        (50_000, 0)
+    );
     assert_eq!(read.counted, counted);
     assert!(
         read.entries.windows(2).all(|pair| pair[0].0 <= pair[1].0),
@@ -59,15 +62,16 @@
 }
 
 #[test]
-fn the_oldest_segments_go_when_the_budget_is_used_up_and_totals_stay() {
+fn oldest_segments_are_removed_beyond_the_limit_and_totals_stay() {
     let directory = tempfile::tempdir().unwrap();
     let budget = 512 << 10;
-    let plan = Config {
+    let config = Config {
         max_total_bytes: budget,
-        ..plan("g1", 64 << 10)
+        ..config("g1", 64 << 10)
     };
-    let mut recorder = Recorder::start(plan, Box::new(Directory(directory.path().into()))).unwrap();
-    let counted = fill(&mut recorder, 3, 100_000);
+    let mut recorder =
+        Recorder::start(config, Box::new(Directory(directory.path().into()))).unwrap();
+    let counted = record_random_entries(&mut recorder, 3, 100_000);
     drop(recorder);
     let sizes = segments(directory.path())
         .iter()
@@ -75,13 +79,13 @@
         .sum::<u64>();
     // The one that is written may be a buffer longer than a segment.
     assert!(sizes <= budget + (160 << 10), "{sizes}");
-    assert_eq!(read(directory.path()).unwrap().counted, counted);
+    assert_eq!(read_log(directory.path()).unwrap().counted, counted);
 }
 
-/// Whatever call fails first, and for however long: no call of the recorder waits, what is left out
-/// is told exactly, and recording comes back.
+/// Whatever call fails first and for however long, the log states exactly what was left out, and
+/// recording resumes.
 #[test]
-fn a_disk_that_fails_costs_entries_and_their_number_is_told() {
+fn failing_disk_loses_entries_and_the_log_states_how_many() {
     for (first, failures) in [
         (0, 1),
         (1, 1),
@@ -93,10 +97,10 @@
         (13, 1),
         (20, 1),
     ] {
-        for tears in [false, true] {
+        for leaves_partial_writes in [false, true] {
             let directory = tempfile::tempdir().unwrap();
-            let disk = Failing::new(directory.path(), first, failures, tears);
-            let mut recorder = Recorder::start(plan("g1", 64 << 10), Box::new(disk)).unwrap();
+            let disk = FailingDisk::new(directory.path(), first, failures, leaves_partial_writes);
+            let mut recorder = Recorder::start(config("g1", 64 << 10), Box::new(disk)).unwrap();
             // Until the writer's pause after a fault is over.
             let mut rng = Rng::with_seed(first as u64);
             let until = std::time::Instant::now() + std::time::Duration::from_millis(250);
@@ -104,7 +108,7 @@
             while std::time::Instant::now() < until {
                 for _ in 0..400 {
                     at += 1000;
-                    state(&mut recorder, at);
+                    start_segment_if_needed(&mut recorder, at);
                     recorder.record(at, entry(&mut rng, at).as_ref());
                     recorder.flush(at);
                 }
@@ -112,8 +116,10 @@
             }
             let counted = recorder.tally().clone();
             drop(recorder);
-            let read = read(directory.path()).unwrap();
-            let case = format!("call {first}, {failures} failures, tears {tears}");
+            let read = read_log(directory.path()).unwrap();
+            let case = format!(
+                "call {first}, {failures} failures, leaves_partial_writes {leaves_partial_writes}"
+            );
             assert_eq!(read.counted, counted, "{case}");
             assert!(!read.gaps.is_empty(), "{case}");
             for ((entries, missing), before) in read.gaps.iter().zip(&read.before_gaps) {
@@ -122,14 +128,18 @@
             }
             // What was told and what was left out are all there was, to the entry.
             let left_out: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
-            assert_eq!(told(&read) + left_out, counted.entries, "{case}");
+            assert_eq!(
+                counting_entries(&read) + left_out,
+                counted.entries,
+                "{case}"
+            );
         }
     }
 }
 
-/// Entries that count.
-fn told(read: &Read) -> u64 {
-    let mut counted = eideryard_event_log::tally::RunningTally::default();
+/// How many entries of a log count.
+fn counting_entries(read: &ReadLog) -> u64 {
+    let mut counted = tally::RunningTally::default();
     let mut count = 0;
     for (_, entry) in &read.entries {
         let before = counted.tally.entries;
@@ -142,7 +152,7 @@
 }
 
 #[test]
-fn a_full_queue_leaves_a_gap_and_no_one_waits() {
+fn full_queue_leaves_a_gap_without_blocking() {
     struct Slow(Directory);
     struct SlowSegment(Box<dyn disk::Segment>);
     impl disk::Disk for Slow {
@@ -167,31 +177,31 @@
     }
     let directory = tempfile::tempdir().unwrap();
     let disk = Slow(Directory(directory.path().into()));
-    let mut recorder = Recorder::start(plan("g1", 1 << 20), Box::new(disk)).unwrap();
+    let mut recorder = Recorder::start(config("g1", 1 << 20), Box::new(disk)).unwrap();
     // Far more than the buffers hold, at once; then a little more, when the writer has caught up.
-    fill(&mut recorder, 5, 200_000);
+    record_random_entries(&mut recorder, 5, 200_000);
     std::thread::sleep(std::time::Duration::from_millis(300));
-    let counted = fill(&mut recorder, 6, 1000);
+    let counted = record_random_entries(&mut recorder, 6, 1000);
     drop(recorder);
-    let read = read(directory.path()).unwrap();
+    let read = read_log(directory.path()).unwrap();
     assert!(!read.gaps.is_empty());
     let left_out: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
     assert_eq!(
-        (read.counted.clone(), told(&read) + left_out),
+        (read.counted.clone(), counting_entries(&read) + left_out),
         (counted.clone(), counted.entries)
     );
 }
 
-/// A small record, cut after and flipped at each of its bytes.
+/// A small log, cut after and flipped at each of its bytes.
 #[test]
-fn damage_at_any_byte_is_skipped_and_said_and_nothing_is_told_twice() {
+fn damage_at_any_byte_is_skipped_and_reported_without_repeating_entries() {
     let directory = tempfile::tempdir().unwrap();
     let mut recorder = recorder(directory.path(), 1 << 20);
-    fill(&mut recorder, 11, 150);
+    record_random_entries(&mut recorder, 11, 150);
     drop(recorder);
     let file = &segments(directory.path())[0];
     let whole = std::fs::read(file).unwrap();
-    let undamaged = read(directory.path()).unwrap();
+    let undamaged = read_log(directory.path()).unwrap();
     let all: Vec<String> = undamaged
         .entries
         .iter()
@@ -209,7 +219,7 @@
                 bytes[at] ^= 1 << rng.u8(0..8);
             }
             std::fs::write(&copy, &bytes).unwrap();
-            let read = match read(other.path()) {
+            let read = match read_log(other.path()) {
                 Ok(read) => read,
                 Err(e) => panic!("byte {at}, cut {cut}: {e}"),
             };
@@ -240,18 +250,18 @@
 }
 
 #[test]
-fn a_restart_under_the_same_name_is_a_record_of_its_own_and_old_files_count_for_the_budget() {
+fn restart_is_a_source_of_its_own_and_earlier_files_count_for_the_limit() {
     let directory = tempfile::tempdir().unwrap();
     for start in 0..6u64 {
         let epoch = START + start * 100_000_000;
-        let plan = Config {
+        let config = Config {
             epoch,
             max_total_bytes: 400 << 10,
-            ..plan("g1", 64 << 10)
+            ..config("g1", 64 << 10)
         };
         let mut recorder =
-            Recorder::start(plan, Box::new(Directory(directory.path().into()))).unwrap();
-        fill(&mut recorder, start, 5000);
+            Recorder::start(config, Box::new(Directory(directory.path().into()))).unwrap();
+        record_random_entries(&mut recorder, start, 5000);
     }
     let starts: BTreeSet<u64> = segments(directory.path())
         .iter()
@@ -266,36 +276,36 @@
 }
 
 #[test]
-fn a_newer_version_is_refused_in_words() {
+fn newer_version_is_an_error_with_a_remedy() {
     let directory = tempfile::tempdir().unwrap();
-    fill(&mut recorder(directory.path(), 1 << 20), 1, 10);
+    record_random_entries(&mut recorder(directory.path(), 1 << 20), 1, 10);
     let file = segments(directory.path()).remove(0);
     let mut bytes = std::fs::read(&file).unwrap();
     bytes[8..12].copy_from_slice(&4u32.to_le_bytes());
     let sum = crc32fast::hash(&bytes[..12]);
     bytes[12..16].copy_from_slice(&sum.to_le_bytes());
     std::fs::write(&file, bytes).unwrap();
-    let said = read(directory.path()).err().unwrap().to_string();
+    let said = read_log(directory.path()).err().unwrap().to_string();
     assert!(
         said.contains("version 4") && said.contains("use the program"),
         "{said}"
     );
 }
 
-/// A gap begins where a gateway ended, not where its last request did: an idle record says each
-/// second that it lives, in a few bytes.
+/// A gap begins where a gateway ended, not where its last request did, and heartbeats take only a
+/// few bytes.
 #[test]
-fn an_idle_gateway_says_that_it_lives() {
+fn idle_gateway_writes_heartbeats() {
     let directory = tempfile::tempdir().unwrap();
     let mut recorder = recorder(directory.path(), 64 << 10);
     let mut at = START;
-    state(&mut recorder, at);
+    start_segment_if_needed(&mut recorder, at);
     recorder.flush(at);
     let idle = 120;
     while at < START + idle * 1_000_000 {
         // As the loop does: nothing happens before the recorder wants to be called.
         at = recorder.next_flush_at().unwrap_or(at);
-        state(&mut recorder, at);
+        start_segment_if_needed(&mut recorder, at);
         recorder.flush(at);
         // A minute here is a moment for the writer, which has to keep up.
         std::thread::sleep(std::time::Duration::from_millis(1));
@@ -320,16 +330,16 @@
 }
 
 #[test]
-fn what_is_still_written_is_followed_and_a_frame_is_told_when_it_is_whole() {
+fn growing_log_is_followed_frame_by_frame() {
     let directory = tempfile::tempdir().unwrap();
     let mut recorder = recorder(directory.path(), 64 << 10);
     let mut merged = MergedReader::follow(&[directory.path().into()]).unwrap();
     let (mut told, mut rng, mut at) = (0, Rng::with_seed(1), START);
-    let mut counted = eideryard_event_log::tally::RunningTally::default();
+    let mut counted = tally::RunningTally::default();
     for round in 0..40 {
         for _ in 0..500 {
             at += 1000;
-            state(&mut recorder, at);
+            start_segment_if_needed(&mut recorder, at);
             recorder.record(at, entry(&mut rng, at).as_ref());
             recorder.flush(at);
         }
@@ -354,14 +364,14 @@
 }
 
 #[test]
-fn reading_from_a_time_begins_at_the_segment_before_it_with_exact_totals() {
+fn reading_from_a_time_starts_at_the_segment_before_it_with_exact_totals() {
     let directory = tempfile::tempdir().unwrap();
     let mut recorder = recorder(directory.path(), 64 << 10);
-    let counted = fill(&mut recorder, 3, 50_000);
+    let counted = record_random_entries(&mut recorder, 3, 50_000);
     drop(recorder);
     let from = START + 40_000_000;
     let mut merged = MergedReader::open_from(&[directory.path().into()], from).unwrap();
-    let mut folded = eideryard_event_log::tally::RunningTally::default();
+    let mut folded = tally::RunningTally::default();
     let mut first = None;
     while let Some(told) = merged.next_entry().unwrap() {
         first.get_or_insert(told.at);
@@ -378,9 +388,9 @@
     assert_eq!(folded.tally, counted);
 }
 
-/// Bytes of no sense, and frames whose checksums fit round payloads that don't.
+/// Random bytes, and frames with valid checksums around random payloads.
 #[test]
-fn random_bytes_are_errors_and_never_more() {
+fn random_bytes_are_errors_without_panic() {
     let mut rng = Rng::with_seed(99);
     let directory = tempfile::tempdir().unwrap();
     for round in 0..400 {
@@ -399,6 +409,6 @@
         }
         let path = directory.path().join(file_name::file_name("g1", START, 1));
         std::fs::write(path, &bytes).unwrap();
-        read(directory.path()).unwrap_or_else(|e| panic!("round {round}: {e}"));
+        read_log(directory.path()).unwrap_or_else(|e| panic!("round {round}: {e}"));
     }
 }
--- a/crates/event-log/tests/golden.rs
+++ b/crates/event-log/tests/golden.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{entry, plan, START};
+use common::{config, entry, START};
 use eideryard::interface::{Action, Micros, Phase};
 use eideryard_emulators::golden;
 use eideryard_event_log::codec::Context;
@@ -98,11 +98,11 @@
     entries
 }
 
-fn written(directory: &std::path::Path) {
+fn write_log(directory: &std::path::Path) {
     let disk = Box::new(Directory(directory.to_path_buf()));
-    let mut recorder = Recorder::start(plan("g1", SEGMENT), disk).expect("a recorder");
+    let mut recorder = Recorder::start(config("g1", SEGMENT), disk).expect("a recorder");
     for (at, entry) in entries() {
-        common::state(&mut recorder, at);
+        common::start_segment_if_needed(&mut recorder, at);
         recorder.record(at, entry.as_ref());
         recorder.flush(at);
     }
@@ -111,7 +111,7 @@
 #[test]
 fn segments_are_written_byte_for_byte_as_before() {
     let directory = tempfile::tempdir().expect("a directory");
-    written(directory.path());
+    write_log(directory.path());
     let mut names: Vec<String> = std::fs::read_dir(directory.path())
         .expect("a directory")
         .map(|file| {
