--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -2,7 +2,7 @@
 //! that read the log; they are fixed here and are not the names of types and fields.
 
 use crate::intent_durability::Counted;
-use crate::result_spool::Spooled;
+use crate::result_spool::ResultSpoolCounters;
 
 /// A group's name and its counters: `Name { first: 1, second: 2 }`.
 fn group(name: &str, counters: &[(&str, u64)]) -> String {
@@ -31,7 +31,7 @@
 }
 
 /// What was counted of spooled results.
-pub fn spool(counted: &Spooled) -> String {
+pub fn spool(counted: &ResultSpoolCounters) -> String {
     group(
         "Spooled",
         &[
@@ -53,13 +53,13 @@
         &[
             ("claims", counters.claims),
             ("granted", counters.granted),
-            ("earlier", counters.earlier),
+            ("earlier", counters.prior_runs_found),
             ("without_majority", counters.without_majority),
-            ("sent_without", counters.sent_without),
-            ("answered", counters.answered),
-            ("turned_away", counters.turned_away),
-            ("mended", counters.mended),
-            ("caught_up_bytes", counters.caught_up_bytes),
+            ("sent_without", counters.sent_without_majority),
+            ("answered", counters.accepted),
+            ("turned_away", counters.rejected),
+            ("mended", counters.repaired),
+            ("caught_up_bytes", counters.transferred_bytes),
             ("resent", counters.resent),
         ],
     )
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -12,7 +12,7 @@
 use eideryard_leases::VoterReadiness;
 use eideryard_operator_config::FleetConfig;
 use eideryard_peer_transport::{Handshake, Hub, Peer as End, PeerEvent, PeerState, VoterAddress};
-use eideryard_replication::core::ClaimError;
+use eideryard_replication::core::{ClaimError, ClaimRequest, EndedRun};
 use eideryard_replication::drains::Drain;
 use eideryard_replication::replica_set::Limits;
 use eideryard_replication::{entry, Config, Core, Message, Output, Peer, PriorRuns, Verdict};
@@ -128,12 +128,12 @@
             .filter(|class| class.effect != Effect::Idempotent);
         let window = kept.map(|class| class.window).max().unwrap_or(0);
         let core = Config {
-            keepers: keepers.len(),
-            own,
-            longest: longest_wait + window + RETENTION_MARGIN,
+            voters: keepers.len(),
+            voter_index: own,
+            max_retention: longest_wait + window + RETENTION_MARGIN,
             limits: Limits { entries },
-            bytes_per_s: CATCH_UP,
-            send_without: plan.send_without,
+            transfer_bytes_per_s: CATCH_UP,
+            send_without_majority: plan.send_without,
         };
         let whole = whole && voted.as_deref() == Some(&origin.identity.to_be_bytes()[..]);
         let held = copies.len();
@@ -171,7 +171,7 @@
         if let Some(address) = hub.local_address() {
             tracing::info!("fleet {}: peers reach this gateway at {address}", plan.name);
         }
-        match (own, core.standing.votes()) {
+        match (own, core.is_voting()) {
             (None, _) => tracing::info!("fleet {}: no keeper; it asks {}", plan.name, keepers.join(" ")),
             (Some(_), true) => tracing::info!("fleet {}: a keeper with {held} copies; it votes", plan.name),
             (Some(_), false) => tracing::info!(
@@ -184,7 +184,7 @@
             .probes
             .then(|| LeaseDriver::new(keepers.len(), own, origin, tokens, now));
         let words = Vec::from_iter(own.map(|_| FleetEvent::VotingChanged {
-            is_voter: core.standing.votes(),
+            is_voter: core.is_voting(),
         }));
         Ok(ReplicationDriver {
             core,
@@ -215,7 +215,7 @@
 
     /// Why no claim is taken up now, if none is.
     pub fn refuses(&self) -> Option<RejectReason> {
-        self.core.refuses().map(|why| match why {
+        self.core.claim_error().map(|why| match why {
             ClaimError::Full => RejectReason::IntentLogFull,
             ClaimError::NoMajority => RejectReason::NoMajority,
         })
@@ -234,9 +234,15 @@
         self.numbers += 1;
         let since = if intent.since > 0 { intent.since } else { now };
         let (number, place) = (self.numbers, place_of(intent));
-        let outputs = self
-            .core
-            .claim(now, number, &key[1..], place, since, keep, told(known));
+        let request = ClaimRequest {
+            number,
+            key: &key[1..],
+            place,
+            since,
+            retention: keep,
+            known: told(known),
+        };
+        let outputs = self.core.claim(now, request);
         self.perform(now, outputs, worker);
         number
     }
@@ -251,7 +257,13 @@
         worker: &mut Worker,
     ) {
         let (place, ran) = (intent.and_then(place_of), intent.is_some());
-        let outputs = self.core.ended(now, &key[1..], place, ran, keep);
+        let ended = EndedRun {
+            key: &key[1..],
+            place,
+            may_have_run: ran,
+            retention: keep,
+        };
+        let outputs = self.core.on_ended(now, ended);
         self.perform(now, outputs, worker);
     }
 
@@ -264,7 +276,7 @@
                     // Who catches up hears of all promises before it has all copies, and votes.
                     if matches!(
                         message,
-                        Message::Part { last: true, .. } | Message::Stands { .. }
+                        Message::StatePart { is_last: true, .. } | Message::VoterStatus { .. }
                     ) {
                         let tokens = self.leases.as_ref().and_then(LeaseDriver::tokens_message);
                         if let Some(tokens) = tokens {
@@ -274,10 +286,14 @@
                     self.hub
                         .send(to_end(peer), PeerMessage::Replication(message));
                 }
-                Output::Store { key, copy, then } => {
+                Output::Store {
+                    key,
+                    replica,
+                    after_durable: then,
+                } => {
                     let (mut batch, key) = (Batch::default(), entry::stored_key(&key));
-                    match copy {
-                        Some(copy) => batch.put(key, entry::to_bytes(&copy), 0),
+                    match replica {
+                        Some(replica) => batch.put(key, entry::to_bytes(&replica), 0),
                         None => batch.remove(key),
                     }
                     // What can't be made durable is never acknowledged.
@@ -286,13 +302,15 @@
                         self.then.push_back((ticket, then.clone()));
                     }
                 }
-                Output::OwnVote { number, seen } => {
-                    outputs.extend(self.core.own_vote(now, number, &seen));
+                Output::LocalVote { number, views } => {
+                    outputs.extend(self.core.on_local_vote(now, number, &views));
                 }
                 Output::Verdict(number, verdict) => self.verdicts.push((number, verdict)),
-                Output::Drained(drain) => self.drains.push(drain),
-                Output::Hints { lessons, age } => _ = self.hints.get_or_insert((lessons, age)),
-                Output::Votes => {
+                Output::EngineDrained(drain) => self.drains.push(drain),
+                Output::Hints { checkpoint, age } => {
+                    _ = self.hints.get_or_insert((checkpoint, age));
+                }
+                Output::BecameVoter => {
                     tracing::info!("fleet {}: caught up; this keeper votes", self.fleet);
                     self.words
                         .push(FleetEvent::VotingChanged { is_voter: true });
@@ -303,7 +321,10 @@
                         0,
                     );
                     let told = self.askers.keys().map(|link| {
-                        Output::Send(Peer::Requester(*link), Message::Stands { votes: true })
+                        Output::Send(
+                            Peer::Requester(*link),
+                            Message::VoterStatus { is_voting: true },
+                        )
                     });
                     let told: Vec<Output> = told.collect();
                     worker
@@ -340,14 +361,14 @@
             PeerEvent::Message {
                 peer,
                 message: PeerMessage::Replication(message),
-            } => self.core.hears(now, of_end(peer), message),
+            } => self.core.on_message(now, of_end(peer), message),
             PeerEvent::Connected { peer, name } => {
                 self.turned.remove(&name);
                 match peer {
                     End::Requester(link) => _ = self.askers.insert(link, name),
                     End::Voter(_) => self.does(name, PeerState::Up, 0),
                 }
-                self.core.link(now, of_end(peer), true)
+                self.core.on_link(now, of_end(peer), true)
             }
             PeerEvent::State {
                 peer,
@@ -360,12 +381,12 @@
                 match (peer, state) {
                     (End::Requester(link), PeerState::Disconnected) => {
                         self.askers.remove(&link);
-                        self.core.link(now, of_end(peer), false)
+                        self.core.on_link(now, of_end(peer), false)
                     }
                     (End::Requester(_), _) => Vec::new(),
                     (_, state) => {
                         self.core
-                            .hears_state(now, of_end(peer), state < PeerState::Silent)
+                            .on_reachability(now, of_end(peer), state < PeerState::Silent)
                     }
                 }
             }
@@ -416,11 +437,11 @@
         self.continue_durable_tokens(now, durable, worker);
         let readiness = self.voter_readiness();
         self.run_leases(|leases| leases.on_timer(now, readiness, worker));
-        if now >= self.core.due() {
-            let outputs = self.core.work(now);
+        if now >= self.core.next_deadline() {
+            let outputs = self.core.poll(now);
             self.perform(now, outputs, worker);
         }
-        let stands = self.core.majority_stands();
+        let stands = self.core.has_majority();
         if std::mem::replace(&mut self.majority, stands) != stands {
             self.words.push(FleetEvent::MajorityChanged {
                 is_reachable: stands,
@@ -442,18 +463,18 @@
 
     /// The own list says so.
     pub fn drained(&mut self, now: Micros, drains: Vec<Drain>, worker: &mut Worker) {
-        let outputs = self.core.drained(drains);
+        let outputs = self.core.on_local_drains(drains);
         self.perform(now, outputs, worker);
         // What this gateway told itself it knows.
         self.drains.clear();
     }
 
     pub fn binds(&self, engine: u32, booted_at: u64, number: u64) -> Option<Drain> {
-        self.core.binds(engine, booted_at, number)
+        self.core.overriding_drain(engine, booted_at, number)
     }
 
     pub fn learned(&mut self, now: Micros, lessons: Vec<u8>) {
-        self.core.learned(now, lessons);
+        self.core.set_hints(now, lessons);
     }
 
     /// What a peer had learned, once.
@@ -473,6 +494,9 @@
     pub fn due(&self, now: Micros) -> Micros {
         let leases = self.leases.as_ref();
         let lease_deadline = leases.map_or(Micros::MAX, |leases| leases.deadline(now));
-        self.core.due().min(self.status_at).min(lease_deadline)
+        self.core
+            .next_deadline()
+            .min(self.status_at)
+            .min(lease_deadline)
     }
 }
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -1,88 +1,125 @@
 //! Graceful shutdown: every order of signal, time, ends of requests and of connections.
 
-use eideryard_gateway::shutdown::{Left, Phase, Shutdown, Step};
+use eideryard_gateway::shutdown::{Phase, Remaining, Shutdown, ShutdownStep};
 
 const START: u64 = 50_000_000;
 
-/// Asks until nothing is left to do, as a host does.
-fn look(shutdown: &mut Shutdown, now: u64, left: Left) -> Vec<Step> {
-    std::iter::from_fn(|| shutdown.next(now, left)).collect()
+/// Asks until there is no further step, as the main loop does.
+fn next_steps(shutdown: &mut Shutdown, now: u64, remaining: Remaining) -> Vec<ShutdownStep> {
+    std::iter::from_fn(|| shutdown.next_step(now, remaining)).collect()
 }
 
-/// What can happen, in any order: the signal, again, time that passes, and what is left comes and
-/// goes.
+/// What can happen, in any order: the signal, a second one, time that passes, and requests and
+/// connections that end or begin.
 #[derive(Clone, Copy)]
-enum Happens {
+enum Happening {
     Signal,
     Pass(u64),
-    Left(usize, usize),
+    Remain(usize, usize),
+}
+
+const HAPPENINGS: [Happening; 7] = [
+    Happening::Signal,
+    Happening::Signal,
+    Happening::Pass(300_000),
+    Happening::Pass(500_000),
+    Happening::Remain(0, 0),
+    Happening::Remain(0, 2),
+    Happening::Remain(1, 1),
+];
+
+/// A gateway that shuts down, with the steps that it has taken.
+struct Run {
+    shutdown: Shutdown,
+    longest_wait: u64,
+    now: u64,
+    remaining: Remaining,
+    signalled_at: Option<u64>,
+    steps: Vec<ShutdownStep>,
+}
+
+impl Run {
+    fn new(longest_wait: u64) -> Self {
+        Run {
+            shutdown: Shutdown::default(),
+            longest_wait,
+            now: START,
+            remaining: Remaining::default(),
+            signalled_at: None,
+            steps: Vec::new(),
+        }
+    }
+
+    fn apply(&mut self, happening: Happening) {
+        match happening {
+            Happening::Signal => {
+                assert_eq!(
+                    self.shutdown.begin(self.now, self.longest_wait),
+                    self.signalled_at.is_none(),
+                    "a second signal changes nothing"
+                );
+                self.signalled_at.get_or_insert(self.now);
+            }
+            Happening::Pass(time) => self.now += time,
+            Happening::Remain(requests, connections) => {
+                self.remaining = Remaining {
+                    requests,
+                    connections,
+                }
+            }
+        }
+        let new_steps = next_steps(&mut self.shutdown, self.now, self.remaining);
+        assert!(
+            self.signalled_at.is_some() || new_steps.is_empty(),
+            "nothing happens before the signal"
+        );
+        let is_last_phase = self.now >= self.shutdown.phase_starts()[2];
+        let may_exit = self.remaining == Remaining::default() || is_last_phase;
+        assert!(
+            !new_steps.contains(&ShutdownStep::Exit) || may_exit,
+            "left early with {:?} of {}",
+            self.remaining,
+            self.longest_wait
+        );
+        self.steps.extend(new_steps);
+    }
+
+    /// Whatever remains for good, the end comes before the process may be killed.
+    fn check_end(&mut self) {
+        let killed_at = self.signalled_at.unwrap() + 700_000 + self.longest_wait.min(3_000_000);
+        for phase_start in self.shutdown.phase_starts() {
+            assert!(phase_start < killed_at);
+            self.now = self.now.max(phase_start);
+            let new_steps = next_steps(&mut self.shutdown, self.now, self.remaining);
+            self.steps.extend(new_steps);
+        }
+        assert_eq!(self.shutdown.phase(), Phase::Finished);
+        let all_steps = [
+            ShutdownStep::CloseIdle,
+            ShutdownStep::AnswerOpen,
+            ShutdownStep::Exit,
+        ];
+        let without_open_requests = [ShutdownStep::CloseIdle, ShutdownStep::Exit];
+        assert!(
+            self.steps == all_steps || self.steps == without_open_requests,
+            "{:?}",
+            self.steps
+        );
+    }
 }
 
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, told from its beginning to its end"
-)]
 fn every_order_of_events_takes_the_steps_in_order_once_and_ends_in_bounded_time() {
-    let all = [
-        Happens::Signal,
-        Happens::Signal,
-        Happens::Pass(300_000),
-        Happens::Pass(500_000),
-        Happens::Left(0, 0),
-        Happens::Left(0, 2),
-        Happens::Left(1, 1),
-    ];
     let mut orders = 0;
-    let mut indices: Vec<usize> = (0..all.len()).collect();
+    let mut indices: Vec<usize> = (0..HAPPENINGS.len()).collect();
     permutations(&mut indices, 0, &mut |order| {
-        for wait in [100_000, 900_000, 20_000_000] {
+        for longest_wait in [100_000, 900_000, 20_000_000] {
             orders += 1;
-            let (mut shutdown, mut now, mut left) = (Shutdown::default(), START, Left::default());
-            let (mut steps, mut signalled) = (Vec::new(), None);
-            for &what in order {
-                match all[what] {
-                    Happens::Signal => {
-                        assert_eq!(
-                            shutdown.begin(now, wait),
-                            signalled.is_none(),
-                            "a second one is none"
-                        );
-                        signalled.get_or_insert(now);
-                    }
-                    Happens::Pass(time) => now += time,
-                    Happens::Left(requests, connections) => {
-                        left = Left {
-                            requests,
-                            connections,
-                        }
-                    }
-                }
-                let taken = look(&mut shutdown, now, left);
-                assert!(
-                    signalled.is_some() || taken.is_empty(),
-                    "nothing happens before the signal"
-                );
-                let may_leave = left == Left::default() || now >= shutdown.due()[2];
-                assert!(
-                    !taken.contains(&Step::Leave) || may_leave,
-                    "left early with {left:?} of {wait}"
-                );
-                steps.extend(taken);
-            }
-            // Whatever is left for good, the end comes before the process may be killed.
-            let killed_at = signalled.unwrap() + 700_000 + wait.min(3_000_000);
-            for bound in shutdown.due() {
-                assert!(bound < killed_at);
-                now = now.max(bound);
-                steps.extend(look(&mut shutdown, now, left));
+            let mut run = Run::new(longest_wait);
+            for &index in order {
+                run.apply(HAPPENINGS[index]);
             }
-            assert_eq!(shutdown.phase(), Phase::Over);
-            let whole = [Step::Close, Step::End, Step::Leave];
-            assert!(
-                steps == whole || steps == [Step::Close, Step::Leave],
-                "{steps:?}"
-            );
+            run.check_end();
         }
     });
     assert_eq!(orders, 3 * 5040);
@@ -102,27 +139,39 @@
 /// Requests come until 0.6 s after the signal: nothing closes before that, unless the kill comes
 /// sooner.
 #[test]
-fn closing_waits_for_the_last_clients_and_is_over_once_nothing_is_left() {
+fn closing_waits_for_the_last_clients_and_finishes_once_nothing_remains() {
     let mut shutdown = Shutdown::default();
     assert!(shutdown.begin(START, 2_000_000));
-    assert_eq!(look(&mut shutdown, START + 650_000, Left::default()), []);
-    let rests = Left {
+    assert_eq!(
+        next_steps(&mut shutdown, START + 650_000, Remaining::default()),
+        []
+    );
+    let idle_connection = Remaining {
         requests: 0,
         connections: 1,
     };
-    assert_eq!(look(&mut shutdown, START + 700_000, rests), [Step::Close]);
-    assert_eq!(look(&mut shutdown, START + 710_000, rests), []);
     assert_eq!(
-        look(&mut shutdown, START + 720_000, Left::default()),
-        [Step::Leave]
+        next_steps(&mut shutdown, START + 700_000, idle_connection),
+        [ShutdownStep::CloseIdle]
+    );
+    assert_eq!(
+        next_steps(&mut shutdown, START + 710_000, idle_connection),
+        []
+    );
+    assert_eq!(
+        next_steps(&mut shutdown, START + 720_000, Remaining::default()),
+        [ShutdownStep::Exit]
     );
     // A wait so short that the kill comes at once after the last clients still leaves time to
     // close.
     let mut shutdown = Shutdown::default();
     shutdown.begin(START, 100_000);
     assert_eq!(
-        look(&mut shutdown, START + 600_000, rests),
-        [Step::Close, Step::End]
+        next_steps(&mut shutdown, START + 600_000, idle_connection),
+        [ShutdownStep::CloseIdle, ShutdownStep::AnswerOpen]
+    );
+    assert_eq!(
+        next_steps(&mut shutdown, START + 700_000, idle_connection),
+        [ShutdownStep::Exit]
     );
-    assert_eq!(look(&mut shutdown, START + 700_000, rests), [Step::Leave]);
 }
