--- a/crates/cli/benches/day.rs
+++ b/crates/cli/benches/day.rs
@@ -4,7 +4,7 @@
 #[path = "../../event-log/tests/common/mod.rs"]
 mod common;
 
-use common::{plan, served, state};
+use common::{config, served_request_entries, start_segment_if_needed};
 use eideryard_event_log::disk::Directory;
 use eideryard_event_log::Recorder;
 use std::process::{Command, Stdio};
@@ -45,16 +45,16 @@
     }
     let directory = tempfile::tempdir().expect("a directory");
     let records = directory.path().join("records");
-    let plan = eideryard_event_log::Config {
+    let config = eideryard_event_log::Config {
         max_total_bytes: 1 << 30,
-        ..plan("g1", 8 << 20)
+        ..config("g1", 8 << 20)
     };
     let mut recorder =
-        Recorder::start(plan, Box::new(Directory(records.clone()))).expect("a thread");
+        Recorder::start(config, Box::new(Directory(records.clone()))).expect("a thread");
     let (mut written, mut number) = (0, 100);
     while written < ENTRIES {
-        for (at, entry) in served(number) {
-            state(&mut recorder, at);
+        for (at, entry) in served_request_entries(number) {
+            start_segment_if_needed(&mut recorder, at);
             recorder.record(at, entry.as_ref());
             written += 1;
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -37,9 +37,9 @@
             FleetCommand::Owners { directories } => fleet::owners(&directories),
             FleetCommand::Copies { directories } => fleet::copies(&directories),
         },
-        Command::Console { directories, at } => {
-            view::moment(&directories, at).and_then(|at| eideryard_console::run(&directories, at))
-        }
+        Command::Console { directories, at } => view::moment(&directories, at).and_then(|at| {
+            eideryard_console::run(&directories, at).map_err(|error| error.to_string())
+        }),
         Command::Report {
             directories,
             out,
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,12 +1,24 @@
-//! A terminal console over records: the fleet now, or at any time that they hold.
+//! A terminal console over event logs: the fleet now, or at any time that the logs hold.
 //!
-//! [`model`] is what is shown and how keys change it, without a terminal; [`draw`] puts a model on
-//! a screen of 80 by 24 or more; [`run`] joins both to a terminal and to the records.
-
-#![expect(missing_docs, reason = "public items are still to be described")]
+//! [`model`] owns what is shown and how keys change it, without a terminal. [`draw`] draws a model on
+//! a screen of at least 80 by 24 characters. [`run()`] connects both with a terminal and with the
+//! logs; the command line calls it.
+//!
+//! # Example
+//!
+//! ```
+//! use eideryard_console::model::{Command, Key, Model, Page};
+//! use eideryard_event_analysis::View;
+//!
+//! let view = View::new();
+//! let mut model = Model::new();
+//! assert_eq!(model.on_key(Key::NextPage, &view), Command::Nothing);
+//! assert_eq!(model.page, Page::Classes);
+//! assert_eq!(model.on_key(Key::Quit, &view), Command::Quit);
+//! ```
 
 pub mod draw;
 pub mod model;
 mod run;
 
-pub use run::run;
+pub use run::{run, ConsoleError};
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -1,4 +1,4 @@
-//! Joins a model to a terminal and to records.
+//! Connects a model with a terminal and with event logs.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,148 +7,175 @@
 use crossterm::event::{self, Event, KeyCode, KeyEventKind, KeyModifiers};
 use eideryard::interface::Micros;
 use eideryard_event_analysis::View;
-use eideryard_event_log::MergedReader;
+use eideryard_event_log::reader::ReadError;
+use eideryard_event_log::{MergedReader, ReadEntry};
 
-use crate::draw::{draw, Look};
-use crate::model::{Key, Model, Wish};
+use crate::draw::{draw, DisplayOptions};
+use crate::model::{Command, Key, Model};
 
-/// Between two looks at keys and records.
-const TICK: Duration = Duration::from_millis(100);
-/// Entries that are folded at once, so that keys are heard while a long record is read.
-const MAX_AT_ONCE: usize = 200_000;
+/// How often keys and logs are read.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Entries that are added before keys are read again.
+const MAX_ENTRIES_PER_POLL: usize = 200_000;
+/// How much before the time that is shown the logs are read, for the state and the baselines.
+const READ_BEFORE: Micros = 600_000_000;
 
-/// The records, folded up to a time.
-struct Records {
+/// Why the console ended.
+#[derive(Debug, thiserror::Error)]
+pub enum ConsoleError {
+    /// A log can't be read.
+    #[error(transparent)]
+    Log(#[from] ReadError),
+    /// There is no terminal.
+    #[error("no terminal: {0}")]
+    NoTerminal(io::Error),
+    /// The terminal failed.
+    #[error(transparent)]
+    Terminal(#[from] io::Error),
+}
+
+/// Event logs, read up to a time.
+struct LogPlayer {
     directories: Vec<PathBuf>,
-    merged: MergedReader,
+    reader: MergedReader,
     view: View,
-    /// What was read beyond the time that is shown.
-    ahead: Option<eideryard_event_log::ReadEntry>,
+    /// An entry that was read but is later than the time that is shown.
+    pending: Option<ReadEntry>,
 }
 
-impl Records {
-    fn open(directories: &[PathBuf], from: Option<Micros>) -> Result<Self, String> {
-        let merged = match from {
-            // Some past before it makes what is usual known.
-            Some(from) => MergedReader::follow_from(directories, from),
-            None => MergedReader::follow(directories),
+impl LogPlayer {
+    fn open(directories: &[PathBuf], from: Option<Micros>) -> Result<Self, ReadError> {
+        let reader = match from {
+            Some(from) => MergedReader::follow_from(directories, from)?,
+            None => MergedReader::follow(directories)?,
         };
-        let merged = merged.map_err(|e| e.to_string())?;
-        Ok(Records {
+        Ok(LogPlayer {
             directories: directories.to_vec(),
-            merged,
+            reader,
             view: View::new(),
-            ahead: None,
+            pending: None,
         })
     }
 
-    /// Folds on, up to a time. True: there may be more at once.
-    fn fold(&mut self, to: Micros) -> Result<bool, String> {
-        for _ in 0..MAX_AT_ONCE {
-            let told = match self.ahead.take() {
-                Some(told) => Some(told),
-                None => self.merged.next_entry().map_err(|e| e.to_string())?,
+    /// Reads up to a time. Returns whether there may be more to read at once.
+    fn play_until(&mut self, until: Micros) -> Result<bool, ReadError> {
+        for _ in 0..MAX_ENTRIES_PER_POLL {
+            let next = match self.pending.take() {
+                Some(entry) => Some(entry),
+                None => self.reader.next_entry()?,
             };
-            let Some(told) = told else { return Ok(false) };
-            if told.at > to {
-                self.ahead = Some(told);
+            let Some(entry) = next else { return Ok(false) };
+            if entry.at > until {
+                self.pending = Some(entry);
                 return Ok(false);
             }
+            let sources = self.reader.sources();
             self.view
-                .add(self.merged.sources(), told.source, told.at, &told.content);
+                .add(sources, entry.source, entry.at, &entry.content);
         }
         Ok(true)
     }
 
-    /// Back to a time before what is shown: from the beginning, or from a segment's state where
-    /// that is far.
-    fn rewind(&mut self, to: Micros) -> Result<(), String> {
-        *self = Records::open(&self.directories, Some(to.saturating_sub(PAST)))?;
+    /// Goes back to a time before the one that is shown: reads the logs again from a while before
+    /// it.
+    fn rewind(&mut self, time: Micros) -> Result<(), ReadError> {
+        *self = LogPlayer::open(&self.directories, Some(time.saturating_sub(READ_BEFORE)))?;
         Ok(())
     }
 }
 
-/// How much of the past before a time is folded for it.
-const PAST: Micros = 600_000_000;
-
-fn key(code: KeyCode, modifiers: KeyModifiers) -> Option<Key> {
-    Some(match code {
-        KeyCode::Char('c') if modifiers.contains(KeyModifiers::CONTROL) => Key::Quit,
-        KeyCode::Char('q') => Key::Quit,
-        KeyCode::Tab => Key::Next,
-        KeyCode::BackTab => Key::Previous,
-        KeyCode::Up | KeyCode::Char('k') => Key::Up,
-        KeyCode::Down | KeyCode::Char('j') => Key::Down,
-        KeyCode::Enter => Key::Open,
-        KeyCode::Esc | KeyCode::Backspace => Key::Back,
-        KeyCode::Char('s') => Key::Sort,
-        KeyCode::Char(' ') => Key::Pause,
-        KeyCode::Left | KeyCode::Char('h') => Key::StepBack,
-        KeyCode::Right => Key::StepOn,
-        KeyCode::PageUp => Key::LeapBack,
-        KeyCode::PageDown => Key::LeapOn,
-        KeyCode::Char('l') | KeyCode::End => Key::Live,
-        KeyCode::Char('g') => Key::Jump,
-        _ => return None,
-    })
-}
-
-/// Shows records until it is ended.
-pub fn run(directories: &[PathBuf], at: Option<Micros>) -> Result<(), String> {
-    let mut records = Records::open(directories, at.map(|at| at.saturating_sub(PAST)))?;
-    let look = Look {
-        colours: std::env::var_os("NO_COLOR").is_none(),
-        blocks: ["LC_ALL", "LC_CTYPE", "LANG"]
-            .iter()
-            .find_map(|name| std::env::var(name).ok().filter(|value| !value.is_empty()))
-            .is_some_and(|value| value.to_lowercase().contains("utf")),
-    };
-    let mut terminal = ratatui::try_init().map_err(|e| format!("no terminal: {e}"))?;
+/// Shows event logs until the user quits: live, or from the time `at` on.
+///
+/// # Errors
+/// If there is no terminal, it fails, or a log can't be read.
+pub fn run(directories: &[PathBuf], at: Option<Micros>) -> Result<(), ConsoleError> {
+    let from = at.map(|at| at.saturating_sub(READ_BEFORE));
+    let mut player = LogPlayer::open(directories, from)?;
+    let options = display_options();
+    let mut terminal = ratatui::try_init().map_err(ConsoleError::NoTerminal)?;
     let mut model = Model::new();
     model.paused_at = at;
-    let done = show(&mut terminal, &mut records, &mut model, look);
+    let result = show(&mut terminal, &mut player, &mut model, options);
     ratatui::restore();
-    done
+    result
+}
+
+/// What the environment says of the terminal.
+fn display_options() -> DisplayOptions {
+    let locale = ["LC_ALL", "LC_CTYPE", "LANG"]
+        .iter()
+        .filter_map(|name| std::env::var(name).ok())
+        .find(|value| !value.is_empty());
+    DisplayOptions {
+        has_colours: std::env::var_os("NO_COLOR").is_none(),
+        has_blocks: locale.is_some_and(|value| value.to_lowercase().contains("utf")),
+    }
 }
 
 fn show(
     terminal: &mut ratatui::DefaultTerminal,
-    records: &mut Records,
+    player: &mut LogPlayer,
     model: &mut Model,
-    look: Look,
-) -> Result<(), String> {
-    let failed = |e: io::Error| e.to_string();
+    options: DisplayOptions,
+) -> Result<(), ConsoleError> {
     loop {
-        let began = Instant::now();
-        let more = records.fold(model.paused_at.unwrap_or(Micros::MAX))?;
-        let clock = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default();
-        model.silent_for = (clock.as_micros() as Micros).saturating_sub(records.view.fleet.now);
-        terminal
-            .draw(|frame| draw(frame, model, &records.view, look))
-            .map_err(failed)?;
-        let patience = if more {
+        let started_at = Instant::now();
+        let has_more = player.play_until(model.paused_at.unwrap_or(Micros::MAX))?;
+        model.silent_for = wall_clock().saturating_sub(player.view.fleet.now);
+        terminal.draw(|frame| draw(frame, model, &player.view, options))?;
+        let timeout = if has_more {
             Duration::ZERO
         } else {
-            TICK.saturating_sub(began.elapsed())
-        };
-        if !event::poll(patience).map_err(failed)? {
-            continue;
-        }
-        let Event::Key(pressed) = event::read().map_err(failed)? else {
-            continue;
+            POLL_INTERVAL.saturating_sub(started_at.elapsed())
         };
-        if pressed.kind == KeyEventKind::Release {
-            continue;
-        }
-        let Some(key) = key(pressed.code, pressed.modifiers) else {
+        let Some(key) = read_key(timeout)? else {
             continue;
         };
-        match model.key(key, &records.view) {
-            Wish::Quit => return Ok(()),
-            Wish::Go(at) if at < records.view.fleet.now => records.rewind(at)?,
-            Wish::Go(_) | Wish::Follow | Wish::Nothing => {}
+        match model.on_key(key, &player.view) {
+            Command::Quit => return Ok(()),
+            Command::ShowTime(time) if time < player.view.fleet.now => player.rewind(time)?,
+            Command::ShowTime(_) | Command::FollowLogs | Command::Nothing => {}
         }
     }
 }
+
+fn wall_clock() -> Micros {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.unwrap_or_default().as_micros() as Micros
+}
+
+/// The next key that has a meaning, if one is pressed before the timeout.
+fn read_key(timeout: Duration) -> io::Result<Option<Key>> {
+    if !event::poll(timeout)? {
+        return Ok(None);
+    }
+    let Event::Key(pressed) = event::read()? else {
+        return Ok(None);
+    };
+    if pressed.kind == KeyEventKind::Release {
+        return Ok(None);
+    }
+    Ok(key_of(pressed.code, pressed.modifiers))
+}
+
+fn key_of(code: KeyCode, modifiers: KeyModifiers) -> Option<Key> {
+    Some(match code {
+        KeyCode::Char('c') if modifiers.contains(KeyModifiers::CONTROL) => Key::Quit,
+        KeyCode::Char('q') => Key::Quit,
+        KeyCode::Tab => Key::NextPage,
+        KeyCode::BackTab => Key::PreviousPage,
+        KeyCode::Up | KeyCode::Char('k') => Key::Up,
+        KeyCode::Down | KeyCode::Char('j') => Key::Down,
+        KeyCode::Enter => Key::Open,
+        KeyCode::Esc | KeyCode::Backspace => Key::Back,
+        KeyCode::Char('s') => Key::Sort,
+        KeyCode::Char(' ') => Key::Pause,
+        KeyCode::Left | KeyCode::Char('h') => Key::StepBack,
+        KeyCode::Right => Key::StepForward,
+        KeyCode::PageUp => Key::LeapBack,
+        KeyCode::PageDown => Key::LeapForward,
+        KeyCode::Char('l') | KeyCode::End => Key::Live,
+        KeyCode::Char('g') => Key::JumpToPeak,
+        _ => return None,
+    })
+}
--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -1,21 +1,21 @@
-//! Screens of the console on a terminal that is none, held against stored ones. `UPDATE_SCREENS=1`
-//! stores them anew.
+//! Screens of the console on a test terminal, compared with stored ones. `UPDATE_SCREENS=1` stores
+//! them again.
 
 #[path = "../../event-analysis/tests/common/mod.rs"]
 mod common;
 
 use common::*;
 use eideryard::interface::Phase;
-use eideryard_console::draw::{draw, Look};
-use eideryard_console::model::{Key, Model, Page, Wish};
+use eideryard_console::draw::{draw, DisplayOptions};
+use eideryard_console::model::{Command, Key, Model, Page};
 use eideryard_event_analysis::View;
 use eideryard_event_log::{AnswerKind, HostEvent};
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
 
-const LOOK: Look = Look {
-    colours: false,
-    blocks: true,
+const OPTIONS: DisplayOptions = DisplayOptions {
+    has_colours: false,
+    has_blocks: true,
 };
 
 fn view() -> View {
@@ -56,10 +56,15 @@
     view
 }
 
-fn screen(model: &Model, view: &View, (width, height): (u16, u16), look: Look) -> String {
+fn render(
+    model: &Model,
+    view: &View,
+    (width, height): (u16, u16),
+    options: DisplayOptions,
+) -> String {
     let mut terminal = Terminal::new(TestBackend::new(width, height)).unwrap();
     terminal
-        .draw(|frame| draw(frame, model, view, look))
+        .draw(|frame| draw(frame, model, view, options))
         .unwrap();
     let buffer = terminal.backend().buffer().clone();
     let line = |y| {
@@ -72,7 +77,7 @@
     (0..height).map(line).collect::<Vec<_>>().join("\n") + "\n"
 }
 
-fn held(name: &str, screen: &str) {
+fn assert_screen(name: &str, screen: &str) {
     let path = format!("{}/tests/screens/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     if std::env::var_os("UPDATE_SCREENS").is_some() {
         std::fs::write(&path, screen).unwrap();
@@ -85,34 +90,34 @@
 }
 
 #[test]
-fn the_pages_are_as_stored() {
+fn pages_equal_the_stored_screens() {
     let view = view();
     let mut model = Model::new();
     for name in ["engines", "classes", "tenants", "episodes", "requests"] {
-        held(name, &screen(&model, &view, (80, 24), LOOK));
-        model.key(Key::Next, &view);
+        assert_screen(name, &render(&model, &view, (80, 24), OPTIONS));
+        model.on_key(Key::NextPage, &view);
     }
     assert_eq!(model.page, Page::Engines, "round they go");
-    held("engines-wide", &screen(&model, &view, (132, 24), LOOK));
-    held(
+    assert_screen("engines-wide", &render(&model, &view, (132, 24), OPTIONS));
+    assert_screen(
         "engines-plain",
-        &screen(
+        &render(
             &model,
             &view,
             (80, 24),
-            Look {
-                colours: false,
-                blocks: false,
+            DisplayOptions {
+                has_colours: false,
+                has_blocks: false,
             },
         ),
     );
-    model.key(Key::Open, &view);
-    held("engine", &screen(&model, &view, (80, 24), LOOK));
-    model.key(Key::Back, &view);
-    model.key(Key::Previous, &view);
-    model.key(Key::Open, &view);
-    held("request", &screen(&model, &view, (80, 24), LOOK));
-    held("small", &screen(&model, &view, (40, 10), LOOK));
+    model.on_key(Key::Open, &view);
+    assert_screen("engine", &render(&model, &view, (80, 24), OPTIONS));
+    model.on_key(Key::Back, &view);
+    model.on_key(Key::PreviousPage, &view);
+    model.on_key(Key::Open, &view);
+    assert_screen("request", &render(&model, &view, (80, 24), OPTIONS));
+    assert_screen("small", &render(&model, &view, (40, 10), OPTIONS));
 }
 
 #[test]
@@ -120,37 +125,41 @@
     let view = view();
     let mut model = Model::new();
     assert_eq!(
-        model.key(Key::StepBack, &view),
-        Wish::Go(view.fleet.now - 1_000_000)
+        model.on_key(Key::StepBack, &view),
+        Command::ShowTime(view.fleet.now - 1_000_000)
     );
     assert_eq!(
-        model.key(Key::LeapBack, &view),
-        Wish::Go(view.fleet.now - 11_000_000)
+        model.on_key(Key::LeapBack, &view),
+        Command::ShowTime(view.fleet.now - 11_000_000)
     );
     assert_eq!(
-        model.key(Key::StepOn, &view),
-        Wish::Go(view.fleet.now - 10_000_000)
+        model.on_key(Key::StepForward, &view),
+        Command::ShowTime(view.fleet.now - 10_000_000)
     );
-    assert_eq!(model.key(Key::Live, &view), Wish::Follow);
+    assert_eq!(model.on_key(Key::Live, &view), Command::FollowLogs);
     assert_eq!(
-        (model.key(Key::Pause, &view), model.paused_at),
-        (Wish::Nothing, Some(view.fleet.now))
+        (model.on_key(Key::Pause, &view), model.paused_at),
+        (Command::Nothing, Some(view.fleet.now))
     );
     assert_eq!(
-        (model.key(Key::Pause, &view), model.paused_at),
-        (Wish::Follow, None)
+        (model.on_key(Key::Pause, &view), model.paused_at),
+        (Command::FollowLogs, None)
     );
     model.page = Page::Episodes;
     let episodes = view.detector.episodes().len();
-    (0..100).for_each(|_| _ = model.key(Key::Down, &view));
+    for _ in 0..100 {
+        model.on_key(Key::Down, &view);
+    }
     assert_eq!(model.cursor, episodes - 1);
-    (0..100).for_each(|_| _ = model.key(Key::Up, &view));
+    for _ in 0..100 {
+        model.on_key(Key::Up, &view);
+    }
     let first = &view.detector.episodes()[0];
     assert_eq!(
-        model.key(Key::Open, &view),
-        Wish::Go(first.peak_at.max(first.started_at) + 1_000_000)
+        model.on_key(Key::Open, &view),
+        Command::ShowTime(first.peak_at.max(first.started_at) + 1_000_000)
     );
-    // Nothing to open and no way back are no trouble.
+    // Without rows and without a page before, keys do nothing.
     let empty = View::new();
     for page in [Page::Engines, Page::Episodes, Page::Requests] {
         let mut model = Model::new();
@@ -161,17 +170,17 @@
             Key::Down,
             Key::Up,
             Key::Sort,
-            Key::Jump,
+            Key::JumpToPeak,
         ] {
-            assert_eq!(model.key(key, &empty), Wish::Nothing);
+            assert_eq!(model.on_key(key, &empty), Command::Nothing);
         }
-        screen(&model, &empty, (80, 24), LOOK);
+        render(&model, &empty, (80, 24), OPTIONS);
     }
-    assert_eq!(model.key(Key::Quit, &view), Wish::Quit);
+    assert_eq!(model.on_key(Key::Quit, &view), Command::Quit);
 }
 
 #[test]
-fn engines_are_sorted_as_asked() {
+fn engines_are_sorted_by_the_chosen_column() {
     let view = view();
     let mut model = Model::new();
     let order = |model: &Model| {
@@ -182,9 +191,11 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(order(&model), ["e-1", "e-2", "e-3", "e-4"]);
-    model.key(Key::Sort, &view);
+    model.on_key(Key::Sort, &view);
     assert_eq!(order(&model)[0], "e-3", "what is out is there");
-    (0..3).for_each(|_| _ = model.key(Key::Sort, &view));
+    for _ in 0..3 {
+        model.on_key(Key::Sort, &view);
+    }
     assert_eq!(
         order(&model)[..2],
         ["e-3", "e-4"],
