--- a/crates/cli/src/view.rs
+++ b/crates/cli/src/view.rs
@@ -49,7 +49,7 @@
             is_cut = true;
             break;
         }
-        view.take(reader.sources(), entry.source, entry.at, &entry.content);
+        view.add(reader.sources(), entry.source, entry.at, &entry.content);
     }
     view.finish(is_cut);
     Ok(view)
