--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -63,12 +63,12 @@
     let Intent {
         since,
         place: Place { zone, cell },
-        out,
-        ran,
+        in_flight,
+        may_have_run,
         until,
     } = intent;
     format!(
-        "Intent {{ since: {since}, place: Place {{ zone: {zone}, cell: {cell} }}, out: {out}, ran: {ran}, \
+        "Intent {{ since: {since}, place: Place {{ zone: {zone}, cell: {cell} }}, out: {in_flight}, ran: {may_have_run}, \
          until: {until} }}"
     )
 }
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -35,12 +35,12 @@
     owner: 0xbeef,
 };
 
-fn intent(since: u64, out: u32, ran: bool) -> Intent {
+fn intent(since: u64, in_flight: u32, may_have_run: bool) -> Intent {
     Intent {
         since,
         place: PLACE,
-        out,
-        ran,
+        in_flight,
+        may_have_run,
         until: AT + 17_000_000,
     }
 }
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -9,7 +9,7 @@
     Class, EngineId, LearnedState, LoadReport, Micros, PriorAttempt, Settings,
 };
 use eideryard_event_log::{FleetEvent, RejectReason};
-use eideryard_intent_log::waiting::{in_time, Late, Waits};
+use eideryard_intent_log::waiting::{is_within_window, PendingSends, TimeoutReason};
 use eideryard_intent_log::{
     entry, state, Intent, IntentError, IntentLog, Limits, Place, UncertainWindow,
 };
@@ -102,7 +102,7 @@
     ledger: IntentLog,
     /// Nothing where the store can't be used: keyed requests are refused then.
     worker: Option<Worker>,
-    waiting: Waits<Waiting>,
+    waiting: PendingSends<Waiting>,
     sharing: Option<Box<ReplicationDriver>>,
     status: Option<Status>,
     windows: Vec<Micros>,
@@ -227,7 +227,7 @@
                     .collect();
                 let life = told.life_ms * 1000;
                 let ledger = IntentLog::restore(limits, classes, kept.into_iter(), life, now);
-                tell(&told, now, ledger.doubt());
+                tell(&told, now, ledger.uncertain_window());
                 let found = store
                     .get(checkpoint::KEY)
                     .map(|told| checkpoint::from_bytes(&told.bytes, now, settings_print));
@@ -353,12 +353,18 @@
         let failing = self.worker.as_ref().is_none_or(Worker::is_failing) || held_up;
         // What this store may have forgotten the keepers know.
         let marked = marked && self.sharing.is_none();
-        let told = self.ledger.arrives(now, class, key, marked, failing);
+        let request = state::IncomingRequest {
+            class,
+            key,
+            is_retry: marked,
+            is_store_failing: failing,
+        };
+        let told = self.ledger.on_request(now, request);
         let told = told.map_err(|why| match why {
             IntentError::Full => RejectReason::LedgerFull,
             IntentError::Stalled => RejectReason::StoreStalled,
         });
-        let kept = key.is_some() && self.ledger.keeps(class);
+        let kept = key.is_some() && self.ledger.is_tracked_class(class);
         let apart = self
             .sharing
             .as_ref()
@@ -404,7 +410,13 @@
         known: &[PriorAttempt],
     ) -> Sending {
         let place = self.places.get(&engine).copied().unwrap_or_default();
-        let wish = match self.ledger.sends(now, class, key, place, known) {
+        let attempt = state::NextAttempt {
+            class,
+            key,
+            place,
+            known,
+        };
+        let wish = match self.ledger.on_send(now, attempt) {
             eideryard_intent_log::SendDecision::Immediate => return Sending::Now,
             eideryard_intent_log::SendDecision::PriorAttemptFound(ran) => {
                 return Sending::Untold(ran)
@@ -439,13 +451,13 @@
 
     /// Whether a send that waited is still within the window of what may have run before it.
     pub fn is_within_window(&self, now: Micros, class: usize, known: &[PriorAttempt]) -> bool {
-        in_time(now, self.windows.get(class).copied().unwrap_or(0), known)
+        is_within_window(now, self.windows.get(class).copied().unwrap_or(0), known)
     }
 
     pub fn add_pending_send(&mut self, now: Micros, waiting: Waiting) {
         self.counted.waited += 1;
         self.waiting
-            .put(now, waiting.ticket, waiting.claim, waiting);
+            .push(now, waiting.ticket, waiting.claim, waiting);
     }
 
     /// An attempt has its end; the store hears of it by and by.
@@ -456,12 +468,21 @@
         key: Option<&str>,
         never_ran: bool,
     ) {
-        let Some(wish) = self.ledger.ended(now, class, key, never_ran) else {
+        let attempt = state::EndedAttempt {
+            class,
+            key,
+            never_ran,
+        };
+        let Some(wish) = self.ledger.on_attempt_ended(now, attempt) else {
             return;
         };
         // What the store doesn't hear of is only remembered for longer.
         self.write(wish.key.clone(), wish.intent.as_ref());
-        if wish.intent.as_ref().is_some_and(|intent| intent.out > 0) {
+        if wish
+            .intent
+            .as_ref()
+            .is_some_and(|intent| intent.in_flight > 0)
+        {
             return;
         }
         if let (Some(sharing), Some(worker)) = (&mut self.sharing, &mut self.worker) {
@@ -483,28 +504,28 @@
         };
         for (claim, verdict) in verdicts {
             match verdict {
-                Verdict::Granted => self.waiting.granted(claim),
+                Verdict::Granted => self.waiting.on_claim_granted(claim),
                 Verdict::PriorRunsFound(told) => {
-                    let waited = self.waiting.take(claim);
+                    let waited = self.waiting.take_by_claim(claim);
                     ready
                         .earlier
                         .extend(waited.map(|waited| (waited, replication::earlier(&told))));
                 }
                 Verdict::NoMajority(_) => {
-                    let waited = self.waiting.take(claim);
+                    let waited = self.waiting.take_by_claim(claim);
                     ready
                         .late
                         .extend(waited.map(|waited| (waited, RejectReason::NoMajority)));
                 }
             }
         }
-        let waited = self.waiting.work(now, self.durable());
-        ready.go = waited.go;
+        let waited = self.waiting.poll(now, self.durable());
+        ready.go = waited.ready;
         ready
             .late
-            .extend(waited.late.into_iter().map(|(waited, why)| match why {
-                Late::Disk => (waited, RejectReason::StoreStalled),
-                Late::Word => (waited, RejectReason::NoMajority),
+            .extend(waited.timed_out.into_iter().map(|(waited, why)| match why {
+                TimeoutReason::Store => (waited, RejectReason::StoreStalled),
+                TimeoutReason::Claim => (waited, RejectReason::NoMajority),
             }));
         ready
             .late
@@ -634,9 +655,9 @@
     pub fn deadline(&self, now: Micros) -> Option<Micros> {
         let shared = self.sharing.as_ref().map(|sharing| sharing.due(now));
         self.ledger
-            .due()
+            .next_deadline()
             .into_iter()
-            .chain(self.waiting.due())
+            .chain(self.waiting.next_deadline())
             .chain(shared)
             .min()
     }
--- a/crates/intent-log/src/waiting.rs
+++ b/crates/intent-log/src/waiting.rs
@@ -1,5 +1,6 @@
-//! Sends that wait: until their intent is durable, and for the word of others where there are any.
-//! Decides which go, which have waited for too long, and when no more may wait.
+//! Sends that wait for their intent to be durable, and for a claim to be granted where the gateway
+//! shares its intents with others. Decides which are ready, which have timed out, and whether
+//! further requests may be accepted.
 
 use std::collections::BTreeMap;
 
@@ -7,220 +8,180 @@
 
 use crate::state::STALL_TIMEOUT;
 
-/// What waits counts as out and takes room from others: once a send has waited for the disk for so
-/// long, only a few may.
-const SLOW: Micros = 100_000;
-const FEW: usize = 4;
-/// A send that waited goes only so long before the window of an earlier run ends: the way to the
-/// engine takes time too.
-const MARGIN: Micros = 100_000;
-
-struct One<T> {
-    since: Micros,
-    /// The question whose answer it waits for.
-    word: Option<u64>,
-    what: T,
+/// Once the oldest send has waited for the store for so long, [`MAX_SLOW_SENDS`] applies.
+const SLOW_STORE_THRESHOLD: Micros = 100_000;
+/// Sends that may wait for a slow store. They hold capacity of engines that others could use.
+const MAX_SLOW_SENDS: usize = 4;
+/// A send that waited may go only until so long before the window of a prior attempt ends: it takes
+/// time to reach its engine.
+const DELIVERY_MARGIN: Micros = 100_000;
+
+/// A send that waits.
+struct PendingSend<T> {
+    queued_at: Micros,
+    /// The claim that has to be granted.
+    claim: Option<u64>,
+    payload: T,
 }
 
-/// By the tickets of their writes, which rise with time.
-pub struct Waits<T> {
-    sends: BTreeMap<u64, One<T>>,
-    words: BTreeMap<u64, u64>,
-    /// A send waited for the disk for too long: until this ticket is durable none is taken.
-    stalled_at: Option<u64>,
-}
-
-/// Why one that waited for too long is refused.
+/// Why a send that waited is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Late {
-    /// The disk has not written it, or this process stood still.
-    Disk,
-    /// No word came.
-    Word,
+pub enum TimeoutReason {
+    /// The store has not written its intent, or this process was stopped for too long.
+    Store,
+    /// Its claim has no verdict.
+    Claim,
 }
 
 /// What has become of sends that waited.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Ready<T> {
-    pub go: Vec<T>,
-    pub late: Vec<(T, Late)>,
+pub struct PollResult<T> {
+    /// May be sent now.
+    pub ready: Vec<T>,
+    /// Are to be refused.
+    pub timed_out: Vec<(T, TimeoutReason)>,
+}
+
+/// Sends that wait, by the tickets of their writes, which increase with time.
+pub struct PendingSends<T> {
+    sends: BTreeMap<u64, PendingSend<T>>,
+    /// Tickets of sends by the claim that they wait for.
+    tickets: BTreeMap<u64, u64>,
+    /// A send has timed out waiting for this ticket: until it is durable, no request is accepted.
+    stalled_ticket: Option<u64>,
 }
 
-impl<T> Default for Waits<T> {
+impl<T> Default for PendingSends<T> {
     fn default() -> Self {
-        Waits {
+        PendingSends {
             sends: BTreeMap::new(),
-            words: BTreeMap::new(),
-            stalled_at: None,
+            tickets: BTreeMap::new(),
+            stalled_ticket: None,
         }
     }
 }
 
-impl<T> Waits<T> {
-    pub fn put(&mut self, now: Micros, ticket: u64, word: Option<u64>, what: T) {
-        for word in word.into_iter() {
-            _ = self.words.insert(word, ticket);
+impl<T> PendingSends<T> {
+    /// Adds a send that waits for the write with this ticket, and for a claim if there is one.
+    pub fn push(&mut self, now: Micros, ticket: u64, claim: Option<u64>, payload: T) {
+        if let Some(claim) = claim {
+            self.tickets.insert(claim, ticket);
         }
-        self.sends.insert(
-            ticket,
-            One {
-                since: now,
-                word,
-                what,
-            },
-        );
+        let send = PendingSend {
+            queued_at: now,
+            claim,
+            payload,
+        };
+        self.sends.insert(ticket, send);
     }
 
+    /// Number of sends that wait.
     pub fn len(&self) -> usize {
         self.sends.len()
     }
 
+    /// Whether no send waits.
     pub fn is_empty(&self) -> bool {
         self.sends.is_empty()
     }
 
-    /// The word is that it may go.
-    pub fn granted(&mut self, word: u64) {
-        let send = self
-            .words
-            .remove(&word)
-            .and_then(|ticket| self.sends.get_mut(&ticket));
-        for send in send.into_iter() {
-            send.word = None;
+    /// A claim is granted: its send waits for the store only.
+    pub fn on_claim_granted(&mut self, claim: u64) {
+        let Some(ticket) = self.tickets.remove(&claim) else {
+            return;
+        };
+        if let Some(send) = self.sends.get_mut(&ticket) {
+            send.claim = None;
         }
     }
 
-    /// The word is another one: it waits no more.
-    pub fn take(&mut self, word: u64) -> Option<T> {
-        let ticket = self.words.remove(&word)?;
-        self.sends.remove(&ticket).map(|send| send.what)
+    /// Removes the send that waits for a claim, as the claim is not granted.
+    pub fn take_by_claim(&mut self, claim: u64) -> Option<T> {
+        let ticket = self.tickets.remove(&claim)?;
+        self.sends.remove(&ticket).map(|send| send.payload)
     }
 
-    /// Those that are durable and granted go. What has waited for too long doesn't, though it could
-    /// now: this process may have stood still, and others may have been told in the meantime that
-    /// it never would.
-    pub fn work(&mut self, now: Micros, durable: u64) -> Ready<T> {
-        let (mut go, mut late) = (Vec::new(), Vec::new());
-        self.stalled_at.take_if(|ticket| *ticket <= durable);
-        while let Some(first) = self
-            .sends
-            .first_entry()
-            .filter(|own| own.get().since + STALL_TIMEOUT <= now)
-        {
+    /// Removes sends that are durable and granted, and those that have timed out. A send that is
+    /// past its timeout does not go, though it could now: if this process was stopped, others may
+    /// have been told in the meantime that the send would never go.
+    pub fn poll(&mut self, now: Micros, durable: u64) -> PollResult<T> {
+        self.stalled_ticket.take_if(|ticket| *ticket <= durable);
+        PollResult {
+            timed_out: self.take_timed_out(now, durable),
+            ready: self.take_ready(durable),
+        }
+    }
+
+    fn take_timed_out(&mut self, now: Micros, durable: u64) -> Vec<(T, TimeoutReason)> {
+        let mut timed_out = Vec::new();
+        while let Some(first) = self.sends.first_entry() {
+            if first.get().queued_at + STALL_TIMEOUT > now {
+                break;
+            }
             let (ticket, send) = first.remove_entry();
-            send.word
-                .into_iter()
-                .for_each(|word| _ = self.words.remove(&word));
-            if ticket > durable {
-                self.stalled_at = self.stalled_at.max(Some(ticket));
+            if let Some(claim) = send.claim {
+                self.tickets.remove(&claim);
+            }
+            let is_durable = ticket <= durable;
+            if !is_durable {
+                self.stalled_ticket = self.stalled_ticket.max(Some(ticket));
             }
-            let why = if ticket <= durable && send.word.is_some() {
-                Late::Word
+            let reason = if is_durable && send.claim.is_some() {
+                TimeoutReason::Claim
             } else {
-                Late::Disk
+                TimeoutReason::Store
             };
-            late.push((send.what, why));
+            timed_out.push((send.payload, reason));
         }
-        let written = self
+        timed_out
+    }
+
+    fn take_ready(&mut self, durable: u64) -> Vec<T> {
+        let tickets: Vec<u64> = self
             .sends
             .range(..=durable)
-            .filter(|(_, send)| send.word.is_none());
-        let written: Vec<u64> = written.map(|(ticket, _)| *ticket).collect();
-        go.extend(
-            written
-                .iter()
-                .filter_map(|ticket| self.sends.remove(ticket))
-                .map(|send| send.what),
-        );
-        Ready { go, late }
+            .filter(|(_, send)| send.claim.is_none())
+            .map(|(ticket, _)| *ticket)
+            .collect();
+        tickets
+            .iter()
+            .filter_map(|ticket| self.sends.remove(ticket))
+            .map(|send| send.payload)
+            .collect()
     }
 
-    /// No more may wait for the disk: it has not written for too long, or is slow and enough wait
-    /// already.
+    /// Whether no further request may be accepted: the store has not written for too long, or is
+    /// slow and enough sends wait for it already.
     pub fn is_held_up(&self, now: Micros, durable: u64) -> bool {
-        let mut unwritten = self.sends.range(durable + 1..);
-        let oldest = unwritten.next().map(|(_, send)| send.since);
-        let stalled = oldest.is_some_and(|since| since + STALL_TIMEOUT <= now);
-        let slow = oldest.is_some_and(|since| since + SLOW <= now) && unwritten.count() >= FEW;
-        self.stalled_at.is_some_and(|ticket| ticket > durable) || stalled || slow
+        let mut not_durable = self.sends.range(durable + 1..);
+        let Some((_, oldest)) = not_durable.next() else {
+            return self.is_stalled(durable);
+        };
+        let is_slow = oldest.queued_at + SLOW_STORE_THRESHOLD <= now;
+        self.is_stalled(durable)
+            || oldest.queued_at + STALL_TIMEOUT <= now
+            || (is_slow && not_durable.count() >= MAX_SLOW_SENDS)
     }
 
-    /// When [`Waits::work`] has something to do though nothing comes.
-    pub fn due(&self) -> Option<Micros> {
+    fn is_stalled(&self, durable: u64) -> bool {
+        self.stalled_ticket.is_some_and(|ticket| ticket > durable)
+    }
+
+    /// When [`PendingSends::poll`] has something to do without any news.
+    pub fn next_deadline(&self) -> Option<Micros> {
         self.sends
             .values()
             .next()
-            .map(|send| send.since + STALL_TIMEOUT)
+            .map(|send| send.queued_at + STALL_TIMEOUT)
     }
 }
 
-/// Whether a send that waited is still within the window of what may have run before it.
-pub fn in_time(now: Micros, window: Micros, known: &[PriorAttempt]) -> bool {
-    known.iter().all(|ran| now + MARGIN < ran.since + window)
+/// Whether a send that waited still reaches its engine within the window of all prior attempts.
+pub fn is_within_window(now: Micros, window: Micros, known: &[PriorAttempt]) -> bool {
+    known
+        .iter()
+        .all(|attempt| now + DELIVERY_MARGIN < attempt.since + window)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn sends_go_when_durable_and_granted_and_not_after_their_time() {
-        let mut waits = Waits::default();
-        waits.put(0, 1, None, "disk");
-        waits.put(0, 2, Some(7), "both");
-        waits.put(10, 3, Some(8), "word");
-        waits.put(20, 4, Some(9), "told");
-        assert_eq!(waits.work(30, 0).go, Vec::<&str>::new());
-        assert_eq!(waits.work(30, 1).go, ["disk"]);
-        waits.granted(7);
-        assert_eq!(
-            waits.work(40, 1).go,
-            Vec::<&str>::new(),
-            "it is granted, not durable"
-        );
-        assert_eq!(waits.take(9), Some("told"));
-        assert_eq!(
-            waits.work(50, 3),
-            Ready {
-                go: vec!["both"],
-                late: vec![]
-            }
-        );
-        // Granted and durable, but looked at too late.
-        waits.granted(8);
-        let late = waits.work(10 + STALL_TIMEOUT, 4);
-        assert_eq!((late.go.len(), late.late), (0, vec![("word", Late::Disk)]));
-        waits.put(100, 5, Some(10), "unanswered");
-        assert_eq!(
-            waits.work(100 + STALL_TIMEOUT, 5).late,
-            [("unanswered", Late::Word)]
-        );
-        assert!(waits.is_empty() && waits.words.is_empty() && waits.due().is_none());
-    }
-
-    #[test]
-    fn a_slow_disk_holds_up_all_but_a_few_and_a_stalled_one_all_until_it_writes() {
-        let mut waits = Waits::default();
-        (1..=4).for_each(|ticket| waits.put(0, ticket, None, ticket));
-        assert!(!waits.is_held_up(2 * SLOW, 0), "few may wait");
-        waits.put(0, 5, None, 5);
-        assert!(
-            !waits.is_held_up(SLOW - 1, 0)
-                && waits.is_held_up(SLOW, 0)
-                && !waits.is_held_up(SLOW, 4)
-        );
-        assert_eq!(waits.work(STALL_TIMEOUT, 0).late.len(), 5);
-        assert!(
-            waits.is_held_up(STALL_TIMEOUT, 4),
-            "nothing waits, but it has not written"
-        );
-        waits.work(STALL_TIMEOUT, 5);
-        assert!(!waits.is_held_up(STALL_TIMEOUT, 5));
-        let ran = PriorAttempt {
-            zone: 0,
-            cell: 0,
-            since: 1_000,
-        };
-        assert!(in_time(1_000, 2 * MARGIN, &[ran]) && !in_time(1_000 + MARGIN, 2 * MARGIN, &[ran]));
-    }
-}
+mod tests;
