--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -156,7 +156,7 @@
         if told["keeper"] != true {
             continue;
         }
-        let found = eideryard_store::look(directory)
+        let found = eideryard_store::inspect(directory)
             .map_err(|e| format!("{}: {e}", directory.display()))?;
         let keys = found
             .keys
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -24,7 +24,7 @@
             &"no such directory; name the one that store-dir names",
         ));
     }
-    eideryard_store::look(directory).map_err(|e| wrong(&e))
+    eideryard_store::inspect(directory).map_err(|e| wrong(&e))
 }
 
 pub fn check(directory: &Path) -> Result<(), String> {
@@ -40,20 +40,21 @@
         found.keys.len(),
         found.last
     );
-    if found.torn > 0 {
+    if found.torn_bytes > 0 {
         println!(
             "{} bytes at the end were never whole: nobody was told that they were durable",
-            found.torn
+            found.torn_bytes
         );
     }
-    match found.damaged {
+    match found.damage {
         None => {
             println!("whole");
             Ok(())
         }
-        Some((segment, at)) => Err(format!(
-            "{segment} is damaged at byte {at}: a gateway takes what lies before it as hints and begins as a \
-             stranger; nothing has to be done by hand"
+        Some(damage) => Err(format!(
+            "{} is damaged at byte {}: a gateway takes what lies before it as hints and begins as a \
+             stranger; nothing has to be done by hand",
+            damage.segment, damage.offset
         )),
     }
 }
@@ -103,7 +104,7 @@
         );
     }
     let before = store.bytes();
-    store.rescue(now_ms()).map_err(|e| wrong(&e))?;
+    store.rebuild(now_ms()).map_err(|e| wrong(&e))?;
     println!(
         "{} keys; {before} bytes are {} now",
         store.len(),
--- a/crates/fleet-test/src/run.rs
+++ b/crates/fleet-test/src/run.rs
@@ -93,7 +93,8 @@
         };
         last = last.max(status["at_ms"].as_u64().unwrap_or(0));
         let store = directories::of(directory, name).join(directories::STORE);
-        let found = eideryard_store::look(&store).map_err(|e| io::Error::other(e.to_string()))?;
+        let found =
+            eideryard_store::inspect(&store).map_err(|e| io::Error::other(e.to_string()))?;
         let keys = found
             .keys
             .iter()
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -16,7 +16,7 @@
     self as copies, Origin, Phase, Record, ReplicaRecord, ReplicaView, WireRecord,
 };
 use eideryard_replication::message::{ClaimRejection, Entry, Message};
-use eideryard_store::{look, Batch, Config, Directory, Store};
+use eideryard_store::{inspect, Batch, Config, Directory, Store};
 
 const KEY: &str = "00000000000000000000000000000abc";
 const AT_MS: u64 = 1_796_147_675_000;
@@ -132,8 +132,8 @@
 
 #[test]
 fn a_golden_store_is_taken_whole() {
-    let recovered = look(&golden::path("store")).expect("a store");
-    assert_eq!((recovered.damaged, recovered.torn), (None, 0));
+    let recovered = inspect(&golden::path("store")).expect("a store");
+    assert_eq!((recovered.damage, recovered.torn_bytes), (None, 0));
     let found: Vec<(Vec<u8>, Vec<u8>)> = recovered
         .keys
         .iter()
@@ -147,7 +147,7 @@
     copied(&golden::path("store"), directory.path());
     let files = Box::new(Directory::new(directory.path()));
     let (store, found) = Store::open(files, Config { budget: 1 << 24 }, AT_MS, 1).expect("a store");
-    assert_eq!((store.len(), found.start, found.torn), (6, 2, 0));
+    assert_eq!((store.len(), found.start, found.torn_bytes), (6, 2, 0));
 }
 
 fn travelling() -> WireRecord {
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -119,7 +119,7 @@
 
 /// What a start found, in words.
 fn tell(found: &RecoveryReport, now: Micros, doubt: UncertainWindow) {
-    let age = (now / 1000).saturating_sub(found.last_at_ms) as f64 / 1e3;
+    let age = (now / 1000).saturating_sub(found.last_segment_at_ms) as f64 / 1e3;
     let life = format!("{:016x}", found.identity);
     let said = match &found.status {
         RecoveryStatus::New => "nothing was there: it begins as a stranger".to_string(),
@@ -140,10 +140,10 @@
         ),
     };
     tracing::info!("store: life {life}, start {}: {said}", found.start);
-    if found.torn > 0 {
+    if found.torn_bytes > 0 {
         tracing::info!(
             "store: {} bytes at the end were never whole; nobody was told of them",
-            found.torn
+            found.torn_bytes
         );
     }
     if let UncertainWindow::Before(life) = doubt {
@@ -225,7 +225,7 @@
                         Some((key.to_vec(), entry::from_bytes(&value.bytes)?))
                     })
                     .collect();
-                let life = told.life_ms * 1000;
+                let life = told.complete_since_ms * 1000;
                 let ledger = IntentLog::restore(limits, classes, kept.into_iter(), life, now);
                 tell(&told, now, ledger.uncertain_window());
                 let found = store
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -11,7 +11,7 @@
 use eideryard_store::{Batch, Config, Directory, Store};
 
 const NOW: u64 = 1_800_000_000_000;
-const PLAN: Config = Config { budget: 4 << 30 };
+const CONFIG: Config = Config { budget: 4 << 30 };
 const LASTS: Duration = Duration::from_millis(1500);
 
 fn key(number: u64) -> Vec<u8> {
@@ -33,7 +33,7 @@
 }
 
 fn open(path: &Path) -> Store {
-    Store::open(Box::new(Directory::new(path)), PLAN, NOW, 1)
+    Store::open(Box::new(Directory::new(path)), CONFIG, NOW, 1)
         .expect("a store")
         .0
 }
@@ -142,7 +142,7 @@
         let took = at.elapsed();
         let snapshot = {
             let mut store = store;
-            store.rescue(NOW).expect("it is rewritten");
+            store.rebuild(NOW).expect("it is rewritten");
             store.bytes()
         };
         println!(
@@ -191,7 +191,7 @@
          {busy_median:.0?}, {busy_slow:.0?}"
     );
     let at = Instant::now();
-    store.rescue(NOW).expect("it is rewritten");
+    store.rebuild(NOW).expect("it is rewritten");
     println!(
         "the plain way rewrites all of it at once: commits wait {:.0?}",
         at.elapsed()
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -1,4 +1,4 @@
-//! All that the store does with files, so that tests can let any of it fail.
+//! File access of the store, as a trait, so that tests can make any call fail; and the file system.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -7,42 +7,47 @@
 
 use rustix::fs::{flock, FlockOperation};
 
-/// A directory of files that are written once, from the front to the back.
+/// A directory of files that are written once, by appending.
 pub trait Files: Send {
-    /// Names and sizes of the files that are there.
+    /// Names and sizes in bytes of all files, in order of names.
     fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
+    /// Reads a whole file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// A new file; it is an error where it is there already.
+    /// Creates a file; an error if it exists.
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Log>>;
+    /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// What was read of a file is durable, whoever wrote it.
+    /// Makes the content of a file durable, whoever wrote it.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// What was created and removed is so for good.
+    /// Makes creations and removals durable.
     fn sync_directory(&mut self) -> io::Result<()>;
-    /// Holds the directory against other processes, for as long as this value lives. False: another
-    /// has it.
+    /// Locks the directory against other processes until this value is dropped. Returns whether no
+    /// other process has it.
     fn lock(&mut self) -> io::Result<bool>;
-    /// When a file was made and what it is known by: another for each copy of it; nothing where the
-    /// system doesn't tell.
+    /// A number from a file's time of creation and inode, different for each copy of the file;
+    /// `None` where the system does not report it.
     fn birth(&mut self, name: &str) -> io::Result<Option<u64>>;
 }
 
+/// A file that is appended to.
 pub trait Log: Send {
+    /// Appends bytes.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// All that was appended is durable.
+    /// Makes all that was appended durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// The real file system.
+/// A directory of the file system.
 pub struct Directory {
     path: PathBuf,
     lock: Option<File>,
 }
 
-/// Held against other processes; it holds nothing.
-const LOCK: &str = "LOCK";
+/// Name of the lock file, which is empty.
+const LOCK_FILE: &str = "LOCK";
 
 impl Directory {
+    /// The directory at a path, which need not exist yet.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Directory {
             path: path.into(),
@@ -95,7 +100,7 @@
 
     fn lock(&mut self) -> io::Result<bool> {
         std::fs::create_dir_all(&self.path)?;
-        let path = self.path.join(LOCK);
+        let path = self.path.join(LOCK_FILE);
         let file = OpenOptions::new()
             .create(true)
             .truncate(false)
@@ -113,12 +118,12 @@
 
     fn birth(&mut self, name: &str) -> io::Result<Option<u64>> {
         use std::os::unix::fs::MetadataExt;
-        let data = std::fs::metadata(self.path.join(name))?;
-        let made = data
+        let metadata = std::fs::metadata(self.path.join(name))?;
+        let created = metadata
             .created()
             .ok()
-            .and_then(|made| made.duration_since(UNIX_EPOCH).ok());
-        Ok(made.map(|made| (made.as_nanos() as u64).rotate_left(17) ^ data.ino()))
+            .and_then(|created| created.duration_since(UNIX_EPOCH).ok());
+        Ok(created.map(|age| (age.as_nanos() as u64).rotate_left(17) ^ metadata.ino()))
     }
 }
 
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,89 +1,139 @@
-//! Segment files to a state: what holds, up to where, and what is not trusted. Pure.
+//! Recovery: from the content of segment files to the live keys, and to what is missing. No I/O.
 //!
-//! The newest whole snapshot is taken, and behind it each log in order. A log may end in a torn
-//! frame: what was not flushed. But what the next segment says came before it must be there: less
-//! is damage, and the state is that up to it.
+//! The newest whole snapshot is read, then each log behind it in order. A log may end in a torn
+//! frame, which was not flushed. But the batches that a later segment requires must be there: if
+//! they are not, the store is damaged, and its state is that before the missing batch.
 
 use std::collections::BTreeMap;
 
-use crate::frame::{self, Batch, Frame, FrameError, Head, Write};
+use crate::frame::{self, Frame, FrameError, Head, Write};
 
-/// A live key's value, and when it is dropped (0: never).
+mod writes;
+
+use writes::Writes;
+
+/// Value of a live key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
+    /// The value.
     pub bytes: Box<[u8]>,
+    /// Time after which it may be dropped, in Unix milliseconds; 0 for never.
     pub until_ms: u64,
 }
 
+/// All live keys.
 pub type Keys = BTreeMap<Box<[u8]>, Value>;
 
-/// How far what was found is to be trusted.
+/// How complete a recovered store is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryStatus {
-    /// Nothing was there: a new store, or one that was wiped.
+    /// There were no segments: a new store, or one that was wiped.
     New,
-    /// All that was ever acknowledged is there.
+    /// All batches that were ever reported durable are there.
     Whole,
-    /// It holds what it held at some time, but it is not the directory that was written then.
+    /// The directory is a copy of the one that was written, so later batches may be missing.
     Copy,
-    /// It holds up to a point, and something behind it is gone.
-    Damaged { segment: String, at: u64 },
+    /// Batches behind a point are missing.
+    Damaged {
+        /// Name of the damaged segment.
+        segment: String,
+        /// Offset of the damage in bytes.
+        at: u64,
+    },
 }
 
-/// What was there, in figures.
+/// What an opened store had recovered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryReport {
+    /// How complete it is.
     pub status: RecoveryStatus,
+    /// Identity of the store's incarnation.
     pub identity: u64,
-    /// When this life of the store began, in Unix milliseconds: when it was made, or found not to
-    /// be whole. What happened before it may not be known here.
-    pub life_ms: u64,
-    /// How often the store was opened, this time included.
+    /// Begin of the incarnation, in Unix milliseconds: when the store was made, or found not to be
+    /// whole. Earlier writes may be missing.
+    pub complete_since_ms: u64,
+    /// Number of times that the store was opened, this one included.
     pub start: u64,
-    /// When the last segment was begun.
-    pub last_at_ms: u64,
+    /// Time at which the last segment was begun, in Unix milliseconds.
+    pub last_segment_at_ms: u64,
+    /// Number of live keys.
     pub keys: usize,
-    /// Bytes at the end of logs that were never whole: writes that nobody was told were durable.
-    pub torn: u64,
+    /// Bytes of torn frames at the end of logs: writes that were never reported durable.
+    pub torn_bytes: u64,
 }
 
+/// Why a store can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
+    /// Another process has the directory.
     #[error("another process has the store; stop it, or name another directory with store-dir")]
     InUse,
-    #[error("{segment} can't be used: {why}; {remedy}")]
+    /// The head of a segment can't be read.
+    #[error("{segment} can't be used: {why}; {}", remedy(why))]
     Segment {
+        /// Name of the segment.
         segment: String,
+        /// Why.
         why: FrameError,
-        remedy: &'static str,
     },
+    /// The first batches are missing.
     #[error(
         "the store has lost its beginning: {segment} follows batch {after}, which no snapshot holds; \
         move the \
          directory away, the gateway then starts as a stranger"
     )]
-    NoBeginning { segment: String, after: u64 },
+    NoBeginning {
+        /// Name of the first segment that is there.
+        segment: String,
+        /// The batch that it follows.
+        after: u64,
+    },
+    /// Segments of several stores are in one directory.
     #[error(
         "{segment} belongs to another store; put one store's files into a directory, not two's"
     )]
-    Mixed { segment: String },
+    Mixed {
+        /// Name of a segment of another store.
+        segment: String,
+    },
+    /// A file can't be read or written.
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
 
-/// A file's name, by the segment's number.
-pub fn name(number: u64) -> String {
+/// What the operator can do about a segment that can't be read.
+fn remedy(error: &FrameError) -> &'static str {
+    match error {
+        FrameError::Version(_) => "use the program that wrote it, or move the directory away",
+        FrameError::Head | FrameError::Foreign => {
+            "move the directory away; the gateway then starts as a stranger"
+        }
+    }
+}
+
+/// File name of a segment.
+pub fn segment_name(number: u64) -> String {
     format!("{number:016x}.seg")
 }
 
-/// The number that a file's name tells, if it is a segment's.
-pub fn number(name: &str) -> Option<u64> {
+/// Number of a segment, if the file name is a segment's.
+pub fn segment_number(name: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_suffix(".seg")?, 16)
         .ok()
         .filter(|_| name.len() == 20)
 }
 
-pub fn put(keys: &mut Keys, write: Write) {
+/// The highest segment number among file names, or 0.
+pub fn highest_segment_number(names: &[String]) -> u64 {
+    names
+        .iter()
+        .filter_map(|name| segment_number(name))
+        .max()
+        .unwrap_or(0)
+}
+
+/// Applies a write to the live keys.
+pub fn apply(keys: &mut Keys, write: Write) {
     let key = write.key.into_boxed_slice();
     match write.value {
         Some(value) => {
@@ -91,77 +141,45 @@
                 bytes: value.into_boxed_slice(),
                 until_ms: write.until_ms,
             };
-            _ = keys.insert(key, value);
+            keys.insert(key, value);
+        }
+        None => {
+            keys.remove(&key);
         }
-        None => _ = keys.remove(&key),
     }
 }
 
-/// A write and what it is sorted by first: the key's beginning as a number, which most comparisons
-/// need nothing beyond.
-struct Keyed {
-    begins: u128,
-    key: Box<[u8]>,
-    value: Option<Value>,
-}
-
-/// The first 16 bytes of a key as a number that sorts as they do.
-fn begins(key: &[u8]) -> u128 {
-    let mut first = [0; 16];
-    let length = key.len().min(16);
-    first[..length].copy_from_slice(&key[..length]);
-    u128::from_be_bytes(first)
+/// A segment file.
+#[derive(Clone, Debug)]
+pub struct SegmentFile {
+    /// Its name.
+    pub name: String,
+    /// Its content.
+    pub bytes: Vec<u8>,
 }
 
-/// Writes in their order, of which the last for each key holds: sorted once at the end, which takes
-/// a third of the time that as many inserts take.
-#[derive(Default)]
-struct Writes(Vec<Keyed>);
-
-impl Writes {
-    fn take(&mut self, batch: Batch) {
-        self.0.extend(batch.writes.into_iter().map(|write| {
-            let value = write.value.map(|bytes| Value {
-                bytes: bytes.into(),
-                until_ms: write.until_ms,
-            });
-            Keyed {
-                begins: begins(&write.key),
-                key: write.key.into(),
-                value,
-            }
-        }));
-    }
-
-    fn fold(self) -> Keys {
-        let mut all = self.0;
-        // Stable: of equal keys the last write stays the last.
-        all.sort_by(|a, b| a.begins.cmp(&b.begins).then_with(|| a.key.cmp(&b.key)));
-        let mut all = all.into_iter().peekable();
-        let last = std::iter::from_fn(|| loop {
-            let write = all.next()?;
-            if all
-                .peek()
-                .is_none_or(|next| next.begins != write.begins || next.key != write.key)
-            {
-                return Some((write.key, write.value));
-            }
-        });
-        last.filter_map(|(key, value)| Some((key, value?)))
-            .collect()
-    }
+/// Where a store is damaged.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Damage {
+    /// Name of the segment.
+    pub segment: String,
+    /// Offset in bytes.
+    pub offset: u64,
 }
 
-/// The state that segments hold.
+/// What segments hold.
 #[derive(Debug)]
 pub struct Recovered {
+    /// The live keys.
     pub keys: Keys,
-    /// The last batch that holds.
+    /// Number of the last batch.
     pub last: u64,
-    /// The newest segment's head, if there was one.
+    /// Head of the newest segment, if there is one.
     pub newest: Option<Head>,
-    pub damaged: Option<(String, u64)>,
-    pub torn: u64,
+    /// Where batches are missing, if they are.
+    pub damage: Option<Damage>,
+    /// Bytes of torn frames at the end of logs.
+    pub torn_bytes: u64,
     /// Bytes of the logs behind the snapshot.
     pub log_bytes: u64,
 }
@@ -169,160 +187,198 @@
 struct Segment<'a> {
     name: &'a str,
     head: Head,
-    frames: usize,
+    first_frame: usize,
     bytes: &'a [u8],
 }
 
 impl Segment<'_> {
-    /// All frames up to one that can't be read; and where that is.
-    fn read(&self, mut each: impl FnMut(Frame) -> bool) -> usize {
-        let mut at = self.frames;
-        while let Some((frame, length)) = frame::read(&self.bytes[at..]) {
-            if !each(frame) {
+    /// Reads frames until `accept` returns false or a frame can't be read, and returns the offset
+    /// of that frame.
+    fn read(&self, mut accept: impl FnMut(Frame) -> bool) -> usize {
+        let mut offset = self.first_frame;
+        while let Some((frame, length)) = frame::read(&self.bytes[offset..]) {
+            if !accept(frame) {
                 break;
             }
-            at += length;
+            offset += length;
         }
-        at
+        offset
     }
 
-    /// The keys of a snapshot, if it is whole.
+    /// The writes of a snapshot, if it is whole.
     fn snapshot(&self) -> Option<Writes> {
-        let (mut keys, mut writes, mut whole) = (Writes::default(), 0u64, false);
+        let mut writes = Writes::default();
+        let mut count = 0u64;
+        let mut is_whole = false;
         self.read(|frame| {
             match frame {
-                Frame::Part(batch) if !whole => {
-                    writes += batch.writes.len() as u64;
-                    keys.take(batch);
+                Frame::Part(batch) if !is_whole => {
+                    count += batch.writes.len() as u64;
+                    writes.extend(batch);
                 }
-                Frame::Whole(count) => whole = count == writes,
+                Frame::Whole(expected) => is_whole = expected == count,
                 _ => return false,
             }
             true
         });
-        whole.then_some(keys)
+        is_whole.then_some(writes)
+    }
+
+    /// Whether a frame behind `offset` was written when a later batch than `last` was durable.
+    fn has_later_durable_batch(&self, offset: usize, last: u64) -> bool {
+        (offset + 1..self.bytes.len()).any(|start| match frame::read(&self.bytes[start..]) {
+            Some((
+                Frame::Batch {
+                    number,
+                    behind_durable,
+                    ..
+                },
+                _,
+            )) => number.saturating_sub(behind_durable) > last,
+            _ => false,
+        })
     }
 }
 
-/// Folds the files of a directory, by name and content, in the order of their names.
-pub fn recover(files: &[(String, Vec<u8>)]) -> Result<Recovered, OpenError> {
-    let mut segments = Vec::new();
-    for (name, bytes) in files {
+/// Recovers the state of a store from its segments, in the order of their names.
+///
+/// # Errors
+///
+/// Where a segment can't be read or belongs to another store, or the first batches are missing.
+pub fn recover(files: &[SegmentFile]) -> Result<Recovered, OpenError> {
+    let segments = read_heads(files)?;
+    let mut recovered = Recovered {
+        keys: Keys::new(),
+        last: 0,
+        newest: segments.last().map(|segment| segment.head),
+        damage: None,
+        torn_bytes: 0,
+        log_bytes: 0,
+    };
+    let writes = read_writes(&segments, &mut recovered)?;
+    recovered.keys = writes.into_keys();
+    Ok(recovered)
+}
+
+fn read_heads(files: &[SegmentFile]) -> Result<Vec<Segment<'_>>, OpenError> {
+    let mut segments: Vec<Segment<'_>> = Vec::new();
+    for SegmentFile { name, bytes } in files {
         match frame::read_head(bytes) {
-            Ok((head, frames)) => segments.push(Segment {
+            Ok((head, first_frame)) => segments.push(Segment {
                 name,
                 head,
-                frames,
+                first_frame,
                 bytes,
             }),
-            // A crash or a fault while it was begun leaves a head that was never whole, and no
+            // A crash while the segment was begun leaves a head that is not whole, without any
             // frame behind it.
             Err(_) if bytes.len() <= frame::HEAD => {}
             Err(why) => {
-                let remedy = match why {
-                    FrameError::Version(_) => {
-                        "use the program that wrote it, or move the directory away"
-                    }
-                    _ => "move the directory away; the gateway then starts as a stranger",
-                };
                 return Err(OpenError::Segment {
                     segment: name.clone(),
                     why,
-                    remedy,
                 });
             }
         }
     }
-    let first = segments.first().map(|segment| segment.head.identity);
-    if let Some(other) = segments
+    let identity = segments.first().map(|segment| segment.head.identity);
+    let foreign = segments
         .iter()
-        .find(|segment| Some(segment.head.identity) != first)
-    {
-        return Err(OpenError::Mixed {
-            segment: other.name.to_string(),
-        });
+        .find(|segment| Some(segment.head.identity) != identity);
+    match foreign {
+        Some(foreign) => Err(OpenError::Mixed {
+            segment: foreign.name.to_string(),
+        }),
+        None => Ok(segments),
     }
-    let mut recovered = Recovered {
-        keys: Keys::new(),
-        last: 0,
-        newest: segments.last().map(|segment| segment.head),
-        damaged: None,
-        torn: 0,
-        log_bytes: 0,
-    };
-    let writes = writes(&segments, &mut recovered)?;
-    recovered.keys = writes.fold();
-    Ok(recovered)
 }
 
-/// The writes of the newest whole snapshot and of the logs behind it, up to the first thing that is
+/// The writes of the newest whole snapshot and of the logs behind it, up to the first batch that is
 /// missing.
-fn writes(segments: &[Segment<'_>], recovered: &mut Recovered) -> Result<Writes, OpenError> {
-    let (mut from, mut writes) = (0, Writes::default());
-    let snapshots = segments
-        .iter()
-        .enumerate()
-        .rev()
-        .filter(|(_, segment)| segment.head.snapshot);
-    for (place, segment) in snapshots {
-        if let Some(keys) = segment.snapshot() {
-            (writes, recovered.last, from) = (keys, segment.head.after, place + 1);
+fn read_writes(segments: &[Segment<'_>], recovered: &mut Recovered) -> Result<Writes, OpenError> {
+    let mut writes = Writes::default();
+    let mut first_log = 0;
+    for (index, segment) in segments.iter().enumerate().rev() {
+        if !segment.head.snapshot {
+            continue;
+        }
+        if let Some(snapshot) = segment.snapshot() {
+            writes = snapshot;
+            recovered.last = segment.head.after;
+            first_log = index + 1;
             break;
         }
     }
-    let mut logs = 0;
-    for segment in segments.iter().skip(from).filter(|own| !own.head.snapshot) {
-        if segment.head.after > recovered.last {
-            missing(recovered, segment, from == 0 && logs == 0)?;
+    let mut has_beginning = first_log > 0;
+    for log in segments[first_log..].iter().filter(|s| !s.head.snapshot) {
+        if log.head.after > recovered.last {
+            recovered.record_missing(log, has_beginning)?;
             return Ok(writes);
         }
-        logs += 1;
-        recovered.log_bytes += segment.bytes.len() as u64;
-        let last = &mut recovered.last;
-        let end = segment.read(|frame| match frame {
-            Frame::Batch(number, _, batch) if number == *last + 1 => {
-                writes.take(batch);
-                *last = number;
-                true
-            }
-            // Batches that an earlier segment told too: its writer saw them fail and wrote them
-            // again.
-            Frame::Batch(number, ..) => number <= *last,
-            _ => false,
-        });
-        if end == segment.bytes.len() {
-            continue;
-        }
-        // Something can't be read here. It was never flushed, unless a frame behind it was written
-        // when more than there is was durable: then it is damage.
-        let (rest, last) = (&segment.bytes[end..], recovered.last);
-        let knew_more = |skip| match frame::read(&rest[skip..]) {
-            Some((Frame::Batch(number, behind, _), _)) => number.saturating_sub(behind) > last,
-            _ => false,
-        };
-        if (1..rest.len()).any(knew_more) {
-            recovered.damaged = Some((segment.name.to_string(), end as u64));
+        has_beginning = true;
+        read_log(log, recovered, &mut writes);
+        if recovered.damage.is_some() {
             return Ok(writes);
         }
-        recovered.torn += rest.len() as u64;
     }
-    // What was acknowledged when a segment was begun is there, whatever has become of that segment.
-    if let Some(segment) = segments
+    // Batches that were durable when a segment was begun must be there, whatever became of the
+    // segment itself.
+    let later = segments
         .iter()
         .rev()
-        .find(|own| own.head.acknowledged > recovered.last)
-    {
-        missing(recovered, segment, from == 0 && logs == 0)?;
+        .find(|segment| segment.head.acknowledged > recovered.last);
+    if let Some(segment) = later {
+        recovered.record_missing(segment, has_beginning)?;
     }
     Ok(writes)
 }
 
-/// What came before a segment is not there: nothing at all, or something in between.
-fn missing(recovered: &mut Recovered, segment: &Segment<'_>, all: bool) -> Result<(), OpenError> {
-    let (segment, after) = (segment.name.to_string(), segment.head.after);
-    if all {
-        return Err(OpenError::NoBeginning { segment, after });
+fn read_log(log: &Segment<'_>, recovered: &mut Recovered, writes: &mut Writes) {
+    recovered.log_bytes += log.bytes.len() as u64;
+    let last = &mut recovered.last;
+    let end = log.read(|frame| match frame {
+        Frame::Batch { number, batch, .. } if number == *last + 1 => {
+            writes.extend(batch);
+            *last = number;
+            true
+        }
+        // An earlier segment has the batch too: its write had failed and was repeated.
+        Frame::Batch { number, .. } => number <= *last,
+        _ => false,
+    });
+    if end == log.bytes.len() {
+        return;
+    }
+    // A frame can't be read. It was not flushed, unless a frame behind it states that later batches
+    // were durable.
+    if log.has_later_durable_batch(end, recovered.last) {
+        recovered.damage = Some(Damage {
+            segment: log.name.to_string(),
+            offset: end as u64,
+        });
+    } else {
+        recovered.torn_bytes += (log.bytes.len() - end) as u64;
+    }
+}
+
+impl Recovered {
+    /// Batches before a segment are missing: damage, or an error where nothing is there.
+    fn record_missing(
+        &mut self,
+        segment: &Segment<'_>,
+        has_beginning: bool,
+    ) -> Result<(), OpenError> {
+        let name = segment.name.to_string();
+        if !has_beginning {
+            return Err(OpenError::NoBeginning {
+                segment: name,
+                after: segment.head.after,
+            });
+        }
+        self.damage = Some(Damage {
+            segment: name,
+            offset: 0,
+        });
+        Ok(())
     }
-    recovered.damaged = Some((segment, 0));
-    Ok(())
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,246 +1,287 @@
-//! The store on top of files: appends batches, flushes them, and rewrites its log as a snapshot.
+//! The store on top of files: opens a directory, appends batches and flushes them.
 //!
 //! A write error or a failed flush breaks the log for good: nothing that the system may still show
-//! of it is trusted. [`Store::rescue`] then writes all keys anew, into files of their own.
+//! of it is trusted. [`Store::rebuild`] then writes all keys to new files.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::ops::Bound;
+use std::path::Path;
 
-use crate::files::{Files, Log};
-use crate::frame::{self, Batch, Frame, Head};
-use crate::recovery::{self, Keys, OpenError, RecoveryReport, RecoveryStatus, Value};
+use crate::files::{Directory, Files, Log};
+use crate::frame::{self, Batch, Frame, Head, Write};
+use crate::identity::{self, Identity};
+use crate::recovery::{
+    self, Keys, OpenError, Recovered, RecoveryReport, RecoveryStatus, SegmentFile, Value,
+};
 
-/// What tells a directory from a copy of it: its own file's birth, written into the file.
-const IDENTITY: &str = "IDENTITY";
-/// A log is rewritten once it is this long and twice what is live.
-const MIN_LOG: u64 = 1 << 20;
-/// Bytes of a snapshot's part, about.
-const PART: usize = 32 << 10;
-/// What a key costs on disk beside its bytes.
-const OVERHEAD: u64 = 24;
+mod rewrite;
 
+use rewrite::Rewrite;
+
+/// Bytes that a key takes on disk beside itself and its value.
+const KEY_OVERHEAD_BYTES: u64 = 24;
+
+/// Settings of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// Bytes on disk, the rewriting of the log included.
     pub budget: u64,
 }
 
-struct Rewriting {
-    log: Box<dyn Log>,
-    name: String,
-    bytes: u64,
-    /// The last key that was written.
-    at: Option<Box<[u8]>>,
-    writes: u64,
-    /// Segments that it takes the place of.
-    old: Vec<String>,
-}
-
+/// An open store. It owns its directory, and all live keys in memory.
 pub struct Store {
     files: Box<dyn Files>,
-    plan: Config,
+    config: Config,
+    /// Head of the newest segment; the next one is made from it.
     head: Head,
     keys: Keys,
-    live: u64,
-    /// The last batch that was written here, and the last that is durable.
+    /// Bytes that all live keys take on disk.
+    live_bytes: u64,
+    /// Number of the last batch that was written.
     last: u64,
+    /// Number of the last batch that is durable.
     durable: u64,
+    /// Frames that were written and not flushed.
     pending: Vec<u8>,
+    /// The segment that batches are appended to; `None` once it is broken.
     log: Option<Box<dyn Log>>,
     log_name: String,
+    /// Bytes of all logs behind the last snapshot.
     log_bytes: u64,
-    /// Sizes of segments, by name.
-    sizes: BTreeMap<String, u64>,
-    rewriting: Option<Rewriting>,
-    /// What was recovered is rewritten soon, however short.
-    unsure: bool,
+    /// Sizes of all segments, by name.
+    segment_bytes: BTreeMap<String, u64>,
+    rewrite: Option<Rewrite>,
+    /// Whether segments of an earlier process are in use, which are rewritten soon.
+    has_old_segments: bool,
 }
 
-/// What a directory's segments hold, without changing anything.
-pub fn look(directory: &std::path::Path) -> Result<recovery::Recovered, OpenError> {
-    let mut files = crate::files::Directory::new(directory);
+/// Reads what the segments of a directory hold, and changes nothing.
+pub fn inspect(directory: &Path) -> Result<Recovered, OpenError> {
+    let mut files = Directory::new(directory);
+    let names = file_names(&mut files)?;
+    let segments = read_segments(&mut files, &names)?;
+    recovery::recover(&segments)
+}
+
+fn file_names(files: &mut dyn Files) -> io::Result<Vec<String>> {
+    let files = files.list()?;
+    Ok(files.into_iter().map(|(name, _)| name).collect())
+}
+
+fn read_segments(files: &mut dyn Files, names: &[String]) -> io::Result<Vec<SegmentFile>> {
     let mut segments = Vec::new();
-    for (name, _) in files.list()? {
-        if recovery::number(&name).is_some() {
-            let bytes = files.read(&name)?;
-            segments.push((name, bytes));
+    for name in names {
+        if recovery::segment_number(name).is_some() {
+            let bytes = files.read(name)?;
+            segments.push(SegmentFile {
+                name: name.clone(),
+                bytes,
+            });
         }
     }
-    recovery::recover(&segments)
+    Ok(segments)
 }
 
-fn cost(key: &[u8], value: &[u8]) -> u64 {
-    key.len() as u64 + value.len() as u64 + OVERHEAD
+fn disk_bytes(key: &[u8], value: &[u8]) -> u64 {
+    key.len() as u64 + value.len() as u64 + KEY_OVERHEAD_BYTES
+}
+
+fn recovery_status(recovered: &Recovered, identity: Option<Identity>) -> RecoveryStatus {
+    if recovered.newest.is_none() {
+        return RecoveryStatus::New;
+    }
+    match &recovered.damage {
+        Some(damage) => RecoveryStatus::Damaged {
+            segment: damage.segment.clone(),
+            at: damage.offset,
+        },
+        None if identity.is_none() => RecoveryStatus::Copy,
+        None => RecoveryStatus::Whole,
+    }
 }
 
 impl Store {
-    /// Opens or makes the store of a directory, for one more start.
-    #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
+    /// Opens the store of a directory, or makes a new one. `random` identifies a new incarnation.
+    ///
+    /// # Errors
+    ///
+    /// Where another process has the directory, where its files can't be used, or where they can't
+    /// be read or written.
     pub fn open(
         mut files: Box<dyn Files>,
-        plan: Config,
+        config: Config,
         now_ms: u64,
         random: u64,
     ) -> Result<(Self, RecoveryReport), OpenError> {
         if !files.lock()? {
             return Err(OpenError::InUse);
         }
-        let all = files.list()?;
-        let names: Vec<String> = all.into_iter().map(|(name, _)| name).collect();
-        let mut segments = Vec::new();
-        for name in names.iter().filter(|name| recovery::number(name).is_some()) {
-            segments.push((name.clone(), files.read(name)?));
-        }
+        let names = file_names(files.as_mut())?;
+        let segments = read_segments(files.as_mut(), &names)?;
         let recovered = recovery::recover(&segments)?;
-        let known = identity(files.as_mut(), &names)?;
-        let trust = match (&recovered.newest, recovered.damaged.clone()) {
-            (None, _) => RecoveryStatus::New,
-            (Some(_), Some((segment, at))) => RecoveryStatus::Damaged { segment, at },
-            (Some(_), None) if known.is_none() => RecoveryStatus::Copy,
-            (Some(_), None) => RecoveryStatus::Whole,
+        let known = identity::read(files.as_mut(), &names)?;
+        let status = recovery_status(&recovered, known);
+        let identity = match known {
+            Some(known) if status == RecoveryStatus::Whole => known,
+            // A store that is not whole may not know what came before: a new incarnation.
+            _ => {
+                let identity = Identity {
+                    id: random,
+                    since_ms: now_ms,
+                };
+                identity::write(files.as_mut(), &names, identity)?;
+                identity
+            }
         };
-        let own = match known.filter(|_| trust == RecoveryStatus::Whole) {
-            Some(own) => own,
-            // What is not what it was is another life, which may not know what came before.
-            None => make_identity(
-                files.as_mut(),
-                &names,
-                Identity {
-                    own: random,
-                    life_ms: now_ms,
-                },
-            )?,
+        // An earlier process may have written segments without a flush; what is built on must be
+        // durable.
+        for segment in &segments {
+            files.sync(&segment.name)?;
+        }
+        let report = RecoveryReport {
+            status,
+            identity: identity.id,
+            complete_since_ms: identity.since_ms,
+            start: recovered.newest.map_or(0, |head| head.start) + 1,
+            last_segment_at_ms: recovered.newest.map_or(0, |head| head.at_ms),
+            keys: recovered.keys.len(),
+            torn_bytes: recovered.torn_bytes,
         };
-        // What is built on must be durable, also where an earlier process only wrote it.
-        for (name, _) in &segments {
-            files.sync(name)?;
+        let head = Head {
+            identity: recovered.newest.map_or(random, |head| head.identity),
+            number: recovery::highest_segment_number(&names),
+            start: report.start,
+            snapshot: false,
+            after: recovered.last,
+            acknowledged: recovered.last,
+            at_ms: now_ms,
+        };
+        let mut store = Store::from_recovered(files, config, head, recovered, &segments);
+        match report.status {
+            // Segments behind the damage must not be read again: all keys are written anew.
+            RecoveryStatus::Damaged { .. } => {
+                store.rebuild(now_ms)?;
+            }
+            _ => store.begin_log(now_ms)?,
         }
-        let newest = recovered.newest;
-        let live = recovered
+        Ok((store, report))
+    }
+
+    fn from_recovered(
+        files: Box<dyn Files>,
+        config: Config,
+        head: Head,
+        recovered: Recovered,
+        segments: &[SegmentFile],
+    ) -> Self {
+        let live_bytes = recovered
             .keys
             .iter()
-            .map(|(key, value)| cost(key, &value.bytes))
+            .map(|(key, value)| disk_bytes(key, &value.bytes))
             .sum();
-        let highest = names
-            .iter()
-            .filter_map(|name| recovery::number(name))
-            .max()
-            .unwrap_or(0);
-        let sizes = segments
+        let segment_bytes = segments
             .iter()
-            .map(|(name, bytes)| (name.clone(), bytes.len() as u64))
+            .map(|segment| (segment.name.clone(), segment.bytes.len() as u64))
             .collect();
-        let found = RecoveryReport {
-            status: trust,
-            identity: own.own,
-            life_ms: own.life_ms,
-            start: newest.map_or(0, |head| head.start) + 1,
-            last_at_ms: newest.map_or(0, |head| head.at_ms),
-            keys: recovered.keys.len(),
-            torn: recovered.torn,
-        };
-        let mut store = Store {
+        Store {
             files,
-            plan,
-            head: Head {
-                identity: newest.map_or(random, |head| head.identity),
-                number: highest,
-                start: found.start,
-                snapshot: false,
-                after: recovered.last,
-                acknowledged: recovered.last,
-                at_ms: now_ms,
-            },
+            config,
+            head,
             keys: recovered.keys,
-            live,
+            live_bytes,
             last: recovered.last,
             durable: recovered.last,
             pending: Vec::new(),
             log: None,
             log_name: String::new(),
             log_bytes: recovered.log_bytes,
-            sizes,
-            rewriting: None,
-            unsure: !segments.is_empty(),
-        };
-        match found.status {
-            // What lies behind the damage must not be read again: all is written anew.
-            RecoveryStatus::Damaged { .. } => {
-                store.rescue(now_ms)?;
-            }
-            _ => store.begin_log(now_ms)?,
+            segment_bytes,
+            rewrite: None,
+            has_old_segments: !segments.is_empty(),
         }
-        Ok((store, found))
     }
 
+    /// The value of a key.
     pub fn get(&self, key: &[u8]) -> Option<&Value> {
         self.keys.get(key)
     }
 
-    /// All live keys that begin so, in order.
+    /// All live keys with a prefix, in order.
     pub fn prefix<'a>(&'a self, prefix: &'a [u8]) -> impl Iterator<Item = (&'a [u8], &'a Value)> {
-        let from = (Bound::Included(prefix), Bound::Unbounded);
-        let all = self.keys.range::<[u8], _>(from);
-        all.map(|(key, value)| (&**key, value))
+        let range = (Bound::Included(prefix), Bound::Unbounded);
+        self.keys
+            .range::<[u8], _>(range)
+            .map(|(key, value)| (&**key, value))
             .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
+    /// Number of live keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
+    /// Whether there are no live keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// The last batch that is durable.
+    /// Number of the last batch that is durable.
     pub fn durable(&self) -> u64 {
         self.durable
     }
 
-    /// Bytes on disk now.
+    /// Bytes on disk, and those that wait for a flush.
     pub fn bytes(&self) -> u64 {
-        self.sizes.values().sum::<u64>() + self.pending.len() as u64
+        self.segment_bytes.values().sum::<u64>() + self.pending.len() as u64
     }
 
-    /// Whether so much more would break the budget, with room to write all that lives once more.
-    pub fn is_full(&self, more: u64) -> bool {
-        self.live + more > self.plan.budget / 3
-            || self.bytes() + self.live + more > self.plan.budget
+    /// Whether so many more bytes would exceed the budget, which has to hold all live keys once
+    /// more.
+    pub fn is_full(&self, more_bytes: u64) -> bool {
+        let live_bytes = self.live_bytes + more_bytes;
+        live_bytes > self.config.budget / 3 || self.bytes() + live_bytes > self.config.budget
     }
 
+    /// Whether a write or a flush has failed, so that [`Store::rebuild`] is needed.
     pub fn is_broken(&self) -> bool {
         self.log.is_none()
     }
 
-    /// Takes a batch; it is durable once [`Store::flush`] has told its number. Nothing: it is too
-    /// long.
+    /// Takes a batch, and returns its number; it is durable once [`Store::flush`] has returned this
+    /// number. `None` where it is longer than [`frame::MAX_BATCH`].
     pub fn write(&mut self, batch: Batch) -> Option<u64> {
-        let frame = Frame::Batch(self.last + 1, self.last + 1 - self.durable, batch);
+        let number = self.last + 1;
+        let frame = Frame::Batch {
+            number,
+            behind_durable: number - self.durable,
+            batch,
+        };
         if !frame::put(&mut self.pending, &frame) {
             return None;
         }
-        self.last += 1;
-        if let Frame::Batch(_, _, batch) = frame {
-            // One after the other: a batch may write a key twice.
+        self.last = number;
+        if let Frame::Batch { batch, .. } = frame {
             for write in batch.writes {
-                let before = self
-                    .keys
-                    .get(write.key.as_slice())
-                    .map_or(0, |value| cost(&write.key, &value.bytes));
-                self.live += write
-                    .value
-                    .as_ref()
-                    .map_or(0, |value| cost(&write.key, value));
-                self.live -= before;
-                recovery::put(&mut self.keys, write);
+                self.apply(write);
             }
         }
-        Some(self.last)
+        Some(number)
+    }
+
+    fn apply(&mut self, write: Write) {
+        let added = write.value.as_ref();
+        self.live_bytes += added.map_or(0, |value| disk_bytes(&write.key, value));
+        let replaced = self.keys.get(write.key.as_slice());
+        self.live_bytes -= replaced.map_or(0, |value| disk_bytes(&write.key, &value.bytes));
+        recovery::apply(&mut self.keys, write);
     }
 
-    /// Makes all that was taken durable; gives the last batch's number.
+    /// Makes all batches that were taken durable, and returns the number of the last.
+    ///
+    /// # Errors
+    ///
+    /// Where the log is broken, or breaks now.
     pub fn flush(&mut self) -> io::Result<u64> {
         let Some(log) = &mut self.log else {
             return Err(io::Error::other("the log is broken"));
@@ -248,229 +289,16 @@
         if self.pending.is_empty() {
             return Ok(self.durable);
         }
-        let done = log.append(&self.pending).and_then(|()| log.sync());
-        if let Err(e) = done {
+        let flushed = log.append(&self.pending).and_then(|()| log.sync());
+        if let Err(e) = flushed {
             self.log = None;
             return Err(e);
         }
-        self.log_bytes += self.pending.len() as u64;
-        *self.sizes.entry(self.log_name.clone()).or_default() += self.pending.len() as u64;
+        let bytes = self.pending.len() as u64;
+        self.log_bytes += bytes;
+        *self.segment_bytes.entry(self.log_name.clone()).or_default() += bytes;
         self.pending.clear();
         self.durable = self.last;
         Ok(self.durable)
     }
-
-    // ---- Segments ----
-
-    /// A new segment behind a batch.
-    fn create(
-        &mut self,
-        snapshot: bool,
-        after: u64,
-        now_ms: u64,
-    ) -> io::Result<(Box<dyn Log>, String)> {
-        self.head.number += 1;
-        let head = Head {
-            snapshot,
-            after,
-            acknowledged: self.durable,
-            at_ms: now_ms,
-            ..self.head
-        };
-        let name = recovery::name(head.number);
-        let mut log = self.files.create(&name)?;
-        let mut bytes = Vec::new();
-        frame::put_head(&mut bytes, &head);
-        log.append(&bytes)?;
-        // Before any frame: a head that is bad with frames behind it is damage.
-        log.sync()?;
-        self.files.sync_directory()?;
-        self.sizes.insert(name.clone(), bytes.len() as u64);
-        Ok((log, name))
-    }
-
-    fn begin_log(&mut self, now_ms: u64) -> io::Result<()> {
-        self.log = None;
-        let (log, name) = self.create(false, self.durable, now_ms)?;
-        (self.log, self.log_name) = (Some(log), name);
-        Ok(())
-    }
-
-    /// Whether the log should be rewritten.
-    pub fn wants_rewriting(&self) -> bool {
-        let long =
-            self.log_bytes > MIN_LOG.min(self.plan.budget / 8) && self.log_bytes > 2 * self.live;
-        self.log.is_some() && (self.rewriting.is_some() || long || self.unsure)
-    }
-
-    /// Does about so many bytes of rewriting. True: the log is rewritten, and what it took the
-    /// place of is gone.
-    pub fn rewrite(&mut self, now_ms: u64, bytes: usize) -> io::Result<bool> {
-        if self.rewriting.is_none() {
-            self.flush()?;
-            let old = self.sizes.keys().cloned().collect();
-            let (log, name) = self.create(true, self.durable, now_ms)?;
-            self.rewriting = Some(Rewriting {
-                log,
-                name,
-                bytes: 0,
-                at: None,
-                writes: 0,
-                old,
-            });
-            // What comes from now on lies behind the snapshot, whatever of it that holds already.
-            if let Err(e) = self.begin_log(now_ms) {
-                self.rewriting = None;
-                return Err(e);
-            }
-            self.log_bytes = 0;
-        }
-        let Some(mut own) = self.rewriting.take() else {
-            return Ok(false);
-        };
-        let mut left = bytes;
-        while left > 0 {
-            let part = self.part(&mut own, now_ms);
-            if part.writes.is_empty() {
-                // It may hold a part of a batch that came meanwhile: with the log behind it all of
-                // that is there.
-                self.flush()?;
-                return self.finish(own).map(|()| true);
-            }
-            let mut out = Vec::new();
-            own.writes += part.writes.len() as u64;
-            frame::put(&mut out, &Frame::Part(part));
-            own.log.append(&out)?;
-            own.bytes += out.len() as u64;
-            left = left.saturating_sub(out.len());
-        }
-        *self.sizes.entry(own.name.clone()).or_default() = own.bytes;
-        self.rewriting = Some(own);
-        Ok(false)
-    }
-
-    /// The next live keys behind the last that was written; what has expired is forgotten.
-    fn part(&mut self, own: &mut Rewriting, now_ms: u64) -> Batch {
-        let from = own.at.as_deref().map_or(Bound::Unbounded, Bound::Excluded);
-        let (mut part, mut bytes, mut expired) = (Batch::default(), 0, Vec::new());
-        for (key, value) in self.keys.range::<[u8], _>((from, Bound::Unbounded)) {
-            if value.until_ms != 0 && value.until_ms < now_ms {
-                expired.push(key.clone());
-                continue;
-            }
-            part.put(key.to_vec(), value.bytes.to_vec(), value.until_ms);
-            bytes += cost(key, &value.bytes) as usize;
-            if bytes >= PART {
-                break;
-            }
-        }
-        for key in expired {
-            if let Some(value) = self.keys.remove(&key) {
-                self.live -= cost(&key, &value.bytes);
-            }
-        }
-        own.at = part
-            .writes
-            .last()
-            .map(|write| write.key.as_slice().into())
-            .or(own.at.take());
-        part
-    }
-
-    fn finish(&mut self, mut own: Rewriting) -> io::Result<()> {
-        let mut out = Vec::new();
-        frame::put(&mut out, &Frame::Whole(own.writes));
-        own.log.append(&out)?;
-        own.log.sync()?;
-        self.files.sync_directory()?;
-        self.sizes.insert(own.name, own.bytes + out.len() as u64);
-        self.unsure = false;
-        // Only now may what it took the place of go.
-        for name in own.old {
-            self.files.remove(&name)?;
-            self.sizes.remove(&name);
-        }
-        self.files.sync_directory()
-    }
-
-    /// Writes all keys anew behind a log that broke or was damaged; what was taken meanwhile is
-    /// durable then.
-    pub fn rescue(&mut self, now_ms: u64) -> io::Result<u64> {
-        (self.log, self.rewriting) = (None, None);
-        let old: Vec<String> = self.sizes.keys().cloned().collect();
-        // What is not durable yet becomes so with the snapshot, and its frames are not needed
-        // again.
-        let (log, name) = self.create(true, self.last, now_ms)?;
-        let mut own = Rewriting {
-            log,
-            name,
-            bytes: 0,
-            at: None,
-            writes: 0,
-            old,
-        };
-        loop {
-            let part = self.part(&mut own, now_ms);
-            if part.writes.is_empty() {
-                break;
-            }
-            let mut out = Vec::new();
-            own.writes += part.writes.len() as u64;
-            frame::put(&mut out, &Frame::Part(part));
-            own.log.append(&out)?;
-            own.bytes += out.len() as u64;
-        }
-        self.finish(own)?;
-        self.durable = self.last;
-        self.pending.clear();
-        self.log_bytes = 0;
-        self.begin_log(now_ms)?;
-        Ok(self.durable)
-    }
-}
-
-#[derive(Clone, Copy)]
-struct Identity {
-    own: u64,
-    life_ms: u64,
-}
-
-/// The identity that a directory tells, if it is the directory that it was told in.
-fn identity(files: &mut dyn Files, names: &[String]) -> io::Result<Option<Identity>> {
-    if !names.iter().any(|name| name == IDENTITY) {
-        return Ok(None);
-    }
-    let bytes = files.read(IDENTITY)?;
-    let number = |at: usize| {
-        let part = bytes.get(at..at + 8).and_then(|part| part.try_into().ok());
-        part.map(u64::from_le_bytes)
-    };
-    let (Some(own), Some(life_ms), Some(birth), Some(sum)) =
-        (number(0), number(8), number(16), number(24))
-    else {
-        return Ok(None);
-    };
-    // Where the system doesn't tell births, a copy can't be told from what it is a copy of.
-    let same = files.birth(IDENTITY)?.is_none_or(|now| now == birth);
-    let whole = crc32fast::hash(&bytes[..24]) as u64 == sum;
-    Ok(Some(Identity { own, life_ms }).filter(|_| same && whole))
-}
-
-fn make_identity(
-    files: &mut dyn Files,
-    names: &[String],
-    identity: Identity,
-) -> io::Result<Identity> {
-    if names.iter().any(|name| name == IDENTITY) {
-        files.remove(IDENTITY)?;
-    }
-    let mut log = files.create(IDENTITY)?;
-    let birth = files.birth(IDENTITY)?.unwrap_or(0);
-    let numbers = [identity.own, identity.life_ms, birth];
-    let mut bytes = numbers.map(u64::to_le_bytes).concat();
-    bytes.extend_from_slice(&(crc32fast::hash(&bytes) as u64).to_le_bytes());
-    log.append(&bytes)?;
-    log.sync()?;
-    files.sync_directory()?;
-    Ok(identity)
 }
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -1,9 +1,12 @@
-//! The store's thread: takes batches from the loop, flushes once for all that wait, and rewrites
-//! the log in slices between. The loop never waits for it: it is told what is durable, and that the
-//! disk fails.
+//! The store's thread: takes batches from the gateway's loop, flushes once for all that wait, and
+//! rewrites the log in slices between flushes. The loop never waits for it; it polls what is durable
+//! and whether the disk fails.
+//!
+//! The thread stops when its [`Worker`] is dropped: it flushes what was handed over and ends. The
+//! drop joins it, unless the disk takes longer than [`SHUTDOWN_TIMEOUT`].
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender, TrySendError};
+use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -13,58 +16,64 @@
 use crate::frame::Batch;
 use crate::store::Store;
 
-/// Batches between the loop and the thread; one more is refused.
+/// Name of the thread.
+const THREAD_NAME: &str = "store";
+/// Batches that wait for the thread; a further one is rejected.
 pub const MAX_WAITING: usize = 4096;
-/// The rewriting of a log: bytes of one slice, and bytes a second.
-const SLICE: u64 = 16 << 10;
-const SLICES_PER_S: f64 = 8.0 * (1 << 20) as f64;
-/// After a fault the log is written anew no sooner than this.
-const PAUSE: Duration = Duration::from_millis(500);
-/// How often the thread looks round where nothing comes.
-const IDLE: Duration = Duration::from_millis(200);
-/// How long the end of the program waits for the last flush.
-const LAST_FLUSH: Duration = Duration::from_millis(300);
+/// Bytes of one slice of rewriting.
+const REWRITE_SLICE_BYTES: u64 = 16 << 10;
+/// Bytes of rewriting in a second.
+const REWRITE_BYTES_PER_S: f64 = 8.0 * (1 << 20) as f64;
+/// Delay after a failed write before the next attempt to rebuild the log.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Longest wait of the thread for a batch.
+const MAX_IDLE: Duration = Duration::from_millis(200);
+/// Longest wait for the last flush when the worker is dropped.
+pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval at which the drop checks whether the thread has ended.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
+/// What the thread reports to the loop.
 #[derive(Default)]
 struct Shared {
     durable: AtomicU64,
-    failing: AtomicBool,
-    full: AtomicBool,
+    is_failing: AtomicBool,
+    is_full: AtomicBool,
 }
 
-/// The loop's side.
+/// The loop's side of the thread, which it owns.
 pub struct Worker {
     sender: Option<SyncSender<Batch>>,
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
-    sent: u64,
+    last_ticket: u64,
 }
 
 impl Worker {
-    /// `wake` is called from the thread whenever more is durable.
+    /// Starts the thread. It calls `wake` whenever more batches are durable or the disk fails.
+    ///
+    /// # Errors
+    ///
+    /// Where the system starts no thread.
     pub fn start(store: Store, wake: Box<dyn Fn() + Send>) -> std::io::Result<Self> {
-        let (sender, receiver) = sync_channel(MAX_WAITING);
+        let (sender, batches) = sync_channel(MAX_WAITING);
         let shared = Arc::new(Shared::default());
-        let own = shared.clone();
-        let thread = std::thread::Builder::new().name("store".into());
-        let thread = thread.spawn(move || run(store, receiver, &own, wake))?;
+        let mut flusher = Flusher::new(store, shared.clone(), wake);
+        let thread = std::thread::Builder::new().name(THREAD_NAME.into());
+        let thread = thread.spawn(move || flusher.run(&batches))?;
         Ok(Worker {
             sender: Some(sender),
             shared,
             thread: Some(thread),
-            sent: 0,
+            last_ticket: 0,
         })
     }
 
-    /// Hands a batch over; gives its ticket, or nothing where too many wait.
+    /// Hands a batch over, and returns its ticket; `None` where too many wait.
     pub fn write(&mut self, batch: Batch) -> Option<u64> {
-        match self.sender.as_ref()?.try_send(batch) {
-            Ok(()) => {
-                self.sent += 1;
-                Some(self.sent)
-            }
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => None,
-        }
+        self.sender.as_ref()?.try_send(batch).ok()?;
+        self.last_ticket += 1;
+        Some(self.last_ticket)
     }
 
     /// The last ticket that is durable.
@@ -72,20 +81,27 @@
         self.shared.durable.load(Ordering::Acquire)
     }
 
-    /// The disk fails or is full: what is handed over now may wait for long.
+    /// Whether the disk fails or is full, so that batches may wait for long.
     pub fn is_failing(&self) -> bool {
-        self.shared.failing.load(Ordering::Relaxed) || self.shared.full.load(Ordering::Relaxed)
+        self.shared.is_failing.load(Ordering::Relaxed)
+            || self.shared.is_full.load(Ordering::Relaxed)
     }
 }
 
-/// The end: what was handed over is flushed, if the disk is quick about it.
 impl Drop for Worker {
     fn drop(&mut self) {
+        // The thread ends once the channel is closed and empty.
         self.sender = None;
-        let (until, thread) = (Instant::now() + LAST_FLUSH, self.thread.take());
-        while thread.as_ref().is_some_and(|thread| !thread.is_finished()) && Instant::now() < until
-        {
-            std::thread::sleep(Duration::from_millis(2));
+        let Some(thread) = self.thread.take() else {
+            return;
+        };
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+        while !thread.is_finished() && Instant::now() < deadline {
+            std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
+        }
+        if thread.is_finished() {
+            // The panic hook has reported a panic of the thread already.
+            let _ = thread.join();
         }
     }
 }
@@ -97,79 +113,127 @@
         .as_millis() as u64
 }
 
-#[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-#[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-fn run(mut store: Store, batches: Receiver<Batch>, shared: &Shared, wake: Box<dyn Fn() + Send>) {
-    let began = Instant::now();
-    let mut slices: Scheduler<()> = Scheduler::new(
-        Budget {
+/// State of the thread.
+struct Flusher {
+    store: Store,
+    shared: Arc<Shared>,
+    wake: Box<dyn Fn() + Send>,
+    started_at: Instant,
+    slices: Scheduler<()>,
+    /// Tickets of the batches that were taken.
+    last_ticket: u64,
+    /// A broken log is not rebuilt before this time.
+    retry_at: Instant,
+}
+
+impl Flusher {
+    fn new(store: Store, shared: Arc<Shared>, wake: Box<dyn Fn() + Send>) -> Self {
+        let budget = Budget {
             look: u64::MAX,
-            bytes_per_s: SLICES_PER_S,
-        },
-        0,
-    );
-    let (mut taken, mut not_before) = (0u64, Instant::now());
-    loop {
-        let now = || began.elapsed().as_micros() as u64;
-        let rewrites = store.wants_rewriting();
-        let wait = if rewrites {
-            Duration::from_micros(slices.due(now()).map_or(0, |due| due.saturating_sub(now())))
-                .min(IDLE)
-        } else {
-            IDLE
-        };
-        let first = match batches.recv_timeout(wait) {
-            Ok(batch) => Some(batch),
-            Err(RecvTimeoutError::Timeout) => None,
-            Err(RecvTimeoutError::Disconnected) => break,
+            bytes_per_s: REWRITE_BYTES_PER_S,
         };
-        // One flush for all that waits by now.
-        for batch in first
-            .into_iter()
-            .chain(batches.try_iter().take(MAX_WAITING))
-        {
-            taken += 1;
-            // Only what nobody waits for can be too long: an intent is some sixty bytes.
-            if store.write(batch).is_none() {
-                log::error!("a batch is too long for the store and was left out");
+        Flusher {
+            store,
+            shared,
+            wake,
+            started_at: Instant::now(),
+            slices: Scheduler::new(budget, 0),
+            last_ticket: 0,
+            retry_at: Instant::now(),
+        }
+    }
+
+    fn run(&mut self, batches: &Receiver<Batch>) {
+        loop {
+            match batches.recv_timeout(self.next_wait()) {
+                Ok(batch) => self.take(batch),
+                Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => break,
             }
+            // One flush for all that wait by now.
+            for batch in batches.try_iter().take(MAX_WAITING) {
+                self.take(batch);
+            }
+            if self.store.is_broken() && Instant::now() < self.retry_at {
+                continue;
+            }
+            if self.flush() {
+                self.rewrite_slice();
+            }
+        }
+        // The last batches; a failure leaves them not reported as durable.
+        let _ = self.store.flush();
+    }
+
+    fn now_us(&self) -> u64 {
+        self.started_at.elapsed().as_micros() as u64
+    }
+
+    fn next_wait(&mut self) -> Duration {
+        if !self.store.wants_rewriting() {
+            return MAX_IDLE;
         }
-        let flushed = match store.is_broken() {
-            false => store.flush().map(|_| ()),
-            true if Instant::now() < not_before => continue,
-            true => store.rescue(unix_ms()).map(|_| ()),
+        let now_us = self.now_us();
+        let due_us = self.slices.due(now_us).unwrap_or(0);
+        Duration::from_micros(due_us.saturating_sub(now_us)).min(MAX_IDLE)
+    }
+
+    fn take(&mut self, batch: Batch) {
+        self.last_ticket += 1;
+        // No intent is that long, so no send waits for such a batch.
+        if self.store.write(batch).is_none() {
+            log::error!("a batch is too long for the store and was left out");
+        }
+    }
+
+    /// Makes all batches that were taken durable. Returns whether that succeeded.
+    fn flush(&mut self) -> bool {
+        let flushed = if self.store.is_broken() {
+            self.store.rebuild(unix_ms())
+        } else {
+            self.store.flush()
         };
         if let Err(e) = flushed {
-            if !shared.failing.swap(true, Ordering::Relaxed) {
+            if !self.shared.is_failing.swap(true, Ordering::Relaxed) {
                 log::error!(
                     "the store can't be written; keyed requests wait, then are refused: {e}"
                 );
             }
-            not_before = Instant::now() + PAUSE;
-            wake();
-            continue;
+            self.retry_at = Instant::now() + RETRY_DELAY;
+            (self.wake)();
+            return false;
         }
-        if shared.failing.swap(false, Ordering::Relaxed) {
+        if self.shared.is_failing.swap(false, Ordering::Relaxed) {
             log::info!("the store is written again");
         }
-        shared.full.store(store.is_full(0), Ordering::Relaxed);
-        if shared.durable.swap(taken, Ordering::Release) != taken {
-            wake();
+        let is_full = self.store.is_full(0);
+        self.shared.is_full.store(is_full, Ordering::Relaxed);
+        let durable = self.last_ticket;
+        if self.shared.durable.swap(durable, Ordering::Release) != durable {
+            (self.wake)();
         }
-        if store.wants_rewriting() {
-            // A full queue has one slice waiting already.
-            if slices.waiting(Urgency::Tidy) == 0 {
-                let _ = slices.offer(now(), Urgency::Tidy, (), SLICE);
-            }
-            slices.look();
-            if slices.next(now()).is_some() {
-                if let Err(e) = store.rewrite(unix_ms(), SLICE as usize) {
-                    log::warn!("the store's log could not be rewritten, which is tried again: {e}");
-                    not_before = Instant::now() + PAUSE;
-                }
-            }
+        true
+    }
+
+    fn rewrite_slice(&mut self) {
+        if !self.store.wants_rewriting() {
+            return;
+        }
+        if self.slices.waiting(Urgency::Tidy) == 0 {
+            // The queue is empty, so it takes the slice.
+            let now_us = self.now_us();
+            let _ = self
+                .slices
+                .offer(now_us, Urgency::Tidy, (), REWRITE_SLICE_BYTES);
+        }
+        self.slices.look();
+        let now_us = self.now_us();
+        if self.slices.next(now_us).is_none() {
+            return;
+        }
+        if let Err(e) = self.store.rewrite(unix_ms(), REWRITE_SLICE_BYTES as usize) {
+            log::warn!("the store's log could not be rewritten, which is tried again: {e}");
+            self.retry_at = Instant::now() + RETRY_DELAY;
         }
     }
-    // What came last; where this fails nobody was told otherwise.
-    let _ = store.flush();
 }
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -1,24 +1,27 @@
-//! The failures that a store is for: a crash within any call, power lost with writes torn and
-//! reordered, bytes cut and changed, a full disk, a failed flush, an old copy, a second process.
+//! Failures that a store has to survive: a crash within any call, a power loss with torn and
+//! reordered writes, truncated and changed bytes, a full disk, a failed flush, an old copy, a second
+//! process.
 
 use std::collections::BTreeMap;
 
-use eideryard_store::faulty::Faulty;
+use eideryard_store::faulty::FaultyDisk;
+use eideryard_store::worker::{Worker, MAX_WAITING};
 use eideryard_store::{Batch, Config, Directory, OpenError, RecoveryStatus, Store};
 use fastrand::Rng;
 use proptest::prelude::*;
 
 const NOW: u64 = 1_800_000_000_000;
-const PLAN: Config = Config { budget: 1 << 20 };
+const CONFIG: Config = Config { budget: 1 << 20 };
 
+/// The keys and values that a store should hold.
 type Map = BTreeMap<Vec<u8>, Vec<u8>>;
 
-fn open(disk: &Faulty, random: u64) -> Result<(Store, RecoveryStatus), OpenError> {
-    Store::open(Box::new(disk.clone()), PLAN, NOW, random)
-        .map(|(store, found)| (store, found.status))
+fn open(disk: &FaultyDisk, random: u64) -> Result<(Store, RecoveryStatus), OpenError> {
+    Store::open(Box::new(disk.clone()), CONFIG, NOW, random)
+        .map(|(store, report)| (store, report.status))
 }
 
-fn held(store: &Store) -> Map {
+fn contents(store: &Store) -> Map {
     store
         .prefix(b"")
         .map(|(key, value)| (key.to_vec(), value.bytes.to_vec()))
@@ -26,7 +29,7 @@
 }
 
 /// A small batch over few keys, so that most are overwritten and removed.
-fn batch(rng: &mut Rng) -> Batch {
+fn random_batch(rng: &mut Rng) -> Batch {
     let mut batch = Batch::default();
     for _ in 0..rng.usize(1..4) {
         let key = format!("key-{}", rng.u8(0..40)).into_bytes();
@@ -47,14 +50,13 @@
     }
 }
 
-/// One process's life on a disk: writes, flushes and rewrites until something fails. Gives all
-/// states that it went through, one for each batch, and the place of the one that it was told was
-/// durable.
-fn live(store: &mut Store, rng: &mut Rng, batches: usize, states: &mut Vec<Map>) -> usize {
+/// Writes, flushes and rewrites until something fails, as one process does. Appends the state after
+/// each batch to `states`, and returns the index of the last one that was reported durable.
+fn run_process(store: &mut Store, rng: &mut Rng, batches: usize, states: &mut Vec<Map>) -> usize {
     let (mut acknowledged, first) = (states.len() - 1, store.durable());
     let base = states.len() - 1;
     for _ in 0..batches {
-        let batch = batch(rng);
+        let batch = random_batch(rng);
         let mut map = states.last().unwrap().clone();
         apply(&mut map, &batch);
         store.write(batch);
@@ -72,87 +74,99 @@
     acknowledged
 }
 
-/// A crash within every call, twice in a row, recovery itself included: what was acknowledged is
-/// there, and nothing that was never written.
-fn crashes(seed: u64, power: bool) {
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Fault {
+    Kill,
+    PowerLoss,
+}
+
+/// Crashes within calls, several times in a row, recovery included: what was acknowledged is there,
+/// and nothing that was never written.
+fn check_crashes(seed: u64, fault: Fault) {
     let mut rng = Rng::with_seed(seed);
-    let disk = Faulty::default();
+    let disk = FaultyDisk::default();
     let (mut states, mut acknowledged) = (vec![Map::new()], 0);
-    for life in 0..4 {
-        // Mostly soon, so that recovery and the first calls of a life are hit often.
+    for process in 0..4 {
+        // Mostly soon, so that recovery and the first calls of a process are hit often.
         disk.crash_at(if rng.bool() {
             rng.u64(1..12)
         } else {
             rng.u64(1..120)
         });
-        if let Ok((mut store, trust)) = open(&disk, seed + life) {
+        if let Ok((mut store, status)) = open(&disk, seed + process) {
             assert!(
-                matches!(trust, RecoveryStatus::New | RecoveryStatus::Whole),
-                "seed {seed}, life {life}: {trust:?}"
+                matches!(status, RecoveryStatus::New | RecoveryStatus::Whole),
+                "seed {seed}, process {process}: {status:?}"
             );
-            let found = held(&store);
-            let place = states
+            let found = contents(&store);
+            let index = states
                 .iter()
                 .skip(acknowledged)
                 .position(|state| *state == found);
-            let place = place.unwrap_or_else(|| {
+            let index = index.unwrap_or_else(|| {
                 let earlier = states.iter().rposition(|state| *state == found);
                 panic!(
-                    "seed {seed}, life {life}: an acknowledged write is lost: state {earlier:?} of {}, {acknowledged} \
+                    "seed {seed}, process {process}: an acknowledged write is lost: state {earlier:?} of {}, {acknowledged} \
                      was acknowledged; files {:?}",
                     states.len(),
-                    disk.saved().iter().map(|(n, b)| (n.clone(), b.len())).collect::<Vec<_>>()
+                    disk.backup().iter().map(|(n, b)| (n.clone(), b.len())).collect::<Vec<_>>()
                 )
             });
-            states.truncate(acknowledged + place + 1);
-            acknowledged = live(&mut store, &mut rng, 60, &mut states);
+            states.truncate(acknowledged + index + 1);
+            acknowledged = run_process(&mut store, &mut rng, 60, &mut states);
         }
-        if power {
-            disk.power_loss(&mut rng);
-        } else {
-            disk.kill();
+        match fault {
+            Fault::PowerLoss => disk.power_loss(&mut rng),
+            Fault::Kill => disk.kill(),
         }
     }
-    let (store, trust) = open(&disk, seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+    let (store, status) = open(&disk, seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     assert!(
-        matches!(trust, RecoveryStatus::New | RecoveryStatus::Whole),
-        "seed {seed}: {trust:?}"
+        matches!(status, RecoveryStatus::New | RecoveryStatus::Whole),
+        "seed {seed}: {status:?}"
     );
     assert!(
-        states[acknowledged..].contains(&held(&store)),
+        states[acknowledged..].contains(&contents(&store)),
         "seed {seed}: an acknowledged write is lost"
     );
 }
 
-/// `EIDERYARD_SEEDS` plays more.
+/// `EIDERYARD_SEEDS` sets the number of seeds.
 #[test]
 fn a_crash_within_any_call_loses_nothing_acknowledged_and_invents_nothing() {
     let seeds = std::env::var("EIDERYARD_SEEDS")
         .ok()
         .and_then(|seeds| seeds.parse().ok())
         .unwrap_or(4000);
-    (0..seeds).for_each(|seed| crashes(seed, seed % 4 != 0));
+    for seed in 0..seeds {
+        let fault = if seed % 4 == 0 {
+            Fault::Kill
+        } else {
+            Fault::PowerLoss
+        };
+        check_crashes(seed, fault);
+    }
 }
 
-/// The planted bug that the test above is for: a disk that says it flushed and did not.
+/// The injected bug that the test above has to find: a disk that reports a flush without doing it.
 #[test]
 #[should_panic(expected = "acknowledged write is lost")]
 fn a_flush_that_does_nothing_is_noticed() {
     for seed in 0..200 {
         let mut rng = Rng::with_seed(seed);
-        let disk = Faulty::default();
+        let disk = FaultyDisk::default();
         let (mut store, _) = open(&disk, 1).unwrap();
         let mut states = vec![Map::new()];
-        let saved = disk.saved();
-        let acknowledged = live(&mut store, &mut rng, 30, &mut states);
+        let backup = disk.backup();
+        let acknowledged = run_process(&mut store, &mut rng, 30, &mut states);
         drop(store);
         // What the log held at first is all that reached the disk.
-        for (name, bytes) in saved {
+        for (name, bytes) in backup {
             disk.change(&name, |now| now.truncate(bytes.len()));
         }
         disk.power_loss(&mut rng);
         let found = open(&disk, 2)
-            .map(|(store, _)| held(&store))
+            .map(|(store, _)| contents(&store))
             .unwrap_or_default();
         assert!(
             states[acknowledged..].contains(&found),
@@ -162,27 +176,29 @@
 }
 
 #[test]
-fn a_failed_flush_is_not_believed_and_a_rescue_makes_all_durable() {
+fn after_a_failed_flush_a_rebuild_makes_all_durable() {
     for seed in 0..300 {
         let mut rng = Rng::with_seed(seed);
-        let disk = Faulty::default();
+        let disk = FaultyDisk::default();
         let (mut store, _) = open(&disk, 1).unwrap();
         let mut states = vec![Map::new()];
         disk.fail_at(rng.u64(1..30));
-        live(&mut store, &mut rng, 60, &mut states);
+        run_process(&mut store, &mut rng, 60, &mut states);
         if store.is_broken() {
-            assert!(store.flush().is_err(), "a broken log takes nothing");
+            assert!(store.flush().is_err(), "a broken log is not flushed");
             // The next call may fail as well.
             disk.fail_at(rng.u64(1..12));
-            while store.rescue(NOW).is_err() {}
+            while store.rebuild(NOW).is_err() {}
         }
-        store.flush().unwrap_or_else(|_| store.rescue(NOW).unwrap());
-        assert_eq!(held(&store), *states.last().unwrap(), "seed {seed}");
+        store
+            .flush()
+            .unwrap_or_else(|_| store.rebuild(NOW).unwrap());
+        assert_eq!(contents(&store), *states.last().unwrap(), "seed {seed}");
         drop(store);
         disk.power_loss(&mut rng);
-        let (store, trust) = open(&disk, 2).unwrap();
+        let (store, status) = open(&disk, 2).unwrap();
         assert_eq!(
-            (held(&store), trust),
+            (contents(&store), status),
             (states.pop().unwrap(), RecoveryStatus::Whole),
             "seed {seed}"
         );
@@ -191,57 +207,59 @@
 
 #[test]
 fn a_disk_that_is_full_within_a_rewrite_keeps_what_it_had_and_goes_on_with_room() {
-    for room in (0..6000).step_by(97) {
-        let mut rng = Rng::with_seed(room as u64);
-        let disk = Faulty::default();
+    for free_bytes in (0..6000).step_by(97) {
+        let mut rng = Rng::with_seed(free_bytes as u64);
+        let disk = FaultyDisk::default();
         let (mut store, _) = open(&disk, 1).unwrap();
         let mut states = vec![Map::new()];
-        live(&mut store, &mut rng, 80, &mut states);
+        run_process(&mut store, &mut rng, 80, &mut states);
         store.flush().unwrap();
-        disk.room(Some(room));
+        disk.set_free_bytes(Some(free_bytes));
         while store.rewrite(NOW, 500).is_ok_and(|done| !done) {}
-        disk.room(None);
-        store.flush().unwrap_or_else(|_| store.rescue(NOW).unwrap());
+        disk.set_free_bytes(None);
+        store
+            .flush()
+            .unwrap_or_else(|_| store.rebuild(NOW).unwrap());
         disk.power_loss(&mut rng);
         drop(store);
-        let (store, _) = open(&disk, 2).unwrap_or_else(|e| panic!("{room}: {e}"));
-        assert_eq!(held(&store), *states.last().unwrap(), "{room}");
+        let (store, _) = open(&disk, 2).unwrap_or_else(|e| panic!("{free_bytes}: {e}"));
+        assert_eq!(contents(&store), *states.last().unwrap(), "{free_bytes}");
     }
 }
 
-/// A store of some thousand writes, through a rewrite, with its states.
-fn written(seed: u64) -> (Faulty, Vec<Map>) {
+/// A store after several rewrites, with its states.
+fn written_store(seed: u64) -> (FaultyDisk, Vec<Map>) {
     let mut rng = Rng::with_seed(seed);
-    let disk = Faulty::default();
+    let disk = FaultyDisk::default();
     let (mut store, _) = open(&disk, 1).unwrap();
     let mut states = vec![Map::new()];
     for _ in 0..3 {
-        live(&mut store, &mut rng, 100, &mut states);
+        run_process(&mut store, &mut rng, 100, &mut states);
         while !store.rewrite(NOW, 4000).unwrap() {}
     }
-    live(&mut store, &mut rng, 100, &mut states);
+    run_process(&mut store, &mut rng, 100, &mut states);
     store.flush().unwrap();
     (disk, states)
 }
 
-/// Whatever byte is cut at or changed, of whatever file: the state of some time, or a refusal in
-/// words.
-fn damaged(disk: &Faulty, states: &[Map], name: &str, what: &str) -> bool {
-    match Store::open(Box::new(disk.clone()), PLAN, NOW, 9) {
-        Ok((store, found)) => {
-            let found_state = held(&store);
+/// Opens a damaged store: it has the state of some time, or is refused with a reason. Returns whether
+/// it was opened.
+fn opens_damaged(disk: &FaultyDisk, states: &[Map], name: &str, damage: &str) -> bool {
+    match Store::open(Box::new(disk.clone()), CONFIG, NOW, 9) {
+        Ok((store, report)) => {
+            let found_state = contents(&store);
             assert!(
                 states.contains(&found_state),
-                "{name}, {what}: a state that never was"
+                "{name}, {damage}: a state that never was"
             );
             let whole = found_state == *states.last().unwrap();
-            // What is missing is said, unless it looks as if it was never flushed.
+            // Missing batches are reported, unless they look as if they were never flushed.
             assert!(
                 whole
-                    || found.status != RecoveryStatus::Whole
-                    || found.torn > 0
-                    || what.starts_with("cut"),
-                "{name}, {what}"
+                    || report.status != RecoveryStatus::Whole
+                    || report.torn_bytes > 0
+                    || damage.starts_with("cut"),
+                "{name}, {damage}"
             );
             true
         }
@@ -254,22 +272,25 @@
 
 #[test]
 fn every_byte_cut_and_every_byte_changed_is_survived_or_refused() {
-    let (disk, states) = written(5);
-    let saved = disk.saved();
+    let (disk, states) = written_store(5);
+    let backup = disk.backup();
     let (mut opened, mut refused) = (0, 0);
-    for (name, bytes) in &saved {
+    for (name, bytes) in &backup {
         for at in 0..bytes.len() {
-            for what in ["cut", "changed"] {
-                let change = |bytes: &mut Vec<u8>| match what {
+            for kind in ["cut", "changed"] {
+                let change = |bytes: &mut Vec<u8>| match kind {
                     "cut" => bytes.truncate(at),
                     _ => bytes[at] ^= 1 << (at % 8),
                 };
                 disk.kill();
-                let other = Faulty::default();
-                other.put_back(&saved);
+                let other = FaultyDisk::default();
+                other.restore(&backup);
                 other.change(name, change);
-                let went = damaged(&other, &states, name, &format!("{what} at {at}"));
-                *(if went { &mut opened } else { &mut refused }) += 1;
+                if opens_damaged(&other, &states, name, &format!("{kind} at {at}")) {
+                    opened += 1;
+                } else {
+                    refused += 1;
+                }
             }
         }
     }
@@ -280,20 +301,20 @@
 }
 
 #[test]
-fn a_copy_put_back_is_another_life_and_so_is_a_wiped_directory() {
+fn a_restored_copy_is_a_new_incarnation_and_so_is_a_wiped_directory() {
     let directory = tempfile::tempdir().unwrap();
-    let (own, old) = (directory.path().join("own"), directory.path().join("old"));
-    let plan = Config { budget: 1 << 20 };
-    let open = |now| Store::open(Box::new(Directory::new(&own)), plan, now, now);
+    let original = directory.path().join("original");
+    let backup = directory.path().join("backup");
+    let open = |now| Store::open(Box::new(Directory::new(&original)), CONFIG, now, now);
     let put = |store: &mut Store, key: &str| {
         let mut batch = Batch::default();
         batch.put(key.into(), b"1".to_vec(), 0);
         store.write(batch);
         store.flush().unwrap();
     };
-    let (mut store, found) = open(NOW).unwrap();
+    let (mut store, report) = open(NOW).unwrap();
     assert_eq!(
-        (found.status, found.start, found.life_ms),
+        (report.status, report.start, report.complete_since_ms),
         (RecoveryStatus::New, 1, NOW)
     );
     put(&mut store, "a");
@@ -309,36 +330,36 @@
             std::fs::copy(file.path(), to.join(file.file_name())).unwrap();
         }
     };
-    copy(&own, &old);
-    let (mut store, found) = open(NOW + 1).unwrap();
+    copy(&original, &backup);
+    let (mut store, report) = open(NOW + 1).unwrap();
     assert_eq!(
-        (found.status, found.start, found.life_ms),
+        (report.status, report.start, report.complete_since_ms),
         (RecoveryStatus::Whole, 2, NOW)
     );
     put(&mut store, "b");
     drop(store);
-    std::fs::remove_dir_all(&own).unwrap();
-    copy(&old, &own);
-    let (store, found) = open(NOW + 2).unwrap();
+    std::fs::remove_dir_all(&original).unwrap();
+    copy(&backup, &original);
+    let (store, report) = open(NOW + 2).unwrap();
     assert_eq!(
-        (found.status, found.life_ms, found.keys),
+        (report.status, report.complete_since_ms, report.keys),
         (RecoveryStatus::Copy, NOW + 2, 1)
     );
     assert!(store.get(b"a").is_some() && store.get(b"b").is_none());
     drop(store);
-    let (_, found) = open(NOW + 3).unwrap();
+    let (_, report) = open(NOW + 3).unwrap();
     assert_eq!(
-        (found.status, found.life_ms),
+        (report.status, report.complete_since_ms),
         (RecoveryStatus::Whole, NOW + 2),
-        "from then on it is its own life"
+        "from then on it is an incarnation of its own"
     );
-    std::fs::remove_dir_all(&own).unwrap();
+    std::fs::remove_dir_all(&original).unwrap();
     assert_eq!(open(NOW + 4).unwrap().1.status, RecoveryStatus::New);
 }
 
 #[test]
-fn what_has_expired_goes_with_a_rewrite_and_the_log_stays_within_its_budget() {
-    let disk = Faulty::default();
+fn a_rewrite_removes_expired_keys_and_the_log_stays_within_its_budget() {
+    let disk = FaultyDisk::default();
     let (mut store, _) = open(&disk, 1).unwrap();
     for number in 0..60_000u32 {
         let mut batch = Batch::default();
@@ -352,7 +373,7 @@
             store.rewrite(NOW, 4000).unwrap();
         }
         assert!(
-            store.bytes() < PLAN.budget,
+            store.bytes() < CONFIG.budget,
             "{} bytes on disk",
             store.bytes()
         );
@@ -360,7 +381,7 @@
     while store.wants_rewriting() {
         store.rewrite(NOW, 4000).unwrap();
     }
-    store.rescue(NOW).unwrap();
+    store.rebuild(NOW).unwrap();
     assert_eq!(store.len(), 150, "those that never expire");
 }
 
@@ -386,10 +407,10 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
-    /// Against a plain map, through flushes, rewrites and clean restarts.
+    /// Compared with a map, through flushes, rewrites and clean restarts.
     #[test]
-    fn it_holds_what_a_plain_map_holds(ops in ops()) {
-        let disk = Faulty::default();
+    fn a_store_holds_what_a_map_holds(ops in ops()) {
+        let disk = FaultyDisk::default();
         let mut map = Map::new();
         let (mut store, _) = open(&disk, 1).unwrap();
         for op in ops {
@@ -410,37 +431,36 @@
                 apply(&mut map, &batch);
                 store.write(batch);
             }
-            prop_assert_eq!(held(&store), map.clone());
+            prop_assert_eq!(contents(&store), map.clone());
         }
     }
 }
 
-/// A disk that stalls holds the store's thread and nobody else: batches are taken up to the queue's
-/// end, then refused, nothing is called durable, and all of it is once the disk writes again.
+/// Batches are accepted until the queue is full, then rejected; none is reported durable until the
+/// disk writes again.
 #[test]
-fn a_disk_that_stalls_holds_its_thread_and_no_caller() {
-    use eideryard_store::worker::{Worker, MAX_WAITING};
-    let disk = Faulty::default();
+fn a_stalled_disk_blocks_the_thread_and_no_caller() {
+    let disk = FaultyDisk::default();
     let (store, _) = open(&disk, 1).unwrap();
-    let (told, heard) = std::sync::mpsc::channel();
-    let mut worker = Worker::start(store, Box::new(move || _ = told.send(()))).unwrap();
-    disk.stall(true);
-    let mut one = Batch::default();
-    one.put(b"key".to_vec(), b"value".to_vec(), 0);
+    let (sender, wakes) = std::sync::mpsc::channel();
+    let mut worker = Worker::start(store, Box::new(move || _ = sender.send(()))).unwrap();
+    disk.stall();
+    let mut batch = Batch::default();
+    batch.put(b"key".to_vec(), b"value".to_vec(), 0);
     // The thread may hold as many again as the queue.
-    let taken = std::iter::from_fn(|| worker.write(one.clone()))
+    let accepted = std::iter::from_fn(|| worker.write(batch.clone()))
         .take(3 * MAX_WAITING)
         .last()
         .unwrap();
     assert!(
-        (MAX_WAITING as u64..3 * MAX_WAITING as u64).contains(&taken),
-        "{taken}"
+        (MAX_WAITING as u64..3 * MAX_WAITING as u64).contains(&accepted),
+        "{accepted}"
     );
     assert_eq!(worker.durable(), 0);
-    disk.stall(false);
-    while worker.durable() < taken {
-        heard
+    disk.resume();
+    while worker.durable() < accepted {
+        wakes
             .recv_timeout(std::time::Duration::from_secs(20))
-            .expect("it is told when more is durable");
+            .expect("a wake when more is durable");
     }
 }
