--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -62,14 +62,14 @@
     },
     /// A store is damaged.
     #[error(
-        "{segment} is damaged at byte {at}: a gateway takes what lies before it as hints and begins as a \
+        "{segment} is damaged at byte {offset}: a gateway takes what lies before it as hints and begins as a \
          stranger; nothing has to be done by hand"
     )]
     DamagedStore {
         /// Name of the segment.
         segment: String,
         /// The first damaged byte.
-        at: u64,
+        offset: u64,
     },
     /// A report can't be written.
     #[error("{path}: {error}")]
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -243,7 +243,7 @@
 }
 
 fn read_voter(directory: &Path) -> Result<VoterReplicas, CliError> {
-    let recovered = eideryard_store::look(directory).map_err(|error| CliError::Store {
+    let recovered = eideryard_store::inspect(directory).map_err(|error| CliError::Store {
         directory: directory.to_path_buf(),
         problem: StoreProblem::Open(error),
     })?;
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -31,7 +31,7 @@
     if !directory.is_dir() {
         return Err(error(directory, StoreProblem::NoDirectory));
     }
-    eideryard_store::look(directory).map_err(|problem| error(directory, problem))
+    eideryard_store::inspect(directory).map_err(|problem| error(directory, problem))
 }
 
 /// Prints whether a store is whole, without changing it.
@@ -52,14 +52,17 @@
         found.keys.len(),
         found.last
     );
-    if found.torn > 0 {
+    if found.torn_bytes > 0 {
         println!(
             "{} bytes at the end were never whole: nobody was told that they were durable",
-            found.torn
+            found.torn_bytes
         );
     }
-    if let Some((segment, at)) = found.damaged {
-        return Err(CliError::DamagedStore { segment, at });
+    if let Some(damage) = found.damage {
+        return Err(CliError::DamagedStore {
+            segment: damage.segment,
+            offset: damage.offset,
+        });
     }
     println!("whole");
     Ok(())
@@ -70,12 +73,12 @@
     let Intent {
         since,
         place: Place { zone, cell },
-        out,
-        ran,
+        in_flight,
+        may_have_run,
         until,
     } = intent;
     format!(
-        "Intent {{ since: {since}, place: Place {{ zone: {zone}, cell: {cell} }}, out: {out}, ran: {ran}, \
+        "Intent {{ since: {since}, place: Place {{ zone: {zone}, cell: {cell} }}, out: {in_flight}, ran: {may_have_run}, \
          until: {until} }}"
     )
 }
@@ -122,7 +125,7 @@
     }
     let before = store.bytes();
     store
-        .rescue(now_ms())
+        .rebuild(now_ms())
         .map_err(|problem| error(directory, problem))?;
     println!(
         "{} keys; {before} bytes are {} now",
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -7,7 +7,7 @@
 use std::io;
 
 use eideryard::interface::{EngineId, Micros, Settings};
-use eideryard_intent_log::waiting::Waits;
+use eideryard_intent_log::waiting::PendingSends;
 use eideryard_intent_log::{IntentLog, Limits, Place};
 use eideryard_operator_config::{FleetConfig, StoreConfig};
 use eideryard_store::worker::Worker;
@@ -46,7 +46,7 @@
     intent_log: IntentLog,
     /// Nothing where the store can't be used: requests that need an intent are refused then.
     worker: Option<Worker>,
-    pending_sends: Waits<PendingSend>,
+    pending_sends: PendingSends<PendingSend>,
     replication: Option<Box<ReplicationDriver>>,
     status_writer: Option<StatusWriter>,
     /// Retry window of each class.
@@ -82,7 +82,7 @@
         let durability = IntentDurability {
             intent_log: recovery.intent_log,
             worker: recovery.worker,
-            pending_sends: Waits::default(),
+            pending_sends: PendingSends::default(),
             replication: None,
             status_writer: None,
             windows,
@@ -140,8 +140,8 @@
     pub fn deadline(&self, now: Micros) -> Option<Micros> {
         let replication = self.replication.as_ref();
         let deadlines = [
-            self.intent_log.due(),
-            self.pending_sends.due(),
+            self.intent_log.next_deadline(),
+            self.pending_sends.next_deadline(),
             replication.map(|replication| replication.deadline(now)),
         ];
         deadlines.into_iter().flatten().min()
--- a/crates/gateway/src/intent_durability/recovery.rs
+++ b/crates/gateway/src/intent_durability/recovery.rs
@@ -58,7 +58,7 @@
     wake: Box<dyn Fn() + Send>,
 ) -> Recovery {
     let intent_log = restore_intents(&store, report, context);
-    log_report(report, context.now, intent_log.doubt());
+    log_report(report, context.now, intent_log.uncertain_window());
     let learned_state = restore_checkpoint(&store, context);
     let recovered_state = RecoveredState::read(&store, report);
     let worker = Worker::start(store, wake)
@@ -112,7 +112,7 @@
         context.limits,
         context.classes.to_vec(),
         intents.into_iter(),
-        report.life_ms * 1000,
+        report.complete_since_ms * 1000,
         context.now,
     )
 }
@@ -146,10 +146,10 @@
         report.start,
         describe_status(report, now)
     );
-    if report.torn > 0 {
+    if report.torn_bytes > 0 {
         tracing::info!(
             "store: {} bytes at the end were never whole; nobody was told of them",
-            report.torn
+            report.torn_bytes
         );
     }
     if let UncertainWindow::Before(time) = uncertain {
@@ -163,7 +163,7 @@
 
 fn describe_status(report: &RecoveryReport, now: Micros) -> String {
     let keys = report.keys;
-    let age = (now / 1000).saturating_sub(report.last_at_ms) as f64 / 1e3;
+    let age = (now / 1000).saturating_sub(report.last_segment_at_ms) as f64 / 1e3;
     match &report.status {
         RecoveryStatus::New => "nothing was there: it begins as a stranger".to_string(),
         RecoveryStatus::Whole => {
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -4,7 +4,8 @@
 use eideryard::interface::{EngineId, Micros, PriorAttempt};
 use eideryard_event_log::RejectReason;
 use eideryard_intent_log::state::RETENTION_MARGIN;
-use eideryard_intent_log::waiting::{in_time, Late};
+use eideryard_intent_log::state::{EndedAttempt, IncomingRequest, NextAttempt};
+use eideryard_intent_log::waiting::{is_within_window, TimeoutReason};
 use eideryard_intent_log::{entry, Intent, IntentError, IntentWrite, Place, SendDecision};
 use eideryard_replication::Verdict;
 use eideryard_store::worker::Worker;
@@ -135,14 +136,20 @@
         let is_failing = self.worker.as_ref().is_none_or(Worker::is_failing) || is_held_up;
         // In a fleet the voters know what this store may have forgotten.
         let is_retry = is_retry && self.replication.is_none();
+        let request = IncomingRequest {
+            class,
+            key,
+            is_retry,
+            is_store_failing: is_failing,
+        };
         let prior = self
             .intent_log
-            .arrives(now, class, key, is_retry, is_failing)
+            .on_request(now, request)
             .map_err(|error| match error {
                 IntentError::Full => RejectReason::IntentLogFull,
                 IntentError::Stalled => RejectReason::StoreStalled,
             })?;
-        if key.is_some() && self.intent_log.keeps(class) {
+        if key.is_some() && self.intent_log.is_tracked_class(class) {
             let replication = self.replication.as_ref();
             let rejection = replication.and_then(|replication| replication.claim_rejection());
             if let Some(reason) = rejection {
@@ -175,9 +182,13 @@
     pub fn prepare_send(&mut self, now: Micros, request: &SendRequest<'_>) -> SendPlan {
         let place = self.engine_places.get(&request.engine);
         let place = place.copied().unwrap_or_default();
-        let decision = self
-            .intent_log
-            .sends(now, request.class, request.key, place, request.known);
+        let attempt = NextAttempt {
+            class: request.class,
+            key: request.key,
+            place,
+            known: request.known,
+        };
+        let decision = self.intent_log.on_send(now, attempt);
         let write = match decision {
             SendDecision::Immediate => return SendPlan::Immediate,
             SendDecision::PriorAttemptFound(attempt) => {
@@ -218,13 +229,13 @@
 
     /// Whether a send that waited is still within the window of what may have run before it.
     pub fn is_within_window(&self, now: Micros, class: usize, known: &[PriorAttempt]) -> bool {
-        in_time(now, self.window(class), known)
+        is_within_window(now, self.window(class), known)
     }
 
     /// Keeps a send until its intent is durable.
     pub fn add_pending_send(&mut self, now: Micros, send: PendingSend) {
         self.counters.waited += 1;
-        self.pending_sends.put(now, send.ticket, send.claim, send);
+        self.pending_sends.push(now, send.ticket, send.claim, send);
     }
 
     /// An attempt has ended. `never_ran` says whether it is sure that it didn't run.
@@ -235,13 +246,18 @@
         key: Option<&str>,
         never_ran: bool,
     ) {
-        let Some(write) = self.intent_log.ended(now, class, key, never_ran) else {
+        let attempt = EndedAttempt {
+            class,
+            key,
+            never_ran,
+        };
+        let Some(write) = self.intent_log.on_attempt_ended(now, attempt) else {
             return;
         };
         // If the store takes no more, the intent is only remembered for longer.
         self.write_intent(&write);
         let intent = write.intent.as_ref();
-        if intent.is_some_and(|intent| intent.out > 0) {
+        if intent.is_some_and(|intent| intent.in_flight > 0) {
             return;
         }
         let retention = self.window(class) + RETENTION_MARGIN;
@@ -258,12 +274,12 @@
         }
         let mut results = SendResults::default();
         self.apply_verdicts(now, &mut results);
-        let waited = self.pending_sends.work(now, self.durable_ticket());
-        results.ready = waited.go;
-        for (send, late) in waited.late {
-            let reason = match late {
-                Late::Disk => RejectReason::StoreStalled,
-                Late::Word => RejectReason::NoMajority,
+        let waited = self.pending_sends.poll(now, self.durable_ticket());
+        results.ready = waited.ready;
+        for (send, reason) in waited.timed_out {
+            let reason = match reason {
+                TimeoutReason::Store => RejectReason::StoreStalled,
+                TimeoutReason::Claim => RejectReason::NoMajority,
             };
             results.refused.push(RefusedSend { send, reason });
         }
@@ -281,9 +297,9 @@
         };
         for (claim, verdict) in replication.poll(now, worker) {
             match verdict {
-                Verdict::Granted => self.pending_sends.granted(claim),
+                Verdict::Granted => self.pending_sends.on_claim_granted(claim),
                 Verdict::PriorRunsFound(runs) => {
-                    if let Some(send) = self.pending_sends.take(claim) {
+                    if let Some(send) = self.pending_sends.take_by_claim(claim) {
                         let prior_attempts = prior_attempts(&runs);
                         results.with_prior_runs.push(SendWithPriorRuns {
                             send,
@@ -292,7 +308,7 @@
                     }
                 }
                 Verdict::NoMajority(_) => {
-                    if let Some(send) = self.pending_sends.take(claim) {
+                    if let Some(send) = self.pending_sends.take_by_claim(claim) {
                         let reason = RejectReason::NoMajority;
                         results.refused.push(RefusedSend { send, reason });
                     }
