--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -104,6 +104,18 @@
     Ok(())
 }
 
+/// What a store was found to be; the names in it are an interface.
+fn status_text(status: &RecoveryStatus) -> String {
+    match status {
+        RecoveryStatus::New => "New".into(),
+        RecoveryStatus::Whole => "Whole".into(),
+        RecoveryStatus::Copy => "Copy".into(),
+        RecoveryStatus::Damaged { segment, at } => {
+            format!("Damaged {{ segment: {segment:?}, at: {at} }}")
+        }
+    }
+}
+
 /// Rewrites a store that no gateway has open.
 ///
 /// # Errors
@@ -119,8 +131,8 @@
         .map_err(|problem| error(directory, problem))?;
     if !matches!(found.status, RecoveryStatus::Whole) {
         println!(
-            "it was not whole ({:?}): the gateway that starts with it begins as a stranger",
-            found.status
+            "it was not whole ({}): the gateway that starts with it begins as a stranger",
+            status_text(&found.status)
         );
     }
     let before = store.bytes();
