--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -91,7 +91,7 @@
 impl Counted {
     fn refused(&mut self, why: RejectReason) {
         match why {
-            RejectReason::LedgerFull => self.refused_full += 1,
+            RejectReason::IntentLogFull => self.refused_full += 1,
             RejectReason::NoMajority => self.refused_no_majority += 1,
             _ => self.refused_stalled += 1,
         }
@@ -361,7 +361,7 @@
         };
         let told = self.ledger.on_request(now, request);
         let told = told.map_err(|why| match why {
-            IntentError::Full => RejectReason::LedgerFull,
+            IntentError::Full => RejectReason::IntentLogFull,
             IntentError::Stalled => RejectReason::StoreStalled,
         });
         let kept = key.is_some() && self.ledger.is_tracked_class(class);
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use eideryard_background_scheduler::scheduler::{Budget, Scheduler, Urgency};
+use eideryard_background_scheduler::{Budget, Scheduler, Urgency};
 
 use crate::frame::Batch;
 use crate::store::Store;
@@ -129,7 +129,7 @@
 impl Flusher {
     fn new(store: Store, shared: Arc<Shared>, wake: Box<dyn Fn() + Send>) -> Self {
         let budget = Budget {
-            look: u64::MAX,
+            round_time: u64::MAX,
             bytes_per_s: REWRITE_BYTES_PER_S,
         };
         Flusher {
@@ -174,7 +174,7 @@
             return MAX_IDLE;
         }
         let now_us = self.now_us();
-        let due_us = self.slices.due(now_us).unwrap_or(0);
+        let due_us = self.slices.next_job_at(now_us).unwrap_or(0);
         Duration::from_micros(due_us.saturating_sub(now_us)).min(MAX_IDLE)
     }
 
@@ -226,9 +226,9 @@
                 .slices
                 .offer(now_us, Urgency::Tidy, (), REWRITE_SLICE_BYTES);
         }
-        self.slices.look();
+        self.slices.start_round();
         let now_us = self.now_us();
-        if self.slices.next(now_us).is_none() {
+        if self.slices.next_job(now_us).is_none() {
             return;
         }
         if let Err(e) = self.store.rewrite(unix_ms(), REWRITE_SLICE_BYTES as usize) {
