--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -177,8 +177,8 @@
     print(directories, |_, _| true)
 }
 
-/// Prints the entries about requests that clients gave an id, from their arrival to the end of their
-/// last attempt.
+/// Prints the entries about requests that clients gave an id, from their arrival to the end of
+/// their last attempt.
 ///
 /// # Errors
 ///
--- a/crates/fleet-test/src/check/owners.rs
+++ b/crates/fleet-test/src/check/owners.rs
@@ -112,44 +112,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn stale_work_and_a_second_owner_of_a_term_are_caught() {
-        let work = |gateway: &str, at, token, counts| Worked {
-            gateway: gateway.into(),
-            at,
-            task: 7,
-            token,
-            counts,
-        };
-        let figures = |worked: &[Worked]| {
-            let mut verdict = Verdict::default();
-            check(worked, &mut verdict);
-            (
-                verdict.figures["stale_applied"],
-                verdict.figures["two_owners"],
-                verdict.count(Rule::Owners),
-            )
-        };
-        let sound = [
-            work("g1", 1, (1, 5), true),
-            work("g1", 2, (2, 4), true),
-            work("g1", 3, (1, 5), false),
-        ];
-        assert_eq!(figures(&sound), (0, 0, 0));
-        let late = [
-            work("g1", 1, (2, 4), true),
-            work("g2", 2, (1, 5), true),
-            work("g1", 3, (1, 5), true),
-        ];
-        assert_eq!(
-            figures(&late),
-            (1, 0, 1),
-            "another fence may lag, the same may not"
-        );
-        let two = [work("g1", 1, (2, 4), true), work("g1", 2, (2, 5), true)];
-        assert_eq!(figures(&two), (0, 1, 1));
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/fleet-test/src/check/story/tests.rs
@@ -0,0 +1,52 @@
+//! Tests of this module, on small inputs.
+
+use super::super::tests::*;
+use super::*;
+
+#[test]
+fn a_story_holds_one_keys_tries_and_the_faults_of_who_took_part_by_time() {
+    let events = [
+        asked(10, 1, "a", "g1", 0),
+        asked(11, 9, "other", "g3", 0),
+        began(15, "e1", 1, 0.01),
+        gateway(16, "g1", Process::Killed),
+        gateway(16, "g3", Process::Killed),
+        over(17, 1, How::Reset),
+        effect(20, "e1", 1),
+        asked(30, 2, "a", "g2", 1),
+        effect(40, "e2", 2),
+        over(50, 2, How::Served),
+    ];
+    let verdict = checked(&events);
+    let found = verdict
+        .breaks
+        .iter()
+        .find(|found| found.rule == super::super::Rule::EffectOnce)
+        .unwrap();
+    let sent = Recorded {
+        gateway: "g1".into(),
+        at: 14,
+        id: 1,
+        what: Said::Sent("e1".into()),
+    };
+    let text = story(&History::new(&events), &[sent], found).join("\n");
+    for (place, words) in [
+        "asks g1 (try 1",
+        "records that it sends",
+        "e1 begins",
+        "g1 is killed",
+    ]
+    .into_iter()
+    .zip([0, 1, 2, 3])
+    .map(|(words, place)| (place, words))
+    {
+        assert!(text.lines().nth(place).unwrap().contains(words), "{text}");
+    }
+    assert!(!text.contains("g3") && !text.contains("served"), "{text}");
+    assert_eq!(
+        text.lines()
+            .filter(|line| line.contains("takes effect"))
+            .count(),
+        2
+    );
+}
--- /dev/null
+++ b/crates/fleet-test/src/check/tests.rs
@@ -0,0 +1,104 @@
+//! Small histories for the tests of the rules.
+
+use super::*;
+
+pub fn facts() -> Facts {
+    let text =
+        "class booking {\n effect keyed\n scope cell\n window 1s\n}\nclass ledger {\n ordered\n}\n\
+                engines 2 e {\n cores 4\n}\n";
+    let mut facts = Facts::of(&Scenario::read("facts", text).expect("it can be read"));
+    facts.engines[0].name = "e1".into();
+    facts.engines[1].name = "e2".into();
+    facts
+}
+
+pub fn checked(events: &[Happened]) -> Verdict {
+    check(&facts(), events, &[], &[])
+}
+
+fn tried(class: &str, id: u64, key: &str, gateway: &str, number: u64) -> Try {
+    let (load, marked, wait) = ("all".into(), number > 0, 2_000_000);
+    let (class, key, gateway) = (class.into(), key.into(), gateway.into());
+    Try {
+        load,
+        class,
+        id,
+        key,
+        gateway,
+        number,
+        marked,
+        wait,
+    }
+}
+
+pub fn asked(at: Micros, id: u64, key: &str, gateway: &str, number: u64) -> Happened {
+    Happened {
+        at,
+        what: What::Asked(tried("booking", id, key, gateway, number)),
+    }
+}
+
+pub fn in_order(at: Micros, id: u64, key: &str) -> Happened {
+    Happened {
+        at,
+        what: What::Asked(tried("ledger", id, key, "g1", 0)),
+    }
+}
+
+pub fn over(at: Micros, id: u64, how: How) -> Happened {
+    Happened {
+        at,
+        what: What::Over {
+            id,
+            how,
+            advice: None,
+        },
+    }
+}
+
+pub fn effect(at: Micros, engine: &str, id: u64) -> Happened {
+    Happened {
+        at,
+        what: What::Effect {
+            engine: engine.into(),
+            id,
+            key: "".into(),
+        },
+    }
+}
+
+pub fn began(at: Micros, engine: &str, id: u64, work: f64) -> Happened {
+    let (engine, class, key) = (engine.into(), "booking".into(), "".into());
+    Happened {
+        at,
+        what: What::Began {
+            engine,
+            id,
+            class,
+            key,
+            work,
+        },
+    }
+}
+
+pub fn gateway(at: Micros, name: &str, how: Process) -> Happened {
+    Happened {
+        at,
+        what: What::Gateway {
+            gateway: name.into(),
+            how,
+        },
+    }
+}
+
+pub fn link(at: Micros, from: &str, to: &str, fault: &'static str, begins: bool) -> Happened {
+    Happened {
+        at,
+        what: What::Link {
+            from: from.into(),
+            to: to.into(),
+            fault,
+            begins,
+        },
+    }
+}
--- a/crates/fleet-test/src/run.rs
+++ b/crates/fleet-test/src/run.rs
@@ -180,27 +180,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_gateway_that_lost_count_of_a_request_is_caught() {
-        let ending = |taken| Ending {
-            name: "g1#1".into(),
-            log: PathBuf::new(),
-            cpu: std::time::Duration::ZERO,
-            counters: Some(
-                [("taken", taken), ("served", 3), ("lost", 1)]
-                    .map(|(n, v)| (n.into(), v))
-                    .into(),
-            ),
-            wanted: true,
-        };
-        let count = |taken| {
-            let mut verdict = Verdict::default();
-            counted(&[ending(taken)], &mut verdict);
-            verdict.count(Rule::Conservation)
-        };
-        assert_eq!((count(4), count(5)), (0, 1));
-    }
-}
+mod tests;
--- a/crates/gateway/src/checkpoint.rs
+++ b/crates/gateway/src/checkpoint.rs
@@ -1,5 +1,6 @@
-//! Checkpoints: what the balancer has learned, as bytes in the store, with the time and the settings
-//! under which it was learned. How much of it still counts after a restart the balancer decides.
+//! Checkpoints: what the balancer has learned, as bytes in the store, with the time and the
+//! settings under which it was learned. How much of it still counts after a restart the balancer
+//! decides.
 
 use eideryard::interface::{ClassEstimates, EngineEstimates, LearnedState, Micros};
 use serde::{Deserialize, Serialize};
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counters of the main loop, printed on SIGUSR1 and at the end. Their names in the log stand in the
-//! table [`GROUPS`], independent of the names of the fields.
+//! Counters of the main loop, printed on SIGUSR1 and at the end. Their names in the log stand in
+//! the table [`GROUPS`], independent of the names of the fields.
 
 use eideryard::interface::Outcome;
 use std::fmt;
--- a/crates/gateway/src/deadlines.rs
+++ b/crates/gateway/src/deadlines.rs
@@ -1,5 +1,6 @@
 //! All deadlines of the main loop, in one ordered structure. Whoever sets a deadline holds its key
-//! and cancels it when it no longer matters; equal times expire in the order in which they were set.
+//! and cancels it when it no longer matters; equal times expire in the order in which they were
+//! set.
 
 use eideryard::interface::Micros;
 use std::collections::BTreeMap;
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -1,7 +1,7 @@
-//! Joins the intent log (`eideryard_intent_log`, which decides) to the store: what is written before
-//! a send, what waits for that write, and what a start finds. It owns the store's thread and, in a
-//! fleet, the replication driver; the gateway's loop calls it. Without `store-dir` in the operator's
-//! file there is none.
+//! Joins the intent log (`eideryard_intent_log`, which decides) to the store: what is written
+//! before a send, what waits for that write, and what a start finds. It owns the store's thread
+//! and, in a fleet, the replication driver; the gateway's loop calls it. Without `store-dir` in the
+//! operator's file there is none.
 
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/gateway/src/intent_durability/recovery.rs
+++ b/crates/gateway/src/intent_durability/recovery.rs
@@ -30,8 +30,8 @@
     pub(super) recovered_state: Option<RecoveredState>,
 }
 
-/// Opens the store. If that fails, intents are kept in memory only, and requests that need a durable
-/// one are refused.
+/// Opens the store. If that fails, intents are kept in memory only, and requests that need a
+/// durable one are refused.
 pub(super) fn recover(
     config: &StoreConfig,
     context: &RecoveryContext<'_>,
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -266,8 +266,8 @@
         }
     }
 
-    /// Handles what is durable, what has arrived from peers and what is due. Returns what has become
-    /// of sends that waited.
+    /// Handles what is durable, what has arrived from peers and what is due. Returns what has
+    /// become of sends that waited.
     pub fn poll(&mut self, now: Micros) -> SendResults {
         for write in self.intent_log.expire(now) {
             self.write_intent(&write);
--- a/crates/gateway/tests/log_lines.rs
+++ b/crates/gateway/tests/log_lines.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// The text of the string that begins behind the first quote, with lines joined as the compiler does.
+/// The text of the string that begins behind the first quote, with lines joined as the compiler
+/// does.
 fn first_string(code: &str) -> String {
     let mut text = String::new();
     let mut chars = code.chars().skip_while(|c| *c != '"').skip(1).peekable();
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -1,9 +1,9 @@
 //! Intents: which keyed requests a gateway may have sent, where and since when, across its
 //! restarts.
 //!
-//! The package does no I/O: time and requests go in; writes and verdicts come out. The gateway makes
-//! an intent durable before the first byte of its request goes to an engine. For each request that
-//! arrives it asks what of it may have run before, and tells the balancer, which decides.
+//! The package does no I/O: time and requests go in; writes and verdicts come out. The gateway
+//! makes an intent durable before the first byte of its request goes to an engine. For each request
+//! that arrives it asks what of it may have run before, and tells the balancer, which decides.
 //!
 //! State and its owner:
 //!
--- a/crates/leases/tests/model/main.rs
+++ b/crates/leases/tests/model/main.rs
@@ -1,7 +1,7 @@
-//! Model check of votes, pauses, renewals, work and fences, with three voters and two candidates, to
-//! a stated depth. It runs the production cores, each with a clock of its own: the owners' clocks
-//! stand still while the voters' leases expire. All orders of messages and of one voter's flushes
-//! and kill are tried.
+//! Model check of votes, pauses, renewals, work and fences, with three voters and two candidates,
+//! to a stated depth. It runs the production cores, each with a clock of its own: the owners'
+//! clocks stand still while the voters' leases expire. All orders of messages and of one voter's
+//! flushes and kill are tried.
 
 use std::collections::BTreeMap;
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Hosts any number of independent gateways on the text protocol of the operators' bench, on
-//! standard input and output: [`line`] parses, [`events`] and [`actions`] translate, [`host`] drives
-//! the balancers. Nothing is decided here.
+//! standard input and output: [`line`] parses, [`events`] and [`actions`] translate, [`host`]
+//! drives the balancers. Nothing is decided here.
 
 mod actions;
 mod error;
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -1,6 +1,6 @@
 //! The store's thread: takes batches from the gateway's loop, flushes once for all that wait, and
-//! rewrites the log in slices between flushes. The loop never waits for it; it polls what is durable
-//! and whether the disk fails.
+//! rewrites the log in slices between flushes. The loop never waits for it; it polls what is
+//! durable and whether the disk fails.
 //!
 //! The thread stops when its [`Worker`] is dropped: it flushes what was handed over and ends. The
 //! drop joins it, unless the disk takes longer than [`SHUTDOWN_TIMEOUT`].
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -1,6 +1,6 @@
 //! Failures that a store has to survive: a crash within any call, a power loss with torn and
-//! reordered writes, truncated and changed bytes, a full disk, a failed flush, an old copy, a second
-//! process.
+//! reordered writes, truncated and changed bytes, a full disk, a failed flush, an old copy, a
+//! second process.
 
 use std::collections::BTreeMap;
 
@@ -242,8 +242,8 @@
     (disk, states)
 }
 
-/// Opens a damaged store: it has the state of some time, or is refused with a reason. Returns whether
-/// it was opened.
+/// Opens a damaged store: it has the state of some time, or is refused with a reason. Returns
+/// whether it was opened.
 fn opens_damaged(disk: &FaultyDisk, states: &[Map], name: &str, damage: &str) -> bool {
     match Store::open(Box::new(disk.clone()), CONFIG, NOW, 9) {
         Ok((store, report)) => {
