--- /dev/null
+++ b/tests/properties/scenario.rs
@@ -0,0 +1,240 @@
+//! A gateway with random settings under random events, whose actions a rule checker observes.
+
+use super::common::*;
+use super::rule_checker::RuleChecker;
+use eideryard::interface::*;
+use std::collections::VecDeque;
+
+fn random_settings(rng: &mut fastrand::Rng) -> Settings {
+    let mut settings = settings();
+    let mut last = class(Effect::NonIdempotent, 3 * S, 2.0);
+    last.is_load = true;
+    settings.classes.push(last);
+    settings.classes[LOAD].ordered = true;
+    settings.peers = [1.0, 3.0, 20.0, 30.0, 90.0][rng.usize(..5)];
+    (settings.may_probe, settings.counts_by_probe) = (rng.bool(), rng.bool());
+    (settings.may_cancel, settings.hedging_allowed) = (rng.bool(), rng.bool());
+    settings.note_period = if rng.bool() { 500 * MS } else { 0 };
+    settings.ordering_delay = rng.u64(0..2 * S);
+    settings.max_attempts = rng.usize(1..7);
+    for class in &mut settings.classes {
+        class.window = [100 * MS, S, 10 * S][rng.usize(..3)];
+    }
+    for class in &mut settings.classes {
+        class.latency_objective = [100 * MS, S, 5 * S][rng.usize(..3)];
+    }
+    settings.overload_window = [S, 3 * S][rng.usize(..2)];
+    let ratio = rng.f64() * 0.5;
+    settings.attempt_budget = rng.bool().then_some(AttemptBudget {
+        span: 5 * S,
+        ratio,
+        spare: 3.0,
+    });
+    settings
+}
+
+/// Requests of one scenario.
+const REQUESTS: u64 = 250;
+const FAILURES: [Outcome; 5] = [
+    Outcome::Error,
+    Outcome::AtCapacity,
+    Outcome::TimedOut,
+    Outcome::NoConnection,
+    Outcome::Broken,
+];
+
+/// Number of a request and of its attempt.
+type AttemptKey = (RequestId, usize);
+
+/// A gateway with random settings and random events, and what is in flight.
+pub(super) struct Scenario {
+    rng: fastrand::Rng,
+    /// Draws what concerns the first bytes of attempts.
+    dial_rng: fastrand::Rng,
+    bench: Bench,
+    checker: RuleChecker,
+    engines: Vec<Endpoint>,
+    /// Share of attempts that end in a failure.
+    failure_rate: f64,
+    /// Share of attempts whose first byte is held back, as by a slow dial.
+    late_share: f64,
+    in_flight: Vec<AttemptKey>,
+    held_back: Vec<AttemptKey>,
+}
+
+impl Scenario {
+    fn new(seed: u64) -> Self {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let settings = random_settings(&mut rng);
+        let engines: Vec<Endpoint> = (1..=rng.u32(2..12)).map(ready).collect();
+        let late_share = [0.0, 0.5][rng.usize(..2)];
+        let dial_rng = rng.fork();
+        let failure_rate = rng.f64();
+        Scenario {
+            rng,
+            dial_rng,
+            bench: Bench::seeded(settings.clone(), seed, &engines),
+            checker: RuleChecker::new(settings),
+            engines,
+            failure_rate,
+            late_share,
+            in_flight: Vec::new(),
+            held_back: Vec::new(),
+        }
+    }
+
+    /// Plays a scenario to its end.
+    pub(super) fn play(seed: u64) -> RuleChecker {
+        let mut scenario = Scenario::new(seed);
+        for id in 0..REQUESTS {
+            let actions = scenario.random_event(id);
+            scenario.apply_actions(actions);
+            // In small steps, so that what timers lead to is checked at its own time.
+            for _ in 0..scenario.rng.u32(..40) {
+                let actions = scenario.bench.advance(5 * MS);
+                scenario.apply_actions(actions);
+            }
+        }
+        scenario.checker
+    }
+
+    fn random_event(&mut self, id: RequestId) -> Vec<Action> {
+        let request = self.random_request(id);
+        match self.rng.u32(..20) {
+            0 => self.disconnect_client(id),
+            1 => self.change_endpoint(),
+            2..=9 if !self.in_flight.is_empty() => self.end_random_attempt(),
+            10..=12 if !self.held_back.is_empty() => {
+                let index = self.dial_rng.usize(..self.held_back.len());
+                let attempt = self.held_back.swap_remove(index);
+                self.begin_attempt(attempt)
+            }
+            _ => {
+                let request = Request {
+                    group: self.rng.u64(..30),
+                    ..request
+                };
+                self.checker.on_request(self.bench.now, &request);
+                self.bench.request(request)
+            }
+        }
+    }
+
+    fn random_request(&mut self, id: RequestId) -> Request {
+        let class = self.rng.usize(..4);
+        let wait = if self.rng.bool() {
+            self.rng.u64(S..20 * S)
+        } else {
+            100 * MS
+        };
+        let key = (class == LOAD).then(|| format!("k{}", self.rng.u32(..4)));
+        Request {
+            class,
+            key,
+            ..lookup(id, self.bench.now + wait)
+        }
+    }
+
+    fn disconnect_client(&mut self, last_id: RequestId) -> Vec<Action> {
+        let request = self.rng.u64(..last_id + 1);
+        if let Some(observed) = self.checker.requests.get_mut(&request) {
+            observed.has_ended = true;
+        }
+        self.bench.handle(Event::ClientLeft { request })
+    }
+
+    fn change_endpoint(&mut self) -> Vec<Action> {
+        let mut endpoint = self.engines[self.rng.usize(..self.engines.len())];
+        endpoint.phase = [Phase::Ready, Phase::Draining, Phase::Removed][self.rng.usize(..3)];
+        if endpoint.phase == Phase::Ready {
+            self.checker.closed_engines.remove(&endpoint.engine);
+        } else {
+            self.checker.closed_engines.insert(endpoint.engine);
+        }
+        self.bench.handle(Event::EndpointChanges(vec![endpoint]))
+    }
+
+    fn end_random_attempt(&mut self) -> Vec<Action> {
+        let index = self.rng.usize(..self.in_flight.len());
+        let attempt = self.in_flight.swap_remove(index);
+        let outcome = if self.rng.f64() < self.failure_rate {
+            FAILURES[self.rng.usize(..FAILURES.len())]
+        } else {
+            Outcome::Answered
+        };
+        self.end_attempt(attempt, outcome)
+    }
+
+    /// The first byte of an attempt may go out: asks the balancer, which may withdraw the attempt.
+    fn begin_attempt(&mut self, attempt: AttemptKey) -> Vec<Action> {
+        let (request, number) = attempt;
+        let now = self.bench.now;
+        if !self.bench.balancer.may_begin(now, request, number) {
+            return self.end_attempt(attempt, Outcome::NotSent);
+        }
+        self.checker.on_first_byte(now, attempt);
+        self.in_flight.push(attempt);
+        Vec::new()
+    }
+
+    fn end_attempt(&mut self, attempt: AttemptKey, outcome: Outcome) -> Vec<Action> {
+        let (request, number) = attempt;
+        let checker = &mut self.checker;
+        let complete = outcome == Outcome::Answered || checker.requests[&request].has_ended;
+        let now = self.bench.now;
+        self.bench
+            .end_attempt_with(request, number, outcome, S, |ended| {
+                ended.complete = complete;
+                checker.on_attempt_ended(now, ended);
+            })
+    }
+
+    /// Checks actions in their order and carries them out; what they lead to comes after them.
+    fn apply_actions(&mut self, actions: Vec<Action>) {
+        let mut pending = VecDeque::from(actions);
+        while let Some(action) = pending.pop_front() {
+            self.checker.on_action(self.bench.now, &action);
+            pending.extend(self.apply_action(&action));
+        }
+    }
+
+    /// A cancel is heeded at once; a probe finds an idle engine.
+    fn apply_action(&mut self, action: &Action) -> Vec<Action> {
+        match *action {
+            Action::Send { request, .. } => {
+                let attempt = (request, self.checker.requests[&request].attempts.len() - 1);
+                if self.dial_rng.f64() < self.late_share {
+                    self.held_back.push(attempt);
+                    Vec::new()
+                } else {
+                    self.begin_attempt(attempt)
+                }
+            }
+            Action::Cancel { request, attempt } => self.cancel_attempt((request, attempt)),
+            Action::Probe { engine } => {
+                let report = LoadReport {
+                    in_flight: Some(1.0),
+                    ..LoadReport::default()
+                };
+                self.bench.handle(Event::Probed(Probed {
+                    engine,
+                    outcome: Outcome::Answered,
+                    report: Some(report),
+                }))
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    fn cancel_attempt(&mut self, attempt: AttemptKey) -> Vec<Action> {
+        if self.in_flight.contains(&attempt) {
+            self.in_flight.retain(|other| *other != attempt);
+            self.end_attempt(attempt, Outcome::Cancelled)
+        } else if self.held_back.contains(&attempt) {
+            self.held_back.retain(|other| *other != attempt);
+            self.end_attempt(attempt, Outcome::NotSent)
+        } else {
+            Vec::new()
+        }
+    }
+}
