--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,4 +1,4 @@
-//! `eideryard store`: what a gateway's store holds, said without changing it, and its rewriting.
+//! `eideryard store`: what a gateway's store holds, and its rewriting.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -7,6 +7,9 @@
 use eideryard_store::recovery::Recovered;
 use eideryard_store::{Config, Directory, RecoveryStatus, Store};
 
+use crate::error::{CliError, StoreProblem};
+use crate::fleet::hex;
+
 /// A store that is rewritten by hand may grow as it has to.
 const ANY_BUDGET: u64 = 1 << 44;
 
@@ -17,18 +20,27 @@
         .as_millis() as u64
 }
 
-fn recovered(directory: &Path) -> Result<Recovered, String> {
-    let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", directory.display());
+fn error(directory: &Path, problem: impl Into<StoreProblem>) -> CliError {
+    CliError::Store {
+        directory: directory.to_path_buf(),
+        problem: problem.into(),
+    }
+}
+
+fn read(directory: &Path) -> Result<Recovered, CliError> {
     if !directory.is_dir() {
-        return Err(wrong(
-            &"no such directory; name the one that store-dir names",
-        ));
+        return Err(error(directory, StoreProblem::NoDirectory));
     }
-    eideryard_store::look(directory).map_err(|e| wrong(&e))
+    eideryard_store::inspect(directory).map_err(|problem| error(directory, problem))
 }
 
-pub fn check(directory: &Path) -> Result<(), String> {
-    let found = recovered(directory)?;
+/// Prints whether a store is whole, without changing it.
+///
+/// # Errors
+///
+/// The store can't be read, or is damaged.
+pub fn check(directory: &Path) -> Result<(), CliError> {
+    let found = read(directory)?;
     let Some(newest) = found.newest else {
         println!("no store is there: a gateway would begin as a stranger");
         return Ok(());
@@ -40,22 +52,20 @@
         found.keys.len(),
         found.last
     );
-    if found.torn > 0 {
+    if found.torn_bytes > 0 {
         println!(
             "{} bytes at the end were never whole: nobody was told that they were durable",
-            found.torn
+            found.torn_bytes
         );
     }
-    match found.damaged {
-        None => {
-            println!("whole");
-            Ok(())
-        }
-        Some((segment, at)) => Err(format!(
-            "{segment} is damaged at byte {at}: a gateway takes what lies before it as hints and begins as a \
-             stranger; nothing has to be done by hand"
-        )),
+    if let Some(damage) = found.damage {
+        return Err(CliError::DamagedStore {
+            segment: damage.segment,
+            offset: damage.offset,
+        });
     }
+    println!("whole");
+    Ok(())
 }
 
 /// An intent as `eideryard store dump` prints it; the names in it are an interface.
@@ -63,23 +73,29 @@
     let Intent {
         since,
         place: Place { zone, cell },
-        out,
-        ran,
+        in_flight,
+        may_have_run,
         until,
     } = intent;
     format!(
-        "Intent {{ since: {since}, place: Place {{ zone: {zone}, cell: {cell} }}, out: {out}, ran: {ran}, \
+        "Intent {{ since: {since}, place: Place {{ zone: {zone}, cell: {cell} }}, out: {in_flight}, ran: {may_have_run}, \
          until: {until} }}"
     )
 }
 
-pub fn dump(directory: &Path) -> Result<(), String> {
-    for (key, value) in &recovered(directory)?.keys {
-        let name: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
-        match entry::from_bytes(&value.bytes).filter(|_| key.starts_with(entry::prefix())) {
-            Some(intent) => println!("{name} {}", intent_text(&intent)),
+/// Prints every key of a store.
+///
+/// # Errors
+///
+/// The store can't be read.
+pub fn dump(directory: &Path) -> Result<(), CliError> {
+    for (key, value) in &read(directory)?.keys {
+        let is_intent = key.starts_with(entry::prefix());
+        match entry::from_bytes(&value.bytes).filter(|_| is_intent) {
+            Some(intent) => println!("{} {}", hex(key), intent_text(&intent)),
             None => println!(
-                "{name} {} bytes until {}",
+                "{} {} bytes until {}",
+                hex(key),
                 value.bytes.len(),
                 value.until_ms
             ),
@@ -88,22 +104,41 @@
     Ok(())
 }
 
-pub fn compact(directory: &Path) -> Result<(), String> {
-    let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", directory.display());
-    if recovered(directory)?.newest.is_none() {
-        return Err(wrong(&"no store is there"));
+/// What a store was found to be; the names in it are an interface.
+fn status_text(status: &RecoveryStatus) -> String {
+    match status {
+        RecoveryStatus::New => "New".into(),
+        RecoveryStatus::Whole => "Whole".into(),
+        RecoveryStatus::Copy => "Copy".into(),
+        RecoveryStatus::Damaged { segment, at } => {
+            format!("Damaged {{ segment: {segment:?}, at: {at} }}")
+        }
+    }
+}
+
+/// Rewrites a store that no gateway has open.
+///
+/// # Errors
+///
+/// There is no store, or it can't be opened or rewritten.
+pub fn compact(directory: &Path) -> Result<(), CliError> {
+    if read(directory)?.newest.is_none() {
+        return Err(error(directory, StoreProblem::NoStore));
     }
     let files = Box::new(Directory::new(directory));
-    let (mut store, found) = Store::open(files, Config { budget: ANY_BUDGET }, now_ms(), now_ms())
-        .map_err(|e| wrong(&e))?;
+    let config = Config { budget: ANY_BUDGET };
+    let (mut store, found) = Store::open(files, config, now_ms(), now_ms())
+        .map_err(|problem| error(directory, problem))?;
     if !matches!(found.status, RecoveryStatus::Whole) {
         println!(
-            "it was not whole ({:?}): the gateway that starts with it begins as a stranger",
-            found.status
+            "it was not whole ({}): the gateway that starts with it begins as a stranger",
+            status_text(&found.status)
         );
     }
     let before = store.bytes();
-    store.rescue(now_ms()).map_err(|e| wrong(&e))?;
+    store
+        .rebuild(now_ms())
+        .map_err(|problem| error(directory, problem))?;
     println!(
         "{} keys; {before} bytes are {} now",
         store.len(),
--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -18,7 +18,7 @@
 use crate::engines::{Engines, Limits};
 use crate::event_recorder::EventRecorder;
 use crate::intent_durability::IntentDurability;
-use crate::replication::About;
+use crate::replication::ReplicationContext;
 use crate::requests::{Names, Requests};
 use crate::result_spool::ResultSpoolDriver;
 use crate::shutdown::Shutdown;
@@ -150,7 +150,7 @@
     // Different for each start and gateway: the seed alone is the same after a restart.
     let seed = config.seed ^ now.rotate_left(23) ^ u64::from(std::process::id());
     let store_waker = waker(event_loop, WakeReason::IntentDurability)?;
-    let (mut intent_durability, shared) = IntentDurability::start(
+    let (mut intent_durability, recovered) = IntentDurability::start(
         store_config,
         &config.settings,
         config.memory_mb,
@@ -160,15 +160,21 @@
     );
     if let Some(fleet_config) = &operator.fleet {
         let peers_waker = waker(event_loop, WakeReason::IntentDurability)?;
-        let about = About {
+        let context = ReplicationContext {
             name: &config.name,
             settings: &config.settings,
             longest_wait: config.host.longest_wait,
-            entries: IntentDurability::room_for_copies(config.memory_mb),
+            max_replicas: IntentDurability::max_replicas(config.memory_mb),
             now,
             seed,
         };
-        intent_durability.join((fleet_config, store_config), about, shared, peers_waker)?;
+        intent_durability.join_fleet(
+            fleet_config,
+            store_config,
+            context,
+            recovered,
+            peers_waker,
+        )?;
     }
     Ok(Some(Box::new(intent_durability)))
 }
