--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -47,7 +47,7 @@
         } => view::fold(&directories, span).and_then(|view| {
             let page = eideryard_report::page(&view);
             std::fs::write(&out, page).map_err(|e| format!("{}: {e}", out.display()))?;
-            println!("{}", eideryard_report::story::headline(&view));
+            println!("{}", eideryard_report::summary::headline(&view));
             Ok(())
         }),
         Command::Completions { shell } => {
--- a/crates/console/src/draw/details.rs
+++ b/crates/console/src/draw/details.rs
@@ -5,7 +5,7 @@
 use eideryard_event_analysis::state::{Attempt, Engine};
 use eideryard_event_analysis::{GatewayRun, View};
 use eideryard_event_log::text::{outcome_name, phase_name};
-use eideryard_report::story::{self, clock, clock_ms, lasting};
+use eideryard_report::format::{clock, clock_ms, duration, plural};
 use ratatui::layout::Rect;
 use ratatui::text::Line;
 use ratatui::widgets::{Paragraph, Wrap};
@@ -106,7 +106,7 @@
 fn request_line(view: &View, request: &NotableRequest) -> String {
     let run = view.fleet.run(request.source);
     let gateway = run.map_or("", |run| run.name.as_str());
-    let duration = request.duration.map(lasting);
+    let answered_after = request.duration.map(duration);
     format!(
         "{} at {gateway}: class {}, tenant {}: {}{} after {} and {}",
         clock_ms(request.at),
@@ -114,8 +114,8 @@
         view.fleet.tenant(request.tenant),
         request.kind.name(),
         if request.is_late { ", late," } else { "" },
-        duration.unwrap_or_else(|| "a time not known".into()),
-        story::plural(request.attempt_count as u64, "attempt"),
+        answered_after.unwrap_or_else(|| "a time not known".into()),
+        plural(request.attempt_count as u64, "attempt"),
     )
 }
 
@@ -123,8 +123,8 @@
     let end = match attempt.ended {
         None => "out when it was answered".into(),
         Some((outcome, at)) => {
-            let duration = lasting(at - attempt.sent_at);
-            format!("{} after {duration}", outcome_name(outcome))
+            let run_time = duration(at - attempt.sent_at);
+            format!("{} after {run_time}", outcome_name(outcome))
         }
     };
     format!(
--- a/crates/console/src/draw/header.rs
+++ b/crates/console/src/draw/header.rs
@@ -4,7 +4,8 @@
 use eideryard_event_analysis::series::Bucket;
 use eideryard_event_analysis::View;
 use eideryard_event_log::AnswerKind;
-use eideryard_report::story::{self, clock, lasting};
+use eideryard_report::format::{clock, date, duration};
+use eideryard_report::summary;
 use ratatui::layout::Rect;
 use ratatui::style::Color;
 use ratatui::text::Line;
@@ -43,7 +44,7 @@
 fn state_line(model: &Model, view: &View) -> String {
     let state = match model.paused_at {
         None if model.silent_for > MAX_SILENCE => {
-            format!("live, silent for {}", lasting(model.silent_for))
+            format!("live, silent for {}", duration(model.silent_for))
         }
         None => "live".to_string(),
         Some(_) => "PAUSED".to_string(),
@@ -56,7 +57,7 @@
     let now = view.fleet.now;
     format!(
         "eideryard  {} {}  {state}  gateways: {}",
-        story::date(now),
+        date(now),
         clock(now),
         gateways.join(" ")
     )
@@ -74,7 +75,7 @@
         })
     };
     let ended = |kind| rate(&|bucket| bucket.total(|class| class.ended(kind)));
-    let refusal_reasons = story::wanting(&story::totals(view))
+    let refusal_reasons = summary::intent_refusals(&summary::totals(view))
         .map(|reasons| format!("  for want: {reasons}"))
         .unwrap_or_default();
     format!(
@@ -92,10 +93,7 @@
     let episodes = view.detector.episodes().iter();
     let lasting = episodes.filter(|episode| episode.ended_at.is_none());
     lasting
-        .map(|episode| {
-            let subject = story::subject(view, &episode.kind);
-            format!("{} ({subject})", episode.kind.name())
-        })
+        .map(|episode| summary::title(view, &episode.kind))
         .collect()
 }
 
--- a/crates/console/src/draw/tables.rs
+++ b/crates/console/src/draw/tables.rs
@@ -5,7 +5,8 @@
 use eideryard_event_analysis::{Episode, View};
 use eideryard_event_log::totals::GROUP_VALUES;
 use eideryard_event_log::GroupTotals;
-use eideryard_report::story::{self, clock, clock_ms};
+use eideryard_report::format::{clock, clock_ms};
+use eideryard_report::summary;
 use ratatui::layout::Rect;
 use ratatui::Frame;
 
@@ -207,7 +208,7 @@
         clock(from),
         end,
         episode.kind.name().to_string(),
-        story::clause(view, episode),
+        summary::describe(view, episode),
     ]
 }
 
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,8 +1,8 @@
 //! A terminal console over event logs: the fleet now, or at any time that the logs hold.
 //!
-//! [`model`] owns what is shown and how keys change it, without a terminal. [`draw`] draws a model on
-//! a screen of at least 80 by 24 characters. [`run()`] connects both with a terminal and with the
-//! logs; the command line calls it.
+//! [`model`] owns what is shown and how keys change it, without a terminal. [`draw`] draws a model
+//! on a screen of at least 80 by 24 characters. [`run()`] connects both with a terminal and with
+//! the logs; the command line calls it.
 //!
 //! # Example
 //!
--- a/crates/event-analysis/src/series/tests.rs
+++ b/crates/event-analysis/src/series/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_day_keeps_its_sums_in_as_many_buckets_as_ten_minutes() {
+fn sums_of_a_day_stay_within_the_limit_of_buckets() {
     let mut series = Series::new();
     let fact = Fact::RequestReceived {
         class: 0,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_sketch_tells_percentiles_to_a_fifth() {
+fn percentiles_of_a_sketch_are_exact_to_a_fifth() {
     let mut sketch = LatencySketch::default();
     for ms in 1..=1000 {
         sketch.add(ms * 1000);
--- a/crates/event-analysis/tests/folds.rs
+++ b/crates/event-analysis/tests/folds.rs
@@ -1,4 +1,4 @@
-//! Scripted entries folded: states and episodes as a person would tell them.
+//! States and episodes of scripted logs.
 
 mod common;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_calm_minute_has_no_episode_and_its_state_is_exact() {
+fn calm_minute_has_no_episode_and_an_exact_state() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 60, 20);
     let view = script.finish();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_flood_during_a_roster_outage_is_two_episodes_and_an_overlap() {
+fn flood_during_a_discovery_outage_is_two_episodes_that_overlap() {
     let mut script = Script::new(&["g1", "g2"]);
     script.calm(0, 0, 40, 20);
     script.calm(1, 0, 40, 20);
@@ -94,7 +94,7 @@
 
 /// Under many tenants' names no tenant floods, but the address does.
 #[test]
-fn a_flood_from_one_address_is_found_whatever_it_calls_itself() {
+fn flood_from_one_address_under_many_tenants_is_detected() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 40, 20);
     script.connection = Some(2 << 32);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn engines_that_go_together_are_one_episode_until_the_last_is_back() {
+fn engines_that_go_down_together_are_one_episode_until_the_last_is_back() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 10, 20);
     script.engines = vec![4];
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_drain_lasts_from_its_word_to_the_end_of_it() {
+fn drain_lasts_until_the_engine_is_removed() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 10, 10);
     script.listed(0, 3.0, 2, Phase::Draining, 0);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_crash_is_a_gap_up_to_the_restart_and_nothing_is_invented_inside() {
+fn crash_is_a_gap_up_to_the_restart_without_other_episodes() {
     let mut script = Script::new(&["g1", "g1"]);
     script.calm(0, 0, 10, 20);
     // The new start of the same gateway tells from then on.
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn an_episode_that_touches_a_gap_says_what_is_not_known() {
+fn episode_that_touches_a_gap_marks_the_unknown_time() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 30, 20);
     script.listed(0, 10.0, 2, Phase::Draining, 0);
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn refusals_and_slow_answers_over_the_usual_are_found_and_their_end_too() {
+fn refusals_and_latency_above_the_baseline_are_detected_with_their_end() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 20, 20);
     for number in 0..100 {
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn an_engine_id_at_another_address_is_another_engine() {
+fn engine_at_another_address_is_another_process() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 5, 10);
     script.fails(0, 5.0, 1);
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn clocks_that_are_apart_are_told_by_the_events_that_both_heard() {
+fn clock_skew_is_estimated_from_common_discovery_events() {
     let mut script = Script::new(&["g1", "g2"]);
     for number in 1..=5 {
         script.host(0, number as f64, HostEvent::DiscoveryEvent { number });
@@ -285,7 +285,7 @@
 
 /// A segment's state, folded alone, is the state that the whole record gives.
 #[test]
-fn the_state_at_a_segments_begin_is_that_of_the_whole() {
+fn state_at_the_start_of_a_segment_equals_that_of_the_whole_log() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 10, 20);
     let left_open = script.open(0, 9.5, 0, 2, 3);
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,11 +1,22 @@
-//! The report of an incident: one HTML page without anything from elsewhere. [`story`] says in
-//! words what the folded records show, [`plot`] draws, [`mod@page`] puts both together. What is
-//! counted comes from the records' tallies only, so the page's totals are the gateways' own.
-
-#![expect(missing_docs, reason = "public items are still to be described")]
+//! The report of an incident: one HTML page that needs nothing from elsewhere.
+//!
+//! [`summary`] states in sentences what the analysis found, [`plot`] draws, [`mod@page`] puts both
+//! together, and [`format`](mod@format) writes times and numbers. Totals come from the logs' own
+//! tallies, so that they equal the gateways' counters. The crate holds no state; the command line
+//! writes the page to a file, and the console shows parts of the summary.
+//!
+//! # Example
+//!
+//! ```
+//! use eideryard_event_analysis::View;
+//!
+//! let page = eideryard_report::page(&View::new());
+//! assert!(page.contains("No trouble was found"));
+//! ```
 
+pub mod format;
 pub mod page;
 pub mod plot;
-pub mod story;
+pub mod summary;
 
 pub use page::page;
--- /dev/null
+++ b/crates/report/src/page/engines.rs
@@ -0,0 +1,151 @@
+//! Engines: a row of bars each, and a table.
+
+use eideryard::interface::{EngineId, Phase};
+use eideryard_event_analysis::series::EngineBucket;
+use eideryard_event_analysis::state::Engine;
+use eideryard_event_analysis::View;
+use maud::{html, Markup};
+
+use super::{table_head, MAX_ROWS};
+use crate::format::{clock, plural};
+use crate::plot::{self, Bar, Row, Span};
+
+/// Outcomes of attempts, in the order of their numbers.
+const OUTCOMES: [&str; 8] = [
+    "answered",
+    "error",
+    "full",
+    "timed out",
+    "no connection",
+    "broken",
+    "cancelled",
+    "unsent",
+];
+/// Opacity of a bar without an answer; the most answers have 1.
+const MIN_OPACITY: f64 = 0.15;
+
+pub(super) fn section(view: &View, span: Span) -> Markup {
+    let engines = all_engines(view);
+    html! {
+        (plot_answers(view, span, &engines))
+        (table(view, &engines))
+    }
+}
+
+/// All engines that any gateway knows, by name.
+fn all_engines(view: &View) -> Vec<EngineId> {
+    let runs = view.fleet.runs();
+    let engines = runs.flat_map(|(_, run)| run.engines.keys().copied());
+    let mut engines: Vec<EngineId> = engines.collect();
+    engines.sort_by_key(|engine| (view.fleet.engine(*engine), *engine));
+    engines.dedup();
+    engines
+}
+
+fn plot_answers(view: &View, span: Span, engines: &[EngineId]) -> Markup {
+    let most_answers = most_answers(view);
+    let shown = engines.iter().take(MAX_ROWS);
+    let rows: Vec<Row> = shown
+        .map(|engine| Row {
+            name: view.fleet.engine(*engine),
+            bars: bars(view, *engine, most_answers),
+        })
+        .collect();
+    let hidden = engines.len().saturating_sub(MAX_ROWS);
+    html! {
+        (plot::rows(
+            "Answers by engine: the darker the more; marked where attempts ended badly",
+            "One row an engine; the table below holds the sums.", span, &rows
+        ))
+        @if hidden > 0 { p { (plural(hidden as u64, "further engine")) " in the table only." } }
+    }
+}
+
+/// The most answers of any engine in any bucket, at least 1.
+fn most_answers(view: &View) -> u32 {
+    let buckets = view.series.buckets.iter();
+    let engines = buckets.flat_map(|bucket| bucket.engines.values());
+    let answers = engines.map(|engine| engine.answered);
+    answers.max().unwrap_or(0).max(1)
+}
+
+/// A bar for each bucket in which attempts of an engine ended.
+fn bars(view: &View, engine: EngineId, most_answers: u32) -> Vec<Bar> {
+    let mut bars = Vec::new();
+    for (index, bucket) in view.series.buckets.iter().enumerate() {
+        let Some(sums) = bucket.engines.get(&engine) else {
+            continue;
+        };
+        if sums.answered + sums.bad > 0 {
+            let from = view.series.start_of(index);
+            bars.push(Bar {
+                from,
+                to: view.series.start_of(index + 1),
+                style: if sums.bad > 0 { "bad" } else { "served" },
+                text: format!(
+                    "{}: {} sent, {} answered, {} ended badly",
+                    clock(from),
+                    sums.sent,
+                    sums.answered,
+                    sums.bad
+                ),
+                opacity: opacity(sums, most_answers),
+            });
+        }
+    }
+    bars
+}
+
+fn opacity(sums: &EngineBucket, most_answers: u32) -> f64 {
+    if sums.bad > 0 {
+        return 1.0;
+    }
+    MIN_OPACITY + (1.0 - MIN_OPACITY) * f64::from(sums.answered) / f64::from(most_answers)
+}
+
+fn table(view: &View, engines: &[EngineId]) -> Markup {
+    let mut number_columns = vec!["sent"];
+    number_columns.extend(OUTCOMES);
+    let text_columns = ["engine", "address", "last listed"];
+    html! {
+        table {
+            caption { "Attempts by engine, over all gateways" }
+            (table_head(&text_columns, &number_columns))
+            tbody {
+                @for engine in engines { (table_row(view, *engine)) }
+            }
+        }
+        p class="small" {
+            "Attempts are counted as recorded; those in a gap are in the gateways' totals only."
+        }
+    }
+}
+
+fn table_row(view: &View, engine: EngineId) -> Markup {
+    let runs = view.fleet.runs();
+    let states: Vec<&Engine> = runs
+        .filter_map(|(_, run)| run.engines.get(&engine))
+        .collect();
+    let last = states.last();
+    let phase = last.map(|state| state.phase).unwrap_or_default();
+    let sent: u64 = states.iter().map(|state| state.sent).sum();
+    html! {
+        tr {
+            th scope="row" { (view.fleet.engine(engine)) }
+            td { (last.map_or("", |state| state.address.as_str())) }
+            td { (phase_word(phase)) }
+            td class="n" { (sent) }
+            @for outcome in 0..OUTCOMES.len() {
+                td class="n" { (states.iter().map(|state| state.outcomes[outcome]).sum::<u64>()) }
+            }
+        }
+    }
+}
+
+fn phase_word(phase: Phase) -> &'static str {
+    match phase {
+        Phase::Draining => "draining",
+        Phase::Removed => "removed",
+        Phase::Ready => "up",
+    }
+}
--- /dev/null
+++ b/crates/report/src/page/requests.rs
@@ -0,0 +1,116 @@
+//! The table of requests that were not simply served.
+
+use eideryard::interface::Micros;
+use eideryard_event_analysis::notable::NotableRequest;
+use eideryard_event_analysis::state::Request;
+use eideryard_event_analysis::View;
+use maud::{html, Markup};
+
+use super::table_head;
+use crate::format::{clock_ms, plural};
+
+/// Most open requests of one gateway that broke off.
+const MAX_OPEN: usize = 500;
+/// In place of a value that is not known.
+const UNKNOWN: &str = "–";
+
+/// A row of the table.
+struct RequestRow {
+    at: Micros,
+    id: Option<u64>,
+    source: usize,
+    class: usize,
+    tenant: usize,
+    end: String,
+    duration: Option<Micros>,
+    attempt_count: usize,
+}
+
+impl RequestRow {
+    /// The row of a request that ended.
+    fn ended(request: &NotableRequest) -> Self {
+        let late = if request.is_late { ", late" } else { "" };
+        RequestRow {
+            at: request.at,
+            id: request.id,
+            source: request.source,
+            class: request.class,
+            tenant: request.tenant,
+            end: format!("{}{late}", request.kind.name()),
+            duration: request.duration,
+            attempt_count: request.attempt_count,
+        }
+    }
+
+    /// The row of a request that was open when its gateway's log broke off.
+    fn open(request: &Request, source: usize, broken_off_at: Micros) -> Self {
+        RequestRow {
+            at: broken_off_at,
+            id: Some(request.id),
+            source,
+            class: request.class,
+            tenant: request.tenant,
+            end: "open when the record broke off".into(),
+            duration: None,
+            attempt_count: request.attempt_count(),
+        }
+    }
+}
+
+/// The rows by time.
+fn rows(view: &View) -> Vec<RequestRow> {
+    let mut rows: Vec<RequestRow> = view.notables.iter().map(RequestRow::ended).collect();
+    for (source, run) in view.fleet.runs() {
+        if run.is_broken_off {
+            let open = run.unanswered_requests().take(MAX_OPEN);
+            rows.extend(open.map(|request| RequestRow::open(request, source, run.last_at)));
+        }
+    }
+    rows.sort_by_key(|row| row.at);
+    rows
+}
+
+pub(super) fn section(view: &View) -> Markup {
+    let left_out = view.notables.left_out;
+    let text_columns = ["ended", "id", "gateway", "class", "tenant", "end"];
+    html! {
+        p {
+            "Refused, failed, lost, taken back, late, served at a further attempt, or open when a gateway "
+            "broke off. "
+            "A request that is not here and lies in no gap was served at its first attempt in time."
+            @if left_out > 0 {
+                " " (plural(left_out, "request")) " between the first and the last of these are left out."
+            }
+        }
+        p class="find" {
+            label for="find" { "Find an id: " }
+            input id="find" type="search" placeholder="9b1f03aa" autocomplete="off";
+            " " output id="found" for="find" {}
+        }
+        table id="asked" {
+            caption { "By the time of their end" }
+            (table_head(&text_columns, &["took ms", "attempts"]))
+            tbody {
+                @for row in rows(view) { (table_row(view, &row)) }
+            }
+        }
+    }
+}
+
+fn table_row(view: &View, row: &RequestRow) -> Markup {
+    let id = row.id.map(|id| format!("{id:016x}"));
+    let run = view.fleet.run(row.source);
+    let milliseconds = row.duration.map(|duration| (duration / 1000).to_string());
+    html! {
+        tr {
+            td { (clock_ms(row.at)) }
+            td class="id" { (id.as_deref().unwrap_or(UNKNOWN)) }
+            td { (run.map_or("", |run| run.name.as_str())) }
+            td { (view.fleet.class(row.class)) }
+            td { (view.fleet.tenant(row.tenant)) }
+            td { (row.end) }
+            td class="n" { (milliseconds.as_deref().unwrap_or(UNKNOWN)) }
+            td class="n" { (row.attempt_count) }
+        }
+    }
+}
--- /dev/null
+++ b/crates/report/src/summary/caveats.rs
@@ -0,0 +1,106 @@
+//! What is not known, in words.
+
+use std::collections::BTreeSet;
+
+use eideryard_event_analysis::episodes::LogGap;
+use eideryard_event_analysis::skew::MIN_SIGNIFICANT_SKEW;
+use eideryard_event_analysis::{GatewayRun, View};
+
+use super::gateway_name;
+use crate::format::{clock, clock_ms, duration, list, plural};
+
+/// What a reader has to know about the logs themselves.
+pub fn caveats(view: &View) -> Vec<String> {
+    let mut caveats = Vec::new();
+    for (_, run) in view.fleet.runs() {
+        if run.is_broken_off {
+            caveats.push(describe_break_off(run));
+        }
+        if !run.are_totals_exact {
+            caveats.push(format!(
+                "{}: a part of the record can't be read and no tally follows, so its figures are at least \
+                 those",
+                run.name
+            ));
+        }
+    }
+    for LogGap { source, from, to } in view.detector.gaps() {
+        caveats.push(format!(
+            "{}: not known from {} to {}",
+            gateway_name(view, *source),
+            clock_ms(*from),
+            clock_ms(*to)
+        ));
+    }
+    caveats.extend(clock_differences(view));
+    caveats
+}
+
+/// Requests that were open where logs break off: their clients got no answer from that gateway.
+pub fn unanswered_at_break_off(view: &View) -> u64 {
+    broken_off_runs(view)
+        .map(|run| run.running_tally.tally.open())
+        .sum()
+}
+
+/// What clients may have lost that no log can show, where gateways broke off; `None` if none did.
+pub fn unknown_losses(view: &View) -> Option<String> {
+    let names: BTreeSet<&str> = broken_off_runs(view).map(|run| run.name.as_str()).collect();
+    if names.is_empty() {
+        return None;
+    }
+    let names = Vec::from_iter(names.into_iter().map(str::to_string));
+    Some(format!(
+        "{} broke off with {} open, and what clients asked there after the last whole frame or \
+         while nobody listened is in no record: they have lost more than is counted here",
+        list(&names),
+        plural(unanswered_at_break_off(view), "request")
+    ))
+}
+
+fn broken_off_runs(view: &View) -> impl Iterator<Item = &GatewayRun> {
+    let runs = view.fleet.runs().map(|(_, run)| run);
+    runs.filter(|run| run.is_broken_off)
+}
+
+fn describe_break_off(run: &GatewayRun) -> String {
+    format!(
+        "{} (started {}) did not end by itself: its figures are those up to {}, its last whole \
+         frame; {} open then",
+        run.name,
+        clock(run.epoch),
+        clock_ms(run.last_at),
+        plural(run.running_tally.tally.open(), "request")
+    )
+}
+
+/// For each gateway whose clock differs from that of an earlier one, by how much.
+fn clock_differences(view: &View) -> Vec<String> {
+    let runs: Vec<(usize, &str)> = view
+        .fleet
+        .runs()
+        .map(|(source, run)| (source, run.name.as_str()))
+        .collect();
+    let mut differences = Vec::new();
+    for (index, (source, name)) in runs.iter().enumerate() {
+        let mut others = runs[..index].iter().filter(|(_, other)| other != name);
+        let compared = others.find_map(|(other_source, other)| {
+            let ahead = view.skew.ahead(*source, *other_source)?;
+            Some((other, ahead))
+        });
+        let Some((other, (micros, events))) = compared else {
+            continue;
+        };
+        let difference = micros.unsigned_abs();
+        if difference <= MIN_SIGNIFICANT_SKEW {
+            continue;
+        }
+        let direction = if micros > 0 { "ahead of" } else { "behind" };
+        differences.push(format!(
+            "the clock of {name} is {} {direction} that of {other}, by {events} events of the bulletin; \
+             times are as each told them",
+            duration(difference)
+        ));
+    }
+    differences
+}
--- /dev/null
+++ b/crates/report/src/summary/headline.rs
@@ -0,0 +1,80 @@
+//! The headline: when, the worst episodes, and what they meant for requests.
+
+use eideryard_event_analysis::{Episode, EpisodeKind, View};
+
+use super::episodes::{describe, other_episodes};
+use super::{intent_refusals, totals, unknown_losses};
+use crate::format::clock;
+
+/// Most episodes that the headline describes.
+const MAX_DESCRIBED: usize = 2;
+/// Episodes above this weight are worth a headline.
+const MIN_HEADLINE_WEIGHT: u8 = 2;
+/// Episodes from this weight on are counted besides the worst.
+const MIN_COUNTED_WEIGHT: u8 = 3;
+
+/// When, the worst episodes, and what they meant for requests.
+pub fn headline(view: &View) -> String {
+    let counts = request_counts(view);
+    let episodes = view.detector.episodes();
+    let worst = episodes.iter().map(weight).max().unwrap_or(0);
+    if worst < MIN_HEADLINE_WEIGHT {
+        return format!("No trouble was found; {counts}");
+    }
+    let now = view.detector.now();
+    let mut start = u64::MAX;
+    let mut end = 0;
+    let mut descriptions = Vec::new();
+    let mut others = 0;
+    for episode in episodes {
+        let weight = weight(episode);
+        if weight >= MIN_HEADLINE_WEIGHT {
+            start = start.min(episode.started_at);
+            end = end.max(episode.span(now).1);
+        }
+        if weight == worst {
+            descriptions.push(describe(view, episode));
+        } else if weight >= MIN_COUNTED_WEIGHT {
+            others += 1;
+        }
+    }
+    descriptions.truncate(MAX_DESCRIBED);
+    let more = match others {
+        0 => String::new(),
+        count => format!("; {} besides", other_episodes(count)),
+    };
+    format!(
+        "{} to {}: {}{more}; {counts}",
+        clock(start),
+        clock(end),
+        descriptions.join("; ")
+    )
+}
+
+fn request_counts(view: &View) -> String {
+    let totals = totals(view);
+    let reasons = intent_refusals(&totals).map(|reasons| format!(" ({reasons})"));
+    let losses = unknown_losses(view).map(|losses| format!("; {losses}"));
+    format!(
+        "of {} requests {} refused{}, {} failed, {} lost{}",
+        totals.received,
+        totals.refused,
+        reasons.unwrap_or_default(),
+        totals.failed,
+        totals.lost,
+        losses.unwrap_or_default()
+    )
+}
+
+/// How much an episode explains: engines come first, then floods, then the discovery service, then
+/// gaps, then symptoms.
+fn weight(episode: &Episode) -> u8 {
+    match episode.kind {
+        EpisodeKind::EnginesDown(_) => 6,
+        EpisodeKind::TenantFlood(_) | EpisodeKind::AddressFlood(_) => 5,
+        EpisodeKind::DiscoveryDown(_) => 4,
+        EpisodeKind::LogGap(_) => 3,
+        EpisodeKind::Refusals | EpisodeKind::Latency(_) => 2,
+        EpisodeKind::Drain(_) | EpisodeKind::Quarantine(_) | EpisodeKind::Retries => 1,
+    }
+}
--- a/crates/report/tests/pages.rs
+++ b/crates/report/tests/pages.rs
@@ -1,4 +1,4 @@
-//! What a page says, and that what it holds can't break it.
+//! What the page says, that names can't break its markup, and that it is accessible.
 
 #[path = "../../event-analysis/tests/common/mod.rs"]
 mod common;
@@ -6,15 +6,15 @@
 use common::*;
 use eideryard::interface::Phase;
 use eideryard_event_log::{Entry, HostEvent, ListedEngine};
-use eideryard_report::{page, story};
+use eideryard_report::{format, page, summary};
 
 #[test]
-fn a_calm_day_says_so_and_a_trouble_is_the_head_line() {
+fn headline_names_the_worst_episode_or_says_that_there_is_none() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 20, 20);
     let view = script.finish();
     assert_eq!(
-        story::headline(&view).split(';').next(),
+        summary::headline(&view).split(';').next(),
         Some("No trouble was found")
     );
     assert!(page(&view).contains("No trouble was found by its symptoms"));
@@ -26,7 +26,7 @@
     script.fails(0, 10.2, 2);
     script.host(0, 12.0, HostEvent::DiscoveryLink { is_up: false });
     let view = script.finish();
-    let head = story::headline(&view);
+    let head = summary::headline(&view);
     assert!(
         head.starts_with(
             "05:00:10 to 05:00:20: 2 of 4 engines ended together (e-1 and e-2); 1 other trouble besides"
@@ -39,10 +39,9 @@
     );
 }
 
-/// Two gateways of one fleet are killed and come back: their gaps are told once, and what clients
-/// lost there is told as what no record can know.
+/// Two gateways of one fleet are killed and restart.
 #[test]
-fn gaps_are_told_once_and_unseen_losses_are_not_counted_as_none() {
+fn gaps_are_listed_once_and_unknown_losses_are_stated() {
     let mut script = Script::new(&["g1", "g2", "g1", "g2"]);
     for source in [0, 1] {
         script.calm(source, 0, 10, 20);
@@ -51,7 +50,7 @@
     }
     script.listed(2, 11.5, 2, Phase::Draining, 0);
     let view = script.finish();
-    let head = story::headline(&view);
+    let head = summary::headline(&view);
     assert!(
         head.contains("g1 and g2 broke off with 2 requests open") && head.contains("in no record"),
         "{head}"
@@ -62,11 +61,11 @@
         2,
         "each gap once, and not again at every episode"
     );
-    assert_eq!(page.matches(story::PARTLY).count(), 1);
+    assert_eq!(page.matches(summary::PARTLY_UNKNOWN).count(), 1);
 }
 
 #[test]
-fn names_are_text_whatever_they_hold() {
+fn names_are_escaped() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 5, 10);
     let name = "<script>alert(1)</script>\"'&".to_string();
@@ -87,7 +86,7 @@
 }
 
 #[test]
-fn every_plot_and_table_is_named_for_those_who_hear_it() {
+fn plots_and_tables_have_titles_for_screen_readers() {
     let mut script = Script::new(&["g1"]);
     script.calm(0, 0, 30, 20);
     script.flood(0, 20, 24, 100, 2);
@@ -112,8 +111,8 @@
 }
 
 #[test]
-fn times_and_numbers_are_said_as_a_person_would() {
-    assert_eq!(story::clock_ms(START + 1_234_000), "05:00:01.234");
+fn times_and_counts_have_suitable_units() {
+    assert_eq!(format::clock_ms(START + 1_234_000), "05:00:01.234");
     let said = [
         (5_000, "5 ms"),
         (1_500_000, "1.5 s"),
@@ -121,10 +120,10 @@
         (9_000_000_000, "2.5 h"),
     ];
     for (micros, words) in said.iter() {
-        assert_eq!(story::lasting(*micros), *words);
+        assert_eq!(format::duration(*micros), *words);
     }
     assert_eq!(
-        (story::plural(1, "episode"), story::plural(2, "episode")),
+        (format::plural(1, "episode"), format::plural(2, "episode")),
         ("1 episode".into(), "2 episodes".into())
     );
 }
