--- /dev/null
+++ b/crates/gateway/src/gateway/actions/sends.rs
@@ -0,0 +1,203 @@
+//! The way of a send: its intent is prepared, then its first byte may go out.
+
+use eideryard::interface::PriorAttempt;
+use eideryard_engine_protocol::Serve;
+
+use super::*;
+use crate::engines::AttemptTarget;
+use crate::intent_durability::{PendingSend, SendPlan, SendRequest};
+use crate::requests::Attempt;
+use crate::result_spool::ResultOwner;
+
+impl Gateway {
+    /// Carries out the balancer's decision to send a request to an engine.
+    pub(super) fn send(
+        &mut self,
+        now: Micros,
+        key: Key,
+        engine: EngineId,
+        attempt_deadline: Micros,
+    ) {
+        let Some(request) = self.requests.get(key) else {
+            return;
+        };
+        // Recorded here and not with the other actions: for a request that has ended nothing is
+        // sent.
+        let action = Action::Send {
+            request: key.number(),
+            engine,
+            attempt_deadline,
+        };
+        self.event_recorder.record_action(now, &action);
+        if request.is_spooled {
+            self.restart_spooling(now, key);
+        }
+        self.counters.sent += 1;
+        let plan = self.prepare_send(now, key, engine, attempt_deadline);
+        let Some(attempt) = self.add_attempt(now, key, engine, &plan) else {
+            return;
+        };
+        match plan {
+            SendPlan::Immediate => self.dispatch(now, key, attempt, engine, attempt_deadline),
+            SendPlan::StoreFull => self.end_unsent(key, attempt),
+            SendPlan::PriorAttemptFound(prior_attempt) => {
+                self.add_prior_attempts(key, vec![prior_attempt]);
+                self.end_unsent(key, attempt);
+            }
+            SendPlan::AfterWrite {
+                ticket,
+                claim,
+                prior_attempt,
+            } => {
+                let send = PendingSend {
+                    ticket,
+                    claim,
+                    request: key,
+                    attempt,
+                    engine,
+                    attempt_deadline,
+                };
+                self.wait_for_intent(now, send, prior_attempt);
+            }
+        }
+    }
+
+    /// Drops what an earlier attempt that ended half way has spooled.
+    fn restart_spooling(&mut self, now: Micros, key: Key) {
+        let Some(request) = self.requests.get(key) else {
+            return;
+        };
+        let owner = ResultOwner {
+            labels: request.labels(),
+            address: self.clients.address_of(request.client),
+        };
+        if let Some(result_spool) = &mut self.result_spool {
+            result_spool.restart(key.number(), owner, now);
+        }
+        self.incoming_results.remove(&key);
+    }
+
+    fn prepare_send(
+        &mut self,
+        now: Micros,
+        key: Key,
+        engine: EngineId,
+        attempt_deadline: Micros,
+    ) -> SendPlan {
+        let Some((durability, request)) =
+            self.intent_durability.as_mut().zip(self.requests.get(key))
+        else {
+            return SendPlan::Immediate;
+        };
+        let send_request = SendRequest {
+            class: request.class,
+            key: request.key.as_deref(),
+            engine,
+            attempt_deadline,
+            known: &request.prior_attempts,
+        };
+        durability.prepare_send(now, &send_request)
+    }
+
+    /// Adds an attempt to its request. Returns its number among the request's attempts.
+    fn add_attempt(
+        &mut self,
+        now: Micros,
+        key: Key,
+        engine: EngineId,
+        plan: &SendPlan,
+    ) -> Option<usize> {
+        let awaits_durability = matches!(plan, SendPlan::AfterWrite { .. });
+        let request = self.requests.get_mut(key)?;
+        request.attempts.push(Attempt {
+            engine,
+            connection: None,
+            sent_at: now,
+            deadline: None,
+            awaits_durability,
+            has_intent: awaits_durability || matches!(plan, SendPlan::StoreFull),
+        });
+        Some(request.attempts.len() - 1)
+    }
+
+    fn wait_for_intent(&mut self, now: Micros, send: PendingSend, prior_attempt: PriorAttempt) {
+        let deadline = Deadline::Attempt(send.request, send.attempt);
+        let timer = self.deadlines.set(send.attempt_deadline, deadline);
+        if let Some(request) = self.requests.get_mut(send.request) {
+            request.prior_attempts.push(prior_attempt);
+            request.attempts[send.attempt].deadline = Some(timer);
+        }
+        if let Some(durability) = &mut self.intent_durability {
+            durability.add_pending_send(now, send);
+        }
+    }
+
+    /// Remembers prior attempts of a request, and tells the balancer.
+    pub(super) fn add_prior_attempts(&mut self, key: Key, prior_attempts: Vec<PriorAttempt>) {
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
+        request
+            .prior_attempts
+            .extend(prior_attempts.iter().copied());
+        self.events.push_back(Event::PriorAttempts {
+            request: key.number(),
+            prior_attempts,
+        });
+    }
+
+    /// An attempt ends before anything of it was sent.
+    pub(super) fn end_unsent(&mut self, key: Key, attempt: usize) {
+        self.end_attempt(AttemptEnd::new(key, attempt, Outcome::NotSent));
+    }
+
+    /// Sends an attempt to its engine.
+    pub(super) fn dispatch(
+        &mut self,
+        now: Micros,
+        key: Key,
+        attempt: usize,
+        engine: EngineId,
+        attempt_deadline: Micros,
+    ) {
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
+        let wait_ms = attempt_deadline.saturating_sub(now) / 1000;
+        if wait_ms == 0 {
+            return self.end_unsent(key, attempt);
+        }
+        let serve = Serve {
+            id: &request.id,
+            class: &self.names.classes[request.class],
+            wait_ms,
+            key: request.key.as_deref(),
+            grant_mb: request.grant_mb,
+            rank: request.rank,
+            statement: &request.statement,
+        };
+        let target = AttemptTarget {
+            request: key,
+            attempt,
+            is_spooled: request.is_spooled,
+        };
+        let mut context = EngineContext {
+            now,
+            deadlines: &mut self.deadlines,
+            counters: &mut self.counters,
+            events: &mut self.engine_events,
+        };
+        let sent = self.engines.send(engine, target, &serve, &mut context);
+        match sent {
+            Ok(connection) => {
+                let attempt_state = &mut request.attempts[attempt];
+                attempt_state.connection = Some(connection);
+                let deadlines = &mut self.deadlines;
+                attempt_state.deadline.get_or_insert_with(|| {
+                    deadlines.set(attempt_deadline, Deadline::Attempt(key, attempt))
+                });
+            }
+            Err(outcome) => self.end_attempt(AttemptEnd::new(key, attempt, outcome)),
+        }
+    }
+}
