--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -89,7 +89,7 @@
     if let Err(error) = std::fs::write(&path, page) {
         return Err(CliError::Report { path, error });
     }
-    println!("{}", eideryard_report::story::headline(&view));
+    println!("{}", eideryard_report::summary::headline(&view));
     Ok(())
 }
 
