--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -5,6 +5,7 @@
 
 use eideryard::balancer::Balancer;
 use eideryard::interface::{Event, Micros};
+use eideryard_discovery::Item;
 use eideryard_operator_config::OperatorConfig;
 
 use super::Gateway;
@@ -86,21 +87,26 @@
             balancer: Balancer::new(config.settings, config.seed, now),
             clock,
         };
-        gateway.record_state();
-        for item in config.known.items {
-            gateway.handle_discovery_item(item);
-        }
-        gateway
-            .discovery
-            .connect(now, &mut gateway.deadlines, &mut gateway.counters);
-        gateway.run_balancer();
-        // After the endpoints: the checkpoint is compared with the engines that are there now.
-        gateway.restore_checkpoint();
-        gateway.run_balancer();
+        gateway.load_initial_state(config.known.items, now);
         tracing::info!("{} listens on {}", config.name, gateway.clients.address()?);
         Ok(gateway)
     }
 
+    /// Hands the engines that are known and what was learned of them to the balancer, and connects
+    /// to service discovery.
+    fn load_initial_state(&mut self, known_items: Vec<Item>, now: Micros) {
+        self.record_state();
+        for item in known_items {
+            self.handle_discovery_item(item);
+        }
+        self.discovery
+            .connect(now, &mut self.deadlines, &mut self.counters);
+        self.run_balancer();
+        // After the endpoints: the checkpoint is compared with the engines that are there now.
+        self.restore_checkpoint();
+        self.run_balancer();
+    }
+
     /// Hands what was learned before the last restart to the balancer.
     fn restore_checkpoint(&mut self) {
         let Some(intent_durability) = &mut self.intent_durability else {
