--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -176,7 +176,7 @@
             None => String::new(),
         };
         let intents = match &self.intent_durability {
-            Some(intent_durability) => intent_durability.told(),
+            Some(intent_durability) => crate::counter_text::durability(intent_durability),
             None => String::new(),
         };
         tracing::info!("counters: {counters}; tables {tables}{result_spool}{intents}");
