--- a/crates/config-syntax/src/lib.rs
+++ b/crates/config-syntax/src/lib.rs
@@ -1,9 +1,9 @@
 //! Line-based settings: `directive value...`, blocks in braces, comments behind `#`, `include
 //! FILE`.
 //!
-//! [`grammar`] splits text into statements, [`include`] follows included files, [`value`] reads
+//! [`grammar`] splits text into statements, [`mod@include`] follows included files, [`value`] reads
 //! single values with their units, [`table`] checks statements against a table of directives and
-//! gives typed settings, and [`reference`] makes a page of a table. The operator's file and the
+//! gives typed settings, and [`mod@reference`] makes a page of a table. The operator's file and the
 //! scenarios of the emulators are two such tables. Files are read by a function of the caller;
 //! nothing is kept.
 //!
--- a/crates/event-log/src/reader/stream.rs
+++ b/crates/event-log/src/reader/stream.rs
@@ -240,6 +240,12 @@
             path: path.clone(),
         });
         while self.buffer.len() < FILE_HEAD && self.fill()? {}
+        if self.buffer.len() < FILE_HEAD && self.is_followed && self.files.is_empty() {
+            // The writer has made the file and not yet written its header.
+            self.close_file();
+            self.files.push_front(path);
+            return Ok(false);
+        }
         match read_file_head(&self.buffer) {
             Some(version) if version > VERSION => return Err(ReadError::Newer { path, version }),
             Some(_) => self.used = FILE_HEAD,
--- a/crates/event-log/tests/failures.rs
+++ b/crates/event-log/tests/failures.rs
@@ -363,6 +363,30 @@
     assert_eq!(merged.problems().count(), 0);
 }
 
+#[test]
+fn followed_segment_without_its_header_yet_is_no_damage() {
+    let directory = tempfile::tempdir().unwrap();
+    let mut recorder = recorder(directory.path(), 64 << 10);
+    record_random_entries(&mut recorder, 7, 10);
+    drop(recorder);
+    let mut paths = std::fs::read_dir(directory.path()).unwrap();
+    let path = paths.next().unwrap().unwrap().path();
+    let bytes = std::fs::read(&path).unwrap();
+    for written in [0, 1, 15] {
+        std::fs::write(&path, &bytes[..written]).unwrap();
+        let mut reader = MergedReader::follow(&[directory.path().into()]).unwrap();
+        assert!(reader.next_entry().unwrap().is_none(), "{written} bytes");
+        std::fs::write(&path, &bytes).unwrap();
+        let mut entries = 0;
+        while let Some(entry) = reader.next_entry().unwrap() {
+            assert!(matches!(entry.content, reader::ReadContent::Entry(_)));
+            entries += 1;
+        }
+        assert!(entries >= 10, "{entries}");
+        assert_eq!(reader.problems().count(), 0);
+    }
+}
+
 #[test]
 fn reading_from_a_time_starts_at_the_segment_before_it_with_exact_totals() {
     let directory = tempfile::tempdir().unwrap();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //! `eideryard` package. [`serve`] is the whole program; the command line calls it with the
 //! configuration of the platform ([`config::Config`]) and of the operator.
 //!
-//! One thread runs the main loop, [`gateway::Gateway`], which owns all connections, requests and
+//! One thread runs the main loop, `gateway::Gateway`, which owns all connections, requests and
 //! deadlines. Other threads (store, peers, disk of the result spool, event log) are reached through
 //! channels and wake the main loop by pings.
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
 //! Hosts any number of independent gateways on the text protocol of the operators' bench, on
-//! standard input and output: [`line`] parses, [`events`] and [`actions`] translate, [`host`]
+//! standard input and output: [`mod@line`] parses, [`events`] and [`actions`] translate, [`host`]
 //! drives the balancers. Nothing is decided here.
 
 mod actions;
