--- a/crates/event-analysis/src/state/decision_entries.rs
+++ b/crates/event-analysis/src/state/decision_entries.rs
@@ -131,8 +131,8 @@
     is_quarantined: bool,
 }
 
-/// The decision module logs quarantines as text: `engine N quarantined: …`, `engine N is back …`
-/// and `engine N speaks …`.
+/// The decision module logs quarantines as text: `engine N quarantined: REASON`, `engine N is back
+/// from probation` and `engine N speaks again`.
 fn parse_quarantine_notice(text: &str) -> Option<QuarantineNotice> {
     let mut words = text.split(' ');
     if words.next()? != "engine" {
