--- a/crates/fleet-test/src/scale/node.rs
+++ b/crates/fleet-test/src/scale/node.rs
@@ -124,7 +124,7 @@
 
     /// Engines that the list names.
     pub fn listed_engines(&self) -> usize {
-        self.module.listed_engines()
+        self.module.listed_engine_count()
     }
 
     /// Plays until a time.
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -239,7 +239,7 @@
     }
 
     /// Engines that the list names.
-    pub fn listed_engines(&self) -> usize {
+    pub fn listed_engine_count(&self) -> usize {
         self.engines.listed_count()
     }
 }
