--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,11 +1,12 @@
-//! Every decision of one gateway: admission, placement, priority, retries, health of engines.
+//! All decisions of one gateway: admission, placement, priority, retries and health of engines.
 //!
-//! A host hands [`Balancer`] events and carries out the actions that come back. A request passes
-//! through `arrival`, `sampling`, `admission`, `engine_selection`, `constraints`, `dispatch`,
-//! `outcome` and `completion`. State that one concern owns stands in its part: `subsetting`,
-//! `load_estimate`, `class_estimates`, `slow_start`, `outlier_detection`, `retry_budget`,
-//! `key_ordering`, `tenant_quotas`, `pending_queue`, `sampling`. The mechanism is that of the BI
-//! Batch Manager paper for many gateways and engines; docs/design.md says what was changed.
+//! A host passes events to [`Balancer`] and carries out the actions that it returns. A request
+//! passes through `arrival`, `sampling`, `admission`, `engine_selection`, `constraints`,
+//! `dispatch`, `outcome` and `completion`. State that only one concern uses is defined in that
+//! concern's module: `subsetting`, `load_estimate`, `class_estimates`, `slow_start`,
+//! `outlier_detection`, `retry_budget`, `key_ordering`, `tenant_quotas`, `pending_queue`,
+//! `sampling`. The algorithm extends that of the BI Batch Manager paper to many gateways and
+//! engines; docs/design.md lists the differences.
 
 mod admission;
 mod affinity;
@@ -36,7 +37,7 @@
 use crate::interface::{Action, Discovery, Event, Micros, PriorAttempt, RequestId, Settings};
 use crate::request_state::PendingRequest;
 use crate::traffic::Traffic;
-use affinity::{GROUP_EXPIRY, GROUP_MEMORY};
+use affinity::{GROUP_DECAY_REQUESTS, GROUP_EXPIRY};
 use class_estimates::ClassEstimator;
 use key_ordering::KeyOrdering;
 use load_estimate::LoadEstimates;
@@ -49,14 +50,17 @@
 use subsetting::Subsetting;
 use tenant_quotas::TenantQuotas;
 
-/// Ticks between two runs of the maintenance.
+/// Interval of the periodic maintenance, in ticks of `Settings::tick`.
 const MAINTENANCE_TICKS: u64 = 10;
-/// Timer tag of the maintenance; a request's own timer has the tag of `end_tag`.
+/// Tag of the maintenance timer. The timer that ends a request has the tag `end_tag(request)`,
+/// which is never 0.
 const MAINTENANCE_TAG: u64 = 0;
-/// A failed subscription is tried again after the poll interval divided by this.
+/// After service discovery failed, the next subscription follows after `Settings::poll_interval`
+/// divided by this.
 const RESUBSCRIBE_DIVISOR: u64 = 8;
 
-/// One gateway: all it knows comes from its settings and the events it was handed.
+/// The decision logic of one gateway. It does no I/O and reads no clock: its state depends only on
+/// the settings, the seed, the times and the events that the host passes in.
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
@@ -76,22 +80,22 @@
     sampling_budget: SamplingBudget,
     is_maintenance_scheduled: bool,
     resubscribe_at: Option<Micros>,
-    /// Actions of the event that is being handled.
+    /// Actions that the event being handled has led to so far.
     actions: Vec<Action>,
 }
 
 impl Balancer {
-    /// A gateway that knows its settings and nothing else; equal seeds and events give equal
-    /// actions.
+    /// Creates a gateway without engines, requests or learned estimates. It is deterministic: equal
+    /// settings, seeds, times and events lead to equal actions.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let ring_position = match settings.index {
             Some(index) => index / settings.peers,
             None => rng.f64(),
         };
-        let must_subscribe = settings.discovery == Discovery::Ask;
+        let should_subscribe = settings.discovery == Discovery::Ask;
         let load_estimates = LoadEstimates::new(settings.warm_up_duration);
-        let latency_memory = load_estimates.latency_memory();
+        let latency_time_constant = load_estimates.latency_time_constant();
         let mut balancer = Balancer {
             rng,
             now,
@@ -107,12 +111,12 @@
             subsetting: Subsetting::new(&settings, ring_position),
             load_estimates,
             slow_start: SlowStart::new(&settings),
-            outlier_detection: OutlierDetection::new(&settings, latency_memory),
+            outlier_detection: OutlierDetection::new(&settings, latency_time_constant),
             retry_budget: RetryBudget::new(settings.attempt_budget),
             tenant_quotas: TenantQuotas::new(&settings, now),
             sampling_budget: SamplingBudget::new(settings.probe_tariff),
             is_maintenance_scheduled: false,
-            resubscribe_at: must_subscribe.then_some(now),
+            resubscribe_at: should_subscribe.then_some(now),
             actions: Vec::new(),
             settings,
         };
@@ -120,7 +124,8 @@
         balancer
     }
 
-    /// Takes an event in and appends what it leads to to `actions`.
+    /// Processes an event that happened at `now` and appends the resulting actions to `actions`, in
+    /// the order in which the host has to carry them out.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         let may_free_room = !matches!(
@@ -185,7 +190,8 @@
         }
     }
 
-    /// Sets the timer of the maintenance while there is something to maintain.
+    /// Sets the maintenance timer while any request is known or a subscription is due, so that an
+    /// idle gateway has no timer.
     fn schedule_maintenance(&mut self) {
         let is_needed = !self.requests.is_empty() || self.resubscribe_at.is_some();
         if is_needed && !self.is_maintenance_scheduled {
@@ -204,41 +210,42 @@
         self.redraw_candidates();
         self.shed_load();
         self.load_estimates
-            .fade_assumed_load(MAINTENANCE_TICKS * self.settings.tick);
-        self.forget_expired();
+            .decay_assumed_load(MAINTENANCE_TICKS * self.settings.tick);
+        self.remove_expired();
         self.update_active_engines();
     }
 
-    fn forget_expired(&mut self) {
-        self.key_ordering.forget_idle(self.now);
-        self.retry_budget.forget_expired(self.now);
+    fn remove_expired(&mut self) {
+        self.key_ordering.remove_idle(self.now);
+        self.retry_budget.remove_expired(self.now);
         let arrivals = self.traffic.arrivals;
         self.traffic
             .groups
-            .retain(|_, group| arrivals - group.counted_at < GROUP_EXPIRY * GROUP_MEMORY);
+            .retain(|_, group| arrivals - group.counted_at < GROUP_EXPIRY * GROUP_DECAY_REQUESTS);
     }
 
     fn update_active_engines(&mut self) {
         let now = self.now;
-        let latency_memory = self.load_estimates.latency_memory();
+        let latency_time_constant = self.load_estimates.latency_time_constant();
         let window_start = self.slow_start.window_start(now);
         self.engines.update_active(now, |engine| {
-            engine.update_slowdown(now, latency_memory, None);
+            engine.update_slowdown(now, latency_time_constant, None);
             engine
                 .active_loads
-                .retain(|_, at| *at + latency_memory as Micros > now);
+                .retain(|_, at| *at + latency_time_constant as Micros > now);
             engine
                 .cold_sends
                 .retain(|send| send.sent_at >= window_start);
         });
     }
 
-    /// How often an engine was accessed so far: what decisions cost, as a count.
+    /// How often the state of an engine has been accessed so far: a measure of the cost of
+    /// decisions that doesn't depend on the machine's speed.
     pub fn engine_visits(&self) -> u64 {
         self.engines.visits()
     }
 
-    /// Engines that the list names.
+    /// Number of engines on the endpoint list that aren't removed, draining ones included.
     pub fn listed_engine_count(&self) -> usize {
         self.engines.listed_count()
     }
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: whether an engine has room for a request.
 //!
-//! Bounds on threads and memory are shares of an engine's capacity. They apply only while the
-//! engine is under pressure.
+//! This gateway's threads and memory in flight on an engine are bounded by its share of the
+//! engine's capacity. The bounds apply only while the engine is under pressure.
 
 use super::Balancer;
 use crate::engine_state::{EngineState, Reservation};
@@ -9,29 +9,35 @@
 use crate::interface::{Kind, Request};
 use crate::request_state::PendingRequest;
 
-/// Memory that may be reserved at the start, in multiples of an engine's memory.
+/// Bound on memory reserved on an engine before `bound_factor` reduces it, in multiples of the
+/// engine's memory.
 const START_MEMORY_MULTIPLE: f64 = 3.0;
-/// Threads a core of this gateway's share that may be in flight at the start.
+/// Bound on threads in flight before `bound_factor` reduces it, per core of this gateway's share.
 pub(super) const START_THREADS_PER_CORE: f64 = 2.0;
-/// Threads a core that imply pressure before latency can show it.
+/// Threads per core above which an engine counts as under pressure before latency shows it. Also
+/// the bound for dashboards where shares are below one query.
 const PRESSURE_THREADS_PER_CORE: f64 = 1.6;
-/// Threads a core up to which reports and loads are sent where shares are below one query.
+/// Bound on threads per core for reports and loads where shares are below one query.
 const SMALL_SHARE_THREADS_PER_CORE: f64 = 1.2;
-/// Threads a core of its share of all engines that a gateway may have in flight.
+/// Threads that a gateway may have in flight on all engines together, per core of its share of
+/// them.
 const QUOTA_THREADS_PER_CORE: f64 = 3.0;
-/// Part of the room that a query counts as before its class's memory is known.
-const UNKNOWN_MEMORY_PART: f64 = 0.125;
-/// A class with mean work under this part of the mean of all is one of dashboards.
-const DASHBOARD_WORK_PART: f64 = 0.5;
+/// Memory that a query without a memory estimate counts as, as a fraction of the memory bound.
+const UNKNOWN_MEMORY_FRACTION: f64 = 0.125;
+/// A class whose mean work is below this fraction of the mean over all requests is a class of
+/// dashboards.
+const DASHBOARD_WORK_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    /// Whether a class is of short queries, which run ahead of reports and loads.
+    /// Whether the queries of a class are dashboards: they are short and run ahead of reports and
+    /// loads. Classes of loads never are.
     pub(super) fn is_dashboard(&self, class: usize) -> bool {
-        let max_work = DASHBOARD_WORK_PART * self.traffic.mean_work;
+        let max_work = DASHBOARD_WORK_FRACTION * self.traffic.mean_work;
         !self.settings.classes[class].is_load && self.class_estimates.mean_work(class) < max_work
     }
 
-    /// Classes whose lightest query has room nowhere: their queued requests need no closer look.
+    /// For each class, whether no engine has room even for its smallest possible query, so that its
+    /// queued requests need not be checked one by one.
     pub(super) fn full_classes(&self) -> Vec<bool> {
         (0..self.settings.classes.len())
             .map(|class| self.is_class_full(class))
@@ -39,10 +45,10 @@
     }
 
     fn is_class_full(&self, class: usize) -> bool {
-        if self.subsetting.share_below_one_query() {
+        if self.subsetting.is_share_below_one_query() {
             return false;
         }
-        let lightest = PendingRequest {
+        let lightest_request = PendingRequest {
             request: Request {
                 class,
                 group: u64::MAX,
@@ -53,41 +59,44 @@
         };
         !self
             .subset(class)
-            .any(|(_, id)| self.has_room(&lightest, &self.engines[&id]))
+            .any(|(_, id)| self.has_room(&lightest_request, &self.engines[&id]))
     }
 
-    /// Whether an engine is available and within both bounds.
+    /// Whether an engine is available to a request and, if it is under pressure, within the bounds
+    /// on threads and memory.
     pub(super) fn has_room(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         if !self.is_available(pending, engine) {
             return false;
         }
         let class = pending.request.class;
-        let share_below_one_query = self.subsetting.share_below_one_query();
+        let is_share_below_one_query = self.subsetting.is_share_below_one_query();
         let cores = self.warm_cores(engine) * self.subsetting.engine_share();
-        let foreign_threads = if share_below_one_query {
+        let foreign_threads = if is_share_below_one_query {
             self.foreign_threads(engine)
         } else {
             0.0
         };
         let threads_ahead = self.threads_ahead(class, engine) + foreign_threads;
         let threads = threads_ahead + self.settings.classes[class].threads;
-        // Latency shows pressure seconds after the sends that cause it; threads imply it at once.
-        let has_pressure = share_below_one_query
+        // Latency shows pressure only seconds after the sends that cause it; the number of threads
+        // shows it at once.
+        let has_pressure = is_share_below_one_query
             || engine.is_under_pressure(self.now)
             || threads > PRESSURE_THREADS_PER_CORE * cores;
-        // Where shares are below one query every gateway is idle on most engines, so being idle
-        // there excuses nothing.
-        if !has_pressure || engine.in_flight.is_empty() && !share_below_one_query {
+        // An engine on which this gateway has nothing in flight is exempt from the bounds. Where
+        // shares are below one query that holds for most engines, so there is no exemption.
+        if !has_pressure || engine.in_flight.is_empty() && !is_share_below_one_query {
             return true;
         }
-        // The last query in may pass the bound: a small share would else stay partly unused.
+        // The last query may exceed the bound: otherwise part of a small share would stay unused.
         let max_threads = self.threads_per_core(class) * engine.bound_factor * cores;
         threads_ahead < max_threads && self.has_memory(pending, engine, foreign_threads)
     }
 
-    /// Bound on threads a core for a class.
+    /// Bound on threads in flight per core for queries of a class, before `bound_factor` reduces
+    /// it.
     fn threads_per_core(&self, class: usize) -> f64 {
-        if !self.subsetting.share_below_one_query() {
+        if !self.subsetting.is_share_below_one_query() {
             START_THREADS_PER_CORE
         } else if self.is_dashboard(class) {
             PRESSURE_THREADS_PER_CORE
@@ -96,18 +105,20 @@
         }
     }
 
-    /// Threads in flight that a query of a class has to share the engine with. A dashboard runs
-    /// ahead of what is larger, so only its like counts, until the engine is jammed.
+    /// Threads in flight that count against the thread bound for a query of a class. Dashboards run
+    /// ahead of reports and loads, so for a dashboard only other dashboards count, unless the
+    /// engine is saturated or shares are below one query.
     fn threads_ahead(&self, class: usize, engine: &EngineState) -> f64 {
-        // What can't be cancelled jams for long, so there any pressure counts as a jam.
-        let is_jammed = if self.settings.may_cancel {
-            engine.is_jammed(self.now)
+        // Where attempts can't be cancelled, saturation lasts long, so any pressure counts as
+        // saturation.
+        let is_saturated = if self.settings.may_cancel {
+            engine.is_saturated(self.now)
         } else {
             engine.is_under_pressure(self.now)
         };
-        let counts_all =
-            is_jammed || self.subsetting.share_below_one_query() || !self.is_dashboard(class);
-        let is_ahead = |other: &&Reservation| counts_all || self.is_dashboard(other.class);
+        let should_count_all =
+            is_saturated || self.subsetting.is_share_below_one_query() || !self.is_dashboard(class);
+        let is_ahead = |other: &&Reservation| should_count_all || self.is_dashboard(other.class);
         engine
             .in_flight
             .values()
@@ -116,6 +127,8 @@
             .sum()
     }
 
+    /// Whether the request's memory fits the memory bound of an engine. Dashboards always fit, and
+    /// a request larger than the bound fits an engine on which this gateway has nothing in flight.
     fn has_memory(
         &self,
         pending: &PendingRequest,
@@ -126,15 +139,16 @@
         let foreign_memory = memory_time / self.traffic.mean_work.max(1.0);
         let memory = engine.memory_mb + foreign_memory;
         let charge = self.charged_memory(pending, engine);
-        let room = self.memory_room(engine);
+        let bound = self.memory_bound(engine);
         self.is_dashboard(pending.request.class)
-            || memory + charge <= room
-            || engine.in_flight.is_empty() && charge > room
+            || memory + charge <= bound
+            || engine.in_flight.is_empty() && charge > bound
     }
 
-    /// Whether all that this gateway has in flight fits its share of all engines. It is checked
-    /// where shares are below one query: in a jam nothing ends, so the quota stays taken and no
-    /// gateway adds to the jam.
+    /// Whether what this gateway has in flight on all engines together leaves room for the request
+    /// within its share of their capacity. This is checked where shares are below one query: when
+    /// engines are saturated no attempt ends, so the quota stays used up and the gateway adds
+    /// nothing to the overload.
     pub(super) fn has_in_flight_quota(&self, pending: &PendingRequest) -> bool {
         let quota = self
             .engines
@@ -148,22 +162,24 @@
             threads += engine.threads;
             memory_mb += engine.memory_mb;
         }
-        let fits_memory = memory_mb <= quota.memory_mb || self.is_dashboard(pending.request.class);
-        threads == 0.0 || threads < quota.threads && fits_memory
+        let is_memory_within_quota =
+            memory_mb <= quota.memory_mb || self.is_dashboard(pending.request.class);
+        threads == 0.0 || threads < quota.threads && is_memory_within_quota
     }
 
-    /// Memory that this gateway may reserve on an engine.
-    fn memory_room(&self, engine: &EngineState) -> f64 {
+    /// Memory that this gateway may reserve on an engine, in megabytes.
+    fn memory_bound(&self, engine: &EngineState) -> f64 {
         let memory_mb = self.kind(engine).memory_mb;
         START_MEMORY_MULTIPLE * engine.bound_factor * memory_mb * self.subsetting.engine_share()
     }
 
-    /// Memory that a request counts as on an engine.
+    /// Memory that a request counts as on an engine, in megabytes: its corrected estimate, or a
+    /// fraction of the memory bound if none is known.
     pub(super) fn charged_memory(&self, pending: &PendingRequest, engine: &EngineState) -> f64 {
         if pending.memory_mb > 0.0 {
             pending.memory_mb
         } else {
-            UNKNOWN_MEMORY_PART * self.memory_room(engine)
+            UNKNOWN_MEMORY_FRACTION * self.memory_bound(engine)
         }
     }
 
@@ -171,16 +187,16 @@
         &self.settings.kinds[self.engines.kind_index(engine)]
     }
 
-    /// Cores of an engine, as many as it has warmed up for.
+    /// Cores of an engine, times the fraction of its capacity that it has reached while warming up.
     pub(super) fn warm_cores(&self, engine: &EngineState) -> f64 {
-        self.kind(engine).cores * self.slow_start.capacity_part(engine, self.now)
+        self.kind(engine).cores * self.slow_start.capacity_fraction(engine, self.now)
     }
 
-    /// Threads of other gateways' queries on an engine.
+    /// Estimated threads of other gateways' queries on an engine.
     pub(super) fn foreign_threads(&self, engine: &EngineState) -> f64 {
-        let share_below_one_query = self.subsetting.share_below_one_query();
+        let is_share_below_one_query = self.subsetting.is_share_below_one_query();
         let cores = self.kind(engine).cores;
         self.load_estimates
-            .foreign_threads(engine, cores, share_below_one_query, self.now)
+            .foreign_threads(engine, cores, is_share_below_one_query, self.now)
     }
 }
--- a/src/balancer/affinity.rs
+++ b/src/balancer/affinity.rs
@@ -1,4 +1,5 @@
-//! Affinity of table groups to engines, so that queries find their tables cached.
+//! Affinity of table groups to engines: queries of a group prefer the same few engines, where its
+//! tables are likely to be cached.
 
 use super::subsetting::MIN_SUBSET;
 use super::Balancer;
@@ -6,20 +7,22 @@
 use crate::interface::EngineId;
 use crate::request_state::PendingRequest;
 
-/// Requests over which a group's part of all is counted.
-pub(super) const GROUP_MEMORY: f64 = 100.0;
-/// Such memories after which a group that was not asked for again is forgotten.
+/// Decay constant of the counts of requests per group, as a number of arrivals.
+pub(super) const GROUP_DECAY_REQUESTS: f64 = 100.0;
+/// A group without a request for this multiple of `GROUP_DECAY_REQUESTS` arrivals is removed.
 pub(super) const GROUP_EXPIRY: f64 = 5.0;
-/// Part of that memory that counts as other groups' before any request was seen.
+/// Requests of other groups that are assumed before the first arrival, as a fraction of
+/// `GROUP_DECAY_REQUESTS`.
 const GROUP_PRIOR: f64 = 0.2;
-/// Engines of a hot group, in multiples of the engines that its part of all requests would fill.
+/// Engines of a hot group, as a multiple of the engines that its fraction of all requests
+/// corresponds to.
 const HOT_GROUP_SPREAD: f64 = 2.0;
 
-/// Engines ordered by affinity to a group.
+/// Engines ordered by their affinity to a group.
 pub(super) struct AffinityOrder {
-    /// Highest hash of group and engine first.
+    /// Ordered by a hash of group and engine, highest first.
     pub(super) engines: Vec<EngineId>,
-    /// How many of these, from the first, the group has an affinity to.
+    /// The group has an affinity to this many of the engines, counted from the first.
     pub(super) affinity_count: usize,
 }
 
@@ -31,8 +34,8 @@
 }
 
 impl Balancer {
-    /// The engines of the request's class, ordered by affinity to its group; every gateway finds
-    /// the same order.
+    /// The engines that the request's class may be placed on, ordered by affinity to its group. All
+    /// gateways compute the same order without exchanging messages.
     pub(super) fn affinity_order(&self, pending: &PendingRequest) -> AffinityOrder {
         let group = pending.request.group;
         let mut order: Vec<(u64, EngineId)> = self
@@ -47,24 +50,25 @@
         }
     }
 
-    /// How many of so many engines a group has an affinity to; a hot group has more where shares
-    /// are below one query.
+    /// Number of engines that a group has an affinity to, out of `engine_count`. Where shares are
+    /// below one query, a hot group has more than `MIN_SUBSET`.
     fn affinity_count(&self, group: u64, engine_count: usize) -> usize {
         let arrivals = self.traffic.arrivals;
-        let counted = GROUP_MEMORY * (1.0 + GROUP_PRIOR - (-arrivals / GROUP_MEMORY).exp());
+        let total_count =
+            GROUP_DECAY_REQUESTS * (1.0 + GROUP_PRIOR - (-arrivals / GROUP_DECAY_REQUESTS).exp());
         let count = self.traffic.groups.get(&group);
-        let part = count.map_or(0.0, |group| group.count / counted);
-        let hot_engines = if self.subsetting.share_below_one_query() {
-            part * engine_count as f64 * HOT_GROUP_SPREAD
+        let fraction = count.map_or(0.0, |group| group.count / total_count);
+        let hot_engines = if self.subsetting.is_share_below_one_query() {
+            fraction * engine_count as f64 * HOT_GROUP_SPREAD
         } else {
             0.0
         };
         (hot_engines as usize).max(MIN_SUBSET).min(engine_count)
     }
 
-    /// Whether a class avoids the engines its group has an affinity to: a load would block the
-    /// queries that read the group there.
-    pub(super) fn avoids_affinity(&self, class: usize) -> bool {
+    /// Whether requests of a class should avoid the engines that their group has an affinity to:
+    /// there a load would block the queries that read the group.
+    pub(super) fn should_avoid_affinity(&self, class: usize) -> bool {
         let classes = &self.settings.classes;
         classes[class].is_load
             && classes
--- a/src/balancer/arrival.rs
+++ b/src/balancer/arrival.rs
@@ -1,23 +1,23 @@
-//! Arrival of a request: its corrected estimates and deadlines, and what it adds to the traffic
+//! Arrival of a request: corrects its estimates, computes its deadlines and updates the traffic
 //! statistics.
 
-use super::affinity::GROUP_MEMORY;
+use super::affinity::GROUP_DECAY_REQUESTS;
 use super::class_estimates::LEARNING_RATE;
 use super::Balancer;
 use crate::interface::{end_tag, Action, Micros, Request, RequestId};
 use crate::request_state::PendingRequest;
 use crate::traffic::{GroupCount, Traffic};
 
-/// Part of a client's wait that is left for its answer to come through.
+/// Fraction of the time until a client's deadline that is reserved for delivering the answer.
 const ANSWER_MARGIN: f64 = 0.1;
 
 impl Balancer {
-    /// Takes a request: sends it, queues it, or ends it where it can't be served.
+    /// Sends a new request or queues it, or ends it at once if it can't be served.
     pub(super) fn on_arrival(&mut self, request: Request) {
         let id = request.id;
         let pending = self.estimate_request(request);
         self.register_request(&pending);
-        let is_servable = self.may_repeat(&pending) && !self.exceeds_deadline(&pending);
+        let is_servable = self.may_repeat(&pending) && !self.is_deadline_too_close(&pending);
         let class = pending.request.class;
         let work = pending.work;
         if is_servable {
@@ -33,8 +33,9 @@
         }
     }
 
-    /// Work that can't end in time would only hold threads and memory that others need.
-    fn exceeds_deadline(&self, pending: &PendingRequest) -> bool {
+    /// Whether the request would miss its end deadline even on an idle engine. Running it would
+    /// only occupy threads and memory that others need.
+    fn is_deadline_too_close(&self, pending: &PendingRequest) -> bool {
         self.now as f64 + pending.ideal_duration > pending.end_deadline as f64
     }
 
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Corrects a request's estimates and computes its deadlines and weight.
+    /// Corrects a request's estimates and computes its deadlines and weight. Takes a token from its
+    /// tenant's quota.
     fn estimate_request(&mut self, request: Request) -> PendingRequest {
         let class = &self.settings.classes[request.class];
         let fallback_work = class.latency_objective as f64 * class.threads / 2.0;
@@ -54,7 +56,7 @@
         let end_deadline = self.end_deadline(&request);
         let objective =
             class.latency_objective + (class.latency_objective_per_work * ideal_duration) as Micros;
-        let quota_weight = if self.tenant_quotas.try_take(request.tenant, self.now) {
+        let quota_weight = if self.tenant_quotas.try_take_token(request.tenant, self.now) {
             1.0
         } else {
             self.settings.over_quota_weight
@@ -63,7 +65,7 @@
             work,
             ideal_duration,
             memory_mb: self.class_estimates.estimate_memory(&request),
-            // After a client has given up, its objective is worth nothing.
+            // An answer after the client has given up has no value, so the objective ends there.
             objective_deadline: (self.now + objective).min(end_deadline),
             end_deadline,
             priority_weight: class.priority_weight * quota_weight,
@@ -72,14 +74,16 @@
         }
     }
 
-    /// When a request has to be ended so that its client has the answer before it gives up.
+    /// The time at which a request has to be ended so that the answer reaches its client before the
+    /// client's deadline: 2 ticks and `ANSWER_MARGIN` of the wait before it.
     fn end_deadline(&self, request: &Request) -> Micros {
-        let wait = request.deadline.saturating_sub(self.now) as f64;
-        let margin = 2 * self.settings.tick + (ANSWER_MARGIN * wait) as Micros;
+        let client_wait = request.deadline.saturating_sub(self.now) as f64;
+        let margin = 2 * self.settings.tick + (ANSWER_MARGIN * client_wait) as Micros;
         request.deadline.saturating_sub(margin).max(self.now)
     }
 
-    /// Adds a request to queue, order and budget, and sets the timer that ends it.
+    /// Adds a request to the queue, to the order of its key and to the retry budget, and sets the
+    /// timer that ends it.
     fn register_request(&mut self, pending: &PendingRequest) {
         let request = &pending.request;
         let is_ordered = self.settings.classes[request.class].ordered;
@@ -110,13 +114,13 @@
     }
 
     fn record_group(&mut self, group: u64) {
-        let unseen = GroupCount {
+        let initial_count = GroupCount {
             count: 0.0,
             counted_at: self.arrivals,
         };
-        let group = self.groups.entry(group).or_insert(unseen);
-        let remaining = ((group.counted_at - self.arrivals) / GROUP_MEMORY).exp();
-        group.count = 1.0 + group.count * remaining;
+        let group = self.groups.entry(group).or_insert(initial_count);
+        let decay = ((group.counted_at - self.arrivals) / GROUP_DECAY_REQUESTS).exp();
+        group.count = 1.0 + group.count * decay;
         group.counted_at = self.arrivals;
     }
 }
--- a/src/balancer/checkpoint.rs
+++ b/src/balancer/checkpoint.rs
@@ -1,17 +1,18 @@
-//! Checkpoint: what is kept of the learned state, and how far a restored one is trusted.
+//! Checkpoint: exports the learned state and restores it with a weight that falls with its age.
 
 use super::outlier_detection::MAX_BAD_SHARE;
 use super::Balancer;
 use crate::engine_state::EngineState;
 use crate::interface::{EngineEstimates, LearnedState, Micros};
 
-/// Warm-up durations over which a checkpoint's weight fades.
-const CHECKPOINT_FADE_WARM_UPS: f64 = 20.0;
-/// Weight below which a checkpoint is dropped.
+/// Time constant with which the weight of a checkpoint decays, in warm-up durations.
+const CHECKPOINT_DECAY_WARM_UPS: f64 = 20.0;
+/// A checkpoint with less weight than this is ignored.
 const MIN_CHECKPOINT_WEIGHT: f64 = 0.05;
 
 impl Balancer {
-    /// What a later process of this gateway may restore.
+    /// Exports the learned estimates, for `Event::CheckpointRestored` of a later process of this
+    /// gateway.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
             classes: self.class_estimates.to_checkpoint(),
@@ -20,31 +21,34 @@
         }
     }
 
-    /// Restores what was learned `age` ago. Its weight against the defaults falls with age. What
-    /// concerns another process of an engine, or what was learned anew already, is left out.
+    /// Restores estimates that were stored `age` ago. Their weight against the defaults decays with
+    /// age. Estimates of another process of an engine, and those of classes and engines that have
+    /// new observations already, are ignored.
     pub(super) fn restore_checkpoint(&mut self, stored: &LearnedState, age: Micros) {
         let warm_up_duration = self.settings.warm_up_duration.max(1) as f64;
-        let weight = (-(age as f64) / (CHECKPOINT_FADE_WARM_UPS * warm_up_duration)).exp();
+        let weight = (-(age as f64) / (CHECKPOINT_DECAY_WARM_UPS * warm_up_duration)).exp();
         if weight < MIN_CHECKPOINT_WEIGHT {
             return;
         }
-        let fade = |default: f64, stored: f64| default + weight * (stored - default);
-        self.class_estimates.restore(&stored.classes, fade);
+        let blend = |default: f64, stored: f64| default + weight * (stored - default);
+        self.class_estimates.restore(&stored.classes, blend);
         for estimates in &stored.engines {
             if let Some(engine) = self.engines.get_mut(&estimates.engine) {
-                restore_engine(engine, estimates, fade, self.now, age);
+                restore_engine(engine, estimates, blend, self.now, age);
             }
         }
         let stored_load = stored.baseline_load.max(0.0);
-        let baseline_load = fade(self.load_estimates.baseline_load(), stored_load);
+        let baseline_load = blend(self.load_estimates.baseline_load(), stored_load);
         self.load_estimates.restore_baseline_load(baseline_load);
     }
 }
 
+/// Restores the estimates of one engine. `blend` returns the weighted mean of a default and a
+/// stored value.
 fn restore_engine(
     engine: &mut EngineState,
     stored: &EngineEstimates,
-    fade: impl Fn(f64, f64) -> f64,
+    blend: impl Fn(f64, f64) -> f64,
     now: Micros,
     age: Micros,
 ) {
@@ -52,10 +56,10 @@
     if !is_same_process || engine.ideal_sum != 0.0 {
         return;
     }
-    engine.best_slowdown = fade(1.0, stored.best_slowdown.clamp(0.0, 1.0));
+    engine.best_slowdown = blend(1.0, stored.best_slowdown.clamp(0.0, 1.0));
     let slowdown = stored.slowdown.max(engine.best_slowdown);
-    engine.slowdown = fade(engine.best_slowdown, slowdown);
-    engine.bad_share = fade(0.0, stored.bad.clamp(0.0, MAX_BAD_SHARE));
+    engine.slowdown = blend(engine.best_slowdown, slowdown);
+    engine.bad_share = blend(0.0, stored.bad.clamp(0.0, MAX_BAD_SHARE));
     engine.observed_at = now;
     engine.foreign_load = stored.foreign_load.max(0.0);
     engine.reported_at = now.saturating_sub(age);
--- a/src/balancer/class_estimates.rs
+++ b/src/balancer/class_estimates.rs
@@ -1,21 +1,24 @@
-//! What outcomes teach about the classes: how far estimates are off, and usual work and memory.
+//! Estimates per class, learned from requests and their outcomes: the mean work and memory, and
+//! factors that correct the clients' estimates.
 
 use crate::interface::{ClassEstimates, Request, ResourceUsage};
 
-/// Weight of one more observation in a mean.
+/// Weight of a new observation in an exponential moving average.
 pub(super) const LEARNING_RATE: f64 = 0.05;
-/// Factor by which one observation counts as off at most, so that a runaway doesn't bend a mean.
+/// An observation is clamped to within this factor of the estimate, so that an outlier doesn't
+/// distort a mean.
 pub(super) const MAX_DEVIATION: f64 = 3.0;
 
-/// Estimates of one class.
 #[derive(Clone)]
 struct ClassEstimate {
-    /// True over estimated work.
+    /// Mean ratio of actual work to the clients' estimates.
     work_ratio: f64,
-    /// True over estimated memory.
+    /// Mean ratio of actual memory to the clients' estimates.
     memory_ratio: f64,
-    /// Mean corrected work of requests taken; 0 before the first.
+    /// Mean corrected work of arrived requests, as time on one thread in microseconds; 0 before the
+    /// first request.
     mean_work: f64,
+    /// Mean actual memory; `None` until an answer has reported it.
     mean_memory_mb: Option<f64>,
 }
 
@@ -24,39 +27,41 @@
         self.mean_work > 0.0
     }
 
-    fn restore(&mut self, stored: &ClassEstimates, fade: impl Fn(f64, f64) -> f64) {
-        let clamped = |ratio: f64| ratio.clamp(1.0 / MAX_DEVIATION, MAX_DEVIATION);
-        self.work_ratio = fade(self.work_ratio, clamped(stored.work_ratio));
-        self.memory_ratio = fade(self.memory_ratio, clamped(stored.memory_ratio));
+    fn restore(&mut self, stored: &ClassEstimates, blend: impl Fn(f64, f64) -> f64) {
+        let clamp_ratio = |ratio: f64| ratio.clamp(1.0 / MAX_DEVIATION, MAX_DEVIATION);
+        self.work_ratio = blend(self.work_ratio, clamp_ratio(stored.work_ratio));
+        self.memory_ratio = blend(self.memory_ratio, clamp_ratio(stored.memory_ratio));
         self.mean_work = stored.work;
         self.mean_memory_mb = stored.memory_mb;
     }
 }
 
-/// Estimates of all classes, by their numbers.
+/// Estimates of all classes, indexed by class number.
 pub(super) struct ClassEstimator {
     classes: Vec<ClassEstimate>,
 }
 
 impl ClassEstimator {
     pub(super) fn new(class_count: usize) -> Self {
-        let unknown = ClassEstimate {
+        let initial_estimate = ClassEstimate {
             work_ratio: 1.0,
             memory_ratio: 1.0,
             mean_work: 0.0,
             mean_memory_mb: None,
         };
         ClassEstimator {
-            classes: vec![unknown; class_count],
+            classes: vec![initial_estimate; class_count],
         }
     }
 
-    /// Mean work of a class; 0 before its first request.
+    /// Mean corrected work of a class, as time on one thread in microseconds; 0 before its first
+    /// request.
     pub(super) fn mean_work(&self, class: usize) -> f64 {
         self.classes[class].mean_work
     }
 
-    /// Corrected work of a request; `fallback` where neither it nor its class has an estimate.
+    /// Corrected work of a request: the client's estimate times the class's ratio, else the mean of
+    /// the class, else `fallback`.
     pub(super) fn estimate_work(&self, request: &Request, fallback: f64) -> f64 {
         let class = &self.classes[request.class];
         match request.work {
@@ -66,7 +71,8 @@
         }
     }
 
-    /// Corrected memory of a request in megabytes; 0 where none is known.
+    /// Corrected memory of a request in megabytes: the client's estimate times the class's ratio,
+    /// else the mean of the class, else 0.
     pub(super) fn estimate_memory(&self, request: &Request) -> f64 {
         let class = &self.classes[request.class];
         match request.memory_mb {
@@ -75,7 +81,7 @@
         }
     }
 
-    /// Counts the corrected work of a request that was taken.
+    /// Adds the corrected work of an arrived request to the mean of its class.
     pub(super) fn record_request(&mut self, class: usize, work: f64) {
         let class = &mut self.classes[class];
         class.mean_work = if class.has_requests() {
@@ -85,20 +91,21 @@
         };
     }
 
-    /// Learns from what a request really took.
+    /// Updates ratios and mean memory with the work and memory that an answer reported.
     pub(super) fn record_usage(&mut self, request: &Request, usage: &ResourceUsage) {
         let class = &mut self.classes[request.class];
         if let Some(estimate) = request.work {
-            class.work_ratio = moved_toward(class.work_ratio, usage.work / estimate);
+            class.work_ratio = blend_ratio(class.work_ratio, usage.work / estimate);
         }
         if let Some(estimate) = request.memory_mb {
-            class.memory_ratio = moved_toward(class.memory_ratio, usage.memory_mb / estimate);
+            class.memory_ratio = blend_ratio(class.memory_ratio, usage.memory_mb / estimate);
         }
-        let mean = class.mean_memory_mb.unwrap_or(usage.memory_mb);
-        class.mean_memory_mb = Some(mean + LEARNING_RATE * (usage.memory_mb - mean));
+        let previous_mean = class.mean_memory_mb.unwrap_or(usage.memory_mb);
+        class.mean_memory_mb =
+            Some(previous_mean + LEARNING_RATE * (usage.memory_mb - previous_mean));
     }
 
-    /// What a checkpoint keeps of the classes.
+    /// Exports the estimates for a checkpoint.
     pub(super) fn to_checkpoint(&self) -> Vec<ClassEstimates> {
         self.classes
             .iter()
@@ -111,23 +118,23 @@
             .collect()
     }
 
-    /// Restores classes that have had no request yet; `fade` moves a stored value, its second
-    /// argument, toward the present one.
+    /// Restores the estimates of classes that have had no request yet. `blend` returns the weighted
+    /// mean of the current value, its first argument, and the stored one.
     pub(super) fn restore(
         &mut self,
         stored: &[ClassEstimates],
-        fade: impl Fn(f64, f64) -> f64 + Copy,
+        blend: impl Fn(f64, f64) -> f64 + Copy,
     ) {
         for (class, stored) in self.classes.iter_mut().zip(stored) {
             if class.mean_work == 0.0 {
-                class.restore(stored, fade);
+                class.restore(stored, blend);
             }
         }
     }
 }
 
-/// A ratio moved toward an observed one, which counts as at most `MAX_DEVIATION` times off.
-fn moved_toward(ratio: f64, observed: f64) -> f64 {
+/// Returns `ratio` after one observation, which is clamped to within a factor of `MAX_DEVIATION`.
+fn blend_ratio(ratio: f64, observed: f64) -> f64 {
     let bounded = observed.clamp(ratio / MAX_DEVIATION, ratio * MAX_DEVIATION);
     ratio + LEARNING_RATE * (bounded - ratio)
 }
--- a/src/balancer/completion.rs
+++ b/src/balancer/completion.rs
@@ -1,11 +1,12 @@
-//! Completion: the only place that ends a request, and how one is forgotten.
+//! Completion: the only module that ends requests and removes their state.
 
 use super::Balancer;
 use crate::interface::{Action, Effect, Micros, Outcome, RequestId, Scope};
 use crate::request_state::{AttemptState, PendingRequest};
 
 impl Balancer {
-    /// Ends a request: refused where that is allowed, else failed. Nothing else ends one.
+    /// Refuses a request if that is allowed, else fails it. Does nothing once its answer has begun
+    /// or it has ended. No other function sends `Action::Refuse` or `Action::Fail`.
     pub(super) fn end_request(&mut self, id: RequestId, retry_after: Micros) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
@@ -26,16 +27,18 @@
         self.close_request(id);
     }
 
-    /// A refusal promises that asking again is safe.
+    /// Whether a request may be refused: a refusal promises the client that sending the request
+    /// again is safe.
     fn may_refuse(&self, id: RequestId) -> bool {
         let pending = &self.requests[&id];
         let class = &self.settings.classes[pending.request.class];
-        let is_known_to_all =
+        let is_deduplicated_everywhere =
             class.effect == Effect::IdempotentWithKey && class.scope == Scope::All;
         let may_have_run = pending.possible_runs().next().is_some();
-        !may_have_run || class.effect == Effect::Idempotent || is_known_to_all
+        !may_have_run || class.effect == Effect::Idempotent || is_deduplicated_everywhere
     }
 
+    /// Limits a time until a client's retry to what the settings allow; 0: none is sent.
     fn bounded_retry_after(&self, retry_after: Micros) -> Micros {
         if self.settings.retry_after_allowed {
             retry_after.min(self.settings.max_retry_after)
@@ -44,8 +47,8 @@
         }
     }
 
-    /// Closes a request that is over: it leaves the queue, its attempts are cancelled, and it is
-    /// forgotten once none is in flight.
+    /// Marks a request as ended, removes it from the queue, cancels its attempts unless its answer
+    /// has begun, and removes its state once no attempt is in flight.
     pub(super) fn close_request(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
@@ -56,11 +59,11 @@
             cancel_attempts(pending, &mut self.actions);
         }
         if !pending.has_attempt_in_flight() {
-            self.forget_request(id);
+            self.remove_request(id);
         }
     }
 
-    fn forget_request(&mut self, id: RequestId) {
+    fn remove_request(&mut self, id: RequestId) {
         let Some(pending) = self.requests.remove(&id) else {
             return;
         };
@@ -70,8 +73,9 @@
         }
     }
 
-    /// Errors are an engine's fault where no other engine made one of the same request. A request
-    /// that no engine can run must not shut out one after the other.
+    /// Counts the errors of a request against its engine, unless several engines returned an error
+    /// for it: a request that no engine can run must not lead to the quarantine of one engine after
+    /// another.
     fn attribute_errors(&mut self, pending: &PendingRequest) {
         for engine_id in pending.engines_with_errors() {
             if let Some(engine) = self.engines.get_mut(&engine_id) {
--- a/src/balancer/constraints.rs
+++ b/src/balancer/constraints.rs
@@ -1,4 +1,5 @@
-//! The rules on sending, checked before every send: placement, effects, order, budgets.
+//! Constraints that are checked before every send: placement, safety of repeats, order of a key,
+//! retry budget and slow start.
 
 use super::slow_start::ColdCandidate;
 use super::Balancer;
@@ -7,22 +8,23 @@
 use crate::request_state::PendingRequest;
 
 impl Balancer {
-    /// Whether all rules allow an attempt of the request on the engine now.
-    pub(super) fn rules_allow(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
+    /// Whether all constraints allow an attempt of the request on the engine now.
+    pub(super) fn is_send_allowed(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         let class = &self.settings.classes[pending.request.class];
-        // A draining engine isn't open: drains are kept from the moment they are known.
+        // A draining engine isn't open: it gets no work from the moment the drain is known.
         engine.is_open()
             && may_place(class, &engine.endpoint)
             && !pending.has_ended
             && self.now < pending.end_deadline
             && pending.attempts.len() < self.settings.max_attempts
-            && (pending.attempts.is_empty() || self.retry_budget.allows_retry(self.now))
-            && self.effect_allows(pending, class, engine)
-            && self.order_allows(pending, class)
-            && self.slow_start_allows(pending, engine)
+            && (pending.attempts.is_empty() || self.retry_budget.has_room_for_retry(self.now))
+            && self.is_allowed_by_effect(pending, class, engine)
+            && self.is_allowed_by_order(pending, class)
+            && self.is_allowed_by_slow_start(pending, engine)
     }
 
-    /// Whether the request's effect allows another attempt on any engine at all.
+    /// Whether the request may be attempted again on at least some engine, given the effect of its
+    /// class. The window of a keyed class ends 2 ticks early.
     pub(super) fn may_repeat(&self, pending: &PendingRequest) -> bool {
         let class = &self.settings.classes[pending.request.class];
         let first_run = pending.possible_runs().map(|run| run.since).min();
@@ -36,8 +38,15 @@
         }
     }
 
-    /// What an earlier attempt may have done decides where another one may go.
-    fn effect_allows(&self, pending: &PendingRequest, class: &Class, engine: &EngineState) -> bool {
+    /// Whether the earlier attempts allow another one on this engine: a keyed request may only be
+    /// repeated in the scope that recognises its key, and without hedging only one attempt may be
+    /// in flight.
+    fn is_allowed_by_effect(
+        &self,
+        pending: &PendingRequest,
+        class: &Class,
+        engine: &EngineState,
+    ) -> bool {
         let endpoint = &engine.endpoint;
         let is_in_scope = |run: PriorAttempt| match class.scope {
             Scope::All => true,
@@ -50,9 +59,9 @@
             && (!is_keyed || pending.possible_runs().all(is_in_scope))
     }
 
-    /// Of an ordered class only the first request of its key may be sent, and after the pause that
-    /// the one before left.
-    fn order_allows(&self, pending: &PendingRequest, class: &Class) -> bool {
+    /// Whether the order of the request's key allows a send. In an ordered class only the first
+    /// request of a key may be sent, and its first attempt only after the key's pause.
+    fn is_allowed_by_order(&self, pending: &PendingRequest, class: &Class) -> bool {
         let Some(key) = &pending.request.key else {
             return true;
         };
@@ -63,37 +72,37 @@
         self.key_ordering.is_first(key, pending.request.id) && may_start
     }
 
-    /// Whether a cold engine's budget has room.
-    fn slow_start_allows(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
+    /// Whether the engine is warm or its slow-start budget has room for the request.
+    fn is_allowed_by_slow_start(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         if self.now >= engine.cold_until {
             return true;
         }
         let candidate = ColdCandidate {
             request: pending.request.id,
-            usual_work: self.class_estimates.mean_work(pending.request.class),
+            mean_work: self.class_estimates.mean_work(pending.request.class),
             engine,
             cores: self.kind(engine).cores,
         };
-        if self.subsetting.share_below_one_query() {
+        if self.subsetting.is_share_below_one_query() {
             return self
                 .slow_start
-                .is_admitted_by_lot(&candidate, &self.traffic);
+                .is_admitted_by_hash(&candidate, &self.traffic);
         }
         let engine_share = self.subsetting.engine_share();
         self.slow_start
-            .fits_share(&candidate, engine_share, self.now)
+            .is_within_share(&candidate, engine_share, self.now)
     }
 }
 
-/// Whether a class may use an engine, by zones and machine kinds.
+/// Whether the settings allow a class on an engine's zone and machine kind.
 pub(super) fn may_place(class: &Class, endpoint: &Endpoint) -> bool {
-    let allows_zone = match &class.zones_only {
+    let is_zone_allowed = match &class.zones_only {
         Some(zones) => zones.contains(&endpoint.zone),
         None => true,
     };
-    let allows_kind = match &class.kinds_only {
+    let is_kind_allowed = match &class.kinds_only {
         Some(kinds) => kinds.contains(&endpoint.kind),
         None => true,
     };
-    allows_zone && allows_kind
+    is_zone_allowed && is_kind_allowed
 }
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -1,21 +1,22 @@
-//! Dispatch: the only place that sends, with the grant and the rank of an attempt.
+//! Dispatch: the only module that sends attempts. It computes their memory grants and ranks.
 
 use super::Balancer;
 use crate::engine_state::{ColdSend, EngineState, Reservation};
 use crate::interface::{Action, EngineId, Micros, RequestId};
 use crate::request_state::{Attempt, AttemptState, PendingRequest};
 
-/// A grant over the corrected estimate of memory.
+/// Memory grant as a multiple of the memory estimate.
 const GRANT_MARGIN: f64 = 1.25;
-/// Rank of the largest report or load on an engine; dashboards run one higher.
+/// Rank of the report or load with the most memory on an engine; dashboards rank one higher.
 const TOP_RANK: u8 = 2;
 
 impl Balancer {
-    /// Sends an attempt, where the rules allow it. Nothing else sends.
+    /// Sends an attempt of a request to an engine, if the constraints allow it. No other function
+    /// sends `Action::Send`.
     pub(super) fn send(&mut self, id: RequestId, engine_id: EngineId) {
         let pending = &self.requests[&id];
         let engine = &self.engines[&engine_id];
-        if !self.rules_allow(pending, engine) {
+        if !self.is_send_allowed(pending, engine) {
             return;
         }
         let reservation = self.reservation(pending, engine);
@@ -52,8 +53,9 @@
         });
     }
 
-    /// Asked when the first byte of an attempt is about to go out, since what held when it was sent
-    /// may hold no more. False: the host withdraws the attempt and reports it as never sent.
+    /// Checks the constraints again when the host is about to write the first byte of an attempt:
+    /// they may have changed since `Action::Send`. If this returns false, the host must not send
+    /// the attempt and reports it as `Outcome::NotSent`.
     pub fn may_begin(&mut self, now: Micros, id: RequestId, attempt: usize) -> bool {
         self.now = now;
         let Some(pending) = self.requests.get_mut(&id) else {
@@ -62,26 +64,29 @@
         if pending.attempts.len() != attempt + 1 {
             return false;
         }
-        let Some(mut last) = pending.attempts.pop() else {
+        let Some(mut last_attempt) = pending.attempts.pop() else {
             return false;
         };
-        self.forget_attempt(id, attempt, &last);
-        let may_begin = !last.is_cancelled && self.may_still_send(id, &last);
-        last.sent_at = now;
-        self.record_attempt(id, last);
+        self.remove_from_budgets(id, attempt, &last_attempt);
+        let may_begin = !last_attempt.is_cancelled && self.may_still_send(id, &last_attempt);
+        last_attempt.sent_at = now;
+        self.record_attempt(id, last_attempt);
         may_begin
     }
 
-    /// Whether the rules still allow an attempt, on the same process of the engine.
+    /// Whether the engine still runs the process that the attempt was meant for and the constraints
+    /// still allow it.
     fn may_still_send(&self, id: RequestId, attempt: &Attempt) -> bool {
         let pending = &self.requests[&id];
         let Some(engine) = self.engines.get(&attempt.endpoint.engine) else {
             return false;
         };
-        engine.endpoint.booted_at == attempt.endpoint.booted_at && self.rules_allow(pending, engine)
+        engine.endpoint.booted_at == attempt.endpoint.booted_at
+            && self.is_send_allowed(pending, engine)
     }
 
-    /// Adds an attempt to its request and to the budgets, which count it from its first byte on.
+    /// Adds an attempt to its request and to the retry and slow-start budgets, as sent at
+    /// `attempt.sent_at`.
     fn record_attempt(&mut self, id: RequestId, attempt: Attempt) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
@@ -101,8 +106,8 @@
         pending.attempts.push(attempt);
     }
 
-    /// Takes an attempt out of the budgets.
-    pub(super) fn forget_attempt(&mut self, id: RequestId, number: usize, attempt: &Attempt) {
+    /// Removes an attempt from the retry and slow-start budgets.
+    pub(super) fn remove_from_budgets(&mut self, id: RequestId, number: usize, attempt: &Attempt) {
         if number > 0 {
             self.retry_budget.remove_retry(attempt.sent_at);
         }
@@ -111,7 +116,7 @@
         }
     }
 
-    /// What an attempt will take on an engine.
+    /// Returns the memory and threads that an attempt will occupy on an engine.
     fn reservation(&self, pending: &PendingRequest, engine: &EngineState) -> Reservation {
         let class = pending.request.class;
         let memory_mb = if self.is_dashboard(class) {
@@ -131,17 +136,17 @@
         }
     }
 
-    /// Memory that a request is granted: somewhat over its corrected estimate, not under the
-    /// client's, within the largest grant of the engine.
+    /// Memory that a request is granted, in megabytes: `GRANT_MARGIN` times its corrected estimate
+    /// or the client's, whichever is larger, up to the largest grant on the engine.
     fn memory_grant(&self, pending: &PendingRequest, engine: &EngineState) -> f64 {
         let client_estimate = pending.request.memory_mb.unwrap_or(0.0);
         let estimate = pending.memory_mb.max(client_estimate);
-        let largest = self.settings.largest_share * self.kind(engine).memory_mb;
-        (GRANT_MARGIN * estimate).min(largest)
+        let max_grant = self.settings.largest_share * self.kind(engine).memory_mb;
+        (GRANT_MARGIN * estimate).min(max_grant)
     }
 
-    /// Ranks what is in flight on an engine: dashboards highest, then reports and loads by memory,
-    /// largest first. Changes are sent as grants.
+    /// Updates the ranks of the requests in flight on an engine: dashboards highest, then reports
+    /// and loads by memory, largest first. A changed rank is sent as `Action::Grant`.
     pub(super) fn update_ranks(&mut self, engine_id: EngineId) {
         let Some(engine) = self.engines.get(&engine_id) else {
             return;
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates: engines that start, restart, drain or are removed.
+//! Endpoint updates: engines that are added, restarted, draining or removed.
 
 use super::constraints::may_place;
 use super::Balancer;
@@ -7,15 +7,15 @@
 use std::collections::BTreeSet;
 
 impl Balancer {
-    /// Takes in the complete list: an engine that it lacks is removed.
+    /// Processes the complete endpoint list: engines that it doesn't contain are removed.
     pub(super) fn on_endpoint_snapshot(&mut self, endpoints: &[Endpoint]) {
-        let present: BTreeSet<EngineId> =
+        let snapshot_ids: BTreeSet<EngineId> =
             endpoints.iter().map(|endpoint| endpoint.engine).collect();
         let removed: Vec<Endpoint> = self
             .engines
             .listed()
             .map(|engine| engine.endpoint)
-            .filter(|endpoint| !present.contains(&endpoint.engine))
+            .filter(|endpoint| !snapshot_ids.contains(&endpoint.engine))
             .collect();
         for endpoint in removed {
             self.engines.update_listing(endpoint, self.now, |engine| {
@@ -25,7 +25,7 @@
         self.on_endpoint_changes(endpoints);
     }
 
-    /// Takes in entries that have changed.
+    /// Processes changed entries of the endpoint list.
     pub(super) fn on_endpoint_changes(&mut self, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             self.update_endpoint(*endpoint);
@@ -37,34 +37,37 @@
     }
 
     fn update_endpoint(&mut self, endpoint: Endpoint) {
-        let warm_at = self.slow_start.warm_at(endpoint.booted_at);
+        let warm_up_end = self.slow_start.warm_up_end(endpoint.booted_at);
         self.engines.update_listing(endpoint, self.now, |engine| {
             if endpoint.booted_at > engine.endpoint.booted_at {
-                reset_restarted(engine, endpoint);
+                reset_after_restart(engine, endpoint);
             }
             if endpoint.booted_at > 0 {
-                engine.cold_until = engine.cold_until.max(warm_at);
+                engine.cold_until = engine.cold_until.max(warm_up_end);
             }
             engine.endpoint = endpoint;
             engine.is_listed = endpoint.phase != Phase::Removed;
         });
     }
 
-    /// Counts the open engines anew.
+    /// Adapts the mode of subsetting to the number of open engines, and the assumptions on load
+    /// while neither a request nor a load report has arrived.
     pub(super) fn update_subsetting(&mut self) {
         self.subsetting.update(self.engines.open_count());
-        let knows_load = self.traffic.arrivals > 0.0 || self.load_estimates.has_reports();
-        if !knows_load {
-            let share_below_one_query = self.subsetting.share_below_one_query();
-            self.load_estimates.assume_start_load(share_below_one_query);
-            self.sampling_budget.set_start_probes(share_below_one_query);
+        let is_load_known = self.traffic.arrivals > 0.0 || self.load_estimates.has_reports();
+        if !is_load_known {
+            let is_share_below_one_query = self.subsetting.is_share_below_one_query();
+            self.load_estimates
+                .assume_start_load(is_share_below_one_query);
+            self.sampling_budget
+                .set_start_probes(is_share_below_one_query);
         }
     }
 }
 
-/// After a restart nothing that was learned of the process before holds, but what is in flight
-/// still has to end.
-fn reset_restarted(engine: &mut EngineState, endpoint: Endpoint) {
+/// Resets the state of an engine that has restarted: what was observed of its previous process no
+/// longer applies. Attempts in flight are kept until they end.
+fn reset_after_restart(engine: &mut EngineState, endpoint: Endpoint) {
     *engine = EngineState {
         in_flight: std::mem::take(&mut engine.in_flight),
         threads: engine.threads,
--- a/src/balancer/engine_selection.rs
+++ b/src/balancer/engine_selection.rs
@@ -1,4 +1,4 @@
-//! Engine selection: the engine with the least expected cost among those with room.
+//! Engine selection: chooses the engine with the lowest expected cost among those with room.
 
 use super::outlier_detection::BAD_OUTCOME_WEIGHT;
 use super::Balancer;
@@ -7,30 +7,31 @@
 use crate::interface::{Effect, EngineId, RequestId};
 use crate::request_state::PendingRequest;
 
-/// Part of a query's cost that finding its group cached saves.
+/// Fraction of a query's cost that is saved if its tables are cached.
 const AFFINITY_GAIN: f64 = 0.25;
-/// Cost of crossing zones, in multiples of its tariff.
+/// Increase of the cost on an engine in another zone, as a multiple of `cross_zone_tariff`.
 const ZONE_CROSSING_COST: f64 = 10.0;
-/// Expected crowding of an engine that is empty but for the request.
-const BASE_CROWDING: f64 = 0.5;
-/// Least share of good outcomes that is counted with.
+/// Added to the estimated threads per core when a cost is computed: the expected crowding of an
+/// engine that runs only this request.
+const BASE_THREADS_PER_CORE: f64 = 0.5;
+/// Lower limit on the share of good outcomes that a cost is divided by.
 const MIN_GOOD_SHARE: f64 = 0.05;
 
 impl Balancer {
-    /// The engine with the least expected cost among those that may run the request now.
+    /// Chooses the engine with the lowest expected cost among those that may run the request now.
     pub(super) fn choose_engine(&self, id: RequestId) -> Option<EngineId> {
         let pending = &self.requests[&id];
         if !self.is_ready_to_place(pending) {
             return None;
         }
-        let share_below_one_query = self.subsetting.share_below_one_query();
-        if share_below_one_query && !self.has_in_flight_quota(pending) {
+        let is_share_below_one_query = self.subsetting.is_share_below_one_query();
+        if is_share_below_one_query && !self.has_in_flight_quota(pending) {
             return None;
         }
         let order = self.affinity_order(pending);
-        // An engine that the request failed on is not used for it again while there are others.
+        // Skips engines on which the request failed, unless it failed on all of them.
         let has_untried = order.engines.iter().any(|&id| !pending.has_error_on(id));
-        let candidates = if share_below_one_query {
+        let candidates = if is_share_below_one_query {
             &pending.candidates
         } else {
             &order.engines
@@ -48,17 +49,21 @@
             .map(|(_, id)| id)
     }
 
+    /// Whether the request may be sent to an engine now: no probe of it is pending, the constraints
+    /// allow it and there is room.
     fn may_send(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         engine.probe_sent_at == 0
-            && self.rules_allow(pending, engine)
+            && self.is_send_allowed(pending, engine)
             && self.has_room(pending, engine)
     }
 
-    /// The open engines that a class is placed among, in the order of the ring.
+    /// The open engines that requests of a class may be placed on, in the order of the ring.
     pub(super) fn subset(&self, class: usize) -> impl Iterator<Item = RingEntry> + '_ {
         self.subsetting.engines(&self.engines, class, self.now)
     }
 
+    /// Expected cost of the request on an engine: its estimated duration there, in microseconds,
+    /// with factors for affinity, zone and health.
     fn expected_cost(
         &self,
         pending: &PendingRequest,
@@ -68,15 +73,16 @@
         let class_id = pending.request.class;
         let class = &self.settings.classes[class_id];
         let threads = engine.threads + self.foreign_threads(engine) + class.threads;
-        let crowding = threads / self.warm_cores(engine);
-        let slowdown = if self.subsetting.share_below_one_query() {
+        let threads_per_core = threads / self.warm_cores(engine);
+        let slowdown = if self.subsetting.is_share_below_one_query() {
             1.0
         } else {
             engine.slowdown / engine.best_slowdown
         };
-        let mut cost = pending.ideal_duration * (BASE_CROWDING + crowding) * slowdown;
+        let mut cost =
+            pending.ideal_duration * (BASE_THREADS_PER_CORE + threads_per_core) * slowdown;
         let has_affinity = affinity_engines.contains(&engine.id());
-        if has_affinity != self.avoids_affinity(class_id) {
+        if has_affinity != self.should_avoid_affinity(class_id) {
             cost *= 1.0 - AFFINITY_GAIN;
         }
         if engine.endpoint.zone != self.settings.zone {
@@ -85,20 +91,20 @@
         cost * health_cost_factor(engine)
     }
 
-    /// Whether an engine is neither quarantined nor, on probation, busy, and no load blocks the
-    /// request there. On probation an engine gets one idempotent request at a time.
+    /// Whether an engine is available to the request: it isn't quarantined and no load blocks the
+    /// request there. An engine on probation gets one idempotent request at a time.
     pub(super) fn is_available(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         let class = &self.settings.classes[pending.request.class];
         let is_idempotent = class.effect == Effect::Idempotent;
-        let passes_probation =
+        let is_allowed_by_probation =
             engine.probation_left == 0 || is_idempotent && engine.in_flight.is_empty();
         self.now >= engine.quarantined_until
-            && passes_probation
+            && is_allowed_by_probation
             && !self.is_blocked_on(pending, engine)
     }
 
-    /// Whether a load, of this gateway or lately reported, holds the request's group there: the
-    /// request would only wait there and keep its memory.
+    /// Whether a load holds the request's table group on an engine, according to this gateway's
+    /// attempts or to recent progress notes. The request would wait there and occupy memory.
     fn is_blocked_on(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         if !self.is_blocked_by_loads(pending.request.class) {
             return false;
@@ -111,15 +117,15 @@
                 .any(|other| other.group == group && self.settings.classes[other.class].is_load)
     }
 
-    /// Whether requests of a class wait where a load holds their group.
+    /// Whether requests of a class have to wait on an engine where a load holds their table group.
     pub(super) fn is_blocked_by_loads(&self, class: usize) -> bool {
         let class = &self.settings.classes[class];
         class.is_load || class.waits_for_load
     }
 }
 
-/// Bad outcomes make an engine dearer. One on probation is tried at once: nothing else would show
-/// that it is healthy again.
+/// Factor on the cost of an engine, which grows with its share of bad outcomes. It is 0 for an
+/// engine on probation, so that it is tried first: only a request can show that it is healthy.
 fn health_cost_factor(engine: &EngineState) -> f64 {
     if engine.probation_left > 0 {
         return 0.0;
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -1,8 +1,8 @@
-//! What signs of life, outcomes, reports and probes say of an engine, passed to the parts that keep
-//! it.
+//! Engine health: passes responses, outcomes, load reports and probe results to outlier detection
+//! and load estimates.
 
 use super::load_estimate::ReportContext;
-use super::outlier_detection::{Symptom, SHORT_PAUSE};
+use super::outlier_detection::{QuarantineReason, SHORT_PAUSE};
 use super::{Balancer, MAINTENANCE_TICKS};
 use crate::engine_state::AttemptKey;
 use crate::interface::{EngineId, LoadReport, Micros, Outcome, Probed};
@@ -27,7 +27,8 @@
         );
     }
 
-    /// Quarantines silent engines and cancels what they hold, to be tried elsewhere.
+    /// Quarantines silent engines and cancels their attempts, so that the requests can be retried
+    /// on other engines.
     pub(super) fn quarantine_silent_engines(&mut self) {
         let silent = self
             .outlier_detection
@@ -36,7 +37,7 @@
             self.outlier_detection.quarantine(
                 &mut self.engines,
                 id,
-                Symptom::Silence,
+                QuarantineReason::Silence,
                 self.now,
                 &mut self.actions,
             );
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Takes in what an engine reported of itself.
+    /// Updates the load estimates with a load report of an engine.
     pub(super) fn on_load_report(&mut self, id: EngineId, report: &LoadReport) {
         let cores = self
             .engines
@@ -71,8 +72,9 @@
         }
     }
 
-    /// Takes in how a probe ended: its report counts, a failure closes the engine for a while. That
-    /// the process runs proves nothing of its queries, so an answer is no good outcome.
+    /// Processes the result of a probe: applies its load report, or excludes the engine for a while
+    /// if the probe failed. An answer shows only that the process runs, not that queries succeed,
+    /// so it doesn't count as a good outcome.
     pub(super) fn on_probed(&mut self, probed: &Probed) {
         let pause_ends = self.now + self.engine_pause();
         let Some(engine) = self.engines.get_mut(&probed.engine) else {
@@ -91,15 +93,16 @@
         }
     }
 
-    /// How long an engine is closed that was at capacity or failed a probe.
+    /// How long an engine is excluded after it was at capacity or a probe of it failed.
     pub(super) fn engine_pause(&self) -> Micros {
-        let latency_memory = self.load_estimates.latency_memory();
-        // Where shares are below one query a gateway learns of it rarely.
-        let part = if self.subsetting.share_below_one_query() {
+        let latency_time_constant = self.load_estimates.latency_time_constant();
+        // Where shares are below one query, a gateway rarely learns that an engine is at capacity,
+        // so the pause is longer.
+        let fraction = if self.subsetting.is_share_below_one_query() {
             1.0
         } else {
             SHORT_PAUSE
         };
-        (latency_memory * part) as Micros
+        (latency_time_constant * fraction) as Micros
     }
 }
--- a/src/balancer/key_ordering.rs
+++ b/src/balancer/key_ordering.rs
@@ -1,19 +1,19 @@
-//! Ordering: requests of an ordered class that carry the same key run one at a time, in the order
-//! taken.
+//! Key ordering: requests of an ordered class with the same key run one at a time, in order of
+//! arrival.
 
 use crate::interface::{Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests of one key.
+/// Requests with one key.
 #[derive(Default)]
 struct KeyQueue {
-    /// In the order taken.
+    /// In order of arrival, until their state is removed.
     requests: VecDeque<RequestId>,
-    /// Until then an attempt that has ended here may still run.
+    /// Until then, an attempt that has ended for this gateway may still run on its engine.
     paused_until: Micros,
 }
 
-/// The order of requests for each key.
+/// The requests of each key of ordered classes.
 #[derive(Default)]
 pub(super) struct KeyOrdering {
     queues: BTreeMap<String, KeyQueue>,
@@ -31,14 +31,14 @@
         }
     }
 
-    /// Holds a key's next request back, since an attempt of the one before may still run.
+    /// Delays the next request of a key, since an attempt of the previous one may still run.
     pub(super) fn pause(&mut self, key: &str, until: Micros) {
         if let Some(queue) = self.queues.get_mut(key) {
             queue.paused_until = until;
         }
     }
 
-    /// Whether a request is the first of its key that has not ended.
+    /// Whether a request is the earliest of its key.
     pub(super) fn is_first(&self, key: &str, request: RequestId) -> bool {
         self.queues
             .get(key)
@@ -51,8 +51,8 @@
             .is_some_and(|queue| now < queue.paused_until)
     }
 
-    /// Drops keys without requests whose pause is over.
-    pub(super) fn forget_idle(&mut self, now: Micros) {
+    /// Removes keys that have no requests and aren't paused.
+    pub(super) fn remove_idle(&mut self, now: Micros) {
         self.queues
             .retain(|_, queue| !queue.requests.is_empty() || queue.paused_until > now);
     }
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -1,5 +1,5 @@
-//! The end of an attempt: its reservation is released, estimates learn from it, and its request is
-//! closed, tried again or ended.
+//! End of an attempt: releases its reservation, updates the estimates and closes, retries or ends
+//! the request.
 
 use super::load_estimate::EndedRun;
 use super::Balancer;
@@ -7,13 +7,15 @@
 use crate::interface::{AttemptEnded, EngineId, Micros, Outcome, RequestId, ResourceUsage};
 use crate::request_state::{AttemptState, PendingRequest};
 
-/// Share of bad outcomes on all engines from which attempts are limited, to its inverse.
+/// Above this share of bad outcomes on all engines, attempts per request are limited to the inverse
+/// of the share.
 const MAX_HEALTHY_BAD_SHARE: f64 = 0.3;
-/// Part of the latency memory for which an engine at capacity counts as under pressure.
+/// After its pause, an engine that was at capacity counts as under pressure for the latency time
+/// constant divided by this.
 const CAPACITY_PRESSURE_DIVISOR: Micros = 3;
 
-/// What the end of an attempt may have left running.
-fn execution_state(outcome: Outcome) -> AttemptState {
+/// Whether an attempt with this outcome may have run, or may still run, on its engine.
+fn execution_state_after(outcome: Outcome) -> AttemptState {
     match outcome {
         Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent => AttemptState::NeverRan,
         Outcome::Answered
@@ -25,7 +27,7 @@
 }
 
 impl Balancer {
-    /// Takes in how an attempt ended.
+    /// Processes the end of an attempt. Attempts of removed requests are ignored.
     pub(super) fn on_attempt_ended(&mut self, ended: &AttemptEnded) {
         let id = ended.request;
         let Some(pending) = self.requests.get_mut(&id) else {
@@ -34,21 +36,21 @@
         let Some(attempt) = pending.attempts.get_mut(ended.attempt) else {
             return;
         };
-        attempt.state = execution_state(ended.outcome);
+        attempt.state = execution_state_after(ended.outcome);
         attempt.has_errored = ended.outcome == Outcome::Error;
         let attempt = *attempt;
         pending.has_ended |= ended.complete;
         if ended.outcome == Outcome::NotSent {
-            self.forget_attempt(id, ended.attempt, &attempt);
+            self.remove_from_budgets(id, ended.attempt, &attempt);
         }
         let engine = attempt.endpoint.engine;
         self.learn_from_attempt(engine, ended);
-        self.pause_key_after(ended);
+        self.pause_key_after_uncertain_end(ended);
         self.update_ranks(engine);
         self.continue_request(id);
     }
 
-    /// Releases the attempt's reservation and updates all estimates of class and engine.
+    /// Releases the attempt's reservation and updates the estimates of its class and engine.
     fn learn_from_attempt(&mut self, engine: EngineId, ended: &AttemptEnded) {
         let reservation = self.release_reservation(engine, ended);
         if let Some(reservation) = reservation.filter(|_| ended.outcome == Outcome::Answered) {
@@ -58,7 +60,7 @@
             }
             self.learn_slowdown(engine, &reservation, ended.spent, ended.usage);
         }
-        // An error is attributed to engine or request when the request is closed.
+        // An error is attributed to the engine or to the request once the request is closed.
         if ended.outcome != Outcome::Error && !ended.already_reported {
             self.record_outcome(engine, ended.outcome);
         }
@@ -67,15 +69,17 @@
         }
     }
 
-    /// Takes the reservation off; an engine at capacity is also closed for a while, since what
-    /// refuses at once frees its reservations and would draw the whole queue.
+    /// Removes and returns the attempt's reservation. An engine at capacity is also excluded for a
+    /// while: it rejects at once, which frees its reservations, and would otherwise attract the
+    /// whole queue.
     fn release_reservation(
         &mut self,
         engine: EngineId,
         ended: &AttemptEnded,
     ) -> Option<Reservation> {
         let pause_ends = self.now + self.engine_pause();
-        let pressure = self.load_estimates.latency_memory() as Micros / CAPACITY_PRESSURE_DIVISOR;
+        let pressure_duration =
+            self.load_estimates.latency_time_constant() as Micros / CAPACITY_PRESSURE_DIVISOR;
         let engine = self.engines.get_mut(&engine)?;
         let attempt_key = (ended.request, ended.attempt);
         let reservation = engine.in_flight.remove(&attempt_key)?;
@@ -84,13 +88,15 @@
         }
         if ended.outcome == Outcome::AtCapacity {
             engine.quarantined_until = engine.quarantined_until.max(pause_ends);
-            engine.pressure_until = pause_ends + pressure;
+            engine.pressure_until = pause_ends + pressure_duration;
             engine.cut_bounds();
         }
         engine.update_totals();
         Some(reservation)
     }
 
+    /// Updates an engine's slowdown and bounds with an answered attempt. The time of one that
+    /// waited for memory or a load doesn't count.
     fn learn_slowdown(
         &mut self,
         engine: EngineId,
@@ -107,15 +113,15 @@
             ideal,
         };
         let run = (!reservation.has_waited).then_some(run);
-        let latency_memory = self.load_estimates.latency_memory();
+        let latency_time_constant = self.load_estimates.latency_time_constant();
         if let Some(engine) = self.engines.get_mut(&engine) {
-            engine.update_slowdown(self.now, latency_memory, run);
+            engine.update_slowdown(self.now, latency_time_constant, run);
             engine.adapt_bounds(self.now);
         }
     }
 
-    /// An attempt that may still run holds the next request of its key back.
-    fn pause_key_after(&mut self, ended: &AttemptEnded) {
+    /// Delays the next request of the same key if the attempt may still run on its engine.
+    fn pause_key_after_uncertain_end(&mut self, ended: &AttemptEnded) {
         let may_still_run = matches!(
             ended.outcome,
             Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled
@@ -129,7 +135,7 @@
         }
     }
 
-    /// Decides what follows after an attempt of a request.
+    /// Closes, retries or ends a request after one of its attempts has ended.
     fn continue_request(&mut self, id: RequestId) {
         let pending = &self.requests[&id];
         if pending.has_ended {
@@ -137,7 +143,7 @@
         } else if pending.has_errors_on_several_engines() {
             self.end_request(id, self.settings.max_retry_after);
         } else if pending.has_attempt_in_flight() {
-            // That attempt's end decides.
+            // The end of that attempt decides.
         } else if self.may_retry(pending) {
             self.queue.insert(pending);
         } else {
@@ -145,24 +151,24 @@
         }
     }
 
-    /// Whether rules, time and the health of the engines allow another attempt.
+    /// Whether limits, deadline and the health of all engines allow another attempt.
     fn may_retry(&self, pending: &PendingRequest) -> bool {
-        // The more bad outcomes, the fewer attempts: retries must not add to an overload. Attempts
-        // that this gateway cancelled don't count.
-        let tried = pending
+        // The higher the share of bad outcomes, the fewer attempts, so that retries don't add to an
+        // overload. Attempts that this gateway cancelled don't count.
+        let counted_attempts = pending
             .attempts
             .iter()
             .filter(|attempt| !attempt.is_cancelled);
         let bad_share = self.outlier_detection.fleet_bad_share();
-        let max_tried = if bad_share > MAX_HEALTHY_BAD_SHARE {
+        let max_counted_attempts = if bad_share > MAX_HEALTHY_BAD_SHARE {
             (1.0 / bad_share) as usize
         } else {
             usize::MAX
         };
         pending.attempts.len() < self.settings.max_attempts
-            && tried.count() <= max_tried
+            && counted_attempts.count() <= max_counted_attempts
             && self.may_repeat(pending)
             && self.now < pending.end_deadline
-            && self.retry_budget.allows_retry(self.now)
+            && self.retry_budget.has_room_for_retry(self.now)
     }
 }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,90 +1,97 @@
-//! Outlier detection: engines that fail or fall silent are quarantined, then on probation.
+//! Outlier detection: engines that fail or stop responding are quarantined, then put on probation.
 //!
-//! An engine's health is judged by symptoms, its share of bad outcomes and its silence, whatever
-//! causes them.
+//! Two signs lead to quarantine, whatever their cause: a high share of bad outcomes, and silence, a
+//! lack of any response while attempts are in flight. `crates/event-analysis` parses the texts that
+//! are logged here.
 
 use super::class_estimates::LEARNING_RATE;
 use crate::engine_state::EngineState;
 use crate::engine_table::EngineTable;
 use crate::interface::{Action, EngineId, Micros, Outcome, Settings};
 
-/// Weight of a bad outcome in an engine's share: five in a row lead to quarantine.
+/// Weight of an outcome in an engine's share of bad outcomes: with it, five bad ones in a row lead
+/// to quarantine.
 pub(super) const BAD_OUTCOME_WEIGHT: f64 = 0.15;
-/// Share of bad outcomes that leads to quarantine.
+/// An engine with a larger share of bad outcomes is quarantined.
 pub(super) const MAX_BAD_SHARE: f64 = 0.5;
-/// Good outcomes in a row that end the probation after a quarantine.
+/// Number of good outcomes that end the probation after a quarantine; a bad one starts a new
+/// quarantine.
 const PROBATION_OUTCOMES: u32 = 6;
-/// The first quarantine, in parts of the warm-up duration; each relapse doubles it.
+/// Duration of the first quarantine, as a fraction of the warm-up duration; each relapse doubles
+/// it.
 const FIRST_QUARANTINE: f64 = 0.07;
-/// The longest quarantine, in the same parts.
+/// Longest duration of a quarantine, as a fraction of the warm-up duration.
 const MAX_QUARANTINE: f64 = 0.5;
-/// Times the usual interval of signs of life after which a busy engine is silent.
+/// A busy engine is silent after this multiple of the expected interval between its responses.
 const SILENCE_MULTIPLE: f64 = 3.0;
-/// Share of engines in quarantine beyond which the cause must be shared.
+/// If a larger share of engines would be quarantined, a common cause outside them is assumed.
 const MAX_QUARANTINED_SHARE: f64 = 0.5;
-/// Pause of an engine that refuses or fails everything, in parts of the latency memory.
+/// Pause of an engine that was at capacity, failed a probe or fails nearly everything, as a
+/// fraction of the latency time constant.
 pub(super) const SHORT_PAUSE: f64 = 0.1;
 
 /// Why an engine was quarantined.
 #[derive(Clone, Copy)]
-pub(super) enum Symptom {
+pub(super) enum QuarantineReason {
     BadOutcomes,
     Silence,
 }
 
-impl Symptom {
+impl QuarantineReason {
     fn log_text(self) -> &'static str {
         match self {
-            Symptom::BadOutcomes => "bad outcomes",
-            Symptom::Silence => "silent",
+            QuarantineReason::BadOutcomes => "bad outcomes",
+            QuarantineReason::Silence => "silent",
         }
     }
 }
 
-/// What an outcome says of an engine's health.
-enum Verdict {
+/// How an outcome counts for an engine's health.
+enum HealthSignal {
     Good,
     Bad,
+    /// Shows nothing about the engine's health.
     Neutral,
 }
 
-fn verdict(outcome: Outcome) -> Verdict {
+fn classify_outcome(outcome: Outcome) -> HealthSignal {
     match outcome {
-        Outcome::Answered => Verdict::Good,
-        Outcome::Error | Outcome::NoConnection | Outcome::Broken => Verdict::Bad,
+        Outcome::Answered => HealthSignal::Good,
+        Outcome::Error | Outcome::NoConnection | Outcome::Broken => HealthSignal::Bad,
         Outcome::AtCapacity | Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {
-            Verdict::Neutral
+            HealthSignal::Neutral
         }
     }
 }
 
-/// Judges the health of engines.
+/// Detects unhealthy engines and quarantines them.
 pub(super) struct OutlierDetection {
     warm_up_duration: Micros,
-    /// Time between progress notes; 0 where there are none.
+    /// Interval of progress notes; 0 if engines send none.
     progress_interval: Micros,
-    /// Time constant of observed latency, in microseconds.
-    latency_memory: f64,
-    /// Decaying share of bad outcomes on all engines.
+    /// Time constant with which observed latency decays, in microseconds.
+    latency_time_constant: f64,
+    /// Moving average of the share of bad outcomes on all engines.
     fleet_bad_share: f64,
 }
 
 impl OutlierDetection {
-    pub(super) fn new(settings: &Settings, latency_memory: f64) -> Self {
+    pub(super) fn new(settings: &Settings, latency_time_constant: f64) -> Self {
         OutlierDetection {
             warm_up_duration: settings.warm_up_duration,
             progress_interval: settings.note_period,
-            latency_memory,
+            latency_time_constant,
             fleet_bad_share: 0.0,
         }
     }
 
-    /// Decaying share of bad outcomes on all engines.
+    /// Moving average of the share of bad outcomes on all engines.
     pub(super) fn fleet_bad_share(&self) -> f64 {
         self.fleet_bad_share
     }
 
-    /// Takes in a sign of life of an engine.
+    /// Records that an engine has responded. If it was quarantined for silence, this ends
+    /// quarantine and probation.
     pub(super) fn record_activity(
         &self,
         engines: &mut EngineTable,
@@ -105,7 +112,7 @@
         }
     }
 
-    /// Takes in how an attempt ended on an engine.
+    /// Updates the health of an engine with the outcome of an attempt or of a request.
     pub(super) fn record_outcome(
         &mut self,
         engines: &mut EngineTable,
@@ -114,24 +121,24 @@
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
-        let bad = match verdict(outcome) {
-            Verdict::Good => 0.0,
-            Verdict::Bad => 1.0,
-            Verdict::Neutral => return,
+        let observed_bad_share = match classify_outcome(outcome) {
+            HealthSignal::Good => 0.0,
+            HealthSignal::Bad => 1.0,
+            HealthSignal::Neutral => return,
         };
         if matches!(outcome, Outcome::Answered | Outcome::Error) {
             self.record_activity(engines, id, now, actions);
         }
-        self.fleet_bad_share += LEARNING_RATE * (bad - self.fleet_bad_share);
+        self.fleet_bad_share += LEARNING_RATE * (observed_bad_share - self.fleet_bad_share);
         let Some(engine) = engines.get_mut(&id) else {
             return;
         };
-        engine.bad_share += BAD_OUTCOME_WEIGHT * (bad - engine.bad_share);
+        engine.bad_share += BAD_OUTCOME_WEIGHT * (observed_bad_share - engine.bad_share);
         engine.has_lost_connection |= matches!(outcome, Outcome::NoConnection | Outcome::Broken);
         if outcome == Outcome::Answered {
             self.record_good_outcome(engine, now, actions);
         } else if engine.bad_share > MAX_BAD_SHARE || engine.probation_left > 0 {
-            self.quarantine(engines, id, Symptom::BadOutcomes, now, actions);
+            self.quarantine(engines, id, QuarantineReason::BadOutcomes, now, actions);
         }
     }
 
@@ -141,7 +148,8 @@
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
-        // After lost connections this may be another process, which nobody announced: it is cold.
+        // After lost connections the engine may have restarted without service discovery reporting
+        // it, so it counts as cold.
         if engine.probation_left > 0 && engine.has_lost_connection {
             engine.has_lost_connection = false;
             engine.cold_until = engine.cold_until.max(now + self.warm_up_duration);
@@ -155,12 +163,13 @@
         }
     }
 
-    /// Shuts an engine out for a while, longer at each relapse; then it is on probation.
+    /// Excludes an engine for a while, twice as long at each relapse, and puts it on probation. If
+    /// most engines would be quarantined at once, the engine is only paused.
     pub(super) fn quarantine(
         &self,
         engines: &mut EngineTable,
         id: EngineId,
-        symptom: Symptom,
+        reason: QuarantineReason,
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
@@ -172,57 +181,63 @@
             return;
         }
         if engine.probation_left == 0 && has_shared_cause {
-            engine.quarantined_until = now + self.pause_for_shared_cause(engine);
+            engine.quarantined_until = now + self.shared_cause_pause(engine);
             return;
         }
-        let part = (FIRST_QUARANTINE * 2f64.powi(engine.quarantine_count)).min(MAX_QUARANTINE);
-        let duration = (part * self.warm_up_duration as f64) as Micros;
+        let fraction = (FIRST_QUARANTINE * 2f64.powi(engine.quarantine_count)).min(MAX_QUARANTINE);
+        let duration = (fraction * self.warm_up_duration as f64) as Micros;
         engine.quarantined_until = now + duration;
         engine.quarantine_count += 1;
         engine.probation_left = PROBATION_OUTCOMES;
         if engine.quarantine_count == 1 {
-            let text = format!("engine {id} quarantined: {}", symptom.log_text());
+            let text = format!("engine {id} quarantined: {}", reason.log_text());
             actions.push(Action::Log(text));
         }
     }
 
-    /// An engine that answers next to nothing must not draw the queue by failing fast.
-    fn pause_for_shared_cause(&self, engine: &EngineState) -> Micros {
+    /// Pause of an engine that isn't quarantined because of a shared cause. One that fails nearly
+    /// everything is paused, so that failing fast doesn't attract the whole queue.
+    fn shared_cause_pause(&self, engine: &EngineState) -> Micros {
         if engine.bad_share > (1.0 + MAX_BAD_SHARE) / 2.0 {
-            (SHORT_PAUSE * self.latency_memory) as Micros
+            (SHORT_PAUSE * self.latency_time_constant) as Micros
         } else {
             0
         }
     }
 
-    /// Engines with attempts in flight that show no sign of life while most others do.
+    /// Engines with attempts in flight that have stopped responding, while at least half of the
+    /// busy engines respond.
     pub(super) fn silent_engines(&self, engines: &EngineTable, now: Micros) -> Vec<EngineId> {
-        let busy = engines
+        let busy_engines = engines
             .active()
             .filter(|engine| !engine.in_flight.is_empty());
-        let silent = busy.clone().filter(|engine| self.is_silent(engine, now));
-        let max_silent = MAX_QUARANTINED_SHARE * busy.count() as f64;
-        if silent.clone().count() as f64 > max_silent {
+        let silent_engines = busy_engines
+            .clone()
+            .filter(|engine| self.is_silent(engine, now));
+        let max_silent = MAX_QUARANTINED_SHARE * busy_engines.count() as f64;
+        if silent_engines.clone().count() as f64 > max_silent {
             return Vec::new();
         }
-        silent.map(EngineState::id).collect()
+        silent_engines.map(EngineState::id).collect()
     }
 
+    /// Whether the last response of a busy engine is too long ago. Without progress notes responses
+    /// are expected at the rate of its longest attempt in flight.
     fn is_silent(&self, engine: &EngineState, now: Micros) -> bool {
-        let limit = if self.progress_interval > 0 {
+        let expected_interval = if self.progress_interval > 0 {
             self.progress_interval as f64
         } else {
             let reservations = engine.in_flight.values();
             let durations = reservations.map(|reservation| reservation.ideal_duration);
             let longest = durations.fold(0.0, f64::max) * engine.slowdown;
-            longest.max(self.latency_memory / SILENCE_MULTIPLE)
+            longest.max(self.latency_time_constant / SILENCE_MULTIPLE)
         };
-        (now - engine.last_activity) as f64 > SILENCE_MULTIPLE * limit
+        (now - engine.last_activity) as f64 > SILENCE_MULTIPLE * expected_interval
     }
 }
 
-/// Whether one more quarantine would shut out most engines at once, so that their cause must be
-/// shared and shutting them out would leave nothing.
+/// Whether one more quarantine would exclude most engines at once. Then a common cause is assumed,
+/// and quarantines would leave too few engines.
 fn has_shared_cause(engines: &EngineTable) -> bool {
     let on_probation = engines
         .active()
--- a/src/balancer/pending_queue.rs
+++ b/src/balancer/pending_queue.rs
@@ -1,10 +1,11 @@
-//! The queue of requests that wait to be sent, ordered by the end of their latency objective.
+//! The queue of requests that wait to be sent, ordered by the end of their latency objectives.
 
 use crate::interface::{Micros, RequestId};
 use crate::request_state::PendingRequest;
 use std::collections::BTreeMap;
 
-/// Requests that wait, earliest objective first, with their classes.
+/// Waiting requests and their classes, ordered by the end of their latency objective, then by
+/// number.
 #[derive(Default)]
 pub(super) struct PendingQueue {
     classes: BTreeMap<(Micros, RequestId), usize>,
@@ -22,12 +23,12 @@
         self.classes.remove(&position);
     }
 
-    /// Numbers of the requests, in their order.
+    /// Numbers of the requests, earliest objective first.
     pub(super) fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.classes.keys().map(|&(_, id)| id)
     }
 
-    /// Numbers and classes of the requests, in their order.
+    /// Numbers and classes of the requests, earliest objective first.
     pub(super) fn ids_and_classes(&self) -> impl Iterator<Item = (RequestId, usize)> + '_ {
         self.classes.iter().map(|(&(_, id), &class)| (id, class))
     }
--- a/src/balancer/progress.rs
+++ b/src/balancer/progress.rs
@@ -1,31 +1,33 @@
-//! Progress notes of attempts in flight: an attempt with a bad plan, or one that waits for a load,
-//! is cancelled to be tried elsewhere.
+//! Progress notes of attempts in flight: an attempt with a bad query plan, or one that waits for a
+//! load, is cancelled so that the request can be retried on another engine.
 
 use super::Balancer;
 use crate::engine_state::ProgressMark;
 use crate::interface::{Action, EngineId, Micros, Progress, RequestId};
 
-/// Remaining time over that of a fresh attempt that shows a bad plan.
+/// An attempt has a bad plan if its remaining time exceeds this multiple of the duration of a new
+/// attempt.
 const BAD_PLAN_MULTIPLE: f64 = 3.0;
-/// Least share done that the remaining time is computed from.
+/// Lower limit on the share done when the remaining time is computed.
 const MIN_SHARE_DONE: f64 = 1e-6;
-/// Attempts that are kept for worse when one waits for a load.
+/// An attempt that waits for a load is cancelled only if at least this many attempts remain for its
+/// request, so that they don't run out before a failure.
 const RESERVED_ATTEMPTS: usize = 2;
 
 impl Balancer {
-    /// Takes in what an engine reported of an attempt in flight.
+    /// Processes a progress note of an attempt in flight.
     pub(super) fn on_progress(&mut self, id: RequestId, attempt: usize, progress: Progress) {
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        let Some(engine) = pending.attempts.get(attempt) else {
+        let Some(sent_attempt) = pending.attempts.get(attempt) else {
             return;
         };
-        let engine = engine.endpoint.engine;
+        let engine = sent_attempt.endpoint.engine;
         self.record_activity(engine);
         match progress {
             Progress::Share(share) => {
-                if self.has_bad_plan(engine, id, attempt, share) {
+                if self.detect_bad_plan(engine, id, attempt, share) {
                     self.cancel_for_retry(id, attempt);
                 }
             }
@@ -35,9 +37,9 @@
         }
     }
 
-    /// Records the share done. True: the attempt is far slower than its estimate while others run
-    /// well, and a fresh one would still end in time.
-    fn has_bad_plan(
+    /// Records the share of the work that is done, and returns whether the attempt has a bad plan:
+    /// it is far slower than expected on its engine, and a new attempt would still end in time.
+    fn detect_bad_plan(
         &mut self,
         engine: EngineId,
         id: RequestId,
@@ -45,16 +47,16 @@
         share: f64,
     ) -> bool {
         let now = self.now;
-        let latency_memory = self.load_estimates.latency_memory();
-        // A cold engine is slow for all: that is no bad plan.
-        let capacity_part = self
+        let latency_time_constant = self.load_estimates.latency_time_constant();
+        // A cold engine runs every query slowly, which doesn't show a bad plan.
+        let capacity_fraction = self
             .engines
             .get(&engine)
-            .map_or(1.0, |engine| self.slow_start.capacity_part(engine, now));
+            .map_or(1.0, |engine| self.slow_start.capacity_fraction(engine, now));
         let Some(engine) = self.engines.get_mut(&engine) else {
             return false;
         };
-        let slowdown = engine.slowdown.max(1.0) / capacity_part;
+        let slowdown = engine.slowdown.max(1.0) / capacity_fraction;
         let Some(reservation) = engine.in_flight.get_mut(&(id, attempt)) else {
             return false;
         };
@@ -66,7 +68,7 @@
             elapsed,
             done: share * reservation.ideal_duration,
         });
-        engine.update_slowdown(now, latency_memory, None);
+        engine.update_slowdown(now, latency_time_constant, None);
         !has_waited
             && remaining > BAD_PLAN_MULTIPLE * fresh_duration
             && now + fresh_duration as Micros <= self.requests[&id].end_deadline
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Nothing is done yet, so nothing is lost by another attempt elsewhere.
+    /// Records the load that blocks the attempt and cancels the attempt for a retry. It hasn't done
+    /// any work yet, so none is lost.
     fn on_waits_for_load(&mut self, engine: EngineId, id: RequestId, attempt: usize) {
         self.mark_waiting(engine, id, attempt);
         let Some(engine) = self.engines.get_mut(&engine) else {
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Cancels an attempt so that its request can go elsewhere, where that is allowed.
+    /// Cancels an attempt so that its request can be retried on another engine, if cancelling and
+    /// another attempt are allowed.
     pub(super) fn cancel_for_retry(&mut self, id: RequestId, attempt: usize) {
         let Some(pending) = self.requests.get(&id) else {
             return;
--- a/src/balancer/queue_release.rs
+++ b/src/balancer/queue_release.rs
@@ -1,17 +1,19 @@
-//! Sends queued requests as engines get room.
+//! Queue release: sends queued requests once engines have room for them.
 
 use super::Balancer;
 use crate::interface::RequestId;
 use std::collections::BTreeMap;
 
-/// Requests alike in what room they need: class and, where loads hold it back, group.
+/// Requests with the same key differ only in the memory that they need: their class and, if loads
+/// can block the class, their table group (else 0).
 type RoomKey = (usize, u64);
 
 impl Balancer {
-    /// Queued requests leave earliest objective first; one that can't leave doesn't block others.
+    /// Sends queued requests, earliest objective first. One that can't be sent doesn't block those
+    /// behind it.
     pub(super) fn release_queue(&mut self) {
-        // The least memory that found no room.
-        let mut no_room: BTreeMap<RoomKey, f64> = BTreeMap::new();
+        // The smallest memory for which no engine had room; larger requests are skipped.
+        let mut unplaced_memory: BTreeMap<RoomKey, f64> = BTreeMap::new();
         let mut is_full = self.full_classes();
         let releasable: Vec<(RequestId, usize)> = self
             .queue
@@ -26,30 +28,30 @@
             } else {
                 0
             };
-            let found_no_room = no_room
+            let is_known_not_to_fit = unplaced_memory
                 .get(&(class, group))
-                .is_some_and(|&least| memory_mb >= least);
-            if is_full[class] || found_no_room || !self.is_ready_to_place(pending) {
+                .is_some_and(|&min_memory_mb| memory_mb >= min_memory_mb);
+            if is_full[class] || is_known_not_to_fit || !self.is_ready_to_place(pending) {
                 continue;
             }
-            // Retries and ordered requests may find no engine for other reasons than room.
-            let needs_only_room =
+            // For retries and ordered requests there may be other reasons than a lack of room.
+            let is_limited_by_room_only =
                 pending.attempts.is_empty() && !self.settings.classes[class].ordered;
             if let Some(engine) = self.choose_engine(id) {
                 self.send(id, engine);
                 is_full = self.full_classes();
-            } else if self.subsetting.share_below_one_query() {
-                // It waits until candidates are drawn for it again.
+            } else if self.subsetting.is_share_below_one_query() {
+                // The request waits until new candidates are drawn for it.
                 if let Some(pending) = self.requests.get_mut(&id) {
                     pending.candidates.clear();
                 }
-            } else if needs_only_room {
-                let least = if self.is_dashboard(class) {
+            } else if is_limited_by_room_only {
+                let min_memory_mb = if self.is_dashboard(class) {
                     0.0
                 } else {
                     memory_mb
                 };
-                no_room.insert((class, group), least);
+                unplaced_memory.insert((class, group), min_memory_mb);
             }
         }
     }
--- a/src/balancer/retry_budget.rs
+++ b/src/balancer/retry_budget.rs
@@ -1,14 +1,15 @@
-//! The retry budget: further attempts as a part of the requests taken lately.
+//! The retry budget: limits retries to a fraction of the requests that arrived recently.
 
 use crate::interface::{AttemptBudget, Micros};
 use std::collections::VecDeque;
 
-/// Requests and retries as far back as the budget counts.
+/// Arrivals and retries within the time over which the budget counts them.
 pub(super) struct RetryBudget {
+    /// `None`: retries are not limited.
     limit: Option<AttemptBudget>,
-    /// When requests were taken.
+    /// Arrival times of requests, in order.
     requests: VecDeque<Micros>,
-    /// When retries were sent.
+    /// Times at which retries were sent.
     retries: VecDeque<Micros>,
 }
 
@@ -29,32 +30,32 @@
         self.retries.push_back(sent_at);
     }
 
-    /// Removes a retry that never came about.
+    /// Removes a retry that was not sent after all.
     pub(super) fn remove_retry(&mut self, sent_at: Micros) {
-        let latest = self.retries.iter().rposition(|&retry| retry == sent_at);
-        if let Some(index) = latest {
+        let latest_index = self.retries.iter().rposition(|&retry| retry == sent_at);
+        if let Some(index) = latest_index {
             self.retries.remove(index);
         }
     }
 
-    /// Whether one more retry fits.
-    pub(super) fn allows_retry(&self, now: Micros) -> bool {
+    /// Whether the budget allows one more retry now.
+    pub(super) fn has_room_for_retry(&self, now: Micros) -> bool {
         let Some(limit) = self.limit else {
             return true;
         };
-        let since = now.saturating_sub(limit.span);
+        let window_start = now.saturating_sub(limit.span);
         let newest_first = self.requests.iter().rev();
-        let requests = newest_first.take_while(|&&at| at > since).count() as f64;
+        let requests = newest_first.take_while(|&&at| at > window_start).count() as f64;
         let newest_first = self.retries.iter().rev();
-        let retries = newest_first.take_while(|&&at| at >= since).count() as f64;
+        let retries = newest_first.take_while(|&&at| at >= window_start).count() as f64;
         retries + 1.0 <= limit.spare + limit.ratio * requests
     }
 
-    /// Forgets what lies further back than the budget counts.
-    pub(super) fn forget_expired(&mut self, now: Micros) {
+    /// Removes arrivals and retries that are too old for the budget to count.
+    pub(super) fn remove_expired(&mut self, now: Micros) {
         let span = self.limit.map_or(0, |limit| limit.span);
-        let since = now.saturating_sub(span);
-        self.requests.retain(|&at| at >= since);
-        self.retries.retain(|&at| at >= since);
+        let window_start = now.saturating_sub(span);
+        self.requests.retain(|&at| at >= window_start);
+        self.retries.retain(|&at| at >= window_start);
     }
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,22 +1,24 @@
-//! Slow start: how much a cold engine is sent.
+//! Slow start: limits the work that is sent to a cold engine.
 //!
-//! An engine that is sent more than a multiple of its present capacity over a window falls over.
-//! Each gateway keeps to its share of that budget; where the share is below one query, requests
-//! are admitted by a lot whose odds make the sum over all gateways fit.
+//! A cold engine fails if it is sent more than a multiple of its current capacity within a window.
+//! Each gateway stays within its share of that budget. Where the share is below one query, each
+//! gateway admits requests at random, with a probability that keeps the sum over all gateways
+//! within the budget.
 
 use crate::engine_state::EngineState;
 use crate::hash::{mix, unit_interval};
 use crate::interface::{Micros, RequestId, Settings};
 use crate::traffic::Traffic;
 
-/// Part of the budget that is used: estimates scatter, and others round up as well.
+/// Fraction of the budget that is used, since estimates scatter and other gateways round up as
+/// well.
 const BUDGET_MARGIN: f64 = 0.6;
-/// Standard deviations of chance that the budget leaves room for.
+/// Standard deviations by which randomly admitted work may exceed its mean within the budget.
 const CHANCE_DEVIATIONS: f64 = 3.0;
-/// Share of busy cores at which capacity is counted.
+/// Share of busy cores that counts as an engine's full capacity.
 const CAPACITY_BUSY_SHARE: f64 = 0.85;
 
-/// Rules for engines that are warming up.
+/// Limits for engines that are warming up, from the settings.
 pub(super) struct SlowStart {
     peers: f64,
     start_capacity: f64,
@@ -28,10 +30,10 @@
 /// A request that may be sent to a cold engine.
 pub(super) struct ColdCandidate<'a> {
     pub(super) request: RequestId,
-    /// Usual work of its class.
-    pub(super) usual_work: f64,
+    /// Mean work of the request's class.
+    pub(super) mean_work: f64,
     pub(super) engine: &'a EngineState,
-    /// Cores of that engine.
+    /// Number of cores of the engine.
     pub(super) cores: f64,
 }
 
@@ -46,63 +48,66 @@
         }
     }
 
-    /// When an engine is warm that started at `booted_at`.
-    pub(super) fn warm_at(&self, booted_at: Micros) -> Micros {
+    /// The time at which an engine that started at `booted_at` is warm.
+    pub(super) fn warm_up_end(&self, booted_at: Micros) -> Micros {
         booted_at + self.warm_up_duration
     }
 
-    /// The part of its capacity that an engine has: it grows from a cold start on.
-    pub(super) fn capacity_part(&self, engine: &EngineState, now: Micros) -> f64 {
-        let cold_for = engine.cold_until.saturating_sub(now) as f64;
-        let cold_part = cold_for / self.warm_up_duration.max(1) as f64;
-        1.0 - (1.0 - self.start_capacity) * cold_part.min(1.0)
+    /// The fraction of its full capacity that an engine has now. It grows linearly from
+    /// `start_capacity` to 1 while the engine warms up.
+    pub(super) fn capacity_fraction(&self, engine: &EngineState, now: Micros) -> f64 {
+        let remaining_cold_time = engine.cold_until.saturating_sub(now) as f64;
+        let cold_fraction = remaining_cold_time / self.warm_up_duration.max(1) as f64;
+        1.0 - (1.0 - self.start_capacity) * cold_fraction.min(1.0)
     }
 
-    /// The earliest send that still counts.
+    /// The start of the overload window that ends at `now`; earlier sends don't count.
     pub(super) fn window_start(&self, now: Micros) -> Micros {
         now.saturating_sub(self.overload_window)
     }
 
-    /// Work that all gateways together may send a cold engine over the window.
+    /// Work that all gateways together may send to a cold engine within the window.
     fn budget(&self, cores: f64) -> f64 {
         let capacity = self.start_capacity * CAPACITY_BUSY_SHARE * cores;
         self.overload_multiple * capacity * self.overload_window as f64
     }
 
-    /// Whether a send fits this gateway's share of the budget.
-    pub(super) fn fits_share(
+    /// Whether a send stays within this gateway's share of the engine's budget.
+    pub(super) fn is_within_share(
         &self,
         candidate: &ColdCandidate<'_>,
         engine_share: f64,
         now: Micros,
     ) -> bool {
-        let since = self.window_start(now);
+        let window_start = self.window_start(now);
         let sent: f64 = candidate
             .engine
             .cold_sends
             .iter()
-            .filter(|send| send.sent_at >= since)
+            .filter(|send| send.sent_at >= window_start)
             .map(|send| send.work)
             .sum();
         let budget = BUDGET_MARGIN * self.budget(candidate.cores) * engine_share;
-        sent + candidate.usual_work <= budget
+        sent + candidate.mean_work <= budget
     }
 
-    /// Whether the lot that is drawn by request and engine admits a send.
-    pub(super) fn is_admitted_by_lot(
+    /// Whether a send is admitted at random. The random number is a hash of request and engine, so
+    /// that repeated calls for the same send don't raise its chance.
+    pub(super) fn is_admitted_by_hash(
         &self,
         candidate: &ColdCandidate<'_>,
         traffic: &Traffic,
     ) -> bool {
-        let usual = candidate.usual_work;
+        let mean_work = candidate.mean_work;
         let budget = self.budget(candidate.cores);
-        // The root of an expected sum that stays within the budget by so many deviations.
-        let root = ((CHANCE_DEVIATIONS * CHANCE_DEVIATIONS * usual + 4.0 * budget).sqrt()
-            - CHANCE_DEVIATIONS * usual.sqrt())
+        // The square root of the largest expected work whose sum stays within the budget by
+        // `CHANCE_DEVIATIONS` standard deviations, of sqrt(mean_work * expected work) each.
+        let root = ((CHANCE_DEVIATIONS * CHANCE_DEVIATIONS * mean_work + 4.0 * budget).sqrt()
+            - CHANCE_DEVIATIONS * mean_work.sqrt())
             / 2.0;
         let window = self.overload_window as f64;
-        let demand = traffic.mean_work * window / traffic.mean_gap.max(1.0) * self.peers;
-        let odds = BUDGET_MARGIN * root * root / demand;
-        unit_interval(candidate.request ^ mix(candidate.engine.id() as u64)) < odds
+        let expected_work = traffic.mean_work * window / traffic.mean_gap.max(1.0) * self.peers;
+        let admission_probability = BUDGET_MARGIN * root * root / expected_work;
+        unit_interval(candidate.request ^ mix(candidate.engine.id() as u64)) < admission_probability
     }
 }
--- a/src/balancer/subsetting.rs
+++ b/src/balancer/subsetting.rs
@@ -1,41 +1,44 @@
-//! Subsetting: which part of the engines this gateway uses, and its share of each.
+//! Subsetting: selects the engines that this gateway uses and its share of each.
 //!
-//! With many gateways a share of every engine may be too small for a query. Where possible each
-//! gateway then uses a few engines only, chosen on a ring that all gateways compute alike. Else
-//! shares are below one query, and whole engines are judged by their reports.
+//! With many gateways, a gateway's share of an engine may be too small for a single query. If
+//! possible, each gateway then uses only a few engines, chosen on a ring that all gateways compute
+//! alike. Otherwise the mode is called "shares are below one query": each gateway may use all
+//! engines, and the load of all gateways on an engine is estimated from its load reports.
 
 use super::admission::START_THREADS_PER_CORE;
 use crate::engine_table::{EngineTable, RingEntry};
 use crate::interface::{EngineId, Micros, Settings};
 
-/// Engines in the smallest subset, and those that a table group has an affinity to.
+/// Number of engines in the smallest subset, and the least that a table group has an affinity to.
 pub(super) const MIN_SUBSET: usize = 2;
-/// Least share of an engine in a subset of that size, in shares that the widest query fits in.
+/// Subsets are used if a gateway's share of each engine in a subset of `MIN_SUBSET` is at least
+/// this many queries of the class with the most threads.
 const MIN_SUBSET_SHARE: f64 = 0.75;
 
-/// This gateway's part of the engines.
+/// The mode of subsetting and this gateway's share of the engines.
 pub(super) struct Subsetting {
-    /// Gateways in this tier.
+    /// Number of gateways in this tier, this one included.
     peers: f64,
-    /// Where the subset begins on a ring of engines, as a part of the whole.
+    /// Start of the subset on a ring of engines, as a fraction of its length.
     ring_position: f64,
-    /// Queries of the widest class that the largest engine runs at its thread bound.
+    /// Queries of the class with the most threads that the engine with the most cores runs at its
+    /// thread bound.
     queries_per_engine: f64,
-    /// Only probes count queries.
+    /// Only probes report how many queries an engine has in flight; subsets aren't used then.
     counts_by_probe: bool,
-    uses_subset: bool,
-    share_below_one_query: bool,
+    is_subset_used: bool,
+    is_share_below_one_query: bool,
     engine_share: f64,
 }
 
 impl Subsetting {
     pub(super) fn new(settings: &Settings, ring_position: f64) -> Self {
-        let most_cores = settings
+        let max_cores = settings
             .kinds
             .iter()
             .map(|kind| kind.cores)
             .fold(0.0, f64::max);
-        let most_threads = settings
+        let max_threads = settings
             .classes
             .iter()
             .map(|class| class.threads)
@@ -43,48 +46,50 @@
         Subsetting {
             peers: settings.peers,
             ring_position,
-            queries_per_engine: START_THREADS_PER_CORE * most_cores / most_threads,
+            queries_per_engine: START_THREADS_PER_CORE * max_cores / max_threads,
             counts_by_probe: settings.counts_by_probe,
-            uses_subset: false,
-            share_below_one_query: false,
+            is_subset_used: false,
+            is_share_below_one_query: false,
             engine_share: 1.0,
         }
     }
 
-    /// Chooses the mode and the share for so many open engines.
+    /// Selects the mode and the share of an engine for a number of open engines.
     pub(super) fn update(&mut self, open_engines: usize) {
-        let open = open_engines as f64;
+        let open_count = open_engines as f64;
         let is_share_too_small = self.peers > self.queries_per_engine;
         let min_capacity = MIN_SUBSET_SHARE * MIN_SUBSET as f64 * self.peers;
         let can_use_subsets =
-            !self.counts_by_probe && self.queries_per_engine * open >= min_capacity;
-        self.uses_subset = is_share_too_small && can_use_subsets;
-        self.share_below_one_query = is_share_too_small && !can_use_subsets;
-        self.engine_share = if self.share_below_one_query {
+            !self.counts_by_probe && self.queries_per_engine * open_count >= min_capacity;
+        self.is_subset_used = is_share_too_small && can_use_subsets;
+        self.is_share_below_one_query = is_share_too_small && !can_use_subsets;
+        self.engine_share = if self.is_share_below_one_query {
             1.0
-        } else if self.uses_subset {
-            let subset_size = (self.queries_per_engine * open / self.peers)
+        } else if self.is_subset_used {
+            let subset_size = (self.queries_per_engine * open_count / self.peers)
                 .round()
                 .max(MIN_SUBSET as f64);
-            open / self.peers / subset_size
+            open_count / self.peers / subset_size
         } else {
             1.0 / self.peers
         };
     }
 
-    /// Whether this gateway's share of an engine is less than one query, so that whole engines are
-    /// judged by their reports.
-    pub(super) fn share_below_one_query(&self) -> bool {
-        self.share_below_one_query
+    /// Whether this gateway's share of an engine is less than one query and no subset is used, so
+    /// that the load of all gateways on an engine counts, as estimated from its reports.
+    pub(super) fn is_share_below_one_query(&self) -> bool {
+        self.is_share_below_one_query
     }
 
-    /// The part of an engine's capacity that this gateway's bounds are computed from.
+    /// The fraction of an engine's capacity that this gateway's bounds are computed from; 1 where
+    /// shares are below one query.
     pub(super) fn engine_share(&self) -> f64 {
         self.engine_share
     }
 
-    /// The open engines that a class is placed among, in the order of the ring: all, or this
-    /// gateway's subset, where the next on the ring replaces a quarantined one.
+    /// The open engines that requests of a class may be placed on, in the order of the ring: all of
+    /// them, or this gateway's subset, in which a quarantined engine is replaced by the next on the
+    /// ring.
     pub(super) fn engines<'a>(
         &'a self,
         table: &'a EngineTable,
@@ -92,14 +97,14 @@
         now: Micros,
     ) -> impl Iterator<Item = RingEntry> + 'a {
         let ring = table.ring(class);
-        let (first, size) = if self.uses_subset {
+        let (first, size) = if self.is_subset_used {
             self.subset_bounds(ring.len())
         } else {
             (0, ring.len())
         };
         let (before, after) = ring.split_at(first.min(ring.len().saturating_sub(1)));
         let is_usable =
-            move |id: &EngineId| !self.uses_subset || now >= table[id].quarantined_until;
+            move |id: &EngineId| !self.is_subset_used || now >= table[id].quarantined_until;
         after
             .iter()
             .chain(before)
@@ -108,7 +113,7 @@
             .take(size)
     }
 
-    /// Index of the subset's first engine on a ring of this length, and its size.
+    /// Index of the subset's first engine on a ring of this length, and the size of the subset.
     fn subset_bounds(&self, ring_length: usize) -> (usize, usize) {
         let length = ring_length as f64;
         let size = (length / self.peers / self.engine_share).round() as usize;
--- a/src/balancer/tenant_quotas.rs
+++ b/src/balancer/tenant_quotas.rs
@@ -1,17 +1,17 @@
-//! Quotas of tenants: a token bucket for each on this gateway, one second deep.
+//! Tenant quotas: a token bucket per tenant on this gateway, which holds the tokens of one second.
 
 use crate::interface::{Micros, Settings};
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
 struct TokenBucket {
-    /// This gateway's part of the quota, in requests a second.
+    /// This gateway's share of the tenant's quota, in requests per second.
     rate: f64,
     tokens: f64,
-    filled_at: Micros,
+    refilled_at: Micros,
 }
 
-/// Token buckets of all tenants, by their numbers.
+/// Token buckets of all tenants, indexed by tenant number.
 pub(super) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
 }
@@ -23,7 +23,7 @@
             TokenBucket {
                 rate,
                 tokens: rate,
-                filled_at: now,
+                refilled_at: now,
             }
         };
         let tenants = settings.tenants.iter();
@@ -32,15 +32,16 @@
         }
     }
 
-    /// Takes a token if there is one; false: the tenant is over its quota.
-    pub(super) fn try_take(&mut self, tenant: usize, now: Micros) -> bool {
+    /// Takes a token and returns true, or returns false if the tenant is over its quota. A tenant
+    /// that isn't in the settings has no quota.
+    pub(super) fn try_take_token(&mut self, tenant: usize, now: Micros) -> bool {
         let Some(bucket) = self.buckets.get_mut(tenant) else {
             return true;
         };
-        let elapsed = (now - bucket.filled_at) as f64;
+        let elapsed = (now - bucket.refilled_at) as f64;
         let refilled = bucket.tokens + bucket.rate * elapsed / MICROS_PER_SECOND;
         bucket.tokens = refilled.min(bucket.rate.max(1.0));
-        bucket.filled_at = now;
+        bucket.refilled_at = now;
         let has_token = bucket.tokens >= 1.0;
         if has_token {
             bucket.tokens -= 1.0;
