--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -31,7 +31,7 @@
         now < self.pressure_until || now >= self.latency_ignored_until && is_slow
     }
 
-    /// Whether the engine recently reported that it is busy, rejected an attempt or is far slower
+    /// Whether the engine recently reported that it is busy or rejected an attempt, or is far slower
     /// than at its best.
     pub(super) fn is_saturated(&self, now: Micros) -> bool {
         now < self.pressure_until || self.slowdown > SATURATION_SLOWDOWN * self.best_slowdown
--- a/src/balancer/progress.rs
+++ b/src/balancer/progress.rs
@@ -10,8 +10,8 @@
 const BAD_PLAN_MULTIPLE: f64 = 3.0;
 /// Lower limit on the share done when the remaining time is computed.
 const MIN_SHARE_DONE: f64 = 1e-6;
-/// An attempt that waits for a load is cancelled only if at least this many attempts remain for its
-/// request, so that they don't run out before a failure.
+/// An attempt that waits for a load is cancelled only if its request then has at least this many
+/// attempts left, in case of other failures.
 const RESERVED_ATTEMPTS: usize = 2;
 
 impl Balancer {
