--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use eideryard_intent_log::{entry, Intent, Place};
+use eideryard_intent_log::{entry, Intent, Location};
 use eideryard_store::recovery::Recovered;
 use eideryard_store::{Config, Directory, RecoveryStatus, Store};
 
@@ -72,7 +72,7 @@
 fn intent_text(intent: &Intent) -> String {
     let Intent {
         since,
-        place: Place { zone, cell },
+        location: Location { zone, cell },
         in_flight,
         may_have_run,
         until,
--- a/crates/fleet-test/src/check/copies/tests.rs
+++ b/crates/fleet-test/src/check/copies/tests.rs
@@ -8,7 +8,7 @@
     let record = Record {
         version: 1,
         phase: Phase::InFlight,
-        place: None,
+        location: None,
         since: 1,
         until: 2,
         nominal_ms: 20_000,
--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -98,7 +98,7 @@
     let record = WireRecord {
         version: 1,
         phase: Phase::InFlight,
-        place: None,
+        location: None,
         age: 0,
         remaining: KEPT,
         nominal_ms: KEPT / 1_000,
--- a/crates/fleet-test/src/simulated.rs
+++ b/crates/fleet-test/src/simulated.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use eideryard_intent_log::Place;
+use eideryard_intent_log::Location;
 use eideryard_replication::core::Counters;
 use eideryard_replication::replica_set::Limits;
 use eideryard_replication::{
--- a/crates/fleet-test/src/simulated/requests.rs
+++ b/crates/fleet-test/src/simulated/requests.rs
@@ -40,7 +40,7 @@
         );
         let known = match self.gateways[gateway].local.get(&request) {
             Some(own) => vec![PriorRun {
-                place: Some(Place {
+                location: Some(Location {
                     zone: 0,
                     cell: own.cell,
                 }),
@@ -56,7 +56,7 @@
     pub(super) fn decide(&mut self, request: usize, gateway: usize, known: PriorRuns) {
         let mut cells: Vec<_> = known
             .iter()
-            .map(|run| run.place.map(|place| place.cell))
+            .map(|run| run.location.map(|location| location.cell))
             .collect();
         cells.sort();
         cells.dedup();
@@ -88,12 +88,12 @@
         let number = own.numbers;
         own.claims
             .insert(number, (request, cell, self.time.now, known.clone()));
-        let (place, keep) = (Some(Place { zone: 0, cell }), WAIT + WINDOW + SLACK);
+        let (location, keep) = (Some(Location { zone: 0, cell }), WAIT + WINDOW + SLACK);
         let since = since.unwrap_or(self.time.now);
         let claim = ClaimRequest {
             number,
             key: &key_of(request),
-            place,
+            location,
             since,
             retention: keep,
             known,
@@ -116,10 +116,10 @@
         if !ran {
             self.gateways[gateway].local.remove(&key);
         }
-        let place = Some(Place { zone: 0, cell });
+        let location = Some(Location { zone: 0, cell });
         let ended = EndedRun {
             key: &key_of(key),
-            place,
+            location,
             may_have_run: ran,
             retention: WINDOW + SLACK,
         };
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -6,7 +6,7 @@
 use eideryard_emulators::golden;
 use eideryard_engine_protocol as engine_line;
 use eideryard_gateway::links::{classes_fingerprint, PeerMessage};
-use eideryard_intent_log::{entry as intents, Intent, Place};
+use eideryard_intent_log::{entry as intents, Intent, Location};
 use eideryard_leases::{self as leases, FencingToken, Task};
 use eideryard_msgpack_rpc as rpc;
 use eideryard_peer_transport::frame::{self, Frame};
@@ -21,7 +21,7 @@
 const KEY: &str = "00000000000000000000000000000abc";
 const AT_MS: u64 = 1_796_147_675_000;
 const AT: u64 = AT_MS * 1000;
-const PLACE: Place = Place { zone: 1, cell: 2 };
+const LOCATION: Location = Location { zone: 1, cell: 2 };
 const ORIGIN: Origin = Origin {
     identity: 0xfeed,
     start: 3,
@@ -38,7 +38,7 @@
 fn intent(since: u64, in_flight: u32, may_have_run: bool) -> Intent {
     Intent {
         since,
-        place: PLACE,
+        location: LOCATION,
         in_flight,
         may_have_run,
         until: AT + 17_000_000,
@@ -46,16 +46,16 @@
 }
 
 fn copy() -> ReplicaRecord {
-    let record = |version, phase, place| Record {
+    let record = |version, phase, location| Record {
         version,
         phase,
-        place,
+        location,
         since: AT + 5,
         until: AT + 9_000_000,
         nominal_ms: AT_MS + 9_000,
     };
     ReplicaRecord::from([
-        (ORIGIN, record(1, Phase::InFlight, Some(PLACE))),
+        (ORIGIN, record(1, Phase::InFlight, Some(LOCATION))),
         (
             Origin { start: 4, ..ORIGIN },
             record(2, Phase::NeverRan, None),
@@ -65,7 +65,7 @@
                 identity: 7,
                 start: 1,
             },
-            record(300, Phase::MayHaveRun, Some(PLACE)),
+            record(300, Phase::MayHaveRun, Some(LOCATION)),
         ),
     ])
 }
@@ -154,7 +154,7 @@
     WireRecord {
         version: 300,
         phase: Phase::MayHaveRun,
-        place: Some(PLACE),
+        location: Some(LOCATION),
         age: 70_000,
         remaining: 9_000_000,
         nominal_ms: AT_MS,
@@ -170,11 +170,11 @@
     let (key, origin, record) = (b"key".to_vec(), ORIGIN, travelling());
     let seen = vec![
         ReplicaView {
-            place: Some(PLACE),
+            location: Some(LOCATION),
             age: 5,
         },
         ReplicaView {
-            place: None,
+            location: None,
             age: 0,
         },
     ];
@@ -184,7 +184,7 @@
             ORIGIN,
             WireRecord {
                 phase: Phase::InFlight,
-                place: None,
+                location: None,
                 ..record
             },
         ),
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -83,7 +83,7 @@
         self.record_endpoint(endpoint, discovered);
         if let Some(intent_durability) = &mut self.intent_durability {
             self.last_endpoints.insert(endpoint.engine, *endpoint);
-            intent_durability.set_place(endpoint.engine, endpoint.zone, endpoint.cell);
+            intent_durability.set_location(endpoint.engine, endpoint.zone, endpoint.cell);
         }
         self.with_engines(|engines, context| {
             engines.update_endpoint(endpoint.engine, address, endpoint.booted_at, context);
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -8,7 +8,7 @@
 
 use eideryard::interface::{EngineId, Micros, Settings};
 use eideryard_intent_log::waiting::PendingSends;
-use eideryard_intent_log::{IntentLog, Limits, Place};
+use eideryard_intent_log::{IntentLog, Limits, Location};
 use eideryard_operator_config::{FleetConfig, StoreConfig};
 use eideryard_store::worker::Worker;
 
@@ -51,7 +51,7 @@
     status_writer: Option<StatusWriter>,
     /// Retry window of each class.
     windows: Vec<Micros>,
-    engine_places: BTreeMap<EngineId, Place>,
+    engine_locations: BTreeMap<EngineId, Location>,
     checkpoints: Checkpoints,
     /// Counts since the start.
     pub counters: IntentCounters,
@@ -86,7 +86,7 @@
             replication: None,
             status_writer: None,
             windows,
-            engine_places: BTreeMap::new(),
+            engine_locations: BTreeMap::new(),
             checkpoints: Checkpoints::new(settings_fingerprint, recovery.learned_state, now),
             counters: IntentCounters::default(),
         };
@@ -122,13 +122,13 @@
     }
 
     /// Sets where an engine runs, as the endpoint list says.
-    pub fn set_place(&mut self, engine: EngineId, zone: u32, cell: u32) {
-        self.engine_places.insert(engine, Place { zone, cell });
+    pub fn set_location(&mut self, engine: EngineId, zone: u32, cell: u32) {
+        self.engine_locations.insert(engine, Location { zone, cell });
     }
 
     /// Forgets engines that no longer exist.
     pub fn retain_engines(&mut self, exists: impl Fn(EngineId) -> bool) {
-        self.engine_places.retain(|engine, _| exists(*engine));
+        self.engine_locations.retain(|engine, _| exists(*engine));
     }
 
     /// The retry window of a class.
--- a/crates/gateway/src/intent_durability/fleet.rs
+++ b/crates/gateway/src/intent_durability/fleet.rs
@@ -81,7 +81,7 @@
     pub fn update_lease_tasks(&mut self, now: Micros) {
         let replication = self.replication.as_mut();
         if let Some(leases) = replication.and_then(|replication| replication.leases_mut()) {
-            leases.set_engines(now, self.engine_places.keys().copied());
+            leases.set_engines(now, self.engine_locations.keys().copied());
         }
     }
 
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -6,7 +6,7 @@
 use eideryard_intent_log::state::RETENTION_MARGIN;
 use eideryard_intent_log::state::{EndedAttempt, IncomingRequest, NextAttempt};
 use eideryard_intent_log::waiting::{is_within_window, TimeoutReason};
-use eideryard_intent_log::{entry, Intent, IntentError, IntentWrite, Place, SendDecision};
+use eideryard_intent_log::{entry, Intent, IntentError, IntentWrite, Location, SendDecision};
 use eideryard_replication::Verdict;
 use eideryard_store::worker::Worker;
 use eideryard_store::Batch;
@@ -180,12 +180,12 @@
 
     /// Decides on a send; writes and claims its intent where it needs one.
     pub fn prepare_send(&mut self, now: Micros, request: &SendRequest<'_>) -> SendPlan {
-        let place = self.engine_places.get(&request.engine);
-        let place = place.copied().unwrap_or_default();
+        let location = self.engine_locations.get(&request.engine);
+        let location = location.copied().unwrap_or_default();
         let attempt = NextAttempt {
             class: request.class,
             key: request.key,
-            place,
+            location,
             known: request.known,
         };
         let decision = self.intent_log.on_send(now, attempt);
@@ -203,7 +203,7 @@
         SendPlan::AfterWrite {
             ticket,
             claim: self.claim(now, request, &write),
-            prior_attempt: as_prior_attempt(now, place, write.intent.as_ref()),
+            prior_attempt: as_prior_attempt(now, location, write.intent.as_ref()),
         }
     }
 
@@ -327,10 +327,10 @@
 }
 
 /// An attempt, as a later attempt at the same key sees it.
-fn as_prior_attempt(now: Micros, place: Place, intent: Option<&Intent>) -> PriorAttempt {
+fn as_prior_attempt(now: Micros, location: Location, intent: Option<&Intent>) -> PriorAttempt {
     PriorAttempt {
-        zone: place.zone,
-        cell: place.cell,
+        zone: location.zone,
+        cell: location.cell,
         since: intent.map_or(now, |intent| intent.since),
     }
 }
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -31,7 +31,7 @@
 use peers::PeerTable;
 pub use startup::ReplicationContext;
 pub use translation::prior_attempts;
-use translation::{known_place, prior_runs, replication_peer, transport_peer};
+use translation::{known_location, prior_runs, replication_peer, transport_peer};
 
 /// Events of peers that are handled at a time: clients and engines wait no longer than for these.
 const MAX_PEER_EVENTS: usize = 512;
@@ -108,7 +108,7 @@
         let request = ClaimRequest {
             number,
             key: replicated_key(claim.stored_key),
-            place: known_place(intent),
+            location: known_location(intent),
             since,
             retention: claim.retention,
             known: prior_runs(claim.known),
@@ -129,7 +129,7 @@
     ) {
         let ended = EndedRun {
             key: replicated_key(stored_key),
-            place: intent.and_then(known_place),
+            location: intent.and_then(known_location),
             may_have_run: intent.is_some(),
             retention,
         };
--- a/crates/gateway/src/replication/translation.rs
+++ b/crates/gateway/src/replication/translation.rs
@@ -1,7 +1,7 @@
 //! Peers, places and prior attempts, as the links, the replicas and the balancer each name them.
 
 use eideryard::interface::{Micros, PriorAttempt};
-use eideryard_intent_log::{Intent, Place};
+use eideryard_intent_log::{Intent, Location};
 use eideryard_peer_transport::Peer as TransportPeer;
 use eideryard_replication::{Peer, PriorRun, PriorRuns};
 
@@ -25,10 +25,10 @@
 /// Prior attempts as the balancer knows them. An attempt that may have run in several places has an
 /// unknown place and time.
 pub fn prior_attempts(runs: &PriorRuns) -> Vec<PriorAttempt> {
-    let prior_attempt = |run: &PriorRun| match run.place {
-        Some(place) => PriorAttempt {
-            zone: place.zone,
-            cell: place.cell,
+    let prior_attempt = |run: &PriorRun| match run.location {
+        Some(location) => PriorAttempt {
+            zone: location.zone,
+            cell: location.cell,
             since: run.since.max(MIN_KNOWN_TIME),
         },
         None => PriorAttempt {
@@ -42,8 +42,8 @@
 
 /// Prior attempts as voters know them.
 pub(super) fn prior_runs(attempts: &[PriorAttempt]) -> PriorRuns {
-    let place = |attempt: &PriorAttempt| {
-        (attempt.since > 0).then_some(Place {
+    let location = |attempt: &PriorAttempt| {
+        (attempt.since > 0).then_some(Location {
             zone: attempt.zone,
             cell: attempt.cell,
         })
@@ -51,13 +51,13 @@
     attempts
         .iter()
         .map(|attempt| PriorRun {
-            place: place(attempt),
+            location: location(attempt),
             since: attempt.since,
         })
         .collect()
 }
 
 /// Where an intent's attempt runs, if it is known.
-pub(super) fn known_place(intent: &Intent) -> Option<Place> {
-    (intent.since > 0).then_some(intent.place)
+pub(super) fn known_location(intent: &Intent) -> Option<Location> {
+    (intent.since > 0).then_some(intent.location)
 }
--- a/crates/intent-log/src/entry.rs
+++ b/crates/intent-log/src/entry.rs
@@ -9,7 +9,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Place {
+pub struct Location {
     /// Zone of the engine.
     pub zone: u32,
     /// Cell of the engine.
@@ -24,7 +24,7 @@
     /// repeat then.
     pub since: u64,
     /// Where the first attempt was sent.
-    pub place: Place,
+    pub location: Location,
     /// Attempts that have not ended.
     pub in_flight: u32,
     /// Whether an attempt that has ended may have run.
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -18,7 +18,7 @@
 //! ```
 //! use eideryard::interface::{Class, Effect, Scope};
 //! use eideryard_intent_log::state::{IncomingRequest, NextAttempt};
-//! use eideryard_intent_log::{IntentLog, Limits, Place, SendDecision};
+//! use eideryard_intent_log::{IntentLog, Limits, Location, SendDecision};
 //!
 //! let class = Class {
 //!     effect: Effect::IdempotentWithKey,
@@ -48,7 +48,7 @@
 //! let attempt = NextAttempt {
 //!     class: 0,
 //!     key: Some("order-17"),
-//!     place: Place { zone: 0, cell: 1 },
+//!     location: Location { zone: 0, cell: 1 },
 //!     known: &[],
 //! };
 //! let SendDecision::AfterWrite(write) = log.on_send(now, attempt) else {
@@ -61,5 +61,5 @@
 pub mod state;
 pub mod waiting;
 
-pub use entry::{Intent, Place};
+pub use entry::{Intent, Location};
 pub use state::{IntentError, IntentLog, IntentWrite, Limits, SendDecision, UncertainWindow};
--- a/crates/intent-log/src/state.rs
+++ b/crates/intent-log/src/state.rs
@@ -5,7 +5,7 @@
 
 use eideryard::interface::{Class, Effect, Micros, PriorAttempt, Scope};
 
-use crate::entry::{stored_key, Intent, Place};
+use crate::entry::{stored_key, Intent, Location};
 
 /// Intents are retained for so much longer than the window of their class: for differences of
 /// clocks, and for work that an engine still does after its last answer.
@@ -92,7 +92,7 @@
     /// The client's key, if it has one.
     pub key: Option<&'a str>,
     /// Where it is sent.
-    pub place: Place,
+    pub location: Location,
     /// Attempts of the key that the balancer was told of, the request's own among them.
     pub known: &'a [PriorAttempt],
 }
@@ -133,17 +133,17 @@
     longest_window.unwrap_or(0) + RETENTION_MARGIN
 }
 
-/// Whether engines at `place` drop repeats of what ran at `other`.
-fn is_same_scope(scope: Scope, place: Place, other: Place) -> bool {
+/// Whether engines at `location` drop repeats of what ran at `other`.
+fn is_same_scope(scope: Scope, location: Location, other: Location) -> bool {
     match scope {
         Scope::All => true,
-        Scope::Zone => place.zone == other.zone,
-        Scope::Cell => place.cell == other.cell,
+        Scope::Zone => location.zone == other.zone,
+        Scope::Cell => location.cell == other.cell,
     }
 }
 
-fn place_of(attempt: &PriorAttempt) -> Place {
-    Place {
+fn location_of(attempt: &PriorAttempt) -> Location {
+    Location {
         zone: attempt.zone,
         cell: attempt.cell,
     }
@@ -151,8 +151,8 @@
 
 fn prior_attempt(intent: &Intent) -> PriorAttempt {
     PriorAttempt {
-        zone: intent.place.zone,
-        cell: intent.place.cell,
+        zone: intent.location.zone,
+        cell: intent.location.cell,
         since: intent.since,
     }
 }
@@ -272,7 +272,8 @@
         let key = stored_key(attempt.class, key);
         if let Some(intent) = self.entries.get(&key) {
             let is_known = attempt.known.iter().any(|known| {
-                known.since <= intent.since && is_same_scope(scope, intent.place, place_of(known))
+                known.since <= intent.since
+                    && is_same_scope(scope, intent.location, location_of(known))
             });
             if !is_known {
                 return SendDecision::PriorAttemptFound(prior_attempt(intent));
@@ -280,7 +281,7 @@
         }
         let new_intent = Intent {
             since: now,
-            place: attempt.place,
+            location: attempt.location,
             in_flight: 0,
             may_have_run: false,
             until: 0,
@@ -368,11 +369,10 @@
 /// Start of the first attempt at a key, or 0 if attempts go to places that do not drop each other's
 /// repeats.
 fn first_start(scope: Scope, intent: &Intent, attempt: NextAttempt<'_>) -> Micros {
-    let is_elsewhere = attempt
-        .known
-        .iter()
-        .any(|known| known.since == 0 || !is_same_scope(scope, attempt.place, place_of(known)));
-    if is_elsewhere || !is_same_scope(scope, attempt.place, intent.place) {
+    let is_elsewhere = attempt.known.iter().any(|known| {
+        known.since == 0 || !is_same_scope(scope, attempt.location, location_of(known))
+    });
+    if is_elsewhere || !is_same_scope(scope, attempt.location, intent.location) {
         return 0;
     }
     attempt
--- a/crates/intent-log/tests/intents.rs
+++ b/crates/intent-log/tests/intents.rs
@@ -2,7 +2,7 @@
 
 use eideryard::interface::{Class, Effect, PriorAttempt, Scope};
 use eideryard_intent_log::state::{EndedAttempt, IncomingRequest, NextAttempt};
-use eideryard_intent_log::{entry, Intent, IntentError, IntentLog, Limits, Place, SendDecision};
+use eideryard_intent_log::{entry, Intent, IntentError, IntentLog, Limits, Location, SendDecision};
 
 const NOW: u64 = 1_000_000_000;
 const WINDOW: u64 = 15_000_000;
@@ -32,7 +32,7 @@
 fn stored_intent(since: u64, in_flight: u32) -> Intent {
     Intent {
         since,
-        place: Place { zone: 1, cell: 2 },
+        location: Location { zone: 1, cell: 2 },
         in_flight,
         may_have_run: true,
         until: NOW + 10,
@@ -61,13 +61,13 @@
     log: &mut IntentLog,
     now: u64,
     key: &str,
-    place: Place,
+    location: Location,
     known: &[PriorAttempt],
 ) -> SendDecision {
     let attempt = NextAttempt {
         class: 0,
         key: Some(key),
-        place,
+        location,
         known,
     };
     log.on_send(now, attempt)
@@ -99,7 +99,7 @@
 #[test]
 fn a_full_log_rejects_new_keys_and_forgets_none() {
     let mut log = restored(stored_intent(NOW - 9, 0), LONG_AGO);
-    let decision = send(&mut log, NOW, OTHER_KEY, Place::default(), &[]);
+    let decision = send(&mut log, NOW, OTHER_KEY, Location::default(), &[]);
     assert!(matches!(decision, SendDecision::AfterWrite(_)));
     assert_eq!(prior_start(&mut log, THIRD_KEY), Err(IntentError::Full));
     assert_eq!(prior_start(&mut log, KEY), Ok(Some(NOW - 9)));
@@ -108,7 +108,7 @@
 #[test]
 fn an_attempt_that_never_ran_leaves_no_intent() {
     let mut log = restored(stored_intent(NOW - 9, 0), LONG_AGO);
-    send(&mut log, NOW, OTHER_KEY, Place::default(), &[]);
+    send(&mut log, NOW, OTHER_KEY, Location::default(), &[]);
     assert_eq!(log.len(), 2);
     let ended = EndedAttempt {
         class: 0,
@@ -130,7 +130,7 @@
     let now = 100_000_000;
     let limits = Limits { entries: 9 };
     let mut log = IntentLog::restore(limits, vec![class()], std::iter::empty(), LONG_AGO, now);
-    let cell = |cell| Place { zone: 0, cell };
+    let cell = |cell| Location { zone: 0, cell };
     let request = IncomingRequest {
         class: 0,
         key: Some(KEY),
@@ -147,8 +147,8 @@
         cell: 1,
         since: now,
     };
-    for place in [cell(2), cell(1)] {
-        let decision = send(&mut log, now + 5, KEY, place, &[]);
+    for location in [cell(2), cell(1)] {
+        let decision = send(&mut log, now + 5, KEY, location, &[]);
         assert_eq!(decision, SendDecision::PriorAttemptFound(first));
     }
     let decision = send(&mut log, now + 5, KEY, cell(1), &[first]);
--- a/crates/intent-log/tests/model.rs
+++ b/crates/intent-log/tests/model.rs
@@ -9,7 +9,7 @@
 
 use eideryard::interface::{Class, Effect, PriorAttempt, Scope};
 use eideryard_intent_log::state::{IncomingRequest, NextAttempt};
-use eideryard_intent_log::{Intent, IntentLog, Limits, Place, SendDecision};
+use eideryard_intent_log::{Intent, IntentLog, Limits, Location, SendDecision};
 use stateright::{Checker, Model, Property};
 
 const WINDOW: u64 = 15_000_000;
@@ -155,7 +155,7 @@
         let attempt = NextAttempt {
             class: 0,
             key: Some(KEY),
-            place: Place { zone: 0, cell },
+            location: Location { zone: 0, cell },
             known: &known,
         };
         let decision = self.intent_log(last).on_send(state.now, attempt);
--- a/crates/replication/src/claims.rs
+++ b/crates/replication/src/claims.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use eideryard_intent_log::Place;
+use eideryard_intent_log::Location;
 
 use crate::entry::{Phase, Record, ReplicaView};
 use crate::message::ClaimRejection;
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PriorRun {
     /// Where; `None` for several places.
-    pub place: Option<Place>,
+    pub location: Option<Location>,
     /// Earliest time at which it may have run, by this gateway's clock.
     pub since: Micros,
 }
@@ -69,14 +69,14 @@
         } = self;
         let is_known = |run: &PriorRun| {
             known.iter().any(|known| {
-                known.place == run.place && known.since <= run.since + REPORT_TOLERANCE
+                known.location == run.location && known.since <= run.since + REPORT_TOLERANCE
             })
         };
         if reported.iter().all(is_known) {
             return PriorRuns::new();
         }
         reported.sort();
-        reported.dedup_by_key(|run| run.place);
+        reported.dedup_by_key(|run| run.location);
         reported
     }
 
@@ -250,7 +250,7 @@
         // by now, but never younger.
         let requested_at = claim.requested_at;
         claim.reported.extend(views.iter().map(|view| PriorRun {
-            place: view.place,
+            location: view.location,
             since: requested_at.saturating_sub(view.age),
         }));
         if claim.is_timed_out(now) {
--- a/crates/replication/src/core.rs
+++ b/crates/replication/src/core.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use eideryard_intent_log::Place;
+use eideryard_intent_log::Location;
 
 use crate::anti_entropy::{ReplicationProgress, TransferBudget};
 use crate::claims::{Claims, PriorRuns, Verdict};
@@ -66,7 +66,7 @@
     /// The key.
     pub key: &'a [u8],
     /// Where the request is to run; `None` for several places.
-    pub place: Option<Place>,
+    pub location: Option<Location>,
     /// Earliest time at which it may have run.
     pub since: Micros,
     /// For how long the record is to be retained.
@@ -81,7 +81,7 @@
     /// The key.
     pub key: &'a [u8],
     /// Where it may have run; `None` for several places.
-    pub place: Option<Place>,
+    pub location: Option<Location>,
     /// Whether one of the attempts may have run.
     pub may_have_run: bool,
     /// For how long the record is to be retained.
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -49,7 +49,7 @@
         let record = Record {
             version: 0,
             phase: Phase::InFlight,
-            place: request.place,
+            location: request.location,
             since,
             until,
             nominal_ms: until / 1000,
@@ -221,7 +221,7 @@
         };
         let record = Record {
             phase,
-            place: ended.place,
+            location: ended.location,
             until,
             nominal_ms: until / 1000,
             ..previous
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -9,7 +9,7 @@
 use std::collections::btree_map;
 use std::collections::BTreeMap;
 
-use eideryard_intent_log::Place;
+use eideryard_intent_log::Location;
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
@@ -45,7 +45,7 @@
     pub phase: Phase,
     /// Where it may have run; `None` for several places, so that no engine can be relied on to drop
     /// a repeat.
-    pub place: Option<Place>,
+    pub location: Option<Location>,
     /// Earliest time at which it may have run, in microseconds of this replica's clock.
     pub since: Micros,
     /// Time at which this replica drops the record, in microseconds of its clock.
@@ -63,7 +63,7 @@
     /// As in [`Record`].
     pub phase: Phase,
     /// As in [`Record`].
-    pub place: Option<Place>,
+    pub location: Option<Location>,
     /// Microseconds since it may have run.
     pub age: Micros,
     /// Microseconds for which the record is still retained.
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaView {
     /// Where it may have run; `None` for several places.
-    pub place: Option<Place>,
+    pub location: Option<Location>,
     /// Microseconds since it may have run.
     pub age: Micros,
 }
@@ -91,7 +91,7 @@
             (
                 record.version,
                 record.phase,
-                record.place,
+                record.location,
                 record.nominal_ms,
             )
         };
@@ -112,7 +112,7 @@
         WireRecord {
             version: self.version,
             phase: self.phase,
-            place: self.place,
+            location: self.location,
             age: now.saturating_sub(self.since),
             remaining: self.until.saturating_sub(now),
             nominal_ms: self.nominal_ms,
@@ -128,7 +128,7 @@
         Record {
             version: self.version,
             phase: self.phase,
-            place: self.place,
+            location: self.location,
             since: requested_at.unwrap_or(now).saturating_sub(self.age),
             until: now + self.remaining,
             nominal_ms: self.nominal_ms,
@@ -163,7 +163,7 @@
         .iter()
         .filter(|(origin, record)| **origin != requester && record.phase != Phase::NeverRan)
         .map(|(_, record)| ReplicaView {
-            place: record.place,
+            location: record.location,
             age: now.saturating_sub(record.since),
         })
         .collect()
@@ -177,7 +177,7 @@
 
 /// Fingerprint of a record within a table of many keys.
 pub fn fingerprint_with_key(key: &[u8], origin: &Origin, record: &Record) -> u64 {
-    let compared = (key, origin, record.version, record.phase, record.place);
+    let compared = (key, origin, record.version, record.phase, record.location);
     let bytes = postcard::to_stdvec(&compared).unwrap_or_default();
     let hash = blake3::hash(&bytes);
     hash.as_bytes()[..8]
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -40,7 +40,7 @@
 //! let request = ClaimRequest {
 //!     number: 1,
 //!     key: b"key",
-//!     place: None,
+//!     location: None,
 //!     since: 0,
 //!     retention: 5_000_000,
 //!     known: Vec::new(),
--- a/crates/replication/src/replica_set.rs
+++ b/crates/replication/src/replica_set.rs
@@ -130,7 +130,7 @@
         for record in replica.values_mut() {
             if record.since > now {
                 record.since = now;
-                record.place = None;
+                record.location = None;
             }
             record.until = now + max_retention;
         }
--- a/crates/replication/tests/claims.rs
+++ b/crates/replication/tests/claims.rs
@@ -29,7 +29,7 @@
     let request = ClaimRequest {
         number: now,
         key: b"key",
-        place: None,
+        location: None,
         since,
         retention: RETENTION,
         known: Vec::new(),
--- a/crates/replication/tests/compare.rs
+++ b/crates/replication/tests/compare.rs
@@ -12,7 +12,7 @@
     let record = Record {
         version,
         phase: Phase::MayHaveRun,
-        place: None,
+        location: None,
         since: 1,
         until: 2,
         nominal_ms,
--- a/crates/replication/tests/merge.rs
+++ b/crates/replication/tests/merge.rs
@@ -1,7 +1,7 @@
 //! Replica records merge to the same result in any order and with any repeats, and keep the safe
 //! times.
 
-use eideryard_intent_log::Place;
+use eideryard_intent_log::Location;
 use eideryard_replication::entry::{self, merge, Origin, Phase, Record, ReplicaRecord};
 use eideryard_replication::replica_set::{fingerprint_of, range_of, Limits, ReplicaSet, RANGES};
 use proptest::collection::vec;
@@ -17,7 +17,7 @@
     (origin(), 1..5u32, 0..1000u64, 0..1000u64).prop_map(|(origin, version, since, until)| {
         let content = origin.identity * 31 + origin.start * 7 + u64::from(version);
         let phase = [Phase::InFlight, Phase::NeverRan, Phase::MayHaveRun][content as usize % 3];
-        let place = (content % 4 != 0).then_some(Place {
+        let location = (content % 4 != 0).then_some(Location {
             zone: content as u32 % 2,
             cell: content as u32 % 3,
         });
@@ -26,7 +26,7 @@
             Record {
                 version,
                 phase,
-                place,
+                location,
                 since,
                 until,
                 nominal_ms: content,
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use eideryard_intent_log::Place;
+use eideryard_intent_log::Location;
 use eideryard_replication::core::ClaimRequest;
 use eideryard_replication::replica_set::Limits;
 use eideryard_replication::{Config, Core, Message, Origin, Output, Peer, ReplicaRecord, Verdict};
@@ -305,14 +305,14 @@
             Step::Request(at) => {
                 let sender = &mut state.senders[at];
                 sender.stage = Stage::Claimed;
-                let place = Some(Place {
+                let location = Some(Location {
                     zone: 0,
                     cell: at as u32,
                 });
                 let claim = ClaimRequest {
                     number: 1,
                     key: KEY,
-                    place,
+                    location,
                     since: NOW,
                     retention: MAX_RETENTION,
                     known: Vec::new(),
