--- a/crates/fleet-test/src/owned.rs
+++ b/crates/fleet-test/src/owned.rs
@@ -301,7 +301,7 @@
             }
             own.worked_at.insert(task, self.time.now);
             self.figures.worked += 1;
-            let outputs = own.core.act(self.time.now, task, vec![1]);
+            let outputs = own.core.submit_work(self.time.now, task, vec![1]);
             self.perform(at, outputs);
         }
     }
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -273,7 +273,7 @@
     ) -> Vec<LeaseAction> {
         self.last_report_number += 1;
         let payload = ProbeReport::new(self.last_report_number, report).to_bytes();
-        let outputs = self.core.act(now, probe_task(engine), payload);
+        let outputs = self.core.submit_work(now, probe_task(engine), payload);
         let actions = self.perform(now, outputs, worker);
         // The balancer has this report already.
         self.fresh_reports
--- a/crates/leases/src/lease_core/requester_side.rs
+++ b/crates/leases/src/lease_core/requester_side.rs
@@ -9,7 +9,7 @@
 
 impl LeaseCore {
     /// Does work as the owner of a task. Returns nothing if this gateway doesn't own it now.
-    pub fn act(&mut self, now: Micros, task: Task, payload: Vec<u8>) -> Vec<Output> {
+    pub fn submit_work(&mut self, now: Micros, task: Task, payload: Vec<u8>) -> Vec<Output> {
         let Some(token) = self.held_token(now, task) else {
             return Vec::new();
         };
--- a/crates/leases/tests/model/main.rs
+++ b/crates/leases/tests/model/main.rs
@@ -110,7 +110,7 @@
             Step::Act(at) => {
                 let owner = &mut state.owners[at];
                 owner.work_count += 1;
-                let outputs = owner.core.act(owner.now, TASK, vec![owner.work_count]);
+                let outputs = owner.core.submit_work(owner.now, TASK, vec![owner.work_count]);
                 self.perform_owner_outputs(&mut state, at, outputs);
             }
         }
