--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -161,7 +161,7 @@
 
     /// The last write that is durable.
     fn durable_ticket(&self) -> u64 {
-        self.worker.as_ref().map_or(0, Worker::durable)
+        self.worker.as_ref().map_or(0, Worker::durable_ticket)
     }
 
     fn write_intent(&mut self, write: &IntentWrite) -> Option<u64> {
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -145,7 +145,7 @@
             };
             self.on_peer_event(now, event, worker);
         }
-        let durable_ticket = worker.durable();
+        let durable_ticket = worker.durable_ticket();
         self.perform_durable_outputs(now, durable_ticket, worker);
         self.continue_durable_tokens(now, durable_ticket, worker);
         let readiness = self.voter_readiness();
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -227,7 +227,7 @@
     }
 
     /// Number of the last batch that is durable.
-    pub fn durable(&self) -> u64 {
+    pub fn durable_batch(&self) -> u64 {
         self.durable
     }
 
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -77,7 +77,7 @@
     }
 
     /// The last ticket that is durable.
-    pub fn durable(&self) -> u64 {
+    pub fn durable_ticket(&self) -> u64 {
         self.shared.durable.load(Ordering::Acquire)
     }
 
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -53,7 +53,7 @@
 /// Writes, flushes and rewrites until something fails, as one process does. Appends the state after
 /// each batch to `states`, and returns the index of the last one that was reported durable.
 fn run_process(store: &mut Store, rng: &mut Rng, batches: usize, states: &mut Vec<Map>) -> usize {
-    let (mut acknowledged, first) = (states.len() - 1, store.durable());
+    let (mut acknowledged, first) = (states.len() - 1, store.durable_batch());
     let base = states.len() - 1;
     for _ in 0..batches {
         let batch = random_batch(rng);
@@ -456,9 +456,9 @@
         (MAX_WAITING as u64..3 * MAX_WAITING as u64).contains(&accepted),
         "{accepted}"
     );
-    assert_eq!(worker.durable(), 0);
+    assert_eq!(worker.durable_ticket(), 0);
     disk.resume();
-    while worker.durable() < accepted {
+    while worker.durable_ticket() < accepted {
         wakes
             .recv_timeout(std::time::Duration::from_secs(20))
             .expect("a wake when more is durable");
