--- a/crates/intent-log/src/waiting.rs
+++ b/crates/intent-log/src/waiting.rs
@@ -152,7 +152,7 @@
 
     /// Whether no further request may be accepted: the store has not written for too long, or is
     /// slow and enough sends wait for it already.
-    pub fn is_held_up(&self, now: Micros, durable: u64) -> bool {
+    pub fn should_reject_requests(&self, now: Micros, durable: u64) -> bool {
         let mut not_durable = self.sends.range(durable + 1..);
         let Some((_, oldest)) = not_durable.next() else {
             return self.is_stalled(durable);
--- a/crates/intent-log/src/waiting/tests.rs
+++ b/crates/intent-log/src/waiting/tests.rs
@@ -47,22 +47,22 @@
         sends.push(0, ticket, None, ticket);
     }
     assert!(
-        !sends.is_held_up(2 * SLOW_STORE_THRESHOLD, 0),
+        !sends.should_reject_requests(2 * SLOW_STORE_THRESHOLD, 0),
         "few may wait"
     );
     sends.push(0, 5, None, 5);
     assert!(
-        !sends.is_held_up(SLOW_STORE_THRESHOLD - 1, 0)
-            && sends.is_held_up(SLOW_STORE_THRESHOLD, 0)
-            && !sends.is_held_up(SLOW_STORE_THRESHOLD, 4)
+        !sends.should_reject_requests(SLOW_STORE_THRESHOLD - 1, 0)
+            && sends.should_reject_requests(SLOW_STORE_THRESHOLD, 0)
+            && !sends.should_reject_requests(SLOW_STORE_THRESHOLD, 4)
     );
     assert_eq!(sends.poll(STALL_TIMEOUT, 0).timed_out.len(), 5);
     assert!(
-        sends.is_held_up(STALL_TIMEOUT, 4),
+        sends.should_reject_requests(STALL_TIMEOUT, 4),
         "nothing waits, but it has not written"
     );
     sends.poll(STALL_TIMEOUT, 5);
-    assert!(!sends.is_held_up(STALL_TIMEOUT, 5));
+    assert!(!sends.should_reject_requests(STALL_TIMEOUT, 5));
 }
 
 #[test]
