--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -186,7 +186,7 @@
             class: request.class,
             key: request.key,
             location,
-            known: request.known,
+            known_attempts: request.known,
         };
         let decision = self.intent_log.on_send(now, attempt);
         let write = match decision {
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -49,7 +49,7 @@
 //!     class: 0,
 //!     key: Some("order-17"),
 //!     location: Location { zone: 0, cell: 1 },
-//!     known: &[],
+//!     known_attempts: &[],
 //! };
 //! let SendDecision::AfterWrite(write) = log.on_send(now, attempt) else {
 //!     panic!("an intent has to be durable first")
--- a/crates/intent-log/src/state.rs
+++ b/crates/intent-log/src/state.rs
@@ -94,7 +94,7 @@
     /// Where it is sent.
     pub location: Location,
     /// Attempts of the key that the balancer was told of, the request's own among them.
-    pub known: &'a [PriorAttempt],
+    pub known_attempts: &'a [PriorAttempt],
 }
 
 /// An attempt that has ended.
@@ -271,7 +271,7 @@
         let until = now + class.window + RETENTION_MARGIN;
         let key = stored_key(attempt.class, key);
         if let Some(intent) = self.entries.get(&key) {
-            let is_known = attempt.known.iter().any(|known| {
+            let is_known = attempt.known_attempts.iter().any(|known| {
                 known.since <= intent.since
                     && is_same_scope(scope, intent.location, location_of(known))
             });
@@ -369,14 +369,14 @@
 /// Start of the first attempt at a key, or 0 if attempts go to places that do not drop each other's
 /// repeats.
 fn first_start(scope: Scope, intent: &Intent, attempt: NextAttempt<'_>) -> Micros {
-    let is_elsewhere = attempt.known.iter().any(|known| {
+    let is_elsewhere = attempt.known_attempts.iter().any(|known| {
         known.since == 0 || !is_same_scope(scope, attempt.location, location_of(known))
     });
     if is_elsewhere || !is_same_scope(scope, attempt.location, intent.location) {
         return 0;
     }
     attempt
-        .known
+        .known_attempts
         .iter()
         .map(|known| known.since)
         .fold(intent.since, u64::min)
--- a/crates/intent-log/tests/intents.rs
+++ b/crates/intent-log/tests/intents.rs
@@ -62,13 +62,13 @@
     now: u64,
     key: &str,
     location: Location,
-    known: &[PriorAttempt],
+    known_attempts: &[PriorAttempt],
 ) -> SendDecision {
     let attempt = NextAttempt {
         class: 0,
         key: Some(key),
         location,
-        known,
+        known_attempts,
     };
     log.on_send(now, attempt)
 }
--- a/crates/intent-log/tests/model.rs
+++ b/crates/intent-log/tests/model.rs
@@ -156,7 +156,7 @@
             class: 0,
             key: Some(KEY),
             location: Location { zone: 0, cell },
-            known: &known,
+            known_attempts: &known,
         };
         let decision = self.intent_log(last).on_send(state.now, attempt);
         let SendDecision::AfterWrite(write) = decision else {
