--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -48,7 +48,7 @@
     let age = now_ms().saturating_sub(newest.at_ms) as f64 / 1e3;
     println!(
         "start {}, last begun {age:.1} s ago; {} keys, {} batches",
-        newest.start,
+        newest.start_number,
         found.keys.len(),
         found.last
     );
--- a/crates/gateway/src/intent_durability/recovery.rs
+++ b/crates/gateway/src/intent_durability/recovery.rs
@@ -143,7 +143,7 @@
     tracing::info!(
         "store: life {:016x}, start {}: {}",
         report.identity,
-        report.start,
+        report.start_number,
         describe_status(report, now)
     );
     if report.torn_bytes > 0 {
--- a/crates/gateway/src/recovered_state.rs
+++ b/crates/gateway/src/recovered_state.rs
@@ -33,7 +33,7 @@
         RecoveredState {
             origin: Origin {
                 identity: report.identity,
-                start: report.start,
+                start: report.start_number,
             },
             is_complete: matches!(report.status, RecoveryStatus::Whole),
             voter_identity: store
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -28,7 +28,7 @@
     /// Position in the order of all segments.
     pub number: u64,
     /// How often the store had been opened, this time included.
-    pub start: u64,
+    pub start_number: u64,
     /// Whether it is a snapshot of all keys up to `after`, or a log of the batches behind it.
     pub snapshot: bool,
     /// Number of the last batch before it.
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -53,7 +53,7 @@
     /// whole. Earlier writes may be missing.
     pub complete_since_ms: u64,
     /// Number of times that the store was opened, this one included.
-    pub start: u64,
+    pub start_number: u64,
     /// Time at which the last segment was begun, in Unix milliseconds.
     pub last_segment_at_ms: u64,
     /// Number of live keys.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -143,7 +143,7 @@
             status,
             identity: identity.id,
             complete_since_ms: identity.since_ms,
-            start: recovered.newest.map_or(0, |head| head.start) + 1,
+            start_number: recovered.newest.map_or(0, |head| head.start_number) + 1,
             last_segment_at_ms: recovered.newest.map_or(0, |head| head.at_ms),
             keys: recovered.keys.len(),
             torn_bytes: recovered.torn_bytes,
@@ -151,7 +151,7 @@
         let head = Head {
             identity: recovered.newest.map_or(random, |head| head.identity),
             number: recovery::highest_segment_number(&names),
-            start: report.start,
+            start_number: report.start_number,
             snapshot: false,
             after: recovered.last,
             acknowledged: recovered.last,
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -314,7 +314,7 @@
     };
     let (mut store, report) = open(NOW).unwrap();
     assert_eq!(
-        (report.status, report.start, report.complete_since_ms),
+        (report.status, report.start_number, report.complete_since_ms),
         (RecoveryStatus::New, 1, NOW)
     );
     put(&mut store, "a");
@@ -333,7 +333,7 @@
     copy(&original, &backup);
     let (mut store, report) = open(NOW + 1).unwrap();
     assert_eq!(
-        (report.status, report.start, report.complete_since_ms),
+        (report.status, report.start_number, report.complete_since_ms),
         (RecoveryStatus::Whole, 2, NOW)
     );
     put(&mut store, "b");
