--- a/crates/intent-log/src/entry.rs
+++ b/crates/intent-log/src/entry.rs
@@ -1,50 +1,51 @@
-//! An intent, and its key and bytes in the store.
+//! The intent of a request, and the key and the bytes under which it is stored.
 //!
-//! Bytes are postcard's: the order of fields is the format and must not change. Names are free.
+//! Intents are encoded with postcard, so the order of fields is part of the stored format and must
+//! not change. Field names are not stored.
 
 use serde::{Deserialize, Serialize};
 
-/// Where a request may run. Engines drop repeats of a key within a zone or a cell, by the scope of
-/// the request's class.
+/// The zone and the cell of an engine to which a request was sent. Engines drop repeats of an
+/// idempotency key within a zone or within a cell, depending on the scope of the request's class.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Location {
-    /// Zone of the engine.
+    /// Number of the engine's zone in the endpoint list.
     pub zone: u32,
-    /// Cell of the engine.
+    /// Number of the engine's cell in the endpoint list.
     pub cell: u32,
 }
 
-/// What is known of a key of a class.
+/// What the gateway remembers of the attempts of one idempotency key in one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Intent {
-    /// Start of its first attempt that may have run, in Unix microseconds. 0 where that is not
-    /// known or where it may have run at several places: no engine can be relied on to drop a
-    /// repeat then.
+    /// Start of the first attempt that may have run, in Unix microseconds. 0 if the start is not
+    /// known, or if attempts may have run in several locations: in both cases no engine can be
+    /// relied on to drop a repeat.
     pub since: u64,
-    /// Where the first attempt was sent.
+    /// The location to which the first attempt was sent.
     pub location: Location,
-    /// Attempts that have not ended.
+    /// Number of attempts that have been sent and have not ended.
     pub in_flight: u32,
-    /// Whether an attempt that has ended may have run.
+    /// Whether any of the attempts that have ended may have run.
     pub may_have_run: bool,
-    /// Unix microseconds after which it is dropped, unless an attempt is in flight.
+    /// Time in Unix microseconds after which the intent is dropped, unless an attempt is in flight.
     pub until: u64,
 }
 
-/// Prefix of intents among the keys of the store.
+/// Prefix of the store keys of intents; other data in the store has other prefixes.
 const PREFIX: &[u8] = b"i";
-/// Length of a client's key that is stored as a number.
+/// An idempotency key of this many hexadecimal digits is stored as a 128-bit number.
 const HEX_KEY_LENGTH: usize = 32;
 
-/// Prefix of intents among the keys of the store.
+/// Prefix that the store keys of all intents begin with.
 pub fn prefix() -> &'static [u8] {
     PREFIX
 }
 
-/// Key of an intent in the store: the prefix, the class, and the client's key. A key of 32
-/// hexadecimal digits takes 16 bytes.
+/// Store key of an intent: the prefix, the index of the class in big endian, and the client's
+/// idempotency key. An idempotency key of 32 hexadecimal digits takes 16 bytes.
 pub fn stored_key(class: usize, key: &str) -> Vec<u8> {
     let mut bytes = PREFIX.to_vec();
     bytes.extend_from_slice(&(class as u16).to_be_bytes());
@@ -57,16 +58,16 @@
     bytes
 }
 
-/// Bytes of an intent in the store.
+/// Encodes an intent for the store.
 pub fn to_bytes(intent: &Intent) -> Vec<u8> {
-    // Serialization of plain numbers does not fail.
+    // Encoding fixed-size fields into a growing buffer can't fail.
     postcard::to_stdvec(intent).unwrap_or_default()
 }
 
-/// Reads an intent from the store; `None` where the bytes are not exactly one intent.
+/// Decodes an intent from the store. Returns `None` if the bytes are not exactly one intent.
 pub fn from_bytes(bytes: &[u8]) -> Option<Intent> {
     postcard::take_from_bytes(bytes)
         .ok()
-        .filter(|(_, rest)| rest.is_empty())
+        .filter(|(_, remainder)| remainder.is_empty())
         .map(|(intent, _)| intent)
 }
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -1,19 +1,22 @@
-//! Intents: which keyed requests a gateway may have sent, where and since when, across its
-//! restarts.
+//! The intent log of a gateway: which requests with an idempotency key it may have sent to an
+//! engine, to which zone and cell, and since when. It survives restarts of the gateway.
 //!
-//! The package does no I/O: time and requests go in; writes and verdicts come out. The gateway
-//! makes an intent durable before the first byte of its request goes to an engine. For each request
-//! that arrives it asks what of it may have run before, and tells the balancer, which decides.
+//! The gateway makes an intent durable before it sends the first byte of the request to an engine.
+//! When a request arrives, the gateway looks up which attempts of the same key may have run before
+//! and passes them to the balancer, which decides where the request may still be sent.
 //!
-//! State and its owner:
+//! The package does no I/O: it takes the time and the requests as arguments and returns decisions
+//! and the writes that the store has to make durable.
 //!
-//! - [`state`]: [`IntentLog`], the intents in memory, and what may be sent;
-//! - [`waiting`]: [`waiting::PendingSends`], the sends that wait for a write or a claim;
-//! - [`entry`]: an intent as the store holds it.
+//! Modules:
 //!
-//! Bounds: [`Limits::entries`] keys, each for the window of its class and
-//! [`state::RETENTION_MARGIN`] more after its last attempt. A full log rejects new keys; it forgets
-//! none early.
+//! - [`state`]: [`IntentLog`] keeps the intents in memory and decides what may be sent;
+//! - [`waiting`]: [`waiting::PendingSends`] keeps the sends that wait for a write or a claim;
+//! - [`entry`]: the stored form of an intent.
+//!
+//! Memory is bounded by [`Limits::entries`] keys. Each is retained for the window of its class plus
+//! [`state::RETENTION_MARGIN`] after its last attempt. When the log is full, it rejects requests
+//! with new keys and does not drop any key early.
 //!
 //! ```
 //! use eideryard::interface::{Class, Effect, Scope};
@@ -52,7 +55,7 @@
 //!     known_attempts: &[],
 //! };
 //! let SendDecision::AfterWrite(write) = log.on_send(now, attempt) else {
-//!     panic!("an intent has to be durable first")
+//!     panic!("the intent must be durable before the request is sent")
 //! };
 //! assert_eq!(write.intent.map(|intent| intent.in_flight), Some(1));
 //! ```
--- a/crates/intent-log/src/state.rs
+++ b/crates/intent-log/src/state.rs
@@ -1,5 +1,6 @@
-//! The intents in memory, and the decisions on them: what of an arriving request may have run, and
-//! whether a send may go at once, has to wait for a write, or has to be decided anew.
+//! The intents in memory and the decisions made on them: which attempts of an arriving request may
+//! have run before, and whether an attempt may be sent at once, must wait until its intent is
+//! durable, or must go back to the balancer.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,123 +8,127 @@
 
 use crate::entry::{stored_key, Intent, Location};
 
-/// Intents are retained for so much longer than the window of their class: for differences of
-/// clocks, and for work that an engine still does after its last answer.
+/// Time in microseconds for which an intent is retained beyond the window of its class. It covers
+/// clock differences and work that an engine still does after its last answer.
 pub const RETENTION_MARGIN: Micros = 2_000_000;
-/// A send that has waited so long for its write is refused, and no keyed request is accepted until
-/// the store writes again.
+/// A send that has waited this long for its write is refused. No request with an idempotency key is
+/// accepted from then on until the store writes again. In microseconds.
 pub const STALL_TIMEOUT: Micros = 1_000_000;
-/// Earliest retry that is suggested to a client which is refused because of the store.
+/// Delay in microseconds before which a client should not retry a request that was refused because
+/// of the store.
 pub const RETRY_AFTER: Micros = 500_000;
 
-/// A prior attempt of which neither time nor place is known.
+/// Stands for a prior attempt with unknown start and location; `since` 0 means unknown.
 const UNKNOWN_ATTEMPT: PriorAttempt = PriorAttempt {
     zone: 0,
     cell: 0,
     since: 0,
 };
 
-/// Bounds of an [`IntentLog`].
+/// Bounds on the memory of an [`IntentLog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Keys that are held at once.
+    /// Largest number of keys in the log. Requests with further keys are rejected.
     pub entries: usize,
 }
 
-/// Time of which intents may be missing, because the store was not whole or the clock stepped back.
+/// The time span from which intents may be missing, because the store was incomplete or the clock
+/// stepped back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UncertainWindow {
     /// No intent is missing.
     None,
-    /// Intents from before this time may be missing.
+    /// Intents from before this time may be missing, in Unix microseconds.
     Before(Micros),
 }
 
-/// A write that the store is to make durable.
+/// A change of one intent that the store has to make durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IntentWrite {
-    /// Key in the store.
+    /// Store key of the intent, from [`stored_key`].
     pub key: Vec<u8>,
-    /// The intent; `None` to remove the key.
+    /// The new value of the intent; `None` removes the key.
     pub intent: Option<Intent>,
 }
 
-/// Why a keyed request is not accepted now.
+/// Why a request with an idempotency key is not accepted now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IntentError {
-    /// All entries are in use.
-    #[error("ledger full")]
+    /// The log contains [`Limits::entries`] keys already, none of them that of the request.
+    #[error("the intent log is full; retry once older keys have expired")]
     Full,
-    /// The store has not written for [`STALL_TIMEOUT`], or fails.
-    #[error("store stalled")]
+    /// The store has not written for [`STALL_TIMEOUT`], or its writes fail.
+    #[error("the store does not write; retry once it writes again")]
     Stalled,
 }
 
-/// What a send needs before it may go.
+/// What has to happen before an attempt may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendDecision {
-    /// Nothing: requests of its class are not tracked.
+    /// Nothing: it may be sent now. Requests of its class are not tracked.
     Immediate,
-    /// This write has to be durable.
+    /// The store has to make this write durable.
     AfterWrite(IntentWrite),
-    /// Another request of the key may have run since the balancer was told of prior attempts; it
-    /// has to be told of this one first.
+    /// An attempt that the balancer does not know of may have run, for example one of another
+    /// request with the same key. The balancer has to decide again with this attempt in view.
     PriorAttemptFound(PriorAttempt),
 }
 
-/// A request that arrives.
+/// A request that has arrived from a client.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingRequest<'a> {
-    /// Its class.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// The client's key, if it has one.
+    /// Idempotency key that the client chose; `None` if the request has none.
     pub key: Option<&'a str>,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Whether writes to the store fail or are held up.
+    /// Whether writes to the store fail or are delayed.
     pub is_store_failing: bool,
 }
 
-/// An attempt that is to be sent.
+/// An attempt that the balancer wants to send.
 #[derive(Clone, Copy, Debug)]
 pub struct NextAttempt<'a> {
-    /// Class of its request.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// The client's key, if it has one.
+    /// Idempotency key that the client chose; `None` if the request has none.
     pub key: Option<&'a str>,
-    /// Where it is sent.
+    /// Location of the engine to which the attempt is to be sent.
     pub location: Location,
-    /// Attempts of the key that the balancer was told of, the request's own among them.
+    /// Earlier attempts of the key that the balancer already knows of, including those of the same
+    /// request.
     pub known_attempts: &'a [PriorAttempt],
 }
 
-/// An attempt that has ended.
+/// An attempt that has been answered, has failed or was given up.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt<'a> {
-    /// Class of its request.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// The client's key, if it has one.
+    /// Idempotency key that the client chose; `None` if the request has none.
     pub key: Option<&'a str>,
-    /// Whether it is known that it did not run.
+    /// Whether it is certain that the engine did not run the attempt.
     pub never_ran: bool,
 }
 
-/// The intents of a gateway. It owns them in memory; the store has those that were written.
+/// All intents of a gateway, in memory. The caller keeps a copy of them in the store.
 pub struct IntentLog {
     limits: Limits,
     classes: Vec<Class>,
     entries: HashMap<Vec<u8>, Intent>,
-    /// All keys, by the time at which they may be dropped.
+    /// All keys, ordered by the time at which they may be dropped.
     expiry: BTreeSet<(Micros, Vec<u8>)>,
-    uncertain: UncertainWindow,
+    uncertain_window: UncertainWindow,
 }
 
-/// Whether intents of a class are tracked.
+/// Whether attempts of a class are recorded as intents. Idempotent requests may be repeated without
+/// harm, so theirs are not.
 pub fn is_tracked(class: &Class) -> bool {
     class.effect != Effect::Idempotent
 }
 
-/// Longest window of the tracked classes, with the margin.
+/// The longest time for which any tracked class retains an intent.
 fn longest_retention(classes: &[Class]) -> Micros {
     let longest_window = classes
         .iter()
@@ -133,7 +138,7 @@
     longest_window.unwrap_or(0) + RETENTION_MARGIN
 }
 
-/// Whether engines at `location` drop repeats of what ran at `other`.
+/// Whether engines at `location` drop repeats of requests that ran at `other`.
 fn is_same_scope(scope: Scope, location: Location, other: Location) -> bool {
     match scope {
         Scope::All => true,
@@ -158,8 +163,8 @@
 }
 
 impl IntentLog {
-    /// The intents that a store held, at the start of a gateway. `complete_since` is the time since
-    /// which the store holds all intents.
+    /// Restores the log when a gateway starts. `stored` are the intents found in the store, and
+    /// `complete_since` is the Unix time in microseconds since which the store has lost no intent.
     pub fn restore(
         limits: Limits,
         classes: Vec<Class>,
@@ -169,7 +174,7 @@
     ) -> Self {
         let retention = longest_retention(&classes);
         let complete_since = complete_since.min(now);
-        let uncertain = if complete_since + retention > now {
+        let uncertain_window = if complete_since + retention > now {
             UncertainWindow::Before(complete_since)
         } else {
             UncertainWindow::None
@@ -179,16 +184,17 @@
             classes,
             entries: HashMap::new(),
             expiry: BTreeSet::new(),
-            uncertain,
+            uncertain_window,
         };
         for (key, mut intent) in stored {
-            // Attempts in flight ended with the process that sent them, but may go on at an engine:
-            // they are taken to end now.
+            // Attempts that were in flight ended with the process that sent them, but an engine may
+            // still work on them. They are treated as if they ended now.
             if std::mem::take(&mut intent.in_flight) > 0 {
                 intent.may_have_run = true;
                 intent.until = intent.until.max(now + retention);
             }
-            // The clock stepped back: neither the intent's age is known nor when engines forget it.
+            // The clock stepped back, so neither the age of the intent is known nor the time at
+            // which engines forget its key.
             if intent.since > now {
                 intent.since = 0;
                 intent.until = now + retention;
@@ -199,17 +205,17 @@
         log
     }
 
-    /// Number of keys that are held.
+    /// Number of keys in the log.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is held.
+    /// Whether the log contains no key.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether intents of this class are tracked.
+    /// Whether attempts of this class are recorded as intents; `false` for an unknown class.
     pub fn is_tracked_class(&self, class: usize) -> bool {
         self.tracked_class(class).is_some()
     }
@@ -218,13 +224,17 @@
         self.classes.get(class).filter(|class| is_tracked(class))
     }
 
-    /// Time of which intents may be missing.
+    /// The time span from which intents may be missing.
     pub fn uncertain_window(&self) -> UncertainWindow {
-        self.uncertain
+        self.uncertain_window
     }
 
-    /// Attempts of an arriving request's key that may have run before, for the balancer; or why the
-    /// request is not accepted now.
+    /// Returns the attempts with the key of an arriving request that may have run before, for the
+    /// balancer.
+    ///
+    /// # Errors
+    ///
+    /// If the request can't be accepted now: the log is full, or the store does not write.
     pub fn on_request(
         &mut self,
         now: Micros,
@@ -242,8 +252,8 @@
         if self.entries.len() >= self.limits.entries {
             return Err(IntentError::Full);
         }
-        // An unknown retry may have run anywhere, where its intent may be missing. That does no
-        // harm if all engines drop repeats.
+        // A retry without an intent may have run at any engine if its intent may be missing. That
+        // does no harm if all engines drop repeats.
         let all_engines_drop_repeats =
             class.effect == Effect::IdempotentWithKey && class.scope == Scope::All;
         if request.is_retry && self.may_be_missing(now, class) && !all_engines_drop_repeats {
@@ -252,17 +262,19 @@
         Ok(Vec::new())
     }
 
-    /// Whether an intent of a class that is still in its window may be missing.
+    /// Whether an intent of this class may be missing although its window has not ended.
     fn may_be_missing(&self, now: Micros, class: &Class) -> bool {
-        match self.uncertain {
+        match self.uncertain_window {
             UncertainWindow::Before(time) => now < time + class.window + RETENTION_MARGIN,
             UncertainWindow::None => false,
         }
     }
 
-    /// Decides what an attempt needs before it may be sent, and counts it as in flight if that is a
-    /// write. An attempt of a key that is durable already waits as well: it may take effect later
-    /// than the first one, so the intent has to be retained for longer.
+    /// Decides what has to happen before an attempt may be sent. If the decision is
+    /// [`SendDecision::AfterWrite`], the attempt counts as in flight from now on.
+    ///
+    /// An attempt waits for a write even if an intent of its key is durable already: it may take
+    /// effect later than the first attempt, so the intent has to be retained for longer.
     pub fn on_send(&mut self, now: Micros, attempt: NextAttempt<'_>) -> SendDecision {
         let (Some(class), Some(key)) = (self.tracked_class(attempt.class), attempt.key) else {
             return SendDecision::Immediate;
@@ -271,11 +283,11 @@
         let until = now + class.window + RETENTION_MARGIN;
         let key = stored_key(attempt.class, key);
         if let Some(intent) = self.entries.get(&key) {
-            let is_known = attempt.known_attempts.iter().any(|known| {
+            let is_known_to_balancer = attempt.known_attempts.iter().any(|known| {
                 known.since <= intent.since
                     && is_same_scope(scope, intent.location, location_of(known))
             });
-            if !is_known {
+            if !is_known_to_balancer {
                 return SendDecision::PriorAttemptFound(prior_attempt(intent));
             }
         }
@@ -288,26 +300,26 @@
         };
         let intent = self.entries.entry(key.clone()).or_insert(new_intent);
         let previous = *intent;
-        intent.since = first_start(scope, &previous, attempt);
+        intent.since = earliest_start(scope, &previous, attempt);
         intent.in_flight += 1;
         intent.until = previous.until.max(until);
         let intent = *intent;
-        self.move_expiry(previous.until, intent.until, &key);
+        self.update_expiry(previous.until, intent.until, &key);
         SendDecision::AfterWrite(IntentWrite {
             key,
             intent: Some(intent),
         })
     }
 
-    fn move_expiry(&mut self, previous: Micros, until: Micros, key: &[u8]) {
+    fn update_expiry(&mut self, previous: Micros, until: Micros, key: &[u8]) {
         if previous != until {
             self.expiry.remove(&(previous, key.to_vec()));
             self.expiry.insert((until, key.to_vec()));
         }
     }
 
-    /// An attempt has ended. An intent of which no attempt ran is removed. The send does not wait
-    /// for the returned write.
+    /// Records that an attempt has ended, and removes the intent if no attempt of its key can have
+    /// run. Nothing has to wait for the returned write.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -326,14 +338,14 @@
         }
         intent.until = previous.until.max(now + window + RETENTION_MARGIN);
         let intent = *intent;
-        self.move_expiry(previous.until, intent.until, &key);
+        self.update_expiry(previous.until, intent.until, &key);
         Some(IntentWrite {
             key,
             intent: Some(intent),
         })
     }
 
-    /// Drops intents that have expired, and returns the removals for the store.
+    /// Drops intents that have expired and returns their removals, which the store has to write.
     pub fn expire(&mut self, now: Micros) -> Vec<IntentWrite> {
         let mut removals = Vec::new();
         while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
@@ -341,7 +353,7 @@
                 break;
             };
             match self.entries.get_mut(&key) {
-                // With an attempt in flight it is examined again later.
+                // The key can't be dropped while an attempt is in flight; check again later.
                 Some(intent) if intent.in_flight > 0 => {
                     intent.until = until + RETENTION_MARGIN;
                     self.expiry.insert((intent.until, key));
@@ -352,27 +364,28 @@
                 }
             }
         }
-        if let UncertainWindow::Before(time) = self.uncertain {
+        if let UncertainWindow::Before(time) = self.uncertain_window {
             if now >= time + longest_retention(&self.classes) {
-                self.uncertain = UncertainWindow::None;
+                self.uncertain_window = UncertainWindow::None;
             }
         }
         removals
     }
 
-    /// When [`IntentLog::expire`] has something to do.
+    /// Unix time in microseconds at which [`IntentLog::expire`] should be called next; `None` if
+    /// the log is empty.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.expiry.first().map(|(until, _)| *until)
     }
 }
 
-/// Start of the first attempt at a key, or 0 if attempts go to places that do not drop each other's
-/// repeats.
-fn first_start(scope: Scope, intent: &Intent, attempt: NextAttempt<'_>) -> Micros {
-    let is_elsewhere = attempt.known_attempts.iter().any(|known| {
+/// Start of the earliest attempt of a key, or 0 if its attempts go to locations that don't drop
+/// each other's repeats.
+fn earliest_start(scope: Scope, intent: &Intent, attempt: NextAttempt<'_>) -> Micros {
+    let may_run_in_other_scope = attempt.known_attempts.iter().any(|known| {
         known.since == 0 || !is_same_scope(scope, attempt.location, location_of(known))
     });
-    if is_elsewhere || !is_same_scope(scope, attempt.location, intent.location) {
+    if may_run_in_other_scope || !is_same_scope(scope, attempt.location, intent.location) {
         return 0;
     }
     attempt
--- a/crates/intent-log/src/waiting.rs
+++ b/crates/intent-log/src/waiting.rs
@@ -1,6 +1,6 @@
-//! Sends that wait for their intent to be durable, and for a claim to be granted where the gateway
-//! shares its intents with others. Decides which are ready, which have timed out, and whether
-//! further requests may be accepted.
+//! Sends that wait until their intent is durable and, if the gateway shares its intents with a
+//! fleet, until their claim is granted. Decides which sends are ready, which have timed out, and
+//! whether further requests have to be rejected.
 
 use std::collections::BTreeMap;
 
@@ -8,46 +8,48 @@
 
 use crate::state::STALL_TIMEOUT;
 
-/// Once the oldest send has waited for the store for so long, [`MAX_SLOW_SENDS`] applies.
+/// The store counts as slow once the oldest send has waited for it this long, in microseconds.
+/// [`MAX_SLOW_SENDS`] applies then.
 const SLOW_STORE_THRESHOLD: Micros = 100_000;
-/// Sends that may wait for a slow store. They hold capacity of engines that others could use.
+/// Number of sends that may wait for a slow store. Each occupies capacity of an engine that other
+/// requests could use.
 const MAX_SLOW_SENDS: usize = 4;
-/// A send that waited may go only until so long before the window of a prior attempt ends: it takes
-/// time to reach its engine.
+/// A send that has waited must leave at least this long before the window of a prior attempt ends,
+/// because it takes time to reach its engine. In microseconds.
 const DELIVERY_MARGIN: Micros = 100_000;
 
-/// A send that waits.
+/// A send that waits for its write or its claim.
 struct PendingSend<T> {
     queued_at: Micros,
-    /// The claim that has to be granted.
+    /// Number of the claim that has to be granted; `None` if there is none or it was granted.
     claim: Option<u64>,
     payload: T,
 }
 
-/// Why a send that waited is refused.
+/// What a send waited for when it timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeoutReason {
-    /// The store has not written its intent, or this process was stopped for too long.
+    /// The store has not written the intent in time, or this process was stopped for too long.
     Store,
-    /// Its claim has no verdict.
+    /// The claim was neither granted nor denied in time.
     Claim,
 }
 
-/// What has become of sends that waited.
+/// The sends that no longer wait.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PollResult<T> {
-    /// May be sent now.
+    /// Payloads of the sends that may be sent now.
     pub ready: Vec<T>,
-    /// Are to be refused.
+    /// Payloads of the sends that have to be refused, with the reason.
     pub timed_out: Vec<(T, TimeoutReason)>,
 }
 
-/// Sends that wait, by the tickets of their writes, which increase with time.
+/// All waiting sends, ordered by the tickets of their writes. Tickets increase with time.
 pub struct PendingSends<T> {
     sends: BTreeMap<u64, PendingSend<T>>,
-    /// Tickets of sends by the claim that they wait for.
-    tickets: BTreeMap<u64, u64>,
-    /// A send has timed out waiting for this ticket: until it is durable, no request is accepted.
+    /// Tickets of the sends that wait for a claim, by the number of the claim.
+    ticket_by_claim: BTreeMap<u64, u64>,
+    /// Highest ticket for which a send has timed out. No request is accepted until it is durable.
     stalled_ticket: Option<u64>,
 }
 
@@ -55,17 +57,17 @@
     fn default() -> Self {
         PendingSends {
             sends: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            ticket_by_claim: BTreeMap::new(),
             stalled_ticket: None,
         }
     }
 }
 
 impl<T> PendingSends<T> {
-    /// Adds a send that waits for the write with this ticket, and for a claim if there is one.
+    /// Adds a send that waits for the write with this ticket and for `claim`, if it has one.
     pub fn push(&mut self, now: Micros, ticket: u64, claim: Option<u64>, payload: T) {
         if let Some(claim) = claim {
-            self.tickets.insert(claim, ticket);
+            self.ticket_by_claim.insert(claim, ticket);
         }
         let send = PendingSend {
             queued_at: now,
@@ -75,7 +77,7 @@
         self.sends.insert(ticket, send);
     }
 
-    /// Number of sends that wait.
+    /// Number of waiting sends.
     pub fn len(&self) -> usize {
         self.sends.len()
     }
@@ -85,9 +87,9 @@
         self.sends.is_empty()
     }
 
-    /// A claim is granted: its send waits for the store only.
+    /// Records that a claim was granted. Its send waits only for the store from now on.
     pub fn on_claim_granted(&mut self, claim: u64) {
-        let Some(ticket) = self.tickets.remove(&claim) else {
+        let Some(ticket) = self.ticket_by_claim.remove(&claim) else {
             return;
         };
         if let Some(send) = self.sends.get_mut(&ticket) {
@@ -95,15 +97,18 @@
         }
     }
 
-    /// Removes the send that waits for a claim, as the claim is not granted.
+    /// Removes and returns the send of a claim that was denied; `None` if no send waits for it.
     pub fn take_by_claim(&mut self, claim: u64) -> Option<T> {
-        let ticket = self.tickets.remove(&claim)?;
+        let ticket = self.ticket_by_claim.remove(&claim)?;
         self.sends.remove(&ticket).map(|send| send.payload)
     }
 
-    /// Removes sends that are durable and granted, and those that have timed out. A send that is
-    /// past its timeout does not go, though it could now: if this process was stopped, others may
-    /// have been told in the meantime that the send would never go.
+    /// Removes and returns the sends that are durable and granted, and those that have timed out.
+    /// `durable` is the last ticket that is durable.
+    ///
+    /// A send past its timeout is refused even if it is durable and granted by now. If this process
+    /// was stopped for a while, other gateways may have been informed in the meantime that the
+    /// attempt will never be sent.
     pub fn poll(&mut self, now: Micros, durable: u64) -> PollResult<T> {
         self.stalled_ticket.take_if(|ticket| *ticket <= durable);
         PollResult {
@@ -120,7 +125,7 @@
             }
             let (ticket, send) = first.remove_entry();
             if let Some(claim) = send.claim {
-                self.tickets.remove(&claim);
+                self.ticket_by_claim.remove(&claim);
             }
             let is_durable = ticket <= durable;
             if !is_durable {
@@ -150,8 +155,9 @@
             .collect()
     }
 
-    /// Whether no further request may be accepted: the store has not written for too long, or is
-    /// slow and enough sends wait for it already.
+    /// Whether further requests have to be rejected: the store has not written for
+    /// [`STALL_TIMEOUT`], or it is slow and enough sends wait for it already. `durable` is the last
+    /// ticket that is durable.
     pub fn should_reject_requests(&self, now: Micros, durable: u64) -> bool {
         let mut not_durable = self.sends.range(durable + 1..);
         let Some((_, oldest)) = not_durable.next() else {
@@ -167,7 +173,8 @@
         self.stalled_ticket.is_some_and(|ticket| ticket > durable)
     }
 
-    /// When [`PendingSends::poll`] has something to do without any news.
+    /// Time at which [`PendingSends::poll`] should be called if no write or claim completes before;
+    /// `None` if no send waits.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.sends
             .values()
@@ -176,7 +183,8 @@
     }
 }
 
-/// Whether a send that waited still reaches its engine within the window of all prior attempts.
+/// Whether a send that has waited will still reach its engine within the window of every known
+/// prior attempt.
 pub fn is_within_window(now: Micros, window: Micros, known: &[PriorAttempt]) -> bool {
     known
         .iter()
--- a/crates/intent-log/src/waiting/tests.rs
+++ b/crates/intent-log/src/waiting/tests.rs
@@ -1,4 +1,4 @@
-//! Sends that wait for the store and for claims.
+//! Tests of sends that wait for the store and for claims.
 
 use super::*;
 
@@ -15,7 +15,7 @@
     assert_eq!(
         sends.poll(40, 1).ready,
         Vec::<&str>::new(),
-        "it is granted, not durable"
+        "the claim is granted, but the write is not durable"
     );
     assert_eq!(sends.take_by_claim(9), Some("not granted"));
     assert_eq!(
@@ -25,7 +25,7 @@
             timed_out: vec![]
         }
     );
-    // Granted and durable, but polled too late.
+    // Claim 8 is granted and ticket 3 durable, but the send has passed its timeout.
     sends.on_claim_granted(8);
     let late = sends.poll(10 + STALL_TIMEOUT, 4);
     assert_eq!(
@@ -37,18 +37,20 @@
         sends.poll(100 + STALL_TIMEOUT, 5).timed_out,
         [("unanswered", TimeoutReason::Claim)]
     );
-    assert!(sends.is_empty() && sends.tickets.is_empty() && sends.next_deadline().is_none());
+    assert!(
+        sends.is_empty() && sends.ticket_by_claim.is_empty() && sends.next_deadline().is_none()
+    );
 }
 
 #[test]
-fn a_slow_store_holds_up_all_but_a_few_and_a_stalled_one_all_until_it_writes() {
+fn a_slow_store_accepts_a_few_sends_and_a_stalled_one_none_until_it_writes() {
     let mut sends = PendingSends::default();
     for ticket in 1..=4 {
         sends.push(0, ticket, None, ticket);
     }
     assert!(
         !sends.should_reject_requests(2 * SLOW_STORE_THRESHOLD, 0),
-        "few may wait"
+        "no more sends than may wait for a slow store"
     );
     sends.push(0, 5, None, 5);
     assert!(
@@ -59,14 +61,14 @@
     assert_eq!(sends.poll(STALL_TIMEOUT, 0).timed_out.len(), 5);
     assert!(
         sends.should_reject_requests(STALL_TIMEOUT, 4),
-        "nothing waits, but it has not written"
+        "no send waits, but the store has not written the stalled ticket"
     );
     sends.poll(STALL_TIMEOUT, 5);
     assert!(!sends.should_reject_requests(STALL_TIMEOUT, 5));
 }
 
 #[test]
-fn a_send_goes_only_if_it_reaches_its_engine_within_the_window() {
+fn a_send_that_waited_must_reach_its_engine_within_the_window() {
     let attempt = PriorAttempt {
         zone: 0,
         cell: 0,
--- a/crates/intent-log/tests/intents.rs
+++ b/crates/intent-log/tests/intents.rs
@@ -1,4 +1,5 @@
-//! What an intent log restores, remembers, rejects and forgets.
+//! Tests of the intent log: restoring from the store, prior attempts of retries, the limit of
+//! entries, and expiry.
 
 use eideryard::interface::{Class, Effect, PriorAttempt, Scope};
 use eideryard_intent_log::state::{EndedAttempt, IncomingRequest, NextAttempt};
@@ -9,7 +10,7 @@
 const KEY: &str = "00000000000000000000000000000abc";
 const OTHER_KEY: &str = "00000000000000000000000000000def";
 const THIRD_KEY: &str = "00000000000000000000000000000123";
-/// The store has held all intents for long.
+/// A `complete_since` so early that no intent within any window can be missing.
 const LONG_AGO: u64 = 0;
 
 fn class() -> Class {
@@ -45,7 +46,7 @@
     IntentLog::restore(limits, vec![class()], stored, complete_since, NOW)
 }
 
-/// The first prior attempt's start, of a retry of a key.
+/// Start of the first prior attempt that is reported for a retry of a key.
 fn prior_start(log: &mut IntentLog, key: &str) -> Result<Option<u64>, IntentError> {
     let request = IncomingRequest {
         class: 0,
@@ -82,14 +83,14 @@
 }
 
 #[test]
-fn an_intent_in_flight_at_a_crash_is_retained_for_a_whole_window() {
+fn an_intent_in_flight_at_a_crash_is_retained_for_a_full_window_after_the_restart() {
     let mut log = restored(stored_intent(NOW - 9, 1), LONG_AGO);
     assert!(log.expire(NOW + WINDOW).is_empty());
     assert_eq!(log.expire(NOW + 2 * WINDOW).len(), 1);
 }
 
 #[test]
-fn an_unknown_retry_may_have_run_only_if_the_store_is_younger_than_the_window() {
+fn a_retry_without_an_intent_may_have_run_only_if_the_store_is_younger_than_the_window() {
     let mut log = restored(stored_intent(NOW - 9, 0), NOW - 5);
     assert_eq!(prior_start(&mut log, OTHER_KEY), Ok(Some(0)));
     let mut log = restored(stored_intent(NOW - 9, 0), LONG_AGO);
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn a_full_log_rejects_new_keys_and_forgets_none() {
+fn a_full_log_rejects_new_keys_and_drops_none() {
     let mut log = restored(stored_intent(NOW - 9, 0), LONG_AGO);
     let decision = send(&mut log, NOW, OTHER_KEY, Location::default(), &[]);
     assert!(matches!(decision, SendDecision::AfterWrite(_)));
@@ -120,13 +121,13 @@
 }
 
 #[test]
-fn an_intent_is_read_as_it_was_written() {
+fn an_encoded_intent_decodes_to_the_same_intent() {
     let intent = stored_intent(5, 0);
     assert_eq!(entry::from_bytes(&entry::to_bytes(&intent)), Some(intent));
 }
 
 #[test]
-fn a_second_request_of_a_key_learns_of_the_first_before_it_is_sent() {
+fn a_second_request_with_a_key_is_not_sent_before_the_balancer_knows_of_the_first() {
     let now = 100_000_000;
     let limits = Limits { entries: 9 };
     let mut log = IntentLog::restore(limits, vec![class()], std::iter::empty(), LONG_AGO, now);
@@ -137,7 +138,7 @@
         is_retry: false,
         is_store_failing: false,
     };
-    // Both arrive before either is sent.
+    // Both requests arrive before either is sent, so neither has a prior attempt yet.
     assert_eq!(log.on_request(now, request), Ok(Vec::new()));
     assert_eq!(log.on_request(now, request), Ok(Vec::new()));
     let decision = send(&mut log, now, KEY, cell(1), &[]);
@@ -153,7 +154,7 @@
     }
     let decision = send(&mut log, now + 5, KEY, cell(1), &[first]);
     let SendDecision::AfterWrite(write) = decision else {
-        panic!("the first attempt is known: {decision:?}")
+        panic!("the balancer knows of the first attempt, so only a write is needed: {decision:?}")
     };
     let intent = write.intent.expect("an intent");
     assert_eq!((intent.since, intent.in_flight), (now, 2));
--- a/crates/intent-log/tests/model.rs
+++ b/crates/intent-log/tests/model.rs
@@ -1,9 +1,9 @@
-//! Model check of intent, send, crash, restart and retry, to a stated depth: with the real intent
-//! log no key takes effect twice; where a send does not wait for the disk, the check finds that one
-//! does.
+//! Model check of intents, sends, crashes, restarts and retries, to a depth of [`DEPTH`] steps. With
+//! the production intent log, no key takes effect twice. With an injected bug, in which a send does
+//! not wait for the disk, the check must find a key that does.
 //!
-//! The model: one gateway with its store, two engines in cells of their own that each drop repeats
-//! of a key, one client that retries its key. All orders of their steps are tried.
+//! The model has one gateway with its store, two engines in different cells that each drop repeats
+//! of a key, and one client that retries its key. All orders of their steps are explored.
 
 use std::collections::BTreeMap;
 
@@ -36,45 +36,45 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// The client sends its request, first or again.
+    /// The client sends its request, for the first time or as a retry.
     Request,
-    /// The gateway sends to an engine that the rules allow.
+    /// The gateway sends the request to the engine of this cell, if the balancer's rule allows it.
     Send(u32),
-    /// The disk flushes all that was written.
+    /// The disk makes all writes durable.
     Flush,
-    /// A command arrives at its engine, which runs it.
+    /// A command arrives at the engine of this cell, which runs it unless it is a repeat.
     Run(u32),
     /// The client stops waiting.
     GiveUp,
-    /// The process is killed and restarts; what was not flushed is lost.
+    /// The gateway's process is killed and restarts; writes that were not flushed are lost.
     Crash,
 }
 
-/// State of the model. The intent log has no other state than its entries, so it is rebuilt from
-/// them for each step.
+/// State of the model. The intent log has no state besides its entries, so each step rebuilds it
+/// from them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    /// Intents that are durable.
+    /// Durable intents.
     disk: BTreeMap<Vec<u8>, Intent>,
-    /// Intents that are written, flushed or not.
+    /// All written intents, durable or not.
     written: BTreeMap<Vec<u8>, Intent>,
-    /// The request at the gateway, with the attempts that may have run before.
+    /// Prior attempts of the request at the gateway; `None` if the gateway has no request.
     request: Option<Vec<PriorRun>>,
-    /// Cells to which the request was sent.
-    sent: Vec<u32>,
+    /// Cells to which the request at the gateway was sent.
+    sent_cells: Vec<u32>,
     /// Cell of the send that waits until its intent is durable.
-    waiting: Option<u32>,
-    /// Cells of commands in flight.
+    waiting_cell: Option<u32>,
+    /// Cells of the commands in flight.
     commands: Vec<u32>,
-    /// Cells whose engine ran the key.
-    ran: Vec<u32>,
+    /// Cells whose engine has run a command of the key.
+    ran_cells: Vec<u32>,
     effects: u8,
     tries: u8,
     crashes: u8,
 }
 
-/// An attempt that may have run before.
+/// A prior attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PriorRun {
     cell: u32,
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Bug {
     None,
-    /// A send does not wait for its write.
+    /// A send does not wait until its write is durable.
     SendBeforeWrite,
 }
 
@@ -105,42 +105,43 @@
         )
     }
 
-    /// The balancer's rule: within the scope of what may have run, and within its window.
+    /// The balancer's rule for a retry: only to the scope in which prior attempts may have run, and
+    /// only within their window.
     fn may_send(&self, state: &State, cell: u32) -> bool {
         let Some(prior) = &state.request else {
             return false;
         };
-        let is_prior_cell = prior
+        let is_only_prior_cell = prior
             .iter()
             .all(|run| run.cell == cell && state.now < run.since + WINDOW);
-        let is_sent_cell = state.sent.iter().all(|sent| *sent == cell);
+        let is_only_sent_cell = state.sent_cells.iter().all(|sent| *sent == cell);
         match self.effect {
-            Effect::NonIdempotent => prior.is_empty() && state.sent.is_empty(),
-            _ => is_prior_cell && is_sent_cell,
+            Effect::NonIdempotent => prior.is_empty() && state.sent_cells.is_empty(),
+            _ => is_only_prior_cell && is_only_sent_cell,
         }
     }
 
-    fn request(&self, last: &State, state: &mut State) -> Option<()> {
+    fn request(&self, previous: &State, state: &mut State) -> Option<()> {
         let request = IncomingRequest {
             class: 0,
             key: Some(KEY),
-            is_retry: last.tries > 0,
+            is_retry: previous.tries > 0,
             is_store_failing: false,
         };
-        let prior = self.intent_log(last).on_request(state.now, request).ok()?;
+        let prior = self.intent_log(previous).on_request(state.now, request).ok()?;
         let prior = prior.iter().map(|attempt| PriorRun {
             cell: attempt.cell,
             since: attempt.since,
         });
         state.request = Some(prior.collect());
-        state.sent.clear();
+        state.sent_cells.clear();
         state.tries += 1;
         Some(())
     }
 
-    fn send(&self, last: &State, state: &mut State, cell: u32) -> Option<()> {
-        let prior = last.request.iter().flatten().copied();
-        let sent = last.sent.iter().map(|cell| PriorRun {
+    fn send(&self, previous: &State, state: &mut State, cell: u32) -> Option<()> {
+        let prior = previous.request.iter().flatten().copied();
+        let sent = previous.sent_cells.iter().map(|cell| PriorRun {
             cell: *cell,
             since: 0,
         });
@@ -158,14 +159,14 @@
             location: Location { zone: 0, cell },
             known_attempts: &known,
         };
-        let decision = self.intent_log(last).on_send(state.now, attempt);
+        let decision = self.intent_log(previous).on_send(state.now, attempt);
         let SendDecision::AfterWrite(write) = decision else {
             return None;
         };
         state.written.insert(write.key, write.intent?);
-        state.sent.push(cell);
+        state.sent_cells.push(cell);
         match self.bug {
-            Bug::None => state.waiting = Some(cell),
+            Bug::None => state.waiting_cell = Some(cell),
             Bug::SendBeforeWrite => state.commands.push(cell),
         }
         Some(())
@@ -174,9 +175,10 @@
     fn run(&self, state: &mut State, cell: u32) -> Option<()> {
         let index = state.commands.iter().position(|sent| *sent == cell)?;
         state.commands.remove(index);
-        // Engines drop repeats of requests with a key, and none of those that are not idempotent.
-        if self.effect == Effect::NonIdempotent || !state.ran.contains(&cell) {
-            state.ran.push(cell);
+        // Engines drop repeats of requests with an idempotency key, but not of requests of classes
+        // that are not idempotent.
+        if self.effect == Effect::NonIdempotent || !state.ran_cells.contains(&cell) {
+            state.ran_cells.push(cell);
             state.effects += 1;
         }
         Some(())
@@ -193,10 +195,10 @@
             disk: BTreeMap::new(),
             written: BTreeMap::new(),
             request: None,
-            sent: Vec::new(),
-            waiting: None,
+            sent_cells: Vec::new(),
+            waiting_cell: None,
             commands: Vec::new(),
-            ran: Vec::new(),
+            ran_cells: Vec::new(),
             effects: 0,
             tries: 0,
             crashes: 0,
@@ -209,7 +211,7 @@
         }
         if state.request.is_some() {
             actions.push(Step::GiveUp);
-            let may_send_more = state.waiting.is_none() && state.sent.len() < 2;
+            let may_send_more = state.waiting_cell.is_none() && state.sent_cells.len() < 2;
             actions.extend(
                 [1, 2]
                     .into_iter()
@@ -217,7 +219,7 @@
                     .map(Step::Send),
             );
         }
-        if state.disk != state.written || state.waiting.is_some() {
+        if state.disk != state.written || state.waiting_cell.is_some() {
             actions.push(Step::Flush);
         }
         actions.extend(state.commands.iter().map(|cell| Step::Run(*cell)));
@@ -226,26 +228,26 @@
         }
     }
 
-    fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let mut state = last.clone();
+    fn next_state(&self, previous: &State, step: Step) -> Option<State> {
+        let mut state = previous.clone();
         state.now += 1_000;
         match step {
-            Step::Request => self.request(last, &mut state)?,
-            Step::Send(cell) => self.send(last, &mut state, cell)?,
+            Step::Request => self.request(previous, &mut state)?,
+            Step::Send(cell) => self.send(previous, &mut state, cell)?,
             Step::Flush => {
                 state.disk = state.written.clone();
-                state.commands.extend(state.waiting.take());
+                state.commands.extend(state.waiting_cell.take());
             }
             Step::Run(cell) => self.run(&mut state, cell)?,
             Step::GiveUp => {
                 state.request = None;
-                state.waiting = None;
+                state.waiting_cell = None;
             }
             Step::Crash => {
                 state.written = state.disk.clone();
                 state.request = None;
-                state.waiting = None;
-                state.sent.clear();
+                state.waiting_cell = None;
+                state.sent_cells.clear();
                 state.crashes += 1;
             }
         }
@@ -254,8 +256,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no effect twice", |_, state: &State| state.effects < 2),
-            Property::sometimes("an effect after a crash", |_, state: &State| {
+            Property::always("no key takes effect twice", |_, state: &State| state.effects < 2),
+            Property::sometimes("a key takes effect after a crash", |_, state: &State| {
                 state.crashes > 0 && state.effects > 0 && state.tries > 1
             }),
         ]
@@ -265,7 +267,7 @@
 const DEPTH: usize = 14;
 
 #[test]
-fn no_order_of_steps_takes_effect_twice() {
+fn no_order_of_steps_makes_a_key_take_effect_twice() {
     for effect in [Effect::IdempotentWithKey, Effect::NonIdempotent] {
         let checker = World {
             effect,
@@ -285,7 +287,7 @@
 }
 
 #[test]
-fn a_send_that_does_not_wait_for_the_disk_is_found_to_take_effect_twice() {
+fn a_send_that_does_not_wait_for_the_disk_makes_a_key_take_effect_twice() {
     for effect in [Effect::IdempotentWithKey, Effect::NonIdempotent] {
         let checker = World {
             effect,
@@ -295,7 +297,9 @@
         .target_max_depth(DEPTH)
         .spawn_bfs()
         .join();
-        let path = checker.discovery("no effect twice").expect("it is found");
+        let path = checker
+            .discovery("no key takes effect twice")
+            .expect("the injected bug is found");
         assert!(path.into_actions().contains(&Step::Crash));
     }
 }
