--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -41,7 +41,7 @@
 /// The store can't be read, or is damaged.
 pub fn check(directory: &Path) -> Result<(), CliError> {
     let found = read(directory)?;
-    let Some(newest) = found.newest else {
+    let Some(newest) = found.newest_header else {
         println!("no store is there: a gateway would begin as a stranger");
         return Ok(());
     };
@@ -50,7 +50,7 @@
         "start {}, last begun {age:.1} s ago; {} keys, {} batches",
         newest.start_number,
         found.keys.len(),
-        found.last
+        found.last_batch
     );
     if found.torn_bytes > 0 {
         println!(
@@ -122,7 +122,7 @@
 ///
 /// There is no store, or it can't be opened or rewritten.
 pub fn compact(directory: &Path) -> Result<(), CliError> {
-    if read(directory)?.newest.is_none() {
+    if read(directory)?.newest_header.is_none() {
         return Err(error(directory, StoreProblem::NoStore));
     }
     let files = Box::new(Directory::new(directory));
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -173,9 +173,9 @@
     /// The live keys.
     pub keys: Keys,
     /// Number of the last batch.
-    pub last: u64,
+    pub last_batch: u64,
     /// Head of the newest segment, if there is one.
-    pub newest: Option<Head>,
+    pub newest_header: Option<Head>,
     /// Where batches are missing, if they are.
     pub damage: Option<Damage>,
     /// Bytes of torn frames at the end of logs.
@@ -249,8 +249,8 @@
     let segments = read_heads(files)?;
     let mut recovered = Recovered {
         keys: Keys::new(),
-        last: 0,
-        newest: segments.last().map(|segment| segment.head),
+        last_batch: 0,
+        newest_header: segments.last().map(|segment| segment.head),
         damage: None,
         torn_bytes: 0,
         log_bytes: 0,
@@ -304,14 +304,14 @@
         }
         if let Some(snapshot) = segment.snapshot() {
             writes = snapshot;
-            recovered.last = segment.head.after;
+            recovered.last_batch = segment.head.after;
             first_log = index + 1;
             break;
         }
     }
     let mut has_beginning = first_log > 0;
     for log in segments[first_log..].iter().filter(|s| !s.head.snapshot) {
-        if log.head.after > recovered.last {
+        if log.head.after > recovered.last_batch {
             recovered.record_missing(log, has_beginning)?;
             return Ok(writes);
         }
@@ -326,7 +326,7 @@
     let later = segments
         .iter()
         .rev()
-        .find(|segment| segment.head.acknowledged > recovered.last);
+        .find(|segment| segment.head.acknowledged > recovered.last_batch);
     if let Some(segment) = later {
         recovered.record_missing(segment, has_beginning)?;
     }
@@ -335,7 +335,7 @@
 
 fn read_log(log: &Segment<'_>, recovered: &mut Recovered, writes: &mut Writes) {
     recovered.log_bytes += log.bytes.len() as u64;
-    let last = &mut recovered.last;
+    let last = &mut recovered.last_batch;
     let end = log.read(|frame| match frame {
         Frame::Batch { number, batch, .. } if number == *last + 1 => {
             writes.extend(batch);
@@ -351,7 +351,7 @@
     }
     // A frame can't be read. It was not flushed, unless a frame behind it states that later batches
     // were durable.
-    if log.has_later_durable_batch(end, recovered.last) {
+    if log.has_later_durable_batch(end, recovered.last_batch) {
         recovered.damage = Some(Damage {
             segment: log.name.to_string(),
             offset: end as u64,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -88,7 +88,7 @@
 }
 
 fn recovery_status(recovered: &Recovered, identity: Option<Identity>) -> RecoveryStatus {
-    if recovered.newest.is_none() {
+    if recovered.newest_header.is_none() {
         return RecoveryStatus::New;
     }
     match &recovered.damage {
@@ -143,18 +143,18 @@
             status,
             identity: identity.id,
             complete_since_ms: identity.since_ms,
-            start_number: recovered.newest.map_or(0, |head| head.start_number) + 1,
-            last_segment_at_ms: recovered.newest.map_or(0, |head| head.at_ms),
+            start_number: recovered.newest_header.map_or(0, |head| head.start_number) + 1,
+            last_segment_at_ms: recovered.newest_header.map_or(0, |head| head.at_ms),
             keys: recovered.keys.len(),
             torn_bytes: recovered.torn_bytes,
         };
         let head = Head {
-            identity: recovered.newest.map_or(random, |head| head.identity),
+            identity: recovered.newest_header.map_or(random, |head| head.identity),
             number: recovery::highest_segment_number(&names),
             start_number: report.start_number,
             snapshot: false,
-            after: recovered.last,
-            acknowledged: recovered.last,
+            after: recovered.last_batch,
+            acknowledged: recovered.last_batch,
             at_ms: now_ms,
         };
         let mut store = Store::from_recovered(files, config, head, recovered, &segments);
@@ -190,8 +190,8 @@
             head,
             keys: recovered.keys,
             live_bytes,
-            last: recovered.last,
-            durable: recovered.last,
+            last: recovered.last_batch,
+            durable: recovered.last_batch,
             pending: Vec::new(),
             log: None,
             log_name: String::new(),
