--- a/crates/store/src/faulty.rs
+++ b/crates/store/src/faulty.rs
@@ -1,45 +1,48 @@
-//! A directory in memory that fails as disks do, for tests: bytes that were not flushed may be
-//! lost, torn or reordered; a chosen call fails or ends the process; it fills up. All of it follows
-//! from a seed.
+//! A simulated disk in memory for tests, which fails in the ways that disks do: bytes that were not
+//! flushed may be lost, torn or reordered, a chosen call fails or ends the process, and the disk
+//! fills up. Random choices come from the generator that the test passes, so a seed repeats them.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use crate::files::{Files, Log};
+use crate::files::{AppendFile, Files};
 
-/// A power loss keeps or loses pieces of this size.
+/// A power loss keeps or loses bytes in sectors of this size.
 const SECTOR_BYTES: usize = 512;
-/// Interval at which a flush checks whether it may go on.
+/// Interval at which a stalled flush checks whether it may continue.
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[derive(Clone, Default)]
 struct FileState {
     bytes: Vec<u8>,
     synced_bytes: usize,
-    /// Whether its creation is durable.
+    /// Whether the creation of the file is durable.
     is_name_durable: bool,
-    birth: u64,
+    creation_id: u64,
 }
 
 #[derive(Default)]
 struct State {
     files: BTreeMap<String, FileState>,
-    /// Files whose removal is not durable.
+    /// Files whose removal is not durable yet.
     removed: BTreeMap<String, FileState>,
+    /// Number of calls so far that change or flush something.
     calls: u64,
+    /// Number of the call within which the process ends.
     crash_at: Option<u64>,
+    /// Number of the call that fails.
     fail_at: Option<u64>,
     free_bytes: Option<usize>,
     is_crashed: bool,
-    /// Whether flushes wait.
+    /// Whether flushes wait until [`FaultyDisk::resume`].
     is_stalled: bool,
     is_locked: bool,
-    last_birth: u64,
+    last_creation_id: u64,
 }
 
-/// A disk; clones share it.
+/// A simulated disk with one directory. Clones share the same disk.
 #[derive(Clone, Default)]
 pub struct FaultyDisk(Arc<Mutex<State>>);
 
@@ -48,40 +51,40 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Number of calls so far that change or flush something.
+    /// Returns the number of calls so far that change or flush something.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// The process ends within the n-th call from now on: that one and later ones fail.
+    /// Ends the process within the n-th call from now on: that call and all later ones fail.
     pub fn crash_at(&self, calls: u64) {
         let mut state = self.state();
         state.crash_at = Some(state.calls + calls);
     }
 
-    /// The n-th call from now on fails once; what it was to flush is lost.
+    /// Makes the n-th call from now on fail once. If it is a flush, the bytes to flush are lost.
     pub fn fail_at(&self, calls: u64) {
         let mut state = self.state();
         state.fail_at = Some(state.calls + calls);
     }
 
-    /// Makes flushes wait.
+    /// Makes flushes wait until [`FaultyDisk::resume`].
     pub fn stall(&self) {
         self.state().is_stalled = true;
     }
 
-    /// Lets flushes go on.
+    /// Lets stalled flushes continue.
     pub fn resume(&self) {
         self.state().is_stalled = false;
     }
 
-    /// Sets the free space from now on; `None` for no limit.
+    /// Sets the free space in bytes; `None` for no limit.
     pub fn set_free_bytes(&self, bytes: Option<usize>) {
         self.state().free_bytes = bytes;
     }
 
-    /// Loses and restores power: of the bytes that were not flushed, some are kept, some torn, some
-    /// lost.
+    /// Simulates a power loss and a restart: of the bytes that were not flushed, some are kept,
+    /// some are torn and some are lost.
     pub fn power_loss(&self, rng: &mut fastrand::Rng) {
         let mut state = self.state();
         state.restart();
@@ -96,27 +99,29 @@
         for content in state.files.values_mut() {
             let length = rng.usize(content.synced_bytes..=content.bytes.len());
             content.bytes.truncate(length);
-            // Sectors are written in any order: those that were not are zeros or old content.
-            let mut at = content.synced_bytes;
-            while at < length {
-                let end = (at / SECTOR_BYTES * SECTOR_BYTES + SECTOR_BYTES).min(length);
+            // Disks write sectors in any order. A sector that was not written contains zeros or old
+            // content.
+            let mut offset = content.synced_bytes;
+            while offset < length {
+                let end = (offset / SECTOR_BYTES * SECTOR_BYTES + SECTOR_BYTES).min(length);
                 match rng.u8(0..6) {
-                    0 => content.bytes[at..end].fill(0),
+                    0 => content.bytes[offset..end].fill(0),
                     1 => {
-                        for byte in &mut content.bytes[at..end] {
+                        for byte in &mut content.bytes[offset..end] {
                             *byte = rng.u8(..);
                         }
                     }
                     _ => {}
                 }
-                at = end;
+                offset = end;
             }
             content.synced_bytes = length;
             content.is_name_durable = true;
         }
     }
 
-    /// Ends the process but not the system: nothing that was written is lost.
+    /// Simulates a kill and restart of the process. The system keeps running, so all written bytes
+    /// are kept.
     pub fn kill(&self) {
         let mut state = self.state();
         state.restart();
@@ -127,7 +132,7 @@
         }
     }
 
-    /// The names and contents of all files, as an operator's backup would hold them.
+    /// Returns the names and contents of all files, as an operator's backup would contain them.
     pub fn backup(&self) -> BTreeMap<String, Vec<u8>> {
         self.state()
             .files
@@ -136,26 +141,26 @@
             .collect()
     }
 
-    /// Replaces all files by those of a backup, which get births of their own.
+    /// Replaces all files by those of a backup. As copies, they get new creation IDs.
     pub fn restore(&self, backup: &BTreeMap<String, Vec<u8>>) {
         let mut state = self.state();
         state.files.clear();
         for (name, bytes) in backup {
-            state.last_birth += 1;
-            let birth = state.last_birth;
+            state.last_creation_id += 1;
+            let creation_id = state.last_creation_id;
             state.files.insert(
                 name.clone(),
                 FileState {
                     bytes: bytes.clone(),
                     synced_bytes: bytes.len(),
                     is_name_durable: true,
-                    birth,
+                    creation_id,
                 },
             );
         }
     }
 
-    /// Changes the content of a file, durably.
+    /// Changes the content of a file and makes the change durable.
     pub fn change(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         if let Some(content) = self.state().files.get_mut(name) {
             change(&mut content.bytes);
@@ -165,7 +170,7 @@
 }
 
 impl State {
-    /// Ends planned faults, and a crash that took place.
+    /// Clears planned faults, the crash and the lock, as a restart of the process does.
     fn restart(&mut self) {
         self.crash_at = None;
         self.fail_at = None;
@@ -173,17 +178,18 @@
         self.is_locked = false;
     }
 
-    /// Counts a call; an error where it is the one that fails or ends the process.
+    /// Counts a call. Returns an error if this call has to fail or if the process has ended.
     fn count_call(&mut self) -> io::Result<()> {
         if self.is_crashed {
             return Err(io::Error::other("the process has ended"));
         }
         self.calls += 1;
-        if self.crash_at.is_some_and(|at| at <= self.calls) {
+        if self.crash_at.is_some_and(|call| call <= self.calls) {
             self.is_crashed = true;
-            return Err(io::Error::other("the process ends here"));
+            return Err(io::Error::other("the process ends within this call"));
         }
-        if self.fail_at.take_if(|at| *at <= self.calls).is_some() {
+        if self.fail_at.take_if(|call| *call <= self.calls).is_some() {
+            // EIO.
             return Err(io::Error::from_raw_os_error(5));
         }
         Ok(())
@@ -209,18 +215,18 @@
             .ok_or(io::ErrorKind::NotFound.into())
     }
 
-    fn create(&mut self, name: &str) -> io::Result<Box<dyn Log>> {
+    fn create(&mut self, name: &str) -> io::Result<Box<dyn AppendFile>> {
         let mut state = self.state();
         state.count_call()?;
         if state.files.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
-        state.last_birth += 1;
-        let birth = state.last_birth;
+        state.last_creation_id += 1;
+        let creation_id = state.last_creation_id;
         state.files.insert(
             name.to_string(),
             FileState {
-                birth,
+                creation_id,
                 ..FileState::default()
             },
         );
@@ -261,12 +267,12 @@
         Ok(!std::mem::replace(&mut state.is_locked, true))
     }
 
-    fn birth(&mut self, name: &str) -> io::Result<Option<u64>> {
+    fn creation_id(&mut self, name: &str) -> io::Result<Option<u64>> {
         let state = self.state();
         state
             .files
             .get(name)
-            .map(|content| Some(content.birth))
+            .map(|content| Some(content.creation_id))
             .ok_or(io::ErrorKind::NotFound.into())
     }
 }
@@ -277,16 +283,16 @@
     name: String,
 }
 
-impl Log for FaultyLog {
+impl AppendFile for FaultyLog {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.disk.state();
-        // A write that fails may have written a part.
-        let counted = state.count_call();
-        let fits = state
+        // A failed write may have written a part of the bytes.
+        let call_result = state.count_call();
+        let fitting = state
             .free_bytes
             .map_or(bytes.len(), |free| free.min(bytes.len()));
-        let count = if counted.is_ok() {
-            fits
+        let count = if call_result.is_ok() {
+            fitting
         } else {
             bytes.len() / 2
         };
@@ -296,7 +302,7 @@
             .get_mut(&self.name)
             .ok_or(io::ErrorKind::NotFound)?;
         content.bytes.extend_from_slice(&bytes[..count]);
-        counted?;
+        call_result?;
         if count < bytes.len() {
             Err(io::ErrorKind::StorageFull.into())
         } else {
@@ -309,18 +315,19 @@
             std::thread::sleep(STALL_POLL_INTERVAL);
         }
         let mut state = self.disk.state();
-        let counted = state.count_call();
+        let call_result = state.count_call();
         let is_crashed = state.is_crashed;
         let content = state
             .files
             .get_mut(&self.name)
             .ok_or(io::ErrorKind::NotFound)?;
-        if counted.is_err() && !is_crashed {
-            // The system drops bytes that it could not write, and reports it once.
+        if call_result.is_err() && !is_crashed {
+            // After a failed flush, the system drops the bytes that it could not write and reports
+            // the error only once.
             let synced_bytes = content.synced_bytes;
             content.bytes[synced_bytes..].fill(0);
         }
-        counted?;
+        call_result?;
         content.synced_bytes = content.bytes.len();
         Ok(())
     }
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -1,4 +1,5 @@
-//! File access of the store, as a trait, so that tests can make any call fail; and the file system.
+//! File access of the store: a trait, so that tests can make any call fail, and its implementation
+//! on the file system.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -7,37 +8,37 @@
 
 use rustix::fs::{flock, FlockOperation};
 
-/// A directory of files that are written once, by appending.
+/// A directory whose files are created, appended to and removed, but never overwritten.
 pub trait Files: Send {
-    /// Names and sizes in bytes of all files, in order of names.
+    /// Lists the names and sizes in bytes of all files, sorted by name.
     fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
     /// Reads a whole file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// Creates a file; an error if it exists.
-    fn create(&mut self, name: &str) -> io::Result<Box<dyn Log>>;
+    /// Creates an empty file. Fails if a file of this name exists.
+    fn create(&mut self, name: &str) -> io::Result<Box<dyn AppendFile>>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes the content of a file durable, whoever wrote it.
+    /// Makes the content of a file durable, even if another process wrote it.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Makes creations and removals durable.
+    /// Makes all creations and removals of files durable.
     fn sync_directory(&mut self) -> io::Result<()>;
-    /// Locks the directory against other processes until this value is dropped. Returns whether no
-    /// other process has it.
+    /// Locks the directory against other processes until this value is dropped. Returns `false` if
+    /// another process has locked it.
     fn lock(&mut self) -> io::Result<bool>;
-    /// A number from a file's time of creation and inode, different for each copy of the file;
-    /// `None` where the system does not report it.
-    fn birth(&mut self, name: &str) -> io::Result<Option<u64>>;
+    /// Returns a number made from a file's creation time and inode, which differs for each copy of
+    /// the file; `None` if the system does not report the creation time.
+    fn creation_id(&mut self, name: &str) -> io::Result<Option<u64>>;
 }
 
-/// A file that is appended to.
-pub trait Log: Send {
-    /// Appends bytes.
+/// A file that is open for appending.
+pub trait AppendFile: Send {
+    /// Appends bytes. They may be lost in a crash until [`AppendFile::sync`] succeeds.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Makes all that was appended durable.
+    /// Makes all appended bytes durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A directory of the file system.
+/// A directory on the file system.
 pub struct Directory {
     path: PathBuf,
     lock: Option<File>,
@@ -47,7 +48,7 @@
 const LOCK_FILE: &str = "LOCK";
 
 impl Directory {
-    /// The directory at a path, which need not exist yet.
+    /// Uses the directory at a path, which is created with the first file.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Directory {
             path: path.into(),
@@ -60,13 +61,13 @@
     fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
         let mut files = Vec::new();
         let entries = match std::fs::read_dir(&self.path) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(files),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(files),
             entries => entries?,
         };
-        for file in entries {
-            let file = file?;
-            let size = file.metadata()?.len();
-            files.extend(file.file_name().into_string().ok().map(|name| (name, size)));
+        for entry in entries {
+            let entry = entry?;
+            let size = entry.metadata()?.len();
+            files.extend(entry.file_name().into_string().ok().map(|name| (name, size)));
         }
         files.sort();
         Ok(files)
@@ -76,7 +77,7 @@
         std::fs::read(self.path.join(name))
     }
 
-    fn create(&mut self, name: &str) -> io::Result<Box<dyn Log>> {
+    fn create(&mut self, name: &str) -> io::Result<Box<dyn AppendFile>> {
         std::fs::create_dir_all(&self.path)?;
         Ok(Box::new(
             OpenOptions::new()
@@ -112,22 +113,22 @@
                 Ok(true)
             }
             Err(rustix::io::Errno::WOULDBLOCK) => Ok(false),
-            Err(e) => Err(e.into()),
+            Err(error) => Err(error.into()),
         }
     }
 
-    fn birth(&mut self, name: &str) -> io::Result<Option<u64>> {
+    fn creation_id(&mut self, name: &str) -> io::Result<Option<u64>> {
         use std::os::unix::fs::MetadataExt;
         let metadata = std::fs::metadata(self.path.join(name))?;
         let created = metadata
             .created()
             .ok()
             .and_then(|created| created.duration_since(UNIX_EPOCH).ok());
-        Ok(created.map(|age| (age.as_nanos() as u64).rotate_left(17) ^ metadata.ino()))
+        Ok(created.map(|time| (time.as_nanos() as u64).rotate_left(17) ^ metadata.ino()))
     }
 }
 
-impl Log for File {
+impl AppendFile for File {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.write_all(bytes)
     }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,64 +1,67 @@
-//! Bytes of segment files: a head, then frames, each with a checksum. No I/O.
+//! Encoding of segment files: a header followed by frames, each with a checksum. No I/O.
 //!
-//! Head and frames are encoded with postcard: the order of fields and variants is the format and
-//! must not change.
+//! The header and the frames are encoded with postcard, so the order of fields and variants is part
+//! of the format and must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the format; no other version is read.
-pub const VERSION: u32 = 1;
-/// Largest encoded frame in bytes; a greater length is damage.
-pub const MAX_BATCH: usize = 1 << 20;
+/// Version of the format. Segments of any other version are rejected.
+pub const FORMAT_VERSION: u32 = 1;
+/// Largest length of an encoded frame in bytes. A greater length in a file means damage.
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
+/// First bytes of every segment file.
 const MAGIC: [u8; 8] = *b"eyrstore";
-/// Bytes of magic, version and the checksum of the head that follows.
-const FILE_HEAD: usize = 16;
-/// Bytes of a frame's length and checksum.
-const FRAME_HEAD: usize = 8;
-/// Bytes that an encoded head is padded to.
-const MAX_HEAD: usize = 96;
+/// Number of bytes of the magic, the version and the checksum of the encoded header.
+const FIXED_HEADER_BYTES: usize = 16;
+/// Number of bytes of a frame's length and checksum, which precede its body.
+const FRAME_HEADER_BYTES: usize = 8;
+/// Number of bytes to which the encoded header is padded with zeros.
+const PADDED_HEADER_BYTES: usize = 96;
 
-/// Bytes before the first frame.
-pub const HEAD: usize = FILE_HEAD + MAX_HEAD;
+/// Number of bytes before the first frame of a segment.
+pub const HEADER_BYTES: usize = FIXED_HEADER_BYTES + PADDED_HEADER_BYTES;
 
-/// Head of a segment.
+/// Header of a segment, which identifies its store and its position in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
-    /// Random, drawn when the store was made.
+pub struct SegmentHeader {
+    /// Random number that was drawn when the store was created; equal in all its segments.
     pub identity: u64,
-    /// Position in the order of all segments.
+    /// Number of the segment. Later segments have greater numbers.
     pub number: u64,
-    /// How often the store had been opened, this time included.
+    /// How often the store had been opened when the segment was created, from 1.
     pub start_number: u64,
-    /// Whether it is a snapshot of all keys up to `after`, or a log of the batches behind it.
-    pub snapshot: bool,
-    /// Number of the last batch before it.
-    pub after: u64,
-    /// Number of the last batch that had been reported durable when the segment was begun.
-    pub acknowledged: u64,
-    /// Time at which it was begun, in Unix milliseconds.
+    /// Whether the segment is a snapshot of all keys as of `after_batch`, or else a log of the
+    /// batches after it.
+    pub is_snapshot: bool,
+    /// Number of the last batch before the segment.
+    pub after_batch: u64,
+    /// Number of the last batch that had been reported durable when the segment was created.
+    pub last_durable_batch: u64,
+    /// Time at which the segment was created, in Unix milliseconds.
     pub at_ms: u64,
 }
 
-/// Writes that become durable together or not at all.
+/// Writes that become durable atomically: all of them or none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Writes in their order; of several to one key the last holds.
+    /// The writes in order. If several write the same key, the last one counts.
     pub writes: Vec<Write>,
 }
 
-/// A write of one key.
+/// A new value for one key, or its removal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// The key.
+    /// The key that is written.
     pub key: Vec<u8>,
-    /// The value; `None` to remove the key.
+    /// The new value; `None` removes the key.
     pub value: Option<Vec<u8>>,
-    /// Time after which it may be dropped, in Unix milliseconds; 0 for never.
+    /// Time after which the key may be dropped, in Unix milliseconds; 0 for never.
     pub until_ms: u64,
 }
 
 impl Batch {
-    /// Adds a write of a value, to be dropped after a time in Unix milliseconds (0 for never).
+    /// Adds a new value for a key. The key may be dropped after `until_ms`, a Unix time in
+    /// milliseconds; 0 for never.
     pub fn put(&mut self, key: Vec<u8>, value: Vec<u8>, until_ms: u64) {
         self.writes.push(Write {
             key,
@@ -77,80 +80,87 @@
     }
 }
 
-/// A frame of a segment.
+/// The unit of reading and writing within a segment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// A batch of a log.
     Batch {
-        /// Number of the batch; numbers have no gaps through all logs.
+        /// Number of the batch. Numbers increase by 1 across all logs, without gaps.
         number: u64,
-        /// How far the last durable batch was behind it when it was written.
-        behind_durable: u64,
-        /// The writes.
+        /// Difference between this batch's number and that of the last batch that was durable when
+        /// this one was written.
+        batches_since_durable: u64,
+        /// The writes of the batch.
         batch: Batch,
     },
     /// A part of a snapshot.
-    Part(Batch),
-    /// The end of a snapshot, with the number of writes in it.
-    Whole(u64),
+    SnapshotPart(Batch),
+    /// The end of a snapshot, with the total number of writes in its parts.
+    SnapshotEnd(u64),
 }
 
-/// Why the head of a segment can't be read.
+/// Why the header of a segment can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FrameError {
-    /// It is cut short, or its checksum differs.
-    #[error("the head can't be read")]
-    Head,
-    /// It has this version of the format.
-    #[error("it has version {0} of the format, this program reads {VERSION}")]
+pub enum HeaderError {
+    /// The header is cut short, or its checksum does not match.
+    #[error("its header is cut short or does not match its checksum")]
+    Invalid,
+    /// The segment has this version of the format, which is not [`FORMAT_VERSION`].
+    #[error("its format has version {0}, but this program reads version {FORMAT_VERSION}")]
     Version(u32),
-    /// It is no segment.
-    #[error("it holds something that is no segment")]
-    Foreign,
+    /// The file does not begin with the magic of a segment.
+    #[error("it is not a segment of a store")]
+    NotASegment,
 }
 
-/// Appends a head to a segment.
-pub fn put_head(out: &mut Vec<u8>, head: &Head) {
-    let mut bytes = postcard::to_stdvec(head).unwrap_or_default();
-    bytes.resize(MAX_HEAD, 0);
+/// Appends an encoded header to the bytes of a new segment.
+pub fn append_header(out: &mut Vec<u8>, header: &SegmentHeader) {
+    let mut bytes = postcard::to_stdvec(header).unwrap_or_default();
+    bytes.resize(PADDED_HEADER_BYTES, 0);
     out.extend_from_slice(&MAGIC);
-    out.extend_from_slice(&VERSION.to_le_bytes());
+    out.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
     out.extend_from_slice(&crc32fast::hash(&bytes).to_le_bytes());
     out.extend_from_slice(&bytes);
 }
 
-/// Reads the head of a segment, and where its frames begin.
+/// Decodes the header of a segment. Returns it with the offset of the first frame.
 ///
 /// # Errors
 ///
-/// Where the bytes do not begin with a whole head of this version.
-pub fn read_head(bytes: &[u8]) -> Result<(Head, usize), FrameError> {
-    let (fixed, rest) = bytes.split_at_checked(FILE_HEAD).ok_or(FrameError::Head)?;
+/// If the bytes don't begin with a complete header of this version of the format.
+pub fn read_header(bytes: &[u8]) -> Result<(SegmentHeader, usize), HeaderError> {
+    let (fixed, rest) = bytes.split_at_checked(FIXED_HEADER_BYTES).ok_or(HeaderError::Invalid)?;
     if fixed[..8] != MAGIC {
-        return Err(FrameError::Foreign);
+        return Err(HeaderError::NotASegment);
     }
-    let number =
-        |at: usize| u32::from_le_bytes([fixed[at], fixed[at + 1], fixed[at + 2], fixed[at + 3]]);
-    if number(8) != VERSION {
-        return Err(FrameError::Version(number(8)));
+    let number_at = |offset: usize| {
+        u32::from_le_bytes([
+            fixed[offset],
+            fixed[offset + 1],
+            fixed[offset + 2],
+            fixed[offset + 3],
+        ])
+    };
+    if number_at(8) != FORMAT_VERSION {
+        return Err(HeaderError::Version(number_at(8)));
     }
-    let head = rest
-        .get(..MAX_HEAD)
-        .filter(|head| crc32fast::hash(head) == number(12))
-        .ok_or(FrameError::Head)?;
-    let head = postcard::take_from_bytes(head)
-        .map_err(|_| FrameError::Head)?
+    let header = rest
+        .get(..PADDED_HEADER_BYTES)
+        .filter(|header| crc32fast::hash(header) == number_at(12))
+        .ok_or(HeaderError::Invalid)?;
+    let header = postcard::take_from_bytes(header)
+        .map_err(|_| HeaderError::Invalid)?
         .0;
-    Ok((head, HEAD))
+    Ok((header, HEADER_BYTES))
 }
 
-/// Appends a frame to a segment. Returns false, and appends nothing, where it is longer than
-/// [`MAX_BATCH`].
-pub fn put(out: &mut Vec<u8>, frame: &Frame) -> bool {
+/// Appends an encoded frame to the bytes of a segment. Returns `false` and appends nothing if the
+/// encoded frame is longer than [`MAX_FRAME_BYTES`].
+pub fn append(out: &mut Vec<u8>, frame: &Frame) -> bool {
     let Ok(bytes) = postcard::to_stdvec(frame) else {
         return false;
     };
-    if bytes.len() > MAX_BATCH {
+    if bytes.len() > MAX_FRAME_BYTES {
         return false;
     }
     let length = (bytes.len() as u32).to_le_bytes();
@@ -163,21 +173,21 @@
     true
 }
 
-/// Reads the frame at the beginning of some bytes, with its length; `None` where there is no whole
-/// frame.
+/// Decodes the frame at the start of `bytes`. Returns it with its length in bytes, or `None` if
+/// there is no complete and valid frame.
 pub fn read(bytes: &[u8]) -> Option<(Frame, usize)> {
-    let head = bytes.get(..FRAME_HEAD)?;
-    let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    let checksum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
+    let header = bytes.get(..FRAME_HEADER_BYTES)?;
+    let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
+    let checksum = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
     let body = bytes
-        .get(FRAME_HEAD..FRAME_HEAD + length)
-        .filter(|_| length <= MAX_BATCH)?;
+        .get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length)
+        .filter(|_| length <= MAX_FRAME_BYTES)?;
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&head[..4]);
+    hasher.update(&header[..4]);
     hasher.update(body);
     if hasher.finalize() != checksum {
         return None;
     }
     let (frame, rest) = postcard::take_from_bytes(body).ok()?;
-    rest.is_empty().then_some((frame, FRAME_HEAD + length))
+    rest.is_empty().then_some((frame, FRAME_HEADER_BYTES + length))
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,17 +1,20 @@
-//! Durable state of a gateway: small keys and values that survive its process, in one directory.
+//! Durable key-value store of a gateway: small keys and values in one directory that survive a
+//! restart of the process.
 //!
-//! A store is a log of atomic batches, with all live keys in memory. State and its owner:
+//! A store is an append-only log of atomic batches. All live keys are in memory. Modules:
 //!
 //! - [`store`]: [`Store`] appends and flushes batches, and rewrites the log as a snapshot;
-//! - [`worker`]: [`worker::Worker`] owns a store in a thread of its own, for callers that must not
+//! - [`worker`]: [`worker::Worker`] runs a store in a separate thread, for callers that must not
 //!   wait for the disk;
-//! - [`recovery`] and [`frame`]: from segment files to live keys, and the bytes of segments, both
-//!   without I/O;
-//! - [`files`]: all file access; [`faulty`] is a directory in memory that tests crash, tear and
-//!   fill.
+//! - [`recovery`]: reads the live keys from the content of segment files, without I/O;
+//! - [`frame`]: the encoding of segment files, without I/O;
+//! - [`files`]: all file access;
+//! - [`faulty`]: a simulated disk in memory, which tests use to inject crashes, torn writes and a
+//!   full disk.
 //!
-//! Guarantees stand in docs/store.md. Bounds: [`frame::MAX_BATCH`] bytes a batch,
-//! [`store::Config::budget`] bytes on disk, [`worker::MAX_WAITING`] batches that wait.
+//! docs/store.md lists the guarantees. An encoded batch is at most [`frame::MAX_FRAME_BYTES`] long,
+//! the directory takes at most [`store::Config::budget`] bytes, and at most
+//! [`worker::MAX_QUEUED_BATCHES`] batches wait for the thread.
 //!
 //! ```
 //! use eideryard_store::faulty::FaultyDisk;
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,99 +1,103 @@
-//! Recovery: from the content of segment files to the live keys, and to what is missing. No I/O.
+//! Recovery: determines the live keys from the content of the segment files, and detects missing
+//! batches. No I/O.
 //!
-//! The newest whole snapshot is read, then each log behind it in order. A log may end in a torn
-//! frame, which was not flushed. But the batches that a later segment requires must be there: if
-//! they are not, the store is damaged, and its state is that before the missing batch.
+//! Recovery reads the newest complete snapshot, then each later log in order. A log may end in a
+//! torn frame, which was never flushed. Batches that a later segment records as durable must be
+//! present, however. If they are not, the store is damaged, and recovery returns the state before
+//! the first missing batch.
 
 use std::collections::BTreeMap;
 
-use crate::frame::{self, Frame, FrameError, Head, Write};
+use crate::frame::{self, Frame, HeaderError, SegmentHeader, Write};
 
 mod writes;
 
 use writes::Writes;
 
-/// Value of a live key.
+/// Value of a live key, with its expiry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
-    /// The value.
+    /// The value as it was written.
     pub bytes: Box<[u8]>,
-    /// Time after which it may be dropped, in Unix milliseconds; 0 for never.
+    /// Time after which the key may be dropped, in Unix milliseconds; 0 for never.
     pub until_ms: u64,
 }
 
-/// All live keys.
-pub type Keys = BTreeMap<Box<[u8]>, Value>;
+/// All keys that were written and not removed since, with their values.
+pub type LiveKeys = BTreeMap<Box<[u8]>, Value>;
 
 /// How complete a recovered store is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryStatus {
-    /// There were no segments: a new store, or one that was wiped.
+    /// The directory had no segments: the store is new, or its files were deleted.
     New,
-    /// All batches that were ever reported durable are there.
+    /// Every batch that was ever reported durable is present.
     Whole,
-    /// The directory is a copy of the one that was written, so later batches may be missing.
+    /// The directory is a copy of the one that was written to, so later batches may be missing.
     Copy,
-    /// Batches behind a point are missing.
+    /// Batches after a certain position are missing.
     Damaged {
         /// Name of the damaged segment.
         segment: String,
-        /// Offset of the damage in bytes.
+        /// Offset of the damage from the start of the segment, in bytes.
         at: u64,
     },
 }
 
-/// What an opened store had recovered.
+/// What was found when a store was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryReport {
-    /// How complete it is.
+    /// How complete the recovered state is.
     pub status: RecoveryStatus,
-    /// Identity of the store's incarnation.
+    /// Random number that identifies the store's incarnation.
     pub identity: u64,
-    /// Begin of the incarnation, in Unix milliseconds: when the store was made, or found not to be
-    /// whole. Earlier writes may be missing.
+    /// Time at which the incarnation began, in Unix milliseconds: when the store was created or was
+    /// last found to be incomplete. Earlier writes may be missing.
     pub complete_since_ms: u64,
-    /// Number of times that the store was opened, this one included.
+    /// How often the store has been opened, including this time.
     pub start_number: u64,
-    /// Time at which the last segment was begun, in Unix milliseconds.
+    /// Time at which the newest recovered segment was created, in Unix milliseconds; 0 if there is
+    /// none.
     pub last_segment_at_ms: u64,
-    /// Number of live keys.
+    /// Number of live keys that were recovered.
     pub keys: usize,
-    /// Bytes of torn frames at the end of logs: writes that were never reported durable.
+    /// Bytes of torn frames at the end of logs. Their writes were never reported durable.
     pub torn_bytes: u64,
 }
 
 /// Why a store can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// Another process has the directory.
+    /// Another process has locked the directory.
     #[error("another process has the store; stop it, or name another directory with store-dir")]
     InUse,
-    /// The head of a segment can't be read.
-    #[error("{segment} can't be used: {why}; {}", remedy(why))]
+    /// The header of a segment can't be read.
+    #[error("segment {segment} can't be used: {error}; {}", remedy(error))]
     Segment {
-        /// Name of the segment.
+        /// File name of the segment.
         segment: String,
-        /// Why.
-        why: FrameError,
+        /// What is wrong with the header.
+        error: HeaderError,
     },
-    /// The first batches are missing.
+    /// The first batches of the store are missing.
     #[error(
-        "the store has lost its beginning: {segment} follows batch {after}, which no snapshot holds; \
-        move the \
-         directory away, the gateway then starts as a stranger"
+        "the first batches of the store are missing: segment {segment} continues after batch \
+         {after_batch}, but no snapshot contains the batches up to it; move the directory away, \
+         and the gateway starts with an empty store"
     )]
-    NoBeginning {
-        /// Name of the first segment that is there.
+    MissingFirstBatches {
+        /// File name of the first log that is present.
         segment: String,
-        /// The batch that it follows.
-        after: u64,
+        /// Number of the last batch before that log.
+        after_batch: u64,
     },
-    /// Segments of several stores are in one directory.
+    /// The directory contains segments of several stores.
     #[error(
-        "{segment} belongs to another store; put one store's files into a directory, not two's"
+        "segment {segment} belongs to another store than the first segment; keep the files of only \
+         one store in the directory"
     )]
-    Mixed {
-        /// Name of a segment of another store.
+    ForeignSegment {
+        /// File name of a segment of another store.
         segment: String,
     },
     /// A file can't be read or written.
@@ -101,29 +105,31 @@
     Io(#[from] std::io::Error),
 }
 
-/// What the operator can do about a segment that can't be read.
-fn remedy(error: &FrameError) -> &'static str {
+/// Advice for the operator on a segment whose header can't be read.
+fn remedy(error: &HeaderError) -> &'static str {
     match error {
-        FrameError::Version(_) => "use the program that wrote it, or move the directory away",
-        FrameError::Head | FrameError::Foreign => {
-            "move the directory away; the gateway then starts as a stranger"
+        HeaderError::Version(_) => {
+            "use a program version that reads this format, or move the directory away"
+        }
+        HeaderError::Invalid | HeaderError::NotASegment => {
+            "move the directory away, and the gateway starts with an empty store"
         }
     }
 }
 
-/// File name of a segment.
+/// Returns the file name of the segment with a number.
 pub fn segment_name(number: u64) -> String {
     format!("{number:016x}.seg")
 }
 
-/// Number of a segment, if the file name is a segment's.
+/// Parses the number of a segment from its file name; `None` if the file is not a segment.
 pub fn segment_number(name: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_suffix(".seg")?, 16)
         .ok()
         .filter(|_| name.len() == 20)
 }
 
-/// The highest segment number among file names, or 0.
+/// Returns the highest segment number among file names, or 0 if there is no segment.
 pub fn highest_segment_number(names: &[String]) -> u64 {
     names
         .iter()
@@ -133,7 +139,7 @@
 }
 
 /// Applies a write to the live keys.
-pub fn apply(keys: &mut Keys, write: Write) {
+pub fn apply(keys: &mut LiveKeys, write: Write) {
     let key = write.key.into_boxed_slice();
     match write.value {
         Some(value) => {
@@ -149,52 +155,55 @@
     }
 }
 
-/// A segment file.
+/// Name and content of a segment file.
 #[derive(Clone, Debug)]
 pub struct SegmentFile {
-    /// Its name.
+    /// File name without the directory.
     pub name: String,
-    /// Its content.
+    /// The whole content of the file.
     pub bytes: Vec<u8>,
 }
 
-/// Where a store is damaged.
+/// The position after which batches are missing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
-    /// Name of the segment.
+    /// File name of the segment that is damaged or follows the missing batches.
     pub segment: String,
-    /// Offset in bytes.
+    /// Offset of the first unreadable frame in bytes; 0 if the batches before the segment are
+    /// missing.
     pub offset: u64,
 }
 
-/// What segments hold.
+/// State that was recovered from the segments of a store.
 #[derive(Debug)]
 pub struct Recovered {
-    /// The live keys.
-    pub keys: Keys,
-    /// Number of the last batch.
+    /// The live keys after the last recovered batch.
+    pub keys: LiveKeys,
+    /// Number of the last recovered batch; 0 if there is none.
     pub last_batch: u64,
-    /// Head of the newest segment, if there is one.
-    pub newest_header: Option<Head>,
-    /// Where batches are missing, if they are.
+    /// Header of the newest segment; `None` if there are no segments.
+    pub newest_header: Option<SegmentHeader>,
+    /// The position after which batches are missing; `None` if all are present.
     pub damage: Option<Damage>,
-    /// Bytes of torn frames at the end of logs.
+    /// Bytes of torn frames at the end of logs, which were never flushed.
     pub torn_bytes: u64,
-    /// Bytes of the logs behind the snapshot.
+    /// Total size in bytes of the logs after the snapshot.
     pub log_bytes: u64,
 }
 
+/// A segment with a decoded header.
 struct Segment<'a> {
     name: &'a str,
-    head: Head,
+    header: SegmentHeader,
+    /// Offset of the first frame in `bytes`.
     first_frame: usize,
     bytes: &'a [u8],
 }
 
 impl Segment<'_> {
-    /// Reads frames until `accept` returns false or a frame can't be read, and returns the offset
-    /// of that frame.
-    fn read(&self, mut accept: impl FnMut(Frame) -> bool) -> usize {
+    /// Passes frames to `accept` until it returns `false` or a frame can't be read. Returns the
+    /// offset of that frame.
+    fn read_frames(&self, mut accept: impl FnMut(Frame) -> bool) -> usize {
         let mut offset = self.first_frame;
         while let Some((frame, length)) = frame::read(&self.bytes[offset..]) {
             if !accept(frame) {
@@ -205,52 +214,53 @@
         offset
     }
 
-    /// The writes of a snapshot, if it is whole.
+    /// Returns the writes of a snapshot, or `None` if the snapshot is incomplete.
     fn snapshot(&self) -> Option<Writes> {
         let mut writes = Writes::default();
-        let mut count = 0u64;
-        let mut is_whole = false;
-        self.read(|frame| {
+        let mut write_count = 0u64;
+        let mut is_complete = false;
+        self.read_frames(|frame| {
             match frame {
-                Frame::Part(batch) if !is_whole => {
-                    count += batch.writes.len() as u64;
+                Frame::SnapshotPart(batch) if !is_complete => {
+                    write_count += batch.writes.len() as u64;
                     writes.extend(batch);
                 }
-                Frame::Whole(expected) => is_whole = expected == count,
+                Frame::SnapshotEnd(expected) => is_complete = expected == write_count,
                 _ => return false,
             }
             true
         });
-        is_whole.then_some(writes)
+        is_complete.then_some(writes)
     }
 
-    /// Whether a frame behind `offset` was written when a later batch than `last` was durable.
-    fn has_later_durable_batch(&self, offset: usize, last: u64) -> bool {
+    /// Whether any frame after `offset` was written when a batch later than `last_batch` was
+    /// already durable.
+    fn has_later_durable_batch(&self, offset: usize, last_batch: u64) -> bool {
         (offset + 1..self.bytes.len()).any(|start| match frame::read(&self.bytes[start..]) {
             Some((
                 Frame::Batch {
                     number,
-                    behind_durable,
+                    batches_since_durable,
                     ..
                 },
                 _,
-            )) => number.saturating_sub(behind_durable) > last,
+            )) => number.saturating_sub(batches_since_durable) > last_batch,
             _ => false,
         })
     }
 }
 
-/// Recovers the state of a store from its segments, in the order of their names.
+/// Recovers the state of a store from its segment files, which have to be sorted by name.
 ///
 /// # Errors
 ///
-/// Where a segment can't be read or belongs to another store, or the first batches are missing.
+/// If a segment can't be read or belongs to another store, or if the first batches are missing.
 pub fn recover(files: &[SegmentFile]) -> Result<Recovered, OpenError> {
-    let segments = read_heads(files)?;
+    let segments = read_headers(files)?;
     let mut recovered = Recovered {
-        keys: Keys::new(),
+        keys: LiveKeys::new(),
         last_batch: 0,
-        newest_header: segments.last().map(|segment| segment.head),
+        newest_header: segments.last().map(|segment| segment.header),
         damage: None,
         torn_bytes: 0,
         log_bytes: 0,
@@ -260,97 +270,101 @@
     Ok(recovered)
 }
 
-fn read_heads(files: &[SegmentFile]) -> Result<Vec<Segment<'_>>, OpenError> {
+fn read_headers(files: &[SegmentFile]) -> Result<Vec<Segment<'_>>, OpenError> {
     let mut segments: Vec<Segment<'_>> = Vec::new();
     for SegmentFile { name, bytes } in files {
-        match frame::read_head(bytes) {
-            Ok((head, first_frame)) => segments.push(Segment {
+        match frame::read_header(bytes) {
+            Ok((header, first_frame)) => segments.push(Segment {
                 name,
-                head,
+                header,
                 first_frame,
                 bytes,
             }),
-            // A crash while the segment was begun leaves a head that is not whole, without any
-            // frame behind it.
-            Err(_) if bytes.len() <= frame::HEAD => {}
-            Err(why) => {
+            // A crash during the creation of the segment leaves an incomplete header without any
+            // frame after it.
+            Err(_) if bytes.len() <= frame::HEADER_BYTES => {}
+            Err(error) => {
                 return Err(OpenError::Segment {
                     segment: name.clone(),
-                    why,
+                    error,
                 });
             }
         }
     }
-    let identity = segments.first().map(|segment| segment.head.identity);
+    let identity = segments.first().map(|segment| segment.header.identity);
     let foreign = segments
         .iter()
-        .find(|segment| Some(segment.head.identity) != identity);
+        .find(|segment| Some(segment.header.identity) != identity);
     match foreign {
-        Some(foreign) => Err(OpenError::Mixed {
+        Some(foreign) => Err(OpenError::ForeignSegment {
             segment: foreign.name.to_string(),
         }),
         None => Ok(segments),
     }
 }
 
-/// The writes of the newest whole snapshot and of the logs behind it, up to the first batch that is
-/// missing.
+/// Collects the writes of the newest complete snapshot and of the logs after it, up to the first
+/// missing batch.
 fn read_writes(segments: &[Segment<'_>], recovered: &mut Recovered) -> Result<Writes, OpenError> {
     let mut writes = Writes::default();
     let mut first_log = 0;
     for (index, segment) in segments.iter().enumerate().rev() {
-        if !segment.head.snapshot {
+        if !segment.header.is_snapshot {
             continue;
         }
         if let Some(snapshot) = segment.snapshot() {
             writes = snapshot;
-            recovered.last_batch = segment.head.after;
+            recovered.last_batch = segment.header.after_batch;
             first_log = index + 1;
             break;
         }
     }
-    let mut has_beginning = first_log > 0;
-    for log in segments[first_log..].iter().filter(|s| !s.head.snapshot) {
-        if log.head.after > recovered.last_batch {
-            recovered.record_missing(log, has_beginning)?;
+    let mut has_first_batches = first_log > 0;
+    for log in segments[first_log..]
+        .iter()
+        .filter(|segment| !segment.header.is_snapshot)
+    {
+        if log.header.after_batch > recovered.last_batch {
+            recovered.record_missing_batches(log, has_first_batches)?;
             return Ok(writes);
         }
-        has_beginning = true;
+        has_first_batches = true;
         read_log(log, recovered, &mut writes);
         if recovered.damage.is_some() {
             return Ok(writes);
         }
     }
-    // Batches that were durable when a segment was begun must be there, whatever became of the
-    // segment itself.
+    // Batches that were durable when a segment was created must be present, even if the segment
+    // itself is incomplete.
     let later = segments
         .iter()
         .rev()
-        .find(|segment| segment.head.acknowledged > recovered.last_batch);
+        .find(|segment| segment.header.last_durable_batch > recovered.last_batch);
     if let Some(segment) = later {
-        recovered.record_missing(segment, has_beginning)?;
+        recovered.record_missing_batches(segment, has_first_batches)?;
     }
     Ok(writes)
 }
 
 fn read_log(log: &Segment<'_>, recovered: &mut Recovered, writes: &mut Writes) {
     recovered.log_bytes += log.bytes.len() as u64;
-    let last = &mut recovered.last_batch;
-    let end = log.read(|frame| match frame {
-        Frame::Batch { number, batch, .. } if number == *last + 1 => {
+    let last_batch = &mut recovered.last_batch;
+    let end = log.read_frames(|frame| match frame {
+        Frame::Batch { number, batch, .. } if number == *last_batch + 1 => {
             writes.extend(batch);
-            *last = number;
+            *last_batch = number;
             true
         }
-        // An earlier segment has the batch too: its write had failed and was repeated.
-        Frame::Batch { number, .. } => number <= *last,
+        // An earlier segment contains the batch too, because its write had failed there and was
+        // repeated in this one.
+        Frame::Batch { number, .. } => number <= *last_batch,
         _ => false,
     });
     if end == log.bytes.len() {
         return;
     }
-    // A frame can't be read. It was not flushed, unless a frame behind it states that later batches
-    // were durable.
+    // A frame can't be read. It was never flushed, unless a frame after it records that later
+    // batches were durable.
     if log.has_later_durable_batch(end, recovered.last_batch) {
         recovered.damage = Some(Damage {
             segment: log.name.to_string(),
@@ -362,17 +376,18 @@
 }
 
 impl Recovered {
-    /// Batches before a segment are missing: damage, or an error where nothing is there.
-    fn record_missing(
+    /// Records that batches before a segment are missing. Fails if the first batches of the store
+    /// are missing, so that there is no state to return.
+    fn record_missing_batches(
         &mut self,
         segment: &Segment<'_>,
-        has_beginning: bool,
+        has_first_batches: bool,
     ) -> Result<(), OpenError> {
         let name = segment.name.to_string();
-        if !has_beginning {
-            return Err(OpenError::NoBeginning {
+        if !has_first_batches {
+            return Err(OpenError::MissingFirstBatches {
                 segment: name,
-                after: segment.head.after,
+                after_batch: segment.header.after_batch,
             });
         }
         self.damage = Some(Damage {
--- a/crates/store/src/recovery/writes.rs
+++ b/crates/store/src/recovery/writes.rs
@@ -1,16 +1,16 @@
-//! The writes of a recovery, until they are sorted into live keys.
+//! Collects the writes of a recovery and sorts them into the live keys at the end.
 
-use super::{Keys, Value};
+use super::{LiveKeys, Value};
 use crate::frame::Batch;
 
-/// A write with the beginning of its key as a number, which decides most comparisons.
+/// A write with the first bytes of its key as a number, so that most comparisons compare numbers.
 struct SortedWrite {
     key_start: u128,
     key: Box<[u8]>,
     value: Option<Value>,
 }
 
-/// The first 16 bytes of a key as a number that sorts as they do.
+/// Returns the first 16 bytes of a key as a number with the same sort order.
 fn key_start(key: &[u8]) -> u128 {
     let mut first = [0; 16];
     let length = key.len().min(16);
@@ -18,8 +18,8 @@
     u128::from_be_bytes(first)
 }
 
-/// Writes in their order, of which the last to each key holds. They are sorted once at the end,
-/// which is faster than as many inserts into a map.
+/// Writes in order; the last one to each key counts. They are sorted once at the end, which is
+/// faster than an insert into a map for each.
 #[derive(Default)]
 pub(super) struct Writes(Vec<SortedWrite>);
 
@@ -39,10 +39,10 @@
         }));
     }
 
-    /// The live keys.
-    pub fn into_keys(self) -> Keys {
+    /// Returns the live keys after all writes.
+    pub fn into_keys(self) -> LiveKeys {
         let mut writes = self.0;
-        // The sort is stable: of equal keys the last write stays the last.
+        // The sort is stable, so the last write to a key stays behind earlier ones to it.
         writes.sort_by(|a, b| {
             let starts = a.key_start.cmp(&b.key_start);
             starts.then_with(|| a.key.cmp(&b.key))
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,62 +1,64 @@
-//! The store on top of files: opens a directory, appends batches and flushes them.
+//! The store: opens a directory, appends batches to a log and flushes them.
 //!
-//! A write error or a failed flush breaks the log for good: nothing that the system may still show
-//! of it is trusted. [`Store::rebuild`] then writes all keys to new files.
+//! After a write error or a failed flush, the current log is not used again: its content can't be
+//! relied on, even if the system returns it on a read. [`Store::rebuild`] then writes all keys to
+//! new files.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::ops::Bound;
 use std::path::Path;
 
-use crate::files::{Directory, Files, Log};
-use crate::frame::{self, Batch, Frame, Head, Write};
+use crate::files::{AppendFile, Directory, Files};
+use crate::frame::{self, Batch, Frame, SegmentHeader, Write};
 use crate::identity::{self, Identity};
 use crate::recovery::{
-    self, Keys, OpenError, Recovered, RecoveryReport, RecoveryStatus, SegmentFile, Value,
+    self, LiveKeys, OpenError, Recovered, RecoveryReport, RecoveryStatus, SegmentFile, Value,
 };
 
 mod rewrite;
 
 use rewrite::Rewrite;
 
-/// Bytes that a key takes on disk beside itself and its value.
+/// Bytes that a key takes on disk in addition to the lengths of the key and its value.
 const KEY_OVERHEAD_BYTES: u64 = 24;
 
 /// Settings of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Bytes on disk, the rewriting of the log included.
+    /// Largest size of all files in bytes, including a snapshot that is being written.
     pub budget: u64,
 }
 
-/// An open store. It owns its directory, and all live keys in memory.
+/// An open store. It locks its directory and keeps all live keys in memory.
 pub struct Store {
     files: Box<dyn Files>,
     config: Config,
-    /// Head of the newest segment; the next one is made from it.
-    head: Head,
-    keys: Keys,
-    /// Bytes that all live keys take on disk.
+    /// Header of the newest segment, from which that of the next one is derived.
+    header: SegmentHeader,
+    keys: LiveKeys,
+    /// Number of bytes that all live keys take on disk.
     live_bytes: u64,
-    /// Number of the last batch that was written.
-    last: u64,
+    /// Number of the last batch that was written, durable or not.
+    last_batch: u64,
     /// Number of the last batch that is durable.
-    durable: u64,
-    /// Frames that were written and not flushed.
-    pending: Vec<u8>,
-    /// The segment that batches are appended to; `None` once it is broken.
-    log: Option<Box<dyn Log>>,
+    durable_batch: u64,
+    /// Encoded frames that were not flushed yet.
+    pending_frames: Vec<u8>,
+    /// The segment to which batches are appended; `None` after a write to it has failed.
+    log: Option<Box<dyn AppendFile>>,
     log_name: String,
-    /// Bytes of all logs behind the last snapshot.
+    /// Total size in bytes of the logs after the last snapshot.
     log_bytes: u64,
-    /// Sizes of all segments, by name.
+    /// Sizes of all segments in bytes, by file name.
     segment_bytes: BTreeMap<String, u64>,
+    /// The snapshot that is being written, if any.
     rewrite: Option<Rewrite>,
-    /// Whether segments of an earlier process are in use, which are rewritten soon.
+    /// Whether segments of an earlier process are in use. They are rewritten soon.
     has_old_segments: bool,
 }
 
-/// Reads what the segments of a directory hold, and changes nothing.
+/// Reads the state of a store from the segments of a directory, without changing any file.
 pub fn inspect(directory: &Path) -> Result<Recovered, OpenError> {
     let mut files = Directory::new(directory);
     let names = file_names(&mut files)?;
@@ -83,6 +85,7 @@
     Ok(segments)
 }
 
+/// Number of bytes that a key and its value take on disk.
 fn disk_bytes(key: &[u8], value: &[u8]) -> u64 {
     key.len() as u64 + value.len() as u64 + KEY_OVERHEAD_BYTES
 }
@@ -102,12 +105,13 @@
 }
 
 impl Store {
-    /// Opens the store of a directory, or makes a new one. `random` identifies a new incarnation.
+    /// Opens the store in a directory, or creates one. `random` identifies the incarnation if a new
+    /// one begins.
     ///
     /// # Errors
     ///
-    /// Where another process has the directory, where its files can't be used, or where they can't
-    /// be read or written.
+    /// If another process has locked the directory, if its files are not those of one intact store,
+    /// or if a file can't be read or written.
     pub fn open(
         mut files: Box<dyn Files>,
         config: Config,
@@ -120,11 +124,11 @@
         let names = file_names(files.as_mut())?;
         let segments = read_segments(files.as_mut(), &names)?;
         let recovered = recovery::recover(&segments)?;
-        let known = identity::read(files.as_mut(), &names)?;
-        let status = recovery_status(&recovered, known);
-        let identity = match known {
-            Some(known) if status == RecoveryStatus::Whole => known,
-            // A store that is not whole may not know what came before: a new incarnation.
+        let stored_identity = identity::read(files.as_mut(), &names)?;
+        let status = recovery_status(&recovered, stored_identity);
+        let identity = match stored_identity {
+            Some(stored_identity) if status == RecoveryStatus::Whole => stored_identity,
+            // Earlier writes may be missing from an incomplete store, so a new incarnation begins.
             _ => {
                 let identity = Identity {
                     id: random,
@@ -134,8 +138,8 @@
                 identity
             }
         };
-        // An earlier process may have written segments without a flush; what is built on must be
-        // durable.
+        // An earlier process may have written segments without flushing them. They have to be
+        // durable before anything is appended after them.
         for segment in &segments {
             files.sync(&segment.name)?;
         }
@@ -143,23 +147,24 @@
             status,
             identity: identity.id,
             complete_since_ms: identity.since_ms,
-            start_number: recovered.newest_header.map_or(0, |head| head.start_number) + 1,
-            last_segment_at_ms: recovered.newest_header.map_or(0, |head| head.at_ms),
+            start_number: recovered.newest_header.map_or(0, |header| header.start_number) + 1,
+            last_segment_at_ms: recovered.newest_header.map_or(0, |header| header.at_ms),
             keys: recovered.keys.len(),
             torn_bytes: recovered.torn_bytes,
         };
-        let head = Head {
-            identity: recovered.newest_header.map_or(random, |head| head.identity),
+        let header = SegmentHeader {
+            identity: recovered.newest_header.map_or(random, |header| header.identity),
             number: recovery::highest_segment_number(&names),
             start_number: report.start_number,
-            snapshot: false,
-            after: recovered.last_batch,
-            acknowledged: recovered.last_batch,
+            is_snapshot: false,
+            after_batch: recovered.last_batch,
+            last_durable_batch: recovered.last_batch,
             at_ms: now_ms,
         };
-        let mut store = Store::from_recovered(files, config, head, recovered, &segments);
+        let mut store = Store::from_recovered(files, config, header, recovered, &segments);
         match report.status {
-            // Segments behind the damage must not be read again: all keys are written anew.
+            // Segments after the damage must not be read again, so all keys are written to new
+            // segments.
             RecoveryStatus::Damaged { .. } => {
                 store.rebuild(now_ms)?;
             }
@@ -171,7 +176,7 @@
     fn from_recovered(
         files: Box<dyn Files>,
         config: Config,
-        head: Head,
+        header: SegmentHeader,
         recovered: Recovered,
         segments: &[SegmentFile],
     ) -> Self {
@@ -187,12 +192,12 @@
         Store {
             files,
             config,
-            head,
+            header,
             keys: recovered.keys,
             live_bytes,
-            last: recovered.last_batch,
-            durable: recovered.last_batch,
-            pending: Vec::new(),
+            last_batch: recovered.last_batch,
+            durable_batch: recovered.last_batch,
+            pending_frames: Vec::new(),
             log: None,
             log_name: String::new(),
             log_bytes: recovered.log_bytes,
@@ -202,12 +207,12 @@
         }
     }
 
-    /// The value of a key.
+    /// Returns the value of a live key, including writes that are not durable yet.
     pub fn get(&self, key: &[u8]) -> Option<&Value> {
         self.keys.get(key)
     }
 
-    /// All live keys with a prefix, in order.
+    /// Returns all live keys that begin with a prefix, in sorted order.
     pub fn prefix<'a>(&'a self, prefix: &'a [u8]) -> impl Iterator<Item = (&'a [u8], &'a Value)> {
         let range = (Bound::Included(prefix), Bound::Unbounded);
         self.keys
@@ -226,50 +231,52 @@
         self.keys.is_empty()
     }
 
-    /// Number of the last batch that is durable.
+    /// Number of the last batch that is durable; 0 if there is none.
     pub fn durable_batch(&self) -> u64 {
-        self.durable
+        self.durable_batch
     }
 
-    /// Bytes on disk, and those that wait for a flush.
+    /// Total size of the segments in bytes, including frames that were not flushed yet.
     pub fn bytes(&self) -> u64 {
-        self.segment_bytes.values().sum::<u64>() + self.pending.len() as u64
+        self.segment_bytes.values().sum::<u64>() + self.pending_frames.len() as u64
     }
 
-    /// Whether so many more bytes would exceed the budget, which has to hold all live keys once
-    /// more.
-    pub fn is_full(&self, more_bytes: u64) -> bool {
-        let live_bytes = self.live_bytes + more_bytes;
+    /// Whether `additional_bytes` more would exceed the budget. The budget must leave room for a
+    /// second copy of all live keys, which a rewrite needs.
+    pub fn is_full(&self, additional_bytes: u64) -> bool {
+        let live_bytes = self.live_bytes + additional_bytes;
         live_bytes > self.config.budget / 3 || self.bytes() + live_bytes > self.config.budget
     }
 
-    /// Whether a write or a flush has failed, so that [`Store::rebuild`] is needed.
+    /// Whether a write or a flush has failed. Nothing can be flushed until [`Store::rebuild`]
+    /// succeeds.
     pub fn is_broken(&self) -> bool {
         self.log.is_none()
     }
 
-    /// Takes a batch, and returns its number; it is durable once [`Store::flush`] has returned this
-    /// number. `None` where it is longer than [`frame::MAX_BATCH`].
+    /// Applies a batch to the live keys and returns its number. The batch is durable once
+    /// [`Store::flush`] has returned this number or a greater one. Returns `None` and applies
+    /// nothing if the encoded batch is longer than [`frame::MAX_FRAME_BYTES`].
     pub fn write(&mut self, batch: Batch) -> Option<u64> {
-        let number = self.last + 1;
+        let number = self.last_batch + 1;
         let frame = Frame::Batch {
             number,
-            behind_durable: number - self.durable,
+            batches_since_durable: number - self.durable_batch,
             batch,
         };
-        if !frame::put(&mut self.pending, &frame) {
+        if !frame::append(&mut self.pending_frames, &frame) {
             return None;
         }
-        self.last = number;
+        self.last_batch = number;
         if let Frame::Batch { batch, .. } = frame {
             for write in batch.writes {
-                self.apply(write);
+                self.apply_write(write);
             }
         }
         Some(number)
     }
 
-    fn apply(&mut self, write: Write) {
+    fn apply_write(&mut self, write: Write) {
         let added = write.value.as_ref();
         self.live_bytes += added.map_or(0, |value| disk_bytes(&write.key, value));
         let replaced = self.keys.get(write.key.as_slice());
@@ -277,28 +284,32 @@
         recovery::apply(&mut self.keys, write);
     }
 
-    /// Makes all batches that were taken durable, and returns the number of the last.
+    /// Makes all written batches durable and returns the number of the last one.
     ///
     /// # Errors
     ///
-    /// Where the log is broken, or breaks now.
+    /// If the log is broken, or if the write or the flush fails, which breaks it.
     pub fn flush(&mut self) -> io::Result<u64> {
         let Some(log) = &mut self.log else {
-            return Err(io::Error::other("the log is broken"));
+            return Err(io::Error::other(
+                "an earlier write to the log failed, so it has to be rebuilt",
+            ));
         };
-        if self.pending.is_empty() {
-            return Ok(self.durable);
+        if self.pending_frames.is_empty() {
+            return Ok(self.durable_batch);
         }
-        let flushed = log.append(&self.pending).and_then(|()| log.sync());
-        if let Err(e) = flushed {
+        let flushed = log
+            .append(&self.pending_frames)
+            .and_then(|()| log.sync());
+        if let Err(error) = flushed {
             self.log = None;
-            return Err(e);
+            return Err(error);
         }
-        let bytes = self.pending.len() as u64;
+        let bytes = self.pending_frames.len() as u64;
         self.log_bytes += bytes;
         *self.segment_bytes.entry(self.log_name.clone()).or_default() += bytes;
-        self.pending.clear();
-        self.durable = self.last;
-        Ok(self.durable)
+        self.pending_frames.clear();
+        self.durable_batch = self.last_batch;
+        Ok(self.durable_batch)
     }
 }
--- a/crates/store/src/store/rewrite.rs
+++ b/crates/store/src/store/rewrite.rs
@@ -1,27 +1,28 @@
-//! Segments of a [`Store`]: new logs, and snapshots of all live keys that take the place of older
-//! segments, written slice by slice or at once.
+//! Creation of a [`Store`]'s segments: new logs, and snapshots of all live keys that replace older
+//! segments. A snapshot is written in slices or at once.
 
 use std::io;
 use std::ops::Bound;
 
 use super::{disk_bytes, Store};
-use crate::files::Log;
-use crate::frame::{self, Batch, Frame, Head};
+use crate::files::AppendFile;
+use crate::frame::{self, Batch, Frame, SegmentHeader};
 use crate::recovery;
 
-/// A log shorter than this is not rewritten.
+/// A log of up to this many bytes, or an eighth of the budget if that is less, is not rewritten.
 const MIN_LOG_BYTES: u64 = 1 << 20;
-/// Bytes of live keys after which a part of a snapshot ends.
+/// A part of a snapshot ends once its keys and values take this many bytes on disk.
 const PART_BYTES: usize = 32 << 10;
 
 /// A snapshot that is being written.
 pub(super) struct Rewrite {
-    log: Box<dyn Log>,
+    file: Box<dyn AppendFile>,
     name: String,
     bytes: u64,
+    /// The last key that was written; the next part continues after it.
     last_key: Option<Box<[u8]>>,
     /// Number of keys that were written.
-    writes: u64,
+    key_count: u64,
     /// Segments that the snapshot replaces.
     old_segments: Vec<String>,
 }
@@ -29,19 +30,19 @@
 impl Rewrite {
     fn append(&mut self, frame: &Frame) -> io::Result<usize> {
         let mut bytes = Vec::new();
-        frame::put(&mut bytes, frame);
-        self.log.append(&bytes)?;
+        frame::append(&mut bytes, frame);
+        self.file.append(&bytes)?;
         self.bytes += bytes.len() as u64;
         Ok(bytes.len())
     }
 
     fn append_part(&mut self, part: Batch) -> io::Result<usize> {
-        self.writes += part.writes.len() as u64;
-        self.append(&Frame::Part(part))
+        self.key_count += part.writes.len() as u64;
+        self.append(&Frame::SnapshotPart(part))
     }
 }
 
-/// What a new segment holds.
+/// What a new segment contains.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SegmentKind {
     Log,
@@ -49,76 +50,78 @@
 }
 
 impl Store {
-    /// Creates a segment behind a batch.
+    /// Creates a segment that continues after a batch, with a durable header.
     fn create_segment(
         &mut self,
         kind: SegmentKind,
-        after: u64,
+        after_batch: u64,
         now_ms: u64,
-    ) -> io::Result<(Box<dyn Log>, String)> {
-        self.head.number += 1;
-        let head = Head {
-            snapshot: kind == SegmentKind::Snapshot,
-            after,
-            acknowledged: self.durable,
+    ) -> io::Result<(Box<dyn AppendFile>, String)> {
+        self.header.number += 1;
+        let header = SegmentHeader {
+            is_snapshot: kind == SegmentKind::Snapshot,
+            after_batch,
+            last_durable_batch: self.durable_batch,
             at_ms: now_ms,
-            ..self.head
+            ..self.header
         };
-        let name = recovery::segment_name(head.number);
-        let mut log = self.files.create(&name)?;
+        let name = recovery::segment_name(header.number);
+        let mut file = self.files.create(&name)?;
         let mut bytes = Vec::new();
-        frame::put_head(&mut bytes, &head);
-        log.append(&bytes)?;
-        // The head is durable before any frame: a bad head with frames behind it is damage.
-        log.sync()?;
+        frame::append_header(&mut bytes, &header);
+        file.append(&bytes)?;
+        // The header is durable before any frame is written, so an invalid header with frames after
+        // it means damage.
+        file.sync()?;
         self.files.sync_directory()?;
         self.segment_bytes.insert(name.clone(), bytes.len() as u64);
-        Ok((log, name))
+        Ok((file, name))
     }
 
     pub(super) fn begin_log(&mut self, now_ms: u64) -> io::Result<()> {
         self.log = None;
-        let (log, name) = self.create_segment(SegmentKind::Log, self.durable, now_ms)?;
+        let (log, name) = self.create_segment(SegmentKind::Log, self.durable_batch, now_ms)?;
         self.log = Some(log);
         self.log_name = name;
         Ok(())
     }
 
-    fn begin_rewrite(&mut self, after: u64, now_ms: u64) -> io::Result<Rewrite> {
+    fn begin_rewrite(&mut self, after_batch: u64, now_ms: u64) -> io::Result<Rewrite> {
         let old_segments = self.segment_bytes.keys().cloned().collect();
-        let (log, name) = self.create_segment(SegmentKind::Snapshot, after, now_ms)?;
+        let (file, name) = self.create_segment(SegmentKind::Snapshot, after_batch, now_ms)?;
         Ok(Rewrite {
-            log,
+            file,
             name,
             bytes: 0,
             last_key: None,
-            writes: 0,
+            key_count: 0,
             old_segments,
         })
     }
 
-    /// Whether the log should be rewritten, or is being rewritten.
-    pub fn wants_rewriting(&self) -> bool {
+    /// Whether [`Store::rewrite`] should be called: a rewrite has begun, the log has grown long
+    /// compared with the live keys, or segments of an earlier process are in use.
+    pub fn should_rewrite(&self) -> bool {
         let is_long = self.log_bytes > MIN_LOG_BYTES.min(self.config.budget / 8)
             && self.log_bytes > 2 * self.live_bytes;
         !self.is_broken() && (self.rewrite.is_some() || is_long || self.has_old_segments)
     }
 
-    /// Writes about so many bytes of a snapshot. Returns whether the snapshot is complete and the
+    /// Writes about `max_bytes` of a snapshot. Returns `true` once the snapshot is complete and the
     /// segments that it replaces are removed.
     ///
     /// # Errors
     ///
-    /// Where a file can't be written; the snapshot is given up then.
+    /// If a file can't be written. The snapshot is abandoned then.
     pub fn rewrite(&mut self, now_ms: u64, max_bytes: usize) -> io::Result<bool> {
         if self.rewrite.is_none() {
             self.flush()?;
-            self.rewrite = Some(self.begin_rewrite(self.durable, now_ms)?);
-            // Batches from now on go to a log behind the snapshot, which may hold some of them
-            // already.
-            if let Err(e) = self.begin_log(now_ms) {
+            self.rewrite = Some(self.begin_rewrite(self.durable_batch, now_ms)?);
+            // Batches from now on go to a new log after the snapshot. The snapshot may contain some
+            // of their writes too.
+            if let Err(error) = self.begin_log(now_ms) {
                 self.rewrite = None;
-                return Err(e);
+                return Err(error);
             }
             self.log_bytes = 0;
         }
@@ -129,8 +132,8 @@
         while remaining > 0 {
             let part = self.next_part(&mut rewrite, now_ms);
             if part.writes.is_empty() {
-                // The snapshot may hold a part of a batch that was written meanwhile; with the log
-                // behind it the whole batch is there.
+                // The snapshot may contain only a part of a batch that was written meanwhile. The
+                // log after it contains the whole batch and has to be durable first.
                 self.flush()?;
                 self.finish_rewrite(rewrite)?;
                 return Ok(true);
@@ -143,14 +146,15 @@
         Ok(false)
     }
 
-    /// The next live keys of a snapshot. Keys that have expired are removed.
+    /// Returns the next live keys of a snapshot, and drops expired keys that it passes. Returns an
+    /// empty batch at the end.
     fn next_part(&mut self, rewrite: &mut Rewrite, now_ms: u64) -> Batch {
         let last_key = rewrite.last_key.as_deref();
-        let first = last_key.map_or(Bound::Unbounded, Bound::Excluded);
+        let start = last_key.map_or(Bound::Unbounded, Bound::Excluded);
         let mut part = Batch::default();
         let mut part_bytes = 0;
         let mut expired = Vec::new();
-        for (key, value) in self.keys.range::<[u8], _>((first, Bound::Unbounded)) {
+        for (key, value) in self.keys.range::<[u8], _>((start, Bound::Unbounded)) {
             if value.until_ms != 0 && value.until_ms < now_ms {
                 expired.push(key.clone());
                 continue;
@@ -173,12 +177,12 @@
     }
 
     fn finish_rewrite(&mut self, mut rewrite: Rewrite) -> io::Result<()> {
-        rewrite.append(&Frame::Whole(rewrite.writes))?;
-        rewrite.log.sync()?;
+        rewrite.append(&Frame::SnapshotEnd(rewrite.key_count))?;
+        rewrite.file.sync()?;
         self.files.sync_directory()?;
         self.segment_bytes.insert(rewrite.name, rewrite.bytes);
         self.has_old_segments = false;
-        // The snapshot is durable: only now may the segments that it replaces be removed.
+        // The segments that the snapshot replaces may be removed only now that it is durable.
         for name in rewrite.old_segments {
             self.files.remove(&name)?;
             self.segment_bytes.remove(&name);
@@ -186,17 +190,17 @@
         self.files.sync_directory()
     }
 
-    /// Writes all keys to new segments, in place of a log that is broken or damaged. Batches that
-    /// were not durable are durable then. Returns the number of the last.
+    /// Replaces a broken or damaged log: writes all live keys to new segments. Batches that were
+    /// not durable before are durable afterwards. Returns the number of the last one.
     ///
     /// # Errors
     ///
-    /// Where a file can't be written; it may be called again.
+    /// If a file can't be written. The call may be repeated.
     pub fn rebuild(&mut self, now_ms: u64) -> io::Result<u64> {
         self.log = None;
         self.rewrite = None;
-        // The snapshot holds pending batches too, so their frames are not needed.
-        let mut rewrite = self.begin_rewrite(self.last, now_ms)?;
+        // The snapshot includes the writes of pending batches, so their frames are not needed.
+        let mut rewrite = self.begin_rewrite(self.last_batch, now_ms)?;
         loop {
             let part = self.next_part(&mut rewrite, now_ms);
             if part.writes.is_empty() {
@@ -205,10 +209,10 @@
             rewrite.append_part(part)?;
         }
         self.finish_rewrite(rewrite)?;
-        self.durable = self.last;
-        self.pending.clear();
+        self.durable_batch = self.last_batch;
+        self.pending_frames.clear();
         self.log_bytes = 0;
         self.begin_log(now_ms)?;
-        Ok(self.durable)
+        Ok(self.durable_batch)
     }
 }
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -1,9 +1,9 @@
-//! The store's thread: takes batches from the gateway's loop, flushes once for all that wait, and
-//! rewrites the log in slices between flushes. The loop never waits for it; it polls what is
-//! durable and whether the disk fails.
+//! The store's thread. It receives batches from the gateway's event loop, makes all waiting batches
+//! durable with one flush, and rewrites the log in slices between flushes. The event loop never
+//! waits for the thread; it polls which batches are durable and whether the disk fails.
 //!
-//! The thread stops when its [`Worker`] is dropped: it flushes what was handed over and ends. The
-//! drop joins it, unless the disk takes longer than [`SHUTDOWN_TIMEOUT`].
+//! When its [`Worker`] is dropped, the thread flushes the batches that it has received and ends.
+//! The drop joins the thread, unless the disk takes longer than [`SHUTDOWN_TIMEOUT`].
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender};
@@ -18,73 +18,75 @@
 
 /// Name of the thread.
 const THREAD_NAME: &str = "store";
-/// Batches that wait for the thread; a further one is rejected.
-pub const MAX_WAITING: usize = 4096;
-/// Bytes of one slice of rewriting.
+/// Number of batches that may wait for the thread. Further ones are rejected.
+pub const MAX_QUEUED_BATCHES: usize = 4096;
+/// Number of bytes that one slice of a rewrite writes.
 const REWRITE_SLICE_BYTES: u64 = 16 << 10;
-/// Bytes of rewriting in a second.
+/// Number of bytes per second that a rewrite may write.
 const REWRITE_BYTES_PER_S: f64 = 8.0 * (1 << 20) as f64;
-/// Delay after a failed write before the next attempt to rebuild the log.
+/// Delay between a failed write and the next attempt to rebuild the log.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Longest wait of the thread for a batch.
+/// Longest time for which the thread waits for a batch.
 const MAX_IDLE: Duration = Duration::from_millis(200);
-/// Longest wait for the last flush when the worker is dropped.
+/// Longest time for which dropping the worker waits for the last flush.
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Interval at which the drop checks whether the thread has ended.
+/// Interval at which dropping the worker checks whether the thread has ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What the thread reports to the loop.
+/// What the thread reports to the event loop.
 #[derive(Default)]
-struct Shared {
-    durable: AtomicU64,
+struct WorkerStatus {
+    /// The last ticket that is durable.
+    durable_ticket: AtomicU64,
     is_failing: AtomicBool,
     is_full: AtomicBool,
 }
 
-/// The loop's side of the thread, which it owns.
+/// The event loop's handle of the store's thread.
 pub struct Worker {
     sender: Option<SyncSender<Batch>>,
-    shared: Arc<Shared>,
+    status: Arc<WorkerStatus>,
     thread: Option<JoinHandle<()>>,
     last_ticket: u64,
 }
 
 impl Worker {
-    /// Starts the thread. It calls `wake` whenever more batches are durable or the disk fails.
+    /// Starts the thread. It calls `wake` whenever more batches become durable or the disk fails.
     ///
     /// # Errors
     ///
-    /// Where the system starts no thread.
+    /// If the system can't start a thread.
     pub fn start(store: Store, wake: Box<dyn Fn() + Send>) -> std::io::Result<Self> {
-        let (sender, batches) = sync_channel(MAX_WAITING);
-        let shared = Arc::new(Shared::default());
-        let mut flusher = Flusher::new(store, shared.clone(), wake);
+        let (sender, batches) = sync_channel(MAX_QUEUED_BATCHES);
+        let status = Arc::new(WorkerStatus::default());
+        let mut flusher = Flusher::new(store, status.clone(), wake);
         let thread = std::thread::Builder::new().name(THREAD_NAME.into());
         let thread = thread.spawn(move || flusher.run(&batches))?;
         Ok(Worker {
             sender: Some(sender),
-            shared,
+            status,
             thread: Some(thread),
             last_ticket: 0,
         })
     }
 
-    /// Hands a batch over, and returns its ticket; `None` where too many wait.
+    /// Sends a batch to the thread and returns its ticket. Tickets count from 1. Returns `None` if
+    /// [`MAX_QUEUED_BATCHES`] wait already.
     pub fn write(&mut self, batch: Batch) -> Option<u64> {
         self.sender.as_ref()?.try_send(batch).ok()?;
         self.last_ticket += 1;
         Some(self.last_ticket)
     }
 
-    /// The last ticket that is durable.
+    /// The last ticket that is durable; 0 if there is none. Earlier tickets are durable too.
     pub fn durable_ticket(&self) -> u64 {
-        self.shared.durable.load(Ordering::Acquire)
+        self.status.durable_ticket.load(Ordering::Acquire)
     }
 
-    /// Whether the disk fails or is full, so that batches may wait for long.
+    /// Whether the disk fails or the store is full, so that batches may wait for a long time.
     pub fn is_failing(&self) -> bool {
-        self.shared.is_failing.load(Ordering::Relaxed)
-            || self.shared.is_full.load(Ordering::Relaxed)
+        self.status.is_failing.load(Ordering::Relaxed)
+            || self.status.is_full.load(Ordering::Relaxed)
     }
 }
 
@@ -113,31 +115,32 @@
         .as_millis() as u64
 }
 
-/// State of the thread.
+/// State of the store's thread.
 struct Flusher {
     store: Store,
-    shared: Arc<Shared>,
+    status: Arc<WorkerStatus>,
     wake: Box<dyn Fn() + Send>,
     started_at: Instant,
-    slices: Scheduler<()>,
-    /// Tickets of the batches that were taken.
+    /// Limits the rate of rewriting.
+    slice_scheduler: Scheduler<()>,
+    /// Ticket of the last batch that was received.
     last_ticket: u64,
-    /// A broken log is not rebuilt before this time.
+    /// Earliest time of the next attempt to rebuild a broken log.
     retry_at: Instant,
 }
 
 impl Flusher {
-    fn new(store: Store, shared: Arc<Shared>, wake: Box<dyn Fn() + Send>) -> Self {
+    fn new(store: Store, status: Arc<WorkerStatus>, wake: Box<dyn Fn() + Send>) -> Self {
         let budget = Budget {
             round_time: u64::MAX,
             bytes_per_s: REWRITE_BYTES_PER_S,
         };
         Flusher {
             store,
-            shared,
+            status,
             wake,
             started_at: Instant::now(),
-            slices: Scheduler::new(budget, 0),
+            slice_scheduler: Scheduler::new(budget, 0),
             last_ticket: 0,
             retry_at: Instant::now(),
         }
@@ -146,13 +149,13 @@
     fn run(&mut self, batches: &Receiver<Batch>) {
         loop {
             match batches.recv_timeout(self.next_wait()) {
-                Ok(batch) => self.take(batch),
+                Ok(batch) => self.write_batch(batch),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => break,
             }
-            // One flush for all that wait by now.
-            for batch in batches.try_iter().take(MAX_WAITING) {
-                self.take(batch);
+            // One flush makes all batches durable that wait by now.
+            for batch in batches.try_iter().take(MAX_QUEUED_BATCHES) {
+                self.write_batch(batch);
             }
             if self.store.is_broken() && Instant::now() < self.retry_at {
                 continue;
@@ -161,7 +164,7 @@
                 self.rewrite_slice();
             }
         }
-        // The last batches; a failure leaves them not reported as durable.
+        // If the last flush fails, its batches are never reported as durable.
         let _ = self.store.flush();
     }
 
@@ -169,70 +172,72 @@
         self.started_at.elapsed().as_micros() as u64
     }
 
+    /// How long to wait for a batch until there is something else to do.
     fn next_wait(&mut self) -> Duration {
-        if !self.store.wants_rewriting() {
+        if !self.store.should_rewrite() {
             return MAX_IDLE;
         }
         let now_us = self.now_us();
-        let due_us = self.slices.next_job_at(now_us).unwrap_or(0);
-        Duration::from_micros(due_us.saturating_sub(now_us)).min(MAX_IDLE)
+        let next_slice_us = self.slice_scheduler.next_job_at(now_us).unwrap_or(0);
+        Duration::from_micros(next_slice_us.saturating_sub(now_us)).min(MAX_IDLE)
     }
 
-    fn take(&mut self, batch: Batch) {
+    fn write_batch(&mut self, batch: Batch) {
         self.last_ticket += 1;
         // No intent is that long, so no send waits for such a batch.
         if self.store.write(batch).is_none() {
-            log::error!("a batch is too long for the store and was left out");
+            log::error!("a batch is too long for the store and is not written");
         }
     }
 
-    /// Makes all batches that were taken durable. Returns whether that succeeded.
+    /// Makes all received batches durable. Returns whether that succeeded.
     fn flush(&mut self) -> bool {
         let flushed = if self.store.is_broken() {
             self.store.rebuild(unix_ms())
         } else {
             self.store.flush()
         };
-        if let Err(e) = flushed {
-            if !self.shared.is_failing.swap(true, Ordering::Relaxed) {
+        if let Err(error) = flushed {
+            if !self.status.is_failing.swap(true, Ordering::Relaxed) {
                 log::error!(
-                    "the store can't be written; keyed requests wait, then are refused: {e}"
+                    "the store can't be written; requests with an idempotency key wait and are \
+                     then refused: {error}"
                 );
             }
             self.retry_at = Instant::now() + RETRY_DELAY;
             (self.wake)();
             return false;
         }
-        if self.shared.is_failing.swap(false, Ordering::Relaxed) {
-            log::info!("the store is written again");
+        if self.status.is_failing.swap(false, Ordering::Relaxed) {
+            log::info!("the store can be written again");
         }
         let is_full = self.store.is_full(0);
-        self.shared.is_full.store(is_full, Ordering::Relaxed);
-        let durable = self.last_ticket;
-        if self.shared.durable.swap(durable, Ordering::Release) != durable {
+        self.status.is_full.store(is_full, Ordering::Relaxed);
+        let durable_ticket = self.last_ticket;
+        if self.status.durable_ticket.swap(durable_ticket, Ordering::Release) != durable_ticket {
             (self.wake)();
         }
         true
     }
 
     fn rewrite_slice(&mut self) {
-        if !self.store.wants_rewriting() {
+        if !self.store.should_rewrite() {
             return;
         }
-        if self.slices.waiting(Urgency::Tidy) == 0 {
-            // The queue is empty, so it takes the slice.
+        if self.slice_scheduler.waiting(Urgency::Tidy) == 0 {
+            // The queue is empty, so it accepts the slice.
             let now_us = self.now_us();
             let _ = self
-                .slices
+                .slice_scheduler
                 .offer(now_us, Urgency::Tidy, (), REWRITE_SLICE_BYTES);
         }
-        self.slices.start_round();
+        self.slice_scheduler.start_round();
         let now_us = self.now_us();
-        if self.slices.next_job(now_us).is_none() {
+        if self.slice_scheduler.next_job(now_us).is_none() {
             return;
         }
-        if let Err(e) = self.store.rewrite(unix_ms(), REWRITE_SLICE_BYTES as usize) {
-            log::warn!("the store's log could not be rewritten, which is tried again: {e}");
+        if let Err(error) = self.store.rewrite(unix_ms(), REWRITE_SLICE_BYTES as usize) {
+            log::warn!("the store's log could not be rewritten and will be retried: {error}");
             self.retry_at = Instant::now() + RETRY_DELAY;
         }
     }
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -1,11 +1,11 @@
 //! Failures that a store has to survive: a crash within any call, a power loss with torn and
-//! reordered writes, truncated and changed bytes, a full disk, a failed flush, an old copy, a
-//! second process.
+//! reordered writes, truncated and changed bytes, a full disk, a failed flush, a restored backup
+//! and a second process on the same directory.
 
 use std::collections::BTreeMap;
 
 use eideryard_store::faulty::FaultyDisk;
-use eideryard_store::worker::{Worker, MAX_WAITING};
+use eideryard_store::worker::{Worker, MAX_QUEUED_BATCHES};
 use eideryard_store::{Batch, Config, Directory, OpenError, RecoveryStatus, Store};
 use fastrand::Rng;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 const NOW: u64 = 1_800_000_000_000;
 const CONFIG: Config = Config { budget: 1 << 20 };
 
-/// The keys and values that a store should hold.
+/// Expected keys and values of a store.
 type Map = BTreeMap<Vec<u8>, Vec<u8>>;
 
 fn open(disk: &FaultyDisk, random: u64) -> Result<(Store, RecoveryStatus), OpenError> {
@@ -28,7 +28,7 @@
         .collect()
 }
 
-/// A small batch over few keys, so that most are overwritten and removed.
+/// A small batch over few keys, so that most keys are overwritten or removed later.
 fn random_batch(rng: &mut Rng) -> Batch {
     let mut batch = Batch::default();
     for _ in 0..rng.usize(1..4) {
@@ -50,11 +50,11 @@
     }
 }
 
-/// Writes, flushes and rewrites until something fails, as one process does. Appends the state after
-/// each batch to `states`, and returns the index of the last one that was reported durable.
+/// Writes, flushes and rewrites until something fails, as one process would. Appends the state
+/// after each batch to `states` and returns the index of the last state that was reported durable.
 fn run_process(store: &mut Store, rng: &mut Rng, batches: usize, states: &mut Vec<Map>) -> usize {
-    let (mut acknowledged, first) = (states.len() - 1, store.durable_batch());
-    let base = states.len() - 1;
+    let (mut acknowledged, first_batch) = (states.len() - 1, store.durable_batch());
+    let first_state = states.len() - 1;
     for _ in 0..batches {
         let batch = random_batch(rng);
         let mut map = states.last().unwrap().clone();
@@ -63,7 +63,7 @@
         states.push(map);
         if rng.u8(0..3) == 0 {
             match store.flush() {
-                Ok(durable) => acknowledged = base + (durable - first) as usize,
+                Ok(durable) => acknowledged = first_state + (durable - first_batch) as usize,
                 Err(_) => return acknowledged,
             }
         }
@@ -80,14 +80,15 @@
     PowerLoss,
 }
 
-/// Crashes within calls, several times in a row, recovery included: what was acknowledged is there,
-/// and nothing that was never written.
+/// Crashes several processes in a row within random calls, also during recovery. Each time, the
+/// store must contain all acknowledged writes and nothing that was never written.
 fn check_crashes(seed: u64, fault: Fault) {
     let mut rng = Rng::with_seed(seed);
     let disk = FaultyDisk::default();
     let (mut states, mut acknowledged) = (vec![Map::new()], 0);
     for process in 0..4 {
-        // Mostly soon, so that recovery and the first calls of a process are hit often.
+        // More than half of the crashes come early, to hit recovery and the first calls of a
+        // process often.
         disk.crash_at(if rng.bool() {
             rng.u64(1..12)
         } else {
@@ -106,8 +107,8 @@
             let index = index.unwrap_or_else(|| {
                 let earlier = states.iter().rposition(|state| *state == found);
                 panic!(
-                    "seed {seed}, process {process}: an acknowledged write is lost: state {earlier:?} of {}, {acknowledged} \
-                     was acknowledged; files {:?}",
+                    "seed {seed}, process {process}: an acknowledged write is lost: state {earlier:?} of {}, \
+                     {acknowledged} was acknowledged; files {:?}",
                     states.len(),
                     disk.backup().iter().map(|(n, b)| (n.clone(), b.len())).collect::<Vec<_>>()
                 )
@@ -131,9 +132,9 @@
     );
 }
 
-/// `EIDERYARD_SEEDS` sets the number of seeds.
+/// The environment variable `EIDERYARD_SEEDS` sets the number of seeds.
 #[test]
-fn a_crash_within_any_call_loses_nothing_acknowledged_and_invents_nothing() {
+fn a_crash_within_any_call_keeps_acknowledged_writes_and_adds_no_others() {
     let seeds = std::env::var("EIDERYARD_SEEDS")
         .ok()
         .and_then(|seeds| seeds.parse().ok())
@@ -148,10 +149,11 @@
     }
 }
 
-/// The injected bug that the test above has to find: a disk that reports a flush without doing it.
+/// Checks that the test above can fail, with an injected bug: a disk that reports flushes without
+/// doing them.
 #[test]
 #[should_panic(expected = "acknowledged write is lost")]
-fn a_flush_that_does_nothing_is_noticed() {
+fn a_disk_that_reports_flushes_without_doing_them_is_detected() {
     for seed in 0..200 {
         let mut rng = Rng::with_seed(seed);
         let disk = FaultyDisk::default();
@@ -160,9 +162,9 @@
         let backup = disk.backup();
         let acknowledged = run_process(&mut store, &mut rng, 30, &mut states);
         drop(store);
-        // What the log held at first is all that reached the disk.
+        // Only the bytes that the log had at first have reached the disk.
         for (name, bytes) in backup {
-            disk.change(&name, |now| now.truncate(bytes.len()));
+            disk.change(&name, |content| content.truncate(bytes.len()));
         }
         disk.power_loss(&mut rng);
         let found = open(&disk, 2)
@@ -176,7 +178,7 @@
 }
 
 #[test]
-fn after_a_failed_flush_a_rebuild_makes_all_durable() {
+fn a_rebuild_after_a_failed_flush_makes_all_writes_durable() {
     for seed in 0..300 {
         let mut rng = Rng::with_seed(seed);
         let disk = FaultyDisk::default();
@@ -185,8 +187,8 @@
         disk.fail_at(rng.u64(1..30));
         run_process(&mut store, &mut rng, 60, &mut states);
         if store.is_broken() {
-            assert!(store.flush().is_err(), "a broken log is not flushed");
-            // The next call may fail as well.
+            assert!(store.flush().is_err(), "a broken log can't be flushed");
+            // A call during the rebuild may fail as well.
             disk.fail_at(rng.u64(1..12));
             while store.rebuild(NOW).is_err() {}
         }
@@ -206,7 +208,7 @@
 }
 
 #[test]
-fn a_disk_that_is_full_within_a_rewrite_keeps_what_it_had_and_goes_on_with_room() {
+fn a_store_survives_a_disk_that_fills_up_during_a_rewrite() {
     for free_bytes in (0..6000).step_by(97) {
         let mut rng = Rng::with_seed(free_bytes as u64);
         let disk = FaultyDisk::default();
@@ -227,7 +229,7 @@
     }
 }
 
-/// A store after several rewrites, with its states.
+/// The disk of a store after several rewrites, and its state after each batch.
 fn written_store(seed: u64) -> (FaultyDisk, Vec<Map>) {
     let mut rng = Rng::with_seed(seed);
     let disk = FaultyDisk::default();
@@ -242,20 +244,20 @@
     (disk, states)
 }
 
-/// Opens a damaged store: it has the state of some time, or is refused with a reason. Returns
-/// whether it was opened.
-fn opens_damaged(disk: &FaultyDisk, states: &[Map], name: &str, damage: &str) -> bool {
+/// Opens a damaged store, which must either recover one of its earlier states or be refused with a
+/// reason. Returns whether it was opened.
+fn open_damaged_store(disk: &FaultyDisk, states: &[Map], name: &str, damage: &str) -> bool {
     match Store::open(Box::new(disk.clone()), CONFIG, NOW, 9) {
         Ok((store, report)) => {
             let found_state = contents(&store);
             assert!(
                 states.contains(&found_state),
-                "{name}, {damage}: a state that never was"
+                "{name}, {damage}: the store never had this state"
             );
-            let whole = found_state == *states.last().unwrap();
-            // Missing batches are reported, unless they look as if they were never flushed.
+            let is_complete = found_state == *states.last().unwrap();
+            // Missing batches are reported, unless they look as if they had never been flushed.
             assert!(
-                whole
+                is_complete
                     || report.status != RecoveryStatus::Whole
                     || report.torn_bytes > 0
                     || damage.starts_with("cut"),
@@ -271,22 +273,22 @@
 }
 
 #[test]
-fn every_byte_cut_and_every_byte_changed_is_survived_or_refused() {
+fn a_store_with_any_cut_or_changed_byte_recovers_an_earlier_state_or_is_refused() {
     let (disk, states) = written_store(5);
     let backup = disk.backup();
     let (mut opened, mut refused) = (0, 0);
     for (name, bytes) in &backup {
-        for at in 0..bytes.len() {
+        for offset in 0..bytes.len() {
             for kind in ["cut", "changed"] {
                 let change = |bytes: &mut Vec<u8>| match kind {
-                    "cut" => bytes.truncate(at),
-                    _ => bytes[at] ^= 1 << (at % 8),
+                    "cut" => bytes.truncate(offset),
+                    _ => bytes[offset] ^= 1 << (offset % 8),
                 };
                 disk.kill();
-                let other = FaultyDisk::default();
-                other.restore(&backup);
-                other.change(name, change);
-                if opens_damaged(&other, &states, name, &format!("{kind} at {at}")) {
+                let damaged = FaultyDisk::default();
+                damaged.restore(&backup);
+                damaged.change(name, change);
+                if open_damaged_store(&damaged, &states, name, &format!("{kind} at {offset}")) {
                     opened += 1;
                 } else {
                     refused += 1;
@@ -301,7 +303,7 @@
 }
 
 #[test]
-fn a_restored_copy_is_a_new_incarnation_and_so_is_a_wiped_directory() {
+fn a_restored_backup_and_an_emptied_directory_each_begin_a_new_incarnation() {
     let directory = tempfile::tempdir().unwrap();
     let original = directory.path().join("original");
     let backup = directory.path().join("backup");
@@ -320,7 +322,7 @@
     put(&mut store, "a");
     assert!(
         matches!(open(NOW), Err(OpenError::InUse)),
-        "two processes on one directory"
+        "a second process can't open the directory"
     );
     drop(store);
     let copy = |from: &std::path::Path, to: &std::path::Path| {
@@ -351,14 +353,14 @@
     assert_eq!(
         (report.status, report.complete_since_ms),
         (RecoveryStatus::Whole, NOW + 2),
-        "from then on it is an incarnation of its own"
+        "the new incarnation continues at the next start"
     );
     std::fs::remove_dir_all(&original).unwrap();
     assert_eq!(open(NOW + 4).unwrap().1.status, RecoveryStatus::New);
 }
 
 #[test]
-fn a_rewrite_removes_expired_keys_and_the_log_stays_within_its_budget() {
+fn rewrites_drop_expired_keys_and_keep_the_store_within_its_budget() {
     let disk = FaultyDisk::default();
     let (mut store, _) = open(&disk, 1).unwrap();
     for number in 0..60_000u32 {
@@ -369,7 +371,7 @@
         if number % 16 == 0 {
             store.flush().unwrap();
         }
-        if store.wants_rewriting() {
+        if store.should_rewrite() {
             store.rewrite(NOW, 4000).unwrap();
         }
         assert!(
@@ -378,15 +380,15 @@
             store.bytes()
         );
     }
-    while store.wants_rewriting() {
+    while store.should_rewrite() {
         store.rewrite(NOW, 4000).unwrap();
     }
     store.rebuild(NOW).unwrap();
-    assert_eq!(store.len(), 150, "those that never expire");
+    assert_eq!(store.len(), 150, "only keys that never expire are left");
 }
 
 #[derive(Clone, Debug)]
-enum Op {
+enum Operation {
     Put(u8, Vec<u8>),
     Remove(u8),
     Flush,
@@ -394,33 +396,34 @@
     Reopen,
 }
 
-fn ops() -> impl Strategy<Value = Vec<Op>> {
-    let op = prop_oneof![
-        4 => (0..20u8, proptest::collection::vec(any::<u8>(), 0..40)).prop_map(|(k, v)| Op::Put(k, v)),
-        2 => (0..20u8).prop_map(Op::Remove),
-        2 => Just(Op::Flush),
-        2 => Just(Op::Rewrite),
-        1 => Just(Op::Reopen),
+fn operations() -> impl Strategy<Value = Vec<Operation>> {
+    let operation = prop_oneof![
+        4 => (0..20u8, proptest::collection::vec(any::<u8>(), 0..40))
+            .prop_map(|(key, value)| Operation::Put(key, value)),
+        2 => (0..20u8).prop_map(Operation::Remove),
+        2 => Just(Operation::Flush),
+        2 => Just(Operation::Rewrite),
+        1 => Just(Operation::Reopen),
     ];
-    proptest::collection::vec(op, 0..200)
+    proptest::collection::vec(operation, 0..200)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
-    /// Compared with a map, through flushes, rewrites and clean restarts.
+    /// Compares a store with a map through flushes, rewrites and clean restarts.
     #[test]
-    fn a_store_holds_what_a_map_holds(ops in ops()) {
+    fn a_store_has_the_same_keys_and_values_as_a_map(operations in operations()) {
         let disk = FaultyDisk::default();
         let mut map = Map::new();
         let (mut store, _) = open(&disk, 1).unwrap();
-        for op in ops {
+        for operation in operations {
             let mut batch = Batch::default();
-            match op {
-                Op::Put(key, value) => batch.put(vec![key], value, 0),
-                Op::Remove(key) => batch.remove(vec![key]),
-                Op::Flush => _ = store.flush().unwrap(),
-                Op::Rewrite => _ = store.rewrite(NOW, 100).unwrap(),
-                Op::Reopen => {
+            match operation {
+                Operation::Put(key, value) => batch.put(vec![key], value, 0),
+                Operation::Remove(key) => batch.remove(vec![key]),
+                Operation::Flush => _ = store.flush().unwrap(),
+                Operation::Rewrite => _ = store.rewrite(NOW, 100).unwrap(),
+                Operation::Reopen => {
                     store.flush().unwrap();
                     drop(store);
                     disk.kill();
@@ -436,10 +439,10 @@
     }
 }
 
-/// Batches are accepted until the queue is full, then rejected; none is reported durable until the
-/// disk writes again.
+/// The queue accepts batches until it is full and then rejects them. No batch is reported durable
+/// until the disk writes again.
 #[test]
-fn a_stalled_disk_blocks_the_thread_and_no_caller() {
+fn a_stalled_disk_blocks_the_thread_but_not_its_callers() {
     let disk = FaultyDisk::default();
     let (store, _) = open(&disk, 1).unwrap();
     let (sender, wakes) = std::sync::mpsc::channel();
@@ -447,13 +450,13 @@
     disk.stall();
     let mut batch = Batch::default();
     batch.put(b"key".to_vec(), b"value".to_vec(), 0);
-    // The thread may hold as many again as the queue.
+    // The thread may have received as many batches as the queue takes, in addition to the queue.
     let accepted = std::iter::from_fn(|| worker.write(batch.clone()))
-        .take(3 * MAX_WAITING)
+        .take(3 * MAX_QUEUED_BATCHES)
         .last()
         .unwrap();
     assert!(
-        (MAX_WAITING as u64..3 * MAX_WAITING as u64).contains(&accepted),
+        (MAX_QUEUED_BATCHES as u64..3 * MAX_QUEUED_BATCHES as u64).contains(&accepted),
         "{accepted}"
     );
     assert_eq!(worker.durable_ticket(), 0);
