--- a/crates/intent-log/tests/model.rs
+++ b/crates/intent-log/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model check of intents, sends, crashes, restarts and retries, to a depth of [`DEPTH`] steps. With
-//! the production intent log, no key takes effect twice. With an injected bug, in which a send does
-//! not wait for the disk, the check must find a key that does.
+//! Model check of intents, sends, crashes, restarts and retries, to a depth of [`DEPTH`] steps.
+//! With the production intent log, no key takes effect twice. With an injected bug, in which a send
+//! does not wait for the disk, the check must find a key that does.
 //!
 //! The model has one gateway with its store, two engines in different cells that each drop repeats
 //! of a key, and one client that retries its key. All orders of their steps are explored.
--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -1,18 +1,20 @@
-//! The state of one gateway with respect to one task: it waits for its turn, requests votes, owns
-//! the task and renews its lease, and notices by its clock that the lease has expired.
+//! The state of one gateway as a candidate for one task. It waits, requests votes, owns the task
+//! and renews its lease, and detects by its clock that the lease has expired.
 
 use std::collections::BTreeSet;
 
 use crate::fencing_token::{candidate_weight, FencingToken, Task};
 use crate::{Micros, LEASE_DURATION, LEASE_MARGIN, RENEW_INTERVAL};
 
-/// Candidates of the least weight request votes this much later than those of the greatest.
-const MAX_TURN_DELAY: Micros = 1_500_000;
-/// Votes that have not arrived after this time are not waited for.
+/// A candidate of the smallest weight requests votes this much later than one of the greatest
+/// weight, so that candidates rarely compete.
+const MAX_REQUEST_DELAY: Micros = 1_500_000;
+/// A candidate withdraws its request if no majority has voted for it after this time.
 const VOTE_TIMEOUT: Micros = 400_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
+    /// The candidate requests votes at `until`.
     Waiting {
         until: Micros,
     },
@@ -24,15 +26,17 @@
     },
     Owning {
         token: FencingToken,
+        /// The owner stops acting at this time unless the lease is renewed.
         until: Micros,
         renewal: Option<Renewal>,
+        /// Time at which the lease or its last renewal was requested.
         renewed_at: Micros,
     },
     /// The gateway shuts down.
     Stopped,
 }
 
-/// A renewal under way.
+/// A renewal for which votes are being collected.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Renewal {
     requested_at: Micros,
@@ -49,34 +53,37 @@
     greatest_term: u64,
 }
 
-/// What a candidate's caller must act on.
+/// Change of a candidate's state that its caller must handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// Nothing.
+    /// Nothing has to be done.
     None,
-    /// All voters are to be asked for a vote for this token.
+    /// A vote for this token has to be requested from all voters.
     RequestVotes(FencingToken),
-    /// The lease was acquired.
+    /// The lease was acquired under this token.
     Acquired(FencingToken),
-    /// The lease expired before it was renewed, or another gateway has a greater token.
+    /// The lease under this token was lost: it expired before it was renewed, or another gateway
+    /// has a greater token.
     Lost(FencingToken),
-    /// No majority was reached: those who voted for the token may vote for others at once.
+    /// The request for this token is withdrawn, because no majority was reached. The voters that
+    /// granted it may vote for other candidates at once.
     Withdrew(FencingToken),
 }
 
-/// A voter's refusal, as its message carries it.
+/// A voter's denial of a vote, as received in its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denial {
-    /// The token that was requested.
+    /// The token for which the vote was requested.
     pub token: FencingToken,
     /// The greatest token that the voter knows.
     pub greatest: FencingToken,
-    /// How long the lease of that token's owner still holds.
+    /// Time until the lease of that token's owner expires, by the voter's clock.
     pub remaining: Micros,
 }
 
 impl Candidate {
-    /// A candidate that waits for its turn. `greatest` is the greatest known token of the task.
+    /// Creates a candidate that waits before it requests votes. `greatest` is the greatest known
+    /// token of the task, and `majority` the number of votes that it needs.
     pub fn new(
         task: Task,
         owner: u64,
@@ -89,20 +96,23 @@
             owner,
             majority,
             stage: Stage::Waiting {
-                until: now + turn_delay(task, owner),
+                until: now + request_delay(task, owner),
             },
             greatest_term: greatest.term,
         }
     }
 
+    /// Waits until a lease that remains for `remaining` has expired, and then for the delay of this
+    /// candidate.
     fn wait(&mut self, now: Micros, remaining: Micros) {
         self.stage = Stage::Waiting {
-            until: now + remaining + turn_delay(self.task, self.owner),
+            until: now + remaining + request_delay(self.task, self.owner),
         };
     }
 
-    /// The token under which this gateway owns the task, as far as its clock knows. Work sent under
-    /// it may still arrive too late; the fences of its receivers reject it then.
+    /// The token under which this gateway owns the task according to its clock, or `None`. Work
+    /// that is sent with it may arrive after the lease has expired; the fences of its receivers
+    /// reject it if there is a new owner.
     pub fn held_token(&self, now: Micros) -> Option<FencingToken> {
         match self.stage {
             Stage::Owning { token, until, .. } if now < until => Some(token),
@@ -110,8 +120,9 @@
         }
     }
 
-    /// When [`Candidate::on_timer`] has something to do. It is exact: among hundreds of candidates
-    /// some turns lie close together, and two that request votes at once may split them.
+    /// Time at which [`Candidate::on_timer`] has something to do. The caller must not round it:
+    /// among hundreds of candidates some request votes shortly after each other, and if two do so
+    /// at once, the votes may be split between them.
     pub fn deadline(&self) -> Micros {
         match &self.stage {
             Stage::Waiting { until } => *until,
@@ -123,8 +134,8 @@
         }
     }
 
-    /// Acts on the passing of time. `unix_ms` keeps terms growing where every voter lost its store;
-    /// no guarantee rests on it.
+    /// Performs what is due at `now`. `unix_ms` keeps terms increasing even if every voter has lost
+    /// its store; no guarantee depends on it.
     pub fn on_timer(&mut self, now: Micros, unix_ms: u64) -> Transition {
         match &mut self.stage {
             Stage::Waiting { until } if now >= *until => self.request_votes(now, unix_ms),
@@ -138,7 +149,7 @@
                 Transition::Withdrew(token)
             }
             Stage::Owning { token, until, .. } if now >= *until => {
-                // The process stood still, or no majority renewed the lease.
+                // The process was paused, or no majority renewed the lease.
                 let token = *token;
                 self.wait(now, 0);
                 Transition::Lost(token)
@@ -175,7 +186,7 @@
         Transition::RequestVotes(token)
     }
 
-    /// A voter has granted its vote for a token.
+    /// Counts a vote that a voter has granted for a token.
     pub fn on_vote_granted(
         &mut self,
         now: Micros,
@@ -192,7 +203,7 @@
             } if *token == granted => {
                 votes.insert(voter);
                 let until = *requested_at + LEASE_DURATION - LEASE_MARGIN;
-                // A majority that arrives after the lease would have expired does not count.
+                // A majority does not count if it arrives when the lease would have expired.
                 if votes.len() < majority || now >= until {
                     return Transition::None;
                 }
@@ -222,7 +233,8 @@
         }
     }
 
-    /// A voter has promised a greater token to another gateway.
+    /// Handles the denial of a vote: the voter has granted a lease or a greater token to another
+    /// gateway.
     pub fn on_vote_denied(&mut self, now: Micros, voter: usize, denial: Denial) -> Transition {
         self.greatest_term = self.greatest_term.max(denial.greatest.term);
         match &mut self.stage {
@@ -244,7 +256,8 @@
         }
     }
 
-    /// A token of the task was seen; if it is greater, another gateway owns the task.
+    /// Handles a token of the task that was received. If it is greater than this gateway's token,
+    /// another gateway owns the task.
     pub fn on_token_seen(&mut self, now: Micros, seen: FencingToken) -> Transition {
         self.greatest_term = self.greatest_term.max(seen.term);
         match self.stage {
@@ -253,7 +266,7 @@
                 Transition::Lost(token)
             }
             Stage::Waiting { until } if seen.owner != self.owner => {
-                let after_lease = now + LEASE_DURATION + turn_delay(self.task, self.owner);
+                let after_lease = now + LEASE_DURATION + request_delay(self.task, self.owner);
                 self.stage = Stage::Waiting {
                     until: until.max(after_lease),
                 };
@@ -263,7 +276,7 @@
         }
     }
 
-    /// Stops for good. Returns the token to release, if the task was owned.
+    /// Stops the candidate permanently. Returns the token to release if the task was owned.
     pub fn stop(&mut self) -> Option<FencingToken> {
         match std::mem::replace(&mut self.stage, Stage::Stopped) {
             Stage::Owning { token, .. } => Some(token),
@@ -272,7 +285,7 @@
     }
 }
 
-/// How long after the earliest possible time a candidate requests votes.
-fn turn_delay(task: Task, owner: u64) -> Micros {
-    ((1.0 - candidate_weight(task, owner)) * MAX_TURN_DELAY as f64) as Micros
+/// Time by which a candidate delays its vote request, from its weight.
+fn request_delay(task: Task, owner: u64) -> Micros {
+    ((1.0 - candidate_weight(task, owner)) * MAX_REQUEST_DELAY as f64) as Micros
 }
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,5 +1,5 @@
-//! The fence of one gateway: it remembers the greatest token of each task that was promised or
-//! seen, and rejects work under a lesser one.
+//! The fence of one gateway. It remembers the greatest token of each task that the gateway promised
+//! to a candidate or received, and rejects work with a smaller one.
 
 use std::collections::BTreeMap;
 
@@ -8,22 +8,23 @@
 #[cfg(test)]
 mod tests;
 
-/// Greatest known token of each task.
+/// Greatest known token of each task, and whether it is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fences {
+    /// Greatest token of each task, durable or not.
     greatest: BTreeMap<Task, FencingToken>,
-    /// Greatest token of each task that the store holds.
+    /// Greatest durable token of each task.
     durable: BTreeMap<Task, FencingToken>,
 }
 
-/// What the fence decides on a piece of work.
+/// Decision of the fence on a piece of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be applied now.
+    /// The work may be applied now.
     Admitted,
-    /// It may be applied once its token is durable here.
+    /// The work may be applied once its token is durable in this gateway's store.
     AdmittedOnceDurable,
-    /// A greater token is known.
+    /// A greater token of the task is known, so the work is rejected.
     Stale {
         /// The greatest known token of the task.
         greatest: FencingToken,
@@ -31,7 +32,7 @@
 }
 
 impl Fences {
-    /// The fence with the tokens that the store holds.
+    /// Restores the fence from the tokens in the store.
     pub fn restore(stored: impl Iterator<Item = (Task, FencingToken)>) -> Self {
         let greatest: BTreeMap<Task, FencingToken> = stored.collect();
         Fences {
@@ -40,12 +41,12 @@
         }
     }
 
-    /// The greatest known token of a task; the least possible one if none is known.
+    /// The greatest known token of a task; the smallest possible token if none is known.
     pub fn greatest(&self, task: Task) -> FencingToken {
         self.greatest.get(&task).copied().unwrap_or_default()
     }
 
-    /// All tasks with their greatest known token.
+    /// Iterates over all tasks with their greatest known tokens.
     pub fn tokens(&self) -> impl Iterator<Item = (Task, FencingToken)> + '_ {
         self.greatest.iter().map(|(task, token)| (*task, *token))
     }
@@ -63,9 +64,9 @@
     /// Removes the tasks with the oldest tokens until at most `max_tasks` are left, and returns
     /// those removed.
     ///
-    /// Terms begin with the time at which they were requested, so the least token is the oldest.
-    /// Engines come under new names all day; late work for one that was replaced thousands of tasks
-    /// ago does no harm.
+    /// A term is at least the Unix time at which it was requested, so the smallest token is the
+    /// oldest. Tasks have to be removed because engines are replaced all day, each time under a new
+    /// name. Late work for an engine that was replaced thousands of tasks ago does no harm.
     pub fn trim(&mut self, max_tasks: usize) -> Vec<Task> {
         let mut removed = Vec::new();
         while self.greatest.len() > max_tasks {
@@ -78,25 +79,26 @@
         removed
     }
 
-    /// Raises the fence of a task to a token. Returns whether it was lower.
+    /// Raises the greatest known token of a task to `token`. Returns whether it was smaller before.
     pub fn raise(&mut self, task: Task, token: FencingToken) -> bool {
-        let is_higher = token > self.greatest(task);
-        if is_higher {
+        let is_greater = token > self.greatest(task);
+        if is_greater {
             self.greatest.insert(task, token);
         }
-        is_higher
+        is_greater
     }
 
-    /// Records that the store holds a token.
+    /// Records that a token is durable in the store.
     pub fn mark_durable(&mut self, task: Task, token: FencingToken) {
         let durable = self.durable.entry(task).or_default();
         *durable = token.max(*durable);
     }
 
-    /// Decides on work under a token, and raises the fence to it.
+    /// Decides on work that carries a token. Unless the work is rejected, its token becomes the
+    /// greatest known one of the task.
     ///
-    /// Work may be applied only once a restarted gateway would reject lesser work: a token that was
-    /// promised but is not durable yet is waited for.
+    /// Work may be applied only if this gateway would still reject work with smaller tokens after a
+    /// restart. Therefore the token has to be durable first.
     pub fn admit(&mut self, task: Task, token: FencingToken) -> Admission {
         let greatest = self.greatest(task);
         if token < greatest && !cfg!(feature = "unfenced") {
--- a/crates/leases/src/fence/tests.rs
+++ b/crates/leases/src/fence/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn work_waits_for_its_token_and_of_too_many_tasks_the_oldest_go() {
+fn work_waits_until_its_token_is_durable_and_the_oldest_tasks_are_dropped() {
     let mut fences = Fences::default();
     let task = |number| Task { kind: 1, number };
     let token = |term| FencingToken { term, owner: 1 };
--- a/crates/leases/src/fencing_token.rs
+++ b/crates/leases/src/fencing_token.rs
@@ -1,34 +1,35 @@
-//! Tasks, and the fencing tokens that all work of their owners carries.
+//! Tasks of a fleet, and the fencing tokens that all work of their owners carries.
 
 use serde::{Deserialize, Serialize};
 
-/// Work on behalf of the whole fleet that one gateway at a time does.
+/// A task that one gateway at a time does for the whole fleet.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Task {
-    /// What is done, for example [`crate::probe::PROBE_TASK_KIND`].
+    /// Kind of the task; today only [`crate::probe::PROBE_TASK_KIND`].
     pub kind: u8,
-    /// What it is done for, for example an engine.
+    /// Object of the task; the number of the engine if the task is to probe it.
     pub number: u32,
 }
 
-/// Names one ownership of a task. Two owners never have the same token; of two tokens of a task the
-/// greater is the later.
+/// Identifies one ownership of a task. Two owners of a task never have the same token, and a later
+/// owner has a greater token.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct FencingToken {
-    /// Grows with each owner of the task.
+    /// Increases with each owner of the task.
     pub term: u64,
-    /// The incarnation of the gateway that requested it.
+    /// Number of the incarnation of the gateway that requested the token.
     pub owner: u64,
 }
 
-/// Rank of a gateway among the candidates for a task, in [0, 1): the greatest requests votes first.
+/// Weight of a gateway among the candidates for a task, from 0 up to but not including 1. The
+/// candidate with the greatest weight requests votes first.
 ///
-/// Each gateway computes its own from a hash, so no gateway needs a list of the others, and when
-/// one leaves only its own tasks move.
+/// The weight is a hash of the task and the gateway, as in rendezvous hashing: no gateway needs a
+/// list of the others, and if a gateway leaves, only its own tasks move.
 pub fn candidate_weight(task: Task, owner: u64) -> f64 {
     let mut hasher = blake3::Hasher::new();
     hasher
@@ -40,6 +41,6 @@
     for byte in &hash.as_bytes()[..8] {
         number = number << 8 | u64::from(*byte);
     }
-    // The upper 53 bits, which a double represents exactly.
+    // An f64 represents the upper 53 bits exactly.
     (number >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/leases/src/lease_core.rs
+++ b/crates/leases/src/lease_core.rs
@@ -1,5 +1,5 @@
-//! The lease state of one gateway. As a voter it grants votes, as any gateway it may own tasks, and
-//! everywhere it keeps the fence.
+//! All lease state of one gateway. Every gateway may own tasks and has a fence. A gateway that is a
+//! voter also grants votes.
 
 use std::collections::BTreeMap;
 
@@ -15,45 +15,46 @@
 
 pub use messages::{Message, Output};
 
-/// Tasks that a gateway remembers; beyond that the oldest is forgotten.
+/// Number of tasks that a gateway remembers. Beyond that, the tasks with the oldest tokens are
+/// removed.
 pub const MAX_TASKS: usize = 4096;
-/// Timers are examined no more often than this.
+/// Shortest interval between two checks of all timers.
 const POLL_INTERVAL: Micros = 2_000;
-/// A voter that may lack promises examines its timers again after this time.
+/// A recovering voter checks its timers again after this time and the [`POLL_INTERVAL`].
 const RECOVERING_POLL_DELAY: Micros = 100_000;
 
-/// The place of a gateway in its fleet.
+/// The role of one gateway in its fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// Number of voters in the fleet.
     pub voter_count: usize,
-    /// Index of this gateway among the voters, if it is one.
+    /// Index of this gateway among the voters; `None` if it is not a voter.
     pub voter_index: Option<usize>,
-    /// This incarnation of this gateway, as tokens name it.
+    /// Number of this gateway's current incarnation, which its tokens contain.
     pub owner: u64,
 }
 
-/// Whether a voter has everything that it ever promised.
+/// Whether a voter still knows all tokens that it ever granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterReadiness {
-    /// It may vote.
+    /// The voter may grant and request votes.
     Ready,
-    /// It may lack promises: it neither grants nor requests votes.
+    /// Tokens may be missing from the voter's store, so it neither grants nor requests votes.
     Recovering,
 }
 
-/// Counts since the start.
+/// Counters since the start of the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Leases acquired.
+    /// Leases that this gateway acquired.
     pub acquired: u64,
-    /// Leases that expired or were taken over.
+    /// Leases of this gateway that expired or were taken over by another one.
     pub lost: u64,
-    /// Pieces of work that were applied here.
+    /// Pieces of work that this gateway's fence admitted.
     pub applied: u64,
-    /// Pieces of work that the fence here rejected.
+    /// Pieces of work that this gateway's fence rejected.
     pub fenced: u64,
-    /// Pieces of this gateway's own work that another gateway's fence rejected.
+    /// Pieces of work that this gateway sent and another gateway's fence rejected.
     pub rejected: u64,
 }
 
@@ -69,7 +70,7 @@
 }
 
 impl LeaseCore {
-    /// State after a start, with the tokens that the store holds.
+    /// Creates the state at a start of the gateway, with the tokens in its store.
     pub fn new(
         config: Config,
         stored: impl Iterator<Item = (Task, FencingToken)>,
@@ -91,7 +92,8 @@
         self.config.voter_count / 2 + 1
     }
 
-    /// From now on this gateway may own a task.
+    /// Makes this gateway a candidate for a task. Does nothing if it is one already, or for
+    /// [`MAX_TASKS`] tasks.
     pub fn add_candidate(&mut self, now: Micros, task: Task) {
         if self.candidates.len() >= MAX_TASKS {
             return;
@@ -104,46 +106,48 @@
             .or_insert_with(|| Candidate::new(task, owner, majority, greatest, now));
     }
 
-    /// Drops the candidates for tasks that no longer exist.
+    /// Ends the candidacies for tasks that no longer exist.
     pub fn remove_candidates(&mut self, is_removed: impl Fn(Task) -> bool) {
         self.candidates.retain(|task, _| !is_removed(*task));
     }
 
-    /// The token to act under now, if this gateway owns a task as far as it knows.
+    /// The token under which this gateway owns a task according to its clock, or `None`.
     pub fn held_token(&self, now: Micros, task: Task) -> Option<FencingToken> {
         self.candidates.get(&task)?.held_token(now)
     }
 
-    /// All tasks that this gateway owns as far as it knows, with their tokens.
+    /// Iterates over all tasks that this gateway owns according to its clock, with their tokens.
     pub fn held_tokens(&self, now: Micros) -> impl Iterator<Item = (Task, FencingToken)> + '_ {
         self.candidates
             .iter()
             .filter_map(move |(task, candidate)| Some((*task, candidate.held_token(now)?)))
     }
 
-    /// The greatest token of each task that is known here.
+    /// The fence of this gateway, with the greatest known token of each task.
     pub fn fences(&self) -> &Fences {
         &self.fences
     }
 
-    /// What was counted since the start.
+    /// Counters since the start of the gateway.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// A token of [`Output::StoreToken`] is durable. The caller carries out its `then` afterwards.
+    /// Records that the token of an [`Output::StoreToken`] is durable. The caller performs the
+    /// `then` of that output afterwards.
     pub fn mark_durable(&mut self, task: Task, token: FencingToken) {
         self.fences.mark_durable(task, token);
     }
 
-    /// All tokens that were promised or seen, for a peer that joins or catches up; nothing if there
-    /// are none.
+    /// Returns a message with all known tokens, for a peer that joins or catches up; `None` if no
+    /// token is known.
     pub fn tokens_message(&self) -> Option<Message> {
         let tokens: Vec<_> = self.fences.tokens().collect();
         (!tokens.is_empty()).then_some(Message::Tokens { tokens })
     }
 
-    /// Acts on the passing of time. `unix_ms` keeps terms growing where every voter lost its store.
+    /// Performs what is due at `now`. `unix_ms` keeps terms increasing even if every voter has lost
+    /// its store.
     pub fn on_timer(
         &mut self,
         now: Micros,
@@ -178,15 +182,15 @@
         removed.into_iter().map(Output::RemoveToken).collect()
     }
 
-    /// When [`LeaseCore::on_timer`] has something to do, but no more often than every
-    /// `POLL_INTERVAL`.
+    /// Time at which [`LeaseCore::on_timer`] should be called next. Successive deadlines are at
+    /// least `POLL_INTERVAL` apart.
     pub fn deadline(&self) -> Micros {
         let next = self.candidates.values().map(Candidate::deadline).min();
         next.unwrap_or(Micros::MAX)
             .max(self.polled_at + POLL_INTERVAL)
     }
 
-    /// The gateway shuts down: its tasks are free at once.
+    /// Gives up all tasks when the gateway shuts down, so that others may own them at once.
     pub fn stop(&mut self) -> Vec<Output> {
         let mut released = Vec::new();
         for (task, candidate) in &mut self.candidates {
@@ -202,7 +206,7 @@
         outputs
     }
 
-    /// The indexes of all voters but this gateway.
+    /// Indexes of all voters except this gateway.
     fn other_voters(&self) -> impl Iterator<Item = usize> {
         let voter_index = self.config.voter_index;
         (0..self.config.voter_count).filter(move |voter| Some(*voter) != voter_index)
@@ -217,7 +221,7 @@
             .collect()
     }
 
-    /// Gives up a token here and at the other voters.
+    /// Gives up a token, at this gateway and at the other voters.
     fn release(&mut self, task: Task, token: FencingToken) -> Vec<Output> {
         self.voter.release(&self.fences, task, token);
         self.send_to_other_voters(&Message::Release { task, token })
--- a/crates/leases/src/lease_core/messages.rs
+++ b/crates/leases/src/lease_core/messages.rs
@@ -1,19 +1,19 @@
-//! What gateways send each other about leases, and what the core asks of its caller.
+//! Messages about leases between gateways, and the actions that the core returns to its caller.
 
 use serde::{Deserialize, Serialize};
 
 use crate::fencing_token::{FencingToken, Task};
 use crate::Micros;
 
-/// A message between a gateway and a voter. The order of variants and of their fields is the format
-/// on the wire.
+/// A message between a gateway and a voter. It is encoded with postcard, so the order of variants
+/// and of their fields is part of the wire format and must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// Requests a vote, or renews a lease.
     VoteRequest {
         /// Task whose lease is requested.
         task: Task,
-        /// Token under which the requester wants to own it.
+        /// Token under which the requester wants to own the task.
         token: FencingToken,
     },
     /// A voter has granted its vote.
@@ -29,25 +29,25 @@
         task: Task,
         /// Token of the request.
         token: FencingToken,
-        /// Greatest token that the voter knows.
+        /// Greatest token of the task that the voter knows.
         greatest: FencingToken,
-        /// How long the lease of that token's owner still holds.
+        /// Time until the lease of that token's owner expires, by the voter's clock.
         remaining: Micros,
     },
-    /// The owner gives up its lease, or a candidate its request.
+    /// An owner gives up its lease, or a candidate withdraws its vote request.
     Release {
-        /// Task that is given up.
+        /// Task of the lease or the request.
         task: Task,
-        /// Token that is given up.
+        /// Token of the lease or the request.
         token: FencingToken,
     },
-    /// Work of an owner; a voter passes on what its fence admits.
+    /// Work of an owner. Voters forward the work that their fences admit.
     Work {
         /// Task that the work belongs to.
         task: Task,
         /// Token of the owner.
         token: FencingToken,
-        /// The work itself, encoded by the caller.
+        /// The work itself, encoded by the sender's caller.
         payload: Vec<u8>,
     },
     /// A fence has rejected work.
@@ -56,52 +56,52 @@
         task: Task,
         /// Token of the work.
         token: FencingToken,
-        /// Greatest token that the fence knows.
+        /// Greatest token of the task that the fence knows.
         greatest: FencingToken,
     },
-    /// All tokens that a voter has promised or seen.
+    /// All tokens that the sender knows.
     Tokens {
-        /// Each task with its greatest token.
+        /// Each task with its greatest known token.
         tokens: Vec<(Task, FencingToken)>,
     },
 }
 
-/// What the core's caller is to do.
+/// An action that the core's caller has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a message to a voter.
     ToVoter {
         /// Index of the voter.
         voter: usize,
-        /// What to send.
+        /// Message to send.
         message: Message,
     },
-    /// Send a message to a gateway that made a link here.
+    /// Send a message to a gateway that has connected to this one.
     ToRequester {
-        /// Number of its link.
+        /// Number of the link from that gateway.
         requester: u64,
-        /// What to send.
+        /// Message to send.
         message: Message,
     },
-    /// Send a message to all gateways that made links here.
+    /// Send a message to all gateways that have connected to this one.
     ToAllRequesters {
-        /// Number of the link that is left out.
+        /// Number of a link on which not to send.
         except: Option<u64>,
-        /// What to send.
+        /// Message to send.
         message: Message,
     },
-    /// Make the greatest token of a task durable; then, and only then, carry out `then`.
+    /// Make the greatest token of a task durable, and only afterwards perform `then`.
     StoreToken {
         /// Task of the token.
         task: Task,
         /// Token to store.
         token: FencingToken,
-        /// What depends on the token being durable.
+        /// Actions that have to wait until the token is durable.
         then: Vec<Output>,
     },
     /// Remove the stored token of a task.
     RemoveToken(Task),
-    /// This voter votes for itself: call [`super::LeaseCore::on_own_vote`].
+    /// Call [`super::LeaseCore::on_own_vote`], because this voter votes for itself.
     VoteForSelf {
         /// Task of the vote.
         task: Task,
@@ -117,27 +117,27 @@
         /// The work itself.
         payload: Vec<u8>,
     },
-    /// The fence has rejected work.
+    /// Note that this gateway's fence has rejected work.
     Fenced {
         /// Task of the work.
         task: Task,
         /// Token of the work.
         token: FencingToken,
-        /// Greatest token that the fence knows.
+        /// Greatest token of the task that the fence knows.
         greatest: FencingToken,
     },
-    /// This gateway owns a task from now on.
+    /// Note that this gateway owns a task from now on.
     LeaseAcquired {
-        /// The task.
+        /// Task of the lease.
         task: Task,
-        /// Token under which it is owned.
+        /// Token under which the task is owned.
         token: FencingToken,
     },
-    /// This gateway owns a task no longer.
+    /// Note that this gateway no longer owns a task.
     LeaseLost {
-        /// The task.
+        /// Task of the lease.
         task: Task,
-        /// Token under which it was owned.
+        /// Token under which the task was owned.
         token: FencingToken,
     },
 }
--- a/crates/leases/src/lease_core/requester_side.rs
+++ b/crates/leases/src/lease_core/requester_side.rs
@@ -1,5 +1,5 @@
-//! What a gateway does as candidate for, or owner of, tasks: it requests votes, counts them and
-//! sends its work to the voters.
+//! The side of a gateway that is a candidate for tasks or owns them: it requests votes, counts them
+//! and sends its work to the voters.
 
 use super::{LeaseCore, Message, Output};
 use crate::candidate::{Denial, Transition};
@@ -8,7 +8,8 @@
 use crate::Micros;
 
 impl LeaseCore {
-    /// Does work as the owner of a task. Returns nothing if this gateway doesn't own it now.
+    /// Sends work of a task to all voters and applies it at this gateway. Returns no outputs if
+    /// this gateway doesn't own the task now.
     pub fn submit_work(&mut self, now: Micros, task: Task, payload: Vec<u8>) -> Vec<Output> {
         let Some(token) = self.held_token(now, task) else {
             return Vec::new();
@@ -23,7 +24,7 @@
         outputs
     }
 
-    /// A message of a voter that this gateway has a link to.
+    /// Handles a message from a voter to which this gateway has connected.
     pub fn on_voter_message(&mut self, now: Micros, voter: usize, message: Message) -> Vec<Output> {
         match message {
             Message::VoteGranted { task, token } => self.on_vote_granted(now, voter, task, token),
@@ -44,8 +45,8 @@
                 self.counters.rejected += 1;
                 self.on_token_seen(now, task, greatest)
             }
-            // What one voter passed on may have been passed on by all: each copy meets the fence,
-            // and none is passed on again.
+            // Every voter may forward the same work, so each copy passes through the fence and none
+            // is forwarded again.
             Message::Work {
                 task,
                 token,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// This voter's promise to itself is durable.
+    /// Counts this voter's vote for itself, whose token is durable now.
     pub fn on_own_vote(&mut self, now: Micros, task: Task, token: FencingToken) -> Vec<Output> {
         match self.config.voter_index {
             Some(voter) => self.on_vote_granted(now, voter, task, token),
--- a/crates/leases/src/lease_core/voter_side.rs
+++ b/crates/leases/src/lease_core/voter_side.rs
@@ -1,4 +1,5 @@
-//! What a gateway does for others: it votes if it is a voter, and passes work through its fence.
+//! The side of a gateway that serves others: it votes if it is a voter, and passes their work
+//! through its fence.
 
 use super::{LeaseCore, Message, Output, VoterReadiness, MAX_TASKS};
 use crate::fence::Admission;
@@ -7,7 +8,8 @@
 use crate::Micros;
 
 impl LeaseCore {
-    /// A message of a gateway that made a link here; `requester` is the link's number.
+    /// Handles a message from a gateway that has connected to this one; `requester` is the number
+    /// of the link.
     pub fn on_requester_message(
         &mut self,
         now: Micros,
@@ -81,8 +83,8 @@
         }
     }
 
-    /// Passes work through the fence. `requester` sent it; it has none if it is this gateway's own
-    /// or was passed on by a voter.
+    /// Passes work through the fence. `requester` is the link on which the owner sent it; `None` if
+    /// the work is this gateway's own or was forwarded by a voter.
     pub(super) fn admit_work(
         &mut self,
         requester: Option<u64>,
@@ -151,7 +153,7 @@
         outputs
     }
 
-    /// A peer has sent all tokens that it knows.
+    /// Handles a message with all tokens that a peer knows.
     pub(super) fn on_tokens(
         &mut self,
         now: Micros,
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,22 +1,22 @@
-//! Leases: at any time one gateway of a fleet owns a task, and work of a former owner is rejected.
+//! Leases: one gateway of a fleet at a time owns a task, and work of former owners is rejected.
 //!
-//! The package holds protocol state without I/O. Messages, time and completed writes go in;
-//! messages, writes and notifications come out as [`Output`]s, which the caller (the gateway's
-//! lease driver) carries out. [`LeaseCore`] owns all state of one gateway and joins its parts:
+//! The package contains the protocol without I/O. It takes messages, the time and completed writes
+//! as input. It returns messages, writes and notifications as [`Output`]s, which the caller (the
+//! gateway's lease driver) performs. [`LeaseCore`] combines all state of one gateway. Modules:
 //!
 //! - [`fencing_token`]: the token that all work of an owner carries;
-//! - [`fence`]: remembers the greatest token of each task and rejects work under a lesser one;
-//! - [`voter`]: grants votes, each of which is a promise of its fence;
-//! - [`candidate`]: requests votes for one task, renews its lease and gives it up in time;
-//! - [`probe`]: the one kind of task in use, probing an engine on behalf of all gateways.
+//! - [`fence`]: remembers the greatest token of each task and rejects work with a smaller one;
+//! - [`voter`]: grants votes; with each vote, the voter promises to reject smaller tokens;
+//! - [`candidate`]: requests votes for one task, renews the lease and stops before it expires;
+//! - [`probe`]: the only kind of task in use, which probes an engine for all gateways.
 //!
-//! Safety rests on fencing tokens and on votes that are durable before they are sent, never on
-//! clocks. Clocks only decide when to request votes, when to renew and when to stop early. The
-//! memory of a gateway is bounded by [`MAX_TASKS`].
+//! Safety depends on fencing tokens and on votes that are durable before they are sent, and never
+//! on clocks. Clocks only determine when to request votes, when to renew a lease and when to stop
+//! acting before it expires. A gateway remembers at most [`MAX_TASKS`] tasks.
 //!
 //! # Example
 //!
-//! A fleet with one voter, which acquires the lease of a task itself:
+//! In a fleet with one voter, the voter itself acquires the lease of a task:
 //!
 //! ```
 //! use eideryard_leases::{Config, LeaseCore, Output, Task, VoterReadiness};
@@ -29,7 +29,7 @@
 //! let now = core.deadline();
 //! let mut outputs = core.on_timer(now, 0, VoterReadiness::Ready);
 //! let Some(Output::StoreToken { task, token, then }) = outputs.pop() else { panic!() };
-//! // The token is written to the store here; only then is the vote counted.
+//! // A real caller writes the token to the store here. The vote counts only once it is durable.
 //! core.mark_durable(task, token);
 //! assert_eq!(then, [Output::VoteForSelf { task, token }]);
 //!
@@ -48,13 +48,13 @@
 pub use fencing_token::{FencingToken, Task};
 pub use lease_core::{Config, Counters, LeaseCore, Message, Output, VoterReadiness, MAX_TASKS};
 
-/// Microseconds of the host's monotonic clock.
+/// A time or duration in microseconds of the host's monotonic clock.
 pub type Micros = u64;
 
-/// How long a vote holds: by the voter's clock from when it was granted, by the owner's clock from
-/// when it was requested.
+/// Duration of a lease. The voter counts it from the time at which it grants the vote, and the
+/// owner from the time at which it requests the vote, each by its own clock.
 pub const LEASE_DURATION: Micros = 2_000_000;
-/// An owner stops acting this long before its lease expires.
+/// An owner stops acting under its lease this long before the lease expires.
 pub const LEASE_MARGIN: Micros = 300_000;
-/// Interval at which an owner renews its lease.
+/// Interval at which an owner requests the renewal of its lease.
 pub const RENEW_INTERVAL: Micros = 500_000;
--- a/crates/leases/src/probe.rs
+++ b/crates/leases/src/probe.rs
@@ -1,5 +1,6 @@
-//! The one kind of task in use: probing an engine on behalf of all gateways. Decides which copy of
-//! a report counts, how long a report replaces a probe of one's own, and when an owner probes.
+//! Probes of engines on behalf of all gateways, which is the only kind of task in use. Decides
+//! which copy of a probe report counts, for how long a report makes a gateway's own probe
+//! unnecessary, and when an owner probes its engines.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +10,14 @@
 #[cfg(test)]
 mod tests;
 
-/// [`Task::kind`] of probes; the task's number is the engine's.
+/// [`Task::kind`] of the tasks to probe an engine. [`Task::number`] is the engine's number.
 pub const PROBE_TASK_KIND: u8 = 1;
 /// Interval at which an owner probes each of its engines.
 pub const PROBE_INTERVAL: Micros = 1_000_000;
-/// A younger report replaces a probe that a gateway would have sent itself.
+/// A report younger than this makes a gateway's own probe of the engine unnecessary.
 pub const MAX_REPORT_AGE: Micros = 300_000;
 
-/// The task of probing an engine.
+/// Returns the task to probe an engine.
 pub fn probe_task(engine: u32) -> Task {
     Task {
         kind: PROBE_TASK_KIND,
@@ -24,27 +25,27 @@
     }
 }
 
-/// A report of an engine's owner as it was received.
+/// A probe report from the owner of an engine, as it was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedReport<R> {
-    /// The owner's token.
+    /// Token under which the owner probed the engine.
     pub token: FencingToken,
-    /// Grows with each report under one token.
+    /// Sequence number, which increases with each report under the same token.
     pub number: u64,
-    /// How old the report was when it arrived.
+    /// Age of the report when it arrived.
     pub age: Micros,
-    /// What the engine answered.
+    /// The engine's answer to the probe.
     pub report: R,
 }
 
 /// Whether a received report counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// It, or a later one, was received before.
+    /// This report or a later one was received before.
     Duplicate,
-    /// It counts and is recent.
+    /// The report counts and is recent.
     Fresh,
-    /// It counts but is older than [`MAX_REPORT_AGE`].
+    /// The report counts, but its age is at least [`MAX_REPORT_AGE`].
     Outdated,
 }
 
@@ -56,25 +57,28 @@
     made_at: Micros,
 }
 
-/// Reports of other gateways and times of own probes, by engine; `R` is a report.
+/// The last report of each engine from other gateways, and the times of this gateway's own probes.
+/// `R` is the type of an engine's answer.
 #[derive(Clone, Debug)]
 pub struct Reports<R> {
-    last: BTreeMap<u32, LastReport<R>>,
+    /// Last report by number of the engine.
+    last_reports: BTreeMap<u32, LastReport<R>>,
+    /// Time of this gateway's last probe by number of the engine.
     probed_at: BTreeMap<u32, Micros>,
 }
 
 impl<R> Default for Reports<R> {
     fn default() -> Self {
         Reports {
-            last: BTreeMap::new(),
+            last_reports: BTreeMap::new(),
             probed_at: BTreeMap::new(),
         }
     }
 }
 
 impl<R: Copy> Reports<R> {
-    /// Takes in a report. Every voter passes it on, and numbers only grow under one token, so one
-    /// copy of it counts.
+    /// Records a report that was received. Every voter forwards each report, so several copies
+    /// arrive. Only the first copy counts, because sequence numbers only increase under one token.
     pub fn on_report(
         &mut self,
         now: Micros,
@@ -87,9 +91,9 @@
             age,
             report,
         } = received;
-        let last = self.last.get(&engine);
+        let last = self.last_reports.get(&engine);
         let is_known = last.is_some_and(|last| (last.token, last.number) >= (token, number));
-        // Without the fence the tests need to see that work of a former owner counts.
+        // With the fence disabled, reports of former owners must count, so that tests detect it.
         if is_known && !cfg!(feature = "unfenced") {
             return ReportOutcome::Duplicate;
         }
@@ -99,7 +103,7 @@
             report,
             made_at: now.saturating_sub(age),
         };
-        self.last.insert(engine, last);
+        self.last_reports.insert(engine, last);
         if age < MAX_REPORT_AGE {
             ReportOutcome::Fresh
         } else {
@@ -107,13 +111,14 @@
         }
     }
 
-    /// A report recent enough to replace a probe.
+    /// Returns the last report of an engine if it is recent enough to replace a probe.
     pub fn recent_report(&self, now: Micros, engine: u32) -> Option<R> {
-        let last = self.last.get(&engine)?;
+        let last = self.last_reports.get(&engine)?;
         (now < last.made_at + MAX_REPORT_AGE).then_some(last.report)
     }
 
-    /// The engines among the owned tasks that are to be probed now; they count as probed.
+    /// Returns the engines among the owned tasks that have to be probed now, and records them as
+    /// probed.
     pub fn take_due_probes(&mut self, now: Micros, owned: impl Iterator<Item = Task>) -> Vec<u32> {
         let mut engines = Vec::new();
         for task in owned.filter(|task| task.kind == PROBE_TASK_KIND) {
@@ -128,7 +133,8 @@
         engines
     }
 
-    /// When [`Reports::take_due_probes`] next returns an engine.
+    /// Time at which [`Reports::take_due_probes`] next returns an engine; `None` if no task is
+    /// owned.
     pub fn next_probe_at(&self, now: Micros, owned: impl Iterator<Item = Task>) -> Option<Micros> {
         let due_at = |task: Task| match self.probed_at.get(&task.number) {
             Some(probed_at) => probed_at + PROBE_INTERVAL,
@@ -137,9 +143,9 @@
         owned.map(due_at).min()
     }
 
-    /// Forgets engines that no longer exist.
+    /// Drops the reports and probe times of engines that no longer exist.
     pub fn retain_engines(&mut self, exists: impl Fn(u32) -> bool) {
-        self.last.retain(|engine, _| exists(*engine));
+        self.last_reports.retain(|engine, _| exists(*engine));
         self.probed_at.retain(|engine, _| exists(*engine));
     }
 }
--- a/crates/leases/src/probe/tests.rs
+++ b/crates/leases/src/probe/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of shared probes.
+//! Tests of probes that are shared by all gateways.
 
 use super::*;
 
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn one_copy_of_a_report_counts_for_its_time_and_an_owner_probes_once_a_second() {
+fn only_one_copy_of_a_report_counts_and_an_owner_probes_once_per_second() {
     let mut reports = Reports::default();
     let received = |term, number, age, report| ReceivedReport {
         token: FencingToken { term, owner: 1 },
@@ -20,18 +20,18 @@
     assert_eq!(
         reports.on_report(SECOND, 7, received(1, 1, 0, 'a')),
         ReportOutcome::Duplicate,
-        "another voter's copy"
+        "the copy from another voter"
     );
     assert_eq!(
         reports.on_report(SECOND, 7, received(1, 2, MAX_REPORT_AGE, 'b')),
         ReportOutcome::Outdated,
-        "it was long under way"
+        "the report was in transit for too long"
     );
     assert_eq!(reports.recent_report(SECOND, 7), None);
     assert_eq!(
         reports.on_report(SECOND, 7, received(2, 1, 0, 'c')),
         ReportOutcome::Fresh,
-        "a new owner counts anew"
+        "a new owner numbers its reports from 1"
     );
     assert_eq!(
         reports.on_report(SECOND, 7, received(1, 9, 0, 'd')),
@@ -52,5 +52,5 @@
         [7]
     );
     reports.retain_engines(|_| false);
-    assert!(reports.last.is_empty() && reports.probed_at.is_empty());
+    assert!(reports.last_reports.is_empty() && reports.probed_at.is_empty());
 }
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -1,4 +1,5 @@
-//! The votes that a voter grants. Each is a promise of its fence, durable before it is sent.
+//! The votes that a voter grants. With a vote, the voter promises to reject smaller tokens. The
+//! promise is durable before the vote is sent.
 
 use std::collections::BTreeMap;
 
@@ -9,29 +10,30 @@
 /// The leases that a voter has granted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voter {
-    /// When the last granted lease of each task expires, by this clock.
+    /// Time at which the last granted lease of each task expires, by the voter's clock.
     lease_expiry: BTreeMap<Task, Micros>,
 }
 
-/// How a voter answers a vote request.
+/// Answer of a voter to a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteDecision {
-    /// Granted; the fence's token was raised and must be durable before the vote is sent.
+    /// The vote is granted, but the new token must be durable before the vote is sent.
     GrantedOnceDurable,
-    /// Granted for a token that was promised before.
+    /// The vote is granted for a token that was granted before, as in a renewal.
     Granted,
-    /// Denied.
+    /// The vote is denied, because the term is not greater than the greatest known one, or because
+    /// the lease of another gateway has not expired.
     Denied {
         /// Greatest known token of the task.
         greatest: FencingToken,
-        /// How long the lease of its owner still holds.
+        /// Time until the lease of that token's owner expires.
         remaining: Micros,
     },
 }
 
 impl Voter {
-    /// A voter after a start. Which leases still hold is not known, so all are taken to have just
-    /// been granted.
+    /// Restores a voter at a start. It is not known which leases have expired, so all are treated
+    /// as if they had just been granted.
     pub fn restore(fences: &Fences, now: Micros) -> Self {
         let expiry = now + LEASE_DURATION;
         Voter {
@@ -39,7 +41,8 @@
         }
     }
 
-    /// Decides on a request for a vote; if it is granted, the fence is raised to its token.
+    /// Decides on a vote request. If the vote is granted, its token becomes the greatest known one
+    /// of the task.
     pub fn on_vote_request(
         &mut self,
         fences: &mut Fences,
@@ -50,9 +53,10 @@
         let greatest = fences.greatest(task);
         let expiry = self.lease_expiry.get(&task).copied().unwrap_or(0);
         let remaining = expiry.saturating_sub(now);
-        // The last owner itself gets a new term at once: nobody else is harmed by it.
+        // The last owner itself may get a new term at once, because no other gateway holds the
+        // lease.
         let is_held_by_other = remaining > 0 && token.owner != greatest.owner;
-        // A term has one owner: of two that request the same one the second needs a greater.
+        // A term has only one owner: the second candidate for a term has to request a greater one.
         let is_outdated = token.term <= greatest.term && token != greatest;
         if is_outdated || (token > greatest && is_held_by_other) {
             return VoteDecision::Denied {
@@ -68,12 +72,13 @@
         }
     }
 
-    /// Forgets a task whose token is no longer stored.
+    /// Drops the lease of a task whose token is no longer stored.
     pub fn forget(&mut self, task: Task) {
         self.lease_expiry.remove(&task);
     }
 
-    /// The owner gives up its lease: the next one need not wait for it to expire.
+    /// Ends a lease that its owner has given up, so that the next owner need not wait until it
+    /// expires.
     pub fn release(&mut self, fences: &Fences, task: Task, token: FencingToken) {
         if fences.greatest(task) == token {
             self.lease_expiry.remove(&task);
--- a/crates/leases/tests/model/main.rs
+++ b/crates/leases/tests/model/main.rs
@@ -1,7 +1,7 @@
-//! Model check of votes, pauses, renewals, work and fences, with three voters and two candidates,
-//! to a stated depth. It runs the production cores, each with a clock of its own: the owners'
-//! clocks stand still while the voters' leases expire. All orders of messages and of one voter's
-//! flushes and kill are tried.
+//! Model check of votes, pauses, renewals, work and fences with three voters and two candidates, to
+//! a depth of [`MAX_DEPTH`] steps. It runs the production [`eideryard_leases::LeaseCore`]s, each
+//! with a separate clock: the owners' clocks stop while the leases expire at the voters. All orders
+//! of messages and of the flushes and the kill of one voter are explored.
 
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
             kills: 0,
             clock_jumps: 0,
             has_stale_work: false,
-            has_met_fence: false,
+            has_rejected_work: false,
             leases_acquired: 0,
             greatest_acquired: FencingToken::default(),
             has_applied_late_work: [false; VOTERS],
@@ -50,17 +50,17 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        for (at, owner) in state.owners.iter().enumerate() {
+        for (index, owner) in state.owners.iter().enumerate() {
             let mut core = owner.core.clone();
             if !core
                 .on_timer(owner.now, 0, VoterReadiness::Ready)
                 .is_empty()
             {
-                actions.push(Step::OwnerTimer(at));
+                actions.push(Step::OwnerTimer(index));
             }
             let is_owning = owner.core.held_token(owner.now, TASK).is_some();
             if owner.work_count < MAX_WORK_PER_OWNER && is_owning {
-                actions.push(Step::Act(at));
+                actions.push(Step::SubmitWork(index));
             }
         }
         if state.clock_jumps < MAX_CLOCK_JUMPS {
@@ -69,7 +69,7 @@
         let mut links: Vec<(usize, usize)> = state
             .in_flight
             .iter()
-            .map(|sent| (sent.owner, sent.voter))
+            .map(|message| (message.owner, message.voter))
             .collect();
         links.sort();
         links.dedup();
@@ -84,13 +84,13 @@
         }
     }
 
-    fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let mut state = last.clone();
+    fn next_state(&self, previous: &State, step: Step) -> Option<State> {
+        let mut state = previous.clone();
         match step {
-            Step::OwnerTimer(at) => {
-                let owner = &mut state.owners[at];
+            Step::OwnerTimer(index) => {
+                let owner = &mut state.owners[index];
                 let outputs = owner.core.on_timer(owner.now, 0, VoterReadiness::Ready);
-                self.perform_owner_outputs(&mut state, at, outputs);
+                self.perform_owner_outputs(&mut state, index, outputs);
             }
             Step::ExpireLeases => {
                 state.clock_jumps += 1;
@@ -107,11 +107,11 @@
                 voter.unflushed = Vec::new();
                 voter.core = voter_core(SLOW_VOTER, &voter.disk, voter.now);
             }
-            Step::Act(at) => {
-                let owner = &mut state.owners[at];
+            Step::SubmitWork(index) => {
+                let owner = &mut state.owners[index];
                 owner.work_count += 1;
                 let outputs = owner.core.submit_work(owner.now, TASK, vec![owner.work_count]);
-                self.perform_owner_outputs(&mut state, at, outputs);
+                self.perform_owner_outputs(&mut state, index, outputs);
             }
         }
         Some(state)
@@ -122,18 +122,18 @@
             Property::always("no stale work is applied", |_, state: &State| {
                 !state.has_stale_work
             }),
-            Property::always("an old owner has no majority", |_, state: &State| {
+            Property::always("no majority applies work of a former owner", |_, state: &State| {
                 state
                     .has_applied_late_work
                     .iter()
-                    .filter(|is_late| **is_late)
+                    .filter(|has_applied| **has_applied)
                     .count()
                     <= VOTERS / 2
             }),
-            Property::sometimes("a late owner meets the fence", |_, state: &State| {
-                state.has_met_fence
+            Property::sometimes("the fence rejects work of a former owner", |_, state: &State| {
+                state.has_rejected_work
             }),
-            Property::sometimes("two owners, one after the other", |_, state: &State| {
+            Property::sometimes("two owners acquire the lease in turn", |_, state: &State| {
                 state.leases_acquired > 1
             }),
         ]
@@ -168,13 +168,13 @@
 }
 
 #[test]
-fn planted_bugs_are_found() {
-    let early_votes = check_model(Bug::VotesBeforeDurable);
+fn injected_bugs_are_found() {
+    let votes_before_durable = check_model(Bug::VotesBeforeDurable);
     assert!(
-        early_votes
-            .discovery("an old owner has no majority")
+        votes_before_durable
+            .discovery("no majority applies work of a former owner")
             .is_some(),
-        "votes before they are durable are not found"
+        "votes that are sent before they are durable are not found"
     );
     assert!(
         check_model(Bug::NoFence)
--- a/crates/leases/tests/model/state.rs
+++ b/crates/leases/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! State of the model, and the steps that change it.
+//! State of the model and the steps that change it.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,8 @@
 pub const START_TIME: u64 = 1_000_000_000;
 pub const MAX_CLOCK_JUMPS: u8 = 1;
 pub const MAX_WORK_PER_OWNER: u8 = 1;
-/// The voter that is killed and whose disk takes its time; the others' disks are quick.
+/// Index of the voter that may be killed and whose disk flushes in a separate step. The other
+/// voters' disks flush at once.
 pub const SLOW_VOTER: usize = 0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,7 +19,7 @@
     None,
     /// A vote is sent before it is durable.
     VotesBeforeDurable,
-    /// Work is applied whatever token it carries.
+    /// Work is applied regardless of its token.
     NoFence,
 }
 
@@ -29,11 +30,12 @@
     pub disk: BTreeMap<Task, FencingToken>,
     pub written: BTreeMap<Task, FencingToken>,
     pub unflushed: Vec<UnflushedToken>,
-    /// The greatest token whose work was ever applied here, whatever the voter itself remembers.
+    /// The greatest token whose work was ever applied at this voter, even if the voter itself has
+    /// lost it in a kill.
     pub greatest_applied: FencingToken,
 }
 
-/// A token that is written but not durable, and what follows once it is.
+/// A token that is written but not durable, and what has to be done once it is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct UnflushedToken {
     pub task: Task,
@@ -47,7 +49,7 @@
     Apply(FencingToken),
 }
 
-/// A message from an owner to a voter that is under way.
+/// A message from an owner to a voter that has not arrived yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct InFlight {
     pub owner: usize,
@@ -66,33 +68,38 @@
 pub struct State {
     pub voters: Vec<Voter>,
     pub owners: Vec<Owner>,
-    /// In order of sending.
+    /// Messages from owners to voters, in the order in which they were sent.
     pub in_flight: Vec<InFlight>,
     pub kills: u8,
     pub clock_jumps: u8,
-    /// Work under a lesser token was applied after that of a greater one.
+    /// Whether a voter has applied work with a smaller token after work with a greater one.
     pub has_stale_work: bool,
-    pub has_met_fence: bool,
+    /// Whether a fence has rejected work.
+    pub has_rejected_work: bool,
     pub leases_acquired: u8,
-    /// The greatest token under which a lease was acquired, and the voters at which work under a
-    /// lesser one was applied after that.
+    /// The greatest token under which a lease was acquired.
     pub greatest_acquired: FencingToken,
+    /// For each voter, whether it applied work with a token smaller than `greatest_acquired`.
     pub has_applied_late_work: [bool; VOTERS],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// An owner examines its timers.
+    /// An owner checks its timers.
     OwnerTimer(usize),
-    /// The voters' leases expire, while the owners stand still.
+    /// The leases expire at the voters while the owners are paused.
     ExpireLeases,
+    /// The oldest message from this owner to this voter arrives.
     Deliver {
         owner: usize,
         voter: usize,
     },
+    /// The disk of the slow voter makes all writes durable.
     Flush,
+    /// The slow voter is killed and restarts; writes that were not flushed are lost.
     Kill,
-    Act(usize),
+    /// An owner sends work under its lease.
+    SubmitWork(usize),
 }
 
 pub struct World {
--- a/crates/leases/tests/model/world.rs
+++ b/crates/leases/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The network, the disks and the planted bugs around the cores.
+//! The simulated network and disks around the lease cores, and the injected bugs.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
         voter_index: None,
         owner: owner as u64 + 1,
     };
-    // The second one knows of the first one's term: it requests the next.
+    // The second owner knows the term of the first one, so it requests the next term.
     let first_term = FencingToken {
         term: owner as u64,
         owner: 0,
@@ -65,8 +65,8 @@
                 Output::ToRequester { requester, message } => {
                     self.send_to_owner(state, voter, requester as usize, message);
                 }
-                Output::Apply { token, .. } => self.apply(state, voter, token),
-                Output::Fenced { .. } => state.has_met_fence = true,
+                Output::Apply { token, .. } => self.apply_work(state, voter, token),
+                Output::Fenced { .. } => state.has_rejected_work = true,
                 _ => {}
             }
         }
@@ -96,32 +96,32 @@
         deferred
     }
 
-    pub fn apply(&self, state: &mut State, voter: usize, token: FencingToken) {
+    pub fn apply_work(&self, state: &mut State, voter: usize, token: FencingToken) {
         state.has_applied_late_work[voter] |= token < state.greatest_acquired;
         let greatest_applied = &mut state.voters[voter].greatest_applied;
         state.has_stale_work |= token < *greatest_applied;
         *greatest_applied = token.max(*greatest_applied);
     }
 
-    pub fn flush(&self, state: &mut State, at: usize) {
-        let voter = &mut state.voters[at];
+    pub fn flush(&self, state: &mut State, voter_index: usize) {
+        let voter = &mut state.voters[voter_index];
         voter.disk = voter.written.clone();
         for unflushed in std::mem::take(&mut voter.unflushed) {
-            state.voters[at]
+            state.voters[voter_index]
                 .core
                 .mark_durable(unflushed.task, unflushed.token);
             for next in unflushed.then {
                 match next {
                     OnceDurable::Send { owner, message } => {
-                        self.send_to_owner(state, at, owner, message);
+                        self.send_to_owner(state, voter_index, owner, message);
                     }
-                    OnceDurable::Apply(token) => self.apply(state, at, token),
+                    OnceDurable::Apply(token) => self.apply_work(state, voter_index, token),
                 }
             }
         }
     }
 
-    /// A voter's message arrives as soon as it is sent.
+    /// Delivers a voter's message to an owner. In the model it arrives as soon as it is sent.
     pub fn send_to_owner(&self, state: &mut State, voter: usize, owner: usize, message: Message) {
         let receiver = &mut state.owners[owner];
         let outputs = receiver.core.on_voter_message(receiver.now, voter, message);
@@ -132,7 +132,7 @@
         let position = state
             .in_flight
             .iter()
-            .position(|sent| (sent.owner, sent.voter) == (owner, voter))?;
+            .position(|message| (message.owner, message.voter) == (owner, voter))?;
         let message = state.in_flight.remove(position).message;
         let receiver = &mut state.voters[voter];
         let outputs = match (&message, self.bug) {
