--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -147,7 +147,10 @@
     copied(&golden::path("store"), directory.path());
     let files = Box::new(Directory::new(directory.path()));
     let (store, found) = Store::open(files, Config { budget: 1 << 24 }, AT_MS, 1).expect("a store");
-    assert_eq!((store.len(), found.start_number, found.torn_bytes), (6, 2, 0));
+    assert_eq!(
+        (store.len(), found.start_number, found.torn_bytes),
+        (6, 2, 0)
+    );
 }
 
 fn travelling() -> WireRecord {
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -123,7 +123,8 @@
 
     /// Sets where an engine runs, as the endpoint list says.
     pub fn set_location(&mut self, engine: EngineId, zone: u32, cell: u32) {
-        self.engine_locations.insert(engine, Location { zone, cell });
+        self.engine_locations
+            .insert(engine, Location { zone, cell });
     }
 
     /// Forgets engines that no longer exist.
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -132,7 +132,9 @@
         key: Option<&str>,
         is_retry: bool,
     ) -> Result<Vec<PriorAttempt>, RejectReason> {
-        let should_reject = self.pending_sends.should_reject_requests(now, self.durable_ticket());
+        let should_reject = self
+            .pending_sends
+            .should_reject_requests(now, self.durable_ticket());
         let is_failing = self.worker.as_ref().is_none_or(Worker::is_failing) || should_reject;
         // In a fleet the voters know what this store may have forgotten.
         let is_retry = is_retry && self.replication.is_none();
--- a/crates/intent-log/tests/model.rs
+++ b/crates/intent-log/tests/model.rs
@@ -128,7 +128,10 @@
             is_retry: previous.tries > 0,
             is_store_failing: false,
         };
-        let prior = self.intent_log(previous).on_request(state.now, request).ok()?;
+        let prior = self
+            .intent_log(previous)
+            .on_request(state.now, request)
+            .ok()?;
         let prior = prior.iter().map(|attempt| PriorRun {
             cell: attempt.cell,
             since: attempt.since,
@@ -256,7 +259,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no key takes effect twice", |_, state: &State| state.effects < 2),
+            Property::always("no key takes effect twice", |_, state: &State| {
+                state.effects < 2
+            }),
             Property::sometimes("a key takes effect after a crash", |_, state: &State| {
                 state.crashes > 0 && state.effects > 0 && state.tries > 1
             }),
--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -15,9 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     /// The candidate requests votes at `until`.
-    Waiting {
-        until: Micros,
-    },
+    Waiting { until: Micros },
     RequestingVotes {
         token: FencingToken,
         requested_at: Micros,
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -32,7 +32,7 @@
 }
 
 impl Fences {
-    /// Restores the fence from the tokens in the store.
+    /// Creates the fence at a start of the gateway. All stored tokens count as durable.
     pub fn restore(stored: impl Iterator<Item = (Task, FencingToken)>) -> Self {
         let greatest: BTreeMap<Task, FencingToken> = stored.collect();
         Fences {
--- a/crates/leases/tests/model/main.rs
+++ b/crates/leases/tests/model/main.rs
@@ -110,7 +110,9 @@
             Step::SubmitWork(index) => {
                 let owner = &mut state.owners[index];
                 owner.work_count += 1;
-                let outputs = owner.core.submit_work(owner.now, TASK, vec![owner.work_count]);
+                let outputs = owner
+                    .core
+                    .submit_work(owner.now, TASK, vec![owner.work_count]);
                 self.perform_owner_outputs(&mut state, index, outputs);
             }
         }
@@ -122,20 +124,25 @@
             Property::always("no stale work is applied", |_, state: &State| {
                 !state.has_stale_work
             }),
-            Property::always("no majority applies work of a former owner", |_, state: &State| {
-                state
-                    .has_applied_late_work
-                    .iter()
-                    .filter(|has_applied| **has_applied)
-                    .count()
-                    <= VOTERS / 2
-            }),
-            Property::sometimes("the fence rejects work of a former owner", |_, state: &State| {
-                state.has_rejected_work
-            }),
-            Property::sometimes("two owners acquire the lease in turn", |_, state: &State| {
-                state.leases_acquired > 1
-            }),
+            Property::always(
+                "no majority applies work of a former owner",
+                |_, state: &State| {
+                    state
+                        .has_applied_late_work
+                        .iter()
+                        .filter(|has_applied| **has_applied)
+                        .count()
+                        <= VOTERS / 2
+                },
+            ),
+            Property::sometimes(
+                "the fence rejects work of a former owner",
+                |_, state: &State| state.has_rejected_work,
+            ),
+            Property::sometimes(
+                "two owners acquire the lease in turn",
+                |_, state: &State| state.leases_acquired > 1,
+            ),
         ]
     }
 }
--- a/crates/leases/tests/model/state.rs
+++ b/crates/leases/tests/model/state.rs
@@ -90,10 +90,7 @@
     /// The leases expire at the voters while the owners are paused.
     ExpireLeases,
     /// The oldest message from this owner to this voter arrives.
-    Deliver {
-        owner: usize,
-        voter: usize,
-    },
+    Deliver { owner: usize, voter: usize },
     /// The disk of the slow voter makes all writes durable.
     Flush,
     /// The slow voter is killed and restarts; writes that were not flushed are lost.
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -103,10 +103,7 @@
         * 1024
 }
 
-#[expect(
-    clippy::too_many_lines,
-    reason = "a linear sequence of measurements"
-)]
+#[expect(clippy::too_many_lines, reason = "a linear sequence of measurements")]
 fn main() {
     for group in [1, 8, 64] {
         let directory = tempfile::tempdir().expect("a temporary directory is created");
@@ -172,14 +169,10 @@
     let mut store = open(directory.path());
     (0..200_000).for_each(|number| _ = store.write(batch(number)));
     store.flush().expect("the batches are flushed");
-    while !store
-        .rewrite(NOW, 1 << 20)
-        .expect("the store is rewritten")
-    {}
+    while !store.rewrite(NOW, 1 << 20).expect("the store is rewritten") {}
     let mut next_number = 0;
     let mut commit = |store: &mut Store| {
-        (next_number..next_number + 8)
-            .for_each(|number| _ = store.write(batch(number % 200_000)));
+        (next_number..next_number + 8).for_each(|number| _ = store.write(batch(number % 200_000)));
         next_number += 8;
         store.flush().expect("the batches are flushed");
     };
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -67,7 +67,13 @@
         for entry in entries {
             let entry = entry?;
             let size = entry.metadata()?.len();
-            files.extend(entry.file_name().into_string().ok().map(|name| (name, size)));
+            files.extend(
+                entry
+                    .file_name()
+                    .into_string()
+                    .ok()
+                    .map(|name| (name, size)),
+            );
         }
         files.sort();
         Ok(files)
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -93,7 +93,7 @@
         /// The writes of the batch.
         batch: Batch,
     },
-    /// A part of a snapshot.
+    /// Some of the keys of a snapshot, in sorted order across all its parts.
     SnapshotPart(Batch),
     /// The end of a snapshot, with the total number of writes in its parts.
     SnapshotEnd(u64),
@@ -129,7 +129,9 @@
 ///
 /// If the bytes don't begin with a complete header of this version of the format.
 pub fn read_header(bytes: &[u8]) -> Result<(SegmentHeader, usize), HeaderError> {
-    let (fixed, rest) = bytes.split_at_checked(FIXED_HEADER_BYTES).ok_or(HeaderError::Invalid)?;
+    let (fixed, rest) = bytes
+        .split_at_checked(FIXED_HEADER_BYTES)
+        .ok_or(HeaderError::Invalid)?;
     if fixed[..8] != MAGIC {
         return Err(HeaderError::NotASegment);
     }
@@ -189,5 +191,6 @@
         return None;
     }
     let (frame, rest) = postcard::take_from_bytes(body).ok()?;
-    rest.is_empty().then_some((frame, FRAME_HEADER_BYTES + length))
+    rest.is_empty()
+        .then_some((frame, FRAME_HEADER_BYTES + length))
 }
--- a/crates/store/src/identity.rs
+++ b/crates/store/src/identity.rs
@@ -32,9 +32,12 @@
             .and_then(|part| part.try_into().ok());
         number.map(u64::from_le_bytes)
     };
-    let (Some(id), Some(since_ms), Some(creation_id), Some(checksum)) =
-        (number_at(0), number_at(8), number_at(16), number_at(CHECKED_BYTES))
-    else {
+    let (Some(id), Some(since_ms), Some(creation_id), Some(checksum)) = (
+        number_at(0),
+        number_at(8),
+        number_at(16),
+        number_at(CHECKED_BYTES),
+    ) else {
         return Ok(None);
     };
     // If the system does not report creation IDs, a copy can't be distinguished from its original.
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -79,7 +79,7 @@
         /// What is wrong with the header.
         error: HeaderError,
     },
-    /// The first batches of the store are missing.
+    /// Neither a log nor a snapshot contains the first batches of the store.
     #[error(
         "the first batches of the store are missing: segment {segment} continues after batch \
          {after_batch}, but no snapshot contains the batches up to it; move the directory away, \
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -26,7 +26,8 @@
 /// Settings of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Largest size of all files in bytes, including a snapshot that is being written.
+    /// Number of bytes that all files together should not exceed, including a snapshot that is
+    /// being written. [`Store::is_full`] reports when they would; writes are not rejected.
     pub budget: u64,
 }
 
@@ -147,13 +148,18 @@
             status,
             identity: identity.id,
             complete_since_ms: identity.since_ms,
-            start_number: recovered.newest_header.map_or(0, |header| header.start_number) + 1,
+            start_number: recovered
+                .newest_header
+                .map_or(0, |header| header.start_number)
+                + 1,
             last_segment_at_ms: recovered.newest_header.map_or(0, |header| header.at_ms),
             keys: recovered.keys.len(),
             torn_bytes: recovered.torn_bytes,
         };
         let header = SegmentHeader {
-            identity: recovered.newest_header.map_or(random, |header| header.identity),
+            identity: recovered
+                .newest_header
+                .map_or(random, |header| header.identity),
             number: recovery::highest_segment_number(&names),
             start_number: report.start_number,
             is_snapshot: false,
@@ -298,9 +304,7 @@
         if self.pending_frames.is_empty() {
             return Ok(self.durable_batch);
         }
-        let flushed = log
-            .append(&self.pending_frames)
-            .and_then(|()| log.sync());
+        let flushed = log.append(&self.pending_frames).and_then(|()| log.sync());
         if let Err(error) = flushed {
             self.log = None;
             return Err(error);
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -16,7 +16,7 @@
 use crate::frame::Batch;
 use crate::store::Store;
 
-/// Name of the thread.
+/// Shown by the system's tools, for example `top -H`.
 const THREAD_NAME: &str = "store";
 /// Number of batches that may wait for the thread. Further ones are rejected.
 pub const MAX_QUEUED_BATCHES: usize = 4096;
@@ -186,7 +186,7 @@
         self.last_ticket += 1;
         // No intent is that long, so no send waits for such a batch.
         if self.store.write(batch).is_none() {
-            log::error!("a batch is too long for the store and is not written");
+            log::error!("a batch is longer than the store allows and is not written");
         }
     }
 
@@ -209,12 +209,19 @@
             return false;
         }
         if self.status.is_failing.swap(false, Ordering::Relaxed) {
-            log::info!("the store can be written again");
+            log::info!(
+                "the store can be written again; requests with an idempotency key are accepted"
+            );
         }
         let is_full = self.store.is_full(0);
         self.status.is_full.store(is_full, Ordering::Relaxed);
         let durable_ticket = self.last_ticket;
-        if self.status.durable_ticket.swap(durable_ticket, Ordering::Release) != durable_ticket {
+        if self
+            .status
+            .durable_ticket
+            .swap(durable_ticket, Ordering::Release)
+            != durable_ticket
+        {
             (self.wake)();
         }
         true
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -442,7 +442,7 @@
 /// The queue accepts batches until it is full and then rejects them. No batch is reported durable
 /// until the disk writes again.
 #[test]
-fn a_stalled_disk_blocks_the_thread_but_not_its_callers() {
+fn a_stalled_disk_blocks_the_thread_and_no_caller() {
     let disk = FaultyDisk::default();
     let (store, _) = open(&disk, 1).unwrap();
     let (sender, wakes) = std::sync::mpsc::channel();
