--- a/crates/intent-log/src/state.rs
+++ b/crates/intent-log/src/state.rs
@@ -51,14 +51,15 @@
     pub intent: Option<Intent>,
 }
 
-/// Why a request with an idempotency key is not accepted now.
+/// Why a request with an idempotency key is not accepted now. The texts are those of the reasons
+/// that clients receive, so they must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IntentError {
     /// The log contains [`Limits::entries`] keys already, none of them that of the request.
-    #[error("the intent log is full; retry once older keys have expired")]
+    #[error("ledger full")]
     Full,
     /// The store has not written for [`STALL_TIMEOUT`], or its writes fail.
-    #[error("the store does not write; retry once it writes again")]
+    #[error("store stalled")]
     Stalled,
 }
 
