--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use eideryard_intent_log::{entry, Intent, Place};
+use eideryard_intent_log::{entry, Intent, Location};
 use eideryard_store::recovery::Recovered;
 use eideryard_store::{Config, Directory, RecoveryStatus, Store};
 
@@ -41,16 +41,16 @@
 /// The store can't be read, or is damaged.
 pub fn check(directory: &Path) -> Result<(), CliError> {
     let found = read(directory)?;
-    let Some(newest) = found.newest else {
+    let Some(newest) = found.newest_header else {
         println!("no store is there: a gateway would begin as a stranger");
         return Ok(());
     };
     let age = now_ms().saturating_sub(newest.at_ms) as f64 / 1e3;
     println!(
         "start {}, last begun {age:.1} s ago; {} keys, {} batches",
-        newest.start,
+        newest.start_number,
         found.keys.len(),
-        found.last
+        found.last_batch
     );
     if found.torn_bytes > 0 {
         println!(
@@ -72,7 +72,7 @@
 fn intent_text(intent: &Intent) -> String {
     let Intent {
         since,
-        place: Place { zone, cell },
+        location: Location { zone, cell },
         in_flight,
         may_have_run,
         until,
@@ -122,7 +122,7 @@
 ///
 /// There is no store, or it can't be opened or rewritten.
 pub fn compact(directory: &Path) -> Result<(), CliError> {
-    if read(directory)?.newest.is_none() {
+    if read(directory)?.newest_header.is_none() {
         return Err(error(directory, StoreProblem::NoStore));
     }
     let files = Box::new(Directory::new(directory));
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -6,7 +6,7 @@
 use eideryard_intent_log::state::RETENTION_MARGIN;
 use eideryard_intent_log::state::{EndedAttempt, IncomingRequest, NextAttempt};
 use eideryard_intent_log::waiting::{is_within_window, TimeoutReason};
-use eideryard_intent_log::{entry, Intent, IntentError, IntentWrite, Place, SendDecision};
+use eideryard_intent_log::{entry, Intent, IntentError, IntentWrite, Location, SendDecision};
 use eideryard_replication::Verdict;
 use eideryard_store::worker::Worker;
 use eideryard_store::Batch;
@@ -132,8 +132,10 @@
         key: Option<&str>,
         is_retry: bool,
     ) -> Result<Vec<PriorAttempt>, RejectReason> {
-        let is_held_up = self.pending_sends.is_held_up(now, self.durable_ticket());
-        let is_failing = self.worker.as_ref().is_none_or(Worker::is_failing) || is_held_up;
+        let should_reject = self
+            .pending_sends
+            .should_reject_requests(now, self.durable_ticket());
+        let is_failing = self.worker.as_ref().is_none_or(Worker::is_failing) || should_reject;
         // In a fleet the voters know what this store may have forgotten.
         let is_retry = is_retry && self.replication.is_none();
         let request = IncomingRequest {
@@ -161,7 +163,7 @@
 
     /// The last write that is durable.
     fn durable_ticket(&self) -> u64 {
-        self.worker.as_ref().map_or(0, Worker::durable)
+        self.worker.as_ref().map_or(0, Worker::durable_ticket)
     }
 
     fn write_intent(&mut self, write: &IntentWrite) -> Option<u64> {
@@ -180,13 +182,13 @@
 
     /// Decides on a send; writes and claims its intent where it needs one.
     pub fn prepare_send(&mut self, now: Micros, request: &SendRequest<'_>) -> SendPlan {
-        let place = self.engine_places.get(&request.engine);
-        let place = place.copied().unwrap_or_default();
+        let location = self.engine_locations.get(&request.engine);
+        let location = location.copied().unwrap_or_default();
         let attempt = NextAttempt {
             class: request.class,
             key: request.key,
-            place,
-            known: request.known,
+            location,
+            known_attempts: request.known,
         };
         let decision = self.intent_log.on_send(now, attempt);
         let write = match decision {
@@ -203,7 +205,7 @@
         SendPlan::AfterWrite {
             ticket,
             claim: self.claim(now, request, &write),
-            prior_attempt: as_prior_attempt(now, place, write.intent.as_ref()),
+            prior_attempt: as_prior_attempt(now, location, write.intent.as_ref()),
         }
     }
 
@@ -327,10 +329,10 @@
 }
 
 /// An attempt, as a later attempt at the same key sees it.
-fn as_prior_attempt(now: Micros, place: Place, intent: Option<&Intent>) -> PriorAttempt {
+fn as_prior_attempt(now: Micros, location: Location, intent: Option<&Intent>) -> PriorAttempt {
     PriorAttempt {
-        zone: place.zone,
-        cell: place.cell,
+        zone: location.zone,
+        cell: location.cell,
         since: intent.map_or(now, |intent| intent.since),
     }
 }
