--- a/crates/fleet-test/src/cold_sum/settings.rs
+++ b/crates/fleet-test/src/cold_sum/settings.rs
@@ -19,7 +19,7 @@
         zone: 0,
         tick: 5_000,
         discovery: Discovery::Push,
-        note_period: 500_000,
+        progress_interval: 500_000,
         largest_share: 0.4,
         max_attempts: 4,
         may_cancel: rng.random(),
--- a/crates/fleet-test/src/scale/decisions.rs
+++ b/crates/fleet-test/src/scale/decisions.rs
@@ -177,7 +177,7 @@
         zone: 0,
         tick: 1_000,
         discovery: Discovery::Push,
-        note_period: 0,
+        progress_interval: 0,
         largest_share: 0.4,
         max_attempts: 4,
         may_cancel: true,
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -50,7 +50,7 @@
     /// How long engines keep an idle connection open; 0: for ever.
     pub idle: Micros,
     /// How often engines report the progress of a running attempt.
-    pub note_period: Micros,
+    pub progress_interval: Micros,
     /// Requests on one connection at once.
     pub streams: usize,
     /// Connections to all engines.
@@ -169,7 +169,7 @@
         // Nothing at all has arrived since: an engine that still answers may have other requests on
         // another connection. This guards against a connection that stands and is of no use.
         let max_silence =
-            MAX_SILENT_PROGRESS_PERIODS * self.limits.note_period + self.limits.dial_timeout;
+            MAX_SILENT_PROGRESS_PERIODS * self.limits.progress_interval + self.limits.dial_timeout;
         let last_activity = connection.last_received_at.max(open.sent_at);
         connection.is_retired |= last_activity + max_silence <= context.now;
         connection.ended_ids.insert(id.into());
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -31,7 +31,7 @@
     let limits = Limits {
         dial_timeout: NOW,
         idle: 0,
-        note_period: 0,
+        progress_interval: 0,
         streams: 32,
         connections: 8,
     };
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -95,7 +95,7 @@
             .field("zone", &settings.zone)
             .field("tick", &settings.tick)
             .field("discovery", &Bare(discovery_name(settings.discovery)))
-            .field("note_period", &settings.note_period)
+            .field("note_period", &settings.progress_interval)
             .field("largest_share", &settings.largest_share)
             .field("max_attempts", &settings.max_attempts)
             .field("may_cancel", &settings.may_cancel)
--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -124,7 +124,7 @@
     Limits {
         dial_timeout: config.host.dial_timeout,
         idle: config.host.idle,
-        note_period: config.settings.note_period,
+        progress_interval: config.settings.progress_interval,
         streams: config.host.streams,
         connections: connections.max(1),
     }
--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -22,7 +22,7 @@
         zone: tree.number_or("az", 0)?,
         tick: tree.number_or("tick-us", 1_000)?,
         discovery: read_discovery(tree),
-        note_period: tree.number_or("extra.note-period-us", 0)?,
+        progress_interval: tree.number_or("extra.note-period-us", 0)?,
         largest_share: tree.number_or("extra.largest-share", 1.0)?,
         max_attempts: tree.number_or("limits.max-attempts", usize::MAX)?,
         may_cancel: tree.flag("limits.may-cancel")?,
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -73,7 +73,7 @@
     pub(super) fn new(settings: &Settings, latency_memory: f64) -> Self {
         OutlierDetection {
             warm_up_duration: settings.warm_up_duration,
-            progress_interval: settings.note_period,
+            progress_interval: settings.progress_interval,
             latency_memory,
             fleet_bad_share: 0.0,
         }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -110,7 +110,7 @@
     /// How the list of engines comes.
     pub discovery: Discovery,
     /// Interval of progress notes; 0 where there are none.
-    pub note_period: Micros,
+    pub progress_interval: Micros,
     /// Share of an engine's memory that one query gets at most.
     pub largest_share: f64,
     /// Attempts of one request at the most.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -55,7 +55,7 @@
         zone: 0,
         tick: 5 * MS,
         discovery: Discovery::Push,
-        note_period: 500 * MS,
+        progress_interval: 500 * MS,
         largest_share: 0.4,
         max_attempts: 4,
         may_cancel: true,
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -240,7 +240,7 @@
 fn hanging_engine_is_detected_without_progress_notes() {
     let mut bench = Bench::new(
         Settings {
-            note_period: 0,
+            progress_interval: 0,
             ..settings()
         },
         &[ready(1), ready(2), ready(3)],
