--- a/crates/event-log/src/codec/event.rs
+++ b/crates/event-log/src/codec/event.rs
@@ -164,7 +164,7 @@
             self.put_number(u64::from(engine.engine));
             self.put_number(engine.booted_at);
             self.put_optional_reals(&[Some(engine.slowdown), Some(engine.best_slowdown)]);
-            self.put_optional_reals(&[Some(engine.bad), Some(engine.foreign_load)]);
+            self.put_optional_reals(&[Some(engine.bad_outcome_share), Some(engine.foreign_load)]);
         }
         self.put_real(learned.baseline_load);
         kind::CHECKPOINT_RESTORED
@@ -197,13 +197,13 @@
         let engine = self.read_u32_truncated()?;
         let booted_at = self.read_number()?;
         let [slowdown, best_slowdown] = self.read_reals_or_zero()?;
-        let [bad, foreign_load] = self.read_reals_or_zero()?;
+        let [bad_outcome_share, foreign_load] = self.read_reals_or_zero()?;
         Ok(EngineEstimates {
             engine,
             booted_at,
             slowdown,
             best_slowdown,
-            bad,
+            bad_outcome_share,
             foreign_load,
         })
     }
--- a/crates/event-log/src/text/event.rs
+++ b/crates/event-log/src/text/event.rs
@@ -126,7 +126,7 @@
             .field("booted_at", &engine.booted_at)
             .field("stretch", &engine.slowdown)
             .field("best", &engine.best_slowdown)
-            .field("bad", &engine.bad)
+            .field("bad", &engine.bad_outcome_share)
             .field("others", &engine.foreign_load)
             .finish()
     }
--- a/crates/event-log/tests/common/random_entries.rs
+++ b/crates/event-log/tests/common/random_entries.rs
@@ -96,7 +96,7 @@
                 booted_at: rng.u64(..),
                 slowdown: real(rng),
                 best_slowdown: real(rng),
-                bad: real(rng),
+                bad_outcome_share: real(rng),
                 foreign_load: real(rng),
             };
             let (classes, engines) = (
--- a/crates/gateway/src/checkpoint.rs
+++ b/crates/gateway/src/checkpoint.rs
@@ -78,7 +78,7 @@
             booted_at: engine.booted_at,
             slowdown: engine.slowdown,
             best_slowdown: engine.best_slowdown,
-            bad: engine.bad,
+            bad: engine.bad_outcome_share,
             foreign_load: engine.foreign_load,
         }
     }
@@ -91,7 +91,7 @@
             booted_at: engine.booted_at,
             slowdown: engine.slowdown,
             best_slowdown: engine.best_slowdown,
-            bad: engine.bad,
+            bad_outcome_share: engine.bad,
             foreign_load: engine.foreign_load,
         }
     }
--- a/crates/gateway/src/checkpoint/tests.rs
+++ b/crates/gateway/src/checkpoint/tests.rs
@@ -15,7 +15,7 @@
         booted_at: 5,
         slowdown: 1.2,
         best_slowdown: 0.9,
-        bad: 0.1,
+        bad_outcome_share: 0.1,
         foreign_load: 3.0,
     };
     let learned = LearnedState {
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -66,7 +66,7 @@
         booted_at: 5,
         slowdown: 1.2,
         best_slowdown: 0.9,
-        bad: 0.1,
+        bad_outcome_share: 0.1,
         foreign_load: 3.0,
     };
     let learned = LearnedState {
--- a/src/balancer/checkpoint.rs
+++ b/src/balancer/checkpoint.rs
@@ -55,7 +55,7 @@
     engine.best_slowdown = fade(1.0, stored.best_slowdown.clamp(0.0, 1.0));
     let slowdown = stored.slowdown.max(engine.best_slowdown);
     engine.slowdown = fade(engine.best_slowdown, slowdown);
-    engine.bad_share = fade(0.0, stored.bad.clamp(0.0, MAX_BAD_SHARE));
+    engine.bad_share = fade(0.0, stored.bad_outcome_share.clamp(0.0, MAX_BAD_SHARE));
     engine.observed_at = now;
     engine.foreign_load = stored.foreign_load.max(0.0);
     engine.reported_at = now.saturating_sub(age);
--- a/src/engine_state.rs
+++ b/src/engine_state.rs
@@ -114,7 +114,7 @@
             booted_at: self.endpoint.booted_at,
             slowdown: self.slowdown,
             best_slowdown: self.best_slowdown,
-            bad: self.bad_share,
+            bad_outcome_share: self.bad_share,
             foreign_load: self.foreign_load,
         }
     }
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -27,7 +27,7 @@
     /// The least slowdown observed.
     pub best_slowdown: f64,
     /// Share of bad outcomes.
-    pub bad: f64,
+    pub bad_outcome_share: f64,
     /// Threads of other gateways' queries.
     pub foreign_load: f64,
 }
--- a/tests/constraints.rs
+++ b/tests/constraints.rs
@@ -296,7 +296,7 @@
             booted_at,
             slowdown: 2.0,
             best_slowdown: 1.0,
-            bad: 0.4,
+            bad_outcome_share: 0.4,
             foreign_load: 0.0,
         };
         bench.handle(Event::CheckpointRestored {
@@ -310,7 +310,12 @@
         bench.balancer.learned_state()
     };
     let (now, later, old) = (taught(0, 5), taught(60 * S, 5), taught(3600 * S, 5));
-    let ratio = |lessons: &LearnedState| (lessons.classes[0].work_ratio, lessons.engines[0].bad);
+    let ratio = |lessons: &LearnedState| {
+        (
+            lessons.classes[0].work_ratio,
+            lessons.engines[0].bad_outcome_share,
+        )
+    };
     assert_eq!(ratio(&now), (2.0, 0.4));
     assert!(
         ratio(&later).0 < 2.0 && ratio(&later).0 > 1.0 && ratio(&later).1 < 0.4,
