--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -64,7 +64,7 @@
 fn discovery_name(discovery: Discovery) -> &'static str {
     match discovery {
         Discovery::Push => "Push",
-        Discovery::Ask => "Ask",
+        Discovery::Poll => "Ask",
     }
 }
 
--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -46,7 +46,7 @@
 
 fn read_discovery(tree: &SettingsTree) -> Discovery {
     match tree.text("discovery") {
-        Some("ask") => Discovery::Ask,
+        Some("ask") => Discovery::Poll,
         _ => Discovery::Push,
     }
 }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -89,7 +89,7 @@
             Some(index) => index / settings.peers,
             None => rng.f64(),
         };
-        let must_subscribe = settings.discovery == Discovery::Ask;
+        let must_subscribe = settings.discovery == Discovery::Poll;
         let load_estimates = LoadEstimates::new(settings.warm_up_duration);
         let latency_memory = load_estimates.latency_memory();
         let mut balancer = Balancer {
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -30,7 +30,7 @@
     /// Changes of the list arrive unasked.
     Push,
     /// The list must be subscribed to.
-    Ask,
+    Poll,
 }
 
 /// A class of requests, as the settings name it.
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -15,7 +15,7 @@
 #[test]
 fn failed_subscription_is_retried() {
     let settings = Settings {
-        discovery: Discovery::Ask,
+        discovery: Discovery::Poll,
         ..settings()
     };
     let mut bench = Bench::new(settings, &[ready(1)]);
