--- a/crates/fleet-test/src/cold_sum/settings.rs
+++ b/crates/fleet-test/src/cold_sum/settings.rs
@@ -33,7 +33,7 @@
         start_capacity: rng.random_range(0.31..0.5),
         warm_up_duration: rng.random_range(8..=15) * S,
         ordering_delay: 0,
-        attempt_budget: None,
+        retry_budget: None,
         poll_interval: 10 * S,
         over_quota_weight: 0.2,
         cross_zone_tariff: 0.0,
--- a/crates/fleet-test/src/scale/decisions.rs
+++ b/crates/fleet-test/src/scale/decisions.rs
@@ -191,7 +191,7 @@
         start_capacity: 0.4,
         warm_up_duration: 10 * SECOND,
         ordering_delay: 0,
-        attempt_budget: None,
+        retry_budget: None,
         poll_interval: 10 * SECOND,
         over_quota_weight: 0.2,
         cross_zone_tariff: 0.0,
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -8,7 +8,7 @@
 use std::hash::Hasher;
 
 use eideryard::interface::{
-    AttemptBudget, Class, Discovery, Effect, Kind, Scope, Settings, Tenant,
+    Class, Discovery, Effect, Kind, RetryBudgetSettings, Scope, Settings, Tenant,
 };
 use siphasher::sip::SipHasher13;
 
@@ -85,7 +85,7 @@
         let classes: Vec<ClassText<'_>> = settings.classes.iter().map(ClassText).collect();
         let tenants: Vec<TenantText<'_>> = settings.tenants.iter().map(TenantText).collect();
         let kinds: Vec<KindText<'_>> = settings.kinds.iter().map(KindText).collect();
-        let budget = settings.attempt_budget.as_ref().map(BudgetText);
+        let budget = settings.retry_budget.as_ref().map(BudgetText);
         f.debug_struct("Settings")
             .field("classes", &classes)
             .field("tenants", &tenants)
@@ -162,7 +162,7 @@
     }
 }
 
-struct BudgetText<'a>(&'a AttemptBudget);
+struct BudgetText<'a>(&'a RetryBudgetSettings);
 
 impl Debug for BudgetText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -1,7 +1,7 @@
 //! The platform's words for the balancer's settings.
 
 use eideryard::interface::{
-    AttemptBudget, Class, Discovery, Effect, Kind, Scope, Settings, Tenant,
+    Class, Discovery, Effect, Kind, RetryBudgetSettings, Scope, Settings, Tenant,
 };
 
 use crate::{SettingsError, SettingsTree};
@@ -12,7 +12,7 @@
 ///
 /// The first key whose value can't be used.
 pub fn read_settings(tree: &SettingsTree) -> Result<Settings, SettingsError> {
-    let attempt_budget = read_attempt_budget(tree)?;
+    let retry_budget = read_retry_budget(tree)?;
     Ok(Settings {
         classes: read_classes(tree)?,
         tenants: read_tenants(tree)?,
@@ -36,7 +36,7 @@
         start_capacity: tree.number_or("rules.start-capacity", 1.0)?,
         warm_up_duration: tree.number_or("rules.warm-within-us", 0)?,
         ordering_delay: tree.number_or("rules.order-pause-us", 0)?,
-        attempt_budget,
+        retry_budget,
         poll_interval: tree.number_or("rules.ask-every-us", 0)?,
         over_quota_weight: tree.number_or("over-share-worth", 1.0)?,
         cross_zone_tariff: tree.number_or("tariffs.cross-zone", 0.0)?,
@@ -57,11 +57,11 @@
         && tree.list("report.fields").contains(&"concurrent")
 }
 
-fn read_attempt_budget(tree: &SettingsTree) -> Result<Option<AttemptBudget>, SettingsError> {
+fn read_retry_budget(tree: &SettingsTree) -> Result<Option<RetryBudgetSettings>, SettingsError> {
     let Some(ratio) = tree.optional::<f64>("rules.further-ratio")? else {
         return Ok(None);
     };
-    Ok(Some(AttemptBudget {
+    Ok(Some(RetryBudgetSettings {
         span: tree.number_or("rules.ratio-span-us", 0)?,
         ratio,
         spare: tree.number_or("rules.spare-attempts", 0.0)?,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -108,7 +108,7 @@
             load_estimates,
             slow_start: SlowStart::new(&settings),
             outlier_detection: OutlierDetection::new(&settings, latency_memory),
-            retry_budget: RetryBudget::new(settings.attempt_budget),
+            retry_budget: RetryBudget::new(settings.retry_budget),
             tenant_quotas: TenantQuotas::new(&settings, now),
             sampling_budget: SamplingBudget::new(settings.probe_tariff),
             is_maintenance_scheduled: false,
--- a/src/balancer/retry_budget.rs
+++ b/src/balancer/retry_budget.rs
@@ -1,11 +1,11 @@
 //! The retry budget: further attempts as a part of the requests taken lately.
 
-use crate::interface::{AttemptBudget, Micros};
+use crate::interface::{Micros, RetryBudgetSettings};
 use std::collections::VecDeque;
 
 /// Requests and retries as far back as the budget counts.
 pub(super) struct RetryBudget {
-    limit: Option<AttemptBudget>,
+    limit: Option<RetryBudgetSettings>,
     /// When requests were taken.
     requests: VecDeque<Micros>,
     /// When retries were sent.
@@ -13,7 +13,7 @@
 }
 
 impl RetryBudget {
-    pub(super) fn new(limit: Option<AttemptBudget>) -> Self {
+    pub(super) fn new(limit: Option<RetryBudgetSettings>) -> Self {
         RetryBudget {
             limit,
             requests: VecDeque::new(),
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -81,7 +81,7 @@
 
 /// How many retries a gateway may make.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptBudget {
+pub struct RetryBudgetSettings {
     /// The time over which attempts are counted.
     pub span: Micros,
     /// Retries for each request taken in that time.
@@ -139,7 +139,7 @@
     /// Pause of an ordered key after an attempt that may still run.
     pub ordering_delay: Micros,
     /// The retry budget, if there is one.
-    pub attempt_budget: Option<AttemptBudget>,
+    pub retry_budget: Option<RetryBudgetSettings>,
     /// Interval of subscriptions to service discovery.
     pub poll_interval: Micros,
     /// Part of its weight that a request over its tenant's quota keeps.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -69,7 +69,7 @@
         start_capacity: 0.3,
         warm_up_duration: 15 * S,
         ordering_delay: S,
-        attempt_budget: None,
+        retry_budget: None,
         poll_interval: 10 * S,
         over_quota_weight: 0.2,
         cross_zone_tariff: 0.0,
--- a/tests/constraints.rs
+++ b/tests/constraints.rs
@@ -253,7 +253,7 @@
 #[test]
 fn retries_stay_within_their_budget() {
     let mut settings = settings();
-    settings.attempt_budget = Some(AttemptBudget {
+    settings.retry_budget = Some(RetryBudgetSettings {
         span: 10 * S,
         ratio: 0.1,
         spare: 2.0,
--- a/tests/may_begin.rs
+++ b/tests/may_begin.rs
@@ -107,13 +107,13 @@
 
 #[test]
 fn withdrawn_retry_returns_its_place_in_the_retry_budget() {
-    let budget = AttemptBudget {
+    let budget = RetryBudgetSettings {
         span: 60 * S,
         ratio: 0.0,
         spare: 1.0,
     };
     let settings = Settings {
-        attempt_budget: Some(budget),
+        retry_budget: Some(budget),
         ..settings()
     };
     let mut bench = Bench::new(settings, &[ready(1), ready(2), ready(3)]);
--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -57,7 +57,7 @@
     let mut settings = settings();
     settings.classes.push(class(Effect::NonIdempotent, S, 1.0));
     settings.classes[LOAD].ordered = true;
-    settings.attempt_budget = Some(AttemptBudget {
+    settings.retry_budget = Some(RetryBudgetSettings {
         span: 5 * S,
         ratio: 0.0,
         spare: 0.0,
@@ -137,7 +137,7 @@
 /// A checker that knows of one request without key or budget.
 fn checker_of_one_request() -> RuleChecker {
     let mut checker = RuleChecker::new(Settings {
-        attempt_budget: None,
+        retry_budget: None,
         ..strict_settings()
     });
     checker.on_request(S, &lookup(1, 90 * S));
--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -167,7 +167,7 @@
         }
         let again = observed.first_bytes.iter().any(Option::is_some);
         observed.first_bytes[attempt] = Some(now);
-        if let Some(budget) = self.settings.attempt_budget.filter(|_| again) {
+        if let Some(budget) = self.settings.retry_budget.filter(|_| again) {
             let lately = |times: &[Micros]| {
                 times.iter().filter(|at| **at + budget.span > now).count() as f64
             };
--- a/tests/properties/scenario.rs
+++ b/tests/properties/scenario.rs
@@ -25,7 +25,7 @@
     }
     settings.overload_window = [S, 3 * S][rng.usize(..2)];
     let ratio = rng.f64() * 0.5;
-    settings.attempt_budget = rng.bool().then_some(AttemptBudget {
+    settings.retry_budget = rng.bool().then_some(RetryBudgetSettings {
         span: 5 * S,
         ratio,
         spare: 3.0,
