--- a/crates/event-log/src/codec/action.rs
+++ b/crates/event-log/src/codec/action.rs
@@ -1,6 +1,6 @@
 //! Actions of the decision module.
 
-use eideryard::interface::{end_tag, Action};
+use eideryard::interface::{request_timer_tag, Action};
 
 use super::primitives::{Decoder, Encoder};
 use super::{kind, DecodeError, Decoded};
@@ -115,7 +115,7 @@
 impl Decoder<'_> {
     pub(super) fn read_timer_tag(&mut self) -> Decoded<u64> {
         if self.read_flag()? {
-            Ok(end_tag(self.read_request()?))
+            Ok(request_timer_tag(self.read_request()?))
         } else {
             self.read_number()
         }
--- a/crates/event-log/src/entry/mod.rs
+++ b/crates/event-log/src/entry/mod.rs
@@ -6,7 +6,7 @@
 mod host;
 mod reasons;
 
-use eideryard::interface::{end_tag, Action, Event, RequestId};
+use eideryard::interface::{request_timer_tag, Action, Event, RequestId};
 
 pub use crate::totals::AnswerKind;
 pub use fleet::FleetEvent;
@@ -93,6 +93,6 @@
 
 /// The request whose deadline timer has this tag, if the tag is one of those.
 pub(crate) fn request_of_timer(tag: u64) -> Option<RequestId> {
-    tag.checked_sub(end_tag(0))
+    tag.checked_sub(request_timer_tag(0))
         .filter(|request| request >> 32 != 0)
 }
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -1,6 +1,6 @@
 //! Carries out the balancer's actions.
 
-use eideryard::interface::{end_tag, LoadReport};
+use eideryard::interface::{request_timer_tag, LoadReport};
 
 use super::*;
 
@@ -103,7 +103,7 @@
             .deadlines
             .set(now + after, Deadline::BalancerTimer(tag));
         // A request's own timer is removed with it; others fire.
-        let Some(number) = tag.checked_sub(end_tag(0)) else {
+        let Some(number) = tag.checked_sub(request_timer_tag(0)) else {
             return;
         };
         if let Some(request) = self.requests.get_mut(Key::from_number(number)) {
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -1,6 +1,6 @@
 //! Graceful shutdown of the gateway, in the phases of [`Shutdown`].
 
-use eideryard::interface::{end_tag, Event};
+use eideryard::interface::{request_timer_tag, Event};
 use eideryard_event_log::HostEvent;
 
 use super::Gateway;
@@ -51,7 +51,7 @@
     /// Lets the balancer's timer of each open request fire now, so that it gets its final answer.
     fn expire_open_requests(&mut self) {
         for request in self.requests.open_keys() {
-            let tag = end_tag(request.number());
+            let tag = request_timer_tag(request.number());
             self.events.push_back(Event::Timer { tag });
         }
         self.run_balancer();
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -51,7 +51,7 @@
 
 /// Ticks between two runs of the maintenance.
 const MAINTENANCE_TICKS: u64 = 10;
-/// Timer tag of the maintenance; a request's own timer has the tag of `end_tag`.
+/// Timer tag of the maintenance; a request's own timer has the tag of `request_timer_tag`.
 const MAINTENANCE_TAG: u64 = 0;
 /// A failed subscription is tried again after the poll interval divided by this.
 const RESUBSCRIBE_DIVISOR: u64 = 8;
--- a/src/balancer/arrival.rs
+++ b/src/balancer/arrival.rs
@@ -4,7 +4,7 @@
 use super::affinity::GROUP_MEMORY;
 use super::class_estimates::LEARNING_RATE;
 use super::Balancer;
-use crate::interface::{end_tag, Action, Micros, Request, RequestId};
+use crate::interface::{request_timer_tag, Action, Micros, Request, RequestId};
 use crate::request_state::PendingRequest;
 use crate::traffic::{GroupCount, Traffic};
 
@@ -89,7 +89,7 @@
         self.retry_budget.record_request(self.now);
         self.actions.push(Action::SetTimer {
             after: pending.end_deadline - self.now,
-            tag: end_tag(request.id),
+            tag: request_timer_tag(request.id),
         });
         self.queue.insert(pending);
     }
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -6,7 +6,7 @@
 pub type RequestId = u64;
 
 /// Tag of the timer that ends a request.
-pub fn end_tag(request: RequestId) -> u64 {
+pub fn request_timer_tag(request: RequestId) -> u64 {
     request + 1
 }
 
