--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -61,7 +61,7 @@
     /// Events that the balancer has not handled yet.
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    retry_after_allowed: bool,
+    may_send_retry_after: bool,
     longest_wait: Micros,
     engine_names: BTreeMap<EngineId, String>,
     /// What service discovery last reported of each engine, as the event log holds it.
--- a/crates/gateway/src/gateway/actions/durability_results.rs
+++ b/crates/gateway/src/gateway/actions/durability_results.rs
@@ -139,7 +139,7 @@
         };
         self.event_recorder.record_host(now, &event);
         let reply = ErrorReply {
-            retry_after: self.retry_after_allowed.then_some(RETRY_AFTER),
+            retry_after: self.may_send_retry_after.then_some(RETRY_AFTER),
             ..ErrorReply::with_reason(ErrorKind::TryLater, reason.name())
         };
         self.answer_error(request, &reply);
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -118,7 +118,7 @@
         };
         self.count_no_room(RejectReason::StatementMemoryFull, owner.labels);
         let reply = ErrorReply {
-            retry_after: rejection.retry_after.filter(|_| self.retry_after_allowed),
+            retry_after: rejection.retry_after.filter(|_| self.may_send_retry_after),
             ..ErrorReply::with_reason(ErrorKind::TryLater, rejection.reason.word())
         };
         self.answer_call(call_id, &reply);
@@ -212,7 +212,7 @@
     fn answer_not_durable(&mut self, call_id: CallId, labels: RequestLabels, reason: RejectReason) {
         self.count_no_room(reason, labels);
         let reply = ErrorReply {
-            retry_after: self.retry_after_allowed.then_some(RETRY_AFTER),
+            retry_after: self.may_send_retry_after.then_some(RETRY_AFTER),
             ..ErrorReply::with_reason(ErrorKind::TryLater, reason.name())
         };
         self.answer_call(call_id, &reply);
--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -76,7 +76,7 @@
             incoming_results: BTreeSet::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
-            retry_after_allowed: config.settings.retry_after_allowed,
+            may_send_retry_after: config.settings.may_send_retry_after,
             longest_wait: config.host.longest_wait,
             engine_names: BTreeMap::new(),
             last_listed: BTreeMap::new(),
--- a/src/balancer/completion.rs
+++ b/src/balancer/completion.rs
@@ -37,7 +37,7 @@
     }
 
     fn bounded_retry_after(&self, retry_after: Micros) -> Micros {
-        if self.settings.retry_after_allowed {
+        if self.settings.may_send_retry_after {
             retry_after.min(self.settings.max_retry_after)
         } else {
             0
--- a/src/balancer/constraints.rs
+++ b/src/balancer/constraints.rs
@@ -45,7 +45,7 @@
             Scope::Cell => run.cell == endpoint.cell,
         };
         let is_keyed = class.effect == Effect::IdempotentWithKey;
-        (self.settings.hedging_allowed || !pending.has_attempt_in_flight())
+        (self.settings.may_hedge || !pending.has_attempt_in_flight())
             && self.may_repeat(pending)
             && (!is_keyed || pending.possible_runs().all(is_in_scope))
     }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -118,13 +118,13 @@
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Two attempts of a request may be in flight at once.
-    pub hedging_allowed: bool,
+    pub may_hedge: bool,
     /// Engines may be probed.
     pub may_probe: bool,
     /// Only probes report how many queries an engine has in flight.
     pub counts_by_probe: bool,
     /// Refusals may say when to retry.
-    pub retry_after_allowed: bool,
+    pub may_send_retry_after: bool,
     /// The longest such time.
     pub max_retry_after: Micros,
     /// A cold engine that is sent more than this multiple of its present capacity over
--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -105,7 +105,7 @@
         let observed = &self.requests[&request];
         let mut violated = Vec::new();
         let in_flight = observed.attempts.iter().any(Option::is_none);
-        if in_flight && !self.settings.hedging_allowed {
+        if in_flight && !self.settings.may_hedge {
             violated.push("two attempts are out");
         }
         if observed.class == NON_IDEMPOTENT && observed.attempts.iter().any(|a| !never_ran(a)) {
--- a/tests/properties/scenario.rs
+++ b/tests/properties/scenario.rs
@@ -13,7 +13,7 @@
     settings.classes[LOAD].ordered = true;
     settings.peers = [1.0, 3.0, 20.0, 30.0, 90.0][rng.usize(..5)];
     (settings.may_probe, settings.counts_by_probe) = (rng.bool(), rng.bool());
-    (settings.may_cancel, settings.hedging_allowed) = (rng.bool(), rng.bool());
+    (settings.may_cancel, settings.may_hedge) = (rng.bool(), rng.bool());
     settings.progress_interval = if rng.bool() { 500 * MS } else { 0 };
     settings.ordering_delay = rng.u64(0..2 * S);
     settings.max_attempts = rng.usize(1..7);
