--- a/crates/fleet-test/src/cold_sum/settings.rs
+++ b/crates/fleet-test/src/cold_sum/settings.rs
@@ -10,7 +10,7 @@
             safe_class(3 * S, THREADS[1]),
         ],
         tenants: Vec::new(),
-        kinds: vec![Kind {
+        kinds: vec![MachineKind {
             cores,
             memory_mb: 16_000.0,
         }],
--- a/crates/fleet-test/src/scale/decisions.rs
+++ b/crates/fleet-test/src/scale/decisions.rs
@@ -168,7 +168,7 @@
     Settings {
         classes: vec![safe_class(SECOND, 1.0), safe_class(SECOND, WIDEST)],
         tenants: Vec::new(),
-        kinds: vec![Kind {
+        kinds: vec![MachineKind {
             cores: CORES,
             memory_mb: 64_000.0,
         }],
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -8,7 +8,7 @@
 use std::hash::Hasher;
 
 use eideryard::interface::{
-    Class, Discovery, Effect, Kind, RetryBudgetSettings, Scope, Settings, Tenant,
+    Class, Discovery, Effect, MachineKind, RetryBudgetSettings, Scope, Settings, Tenant,
 };
 use siphasher::sip::SipHasher13;
 
@@ -150,7 +150,7 @@
     }
 }
 
-struct KindText<'a>(&'a Kind);
+struct KindText<'a>(&'a MachineKind);
 
 impl Debug for KindText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
--- a/crates/gateway/src/requests/names.rs
+++ b/crates/gateway/src/requests/names.rs
@@ -1,7 +1,7 @@
 //! Names of the settings that requests and endpoints refer to, and the bounds on what a request may
 //! state.
 
-use eideryard::interface::{Effect, Kind, Settings};
+use eideryard::interface::{Effect, MachineKind, Settings};
 use eideryard_settings::HostSettings;
 
 /// Estimates that exceed by this factor what the largest engine could do or hold are rejected.
@@ -32,7 +32,8 @@
 impl Names {
     /// The names in the settings of the balancer and of the process around it.
     pub fn new(settings: &Settings, host: &HostSettings) -> Self {
-        let largest = |of: fn(&Kind) -> f64| settings.kinds.iter().map(of).fold(1.0, f64::max);
+        let largest =
+            |of: fn(&MachineKind) -> f64| settings.kinds.iter().map(of).fold(1.0, f64::max);
         let longest_wait = positive_or(host.longest_wait as f64, DEFAULT_WAIT_US);
         let largest_memory = positive_or(largest(|kind| kind.memory_mb), DEFAULT_MEMORY_MB);
         let classes = settings.classes.iter();
--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -1,7 +1,7 @@
 //! The platform's words for the balancer's settings.
 
 use eideryard::interface::{
-    Class, Discovery, Effect, Kind, RetryBudgetSettings, Scope, Settings, Tenant,
+    Class, Discovery, Effect, MachineKind, RetryBudgetSettings, Scope, Settings, Tenant,
 };
 
 use crate::{SettingsError, SettingsTree};
@@ -119,12 +119,12 @@
 }
 
 /// Kinds of machine; there is at least one, without limits where none is named.
-fn read_kinds(tree: &SettingsTree) -> Result<Vec<Kind>, SettingsError> {
+fn read_kinds(tree: &SettingsTree) -> Result<Vec<MachineKind>, SettingsError> {
     let count = tree.list("kinds").len().max(1);
     let read_kind = |index| {
         let cores = tree.item("extra.kind-cores", index)?;
         let memory_mb = tree.item("extra.kind-memory-mb", index)?;
-        Ok(Kind {
+        Ok(MachineKind {
             cores: cores.unwrap_or(1.0),
             memory_mb: memory_mb.unwrap_or(f64::INFINITY),
         })
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -6,7 +6,7 @@
 use super::Balancer;
 use crate::engine_state::{EngineState, Reservation};
 use crate::engine_table::Capacity;
-use crate::interface::{Kind, Request};
+use crate::interface::{MachineKind, Request};
 use crate::request_state::PendingRequest;
 
 /// Memory that may be reserved at the start, in multiples of an engine's memory.
@@ -167,7 +167,7 @@
         }
     }
 
-    pub(super) fn kind(&self, engine: &EngineState) -> &Kind {
+    pub(super) fn kind(&self, engine: &EngineState) -> &MachineKind {
         &self.settings.kinds[self.engines.kind_index(engine)]
     }
 
--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -10,7 +10,7 @@
 
 use crate::engine_state::EngineState;
 use crate::hash::mix;
-use crate::interface::{Class, Endpoint, EngineId, Kind, Micros};
+use crate::interface::{Class, Endpoint, EngineId, MachineKind, Micros};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -86,7 +86,7 @@
 }
 
 impl EngineTable {
-    pub(crate) fn new(classes: &[Class], kinds: &[Kind]) -> Self {
+    pub(crate) fn new(classes: &[Class], kinds: &[MachineKind]) -> Self {
         let mut ring_class: Vec<usize> = Vec::new();
         let mut class_ring = Vec::new();
         for (index, class) in classes.iter().enumerate() {
--- a/src/engine_table/tests.rs
+++ b/src/engine_table/tests.rs
@@ -34,13 +34,13 @@
     ]
 }
 
-fn kinds() -> Vec<Kind> {
+fn kinds() -> Vec<MachineKind> {
     vec![
-        Kind {
+        MachineKind {
             cores: 8.0,
             memory_mb: 1_000.0,
         },
-        Kind {
+        MachineKind {
             cores: 12.0,
             memory_mb: 2_000.0,
         },
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -18,7 +18,9 @@
 pub use learned_state::{ClassEstimates, EngineEstimates, LearnedState};
 pub use outcomes::{AttemptEnded, LoadReport, Outcome, Probed, Progress, ResourceUsage};
 pub use requests::{request_timer_tag, PriorAttempt, Request, RequestId};
-pub use settings::{Class, Discovery, Effect, Kind, RetryBudgetSettings, Scope, Settings, Tenant};
+pub use settings::{
+    Class, Discovery, Effect, MachineKind, RetryBudgetSettings, Scope, Settings, Tenant,
+};
 
 /// A time or a duration in microseconds.
 pub type Micros = u64;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -72,7 +72,7 @@
 
 /// A kind of machine.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct MachineKind {
     /// Cores of one engine.
     pub cores: f64,
     /// Memory of one engine in megabytes.
@@ -98,7 +98,7 @@
     /// Tenants, by their numbers.
     pub tenants: Vec<Tenant>,
     /// Machine kinds, by their numbers.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<MachineKind>,
     /// Gateways in this tier, this one included.
     pub peers: f64,
     /// This gateway's number among them, from 0, where it is known.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -41,11 +41,11 @@
         ],
         tenants: Vec::new(),
         kinds: vec![
-            Kind {
+            MachineKind {
                 cores: 8.0,
                 memory_mb: 8_000.0,
             },
-            Kind {
+            MachineKind {
                 cores: 8.0,
                 memory_mb: 8_000.0,
             },
