--- a/src/engine_state.rs
+++ b/src/engine_state.rs
@@ -1,25 +1,27 @@
-//! State of one engine: its endpoint, what this gateway has in flight there, and what was observed.
+//! State of one engine: its endpoint, the attempts that this gateway has in flight on it, and the
+//! statistics of earlier ones.
 //!
-//! Owned by [`crate::engine_table::EngineTable`]. Nothing here decides anything.
+//! [`crate::engine_table::EngineTable`] owns these states. This module contains no policy.
 
 use crate::interface::{Endpoint, EngineEstimates, EngineId, Micros, Phase, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A slowdown that differs from its best by less counts as equal to it.
+/// Largest difference at which the slowdown counts as equal to the best slowdown.
 const SLOWDOWN_TOLERANCE: f64 = 1e-9;
-/// Capacity is never counted as more than this slowdown's.
+/// Lowest slowdown that capacity is computed from, so that an engine never counts as more than
+/// twice its cores.
 const MIN_SLOWDOWN: f64 = 0.5;
 
-/// How far an attempt had come at its last progress note.
+/// Progress of an attempt at its last progress report.
 #[derive(Clone, Copy)]
 pub(crate) struct ProgressMark {
-    /// Time since it was sent, in microseconds.
+    /// Time from sending the attempt to the report, in microseconds.
     pub(crate) elapsed: f64,
-    /// How much of its ideal duration that brought it forward.
+    /// Part of the attempt's ideal duration that was done by then, in microseconds.
     pub(crate) done: f64,
 }
 
-/// What an attempt in flight takes on its engine.
+/// Resources that an attempt in flight occupies on its engine, by its estimates.
 pub(crate) struct Reservation {
     pub(crate) class: usize,
     pub(crate) group: u64,
@@ -27,67 +29,71 @@
     pub(crate) threads: f64,
     pub(crate) ideal_duration: f64,
     pub(crate) sent_at: Micros,
-    /// It has waited at the engine for memory or a load, so its time tells nothing of the pace.
+    /// Whether it has waited on the engine for memory or for a load: its duration then doesn't show
+    /// how fast the engine runs queries.
     pub(crate) has_waited: bool,
     pub(crate) progress: Option<ProgressMark>,
 }
 
-/// Work sent to an engine while it was cold.
+/// A send to a cold engine, which counts in the slow-start budget.
 pub(crate) struct ColdSend {
     pub(crate) sent_at: Micros,
     pub(crate) work: f64,
     pub(crate) request: RequestId,
 }
 
-/// Number of a request and of its attempt.
+/// A request and the number of one of its attempts, from 0.
 pub(crate) type AttemptKey = (RequestId, usize);
 
-/// Everything known of one engine.
+/// All that this gateway knows about one engine.
 #[derive(Default)]
 pub(crate) struct EngineState {
     pub(crate) endpoint: Endpoint,
     pub(crate) is_listed: bool,
-    /// Until when it is warming up.
+    /// End of its warm-up; the engine is cold before.
     pub(crate) cold_until: Micros,
     pub(crate) cold_sends: VecDeque<ColdSend>,
     pub(crate) in_flight: BTreeMap<AttemptKey, Reservation>,
-    /// Sum of threads in flight.
+    /// Threads of all attempts in flight.
     pub(crate) threads: f64,
-    /// Sum of memory in flight.
+    /// Memory of all attempts in flight, in megabytes.
     pub(crate) memory_mb: f64,
-    /// Factor on the starting bounds of memory and threads, at most 1.
+    /// Factor on the initial bounds of memory and threads, at most 1.
     pub(crate) bound_factor: f64,
-    /// Decaying sum of time spent by attempts that ended.
+    /// Decaying sum of the durations of attempts that ended, in microseconds.
     pub(crate) spent_sum: f64,
-    /// Decaying sum of their ideal durations.
+    /// Decaying sum of the ideal durations of the same attempts, in microseconds.
     pub(crate) ideal_sum: f64,
-    /// When these sums were last brought up to date.
+    /// When the decay of these sums was last applied.
     pub(crate) observed_at: Micros,
-    /// Time spent over ideal time.
+    /// Duration of attempts divided by their ideal duration, over those that ended lately and those
+    /// in flight.
     pub(crate) slowdown: f64,
     pub(crate) best_slowdown: f64,
     pub(crate) pressure_until: Micros,
-    /// Until then a report counts so few threads that latency shows no pressure.
+    /// Until then high latency doesn't count as pressure, because the last load report counted few
+    /// threads.
     pub(crate) latency_ignored_until: Micros,
-    /// Threads of other gateways' queries by the last report.
+    /// Threads of other gateways' queries, from the last load report.
     pub(crate) foreign_load: f64,
     pub(crate) reported_at: Micros,
-    /// When the probe that is in flight was sent; 0: none is.
+    /// When the probe in flight was sent; 0: no probe is in flight.
     pub(crate) probe_sent_at: Micros,
-    /// Decaying share of bad outcomes.
+    /// Decaying share of bad outcomes, from 0 to 1.
     pub(crate) bad_share: f64,
-    /// Errors of requests that have not ended: not attributed to engine or request yet.
+    /// Errors of requests that have not ended, so that it is open whether the engine or the request
+    /// is at fault.
     pub(crate) unattributed_errors: i32,
     pub(crate) quarantined_until: Micros,
-    /// Quarantines since it was last healthy.
+    /// Quarantines since the engine was last healthy.
     pub(crate) quarantine_count: i32,
-    /// Good outcomes that it still needs to leave probation; 0: it is not on probation.
+    /// Good outcomes still needed to leave probation; 0: the engine is not on probation.
     pub(crate) probation_left: u32,
     pub(crate) is_silent: bool,
     pub(crate) has_lost_connection: bool,
-    /// Groups that a load was last reported to hold here, and when.
+    /// Table groups that a load locks on this engine, each with the time of the last report of it.
     pub(crate) active_loads: BTreeMap<u64, Micros>,
-    /// Last sign of life, or when work was first sent to it while it had none.
+    /// Time of the last sign of life, or of the first send to an idle engine if that is later.
     pub(crate) last_activity: Micros,
 }
 
@@ -107,7 +113,7 @@
         self.endpoint.engine
     }
 
-    /// What a checkpoint keeps of it.
+    /// Returns the part of the state that a checkpoint stores.
     pub(crate) fn estimates(&self) -> EngineEstimates {
         EngineEstimates {
             engine: self.endpoint.engine,
@@ -119,24 +125,24 @@
         }
     }
 
-    /// Removes a send that never came about from the slow-start budget.
+    /// Removes a withdrawn send from the slow-start budget.
     pub(crate) fn remove_cold_send(&mut self, request: RequestId, sent_at: Micros) {
         self.cold_sends
             .retain(|send| (send.sent_at, send.request) != (sent_at, request));
     }
 
-    /// Whether the list allows work to be sent to it.
+    /// Whether the endpoint list allows sending work to this engine.
     pub(crate) fn is_open(&self) -> bool {
         self.is_listed && self.endpoint.phase == Phase::Ready
     }
 
-    /// The factor by which work takes longer there, as capacity counts it.
+    /// Returns the slowdown that capacity is divided by.
     pub(crate) fn capacity_slowdown(&self) -> f64 {
         self.slowdown.max(MIN_SLOWDOWN)
     }
 
-    /// Whether time alone changes nothing of it: it has no work, is warm and healthy, and its
-    /// slowdown is back at its best.
+    /// Whether the passing of time doesn't change the state: the engine is idle, warm and healthy,
+    /// and its slowdown equals its best slowdown.
     pub(crate) fn is_at_rest(&self, now: Micros) -> bool {
         let is_idle =
             self.in_flight.is_empty() && self.cold_sends.is_empty() && self.active_loads.is_empty();
@@ -145,7 +151,7 @@
         is_idle && is_healthy && self.ideal_sum <= 1.0 && has_best_slowdown
     }
 
-    /// Sums up what is in flight.
+    /// Recomputes the sums of threads and memory over the attempts in flight.
     pub(crate) fn update_totals(&mut self) {
         let reservations = || self.in_flight.values();
         self.threads = reservations().map(|reservation| reservation.threads).sum();
--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -1,12 +1,12 @@
-//! The table of engines, indexed so that a decision visits only the engines that it is about.
+//! The table of engines, with indexes that let a decision visit only the engines it concerns.
 //!
-//! Owned by [`crate::balancer::Balancer`]. Nothing here decides anything.
+//! [`crate::balancer::Balancer`] owns the table. This module contains no policy. The indexes are:
 //!
-//! * A [`Ring`] for each placement that classes have: its open engines in the order of their
-//!   hashes.
-//! * The *active* engines: those whose state time alone may change. An engine becomes active with
-//!   each change and leaves that index once it is at rest.
-//! * Sums over the engines at rest, so that nobody has to walk over them.
+//! * One [`Ring`] for each set of placement rules that classes have: the open engines that the
+//!   rules allow, ordered by hash.
+//! * The *active* engines: those whose state may change just because time passes. Every change
+//!   makes an engine active; it is removed from this index once it is at rest.
+//! * Sums over the engines at rest, so that these needn't be visited.
 
 use crate::engine_state::EngineState;
 use crate::hash::mix;
@@ -17,16 +17,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Steps a core in which the capacity of engines at rest is summed: whole numbers add and subtract
-/// exactly.
+/// Units per core in which the capacity of engines at rest is summed, as an integer: additions and
+/// subtractions are then exact.
 const CAPACITY_STEPS_PER_CORE: f64 = (1u64 << 20) as f64;
-/// A ring is rebuilt where more than one in so many of its engines has changed.
+/// A ring is rebuilt if more than 1 / `REBUILD_FRACTION` of its engines have changed.
 const REBUILD_FRACTION: usize = 16;
 
-/// Hash and number of an engine: its position on a ring.
+/// Position of an engine on a ring: its hash, then its number.
 pub(crate) type RingEntry = (u64, EngineId);
 
-/// Open engines that one placement allows, ordered by the hash that all gateways share.
+/// Open engines that one set of placement rules allows, ordered by a hash that all gateways share.
 #[derive(Default)]
 struct Ring {
     order: Vec<RingEntry>,
@@ -55,33 +55,33 @@
     }
 }
 
-/// Threads and memory of engines.
+/// Thread and memory capacity of one or more engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Capacity {
     pub(crate) threads: f64,
     pub(crate) memory_mb: f64,
 }
 
-/// All engines that the list names or that still hold work of this gateway.
+/// All engines that are listed or have attempts of this gateway in flight.
 pub(crate) struct EngineTable {
     engines: BTreeMap<EngineId, EngineState>,
     active: BTreeSet<EngineId>,
     rings: Vec<Ring>,
-    /// The first class with the placement of each ring.
+    /// For each ring, the first class with its placement rules.
     ring_class: Vec<usize>,
-    /// The ring of each class.
+    /// For each class, the index of its ring.
     class_ring: Vec<usize>,
-    /// Cores of an engine of each kind.
+    /// Cores of an engine, by machine kind.
     cores: Vec<f64>,
     listed_count: usize,
     open_count: usize,
-    /// Cached sum over the open engines, until the list changes.
+    /// Sum over the open engines, cached until the list changes.
     open_capacity: Cell<Option<Capacity>>,
-    /// Capacity of the open engines at rest, in steps.
+    /// Capacity of the open engines at rest, in 1 / `CAPACITY_STEPS_PER_CORE` of a core.
     resting_steps: u64,
-    /// Engines that the list has changed since the rings were last brought up to date.
+    /// Engines whose list entries have changed since the rings were last updated.
     changed: Vec<EngineId>,
-    /// How often an engine was accessed.
+    /// Number of accesses to engines so far.
     visits: Cell<u64>,
 }
 
@@ -120,7 +120,7 @@
         self.visits.set(self.visits.get() + 1);
     }
 
-    /// How often an engine was accessed so far.
+    /// Returns the number of accesses to engines so far, a measure of the cost of decisions.
     pub(crate) fn visits(&self) -> u64 {
         self.visits.get()
     }
@@ -130,14 +130,14 @@
         self.engines.get(id)
     }
 
-    /// Gives write access to an engine, which becomes active.
+    /// Returns an engine for writing, and makes it active.
     pub(crate) fn get_mut(&mut self, id: &EngineId) -> Option<&mut EngineState> {
         self.count_visit();
         self.activate(id);
         self.engines.get_mut(id)
     }
 
-    /// Every engine of the list; a full walk, for rare events only.
+    /// Iterates over all listed engines. This visits every engine, so it is for rare events only.
     pub(crate) fn listed(&self) -> impl Iterator<Item = &EngineState> {
         self.engines
             .values()
@@ -145,7 +145,8 @@
             .filter(|engine| engine.is_listed)
     }
 
-    /// The engines that time may change: among them all that hold work, are cold or on probation.
+    /// Iterates over the engines whose state may change over time. They include all that have
+    /// attempts in flight, are cold or are on probation.
     pub(crate) fn active(&self) -> impl Iterator<Item = &EngineState> + Clone {
         self.active
             .iter()
@@ -153,7 +154,7 @@
             .inspect(|_| self.count_visit())
     }
 
-    /// The open engines that a class may use, in the order of their hashes.
+    /// Returns the open engines that a class may use, ordered by hash.
     pub(crate) fn ring(&self, class: usize) -> &[RingEntry] {
         &self.rings[self.class_ring[class]].order
     }
@@ -166,8 +167,8 @@
         self.open_count
     }
 
-    /// Sum over the open engines of a capacity, each divided by `divisor` first. It has to depend
-    /// on the list alone, since it is cached until the list changes.
+    /// Returns the sum of `capacity_of` over the open engines, each divided by `divisor` first. The
+    /// result is cached until the list changes, so both arguments may depend on the list only.
     pub(crate) fn open_capacity(
         &self,
         divisor: f64,
@@ -186,17 +187,17 @@
         sum
     }
 
-    /// Cores of the open engines at rest, each divided by its slowdown.
+    /// Returns the sum over the open engines at rest of their cores, each divided by its slowdown.
     pub(crate) fn resting_cores(&self) -> f64 {
         self.resting_steps as f64 / CAPACITY_STEPS_PER_CORE
     }
 
-    /// Index of the engine's machine kind in the settings.
+    /// Returns the index of the engine's machine kind in the settings.
     pub(crate) fn kind_index(&self, engine: &EngineState) -> usize {
         (engine.endpoint.kind as usize).min(self.cores.len() - 1)
     }
 
-    /// Changes what the list says of an engine; a new one is added first.
+    /// Applies a change of an engine's list entry; a new engine is added first.
     pub(crate) fn update_listing(
         &mut self,
         endpoint: Endpoint,
@@ -229,7 +230,7 @@
         self.active.insert(endpoint.engine);
     }
 
-    /// Brings the rings up to date with the list; `may_place` says whether a class may use an
+    /// Updates the rings after changes of the list; `may_place` returns whether a class may use an
     /// engine.
     pub(crate) fn update_rings(&mut self, may_place: impl Fn(usize, &Endpoint) -> bool) {
         let changed = std::mem::take(&mut self.changed);
@@ -251,8 +252,8 @@
         }
     }
 
-    /// Applies `update` to the active engines; drops those that are neither listed nor hold work,
-    /// and lets rest those that time changes no more.
+    /// Applies `update` to the active engines, drops those that are neither listed nor have
+    /// attempts in flight, and removes those at rest from the index of active engines.
     pub(crate) fn update_active(&mut self, now: Micros, mut update: impl FnMut(&mut EngineState)) {
         let active: Vec<EngineId> = self.active.iter().copied().collect();
         for id in active {
@@ -294,7 +295,7 @@
         }
     }
 
-    /// Takes an engine that time changes no more out of the active ones.
+    /// Removes an engine from the index of active engines if it is at rest.
     fn rest_if_settled(&mut self, id: EngineId, now: Micros) {
         let Some(engine) = self.engines.get_mut(&id) else {
             return;
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,13 +1,14 @@
-//! Hashes that all gateways compute alike, so that they agree without talking to each other.
+//! Hash functions with the same result on every gateway, so that gateways order engines alike
+//! without communicating.
 
-/// A fixed mixing of bits, the same on every gateway.
+/// Mixes the bits of `value`: the finalizer of SplitMix64.
 pub(crate) fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
 }
 
-/// A pseudo-random number in [0, 1) derived from `value`.
+/// Returns a pseudo-random number in [0, 1) that depends on `value` only.
 pub(crate) fn unit_interval(value: u64) -> f64 {
     (mix(value) >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,9 @@
-//! Types that go into the balancer and come out of it: settings, events, actions.
+//! Input and output types of the balancer: settings, events and actions.
 //!
-//! Nothing here decides anything and nothing here knows a protocol. A host translates its own
-//! messages into [`Event`]s, carries out the [`Action`]s in the order given, and may host many
-//! gateways side by side. Times are microseconds on one monotonic clock with an arbitrary start.
+//! These types contain no policy and are independent of any wire protocol. A host is the process
+//! around a balancer: it translates its own messages into [`Event`]s and carries out the returned
+//! [`Action`]s in order. One host may run several gateways, each with a balancer. Times are
+//! microseconds on one monotonic clock with an arbitrary start.
 
 mod actions;
 mod endpoints;
@@ -25,5 +26,5 @@
 /// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// The number of an engine, the same at every gateway.
+/// Number of an engine; all gateways use the same number for the same engine.
 pub type EngineId = u32;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,61 +1,61 @@
-//! What the balancer asks its host to do.
+//! Instructions of the balancer to its host.
 
 use super::{EngineId, Micros, RequestId};
 
-/// What a host has to do, in the order in which the balancer returns it.
+/// An instruction to the host, which carries out actions in the order in which it receives them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Give a request this grant and rank from now on.
+    /// Set the memory grant and the rank of a request, replacing earlier values.
     Grant {
-        /// The request.
+        /// Request that the grant applies to; it may already run on an engine.
         request: RequestId,
-        /// Memory that it is granted, in megabytes.
+        /// Memory that the engine may use for the request, in megabytes.
         grant_mb: f64,
-        /// Its rank; the highest runs first.
+        /// Priority on the engine; the request with the highest rank runs first.
         rank: u8,
     },
-    /// Send a further attempt.
+    /// Send a new attempt of a request to an engine.
     Send {
-        /// The request.
+        /// Request to send; its attempts are numbered from 0 in the order of these actions.
         request: RequestId,
-        /// The engine to send it to.
+        /// Engine that the attempt goes to.
         engine: EngineId,
-        /// When the attempt has to be given up.
+        /// Point in time at which the host has to give the attempt up.
         attempt_deadline: Micros,
     },
     /// Request a load report from an engine.
     Probe {
-        /// The engine.
+        /// Engine to probe.
         engine: EngineId,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt within the request, from 0.
         attempt: usize,
     },
-    /// Answer the client that its request was refused.
+    /// Answer the client that its request was refused and is safe to send again.
     Refuse {
-        /// The request.
+        /// Request that ends with this answer.
         request: RequestId,
-        /// When the client may retry; 0: the answer doesn't say.
+        /// Delay after which the client may retry; 0: the answer contains no such delay.
         retry_after: Micros,
     },
-    /// Answer the client that its request failed.
+    /// Answer the client that its request failed and may have run.
     Fail {
-        /// The request.
+        /// Request that ends with this answer.
         request: RequestId,
     },
-    /// Set a timer.
+    /// Start a timer.
     SetTimer {
-        /// Time until it fires.
+        /// Delay until the timer fires.
         after: Micros,
-        /// The tag that comes back with it.
+        /// Tag to return with [`Event::Timer`](super::Event::Timer).
         tag: u64,
     },
-    /// Subscribe to service discovery.
+    /// Subscribe to changes of the endpoint list, or do so again after a failure.
     Subscribe,
-    /// Write a line to the log.
+    /// Write one line to the log of the host.
     Log(String),
 }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -2,31 +2,32 @@
 
 use super::{EngineId, Micros};
 
-/// Whether an engine may be sent work.
+/// Lifecycle phase of an engine, which decides whether it may be sent work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It may be sent work.
+    /// The engine accepts new work.
     #[default]
     Ready,
-    /// It finishes its work and gets no more.
+    /// The engine finishes the work in flight and is sent nothing new.
     Draining,
-    /// It no longer exists.
+    /// The engine no longer exists.
     Removed,
 }
 
 /// An engine as service discovery reports it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// The engine's number.
+    /// Number under which the balancer knows the engine.
     pub engine: EngineId,
-    /// Its zone.
+    /// Availability zone that the engine runs in.
     pub zone: u32,
-    /// Number of its machine kind in the settings.
+    /// Index of its machine kind in [`Settings::kinds`](super::Settings::kinds); an index past the
+    /// end counts as the last kind.
     pub kind: u32,
-    /// Its cell.
+    /// Group of engines that may share idempotency keys; see [`Scope::Cell`](super::Scope::Cell).
     pub cell: u32,
-    /// Whether it may be sent work.
+    /// Lifecycle phase that service discovery last reported.
     pub phase: Phase,
-    /// When its process started; 0: long ago.
+    /// Start time of the engine's process; 0: it started long ago, so the engine is warm.
     pub booted_at: Micros,
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,61 +1,64 @@
-//! What a host reports to the balancer.
+//! Events that a host reports to the balancer.
 
 use super::{
     AttemptEnded, Endpoint, LearnedState, Micros, PriorAttempt, Probed, Progress, Request,
     RequestId,
 };
 
-/// An event that the balancer has to take in.
+/// An event that the host passes to the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A checkpoint of an earlier process of this gateway.
+    /// The host has read a checkpoint that an earlier process of this gateway wrote.
     CheckpointRestored {
-        /// The learned state.
+        /// Estimates that the checkpoint contains.
         learned: LearnedState,
-        /// Time since it was written.
+        /// Time since the checkpoint was written; older estimates count for less.
         age: Micros,
     },
-    /// The complete list of engines: one that it lacks is removed.
+    /// The complete endpoint list; an engine that is missing from it counts as removed.
     EndpointSnapshot(Vec<Endpoint>),
-    /// Entries of the list that have changed.
+    /// Entries of the endpoint list that are new or have changed.
     EndpointChanges(Vec<Endpoint>),
-    /// Service discovery can't be reached.
+    /// Service discovery is unreachable; the list stays as it is, and the balancer subscribes again
+    /// later.
     DiscoveryFailed,
     /// A client has sent a request.
     Arrived(Request),
-    /// Others may have run a request that was taken, as replicas reported before it was sent.
+    /// Other gateways may have run an accepted request; replicas reported this before any attempt
+    /// of it was sent.
     PriorAttempts {
-        /// The request.
+        /// Request that the attempts belong to.
         request: RequestId,
-        /// Attempts that may have run.
+        /// Attempts that may have run, in addition to those already known.
         prior_attempts: Vec<PriorAttempt>,
     },
-    /// The first part of a request's answer has gone to its client.
+    /// The first part of an answer was sent to the client. From then on the balancer neither ends
+    /// the request nor cancels its attempts.
     StreamBegan {
-        /// The request.
+        /// Request that is being answered.
         request: RequestId,
     },
-    /// An engine reported on an attempt in flight.
+    /// An engine reported the progress of an attempt in flight.
     ProgressReported {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt within the request, from 0.
         attempt: usize,
-        /// What it reported.
+        /// Progress as the engine reported it.
         progress: Progress,
     },
-    /// An attempt has ended.
+    /// An attempt ended, with or without an answer.
     AttemptEnded(AttemptEnded),
-    /// A probe has ended.
+    /// A probe ended, with or without an answer.
     Probed(Probed),
     /// A client cancelled its request or disconnected.
     ClientLeft {
-        /// The request.
+        /// Request that no longer needs an answer.
         request: RequestId,
     },
-    /// A timer that was set has fired.
+    /// A timer fired that an [`Action::SetTimer`](super::Action::SetTimer) started.
     Timer {
-        /// The tag that it was set with.
+        /// Tag of that action.
         tag: u64,
     },
 }
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -1,44 +1,45 @@
-//! What a gateway has learned from outcomes, as a checkpoint stores it.
+//! Estimates that a gateway has learned from outcomes, as a checkpoint stores them.
 
 use super::{EngineId, Micros};
 
-/// Estimates of a class of requests.
+/// Learned estimates of one request class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClassEstimates {
-    /// True over estimated work.
+    /// Actual work divided by the work that the request stated.
     pub work_ratio: f64,
-    /// True over estimated memory.
+    /// Actual memory divided by the memory that the request stated.
     pub memory_ratio: f64,
-    /// Mean work of all threads, as time on one in microseconds; 0: no request yet.
+    /// Mean work of a request in microseconds of thread time, summed over its threads; 0: no
+    /// request so far.
     pub work: f64,
-    /// Mean memory in megabytes, once it is known.
+    /// Mean memory of a request in megabytes; `None` until an answer has reported some.
     pub memory_mb: Option<f64>,
 }
 
-/// Estimates of one process of an engine.
+/// Learned estimates of one engine process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineEstimates {
-    /// The engine.
+    /// Engine that the estimates describe.
     pub engine: EngineId,
-    /// Start of the process that they were learned from.
+    /// Start time of the process that was observed; estimates don't apply to another process.
     pub booted_at: Micros,
-    /// Time spent over ideal time.
+    /// Execution time of attempts divided by their time on an idle engine.
     pub slowdown: f64,
-    /// The least slowdown observed.
+    /// Lowest slowdown observed.
     pub best_slowdown: f64,
-    /// Share of bad outcomes.
+    /// Decaying share, from 0 to 1, of outcomes that count against the engine's health.
     pub bad_outcome_share: f64,
-    /// Threads of other gateways' queries.
+    /// Threads that queries of other gateways occupy.
     pub foreign_load: f64,
 }
 
-/// What a gateway has learned, for a later process of it.
+/// Everything that a gateway has learned; a checkpoint passes it to its next process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Estimates of the classes, by their numbers.
+    /// Estimates of the request classes, indexed by class number.
     pub classes: Vec<ClassEstimates>,
-    /// Estimates of the engines.
+    /// Estimates of the listed engines, in no particular order.
     pub engines: Vec<EngineEstimates>,
-    /// Threads a core of other gateways' queries on the mean engine.
+    /// Threads per core that queries of other gateways occupy on the average engine.
     pub baseline_load: f64,
 }
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -1,93 +1,95 @@
-//! How attempts and probes end, and what engines report of themselves and of running attempts.
+//! Outcomes of attempts and probes, and the reports of engines on their load and on progress.
 
 use super::{EngineId, Micros, RequestId};
 
-/// How an attempt or a probe ended.
+/// Outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered without an error.
+    /// The engine answered without an error.
     Answered,
-    /// The engine answered with an error; it may have run.
+    /// The engine answered with an error; the query may have run.
     Error,
-    /// Rejected, as the engine is at capacity; it never ran.
+    /// The engine rejected the attempt because it is at capacity; the query never ran.
     AtCapacity,
-    /// No reply in time; it may have run or still run.
+    /// No reply arrived in time; the query may have run or may still be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established; the query never ran.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection broke; the query may have run or may still be running.
     Broken,
-    /// Cancelled by this gateway; it may have run.
+    /// This gateway cancelled the attempt; the query may have run or may still be running.
     Cancelled,
-    /// Never sent.
+    /// The attempt was withdrawn before its first byte was sent; the query never ran.
     NotSent,
 }
 
-/// What a request took, as its answer reports it.
+/// Resources that a request used, as reported with its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceUsage {
-    /// Work of all its threads, as time on one in microseconds.
+    /// Thread time in microseconds, summed over all threads.
     pub work: f64,
-    /// Its peak memory in megabytes.
+    /// Peak memory in megabytes.
     pub memory_mb: f64,
 }
 
-/// Progress of an attempt in flight.
+/// Progress of an attempt in flight, as its engine reports it.
 #[derive(Clone, Copy, Debug)]
 pub enum Progress {
-    /// Approximate share of the work that is done.
+    /// Approximate share of the work that is done, from 0 to 1.
     Share(f64),
-    /// It spills to disk, short of so many megabytes.
+    /// The query spills to disk; the value is the memory it lacks, in megabytes.
     Spilling(f64),
-    /// It waits for memory at its engine.
+    /// The query waits for memory on its engine.
     WaitsForMemory,
-    /// It waits for a load of its group at its engine.
+    /// The query waits on its engine for a load of its table group to end.
     WaitsForLoad,
 }
 
-/// An engine's load, as far as it reports it.
+/// Load of an engine; a figure that the engine doesn't report is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Queries in flight.
+    /// Queries in flight on the engine, from all gateways.
     pub in_flight: Option<f64>,
-    /// Queries that wait for memory.
+    /// Queries that wait for memory on the engine.
     pub waiting_for_memory: Option<f64>,
-    /// Share of busy cores.
+    /// Share of its cores that are busy, from 0 to 1.
     pub cores_busy: Option<f64>,
-    /// Share of memory that is granted.
+    /// Share of its memory that is granted to queries, from 0 to 1.
     pub memory_granted: Option<f64>,
-    /// Share of busy disks.
+    /// Share of its disks that are busy, from 0 to 1.
     pub disks_busy: Option<f64>,
 }
 
-/// How an attempt ended.
+/// The end of an attempt, with all that the host knows of it.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Which of its attempts, from 0.
+    /// Number of the attempt within the request, from 0.
     pub attempt: usize,
-    /// How it ended.
+    /// Outcome, which also says whether the query may have run.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end.
     pub spent: Micros,
-    /// The request has had its final answer.
+    /// Whether the client has received its final answer, so that the request has ended.
     pub complete: bool,
-    /// Its failure is part of an event that another attempt's end has reported.
+    /// Whether this failure has the same cause as one already reported: a lost connection that
+    /// takes several attempts along counts once.
     pub already_reported: bool,
-    /// What it took, where the answer says so.
+    /// Resources that the query used, if the answer reports them.
     pub usage: Option<ResourceUsage>,
-    /// Load report that came with the answer.
+    /// Load report of the engine, if the answer contains one.
     pub report: Option<LoadReport>,
 }
 
-/// How a probe of an engine ended; an answer proves only that the process runs.
+/// The end of a probe. An answer proves only that the engine's process runs, not that it can answer
+/// queries.
 #[derive(Clone, Copy, Debug)]
 pub struct Probed {
-    /// The engine.
+    /// Engine that was probed.
     pub engine: EngineId,
-    /// How the probe ended.
+    /// Outcome of the probe itself.
     pub outcome: Outcome,
-    /// The load report, if one came.
+    /// Load report of the engine, if the answer contains one.
     pub report: Option<LoadReport>,
 }
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -1,46 +1,50 @@
-//! Requests as clients send them, and attempts of them that were made elsewhere.
+//! Requests of clients, and attempts that other processes may have made of them.
 
 use super::Micros;
 
-/// The host's number of a request; it is never reused.
+/// Number that the host gives a request; it is never reused.
 pub type RequestId = u64;
 
-/// Tag of the timer that ends a request.
+/// Returns the tag of the timer at which a request ends if it is still unanswered. Tag 0 belongs to
+/// the balancer's own maintenance timer.
 pub fn request_timer_tag(request: RequestId) -> u64 {
     request + 1
 }
 
-/// An attempt that an earlier process of this gateway, or another gateway, may have made of a
-/// request. With `since` 0 neither scope nor time is known.
+/// An attempt that an earlier process of this gateway, or another gateway, may have made for a
+/// request. If `since` is 0, neither its time nor its zone and cell are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PriorAttempt {
-    /// Zone of the engine that may have run it.
+    /// Zone of the engine that may have run the request.
     pub zone: u32,
-    /// Its cell.
+    /// Cell of that engine.
     pub cell: u32,
-    /// The earliest time at which it may have run.
+    /// Earliest time at which the attempt may have run.
     pub since: Micros,
 }
 
-/// A request of a client.
+/// A request as a client sent it.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its number.
+    /// Number that the host gave the request.
     pub id: RequestId,
-    /// Its class.
+    /// Index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// Its tenant.
+    /// Index of its tenant in [`Settings::tenants`](super::Settings::tenants); a tenant that the
+    /// settings don't name has no quota.
     pub tenant: usize,
-    /// Key whose requests run in order, where its class is ordered.
+    /// In an ordered class, requests with the same key run one after the other; `None`: the request
+    /// may run at any time.
     pub key: Option<String>,
-    /// When its client stops waiting.
+    /// Point in time at which the client stops waiting.
     pub deadline: Micros,
-    /// Estimated work of all its threads, as time on one in microseconds.
+    /// Work that the client estimates, in microseconds of thread time summed over all threads;
+    /// `None`: the client gave no estimate.
     pub work: Option<f64>,
-    /// Estimated memory in megabytes.
+    /// Memory that the client estimates, in megabytes; `None`: the client gave no estimate.
     pub memory_mb: Option<f64>,
-    /// The group of tables that it reads or loads.
+    /// Number of the table group that the request reads or loads.
     pub group: u64,
-    /// Attempts that may have run before it came to this gateway.
+    /// Attempts that other processes may have made before this gateway received the request.
     pub prior_attempts: Vec<PriorAttempt>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,151 +1,159 @@
-//! Settings of a gateway: classes, tenants, kinds of machine, limits and rules.
+//! Settings of a gateway: request classes, tenants, machine kinds, limits and rules.
 
 use super::Micros;
 
-/// Whether a request may be attempted again.
+/// Whether requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat anywhere, any time.
+    /// May be repeated on any engine at any time.
     Idempotent,
-    /// Engines of one scope drop a repeat for a while.
+    /// Carries an idempotency key: the engines of [`Class::scope`] drop a repeat within
+    /// [`Class::window`].
     IdempotentWithKey,
-    /// Never repeated unless every earlier attempt is known not to have run.
+    /// Repeated only if every earlier attempt is known not to have run.
     NonIdempotent,
 }
 
-/// The engines among which a repeated key is recognised.
+/// The set of engines that recognise a repeated idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// All engines.
     All,
-    /// Those of one zone.
+    /// The engines of one zone.
     Zone,
-    /// Those of one cell.
+    /// The engines of one cell; see [`Endpoint::cell`](super::Endpoint::cell).
     Cell,
 }
 
-/// How the list of engines comes.
+/// How a gateway receives the endpoint list from service discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes of the list arrive unasked.
+    /// Service discovery sends changes of the list without a subscription.
     Push,
-    /// The list must be subscribed to.
+    /// The gateway has to subscribe with [`Action::Subscribe`](super::Action::Subscribe).
     Poll,
 }
 
-/// A class of requests, as the settings name it.
+/// A class of requests, with its latency objective and the rules for its requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Answers within this time, plus `latency_objective_per_work` times the true work per thread,
-    /// count in full.
+    /// An answer meets its objective within this time plus `latency_objective_per_work` times the
+    /// actual work per thread.
     pub latency_objective: Micros,
-    /// Part of the work per thread that is added to `latency_objective`.
+    /// Factor on the work per thread, which is added to `latency_objective`.
     pub latency_objective_per_work: f64,
-    /// Weight of a request that is answered in time.
+    /// Value of a request that is answered in time, relative to other classes; load shedding keeps
+    /// the requests with the highest weight per work.
     pub priority_weight: f64,
-    /// Whether it may be attempted again.
+    /// Whether requests may be repeated.
     pub effect: Effect,
-    /// The engines that drop a repeat of a keyed request.
+    /// The engines that drop a repeat of a request with an idempotency key.
     pub scope: Scope,
-    /// How long engines of the scope remember a keyed request.
+    /// How long engines of the scope remember an idempotency key.
     pub window: Micros,
-    /// Requests that carry the same key run one at a time, in the order taken.
+    /// Whether requests with the same key run one at a time, in the order of their arrival.
     pub ordered: bool,
-    /// The only zones that may serve it, where it is bound to some.
+    /// Zones whose engines may serve the class; `None`: all zones.
     pub zones_only: Option<Vec<u32>>,
-    /// The only machine kinds that may serve it, where it is bound to some.
+    /// Machine kinds whose engines may serve the class; `None`: all kinds.
     pub kinds_only: Option<Vec<u32>>,
-    /// Threads that a query runs on.
+    /// Threads that one query runs on.
     pub threads: f64,
-    /// It holds its table group on its engine while it runs.
+    /// Whether requests load data: a load locks its table group on its engine while it runs.
     pub is_load: bool,
-    /// It waits while a load holds its group on its engine.
+    /// Whether queries wait on an engine while a load of their table group runs there.
     pub waits_for_load: bool,
 }
 
-/// A tenant, as the settings name it.
+/// A tenant, on whose behalf clients send requests.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second, over all gateways, that count as within its share.
+    /// Requests per second, summed over all gateways, that are within the tenant's quota. Requests
+    /// beyond it lose weight; see [`Settings::over_quota_weight`].
     pub quota_per_s: f64,
 }
 
-/// A kind of machine.
+/// Capacity of the engines of one machine kind.
 #[derive(Clone, Debug)]
 pub struct MachineKind {
-    /// Cores of one engine.
+    /// Number of cores of an engine.
     pub cores: f64,
-    /// Memory of one engine in megabytes.
+    /// Memory of an engine in megabytes.
     pub memory_mb: f64,
 }
 
-/// How many retries a gateway may make.
+/// Limit on the retries of a gateway: within any `span` at most `spare` retries plus `ratio` times
+/// the requests received.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudgetSettings {
-    /// The time over which attempts are counted.
+    /// Length of the sliding window in which requests and retries are counted.
     pub span: Micros,
-    /// Retries for each request taken in that time.
+    /// Retries allowed per request received in the window.
     pub ratio: f64,
-    /// Retries beside these.
+    /// Retries allowed in the window regardless of the number of requests.
     pub spare: f64,
 }
 
-/// Settings of a gateway, fixed while it runs.
+/// Settings of a gateway, which stay fixed while it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes, by their numbers.
+    /// Request classes; a class number is an index into this list.
     pub classes: Vec<Class>,
-    /// Tenants, by their numbers.
+    /// Tenants; a tenant number is an index into this list.
     pub tenants: Vec<Tenant>,
-    /// Machine kinds, by their numbers.
+    /// Machine kinds; a kind number is an index into this list.
     pub kinds: Vec<MachineKind>,
-    /// Gateways in this tier, this one included.
+    /// Number of gateways in front of the engines, including this one.
     pub peers: f64,
-    /// This gateway's number among them, from 0, where it is known.
+    /// Index of this gateway among `peers`, from 0; `None`: unknown, so its subset of the engines
+    /// starts at a random position.
     pub index: Option<f64>,
-    /// The zone of this gateway.
+    /// Zone that this gateway runs in.
     pub zone: u32,
-    /// The time unit of the platform's own timers.
+    /// Resolution of the timers of the platform; margins and the maintenance interval are multiples
+    /// of it.
     pub tick: Micros,
-    /// How the list of engines comes.
+    /// How the gateway receives the endpoint list.
     pub discovery: Discovery,
-    /// Interval of progress notes; 0 where there are none.
+    /// Interval at which engines report the progress of an attempt; 0: they report none.
     pub progress_interval: Micros,
-    /// Share of an engine's memory that one query gets at most.
+    /// Largest share of an engine's memory that one query may be granted, from 0 to 1.
     pub largest_share: f64,
-    /// Attempts of one request at the most.
+    /// Largest number of attempts of one request, the first included.
     pub max_attempts: usize,
-    /// Attempts may be cancelled.
+    /// Whether the gateway may cancel attempts in flight.
     pub may_cancel: bool,
-    /// Two attempts of a request may be in flight at once.
+    /// Whether a request may be hedged, with two attempts in flight at once.
     pub may_hedge: bool,
-    /// Engines may be probed.
+    /// Whether the gateway may probe engines.
     pub may_probe: bool,
-    /// Only probes report how many queries an engine has in flight.
+    /// Whether engines report the number of queries in flight in answers to probes only.
     pub counts_by_probe: bool,
-    /// Refusals may say when to retry.
+    /// Whether refusals may contain a delay after which to retry.
     pub may_send_retry_after: bool,
-    /// The longest such time.
+    /// Longest delay that a refusal may contain.
     pub max_retry_after: Micros,
-    /// A cold engine that is sent more than this multiple of its present capacity over
-    /// `overload_window` falls over.
+    /// A cold engine fails if it is sent more than this multiple of its current capacity over
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// The time over which work sent to a cold engine is counted.
+    /// Length of the window in which work sent to a cold engine is counted.
     pub overload_window: Micros,
-    /// Part of its capacity that a cold engine has at its start.
+    /// Capacity of an engine at its start, as a part of its full capacity.
     pub start_capacity: f64,
-    /// Time from its start until an engine is warm.
+    /// Time from the start of an engine until it is warm and has its full capacity.
     pub warm_up_duration: Micros,
-    /// Pause of an ordered key after an attempt that may still run.
+    /// Pause of an ordered key after an attempt that may still be running.
     pub ordering_delay: Micros,
-    /// The retry budget, if there is one.
+    /// Limit on retries; `None`: retries are not limited.
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Interval of subscriptions to service discovery.
+    /// Interval of subscriptions to service discovery; after a failure the gateway subscribes again
+    /// sooner.
     pub poll_interval: Micros,
-    /// Part of its weight that a request over its tenant's quota keeps.
+    /// Factor on the priority weight of a request beyond its tenant's quota, from 0 to 1.
     pub over_quota_weight: f64,
-    /// Part of all worth that crossing zones costs.
+    /// Cost of sending all requests to engines of other zones, as a part of the total priority
+    /// weight.
     pub cross_zone_tariff: f64,
-    /// Part of all worth that one probe a request costs.
+    /// Cost of one probe per request, as a part of the total priority weight.
     pub probe_tariff: f64,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! eideryard: a workload manager in front of analytic engines.
 //!
-//! [`balancer::Balancer`] makes every decision; [`interface`] holds the types that go in and out of
-//! it. The other modules hold state and decide nothing.
+//! [`balancer::Balancer`] makes every decision. [`interface`] defines the types of its input and
+//! output. The other modules only store state for the balancer.
 
 pub mod balancer;
 mod engine_state;
--- a/src/request_state.rs
+++ b/src/request_state.rs
@@ -1,10 +1,11 @@
-//! State of a request and its attempts, from arrival until no attempt of it is in flight.
+//! State of a request and its attempts, kept until the request has ended and none of its attempts
+//! is in flight.
 //!
-//! Owned by [`crate::balancer::Balancer`]. Nothing here decides anything.
+//! [`crate::balancer::Balancer`] owns these states. This module contains no policy.
 
 use crate::interface::{Endpoint, EngineId, Micros, PriorAttempt, Request};
 
-/// What is known of an attempt's execution.
+/// Whether the query of an attempt is known to have run.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum AttemptState {
     InFlight,
@@ -12,47 +13,49 @@
     MayHaveRun,
 }
 
-/// One attempt to run a request on an engine.
+/// One attempt of a request on an engine.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
-    /// The engine as it was listed when the attempt was sent.
+    /// List entry of the engine when the attempt was sent.
     pub(crate) endpoint: Endpoint,
-    /// When its first byte went out, as far as the host reports that.
+    /// When the first byte was sent, if the host announces that; else when the balancer decided to
+    /// send the attempt.
     pub(crate) sent_at: Micros,
     pub(crate) state: AttemptState,
     pub(crate) is_cancelled: bool,
     pub(crate) has_errored: bool,
 }
 
-/// A request that has arrived and is not forgotten yet.
+/// A request that has arrived and is still tracked.
 #[derive(Default)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
-    /// Corrected estimate of the work of all threads, as time on one.
+    /// Corrected estimate of its work, in microseconds of thread time summed over all threads.
     pub(crate) work: f64,
-    /// Corrected estimate of its time on an idle engine, in microseconds.
+    /// Corrected estimate of its duration on an idle engine, in microseconds.
     pub(crate) ideal_duration: f64,
-    /// Corrected estimate of its memory; 0 where none is known.
+    /// Corrected estimate of its memory in megabytes; 0: unknown.
     pub(crate) memory_mb: f64,
-    /// When its latency objective ends; queued requests leave in this order.
+    /// Latest time of an answer that meets the latency objective; the queue is sorted by it.
     pub(crate) objective_deadline: Micros,
-    /// It must have ended before this time.
+    /// The request has to end before this time so that the client receives the answer in time.
     pub(crate) end_deadline: Micros,
     pub(crate) priority_weight: f64,
     pub(crate) attempts: Vec<Attempt>,
-    /// Part of its answer has gone to the client.
+    /// Whether a part of the answer has been sent to the client.
     pub(crate) is_streaming: bool,
     pub(crate) has_ended: bool,
     pub(crate) grant_mb: f64,
     pub(crate) rank: Option<u8>,
-    /// Engines drawn for it where shares are below one query.
+    /// Engines drawn at random for the request; used only if this gateway's share of an engine is
+    /// less than one query.
     pub(crate) candidates: Vec<EngineId>,
-    /// When these were drawn; 0 before the first draw.
+    /// When the candidates were drawn; 0: not yet.
     pub(crate) sampled_at: Micros,
 }
 
 impl PendingRequest {
-    /// The engine of each attempt that ended in an error, in the order of attempts.
+    /// Iterates over the engines of the attempts that ended in an error, in the order of attempts.
     pub(crate) fn engines_with_errors(&self) -> impl Iterator<Item = EngineId> + use<'_> {
         self.attempts
             .iter()
@@ -76,9 +79,10 @@
             .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Attempts that may have run, here or before the request came to this gateway.
+    /// Iterates over the attempts that may have run: those of this gateway and those that other
+    /// processes made.
     pub(crate) fn possible_runs(&self) -> impl Iterator<Item = PriorAttempt> + use<'_> {
-        let made_here = self
+        let own_attempts = self
             .attempts
             .iter()
             .filter(|attempt| attempt.state != AttemptState::NeverRan)
@@ -87,6 +91,6 @@
                 cell: attempt.endpoint.cell,
                 since: attempt.sent_at,
             });
-        made_here.chain(self.request.prior_attempts.iter().copied())
+        own_attempts.chain(self.request.prior_attempts.iter().copied())
     }
 }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -1,31 +1,32 @@
-//! Decaying statistics of the requests that were taken.
+//! Decaying statistics of the accepted requests.
 //!
-//! Owned by [`crate::balancer::Balancer`], updated at each arrival. Nothing here decides anything.
+//! [`crate::balancer::Balancer`] owns them and updates them at each arrival. This module contains
+//! no policy.
 
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 
-/// How often a group of tables was asked for.
+/// How often requests use a table group.
 pub(crate) struct GroupCount {
-    /// Decaying count of its requests.
+    /// Decaying count of the group's requests.
     pub(crate) count: f64,
-    /// Number of all arrivals when it was last counted.
+    /// Value of `Traffic::arrivals` at the last update of the count.
     pub(crate) counted_at: f64,
 }
 
-/// Decaying means over requests taken.
+/// Decaying means over the accepted requests.
 #[derive(Default)]
 pub(crate) struct Traffic {
-    /// Requests taken so far.
+    /// Requests accepted so far.
     pub(crate) arrivals: f64,
     pub(crate) last_arrival: Micros,
     /// Mean time between arrivals, in microseconds.
     pub(crate) mean_gap: f64,
-    /// Mean work of all threads.
+    /// Mean work of a request, in microseconds of thread time summed over all threads.
     pub(crate) mean_work: f64,
-    /// Mean time on an idle engine, in microseconds.
+    /// Mean duration on an idle engine, in microseconds.
     pub(crate) mean_ideal_duration: f64,
-    /// Mean of that time multiplied by memory.
+    /// Mean product of ideal duration and memory, in microseconds times megabytes.
     pub(crate) mean_memory_time: f64,
     pub(crate) groups: BTreeMap<u64, GroupCount>,
 }
