--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -68,9 +68,9 @@
     active: BTreeSet<EngineId>,
     rings: Vec<Ring>,
     /// For each ring, the first class with its placement rules.
-    ring_class: Vec<usize>,
+    first_class_of_ring: Vec<usize>,
     /// For each class, the index of its ring.
-    class_ring: Vec<usize>,
+    ring_of_class: Vec<usize>,
     /// Cores of an engine, by machine kind.
     cores: Vec<f64>,
     listed_count: usize,
@@ -87,25 +87,25 @@
 
 impl EngineTable {
     pub(crate) fn new(classes: &[Class], kinds: &[MachineKind]) -> Self {
-        let mut ring_class: Vec<usize> = Vec::new();
-        let mut class_ring = Vec::new();
+        let mut first_class_of_ring: Vec<usize> = Vec::new();
+        let mut ring_of_class = Vec::new();
         for (index, class) in classes.iter().enumerate() {
             let has_same_placement = |&other: &usize| {
                 let other = &classes[other];
                 other.zones_only == class.zones_only && other.kinds_only == class.kinds_only
             };
-            let known_ring = ring_class.iter().position(has_same_placement);
-            class_ring.push(known_ring.unwrap_or(ring_class.len()));
+            let known_ring = first_class_of_ring.iter().position(has_same_placement);
+            ring_of_class.push(known_ring.unwrap_or(first_class_of_ring.len()));
             if known_ring.is_none() {
-                ring_class.push(index);
+                first_class_of_ring.push(index);
             }
         }
         EngineTable {
             engines: BTreeMap::new(),
             active: BTreeSet::new(),
-            rings: ring_class.iter().map(|_| Ring::default()).collect(),
-            ring_class,
-            class_ring,
+            rings: first_class_of_ring.iter().map(|_| Ring::default()).collect(),
+            first_class_of_ring,
+            ring_of_class,
             cores: kinds.iter().map(|kind| kind.cores).collect(),
             listed_count: 0,
             open_count: 0,
@@ -156,7 +156,7 @@
 
     /// Returns the open engines that a class may use, ordered by hash.
     pub(crate) fn ring(&self, class: usize) -> &[RingEntry] {
-        &self.rings[self.class_ring[class]].order
+        &self.rings[self.ring_of_class[class]].order
     }
 
     pub(crate) fn listed_count(&self) -> usize {
@@ -234,7 +234,7 @@
     /// engine.
     pub(crate) fn update_rings(&mut self, may_place: impl Fn(usize, &Endpoint) -> bool) {
         let changed = std::mem::take(&mut self.changed);
-        for (ring, &class) in self.rings.iter_mut().zip(&self.ring_class) {
+        for (ring, &class) in self.rings.iter_mut().zip(&self.first_class_of_ring) {
             let is_usable =
                 |engine: &EngineState| engine.is_open() && may_place(class, &engine.endpoint);
             if changed.len() * REBUILD_FRACTION > ring.order.len() {
--- a/src/engine_table/tests.rs
+++ b/src/engine_table/tests.rs
@@ -1,4 +1,5 @@
-//! The index of the table against plain walks over all engines, after drawn changes.
+//! Compares the indexes and sums of the table with full walks over all engines, after random
+//! changes.
 
 use super::*;
 use crate::engine_state::Reservation;
@@ -47,23 +48,23 @@
     ]
 }
 
-fn empty() -> EngineTable {
+fn empty_table() -> EngineTable {
     EngineTable::new(&classes(), &kinds())
 }
 
-fn may_place(class: usize, entry: &Endpoint) -> bool {
+fn may_place(class: usize, endpoint: &Endpoint) -> bool {
     let class = &classes()[class];
     class
         .zones_only
         .as_ref()
-        .is_none_or(|zones| zones.contains(&entry.zone))
+        .is_none_or(|zones| zones.contains(&endpoint.zone))
         && class
             .kinds_only
             .as_ref()
-            .is_none_or(|kinds| kinds.contains(&entry.kind))
+            .is_none_or(|kinds| kinds.contains(&endpoint.kind))
 }
 
-fn drawn(rng: &mut fastrand::Rng) -> Endpoint {
+fn random_endpoint(rng: &mut fastrand::Rng) -> Endpoint {
     let phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Removed][rng.usize(..4)];
     Endpoint {
         engine: rng.u32(..ENGINES),
@@ -74,25 +75,25 @@
     }
 }
 
-fn list(engines: &mut EngineTable, entry: Endpoint, now: Micros) {
-    engines.update_listing(entry, now, |engine| {
-        engine.endpoint = entry;
-        engine.is_listed = entry.phase != Phase::Removed;
+fn apply_entry(engines: &mut EngineTable, endpoint: Endpoint, now: Micros) {
+    engines.update_listing(endpoint, now, |engine| {
+        engine.endpoint = endpoint;
+        engine.is_listed = endpoint.phase != Phase::Removed;
     });
 }
 
-/// One change of the kinds that decisions make.
-fn change(engines: &mut EngineTable, rng: &mut fastrand::Rng, now: Micros) {
+/// Makes one random change to the table, of the kinds that the balancer makes.
+fn apply_random_change(engines: &mut EngineTable, rng: &mut fastrand::Rng, now: Micros) {
     let id = rng.u32(..ENGINES);
     match rng.u8(..6) {
         0 | 1 => {
             for _ in 0..rng.usize(1..9) {
-                list(engines, drawn(rng), now);
+                apply_entry(engines, random_endpoint(rng), now);
             }
             engines.update_rings(may_place);
         }
         2 => {
-            let charge = Reservation {
+            let reservation = Reservation {
                 class: 0,
                 group: 0,
                 memory_mb: 1.0,
@@ -103,7 +104,7 @@
                 progress: None,
             };
             if let Some(engine) = engines.get_mut(&id) {
-                engine.in_flight.insert((0, 0), charge);
+                engine.in_flight.insert((0, 0), reservation);
             }
         }
         3 => {
@@ -124,40 +125,40 @@
     }
 }
 
-fn check(engines: &EngineTable, now: Micros, seed: u64) {
+fn assert_indexes_match_full_walk(engines: &EngineTable, now: Micros, seed: u64) {
     let all = || engines.engines.values();
     for class in 0..classes().len() {
         let open = all().filter(|engine| engine.is_open() && may_place(class, &engine.endpoint));
-        let mut plain: Vec<_> = open
+        let mut expected: Vec<_> = open
             .map(|engine| (mix(engine.endpoint.engine as u64), engine.endpoint.engine))
             .collect();
-        plain.sort_unstable();
+        expected.sort_unstable();
         assert_eq!(
             engines.ring(class),
-            plain,
+            expected,
             "ring of class {class}, seed {seed}"
         );
     }
     assert_eq!(
         engines.listed_count(),
         all().filter(|engine| engine.is_listed).count(),
-        "listed, seed {seed}"
+        "listed engines, seed {seed}"
     );
     assert_eq!(
         engines.open_count(),
         all().filter(|engine| engine.is_open()).count(),
-        "open, seed {seed}"
+        "open engines, seed {seed}"
     );
     let cores = |engine: &EngineState| kinds()[engines.kind_index(engine)].cores;
     let capacity = |engine: &EngineState| Capacity {
         threads: cores(engine),
         memory_mb: 1.0,
     };
-    let plain: f64 = all().filter(|engine| engine.is_open()).map(cores).sum();
+    let expected: f64 = all().filter(|engine| engine.is_open()).map(cores).sum();
     assert_eq!(
         engines.open_capacity(1.0, capacity).threads,
-        plain,
-        "open cores, seed {seed}"
+        expected,
+        "cores of open engines, seed {seed}"
     );
     let active: BTreeSet<EngineId> = engines
         .active()
@@ -166,41 +167,41 @@
     let resting = || all().filter(|engine| !active.contains(&engine.endpoint.engine));
     assert!(
         resting().all(|engine| engine.is_at_rest(now)),
-        "what time may change is active, seed {seed}"
+        "an engine that may change over time is not active, seed {seed}"
     );
-    let plain: f64 = resting()
+    let expected: f64 = resting()
         .filter(|engine| engine.is_open())
         .map(|engine| cores(engine) / engine.capacity_slowdown())
         .sum();
-    let error = (engines.resting_cores() - plain).abs();
+    let error = (engines.resting_cores() - expected).abs();
     assert!(
         error < 1e-3,
-        "resting {} for {plain}, seed {seed}",
+        "cores at rest: {} instead of {expected}, seed {seed}",
         engines.resting_cores()
     );
 }
 
 #[test]
-fn index_agrees_with_a_walk_over_all_engines() {
+fn indexes_match_a_full_walk_after_random_changes() {
     for seed in 0..20 {
-        let (mut rng, mut engines) = (fastrand::Rng::with_seed(seed), empty());
+        let (mut rng, mut engines) = (fastrand::Rng::with_seed(seed), empty_table());
         for step in 0..STEPS {
             let now = step as Micros * SECOND / 10;
-            change(&mut engines, &mut rng, now);
-            check(&engines, now, seed);
+            apply_random_change(&mut engines, &mut rng, now);
+            assert_indexes_match_full_walk(&engines, now, seed);
         }
         assert!(
             engines.active.len() < engines.engines.len(),
-            "some rest, seed {seed}"
+            "no engine is at rest, seed {seed}"
         );
     }
 }
 
 #[test]
 fn unlisted_idle_engine_is_dropped_and_others_come_to_rest() {
-    let mut engines = empty();
+    let mut engines = empty_table();
     for engine in 0..4 {
-        list(
+        apply_entry(
             &mut engines,
             Endpoint {
                 engine,
@@ -211,10 +212,10 @@
     }
     assert!(
         engines.active.is_empty(),
-        "engines that are new and warm rest"
+        "new warm engines must be at rest"
     );
-    engines.get_mut(&1).expect("it is listed").slowdown = 3.0;
-    list(
+    engines.get_mut(&1).expect("engine 1 is listed").slowdown = 3.0;
+    apply_entry(
         &mut engines,
         Endpoint {
             engine: 2,
