--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -1,4 +1,4 @@
-//! The platform's words for the balancer's settings.
+//! Reads the balancer's settings by their keys in the operators' configuration.
 
 use eideryard::interface::{
     Class, Discovery, Effect, MachineKind, RetryBudgetSettings, Scope, Settings, Tenant,
@@ -6,11 +6,12 @@
 
 use crate::{SettingsError, SettingsTree};
 
-/// Reads the balancer's settings. A key that is not given leaves what it names unlimited or off.
+/// Reads the balancer's settings. A missing key turns the feature it configures off, or removes the
+/// limit it sets.
 ///
 /// # Errors
 ///
-/// The first key whose value can't be used.
+/// Names the first key whose value is invalid.
 pub fn read_settings(tree: &SettingsTree) -> Result<Settings, SettingsError> {
     let retry_budget = read_retry_budget(tree)?;
     Ok(Settings {
@@ -51,7 +52,7 @@
     }
 }
 
-/// Whether only probes report how many queries an engine holds.
+/// Whether engines report the number of queries in flight in answers to probes only.
 fn counts_by_probe(tree: &SettingsTree) -> bool {
     tree.text("report.source") == Some("on_probe")
         && tree.list("report.fields").contains(&"concurrent")
@@ -118,7 +119,8 @@
     (0..count).map(read_tenant).collect()
 }
 
-/// Kinds of machine; there is at least one, without limits where none is named.
+/// Reads the machine kinds. If the settings name none, there is one with one core and unlimited
+/// memory.
 fn read_kinds(tree: &SettingsTree) -> Result<Vec<MachineKind>, SettingsError> {
     let count = tree.list("kinds").len().max(1);
     let read_kind = |index| {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,22 +1,22 @@
-//! What is wrong with a setting.
+//! Errors in settings.
 
 use thiserror::Error;
 
-/// A setting that is missing or has a value that can't be used.
+/// An error in one setting; its text names the key.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// A setting that has to be there is not.
+    /// A required setting is missing.
     #[error("setting '{key}' is missing")]
     Missing {
         /// Dotted path of the setting.
         key: String,
     },
-    /// A setting's value can't be used.
+    /// The value of a setting has the wrong type, or names nothing that the settings define.
     #[error("setting '{key}' has the value '{value}', which is not valid")]
     Invalid {
         /// Dotted path of the setting.
         key: String,
-        /// The value as it was given.
+        /// The value as written.
         value: String,
     },
 }
--- a/crates/settings/src/host_settings.rs
+++ b/crates/settings/src/host_settings.rs
@@ -1,40 +1,40 @@
-//! What a host on sockets needs beside the balancer's settings.
+//! Settings that a host with network connections needs in addition to the balancer's.
 
 use eideryard::interface::Micros;
 
 use crate::{SettingsError, SettingsTree};
 
-/// The path of the limit on connecting.
+/// Path of the time limit on establishing a connection.
 const DIAL_TIMEOUT_PATH: &str = "limits.dial-timeout-us";
 
-/// Names that the protocol uses, in the order in which the balancer numbers them, and the limits of
-/// connections.
+/// Names that requests and endpoint lists use, in the order in which the balancer numbers them, and
+/// limits on connections to engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostSettings {
-    /// Names of classes.
+    /// Names of the request classes, by class number.
     pub classes: Vec<String>,
-    /// Names of tenants.
+    /// Names of the tenants, by tenant number.
     pub tenants: Vec<String>,
-    /// Names of zones.
+    /// Names of the zones, by zone number.
     pub zones: Vec<String>,
-    /// Names of kinds of machine.
+    /// Names of the machine kinds, by kind number.
     pub kinds: Vec<String>,
-    /// The longest that a client of any class waits.
+    /// Longest time that a client of any class waits for its answer.
     pub longest_wait: Micros,
-    /// A connection that isn't up by then counts as refused.
+    /// Time limit on establishing a connection; after it the connection counts as refused.
     pub dial_timeout: Micros,
-    /// Idle connections are closed after this time; 0: never.
+    /// Time after which idle connections are closed; 0: they stay open.
     pub idle: Micros,
-    /// Attempts that one connection carries at once.
+    /// Largest number of attempts in flight on one connection; at least 1.
     pub streams: usize,
 }
 
-/// Reads what a host on sockets needs. It can't serve without classes and a limit on connecting, so
-/// these have to be given.
+/// Reads the settings of a host with network connections. Request classes and the time limit on
+/// establishing a connection are required, since the host can't serve without them.
 ///
 /// # Errors
 ///
-/// The first key that is missing or whose value can't be used.
+/// Names the first key that is missing or whose value is invalid.
 pub fn read_host_settings(tree: &SettingsTree) -> Result<HostSettings, SettingsError> {
     let class_count = tree.number_or("grades.count", 0usize)?;
     if class_count == 0 {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operators' settings, read for every host of the balancer.
+//! Reads the operators' settings for every host of the balancer.
 //!
-//! A [`SettingsTree`] holds settings by dotted path, whether they came as pairs or as nested JSON.
-//! [`read_settings`] turns it into the balancer's [`Settings`](eideryard::interface::Settings),
-//! [`read_host_settings`] into what a host on sockets needs beside them. The words of the
-//! platform's settings stand in this package and nowhere else. Nothing here is decided, and no
-//! state is kept.
+//! A [`SettingsTree`] contains settings by dotted path, read from pairs or from nested JSON.
+//! [`read_settings`] converts it into the balancer's [`Settings`](eideryard::interface::Settings),
+//! [`read_host_settings`] into the additional settings of a host with network connections. This is
+//! the only package that uses the keys and values of the operators' settings. It contains no policy
+//! and no state.
 //!
 //! ```
 //! use eideryard_settings::{read_settings, SettingsTree};
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,8 +1,9 @@
-//! The platform's words for the figures of a load report.
+//! Names of the figures in an engine's load report.
 
 use eideryard::interface::LoadReport;
 
-/// Sets the figure of a load report that `report.fields` names so; other names are ignored.
+/// Sets the figure of a load report that engines report under this name, one of `report.fields`;
+/// unknown names are ignored.
 pub fn set_reported_value(report: &mut LoadReport, name: &str, value: f64) {
     let figure = match name {
         "concurrent" => &mut report.in_flight,
--- a/crates/settings/src/number.rs
+++ b/crates/settings/src/number.rs
@@ -1,10 +1,10 @@
-//! Numbers as the settings may write them: a whole number may also have a fraction of zero.
+//! Parses numbers and flags in settings. An integer may also be written with a fraction of zero.
 
 use crate::SettingsError;
 
-/// A number that can be read from the text of a setting.
+/// A numeric type that can be parsed from the text of a setting.
 pub(crate) trait Number: Sized {
-    /// Reads the text, or returns `None` where it is no such number.
+    /// Parses the text; `None` if it is not a number of this type.
     fn parse(text: &str) -> Option<Self>;
 }
 
@@ -38,12 +38,12 @@
     }
 }
 
-/// Reads the number of a setting.
+/// Parses the value of the setting `key` as a number.
 pub(crate) fn parse_number<T: Number>(key: &str, text: &str) -> Result<T, SettingsError> {
     T::parse(text).ok_or_else(|| SettingsError::invalid(key, text))
 }
 
-/// Reads the truth value of a setting.
+/// Parses the value of the setting `key` as a Boolean.
 pub(crate) fn parse_flag(key: &str, text: &str) -> Result<bool, SettingsError> {
     match text {
         "true" | "1" => Ok(true),
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! Settings by dotted path, whatever form they came in.
+//! Settings by dotted path, independent of their input format.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 use crate::number::{parse_flag, parse_number, Number};
 use crate::SettingsError;
 
-/// A tree of settings, flat: each leaf under its dotted path. A list of trees has its length under
-/// `.count` and its items under `.0`, `.1` and so on.
+/// A tree of settings, stored flat with each leaf under its dotted path. A list of trees has its
+/// length under `.count` and its items under `.0`, `.1` and so on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsTree {
     leaves: BTreeMap<String, Leaf>,
@@ -23,8 +23,8 @@
 }
 
 impl SettingsTree {
-    /// Builds a tree from pairs of a dotted path and a value; lists of plain values are joined with
-    /// commas.
+    /// Builds a tree from pairs of a dotted path and a value. In the value, items of a list are
+    /// separated by commas.
     pub fn from_pairs<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let mut tree = SettingsTree::default();
         for (path, value) in pairs {
@@ -34,7 +34,7 @@
         tree
     }
 
-    /// Builds a tree from nested JSON with native lists and numbers.
+    /// Builds a tree from nested JSON objects with JSON lists and numbers.
     pub fn from_json(value: &Value) -> Self {
         let mut tree = SettingsTree::default();
         tree.insert_json("", value);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The text of a setting that is no list.
+    /// Returns the text of a setting; `None` if it is missing or a JSON list.
     pub(crate) fn text(&self, path: &str) -> Option<&str> {
         match self.leaves.get(path)? {
             Leaf::Text(text) => Some(text),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The number of a setting, where it is given.
+    /// Returns the number of a setting; `None` if it is missing.
     pub(crate) fn optional<T: Number>(&self, path: &str) -> Result<Option<T>, SettingsError> {
         match self.leaves.get(path) {
             None => Ok(None),
@@ -87,12 +87,12 @@
         }
     }
 
-    /// The number of a setting, or a default where it is not given.
+    /// Returns the number of a setting, or `default` if it is missing.
     pub(crate) fn number_or<T: Number>(&self, path: &str, default: T) -> Result<T, SettingsError> {
         Ok(self.optional(path)?.unwrap_or(default))
     }
 
-    /// The truth value of a setting; false where it is not given.
+    /// Returns the Boolean of a setting; false if it is missing.
     pub(crate) fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         match self.text(path) {
             None => Ok(false),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The items of a list of plain values; none where it is not given.
+    /// Returns the items of a list of plain values; no items if the setting is missing.
     pub(crate) fn list(&self, path: &str) -> Vec<&str> {
         match self.leaves.get(path) {
             None => Vec::new(),
@@ -109,12 +109,12 @@
         }
     }
 
-    /// The items of a list of names.
+    /// Returns the items of a list of names; no items if the setting is missing.
     pub(crate) fn names(&self, path: &str) -> Vec<String> {
         self.list(path).into_iter().map(str::to_string).collect()
     }
 
-    /// One item of a list of numbers, where it is given.
+    /// Returns one item of a list of numbers; `None` if the list has no such item.
     pub(crate) fn item<T: Number>(
         &self,
         path: &str,
@@ -125,7 +125,7 @@
         text.map(|text| parse_number(path, text)).transpose()
     }
 
-    /// One item of a list of truth values; false where it is not given.
+    /// Returns one item of a list of Booleans; false if the list has no such item.
     pub(crate) fn item_flag(&self, path: &str, index: usize) -> Result<bool, SettingsError> {
         match self.list(path).get(index) {
             None => Ok(false),
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Indexes of a list, given as numbers or by their names in the list at `names_path`; `None`
-    /// where the setting is not given.
+    /// Returns a list of indexes, each written as a number or as a name from the list at
+    /// `names_path`; `None` if the setting is missing.
     pub(crate) fn indexes(
         &self,
         path: &str,
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -1,4 +1,4 @@
-//! Settings in both of their forms, and errors that name the key.
+//! Settings as pairs and as nested JSON, and errors that name the key.
 
 use eideryard::interface::Effect;
 use eideryard_settings::{read_host_settings, read_settings, SettingsError, SettingsTree};
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn both_forms_of_the_same_settings_give_the_same() {
+fn pairs_and_nested_json_give_the_same_settings() {
     let (flat, nested) = (pairs(), SettingsTree::from_json(&nested()));
     assert_eq!(
         format!("{:?}", read_settings(&flat).unwrap()),
@@ -56,26 +56,26 @@
 }
 
 #[test]
-fn values_land_where_they_belong() {
-    let read = read_settings(&pairs()).unwrap();
+fn keys_set_their_fields() {
+    let settings = read_settings(&pairs()).unwrap();
     assert_eq!(
-        (read.zone, read.peers, read.tick, read.max_attempts),
+        (settings.zone, settings.peers, settings.tick, settings.max_attempts),
         (1, 3.0, 5000, 4)
     );
     assert!(
-        read.classes[0].is_load
-            && read.classes[0].effect == Effect::IdempotentWithKey
-            && read.classes[1].waits_for_load
+        settings.classes[0].is_load
+            && settings.classes[0].effect == Effect::IdempotentWithKey
+            && settings.classes[1].waits_for_load
     );
     assert_eq!(
         (
-            read.classes[0].kinds_only.as_deref(),
-            read.classes[1].threads
+            settings.classes[0].kinds_only.as_deref(),
+            settings.classes[1].threads
         ),
         (Some(&[0][..]), 2.0)
     );
     assert_eq!(
-        (read.kinds[1].cores, read.kinds[1].memory_mb),
+        (settings.kinds[1].cores, settings.kinds[1].memory_mb),
         (8.0, 16384.0)
     );
     let host = read_host_settings(&pairs()).unwrap();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn places_may_be_named() {
+fn machine_kinds_may_be_given_by_name() {
     let mut named = nested();
     named["grades"][0]["kinds-only"] = json!(["node-8"]);
     assert_eq!(
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn what_is_wrong_or_missing_is_named() {
-    let wrong = |path: &str, value: serde_json::Value| {
+fn errors_name_the_key_that_is_invalid_or_missing() {
+    let error_with = |path: &str, value: serde_json::Value| {
         let mut tree = nested();
         *tree.pointer_mut(path).unwrap() = value;
         read_settings(&SettingsTree::from_json(&tree))
@@ -112,34 +112,34 @@
             .to_string()
     };
     assert_eq!(
-        wrong("/tick-us", json!("soon")),
+        error_with("/tick-us", json!("soon")),
         "setting 'tick-us' has the value 'soon', which is not valid"
     );
     assert_eq!(
-        wrong("/tick-us", json!(1.5)),
+        error_with("/tick-us", json!(1.5)),
         "setting 'tick-us' has the value '1.5', which is not valid"
     );
-    assert!(wrong("/az", json!(-1)).contains("'az'"));
-    assert!(wrong("/limits/may-cancel", json!("maybe")).contains("'limits.may-cancel'"));
-    assert!(wrong("/grades/0/kinds-only", json!(["node-9"])).contains("'grades.0.kinds-only'"));
-    assert!(wrong("/extra/kind-cores", json!(["many", 8])).contains("'extra.kind-cores'"));
-    let none = read_host_settings(&SettingsTree::default()).unwrap_err();
+    assert!(error_with("/az", json!(-1)).contains("'az'"));
+    assert!(error_with("/limits/may-cancel", json!("maybe")).contains("'limits.may-cancel'"));
+    assert!(error_with("/grades/0/kinds-only", json!(["node-9"])).contains("'grades.0.kinds-only'"));
+    assert!(error_with("/extra/kind-cores", json!(["many", 8])).contains("'extra.kind-cores'"));
+    let error = read_host_settings(&SettingsTree::default()).unwrap_err();
     assert_eq!(
-        none,
+        error,
         SettingsError::Missing {
             key: "grades".into()
         }
     );
-    let mut endless = nested();
-    endless["limits"] = json!({});
-    let error = read_host_settings(&SettingsTree::from_json(&endless))
+    let mut without_limits = nested();
+    without_limits["limits"] = json!({});
+    let error = read_host_settings(&SettingsTree::from_json(&without_limits))
         .unwrap_err()
         .to_string();
     assert_eq!(error, "setting 'limits.dial-timeout-us' is missing");
-    let mut nameless = nested();
-    nameless["orgs"][0] = json!({"quota-rps": 5});
+    let mut without_tenant_name = nested();
+    without_tenant_name["orgs"][0] = json!({"quota-rps": 5});
     assert_eq!(
-        read_host_settings(&SettingsTree::from_json(&nameless))
+        read_host_settings(&SettingsTree::from_json(&without_tenant_name))
             .unwrap_err()
             .to_string(),
         "setting 'orgs.0.name' is missing"
--- a/crates/settings/tests/words.rs
+++ b/crates/settings/tests/words.rs
@@ -1,8 +1,8 @@
-//! Every word of the platform's settings, each under its own key.
+//! An invalid value of any key is reported under that key.
 
 use eideryard_settings::{read_host_settings, read_settings, SettingsTree};
 
-/// Keys that hold a number or a truth value of the balancer's settings.
+/// Keys of the balancer's settings whose values are numbers, Booleans or names of zones or kinds.
 const BALANCER_KEYS: [&str; 39] = [
     "peers-total",
     "self-index",
@@ -45,17 +45,17 @@
     "tariffs.cross-zone",
 ];
 
-/// Keys that hold a number which only a host on sockets needs.
+/// Keys whose values are numbers that only a host with network connections needs.
 const HOST_KEYS: [&str; 3] = [
     "limits.dial-timeout-us",
     "limits.conn-idle-us",
     "limits.streams-per-conn",
 ];
 
-/// A value that no number, truth value or name of a zone or kind is.
+/// A value that is neither a number nor a Boolean nor the name of a zone or kind.
 const UNUSABLE: &str = "unusable";
 
-/// Settings with one class, one tenant and a budget, in which one key has another value.
+/// Settings with one class, one tenant and a retry budget, in which `key` is set to `value`.
 fn tree_with<'a>(key: &'a str, value: &'a str) -> SettingsTree {
     let plain = [
         ("grades.count", "1"),
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_unusable_value_is_reported_under_its_key() {
+fn invalid_value_is_reported_under_its_key() {
     let expected =
         |key: &str| format!("setting '{key}' has the value '{UNUSABLE}', which is not valid");
     for key in BALANCER_KEYS.into_iter().chain(["tariffs.probe"]) {
