--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,12 +1,12 @@
-//! Actions of the balancer as lines of the protocol.
+//! Writes actions of the balancer as lines of the protocol.
 
 use std::fmt::Write;
 
 use eideryard::interface::Action;
 
-/// Writes the line of an action that a gateway takes.
+/// Appends the line for one action of the gateway `instance` to the reply.
 pub fn write_action(reply: &mut String, instance: u64, action: Action) {
-    // Writing to a String cannot fail.
+    // Writing to a `String` can't fail.
     let _ = match action {
         Action::Grant {
             request,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,39 +1,39 @@
-//! Why the adapter ends: input that is malformed, or a stream that fails.
+//! Errors that end the adapter: malformed input, or standard input or output that fails.
 
 use std::io;
 
 use eideryard_settings::SettingsError;
 use thiserror::Error;
 
-/// An error that ends the adapter, as one line of text.
+/// An error that ends the adapter; its text is one line that names the place in the input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Standard input can't be read.
-    #[error("reading standard input: {0}")]
+    #[error("standard input can't be read: {0}")]
     Read(io::Error),
     /// Standard output can't be written.
-    #[error("writing standard output: {0}")]
+    #[error("standard output can't be written: {0}")]
     Write(io::Error),
-    /// A line is no text.
-    #[error("a line is not UTF-8 text")]
-    NotUtf8,
-    /// A part of a line has no name.
-    #[error("{verb}: '{part}' is not name=value")]
-    NotAField {
+    /// A line contains bytes that are not UTF-8.
+    #[error("a line of standard input is not valid UTF-8")]
+    InvalidUtf8,
+    /// A word after the verb is not a field.
+    #[error("{verb}: expected a field of the form name=value, found '{part}'")]
+    MalformedField {
         /// First word of the line.
         verb: String,
-        /// The part as written.
+        /// The word as written.
         part: String,
     },
-    /// A part of a load report has no name.
-    #[error("{verb}: '{part}' is not name:value")]
-    NotAFigure {
+    /// An item of a load report is malformed.
+    #[error("{verb}: expected a load figure of the form name:value, found '{part}'")]
+    MalformedReportValue {
         /// First word of the line.
         verb: String,
-        /// The part as written.
+        /// The item as written.
         part: String,
     },
-    /// A field has to be there and is not.
+    /// A required field is missing.
     #[error("{verb}: field '{name}' is missing")]
     MissingField {
         /// First word of the line.
@@ -41,7 +41,7 @@
         /// Name of the field.
         name: String,
     },
-    /// A field's value can't be used.
+    /// The value of a field has the wrong type.
     #[error("{verb}: field '{name}' has the value '{value}', which is not valid")]
     InvalidField {
         /// First word of the line.
@@ -51,57 +51,57 @@
         /// The value as written.
         value: String,
     },
-    /// A field has a value that the protocol doesn't name.
-    #[error("{verb}: {field} {value} is unknown")]
+    /// A field has a value that the protocol doesn't define.
+    #[error("{verb}: {field} {value} is not defined by the protocol")]
     UnknownValue {
         /// First word of the line.
         verb: String,
-        /// What the value stands for.
+        /// Meaning of the field.
         field: &'static str,
         /// The value as written.
         value: String,
     },
-    /// Something else than an entry follows a list that is not whole.
-    #[error("{verb}: a list still lacks entries")]
-    ListNotWhole {
+    /// A list is followed by another line before all of its entries.
+    #[error("{verb}: expected ITEM, since the last MANIFEST still lacks entries")]
+    IncompleteList {
         /// First word of the line.
         verb: String,
     },
-    /// An entry belongs to no list.
-    #[error("ITEM: no list awaits an entry")]
-    NoListAwaitsEntry,
-    /// A list was never sent.
-    #[error("MEMBERS: no list {0}")]
+    /// An entry follows a list that is already complete, or no list at all.
+    #[error("ITEM: no MANIFEST lacks an entry")]
+    UnexpectedEntry,
+    /// A line refers to a list that was never sent.
+    #[error("MEMBERS: no list {0} was sent by a MANIFEST")]
     UnknownList(u64),
-    /// A batch begins within another one.
-    #[error("FRAME: the batch before it has no GO")]
+    /// A batch begins inside another one.
+    #[error("FRAME: the previous batch has not been ended by GO")]
     BatchNotEnded,
-    /// A line stands outside of a batch.
-    #[error("{verb}: outside of a batch")]
+    /// A line that belongs into a batch comes before its FRAME.
+    #[error("{verb}: outside of a batch, which begins with FRAME")]
     OutsideBatch {
         /// First word of the line.
         verb: String,
     },
     /// The input ends inside a batch.
-    #[error("input ended inside batch {0}")]
+    #[error("input ended inside batch {0}, before its GO")]
     EndedInsideBatch(u64),
-    /// A line is about a gateway that this process doesn't host.
-    #[error("{verb}: no instance {instance}")]
+    /// A line refers to a gateway that this process doesn't host.
+    #[error("{verb}: no instance {instance} was added by ENLIST")]
     UnknownInstance {
         /// First word of the line.
         verb: String,
-        /// Number of the gateway.
+        /// Number of the gateway, field `who` of the line.
         instance: u64,
     },
-    /// A request is of a class that the settings don't name.
-    #[error("CALL: class {class} is unknown to instance {instance}")]
+    /// A request has a class that the settings of its gateway don't define.
+    #[error("CALL: class {class} is not in the settings of instance {instance}")]
     UnknownClass {
-        /// Number of the class.
+        /// Number of the class, field `kind` of the line.
         class: usize,
-        /// Number of the gateway.
+        /// Number of the gateway, field `who` of the line.
         instance: u64,
     },
-    /// A gateway's settings can't be used.
+    /// The settings of a gateway are invalid.
     #[error("ENLIST: {0}")]
     Settings(#[from] SettingsError),
 }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Lines of the protocol as events of the balancer.
+//! Parses lines of the protocol into events of the balancer.
 
 use eideryard::interface::{
     AttemptEnded, Event, LoadReport, Outcome, Probed, Progress, Request, RequestId, ResourceUsage,
@@ -9,16 +9,16 @@
 use crate::line::Line;
 use crate::lists::EndpointLists;
 
-/// A request carries an estimate of its work where this bit of its options is set.
+/// Bit of `options` that marks the work estimate of a request as valid.
 const HAS_WORK_ESTIMATE: u64 = 1;
-/// What a level of this value in a progress report says: the query waits for a load of its group.
+/// `level` of a progress report whose query waits for a load of its table group.
 const WAITS_FOR_LOAD_LEVEL: f64 = 2.0;
-/// A field of usage holds milliseconds of work times this, plus memory.
+/// `stats` is the work in milliseconds multiplied by this, plus the memory.
 const USAGE_WORK_UNIT: u64 = 4096;
-/// Unit of memory in a field of usage, in megabytes.
+/// Unit of the memory in `stats`, in megabytes.
 const USAGE_MEMORY_UNIT_MB: f64 = 4.0;
 
-/// Whether a verb reports an event to one gateway.
+/// Whether lines with this verb report an event to one gateway.
 pub fn is_event(verb: &str) -> bool {
     matches!(
         verb,
@@ -34,7 +34,7 @@
     )
 }
 
-/// The event that a line reports, where it concerns the balancer.
+/// Returns the event that a line reports; `None` if the balancer doesn't use it.
 pub fn parse_event(line: &Line<'_>, lists: &EndpointLists) -> Result<Option<Event>, AdapterError> {
     let event = match line.verb {
         "MEMBERS" => parse_endpoints(line, lists)?,
@@ -136,7 +136,7 @@
     }
 }
 
-/// What a query cost; 0 is an answer that doesn't tell.
+/// Returns the resources that a query used; `None` for 0, an answer that doesn't report them.
 fn parse_usage(field: u64) -> Option<ResourceUsage> {
     (field > 0).then_some(ResourceUsage {
         work: (field / USAGE_WORK_UNIT) as f64 * 1e3,
@@ -151,7 +151,7 @@
     let mut report = LoadReport::default();
     for part in text.split(',').filter(|part| !part.is_empty()) {
         let Some((name, value)) = part.split_once(':') else {
-            return Err(AdapterError::NotAFigure {
+            return Err(AdapterError::MalformedReportValue {
                 verb: line.verb.to_string(),
                 part: part.to_string(),
             });
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The gateways of this process, and the batch of lines that is being read.
+//! The gateways of this process and the batch of lines being read.
 
 use std::collections::BTreeMap;
 
@@ -12,21 +12,21 @@
 use crate::line::Line;
 use crate::lists::EndpointLists;
 
-/// One gateway.
+/// One gateway of this process.
 struct Instance {
     balancer: Balancer,
-    /// Classes that its settings name.
+    /// Number of request classes in its settings.
     class_count: usize,
 }
 
-/// A batch of lines that share a time and get one reply.
+/// A batch of lines with the same time, which get one reply.
 #[derive(Clone, Copy)]
 struct Batch {
     now: Micros,
     number: u64,
 }
 
-/// All gateways of this process. They share nothing but the lists that the bench sends.
+/// All gateways of this process. They share only the endpoint lists that the simulator sends.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
@@ -37,11 +37,11 @@
 }
 
 impl Host {
-    /// Handles one line, and returns the reply where the line ends a batch.
+    /// Handles one line and returns the reply if the line ends a batch.
     ///
     /// # Errors
     ///
-    /// The line is malformed, or stands where the protocol doesn't allow it.
+    /// The line is malformed, or the protocol doesn't allow it at this point.
     pub fn handle_line(&mut self, text: &str) -> Result<Option<&str>, AdapterError> {
         if text.is_empty() {
             return Ok(None);
@@ -49,7 +49,7 @@
         let line = Line::parse(text)?;
         let verb = || line.verb.to_string();
         if self.lists.is_open() && line.verb != "ITEM" {
-            return Err(AdapterError::ListNotWhole { verb: verb() });
+            return Err(AdapterError::IncompleteList { verb: verb() });
         }
         if line.verb == "FRAME" {
             self.begin_batch(&line)?;
@@ -65,13 +65,13 @@
             "ENLIST" => self.add_instance(batch.now, &line)?,
             "TEARDOWN" => self.remove_instance(&line)?,
             verb if is_event(verb) => self.handle_event(batch.now, &line)?,
-            // Events that are added to the protocol later concern nothing that is known here.
+            // Verbs that later versions of the protocol add are ignored.
             _ => {}
         }
         Ok(None)
     }
 
-    /// Handles the end of input, which may come between batches only.
+    /// Handles the end of input, which is allowed only between batches.
     pub fn end_input(&self) -> Result<(), AdapterError> {
         match self.batch {
             Some(batch) => Err(AdapterError::EndedInsideBatch(batch.number)),
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -5,9 +5,9 @@
 
 use crate::error::AdapterError;
 
-/// The words of one line, as written.
+/// A parsed line; verb and fields are slices of its text.
 pub struct Line<'a> {
-    /// The first word.
+    /// First word of the line, which names its kind; empty if the line has no words.
     pub verb: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
@@ -21,7 +21,7 @@
         for word in words {
             let field = word
                 .split_once('=')
-                .ok_or_else(|| AdapterError::NotAField {
+                .ok_or_else(|| AdapterError::MalformedField {
                     verb: verb.to_string(),
                     part: word.to_string(),
                 })?;
@@ -30,39 +30,39 @@
         Ok(Line { verb, fields })
     }
 
-    /// All fields, in their order.
+    /// Iterates over all fields, as names and values, in the order of the line.
     pub fn fields(&self) -> impl Iterator<Item = (&'a str, &'a str)> + '_ {
         self.fields.iter().copied()
     }
 
-    /// The text of a field, where it is given.
+    /// Returns the text of a field; `None` if the line doesn't contain it.
     pub fn text(&self, name: &str) -> Option<&'a str> {
         let field = self.fields.iter().find(|(key, _)| *key == name);
         field.map(|(_, value)| *value)
     }
 
-    /// The text of a field that has to be given.
+    /// Returns the text of a required field.
     pub fn required_text(&self, name: &str) -> Result<&'a str, AdapterError> {
         self.text(name).ok_or_else(|| self.missing(name))
     }
 
-    /// The value of a field, where it is given.
+    /// Returns the value of a field; `None` if the line doesn't contain it.
     pub fn optional<T: FromStr>(&self, name: &str) -> Result<Option<T>, AdapterError> {
         let text = self.text(name);
         text.map(|text| self.parse_value(name, text)).transpose()
     }
 
-    /// The value of a field that has to be given.
+    /// Returns the value of a required field.
     pub fn required<T: FromStr>(&self, name: &str) -> Result<T, AdapterError> {
         self.optional(name)?.ok_or_else(|| self.missing(name))
     }
 
-    /// The value of a field, or a default where it is not given.
+    /// Returns the value of a field, or `default` if the line doesn't contain it.
     pub fn value_or<T: FromStr>(&self, name: &str, default: T) -> Result<T, AdapterError> {
         Ok(self.optional(name)?.unwrap_or(default))
     }
 
-    /// Parses a value that this line gives a name.
+    /// Parses a value; `name` is the name that an error gives it.
     pub fn parse_value<T: FromStr>(&self, name: &str, value: &str) -> Result<T, AdapterError> {
         value.parse().map_err(|_| AdapterError::InvalidField {
             verb: self.verb.to_string(),
@@ -71,7 +71,7 @@
         })
     }
 
-    /// A value that the protocol doesn't name.
+    /// Returns the error for a value that the protocol doesn't define.
     pub fn unknown_value(&self, field: &'static str, value: &dyn Display) -> AdapterError {
         AdapterError::UnknownValue {
             verb: self.verb.to_string(),
--- a/crates/simulator-adapter/src/lists.rs
+++ b/crates/simulator-adapter/src/lists.rs
@@ -1,4 +1,4 @@
-//! Lists of engines, each sent as a head and so many entries.
+//! Endpoint lists, each sent as a `MANIFEST` line with the number of the `ITEM` lines that follow.
 
 use std::collections::HashMap;
 
@@ -7,13 +7,13 @@
 use crate::error::AdapterError;
 use crate::line::Line;
 
-/// A list whose entries are being read.
+/// A list of which entries are still missing.
 struct OpenList {
     number: u64,
     missing_entries: u64,
 }
 
-/// All lists that were sent, by their numbers.
+/// All endpoint lists received so far, by number.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: HashMap<u64, Vec<Endpoint>>,
@@ -21,19 +21,19 @@
 }
 
 impl EndpointLists {
-    /// Whether entries of a list are still to come.
+    /// Whether entries of the last list are still missing.
     pub fn is_open(&self) -> bool {
         self.open.is_some()
     }
 
-    /// The entries of a list.
+    /// Returns the entries of a list.
     pub fn get(&self, number: u64) -> Result<&[Endpoint], AdapterError> {
         let list = self.lists.get(&number);
         list.map(Vec::as_slice)
             .ok_or(AdapterError::UnknownList(number))
     }
 
-    /// Handles the head of a list; a number may be used again.
+    /// Handles the first line of a list. The list replaces an earlier one of the same number.
     pub fn begin(&mut self, line: &Line<'_>) -> Result<(), AdapterError> {
         let number = line.required("ref")?;
         let missing_entries: u64 = line.required("members-list")?;
@@ -45,10 +45,10 @@
         Ok(())
     }
 
-    /// Handles an entry of the list that was begun last.
+    /// Handles an entry of the last list.
     pub fn add_entry(&mut self, line: &Line<'_>) -> Result<(), AdapterError> {
         let Some(open) = &mut self.open else {
-            return Err(AdapterError::NoListAwaitsEntry);
+            return Err(AdapterError::UnexpectedEntry);
         };
         let endpoint = parse_endpoint(line)?;
         self.lists.entry(open.number).or_default().push(endpoint);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! Hosts any number of independent gateways on the text protocol of the operators' bench, on
-//! standard input and output: [`mod@line`] parses, [`events`] and [`actions`] translate, [`host`]
-//! drives the balancers. Nothing is decided here.
+//! Hosts any number of independent gateways that the operators' simulator drives by a text protocol
+//! on standard input and output. [`mod@line`] parses lines, [`events`] and [`actions`] translate
+//! them, [`host`] runs the balancers. All decisions are the balancers'.
 
 mod actions;
 mod error;
@@ -15,7 +15,7 @@
 use error::AdapterError;
 use host::Host;
 
-/// Bytes that are read from standard input at once.
+/// Size of the buffer for standard input.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Answers every batch of standard input until its end.
+/// Answers every batch on standard input until its end.
 fn serve() -> Result<(), AdapterError> {
     let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
@@ -42,7 +42,7 @@
         if length == 0 {
             return host.end_input();
         }
-        let text = std::str::from_utf8(&line).map_err(|_| AdapterError::NotUtf8)?;
+        let text = std::str::from_utf8(&line).map_err(|_| AdapterError::InvalidUtf8)?;
         if let Some(reply) = host.handle_line(text.trim_end_matches(['\n', '\r']))? {
             output
                 .write_all(reply.as_bytes())
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The adapter's output for drawn input stays the same byte for byte.
+//! The adapter's output for pseudo-random input stays the same byte for byte.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -22,10 +22,10 @@
     rules.start-capacity=0.3 rules.warm-within-us=15000000 over-share-worth=0.5 tariffs.cross-zone=0.02 \
     tariffs.probe=0.01 tick-us=5000 zones=here,there";
 
-/// Microseconds between two batches.
+/// Time between two batches in microseconds.
 const BATCH: u64 = 20_000;
 
-fn list(input: &mut String, rng: &mut Rng, who: u64, number: u64, now: u64) {
+fn write_list(input: &mut String, rng: &mut Rng, who: u64, number: u64, now: u64) {
     let engines = 6;
     writeln!(input, "MANIFEST ref={number} members-list={engines}").unwrap();
     for engine in 0..engines {
@@ -50,7 +50,7 @@
     .unwrap();
 }
 
-fn call(input: &mut String, rng: &mut Rng, who: u64, id: u64, now: u64) {
+fn write_call(input: &mut String, rng: &mut Rng, who: u64, id: u64, now: u64) {
     let (kind, org, schema) = (rng.u8(0..3), rng.u8(0..2), rng.u8(0..5));
     let (deadline, cost, memory) = (
         now + rng.u64(800_000..9_000_000),
@@ -66,12 +66,12 @@
     .unwrap();
 }
 
-/// One of the last requests.
-fn recent(rng: &mut Rng, ids: u64) -> u64 {
+/// Returns the number of one of the last six requests.
+fn recent_request(rng: &mut Rng, ids: u64) -> u64 {
     rng.u64(ids.saturating_sub(6)..ids.max(1))
 }
 
-fn finished(input: &mut String, rng: &mut Rng, who: u64, ids: u64) {
+fn write_finished(input: &mut String, rng: &mut Rng, who: u64, ids: u64) {
     let outcomes = [
         "delivered",
         "delivered",
@@ -85,7 +85,7 @@
         "unused",
     ];
     let rc = *rng.choice(&outcomes).unwrap();
-    let (id, attempt, engine) = (recent(rng, ids), rng.u8(0..2), rng.u8(0..6));
+    let (id, attempt, engine) = (recent_request(rng, ids), rng.u8(0..2), rng.u8(0..6));
     let complete = u8::from(rc == "delivered");
     let (spent, stats) = (
         rng.u64(1000..900_000),
@@ -101,8 +101,8 @@
     .unwrap();
 }
 
-/// Some hundred batches for two gateways, one of them among many peers.
-fn drawn() -> String {
+/// Returns 300 batches for two gateways, one of which is among many peers.
+fn random_input() -> String {
     let (mut input, mut rng) = (String::new(), Rng::with_seed(45));
     let (mut ids, mut lists) = (0, 0);
     for turn in 0..300 {
@@ -118,11 +118,11 @@
         }
         for who in [1, 2] {
             if turn % 100 == 0 {
-                list(&mut input, &mut rng, who, lists, now);
+                write_list(&mut input, &mut rng, who, lists, now);
                 lists += 1;
             }
             for _ in 0..rng.u8(0..2) {
-                call(&mut input, &mut rng, who, ids, now);
+                write_call(&mut input, &mut rng, who, ids, now);
                 ids += 1;
             }
             match rng.u8(0..8) {
@@ -136,7 +136,7 @@
                 1 => writeln!(
                     input,
                     "HINT_UPDATE who={who} call={} send-no=0 what={} level=0.{}",
-                    recent(&mut rng, ids),
+                    recent_request(&mut rng, ids),
                     rng.u8(1..4),
                     rng.u8(0..10)
                 )
@@ -144,12 +144,12 @@
                 2 => writeln!(
                     input,
                     "TIMED_OUT_CLIENT who={who} call={}",
-                    recent(&mut rng, ids)
+                    recent_request(&mut rng, ids)
                 )
                 .unwrap(),
-                3 => writeln!(input, "ACK_FIRST who={who} call={}", recent(&mut rng, ids)).unwrap(),
+                3 => writeln!(input, "ACK_FIRST who={who} call={}", recent_request(&mut rng, ids)).unwrap(),
                 4 => writeln!(input, "ELAPSED who={who} tag=0").unwrap(),
-                _ => finished(&mut input, &mut rng, who, ids),
+                _ => write_finished(&mut input, &mut rng, who, ids),
             }
         }
         writeln!(input, "GO").unwrap();
@@ -158,14 +158,14 @@
 }
 
 #[test]
-fn output_for_drawn_input_is_as_before() {
+fn output_for_random_input_matches_the_golden_file() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_eideryard-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("piped");
-    let writer = std::thread::spawn(move || stdin.write_all(drawn().as_bytes()));
+    let writer = std::thread::spawn(move || stdin.write_all(random_input().as_bytes()));
     let output = child.wait_with_output().expect("the adapter ends");
     writer.join().expect("no panic").expect("the adapter reads");
     assert!(output.status.success());
