--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,14 +1,14 @@
-//! A gateway with small settings, and shorthands to drive it and to look at what it did.
-#![allow(dead_code)] // each test file uses its own part
+//! A balancer with small settings, driven by hand, and helpers that read the actions it returns.
+#![allow(dead_code)] // No test file uses all of the helpers.
 
 pub mod small_shares;
 
 use eideryard::balancer::Balancer;
 use eideryard::interface::*;
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
-/// The classes of `settings()`, by position.
+pub const MILLISECOND: Micros = 1_000;
+pub const SECOND: Micros = 1_000_000;
+/// Class numbers in `settings()`.
 pub const LOOKUP: usize = 0;
 pub const REPORT: usize = 1;
 pub const LOAD: usize = 2;
@@ -20,7 +20,7 @@
         priority_weight: 1.0,
         effect,
         scope: Scope::All,
-        window: 10 * S,
+        window: 10 * SECOND,
         ordered: false,
         zones_only: None,
         kinds_only: None,
@@ -31,12 +31,12 @@
 }
 
 pub fn settings() -> Settings {
-    let mut load = class(Effect::IdempotentWithKey, 3 * S, 2.0);
+    let mut load = class(Effect::IdempotentWithKey, 3 * SECOND, 2.0);
     load.is_load = true;
     Settings {
         classes: vec![
-            class(Effect::Idempotent, S, 1.0),
-            class(Effect::Idempotent, 3 * S, 2.0),
+            class(Effect::Idempotent, SECOND, 1.0),
+            class(Effect::Idempotent, 3 * SECOND, 2.0),
             load,
         ],
         tenants: Vec::new(),
@@ -53,9 +53,9 @@
         peers: 1.0,
         index: Some(0.0),
         zone: 0,
-        tick: 5 * MS,
+        tick: 5 * MILLISECOND,
         discovery: Discovery::Push,
-        progress_interval: 500 * MS,
+        progress_interval: 500 * MILLISECOND,
         largest_share: 0.4,
         max_attempts: 4,
         may_cancel: true,
@@ -63,81 +63,83 @@
         may_probe: false,
         counts_by_probe: true,
         may_send_retry_after: true,
-        max_retry_after: S,
+        max_retry_after: SECOND,
         overload_multiple: 2.0,
-        overload_window: S,
+        overload_window: SECOND,
         start_capacity: 0.3,
-        warm_up_duration: 15 * S,
-        ordering_delay: S,
+        warm_up_duration: 15 * SECOND,
+        ordering_delay: SECOND,
         retry_budget: None,
-        poll_interval: 10 * S,
+        poll_interval: 10 * SECOND,
         over_quota_weight: 0.2,
         cross_zone_tariff: 0.0,
         probe_tariff: 0.0,
     }
 }
 
-pub fn ready(engine: EngineId) -> Endpoint {
+pub fn ready_endpoint(engine: EngineId) -> Endpoint {
     Endpoint {
         engine,
         ..Endpoint::default()
     }
 }
 
-pub fn lookup(id: RequestId, deadline: Micros) -> Request {
+pub fn lookup_request(id: RequestId, deadline: Micros) -> Request {
     Request {
         id,
         class: LOOKUP,
         tenant: 0,
         key: None,
         deadline,
-        work: Some(100.0 * MS as f64),
+        work: Some(100.0 * MILLISECOND as f64),
         memory_mb: Some(10.0),
         group: 1,
         prior_attempts: Vec::new(),
     }
 }
 
-pub fn report(id: RequestId, deadline: Micros, memory_mb: f64) -> Request {
+pub fn report_request(id: RequestId, deadline: Micros, memory_mb: f64) -> Request {
     Request {
         class: REPORT,
-        work: Some(2.0 * S as f64),
+        work: Some(2.0 * SECOND as f64),
         memory_mb: Some(memory_mb),
-        ..lookup(id, deadline)
+        ..lookup_request(id, deadline)
     }
 }
 
-pub fn load(id: RequestId, deadline: Micros) -> Request {
+pub fn load_request(id: RequestId, deadline: Micros) -> Request {
     Request {
         class: LOAD,
-        work: Some(2.0 * S as f64),
+        work: Some(2.0 * SECOND as f64),
         memory_mb: Some(100.0),
-        ..lookup(id, deadline)
+        ..lookup_request(id, deadline)
     }
 }
 
-/// A gateway, its clock, the actions of the last event and its timers, which fire as time passes.
-pub struct Bench {
+/// A balancer with a simulated clock: `advance` moves the clock and fires the timers that the
+/// balancer has started.
+pub struct TestGateway {
     pub balancer: Balancer,
     pub now: Micros,
-    pub last: Vec<Action>,
+    /// Actions that the last event led to.
+    pub last_actions: Vec<Action>,
     timers: Vec<(Micros, u64)>,
 }
 
-impl Bench {
+impl TestGateway {
     pub fn new(settings: Settings, engines: &[Endpoint]) -> Self {
-        Self::seeded(settings, 7, engines)
+        Self::with_seed(settings, 7, engines)
     }
 
-    pub fn seeded(settings: Settings, seed: u64, engines: &[Endpoint]) -> Self {
-        let mut bench = Bench {
-            balancer: Balancer::new(settings, seed, 1_000 * S),
-            now: 1_000 * S,
-            last: Vec::new(),
+    pub fn with_seed(settings: Settings, seed: u64, engines: &[Endpoint]) -> Self {
+        let mut gateway = TestGateway {
+            balancer: Balancer::new(settings, seed, 1_000 * SECOND),
+            now: 1_000 * SECOND,
+            last_actions: Vec::new(),
             timers: Vec::new(),
         };
-        bench.handle(Event::EndpointSnapshot(engines.to_vec()));
-        bench
+        gateway.handle(Event::EndpointSnapshot(engines.to_vec()));
+        gateway
     }
 
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
@@ -148,11 +150,11 @@
                 self.timers.push((self.now + (*after).max(1), *tag));
             }
         }
-        self.last = actions.clone();
+        self.last_actions = actions.clone();
         actions
     }
 
-    pub fn request(&mut self, request: Request) -> Vec<Action> {
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
         self.handle(Event::Arrived(request))
     }
 
@@ -166,7 +168,7 @@
         self.end_attempt_with(request, attempt, outcome, spent, |_| ())
     }
 
-    /// An end that bears more than its outcome.
+    /// Ends an attempt; `change` sets fields beyond those that follow from the outcome.
     pub fn end_attempt_with(
         &mut self,
         request: RequestId,
@@ -214,41 +216,41 @@
         })
     }
 
-    /// Lets time pass; gives all that the timers brought about.
+    /// Moves the clock by `time` and returns the actions of the timers that fired.
     pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let until = self.now + time;
-        let mut all = Vec::new();
+        let mut actions = Vec::new();
         while let Some(next) = self
             .timers
             .iter()
             .enumerate()
-            .min_by_key(|(_, t)| **t)
-            .map(|(i, _)| i)
+            .min_by_key(|(_, timer)| **timer)
+            .map(|(index, _)| index)
         {
             if self.timers[next].0 > until {
                 break;
             }
             let (at, tag) = self.timers.swap_remove(next);
             self.now = self.now.max(at);
-            all.extend(self.handle(Event::Timer { tag }));
+            actions.extend(self.handle(Event::Timer { tag }));
         }
         self.now = self.now.max(until);
-        all
+        actions
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<(RequestId, EngineId)> {
-    let pick = |action: &Action| match action {
+pub fn sent_attempts(actions: &[Action]) -> Vec<(RequestId, EngineId)> {
+    let select = |action: &Action| match action {
         Action::Send {
             request, engine, ..
         } => Some((*request, *engine)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(select).collect()
 }
 
 pub fn grants(actions: &[Action]) -> Vec<(RequestId, f64, u8)> {
-    let pick = |action: &Action| match action {
+    let select = |action: &Action| match action {
         Action::Grant {
             request,
             grant_mb,
@@ -256,29 +258,29 @@
         } => Some((*request, *grant_mb, *rank)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(select).collect()
 }
 
-pub fn refused(actions: &[Action]) -> Vec<RequestId> {
-    let pick = |action: &Action| match action {
+pub fn refused_requests(actions: &[Action]) -> Vec<RequestId> {
+    let select = |action: &Action| match action {
         Action::Refuse { request, .. } => Some(*request),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(select).collect()
 }
 
-pub fn failed(actions: &[Action]) -> Vec<RequestId> {
-    let pick = |action: &Action| match action {
+pub fn failed_requests(actions: &[Action]) -> Vec<RequestId> {
+    let select = |action: &Action| match action {
         Action::Fail { request } => Some(*request),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(select).collect()
 }
 
-pub fn cancelled(actions: &[Action]) -> Vec<(RequestId, usize)> {
-    let pick = |action: &Action| match action {
+pub fn cancelled_attempts(actions: &[Action]) -> Vec<(RequestId, usize)> {
+    let select = |action: &Action| match action {
         Action::Cancel { request, attempt } => Some((*request, *attempt)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(select).collect()
 }
--- a/tests/common/small_shares.rs
+++ b/tests/common/small_shares.rs
@@ -1,10 +1,11 @@
-//! A gateway among hundreds, before tens of engines: its shares are below one query.
+//! One of hundreds of gateways in front of tens of engines: its share of an engine is less than one
+//! query.
 
 use super::*;
 
 const ENGINES: u32 = 20;
 
-pub fn wide() -> Settings {
+pub fn small_share_settings() -> Settings {
     Settings {
         peers: 200.0,
         may_probe: true,
@@ -14,29 +15,29 @@
 }
 
 pub fn fleet() -> Vec<Endpoint> {
-    (1..=ENGINES).map(ready).collect()
+    (1..=ENGINES).map(ready_endpoint).collect()
 }
 
-pub fn probed(actions: &[Action]) -> Vec<EngineId> {
-    let engine = |a: &Action| {
-        if let Action::Probe { engine } = a {
+pub fn probed_engines(actions: &[Action]) -> Vec<EngineId> {
+    let probed_engine = |action: &Action| {
+        if let Action::Probe { engine } = action {
             Some(*engine)
         } else {
             None
         }
     };
-    actions.iter().filter_map(engine).collect()
+    actions.iter().filter_map(probed_engine).collect()
 }
 
-/// The engines that requests were sent to.
-pub fn targets(actions: &[Action]) -> Vec<EngineId> {
-    sent(actions)
+/// The engine of each send, in order.
+pub fn target_engines(actions: &[Action]) -> Vec<EngineId> {
+    sent_attempts(actions)
         .into_iter()
         .map(|(_, engine)| engine)
         .collect()
 }
 
-pub fn reported(engine: EngineId, in_flight: f64) -> Event {
+pub fn probe_answer(engine: EngineId, in_flight: f64) -> Event {
     let report = Some(LoadReport {
         in_flight: Some(in_flight),
         ..LoadReport::default()
@@ -48,11 +49,12 @@
     })
 }
 
-/// Takes a request and answers its probes with what `load` says each engine holds.
-pub fn place(bench: &mut Bench, request: Request, load: impl Fn(EngineId) -> f64) -> Vec<EngineId> {
-    let mut actions = bench.request(request);
-    for engine in probed(&actions) {
-        actions.extend(bench.handle(reported(engine, load(engine))));
+/// Submits a request, answers its probes with the number of queries that `load` returns for each
+/// engine, and returns the engines that the request was sent to.
+pub fn place_with_probes(gateway: &mut TestGateway, request: Request, load: impl Fn(EngineId) -> f64) -> Vec<EngineId> {
+    let mut actions = gateway.submit(request);
+    for engine in probed_engines(&actions) {
+        actions.extend(gateway.handle(probe_answer(engine, load(engine))));
     }
-    targets(&actions)
+    target_engines(&actions)
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,27 +1,27 @@
-//! The list of engines: a cached one, one that fails, and when it is subscribed to again.
+//! The endpoint list: work with a cached list, a failure of discovery, and subscription after it.
 
 mod common;
 use common::*;
 use eideryard::interface::*;
 
 #[test]
-fn cached_list_serves_a_restarted_gateway_and_a_failed_discovery_changes_nothing() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2)]);
-    assert_eq!(sent(&bench.request(lookup(1, bench.now + 4 * S))).len(), 1);
-    bench.handle(Event::DiscoveryFailed);
-    assert_eq!(sent(&bench.request(lookup(2, bench.now + 4 * S))).len(), 1);
+fn requests_are_sent_by_the_cached_list_before_and_after_discovery_fails() {
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2)]);
+    assert_eq!(sent_attempts(&gateway.submit(lookup_request(1, gateway.now + 4 * SECOND))).len(), 1);
+    gateway.handle(Event::DiscoveryFailed);
+    assert_eq!(sent_attempts(&gateway.submit(lookup_request(2, gateway.now + 4 * SECOND))).len(), 1);
 }
 
 #[test]
-fn failed_subscription_is_retried() {
+fn failed_subscription_is_retried_after_a_delay() {
     let settings = Settings {
         discovery: Discovery::Poll,
         ..settings()
     };
-    let mut bench = Bench::new(settings, &[ready(1)]);
-    assert!(bench.last.contains(&Action::Subscribe));
-    assert!(!bench
+    let mut gateway = TestGateway::new(settings, &[ready_endpoint(1)]);
+    assert!(gateway.last_actions.contains(&Action::Subscribe));
+    assert!(!gateway
         .handle(Event::DiscoveryFailed)
         .contains(&Action::Subscribe));
-    assert!(bench.advance(5 * S).contains(&Action::Subscribe));
+    assert!(gateway.advance(5 * SECOND).contains(&Action::Subscribe));
 }
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -1,39 +1,42 @@
-//! Load shedding: which requests give way when not all can meet their objectives.
+//! Load shedding: which requests are refused if not all can meet their latency objectives.
 
 mod common;
 use common::*;
 use eideryard::interface::*;
 
 #[test]
-fn overload_refuses_the_least_weight_per_work_early() {
-    let mut bench = Bench::new(settings(), &[ready(1)]);
-    let deadline = bench.now + 20 * S;
+fn overload_refuses_requests_with_the_lowest_weight_per_work_early() {
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1)]);
+    let deadline = gateway.now + 20 * SECOND;
     let mut actions = Vec::new();
     for id in 0..60 {
-        let work = if id % 2 == 0 { 1.0 } else { 8.0 } * S as f64;
-        actions.extend(bench.request(Request {
+        let work = if id % 2 == 0 { 1.0 } else { 8.0 } * SECOND as f64;
+        actions.extend(gateway.submit(Request {
             work: Some(work),
-            ..report(id, deadline, 10.0)
+            ..report_request(id, deadline, 10.0)
         }));
     }
-    actions.extend(bench.advance(S));
-    let gone = refused(&actions);
+    actions.extend(gateway.advance(SECOND));
+    let refused = refused_requests(&actions);
     assert!(
-        gone.len() > 10,
-        "refused within a second, not at the deadline"
+        refused.len() > 10,
+        "refusals must come within a second, not at the deadline"
     );
     assert!(
-        gone.iter().filter(|&&id| id % 2 == 1).count() > gone.len() / 2,
-        "{gone:?}"
+        refused.iter().filter(|&&id| id % 2 == 1).count() > refused.len() / 2,
+        "{refused:?}"
     );
-    let advice = actions.iter().filter_map(|a| match a {
+    let retry_delays = actions.iter().filter_map(|action| match action {
         Action::Refuse { retry_after, .. } => Some(*retry_after),
         _ => None,
     });
-    let advice: std::collections::BTreeSet<Micros> = advice.collect();
+    let retry_delays: std::collections::BTreeSet<Micros> = retry_delays.collect();
     assert!(
-        advice.len() > 5 && advice.iter().all(|&a| a > 0 && a <= S),
-        "spread: {advice:?}"
+        retry_delays.len() > 5
+            && retry_delays
+                .iter()
+                .all(|&delay| delay > 0 && delay <= SECOND),
+        "retry delays must be spread: {retry_delays:?}"
     );
 }
 
@@ -46,38 +49,38 @@
             quota_per_s: 1_000.0,
         },
     ];
-    let mut bench = Bench::new(settings, &[ready(1)]);
-    let deadline = bench.now + 20 * S;
+    let mut gateway = TestGateway::new(settings, &[ready_endpoint(1)]);
+    let deadline = gateway.now + 20 * SECOND;
     let mut actions = Vec::new();
     for id in 0..80 {
         let request = Request {
             tenant: (id % 2) as usize,
-            ..report(id, deadline, 10.0)
+            ..report_request(id, deadline, 10.0)
         };
-        actions.extend(bench.request(request));
+        actions.extend(gateway.submit(request));
     }
-    actions.extend(bench.advance(S));
-    let gone = refused(&actions);
-    let flooding = gone.iter().filter(|&&id| id % 2 == 0).count();
+    actions.extend(gateway.advance(SECOND));
+    let refused = refused_requests(&actions);
+    let over_quota = refused.iter().filter(|&&id| id % 2 == 0).count();
     assert!(
-        !gone.is_empty() && flooding * 10 >= gone.len() * 6,
-        "{flooding} of {}",
-        gone.len()
+        !refused.is_empty() && over_quota * 10 >= refused.len() * 6,
+        "{over_quota} of {} refused requests are of the tenant over its quota",
+        refused.len()
     );
 }
 
 #[test]
-fn earlier_client_deadline_is_served_first() {
-    let mut bench = Bench::new(settings(), &[]);
-    let (now, work) = (bench.now, Some(100.0 * MS as f64));
-    bench.request(Request {
+fn request_with_the_earlier_client_deadline_is_sent_first() {
+    let mut gateway = TestGateway::new(settings(), &[]);
+    let (now, work) = (gateway.now, Some(100.0 * MILLISECOND as f64));
+    gateway.submit(Request {
         work,
-        ..report(1, now + 20 * S, 10.0)
+        ..report_request(1, now + 20 * SECOND, 10.0)
     });
-    bench.request(Request {
+    gateway.submit(Request {
         work,
-        ..report(2, now + 500 * MS, 10.0)
+        ..report_request(2, now + 500 * MILLISECOND, 10.0)
     });
-    let left = sent(&bench.handle(Event::EndpointSnapshot(vec![ready(1)])));
-    assert_eq!(left.iter().map(|s| s.0).collect::<Vec<_>>(), [2, 1]);
+    let sends = sent_attempts(&gateway.handle(Event::EndpointSnapshot(vec![ready_endpoint(1)])));
+    assert_eq!(sends.iter().map(|send| send.0).collect::<Vec<_>>(), [2, 1]);
 }
--- a/tests/may_begin.rs
+++ b/tests/may_begin.rs
@@ -1,114 +1,114 @@
-//! What the module says when the first byte of an attempt is about to go out, and what a withdrawn
-//! one gives back.
+//! The check just before the first byte of an attempt is sent, which may withdraw the attempt, and
+//! what a withdrawn attempt returns to the budgets.
 
 mod common;
 
 use common::*;
 use eideryard::interface::*;
 
-fn begins(bench: &mut Bench, request: RequestId, attempt: usize) -> bool {
-    bench.balancer.may_begin(bench.now, request, attempt)
+fn may_begin(gateway: &mut TestGateway, request: RequestId, attempt: usize) -> bool {
+    gateway.balancer.may_begin(gateway.now, request, attempt)
 }
 
-fn withdrawn(bench: &mut Bench, request: RequestId, attempt: usize) -> Vec<Action> {
+fn withdraw(gateway: &mut TestGateway, request: RequestId, attempt: usize) -> Vec<Action> {
     assert!(
-        !begins(bench, request, attempt),
-        "{request} may still begin"
+        !may_begin(gateway, request, attempt),
+        "attempt {attempt} of request {request} may still begin"
     );
-    bench.end_attempt(request, attempt, Outcome::NotSent, 0)
+    gateway.end_attempt(request, attempt, Outcome::NotSent, 0)
 }
 
 #[test]
-fn attempt_may_begin_while_rules_hold_and_asking_again_changes_nothing() {
-    let mut bench = Bench::new(settings(), &[ready(1)]);
-    let deadline = bench.now + 9 * S;
-    assert_eq!(sent(&bench.request(lookup(1, deadline))), [(1, 1)]);
+fn attempt_may_begin_while_rules_allow_it_and_the_check_can_be_repeated() {
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1)]);
+    let deadline = gateway.now + 9 * SECOND;
+    assert_eq!(sent_attempts(&gateway.submit(lookup_request(1, deadline))), [(1, 1)]);
     for _ in 0..3 {
-        bench.advance(100 * MS);
-        assert!(begins(&mut bench, 1, 0));
+        gateway.advance(100 * MILLISECOND);
+        assert!(may_begin(&mut gateway, 1, 0));
     }
-    assert!(!begins(&mut bench, 1, 1), "there is no such attempt");
-    assert!(!begins(&mut bench, 2, 0), "nor such a request");
+    assert!(!may_begin(&mut gateway, 1, 1), "attempt 1 does not exist");
+    assert!(!may_begin(&mut gateway, 2, 0), "request 2 does not exist");
 }
 
 #[test]
-fn ended_request_may_not_begin_where_cancels_are_not_allowed() {
-    let mut bench = Bench::new(
+fn ended_request_may_not_begin_if_cancels_are_not_allowed() {
+    let mut gateway = TestGateway::new(
         Settings {
             may_cancel: false,
             ..settings()
         },
-        &[ready(1)],
+        &[ready_endpoint(1)],
     );
-    let deadline = bench.now + 9 * S;
-    bench.request(lookup(1, deadline));
-    assert!(bench.handle(Event::ClientLeft { request: 1 }).is_empty());
-    assert_eq!(sent(&withdrawn(&mut bench, 1, 0)), []);
-    // One whose time is up, by the timer that ends it.
-    let deadline = bench.now + 9 * S;
-    bench.request(lookup(2, deadline));
-    let ended = bench.advance(9 * S);
-    assert_eq!(refused(&ended), [2]);
-    withdrawn(&mut bench, 2, 0);
+    let deadline = gateway.now + 9 * SECOND;
+    gateway.submit(lookup_request(1, deadline));
+    assert!(gateway.handle(Event::ClientLeft { request: 1 }).is_empty());
+    assert_eq!(sent_attempts(&withdraw(&mut gateway, 1, 0)), []);
+    // A request that its own timer ends at the client's deadline.
+    let deadline = gateway.now + 9 * SECOND;
+    gateway.submit(lookup_request(2, deadline));
+    let ended = gateway.advance(9 * SECOND);
+    assert_eq!(refused_requests(&ended), [2]);
+    withdraw(&mut gateway, 2, 0);
 }
 
 #[test]
 fn attempt_may_not_begin_on_a_restarted_engine() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2)]);
-    let deadline = bench.now + 9 * S;
-    let chosen = sent(&bench.request(lookup(1, deadline)))[0].1;
-    let again = Endpoint {
-        booted_at: bench.now,
-        ..ready(chosen)
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2)]);
+    let deadline = gateway.now + 9 * SECOND;
+    let chosen = sent_attempts(&gateway.submit(lookup_request(1, deadline)))[0].1;
+    let restarted = Endpoint {
+        booted_at: gateway.now,
+        ..ready_endpoint(chosen)
     };
-    bench.handle(Event::EndpointChanges(vec![again]));
+    gateway.handle(Event::EndpointChanges(vec![restarted]));
     assert_eq!(
-        sent(&withdrawn(&mut bench, 1, 0)),
+        sent_attempts(&withdraw(&mut gateway, 1, 0)),
         [(1, 3 - chosen)],
-        "the warm one is left"
+        "the request must go to the other engine, which is warm"
     );
 }
 
-/// Two windows' worth of sends wait for one dial: no more of them begin at once than a window
-/// allows.
+/// Sends of two windows wait for the same slow dial. If they counted in the window in which they
+/// were decided, all would begin at once and overload the cold engine.
 #[test]
 fn delayed_attempts_count_in_the_slow_start_budget_when_they_begin() {
-    // Two look-ups a window are all that this leaves of a cold engine's budget.
+    // The budget of a cold engine is then two lookups per window.
     let settings = Settings {
         overload_multiple: 0.2,
         ..settings()
     };
-    let mut bench = Bench::new(
+    let mut gateway = TestGateway::new(
         settings.clone(),
         &[Endpoint {
-            booted_at: 1_000 * S,
-            ..ready(1)
+            booted_at: 1_000 * SECOND,
+            ..ready_endpoint(1)
         }],
     );
-    let mut held = Vec::new();
+    let mut delayed = Vec::new();
     for round in 0..2 {
         for id in 1..=3 {
-            let deadline = bench.now + 9 * S;
-            held.extend(sent(&bench.request(lookup(10 * round + id, deadline))));
+            let deadline = gateway.now + 9 * SECOND;
+            delayed.extend(sent_attempts(&gateway.submit(lookup_request(10 * round + id, deadline))));
         }
         assert_eq!(
-            held.len() as u64,
+            delayed.len() as u64,
             2 * (round + 1),
-            "each window has its own budget"
+            "every window must have the full budget"
         );
-        bench.advance(settings.overload_window + 50 * MS);
+        gateway.advance(settings.overload_window + 50 * MILLISECOND);
     }
-    let begun = held
+    let begun = delayed
         .iter()
-        .filter(|(id, _)| begins(&mut bench, *id, 0))
+        .filter(|(id, _)| may_begin(&mut gateway, *id, 0))
         .count();
-    assert_eq!(begun, 2, "of {held:?}");
+    assert_eq!(begun, 2, "of {delayed:?}");
 }
 
 #[test]
-fn withdrawn_retry_returns_its_place_in_the_retry_budget() {
+fn withdrawn_retry_does_not_count_in_the_retry_budget() {
     let budget = RetryBudgetSettings {
-        span: 60 * S,
+        span: 60 * SECOND,
         ratio: 0.0,
         spare: 1.0,
     };
@@ -116,24 +116,24 @@
         retry_budget: Some(budget),
         ..settings()
     };
-    let mut bench = Bench::new(settings, &[ready(1), ready(2), ready(3)]);
-    let deadline = bench.now + 9 * S;
-    let first = sent(&bench.request(lookup(1, deadline)))[0].1;
-    assert!(begins(&mut bench, 1, 0));
-    let second = sent(&bench.end_attempt(1, 0, Outcome::NoConnection, MS))[0].1;
-    bench.handle(Event::EndpointChanges(vec![Endpoint {
+    let mut gateway = TestGateway::new(settings, &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    let deadline = gateway.now + 9 * SECOND;
+    let first = sent_attempts(&gateway.submit(lookup_request(1, deadline)))[0].1;
+    assert!(may_begin(&mut gateway, 1, 0));
+    let second = sent_attempts(&gateway.end_attempt(1, 0, Outcome::NoConnection, MILLISECOND))[0].1;
+    gateway.handle(Event::EndpointChanges(vec![Endpoint {
         phase: Phase::Draining,
-        ..ready(second)
+        ..ready_endpoint(second)
     }]));
-    let third = sent(&withdrawn(&mut bench, 1, 1));
+    let third = sent_attempts(&withdraw(&mut gateway, 1, 1));
     assert!(
         third.len() == 1 && third[0].1 != second,
         "{first} {second} {third:?}"
     );
-    assert!(begins(&mut bench, 1, 2));
-    // Now it is used up.
+    assert!(may_begin(&mut gateway, 1, 2));
+    // The retry that has begun uses up the budget.
     assert_eq!(
-        sent(&bench.end_attempt(1, 2, Outcome::NoConnection, MS)),
+        sent_attempts(&gateway.end_attempt(1, 2, Outcome::NoConnection, MILLISECOND)),
         []
     );
 }
@@ -145,37 +145,38 @@
         ..settings()
     };
     settings.classes[LOAD].ordered = true;
-    let mut bench = Bench::new(settings, &[ready(1), ready(2)]);
-    let deadline = bench.now + 90 * S;
+    let mut gateway = TestGateway::new(settings, &[ready_endpoint(1), ready_endpoint(2)]);
+    let deadline = gateway.now + 90 * SECOND;
     let keyed = |id| Request {
         key: Some("k".into()),
-        ..load(id, deadline)
+        ..load_request(id, deadline)
     };
-    assert_eq!(sent(&bench.request(keyed(1))).len(), 1);
-    assert_eq!(sent(&bench.request(keyed(2))), [], "it waits for its turn");
-    bench.handle(Event::ClientLeft { request: 1 });
-    let next = sent(&withdrawn(&mut bench, 1, 0));
+    assert_eq!(sent_attempts(&gateway.submit(keyed(1))).len(), 1);
+    assert_eq!(sent_attempts(&gateway.submit(keyed(2))), [], "request 1 has the same key and is in flight");
+    gateway.handle(Event::ClientLeft { request: 1 });
+    let next = sent_attempts(&withdraw(&mut gateway, 1, 0));
     assert!(next.len() == 1 && next[0].0 == 2, "{next:?}");
-    assert!(begins(&mut bench, 2, 0));
+    assert!(may_begin(&mut gateway, 2, 0));
 }
 
-/// A repeat is asked for its window again when it begins, and counts from its first byte.
+/// The window of the idempotency key is checked again when a retry begins, and it starts with the
+/// first byte of the first attempt.
 #[test]
 fn keyed_retry_may_begin_only_within_the_window_of_the_first_run() {
     let mut settings = settings();
-    settings.classes[LOAD].window = S;
-    let mut bench = Bench::new(settings, &[ready(1), ready(2)]);
-    let deadline = bench.now + 60 * S;
-    bench.request(load(1, deadline));
-    bench.advance(700 * MS);
-    assert!(begins(&mut bench, 1, 0), "a first try has all the time");
-    let again = sent(&bench.end_attempt(1, 0, Outcome::Broken, MS));
-    assert_eq!(again.len(), 1);
-    bench.advance(900 * MS);
+    settings.classes[LOAD].window = SECOND;
+    let mut gateway = TestGateway::new(settings, &[ready_endpoint(1), ready_endpoint(2)]);
+    let deadline = gateway.now + 60 * SECOND;
+    gateway.submit(load_request(1, deadline));
+    gateway.advance(700 * MILLISECOND);
+    assert!(may_begin(&mut gateway, 1, 0), "the window doesn't limit a first attempt");
+    let retries = sent_attempts(&gateway.end_attempt(1, 0, Outcome::Broken, MILLISECOND));
+    assert_eq!(retries.len(), 1);
+    gateway.advance(900 * MILLISECOND);
     assert!(
-        begins(&mut bench, 1, 1),
-        "the window counts from the first byte, not from the decision"
+        may_begin(&mut gateway, 1, 1),
+        "the window must start with the first byte, not with the decision to send"
     );
-    bench.advance(200 * MS);
-    assert!(!begins(&mut bench, 1, 1));
+    gateway.advance(200 * MILLISECOND);
+    assert!(!may_begin(&mut gateway, 1, 1));
 }
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,186 +1,188 @@
-//! Engines that fail, fall silent or answer slowly: quarantine, probation, retries.
+//! Engines that fail, are silent or answer slowly: quarantine, probation and retries.
 
 mod common;
 use common::*;
 use eideryard::interface::*;
 
-/// Lets engines answer `count` lookups quickly, so that the gateway knows them well.
-fn settle(bench: &mut Bench, from: RequestId, count: u64) {
-    for id in from..from + count {
-        bench.request(Request {
+/// Lets the engines answer `count` lookups at their ideal speed, so that their statistics are
+/// settled.
+fn answer_lookups(gateway: &mut TestGateway, first_id: RequestId, count: u64) {
+    for id in first_id..first_id + count {
+        gateway.submit(Request {
             group: id,
-            ..lookup(id, bench.now + 4 * S)
+            ..lookup_request(id, gateway.now + 4 * SECOND)
         });
-        bench.end_attempt(id, 0, Outcome::Answered, 100 * MS);
+        gateway.end_attempt(id, 0, Outcome::Answered, 100 * MILLISECOND);
     }
 }
 
 #[test]
-fn attempts_on_a_silent_engine_are_cancelled_and_it_gets_nothing_until_it_responds() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3)]);
-    let deadline = bench.now + 20 * S;
-    let mut at = Vec::new();
+fn attempts_on_a_silent_engine_are_cancelled_and_no_more_are_sent_until_it_responds() {
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    let deadline = gateway.now + 20 * SECOND;
+    let mut sends = Vec::new();
     for id in 0..6 {
         let request = Request {
             group: id,
-            ..report(id, deadline, 10.0)
+            ..report_request(id, deadline, 10.0)
         };
-        at.extend(sent(&bench.request(request)));
+        sends.extend(sent_attempts(&gateway.submit(request)));
     }
-    let hung = at[0].1;
-    assert!(at.iter().any(|a| a.1 != hung));
+    let hanging = sends[0].1;
+    assert!(sends.iter().any(|send| send.1 != hanging));
     let mut cancels = Vec::new();
     for step in 1..=6 {
-        cancels.extend(cancelled(&bench.advance(500 * MS)));
-        for &(id, _) in at.iter().filter(|a| a.1 != hung) {
-            bench.report_progress(id, 0, Progress::Share(0.15 * step as f64));
+        cancels.extend(cancelled_attempts(&gateway.advance(500 * MILLISECOND)));
+        for &(id, _) in sends.iter().filter(|send| send.1 != hanging) {
+            gateway.report_progress(id, 0, Progress::Share(0.15 * step as f64));
         }
     }
-    let expected: Vec<(RequestId, usize)> = at
+    let expected: Vec<(RequestId, usize)> = sends
         .iter()
-        .filter(|a| a.1 == hung)
-        .map(|a| (a.0, 0))
+        .filter(|send| send.1 == hanging)
+        .map(|send| (send.0, 0))
         .collect();
     assert_eq!(cancels, expected);
     for &(id, _) in &expected {
-        assert!(sent(&bench.end_attempt(id, 0, Outcome::Cancelled, 2 * S))
+        assert!(sent_attempts(&gateway.end_attempt(id, 0, Outcome::Cancelled, 2 * SECOND))
             .iter()
-            .all(|s| s.1 != hung));
+            .all(|s| s.1 != hanging));
     }
     for id in 100..110 {
-        assert!(sent(&bench.request(Request {
+        assert!(sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, deadline)
+            ..lookup_request(id, deadline)
         }))
         .iter()
-        .all(|s| s.1 != hung));
+        .all(|s| s.1 != hanging));
     }
 }
 
 #[test]
 fn no_engine_is_quarantined_when_every_engine_is_silent() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2)]);
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2)]);
     for id in 0..4 {
-        bench.request(Request {
+        gateway.submit(Request {
             group: id,
-            ..report(id, bench.now + 20 * S, 10.0)
+            ..report_request(id, gateway.now + 20 * SECOND, 10.0)
         });
     }
-    assert!(cancelled(&bench.advance(4 * S)).is_empty());
+    assert!(cancelled_attempts(&gateway.advance(4 * SECOND)).is_empty());
 }
 
-/// How many of the next `count` lookups go first to `engine`.
-fn share_of(bench: &mut Bench, engine: EngineId, from: RequestId, count: u64) -> usize {
-    let mut hits = 0;
-    for id in from..from + count {
-        let first = sent(&bench.request(Request {
+/// Sends `count` lookups, all answered, and returns how many first attempts went to `engine`.
+fn count_sends_to(gateway: &mut TestGateway, engine: EngineId, first_id: RequestId, count: u64) -> usize {
+    let mut sends = 0;
+    for id in first_id..first_id + count {
+        let first = sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, bench.now + 4 * S)
+            ..lookup_request(id, gateway.now + 4 * SECOND)
         }));
-        hits += first.iter().filter(|s| s.1 == engine).count();
-        bench.end_attempt(id, 0, Outcome::Answered, 100 * MS);
+        sends += first.iter().filter(|send| send.1 == engine).count();
+        gateway.end_attempt(id, 0, Outcome::Answered, 100 * MILLISECOND);
     }
-    hits
+    sends
 }
 
 #[test]
-fn fast_failing_engine_is_quarantined_then_on_probation() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3), ready(4)]);
-    settle(&mut bench, 0, 40);
-    let deadline = bench.now + 4 * S;
-    let mut out = Vec::new();
+fn fast_failing_engine_is_quarantined_and_returns_after_probation() {
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3), ready_endpoint(4)]);
+    answer_lookups(&mut gateway, 0, 40);
+    let deadline = gateway.now + 4 * SECOND;
+    let mut sends = Vec::new();
     for id in 100..140 {
-        out.extend(sent(&bench.request(Request {
+        sends.extend(sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, deadline)
+            ..lookup_request(id, deadline)
         })));
     }
-    let failing = out.iter().filter(|s| s.1 == 1).count();
-    let mut again = 0;
-    for (id, _) in out.into_iter().filter(|s| s.1 == 1) {
-        again += sent(&bench.end_attempt(id, 0, Outcome::Error, MS))
+    let failing = sends.iter().filter(|send| send.1 == 1).count();
+    let mut sent_again = 0;
+    for (id, _) in sends.into_iter().filter(|send| send.1 == 1) {
+        sent_again += sent_attempts(&gateway.end_attempt(id, 0, Outcome::Error, MILLISECOND))
             .iter()
             .filter(|s| s.1 == 1)
             .count();
     }
     assert!(
-        failing > 4 && again <= 3,
-        "{again} of {failing} sent there again"
+        failing > 4 && sent_again <= 3,
+        "{sent_again} of {failing} failed attempts were retried on the same engine"
     );
-    assert_eq!(share_of(&mut bench, 1, 200, 40), 0, "in quarantine");
-    bench.advance(2 * S);
+    assert_eq!(count_sends_to(&mut gateway, 1, 200, 40), 0, "engine 1 is in quarantine");
+    gateway.advance(2 * SECOND);
     assert!(
-        share_of(&mut bench, 1, 300, 40) > 0,
-        "it is tried again and returns"
+        count_sends_to(&mut gateway, 1, 300, 40) > 0,
+        "the engine must be used again after its quarantine"
     );
 }
 
-/// Seen on a day with bad clients: what no engine could use went round and shut out one after the
-/// other.
+/// Clients sent requests that no engine could execute. Each was retried on one engine after the
+/// other, and the errors put all of them into quarantine.
 #[test]
-fn request_with_errors_on_two_engines_ends_and_neither_is_charged() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3), ready(4)]);
-    settle(&mut bench, 0, 40);
-    let deadline = bench.now + 4 * S;
+fn request_with_errors_on_two_engines_ends_and_counts_against_neither() {
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3), ready_endpoint(4)]);
+    answer_lookups(&mut gateway, 0, 40);
+    let deadline = gateway.now + 4 * SECOND;
     let first: Vec<_> = (100..140)
         .flat_map(|id| {
-            sent(&bench.request(Request {
+            sent_attempts(&gateway.submit(Request {
                 group: id,
-                ..lookup(id, deadline)
+                ..lookup_request(id, deadline)
             }))
         })
         .collect();
     for (id, engine) in first {
-        let next = sent(&bench.end_attempt(id, 0, Outcome::Error, MS));
+        let next = sent_attempts(&gateway.end_attempt(id, 0, Outcome::Error, MILLISECOND));
         assert!(
             next.len() == 1 && next[0].1 != engine,
             "{id}: from {engine} to {next:?}"
         );
-        assert_eq!(refused(&bench.end_attempt(id, 1, Outcome::Error, MS)), [id]);
+        assert_eq!(refused_requests(&gateway.end_attempt(id, 1, Outcome::Error, MILLISECOND)), [id]);
     }
-    let shares = |bench: &mut Bench| [1, 2, 3, 4].map(|engine| share_of(bench, engine, 300, 40));
-    let mut other = Bench::new(settings(), &[ready(1), ready(2), ready(3), ready(4)]);
-    settle(&mut other, 0, 40);
+    let shares = |gateway: &mut TestGateway| [1, 2, 3, 4].map(|engine| count_sends_to(gateway, engine, 300, 40));
+    let mut without_errors = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3), ready_endpoint(4)]);
+    answer_lookups(&mut without_errors, 0, 40);
     assert_eq!(
-        shares(&mut bench),
-        shares(&mut other),
-        "as if nothing had been wrong"
+        shares(&mut gateway),
+        shares(&mut without_errors),
+        "the errors must not change the choice of engines"
     );
 }
 
-/// Ten attempts that one reset takes along are one event.
+/// A reset ends all attempts on its connection. Counted one by one, they would put the engine into
+/// quarantine for a single event.
 #[test]
 fn broken_connection_counts_as_one_bad_outcome() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3)]);
-    settle(&mut bench, 0, 40);
-    let deadline = bench.now + 4 * S;
-    let out: Vec<_> = (100..130)
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    answer_lookups(&mut gateway, 0, 40);
+    let deadline = gateway.now + 4 * SECOND;
+    let sends: Vec<_> = (100..130)
         .flat_map(|id| {
-            sent(&bench.request(Request {
+            sent_attempts(&gateway.submit(Request {
                 group: id,
-                ..lookup(id, deadline)
+                ..lookup_request(id, deadline)
             }))
         })
-        .filter(|sent| sent.1 == 1)
+        .filter(|send| send.1 == 1)
         .collect();
-    assert!(out.len() > 5);
-    for (at, (request, _)) in out.into_iter().enumerate() {
-        bench.end_attempt_with(request, 0, Outcome::Broken, MS, |ended| {
-            ended.already_reported = at > 0;
+    assert!(sends.len() > 5);
+    for (index, (request, _)) in sends.into_iter().enumerate() {
+        gateway.end_attempt_with(request, 0, Outcome::Broken, MILLISECOND, |ended| {
+            ended.already_reported = index > 0;
         });
     }
-    assert!(share_of(&mut bench, 1, 200, 40) > 0, "it stays in use");
+    assert!(count_sends_to(&mut gateway, 1, 200, 40) > 0, "engine 1 must stay in use");
 }
 
 #[test]
-fn engines_stay_in_use_and_retries_fall_when_all_fail_most_work() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3)]);
+fn engines_stay_in_use_and_retries_decrease_when_all_engines_fail_half_of_the_requests() {
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
     let mut attempts = Vec::new();
     for id in 0..200 {
         let mut count = 0;
-        let mut next = sent(&bench.request(Request {
+        let mut next = sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, bench.now + 4 * S)
+            ..lookup_request(id, gateway.now + 4 * SECOND)
         }));
         while !next.is_empty() {
             let outcome = if id % 2 == 0 {
@@ -188,11 +190,11 @@
             } else {
                 Outcome::Error
             };
-            next = sent(&bench.end_attempt(id, count, outcome, MS));
+            next = sent_attempts(&gateway.end_attempt(id, count, outcome, MILLISECOND));
             count += 1;
         }
         attempts.push(count);
-        bench.now += MS;
+        gateway.now += MILLISECOND;
     }
     assert!(
         attempts[190..]
@@ -205,61 +207,62 @@
 
 #[test]
 fn engine_that_answers_again_after_lost_connections_counts_as_cold() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3)]);
-    settle(&mut bench, 0, 40);
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    answer_lookups(&mut gateway, 0, 40);
     for id in 100..200 {
-        let first = sent(&bench.request(Request {
+        let first = sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, bench.now + 4 * S)
+            ..lookup_request(id, gateway.now + 4 * SECOND)
         }));
         let outcome = if first[0].1 == 1 {
             Outcome::Broken
         } else {
             Outcome::Answered
         };
-        let next = sent(&bench.end_attempt(id, 0, outcome, MS));
+        let next = sent_attempts(&gateway.end_attempt(id, 0, outcome, MILLISECOND));
         if !next.is_empty() {
-            bench.end_attempt(id, 1, Outcome::Answered, MS);
+            gateway.end_attempt(id, 1, Outcome::Answered, MILLISECOND);
         }
     }
-    bench.advance(2 * S);
-    settle(&mut bench, 300, 60);
-    // Back, but within its cold budget: two times 0.3 of 8 cores for a second, in lookups of 0.1.
-    let deadline = bench.now + 4 * S;
-    let to_it = (500..700).flat_map(|id| {
-        sent(&bench.request(Request {
+    gateway.advance(2 * SECOND);
+    answer_lookups(&mut gateway, 300, 60);
+    // It is used again, but within the slow-start budget: 2 times 0.3 of 8 cores for one second, in
+    // lookups of 0.1 s.
+    let deadline = gateway.now + 4 * SECOND;
+    let sends = (500..700).flat_map(|id| {
+        sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, deadline)
+            ..lookup_request(id, deadline)
         }))
     });
-    let to_it = to_it.filter(|s| s.1 == 1).count();
-    assert!(to_it <= 48, "{to_it}");
+    let cold_sends = sends.filter(|send| send.1 == 1).count();
+    assert!(cold_sends <= 48, "{cold_sends}");
 }
 
 #[test]
-fn hanging_engine_is_detected_without_progress_notes() {
-    let mut bench = Bench::new(
+fn hanging_engine_is_detected_without_progress_reports() {
+    let mut gateway = TestGateway::new(
         Settings {
             progress_interval: 0,
             ..settings()
         },
-        &[ready(1), ready(2), ready(3)],
+        &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)],
     );
-    let mut hung = None;
+    let mut hanging = None;
     let mut cancels = Vec::new();
     for id in 0..200 {
-        let at = sent(&bench.request(Request {
+        let sends = sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, bench.now + 4 * S)
+            ..lookup_request(id, gateway.now + 4 * SECOND)
         }));
-        let Some(&(_, engine)) = at.first() else {
+        let Some(&(_, engine)) = sends.first() else {
             continue;
         };
-        let hung = *hung.get_or_insert(engine);
-        if engine != hung {
-            bench.end_attempt(id, 0, Outcome::Answered, 100 * MS);
+        let hanging = *hanging.get_or_insert(engine);
+        if engine != hanging {
+            gateway.end_attempt(id, 0, Outcome::Answered, 100 * MILLISECOND);
         }
-        cancels.extend(cancelled(&bench.advance(50 * MS)));
+        cancels.extend(cancelled_attempts(&gateway.advance(50 * MILLISECOND)));
     }
     assert!(cancels.contains(&(0, 0)), "{cancels:?}");
     assert!(cancels.len() < 20, "{cancels:?}");
@@ -267,12 +270,12 @@
 
 #[test]
 fn engine_at_capacity_does_not_attract_the_queue() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2)]);
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2)]);
     let mut refusals = 0;
     for id in 0..100 {
-        let mut next = sent(&bench.request(Request {
+        let mut next = sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, bench.now + 4 * S)
+            ..lookup_request(id, gateway.now + 4 * SECOND)
         }));
         for attempt in 0.. {
             let Some(&(_, engine)) = next.first() else {
@@ -284,84 +287,94 @@
                 Outcome::Answered
             };
             refusals += (engine == 1) as u32;
-            next = sent(&bench.end_attempt(id, attempt, outcome, MS));
+            next = sent_attempts(&gateway.end_attempt(id, attempt, outcome, MILLISECOND));
         }
-        bench.now += 5 * MS;
+        gateway.now += 5 * MILLISECOND;
     }
-    assert!((1..=4).contains(&refusals), "{refusals} in half a second");
+    assert!(
+        (1..=4).contains(&refusals),
+        "{refusals} attempts in half a second on an engine at capacity"
+    );
 }
 
 #[test]
 fn engine_that_fails_a_fifth_of_its_work_stays_in_use() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2), ready(3)]);
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
     for id in 0..400 {
-        let next = sent(&bench.request(Request {
+        let next = sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, bench.now + 4 * S)
+            ..lookup_request(id, gateway.now + 4 * SECOND)
         }));
-        let lost = next[0].1 == 1 && id % 5 == 0;
-        let again = sent(&bench.end_attempt(
+        let is_lost = next[0].1 == 1 && id % 5 == 0;
+        let retry = sent_attempts(&gateway.end_attempt(
             id,
             0,
-            if lost {
+            if is_lost {
                 Outcome::Broken
             } else {
                 Outcome::Answered
             },
-            10 * MS,
+            10 * MILLISECOND,
         ));
-        if !again.is_empty() {
-            bench.end_attempt(id, 1, Outcome::Answered, 10 * MS);
+        if !retry.is_empty() {
+            gateway.end_attempt(id, 1, Outcome::Answered, 10 * MILLISECOND);
         }
-        let said = bench
-            .last
+        let is_quarantined = gateway
+            .last_actions
             .iter()
-            .any(|a| matches!(a, Action::Log(text) if text.contains("quarantined")));
-        assert!(!said, "request {id}");
+            .any(|action| matches!(action, Action::Log(text) if text.contains("quarantined")));
+        assert!(!is_quarantined, "at request {id}");
     }
 }
 
 #[test]
 fn dead_engine_does_not_attract_the_queue_when_too_many_are_quarantined_to_add_it() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2)]);
-    // Engine 2 is quarantined first, for good; then engine 1, half of the fleet being away, dies
-    // too.
-    let mut tries = 0;
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2)]);
+    // One engine is quarantined. The other one fails as well, but can't be quarantined then, since
+    // half of the fleet already is.
+    let mut attempts = 0;
     for id in 0..200 {
-        let mut next = sent(&bench.request(Request {
+        let mut next = sent_attempts(&gateway.submit(Request {
             group: id,
-            ..lookup(id, bench.now + 4 * S)
+            ..lookup_request(id, gateway.now + 4 * SECOND)
         }));
         for attempt in 0.. {
             if next.is_empty() {
                 break;
             }
-            tries += 1;
-            next = sent(&bench.end_attempt(id, attempt, Outcome::NoConnection, MS));
+            attempts += 1;
+            next = sent_attempts(&gateway.end_attempt(id, attempt, Outcome::NoConnection, MILLISECOND));
         }
-        bench.now += 5 * MS;
+        gateway.now += 5 * MILLISECOND;
     }
-    assert!(tries < 40, "{tries} tries in a second at two dead engines");
+    assert!(
+        attempts < 40,
+        "{attempts} attempts in a second on two dead engines"
+    );
 }
 
-/// An engine that ages, or whose machine others use, answers later and later and errs in nothing.
+/// An engine whose machine degrades or is shared with other processes answers slowly but without
+/// errors, so only its latency shows that it should be sent less.
 #[test]
-fn slowed_engine_attracts_less_work() {
-    let mut bench = Bench::new(settings(), &[ready(1), ready(2)]);
-    let mut late = 0;
+fn slow_engine_is_sent_less_work() {
+    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2)]);
+    let mut slow_answers = 0;
     for id in 0..40 {
-        let deadline = bench.now + 4 * S;
-        let Some(&(_, engine)) = sent(&bench.request(lookup(id, deadline))).first() else {
+        let deadline = gateway.now + 4 * SECOND;
+        let Some(&(_, engine)) = sent_attempts(&gateway.submit(lookup_request(id, deadline))).first() else {
             continue;
         };
         let spent = if engine == 1 && id > 5 {
-            260 * MS
+            260 * MILLISECOND
         } else {
-            100 * MS
+            100 * MILLISECOND
         };
-        bench.advance(spent);
-        bench.end_attempt(id, 0, Outcome::Answered, spent);
-        late += usize::from(spent > 200 * MS);
+        gateway.advance(spent);
+        gateway.end_attempt(id, 0, Outcome::Answered, spent);
+        slow_answers += usize::from(spent > 200 * MILLISECOND);
     }
-    assert!((1..=8).contains(&late), "{late} of 40 went to the slow one");
+    assert!(
+        (1..=8).contains(&slow_answers),
+        "{slow_answers} of 40 lookups went to the slow engine"
+    );
 }
--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -1,4 +1,4 @@
-//! An observer that knows only a gateway's events and actions, and finds broken rules in them.
+//! Finds violated rules in the events and actions of a gateway, without access to its state.
 
 use super::NON_IDEMPOTENT;
 use eideryard::interface::*;
@@ -10,21 +10,21 @@
     pub(super) key: Option<String>,
     pub(super) has_ended: bool,
     pub(super) deadline: Micros,
-    /// How each attempt ended, none while it is out.
+    /// Outcome of each attempt; `None` while it is in flight.
     pub(super) attempts: Vec<Option<Outcome>>,
     pub(super) engines: Vec<EngineId>,
-    /// When the first byte of each went out.
+    /// When the first byte of each attempt was sent; `None` before.
     pub(super) first_bytes: Vec<Option<Micros>>,
 }
 
-/// What an observer of a gateway's events and actions knows, and what it objects to.
+/// What the events and actions so far imply, and the violations found in them.
 pub(super) struct RuleChecker {
     pub(super) settings: Settings,
     pub(super) request_times: Vec<Micros>,
     pub(super) retries: Vec<Micros>,
     pub(super) requests: BTreeMap<RequestId, ObservedRequest>,
     pub(super) paused_keys: BTreeMap<String, Micros>,
-    /// Engines that take nothing new, as the gateway was told.
+    /// Engines that are draining or removed, as reported to the gateway.
     pub(super) closed_engines: BTreeSet<EngineId>,
     pub(super) violations: Vec<String>,
 }
@@ -81,12 +81,12 @@
                 let observed = self
                     .requests
                     .get_mut(request)
-                    .expect("a request that was taken");
+                    .expect("the request was submitted");
                 if observed.class == NON_IDEMPOTENT
                     && observed.attempts.iter().any(|a| !never_ran(a))
                 {
                     self.violations.push(format!(
-                        "{request} is called safe to repeat and may have run"
+                        "request {request} was refused as safe to repeat, but may have run"
                     ));
                 }
                 observed.has_ended = true;
@@ -94,7 +94,7 @@
             Action::Fail { request } => {
                 self.requests
                     .get_mut(request)
-                    .expect("a request that was taken")
+                    .expect("the request was submitted")
                     .has_ended = true;
             }
             _ => {}
@@ -106,10 +106,10 @@
         let mut violated = Vec::new();
         let in_flight = observed.attempts.iter().any(Option::is_none);
         if in_flight && !self.settings.may_hedge {
-            violated.push("two attempts are out");
+            violated.push("another attempt is in flight");
         }
         if observed.class == NON_IDEMPOTENT && observed.attempts.iter().any(|a| !never_ran(a)) {
-            violated.push("an effect may come twice");
+            violated.push("the non-idempotent request may run twice");
         }
         if let Some(key) = observed
             .key
@@ -119,17 +119,19 @@
             let before = self
                 .requests
                 .range(..request)
-                .filter(|(_, own)| own.key.as_ref() == Some(key));
+                .filter(|(_, earlier)| earlier.key.as_ref() == Some(key));
             if before
                 .clone()
-                .any(|(_, own)| !own.has_ended || own.attempts.iter().any(Option::is_none))
+                .any(|(_, earlier)| {
+                    !earlier.has_ended || earlier.attempts.iter().any(Option::is_none)
+                })
             {
-                violated.push("an earlier one of its key isn't over");
+                violated.push("an earlier request with the same key has not ended");
             }
             if observed.attempts.is_empty()
                 && self.paused_keys.get(key).is_some_and(|until| now < *until)
             {
-                violated.push("its key rests");
+                violated.push("its key is paused");
             }
         }
         self.violations.extend(
@@ -143,37 +145,39 @@
         observed.engines.push(engine);
     }
 
-    /// The first byte of an attempt goes out.
+    /// Handles the first byte of an attempt.
     pub(super) fn on_first_byte(&mut self, now: Micros, (request, attempt): (RequestId, usize)) {
         let observed = self.requests.get_mut(&request).unwrap();
         let mut violated = Vec::new();
         if observed.has_ended || now >= observed.deadline {
-            violated.push("its client waits no more");
+            violated.push("the request has ended or its client no longer waits");
         }
         if self.closed_engines.contains(&observed.engines[attempt]) {
-            violated.push("its engine drains or is gone");
+            violated.push("the engine is draining or removed");
         }
         let class = &self.settings.classes[observed.class];
-        let before = observed
+        let may_have_run = observed
             .attempts
             .iter()
             .zip(&observed.first_bytes)
             .filter(|(outcome, _)| !never_ran(outcome));
-        let ran = before.filter_map(|(_, first_bytes)| *first_bytes).min();
+        let first_run = may_have_run.filter_map(|(_, first_byte)| *first_byte).min();
         if class.effect == Effect::IdempotentWithKey
-            && ran.is_some_and(|ran| now >= ran + class.window)
+            && first_run.is_some_and(|first_run| now >= first_run + class.window)
         {
-            violated.push("its key is forgotten");
+            violated.push("the window of its idempotency key has passed");
         }
-        let again = observed.first_bytes.iter().any(Option::is_some);
+        let is_retry = observed.first_bytes.iter().any(Option::is_some);
         observed.first_bytes[attempt] = Some(now);
-        if let Some(budget) = self.settings.retry_budget.filter(|_| again) {
-            let lately = |times: &[Micros]| {
+        if let Some(budget) = self.settings.retry_budget.filter(|_| is_retry) {
+            let count_in_span = |times: &[Micros]| {
                 times.iter().filter(|at| **at + budget.span > now).count() as f64
             };
             self.retries.push(now);
-            if lately(&self.retries) > budget.spare + budget.ratio * lately(&self.request_times) {
-                violated.push("over the budget");
+            if count_in_span(&self.retries)
+                > budget.spare + budget.ratio * count_in_span(&self.request_times)
+            {
+                violated.push("the retry budget is exceeded");
             }
         }
         self.violations.extend(
--- a/tests/properties/scenario.rs
+++ b/tests/properties/scenario.rs
@@ -1,4 +1,5 @@
-//! A gateway with random settings under random events, whose actions a rule checker observes.
+//! Drives a gateway with random settings by random events and passes its actions to the rule
+//! checker.
 
 use super::common::*;
 use super::rule_checker::RuleChecker;
@@ -7,26 +8,26 @@
 
 fn random_settings(rng: &mut fastrand::Rng) -> Settings {
     let mut settings = settings();
-    let mut last = class(Effect::NonIdempotent, 3 * S, 2.0);
-    last.is_load = true;
-    settings.classes.push(last);
+    let mut non_idempotent_load = class(Effect::NonIdempotent, 3 * SECOND, 2.0);
+    non_idempotent_load.is_load = true;
+    settings.classes.push(non_idempotent_load);
     settings.classes[LOAD].ordered = true;
     settings.peers = [1.0, 3.0, 20.0, 30.0, 90.0][rng.usize(..5)];
     (settings.may_probe, settings.counts_by_probe) = (rng.bool(), rng.bool());
     (settings.may_cancel, settings.may_hedge) = (rng.bool(), rng.bool());
-    settings.progress_interval = if rng.bool() { 500 * MS } else { 0 };
-    settings.ordering_delay = rng.u64(0..2 * S);
+    settings.progress_interval = if rng.bool() { 500 * MILLISECOND } else { 0 };
+    settings.ordering_delay = rng.u64(0..2 * SECOND);
     settings.max_attempts = rng.usize(1..7);
     for class in &mut settings.classes {
-        class.window = [100 * MS, S, 10 * S][rng.usize(..3)];
+        class.window = [100 * MILLISECOND, SECOND, 10 * SECOND][rng.usize(..3)];
     }
     for class in &mut settings.classes {
-        class.latency_objective = [100 * MS, S, 5 * S][rng.usize(..3)];
+        class.latency_objective = [100 * MILLISECOND, SECOND, 5 * SECOND][rng.usize(..3)];
     }
-    settings.overload_window = [S, 3 * S][rng.usize(..2)];
+    settings.overload_window = [SECOND, 3 * SECOND][rng.usize(..2)];
     let ratio = rng.f64() * 0.5;
     settings.retry_budget = rng.bool().then_some(RetryBudgetSettings {
-        span: 5 * S,
+        span: 5 * SECOND,
         ratio,
         spare: 3.0,
     });
@@ -43,55 +44,55 @@
     Outcome::Broken,
 ];
 
-/// Number of a request and of its attempt.
+/// A request and the number of one of its attempts, from 0.
 type AttemptKey = (RequestId, usize);
 
-/// A gateway with random settings and random events, and what is in flight.
+/// A gateway with random settings, its rule checker and its attempts in flight.
 pub(super) struct Scenario {
     rng: fastrand::Rng,
-    /// Draws what concerns the first bytes of attempts.
+    /// Source of the delays of first bytes, so that they don't change the other random choices.
     dial_rng: fastrand::Rng,
-    bench: Bench,
+    gateway: TestGateway,
     checker: RuleChecker,
     engines: Vec<Endpoint>,
-    /// Share of attempts that end in a failure.
+    /// Share of attempts that fail.
     failure_rate: f64,
-    /// Share of attempts whose first byte is held back, as by a slow dial.
-    late_share: f64,
+    /// Share of attempts whose first byte is delayed, as by a slow dial.
+    delayed_share: f64,
     in_flight: Vec<AttemptKey>,
-    held_back: Vec<AttemptKey>,
+    delayed: Vec<AttemptKey>,
 }
 
 impl Scenario {
     fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = random_settings(&mut rng);
-        let engines: Vec<Endpoint> = (1..=rng.u32(2..12)).map(ready).collect();
-        let late_share = [0.0, 0.5][rng.usize(..2)];
+        let engines: Vec<Endpoint> = (1..=rng.u32(2..12)).map(ready_endpoint).collect();
+        let delayed_share = [0.0, 0.5][rng.usize(..2)];
         let dial_rng = rng.fork();
         let failure_rate = rng.f64();
         Scenario {
             rng,
             dial_rng,
-            bench: Bench::seeded(settings.clone(), seed, &engines),
+            gateway: TestGateway::with_seed(settings.clone(), seed, &engines),
             checker: RuleChecker::new(settings),
             engines,
             failure_rate,
-            late_share,
+            delayed_share,
             in_flight: Vec::new(),
-            held_back: Vec::new(),
+            delayed: Vec::new(),
         }
     }
 
-    /// Plays a scenario to its end.
-    pub(super) fn play(seed: u64) -> RuleChecker {
+    /// Runs a scenario to its end and returns its checker.
+    pub(super) fn run(seed: u64) -> RuleChecker {
         let mut scenario = Scenario::new(seed);
         for id in 0..REQUESTS {
             let actions = scenario.random_event(id);
             scenario.apply_actions(actions);
-            // In small steps, so that what timers lead to is checked at its own time.
+            // In small steps, so that the checker sees the actions of timers at the right time.
             for _ in 0..scenario.rng.u32(..40) {
-                let actions = scenario.bench.advance(5 * MS);
+                let actions = scenario.gateway.advance(5 * MILLISECOND);
                 scenario.apply_actions(actions);
             }
         }
@@ -104,9 +105,9 @@
             0 => self.disconnect_client(id),
             1 => self.change_endpoint(),
             2..=9 if !self.in_flight.is_empty() => self.end_random_attempt(),
-            10..=12 if !self.held_back.is_empty() => {
-                let index = self.dial_rng.usize(..self.held_back.len());
-                let attempt = self.held_back.swap_remove(index);
+            10..=12 if !self.delayed.is_empty() => {
+                let index = self.dial_rng.usize(..self.delayed.len());
+                let attempt = self.delayed.swap_remove(index);
                 self.begin_attempt(attempt)
             }
             _ => {
@@ -114,8 +115,8 @@
                     group: self.rng.u64(..30),
                     ..request
                 };
-                self.checker.on_request(self.bench.now, &request);
-                self.bench.request(request)
+                self.checker.on_request(self.gateway.now, &request);
+                self.gateway.submit(request)
             }
         }
     }
@@ -123,15 +124,15 @@
     fn random_request(&mut self, id: RequestId) -> Request {
         let class = self.rng.usize(..4);
         let wait = if self.rng.bool() {
-            self.rng.u64(S..20 * S)
+            self.rng.u64(SECOND..20 * SECOND)
         } else {
-            100 * MS
+            100 * MILLISECOND
         };
         let key = (class == LOAD).then(|| format!("k{}", self.rng.u32(..4)));
         Request {
             class,
             key,
-            ..lookup(id, self.bench.now + wait)
+            ..lookup_request(id, self.gateway.now + wait)
         }
     }
 
@@ -140,7 +141,7 @@
         if let Some(observed) = self.checker.requests.get_mut(&request) {
             observed.has_ended = true;
         }
-        self.bench.handle(Event::ClientLeft { request })
+        self.gateway.handle(Event::ClientLeft { request })
     }
 
     fn change_endpoint(&mut self) -> Vec<Action> {
@@ -151,7 +152,7 @@
         } else {
             self.checker.closed_engines.insert(endpoint.engine);
         }
-        self.bench.handle(Event::EndpointChanges(vec![endpoint]))
+        self.gateway.handle(Event::EndpointChanges(vec![endpoint]))
     }
 
     fn end_random_attempt(&mut self) -> Vec<Action> {
@@ -165,11 +166,11 @@
         self.end_attempt(attempt, outcome)
     }
 
-    /// The first byte of an attempt may go out: asks the balancer, which may withdraw the attempt.
+    /// Sends the first byte of an attempt, unless the balancer withdraws the attempt.
     fn begin_attempt(&mut self, attempt: AttemptKey) -> Vec<Action> {
         let (request, number) = attempt;
-        let now = self.bench.now;
-        if !self.bench.balancer.may_begin(now, request, number) {
+        let now = self.gateway.now;
+        if !self.gateway.balancer.may_begin(now, request, number) {
             return self.end_attempt(attempt, Outcome::NotSent);
         }
         self.checker.on_first_byte(now, attempt);
@@ -181,30 +182,32 @@
         let (request, number) = attempt;
         let checker = &mut self.checker;
         let complete = outcome == Outcome::Answered || checker.requests[&request].has_ended;
-        let now = self.bench.now;
-        self.bench
-            .end_attempt_with(request, number, outcome, S, |ended| {
+        let now = self.gateway.now;
+        self.gateway
+            .end_attempt_with(request, number, outcome, SECOND, |ended| {
                 ended.complete = complete;
                 checker.on_attempt_ended(now, ended);
             })
     }
 
-    /// Checks actions in their order and carries them out; what they lead to comes after them.
+    /// Checks the actions in order and carries them out; the actions that result are added at the
+    /// end.
     fn apply_actions(&mut self, actions: Vec<Action>) {
         let mut pending = VecDeque::from(actions);
         while let Some(action) = pending.pop_front() {
-            self.checker.on_action(self.bench.now, &action);
+            self.checker.on_action(self.gateway.now, &action);
             pending.extend(self.apply_action(&action));
         }
     }
 
-    /// A cancel is heeded at once; a probe finds an idle engine.
+    /// Carries out an action: a cancel takes effect at once, and a probe reports one query in
+    /// flight.
     fn apply_action(&mut self, action: &Action) -> Vec<Action> {
         match *action {
             Action::Send { request, .. } => {
                 let attempt = (request, self.checker.requests[&request].attempts.len() - 1);
-                if self.dial_rng.f64() < self.late_share {
-                    self.held_back.push(attempt);
+                if self.dial_rng.f64() < self.delayed_share {
+                    self.delayed.push(attempt);
                     Vec::new()
                 } else {
                     self.begin_attempt(attempt)
@@ -216,7 +219,7 @@
                     in_flight: Some(1.0),
                     ..LoadReport::default()
                 };
-                self.bench.handle(Event::Probed(Probed {
+                self.gateway.handle(Event::Probed(Probed {
                     engine,
                     outcome: Outcome::Answered,
                     report: Some(report),
@@ -230,8 +233,8 @@
         if self.in_flight.contains(&attempt) {
             self.in_flight.retain(|other| *other != attempt);
             self.end_attempt(attempt, Outcome::Cancelled)
-        } else if self.held_back.contains(&attempt) {
-            self.held_back.retain(|other| *other != attempt);
+        } else if self.delayed.contains(&attempt) {
+            self.delayed.retain(|other| *other != attempt);
             self.end_attempt(attempt, Outcome::NotSent)
         } else {
             Vec::new()
--- a/tests/small_shares.rs
+++ b/tests/small_shares.rs
@@ -1,4 +1,5 @@
-//! Hundreds of gateways in front of tens of engines: shares below one query.
+//! Hundreds of gateways in front of tens of engines: the share of each is less than one query, so
+//! probes decide where a request goes.
 
 mod common;
 use common::small_shares::*;
@@ -7,164 +8,168 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn emptier_of_two_candidates_is_chosen_by_their_reports() {
+fn request_goes_to_the_candidate_that_reports_fewer_queries() {
     for id in 0..20 {
-        let mut bench = Bench::new(wide(), &fleet());
-        let deadline = bench.now + 20 * S;
-        let asked = probed(&bench.request(Request {
+        let mut gateway = TestGateway::new(small_share_settings(), &fleet());
+        let deadline = gateway.now + 20 * SECOND;
+        let probed = probed_engines(&gateway.submit(Request {
             group: id,
-            ..report(id, deadline, 10.0)
+            ..report_request(id, deadline, 10.0)
         }));
         assert_eq!(
-            asked.len(),
+            probed.len(),
             2,
-            "two are asked, and nothing is sent before they answer"
+            "two engines must be probed"
         );
-        assert!(targets(&bench.handle(reported(asked[0], 7.0))).is_empty());
-        assert_eq!(targets(&bench.handle(reported(asked[1], 1.0))), [asked[1]]);
+        assert!(target_engines(&gateway.handle(probe_answer(probed[0], 7.0))).is_empty());
+        assert_eq!(target_engines(&gateway.handle(probe_answer(probed[1], 1.0))), [probed[1]]);
     }
 }
 
-/// Gateways that start together take no engine for idle that none told of: what they add to one
-/// there is bounded as if others used it, until a report tells or that has faded. Where a probe may
-/// ask, the first request asks already.
+/// Gateways that start together would overload engines if each took engines without a report for
+/// idle. A new gateway assumes a load of other gateways there, which fades until a report arrives;
+/// if it may probe, it does so from the first request on.
 #[test]
-fn new_gateway_assumes_no_engine_idle() {
-    let mut silent = Settings {
+fn new_gateway_does_not_assume_engines_without_reports_are_idle() {
+    let mut without_probes = Settings {
         may_probe: false,
         peers: 9.0,
-        ..wide()
+        ..small_share_settings()
     };
-    silent.classes[REPORT].threads = 2.0;
-    let mut bench = Bench::new(silent, &[ready(1)]);
-    let deadline = bench.now + 20 * S;
-    assert_eq!(targets(&bench.request(report(1, deadline, 10.0))), [1]);
-    let second = targets(&bench.request(report(2, deadline, 10.0)));
+    without_probes.classes[REPORT].threads = 2.0;
+    let mut gateway = TestGateway::new(without_probes, &[ready_endpoint(1)]);
+    let deadline = gateway.now + 20 * SECOND;
+    assert_eq!(target_engines(&gateway.submit(report_request(1, deadline, 10.0))), [1]);
+    let second = target_engines(&gateway.submit(report_request(2, deadline, 10.0)));
     assert!(
         second.is_empty(),
-        "an engine that nobody told of counts as idle"
+        "an engine without a report must not count as idle"
     );
     for _ in 0..50 {
-        bench.advance(20_000);
+        gateway.advance(20_000);
     }
-    let later = targets(&bench.request(report(3, deadline, 10.0)));
-    assert_eq!(later, [1], "what was assumed at the start has not faded");
-    let asked = probed(&Bench::new(wide(), &fleet()).request(report(1, deadline, 10.0)));
-    assert_eq!(asked.len(), 2, "the first request asks");
+    let later = target_engines(&gateway.submit(report_request(3, deadline, 10.0)));
+    assert_eq!(later, [1], "the load assumed at the start must have faded");
+    let probed = probed_engines(&TestGateway::new(small_share_settings(), &fleet()).submit(report_request(1, deadline, 10.0)));
+    assert_eq!(probed.len(), 2, "the first request must lead to probes");
 }
 
 #[test]
-fn foreign_load_holds_reports_back_though_this_gateway_is_idle_there() {
-    let mut bench = Bench::new(wide(), &fleet());
-    let deadline = bench.now + 20 * S;
-    assert!(place(&mut bench, report(1, deadline, 10.0), |_| 30.0).is_empty());
-    let mut bench = Bench::new(wide(), &fleet());
+fn reports_are_queued_when_other_gateways_fill_the_engines() {
+    let mut gateway = TestGateway::new(small_share_settings(), &fleet());
+    let deadline = gateway.now + 20 * SECOND;
+    assert!(place_with_probes(&mut gateway, report_request(1, deadline, 10.0), |_| 30.0).is_empty());
+    let mut gateway = TestGateway::new(small_share_settings(), &fleet());
     assert_eq!(
-        place(&mut bench, report(1, deadline, 10.0), |_| 1.0).len(),
+        place_with_probes(&mut gateway, report_request(1, deadline, 10.0), |_| 1.0).len(),
         1
     );
 }
 
 #[test]
-fn where_shares_are_large_nothing_is_probed() {
-    let mut bench = Bench::new(
+fn nothing_is_probed_if_the_share_of_an_engine_exceeds_one_query() {
+    let mut gateway = TestGateway::new(
         Settings {
             peers: 2.0,
-            ..wide()
+            ..small_share_settings()
         },
         &fleet(),
     );
-    let deadline = bench.now + 20 * S;
-    assert!(probed(&bench.request(report(1, deadline, 10.0))).is_empty());
+    let deadline = gateway.now + 20 * SECOND;
+    assert!(probed_engines(&gateway.submit(report_request(1, deadline, 10.0))).is_empty());
 }
 
 #[test]
-fn probes_stay_within_what_their_tariff_allows() {
-    let mut bench = Bench::new(
+fn probe_rate_is_limited_by_the_probe_tariff() {
+    let mut gateway = TestGateway::new(
         Settings {
             probe_tariff: 0.02,
-            ..wide()
+            ..small_share_settings()
         },
         &fleet(),
     );
     let mut probes = 0;
     for id in 0..200 {
-        bench.now += 100 * MS;
-        let deadline = bench.now + 20 * S;
-        let actions = bench.request(Request {
+        gateway.now += 100 * MILLISECOND;
+        let deadline = gateway.now + 20 * SECOND;
+        let actions = gateway.submit(Request {
             group: id,
-            ..lookup(id, deadline)
+            ..lookup_request(id, deadline)
         });
-        for engine in probed(&actions) {
+        for engine in probed_engines(&actions) {
             probes += 1;
-            bench.handle(reported(engine, 30.0));
+            gateway.handle(probe_answer(engine, 30.0));
         }
-        probes += probed(&bench.advance(100 * MS)).len();
+        probes += probed_engines(&gateway.advance(100 * MILLISECOND)).len();
     }
     assert!(
         (50..=206).contains(&probes),
-        "{probes} probes for 200 requests at one a request"
+        "{probes} probes for 200 requests, of which each allows one probe"
     );
 }
 
 #[test]
 fn candidates_of_a_backlog_are_redrawn_no_faster_than_requests_arrive() {
-    let mut bench = Bench::new(
+    let mut gateway = TestGateway::new(
         Settings {
             peers: 10.0,
             probe_tariff: 0.001,
-            ..wide()
+            ..small_share_settings()
         },
         &fleet(),
     );
     for id in 0..30 {
-        let deadline = bench.now + 20 * S;
-        assert!(place(
-            &mut bench,
+        let deadline = gateway.now + 20 * SECOND;
+        assert!(place_with_probes(
+            &mut gateway,
             Request {
                 group: id,
-                ..report(id, deadline, 10.0)
+                ..report_request(id, deadline, 10.0)
             },
             |_| 30.0
         )
         .is_empty());
     }
-    // Now all engines are empty, and still the backlog does not leave as one.
-    bench.now += S;
-    let mut left = 0;
+    // All engines are idle now, but the backlog must not be sent all at once.
+    gateway.now += SECOND;
+    let mut sent_count = 0;
     for _ in 0..4 {
-        let mut actions = bench.advance(50 * MS);
-        for engine in probed(&actions) {
-            actions.extend(bench.handle(reported(engine, 0.0)));
+        let mut actions = gateway.advance(50 * MILLISECOND);
+        for engine in probed_engines(&actions) {
+            actions.extend(gateway.handle(probe_answer(engine, 0.0)));
         }
-        left += targets(&actions).len();
+        sent_count += target_engines(&actions).len();
     }
-    assert!((1..=8).contains(&left), "{left} left at once");
+    assert!(
+        (1..=8).contains(&sent_count),
+        "{sent_count} queued requests sent at once"
+    );
 }
 
 #[test]
-fn work_in_flight_on_all_engines_stays_within_the_quota() {
-    let mut bench = Bench::new(wide(), &fleet());
-    let mut out = 0;
+fn threads_in_flight_on_all_engines_stay_within_the_gateways_share() {
+    let mut gateway = TestGateway::new(small_share_settings(), &fleet());
+    let mut sent_count = 0;
     for id in 0..40 {
-        let deadline = bench.now + 20 * S;
-        out += place(
-            &mut bench,
+        let deadline = gateway.now + 20 * SECOND;
+        sent_count += place_with_probes(
+            &mut gateway,
             Request {
                 group: id,
-                ..report(id, deadline, 10.0)
+                ..report_request(id, deadline, 10.0)
             },
             |_| 0.0,
         )
         .len();
     }
-    // 160 cores over 200 gateways, three threads each: 2.4 threads; the last one in may pass it.
-    assert_eq!(out, 2);
+    // 160 cores among 200 gateways at three threads per core are 2.4 threads; the last query may
+    // exceed this bound.
+    assert_eq!(sent_count, 2);
 }
 
 #[test]
-fn idle_cores_do_not_attract_queries_against_high_latency() {
-    let idle = |engine| {
+fn engine_with_idle_cores_but_high_latency_is_sent_nothing() {
+    let idle_cores_report = |engine| {
         let report = Some(LoadReport {
             cores_busy: Some(0.1),
             ..LoadReport::default()
@@ -175,134 +180,134 @@
             report,
         })
     };
-    let mut bench = Bench::new(
+    let mut gateway = TestGateway::new(
         Settings {
             max_attempts: 1,
-            ..wide()
+            ..small_share_settings()
         },
-        &[ready(1)],
+        &[ready_endpoint(1)],
     );
-    let deadline = bench.now + 20 * S;
-    bench.request(report(1, deadline, 10.0));
-    assert_eq!(targets(&bench.handle(idle(1))).len(), 1);
-    bench.now += 8 * S;
-    // Eight seconds for one second of work: the engine is jammed, whatever it says of its cores.
-    bench.end_attempt(1, 0, Outcome::Answered, 8 * S);
-    let deadline = bench.now + 20 * S;
-    let mut actions = bench.request(report(2, deadline, 10.0));
-    actions.extend(bench.handle(idle(1)));
-    assert!(targets(&actions).is_empty());
+    let deadline = gateway.now + 20 * SECOND;
+    gateway.submit(report_request(1, deadline, 10.0));
+    assert_eq!(target_engines(&gateway.handle(idle_cores_report(1))).len(), 1);
+    gateway.now += 8 * SECOND;
+    // Eight seconds for one second of work: the engine is jammed, even if its cores are idle.
+    gateway.end_attempt(1, 0, Outcome::Answered, 8 * SECOND);
+    let deadline = gateway.now + 20 * SECOND;
+    let mut actions = gateway.submit(report_request(2, deadline, 10.0));
+    actions.extend(gateway.handle(idle_cores_report(1)));
+    assert!(target_engines(&actions).is_empty());
 }
 
 #[test]
-fn failed_probe_closes_an_engine_and_an_unanswered_one_times_out() {
-    let mut bench = Bench::new(wide(), &fleet());
-    let deadline = bench.now + 20 * S;
-    let asked = probed(&bench.request(report(1, deadline, 10.0)));
-    bench.handle(reported(asked[0], 4.0));
-    let sends = targets(&bench.advance(150 * MS));
-    assert_eq!(sends, [asked[0]], "the mute one is passed over");
-    bench.handle(Event::Probed(Probed {
-        engine: asked[1],
+fn engine_with_a_failed_probe_is_avoided_and_an_unanswered_probe_times_out() {
+    let mut gateway = TestGateway::new(small_share_settings(), &fleet());
+    let deadline = gateway.now + 20 * SECOND;
+    let probed = probed_engines(&gateway.submit(report_request(1, deadline, 10.0)));
+    gateway.handle(probe_answer(probed[0], 4.0));
+    let sends = target_engines(&gateway.advance(150 * MILLISECOND));
+    assert_eq!(sends, [probed[0]], "the engine whose probe is unanswered must be skipped");
+    gateway.handle(Event::Probed(Probed {
+        engine: probed[1],
         outcome: Outcome::NoConnection,
         report: None,
     }));
-    bench.end_attempt(1, 0, Outcome::Answered, S);
+    gateway.end_attempt(1, 0, Outcome::Answered, SECOND);
     for id in 2..40 {
-        let sends = place(&mut bench, report(id, deadline, 10.0), |_| 0.0);
-        assert!(!sends.contains(&asked[1]));
+        let sends = place_with_probes(&mut gateway, report_request(id, deadline, 10.0), |_| 0.0);
+        assert!(!sends.contains(&probed[1]));
         for _ in sends.iter() {
-            drop(bench.end_attempt(id, 0, Outcome::Answered, S));
+            drop(gateway.end_attempt(id, 0, Outcome::Answered, SECOND));
         }
     }
 }
 
 #[test]
-fn probes_of_unknown_engines_and_answers_without_a_report_do_no_harm() {
-    let mut bench = Bench::new(wide(), &fleet());
-    bench.handle(reported(999, 3.0));
-    let deadline = bench.now + 20 * S;
-    let asked = probed(&bench.request(report(1, deadline, 10.0)));
+fn probe_answers_of_unknown_engines_or_without_a_report_are_handled() {
+    let mut gateway = TestGateway::new(small_share_settings(), &fleet());
+    gateway.handle(probe_answer(999, 3.0));
+    let deadline = gateway.now + 20 * SECOND;
+    let probed = probed_engines(&gateway.submit(report_request(1, deadline, 10.0)));
     let mut actions = Vec::new();
-    for engine in asked {
-        actions.extend(bench.handle(Event::Probed(Probed {
+    for engine in probed {
+        actions.extend(gateway.handle(Event::Probed(Probed {
             engine,
             outcome: Outcome::Answered,
             report: None,
         })));
     }
     assert_eq!(
-        targets(&actions).len(),
+        target_engines(&actions).len(),
         1,
-        "answered, if without a word: nothing more to wait for"
+        "both probes are answered, so the request must be sent even without reports"
     );
 }
 
 #[test]
-fn loads_avoid_the_affinity_engines_of_their_group_only_where_queries_wait_for_loads() {
-    let homes_hit = |waits: bool| {
-        let mut settings = wide();
-        settings.classes[LOOKUP].waits_for_load = waits;
-        let mut hit = 0;
+fn loads_avoid_the_affinity_engines_of_their_group_only_if_queries_wait_for_loads() {
+    let loads_on_affinity_engines = |queries_wait: bool| {
+        let mut settings = small_share_settings();
+        settings.classes[LOOKUP].waits_for_load = queries_wait;
+        let mut count = 0;
         for id in 0..60 {
-            let mut bench = Bench::new(settings.clone(), &fleet());
-            let deadline = bench.now + 20 * S;
-            let homes = probed(&bench.request(Request {
+            let mut gateway = TestGateway::new(settings.clone(), &fleet());
+            let deadline = gateway.now + 20 * SECOND;
+            let affinity_engines = probed_engines(&gateway.submit(Request {
                 group: id,
-                ..lookup(id, deadline)
+                ..lookup_request(id, deadline)
             }));
-            for &engine in homes.iter() {
-                drop(bench.handle(reported(engine, 0.0)));
+            for &engine in affinity_engines.iter() {
+                drop(gateway.handle(probe_answer(engine, 0.0)));
             }
-            let loaded = place(
-                &mut bench,
+            let load_engines = place_with_probes(
+                &mut gateway,
                 Request {
                     group: id,
-                    ..load(1_000 + id, deadline)
+                    ..load_request(1_000 + id, deadline)
                 },
                 |_| 0.0,
             );
-            hit += loaded
+            count += load_engines
                 .iter()
-                .filter(|engine| homes.contains(engine))
+                .filter(|engine| affinity_engines.contains(engine))
                 .count();
         }
-        hit
+        count
     };
-    assert_eq!(homes_hit(true), 0);
-    let hit = homes_hit(false);
-    assert!(hit > 5, "{hit} of 60");
+    assert_eq!(loads_on_affinity_engines(true), 0);
+    let count = loads_on_affinity_engines(false);
+    assert!(count > 5, "{count} of 60 loads");
 }
 
 #[test]
 fn request_that_cannot_end_in_time_is_refused_at_once() {
-    let mut bench = Bench::new(wide(), &fleet());
+    let mut gateway = TestGateway::new(small_share_settings(), &fleet());
     let heavy = Request {
-        work: Some(60.0 * S as f64),
-        ..report(1, bench.now + 15 * S, 10.0)
+        work: Some(60.0 * SECOND as f64),
+        ..report_request(1, gateway.now + 15 * SECOND, 10.0)
     };
-    let actions = bench.request(heavy);
-    assert!(probed(&actions).is_empty() && targets(&actions).is_empty());
+    let actions = gateway.submit(heavy);
+    assert!(probed_engines(&actions).is_empty() && target_engines(&actions).is_empty());
     assert!(actions
         .iter()
-        .any(|a| matches!(a, Action::Refuse { request: 1, .. })));
+        .any(|action| matches!(action, Action::Refuse { request: 1, .. })));
 }
 
 #[test]
-fn hot_group_gets_more_affinity_engines_as_soon_as_it_shows() {
-    let mut bench = Bench::new(wide(), &fleet());
+fn hot_table_group_soon_gets_more_affinity_engines() {
+    let mut gateway = TestGateway::new(small_share_settings(), &fleet());
     let mut used = BTreeMap::new();
     for id in 0..40 {
-        bench.now += 100 * MS;
-        let deadline = bench.now + 4 * S;
-        for engine in place(&mut bench, lookup(id, deadline), |_| 1.0) {
+        gateway.now += 100 * MILLISECOND;
+        let deadline = gateway.now + 4 * SECOND;
+        for engine in place_with_probes(&mut gateway, lookup_request(id, deadline), |_| 1.0) {
             *used.entry(engine).or_insert(0) += 1;
-            bench.end_attempt(id, 0, Outcome::Answered, 100 * MS);
+            gateway.end_attempt(id, 0, Outcome::Answered, 100 * MILLISECOND);
         }
     }
     assert!(
         used.len() > 5,
-        "all requests read one group, yet only {} engines serve it",
+        "all requests read one table group, but only {} engines serve it",
         used.len()
     );
 }
--- a/tests/subsetting.rs
+++ b/tests/subsetting.rs
@@ -1,4 +1,5 @@
-//! Many gateways before few engines: each keeps to an arc of the engines, and goes by own outcomes.
+//! Many gateways in front of few engines that report no load: each gateway uses a subset of the
+//! engines and judges them by the outcomes of its own attempts.
 
 mod common;
 use common::*;
@@ -8,8 +9,8 @@
 const ENGINES: u32 = 70;
 const GATEWAYS: u32 = 100;
 
-/// Queries take up to four threads of engines with twelve cores; nothing tells of load.
-fn silent(index: u32) -> Settings {
+/// Queries take up to four threads on engines with twelve cores, which report no load.
+fn settings_without_reports(index: u32) -> Settings {
     let mut settings = settings();
     (settings.counts_by_probe, settings.peers, settings.index) =
         (false, GATEWAYS as f64, Some(index as f64));
@@ -21,21 +22,21 @@
 }
 
 fn fleet() -> Vec<Endpoint> {
-    (1..=ENGINES).map(ready).collect()
+    (1..=ENGINES).map(ready_endpoint).collect()
 }
 
-/// The engines that a gateway spreads a crowd of look-ups over.
-fn used(settings: Settings, engines: &[Endpoint]) -> BTreeSet<EngineId> {
-    let mut bench = Bench::new(settings, engines);
+/// The engines that a gateway sends 40 simultaneous lookups to.
+fn used_engines(settings: Settings, engines: &[Endpoint]) -> BTreeSet<EngineId> {
+    let mut gateway = TestGateway::new(settings, engines);
     let mut used = BTreeSet::new();
     for id in 0..40 {
-        let deadline = bench.now + 4 * S;
-        let asked = Request {
+        let deadline = gateway.now + 4 * SECOND;
+        let request = Request {
             group: id,
-            ..lookup(id, deadline)
+            ..lookup_request(id, deadline)
         };
         used.extend(
-            sent(&bench.request(asked))
+            sent_attempts(&gateway.submit(request))
                 .into_iter()
                 .map(|(_, engine)| engine),
         );
@@ -47,137 +48,137 @@
 fn subsets_cover_all_engines_and_leave_each_gateway_room_for_a_query() {
     let mut gateways: BTreeMap<EngineId, u32> = BTreeMap::new();
     for index in 0..GATEWAYS {
-        let own = used(silent(index), &fleet());
+        let subset = used_engines(settings_without_reports(index), &fleet());
         assert!(
-            (2..=4).contains(&own.len()),
-            "gateway {index} spreads over {} engines",
-            own.len()
+            (2..=4).contains(&subset.len()),
+            "gateway {index} uses {} engines",
+            subset.len()
         );
-        for engine in own {
+        for engine in subset {
             *gateways.entry(engine).or_default() += 1;
         }
     }
     assert_eq!(
         gateways.len(),
         ENGINES as usize,
-        "some engines are nobody's"
+        "some engines are in no subset"
     );
-    // Two threads a core of twelve cores are six queries of four threads.
+    // Two threads per core on twelve cores are six queries of four threads.
     assert!(gateways.values().all(|&count| count <= 6), "{gateways:?}");
 }
 
 #[test]
 fn next_engine_on_the_ring_replaces_a_removed_one() {
-    let before = used(silent(0), &fleet());
-    let gone = *before.first().unwrap();
-    let left: Vec<Endpoint> = fleet()
+    let before = used_engines(settings_without_reports(0), &fleet());
+    let removed = *before.first().unwrap();
+    let remaining: Vec<Endpoint> = fleet()
         .into_iter()
-        .filter(|entry| entry.engine != gone)
+        .filter(|endpoint| endpoint.engine != removed)
         .collect();
-    let after = used(silent(0), &left);
+    let after = used_engines(settings_without_reports(0), &remaining);
     assert_eq!(after.len(), before.len());
     assert_eq!(
         after.intersection(&before).count(),
         before.len() - 1,
-        "the others stay"
+        "the other engines of the subset must stay"
     );
 }
 
 #[test]
-fn all_engines_are_used_with_counts_from_probes_or_too_few_engines_for_subsets() {
-    let far = |settings: Settings, engines: &[Endpoint]| {
-        let mut asked = BTreeSet::new();
+fn all_engines_are_used_if_probes_report_counts_or_engines_are_too_few_for_subsets() {
+    let used_count = |settings: Settings, engines: &[Endpoint]| {
+        let mut used = BTreeSet::new();
         for id in 0..60 {
-            let mut bench = Bench::new(settings.clone(), engines);
-            let deadline = bench.now + 4 * S;
-            let actions = bench.request(Request {
+            let mut gateway = TestGateway::new(settings.clone(), engines);
+            let deadline = gateway.now + 4 * SECOND;
+            let actions = gateway.submit(Request {
                 group: id,
-                ..lookup(id, deadline)
+                ..lookup_request(id, deadline)
             });
-            asked.extend(sent(&actions).into_iter().map(|(_, engine)| engine));
+            used.extend(sent_attempts(&actions).into_iter().map(|(_, engine)| engine));
         }
-        asked.len()
+        used.len()
     };
     assert!(
-        far(
+        used_count(
             Settings {
                 counts_by_probe: true,
-                ..silent(0)
+                ..settings_without_reports(0)
             },
             &fleet()
         ) > 20
     );
     assert!(
-        far(silent(0), &fleet()[..12]) > 8,
-        "arcs of twelve engines for a hundred would be slivers again"
+        used_count(settings_without_reports(0), &fleet()[..12]) > 8,
+        "with twelve engines for a hundred gateways, even a subset's share is too small for a query"
     );
 }
 
-/// Engines take one to three times the ideal time, as chance has it, and are far from full. What a
-/// gateway holds of an engine must not rest on a single slow answer that it then never checks.
+/// Engines are far from full and take one to three times the ideal time at random. A gateway that
+/// avoided an engine after one slow answer would never correct this, and would refuse requests.
 #[test]
-fn low_load_without_reports_is_served() {
-    let mut bench = Bench::new(silent(3), &fleet());
-    let (mut out, mut refused_count): (Vec<(Micros, RequestId, Micros)>, usize) =
+fn low_load_is_served_without_load_reports() {
+    let mut gateway = TestGateway::new(settings_without_reports(3), &fleet());
+    let (mut in_flight, mut refused_count): (Vec<(Micros, RequestId, Micros)>, usize) =
         Default::default();
     for id in 0..600 {
-        let until = bench.now + 100 * MS;
-        out.sort_unstable();
-        while out.first().is_some_and(|own| own.0 <= until) {
-            let (at, id, spent) = out.remove(0);
-            let wait = at.saturating_sub(bench.now);
-            refused_count += refused(&bench.advance(wait)).len();
-            bench.end_attempt(id, 0, Outcome::Answered, spent);
+        let until = gateway.now + 100 * MILLISECOND;
+        in_flight.sort_unstable();
+        while in_flight.first().is_some_and(|attempt| attempt.0 <= until) {
+            let (at, id, spent) = in_flight.remove(0);
+            let wait = at.saturating_sub(gateway.now);
+            refused_count += refused_requests(&gateway.advance(wait)).len();
+            gateway.end_attempt(id, 0, Outcome::Answered, spent);
         }
-        let wait = until - bench.now;
-        refused_count += refused(&bench.advance(wait)).len();
-        let deadline = bench.now + 4 * S;
-        let actions = bench.request(Request {
+        let wait = until - gateway.now;
+        refused_count += refused_requests(&gateway.advance(wait)).len();
+        let deadline = gateway.now + 4 * SECOND;
+        let actions = gateway.submit(Request {
             group: id % 50,
-            ..lookup(id, deadline)
+            ..lookup_request(id, deadline)
         });
-        refused_count += refused(&actions).len();
-        let spent = 100 * MS * (1 + id * 7 % 3);
-        out.extend(
-            sent(&actions)
+        refused_count += refused_requests(&actions).len();
+        let spent = 100 * MILLISECOND * (1 + id * 7 % 3);
+        in_flight.extend(
+            sent_attempts(&actions)
                 .into_iter()
-                .map(|(id, _)| (bench.now + spent, id, spent)),
+                .map(|(id, _)| (gateway.now + spent, id, spent)),
         );
     }
-    assert!(refused_count < 30, "{refused_count} of 600 turned away");
+    assert!(refused_count < 30, "{refused_count} of 600 requests refused");
 }
 
-/// Look-ups run at the highest rank: a report that fills this gateway's share of its engines must
-/// not keep them.
+/// Dashboards run at the highest rank, so reports that fill this gateway's share of an engine must
+/// not keep them in the queue.
 #[test]
-fn dashboards_are_not_held_behind_reports_unless_the_engine_is_jammed() {
-    let fits = |may_cancel: bool, spent: Micros| {
+fn dashboards_are_not_queued_behind_reports_unless_the_engine_is_jammed() {
+    let admits_lookup = |may_cancel: bool, spent: Micros| {
         let settings = Settings {
             may_cancel,
             peers: 4.0,
-            ..silent(0)
+            ..settings_without_reports(0)
         };
-        let mut bench = Bench::new(settings, &[ready(1)]);
+        let mut gateway = TestGateway::new(settings, &[ready_endpoint(1)]);
         for id in 0..2 {
-            let deadline = bench.now + 20 * S;
-            let asked = if id == 0 {
-                lookup(id, deadline)
+            let deadline = gateway.now + 20 * SECOND;
+            let request = if id == 0 {
+                lookup_request(id, deadline)
             } else {
-                report(id, deadline, 100.0)
+                report_request(id, deadline, 100.0)
             };
-            bench.request(asked);
-            bench.advance(spent);
-            bench.end_attempt(id, 0, Outcome::Answered, spent);
+            gateway.submit(request);
+            gateway.advance(spent);
+            gateway.end_attempt(id, 0, Outcome::Answered, spent);
         }
         for id in 2..5 {
-            let deadline = bench.now + 20 * S;
-            bench.request(report(id, deadline, 100.0));
+            let deadline = gateway.now + 20 * SECOND;
+            gateway.submit(report_request(id, deadline, 100.0));
         }
-        let deadline = bench.now + 4 * S;
-        !sent(&bench.request(lookup(9, deadline))).is_empty()
+        let deadline = gateway.now + 4 * SECOND;
+        !sent_attempts(&gateway.submit(lookup_request(9, deadline))).is_empty()
     };
-    assert!(fits(true, 100 * MS), "kept behind reports");
-    assert!(fits(false, 100 * MS), "kept behind reports");
-    assert!(!fits(true, 15 * S), "sent into a jam");
-    assert!(!fits(false, 15 * S), "sent into a jam");
+    assert!(admits_lookup(true, 100 * MILLISECOND), "queued behind reports");
+    assert!(admits_lookup(false, 100 * MILLISECOND), "queued behind reports");
+    assert!(!admits_lookup(true, 15 * SECOND), "sent to a jammed engine");
+    assert!(!admits_lookup(false, 15 * SECOND), "sent to a jammed engine");
 }
--- a/tests/visits.rs
+++ b/tests/visits.rs
@@ -1,75 +1,77 @@
-//! What a decision visits doesn't grow with the fleet: counts, at 80 engines and at 4,100, gateways
-//! in proportion.
+//! The number of engines that a decision visits doesn't grow with the fleet: it is counted in
+//! fleets of 80 to 4,100 engines, with gateways in proportion.
 
 mod common;
 use common::*;
 use eideryard::interface::*;
 
-/// Engines, and 2.4 of them to each gateway.
+/// Number of engines and of gateways: 2.4 engines per gateway.
 const FLEETS: [(u32, f64); 3] = [(80, 34.0), (800, 334.0), (4_100, 1_709.0)];
 const REQUESTS: u64 = 200;
-/// What counts as alike: subsets are whole numbers of engines, and how many requests wait is drawn.
-const ALIKE: f64 = 1.25;
+/// Largest ratio of two counts that count as equal: subsets are whole numbers of engines, and the
+/// number of waiting requests is random.
+const MAX_RATIO: f64 = 1.25;
 
-fn bench(engines: u32, peers: f64) -> Bench {
+fn new_gateway(engines: u32, peers: f64) -> TestGateway {
     let mut settings = settings();
     (settings.counts_by_probe, settings.peers, settings.index) = (false, peers, Some(1.0));
-    let all: Vec<Endpoint> = (1..=engines).map(ready).collect();
-    Bench::new(settings, &all)
+    let all: Vec<Endpoint> = (1..=engines).map(ready_endpoint).collect();
+    TestGateway::new(settings, &all)
 }
 
-/// Visits a request while engines answer, and while none does and requests wait and are shed.
-fn visits(engines: u32, peers: f64) -> [f64; 2] {
-    let mut bench = bench(engines, peers);
-    let mut counted = |answered: bool| {
-        let before = bench.balancer.engine_visits();
+/// Visits per request while engines answer, and while none answers, so that requests wait and are
+/// shed.
+fn visits_per_request(engines: u32, peers: f64) -> [f64; 2] {
+    let mut gateway = new_gateway(engines, peers);
+    let mut count = |answered: bool| {
+        let before = gateway.balancer.engine_visits();
         for number in 0..REQUESTS {
             let id = number + if answered { 0 } else { REQUESTS };
-            let actions = bench.request(Request {
+            let actions = gateway.submit(Request {
                 group: id,
-                ..lookup(id, bench.now + 4 * S)
+                ..lookup_request(id, gateway.now + 4 * SECOND)
             });
-            bench.advance(10 * MS);
-            for (request, _) in sent(&actions).into_iter().filter(|_| answered) {
-                bench.end_attempt(request, 0, Outcome::Answered, 10 * MS);
+            gateway.advance(10 * MILLISECOND);
+            for (request, _) in sent_attempts(&actions).into_iter().filter(|_| answered) {
+                gateway.end_attempt(request, 0, Outcome::Answered, 10 * MILLISECOND);
             }
         }
-        (bench.balancer.engine_visits() - before) as f64 / REQUESTS as f64
+        (gateway.balancer.engine_visits() - before) as f64 / REQUESTS as f64
     };
-    [counted(true), counted(false)]
+    [count(true), count(false)]
 }
 
 #[test]
-fn decision_visits_as_many_engines_in_a_fleet_of_any_size() {
-    let counted = FLEETS.map(|(engines, peers)| visits(engines, peers));
-    for (phase, name) in ["answered", "held"].iter().enumerate() {
-        let least = counted
+fn decision_visits_the_same_number_of_engines_in_a_fleet_of_any_size() {
+    let counts = FLEETS.map(|(engines, peers)| visits_per_request(engines, peers));
+    for (phase, name) in ["answered", "unanswered"].iter().enumerate() {
+        let min = counts
             .iter()
-            .map(|own| own[phase])
+            .map(|fleet| fleet[phase])
             .fold(f64::INFINITY, f64::min);
-        let most = counted.iter().map(|own| own[phase]).fold(0.0, f64::max);
-        assert!(most <= ALIKE * least, "{name}: {counted:?}");
-        assert!(least >= 2.0, "{name}: something is looked at: {counted:?}");
+        let max = counts.iter().map(|fleet| fleet[phase]).fold(0.0, f64::max);
+        assert!(max <= MAX_RATIO * min, "{name}: {counts:?}");
+        assert!(min >= 2.0, "{name}: too few engines visited: {counts:?}");
     }
 }
 
 #[test]
-fn a_change_of_the_list_visits_the_engines_that_it_names() {
-    let counted = FLEETS.map(|(engines, peers)| {
-        let mut bench = bench(engines, peers);
-        let before = bench.balancer.engine_visits();
+fn list_change_visits_only_the_engines_that_it_names() {
+    let counts = FLEETS.map(|(engines, peers)| {
+        let mut gateway = new_gateway(engines, peers);
+        let before = gateway.balancer.engine_visits();
         for engine in 1..=20 {
-            let entry = Endpoint {
+            let endpoint = Endpoint {
                 phase: Phase::Draining,
-                ..ready(engine)
+                ..ready_endpoint(engine)
             };
-            bench.handle(Event::EndpointChanges(vec![entry]));
+            gateway.handle(Event::EndpointChanges(vec![endpoint]));
         }
-        bench.balancer.engine_visits() - before
+        gateway.balancer.engine_visits() - before
     });
-    let least = counted.iter().min().copied().unwrap_or(0);
+    let min = counts.iter().min().copied().unwrap_or(0);
     assert!(
-        counted.iter().all(|&own| own <= least + least / 4),
-        "{counted:?}"
+        counts.iter().all(|&count| count <= min + min / 4),
+        "{counts:?}"
     );
 }
