--- a/crates/fleet-test/src/cold_sum.rs
+++ b/crates/fleet-test/src/cold_sum.rs
@@ -216,7 +216,7 @@
     fn module(&mut self, index: usize, life: u32) -> Balancer {
         let told = self.seed.is_multiple_of(2);
         let set = Settings {
-            index: told.then_some(index as f64),
+            gateway_index: told.then_some(index as f64),
             ..self.set.clone()
         };
         Balancer::new(set, self.rng.random::<u64>() ^ u64::from(life), self.now)
--- a/crates/fleet-test/src/cold_sum/settings.rs
+++ b/crates/fleet-test/src/cold_sum/settings.rs
@@ -15,7 +15,7 @@
             memory_mb: 16_000.0,
         }],
         peers: gateways as f64,
-        index: None,
+        gateway_index: None,
         zone: 0,
         tick: 5_000,
         discovery: Discovery::Push,
--- a/crates/fleet-test/src/scale/decisions.rs
+++ b/crates/fleet-test/src/scale/decisions.rs
@@ -173,7 +173,7 @@
             memory_mb: 64_000.0,
         }],
         peers: fleet.gateways as f64,
-        index: Some(index as f64),
+        gateway_index: Some(index as f64),
         zone: 0,
         tick: 1_000,
         discovery: Discovery::Push,
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -91,7 +91,7 @@
             .field("tenants", &tenants)
             .field("kinds", &kinds)
             .field("peers", &settings.peers)
-            .field("index", &settings.index)
+            .field("index", &settings.gateway_index)
             .field("zone", &settings.zone)
             .field("tick", &settings.tick)
             .field("discovery", &Bare(discovery_name(settings.discovery)))
--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -19,7 +19,7 @@
         tenants: read_tenants(tree)?,
         kinds: read_kinds(tree)?,
         peers: tree.number_or("peers-total", 1.0)?,
-        index: tree.optional("self-index")?,
+        gateway_index: tree.optional("self-index")?,
         zone: tree.number_or("az", 0)?,
         tick: tree.number_or("tick-us", 1_000)?,
         discovery: read_discovery(tree),
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -85,7 +85,7 @@
     /// actions.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let ring_position = match settings.index {
+        let ring_position = match settings.gateway_index {
             Some(index) => index / settings.peers,
             None => rng.f64(),
         };
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -107,7 +107,7 @@
     pub peers: f64,
     /// Index of this gateway among `peers`, from 0; `None`: unknown, so its subset of the engines
     /// starts at a random position.
-    pub index: Option<f64>,
+    pub gateway_index: Option<f64>,
     /// Zone that this gateway runs in.
     pub zone: u32,
     /// Resolution of the timers of the platform; margins and the maintenance interval are multiples
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -51,7 +51,7 @@
             },
         ],
         peers: 1.0,
-        index: Some(0.0),
+        gateway_index: Some(0.0),
         zone: 0,
         tick: 5 * MILLISECOND,
         discovery: Discovery::Push,
--- a/tests/subsetting.rs
+++ b/tests/subsetting.rs
@@ -12,7 +12,7 @@
 /// Queries take up to four threads on engines with twelve cores, which report no load.
 fn settings_without_reports(index: u32) -> Settings {
     let mut settings = settings();
-    (settings.counts_by_probe, settings.peers, settings.index) =
+    (settings.counts_by_probe, settings.peers, settings.gateway_index) =
         (false, GATEWAYS as f64, Some(index as f64));
     for kind in &mut settings.kinds {
         kind.cores = 12.0;
