--- a/crates/event-log/src/codec/attempt.rs
+++ b/crates/event-log/src/codec/attempt.rs
@@ -1,6 +1,6 @@
 //! Progress and ends of attempts, probes and load reports, within events of the decision module.
 
-use eideryard::interface::{AttemptEnded, LoadReport, Outcome, Probed, Progress, ResourceUsage};
+use eideryard::interface::{AttemptEnded, LoadReport, Outcome, ProbeEnded, Progress, ResourceUsage};
 
 use super::primitives::{value_at, Decoder, Encoder};
 use super::{kind, DecodeError, Decoded};
@@ -68,7 +68,7 @@
         kind::ATTEMPT_ENDED
     }
 
-    pub(super) fn put_probed(&mut self, probed: &Probed) -> u8 {
+    pub(super) fn put_probed(&mut self, probed: &ProbeEnded) -> u8 {
         self.put_engine(probed.engine);
         self.put_byte(outcome_number(probed.outcome));
         self.put_load_report(probed.report.as_ref());
@@ -135,8 +135,8 @@
         })
     }
 
-    pub(super) fn read_probed(&mut self) -> Decoded<Probed> {
-        Ok(Probed {
+    pub(super) fn read_probed(&mut self) -> Decoded<ProbeEnded> {
+        Ok(ProbeEnded {
             engine: self.read_engine()?,
             outcome: self.read_one_of(&OUTCOMES)?,
             report: self.read_load_report()?,
--- a/crates/event-log/src/codec/event.rs
+++ b/crates/event-log/src/codec/event.rs
@@ -55,7 +55,7 @@
             kind::PROGRESS_REPORTED
         }
         Event::AttemptEnded(ended) => encoder.put_attempt_ended(ended),
-        Event::Probed(probed) => encoder.put_probed(probed),
+        Event::ProbeEnded(probed) => encoder.put_probed(probed),
         Event::ClientLeft { request } => {
             encoder.put_request(*request);
             kind::CLIENT_LEFT
@@ -93,7 +93,7 @@
             progress: decoder.read_progress()?,
         },
         kind::ATTEMPT_ENDED => Event::AttemptEnded(decoder.read_attempt_ended()?),
-        kind::PROBED => Event::Probed(decoder.read_probed()?),
+        kind::PROBED => Event::ProbeEnded(decoder.read_probed()?),
         kind::CLIENT_LEFT => Event::ClientLeft {
             request: decoder.read_request()?,
         },
--- a/crates/event-log/src/text/event.rs
+++ b/crates/event-log/src/text/event.rs
@@ -4,7 +4,7 @@
 
 use eideryard::interface::{
     AttemptEnded, ClassEstimates, Endpoint, EngineEstimates, Event, LearnedState, LoadReport,
-    PriorAttempt, Probed, Progress, Request, ResourceUsage,
+    PriorAttempt, ProbeEnded, Progress, Request, ResourceUsage,
 };
 
 use super::names::{outcome_name, phase_name};
@@ -52,7 +52,7 @@
                 write_struct(f, "Noted", &fields)
             }
             Event::AttemptEnded(ended) => write_tuple(f, "Ended", &AttemptEndedText(ended)),
-            Event::Probed(probed) => write_tuple(f, "Probed", &ProbedText(probed)),
+            Event::ProbeEnded(probed) => write_tuple(f, "Probed", &ProbeEndedText(probed)),
             Event::ClientLeft { request } => write_struct(f, "ClientLeft", &[("request", request)]),
             Event::Timer { tag } => write_struct(f, "Timer", &[("tag", tag)]),
         }
@@ -235,9 +235,9 @@
     }
 }
 
-struct ProbedText<'a>(&'a Probed);
+struct ProbeEndedText<'a>(&'a ProbeEnded);
 
-impl Debug for ProbedText<'_> {
+impl Debug for ProbeEndedText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let probed = self.0;
         f.debug_struct("Probed")
--- a/crates/event-log/tests/common/random_entries.rs
+++ b/crates/event-log/tests/common/random_entries.rs
@@ -1,7 +1,7 @@
 //! Random entries from a seed.
 
 use eideryard::interface::{
-    Action, AttemptEnded, Event, LoadReport, Micros, Outcome, Phase, Probed, Progress, Request,
+    Action, AttemptEnded, Event, LoadReport, Micros, Outcome, Phase, ProbeEnded, Progress, Request,
     RequestId, ResourceUsage,
 };
 use eideryard_event_log::*;
@@ -196,7 +196,7 @@
             }),
             report: report(rng),
         })),
-        13 => Entry::Event(Event::Probed(Probed {
+        13 => Entry::Event(Event::ProbeEnded(ProbeEnded {
             engine: rng.u32(..),
             outcome: outcome(rng),
             report: report(rng),
--- a/crates/fleet-test/src/cold_sum.rs
+++ b/crates/fleet-test/src/cold_sum.rs
@@ -386,12 +386,12 @@
                 }
                 Action::Probe { engine } => {
                     let report = self.report(engine);
-                    let probed = Probed {
+                    let probed = ProbeEnded {
                         engine,
                         outcome: Outcome::Answered,
                         report,
                     };
-                    self.tell(gateway, Event::Probed(probed));
+                    self.tell(gateway, Event::ProbeEnded(probed));
                 }
                 _ => {}
             }
--- a/crates/fleet-test/src/scale/node.rs
+++ b/crates/fleet-test/src/scale/node.rs
@@ -207,12 +207,12 @@
                         in_flight: Some(1.0),
                         ..LoadReport::default()
                     };
-                    let probed = Probed {
+                    let probed = ProbeEnded {
                         engine,
                         outcome: Outcome::Answered,
                         report: Some(report),
                     };
-                    self.handle(Event::Probed(probed));
+                    self.handle(Event::ProbeEnded(probed));
                 }
                 _ => {}
             }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use eideryard::balancer::Balancer;
-use eideryard::interface::{Action, Endpoint, EngineId, Event, Micros, Outcome, Probed};
+use eideryard::interface::{Action, Endpoint, EngineId, Event, Micros, Outcome, ProbeEnded};
 use eideryard_event_log::{HostEvent, ListedEngine};
 
 use crate::clients::{ClientContext, ClientEvent, Clients};
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -79,7 +79,7 @@
     }
 
     fn add_probed(&mut self, engine: EngineId, outcome: Outcome, report: Option<LoadReport>) {
-        self.events.push_back(Event::Probed(Probed {
+        self.events.push_back(Event::ProbeEnded(ProbeEnded {
             engine,
             outcome,
             report,
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -1,6 +1,6 @@
 //! The way of an engine's answers: results go to clients, the ends of attempts to the balancer.
 
-use eideryard::interface::{AttemptEnded, Event, Outcome, Probed};
+use eideryard::interface::{AttemptEnded, Event, Outcome, ProbeEnded};
 use eideryard_event_log::AnswerKind;
 use eideryard_msgpack_rpc::write_result;
 
@@ -43,7 +43,7 @@
                     {
                         intent_durability.publish_report(now, engine, report);
                     }
-                    self.events.push_back(Event::Probed(Probed {
+                    self.events.push_back(Event::ProbeEnded(ProbeEnded {
                         engine,
                         outcome,
                         report,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,7 +1,7 @@
 //! Parses lines of the protocol into events of the balancer.
 
 use eideryard::interface::{
-    AttemptEnded, Event, LoadReport, Outcome, Probed, Progress, Request, RequestId, ResourceUsage,
+    AttemptEnded, Event, LoadReport, Outcome, ProbeEnded, Progress, Request, RequestId, ResourceUsage,
 };
 use eideryard_settings::set_reported_value;
 
@@ -44,7 +44,7 @@
         },
         "HINT_UPDATE" => return parse_progress(line),
         "FINISHED" => Event::AttemptEnded(parse_attempt_ended(line)?),
-        "PROBE_DONE" => Event::Probed(Probed {
+        "PROBE_DONE" => Event::ProbeEnded(ProbeEnded {
             engine: line.required("engine")?,
             outcome: parse_outcome(line)?,
             report: parse_load_report(line)?,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -150,7 +150,7 @@
                 progress,
             } => self.on_progress(request, attempt, progress),
             Event::StreamBegan { request } => self.mark_streaming(request),
-            Event::Probed(probed) => self.on_probed(&probed),
+            Event::ProbeEnded(probed) => self.on_probed(&probed),
             Event::ClientLeft { request } => self.close_request(request),
             Event::Timer {
                 tag: MAINTENANCE_TAG,
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -5,7 +5,7 @@
 use super::outlier_detection::{Symptom, SHORT_PAUSE};
 use super::{Balancer, MAINTENANCE_TICKS};
 use crate::engine_state::AttemptKey;
-use crate::interface::{EngineId, LoadReport, Micros, Outcome, Probed};
+use crate::interface::{EngineId, LoadReport, Micros, Outcome, ProbeEnded};
 
 impl Balancer {
     pub(super) fn record_activity(&mut self, engine: EngineId) {
@@ -73,7 +73,7 @@
 
     /// Takes in how a probe ended: its report counts, a failure closes the engine for a while. That
     /// the process runs proves nothing of its queries, so an answer is no good outcome.
-    pub(super) fn on_probed(&mut self, probed: &Probed) {
+    pub(super) fn on_probed(&mut self, probed: &ProbeEnded) {
         let pause_ends = self.now + self.engine_pause();
         let Some(engine) = self.engines.get_mut(&probed.engine) else {
             return;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -17,7 +17,7 @@
 pub use endpoints::{Endpoint, Phase};
 pub use events::Event;
 pub use learned_state::{ClassEstimates, EngineEstimates, LearnedState};
-pub use outcomes::{AttemptEnded, LoadReport, Outcome, Probed, Progress, ResourceUsage};
+pub use outcomes::{AttemptEnded, LoadReport, Outcome, ProbeEnded, Progress, ResourceUsage};
 pub use requests::{request_timer_tag, PriorAttempt, Request, RequestId};
 pub use settings::{
     Class, Discovery, Effect, MachineKind, RetryBudgetSettings, Scope, Settings, Tenant,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,7 +1,7 @@
 //! Events that a host reports to the balancer.
 
 use super::{
-    AttemptEnded, Endpoint, LearnedState, Micros, PriorAttempt, Probed, Progress, Request,
+    AttemptEnded, Endpoint, LearnedState, Micros, PriorAttempt, ProbeEnded, Progress, Request,
     RequestId,
 };
 
@@ -50,7 +50,7 @@
     /// An attempt ended, with or without an answer.
     AttemptEnded(AttemptEnded),
     /// A probe ended, with or without an answer.
-    Probed(Probed),
+    ProbeEnded(ProbeEnded),
     /// A client cancelled its request or disconnected.
     ClientLeft {
         /// Request that no longer needs an answer.
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -85,7 +85,7 @@
 /// The end of a probe. An answer proves only that the engine's process runs, not that it can answer
 /// queries.
 #[derive(Clone, Copy, Debug)]
-pub struct Probed {
+pub struct ProbeEnded {
     /// Engine that was probed.
     pub engine: EngineId,
     /// Outcome of the probe itself.
--- a/tests/common/small_shares.rs
+++ b/tests/common/small_shares.rs
@@ -42,7 +42,7 @@
         in_flight: Some(in_flight),
         ..LoadReport::default()
     });
-    Event::Probed(Probed {
+    Event::ProbeEnded(ProbeEnded {
         engine,
         outcome: Outcome::Answered,
         report,
--- a/tests/properties/scenario.rs
+++ b/tests/properties/scenario.rs
@@ -219,7 +219,7 @@
                     in_flight: Some(1.0),
                     ..LoadReport::default()
                 };
-                self.gateway.handle(Event::Probed(Probed {
+                self.gateway.handle(Event::ProbeEnded(ProbeEnded {
                     engine,
                     outcome: Outcome::Answered,
                     report: Some(report),
--- a/tests/small_shares.rs
+++ b/tests/small_shares.rs
@@ -174,7 +174,7 @@
             cores_busy: Some(0.1),
             ..LoadReport::default()
         });
-        Event::Probed(Probed {
+        Event::ProbeEnded(ProbeEnded {
             engine,
             outcome: Outcome::Answered,
             report,
@@ -207,7 +207,7 @@
     gateway.handle(probe_answer(probed[0], 4.0));
     let sends = target_engines(&gateway.advance(150 * MILLISECOND));
     assert_eq!(sends, [probed[0]], "the engine whose probe is unanswered must be skipped");
-    gateway.handle(Event::Probed(Probed {
+    gateway.handle(Event::ProbeEnded(ProbeEnded {
         engine: probed[1],
         outcome: Outcome::NoConnection,
         report: None,
@@ -230,7 +230,7 @@
     let probed = probed_engines(&gateway.submit(report_request(1, deadline, 10.0)));
     let mut actions = Vec::new();
     for engine in probed {
-        actions.extend(gateway.handle(Event::Probed(Probed {
+        actions.extend(gateway.handle(Event::ProbeEnded(ProbeEnded {
             engine,
             outcome: Outcome::Answered,
             report: None,
