--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -123,9 +123,9 @@
     let connections = (config.sockets / 2).saturating_sub(OTHER_DESCRIPTORS);
     Limits {
         dial_timeout: config.host.dial_timeout,
-        idle: config.host.idle,
+        idle: config.host.idle_timeout,
         progress_interval: config.settings.progress_interval,
-        streams: config.host.streams,
+        streams: config.host.max_streams,
         connections: connections.max(1),
     }
 }
--- a/crates/settings/src/host_settings.rs
+++ b/crates/settings/src/host_settings.rs
@@ -24,9 +24,9 @@
     /// Time limit on establishing a connection; after it the connection counts as refused.
     pub dial_timeout: Micros,
     /// Time after which idle connections are closed; 0: they stay open.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Largest number of attempts in flight on one connection; at least 1.
-    pub streams: usize,
+    pub max_streams: usize,
 }
 
 /// Reads the settings of a host with network connections. Request classes and the time limit on
@@ -50,8 +50,8 @@
         kinds: tree.names("kinds"),
         longest_wait: read_longest_wait(tree, class_count)?,
         dial_timeout: read_dial_timeout(tree)?,
-        idle: tree.number_or("limits.conn-idle-us", 0)?,
-        streams: tree
+        idle_timeout: tree.number_or("limits.conn-idle-us", 0)?,
+        max_streams: tree
             .number_or("limits.streams-per-conn", usize::MAX)?
             .max(1),
     })
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -80,7 +80,7 @@
     );
     let host = read_host_settings(&pairs()).unwrap();
     assert_eq!(
-        (host.longest_wait, host.dial_timeout, host.streams),
+        (host.longest_wait, host.dial_timeout, host.max_streams),
         (15_000_000, 250_000, 100)
     );
     assert_eq!(
