--- a/crates/settings/tests/words.rs
+++ b/crates/settings/tests/words.rs
@@ -53,7 +53,7 @@
 ];
 
 /// A value that is neither a number nor a Boolean nor the name of a zone or kind.
-const UNUSABLE: &str = "unusable";
+const INVALID_VALUE: &str = "unusable";
 
 /// Settings with one class, one tenant and a retry budget, in which `key` is set to `value`.
 fn tree_with<'a>(key: &'a str, value: &'a str) -> SettingsTree {
@@ -71,13 +71,13 @@
 #[test]
 fn invalid_value_is_reported_under_its_key() {
     let expected =
-        |key: &str| format!("setting '{key}' has the value '{UNUSABLE}', which is not valid");
+        |key: &str| format!("setting '{key}' has the value '{INVALID_VALUE}', which is not valid");
     for key in BALANCER_KEYS.into_iter().chain(["tariffs.probe"]) {
-        let error = read_settings(&tree_with(key, UNUSABLE)).expect_err(key);
+        let error = read_settings(&tree_with(key, INVALID_VALUE)).expect_err(key);
         assert_eq!(error.to_string(), expected(key));
     }
     for key in HOST_KEYS {
-        let error = read_host_settings(&tree_with(key, UNUSABLE)).expect_err(key);
+        let error = read_host_settings(&tree_with(key, INVALID_VALUE)).expect_err(key);
         assert_eq!(error.to_string(), expected(key));
     }
 }
--- a/tests/small_shares.rs
+++ b/tests/small_shares.rs
@@ -19,7 +19,7 @@
         assert_eq!(
             probed.len(),
             2,
-            "two engines must be probed"
+            "two engines must be probed before the request is sent"
         );
         assert!(target_engines(&gateway.handle(probe_answer(probed[0], 7.0))).is_empty());
         assert_eq!(target_engines(&gateway.handle(probe_answer(probed[1], 1.0))), [probed[1]]);
