--- a/crates/event-log/src/codec/attempt.rs
+++ b/crates/event-log/src/codec/attempt.rs
@@ -1,6 +1,8 @@
 //! Progress and ends of attempts, probes and load reports, within events of the decision module.
 
-use eideryard::interface::{AttemptEnded, LoadReport, Outcome, ProbeEnded, Progress, ResourceUsage};
+use eideryard::interface::{
+    AttemptEnded, LoadReport, Outcome, ProbeEnded, Progress, ResourceUsage,
+};
 
 use super::primitives::{value_at, Decoder, Encoder};
 use super::{kind, DecodeError, Decoded};
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -59,7 +59,12 @@
 fn keys_set_their_fields() {
     let settings = read_settings(&pairs()).unwrap();
     assert_eq!(
-        (settings.zone, settings.peers, settings.tick, settings.max_attempts),
+        (
+            settings.zone,
+            settings.peers,
+            settings.tick,
+            settings.max_attempts
+        ),
         (1, 3.0, 5000, 4)
     );
     assert!(
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,7 +1,8 @@
 //! Parses lines of the protocol into events of the balancer.
 
 use eideryard::interface::{
-    AttemptEnded, Event, LoadReport, Outcome, ProbeEnded, Progress, Request, RequestId, ResourceUsage,
+    AttemptEnded, Event, LoadReport, Outcome, ProbeEnded, Progress, Request, RequestId,
+    ResourceUsage,
 };
 use eideryard_settings::set_reported_value;
 
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -147,7 +147,12 @@
                     recent_request(&mut rng, ids)
                 )
                 .unwrap(),
-                3 => writeln!(input, "ACK_FIRST who={who} call={}", recent_request(&mut rng, ids)).unwrap(),
+                3 => writeln!(
+                    input,
+                    "ACK_FIRST who={who} call={}",
+                    recent_request(&mut rng, ids)
+                )
+                .unwrap(),
                 4 => writeln!(input, "ELAPSED who={who} tag=0").unwrap(),
                 _ => write_finished(&mut input, &mut rng, who, ids),
             }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -134,12 +134,20 @@
             .map(str::to_string)
             .collect::<Vec<_>>()
     };
-    assert_eq!(lines_of_instance_3(&alone), lines_of_instance_3(&with_other));
+    assert_eq!(
+        lines_of_instance_3(&alone),
+        lines_of_instance_3(&with_other)
+    );
 }
 
 #[test]
 fn malformed_input_ends_the_adapter_with_one_line_that_names_it() {
-    let batch = |lines: &str| format!("FRAME wall-us=1000000 turn=1\n{}{lines}\nGO\n", enlist_lines(3));
+    let batch = |lines: &str| {
+        format!(
+            "FRAME wall-us=1000000 turn=1\n{}{lines}\nGO\n",
+            enlist_lines(3)
+        )
+    };
     assert!(error_line(&batch("CALL who=3 call=x kind=0 client-deadline-us=1")).contains("'call'"));
     assert!(error_line(&batch("CALL who=3 call=1 kind=0")).contains("'client-deadline-us'"));
     assert!(error_line(&batch(
@@ -150,15 +158,21 @@
         error_line(&batch("CALL who=8 call=1 kind=0 client-deadline-us=1"))
             .contains("no instance 8")
     );
-    assert!(error_line(&batch("CALL who=3 call")).contains("expected a field of the form name=value, found 'call'"));
+    assert!(error_line(&batch("CALL who=3 call"))
+        .contains("expected a field of the form name=value, found 'call'"));
     assert!(error_line(&batch("MEMBERS who=3 mode=0 seq-no=1 ref=9")).contains("no list 9"));
-    assert!(error_line(&batch("FINISHED who=3 call=1 send-no=0 engine=1 rc=odd")).contains("'odd'"));
-    assert!(error_line(&batch("ENLIST who=5 init-seed=1 peers-total=many")).contains("peers-total"));
+    assert!(
+        error_line(&batch("FINISHED who=3 call=1 send-no=0 engine=1 rc=odd")).contains("'odd'")
+    );
+    assert!(
+        error_line(&batch("ENLIST who=5 init-seed=1 peers-total=many")).contains("peers-total")
+    );
     assert!(error_line("GO\n").contains("outside of a batch"));
     assert!(error_line("FRAME wall-us=1 turn=1\n").contains("inside batch 1"));
     assert!(error_line("FRAME turn=1\n").contains("'wall-us'"));
     assert!(
-        error_line(&batch("MANIFEST ref=0 members-list=2\nITEM engine=1")).contains("lacks entries")
+        error_line(&batch("MANIFEST ref=0 members-list=2\nITEM engine=1"))
+            .contains("lacks entries")
     );
 }
 
@@ -200,7 +214,10 @@
         "PROBE_DONE who=3 engine=99 rc=delivered spent-us=700",
     ));
     assert!(!unknown.contains("TRANSMIT"), "{unknown}");
-    assert!(error_line(&input_with_answer("PROBE_DONE who=3 engine=11 rc=marvellous")).contains("marvellous"));
+    assert!(error_line(&input_with_answer(
+        "PROBE_DONE who=3 engine=11 rc=marvellous"
+    ))
+    .contains("marvellous"));
     assert!(error_line(&input_with_answer("PROBE_DONE who=3 rc=delivered")).contains("engine"));
     assert!(error_line(&input_with_answer(
         "PROBE_DONE who=3 engine=11 rc=delivered report=concurrent"
--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -103,7 +103,10 @@
         EngineTable {
             engines: BTreeMap::new(),
             active: BTreeSet::new(),
-            rings: first_class_of_ring.iter().map(|_| Ring::default()).collect(),
+            rings: first_class_of_ring
+                .iter()
+                .map(|_| Ring::default())
+                .collect(),
             first_class_of_ring,
             ring_of_class,
             cores: kinds.iter().map(|kind| kind.cores).collect(),
--- a/tests/admission_and_ranking.rs
+++ b/tests/admission_and_ranking.rs
@@ -9,7 +9,10 @@
 fn send_reports(gateway: &mut TestGateway, memory_mb: f64, max_count: u64) -> usize {
     let deadline = gateway.now + 20 * SECOND;
     (0..max_count)
-        .filter(|id| !sent_attempts(&gateway.submit(report_request(100 + id, deadline, memory_mb))).is_empty())
+        .filter(|id| {
+            !sent_attempts(&gateway.submit(report_request(100 + id, deadline, memory_mb)))
+                .is_empty()
+        })
         .count()
 }
 
@@ -44,7 +47,10 @@
         2,
         "under pressure reports may use three times the memory"
     );
-    assert_eq!(sent_attempts(&gateway.submit(lookup_request(60, gateway.now + 4 * SECOND))).len(), 1);
+    assert_eq!(
+        sent_attempts(&gateway.submit(lookup_request(60, gateway.now + 4 * SECOND))).len(),
+        1
+    );
 }
 
 /// Latency of 1.2 times the best, which cached tables had made low, counted as pressure although
@@ -56,7 +62,11 @@
         for id in 0..40 {
             gateway.submit(lookup_request(id, gateway.now + 4 * SECOND));
             gateway.now += 100 * MILLISECOND;
-            let spent = if id < 20 { 50 * MILLISECOND } else { 150 * MILLISECOND };
+            let spent = if id < 20 {
+                50 * MILLISECOND
+            } else {
+                150 * MILLISECOND
+            };
             gateway.end_attempt_with(id, 0, Outcome::Answered, spent, |ended| {
                 ended.report = in_flight.map(|_| LoadReport {
                     in_flight,
@@ -105,7 +115,10 @@
         sent_attempts(&gateway.submit(report_request(1, gateway.now + 20 * SECOND, 1e6))).len(),
         1
     );
-    assert!(sent_attempts(&gateway.submit(report_request(2, gateway.now + 20 * SECOND, 1e6))).is_empty());
+    assert!(
+        sent_attempts(&gateway.submit(report_request(2, gateway.now + 20 * SECOND, 1e6)))
+            .is_empty()
+    );
 }
 
 #[test]
@@ -115,7 +128,8 @@
     assert_eq!(before, 6);
     gateway.end_attempt(105, 0, Outcome::AtCapacity, MILLISECOND);
     assert!(
-        sent_attempts(&gateway.submit(report_request(200, gateway.now + 20 * SECOND, 12_000.0))).is_empty(),
+        sent_attempts(&gateway.submit(report_request(200, gateway.now + 20 * SECOND, 12_000.0)))
+            .is_empty(),
         "an engine at capacity is under pressure, so the memory bound must apply"
     );
 }
@@ -202,7 +216,10 @@
         });
     }
     let sends = sent_attempts(&gateway.handle(Event::EndpointSnapshot(vec![ready_endpoint(1)])));
-    assert_eq!(sends.iter().map(|send| send.0).collect::<Vec<_>>(), [1, 2, 3]);
+    assert_eq!(
+        sends.iter().map(|send| send.0).collect::<Vec<_>>(),
+        [1, 2, 3]
+    );
 }
 
 #[test]
@@ -214,7 +231,10 @@
         work: Some(1.0),
         ..report_request(1, gateway.now + 20 * SECOND, 10.0)
     });
-    assert_eq!(sent_attempts(&gateway.submit(lookup_request(2, gateway.now + 4 * SECOND))).len(), 1);
+    assert_eq!(
+        sent_attempts(&gateway.submit(lookup_request(2, gateway.now + 4 * SECOND))).len(),
+        1
+    );
 }
 
 #[test]
@@ -229,7 +249,9 @@
     assert_eq!(preferred_engine(1), preferred_engine(2));
     let mut gateway = TestGateway::new(settings(), &engines);
     let used_engines: std::collections::BTreeSet<EngineId> = (0..60)
-        .flat_map(|id| sent_attempts(&gateway.submit(report_request(id, gateway.now + 20 * SECOND, 10.0))))
+        .flat_map(|id| {
+            sent_attempts(&gateway.submit(report_request(id, gateway.now + 20 * SECOND, 10.0)))
+        })
         .map(|send| send.1)
         .collect();
     assert!(used_engines.len() > 3, "{used_engines:?}");
@@ -238,10 +260,17 @@
 #[test]
 fn equal_events_give_equal_actions() {
     let run = || {
-        let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+        let mut gateway = TestGateway::new(
+            settings(),
+            &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)],
+        );
         let mut all = Vec::new();
         for id in 0..200 {
-            all.extend(gateway.submit(report_request(id, gateway.now + 8 * SECOND, 50.0 * (id % 7) as f64)));
+            all.extend(gateway.submit(report_request(
+                id,
+                gateway.now + 8 * SECOND,
+                50.0 * (id % 7) as f64,
+            )));
             if id % 3 == 0 {
                 all.extend(gateway.end_attempt(id, 0, Outcome::Answered, SECOND));
             }
@@ -265,7 +294,10 @@
         } => Some(*attempt_deadline),
         _ => None,
     });
-    assert_eq!(sent_deadline, Some(now + 4 * SECOND - 400 * MILLISECOND - 10 * MILLISECOND));
+    assert_eq!(
+        sent_deadline,
+        Some(now + 4 * SECOND - 400 * MILLISECOND - 10 * MILLISECOND)
+    );
 }
 
 /// A long queue was scanned at every event, which took half of a gateway's CPU time. Now classes
--- a/tests/common/small_shares.rs
+++ b/tests/common/small_shares.rs
@@ -51,7 +51,11 @@
 
 /// Submits a request, answers its probes with the number of queries that `load` returns for each
 /// engine, and returns the engines that the request was sent to.
-pub fn place_with_probes(gateway: &mut TestGateway, request: Request, load: impl Fn(EngineId) -> f64) -> Vec<EngineId> {
+pub fn place_with_probes(
+    gateway: &mut TestGateway,
+    request: Request,
+    load: impl Fn(EngineId) -> f64,
+) -> Vec<EngineId> {
     let mut actions = gateway.submit(request);
     for engine in probed_engines(&actions) {
         actions.extend(gateway.handle(probe_answer(engine, load(engine))));
--- a/tests/constraints.rs
+++ b/tests/constraints.rs
@@ -13,7 +13,9 @@
     gateway.submit(load);
     let early = gateway.advance(SECOND);
     let actions = gateway.advance(SECOND - 1);
-    let ends = refused_requests(&early).len() + refused_requests(&actions).len() + failed_requests(&actions).len();
+    let ends = refused_requests(&early).len()
+        + refused_requests(&actions).len()
+        + failed_requests(&actions).len();
     assert_eq!(ends, 1, "one final answer: {actions:?}");
 }
 
@@ -21,11 +23,16 @@
 fn request_on_a_silent_engine_ends_once_and_is_not_sent_again() {
     let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1)]);
     let deadline = gateway.now + 4 * SECOND;
-    assert_eq!(sent_attempts(&gateway.submit(lookup_request(1, deadline))), [(1, 1)]);
+    assert_eq!(
+        sent_attempts(&gateway.submit(lookup_request(1, deadline))),
+        [(1, 1)]
+    );
     let actions = gateway.advance(4 * SECOND);
     assert_eq!(refused_requests(&actions), [1]);
     assert!(sent_attempts(&gateway.end_attempt(1, 0, Outcome::Cancelled, 4 * SECOND)).is_empty());
-    assert!(refused_requests(&gateway.end_attempt(1, 0, Outcome::Cancelled, 4 * SECOND)).is_empty());
+    assert!(
+        refused_requests(&gateway.end_attempt(1, 0, Outcome::Cancelled, 4 * SECOND)).is_empty()
+    );
 }
 
 #[test]
@@ -45,7 +52,10 @@
 
 #[test]
 fn non_idempotent_request_that_may_have_run_fails_without_retry() {
-    let mut gateway = TestGateway::new(non_idempotent_settings(), &[ready_endpoint(1), ready_endpoint(2)]);
+    let mut gateway = TestGateway::new(
+        non_idempotent_settings(),
+        &[ready_endpoint(1), ready_endpoint(2)],
+    );
     gateway.submit(lookup_request(1, gateway.now + 4 * SECOND));
     let actions = gateway.end_attempt(1, 0, Outcome::Broken, 10 * MILLISECOND);
     assert!(sent_attempts(&actions).is_empty() && refused_requests(&actions).is_empty());
@@ -54,7 +64,10 @@
 
 #[test]
 fn non_idempotent_request_that_never_ran_is_retried() {
-    let mut gateway = TestGateway::new(non_idempotent_settings(), &[ready_endpoint(1), ready_endpoint(2)]);
+    let mut gateway = TestGateway::new(
+        non_idempotent_settings(),
+        &[ready_endpoint(1), ready_endpoint(2)],
+    );
     gateway.submit(lookup_request(1, gateway.now + 4 * SECOND));
     assert_eq!(
         sent_attempts(&gateway.end_attempt(1, 0, Outcome::NoConnection, 250 * MILLISECOND)).len(),
@@ -94,7 +107,10 @@
 
 #[test]
 fn second_attempt_waits_for_the_end_of_the_first_unless_hedging_is_allowed() {
-    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    let mut gateway = TestGateway::new(
+        settings(),
+        &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)],
+    );
     gateway.submit(report_request(1, gateway.now + 20 * SECOND, 100.0));
     gateway.advance(600 * MILLISECOND);
     let actions = gateway.report_progress(1, 0, Progress::Share(0.001));
@@ -115,7 +131,10 @@
     settings.max_attempts = 2;
     let mut gateway = TestGateway::new(settings, &[ready_endpoint(1), ready_endpoint(2)]);
     gateway.submit(lookup_request(1, gateway.now + 4 * SECOND));
-    assert_eq!(sent_attempts(&gateway.end_attempt(1, 0, Outcome::Error, MILLISECOND)).len(), 1);
+    assert_eq!(
+        sent_attempts(&gateway.end_attempt(1, 0, Outcome::Error, MILLISECOND)).len(),
+        1
+    );
     let actions = gateway.end_attempt(1, 1, Outcome::Error, MILLISECOND);
     assert!(sent_attempts(&actions).is_empty());
     assert_eq!(refused_requests(&actions), [1]);
@@ -190,7 +209,8 @@
     );
     let mut count = 0;
     for id in 0..400 {
-        if !sent_attempts(&gateway.submit(lookup_request(id, gateway.now + 4 * SECOND))).is_empty() {
+        if !sent_attempts(&gateway.submit(lookup_request(id, gateway.now + 4 * SECOND))).is_empty()
+        {
             count += 1;
             count += sent_attempts(&gateway.end_attempt(id, 0, Outcome::AtCapacity, 1)).len();
         }
@@ -237,7 +257,9 @@
         ..keyed(2, gateway.now + 4 * SECOND)
     });
     gateway.advance(500 * MILLISECOND);
-    assert!(sent_attempts(&gateway.end_attempt(1, 0, Outcome::Cancelled, 500 * MILLISECOND)).is_empty());
+    assert!(
+        sent_attempts(&gateway.end_attempt(1, 0, Outcome::Cancelled, 500 * MILLISECOND)).is_empty()
+    );
     assert!(
         sent_attempts(&gateway.advance(SECOND)).is_empty(),
         "the key is still paused"
@@ -269,7 +291,8 @@
     let mut retries = 0;
     for id in 0..30 {
         gateway.submit(lookup_request(id, gateway.now + 4 * SECOND));
-        retries += sent_attempts(&gateway.end_attempt(id, 0, Outcome::AtCapacity, MILLISECOND)).len();
+        retries +=
+            sent_attempts(&gateway.end_attempt(id, 0, Outcome::AtCapacity, MILLISECOND)).len();
         gateway.now += 10 * MILLISECOND;
     }
     assert!(
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -7,9 +7,15 @@
 #[test]
 fn requests_are_sent_by_the_cached_list_before_and_after_discovery_fails() {
     let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2)]);
-    assert_eq!(sent_attempts(&gateway.submit(lookup_request(1, gateway.now + 4 * SECOND))).len(), 1);
+    assert_eq!(
+        sent_attempts(&gateway.submit(lookup_request(1, gateway.now + 4 * SECOND))).len(),
+        1
+    );
     gateway.handle(Event::DiscoveryFailed);
-    assert_eq!(sent_attempts(&gateway.submit(lookup_request(2, gateway.now + 4 * SECOND))).len(), 1);
+    assert_eq!(
+        sent_attempts(&gateway.submit(lookup_request(2, gateway.now + 4 * SECOND))).len(),
+        1
+    );
 }
 
 #[test]
--- a/tests/loads.rs
+++ b/tests/loads.rs
@@ -14,7 +14,8 @@
         cancelled_attempts(&gateway.report_progress(1, 0, Progress::WaitsForLoad)),
         [(1, 0)]
     );
-    let second = sent_attempts(&gateway.end_attempt(1, 0, Outcome::Cancelled, 10 * MILLISECOND))[0].1;
+    let second =
+        sent_attempts(&gateway.end_attempt(1, 0, Outcome::Cancelled, 10 * MILLISECOND))[0].1;
     assert_ne!(first, second);
     assert_eq!(
         sent_attempts(&gateway.submit(lookup_request(2, gateway.now + 4 * SECOND)))[0].1,
--- a/tests/may_begin.rs
+++ b/tests/may_begin.rs
@@ -22,7 +22,10 @@
 fn attempt_may_begin_while_rules_allow_it_and_the_check_can_be_repeated() {
     let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1)]);
     let deadline = gateway.now + 9 * SECOND;
-    assert_eq!(sent_attempts(&gateway.submit(lookup_request(1, deadline))), [(1, 1)]);
+    assert_eq!(
+        sent_attempts(&gateway.submit(lookup_request(1, deadline))),
+        [(1, 1)]
+    );
     for _ in 0..3 {
         gateway.advance(100 * MILLISECOND);
         assert!(may_begin(&mut gateway, 1, 0));
@@ -89,7 +92,9 @@
     for round in 0..2 {
         for id in 1..=3 {
             let deadline = gateway.now + 9 * SECOND;
-            delayed.extend(sent_attempts(&gateway.submit(lookup_request(10 * round + id, deadline))));
+            delayed.extend(sent_attempts(
+                &gateway.submit(lookup_request(10 * round + id, deadline)),
+            ));
         }
         assert_eq!(
             delayed.len() as u64,
@@ -116,7 +121,10 @@
         retry_budget: Some(budget),
         ..settings()
     };
-    let mut gateway = TestGateway::new(settings, &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    let mut gateway = TestGateway::new(
+        settings,
+        &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)],
+    );
     let deadline = gateway.now + 9 * SECOND;
     let first = sent_attempts(&gateway.submit(lookup_request(1, deadline)))[0].1;
     assert!(may_begin(&mut gateway, 1, 0));
@@ -152,7 +160,11 @@
         ..load_request(id, deadline)
     };
     assert_eq!(sent_attempts(&gateway.submit(keyed(1))).len(), 1);
-    assert_eq!(sent_attempts(&gateway.submit(keyed(2))), [], "request 1 has the same key and is in flight");
+    assert_eq!(
+        sent_attempts(&gateway.submit(keyed(2))),
+        [],
+        "request 1 has the same key and is in flight"
+    );
     gateway.handle(Event::ClientLeft { request: 1 });
     let next = sent_attempts(&withdraw(&mut gateway, 1, 0));
     assert!(next.len() == 1 && next[0].0 == 2, "{next:?}");
@@ -169,7 +181,10 @@
     let deadline = gateway.now + 60 * SECOND;
     gateway.submit(load_request(1, deadline));
     gateway.advance(700 * MILLISECOND);
-    assert!(may_begin(&mut gateway, 1, 0), "the window doesn't limit a first attempt");
+    assert!(
+        may_begin(&mut gateway, 1, 0),
+        "the window doesn't limit a first attempt"
+    );
     let retries = sent_attempts(&gateway.end_attempt(1, 0, Outcome::Broken, MILLISECOND));
     assert_eq!(retries.len(), 1);
     gateway.advance(900 * MILLISECOND);
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -18,7 +18,10 @@
 
 #[test]
 fn attempts_on_a_silent_engine_are_cancelled_and_no_more_are_sent_until_it_responds() {
-    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    let mut gateway = TestGateway::new(
+        settings(),
+        &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)],
+    );
     let deadline = gateway.now + 20 * SECOND;
     let mut sends = Vec::new();
     for id in 0..6 {
@@ -44,9 +47,11 @@
         .collect();
     assert_eq!(cancels, expected);
     for &(id, _) in &expected {
-        assert!(sent_attempts(&gateway.end_attempt(id, 0, Outcome::Cancelled, 2 * SECOND))
-            .iter()
-            .all(|s| s.1 != hanging));
+        assert!(
+            sent_attempts(&gateway.end_attempt(id, 0, Outcome::Cancelled, 2 * SECOND))
+                .iter()
+                .all(|s| s.1 != hanging)
+        );
     }
     for id in 100..110 {
         assert!(sent_attempts(&gateway.submit(Request {
@@ -71,7 +76,12 @@
 }
 
 /// Sends `count` lookups, all answered, and returns how many first attempts went to `engine`.
-fn count_sends_to(gateway: &mut TestGateway, engine: EngineId, first_id: RequestId, count: u64) -> usize {
+fn count_sends_to(
+    gateway: &mut TestGateway,
+    engine: EngineId,
+    first_id: RequestId,
+    count: u64,
+) -> usize {
     let mut sends = 0;
     for id in first_id..first_id + count {
         let first = sent_attempts(&gateway.submit(Request {
@@ -86,7 +96,15 @@
 
 #[test]
 fn fast_failing_engine_is_quarantined_and_returns_after_probation() {
-    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3), ready_endpoint(4)]);
+    let mut gateway = TestGateway::new(
+        settings(),
+        &[
+            ready_endpoint(1),
+            ready_endpoint(2),
+            ready_endpoint(3),
+            ready_endpoint(4),
+        ],
+    );
     answer_lookups(&mut gateway, 0, 40);
     let deadline = gateway.now + 4 * SECOND;
     let mut sends = Vec::new();
@@ -108,7 +126,11 @@
         failing > 4 && sent_again <= 3,
         "{sent_again} of {failing} failed attempts were retried on the same engine"
     );
-    assert_eq!(count_sends_to(&mut gateway, 1, 200, 40), 0, "engine 1 is in quarantine");
+    assert_eq!(
+        count_sends_to(&mut gateway, 1, 200, 40),
+        0,
+        "engine 1 is in quarantine"
+    );
     gateway.advance(2 * SECOND);
     assert!(
         count_sends_to(&mut gateway, 1, 300, 40) > 0,
@@ -120,7 +142,15 @@
 /// other, and the errors put all of them into quarantine.
 #[test]
 fn request_with_errors_on_two_engines_ends_and_counts_against_neither() {
-    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3), ready_endpoint(4)]);
+    let mut gateway = TestGateway::new(
+        settings(),
+        &[
+            ready_endpoint(1),
+            ready_endpoint(2),
+            ready_endpoint(3),
+            ready_endpoint(4),
+        ],
+    );
     answer_lookups(&mut gateway, 0, 40);
     let deadline = gateway.now + 4 * SECOND;
     let first: Vec<_> = (100..140)
@@ -137,10 +167,23 @@
             next.len() == 1 && next[0].1 != engine,
             "{id}: from {engine} to {next:?}"
         );
-        assert_eq!(refused_requests(&gateway.end_attempt(id, 1, Outcome::Error, MILLISECOND)), [id]);
+        assert_eq!(
+            refused_requests(&gateway.end_attempt(id, 1, Outcome::Error, MILLISECOND)),
+            [id]
+        );
     }
-    let shares = |gateway: &mut TestGateway| [1, 2, 3, 4].map(|engine| count_sends_to(gateway, engine, 300, 40));
-    let mut without_errors = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3), ready_endpoint(4)]);
+    let shares = |gateway: &mut TestGateway| {
+        [1, 2, 3, 4].map(|engine| count_sends_to(gateway, engine, 300, 40))
+    };
+    let mut without_errors = TestGateway::new(
+        settings(),
+        &[
+            ready_endpoint(1),
+            ready_endpoint(2),
+            ready_endpoint(3),
+            ready_endpoint(4),
+        ],
+    );
     answer_lookups(&mut without_errors, 0, 40);
     assert_eq!(
         shares(&mut gateway),
@@ -153,7 +196,10 @@
 /// quarantine for a single event.
 #[test]
 fn broken_connection_counts_as_one_bad_outcome() {
-    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    let mut gateway = TestGateway::new(
+        settings(),
+        &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)],
+    );
     answer_lookups(&mut gateway, 0, 40);
     let deadline = gateway.now + 4 * SECOND;
     let sends: Vec<_> = (100..130)
@@ -171,12 +217,18 @@
             ended.already_reported = index > 0;
         });
     }
-    assert!(count_sends_to(&mut gateway, 1, 200, 40) > 0, "engine 1 must stay in use");
+    assert!(
+        count_sends_to(&mut gateway, 1, 200, 40) > 0,
+        "engine 1 must stay in use"
+    );
 }
 
 #[test]
 fn engines_stay_in_use_and_retries_decrease_when_all_engines_fail_half_of_the_requests() {
-    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    let mut gateway = TestGateway::new(
+        settings(),
+        &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)],
+    );
     let mut attempts = Vec::new();
     for id in 0..200 {
         let mut count = 0;
@@ -207,7 +259,10 @@
 
 #[test]
 fn engine_that_answers_again_after_lost_connections_counts_as_cold() {
-    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    let mut gateway = TestGateway::new(
+        settings(),
+        &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)],
+    );
     answer_lookups(&mut gateway, 0, 40);
     for id in 100..200 {
         let first = sent_attempts(&gateway.submit(Request {
@@ -299,7 +354,10 @@
 
 #[test]
 fn engine_that_fails_a_fifth_of_its_work_stays_in_use() {
-    let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)]);
+    let mut gateway = TestGateway::new(
+        settings(),
+        &[ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)],
+    );
     for id in 0..400 {
         let next = sent_attempts(&gateway.submit(Request {
             group: id,
@@ -343,7 +401,12 @@
                 break;
             }
             attempts += 1;
-            next = sent_attempts(&gateway.end_attempt(id, attempt, Outcome::NoConnection, MILLISECOND));
+            next = sent_attempts(&gateway.end_attempt(
+                id,
+                attempt,
+                Outcome::NoConnection,
+                MILLISECOND,
+            ));
         }
         gateway.now += 5 * MILLISECOND;
     }
@@ -361,7 +424,9 @@
     let mut slow_answers = 0;
     for id in 0..40 {
         let deadline = gateway.now + 4 * SECOND;
-        let Some(&(_, engine)) = sent_attempts(&gateway.submit(lookup_request(id, deadline))).first() else {
+        let Some(&(_, engine)) =
+            sent_attempts(&gateway.submit(lookup_request(id, deadline))).first()
+        else {
             continue;
         };
         let spent = if engine == 1 && id > 5 {
--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -55,7 +55,9 @@
 
 fn strict_settings() -> Settings {
     let mut settings = settings();
-    settings.classes.push(class(Effect::NonIdempotent, SECOND, 1.0));
+    settings
+        .classes
+        .push(class(Effect::NonIdempotent, SECOND, 1.0));
     settings.classes[LOAD].ordered = true;
     settings.retry_budget = Some(RetryBudgetSettings {
         span: 5 * SECOND,
--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -120,12 +120,9 @@
                 .requests
                 .range(..request)
                 .filter(|(_, earlier)| earlier.key.as_ref() == Some(key));
-            if before
-                .clone()
-                .any(|(_, earlier)| {
-                    !earlier.has_ended || earlier.attempts.iter().any(Option::is_none)
-                })
-            {
+            if before.clone().any(|(_, earlier)| {
+                !earlier.has_ended || earlier.attempts.iter().any(Option::is_none)
+            }) {
                 violated.push("an earlier request with the same key has not ended");
             }
             if observed.attempts.is_empty()
--- a/tests/small_shares.rs
+++ b/tests/small_shares.rs
@@ -22,7 +22,10 @@
             "two engines must be probed before the request is sent"
         );
         assert!(target_engines(&gateway.handle(probe_answer(probed[0], 7.0))).is_empty());
-        assert_eq!(target_engines(&gateway.handle(probe_answer(probed[1], 1.0))), [probed[1]]);
+        assert_eq!(
+            target_engines(&gateway.handle(probe_answer(probed[1], 1.0))),
+            [probed[1]]
+        );
     }
 }
 
@@ -39,7 +42,10 @@
     without_probes.classes[REPORT].threads = 2.0;
     let mut gateway = TestGateway::new(without_probes, &[ready_endpoint(1)]);
     let deadline = gateway.now + 20 * SECOND;
-    assert_eq!(target_engines(&gateway.submit(report_request(1, deadline, 10.0))), [1]);
+    assert_eq!(
+        target_engines(&gateway.submit(report_request(1, deadline, 10.0))),
+        [1]
+    );
     let second = target_engines(&gateway.submit(report_request(2, deadline, 10.0)));
     assert!(
         second.is_empty(),
@@ -50,7 +56,10 @@
     }
     let later = target_engines(&gateway.submit(report_request(3, deadline, 10.0)));
     assert_eq!(later, [1], "the load assumed at the start must have faded");
-    let probed = probed_engines(&TestGateway::new(small_share_settings(), &fleet()).submit(report_request(1, deadline, 10.0)));
+    let probed = probed_engines(
+        &TestGateway::new(small_share_settings(), &fleet())
+            .submit(report_request(1, deadline, 10.0)),
+    );
     assert_eq!(probed.len(), 2, "the first request must lead to probes");
 }
 
@@ -58,7 +67,9 @@
 fn reports_are_queued_when_other_gateways_fill_the_engines() {
     let mut gateway = TestGateway::new(small_share_settings(), &fleet());
     let deadline = gateway.now + 20 * SECOND;
-    assert!(place_with_probes(&mut gateway, report_request(1, deadline, 10.0), |_| 30.0).is_empty());
+    assert!(
+        place_with_probes(&mut gateway, report_request(1, deadline, 10.0), |_| 30.0).is_empty()
+    );
     let mut gateway = TestGateway::new(small_share_settings(), &fleet());
     assert_eq!(
         place_with_probes(&mut gateway, report_request(1, deadline, 10.0), |_| 1.0).len(),
@@ -189,7 +200,10 @@
     );
     let deadline = gateway.now + 20 * SECOND;
     gateway.submit(report_request(1, deadline, 10.0));
-    assert_eq!(target_engines(&gateway.handle(idle_cores_report(1))).len(), 1);
+    assert_eq!(
+        target_engines(&gateway.handle(idle_cores_report(1))).len(),
+        1
+    );
     gateway.now += 8 * SECOND;
     // Eight seconds for one second of work: the engine is jammed, even if its cores are idle.
     gateway.end_attempt(1, 0, Outcome::Answered, 8 * SECOND);
@@ -206,7 +220,11 @@
     let probed = probed_engines(&gateway.submit(report_request(1, deadline, 10.0)));
     gateway.handle(probe_answer(probed[0], 4.0));
     let sends = target_engines(&gateway.advance(150 * MILLISECOND));
-    assert_eq!(sends, [probed[0]], "the engine whose probe is unanswered must be skipped");
+    assert_eq!(
+        sends,
+        [probed[0]],
+        "the engine whose probe is unanswered must be skipped"
+    );
     gateway.handle(Event::ProbeEnded(ProbeEnded {
         engine: probed[1],
         outcome: Outcome::NoConnection,
--- a/tests/subsetting.rs
+++ b/tests/subsetting.rs
@@ -12,8 +12,11 @@
 /// Queries take up to four threads on engines with twelve cores, which report no load.
 fn settings_without_reports(index: u32) -> Settings {
     let mut settings = settings();
-    (settings.counts_by_probe, settings.peers, settings.gateway_index) =
-        (false, GATEWAYS as f64, Some(index as f64));
+    (
+        settings.counts_by_probe,
+        settings.peers,
+        settings.gateway_index,
+    ) = (false, GATEWAYS as f64, Some(index as f64));
     for kind in &mut settings.kinds {
         kind.cores = 12.0;
     }
@@ -95,7 +98,11 @@
                 group: id,
                 ..lookup_request(id, deadline)
             });
-            used.extend(sent_attempts(&actions).into_iter().map(|(_, engine)| engine));
+            used.extend(
+                sent_attempts(&actions)
+                    .into_iter()
+                    .map(|(_, engine)| engine),
+            );
         }
         used.len()
     };
@@ -145,7 +152,10 @@
                 .map(|(id, _)| (gateway.now + spent, id, spent)),
         );
     }
-    assert!(refused_count < 30, "{refused_count} of 600 requests refused");
+    assert!(
+        refused_count < 30,
+        "{refused_count} of 600 requests refused"
+    );
 }
 
 /// Dashboards run at the highest rank, so reports that fill this gateway's share of an engine must
@@ -177,8 +187,17 @@
         let deadline = gateway.now + 4 * SECOND;
         !sent_attempts(&gateway.submit(lookup_request(9, deadline))).is_empty()
     };
-    assert!(admits_lookup(true, 100 * MILLISECOND), "queued behind reports");
-    assert!(admits_lookup(false, 100 * MILLISECOND), "queued behind reports");
+    assert!(
+        admits_lookup(true, 100 * MILLISECOND),
+        "queued behind reports"
+    );
+    assert!(
+        admits_lookup(false, 100 * MILLISECOND),
+        "queued behind reports"
+    );
     assert!(!admits_lookup(true, 15 * SECOND), "sent to a jammed engine");
-    assert!(!admits_lookup(false, 15 * SECOND), "sent to a jammed engine");
+    assert!(
+        !admits_lookup(false, 15 * SECOND),
+        "sent to a jammed engine"
+    );
 }
--- a/tests/visits.rs
+++ b/tests/visits.rs
@@ -14,7 +14,11 @@
 
 fn new_gateway(engines: u32, peers: f64) -> TestGateway {
     let mut settings = settings();
-    (settings.counts_by_probe, settings.peers, settings.gateway_index) = (false, peers, Some(1.0));
+    (
+        settings.counts_by_probe,
+        settings.peers,
+        settings.gateway_index,
+    ) = (false, peers, Some(1.0));
     let all: Vec<Endpoint> = (1..=engines).map(ready_endpoint).collect();
     TestGateway::new(settings, &all)
 }
