--- a/crates/event-analysis/tests/common/mod.rs
+++ b/crates/event-analysis/tests/common/mod.rs
@@ -205,7 +205,7 @@
             attempt: 0,
             outcome,
             spent: 0,
-            complete: true,
+            is_request_complete: true,
             already_reported: false,
             usage: None,
             report: None,
--- a/crates/event-log/src/codec/attempt.rs
+++ b/crates/event-log/src/codec/attempt.rs
@@ -49,7 +49,7 @@
 
     pub(super) fn put_attempt_ended(&mut self, ended: &AttemptEnded) -> u8 {
         let mut flags = outcome_number(ended.outcome);
-        if ended.complete {
+        if ended.is_request_complete {
             flags |= COMPLETE_FLAG;
         }
         if ended.already_reported {
@@ -123,7 +123,7 @@
             attempt,
             outcome,
             spent,
-            complete: flags & COMPLETE_FLAG != 0,
+            is_request_complete: flags & COMPLETE_FLAG != 0,
             already_reported: flags & ALREADY_REPORTED_FLAG != 0,
             usage,
             report: self.read_load_report()?,
--- a/crates/event-log/tests/common/random_entries.rs
+++ b/crates/event-log/tests/common/random_entries.rs
@@ -188,7 +188,7 @@
             attempt: rng.usize(0..9),
             outcome: outcome(rng),
             spent: rng.u64(0..9_000_000),
-            complete: rng.bool(),
+            is_request_complete: rng.bool(),
             already_reported: rng.bool(),
             usage: rng.bool().then(|| ResourceUsage {
                 work: real(rng),
--- a/crates/event-log/tests/common/served_request.rs
+++ b/crates/event-log/tests/common/served_request.rs
@@ -42,7 +42,7 @@
         attempt: 0,
         outcome: Outcome::Answered,
         spent: 93_411,
-        complete: true,
+        is_request_complete: true,
         already_reported: false,
         usage: Some(ResourceUsage {
             work: 791_300.0,
--- a/crates/fleet-test/src/cold_sum.rs
+++ b/crates/fleet-test/src/cold_sum.rs
@@ -493,13 +493,13 @@
             memory_mb: 50.0,
         });
         let spent = self.now.saturating_sub(asked.sent_at);
-        let complete = asked.over;
+        let is_request_complete = asked.over;
         let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
-            complete,
+            is_request_complete,
             already_reported: false,
             usage: bill,
             report: None,
--- a/crates/fleet-test/src/scale/node.rs
+++ b/crates/fleet-test/src/scale/node.rs
@@ -175,13 +175,13 @@
             work: spent as f64,
             memory_mb: 40.0,
         });
-        let (outcome, complete, told) = (Outcome::Answered, true, false);
+        let (outcome, is_request_complete, told) = (Outcome::Answered, true, false);
         let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
-            complete,
+            is_request_complete,
             already_reported: told,
             usage: bill,
             report: None,
@@ -238,13 +238,13 @@
         if begins {
             return self.time.at(takes, Happens::Ends { request, attempt });
         }
-        let (outcome, spent, complete, told) = (Outcome::NotSent, 0, false, false);
+        let (outcome, spent, is_request_complete, told) = (Outcome::NotSent, 0, false, false);
         let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
-            complete,
+            is_request_complete,
             already_reported: told,
             usage: None,
             report: None,
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -141,7 +141,7 @@
             attempt: end.attempt,
             outcome: end.outcome,
             spent: now.saturating_sub(attempt.sent_at),
-            complete: is_answered,
+            is_request_complete: is_answered,
             already_reported: end.already_reported,
             usage: end.usage,
             report: end.report,
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -37,7 +37,7 @@
         attempt.state = execution_state(ended.outcome);
         attempt.has_errored = ended.outcome == Outcome::Error;
         let attempt = *attempt;
-        pending.has_ended |= ended.complete;
+        pending.has_ended |= ended.is_request_complete;
         if ended.outcome == Outcome::NotSent {
             self.forget_attempt(id, ended.attempt, &attempt);
         }
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -72,7 +72,7 @@
     /// Time from sending the attempt to its end.
     pub spent: Micros,
     /// Whether the client has received its final answer, so that the request has ended.
-    pub complete: bool,
+    pub is_request_complete: bool,
     /// Whether this failure has the same cause as one already reported: a lost connection that
     /// takes several attempts along counts once.
     pub already_reported: bool,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -177,13 +177,13 @@
         spent: Micros,
         change: impl FnOnce(&mut AttemptEnded),
     ) -> Vec<Action> {
-        let complete = outcome == Outcome::Answered;
+        let is_request_complete = outcome == Outcome::Answered;
         let mut ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
-            complete,
+            is_request_complete,
             already_reported: false,
             usage: None,
             report: None,
--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -88,7 +88,7 @@
             attempt: 0,
             outcome,
             spent: 0,
-            complete: false,
+            is_request_complete: false,
             already_reported: false,
             usage: None,
             report: None,
--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -60,7 +60,7 @@
             return;
         };
         observed.attempts[ended.attempt] = Some(ended.outcome);
-        observed.has_ended |= ended.complete;
+        observed.has_ended |= ended.is_request_complete;
         if matches!(
             ended.outcome,
             Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled
--- a/tests/properties/scenario.rs
+++ b/tests/properties/scenario.rs
@@ -181,11 +181,12 @@
     fn end_attempt(&mut self, attempt: AttemptKey, outcome: Outcome) -> Vec<Action> {
         let (request, number) = attempt;
         let checker = &mut self.checker;
-        let complete = outcome == Outcome::Answered || checker.requests[&request].has_ended;
+        let is_request_complete =
+            outcome == Outcome::Answered || checker.requests[&request].has_ended;
         let now = self.gateway.now;
         self.gateway
             .end_attempt_with(request, number, outcome, SECOND, |ended| {
-                ended.complete = complete;
+                ended.is_request_complete = is_request_complete;
                 checker.on_attempt_ended(now, ended);
             })
     }
