--- a/crates/event-analysis/tests/common/mod.rs
+++ b/crates/event-analysis/tests/common/mod.rs
@@ -206,7 +206,7 @@
             outcome,
             spent: 0,
             is_request_complete: true,
-            already_reported: false,
+            is_already_reported: false,
             usage: None,
             report: None,
         };
--- a/crates/event-log/src/codec/attempt.rs
+++ b/crates/event-log/src/codec/attempt.rs
@@ -52,7 +52,7 @@
         if ended.is_request_complete {
             flags |= COMPLETE_FLAG;
         }
-        if ended.already_reported {
+        if ended.is_already_reported {
             flags |= ALREADY_REPORTED_FLAG;
         }
         if ended.usage.is_some() {
@@ -124,7 +124,7 @@
             outcome,
             spent,
             is_request_complete: flags & COMPLETE_FLAG != 0,
-            already_reported: flags & ALREADY_REPORTED_FLAG != 0,
+            is_already_reported: flags & ALREADY_REPORTED_FLAG != 0,
             usage,
             report: self.read_load_report()?,
         })
--- a/crates/event-log/src/text/event.rs
+++ b/crates/event-log/src/text/event.rs
@@ -201,7 +201,7 @@
             .field("outcome", &Bare(outcome_name(ended.outcome)))
             .field("spent", &ended.spent)
             .field("complete", &ended.is_request_complete)
-            .field("told", &ended.already_reported)
+            .field("told", &ended.is_already_reported)
             .field("bill", &ended.usage.as_ref().map(ResourceUsageText))
             .field("report", &ended.report.as_ref().map(LoadReportText))
             .finish()
--- a/crates/event-log/tests/common/random_entries.rs
+++ b/crates/event-log/tests/common/random_entries.rs
@@ -189,7 +189,7 @@
             outcome: outcome(rng),
             spent: rng.u64(0..9_000_000),
             is_request_complete: rng.bool(),
-            already_reported: rng.bool(),
+            is_already_reported: rng.bool(),
             usage: rng.bool().then(|| ResourceUsage {
                 work: real(rng),
                 memory_mb: real(rng),
--- a/crates/event-log/tests/common/served_request.rs
+++ b/crates/event-log/tests/common/served_request.rs
@@ -43,7 +43,7 @@
         outcome: Outcome::Answered,
         spent: 93_411,
         is_request_complete: true,
-        already_reported: false,
+        is_already_reported: false,
         usage: Some(ResourceUsage {
             work: 791_300.0,
             memory_mb: 88.4,
--- a/crates/fleet-test/src/classes.rs
+++ b/crates/fleet-test/src/classes.rs
@@ -11,7 +11,7 @@
         effect: Effect::Idempotent,
         scope: Scope::All,
         window: 0,
-        ordered: false,
+        is_ordered: false,
         zones_only: None,
         kinds_only: None,
         threads,
--- a/crates/fleet-test/src/cold_sum.rs
+++ b/crates/fleet-test/src/cold_sum.rs
@@ -500,7 +500,7 @@
             outcome,
             spent,
             is_request_complete,
-            already_reported: false,
+            is_already_reported: false,
             usage: bill,
             report: None,
         };
--- a/crates/fleet-test/src/scale/node.rs
+++ b/crates/fleet-test/src/scale/node.rs
@@ -182,7 +182,7 @@
             outcome,
             spent,
             is_request_complete,
-            already_reported: told,
+            is_already_reported: told,
             usage: bill,
             report: None,
         };
@@ -245,7 +245,7 @@
             outcome,
             spent,
             is_request_complete,
-            already_reported: told,
+            is_already_reported: told,
             usage: None,
             report: None,
         };
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -215,7 +215,7 @@
         if let Some(engine) = self.engines.get_mut(&connection.engine) {
             engine.connections.retain(|&other| other != key);
         }
-        let mut already_reported = false;
+        let mut is_already_reported = false;
         for open in connection.open.into_values() {
             let is_written = connection.stream.written >= open.output.end;
             let outcome = if is_written {
@@ -224,10 +224,10 @@
                 Outcome::NoConnection
             };
             let mut end = AttemptEnd::new(open.request, open.attempt, outcome);
-            end.already_reported = already_reported;
+            end.is_already_reported = is_already_reported;
             context.events.push(EngineEvent::AttemptEnded(end));
             // A connection that never came up says more of its engine than one that breaks.
-            already_reported = connection.stream.was_up();
+            is_already_reported = connection.stream.was_up();
         }
         for deadline in connection.probes.into_values() {
             context.deadlines.cancel(Some(deadline));
--- a/crates/gateway/src/engines/events.rs
+++ b/crates/gateway/src/engines/events.rs
@@ -37,7 +37,7 @@
     pub attempt: usize,
     pub outcome: Outcome,
     /// Its connection was lost, and the end of another attempt has reported that.
-    pub already_reported: bool,
+    pub is_already_reported: bool,
     pub usage: Option<ResourceUsage>,
     pub report: Option<LoadReport>,
 }
@@ -49,7 +49,7 @@
             request,
             attempt,
             outcome,
-            already_reported: false,
+            is_already_reported: false,
             usage: None,
             report: None,
         }
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -130,7 +130,7 @@
             .field("effect", &Bare(effect_name(class.effect)))
             .field("scope", &Bare(scope_name(class.scope)))
             .field("window", &class.window)
-            .field("ordered", &class.ordered)
+            .field("ordered", &class.is_ordered)
             .field("zones_only", &class.zones_only)
             .field("kinds_only", &class.kinds_only)
             .field("threads", &class.threads)
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -142,7 +142,7 @@
             outcome: end.outcome,
             spent: now.saturating_sub(attempt.sent_at),
             is_request_complete: is_answered,
-            already_reported: end.already_reported,
+            is_already_reported: end.is_already_reported,
             usage: end.usage,
             report: end.report,
         }));
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -27,7 +27,7 @@
 //!     latency_objective: 800_000,
 //!     latency_objective_per_work: 0.0,
 //!     priority_weight: 1.0,
-//!     ordered: false,
+//!     is_ordered: false,
 //!     zones_only: None,
 //!     kinds_only: None,
 //!     threads: 1.0,
--- a/crates/intent-log/tests/intents.rs
+++ b/crates/intent-log/tests/intents.rs
@@ -20,7 +20,7 @@
         effect: Effect::IdempotentWithKey,
         scope: Scope::Cell,
         window: WINDOW,
-        ordered: false,
+        is_ordered: false,
         zones_only: None,
         kinds_only: None,
         threads: 1.0,
--- a/crates/intent-log/tests/model.rs
+++ b/crates/intent-log/tests/model.rs
@@ -25,7 +25,7 @@
         effect,
         scope: Scope::Cell,
         window: WINDOW,
-        ordered: false,
+        is_ordered: false,
         zones_only: None,
         kinds_only: None,
         threads: 1.0,
--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -84,7 +84,7 @@
         effect: read_effect(tree, &path("repeat")),
         scope: read_scope(tree, &path("group")),
         window: tree.number_or(&path("window-us"), 0)?,
-        ordered: tree.flag(&path("sequential"))?,
+        is_ordered: tree.flag(&path("sequential"))?,
         zones_only: tree.indexes(&path("zones-only"), "zones")?,
         kinds_only: tree.indexes(&path("kinds-only"), "kinds")?,
         threads: tree.item("extra.threads-by-class", index)?.unwrap_or(1.0),
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -117,7 +117,7 @@
         outcome: parse_outcome(line)?,
         spent: line.value_or("spent-us", 0)?,
         is_request_complete: line.value_or("complete", 0u8)? != 0,
-        already_reported: false,
+        is_already_reported: false,
         usage: line.optional("stats")?.and_then(parse_usage),
         report: parse_load_report(line)?,
     })
--- a/src/balancer/arrival.rs
+++ b/src/balancer/arrival.rs
@@ -82,7 +82,7 @@
     /// Adds a request to queue, order and budget, and sets the timer that ends it.
     fn register_request(&mut self, pending: &PendingRequest) {
         let request = &pending.request;
-        let is_ordered = self.settings.classes[request.class].ordered;
+        let is_ordered = self.settings.classes[request.class].is_ordered;
         if let Some(key) = request.key.as_ref().filter(|_| is_ordered) {
             self.key_ordering.push(key, request.id);
         }
--- a/src/balancer/constraints.rs
+++ b/src/balancer/constraints.rs
@@ -56,7 +56,7 @@
         let Some(key) = &pending.request.key else {
             return true;
         };
-        if !class.ordered {
+        if !class.is_ordered {
             return true;
         }
         let may_start = !pending.attempts.is_empty() || !self.key_ordering.is_paused(key, self.now);
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -59,7 +59,7 @@
             self.learn_slowdown(engine, &reservation, ended.spent, ended.usage);
         }
         // An error is attributed to engine or request when the request is closed.
-        if ended.outcome != Outcome::Error && !ended.already_reported {
+        if ended.outcome != Outcome::Error && !ended.is_already_reported {
             self.record_outcome(engine, ended.outcome);
         }
         if let Some(report) = &ended.report {
--- a/src/balancer/queue_release.rs
+++ b/src/balancer/queue_release.rs
@@ -34,7 +34,7 @@
             }
             // Retries and ordered requests may find no engine for other reasons than room.
             let needs_only_room =
-                pending.attempts.is_empty() && !self.settings.classes[class].ordered;
+                pending.attempts.is_empty() && !self.settings.classes[class].is_ordered;
             if let Some(engine) = self.choose_engine(id) {
                 self.send(id, engine);
                 is_full = self.full_classes();
--- a/src/engine_table/tests.rs
+++ b/src/engine_table/tests.rs
@@ -17,7 +17,7 @@
         effect: Effect::Idempotent,
         scope: Scope::All,
         window: 0,
-        ordered: false,
+        is_ordered: false,
         zones_only: zones,
         kinds_only: kinds,
         threads: 1.0,
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -38,7 +38,7 @@
 pub struct LearnedState {
     /// Estimates of the request classes, indexed by class number.
     pub classes: Vec<ClassEstimates>,
-    /// Estimates of the listed engines, in no particular order.
+    /// Estimates of the engines that were listed at that time.
     pub engines: Vec<EngineEstimates>,
     /// Threads per core that queries of other gateways occupy on the average engine.
     pub baseline_load: f64,
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -75,7 +75,7 @@
     pub is_request_complete: bool,
     /// Whether this failure has the same cause as one already reported: a lost connection that
     /// takes several attempts along counts once.
-    pub already_reported: bool,
+    pub is_already_reported: bool,
     /// Resources that the query used, if the answer reports them.
     pub usage: Option<ResourceUsage>,
     /// Load report of the engine, if the answer contains one.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -52,7 +52,7 @@
     /// How long engines of the scope remember an idempotency key.
     pub window: Micros,
     /// Whether requests with the same key run one at a time, in the order of their arrival.
-    pub ordered: bool,
+    pub is_ordered: bool,
     /// Zones whose engines may serve the class; `None`: all zones.
     pub zones_only: Option<Vec<u32>>,
     /// Machine kinds whose engines may serve the class; `None`: all kinds.
@@ -146,13 +146,12 @@
     pub ordering_delay: Micros,
     /// Limit on retries; `None`: retries are not limited.
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Interval of subscriptions to service discovery; after a failure the gateway subscribes again
-    /// sooner.
+    /// Interval of subscriptions to service discovery; a failed one is repeated after a fraction of
+    /// it.
     pub poll_interval: Micros,
     /// Factor on the priority weight of a request beyond its tenant's quota, from 0 to 1.
     pub over_quota_weight: f64,
-    /// Cost of sending all requests to engines of other zones, as a part of the total priority
-    /// weight.
+    /// Cost of sending requests to engines of other zones, as a part of the total priority weight.
     pub cross_zone_tariff: f64,
     /// Cost of one probe per request, as a part of the total priority weight.
     pub probe_tariff: f64,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -21,7 +21,7 @@
         effect,
         scope: Scope::All,
         window: 10 * SECOND,
-        ordered: false,
+        is_ordered: false,
         zones_only: None,
         kinds_only: None,
         threads,
@@ -184,7 +184,7 @@
             outcome,
             spent,
             is_request_complete,
-            already_reported: false,
+            is_already_reported: false,
             usage: None,
             report: None,
         };
--- a/tests/constraints.rs
+++ b/tests/constraints.rs
@@ -220,7 +220,7 @@
 
 fn ordered_settings() -> Settings {
     let mut settings = settings();
-    settings.classes[LOOKUP].ordered = true;
+    settings.classes[LOOKUP].is_ordered = true;
     settings
 }
 
--- a/tests/may_begin.rs
+++ b/tests/may_begin.rs
@@ -152,7 +152,7 @@
         may_cancel: false,
         ..settings()
     };
-    settings.classes[LOAD].ordered = true;
+    settings.classes[LOAD].is_ordered = true;
     let mut gateway = TestGateway::new(settings, &[ready_endpoint(1), ready_endpoint(2)]);
     let deadline = gateway.now + 90 * SECOND;
     let keyed = |id| Request {
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -214,7 +214,7 @@
     assert!(sends.len() > 5);
     for (index, (request, _)) in sends.into_iter().enumerate() {
         gateway.end_attempt_with(request, 0, Outcome::Broken, MILLISECOND, |ended| {
-            ended.already_reported = index > 0;
+            ended.is_already_reported = index > 0;
         });
     }
     assert!(
--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -58,7 +58,7 @@
     settings
         .classes
         .push(class(Effect::NonIdempotent, SECOND, 1.0));
-    settings.classes[LOAD].ordered = true;
+    settings.classes[LOAD].is_ordered = true;
     settings.retry_budget = Some(RetryBudgetSettings {
         span: 5 * SECOND,
         ratio: 0.0,
@@ -89,7 +89,7 @@
             outcome,
             spent: 0,
             is_request_complete: false,
-            already_reported: false,
+            is_already_reported: false,
             usage: None,
             report: None,
         };
--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -114,7 +114,7 @@
         if let Some(key) = observed
             .key
             .as_ref()
-            .filter(|_| self.settings.classes[observed.class].ordered)
+            .filter(|_| self.settings.classes[observed.class].is_ordered)
         {
             let before = self
                 .requests
--- a/tests/properties/scenario.rs
+++ b/tests/properties/scenario.rs
@@ -11,7 +11,7 @@
     let mut non_idempotent_load = class(Effect::NonIdempotent, 3 * SECOND, 2.0);
     non_idempotent_load.is_load = true;
     settings.classes.push(non_idempotent_load);
-    settings.classes[LOAD].ordered = true;
+    settings.classes[LOAD].is_ordered = true;
     settings.peers = [1.0, 3.0, 20.0, 30.0, 90.0][rng.usize(..5)];
     (settings.may_probe, settings.counts_by_probe) = (rng.bool(), rng.bool());
     (settings.may_cancel, settings.may_hedge) = (rng.bool(), rng.bool());
