--- a/tests/admission_and_ranking.rs
+++ b/tests/admission_and_ranking.rs
@@ -77,7 +77,8 @@
         gateway.submit(report_request(50, gateway.now + 20 * SECOND, 100.0));
         send_reports(&mut gateway, 8_000.0, 6)
     };
-    // With the last report latency is no pressure; then the bound on threads limits the count.
+    // The last report shows few threads, so latency is ignored and only the bound on threads limits
+    // the count.
     assert_eq!([None, Some(30.0), Some(3.0)].map(reports_with), [2, 2, 5]);
 }
 
