--- a/crates/event-analysis/tests/common/mod.rs
+++ b/crates/event-analysis/tests/common/mod.rs
@@ -205,8 +205,8 @@
             attempt: 0,
             outcome,
             spent: 0,
-            complete: true,
-            already_reported: false,
+            is_request_complete: true,
+            is_already_reported: false,
             usage: None,
             report: None,
         };
--- a/crates/event-log/src/codec/attempt.rs
+++ b/crates/event-log/src/codec/attempt.rs
@@ -1,6 +1,8 @@
 //! Progress and ends of attempts, probes and load reports, within events of the decision module.
 
-use eideryard::interface::{AttemptEnded, LoadReport, Outcome, Probed, Progress, ResourceUsage};
+use eideryard::interface::{
+    AttemptEnded, LoadReport, Outcome, ProbeEnded, Progress, ResourceUsage,
+};
 
 use super::primitives::{value_at, Decoder, Encoder};
 use super::{kind, DecodeError, Decoded};
@@ -47,10 +49,10 @@
 
     pub(super) fn put_attempt_ended(&mut self, ended: &AttemptEnded) -> u8 {
         let mut flags = outcome_number(ended.outcome);
-        if ended.complete {
+        if ended.is_request_complete {
             flags |= COMPLETE_FLAG;
         }
-        if ended.already_reported {
+        if ended.is_already_reported {
             flags |= ALREADY_REPORTED_FLAG;
         }
         if ended.usage.is_some() {
@@ -68,7 +70,7 @@
         kind::ATTEMPT_ENDED
     }
 
-    pub(super) fn put_probed(&mut self, probed: &Probed) -> u8 {
+    pub(super) fn put_probed(&mut self, probed: &ProbeEnded) -> u8 {
         self.put_engine(probed.engine);
         self.put_byte(outcome_number(probed.outcome));
         self.put_load_report(probed.report.as_ref());
@@ -121,8 +123,8 @@
             attempt,
             outcome,
             spent,
-            complete: flags & COMPLETE_FLAG != 0,
-            already_reported: flags & ALREADY_REPORTED_FLAG != 0,
+            is_request_complete: flags & COMPLETE_FLAG != 0,
+            is_already_reported: flags & ALREADY_REPORTED_FLAG != 0,
             usage,
             report: self.read_load_report()?,
         })
@@ -135,8 +137,8 @@
         })
     }
 
-    pub(super) fn read_probed(&mut self) -> Decoded<Probed> {
-        Ok(Probed {
+    pub(super) fn read_probed(&mut self) -> Decoded<ProbeEnded> {
+        Ok(ProbeEnded {
             engine: self.read_engine()?,
             outcome: self.read_one_of(&OUTCOMES)?,
             report: self.read_load_report()?,
--- a/crates/event-log/tests/common/served_request.rs
+++ b/crates/event-log/tests/common/served_request.rs
@@ -42,8 +42,8 @@
         attempt: 0,
         outcome: Outcome::Answered,
         spent: 93_411,
-        complete: true,
-        already_reported: false,
+        is_request_complete: true,
+        is_already_reported: false,
         usage: Some(ResourceUsage {
             work: 791_300.0,
             memory_mb: 88.4,
--- a/crates/fleet-test/src/cold_sum.rs
+++ b/crates/fleet-test/src/cold_sum.rs
@@ -216,7 +216,7 @@
     fn module(&mut self, index: usize, life: u32) -> Balancer {
         let told = self.seed.is_multiple_of(2);
         let set = Settings {
-            index: told.then_some(index as f64),
+            gateway_index: told.then_some(index as f64),
             ..self.set.clone()
         };
         Balancer::new(set, self.rng.random::<u64>() ^ u64::from(life), self.now)
@@ -386,12 +386,12 @@
                 }
                 Action::Probe { engine } => {
                     let report = self.report(engine);
-                    let probed = Probed {
+                    let probed = ProbeEnded {
                         engine,
                         outcome: Outcome::Answered,
                         report,
                     };
-                    self.tell(gateway, Event::Probed(probed));
+                    self.tell(gateway, Event::ProbeEnded(probed));
                 }
                 _ => {}
             }
@@ -493,14 +493,14 @@
             memory_mb: 50.0,
         });
         let spent = self.now.saturating_sub(asked.sent_at);
-        let complete = asked.over;
+        let is_request_complete = asked.over;
         let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
-            complete,
-            already_reported: false,
+            is_request_complete,
+            is_already_reported: false,
             usage: bill,
             report: None,
         };
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -50,7 +50,7 @@
     /// How long engines keep an idle connection open; 0: for ever.
     pub idle: Micros,
     /// How often engines report the progress of a running attempt.
-    pub note_period: Micros,
+    pub progress_interval: Micros,
     /// Requests on one connection at once.
     pub streams: usize,
     /// Connections to all engines.
@@ -169,7 +169,7 @@
         // Nothing at all has arrived since: an engine that still answers may have other requests on
         // another connection. This guards against a connection that stands and is of no use.
         let max_silence =
-            MAX_SILENT_PROGRESS_PERIODS * self.limits.note_period + self.limits.dial_timeout;
+            MAX_SILENT_PROGRESS_PERIODS * self.limits.progress_interval + self.limits.dial_timeout;
         let last_activity = connection.last_received_at.max(open.sent_at);
         connection.is_retired |= last_activity + max_silence <= context.now;
         connection.ended_ids.insert(id.into());
@@ -215,7 +215,7 @@
         if let Some(engine) = self.engines.get_mut(&connection.engine) {
             engine.connections.retain(|&other| other != key);
         }
-        let mut already_reported = false;
+        let mut is_already_reported = false;
         for open in connection.open.into_values() {
             let is_written = connection.stream.written >= open.output.end;
             let outcome = if is_written {
@@ -224,10 +224,10 @@
                 Outcome::NoConnection
             };
             let mut end = AttemptEnd::new(open.request, open.attempt, outcome);
-            end.already_reported = already_reported;
+            end.is_already_reported = is_already_reported;
             context.events.push(EngineEvent::AttemptEnded(end));
             // A connection that never came up says more of its engine than one that breaks.
-            already_reported = connection.stream.was_up();
+            is_already_reported = connection.stream.was_up();
         }
         for deadline in connection.probes.into_values() {
             context.deadlines.cancel(Some(deadline));
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -8,7 +8,7 @@
 use std::hash::Hasher;
 
 use eideryard::interface::{
-    AttemptBudget, Class, Discovery, Effect, Kind, Scope, Settings, Tenant,
+    Class, Discovery, Effect, MachineKind, RetryBudgetSettings, Scope, Settings, Tenant,
 };
 use siphasher::sip::SipHasher13;
 
@@ -64,7 +64,7 @@
 fn discovery_name(discovery: Discovery) -> &'static str {
     match discovery {
         Discovery::Push => "Push",
-        Discovery::Ask => "Ask",
+        Discovery::Poll => "Ask",
     }
 }
 
@@ -85,24 +85,24 @@
         let classes: Vec<ClassText<'_>> = settings.classes.iter().map(ClassText).collect();
         let tenants: Vec<TenantText<'_>> = settings.tenants.iter().map(TenantText).collect();
         let kinds: Vec<KindText<'_>> = settings.kinds.iter().map(KindText).collect();
-        let budget = settings.attempt_budget.as_ref().map(BudgetText);
+        let budget = settings.retry_budget.as_ref().map(BudgetText);
         f.debug_struct("Settings")
             .field("classes", &classes)
             .field("tenants", &tenants)
             .field("kinds", &kinds)
             .field("peers", &settings.peers)
-            .field("index", &settings.index)
+            .field("index", &settings.gateway_index)
             .field("zone", &settings.zone)
             .field("tick", &settings.tick)
             .field("discovery", &Bare(discovery_name(settings.discovery)))
-            .field("note_period", &settings.note_period)
+            .field("note_period", &settings.progress_interval)
             .field("largest_share", &settings.largest_share)
             .field("max_attempts", &settings.max_attempts)
             .field("may_cancel", &settings.may_cancel)
-            .field("may_duplicate", &settings.hedging_allowed)
+            .field("may_duplicate", &settings.may_hedge)
             .field("may_probe", &settings.may_probe)
             .field("counts_by_probe", &settings.counts_by_probe)
-            .field("may_advise", &settings.retry_after_allowed)
+            .field("may_advise", &settings.may_send_retry_after)
             .field("max_advice", &settings.max_retry_after)
             .field("fall_multiple", &settings.overload_multiple)
             .field("fall_window", &settings.overload_window)
@@ -130,7 +130,7 @@
             .field("effect", &Bare(effect_name(class.effect)))
             .field("scope", &Bare(scope_name(class.scope)))
             .field("window", &class.window)
-            .field("ordered", &class.ordered)
+            .field("ordered", &class.is_ordered)
             .field("zones_only", &class.zones_only)
             .field("kinds_only", &class.kinds_only)
             .field("threads", &class.threads)
@@ -150,7 +150,7 @@
     }
 }
 
-struct KindText<'a>(&'a Kind);
+struct KindText<'a>(&'a MachineKind);
 
 impl Debug for KindText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -162,7 +162,7 @@
     }
 }
 
-struct BudgetText<'a>(&'a AttemptBudget);
+struct BudgetText<'a>(&'a RetryBudgetSettings);
 
 impl Debug for BudgetText<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use eideryard::balancer::Balancer;
-use eideryard::interface::{Action, Endpoint, EngineId, Event, Micros, Outcome, Probed};
+use eideryard::interface::{Action, Endpoint, EngineId, Event, Micros, Outcome, ProbeEnded};
 use eideryard_event_log::{HostEvent, ListedEngine};
 
 use crate::clients::{ClientContext, ClientEvent, Clients};
@@ -61,7 +61,7 @@
     /// Events that the balancer has not handled yet.
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    retry_after_allowed: bool,
+    may_send_retry_after: bool,
     longest_wait: Micros,
     engine_names: BTreeMap<EngineId, String>,
     /// What service discovery last reported of each engine, as the event log holds it.
--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -76,7 +76,7 @@
             incoming_results: BTreeSet::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
-            retry_after_allowed: config.settings.retry_after_allowed,
+            may_send_retry_after: config.settings.may_send_retry_after,
             longest_wait: config.host.longest_wait,
             engine_names: BTreeMap::new(),
             last_listed: BTreeMap::new(),
@@ -123,9 +123,9 @@
     let connections = (config.sockets / 2).saturating_sub(OTHER_DESCRIPTORS);
     Limits {
         dial_timeout: config.host.dial_timeout,
-        idle: config.host.idle,
-        note_period: config.settings.note_period,
-        streams: config.host.streams,
+        idle: config.host.idle_timeout,
+        progress_interval: config.settings.progress_interval,
+        streams: config.host.max_streams,
         connections: connections.max(1),
     }
 }
--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -1,42 +1,43 @@
-//! The platform's words for the balancer's settings.
+//! Reads the balancer's settings by their keys in the operators' configuration.
 
 use eideryard::interface::{
-    AttemptBudget, Class, Discovery, Effect, Kind, Scope, Settings, Tenant,
+    Class, Discovery, Effect, MachineKind, RetryBudgetSettings, Scope, Settings, Tenant,
 };
 
 use crate::{SettingsError, SettingsTree};
 
-/// Reads the balancer's settings. A key that is not given leaves what it names unlimited or off.
+/// Reads the balancer's settings. A missing key turns the feature it configures off, or removes the
+/// limit it sets.
 ///
 /// # Errors
 ///
-/// The first key whose value can't be used.
+/// Names the first key whose value is invalid.
 pub fn read_settings(tree: &SettingsTree) -> Result<Settings, SettingsError> {
-    let attempt_budget = read_attempt_budget(tree)?;
+    let retry_budget = read_retry_budget(tree)?;
     Ok(Settings {
         classes: read_classes(tree)?,
         tenants: read_tenants(tree)?,
         kinds: read_kinds(tree)?,
         peers: tree.number_or("peers-total", 1.0)?,
-        index: tree.optional("self-index")?,
+        gateway_index: tree.optional("self-index")?,
         zone: tree.number_or("az", 0)?,
         tick: tree.number_or("tick-us", 1_000)?,
         discovery: read_discovery(tree),
-        note_period: tree.number_or("extra.note-period-us", 0)?,
+        progress_interval: tree.number_or("extra.note-period-us", 0)?,
         largest_share: tree.number_or("extra.largest-share", 1.0)?,
         max_attempts: tree.number_or("limits.max-attempts", usize::MAX)?,
         may_cancel: tree.flag("limits.may-cancel")?,
-        hedging_allowed: tree.flag("limits.may-duplicate")?,
+        may_hedge: tree.flag("limits.may-duplicate")?,
         may_probe: tree.flag("limits.probes")?,
         counts_by_probe: counts_by_probe(tree),
-        retry_after_allowed: tree.flag("limits.retry-after")?,
+        may_send_retry_after: tree.flag("limits.retry-after")?,
         max_retry_after: tree.number_or("limits.max-retry-after-us", 0)?,
         overload_multiple: tree.number_or("rules.fall-multiple", f64::INFINITY)?,
         overload_window: tree.number_or("rules.fall-us", 0)?,
         start_capacity: tree.number_or("rules.start-capacity", 1.0)?,
         warm_up_duration: tree.number_or("rules.warm-within-us", 0)?,
         ordering_delay: tree.number_or("rules.order-pause-us", 0)?,
-        attempt_budget,
+        retry_budget,
         poll_interval: tree.number_or("rules.ask-every-us", 0)?,
         over_quota_weight: tree.number_or("over-share-worth", 1.0)?,
         cross_zone_tariff: tree.number_or("tariffs.cross-zone", 0.0)?,
@@ -46,22 +47,22 @@
 
 fn read_discovery(tree: &SettingsTree) -> Discovery {
     match tree.text("discovery") {
-        Some("ask") => Discovery::Ask,
+        Some("ask") => Discovery::Poll,
         _ => Discovery::Push,
     }
 }
 
-/// Whether only probes report how many queries an engine holds.
+/// Whether engines report the number of queries in flight in answers to probes only.
 fn counts_by_probe(tree: &SettingsTree) -> bool {
     tree.text("report.source") == Some("on_probe")
         && tree.list("report.fields").contains(&"concurrent")
 }
 
-fn read_attempt_budget(tree: &SettingsTree) -> Result<Option<AttemptBudget>, SettingsError> {
+fn read_retry_budget(tree: &SettingsTree) -> Result<Option<RetryBudgetSettings>, SettingsError> {
     let Some(ratio) = tree.optional::<f64>("rules.further-ratio")? else {
         return Ok(None);
     };
-    Ok(Some(AttemptBudget {
+    Ok(Some(RetryBudgetSettings {
         span: tree.number_or("rules.ratio-span-us", 0)?,
         ratio,
         spare: tree.number_or("rules.spare-attempts", 0.0)?,
@@ -83,7 +84,7 @@
         effect: read_effect(tree, &path("repeat")),
         scope: read_scope(tree, &path("group")),
         window: tree.number_or(&path("window-us"), 0)?,
-        ordered: tree.flag(&path("sequential"))?,
+        is_ordered: tree.flag(&path("sequential"))?,
         zones_only: tree.indexes(&path("zones-only"), "zones")?,
         kinds_only: tree.indexes(&path("kinds-only"), "kinds")?,
         threads: tree.item("extra.threads-by-class", index)?.unwrap_or(1.0),
@@ -118,13 +119,14 @@
     (0..count).map(read_tenant).collect()
 }
 
-/// Kinds of machine; there is at least one, without limits where none is named.
-fn read_kinds(tree: &SettingsTree) -> Result<Vec<Kind>, SettingsError> {
+/// Reads the machine kinds. If the settings name none, there is one with one core and unlimited
+/// memory.
+fn read_kinds(tree: &SettingsTree) -> Result<Vec<MachineKind>, SettingsError> {
     let count = tree.list("kinds").len().max(1);
     let read_kind = |index| {
         let cores = tree.item("extra.kind-cores", index)?;
         let memory_mb = tree.item("extra.kind-memory-mb", index)?;
-        Ok(Kind {
+        Ok(MachineKind {
             cores: cores.unwrap_or(1.0),
             memory_mb: memory_mb.unwrap_or(f64::INFINITY),
         })
--- a/src/balancer/constraints.rs
+++ b/src/balancer/constraints.rs
@@ -54,7 +54,7 @@
             Scope::Cell => run.cell == endpoint.cell,
         };
         let is_keyed = class.effect == Effect::IdempotentWithKey;
-        (self.settings.hedging_allowed || !pending.has_attempt_in_flight())
+        (self.settings.may_hedge || !pending.has_attempt_in_flight())
             && self.may_repeat(pending)
             && (!is_keyed || pending.possible_runs().all(is_in_scope))
     }
@@ -65,7 +65,7 @@
         let Some(key) = &pending.request.key else {
             return true;
         };
-        if !class.ordered {
+        if !class.is_ordered {
             return true;
         }
         let may_start = !pending.attempts.is_empty() || !self.key_ordering.is_paused(key, self.now);
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -5,7 +5,7 @@
 use super::outlier_detection::{QuarantineReason, SHORT_PAUSE};
 use super::{Balancer, MAINTENANCE_TICKS};
 use crate::engine_state::AttemptKey;
-use crate::interface::{EngineId, LoadReport, Micros, Outcome, Probed};
+use crate::interface::{EngineId, LoadReport, Micros, Outcome, ProbeEnded};
 
 impl Balancer {
     pub(super) fn record_activity(&mut self, engine: EngineId) {
@@ -75,7 +75,7 @@
     /// Processes the result of a probe: applies its load report, or excludes the engine for a while
     /// if the probe failed. An answer shows only that the process runs, not that queries succeed,
     /// so it doesn't count as a good outcome.
-    pub(super) fn on_probed(&mut self, probed: &Probed) {
+    pub(super) fn on_probed(&mut self, probed: &ProbeEnded) {
         let pause_ends = self.now + self.engine_pause();
         let Some(engine) = self.engines.get_mut(&probed.engine) else {
             return;
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -39,7 +39,7 @@
         attempt.state = execution_state_after(ended.outcome);
         attempt.has_errored = ended.outcome == Outcome::Error;
         let attempt = *attempt;
-        pending.has_ended |= ended.complete;
+        pending.has_ended |= ended.is_request_complete;
         if ended.outcome == Outcome::NotSent {
             self.remove_from_budgets(id, ended.attempt, &attempt);
         }
@@ -61,7 +61,7 @@
             self.learn_slowdown(engine, &reservation, ended.spent, ended.usage);
         }
         // An error is attributed to the engine or to the request once the request is closed.
-        if ended.outcome != Outcome::Error && !ended.already_reported {
+        if ended.outcome != Outcome::Error && !ended.is_already_reported {
             self.record_outcome(engine, ended.outcome);
         }
         if let Some(report) = &ended.report {
--- a/src/balancer/retry_budget.rs
+++ b/src/balancer/retry_budget.rs
@@ -1,12 +1,12 @@
 //! The retry budget: limits retries to a fraction of the requests that arrived recently.
 
-use crate::interface::{AttemptBudget, Micros};
+use crate::interface::{Micros, RetryBudgetSettings};
 use std::collections::VecDeque;
 
 /// Arrivals and retries within the time over which the budget counts them.
 pub(super) struct RetryBudget {
     /// `None`: retries are not limited.
-    limit: Option<AttemptBudget>,
+    limit: Option<RetryBudgetSettings>,
     /// Arrival times of requests, in order.
     requests: VecDeque<Micros>,
     /// Times at which retries were sent.
@@ -14,7 +14,7 @@
 }
 
 impl RetryBudget {
-    pub(super) fn new(limit: Option<AttemptBudget>) -> Self {
+    pub(super) fn new(limit: Option<RetryBudgetSettings>) -> Self {
         RetryBudget {
             limit,
             requests: VecDeque::new(),
