--- a/crates/gateway/src/clients/answering.rs
+++ b/crates/gateway/src/clients/answering.rs
@@ -50,7 +50,7 @@
         if result.is_err() {
             self.close(key, context);
         } else if self.unsent_bytes > self.max_unsent_bytes && remaining > fair_share {
-            context.counters.ended.deaf += 1;
+            context.counters.closed.not_reading += 1;
             self.record_change(key, ConnectionChange::Closing(CloseReason::NotReading));
             self.stop_writing(key, context);
         }
--- a/crates/gateway/src/clients/closing.rs
+++ b/crates/gateway/src/clients/closing.rs
@@ -35,7 +35,7 @@
                 return true;
             }
             if context.counters.bytes_in == bytes_before {
-                context.counters.ended.evicted += 1;
+                context.counters.closed.evicted += 1;
                 self.record_change(key, ConnectionChange::Closing(CloseReason::Evicted));
                 self.close(key, context);
                 return true;
@@ -82,7 +82,7 @@
                 return;
             }
         }
-        context.counters.ended.silent += 1;
+        context.counters.closed.idle_timeout += 1;
         self.record_change(key, ConnectionChange::Closing(CloseReason::IdleTimeout));
         self.reject_connection(key, context);
     }
--- a/crates/gateway/src/clients/decoding.rs
+++ b/crates/gateway/src/clients/decoding.rs
@@ -88,7 +88,7 @@
     }
 
     fn answer_health(&mut self, id: u32) {
-        self.context.counters.health_asked += 1;
+        self.context.counters.health_checks += 1;
         self.client.has_requested = true;
         let output = self.client.connection.output.tail();
         write_health(output, id, self.is_healthy);
--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -70,8 +70,8 @@
         self.unread_bytes = self.unread_bytes + remaining - length_before;
         if let Some(reason) = self.rejection(is_malformed, remaining) {
             match reason {
-                CloseReason::Malformed => context.counters.ended.malformed += 1,
-                _ => context.counters.ended.hoarding += 1,
+                CloseReason::Malformed => context.counters.closed.malformed += 1,
+                _ => context.counters.closed.too_much_unread += 1,
             }
             self.record_change(key, ConnectionChange::Closing(reason));
             self.reject_connection(key, context);
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -9,33 +9,33 @@
 pub struct Counters {
     pub connections: u64,
     pub bytes_in: u64,
-    pub health_asked: u64,
-    pub ended: ClosedConnections,
+    pub health_checks: u64,
+    pub closed: ClosedConnections,
     /// Requests taken; each ends as one of the six that follow, or is open.
-    pub taken: u64,
+    pub received: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
     pub invalid: u64,
     /// Of those refused, the ones whose statements found no room here.
-    pub no_room: u64,
-    pub forgotten: u64,
-    pub lost: u64,
+    pub statement_memory_full: u64,
+    pub abandoned: u64,
+    pub undelivered: u64,
     /// Answers, of those above, that were sent after the request's deadline.
-    pub late: u64,
+    pub answered_late: u64,
     /// Attempts sent to engines; each ends with one outcome, or is in flight.
-    pub sent: u64,
+    pub attempts_sent: u64,
     pub attempts: AttemptOutcomes,
-    pub pages: u64,
-    pub notes: u64,
-    pub ranks: u64,
+    pub result_pages: u64,
+    pub progress_reports: u64,
+    pub rank_updates: u64,
     pub probes: u64,
     pub dials: u64,
     pub dials_failed: u64,
     /// Dials for which this side had too few descriptors or too little memory.
-    pub dials_short: u64,
-    pub list_events: u64,
-    pub list_connections: u64,
+    pub dials_out_of_resources: u64,
+    pub discovery_events: u64,
+    pub discovery_connections: u64,
     pub reloads: u64,
     pub reloads_failed: u64,
 }
@@ -46,11 +46,11 @@
     /// It sent something that can't be decoded, or two open requests had one number.
     pub malformed: u64,
     /// No request, or only a part of one, for too long.
-    pub silent: u64,
+    pub idle_timeout: u64,
     /// Its incomplete messages took more than its share of the memory for them.
-    pub hoarding: u64,
+    pub too_much_unread: u64,
     /// It didn't read its answers, which took more than its share of the memory for them.
-    pub deaf: u64,
+    pub not_reading: u64,
     /// It was idle when descriptors ran short.
     pub evicted: u64,
 }
@@ -60,12 +60,12 @@
 pub struct AttemptOutcomes {
     pub answered: u64,
     pub error: u64,
-    pub full: u64,
+    pub at_capacity: u64,
     pub timed_out: u64,
     pub no_connection: u64,
     pub broken: u64,
     pub cancelled: u64,
-    pub unsent: u64,
+    pub not_sent: u64,
 }
 
 impl AttemptOutcomes {
@@ -74,22 +74,26 @@
         *match outcome {
             Outcome::Answered => &mut self.answered,
             Outcome::Error => &mut self.error,
-            Outcome::AtCapacity => &mut self.full,
+            Outcome::AtCapacity => &mut self.at_capacity,
             Outcome::TimedOut => &mut self.timed_out,
             Outcome::NoConnection => &mut self.no_connection,
             Outcome::Broken => &mut self.broken,
             Outcome::Cancelled => &mut self.cancelled,
-            Outcome::NotSent => &mut self.unsent,
+            Outcome::NotSent => &mut self.not_sent,
         } += 1;
     }
 }
 
 impl Counters {
     /// Requests taken that have no end yet.
-    pub fn open(&self) -> u64 {
-        let ended =
-            self.served + self.refused + self.failed + self.invalid + self.forgotten + self.lost;
-        self.taken - ended
+    pub fn open_requests(&self) -> u64 {
+        let ended = self.served
+            + self.refused
+            + self.failed
+            + self.invalid
+            + self.abandoned
+            + self.undelivered;
+        self.received - ended
     }
 }
 
@@ -102,42 +106,42 @@
     (
         "requests ",
         &[
-            ("taken", |c| c.taken),
+            ("taken", |c| c.received),
             ("served", |c| c.served),
             ("refused", |c| c.refused),
             ("failed", |c| c.failed),
             ("invalid", |c| c.invalid),
-            ("forgotten", |c| c.forgotten),
-            ("lost", |c| c.lost),
-            ("open", Counters::open),
-            ("late", |c| c.late),
-            ("no_room", |c| c.no_room),
+            ("forgotten", |c| c.abandoned),
+            ("lost", |c| c.undelivered),
+            ("open", Counters::open_requests),
+            ("late", |c| c.answered_late),
+            ("no_room", |c| c.statement_memory_full),
         ],
     ),
     (
         "attempts ",
         &[
-            ("sent", |c| c.sent),
+            ("sent", |c| c.attempts_sent),
             ("answered", |c| c.attempts.answered),
             ("error", |c| c.attempts.error),
-            ("full", |c| c.attempts.full),
+            ("full", |c| c.attempts.at_capacity),
             ("timed_out", |c| c.attempts.timed_out),
             ("no_connection", |c| c.attempts.no_connection),
             ("broken", |c| c.attempts.broken),
             ("cancelled", |c| c.attempts.cancelled),
-            ("unsent", |c| c.attempts.unsent),
+            ("unsent", |c| c.attempts.not_sent),
         ],
     ),
     (
         "",
         &[
-            ("pages", |c| c.pages),
-            ("notes", |c| c.notes),
-            ("ranks", |c| c.ranks),
+            ("pages", |c| c.result_pages),
+            ("notes", |c| c.progress_reports),
+            ("ranks", |c| c.rank_updates),
             ("probes", |c| c.probes),
             ("dials", |c| c.dials),
             ("dials_failed", |c| c.dials_failed),
-            ("dials_short", |c| c.dials_short),
+            ("dials_short", |c| c.dials_out_of_resources),
         ],
     ),
     (
@@ -145,24 +149,24 @@
         &[
             ("connections", |c| c.connections),
             ("bytes_in", |c| c.bytes_in),
-            ("health_asked", |c| c.health_asked),
+            ("health_asked", |c| c.health_checks),
         ],
     ),
     (
         "ended ",
         &[
-            ("malformed", |c| c.ended.malformed),
-            ("silent", |c| c.ended.silent),
-            ("hoarding", |c| c.ended.hoarding),
-            ("deaf", |c| c.ended.deaf),
-            ("evicted", |c| c.ended.evicted),
+            ("malformed", |c| c.closed.malformed),
+            ("silent", |c| c.closed.idle_timeout),
+            ("hoarding", |c| c.closed.too_much_unread),
+            ("deaf", |c| c.closed.not_reading),
+            ("evicted", |c| c.closed.evicted),
         ],
     ),
     (
         "bulletin ",
         &[
-            ("list_events", |c| c.list_events),
-            ("list_connections", |c| c.list_connections),
+            ("list_events", |c| c.discovery_events),
+            ("list_connections", |c| c.discovery_connections),
         ],
     ),
     (
@@ -176,7 +180,7 @@
 
 impl Counters {
     /// Every counter by its name.
-    pub fn pairs(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+    pub fn named_values(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         GROUPS
             .iter()
             .flat_map(|(_, counters)| counters.iter())
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -106,7 +106,7 @@
     /// Connects and requests all events after the last.
     pub fn connect(&mut self, now: Micros, deadlines: &mut Deadlines, counters: &mut Counters) {
         deadlines.cancel(self.deadline.take());
-        counters.list_connections += 1;
+        counters.discovery_connections += 1;
         match Connection::dial(&self.event_loop, self.address, WakeReason::Discovery) {
             Ok(mut connection) => {
                 let text = request(&self.address.to_string(), self.last_event);
@@ -250,7 +250,7 @@
         }
         self.last_event = item.no;
         self.retry_delay = 0;
-        counters.list_events += 1;
+        counters.discovery_events += 1;
         items.push(item);
         Ok(())
     }
--- a/crates/gateway/src/engines/reading.rs
+++ b/crates/gateway/src/engines/reading.rs
@@ -129,8 +129,8 @@
         }
         return Ok(());
     };
-    context.counters.notes += u64::from(answer.word == Word::Note);
-    context.counters.pages += u64::from(answer.word == Word::Rows);
+    context.counters.progress_reports += u64::from(answer.word == Word::Note);
+    context.counters.result_pages += u64::from(answer.word == Word::Rows);
     let Some(event) = handle_answer(open, answer, output, context.events)? else {
         return Ok(());
     };
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -76,7 +76,7 @@
         let address = known.address.ok_or(Outcome::NoConnection)?;
         context.counters.dials += 1;
         if self.table.len() >= self.limits.connections && !self.close_idlest(context) {
-            context.counters.dials_short += 1;
+            context.counters.dials_out_of_resources += 1;
             return Err(Outcome::NotSent);
         }
         let key = self.table.next_key();
@@ -85,7 +85,7 @@
             Err(e) => {
                 tracing::debug!("no connection to engine {engine}: {e}");
                 if is_shortage(&e) {
-                    context.counters.dials_short += 1;
+                    context.counters.dials_out_of_resources += 1;
                     return Err(Outcome::NotSent);
                 }
                 context.counters.dials_failed += 1;
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -61,7 +61,7 @@
             .filter_map(|attempt| attempt.connection)
         {
             let is_sent = self.engines.update_rank(connection, &request.id, rank);
-            self.counters.ranks += u64::from(is_sent);
+            self.counters.rank_updates += u64::from(is_sent);
         }
     }
 
--- a/crates/gateway/src/gateway/actions/sends.rs
+++ b/crates/gateway/src/gateway/actions/sends.rs
@@ -32,7 +32,7 @@
         if request.is_spooled {
             self.restart_spooling(now, key);
         }
-        self.counters.sent += 1;
+        self.counters.attempts_sent += 1;
         let plan = self.prepare_send(now, key, engine, attempt_deadline);
         let Some(attempt) = self.add_attempt(now, key, engine, &plan) else {
             return;
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -80,12 +80,12 @@
         }
         request.is_answered = true;
         let is_late = self.clock.now() > request.deadline;
-        self.counters.late += u64::from(is_late);
+        self.counters.answered_late += u64::from(is_late);
         let call_id = request.call_id;
         let is_sent = self
             .clients
             .answer(request.client, call_id, |output| write(output, call_id));
-        self.counters.lost += u64::from(!is_sent);
+        self.counters.undelivered += u64::from(!is_sent);
         let kind = if is_sent { kind } else { AnswerKind::Lost };
         self.request_span(key)
             .in_scope(|| tracing::debug!(late = is_late, "{}", kind.name()));
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -82,7 +82,7 @@
     pub(super) fn discovery_state(&self) -> DiscoveryState {
         DiscoveryState {
             is_receiving: self.discovery.is_receiving(),
-            event_count: self.counters.list_events,
+            event_count: self.counters.discovery_events,
         }
     }
 
@@ -97,7 +97,7 @@
             };
             self.event_recorder.record_host(now, &link);
         }
-        if self.counters.list_events != before.event_count {
+        if self.counters.discovery_events != before.event_count {
             for item in items {
                 let list_event = HostEvent::DiscoveryEvent { number: item.no };
                 self.event_recorder.record_host(now, &list_event);
@@ -155,7 +155,7 @@
         self.record_connection_changes();
         let counters = self
             .counters
-            .pairs()
+            .named_values()
             .map(|(name, value)| (name.to_string(), value))
             .collect();
         let ended = HostEvent::Ended { counters };
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -28,7 +28,7 @@
                     self.handle_result_query(client, id, query);
                 }
                 ClientEvent::Forgotten(request) => {
-                    self.counters.forgotten += 1;
+                    self.counters.abandoned += 1;
                     self.handle_client_left(request, AnswerKind::Forgotten);
                 }
                 ClientEvent::ConnectionRejected(request) => {
@@ -38,7 +38,7 @@
                     self.answer_error(request, &ErrorReply::new(ErrorKind::Failed));
                 }
                 ClientEvent::Disconnected(request) => {
-                    self.counters.lost += 1;
+                    self.counters.undelivered += 1;
                     if !self.detach_spooled_request(request) {
                         self.handle_client_left(request, AnswerKind::Lost);
                     }
@@ -50,14 +50,14 @@
     /// Takes a request in, or answers it at once: invalid ones, those that attach to an earlier run
     /// of the same key, and those for which there is no room or no durable intent.
     fn handle_call(&mut self, client: Key, id: u32, call: Result<Call, CallError>) {
-        self.counters.taken += 1;
+        self.counters.received += 1;
         let call_id = CallId { client, id };
         let call = match (self.clients.accepts_requests(client), call) {
             (Some(true), Ok(call)) => call,
             (Some(true), Err(error)) => return self.answer_invalid(call_id, error),
             (Some(false), _) => return self.answer_invalid(call_id, CallError::ConnectionClosing),
             (None, _) => {
-                self.counters.lost += 1;
+                self.counters.undelivered += 1;
                 self.record_rejection(RejectReason::ClientDisconnected, None);
                 return;
             }
@@ -233,7 +233,7 @@
 
     fn count_no_room(&mut self, reason: RejectReason, labels: RequestLabels) {
         self.counters.refused += 1;
-        self.counters.no_room += 1;
+        self.counters.statement_memory_full += 1;
         self.record_rejection(reason, Some(labels));
     }
 
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -60,7 +60,7 @@
             if !request.is_answered {
                 request.is_answered = true;
                 let is_late = now > request.deadline;
-                self.counters.late += u64::from(is_late);
+                self.counters.answered_late += u64::from(is_late);
                 self.counters.served += 1;
                 self.record_answer(key, AnswerKind::Served, is_late);
             }
@@ -174,7 +174,7 @@
             AnswerKind::Served => self.counters.served += 1,
             AnswerKind::Refused => self.counters.refused += 1,
             AnswerKind::Failed => self.counters.failed += 1,
-            _ => self.counters.lost += 1,
+            _ => self.counters.undelivered += 1,
         }
         let answered = HostEvent::Answered {
             request: 0,
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -16,7 +16,10 @@
         if !self.shutdown.begin(now, self.longest_wait) {
             return;
         }
-        tracing::info!("stopping; {} requests are open", self.counters.open());
+        tracing::info!(
+            "stopping; {} requests are open",
+            self.counters.open_requests()
+        );
         self.event_recorder.record_host(now, &HostEvent::Stopping);
         self.clients.is_healthy = false;
         if let Some(intent_durability) = &mut self.intent_durability {
@@ -34,7 +37,7 @@
                 self.close_idle_connections();
             }
             let remaining = Remaining {
-                requests: self.counters.open() as usize,
+                requests: self.counters.open_requests() as usize,
                 connections: self.clients.len(),
             };
             match self.shutdown.next_step(self.clock.now(), remaining) {
