--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -54,9 +54,9 @@
 /// What [`Clients::new`] needs to know.
 pub struct ClientsConfig {
     /// Where to listen.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Descriptors that the platform grants to the process.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Memory that the platform grants to the process.
     pub memory_mb: u64,
     /// Whether changes of connections are collected for the event log.
@@ -70,13 +70,13 @@
     pub fn new(event_loop: &EventLoopHandle, config: &ClientsConfig) -> io::Result<Self> {
         Ok(Clients {
             event_loop: event_loop.clone(),
-            listener: Some(listen(event_loop, config.listen)?),
+            listener: Some(listen(event_loop, config.listen_address)?),
             table: Table::new(),
             unflushed: Vec::new(),
             unfinished_reads: Vec::new(),
             // Clients are promised to hold a third of the descriptors at most; the rest is room for
             // a burst.
-            max_connections: (config.sockets / 2).max(1),
+            max_connections: (config.max_descriptors / 2).max(1),
             unsent_bytes: 0,
             max_unsent_bytes: (config.memory_mb as usize) << 18,
             unread_bytes: 0,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -22,17 +22,17 @@
     /// Its name, by which peers and voters know it.
     pub name: String,
     /// Where clients reach it.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Its random numbers are derived from this.
     pub seed: u64,
     /// Memory that the platform grants.
     pub memory_mb: u64,
     /// Descriptors that the platform grants.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Where service discovery listens.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// What service discovery had reported when the file was written.
-    pub known: Known,
+    pub initial_endpoints: Known,
     /// Settings of the balancer.
     pub settings: Settings,
     /// Settings of the process around it.
@@ -120,12 +120,13 @@
         let tree = SettingsTree::from_json(member(&root, "settings")?);
         Ok(Config {
             name: text_member(&root, "name")?,
-            listen: address_member(&root, "listen")?,
+            listen_address: address_member(&root, "listen")?,
             seed: u64::from_str_radix(&seed, 16).map_err(|_| ConfigTextError::NotHex(seed))?,
             memory_mb: limit(&root, "memory_mb", DEFAULT_MEMORY_MB)?,
-            sockets: limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
-            discovery: address_member(&root, "bulletin")?,
-            known: Known::read(member(&root, "known")?).map_err(ConfigTextError::Known)?,
+            max_descriptors: limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
+            discovery_address: address_member(&root, "bulletin")?,
+            initial_endpoints: Known::read(member(&root, "known")?)
+                .map_err(ConfigTextError::Known)?,
             settings: read_settings(&tree)?,
             host: read_host_settings(&tree)?,
         })
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -48,13 +48,13 @@
 pub struct Limits {
     pub dial_timeout: Micros,
     /// How long engines keep an idle connection open; 0: for ever.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// How often engines report the progress of a running attempt.
-    pub note_period: Micros,
+    pub progress_interval: Micros,
     /// Requests on one connection at once.
-    pub streams: usize,
+    pub max_streams: usize,
     /// Connections to all engines.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// All connections to engines.
@@ -169,7 +169,7 @@
         // Nothing at all has arrived since: an engine that still answers may have other requests on
         // another connection. This guards against a connection that stands and is of no use.
         let max_silence =
-            MAX_SILENT_PROGRESS_PERIODS * self.limits.note_period + self.limits.dial_timeout;
+            MAX_SILENT_PROGRESS_PERIODS * self.limits.progress_interval + self.limits.dial_timeout;
         let last_activity = connection.last_received_at.max(open.sent_at);
         connection.is_retired |= last_activity + max_silence <= context.now;
         connection.ended_ids.insert(id.into());
@@ -181,7 +181,7 @@
     /// Closes a connection on which nothing is open: at once if it accepts no more attempts, else
     /// after the idle time.
     fn close_if_idle(&mut self, key: Key, context: &mut EngineContext<'_>) {
-        let idle_timeout = (self.limits.idle as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
+        let idle_timeout = (self.limits.idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         let Some(connection) = self.table.get_mut(key) else {
             return;
         };
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -23,7 +23,7 @@
         serve: &Serve<'_>,
         context: &mut EngineContext<'_>,
     ) -> Result<Key, Outcome> {
-        let max_streams = self.limits.streams;
+        let max_streams = self.limits.max_streams;
         let accepts = |connection: &EngineConnection| {
             let is_known_id =
                 connection.open.contains_key(serve.id) || connection.ended_ids.contains(serve.id);
@@ -75,7 +75,7 @@
         let known = self.engines.get(&engine).ok_or(Outcome::NoConnection)?;
         let address = known.address.ok_or(Outcome::NoConnection)?;
         context.counters.dials += 1;
-        if self.table.len() >= self.limits.connections && !self.close_idlest(context) {
+        if self.table.len() >= self.limits.max_connections && !self.close_idlest(context) {
             context.counters.dials_out_of_resources += 1;
             return Err(Outcome::NotSent);
         }
@@ -123,7 +123,7 @@
         engine: EngineId,
         context: &mut EngineContext<'_>,
     ) -> Result<(), Outcome> {
-        let max_streams = self.limits.streams;
+        let max_streams = self.limits.max_streams;
         let accepts = |connection: &EngineConnection| connection.has_free_stream(max_streams);
         let key = self.connection_to(engine, accepts, context)?;
         let connection = self.table.get_mut(key).ok_or(Outcome::NoConnection)?;
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -30,10 +30,10 @@
     let event_loop: EventLoop<'_, PendingWakes> = EventLoop::try_new().unwrap();
     let limits = Limits {
         dial_timeout: NOW,
-        idle: 0,
-        note_period: 0,
-        streams: 32,
-        connections: 8,
+        idle_timeout: 0,
+        progress_interval: 0,
+        max_streams: 32,
+        max_connections: 8,
     };
     let mut engines = Engines::new(&event_loop.handle(), limits);
     let (mut deadlines, mut counters, mut events) =
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -285,9 +285,9 @@
                 self.counters.reloads += 1;
                 self.event_recorder
                     .record_host(now, &HostEvent::ConfigReloaded { succeeded: true });
-                tracing::info!("reloaded; the bulletin is at {}", config.discovery);
+                tracing::info!("reloaded; the bulletin is at {}", config.discovery_address);
                 self.discovery
-                    .change_address(config.discovery, now, &mut self.deadlines);
+                    .change_address(config.discovery_address, now, &mut self.deadlines);
             }
             Err(error) => {
                 self.counters.reloads_failed += 1;
--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -50,8 +50,8 @@
             operator.record.as_ref(),
         );
         let clients_config = ClientsConfig {
-            listen: config.listen,
-            sockets: config.sockets,
+            listen_address: config.listen_address,
+            max_descriptors: config.max_descriptors,
             memory_mb: config.memory_mb,
             records_changes: event_recorder.is_enabled(),
             accepts_result_queries: result_spool.is_some(),
@@ -61,8 +61,8 @@
             engines: Engines::new(event_loop, engine_limits(&config)),
             discovery: DiscoveryWatch::new(
                 event_loop,
-                config.discovery,
-                config.known.no,
+                config.discovery_address,
+                config.initial_endpoints.no,
                 config.host.dial_timeout,
                 config.seed,
             ),
@@ -87,7 +87,7 @@
             balancer: Balancer::new(config.settings, config.seed, now),
             clock,
         };
-        gateway.load_initial_state(config.known.items, now);
+        gateway.load_initial_state(config.initial_endpoints.items, now);
         tracing::info!("{} listens on {}", config.name, gateway.clients.address()?);
         Ok(gateway)
     }
@@ -120,13 +120,13 @@
 }
 
 fn engine_limits(config: &Config) -> Limits {
-    let connections = (config.sockets / 2).saturating_sub(OTHER_DESCRIPTORS);
+    let connections = (config.max_descriptors / 2).saturating_sub(OTHER_DESCRIPTORS);
     Limits {
         dial_timeout: config.host.dial_timeout,
-        idle: config.host.idle,
-        note_period: config.settings.note_period,
-        streams: config.host.streams,
-        connections: connections.max(1),
+        idle_timeout: config.host.idle,
+        progress_interval: config.settings.note_period,
+        max_streams: config.host.streams,
+        max_connections: connections.max(1),
     }
 }
 
