--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -14,16 +14,16 @@
 }
 
 /// What the intent durability and, in a fleet, replication and leases have counted.
-pub fn durability(durability: &IntentDurability) -> String {
-    let mut text = format!("; {}", intents(&durability.counters));
+pub fn format_intent_durability(durability: &IntentDurability) -> String {
+    let mut text = format!("; {}", format_intents(&durability.counters));
     let Some(driver) = durability.replication() else {
         return text;
     };
-    text.push_str(&format!("; {}", replication(&driver.counters())));
+    text.push_str(&format!("; {}", format_replication(&driver.counters())));
     if let Some(driver) = driver.leases() {
         text.push_str(&format!(
             "; {}; probes_spared: {}",
-            leases(&driver.counters()),
+            format_leases(&driver.counters()),
             driver.probes_spared()
         ));
     }
@@ -31,7 +31,7 @@
 }
 
 /// What was counted of intents.
-pub fn intents(counters: &IntentCounters) -> String {
+pub fn format_intents(counters: &IntentCounters) -> String {
     group(
         "Counted",
         &[
@@ -48,7 +48,7 @@
 }
 
 /// What was counted of spooled results.
-pub fn spool(counters: &ResultSpoolCounters) -> String {
+pub fn format_result_spool(counters: &ResultSpoolCounters) -> String {
     group(
         "Spooled",
         &[
@@ -64,7 +64,7 @@
 }
 
 /// What was counted of replicas and claims.
-pub fn replication(counters: &eideryard_replication::core::Counters) -> String {
+pub fn format_replication(counters: &eideryard_replication::core::Counters) -> String {
     group(
         "Counted",
         &[
@@ -83,7 +83,7 @@
 }
 
 /// What was counted of leases.
-pub fn leases(counters: &eideryard_leases::Counters) -> String {
+pub fn format_leases(counters: &eideryard_leases::Counters) -> String {
     group(
         "Counted",
         &[
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether there is a connection, also one that is not established yet.
-    pub fn is_up(&self) -> bool {
+    pub fn has_connection(&self) -> bool {
         self.stream.is_some()
     }
 
@@ -141,7 +141,7 @@
         counters: &mut Counters,
     ) {
         self.deadline = None;
-        if self.is_up() {
+        if self.has_connection() {
             self.disconnect(&DisconnectReason::Silent, now, deadlines);
         } else {
             self.connect(now, deadlines, counters);
--- a/crates/gateway/src/discovery_watch/tests.rs
+++ b/crates/gateway/src/discovery_watch/tests.rs
@@ -27,7 +27,7 @@
         .write_all(format!("HTTP/1.1 200 OK\r\n\r\n{text}").as_bytes())
         .unwrap();
     drop(stream);
-    while watch.is_up() {
+    while watch.has_connection() {
         watch.read(0, deadlines, &mut counters, &mut items);
     }
 }
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records what the gateway itself did or received.
-    pub fn record_host(&mut self, now: Micros, host: &HostEvent) {
+    pub fn record_host_event(&mut self, now: Micros, host: &HostEvent) {
         self.record(now, EntryRef::Host(host));
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Whether a segment should begin, with the current state.
-    pub fn needs_state(&self, now: Micros) -> bool {
+    pub fn needs_segment(&self, now: Micros) -> bool {
         match &self.active {
             Some(active) => active.recorder.needs_segment(now),
             None => false,
@@ -89,7 +89,7 @@
     }
 
     /// Begins a segment with the current state.
-    pub fn record_state(&mut self, now: Micros, state: impl Iterator<Item = HostEvent>) {
+    pub fn start_segment(&mut self, now: Micros, state: impl Iterator<Item = HostEvent>) {
         let Some(active) = &mut self.active else {
             return;
         };
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -85,10 +85,10 @@
     let text = format!(
         "{}\n{}\n{}\n{}\n{}\n",
         Counters::default(),
-        counter_text::intents(&crate::intent_durability::IntentCounters::default()),
-        counter_text::spool(&crate::result_spool::ResultSpoolCounters::default()),
-        counter_text::replication(&eideryard_replication::core::Counters::default()),
-        counter_text::leases(&eideryard_leases::Counters::default()),
+        counter_text::format_intents(&crate::intent_durability::IntentCounters::default()),
+        counter_text::format_result_spool(&crate::result_spool::ResultSpoolCounters::default()),
+        counter_text::format_replication(&eideryard_replication::core::Counters::default()),
+        counter_text::format_leases(&eideryard_leases::Counters::default()),
     );
     golden::check("counters.txt", text.as_bytes());
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -284,7 +284,7 @@
             Ok(config) => {
                 self.counters.reloads += 1;
                 self.event_recorder
-                    .record_host(now, &HostEvent::ConfigReloaded { succeeded: true });
+                    .record_host_event(now, &HostEvent::ConfigReloaded { succeeded: true });
                 tracing::info!("reloaded; the bulletin is at {}", config.discovery_address);
                 self.discovery
                     .change_address(config.discovery_address, now, &mut self.deadlines);
@@ -292,7 +292,7 @@
             Err(error) => {
                 self.counters.reloads_failed += 1;
                 self.event_recorder
-                    .record_host(now, &HostEvent::ConfigReloaded { succeeded: false });
+                    .record_host_event(now, &HostEvent::ConfigReloaded { succeeded: false });
                 tracing::error!("not reloaded, the old configuration stays: {error}");
             }
         }
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -38,7 +38,7 @@
             Action::Fail { request } => self.fail(Key::from_number(request)),
             Action::SetTimer { after, tag } => self.set_timer(now, after, tag),
             // The discovery service reports changes by itself whenever it can be reached.
-            Action::Subscribe if self.discovery.is_up() => {
+            Action::Subscribe if self.discovery.has_connection() => {
                 self.events.push_back(Event::EndpointChanges(Vec::new()));
             }
             Action::Subscribe => self.events.push_back(Event::DiscoveryFailed),
--- a/crates/gateway/src/gateway/actions/durability_results.rs
+++ b/crates/gateway/src/gateway/actions/durability_results.rs
@@ -26,7 +26,7 @@
         let probe_work = durability.take_probe_work(now);
         for event in fleet_events {
             self.event_recorder
-                .record_host(now, &HostEvent::Fleet(event));
+                .record_host_event(now, &HostEvent::Fleet(event));
         }
         let has_news = !results.is_empty()
             || !drains.is_empty()
@@ -137,7 +137,7 @@
             request: request.number(),
             reason,
         };
-        self.event_recorder.record_host(now, &event);
+        self.event_recorder.record_host_event(now, &event);
         let reply = ErrorReply {
             retry_after: self.retry_after_allowed.then_some(RETRY_AFTER),
             ..ErrorReply::with_reason(ErrorKind::TryLater, reason.name())
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -187,7 +187,7 @@
             booted_at: endpoint.booted_at,
         };
         self.event_recorder
-            .record_host(self.clock.now(), &HostEvent::Engine(listed.clone()));
+            .record_host_event(self.clock.now(), &HostEvent::Engine(listed.clone()));
         self.last_listed.insert(endpoint.engine, listed);
     }
 
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -28,7 +28,7 @@
     /// Records the current state, where a segment of the event log begins.
     pub(super) fn record_state(&mut self) {
         let now = self.clock.now();
-        if !self.event_recorder.needs_state(now) {
+        if !self.event_recorder.needs_segment(now) {
             return;
         }
         let engines = self.last_listed.values().cloned().map(HostEvent::Engine);
@@ -56,7 +56,7 @@
             .chain(requests)
             .chain([link])
             .chain(fleet);
-        self.event_recorder.record_state(now, state);
+        self.event_recorder.start_segment(now, state);
     }
 
     /// Records connections of clients that were opened, are closing or have ended.
@@ -75,7 +75,7 @@
                 },
                 ConnectionChange::Closed => HostEvent::Disconnected { connection },
             };
-            self.event_recorder.record_host(now, &host);
+            self.event_recorder.record_host_event(now, &host);
         }
     }
 
@@ -95,12 +95,12 @@
             let link = HostEvent::DiscoveryLink {
                 is_up: is_receiving,
             };
-            self.event_recorder.record_host(now, &link);
+            self.event_recorder.record_host_event(now, &link);
         }
         if self.counters.discovery_events != before.event_count {
             for item in items {
                 let list_event = HostEvent::DiscoveryEvent { number: item.no };
-                self.event_recorder.record_host(now, &list_event);
+                self.event_recorder.record_host_event(now, &list_event);
             }
         }
     }
@@ -112,7 +112,8 @@
         }
         if let Some(request) = self.requests.get(key) {
             let offered = HostEvent::RequestReceived(offer(key, request));
-            self.event_recorder.record_host(self.clock.now(), &offered);
+            self.event_recorder
+                .record_host_event(self.clock.now(), &offered);
         }
     }
 
@@ -133,7 +134,8 @@
             kind,
             is_late,
         };
-        self.event_recorder.record_host(self.clock.now(), &answered);
+        self.event_recorder
+            .record_host_event(self.clock.now(), &answered);
     }
 
     /// Records a request that was not taken.
@@ -143,7 +145,8 @@
             class: labels.map(|labels| labels.class),
             tenant: labels.map(|labels| labels.tenant),
         };
-        self.event_recorder.record_host(self.clock.now(), &rejected);
+        self.event_recorder
+            .record_host_event(self.clock.now(), &rejected);
     }
 
     /// Writes the last entries of the store, the event log and the log.
@@ -159,7 +162,8 @@
             .map(|(name, value)| (name.to_string(), value))
             .collect();
         let ended = HostEvent::Ended { counters };
-        self.event_recorder.record_host(self.clock.now(), &ended);
+        self.event_recorder
+            .record_host_event(self.clock.now(), &ended);
         self.log_counters();
     }
 
@@ -172,11 +176,16 @@
         let counters = &self.counters;
         let tables = tables.collect::<Vec<_>>().join(" ");
         let result_spool = match &self.result_spool {
-            Some(spool) => format!("; {}", crate::counter_text::spool(&spool.counters)),
+            Some(spool) => format!(
+                "; {}",
+                crate::counter_text::format_result_spool(&spool.counters)
+            ),
             None => String::new(),
         };
         let intents = match &self.intent_durability {
-            Some(intent_durability) => crate::counter_text::durability(intent_durability),
+            Some(intent_durability) => {
+                crate::counter_text::format_intent_durability(intent_durability)
+            }
             None => String::new(),
         };
         tracing::info!("counters: {counters}; tables {tables}{result_spool}{intents}");
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -96,7 +96,7 @@
             class: labels.class,
             tenant: labels.tenant,
         };
-        self.event_recorder.record_host(now, &attached);
+        self.event_recorder.record_host_event(now, &attached);
         if let Some(delivery) = delivery {
             self.deliver(&delivery);
         }
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -183,7 +183,8 @@
             kind,
             is_late: false,
         };
-        self.event_recorder.record_host(self.clock.now(), &answered);
+        self.event_recorder
+            .record_host_event(self.clock.now(), &answered);
     }
 
     /// Lets the result spool work, and requests pages of results that there is room for now.
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -20,7 +20,8 @@
             "stopping; {} requests are open",
             self.counters.open_requests()
         );
-        self.event_recorder.record_host(now, &HostEvent::Stopping);
+        self.event_recorder
+            .record_host_event(now, &HostEvent::Stopping);
         self.clients.is_healthy = false;
         if let Some(intent_durability) = &mut self.intent_durability {
             intent_durability.release_leases(now);
