--- a/crates/gateway/src/clients/decoding.rs
+++ b/crates/gateway/src/clients/decoding.rs
@@ -138,7 +138,7 @@
         };
         let events = &mut self.context.events;
         match self.client.open.swap_remove(index).request {
-            Some(request) => events.push(ClientEvent::Forgotten(request)),
+            Some(request) => events.push(ClientEvent::RequestCancelled(request)),
             // It has only just arrived, so its event is removed before anybody handles it.
             None => events.retain(|event| !event.is_call(self.key, id)),
         }
--- a/crates/gateway/src/clients/events.rs
+++ b/crates/gateway/src/clients/events.rs
@@ -40,7 +40,7 @@
         query: ResultQuery,
     },
     /// The client no longer wants an answer to this request.
-    Forgotten(Key),
+    RequestCancelled(Key),
     /// The connection of this request is being closed from this side, so the request ends at once.
     ConnectionRejected(Key),
     /// The connection of this request has ended.
--- a/crates/gateway/src/deadlines.rs
+++ b/crates/gateway/src/deadlines.rs
@@ -26,7 +26,7 @@
     /// Service discovery must have sent something, or the retry delay is over.
     Discovery,
     /// Descriptors may be free again for clients that wait to connect.
-    Accept,
+    AcceptRetry,
     /// A phase of the shutdown begins.
     Shutdown,
 }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -16,7 +16,7 @@
 use engine_connection::{AttemptStage, EngineConnection};
 
 pub use events::{AttemptEnd, AttemptTarget, EngineContext, EngineEvent};
-pub use writing::MayBegin;
+pub use writing::StartPermission;
 
 mod answer_fields;
 mod answers;
--- a/crates/gateway/src/engines/writing.rs
+++ b/crates/gateway/src/engines/writing.rs
@@ -6,13 +6,17 @@
 use crate::table::Key;
 
 /// Whether an attempt (its request, its index) may still begin.
-pub type MayBegin<'a> = &'a mut dyn FnMut(Key, usize) -> bool;
+pub type StartPermission<'a> = &'a mut dyn FnMut(Key, usize) -> bool;
 
 impl Engines {
     /// Writes what was queued since the last call. An attempt that has not begun is cancelled if
     /// `may_begin` denies it. Without `may_begin`, connections with such attempts are left for a
     /// later call.
-    pub fn flush(&mut self, mut may_begin: Option<MayBegin<'_>>, context: &mut EngineContext<'_>) {
+    pub fn flush(
+        &mut self,
+        mut may_begin: Option<StartPermission<'_>>,
+        context: &mut EngineContext<'_>,
+    ) {
         let mut unflushed = std::mem::take(&mut self.unflushed);
         unflushed.sort_unstable();
         unflushed.dedup();
@@ -24,7 +28,7 @@
     fn flush_connection(
         &mut self,
         key: Key,
-        may_begin: &mut Option<MayBegin<'_>>,
+        may_begin: &mut Option<StartPermission<'_>>,
         context: &mut EngineContext<'_>,
     ) {
         let Some(connection) = self.table.get_mut(key) else {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -20,7 +20,7 @@
 use crate::counters::Counters;
 use crate::deadlines::{Deadline, Deadlines};
 use crate::discovery_watch::DiscoveryWatch;
-use crate::engines::{AttemptEnd, EngineContext, EngineEvent, Engines, MayBegin};
+use crate::engines::{AttemptEnd, EngineContext, EngineEvent, Engines, StartPermission};
 use crate::error_reply::{ErrorKind, ErrorReply};
 use crate::event_recorder::EventRecorder;
 use crate::intent_durability::IntentDurability;
@@ -181,7 +181,7 @@
                     .handle_deadline(now, &mut self.deadlines, &mut self.counters);
                 self.record_discovery_changes(&before, &[]);
             }
-            Deadline::Accept => {
+            Deadline::AcceptRetry => {
                 self.accept();
             }
             // The steps of the shutdown are taken at the end of each poll.
@@ -195,7 +195,7 @@
         let has_accepted_all = self.with_clients(Clients::accept);
         if !has_accepted_all {
             let retry_at = self.clock.now() + ACCEPT_RETRY_DELAY;
-            self.deadlines.set(retry_at, Deadline::Accept);
+            self.deadlines.set(retry_at, Deadline::AcceptRetry);
         }
         self.record_connection_changes();
         self.handle_client_events();
@@ -231,7 +231,7 @@
         let balancer = &mut self.balancer;
         let mut may_begin =
             |request: Key, attempt| balancer.may_begin(now, request.number(), attempt);
-        let may_begin: Option<MayBegin<'_>> = if self.events.is_empty() {
+        let may_begin: Option<StartPermission<'_>> = if self.events.is_empty() {
             Some(&mut may_begin)
         } else {
             None
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -234,7 +234,7 @@
         client_request: offer(key, request),
         class: request.class,
         tenant: request.tenant,
-        arrived_at: request.taken_at,
+        arrived_at: request.received_at,
         deadline: request.deadline,
         attempts: request.attempts.len() as u64,
         running: in_flight.map(|attempt| RunningAttempt {
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -27,7 +27,7 @@
                 ClientEvent::ResultQuery { client, id, query } => {
                     self.handle_result_query(client, id, query);
                 }
-                ClientEvent::Forgotten(request) => {
+                ClientEvent::RequestCancelled(request) => {
                     self.counters.abandoned += 1;
                     self.handle_client_left(request, AnswerKind::Forgotten);
                 }
@@ -148,8 +148,8 @@
         let now = self.clock.now();
         let labels = call.labels();
         let deadline = now + call.wait;
-        let answer_by = match self.shutdown.last_answer() {
-            Some(last_answer) => deadline.min(last_answer),
+        let answer_by = match self.shutdown.answer_deadline() {
+            Some(answer_deadline) => deadline.min(answer_deadline),
             None => deadline,
         };
         // The balancer orders requests by this key; a request without an ordering key has an order
@@ -170,7 +170,7 @@
         let request = match self.requests.insert(client, id, now, deadline, call) {
             Ok(request) => request,
             Err(InsertError::DuplicateId) => return self.answer_invalid(call_id, CallError::Id),
-            Err(InsertError::NoRoom) => {
+            Err(InsertError::StatementMemoryFull) => {
                 self.count_no_room(RejectReason::StatementMemoryFull, labels);
                 self.answer_call(call_id, &ErrorReply::new(ErrorKind::TryLater));
                 return;
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -42,8 +42,8 @@
                 connections: self.clients.len(),
             };
             match self.shutdown.next_step(self.clock.now(), remaining) {
-                Some(ShutdownStep::CloseIdle | ShutdownStep::Exit) => {}
-                Some(ShutdownStep::AnswerOpen) => self.expire_open_requests(),
+                Some(ShutdownStep::CloseIdleConnections | ShutdownStep::Exit) => {}
+                Some(ShutdownStep::AnswerOpenRequests) => self.expire_open_requests(),
                 None => return,
             }
             if self.is_done() {
--- a/crates/gateway/src/requests.rs
+++ b/crates/gateway/src/requests.rs
@@ -49,7 +49,7 @@
     pub id: Box<str>,
     pub class: usize,
     pub tenant: usize,
-    pub taken_at: Micros,
+    pub received_at: Micros,
     pub key: Option<Box<str>>,
     pub statement: Box<[u8]>,
     /// Its result goes to the result spool.
@@ -90,7 +90,7 @@
     /// Its id is that of an open request, or was a while ago: engines could not tell the two apart.
     DuplicateId,
     /// Statements use an eighth of the memory already; each is copied once more for its engine.
-    NoRoom,
+    StatementMemoryFull,
 }
 
 /// All requests, by slot.
@@ -122,7 +122,7 @@
         &mut self,
         client: Key,
         call_id: u32,
-        taken_at: Micros,
+        received_at: Micros,
         deadline: Micros,
         call: Call,
     ) -> Result<Key, InsertError> {
@@ -130,7 +130,7 @@
             return Err(InsertError::DuplicateId);
         }
         if self.statement_bytes + call.statement.len() > self.max_statement_bytes {
-            return Err(InsertError::NoRoom);
+            return Err(InsertError::StatementMemoryFull);
         }
         self.statement_bytes += call.statement.len();
         self.ids.insert(call.id.clone());
@@ -140,7 +140,7 @@
             id: call.id,
             class: call.class,
             tenant: call.tenant,
-            taken_at,
+            received_at,
             key: call.key,
             statement: call.statement,
             is_spooled: false,
--- a/crates/gateway/src/requests/tests.rs
+++ b/crates/gateway/src/requests/tests.rs
@@ -184,7 +184,7 @@
     insert(&mut requests, "0000000000000002").unwrap();
     assert_eq!(
         insert(&mut requests, "0000000000000003"),
-        Err(InsertError::NoRoom)
+        Err(InsertError::StatementMemoryFull)
     );
     requests.get_mut(first).unwrap().is_answered = true;
     requests.release(first, &mut Deadlines::new());
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -48,9 +48,9 @@
 pub enum ShutdownStep {
     /// Accept the connections that wait, then no more; half-close idle connections, now and
     /// whenever one becomes idle.
-    CloseIdle,
+    CloseIdleConnections,
     /// Answer all open requests.
-    AnswerOpen,
+    AnswerOpenRequests,
     /// End the process.
     Exit,
 }
@@ -86,7 +86,7 @@
     }
 
     /// When requests that are taken from now on must be answered at the latest.
-    pub fn last_answer(&self) -> Option<Micros> {
+    pub fn answer_deadline(&self) -> Option<Micros> {
         (self.phase != Phase::Serving).then_some(self.phase_starts[1])
     }
 
@@ -100,8 +100,10 @@
         let [closing_at, ending_at, finished_at] = self.phase_starts;
         let is_drained = remaining == Remaining::default();
         let (phase, step) = match self.phase {
-            Phase::Draining if now >= closing_at => (Phase::Closing, ShutdownStep::CloseIdle),
-            Phase::Closing if now >= ending_at => (Phase::Ending, ShutdownStep::AnswerOpen),
+            Phase::Draining if now >= closing_at => {
+                (Phase::Closing, ShutdownStep::CloseIdleConnections)
+            }
+            Phase::Closing if now >= ending_at => (Phase::Ending, ShutdownStep::AnswerOpenRequests),
             Phase::Closing if is_drained => (Phase::Finished, ShutdownStep::Exit),
             Phase::Ending if is_drained || now >= finished_at => {
                 (Phase::Finished, ShutdownStep::Exit)
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -95,11 +95,11 @@
         }
         assert_eq!(self.shutdown.phase(), Phase::Finished);
         let all_steps = [
-            ShutdownStep::CloseIdle,
-            ShutdownStep::AnswerOpen,
+            ShutdownStep::CloseIdleConnections,
+            ShutdownStep::AnswerOpenRequests,
             ShutdownStep::Exit,
         ];
-        let without_open_requests = [ShutdownStep::CloseIdle, ShutdownStep::Exit];
+        let without_open_requests = [ShutdownStep::CloseIdleConnections, ShutdownStep::Exit];
         assert!(
             self.steps == all_steps || self.steps == without_open_requests,
             "{:?}",
@@ -152,7 +152,7 @@
     };
     assert_eq!(
         next_steps(&mut shutdown, START + 700_000, idle_connection),
-        [ShutdownStep::CloseIdle]
+        [ShutdownStep::CloseIdleConnections]
     );
     assert_eq!(
         next_steps(&mut shutdown, START + 710_000, idle_connection),
@@ -168,7 +168,10 @@
     shutdown.begin(START, 100_000);
     assert_eq!(
         next_steps(&mut shutdown, START + 600_000, idle_connection),
-        [ShutdownStep::CloseIdle, ShutdownStep::AnswerOpen]
+        [
+            ShutdownStep::CloseIdleConnections,
+            ShutdownStep::AnswerOpenRequests
+        ]
     );
     assert_eq!(
         next_steps(&mut shutdown, START + 700_000, idle_connection),
