--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,13 +1,15 @@
-//! Connections of clients. The gateway's main loop owns one [`Clients`]: it accepts connections,
-//! decodes their messages into [`ClientEvent`]s and writes their answers. Each connection lives in
-//! a slot of the table; [`Clients::close`] is the one place that frees a slot.
+//! Client connections. The gateway's main loop owns one [`Clients`], which accepts connections,
+//! decodes their messages into [`ClientEvent`]s and writes the answers. Each connection occupies a
+//! slot of a [`Table`]; only [`Clients::close`] frees a slot.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 
 use eideryard::interface::Micros;
 
-use crate::connection::{is_shortage, listen, Connection, EventLoopHandle, WakeReason, Watched};
+use crate::connection::{
+    is_resource_shortage, listen, Connection, EventLoopHandle, WakeReason, WatchedFd,
+};
 use crate::deadlines::Deadline;
 use crate::table::{Key, Table};
 
@@ -22,42 +24,49 @@
 mod events;
 mod reading;
 
-/// Time for the first request of a connection to arrive, and for the rest of a message that has
-/// begun. Clients are owed an answer or a close within 3 s of connecting. This guards against
-/// connections that send nothing or stop half way; a client that has sent a request may stay idle.
-const SILENCE_TIMEOUT: Micros = 2_000_000;
+/// Time limit for the first request of a connection to arrive, and for the rest of a message of
+/// which a part has arrived. It guards against connections that send nothing or stop within a
+/// message: a client must get an answer or a close within 3 s of connecting. A client that has sent
+/// a request may stay idle.
+const INPUT_TIMEOUT: Micros = 2_000_000;
 
-/// All connections of clients, and the listener that accepts them.
+/// All client connections and the listener that accepts them.
 pub struct Clients {
     event_loop: EventLoopHandle,
-    listener: Option<Watched<TcpListener>>,
+    listener: Option<WatchedFd<TcpListener>>,
     table: Table<Client>,
+    /// Connections that [`Clients::flush`] has to look at.
     unflushed: Vec<Key>,
-    /// Connections with more to read once others had their turn; the owner empties it.
+    /// Connections that may have more input, to be read after the others; the main loop empties it.
     pub unfinished_reads: Vec<Key>,
     max_connections: usize,
-    /// Bytes that wait to be written on all connections, and how many may.
+    /// Bytes of answers that are not written yet, on all connections.
     unsent_bytes: usize,
+    /// Above this total, connections with more than their equal share are closed.
     max_unsent_bytes: usize,
-    /// Bytes of incomplete messages on all connections, and how many may be held.
+    /// Bytes of incomplete messages, on all connections.
     unread_bytes: usize,
+    /// Above this total, connections with more than their equal share are closed.
     max_unread_bytes: usize,
-    /// The answer to questions about this gateway's health.
+    /// The answer to health checks; the main loop keeps it up to date.
     pub is_healthy: bool,
-    /// Whether queries for spooled results are accepted.
+    /// False: queries for spooled results get an error, as this gateway spools no results.
     pub accepts_result_queries: bool,
-    /// Changes of connections, where they are recorded; the owner empties it.
+    /// Opened and closed connections, for the event log; empty if no event log is written. The main
+    /// loop empties it.
     pub changes: Vec<(Key, ConnectionChange)>,
     records_changes: bool,
 }
 
-/// What [`Clients::new`] needs to know.
+/// Configuration of [`Clients`].
 pub struct ClientsConfig {
-    /// Where to listen.
+    /// The address that clients connect to.
     pub listen_address: SocketAddr,
-    /// Descriptors that the platform grants to the process.
+    /// File descriptors that the platform grants to the process; client connections get at most
+    /// half of them.
     pub max_descriptors: usize,
-    /// Memory that the platform grants to the process.
+    /// Memory in MB that the platform grants to the process; the limits on buffered bytes are parts
+    /// of it.
     pub memory_mb: u64,
     /// Whether changes of connections are collected for the event log.
     pub records_changes: bool,
@@ -66,7 +75,7 @@
 }
 
 impl Clients {
-    /// Listens for clients.
+    /// Starts to listen; an error if the address can't be bound or registered.
     pub fn new(event_loop: &EventLoopHandle, config: &ClientsConfig) -> io::Result<Self> {
         Ok(Clients {
             event_loop: event_loop.clone(),
@@ -74,8 +83,8 @@
             table: Table::new(),
             unflushed: Vec::new(),
             unfinished_reads: Vec::new(),
-            // Clients are promised to hold a third of the descriptors at most; the rest is room for
-            // a burst.
+            // The operators guarantee that clients use at most a third of the descriptors; the
+            // difference to the half is room for a burst.
             max_connections: (config.max_descriptors / 2).max(1),
             unsent_bytes: 0,
             max_unsent_bytes: (config.memory_mb as usize) << 18,
@@ -94,7 +103,7 @@
         }
     }
 
-    /// Where clients reach this gateway; an error once it has stopped listening.
+    /// The address on which the gateway listens; an error after [`Clients::stop_listening`].
     pub fn address(&self) -> io::Result<SocketAddr> {
         match &self.listener {
             Some(listener) => listener.file.local_addr(),
@@ -102,13 +111,14 @@
         }
     }
 
-    /// Accepts all connections that wait. False: descriptors ran out, so that some still wait.
+    /// Accepts all pending connections. Returns false if some are still pending because there is no
+    /// descriptor for them and no connection is idle.
     pub fn accept(&mut self, context: &mut ClientContext<'_>) -> bool {
         while self.listener.is_some() {
-            // One connection more than allowed was accepted: an idle one is closed, or accepting
+            // There is one connection more than allowed: an idle one is closed, or else accepting
             // pauses.
             let is_full = self.table.len() > self.max_connections;
-            if is_full && !self.evict_idlest(context) {
+            if is_full && !self.evict_longest_idle(context) {
                 return false;
             }
             let Some(listener) = &self.listener else {
@@ -117,13 +127,13 @@
             match listener.file.accept() {
                 Ok((stream, from)) => self.add_connection(stream, from.ip(), context),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
-                Err(e) if is_shortage(&e) => {
-                    if !self.evict_idlest(context) {
+                Err(e) if is_resource_shortage(&e) => {
+                    if !self.evict_longest_idle(context) {
                         return false;
                     }
                 }
-                // Of a connection that ended before it was accepted.
-                Err(e) => tracing::debug!("accept: {e}"),
+                // The connection ended before it was accepted.
+                Err(e) => tracing::debug!("a client connection was not accepted: {e}"),
             }
         }
         true
@@ -138,7 +148,7 @@
         let key = self.table.next_key();
         match Connection::accepted(&self.event_loop, stream, WakeReason::Client(key)) {
             Ok(connection) => {
-                let timeout_at = context.now + SILENCE_TIMEOUT;
+                let timeout_at = context.now + INPUT_TIMEOUT;
                 let deadline = Deadline::ClientConnection(key);
                 let deadline = context.deadlines.set(timeout_at, deadline);
                 let client = Client::new(connection, address, context.now, deadline);
@@ -146,47 +156,49 @@
                 context.counters.connections += 1;
                 self.record_change(key, ConnectionChange::Opened(address));
             }
-            Err(e) => tracing::warn!("a client's connection is of no use: {e}"),
+            Err(e) => tracing::warn!("a client connection from {address} was dropped: {e}"),
         }
     }
 
-    /// Accepts no more connections.
+    /// Closes the listener: no more connections are accepted.
     pub fn stop_listening(&mut self) {
         self.listener = None;
     }
 
-    /// The request of that number on a connection has got a slot in the table of requests.
+    /// Notes the key of the slot that the request with the message id `id` has got in the table of
+    /// requests.
     pub fn assign_request(&mut self, key: Key, id: u32, request: Key) {
         let Some(client) = self.table.get_mut(key) else {
             return;
         };
-        if let Some(open) = client.open.iter_mut().find(|open| open.id == id) {
-            open.request = Some(request);
+        if let Some(open) = client.open_requests.iter_mut().find(|open| open.id == id) {
+            open.key = Some(request);
         }
     }
 
-    /// Whether a connection still accepts requests; `None` where it has ended.
+    /// Whether a connection still accepts requests; `None` if it has ended.
     pub fn accepts_requests(&self, key: Key) -> Option<bool> {
         let client = self.table.get(key)?;
         Some(client.state == ConnectionState::Open)
     }
 
-    /// Where a connection comes from, as a number for fair shares of the result spool.
+    /// The client's address as a number, by which the result spool shares its space fairly among
+    /// addresses; 0 if the connection has ended.
     pub fn address_of(&self, key: Key) -> u64 {
         match self.table.get(key).map(|client| client.address) {
             Some(IpAddr::V4(address)) => u64::from(u32::from(address)),
-            // The network's part: one site has many addresses of the rest.
+            // Only the network part: one site usually has many addresses in the other 64 bits.
             Some(IpAddr::V6(address)) => (u128::from(address) >> 64) as u64,
             None => 0,
         }
     }
 
-    /// The open connections and where they come from.
+    /// All connections and the clients' addresses.
     pub fn addresses(&self) -> impl Iterator<Item = (Key, IpAddr)> + '_ {
         self.table.iter().map(|(key, client)| (key, client.address))
     }
 
-    /// How many connections there are.
+    /// The number of connections, including half-closed ones.
     pub fn len(&self) -> usize {
         self.table.len()
     }
--- a/crates/gateway/src/clients/answering.rs
+++ b/crates/gateway/src/clients/answering.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: appended to a connection's output, written together.
+//! Answers to clients: appended to a connection's output, which is written once per poll.
 
 use eideryard_event_log::CloseReason;
 
@@ -6,7 +6,8 @@
 use crate::table::Key;
 
 impl Clients {
-    /// Appends the answer of a request. False: the connection has ended, nobody gets it.
+    /// Appends the answer to the request with the message id `id`. Returns false if the connection
+    /// has ended or gets no more answers.
     pub fn answer(&mut self, key: Key, id: u32, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let Some(client) = self.table.get_mut(key) else {
             return false;
@@ -14,7 +15,7 @@
         if client.state == ConnectionState::Discarding {
             return false;
         }
-        client.open.retain(|open| open.id != id);
+        client.open_requests.retain(|open| open.id != id);
         let length_before = client.connection.output.len();
         write(client.connection.output.tail());
         self.unsent_bytes += client.connection.output.len() - length_before;
@@ -22,8 +23,8 @@
         true
     }
 
-    /// Writes all answers since the last call; closes connections that have ended or read too
-    /// slowly.
+    /// Writes the answers that were appended since the last call. Closes connections that have
+    /// ended or read their answers too slowly.
     pub fn flush(&mut self, context: &mut ClientContext<'_>) {
         let mut unflushed = std::mem::take(&mut self.unflushed);
         unflushed.sort_unstable();
@@ -43,9 +44,12 @@
         let result = client.connection.flush();
         let remaining = client.connection.output.len();
         self.unsent_bytes = self.unsent_bytes.saturating_sub(length_before - remaining);
-        client.used_at = context.now;
-        if client.state != ConnectionState::Open && client.open.is_empty() && remaining == 0 {
-            client.connection.end_output();
+        client.last_used_at = context.now;
+        if client.state != ConnectionState::Open
+            && client.open_requests.is_empty()
+            && remaining == 0
+        {
+            client.connection.shut_down_writes();
         }
         if result.is_err() {
             self.close(key, context);
--- a/crates/gateway/src/clients/client.rs
+++ b/crates/gateway/src/clients/client.rs
@@ -1,4 +1,4 @@
-//! The state of one client's connection.
+//! The state of one client connection.
 
 use std::net::IpAddr;
 
@@ -8,38 +8,42 @@
 use crate::deadlines::DeadlineKey;
 use crate::table::Key;
 
-/// Whether a connection accepts requests, and what is still written to it.
+/// Whether a connection accepts requests, and whether answers are still written to it.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ConnectionState {
-    /// It accepts requests.
+    /// Requests are accepted and answers are written.
     Open,
-    /// Its input is discarded; it is half-closed once all answers are written, and closes with its
-    /// other end.
+    /// Input is discarded. The connection is half-closed once all answers are written, and closed
+    /// when the client closes it.
     Draining,
-    /// Its input is discarded and nothing more is written.
+    /// Input is discarded and nothing more is written.
     Discarding,
 }
 
-/// A request that has no answer yet.
+/// A request on this connection that has no answer yet.
 pub(super) struct OpenRequest {
-    /// The client's number of it.
+    /// The message id that the client has chosen.
     pub(super) id: u32,
-    /// Its slot in the table of requests, once it has one.
-    pub(super) request: Option<Key>,
+    /// Key of the slot in the table of requests; `None` until [`Clients::assign_request`].
+    ///
+    /// [`Clients::assign_request`]: super::Clients::assign_request
+    pub(super) key: Option<Key>,
 }
 
-/// One connection of a client.
+/// One client connection.
 pub(super) struct Client {
     pub(super) connection: Connection,
     pub(super) address: IpAddr,
-    pub(super) open: Vec<OpenRequest>,
-    /// It has sent something that is owed an answer.
+    pub(super) open_requests: Vec<OpenRequest>,
+    /// The client has sent at least one message that requires an answer.
     pub(super) has_requested: bool,
-    /// Reads that completed at least one message.
+    /// The number of reads that completed at least one message.
     pub(super) message_reads: u64,
     pub(super) state: ConnectionState,
-    pub(super) used_at: Micros,
-    /// Until then it must have sent a request, completed its message, or closed.
+    /// The last time that something was received or written.
+    pub(super) last_used_at: Micros,
+    /// When the connection is closed unless a request has arrived, the message in its input is
+    /// complete or the client has closed it.
     pub(super) deadline: Option<DeadlineKey>,
 }
 
@@ -54,18 +58,19 @@
         Client {
             connection,
             address,
-            open: Vec::new(),
+            open_requests: Vec::new(),
             has_requested: false,
             message_reads: 0,
             state: ConnectionState::Open,
-            used_at: now,
+            last_used_at: now,
             deadline: Some(deadline),
         }
     }
 
-    /// Nothing is open or in transfer, in either direction.
+    /// Whether the connection is open but has no open request and no buffered bytes in either
+    /// direction.
     pub(super) fn is_idle(&self) -> bool {
         let has_no_bytes = self.connection.input.is_empty() && self.connection.output.is_empty();
-        self.state == ConnectionState::Open && self.open.is_empty() && has_no_bytes
+        self.state == ConnectionState::Open && self.open_requests.is_empty() && has_no_bytes
     }
 }
--- a/crates/gateway/src/clients/closing.rs
+++ b/crates/gateway/src/clients/closing.rs
@@ -1,6 +1,6 @@
-//! How a client's connection ends from this side. Where the client may send more, the connection is
-//! half-closed and its input is discarded for a while (a lingering close): to close a socket with
-//! unread input would reset it, and lose answers that are still in transfer.
+//! Closing client connections from this side. If the client may still send, the connection is
+//! half-closed and its input is discarded for a while (a lingering close), because closing a socket
+//! with unread input resets the connection and loses answers that are still in transfer.
 
 use std::cmp::Reverse;
 
@@ -12,23 +12,23 @@
 use crate::deadlines::Deadline;
 use crate::table::Key;
 
-/// How long a connection that gets no more answers is still read.
+/// How long the input of a connection that gets no more answers is read and discarded.
 const LINGER_TIMEOUT: Micros = 500_000;
-/// Connections that are tried for eviction: the first ones may all have sent something by now.
+/// How many idle connections are tried in one eviction: each may turn out to have unread input.
 const MAX_EVICTION_ATTEMPTS: usize = 16;
-/// Clients usually send their first request within this time of connecting.
+/// Clients usually send their first request within this time after connecting.
 const FIRST_REQUEST_INTERVAL: Micros = 200_000;
 
 impl Clients {
     /// Makes room for another connection by closing the one that has been idle for the longest
-    /// time. Connections that had time to send a request and never did go first, lingering ones
-    /// next. False: none is idle.
-    pub(super) fn evict_idlest(&mut self, context: &mut ClientContext<'_>) -> bool {
+    /// time. Connections that never sent a request although they had the time are closed first,
+    /// lingering ones next. Returns false if none is idle.
+    pub(super) fn evict_longest_idle(&mut self, context: &mut ClientContext<'_>) -> bool {
         for _ in 0..MAX_EVICTION_ATTEMPTS {
-            let Some(key) = self.idlest(context.now) else {
+            let Some(key) = self.longest_idle(context.now) else {
                 return false;
             };
-            // A connection that has sent something by now isn't idle, though it was not read yet.
+            // A connection with input that was not read yet is not idle.
             let bytes_before = context.counters.bytes_in;
             self.read(key, context);
             if self.table.get(key).is_none() {
@@ -44,23 +44,22 @@
         false
     }
 
-    fn idlest(&self, now: Micros) -> Option<Key> {
+    fn longest_idle(&self, now: Micros) -> Option<Key> {
         let eviction_order = |client: &Client| {
             let is_lingering = client.state != ConnectionState::Open;
-            let is_recent = now - client.used_at < FIRST_REQUEST_INTERVAL;
-            let goes_later = is_lingering || client.has_requested || is_recent;
-            (goes_later, Reverse(is_lingering), client.used_at)
+            let is_recent = now - client.last_used_at < FIRST_REQUEST_INTERVAL;
+            let is_closed_later = is_lingering || client.has_requested || is_recent;
+            (is_closed_later, Reverse(is_lingering), client.last_used_at)
         };
-        let idle = self
-            .table
-            .iter()
-            .filter(|(_, client)| client.open.is_empty() && client.connection.output.is_empty());
-        let idlest = idle.min_by_key(|(_, client)| eviction_order(client));
-        idlest.map(|(key, _)| key)
+        let idle = self.table.iter().filter(|(_, client)| {
+            client.open_requests.is_empty() && client.connection.output.is_empty()
+        });
+        let longest_idle = idle.min_by_key(|(_, client)| eviction_order(client));
+        longest_idle.map(|(key, _)| key)
     }
 
-    /// The connection's deadline has passed: it was silent for too long, or its linger time is
-    /// over.
+    /// Handles the deadline of a connection: a lingering connection is closed; an open one is
+    /// rejected unless a complete message has arrived in the meantime.
     pub fn handle_deadline(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
@@ -69,16 +68,16 @@
         if client.state != ConnectionState::Open {
             return self.close(key, context);
         }
-        // What has arrived by now is in time, though it was not read yet.
+        // Input that has arrived but was not read yet is in time.
         let message_reads = client.message_reads;
         let mut bytes_before = None;
         while bytes_before != Some(context.counters.bytes_in) {
             bytes_before = Some(context.counters.bytes_in);
             self.read(key, context);
-            let is_silent = self.table.get(key).is_some_and(|client| {
+            let has_no_message = self.table.get(key).is_some_and(|client| {
                 client.state == ConnectionState::Open && client.message_reads == message_reads
             });
-            if !is_silent {
+            if !has_no_message {
                 return;
             }
         }
@@ -87,8 +86,8 @@
         self.reject_connection(key, context);
     }
 
-    /// Accepts nothing more from a connection: its open requests end now, and its input is
-    /// discarded.
+    /// Stops accepting requests from a connection: its open requests end now, and all further input
+    /// is discarded.
     pub(super) fn reject_connection(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
@@ -97,16 +96,17 @@
         self.unread_bytes -= client.connection.input.len();
         client.connection.input.clear();
         set_linger_deadline(key, client, context);
-        // A request without a slot gets an error anyway, as its connection accepts no more.
-        let requests = client.open.iter().filter_map(|open| open.request);
+        // A request that has no slot yet gets an error when its event is handled, since the
+        // connection no longer accepts requests.
+        let requests = client.open_requests.iter().filter_map(|open| open.key);
         context
             .events
             .extend(requests.map(ClientEvent::ConnectionRejected));
         self.unflushed.push(key);
     }
 
-    /// The client doesn't read: unwritten answers are dropped, and nothing more is written behind a
-    /// part of an answer.
+    /// Gives up on a client that doesn't read: drops its unwritten answers and ends its output. No
+    /// answer may follow one that was written in part.
     pub(super) fn stop_writing(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
@@ -118,16 +118,16 @@
             .unsent_bytes
             .saturating_sub(client.connection.output.len());
         client.connection.output.clear();
-        client.connection.end_output();
+        client.connection.shut_down_writes();
         set_linger_deadline(key, client, context);
-        let requests = client.open.drain(..).filter_map(|open| open.request);
+        let requests = client.open_requests.drain(..).filter_map(|open| open.key);
         context
             .events
             .extend(requests.map(ClientEvent::Disconnected));
     }
 
-    /// Half-closes idle connections. One that has sent something by now isn't idle, and neither is
-    /// one that has sent a part of a message: that request may still be served.
+    /// Half-closes idle connections. A connection with unread input or with a part of a message is
+    /// not idle, because the request may still be served.
     pub fn close_idle_connections(&mut self, context: &mut ClientContext<'_>) {
         let idle = self.table.iter().filter(|(_, client)| client.is_idle());
         let keys: Vec<Key> = idle.map(|(key, _)| key).collect();
@@ -138,13 +138,14 @@
             };
             if client.is_idle() {
                 client.state = ConnectionState::Draining;
-                client.connection.end_output();
+                client.connection.shut_down_writes();
                 set_linger_deadline(key, client, context);
             }
         }
     }
 
-    /// The one place that frees the slot of a client's connection.
+    /// Closes a connection and reports its open requests as disconnected. No other code frees the
+    /// slot of a client connection.
     pub(super) fn close(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.remove(key) else {
             return;
@@ -155,7 +156,7 @@
             .unsent_bytes
             .saturating_sub(client.connection.output.len());
         self.unread_bytes -= client.connection.input.len();
-        let requests = client.open.into_iter().filter_map(|open| open.request);
+        let requests = client.open_requests.into_iter().filter_map(|open| open.key);
         context
             .events
             .extend(requests.map(ClientEvent::Disconnected));
--- a/crates/gateway/src/clients/decoding.rs
+++ b/crates/gateway/src/clients/decoding.rs
@@ -1,5 +1,5 @@
-//! Turns the complete messages in a connection's input into events. Questions about this gateway's
-//! health are answered here at once.
+//! Turns the complete messages in a connection's input into events. Health checks are answered here
+//! at once.
 
 use eideryard_msgpack_rpc::{decode, write_health, Message};
 
@@ -8,18 +8,18 @@
 use crate::requests::{Call, CallError};
 use crate::table::Key;
 
-/// Open requests on one connection, as the protocol allows.
+/// The protocol's limit on open requests of one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
 
-/// The method by which clients ask after this gateway's health.
+/// The RPC method of a health check of this gateway.
 const HEALTH_METHOD: &str = "isWell";
 
-/// The input can't be decoded, or two open requests have one number, so that they could not be
-/// answered apart.
+/// The input can't be decoded, or two open requests have the same message id, so that the client
+/// could not tell their answers apart.
 #[derive(Debug)]
 pub(super) struct MalformedInput;
 
-/// Decodes the messages of one connection.
+/// Decodes the input of one connection and appends events to the context.
 pub(super) struct MessageDecoder<'a, 'b> {
     pub(super) key: Key,
     pub(super) client: &'a mut Client,
@@ -29,23 +29,23 @@
 }
 
 impl MessageDecoder<'_, '_> {
-    /// Handles all complete messages in the connection's buffer.
+    /// Handles all complete messages in the connection's input buffer.
     pub(super) fn decode_all(&mut self) -> Result<(), MalformedInput> {
         // The input is moved out while its messages borrow it.
         let mut input = std::mem::take(&mut self.client.connection.input);
-        let mut used = 0;
+        let mut consumed = 0;
         let result = loop {
-            let (message, length) = match decode(&input.filled()[used..]) {
+            let (message, length) = match decode(&input.filled()[consumed..]) {
                 Ok(Some(decoded)) => decoded,
                 Ok(None) => break Ok(()),
                 Err(_) => break Err(MalformedInput),
             };
-            used += length;
+            consumed += length;
             if let Err(error) = self.handle(message) {
                 break Err(error);
             }
         };
-        input.consume(used);
+        input.consume(consumed);
         self.client.connection.input = input;
         result
     }
@@ -79,7 +79,7 @@
             Message::Unusable { id } => self.handle_call(id, Err(CallError::Parameters)),
             Message::Forget { ids } => {
                 for id in ids {
-                    self.forget(id);
+                    self.cancel_request(id);
                 }
                 Ok(())
             }
@@ -100,15 +100,17 @@
         call: Result<Call, CallError>,
     ) -> Result<(), MalformedInput> {
         self.client.has_requested = true;
-        if self.client.open.iter().any(|open| open.id == id) {
+        if self.client.open_requests.iter().any(|open| open.id == id) {
             return Err(MalformedInput);
         }
-        let call = if self.client.open.len() < MAX_OPEN_REQUESTS {
+        let call = if self.client.open_requests.len() < MAX_OPEN_REQUESTS {
             call
         } else {
             Err(CallError::TooManyOpen)
         };
-        self.client.open.push(OpenRequest { id, request: None });
+        self.client
+            .open_requests
+            .push(OpenRequest { id, key: None });
         self.context.events.push(ClientEvent::Call {
             client: self.key,
             id,
@@ -119,11 +121,13 @@
 
     fn handle_result_query(&mut self, id: u32, query: ResultQuery) -> Result<(), MalformedInput> {
         self.client.has_requested = true;
-        let is_open = self.client.open.iter().any(|open| open.id == id);
-        if is_open || self.client.open.len() >= MAX_OPEN_REQUESTS {
+        let is_open = self.client.open_requests.iter().any(|open| open.id == id);
+        if is_open || self.client.open_requests.len() >= MAX_OPEN_REQUESTS {
             return Err(MalformedInput);
         }
-        self.client.open.push(OpenRequest { id, request: None });
+        self.client
+            .open_requests
+            .push(OpenRequest { id, key: None });
         self.context.events.push(ClientEvent::ResultQuery {
             client: self.key,
             id,
@@ -132,20 +136,26 @@
         Ok(())
     }
 
-    fn forget(&mut self, id: u32) {
-        let Some(index) = self.client.open.iter().position(|open| open.id == id) else {
+    fn cancel_request(&mut self, id: u32) {
+        let Some(index) = self
+            .client
+            .open_requests
+            .iter()
+            .position(|open| open.id == id)
+        else {
             return;
         };
         let events = &mut self.context.events;
-        match self.client.open.swap_remove(index).request {
+        match self.client.open_requests.swap_remove(index).key {
             Some(request) => events.push(ClientEvent::RequestCancelled(request)),
-            // It has only just arrived, so its event is removed before anybody handles it.
+            // The request arrived in the same read, so its event is not handled yet and is removed.
             None => events.retain(|event| !event.is_call(self.key, id)),
         }
     }
 }
 
-/// The query that a method and its fields stand for; a field that is missing is read as empty.
+/// The query that a method and its fields express; `None` for an unknown method. A missing field is
+/// read as empty.
 fn result_query(method: &str, fields: &[(&str, &str)]) -> Option<ResultQuery> {
     let field = |wanted: &str| {
         let found = fields.iter().find(|(name, _)| *name == wanted);
--- a/crates/gateway/src/clients/events.rs
+++ b/crates/gateway/src/clients/events.rs
@@ -1,5 +1,5 @@
-//! What connections of clients report to the gateway, and what handling them needs besides the
-//! connections themselves.
+//! The events that client connections report to the main loop, and the state of the main loop that
+//! handling a connection needs.
 
 use std::net::IpAddr;
 
@@ -11,68 +11,70 @@
 use crate::requests::{Call, CallError, Names};
 use crate::table::Key;
 
-/// What the handling of a connection uses of the gateway, for one call.
+/// The parts of the main loop that handling a connection uses, borrowed for one call.
 pub struct ClientContext<'a> {
-    /// The time of the call.
+    /// The time of the call, by the clock of the main loop.
     pub now: Micros,
-    /// Names that requests refer to.
+    /// The names of classes and tenants to which requests refer, and the limits on their fields.
     pub names: &'a Names,
-    /// Where the connections' deadlines are set.
+    /// All deadlines of the main loop; those of the connections are set here.
     pub deadlines: &'a mut Deadlines,
-    /// Where connections and bytes are counted.
+    /// The counters of the main loop, for connections and bytes.
     pub counters: &'a mut Counters,
-    /// Where events are appended, in the order in which they happened.
+    /// Events are appended here in the order in which they happened.
     pub events: &'a mut Vec<ClientEvent>,
 }
 
-/// An event of a client's connection.
+/// An event of a client connection. The keys are those of connections (`client`) and of requests.
 pub enum ClientEvent {
-    /// A request was received; the client's number of it is `id`.
+    /// A request was received; `id` is its message id on the connection. An error is answered with
+    /// the name of the invalid field.
     Call {
         client: Key,
         id: u32,
         call: Result<Call, CallError>,
     },
-    /// A query for a spooled result.
+    /// A query for a spooled result was received.
     ResultQuery {
         client: Key,
         id: u32,
         query: ResultQuery,
     },
-    /// The client no longer wants an answer to this request.
+    /// The client has cancelled this request and expects no answer.
     RequestCancelled(Key),
-    /// The connection of this request is being closed from this side, so the request ends at once.
+    /// The gateway is closing the connection of this request, so the request ends at once with an
+    /// error.
     ConnectionRejected(Key),
-    /// The connection of this request has ended.
+    /// The connection of this request has ended, so no answer can be sent.
     Disconnected(Key),
 }
 
 impl ClientEvent {
-    /// Whether this is the call of that number on that connection.
-    pub(super) fn is_call(&self, of_client: Key, number: u32) -> bool {
+    /// True only for [`ClientEvent::Call`], if both the connection and the message id match.
+    pub(super) fn is_call(&self, connection: Key, message_id: u32) -> bool {
         match self {
-            ClientEvent::Call { client, id, .. } => *client == of_client && *id == number,
+            ClientEvent::Call { client, id, .. } => *client == connection && *id == message_id,
             _ => false,
         }
     }
 }
 
-/// A query for a spooled result; clients send them only where results are spooled.
+/// A query for a spooled result; only gateways that spool results answer them.
 pub enum ResultQuery {
-    /// The pages from the one that the token names.
+    /// Requests the pages from the one that the page token identifies; `id` is the request's id.
     Page { token: String, id: String },
-    /// The result of an earlier request, by its id.
+    /// Requests the result of an earlier request by the request's id.
     Reattach { id: String },
-    /// The client needs the result no longer.
+    /// Frees the result: the client no longer needs it.
     Release { token: String, id: String },
 }
 
-/// A change of a connection, for the event log.
+/// A change of a client connection, for the event log.
 pub enum ConnectionChange {
-    /// It was accepted from this address.
+    /// The connection was accepted from this address.
     Opened(IpAddr),
-    /// This side has begun to close it.
+    /// The gateway has begun to close the connection.
     Closing(CloseReason),
-    /// It has ended.
+    /// The connection has ended and its slot is free.
     Closed,
 }
--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -1,17 +1,18 @@
-//! Reads what clients have sent, with the limits on time and bytes of messages that aren't
-//! complete.
+//! Reads the input of client connections and applies the limits on the time and the bytes of
+//! incomplete messages.
 
 use eideryard_event_log::CloseReason;
 
 use super::decoding::MessageDecoder;
-use super::{ClientContext, Clients, ConnectionChange, ConnectionState, SILENCE_TIMEOUT};
+use super::{ClientContext, Clients, ConnectionChange, ConnectionState, INPUT_TIMEOUT};
 use crate::connection::{ReadOutcome, MAX_READS_PER_TURN};
 use crate::deadlines::Deadline;
 use crate::table::Key;
 
 impl Clients {
-    /// Reads what has arrived. Where there may be more, the connection is added to
-    /// [`Clients::unfinished_reads`], so that others get their turn first.
+    /// Reads the available input. If there may be more after [`MAX_READS_PER_TURN`] reads, the
+    /// connection is added to [`Clients::unfinished_reads`], so that other connections are read
+    /// first.
     pub fn read(&mut self, key: Key, context: &mut ClientContext<'_>) {
         for _ in 0..MAX_READS_PER_TURN {
             let Some(client) = self.table.get_mut(key) else {
@@ -38,13 +39,13 @@
         self.unfinished_reads.push(key);
     }
 
-    /// Decodes the input of an open connection, of which `length_before` bytes were there before
-    /// this read.
+    /// Decodes the input of an open connection; `length_before` bytes of it were there before this
+    /// read.
     fn handle_input(&mut self, key: Key, length_before: usize, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
         };
-        client.used_at = context.now;
+        client.last_used_at = context.now;
         let received = client.connection.input.len();
         let mut decoder = MessageDecoder {
             key,
@@ -56,19 +57,19 @@
         let is_malformed = decoder.decode_all().is_err();
         let remaining = client.connection.input.len();
         let has_message = remaining < received;
-        // Each message has a deadline of its own, from when it begins; the first request has it
-        // from the start of the connection.
+        // The deadline of a message starts with its first byte, that of the first request when the
+        // connection is accepted.
         client.message_reads += u64::from(has_message);
         if client.has_requested && has_message {
             context.deadlines.cancel(client.deadline.take());
         }
         if client.deadline.is_none() && remaining > 0 {
-            let timeout_at = context.now + SILENCE_TIMEOUT;
+            let timeout_at = context.now + INPUT_TIMEOUT;
             let deadline = Deadline::ClientConnection(key);
             client.deadline = Some(context.deadlines.set(timeout_at, deadline));
         }
         self.unread_bytes = self.unread_bytes + remaining - length_before;
-        if let Some(reason) = self.rejection(is_malformed, remaining) {
+        if let Some(reason) = self.rejection_reason(is_malformed, remaining) {
             match reason {
                 CloseReason::Malformed => context.counters.closed.malformed += 1,
                 _ => context.counters.closed.too_much_unread += 1,
@@ -79,8 +80,9 @@
         self.unflushed.push(key);
     }
 
-    /// Why a connection with so many undecoded bytes must be closed, if it must.
-    fn rejection(&self, is_malformed: bool, undecoded: usize) -> Option<CloseReason> {
+    /// Why the connection must be closed; `None` if it may stay open. `undecoded`: the bytes of an
+    /// incomplete message in its input.
+    fn rejection_reason(&self, is_malformed: bool, undecoded: usize) -> Option<CloseReason> {
         if is_malformed {
             return Some(CloseReason::Malformed);
         }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,10 +1,11 @@
-//! The clock of the balancer and of the main loop: monotonic, set to Unix time at the start, in
-//! microseconds. Times that the protocol states as Unix times are used as they are.
+//! The clock of the balancer and of the main loop: microseconds since the Unix epoch. It is set
+//! from the system's clock once at the start and is monotonic from then on. Unix times in messages
+//! are compared with it without a conversion.
 
 use eideryard::interface::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that was started once for the process; copies show the same time.
+/// The clock of the process. All copies show the same time.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -12,7 +13,7 @@
 }
 
 impl Clock {
-    /// Starts a clock at the system's present time.
+    /// Starts a clock at the system's current time.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -23,7 +24,7 @@
         }
     }
 
-    /// The present time.
+    /// The current time, in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
         self.started_at + self.started.elapsed().as_micros() as Micros
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration that the platform gives a gateway: the file that `EDGE_CONFIG` names. The keys
-//! of the file stand here only.
+//! The configuration of a gateway, which the platform writes to the JSON file that the environment
+//! variable `EDGE_CONFIG` names. No other module knows the keys of the file.
 
 use std::net::SocketAddr;
 
@@ -10,100 +10,106 @@
 };
 use serde_json::Value;
 
-/// The environment variable that names the file.
+/// The environment variable with the path of the file.
 const PATH_VARIABLE: &str = "EDGE_CONFIG";
-/// Memory where the platform sets no limit: what the operators promise at least.
+/// The memory if the platform sets no limit: the minimum that the operators guarantee.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// Descriptors where the platform sets no limit: what the operators promise at least.
+/// The descriptors if the platform sets no limit: the minimum that the operators guarantee.
 const DEFAULT_SOCKETS: u64 = 1024;
 
 /// The configuration of one gateway.
 pub struct Config {
-    /// Its name, by which peers and voters know it.
+    /// The name of the gateway, by which peers and voters identify it.
     pub name: String,
-    /// Where clients reach it.
+    /// The address on which the gateway listens for clients (key `listen`).
     pub listen_address: SocketAddr,
-    /// Its random numbers are derived from this.
+    /// The seed of all random numbers of the gateway; hexadecimal in the file.
     pub seed: u64,
-    /// Memory that the platform grants.
+    /// Memory in MB that the platform grants to the process (key `limits.memory_mb`).
     pub memory_mb: u64,
-    /// Descriptors that the platform grants.
+    /// File descriptors that the platform grants to the process (key `limits.sockets`).
     pub max_descriptors: usize,
-    /// Where service discovery listens.
+    /// The address of service discovery (key `bulletin`).
     pub discovery_address: SocketAddr,
-    /// What service discovery had reported when the file was written.
+    /// The endpoints that service discovery had reported when the file was written, with the number
+    /// of the last event among them (key `known`).
     pub initial_endpoints: Known,
-    /// Settings of the balancer.
+    /// The settings of the balancer, from the key `settings`.
     pub settings: Settings,
-    /// Settings of the process around it.
+    /// The settings of the gateway process around the balancer, from the key `settings` too.
     pub host: HostSettings,
 }
 
-/// Why a configuration can't be used.
+/// Why the configuration file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no file.
-    #[error("EDGE_CONFIG names no configuration file")]
+    /// The environment variable is not set.
+    #[error("the environment variable EDGE_CONFIG must name the configuration file")]
     NoPath,
     /// The file can't be read.
     #[error("configuration {path}: {error}")]
     Unreadable {
-        /// The file.
+        /// The path from the environment variable.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// The file's text is invalid.
     #[error("configuration {path}: {error}")]
     Invalid {
-        /// The file.
+        /// The path from the environment variable.
         path: String,
-        /// What is wrong where.
+        /// The member that is invalid, and why.
         error: ConfigTextError,
     },
 }
 
-/// What is wrong in the text of a configuration.
+/// Why the text of a configuration is invalid. The messages name the member in quotes, by which
+/// `eideryard check` finds its line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigTextError {
-    /// The text is no JSON.
+    /// The text is not valid JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A member isn't there.
+    /// A required member is missing.
     #[error("'{0}' is missing")]
     Missing(&'static str),
-    /// A member isn't a string.
-    #[error("'{0}' is no text")]
-    NotText(&'static str),
-    /// A member isn't a socket address.
-    #[error("'{key}' is '{text}', no address with a port")]
+    /// A member is not a string.
+    #[error("'{0}' is not a string")]
+    NotString(&'static str),
+    /// A member is not a socket address.
+    #[error("'{key}' is '{text}', expected an IP address with a port")]
     NotAddress {
-        /// The member.
+        /// The key of the member.
         key: &'static str,
-        /// Its text.
+        /// The string in the file.
         text: String,
     },
-    /// A limit isn't a positive number.
-    #[error("'limits.{key}' is {value}, no positive number")]
+    /// A limit is not a positive number.
+    #[error("'limits.{key}' is {value}, expected a positive number")]
     NotPositive {
-        /// The limit.
+        /// The key of the limit within `limits`.
         key: &'static str,
-        /// Its value.
+        /// The JSON value in the file.
         value: Value,
     },
-    /// The seed isn't a hexadecimal number.
-    #[error("'seed' is '{0}', no hex number")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("'seed' is '{0}', expected a hexadecimal number")]
     NotHex(String),
-    /// The endpoints that were known can't be read.
+    /// The initial endpoints are invalid.
     #[error("'known': {0}")]
     Known(ItemError),
-    /// The settings can't be read.
+    /// The settings are invalid.
     #[error("{0}")]
     Settings(#[from] SettingsError),
 }
 
 impl Config {
     /// Reads the file that `EDGE_CONFIG` names.
+    ///
+    /// # Errors
+    ///
+    /// The variable is not set, the file can't be read, or its text is invalid.
     pub fn from_environment() -> Result<Self, ConfigError> {
         let path = std::env::var(PATH_VARIABLE).map_err(|_| ConfigError::NoPath)?;
         let text = match std::fs::read_to_string(&path) {
@@ -113,19 +119,23 @@
         Self::read(&text).map_err(|error| ConfigError::Invalid { path, error })
     }
 
-    /// Reads the text of such a file.
+    /// Reads the text of a configuration file.
+    ///
+    /// # Errors
+    ///
+    /// The text is not JSON, or a member is missing or invalid.
     pub fn read(text: &str) -> Result<Self, ConfigTextError> {
         let root: Value = serde_json::from_str(text)?;
-        let seed = text_member(&root, "seed")?;
-        let tree = SettingsTree::from_json(member(&root, "settings")?);
+        let seed = read_string(&root, "seed")?;
+        let tree = SettingsTree::from_json(read_member(&root, "settings")?);
         Ok(Config {
-            name: text_member(&root, "name")?,
-            listen_address: address_member(&root, "listen")?,
+            name: read_string(&root, "name")?,
+            listen_address: read_address(&root, "listen")?,
             seed: u64::from_str_radix(&seed, 16).map_err(|_| ConfigTextError::NotHex(seed))?,
-            memory_mb: limit(&root, "memory_mb", DEFAULT_MEMORY_MB)?,
-            max_descriptors: limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
-            discovery_address: address_member(&root, "bulletin")?,
-            initial_endpoints: Known::read(member(&root, "known")?)
+            memory_mb: read_limit(&root, "memory_mb", DEFAULT_MEMORY_MB)?,
+            max_descriptors: read_limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
+            discovery_address: read_address(&root, "bulletin")?,
+            initial_endpoints: Known::read(read_member(&root, "known")?)
                 .map_err(ConfigTextError::Known)?,
             settings: read_settings(&tree)?,
             host: read_host_settings(&tree)?,
@@ -133,33 +143,32 @@
     }
 }
 
-fn member<'a>(root: &'a Value, key: &'static str) -> Result<&'a Value, ConfigTextError> {
+fn read_member<'a>(root: &'a Value, key: &'static str) -> Result<&'a Value, ConfigTextError> {
     root.get(key).ok_or(ConfigTextError::Missing(key))
 }
 
-fn text_member(root: &Value, key: &'static str) -> Result<String, ConfigTextError> {
-    match member(root, key)?.as_str() {
+fn read_string(root: &Value, key: &'static str) -> Result<String, ConfigTextError> {
+    match read_member(root, key)?.as_str() {
         Some(text) => Ok(text.to_string()),
-        None => Err(ConfigTextError::NotText(key)),
+        None => Err(ConfigTextError::NotString(key)),
     }
 }
 
-fn address_member(root: &Value, key: &'static str) -> Result<SocketAddr, ConfigTextError> {
-    let text = text_member(root, key)?;
+fn read_address(root: &Value, key: &'static str) -> Result<SocketAddr, ConfigTextError> {
+    let text = read_string(root, key)?;
     text.parse()
         .map_err(|_| ConfigTextError::NotAddress { key, text })
 }
 
-/// A limit that the platform sets, or its default where the platform sets none. Fractions are cut
-/// off.
-fn limit(root: &Value, key: &'static str, default: u64) -> Result<u64, ConfigTextError> {
+/// A limit of the platform, or `default` if the file contains none. A fraction is rounded down.
+fn read_limit(root: &Value, key: &'static str, default: u64) -> Result<u64, ConfigTextError> {
     let Some(value) = root.get("limits").and_then(|limits| limits.get(key)) else {
         return Ok(default);
     };
-    let fraction = || value.as_f64().filter(|number| *number >= 1.0);
+    let as_fraction = || value.as_f64().filter(|number| *number >= 1.0);
     let number = value
         .as_u64()
-        .or_else(|| fraction().map(|number| number as u64));
+        .or_else(|| as_fraction().map(|number| number as u64));
     match number {
         Some(number) if number > 0 => Ok(number),
         _ => Err(ConfigTextError::NotPositive {
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,6 +1,6 @@
-//! One TCP connection: its socket, registered with the event loop as long as this lives, and a
-//! buffer for each direction. What woke the event loop is appended to a list, which the main loop
-//! works off after the wait.
+//! A TCP connection: a socket that stays registered with the event loop until it is dropped, and a
+//! buffer for each direction. When the event loop wakes, it appends the reasons to a list that the
+//! main loop handles after the wait.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -18,43 +18,44 @@
 /// Why the event loop woke.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WakeReason {
-    /// Clients wait to connect.
+    /// The listener has pending connections of clients.
     Listener,
-    /// A client's connection can be read or written.
+    /// A client connection can be read or written.
     Client(Key),
-    /// An engine's connection can be read or written.
+    /// A connection to an engine can be read or written.
     Engine(Key),
     /// The connection to service discovery can be read or written.
     Discovery,
-    /// The disk worker of the result spool has done something.
+    /// The disk worker of the result spool has completed work.
     ResultSpool,
-    /// The store's thread has made something durable, or peers have sent something.
+    /// The store's thread has made intents durable, or messages of peers have arrived.
     IntentDurability,
-    /// SIGTERM or SIGINT.
+    /// SIGTERM or SIGINT: shut down gracefully.
     Stop,
-    /// SIGHUP.
+    /// SIGHUP: read the configuration again.
     Reload,
-    /// SIGUSR1.
+    /// SIGUSR1: log all counters.
     LogCounters,
 }
 
-/// The state of the event loop: what woke it and was not handled yet.
+/// The shared data of the event loop: the reasons of wakes that were not handled yet.
 pub type PendingWakes = Vec<WakeReason>;
-/// By this, sockets and pings are registered with the event loop.
+/// The handle with which sockets and pings are registered with the event loop.
 pub type EventLoopHandle = LoopHandle<'static, PendingWakes>;
 
-/// Reads of one connection in a row, before others get their turn.
+/// How many times one connection is read in a row before other connections are read.
 pub const MAX_READS_PER_TURN: usize = 16;
 
-/// A descriptor that is registered with the event loop until this is dropped.
-pub struct Watched<F: AsFd + 'static> {
+/// A file descriptor that is registered with the event loop until this value is dropped.
+pub struct WatchedFd<F: AsFd + 'static> {
     pub file: Rc<F>,
     token: RegistrationToken,
     event_loop: EventLoopHandle,
 }
 
-impl<F: AsFd + 'static> Watched<F> {
-    /// Registers a descriptor, which wakes the event loop for this reason.
+impl<F: AsFd + 'static> WatchedFd<F> {
+    /// Registers a descriptor: when it becomes ready for `interest`, the event loop wakes with the
+    /// reason `wake`.
     pub fn new(
         event_loop: &EventLoopHandle,
         file: F,
@@ -62,7 +63,8 @@
         wake: WakeReason,
     ) -> io::Result<Self> {
         let file = Rc::new(file);
-        // Edges only: whoever is woken reads and writes until the socket would block.
+        // Edge-triggered, so each wake must be followed by reads and writes until the socket would
+        // block.
         let source = Generic::new(file.clone(), interest, Mode::Edge);
         let token = event_loop
             .insert_source(source, move |_, _, wakes: &mut PendingWakes| {
@@ -70,7 +72,7 @@
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.error.to_string()))?;
-        Ok(Watched {
+        Ok(WatchedFd {
             file,
             token,
             event_loop: event_loop.clone(),
@@ -78,35 +80,37 @@
     }
 }
 
-impl<F: AsFd + 'static> Drop for Watched<F> {
+impl<F: AsFd + 'static> Drop for WatchedFd<F> {
     fn drop(&mut self) {
         self.event_loop.remove(self.token);
     }
 }
 
-/// A TCP connection.
+/// A non-blocking TCP connection.
 pub struct Connection {
-    socket: Watched<TcpStream>,
+    socket: WatchedFd<TcpStream>,
+    /// Received bytes that were not decoded yet.
     pub input: Buffer,
+    /// Bytes to be written.
     pub output: Buffer,
-    /// Bytes written to the socket since it was opened.
+    /// The number of bytes written to the socket since it was opened.
     pub written: u64,
-    connecting: bool,
+    is_connecting: bool,
 }
 
-/// What a read brought.
+/// The result of a read.
 #[derive(Debug, PartialEq)]
 pub enum ReadOutcome {
     /// Bytes were appended to the input.
     Data,
-    /// Nothing more for now.
+    /// No bytes are available now.
     WouldBlock,
-    /// The other end sends nothing more.
+    /// The peer has closed its side, so no more bytes will arrive.
     Closed,
 }
 
 impl Connection {
-    /// A connection that a client has made.
+    /// Registers an accepted connection.
     pub fn accepted(
         event_loop: &EventLoopHandle,
         stream: TcpStream,
@@ -117,7 +121,8 @@
         Self::new(event_loop, stream, wake, false)
     }
 
-    /// Begins to connect; after a wake, [`Connection::is_up`] tells whether that has succeeded.
+    /// Begins to connect. After a wake, [`Connection::check_established`] returns whether that has
+    /// succeeded.
     pub fn dial(
         event_loop: &EventLoopHandle,
         address: SocketAddr,
@@ -142,32 +147,32 @@
         event_loop: &EventLoopHandle,
         stream: TcpStream,
         wake: WakeReason,
-        connecting: bool,
+        is_connecting: bool,
     ) -> io::Result<Self> {
-        let socket = Watched::new(event_loop, stream, Interest::BOTH, wake)?;
+        let socket = WatchedFd::new(event_loop, stream, Interest::BOTH, wake)?;
         Ok(Connection {
             socket,
             input: Buffer::default(),
             output: Buffer::default(),
             written: 0,
-            connecting,
+            is_connecting,
         })
     }
 
-    /// Whether the connection was established at the last check.
-    pub fn was_up(&self) -> bool {
-        !self.connecting
+    /// Whether the connection was established at the last [`Connection::check_established`].
+    pub fn is_established(&self) -> bool {
+        !self.is_connecting
     }
 
-    /// Checks whether the connection is established; an error if it never will be.
-    pub fn is_up(&mut self) -> io::Result<bool> {
-        if self.connecting {
+    /// Checks whether the connection is established; an error if connecting has failed.
+    pub fn check_established(&mut self) -> io::Result<bool> {
+        if self.is_connecting {
             if let Some(error) = self.socket.file.take_error()? {
                 return Err(error);
             }
-            self.connecting = self.socket.file.peer_addr().is_err();
+            self.is_connecting = self.socket.file.peer_addr().is_err();
         }
-        Ok(!self.connecting)
+        Ok(!self.is_connecting)
     }
 
     /// Reads at most one chunk and appends it to the input.
@@ -190,9 +195,9 @@
         }
     }
 
-    /// Writes as much of the output as the socket accepts.
+    /// Writes as much of the output as the socket accepts without blocking.
     pub fn flush(&mut self) -> io::Result<()> {
-        if self.connecting {
+        if self.is_connecting {
             return Ok(());
         }
         while !self.output.is_empty() {
@@ -210,39 +215,41 @@
         Ok(())
     }
 
-    /// Half-closes the connection; what the other end sends can still be read.
-    pub fn end_output(&self) {
-        // It fails only where the connection has ended already, which the next read finds.
+    /// Half-closes the connection; bytes from the peer can still be read.
+    pub fn shut_down_writes(&self) {
+        // This fails only if the connection has already ended, which the next read detects.
         let _ = self.socket.file.shutdown(std::net::Shutdown::Write);
     }
 
-    /// The offset in everything that is ever written at which the buffered output ends.
-    pub fn end_of_output(&self) -> u64 {
+    /// The end of the buffered output, as an offset in the sequence of all bytes that are ever
+    /// written to the connection.
+    pub fn output_end(&self) -> u64 {
         self.written + self.output.len() as u64
     }
 }
 
-/// Whether an error states that this side has too few descriptors, addresses or memory.
-pub fn is_shortage(error: &io::Error) -> bool {
+/// Whether an error means that this host lacks descriptors, ports or memory. Such an error says
+/// nothing about the peer.
+pub fn is_resource_shortage(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    let short = [
+    let shortage_errors = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::ADDRNOTAVAIL,
         Errno::NOBUFS,
         Errno::NOMEM,
     ];
-    short
+    shortage_errors
         .iter()
         .any(|errno| error.raw_os_error() == Some(errno.raw_os_error()))
 }
 
-/// Listens with the longest queue that the system grants: clients that the system has accepted are
-/// owed an answer.
+/// Listens with the longest accept queue that the system grants, since every client whose
+/// connection the system has accepted must get an answer.
 pub fn listen(
     event_loop: &EventLoopHandle,
     address: SocketAddr,
-) -> io::Result<Watched<TcpListener>> {
+) -> io::Result<WatchedFd<TcpListener>> {
     let socket = socket2::Socket::new(
         socket2::Domain::for_address(address),
         socket2::Type::STREAM,
@@ -252,7 +259,7 @@
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
     socket.listen(i32::MAX)?;
-    Watched::new(
+    WatchedFd::new(
         event_loop,
         socket.into(),
         Interest::READ,
--- a/crates/gateway/src/connection/buffer.rs
+++ b/crates/gateway/src/connection/buffer.rs
@@ -1,51 +1,52 @@
-//! The bytes of a connection that wait in one direction.
+//! The buffer of a connection for one direction.
 
 #[cfg(test)]
 mod tests;
 
-/// Bytes that are read at once, and the capacity that an emptied buffer keeps.
+/// The maximum number of bytes of one read, and the capacity that an emptied buffer keeps.
 pub(super) const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// Bytes that were received and not used yet, or are to be sent; one allocation, compacted in
-/// place.
+/// A byte queue: received bytes that were not decoded yet, or bytes to be sent. It is one
+/// allocation that is compacted in place.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
+    /// Bytes before this index have been consumed.
     start: usize,
 }
 
 impl Buffer {
-    /// All bytes that wait.
+    /// The bytes that were not consumed yet.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// How many bytes wait.
+    /// The number of bytes that were not consumed yet.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.start
     }
 
-    /// Whether no byte waits.
+    /// Whether all bytes have been consumed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Drops all bytes.
+    /// Discards all bytes.
     pub fn clear(&mut self) {
         self.consume(self.len());
     }
 
-    /// Where bytes are appended.
+    /// The vector to which bytes are appended; bytes that are already in it must stay.
     pub fn tail(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Removes bytes from the middle, counted from the first that waits.
+    /// Removes the bytes `from..to`, counted from the first byte that was not consumed yet.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.bytes.drain(self.start + from..self.start + to);
     }
 
-    /// Removes the first bytes.
+    /// Removes the first `count` bytes that were not consumed yet.
     pub fn consume(&mut self, count: usize) {
         self.start += count;
         if self.start == self.bytes.len() {
--- a/crates/gateway/src/connection/buffer/tests.rs
+++ b/crates/gateway/src/connection/buffer/tests.rs
@@ -1,4 +1,5 @@
-//! Compaction and capacity of a buffer.
+//! A buffer must not grow with the bytes that pass through it: it is compacted, and gives memory
+//! back when it is emptied.
 
 use super::*;
 
--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -1,11 +1,11 @@
-//! Counters of the gateway's parts as the log prints them. The names are an interface for scripts
-//! that read the log; they are fixed here and are not the names of types and fields.
+//! Formats the counters of the gateway's parts for the log. The names are an interface for scripts
+//! that read the log, so they are fixed here, independently of the names of types and fields.
 
 use crate::intent_durability::{IntentCounters, IntentDurability};
 use crate::result_spool::ResultSpoolCounters;
 
-/// A group's name and its counters: `Name { first: 1, second: 2 }`.
-fn group(name: &str, counters: &[(&str, u64)]) -> String {
+/// Formats a group of counters: `Name { first: 1, second: 2 }`.
+fn format_group(name: &str, counters: &[(&str, u64)]) -> String {
     let pairs: Vec<String> = counters
         .iter()
         .map(|(name, value)| format!("{name}: {value}"))
@@ -13,7 +13,7 @@
     format!("{name} {{ {} }}", pairs.join(", "))
 }
 
-/// What the intent durability and, in a fleet, replication and leases have counted.
+/// The counters of the intent durability and, in a fleet, of the replication and the leases.
 pub fn format_intent_durability(durability: &IntentDurability) -> String {
     let mut text = format!("; {}", format_intents(&durability.counters));
     let Some(driver) = durability.replication() else {
@@ -30,9 +30,9 @@
     text
 }
 
-/// What was counted of intents.
+/// Group `Counted`: intents and requests that were refused for lack of a durable intent.
 pub fn format_intents(counters: &IntentCounters) -> String {
-    group(
+    format_group(
         "Counted",
         &[
             ("intents", counters.intents),
@@ -47,9 +47,9 @@
     )
 }
 
-/// What was counted of spooled results.
+/// Group `Spooled`: results in the result spool and disk errors.
 pub fn format_result_spool(counters: &ResultSpoolCounters) -> String {
-    group(
+    format_group(
         "Spooled",
         &[
             ("begun", counters.begun),
@@ -63,9 +63,9 @@
     )
 }
 
-/// What was counted of replicas and claims.
+/// Group `Counted` of the replication: claims, their answers, and transfers between replicas.
 pub fn format_replication(counters: &eideryard_replication::core::Counters) -> String {
-    group(
+    format_group(
         "Counted",
         &[
             ("claims", counters.claims),
@@ -82,9 +82,9 @@
     )
 }
 
-/// What was counted of leases.
+/// Group `Counted` of the leases: leases won and lost, and messages by their fencing tokens.
 pub fn format_leases(counters: &eideryard_leases::Counters) -> String {
-    group(
+    format_group(
         "Counted",
         &[
             ("won", counters.acquired),
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -1,57 +1,80 @@
-//! Counters of the main loop, printed on SIGUSR1 and at the end. Their names in the log stand in
-//! the table [`GROUPS`], independent of the names of the fields.
+//! Counters of the main loop, logged on SIGUSR1 and at the end of the process. Their names in the
+//! log are an interface for scripts and are fixed in the table [`GROUPS`], independently of the
+//! names of the fields.
 
 use eideryard::interface::Outcome;
 use std::fmt;
 
-/// Everything that is counted since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
+    /// Client connections that were accepted.
     pub connections: u64,
+    /// Bytes that were received from clients.
     pub bytes_in: u64,
+    /// Health checks by clients that were answered.
     pub health_checks: u64,
     pub closed: ClosedConnections,
-    /// Requests taken; each ends as one of the six that follow, or is open.
+    /// Requests that were received. Each one is open or has ended as `served`, `refused`, `failed`,
+    /// `invalid`, `abandoned` or `undelivered`.
     pub received: u64,
+    /// Requests that were answered with a result.
     pub served: u64,
+    /// Requests that were rejected without being run; the client may try again.
     pub refused: u64,
+    /// Requests that were answered with an error because they have failed.
     pub failed: u64,
+    /// Requests with an invalid field, or on a connection that accepts no more.
     pub invalid: u64,
-    /// Of those refused, the ones whose statements found no room here.
+    /// The part of `refused` for which there was no memory for the statement.
     pub statement_memory_full: u64,
+    /// Requests that the client has cancelled.
     pub abandoned: u64,
+    /// Requests whose connection ended before the answer could be sent.
     pub undelivered: u64,
-    /// Answers, of those above, that were sent after the request's deadline.
+    /// Answers that were sent after the deadline of the request; also counted above.
     pub answered_late: u64,
-    /// Attempts sent to engines; each ends with one outcome, or is in flight.
+    /// Attempts that were sent to engines. Each one is in flight or has ended with an outcome.
     pub attempts_sent: u64,
     pub attempts: AttemptOutcomes,
+    /// Pages of results that engines sent, without first pages.
     pub result_pages: u64,
+    /// Progress reports that engines sent.
     pub progress_reports: u64,
+    /// New ranks that were sent for running attempts.
     pub rank_updates: u64,
+    /// Probes that were sent to engines.
     pub probes: u64,
+    /// Attempts to open a connection to an engine.
     pub dials: u64,
+    /// The part of `dials` that failed for a reason other than a lack of resources here.
     pub dials_failed: u64,
-    /// Dials for which this side had too few descriptors or too little memory.
+    /// The part of `dials` for which the gateway lacked descriptors or memory.
     pub dials_out_of_resources: u64,
+    /// New events that service discovery sent.
     pub discovery_events: u64,
+    /// Attempts to open a connection to service discovery.
     pub discovery_connections: u64,
+    /// Reloads of the configuration that succeeded.
     pub reloads: u64,
+    /// Reloads of the configuration that failed.
     pub reloads_failed: u64,
 }
 
-/// Connections of clients that this side ended, by reason.
+/// Client connections that the gateway closed, by reason.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClosedConnections {
-    /// It sent something that can't be decoded, or two open requests had one number.
+    /// The client sent a message that can't be decoded, or two open requests with the same message
+    /// id.
     pub malformed: u64,
-    /// No request, or only a part of one, for too long.
+    /// The client sent no request, or only a part of a message, within the time limit.
     pub idle_timeout: u64,
-    /// Its incomplete messages took more than its share of the memory for them.
+    /// The client's incomplete message took more than its share of the memory for unread bytes.
     pub too_much_unread: u64,
-    /// It didn't read its answers, which took more than its share of the memory for them.
+    /// The client didn't read its answers, which took more than its share of the memory for unsent
+    /// bytes.
     pub not_reading: u64,
-    /// It was idle when descriptors ran short.
+    /// The connection was idle when descriptors ran out.
     pub evicted: u64,
 }
 
@@ -69,7 +92,7 @@
 }
 
 impl AttemptOutcomes {
-    /// Counts the end of an attempt.
+    /// Counts an attempt that ended with this outcome.
     pub fn count(&mut self, outcome: Outcome) {
         *match outcome {
             Outcome::Answered => &mut self.answered,
@@ -85,21 +108,21 @@
 }
 
 impl Counters {
-    /// Requests taken that have no end yet.
+    /// The number of received requests that have not ended.
     pub fn open_requests(&self) -> u64 {
-        let ended = self.served
+        let ended_requests = self.served
             + self.refused
             + self.failed
             + self.invalid
             + self.abandoned
             + self.undelivered;
-        self.received - ended
+        self.received - ended_requests
     }
 }
 
-/// A counter: its name in the log, and its value.
+/// The name of a counter in the log and a function that reads its value.
 type Counter = (&'static str, fn(&Counters) -> u64);
-/// A word that begins a group of counters in the log, and the counters.
+/// The word before a group of counters in the log, and the counters of the group.
 type Group = (&'static str, &'static [Counter]);
 
 const GROUPS: &[Group] = &[
@@ -179,7 +202,7 @@
 ];
 
 impl Counters {
-    /// Every counter by its name.
+    /// All counters with their names in the log.
     pub fn named_values(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         GROUPS
             .iter()
--- a/crates/gateway/src/deadlines.rs
+++ b/crates/gateway/src/deadlines.rs
@@ -1,6 +1,5 @@
-//! All deadlines of the main loop, in one ordered structure. Whoever sets a deadline holds its key
-//! and cancels it when it no longer matters; equal times expire in the order in which they were
-//! set.
+//! All deadlines of the main loop, ordered by time. Setting a deadline returns a key with which it
+//! can be cancelled. Deadlines with the same time expire in the order in which they were set.
 
 use eideryard::interface::Micros;
 use std::collections::BTreeMap;
@@ -10,42 +9,43 @@
 #[cfg(test)]
 mod tests;
 
-/// What a deadline is for.
+/// What the main loop has to check or do when a deadline expires.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Deadline {
-    /// A timer that the balancer set, by its tag.
+    /// The balancer's timer with this tag fires.
     BalancerTimer(u64),
-    /// The attempt of that index of a request must have ended.
+    /// The attempt with this index of a request must have ended.
     Attempt(Key, usize),
-    /// A client's connection must have sent a request, or have closed.
+    /// The client must have sent a complete message, or closed its lingering connection.
     ClientConnection(Key),
-    /// A connection to an engine must be up, or was idle for long enough.
+    /// A connection to an engine must be established or have received the rest of an answer, or it
+    /// has reached the idle timeout.
     EngineConnection(Key),
-    /// The probe of that number on a connection must be answered.
+    /// The probe with this number on a connection must have been answered.
     Probe(Key, u64),
-    /// Service discovery must have sent something, or the retry delay is over.
+    /// Service discovery must have sent a byte, or the delay before the next connection is over.
     Discovery,
-    /// Descriptors may be free again for clients that wait to connect.
+    /// Accepting is tried again after descriptors ran out.
     AcceptRetry,
-    /// A phase of the shutdown begins.
+    /// The next phase of the shutdown begins.
     Shutdown,
 }
 
-/// Identifies a deadline that was set: its time, and its number among all.
+/// Identifies a deadline that was set: its time, and a sequence number that makes it unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlineKey {
     at: Micros,
     sequence: u64,
 }
 
-/// All deadlines that were set and have neither expired nor been cancelled.
+/// The deadlines that have neither expired nor been cancelled.
 pub struct Deadlines {
     pending: BTreeMap<DeadlineKey, Deadline>,
     last_sequence: u64,
 }
 
 impl Deadlines {
-    /// No deadline is set.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Deadlines {
             pending: BTreeMap::new(),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sets a deadline.
+    /// Adds a deadline that expires at the time `at`; the key is for [`Deadlines::cancel`].
     pub fn set(&mut self, at: Micros, deadline: Deadline) -> DeadlineKey {
         self.last_sequence += 1;
         let key = DeadlineKey {
@@ -64,31 +64,31 @@
         key
     }
 
-    /// Sets a deadline in place of the one whose key is in `slot`.
+    /// Cancels the deadline whose key is in `slot`, adds a new one and stores its key in `slot`.
     pub fn replace(&mut self, slot: &mut Option<DeadlineKey>, at: Micros, deadline: Deadline) {
         self.cancel(slot.take());
         *slot = Some(self.set(at, deadline));
     }
 
-    /// Cancels a deadline, if there is one and it has not expired.
+    /// Cancels a deadline; does nothing without a key or if the deadline has already expired.
     pub fn cancel(&mut self, key: Option<DeadlineKey>) {
         if let Some(key) = key {
             self.pending.remove(&key);
         }
     }
 
-    /// How many deadlines are set.
+    /// The number of pending deadlines.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// The time of the first deadline.
+    /// The time of the earliest deadline; `None` if there is none.
     pub fn next(&self) -> Option<Micros> {
         let (key, _) = self.pending.first_key_value()?;
         Some(key.at)
     }
 
-    /// Removes and returns the first deadline that has expired.
+    /// Removes and returns the earliest deadline if it has expired at `now`.
     pub fn pop_expired(&mut self, now: Micros) -> Option<Deadline> {
         let first = self.pending.first_entry()?;
         if first.key().at > now {
--- a/crates/gateway/src/deadlines/tests.rs
+++ b/crates/gateway/src/deadlines/tests.rs
@@ -1,4 +1,5 @@
-//! The order in which deadlines expire.
+//! Deadlines that expire out of order, twice or after they were cancelled would end attempts and
+//! connections at the wrong time.
 
 use super::*;
 
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -1,6 +1,6 @@
-//! The watch on service discovery: keeps one connection open on which engines are reported as
-//! numbered events, hands each event on once and in order, and connects again when the stream ends,
-//! skips an event or falls silent. The gateway's main loop owns one.
+//! The watch on service discovery: keeps one connection open that streams the engines as numbered
+//! events, passes each event on once and in order, and reconnects when the stream ends, skips an
+//! event or is silent for too long. The gateway's main loop owns one [`DiscoveryWatch`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,32 +15,34 @@
 #[cfg(test)]
 mod tests;
 
-/// A comment arrives each second: a stream that has missed two is dead. The operators allow 4 s of
-/// silence before an event must be known, and connecting again takes a while too.
+/// Service discovery sends a comment each second, so a stream that has missed two is dead. The
+/// operators require that an event is known after at most 4 s of silence, and reconnecting takes
+/// a part of that time.
 const SILENCE_TIMEOUT: Micros = 2_200_000;
-/// The delay before the first retry, after a connection that brought no event.
+/// The delay before the second attempt to reconnect, if the connection before it brought no event;
+/// the first attempt follows at once.
 const MIN_RETRY_DELAY: Micros = 100_000;
-/// The operators allow 2 s from a break before an event must be known.
+/// The operators require that an event is known within 2 s after a connection broke.
 const MAX_RETRY_DELAY: Micros = 500_000;
 
 /// Why a connection to service discovery ended.
 #[derive(Debug, thiserror::Error)]
 enum DisconnectReason {
-    #[error("its address has changed")]
+    #[error("the configuration names another address")]
     AddressChanged,
-    #[error("it is silent")]
+    #[error("nothing was received in time")]
     Silent,
     #[error("the stream ended")]
     StreamEnded,
-    #[error("the response is over")]
+    #[error("the HTTP response ended")]
     ResponseEnded,
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
     InvalidStream(StreamError),
-    #[error("an event can't be read: {0}")]
+    #[error("an event is invalid: {0}")]
     InvalidEvent(ItemError),
-    #[error("event {received} came after {last}")]
+    #[error("event {received} follows event {last}, the events between are missing")]
     MissedEvents { received: u64, last: u64 },
 }
 
@@ -50,24 +52,27 @@
     reader: Reader,
 }
 
-/// The connection to service discovery.
+/// The watch on service discovery: its connection if there is one, and the state for reconnecting.
 pub struct DiscoveryWatch {
     event_loop: EventLoopHandle,
     address: SocketAddr,
     stream: Option<DiscoveryStream>,
-    /// Something was received on this connection.
+    /// Whether anything was received on the current connection.
     has_received: bool,
-    /// The number of the last event that was handed on.
+    /// The number of the last event that was passed on.
     last_event: u64,
-    /// How long a connection may take to come up.
+    /// How long a connection may take to be established.
     dial_timeout: Micros,
+    /// The delay before the next reconnect, without jitter.
     retry_delay: Micros,
+    /// While there is a connection: when it must have received something. Otherwise: the time of
+    /// the next reconnect.
     deadline: Option<DeadlineKey>,
     rng: fastrand::Rng,
 }
 
 impl DiscoveryWatch {
-    /// A watch that isn't connected yet and knows all events up to `last_event`.
+    /// Creates a watch without a connection that has all events up to `last_event`.
     pub fn new(
         event_loop: &EventLoopHandle,
         address: SocketAddr,
@@ -88,22 +93,22 @@
         }
     }
 
-    /// The number of the last event that was received.
+    /// The number of the last event that was passed on.
     pub fn last_event(&self) -> u64 {
         self.last_event
     }
 
-    /// Whether there is a connection, also one that is not established yet.
+    /// Whether there is a connection, which may not be established yet.
     pub fn has_connection(&self) -> bool {
         self.stream.is_some()
     }
 
-    /// Whether something was received on the present connection.
+    /// Whether anything was received on the current connection.
     pub fn is_receiving(&self) -> bool {
         self.has_received
     }
 
-    /// Connects and requests all events after the last.
+    /// Connects and requests all events after the last one that was passed on.
     pub fn connect(&mut self, now: Micros, deadlines: &mut Deadlines, counters: &mut Counters) {
         deadlines.cancel(self.deadline.take());
         counters.discovery_connections += 1;
@@ -122,18 +127,19 @@
         }
     }
 
-    /// Moves to another address, by a new configuration. The present stream ends, since events are
-    /// reported at the new address from now on.
+    /// Applies the address of a reloaded configuration. If it has changed, the current stream ends,
+    /// since events are now reported at the new address.
     pub fn change_address(&mut self, address: SocketAddr, now: Micros, deadlines: &mut Deadlines) {
         if self.address != address {
             self.address = address;
-            // Without a delay the next connection follows at once.
+            // Connects to the new address without a delay.
             self.retry_delay = 0;
             self.disconnect(&DisconnectReason::AddressChanged, now, deadlines);
         }
     }
 
-    /// The connection is not up in time or was silent for too long, or the retry delay is over.
+    /// Disconnects if the connection was not established in time or was silent for too long;
+    /// reconnects if the retry delay is over.
     pub fn handle_deadline(
         &mut self,
         now: Micros,
@@ -148,12 +154,14 @@
         }
     }
 
-    /// The one place that ends the connection. After one that brought an event, the next follows at
-    /// once, else after a delay that grows: a server that accepts and breaks off isn't called in a
-    /// tight loop.
+    /// Ends the connection; no other code does. If it brought an event, the watch reconnects at
+    /// once, otherwise after a growing delay, so that it doesn't reconnect in a tight loop to a
+    /// server that accepts connections and closes them.
     fn disconnect(&mut self, reason: &DisconnectReason, now: Micros, deadlines: &mut Deadlines) {
         let last_event = self.last_event;
-        tracing::info!("discovery: {reason}; events up to {last_event} are known");
+        tracing::info!(
+            "service discovery: {reason}; reconnecting for the events after {last_event}"
+        );
         self.stream = None;
         self.has_received = false;
         let jitter = 0.5 + 0.5 * self.rng.f64();
@@ -162,8 +170,8 @@
         self.retry_delay = (2 * self.retry_delay).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     }
 
-    /// Reads what has arrived and appends the new events' items. True: there may be more, others
-    /// get their turn first.
+    /// Reads the available input and appends the items of new events. Returns true if there may be
+    /// more after [`MAX_READS_PER_TURN`] reads; the caller reads other connections first.
     pub fn read(
         &mut self,
         now: Micros,
@@ -190,11 +198,11 @@
         let Some(DiscoveryStream { connection, .. }) = &mut self.stream else {
             return Ok(false);
         };
-        let was_up = connection.was_up();
-        if !connection.is_up()? {
+        let was_established = connection.is_established();
+        if !connection.check_established()? {
             return Ok(false);
         }
-        if !was_up {
+        if !was_established {
             let timeout_at = now + SILENCE_TIMEOUT;
             deadlines.replace(&mut self.deadline, timeout_at, Deadline::Discovery);
         }
@@ -229,8 +237,8 @@
         Ok(true)
     }
 
-    /// Appends the item of an event that wasn't known yet. A gap is an error, unless the event
-    /// lists all engines.
+    /// Appends the item of an event that is newer than the last one. Skipped numbers are an error,
+    /// unless the event contains the whole list of engines.
     fn handle_event(
         &mut self,
         data: &str,
--- a/crates/gateway/src/discovery_watch/tests.rs
+++ b/crates/gateway/src/discovery_watch/tests.rs
@@ -1,12 +1,14 @@
-//! When a discovery server that greets and breaks off is called again.
+//! Reconnecting to a discovery server that closes connections. A server that only greets must not
+//! be reconnected to in a tight loop.
 
 use super::*;
 use crate::connection::PendingWakes;
 use calloop::EventLoop;
 use std::io::{Read, Write};
 
-/// Lets the watch read until its stream has ended.
-fn streamed(
+/// Connects the watch to the listener, sends `text` as the body of the response, closes the
+/// connection and lets the watch read until its stream has ended.
+fn serve_stream_and_close(
     watch: &mut DiscoveryWatch,
     listener: &std::net::TcpListener,
     deadlines: &mut Deadlines,
@@ -33,27 +35,27 @@
 }
 
 #[test]
-fn server_that_accepts_and_breaks_off_is_called_after_delays_until_it_sends_an_event() {
+fn reconnects_are_delayed_until_the_server_sends_an_event() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let events: EventLoop<'_, PendingWakes> = EventLoop::try_new().unwrap();
+    let event_loop: EventLoop<'_, PendingWakes> = EventLoop::try_new().unwrap();
     let address = listener.local_addr().unwrap();
     let (mut watch, mut deadlines) = (
-        DiscoveryWatch::new(&events.handle(), address, 0, SILENCE_TIMEOUT, 7),
+        DiscoveryWatch::new(&event_loop.handle(), address, 0, SILENCE_TIMEOUT, 7),
         Deadlines::new(),
     );
-    let pauses = [
+    let retry_delays = [
         ": hello\n\n",
         ": hello\n\n",
         "data: {\"no\":1}\n\n",
         ": hello\n\n",
     ]
     .map(|text| {
-        streamed(&mut watch, &listener, &mut deadlines, text);
+        serve_stream_and_close(&mut watch, &listener, &mut deadlines, text);
         deadlines.next()
     });
     assert!(
-        pauses[0] == Some(0) && pauses[1] > Some(0) && pauses[2] == Some(0),
-        "{pauses:?}"
+        retry_delays[0] == Some(0) && retry_delays[1] > Some(0) && retry_delays[2] == Some(0),
+        "{retry_delays:?}"
     );
-    assert!(pauses[3] > Some(0), "{pauses:?}");
+    assert!(retry_delays[3] > Some(0), "{retry_delays:?}");
 }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,7 +1,7 @@
-//! Connections to engines. The gateway's main loop owns one [`Engines`]: it dials an engine when
-//! there is something to send, carries many attempts on each connection, and reports by
-//! [`EngineEvent`]s how each attempt ended. A connection lives in a slot of the table;
-//! [`Engines::close`] is the one place that frees a slot and ends what was open on it.
+//! Connections to engines. The gateway's main loop owns one [`Engines`], which dials an engine when
+//! there is something to send, multiplexes many attempts over each connection, and reports in
+//! [`EngineEvent`]s how each attempt ended. Each connection occupies a slot of a [`Table`]; only
+//! [`Engines::close`] frees a slot and ends the attempts and probes that were open on it.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -28,32 +28,33 @@
 mod tests;
 mod writing;
 
-/// Part of the idle time after which a connection is closed from this side, so that no request
-/// crosses the engine's own closing.
+/// The fraction of the engines' idle timeout after which the gateway closes an idle connection, so
+/// that no request is sent just as the engine closes it.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
-/// Ids on a connection that ended without a result, before it accepts no more attempts.
+/// After this many attempts that ended without a result, a connection accepts no new ones.
 const MAX_ENDED_IDS: usize = 1024;
-/// Progress periods without any answer after which a connection is considered dead if an attempt on
-/// it is cancelled.
-const MAX_SILENT_PROGRESS_PERIODS: Micros = 2;
+/// If an attempt is cancelled on a connection that has received nothing for this many progress
+/// intervals and a dial timeout, the connection is considered dead.
+const MAX_SILENT_PROGRESS_INTERVALS: Micros = 2;
 
-/// An engine that is listed, or to which a connection is still open.
+/// An engine that service discovery lists, or to which a connection is still open.
 struct Engine {
-    /// Where new connections go; `None` once the engine was removed.
+    /// The address for new connections; `None` once service discovery has removed the engine.
     address: Option<SocketAddr>,
     connections: Vec<Key>,
 }
 
-/// Limits on the connections to engines.
+/// Limits on the connections to engines, from the settings.
 pub struct Limits {
+    /// How long a connection may take to be established, and an engine to answer a probe.
     pub dial_timeout: Micros,
-    /// How long engines keep an idle connection open; 0: for ever.
+    /// How long engines keep an idle connection open; 0: forever.
     pub idle_timeout: Micros,
     /// How often engines report the progress of a running attempt.
     pub progress_interval: Micros,
-    /// Requests on one connection at once.
+    /// Attempts and probes that one connection carries at a time.
     pub max_streams: usize,
-    /// Connections to all engines.
+    /// Connections to all engines together.
     pub max_connections: usize,
 }
 
@@ -63,12 +64,13 @@
     limits: Limits,
     engines: BTreeMap<EngineId, Engine>,
     table: Table<EngineConnection>,
+    /// Connections that [`Engines::flush`] has to look at.
     unflushed: Vec<Key>,
     probes_sent: u64,
 }
 
 impl Engines {
-    /// No engine is known yet.
+    /// Creates the state without any engine; [`Engines::update_endpoint`] adds them.
     pub fn new(event_loop: &EventLoopHandle, limits: Limits) -> Self {
         Engines {
             event_loop: event_loop.clone(),
@@ -80,9 +82,10 @@
         }
     }
 
-    /// Service discovery reports an engine. Connections to another address, or opened before the
-    /// process started that runs there now, carry nothing new; what ran in a process before that
-    /// start has ended with it.
+    /// Applies what service discovery reports of an engine. Connections that were opened before the
+    /// engine's process started (`started_at`) are closed, since their attempts ended with the
+    /// earlier process. Connections to another address than `address` are retired: they carry no
+    /// new attempts.
     pub fn update_endpoint(
         &mut self,
         engine: EngineId,
@@ -90,13 +93,13 @@
         started_at: Micros,
         context: &mut EngineContext<'_>,
     ) {
-        let known = self.engines.entry(engine).or_insert(Engine {
+        let entry = self.engines.entry(engine).or_insert(Engine {
             address,
             connections: Vec::new(),
         });
-        let has_moved = known.address != address;
-        known.address = address;
-        for key in known.connections.clone() {
+        let has_moved = entry.address != address;
+        entry.address = address;
+        for key in entry.connections.clone() {
             let Some(connection) = self.table.get_mut(key) else {
                 continue;
             };
@@ -107,41 +110,41 @@
                 self.close_if_idle(key, context);
             }
         }
-        self.forget_unused(engine);
+        self.remove_if_unused(engine);
     }
 
-    /// An engine was removed: nothing new is sent there, what is open may still end.
+    /// Removes an engine: no new attempts are sent there, those in flight may still end.
     pub fn remove_endpoint(&mut self, engine: EngineId, context: &mut EngineContext<'_>) {
         if self.engines.contains_key(&engine) {
             self.update_endpoint(engine, None, 0, context);
         }
     }
 
-    /// All engines that are listed, or to which a connection is still open.
+    /// All engines that service discovery lists, or to which a connection is still open.
     pub fn ids(&self) -> Vec<EngineId> {
         self.engines.keys().copied().collect()
     }
 
-    /// Whether an engine is listed, or a connection to it is still open.
+    /// Whether service discovery lists an engine, or a connection to it is still open.
     pub fn contains(&self, engine: EngineId) -> bool {
         self.engines.contains_key(&engine)
     }
 
-    /// How many engines are known and connections to them are open.
+    /// The number of engines and the number of connections to them.
     pub fn sizes(&self) -> (usize, usize) {
         (self.engines.len(), self.table.len())
     }
 
-    fn forget_unused(&mut self, engine: EngineId) {
+    fn remove_if_unused(&mut self, engine: EngineId) {
         let is_unused = |engine: &Engine| engine.address.is_none() && engine.connections.is_empty();
         if self.engines.get(&engine).is_some_and(is_unused) {
             self.engines.remove(&engine);
         }
     }
 
-    /// Cancels an attempt. What still waits to be written is never sent: nothing may be sent for a
-    /// request after its answer. True: the engine may have received the attempt and is told of the
-    /// cancel, also where the engine doesn't stop for that.
+    /// Cancels an attempt. Bytes of it that are not written yet are never sent, since nothing may
+    /// be sent for a request after its answer. Returns true if the engine may have received the
+    /// attempt and a cancel command was queued; the engine may still finish the attempt.
     pub fn cancel_attempt(&mut self, key: Key, id: &str, context: &mut EngineContext<'_>) -> bool {
         let Some(connection) = self.table.get_mut(key) else {
             return false;
@@ -150,27 +153,28 @@
             self.close_if_idle(key, context);
             return false;
         }
-        let Some(open) = connection.open.remove(id) else {
+        let Some(attempt) = connection.open_attempts.remove(id) else {
             return false;
         };
-        if connection.stream.written < open.output.end {
-            // The engine has a part of the request and doesn't read: only the end of the connection
-            // keeps it from the rest.
+        if connection.stream.written < attempt.output.end {
+            // The engine has received a part of the request and doesn't read. Only closing the
+            // connection keeps the rest from it.
             self.close(key, Outcome::Broken, context);
             return false;
         }
         let output = connection.stream.output.tail();
-        match open.stage {
+        match attempt.stage {
             AttemptStage::Running => engine_protocol::write_cancel(output, id),
             AttemptStage::ReadingPages(_) | AttemptStage::SpoolingPages(_) => {
                 engine_protocol::write_release(output, id);
             }
         }
-        // Nothing at all has arrived since: an engine that still answers may have other requests on
-        // another connection. This guards against a connection that stands and is of no use.
-        let max_silence =
-            MAX_SILENT_PROGRESS_PERIODS * self.limits.progress_interval + self.limits.dial_timeout;
-        let last_activity = connection.last_received_at.max(open.sent_at);
+        // Retires a connection on which nothing has arrived for too long, so that the engine gets
+        // new attempts on another one. This guards against connections that stay established but
+        // transfer nothing.
+        let max_silence = MAX_SILENT_PROGRESS_INTERVALS * self.limits.progress_interval
+            + self.limits.dial_timeout;
+        let last_activity = connection.last_received_at.max(attempt.sent_at);
         connection.is_retired |= last_activity + max_silence <= context.now;
         connection.ended_ids.insert(id.into());
         self.unflushed.push(key);
@@ -178,8 +182,8 @@
         true
     }
 
-    /// Closes a connection on which nothing is open: at once if it accepts no more attempts, else
-    /// after the idle time.
+    /// Closes a connection without open attempts and probes: at once if it accepts no more
+    /// attempts, else after the idle timeout.
     fn close_if_idle(&mut self, key: Key, context: &mut EngineContext<'_>) {
         let idle_timeout = (self.limits.idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         let Some(connection) = self.table.get_mut(key) else {
@@ -188,7 +192,7 @@
         if !connection.is_idle() {
             return;
         }
-        let has_no_deadline = connection.stream.was_up() && connection.deadline.is_none();
+        let has_no_deadline = connection.stream.is_established() && connection.deadline.is_none();
         if connection.is_retired || connection.ended_ids.len() >= MAX_ENDED_IDS {
             self.close(key, Outcome::Broken, context);
         } else if has_no_deadline && idle_timeout > 0 {
@@ -198,14 +202,15 @@
         }
     }
 
-    /// A connection is not up in time, has been idle for so long that the engine might close it, or
-    /// stopped within an answer.
+    /// Closes a connection that was not established in time, has been idle for so long that the
+    /// engine might close it, or has received only a part of an answer in time.
     pub fn handle_connection_deadline(&mut self, key: Key, context: &mut EngineContext<'_>) {
         self.close(key, Outcome::Broken, context);
     }
 
-    /// The one place that frees the slot of a connection. A request that was not written whole
-    /// never reached the engine.
+    /// Closes a connection and reports the end of its attempts and probes; no other code frees the
+    /// slot of a connection. An attempt whose request was not written completely ends with
+    /// [`Outcome::NoConnection`], as it never reached the engine.
     fn close(&mut self, key: Key, outcome: Outcome, context: &mut EngineContext<'_>) {
         let Some(connection) = self.table.remove(key) else {
             return;
@@ -216,18 +221,19 @@
             engine.connections.retain(|&other| other != key);
         }
         let mut already_reported = false;
-        for open in connection.open.into_values() {
-            let is_written = connection.stream.written >= open.output.end;
+        for attempt in connection.open_attempts.into_values() {
+            let is_written = connection.stream.written >= attempt.output.end;
             let outcome = if is_written {
                 outcome
             } else {
                 Outcome::NoConnection
             };
-            let mut end = AttemptEnd::new(open.request, open.attempt, outcome);
+            let mut end = AttemptEnd::new(attempt.request, attempt.index, outcome);
             end.already_reported = already_reported;
             context.events.push(EngineEvent::AttemptEnded(end));
-            // A connection that never came up says more of its engine than one that breaks.
-            already_reported = connection.stream.was_up();
+            // Only one attempt reports the loss of an established connection. If the connection was
+            // never established, every attempt reports it, as that says more about the engine.
+            already_reported = connection.stream.is_established();
         }
         for deadline in connection.probes.into_values() {
             context.deadlines.cancel(Some(deadline));
@@ -237,12 +243,12 @@
                 report: None,
             });
         }
-        self.forget_unused(connection.engine);
+        self.remove_if_unused(connection.engine);
     }
 }
 
-/// Reads an engine's address as service discovery writes it.
+/// Parses an engine's address (IP address and port) as service discovery writes it.
 pub fn parse_address(text: &str) -> Result<SocketAddr, io::Error> {
     text.parse()
-        .map_err(|_| io::Error::other(format!("'{text}' is no address with a port")))
+        .map_err(|_| io::Error::other(format!("'{text}' is not an IP address with a port")))
 }
--- a/crates/gateway/src/engines/answer_fields.rs
+++ b/crates/gateway/src/engines/answer_fields.rs
@@ -1,44 +1,48 @@
-//! Reads the fields and pages of engines' answers. The names of the fields are those of the wire.
+//! Reads the fields and pages of engines' answers. The field names are those of the wire protocol.
 
 use eideryard::interface::{LoadReport, Progress, ResourceUsage};
 use eideryard_engine_protocol::{Answer, Fields};
 
 use super::answers::AnswerError;
 
-/// Pages of one result that goes to the client as a whole.
+/// The maximum number of pages of a result that is sent to the client as a whole.
 const MAX_PAGES: usize = 256;
-/// Pages of a result that is spooled: the spool's budget for one result ends it sooner.
+/// The maximum number of pages of a spooled result. The spool's limit on the bytes of one result is
+/// reached before.
 const MAX_SPOOLED_PAGES: usize = 1 << 20;
-/// Column separators in each row: results have three columns.
-const TABS_IN_ROW: usize = 2;
+/// Column separators per row: results have three columns.
+const TABS_PER_ROW: usize = 2;
 const MICROS_PER_MS: f64 = 1e3;
-/// The level of the progress `held` by which an engine waits for load, not for memory.
+/// The level of the progress report `held` that means: the attempt waits for the end of a load of
+/// data. With any other level it waits for memory.
 const HELD_BY_LOAD: f64 = 2.0;
 
-/// How many pages a successful answer says that its result has, if that is possible.
+/// The number of pages that a successful answer states; `None` if it is missing or outside 1 to
+/// [`MAX_PAGES`].
 pub(super) fn page_count(answer: &Answer<'_>) -> Option<usize> {
     let count = answer.fields.number("count")?;
     (1..=MAX_PAGES).contains(&count).then_some(count)
 }
 
-/// The same of a result that is spooled.
+/// The number of pages that a successful answer with a spooled result states; `None` if it is
+/// missing or outside 1 to [`MAX_SPOOLED_PAGES`].
 pub(super) fn spooled_page_count(answer: &Answer<'_>) -> Option<usize> {
     let count = answer.fields.number("count")?;
     (1..=MAX_SPOOLED_PAGES).contains(&count).then_some(count)
 }
 
-/// The index of the page that an answer holds.
+/// The index in the result of the page that an answer contains, from 0.
 pub(super) fn page_index(answer: &Answer<'_>) -> Option<usize> {
     answer.fields.number("pos")
 }
 
-/// A page holds whole rows of three columns as text. Where it doesn't, it was corrupted, and so may
-/// be everything that follows.
+/// Checks that a page consists of whole rows of three columns of UTF-8 text. Otherwise the page is
+/// corrupted, and so may be everything that follows on the connection.
 pub(super) fn check_page(page: &[u8]) -> Result<(), AnswerError> {
     let text = std::str::from_utf8(page).map_err(|_| AnswerError::PageNotUtf8)?;
     let is_row = |line: &str| {
         let tabs = line.bytes().filter(|&byte| byte == b'\t').count();
-        line.ends_with('\n') && tabs == TABS_IN_ROW
+        line.ends_with('\n') && tabs == TABS_PER_ROW
     };
     if text.split_inclusive('\n').all(is_row) {
         Ok(())
@@ -47,8 +51,8 @@
     }
 }
 
-/// The resources that a successful attempt used: `ticks` is work in milliseconds, `footprint`
-/// memory in MB.
+/// The resources that a successful attempt has used: `ticks` is work in milliseconds, `footprint`
+/// is memory in MB.
 pub(super) fn resource_usage(fields: &Fields<'_>) -> Option<ResourceUsage> {
     let work_ms: f64 = fields.number("ticks").filter(|work| *work > 0.0)?;
     Some(ResourceUsage {
@@ -57,7 +61,7 @@
     })
 }
 
-/// The progress that an engine reports of a running attempt.
+/// The progress of a running attempt that an engine reports; `None` for an unknown kind.
 pub(super) fn progress(fields: &Fields<'_>) -> Option<Progress> {
     let level: f64 = fields.number("reading").unwrap_or(0.0);
     match fields.get("remark")? {
@@ -69,7 +73,8 @@
     }
 }
 
-/// A load report, by the names of the settings or by those of the engines.
+/// A report of the engine's system load. Its values have the names of the settings or those of the
+/// engine protocol.
 pub(super) fn load_report(fields: &Fields<'_>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for (name, value) in fields.report()? {
--- a/crates/gateway/src/engines/answers.rs
+++ b/crates/gateway/src/engines/answers.rs
@@ -1,4 +1,4 @@
-//! What an engine's answers mean for the attempts that they belong to.
+//! Applies engines' answers to the attempts that they belong to.
 
 use std::collections::BTreeMap;
 
@@ -13,74 +13,74 @@
 };
 use super::{AttemptEnd, EngineEvent};
 
-/// Bytes of a result that goes to the client as a whole, as the protocol allows.
+/// The protocol's limit on the bytes of a result that is sent to the client as a whole.
 const MAX_RESULT_BYTES: usize = 48_000;
 
-/// Why an engine's answer can't be used, which ends its connection.
+/// Why an engine's answer is invalid; the connection is closed for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AnswerError {
-    #[error("what it says is no answer")]
+    #[error("the engine sent bytes that are not a valid answer")]
     Malformed,
-    #[error("a result with no readable number of pages")]
+    #[error("an answer states no valid number of pages of its result")]
     PageCount,
-    #[error("a page that was not asked for")]
+    #[error("the engine sent a page that was not requested")]
     UnexpectedPage,
-    #[error("a result is too long")]
+    #[error("a result exceeds the {MAX_RESULT_BYTES} bytes that the protocol allows")]
     ResultTooLong,
-    #[error("an answer that fits nothing asked for")]
+    #[error("an answer does not match the state of its attempt")]
     UnexpectedAnswer,
-    #[error("a page is not UTF-8")]
+    #[error("a page is not valid UTF-8")]
     PageNotUtf8,
-    #[error("a page doesn't hold whole rows")]
+    #[error("a page does not consist of whole rows of three columns")]
     IncompleteRows,
 }
 
-/// Applies an answer to its attempt: requests further pages in `output`, appends pages for the
-/// result spool to `events`, and returns the event that the answer completes, if it does.
+/// Applies an answer to its attempt: appends requests for further pages to `output` and pages for
+/// the result spool to `events`, and returns the event that the answer completes, if any.
 pub(super) fn handle_answer(
-    open: &mut OpenAttempt,
+    attempt: &mut OpenAttempt,
     answer: &Answer<'_>,
     output: &mut Vec<u8>,
     events: &mut Vec<EngineEvent>,
 ) -> Result<Option<EngineEvent>, AnswerError> {
-    match (&mut open.stage, answer.word) {
-        (AttemptStage::Running, Word::Ok) if open.is_spooled => {
-            start_spooling(open, answer, events)
+    match (&mut attempt.stage, answer.word) {
+        (AttemptStage::Running, Word::Ok) if attempt.is_spooled => {
+            start_spooling(attempt, answer, events)
         }
-        (AttemptStage::Running, Word::Ok) => start_reading(open, answer, output),
+        (AttemptStage::Running, Word::Ok) => start_reading(attempt, answer, output),
         (AttemptStage::Running, Word::Busy | Word::Void) => {
-            Ok(Some(ended(open, answer, Outcome::AtCapacity)))
+            Ok(Some(attempt_ended(attempt, answer, Outcome::AtCapacity)))
         }
-        (AttemptStage::SpoolingPages(_), Word::Rows) => spool_page(open, answer, output, events),
-        (AttemptStage::ReadingPages(_), Word::Rows) => read_page(open, answer, output),
-        // A second copy of the first page.
+        (AttemptStage::SpoolingPages(_), Word::Rows) => spool_page(attempt, answer, output, events),
+        (AttemptStage::ReadingPages(_), Word::Rows) => read_page(attempt, answer, output),
+        // A duplicate of the first page.
         (AttemptStage::ReadingPages(_) | AttemptStage::SpoolingPages(_), Word::Ok) => Ok(None),
         (_, Word::Note) => {
             let progress = progress(&answer.fields);
             Ok(progress.map(|progress| EngineEvent::Progress {
-                request: open.request,
-                attempt: open.attempt,
+                request: attempt.request,
+                attempt: attempt.index,
                 progress,
             }))
         }
-        (_, Word::Err) => Ok(Some(ended(open, answer, Outcome::Error))),
+        (_, Word::Err) => Ok(Some(attempt_ended(attempt, answer, Outcome::Error))),
         _ => Err(AnswerError::UnexpectedAnswer),
     }
 }
 
-/// An attempt that ended without a result.
-fn ended(open: &OpenAttempt, answer: &Answer<'_>, outcome: Outcome) -> EngineEvent {
-    let mut end = AttemptEnd::new(open.request, open.attempt, outcome);
+/// The event of an attempt that ended without a result.
+fn attempt_ended(attempt: &OpenAttempt, answer: &Answer<'_>, outcome: Outcome) -> EngineEvent {
+    let mut end = AttemptEnd::new(attempt.request, attempt.index, outcome);
     end.report = load_report(&answer.fields);
     EngineEvent::AttemptEnded(end)
 }
 
-/// An attempt that ended with a result.
-fn succeeded(open: &OpenAttempt, end: ReportedEnd) -> AttemptEnd {
+/// The end of an attempt with a result.
+fn succeeded(attempt: &OpenAttempt, end: ReportedEnd) -> AttemptEnd {
     AttemptEnd {
         usage: end.usage,
         report: end.report,
-        ..AttemptEnd::new(open.request, open.attempt, Outcome::Answered)
+        ..AttemptEnd::new(attempt.request, attempt.index, Outcome::Answered)
     }
 }
 
@@ -91,9 +91,9 @@
     }
 }
 
-/// The first page of a result that goes to the client as a whole; requests all others.
+/// Handles the first page of a result that is sent to the client as a whole; requests all others.
 fn start_reading(
-    open: &mut OpenAttempt,
+    attempt: &mut OpenAttempt,
     answer: &Answer<'_>,
     output: &mut Vec<u8>,
 ) -> Result<Option<EngineEvent>, AnswerError> {
@@ -104,7 +104,7 @@
     if count <= 1 {
         return Ok(Some(EngineEvent::ResultComplete {
             pages: vec![first_page],
-            end: succeeded(open, end),
+            end: succeeded(attempt, end),
         }));
     }
     let bytes = first_page.len();
@@ -113,17 +113,17 @@
         engine_protocol::write_read(output, answer.id, page);
         pages.push(None);
     }
-    open.stage = AttemptStage::ReadingPages(ResultReader { pages, bytes, end });
+    attempt.stage = AttemptStage::ReadingPages(ResultReader { pages, bytes, end });
     Ok(None)
 }
 
-/// A further page of a result that goes to the client as a whole.
+/// Handles a further page of a result that is sent to the client as a whole.
 fn read_page(
-    open: &mut OpenAttempt,
+    attempt: &mut OpenAttempt,
     answer: &Answer<'_>,
     output: &mut Vec<u8>,
 ) -> Result<Option<EngineEvent>, AnswerError> {
-    let AttemptStage::ReadingPages(reader) = &mut open.stage else {
+    let AttemptStage::ReadingPages(reader) = &mut attempt.stage else {
         return Err(AnswerError::UnexpectedAnswer);
     };
     let slot = page_index(answer)
@@ -146,13 +146,13 @@
     let end = reader.end;
     Ok(Some(EngineEvent::ResultComplete {
         pages: pages.into_iter().flatten().collect(),
-        end: succeeded(open, end),
+        end: succeeded(attempt, end),
     }))
 }
 
-/// The first page of a result for the result spool.
+/// Handles the first page of a result for the result spool.
 fn start_spooling(
-    open: &mut OpenAttempt,
+    attempt: &mut OpenAttempt,
     answer: &Answer<'_>,
     events: &mut Vec<EngineEvent>,
 ) -> Result<Option<EngineEvent>, AnswerError> {
@@ -160,14 +160,14 @@
     check_page(answer.payload)?;
     let end = reported_end(answer);
     events.push(EngineEvent::ResultPage {
-        request: open.request,
+        request: attempt.request,
         rows: answer.payload.to_vec(),
     });
     if count == 1 {
-        let end = succeeded(open, end);
+        let end = succeeded(attempt, end);
         return Ok(Some(EngineEvent::SpooledResultComplete(end)));
     }
-    open.stage = AttemptStage::SpoolingPages(SpooledResultReader {
+    attempt.stage = AttemptStage::SpoolingPages(SpooledResultReader {
         count,
         next: 1,
         next_requested: 1,
@@ -178,21 +178,22 @@
     Ok(None)
 }
 
-/// A further page of a result for the result spool; hands on all pages whose turn it is.
+/// Handles a further page of a result for the result spool. Pages may arrive in any order; they are
+/// appended to `events` in the order of the result.
 fn spool_page(
-    open: &mut OpenAttempt,
+    attempt: &mut OpenAttempt,
     answer: &Answer<'_>,
     output: &mut Vec<u8>,
     events: &mut Vec<EngineEvent>,
 ) -> Result<Option<EngineEvent>, AnswerError> {
-    let AttemptStage::SpoolingPages(reader) = &mut open.stage else {
+    let AttemptStage::SpoolingPages(reader) = &mut attempt.stage else {
         return Err(AnswerError::UnexpectedAnswer);
     };
     let index = page_index(answer)
         .filter(|index| *index < reader.next_requested)
         .ok_or(AnswerError::UnexpectedPage)?;
-    let is_second_copy = index < reader.next || reader.early.contains_key(&index);
-    if is_second_copy {
+    let is_duplicate = index < reader.next || reader.early.contains_key(&index);
+    if is_duplicate {
         return Ok(None);
     }
     check_page(answer.payload)?;
@@ -201,7 +202,7 @@
         reader.next += 1;
         reader.bytes += rows.len();
         events.push(EngineEvent::ResultPage {
-            request: open.request,
+            request: attempt.request,
             rows,
         });
     }
@@ -210,6 +211,6 @@
     }
     engine_protocol::write_release(output, answer.id);
     let end = reader.end;
-    let end = succeeded(open, end);
+    let end = succeeded(attempt, end);
     Ok(Some(EngineEvent::SpooledResultComplete(end)))
 }
--- a/crates/gateway/src/engines/engine_connection.rs
+++ b/crates/gateway/src/engines/engine_connection.rs
@@ -1,4 +1,5 @@
-//! One connection to an engine: what is open on it, and where in its output each request stands.
+//! One connection to an engine: its open attempts and probes, and which bytes of its output belong
+//! to which request.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -10,94 +11,101 @@
 use crate::deadlines::{DeadlineKey, Deadlines};
 use crate::table::Key;
 
-/// What the engine stated when an attempt succeeded, while its further pages are read.
+/// Usage and load report of a successful attempt, kept while its further pages are read.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ReportedEnd {
     pub(super) usage: Option<ResourceUsage>,
     pub(super) report: Option<LoadReport>,
 }
 
-/// A result whose pages are all read before it goes to the client.
+/// A result that is sent to the client once all its pages are read.
 pub(super) struct ResultReader {
+    /// By index; `None` for a page that has not arrived.
     pub(super) pages: Vec<Option<Vec<u8>>>,
+    /// Bytes of the pages that have arrived.
     pub(super) bytes: usize,
     pub(super) end: ReportedEnd,
 }
 
-/// A result for the result spool: pages are handed on in their order, and requested as there is
-/// room.
+/// A result for the result spool: its pages are passed on in order, and requested as the spool has
+/// space for them.
 pub(super) struct SpooledResultReader {
-    /// Pages of the whole result.
+    /// The number of pages of the whole result.
     pub(super) count: usize,
-    /// The next page to hand on.
+    /// The index of the next page to pass on.
     pub(super) next: usize,
-    /// The next page to request.
+    /// The index of the next page to request.
     pub(super) next_requested: usize,
-    /// Pages that arrived before their turn.
+    /// Pages by index that arrived before an earlier page.
     pub(super) early: BTreeMap<usize, Vec<u8>>,
-    /// Bytes handed on, for the average size of a page.
+    /// Bytes passed on, for the average size of a page.
     pub(super) bytes: usize,
     pub(super) end: ReportedEnd,
 }
 
-/// What an attempt on a connection waits for.
+/// What an attempt waits for.
 pub(super) enum AttemptStage {
-    /// Its first answer.
+    /// Its first answer: the engine runs it or has it queued.
     Running,
-    /// Further pages of its result.
+    /// Further pages of a result that is sent to the client as a whole.
     ReadingPages(ResultReader),
     /// Further pages of a result for the result spool.
     SpoolingPages(SpooledResultReader),
 }
 
-/// The bytes of a request in everything that is ever written to a connection.
+/// The bytes of one request, as offsets in the sequence of all bytes that are ever written to the
+/// connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct OutputRange {
     pub(super) begin: u64,
     pub(super) end: u64,
 }
 
-/// An attempt that a connection carries.
+/// An attempt in flight on a connection.
 pub(super) struct OpenAttempt {
     pub(super) request: Key,
-    pub(super) attempt: usize,
+    /// The index among the attempts of the request.
+    pub(super) index: usize,
     pub(super) stage: AttemptStage,
-    /// Its result goes to the result spool.
+    /// The result goes to the result spool.
     pub(super) is_spooled: bool,
     pub(super) sent_at: Micros,
     pub(super) output: OutputRange,
-    /// A new rank to be sent once the request is written: until then the engine knows no such id.
+    /// A new rank, to be sent once the request is written; before that the engine doesn't know the
+    /// id.
     pub(super) deferred_rank: Option<u8>,
 }
 
-/// An attempt of which no byte was written.
+/// An attempt of which no byte has been written.
 pub(super) struct UnsentAttempt {
     pub(super) id: Box<str>,
     pub(super) request: Key,
-    pub(super) attempt: usize,
+    /// The index among the attempts of the request.
+    pub(super) index: usize,
 }
 
-/// One connection to an engine.
+/// A connection to an engine, which may not be established yet.
 pub(super) struct EngineConnection {
     pub(super) engine: EngineId,
     pub(super) stream: Connection,
-    pub(super) open: BTreeMap<Box<str>, OpenAttempt>,
-    /// Ids of requests that ended here without a result: an answer to them may still arrive, so
-    /// none of them is sent on this connection again.
+    pub(super) open_attempts: BTreeMap<Box<str>, OpenAttempt>,
+    /// Ids of requests whose attempts ended on this connection without a result. An answer to them
+    /// may still arrive, so none of these ids is used on this connection again.
     pub(super) ended_ids: BTreeSet<Box<str>>,
+    /// Probes that were not answered yet, by their tag.
     pub(super) probes: BTreeMap<Box<str>, DeadlineKey>,
-    /// It accepts no more attempts, and closes when those that are open have ended.
+    /// The connection carries no new attempts and is closed when its open ones have ended.
     pub(super) is_retired: bool,
     pub(super) opened_at: Micros,
     pub(super) last_received_at: Micros,
-    /// Until then it must be up; afterwards, while nothing is open, it is closed then.
+    /// Until the connection is established: the dial timeout. Later: when it is closed as idle.
     pub(super) deadline: Option<DeadlineKey>,
-    /// Until then the rest of an answer that has begun must have arrived.
+    /// When the rest of a partly received answer must have arrived.
     pub(super) message_deadline: Option<DeadlineKey>,
 }
 
 impl EngineConnection {
-    /// A connection that is being established.
+    /// Wraps a connection that is being established.
     pub(super) fn new(
         engine: EngineId,
         stream: Connection,
@@ -107,7 +115,7 @@
         EngineConnection {
             engine,
             stream,
-            open: BTreeMap::new(),
+            open_attempts: BTreeMap::new(),
             ended_ids: BTreeSet::new(),
             probes: BTreeMap::new(),
             is_retired: false,
@@ -118,34 +126,34 @@
         }
     }
 
-    /// Nothing is open on it.
+    /// Whether no attempt and no probe is open.
     pub(super) fn is_idle(&self) -> bool {
-        self.open.is_empty() && self.probes.is_empty()
+        self.open_attempts.is_empty() && self.probes.is_empty()
     }
 
-    /// Whether the engine accepts one request more beside those that are open.
+    /// Whether one more attempt or probe fits beside the open ones.
     pub(super) fn has_free_stream(&self, max_streams: usize) -> bool {
-        self.open.len() + self.probes.len() < max_streams
+        self.open_attempts.len() + self.probes.len() < max_streams
     }
 
-    /// It is no longer idle. One that isn't up yet keeps its deadline for that.
-    pub(super) fn mark_used(&mut self, deadlines: &mut Deadlines) {
-        if self.stream.was_up() {
+    /// Cancels the idle deadline. A connection that is not established yet keeps its dial timeout.
+    pub(super) fn mark_in_use(&mut self, deadlines: &mut Deadlines) {
+        if self.stream.is_established() {
             deadlines.cancel(self.deadline.take());
         }
     }
 
-    /// Sends the ranks that were set for requests which were not written yet.
+    /// Sends the ranks that were deferred until their requests were written.
     pub(super) fn send_deferred_ranks(&mut self) -> io::Result<()> {
         let Connection {
             written, output, ..
         } = &mut self.stream;
-        for (id, open) in &mut self.open {
-            if open.output.end > *written {
+        for (id, attempt) in &mut self.open_attempts {
+            if attempt.output.end > *written {
                 continue;
             }
-            if let Some(rank) = open.deferred_rank.take() {
-                if matches!(open.stage, AttemptStage::Running) {
+            if let Some(rank) = attempt.deferred_rank.take() {
+                if matches!(attempt.stage, AttemptStage::Running) {
                     engine_protocol::write_weigh(output.tail(), id, rank);
                 }
             }
@@ -153,41 +161,41 @@
         self.stream.flush()
     }
 
-    /// Attempts of which no byte was written.
+    /// Returns the attempts of which no byte has been written.
     pub(super) fn unsent_attempts(&self) -> Vec<UnsentAttempt> {
         let written = self.stream.written;
         let unsent = self
-            .open
+            .open_attempts
             .iter()
-            .filter(|(_, open)| written <= open.output.begin);
-        let unsent = unsent.map(|(id, open)| UnsentAttempt {
+            .filter(|(_, attempt)| written <= attempt.output.begin);
+        let unsent = unsent.map(|(id, attempt)| UnsentAttempt {
             id: id.clone(),
-            request: open.request,
-            attempt: open.attempt,
+            request: attempt.request,
+            index: attempt.index,
         });
         unsent.collect()
     }
 
-    /// Cancels an attempt of which no byte was written, and removes its bytes from the output.
-    /// False: it isn't open, or a part of it was written.
+    /// Cancels an attempt of which no byte has been written, and removes its bytes from the output.
+    /// Returns false if the attempt isn't open or a part of it has been written.
     pub(super) fn cancel_unsent(&mut self, id: &str) -> bool {
         let written = self.stream.written;
-        let Some(open) = self.open.get(id) else {
+        let Some(attempt) = self.open_attempts.get(id) else {
             return false;
         };
-        let OutputRange { begin, end } = open.output;
+        let OutputRange { begin, end } = attempt.output;
         if written > begin {
             return false;
         }
-        self.open.remove(id);
+        self.open_attempts.remove(id);
         self.stream
             .output
             .cut((begin - written) as usize, (end - written) as usize);
         let removed = end - begin;
-        for open in self.open.values_mut() {
-            if open.output.begin >= end {
-                open.output.begin -= removed;
-                open.output.end -= removed;
+        for attempt in self.open_attempts.values_mut() {
+            if attempt.output.begin >= end {
+                attempt.output.begin -= removed;
+                attempt.output.end -= removed;
             }
         }
         true
--- a/crates/gateway/src/engines/events.rs
+++ b/crates/gateway/src/engines/events.rs
@@ -1,5 +1,5 @@
-//! What connections to engines report to the gateway, and what handling them needs besides the
-//! connections themselves.
+//! The events that connections to engines report to the main loop, and the state of the main loop
+//! that handling a connection needs.
 
 use eideryard::interface::{EngineId, LoadReport, Micros, Outcome, Progress, ResourceUsage};
 
@@ -7,43 +7,45 @@
 use crate::deadlines::Deadlines;
 use crate::table::Key;
 
-/// What the handling of a connection uses of the gateway, for one call.
+/// The parts of the main loop that handling a connection uses, borrowed for one call.
 pub struct EngineContext<'a> {
-    /// The time of the call.
+    /// The time of the call, by the clock of the main loop.
     pub now: Micros,
-    /// Where the connections' deadlines are set.
+    /// All deadlines of the main loop; those of the connections are set here.
     pub deadlines: &'a mut Deadlines,
-    /// Where dials, probes and pages are counted.
+    /// The counters of the main loop, for dials, probes and pages.
     pub counters: &'a mut Counters,
-    /// Where events are appended, in the order in which they happened.
+    /// Events are appended here in the order in which they happened.
     pub events: &'a mut Vec<EngineEvent>,
 }
 
-/// The attempt that a connection is to carry.
+/// An attempt to be sent, as the main loop identifies it.
 #[derive(Clone, Copy)]
 pub struct AttemptTarget {
     pub request: Key,
-    /// Its index among the attempts of the request.
+    /// The index among the attempts of the request.
     pub attempt: usize,
-    /// Its result goes to the result spool.
+    /// The result goes to the result spool.
     pub is_spooled: bool,
 }
 
-/// How an attempt ended.
+/// The end of an attempt, for the balancer.
 #[derive(Clone, Copy)]
 pub struct AttemptEnd {
     pub request: Key,
-    /// Its index among the attempts of the request.
+    /// The index among the attempts of the request.
     pub attempt: usize,
     pub outcome: Outcome,
-    /// Its connection was lost, and the end of another attempt has reported that.
+    /// The connection was lost, and the end of another attempt has already reported this loss.
     pub already_reported: bool,
+    /// The resources that a successful attempt used, if the engine stated them.
     pub usage: Option<ResourceUsage>,
+    /// The engine's system load, if the answer reported it.
     pub report: Option<LoadReport>,
 }
 
 impl AttemptEnd {
-    /// The end of an attempt of which the engine has reported nothing.
+    /// The end of an attempt for which the engine has reported neither usage nor system load.
     pub fn new(request: Key, attempt: usize, outcome: Outcome) -> Self {
         AttemptEnd {
             request,
@@ -60,14 +62,14 @@
 pub enum EngineEvent {
     /// An attempt ended without a result.
     AttemptEnded(AttemptEnd),
-    /// An attempt ended with its whole result.
+    /// An attempt ended with a result that is sent to the client as a whole.
     ResultComplete {
         pages: Vec<Vec<u8>>,
         end: AttemptEnd,
     },
-    /// The next page of a result for the result spool.
+    /// The next page of a result for the result spool arrived.
     ResultPage { request: Key, rows: Vec<u8> },
-    /// An attempt ended, all pages of its result have been reported before.
+    /// An attempt ended with a result for the result spool; all its pages were reported before.
     SpooledResultComplete(AttemptEnd),
     /// An engine reported the progress of an attempt.
     Progress {
@@ -75,7 +77,7 @@
         attempt: usize,
         progress: Progress,
     },
-    /// A probe was answered, or got no answer.
+    /// A probe was answered, timed out, or lost its connection.
     ProbeEnded {
         engine: EngineId,
         outcome: Outcome,
--- a/crates/gateway/src/engines/reading.rs
+++ b/crates/gateway/src/engines/reading.rs
@@ -1,4 +1,4 @@
-//! Reads what engines have sent and matches answers to the attempts and probes that are open.
+//! Reads the engines' answers and matches them to the open attempts and probes.
 
 use eideryard::interface::Outcome;
 use eideryard_engine_protocol::{self as engine_protocol, decode, Answer, Word};
@@ -12,7 +12,8 @@
 use crate::table::Key;
 
 impl Engines {
-    /// Reads what has arrived. True: there may be more, others get their turn first.
+    /// Reads the available input. Returns true if there may be more after [`MAX_READS_PER_TURN`]
+    /// reads; the caller reads other connections first.
     pub fn read(&mut self, key: Key, context: &mut EngineContext<'_>) -> bool {
         if !self.check_established(key, context) {
             return false;
@@ -27,7 +28,7 @@
                     connection.last_received_at = context.now;
                     if let Err(reason) = decode_answers(connection, context) {
                         let engine = connection.engine;
-                        tracing::warn!("the connection to engine {engine} is closed: {reason}");
+                        tracing::warn!("closing the connection to engine {engine}: {reason}");
                         self.close(key, Outcome::Broken, context);
                         return false;
                     }
@@ -46,18 +47,18 @@
         true
     }
 
-    /// Whether the connection is up; it is closed if it never will be.
+    /// Whether the connection is established; closes it if establishing it has failed.
     fn check_established(&mut self, key: Key, context: &mut EngineContext<'_>) -> bool {
         let Some(connection) = self.table.get_mut(key) else {
             return false;
         };
-        let was_up = connection.stream.was_up();
-        match connection.stream.is_up() {
-            Ok(is_up) => {
-                if is_up && !was_up {
+        let was_established = connection.stream.is_established();
+        match connection.stream.check_established() {
+            Ok(is_established) => {
+                if is_established && !was_established {
                     context.deadlines.cancel(connection.deadline.take());
                 }
-                is_up
+                is_established
             }
             Err(_) => {
                 context.counters.dials_failed += 1;
@@ -67,8 +68,9 @@
         }
     }
 
-    /// The rest of an answer waits for no work of the engine, so it gets as long as a dial. This
-    /// guards against answers that stop short, arrive in drips, or are shorter than stated.
+    /// Sets a deadline for the rest of a partly received answer. The engine has no more work to do
+    /// for it, so it gets as long as a dial. This guards against answers that stop short, arrive in
+    /// drips, or are shorter than stated.
     fn update_message_deadline(&mut self, key: Key, context: &mut EngineContext<'_>) {
         let Some(connection) = self.table.get_mut(key) else {
             return;
@@ -83,27 +85,27 @@
     }
 }
 
-/// Handles all complete answers in a connection's buffer.
+/// Handles all complete answers in a connection's input buffer.
 fn decode_answers(
     connection: &mut EngineConnection,
     context: &mut EngineContext<'_>,
 ) -> Result<(), AnswerError> {
     // The input is moved out while its answers borrow it.
     let mut input = std::mem::take(&mut connection.stream.input);
-    let mut used = 0;
+    let mut consumed = 0;
     let result = loop {
-        let (answer, length) = match decode(&input.filled()[used..]) {
+        let (answer, length) = match decode(&input.filled()[consumed..]) {
             Ok(Some(decoded)) => decoded,
             Ok(None) => break Ok(()),
             Err(_) => break Err(AnswerError::Malformed),
         };
-        used += length;
+        consumed += length;
         context.deadlines.cancel(connection.message_deadline.take());
         if let Err(error) = dispatch_answer(connection, &answer, context) {
             break Err(error);
         }
     };
-    input.consume(used);
+    input.consume(consumed);
     connection.stream.input = input;
     result
 }
@@ -119,10 +121,10 @@
         return Ok(());
     }
     let output = connection.stream.output.tail();
-    let Some(open) = connection.open.get_mut(answer.id) else {
-        // It belongs to an attempt that was cancelled, is a second copy, or answers nothing that
-        // was asked; none of these does harm. A success that crossed the cancel may have left pages
-        // at the engine.
+    let Some(attempt) = connection.open_attempts.get_mut(answer.id) else {
+        // The answer belongs to a cancelled attempt, is a duplicate, or matches no request; all of
+        // these are harmless. If a success crossed the cancel, the engine may still keep pages of
+        // the result, so they are released.
         let has_pages = answer.word == Word::Ok && page_count(answer) > Some(1);
         if has_pages && connection.ended_ids.contains(answer.id) {
             engine_protocol::write_release(output, answer.id);
@@ -131,14 +133,14 @@
     };
     context.counters.progress_reports += u64::from(answer.word == Word::Note);
     context.counters.result_pages += u64::from(answer.word == Word::Rows);
-    let Some(event) = handle_answer(open, answer, output, context.events)? else {
+    let Some(event) = handle_answer(attempt, answer, output, context.events)? else {
         return Ok(());
     };
     if matches!(event, EngineEvent::AttemptEnded(_)) {
         connection.ended_ids.insert(answer.id.into());
     }
     if !matches!(event, EngineEvent::Progress { .. }) {
-        connection.open.remove(answer.id);
+        connection.open_attempts.remove(answer.id);
     }
     context.events.push(event);
     Ok(())
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -1,21 +1,22 @@
-//! Queues what goes to engines: attempts, probes, ranks and requests for pages; opens the
-//! connections that carry them.
+//! Queues attempts, probes, ranks and requests for pages, and opens the connections that carry
+//! them.
 
 use eideryard::interface::{EngineId, Outcome};
 use eideryard_engine_protocol::{self as engine_protocol, Serve};
 
 use super::engine_connection::{AttemptStage, EngineConnection, OpenAttempt, OutputRange};
 use super::{AttemptTarget, EngineContext, EngineEvent, Engines, MAX_ENDED_IDS};
-use crate::connection::{is_shortage, Connection, WakeReason};
+use crate::connection::{is_resource_shortage, Connection, WakeReason};
 use crate::deadlines::Deadline;
 use crate::table::Key;
 
-/// Pages of one result that are requested at once, whatever room there is: their answers may
-/// arrive in any order.
+/// The maximum number of requested pages of one result that have not been passed on, however much
+/// space the spool has. Pages may arrive in any order, so this many may have to be buffered.
 const MAX_REQUESTED_PAGES: usize = 64;
 
 impl Engines {
-    /// Queues an attempt; returns the connection that carries it, or the attempt's outcome.
+    /// Queues an attempt and returns the connection that carries it. An error is the outcome of the
+    /// attempt, which was not queued.
     pub fn send(
         &mut self,
         engine: EngineId,
@@ -25,57 +26,58 @@
     ) -> Result<Key, Outcome> {
         let max_streams = self.limits.max_streams;
         let accepts = |connection: &EngineConnection| {
-            let is_known_id =
-                connection.open.contains_key(serve.id) || connection.ended_ids.contains(serve.id);
+            let is_known_id = connection.open_attempts.contains_key(serve.id)
+                || connection.ended_ids.contains(serve.id);
             connection.has_free_stream(max_streams)
                 && connection.ended_ids.len() < MAX_ENDED_IDS
                 && !is_known_id
         };
-        let key = self.connection_to(engine, accepts, context)?;
+        let key = self.find_or_dial(engine, accepts, context)?;
         let connection = self.table.get_mut(key).ok_or(Outcome::NoConnection)?;
-        connection.mark_used(context.deadlines);
-        let begin = connection.stream.end_of_output();
+        connection.mark_in_use(context.deadlines);
+        let begin = connection.stream.output_end();
         serve.write(connection.stream.output.tail());
-        let end = connection.stream.end_of_output();
-        let open = OpenAttempt {
+        let end = connection.stream.output_end();
+        let attempt = OpenAttempt {
             request: target.request,
-            attempt: target.attempt,
+            index: target.attempt,
             stage: AttemptStage::Running,
             is_spooled: target.is_spooled,
             sent_at: context.now,
             output: OutputRange { begin, end },
             deferred_rank: None,
         };
-        connection.open.insert(serve.id.into(), open);
+        connection.open_attempts.insert(serve.id.into(), attempt);
         self.unflushed.push(key);
         Ok(key)
     }
 
-    /// The first connection that accepts one request more, else a new one.
-    fn connection_to(
+    /// Returns the first usable connection to the engine for which `accepts` is true, or else dials
+    /// a new one.
+    fn find_or_dial(
         &mut self,
         engine: EngineId,
         accepts: impl Fn(&EngineConnection) -> bool,
         context: &mut EngineContext<'_>,
     ) -> Result<Key, Outcome> {
-        let known = self.engines.get(&engine).ok_or(Outcome::NoConnection)?;
+        let entry = self.engines.get(&engine).ok_or(Outcome::NoConnection)?;
         let is_usable = |key: &&Key| {
             let connection = self.table.get(**key);
             connection.is_some_and(|connection| !connection.is_retired && accepts(connection))
         };
-        if let Some(&key) = known.connections.iter().find(is_usable) {
+        if let Some(&key) = entry.connections.iter().find(is_usable) {
             return Ok(key);
         }
         self.dial(engine, context)
     }
 
-    /// Opens a connection. A shortage on this side (descriptors, memory) says nothing of the
-    /// engine, so that the outcome is [`Outcome::NotSent`].
+    /// Opens a connection. If the gateway lacks descriptors or memory, the outcome is
+    /// [`Outcome::NotSent`], since this says nothing about the engine.
     fn dial(&mut self, engine: EngineId, context: &mut EngineContext<'_>) -> Result<Key, Outcome> {
-        let known = self.engines.get(&engine).ok_or(Outcome::NoConnection)?;
-        let address = known.address.ok_or(Outcome::NoConnection)?;
+        let entry = self.engines.get(&engine).ok_or(Outcome::NoConnection)?;
+        let address = entry.address.ok_or(Outcome::NoConnection)?;
         context.counters.dials += 1;
-        if self.table.len() >= self.limits.max_connections && !self.close_idlest(context) {
+        if self.table.len() >= self.limits.max_connections && !self.close_longest_idle(context) {
             context.counters.dials_out_of_resources += 1;
             return Err(Outcome::NotSent);
         }
@@ -83,8 +85,8 @@
         let stream = match Connection::dial(&self.event_loop, address, WakeReason::Engine(key)) {
             Ok(stream) => stream,
             Err(e) => {
-                tracing::debug!("no connection to engine {engine}: {e}");
-                if is_shortage(&e) {
+                tracing::debug!("dialing engine {engine} at {address} failed: {e}");
+                if is_resource_shortage(&e) {
                     context.counters.dials_out_of_resources += 1;
                     return Err(Outcome::NotSent);
                 }
@@ -92,8 +94,8 @@
                 return Err(Outcome::NoConnection);
             }
         };
-        if let Some(known) = self.engines.get_mut(&engine) {
-            known.connections.push(key);
+        if let Some(entry) = self.engines.get_mut(&engine) {
+            entry.connections.push(key);
         }
         let timeout_at = context.now + self.limits.dial_timeout;
         let deadline = Deadline::EngineConnection(key);
@@ -103,21 +105,22 @@
     }
 
     /// Makes room for another connection by closing the one that has been idle for the longest
-    /// time. False: none is idle.
-    fn close_idlest(&mut self, context: &mut EngineContext<'_>) -> bool {
+    /// time. Returns false if none is idle.
+    fn close_longest_idle(&mut self, context: &mut EngineContext<'_>) -> bool {
         let idle = self
             .table
             .iter()
-            .filter(|(_, connection)| connection.is_idle() && connection.stream.was_up());
-        let idlest = idle.min_by_key(|(_, connection)| connection.last_received_at);
-        let Some((key, _)) = idlest else {
+            .filter(|(_, connection)| connection.is_idle() && connection.stream.is_established());
+        let longest_idle = idle.min_by_key(|(_, connection)| connection.last_received_at);
+        let Some((key, _)) = longest_idle else {
             return false;
         };
         self.close(key, Outcome::NotSent, context);
         true
     }
 
-    /// Queues a request for an engine's load; an error is the probe's outcome.
+    /// Queues a probe, which asks an engine for its system load. An error is the outcome of the
+    /// probe, which was not queued.
     pub fn probe(
         &mut self,
         engine: EngineId,
@@ -125,23 +128,23 @@
     ) -> Result<(), Outcome> {
         let max_streams = self.limits.max_streams;
         let accepts = |connection: &EngineConnection| connection.has_free_stream(max_streams);
-        let key = self.connection_to(engine, accepts, context)?;
+        let key = self.find_or_dial(engine, accepts, context)?;
         let connection = self.table.get_mut(key).ok_or(Outcome::NoConnection)?;
         self.probes_sent += 1;
         context.counters.probes += 1;
         let tag = probe_tag(self.probes_sent);
         engine_protocol::write_gauges(connection.stream.output.tail(), &tag);
-        // An answer waits for no work of the engine, so it gets as long as a dial.
+        // The engine answers a probe without running a query, so it gets as long as a dial.
         let timeout_at = context.now + self.limits.dial_timeout;
         let deadline = Deadline::Probe(key, self.probes_sent);
         let deadline = context.deadlines.set(timeout_at, deadline);
         connection.probes.insert(tag.into(), deadline);
-        connection.mark_used(context.deadlines);
+        connection.mark_in_use(context.deadlines);
         self.unflushed.push(key);
         Ok(())
     }
 
-    /// A probe was not answered in time.
+    /// Ends a probe that was not answered in time; its connection stays open.
     pub fn handle_probe_deadline(
         &mut self,
         key: Key,
@@ -161,18 +164,19 @@
         }
     }
 
-    /// Sends a new rank for a running attempt. False: it has ended there, its pages are being read.
+    /// Queues a new rank for a running attempt. Returns false if the engine has already run it, so
+    /// that the rank no longer matters.
     pub fn update_rank(&mut self, key: Key, id: &str, rank: u8) -> bool {
         let Some(connection) = self.table.get_mut(key) else {
             return false;
         };
-        let Some(open) = connection.open.get_mut(id) else {
+        let Some(attempt) = connection.open_attempts.get_mut(id) else {
             return false;
         };
-        let is_running = matches!(open.stage, AttemptStage::Running);
+        let is_running = matches!(attempt.stage, AttemptStage::Running);
         if is_running {
-            if connection.stream.written < open.output.end {
-                open.deferred_rank = Some(rank);
+            if connection.stream.written < attempt.output.end {
+                attempt.deferred_rank = Some(rank);
             } else {
                 engine_protocol::write_weigh(connection.stream.output.tail(), id, rank);
             }
@@ -181,15 +185,16 @@
         is_running
     }
 
-    /// Requests more pages of a result for the result spool, as many as `free_bytes` can hold.
+    /// Requests more pages of a result for the result spool: as many of average size as fit into
+    /// `free_bytes`, the free space of the spool.
     pub fn request_pages(&mut self, key: Key, id: &str, free_bytes: u64) {
         let Some(connection) = self.table.get_mut(key) else {
             return;
         };
-        let Some(open) = connection.open.get_mut(id) else {
+        let Some(attempt) = connection.open_attempts.get_mut(id) else {
             return;
         };
-        let AttemptStage::SpoolingPages(reader) = &mut open.stage else {
+        let AttemptStage::SpoolingPages(reader) = &mut attempt.stage else {
             return;
         };
         let average_page = (reader.bytes / reader.next.max(1)).max(1) as u64;
@@ -208,7 +213,7 @@
     }
 }
 
-/// The id of a probe on its connection.
+/// The id of a probe on the wire.
 fn probe_tag(number: u64) -> String {
     format!("probe-{number}")
 }
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts that are cancelled from a connection before they begin.
+//! Cancelling attempts before any byte of them is written.
 
 use super::engine_connection::OutputRange;
 use super::*;
@@ -23,7 +23,8 @@
     }
 }
 
-/// Three requests wait to be written; the second is cancelled, and its deferred rank goes with it.
+/// Three requests wait to be written and the second is cancelled. Guards against sending its bytes
+/// or its deferred rank, and against wrong offsets of the request behind it.
 #[test]
 fn cancelled_unwritten_attempt_leaves_no_bytes_and_no_rank() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -71,7 +72,7 @@
     let connection = engines.table.get_mut(connections[0]).unwrap();
     assert_eq!(connection.stream.output.filled(), expected);
     assert_eq!(
-        connection.open["c"].output,
+        connection.open_attempts["c"].output,
         OutputRange {
             begin: expected.len() as u64 / 2,
             end: expected.len() as u64
@@ -81,6 +82,6 @@
     connection.stream.written = expected.len() as u64;
     connection.stream.output.clear();
     let _ = connection.send_deferred_ranks();
-    assert_eq!(connection.open["c"].deferred_rank, None);
+    assert_eq!(connection.open_attempts["c"].deferred_rank, None);
     assert!(events.is_empty());
 }
--- a/crates/gateway/src/engines/writing.rs
+++ b/crates/gateway/src/engines/writing.rs
@@ -1,17 +1,17 @@
-//! Writes what was queued for engines. The first byte of an attempt is released here only.
+//! Writes what was queued for engines. No other code writes the first byte of an attempt.
 
 use eideryard::interface::Outcome;
 
 use super::{AttemptEnd, EngineContext, EngineEvent, Engines};
 use crate::table::Key;
 
-/// Whether an attempt (its request, its index) may still begin.
+/// Decides for an attempt, given by its request and its index, whether it may still be sent.
 pub type StartPermission<'a> = &'a mut dyn FnMut(Key, usize) -> bool;
 
 impl Engines {
-    /// Writes what was queued since the last call. An attempt that has not begun is cancelled if
-    /// `may_begin` denies it. Without `may_begin`, connections with such attempts are left for a
-    /// later call.
+    /// Writes what was queued since the last call. An attempt of which no byte has been written is
+    /// cancelled if `may_begin` denies it. Without `may_begin`, connections with such attempts are
+    /// left for a later call.
     pub fn flush(
         &mut self,
         mut may_begin: Option<StartPermission<'_>>,
@@ -34,8 +34,8 @@
         let Some(connection) = self.table.get_mut(key) else {
             return;
         };
-        // A connection that isn't up yet is marked again once it is.
-        if !connection.stream.was_up() {
+        // Once the connection is established, reading from it adds it to `unflushed` again.
+        if !connection.stream.is_established() {
             return;
         }
         let unsent = connection.unsent_attempts();
@@ -45,13 +45,13 @@
         }
         let mut has_cancelled = false;
         for attempt in unsent {
-            // A retired connection leads to an address that the engine has left.
+            // A retired connection may lead to an address that the engine has left.
             let is_allowed = !connection.is_retired
                 && may_begin
                     .as_mut()
-                    .is_some_and(|may_begin| may_begin(attempt.request, attempt.attempt));
+                    .is_some_and(|may_begin| may_begin(attempt.request, attempt.index));
             if !is_allowed && connection.cancel_unsent(&attempt.id) {
-                let end = AttemptEnd::new(attempt.request, attempt.attempt, Outcome::NotSent);
+                let end = AttemptEnd::new(attempt.request, attempt.index, Outcome::NotSent);
                 context.events.push(EngineEvent::AttemptEnded(end));
                 has_cancelled = true;
             }
--- a/crates/gateway/src/error_reply.rs
+++ b/crates/gateway/src/error_reply.rs
@@ -1,5 +1,5 @@
-//! Errors that clients are told in place of a result. This is the one place that turns them into
-//! words and fields of the wire.
+//! Error replies, which clients get in place of a result. No other module knows their words and
+//! fields on the wire.
 
 use eideryard::interface::Micros;
 use eideryard_msgpack_rpc::write_error;
@@ -9,7 +9,7 @@
 
 const MICROS_PER_MS: Micros = 1000;
 
-/// The kind of an error.
+/// What an error means for the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
     /// The request was not run; it may be sent again.
@@ -18,14 +18,14 @@
     Failed,
     /// A field of the request is invalid.
     Invalid,
-    /// The spooled result isn't there any more, or never was.
+    /// The spooled result was deleted, or never existed.
     Gone,
-    /// The page token was not issued by this service, or for another request.
+    /// The page token was not issued by this service, or was issued for another request.
     Forged,
 }
 
 impl ErrorKind {
-    /// The error's word on the wire.
+    /// The word for the kind on the wire.
     fn wire_word(self) -> &'static str {
         match self {
             ErrorKind::TryLater => "TryLater",
@@ -37,20 +37,20 @@
     }
 }
 
-/// An error with what the client is told beside its kind.
+/// An error reply: the kind of the error and optional details.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorReply<'a> {
     pub kind: ErrorKind,
-    /// The field that is invalid.
+    /// The wire name of the invalid field, for [`ErrorKind::Invalid`].
     pub field: Option<&'a str>,
-    /// The reason.
+    /// Why the request was rejected or has failed, as a word or phrase.
     pub reason: Option<&'a str>,
-    /// When the client is advised to try again, from now.
+    /// The advised delay before the client tries again; sent in milliseconds.
     pub retry_after: Option<Micros>,
 }
 
 impl<'a> ErrorReply<'a> {
-    /// An error without details.
+    /// Creates an error without details.
     pub fn new(kind: ErrorKind) -> Self {
         ErrorReply {
             kind,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// An error with a reason.
+    /// Creates an error whose only detail is the reason.
     pub fn with_reason(kind: ErrorKind, reason: &'a str) -> Self {
         ErrorReply {
             reason: Some(reason),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Appends the answer to the request of that number.
+    /// Appends the reply to the request with the message id `call_id`.
     pub fn write(&self, output: &mut Vec<u8>, call_id: u32) {
         let retry_after_ms = self
             .retry_after
@@ -78,10 +78,10 @@
             ("why", self.reason),
             ("w", retry_after_ms.as_deref()),
         ];
-        let stated: Vec<(&str, &str)> = fields
+        let present_fields: Vec<(&str, &str)> = fields
             .into_iter()
             .filter_map(|(name, value)| Some((name, value?)))
             .collect();
-        write_error(output, call_id, self.kind.wire_word(), &stated);
+        write_error(output, call_id, self.kind.wire_word(), &present_fields);
     }
 }
--- a/crates/gateway/src/error_reply/tests.rs
+++ b/crates/gateway/src/error_reply/tests.rs
@@ -1,16 +1,16 @@
-//! Words and fields of errors on the wire.
+//! Clients match the words and fields of errors, so neither may change with the names in the code.
 
 use eideryard_msgpack_rpc::write_error;
 
 use super::*;
 
-fn written(reply: &ErrorReply<'_>) -> Vec<u8> {
+fn encode(reply: &ErrorReply<'_>) -> Vec<u8> {
     let mut output = Vec::new();
     reply.write(&mut output, 7);
     output
 }
 
-fn expected(word: &str, fields: &[(&str, &str)]) -> Vec<u8> {
+fn expected_bytes(word: &str, fields: &[(&str, &str)]) -> Vec<u8> {
     let mut output = Vec::new();
     write_error(&mut output, 7, word, fields);
     output
@@ -26,7 +26,7 @@
         (ErrorKind::Forged, "Forged"),
     ];
     for (kind, word) in words {
-        assert_eq!(written(&ErrorReply::new(kind)), expected(word, &[]));
+        assert_eq!(encode(&ErrorReply::new(kind)), expected_bytes(word, &[]));
     }
 }
 
@@ -37,7 +37,7 @@
         ..ErrorReply::with_reason(ErrorKind::TryLater, "full")
     };
     let fields = [("why", "full"), ("w", "1250")];
-    assert_eq!(written(&reply), expected("TryLater", &fields));
+    assert_eq!(encode(&reply), expected_bytes("TryLater", &fields));
 }
 
 #[test]
@@ -46,5 +46,5 @@
         field: Some("d"),
         ..ErrorReply::new(ErrorKind::Invalid)
     };
-    assert_eq!(written(&reply), expected("Invalid", &[("field", "d")]));
+    assert_eq!(encode(&reply), expected_bytes("Invalid", &[("field", "d")]));
 }
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -1,5 +1,5 @@
-//! Hands events, actions and entries of the host to the event log's recorder, which never blocks
-//! the main loop. Without an event log it does nothing.
+//! Passes the balancer's events and actions and the gateway's own events to the recorder of the
+//! event log, which never blocks the main loop. Without an event log it does nothing.
 
 use eideryard::interface::{Action, Event, Micros};
 use eideryard_event_log::disk::Directory;
@@ -8,21 +8,21 @@
 use eideryard_event_log::{Config, HostEvent, Names, Recorder};
 use eideryard_operator_config::EventLogConfig;
 
-/// The recorder, with the names that begin each segment.
+/// The recorder, with the names that are written at the start of each segment.
 struct ActiveRecorder {
     recorder: Recorder,
     names: Names,
 }
 
-/// The gateway's end of the event log.
+/// The gateway's interface to the event log.
 #[derive(Default)]
 pub struct EventRecorder {
     active: Option<Box<ActiveRecorder>>,
 }
 
 impl EventRecorder {
-    /// Starts the recorder. An event log that can't be started is reported, and the gateway goes on
-    /// without it.
+    /// Starts the recorder if the operator has configured an event log. If that fails, an error is
+    /// logged and the gateway runs without an event log.
     pub fn start(
         name: &str,
         epoch: Micros,
@@ -48,30 +48,30 @@
                 active: Some(Box::new(ActiveRecorder { recorder, names })),
             },
             Err(e) => {
-                tracing::error!("no event log is kept: {e}");
+                tracing::error!("the event log could not be started, continuing without it: {e}");
                 EventRecorder::default()
             }
         }
     }
 
-    /// Whether an event log is written.
+    /// Whether an event log is written; false if none is configured or it could not be started.
     pub fn is_enabled(&self) -> bool {
         self.active.is_some()
     }
 
-    /// Records an event for the balancer.
+    /// Records an event that the balancer is about to handle.
     pub fn record_event(&mut self, now: Micros, event: &Event) {
         self.record(now, EntryRef::Event(event));
     }
 
-    /// Records an action of the balancer.
+    /// Records an action that the balancer has requested.
     pub fn record_action(&mut self, now: Micros, action: &Action) {
         self.record(now, EntryRef::Action(action));
     }
 
-    /// Records what the gateway itself did or received.
-    pub fn record_host_event(&mut self, now: Micros, host: &HostEvent) {
-        self.record(now, EntryRef::Host(host));
+    /// Records an event of the gateway process itself, such as a connection or a reload.
+    pub fn record_host_event(&mut self, now: Micros, event: &HostEvent) {
+        self.record(now, EntryRef::Host(event));
     }
 
     fn record(&mut self, now: Micros, entry: EntryRef<'_>) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether a segment should begin, with the current state.
+    /// Whether it is time for [`EventRecorder::start_segment`].
     pub fn needs_segment(&self, now: Micros) -> bool {
         match &self.active {
             Some(active) => active.recorder.needs_segment(now),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Begins a segment with the current state.
+    /// Starts a segment with the names and the current state, so that it can be read on its own.
     pub fn start_segment(&mut self, now: Micros, state: impl Iterator<Item = HostEvent>) {
         let Some(active) = &mut self.active else {
             return;
@@ -98,19 +98,19 @@
             return;
         }
         recorder.record_state(now, &HostEvent::Names(names.clone()));
-        for host in state {
-            recorder.record_state(now, &host);
+        for event in state {
+            recorder.record_state(now, &event);
         }
         recorder.finish_state(now);
     }
 
-    /// When [`EventRecorder::flush`] has something to do, if nothing else happens.
+    /// When [`EventRecorder::flush`] must be called at the latest; `None` if it has nothing to do.
     pub fn next_deadline(&self) -> Option<Micros> {
         let active = self.active.as_ref()?;
         active.recorder.next_flush_at()
     }
 
-    /// Hands recorded entries to the writer's thread.
+    /// Passes recorded entries to the writer thread if they are due at `now`.
     pub fn flush(&mut self, now: Micros) {
         if let Some(active) = &mut self.active {
             active.recorder.flush(now);
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -1,8 +1,9 @@
-//! Fingerprints of settings, by which a gateway recognizes data that was made under the same ones.
+//! Fingerprints of settings, by which a gateway recognizes data from a process with the same
+//! settings.
 //!
-//! Two formats that outlive the process rest on them: the checkpoint in the store, and the
-//! handshake of gateways. Each hashes a text whose names are fixed here and are not the names of
-//! types and fields.
+//! They are part of two formats that other processes read: the checkpoint in the store and the
+//! handshake between gateways. Each is a hash of a text, so the names in this text are fixed here,
+//! independently of the names of types and fields.
 
 use std::fmt::{self, Debug, Formatter};
 use std::hash::Hasher;
@@ -15,10 +16,10 @@
 #[cfg(test)]
 mod tests;
 
-/// The byte that ends a text in the hash.
+/// The byte that is hashed after the text.
 const END_OF_TEXT: u8 = 0xff;
 
-/// A fingerprint of all settings: SipHash-1-3 with a key of zeros.
+/// The fingerprint of all settings, for the checkpoint: SipHash-1-3 with a key of zeros.
 pub fn settings_fingerprint(settings: &Settings) -> u64 {
     let text = format!("{:?}", SettingsText(settings));
     let mut hasher = SipHasher13::new();
@@ -27,7 +28,8 @@
     hasher.finish()
 }
 
-/// A fingerprint of the classes that need intents: their indexes, effects, scopes and windows.
+/// The fingerprint of the classes that need intents, for the handshake: the first 8 bytes of a
+/// BLAKE3 hash of their indices, effects, scopes and windows.
 pub fn classes_fingerprint(classes: &[Class]) -> u64 {
     let mut lines = Vec::new();
     for (index, class) in classes.iter().enumerate() {
@@ -68,7 +70,7 @@
     }
 }
 
-/// A name that is written without quotes.
+/// A name whose debug output has no quotes.
 struct Bare(&'static str);
 
 impl Debug for Bare {
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -1,4 +1,5 @@
-//! Fingerprints, checkpoints and counters as an earlier version wrote them.
+//! Fingerprints, checkpoints and logged counters must stay as earlier versions wrote them, or else
+//! stored checkpoints are discarded, gateways of two versions refuse each other, and scripts break.
 
 use super::*;
 use crate::checkpoint::{from_bytes, to_bytes};
@@ -8,7 +9,7 @@
 use eideryard_emulators::golden;
 use eideryard_settings::{read_settings, SettingsTree};
 
-/// Every setting that there is.
+/// A configuration with a value for every setting.
 const SETTINGS: &str = r#"{
     "az": 1, "discovery": "ask", "kinds": ["node-12", "node-8"], "zones": ["hall-1", "hall-2"],
     "peers-total": 3, "self-index": 2, "tick-us": 5000, "over-share-worth": 0.25,
@@ -33,7 +34,7 @@
               "ratio-span-us": 1000000}
 }"#;
 
-fn sample() -> Settings {
+fn all_settings() -> Settings {
     read_settings(&SettingsTree::from_json(
         &serde_json::from_str(SETTINGS).unwrap(),
     ))
@@ -41,20 +42,20 @@
 }
 
 #[test]
-fn fingerprints_of_settings_and_classes_are_as_before() {
-    let every = sample();
-    let few = read_settings(&SettingsTree::from_json(&serde_json::json!({}))).unwrap();
+fn fingerprints_match_earlier_versions() {
+    let all = all_settings();
+    let empty = read_settings(&SettingsTree::from_json(&serde_json::json!({}))).unwrap();
     let text = format!(
         "settings {:016x}\nsettings without anything {:016x}\nclasses {:016x}\n",
-        settings_fingerprint(&every),
-        settings_fingerprint(&few),
-        classes_fingerprint(&every.classes)
+        settings_fingerprint(&all),
+        settings_fingerprint(&empty),
+        classes_fingerprint(&all.classes)
     );
     golden::check("fingerprints.txt", text.as_bytes());
 }
 
 #[test]
-fn a_checkpoint_is_written_and_read_as_before() {
+fn checkpoint_is_written_and_read_as_in_earlier_versions() {
     let class = |memory_mb| ClassEstimates {
         work_ratio: 1.5,
         memory_ratio: 0.7,
@@ -74,14 +75,14 @@
         engines: vec![engine],
         baseline_load: 0.5,
     };
-    let fingerprint = settings_fingerprint(&sample());
+    let fingerprint = settings_fingerprint(&all_settings());
     golden::check("checkpoint.bin", &to_bytes(&learned, 100, fingerprint));
     let stored = std::fs::read(golden::path("checkpoint.bin")).unwrap();
     assert_eq!(from_bytes(&stored, 130, fingerprint), Ok((learned, 30)));
 }
 
 #[test]
-fn counters_are_printed_as_before() {
+fn counters_are_formatted_as_in_earlier_versions() {
     let text = format!(
         "{}\n{}\n{}\n{}\n{}\n",
         Counters::default(),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,10 @@
-//! The gateway process: real sockets, timers, threads and files around the decisions of the
-//! `eideryard` package. [`serve`] is the whole program; the command line calls it with the
-//! configuration of the platform ([`config::Config`]) and of the operator.
+//! The gateway process: the sockets, timers, threads and files around the `eideryard` package,
+//! which makes the balancing decisions and does no I/O. [`serve`] runs the gateway; the command
+//! line calls it with the platform's configuration ([`config::Config`]) and the operator's.
 //!
 //! One thread runs the main loop, `gateway::Gateway`, which owns all connections, requests and
-//! deadlines. Other threads (store, peers, disk of the result spool, event log) are reached through
-//! channels and wake the main loop by pings.
+//! deadlines. The other threads (store, peer transport, disk of the result spool, event log)
+//! receive their work through channels and wake the main loop with pings of the event loop.
 
 mod checkpoint;
 mod clients;
@@ -43,15 +43,19 @@
 use connection::{PendingWakes, WakeReason};
 use gateway::Gateway;
 
-/// The shortest time between two polls of the sockets, in ticks of the settings: what arrives in
-/// between is read, decided and written together, which saves work at both ends of each connection.
-/// A message after a quiet time is not delayed.
+/// The shortest time between two polls of the sockets, in ticks of the settings. Messages that
+/// arrive in between are read, decided and written as one batch, which saves work at both ends of
+/// each connection. A message that arrives after a longer pause is not delayed.
 const TICKS_BETWEEN_POLLS: u64 = 4;
 
-/// Serves until SIGTERM or SIGINT, and until the requests that were open then have ended.
+/// Serves until SIGTERM or SIGINT and then until the requests that are still open have ended.
+///
+/// # Errors
+///
+/// The gateway can't be started, or the event loop fails.
 pub fn serve(config: Config, operator: &OperatorConfig) -> Result<(), Box<dyn Error>> {
     let mut event_loop: EventLoop<'_, PendingWakes> = EventLoop::try_new()?;
-    watch_signals(&event_loop)?;
+    register_signals(&event_loop)?;
     let poll_interval = Duration::from_micros(TICKS_BETWEEN_POLLS * config.settings.tick);
     let clock = clock::Clock::start();
     let mut gateway = Gateway::start(config, operator, clock, &event_loop.handle())?;
@@ -73,7 +77,7 @@
     Ok(())
 }
 
-fn watch_signals(event_loop: &EventLoop<'_, PendingWakes>) -> Result<(), Box<dyn Error>> {
+fn register_signals(event_loop: &EventLoop<'_, PendingWakes>) -> Result<(), Box<dyn Error>> {
     let signals = Signals::new(&[
         Signal::SIGTERM,
         Signal::SIGINT,
@@ -92,8 +96,9 @@
     Ok(())
 }
 
-/// Whether a poll counts for the time between polls. One that only the threads of the store or of
-/// the peers caused doesn't: a client or an engine that sends right after it is not delayed.
+/// Whether the next poll has to wait for the interval of [`TICKS_BETWEEN_POLLS`]. A poll that only
+/// the threads of the store or of the peers have caused doesn't count, so that a message that a
+/// client or an engine sends right after it is not delayed.
 fn is_socket_poll(wakes: &[WakeReason]) -> bool {
     let is_from_thread = |wake: &WakeReason| matches!(wake, WakeReason::IntentDurability);
     wakes.is_empty() || !wakes.iter().all(is_from_thread)
--- a/crates/gateway/src/requests.rs
+++ b/crates/gateway/src/requests.rs
@@ -1,6 +1,6 @@
-//! Requests of clients. The gateway owns one table of them, in which each has a slot until it has
-//! had its final answer and no attempt of it is in flight. [`Requests::release`] is the one place
-//! where a slot is freed.
+//! Client requests. The main loop owns one table of them, in which each request keeps its slot
+//! until it has its final answer and none of its attempts is in flight. Only [`Requests::release`]
+//! frees a slot.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -17,11 +17,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Ids of finished requests that are remembered, so that a second request of the same id is
-/// recognized.
+/// How many ids of finished requests are remembered, to reject a later request with the same id.
 const MAX_FINISHED_IDS: usize = 4096;
 
-/// The class and tenant of a request, by their indices in the settings.
+/// The class and tenant of a request, as indices in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLabels {
     pub class: usize,
@@ -31,44 +30,52 @@
 /// One attempt of a request at an engine.
 pub struct Attempt {
     pub engine: EngineId,
-    /// The connection that carries it, while it is in flight.
+    /// The connection that carries the attempt; `None` unless it is in flight.
     pub connection: Option<Key>,
     pub sent_at: Micros,
     pub deadline: Option<DeadlineKey>,
-    /// It waits until its intent is durable: no byte of it was sent.
+    /// The attempt waits until its intent is durable, and no byte of it was sent.
     pub awaits_durability: bool,
-    /// Its intent is in the intent log, which must learn of its end.
+    /// The intent log contains an intent for the attempt and must be notified of its end.
     pub has_intent: bool,
 }
 
-/// A request in its slot.
+/// A client request in its slot.
 pub struct Request {
+    /// The client's connection.
     pub client: Key,
-    /// The client's number of it on its connection.
+    /// The message id that the client has chosen on its connection.
     pub call_id: u32,
+    /// The id from the request, 16 hex digits; unique among open and recently finished requests.
     pub id: Box<str>,
+    /// Index of the class in the settings.
     pub class: usize,
+    /// Index of the tenant in the settings.
     pub tenant: usize,
     pub received_at: Micros,
+    /// The idempotency key.
     pub key: Option<Box<str>>,
     pub statement: Box<[u8]>,
-    /// Its result goes to the result spool.
+    /// The result goes to the result spool.
     pub is_spooled: bool,
+    /// The memory grant that the balancer has set, in MB; 0 until then.
     pub grant_mb: u64,
+    /// The rank that the balancer has set; `None` until then.
     pub rank: Option<u8>,
-    /// The client has had its final answer, or no longer waits for one.
+    /// The client has received its final answer, or no longer waits for one.
     pub is_answered: bool,
     /// When the client stops waiting.
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
-    /// Attempts of it that may have run before, as they were reported to the balancer.
+    /// Attempts from before this request was received that may have run, as reported to the
+    /// balancer.
     pub prior_attempts: Vec<PriorAttempt>,
-    /// The balancer's timer for it.
+    /// The balancer's timer for the request.
     pub timer: Option<DeadlineKey>,
 }
 
 impl Request {
-    /// Its class and tenant.
+    /// The class and tenant, for the event log and the result spool.
     pub fn labels(&self) -> RequestLabels {
         RequestLabels {
             class: self.class,
@@ -76,36 +83,40 @@
         }
     }
 
-    /// It is answered and no attempt of it is in flight.
+    /// Whether the request is answered and none of its attempts is in flight or waits for its
+    /// intent.
     fn is_finished(&self) -> bool {
-        let is_ended =
+        let has_ended =
             |attempt: &Attempt| attempt.connection.is_none() && !attempt.awaits_durability;
-        self.is_answered && self.attempts.iter().all(is_ended)
+        self.is_answered && self.attempts.iter().all(has_ended)
     }
 }
 
-/// Why a valid request is rejected.
+/// Why a valid request gets no slot.
 #[derive(Debug, PartialEq)]
 pub enum InsertError {
-    /// Its id is that of an open request, or was a while ago: engines could not tell the two apart.
+    /// An open or recently finished request has the same id, so engines could not distinguish them.
     DuplicateId,
-    /// Statements use an eighth of the memory already; each is copied once more for its engine.
+    /// The statements would take more than an eighth of the memory; each is copied once more for
+    /// its engine.
     StatementMemoryFull,
 }
 
-/// All requests, by slot.
+/// The table of requests.
 pub struct Requests {
     table: Table<Request>,
-    /// Bytes of all statements in the table, and how many there may be.
+    /// Bytes of the statements of all requests in the table.
     statement_bytes: usize,
     max_statement_bytes: usize,
-    /// Ids of all requests in the table, and of the last that have left it, in that order.
+    /// Ids of all requests in the table and of those in `finished_ids`.
     ids: BTreeSet<Box<str>>,
+    /// Ids of the last [`MAX_FINISHED_IDS`] requests that have left the table, oldest first.
     finished_ids: VecDeque<Box<str>>,
 }
 
 impl Requests {
-    /// An empty table for a process that is granted so much memory.
+    /// Creates an empty table. `memory_mb` is the memory that the platform grants to the process;
+    /// all statements together may take an eighth of it.
     pub fn new(memory_mb: u64) -> Self {
         let max_statement_bytes = (memory_mb as usize) << 17;
         Requests {
@@ -117,7 +128,7 @@
         }
     }
 
-    /// Gives a request a slot.
+    /// Adds a request and returns the key of its slot. Its grant and rank are set later.
     pub fn insert(
         &mut self,
         client: Key,
@@ -154,34 +165,34 @@
         }))
     }
 
-    /// The request in a slot.
+    /// The request with this key; `None` if its slot was freed.
     pub fn get(&self, key: Key) -> Option<&Request> {
         self.table.get(key)
     }
 
-    /// The request in a slot, to change it.
+    /// Mutable access to the request with this key; `None` if its slot was freed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut Request> {
         self.table.get_mut(key)
     }
 
-    /// How many requests are kept, and how many ids.
+    /// The number of requests in the table and the number of remembered ids.
     pub fn sizes(&self) -> (usize, usize) {
         (self.table.len(), self.ids.len())
     }
 
-    /// The requests that wait for an answer.
+    /// The requests without a final answer, with their keys.
     pub fn open(&self) -> impl Iterator<Item = (Key, &Request)> {
         self.table
             .iter()
             .filter(|(_, request)| !request.is_answered)
     }
 
-    /// The slots of the requests that wait for an answer.
+    /// The keys of the requests without a final answer.
     pub fn open_keys(&self) -> Vec<Key> {
         self.open().map(|(key, _)| key).collect()
     }
 
-    /// Frees the slot of a request that is answered, unless an attempt of it is still in flight.
+    /// Frees the slot of a request if it is answered and none of its attempts is in flight.
     pub fn release(&mut self, key: Key, deadlines: &mut Deadlines) {
         if !self.table.get(key).is_some_and(Request::is_finished) {
             return;
--- a/crates/gateway/src/requests/call.rs
+++ b/crates/gateway/src/requests/call.rs
@@ -1,22 +1,22 @@
-//! Reads a request from the fields of a client's message. The names of the fields are those of the
-//! wire; nothing else in the gateway knows them.
+//! Reads a request from the fields of a client's message. The field names are those of the wire
+//! protocol; no other module uses them.
 
 use eideryard::interface::Micros;
 
 use super::names::{index_of, Names};
 use super::RequestLabels;
 
-/// Hex digits of a request's id.
+/// The length of a request's id in hex digits.
 const ID_DIGITS: usize = 16;
-/// Hex digits of an idempotency key.
+/// The length of an idempotency key in hex digits.
 const KEY_DIGITS: usize = 32;
-/// Bytes of the longest ordering key.
+/// The maximum length of an ordering key in bytes.
 const MAX_ORDER_KEY_LENGTH: usize = 64;
 const MICROS_PER_MS: f64 = 1e3;
-/// All fields that a request may have.
+/// The names of all fields of a request on the wire; other fields are ignored.
 const FIELD_NAMES: [&str; 9] = ["i", "d", "t", "r", "k", "o", "h", "ram", "p"];
 
-/// Why a call is invalid.
+/// Why a call is invalid: mostly the field that is missing or has an invalid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
     Class,
@@ -29,14 +29,17 @@
     Memory,
     Statement,
     DuplicateField,
+    /// The method or the structure of the message's parameters.
     Parameters,
+    /// The connection has the maximum number of open requests.
     TooManyOpen,
-    /// It follows a message after which its connection accepts no more.
+    /// The call arrived after a message because of which the connection accepts no more requests.
     ConnectionClosing,
 }
 
 impl CallError {
-    /// What the client is told: the name of the field that is invalid.
+    /// The text in the error reply: the wire name of the invalid field, or a phrase for other
+    /// errors.
     pub fn wire_word(self) -> &'static str {
         match self {
             CallError::Class => "class",
@@ -64,25 +67,25 @@
     pub tenant: usize,
     /// The idempotency key.
     pub key: Option<Box<str>>,
-    /// Requests of one ordering key run one after another, in classes with an order.
+    /// Requests with the same ordering key run one after another, in classes that are ordered.
     pub order_key: Option<Box<str>>,
-    /// The client marks it as a retry.
+    /// The client has marked the request as a retry.
     pub is_retry: bool,
     /// How long the client waits for the answer.
     pub wait: Micros,
     /// The client's estimate of the work, in microseconds.
     pub work: Option<f64>,
-    /// The client's estimate of the memory.
+    /// The client's estimate of the memory, in MB.
     pub memory_mb: Option<f64>,
-    /// Identifies the tables that the statement reads.
+    /// Identifies the tables that the statement reads; `None` if it names none.
     pub group: Option<u64>,
     pub statement: Box<[u8]>,
-    /// The client takes its result by pages, where results are spooled.
+    /// The client accepts its result in pages from the result spool.
     pub wants_pages: bool,
 }
 
 impl Call {
-    /// Its class and tenant.
+    /// The class and tenant, for the event log and the result spool.
     pub fn labels(&self) -> RequestLabels {
         RequestLabels {
             class: self.class,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Reads a call of a class (`method`) from its fields and the statement in its body.
+    /// Reads a call. `method` is the name of the class, `body` the statement.
     pub fn read(
         names: &Names,
         method: &str,
@@ -133,7 +136,7 @@
     }
 }
 
-/// The fields of one message, each a name and its text.
+/// The fields of one message, as pairs of name and value.
 struct Fields<'a>(&'a [(&'a str, &'a str)]);
 
 impl<'a> Fields<'a> {
@@ -142,7 +145,7 @@
         found.map(|(_, value)| *value)
     }
 
-    /// Whether a field that is known here is there more than once.
+    /// Whether the message contains one of [`FIELD_NAMES`] more than once.
     fn has_duplicates(&self) -> bool {
         FIELD_NAMES.iter().any(|wanted| {
             let count = self.0.iter().filter(|(name, _)| name == wanted).count();
@@ -150,7 +153,7 @@
         })
     }
 
-    /// Where the settings know no tenants, all requests are of tenant 0.
+    /// The index of the tenant; 0 for all requests if the settings contain no tenants.
     fn tenant(&self, names: &Names) -> Result<usize, CallError> {
         if names.tenants.is_empty() {
             return Ok(0);
@@ -175,7 +178,7 @@
         }
     }
 
-    /// An empty ordering key stands for none.
+    /// The ordering key; an empty one counts as none.
     fn order_key(&self) -> Result<Option<&'a str>, CallError> {
         let Some(key) = self.get("o") else {
             return Ok(None);
@@ -187,7 +190,7 @@
         Ok(Some(key).filter(|key| !key.is_empty()))
     }
 
-    /// An estimate of 0 stands for none.
+    /// An estimate of at most `max`; 0 counts as none.
     fn estimate(&self, name: &str, max: f64, error: CallError) -> Result<Option<f64>, CallError> {
         let Some(text) = self.get(name) else {
             return Ok(None);
@@ -201,13 +204,13 @@
     text.len() == digits && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// A number that is not negative and at most `max`; NaN is none.
+/// Parses a number from 0 to `max`; `None` if it is outside this range or NaN.
 fn number_up_to(text: &str, max: f64) -> Option<f64> {
     let number: f64 = text.parse().ok()?;
     (0.0..=max).contains(&number).then_some(number)
 }
 
-/// Engines accept non-empty UTF-8 without zero bytes.
+/// Checks that a statement is non-empty UTF-8 without zero bytes, as engines require.
 fn check_statement(body: &[u8]) -> Result<(), CallError> {
     if body.is_empty() || std::str::from_utf8(body).is_err() || body.contains(&0) {
         return Err(CallError::Statement);
--- a/crates/gateway/src/requests/names.rs
+++ b/crates/gateway/src/requests/names.rs
@@ -1,36 +1,41 @@
-//! Names of the settings that requests and endpoints refer to, and the bounds on what a request may
-//! state.
+//! The names in the settings to which requests and endpoints refer, and the limits on the fields of
+//! a request.
 
 use eideryard::interface::{Effect, Kind, Settings};
 use eideryard_settings::HostSettings;
 
-/// Estimates that exceed by this factor what the largest engine could do or hold are rejected.
+/// A request is rejected if its estimate of work or memory exceeds by this factor what the largest
+/// engine can do in the longest wait, or its memory.
 const MAX_ESTIMATE_FACTOR: f64 = 100.0;
-/// Waits that exceed by this factor the longest one that the settings know are rejected.
+/// A request is rejected if its wait exceeds by this factor the longest wait in the settings.
 const MAX_WAIT_FACTOR: f64 = 2.0;
-/// The longest wait, in microseconds, where the settings state none: a day.
+/// The longest wait, in microseconds, if the settings contain none: a day.
 const DEFAULT_WAIT_US: f64 = 86_400e6;
-/// The largest memory of an engine where the settings state none: a terabyte.
+/// The largest memory of an engine, in MB, if the settings contain none: a terabyte.
 const DEFAULT_MEMORY_MB: f64 = 1e6;
 
-/// The names of the settings, each at the index by which the balancer knows it.
+/// The names in the settings, each at the index by which the balancer refers to it, and limits that
+/// are derived from the settings.
 pub struct Names {
     pub classes: Vec<String>,
-    /// Whether requests of each class must have an idempotency key.
+    /// Whether requests of a class must have an idempotency key, by the class's index.
     pub(super) requires_key: Vec<bool>,
     pub(super) tenants: Vec<String>,
     pub zones: Vec<String>,
+    /// Machine kinds of engines.
     pub kinds: Vec<String>,
+    /// The number of threads on which a query runs, by the class's index.
     pub(super) threads: Vec<f64>,
-    /// In microseconds.
+    /// The maximum wait of a request, in microseconds.
     pub(super) max_wait: f64,
-    /// In microseconds of work.
+    /// The maximum work estimate of a request, in core microseconds.
     pub(super) max_work: f64,
+    /// The maximum memory estimate of a request, in MB.
     pub(super) max_memory_mb: f64,
 }
 
 impl Names {
-    /// The names in the settings of the balancer and of the process around it.
+    /// Collects the names from the settings of the balancer and of the process around it.
     pub fn new(settings: &Settings, host: &HostSettings) -> Self {
         let largest = |of: fn(&Kind) -> f64| settings.kinds.iter().map(of).fold(1.0, f64::max);
         let longest_wait = positive_or(host.longest_wait as f64, DEFAULT_WAIT_US);
@@ -50,7 +55,7 @@
         }
     }
 
-    /// The same names for the event log.
+    /// The names as the event log stores them.
     pub fn for_event_log(&self) -> eideryard_event_log::Names {
         eideryard_event_log::Names {
             classes: self.classes.clone(),
@@ -62,7 +67,7 @@
     }
 }
 
-/// A setting, or its default where the setting is no positive finite number.
+/// A setting, or `default` if the setting is not a positive finite number.
 fn positive_or(value: f64, default: f64) -> f64 {
     if value > 0.0 && value.is_finite() {
         value
@@ -71,7 +76,7 @@
     }
 }
 
-/// The index of a name in a list of them.
+/// The index of a name in a list; `None` if the list doesn't contain it.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|listed| listed == name)
+    names.iter().position(|other| other == name)
 }
--- a/crates/gateway/src/requests/tests.rs
+++ b/crates/gateway/src/requests/tests.rs
@@ -1,4 +1,5 @@
-//! Fields of requests, ids, and the bound on statements.
+//! Guards against requests with invalid fields or duplicate ids reaching engines, and against
+//! unbounded memory for ids and statements.
 
 use super::*;
 use crate::deadlines::Deadline;
@@ -15,11 +16,11 @@
 ];
 
 fn names() -> Names {
-    let words = |list: &[&str]| list.iter().map(|word| word.to_string()).collect();
+    let strings = |list: &[&str]| list.iter().map(|word| word.to_string()).collect();
     Names {
-        classes: words(&["report", "load"]),
+        classes: strings(&["report", "load"]),
         requires_key: vec![false, true],
-        tenants: words(&["acme"]),
+        tenants: strings(&["acme"]),
         zones: vec![],
         kinds: vec![],
         threads: vec![],
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn fields_are_read_in_their_units_and_invalid_ones_are_named() {
+fn fields_are_converted_to_their_units_and_invalid_ones_are_named() {
     let statement = b"COPY sales_17.orders";
     let call = Call::read(&names(), "load", &FIELDS, statement).unwrap();
     assert_eq!((call.class, call.tenant, call.wait), (1, 0, 1_500_000));
@@ -39,7 +40,7 @@
         (Some(820_000.0), Some(96.0), Some(17))
     );
     let long = "9b1f03aa5c7e2d410";
-    let bad = [
+    let invalid_values = [
         ("i", &["", "a,b", "9b1f", long, "9b1f03aa5c7e2d4g"][..]),
         ("d", &["soon", "-1", "1e99", "NaN", "inf", "4001", ""]),
         ("t", &["nobody"]),
@@ -47,12 +48,12 @@
         ("ram", &["-4", "inf", "1e12"]),
         ("k", &["a=b", ID]),
     ];
-    for (name, value) in bad
+    for (name, value) in invalid_values
         .iter()
-        .flat_map(|(name, values)| values.iter().map(move |v| (name, *v)))
+        .flat_map(|(name, values)| values.iter().map(move |value| (name, *value)))
     {
         let fields =
-            FIELDS.map(|(field, usual)| (field, if field == *name { value } else { usual }));
+            FIELDS.map(|(field, default)| (field, if field == *name { value } else { default }));
         assert_eq!(
             Call::read(&names(), "load", &fields, statement)
                 .unwrap_err()
@@ -61,18 +62,18 @@
             "{value}"
         );
     }
-    let missing = |left_out: &str| {
+    let read_without = |omitted: &str| {
         let fields: Vec<_> = FIELDS
             .into_iter()
-            .filter(|(field, _)| *field != left_out)
+            .filter(|(field, _)| *field != omitted)
             .collect();
         Call::read(&names(), "load", &fields, statement)
     };
     for name in ["i", "d", "t", "k"].iter() {
-        assert_eq!(missing(name).unwrap_err().wire_word(), *name);
+        assert_eq!(read_without(name).unwrap_err().wire_word(), *name);
     }
     for name in ["h", "ram"].iter() {
-        assert!(missing(name).is_ok());
+        assert!(read_without(name).is_ok());
     }
     assert_eq!(
         Call::read(&names(), "nonsense", &FIELDS, statement)
@@ -80,8 +81,8 @@
             .wire_word(),
         "class"
     );
-    let twice = [&FIELDS[..], &[("d", "1500")]].concat();
-    assert!(Call::read(&names(), "load", &twice, statement).is_err());
+    let duplicated = [&FIELDS[..], &[("d", "1500")]].concat();
+    assert!(Call::read(&names(), "load", &duplicated, statement).is_err());
     for statement in [&b""[..], b"SELECT \xff", b"SELECT \0"] {
         assert_eq!(
             Call::read(&names(), "load", &FIELDS, statement)
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn bounds_are_finite_where_the_settings_state_none() {
+fn limits_are_finite_if_the_settings_contain_none() {
     let tree = eideryard_settings::SettingsTree::from_pairs([
         ("grades.count", "1"),
         ("grades.0.name", "report"),
@@ -109,7 +110,7 @@
         ("ram", "1e300"),
     ] {
         let fields =
-            FIELDS.map(|(field, usual)| (field, if field == name { value } else { usual }));
+            FIELDS.map(|(field, default)| (field, if field == name { value } else { default }));
         assert_eq!(
             Call::read(&names, "report", &fields, b"SELECT 1")
                 .unwrap_err()
@@ -126,34 +127,39 @@
     let mut requests = Requests::new(1);
     let client = Table::new().insert(());
     let read = |id: &str| {
-        let fields = FIELDS.map(|(field, usual)| (field, if field == "i" { id } else { usual }));
+        let fields =
+            FIELDS.map(|(field, default)| (field, if field == "i" { id } else { default }));
         Call::read(&names(), "load", &fields, b"COPY sales_17.orders").unwrap()
     };
     let first = requests.insert(client, 1, 0, 0, read(ID)).unwrap();
     assert_eq!(
         requests.insert(client, 2, 0, 0, read(ID)),
         Err(InsertError::DuplicateId),
-        "it is open"
+        "the first request is open"
     );
     let mut deadlines = Deadlines::new();
-    let mut end = |requests: &mut Requests, key| {
+    let mut finish = |requests: &mut Requests, key| {
         let request = requests.get_mut(key).unwrap();
         request.is_answered = true;
         request.timer = Some(deadlines.set(1, Deadline::BalancerTimer(1)));
         requests.release(key, &mut deadlines);
-        assert_eq!(deadlines.next(), None, "its timer goes with it");
+        assert_eq!(
+            deadlines.next(),
+            None,
+            "the timer is cancelled with its request"
+        );
     };
-    end(&mut requests, first);
+    finish(&mut requests, first);
     assert_eq!(
         requests.insert(client, 2, 0, 0, read(ID)),
         Err(InsertError::DuplicateId),
-        "it was open"
+        "the first request was open recently"
     );
     for number in 0..3 * MAX_FINISHED_IDS {
         let key = requests
             .insert(client, 3, 0, 0, read(&format!("{number:016x}")))
             .unwrap();
-        end(&mut requests, key);
+        finish(&mut requests, key);
     }
     assert_eq!(
         (
@@ -171,7 +177,8 @@
     let client = Table::new().insert(());
     let long = vec![b' '; 50_000];
     let insert = |requests: &mut Requests, id: &str| {
-        let fields = FIELDS.map(|(field, usual)| (field, if field == "i" { id } else { usual }));
+        let fields =
+            FIELDS.map(|(field, default)| (field, if field == "i" { id } else { default }));
         requests.insert(
             client,
             1,
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,57 +1,59 @@
-//! Graceful shutdown in phases. This state machine has no side effects: the gateway's main loop
-//! gives it the time and what remains, and takes the steps that it returns.
+//! Graceful shutdown in phases. This state machine has no side effects: the main loop passes in the
+//! time and the number of open requests and connections, and takes the steps that it returns.
 //!
-//! *Serving* until the signal; *draining*: requests and connections are still accepted, as clients
-//! go on sending for a while; *closing*: no new connection, and each idle connection is half-closed
-//! and read until its other end has closed; *ending*: open requests get their final answers;
-//! *finished*: the process may end.
+//! - *serving*: until the signal;
+//! - *draining*: requests and connections are still accepted, as clients go on sending for a while;
+//! - *closing*: no new connections are accepted, and each idle connection is half-closed and read
+//!   until the client has closed it;
+//! - *ending*: open requests get their final answers;
+//! - *finished*: the process may exit.
 
 use eideryard::interface::Micros;
 
-/// Clients connect for at most 0.4 s after the signal, and send requests on open connections for
-/// 0.2 s more; after this time nothing new arrives.
+/// The duration of draining. Clients open connections for at most 0.4 s after the signal and send
+/// requests on open connections for 0.2 s more, so nothing new arrives after this time.
 const LAST_CLIENT_TIMEOUT: Micros = 700_000;
-/// The process may be killed after [`LAST_CLIENT_TIMEOUT`] and the longest wait of a client, of
-/// which at most so much counts.
+/// The process may be killed after [`LAST_CLIENT_TIMEOUT`] plus the longest wait of a client. This
+/// is the maximum of the second term.
 const MAX_STOP_TIME: Micros = 3_000_000;
-/// Open requests are answered so long before the kill; the process ends half as long before it,
-/// since a client that has not received its answer by then doesn't read.
+/// How long before the kill open requests get their final answers. The process exits half this time
+/// before the kill, since a client that has not received its answer by then doesn't read.
 const STOP_MARGIN: Micros = 200_000;
 
 /// A phase of the shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// There was no signal yet.
+    /// No signal has been received.
     #[default]
     Serving,
-    /// Everything that arrives is still served.
+    /// New connections and requests are still accepted.
     Draining,
-    /// No new connection; idle ones are closed.
+    /// No new connections are accepted, and idle ones are closed.
     Closing,
     /// Open requests get their final answers.
     Ending,
-    /// The process may end.
+    /// The process may exit.
     Finished,
 }
 
-/// What is still open at the gateway.
+/// The open requests and connections of the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Remaining {
     /// Requests without a final answer.
     pub requests: usize,
-    /// Connections of clients, also those that are half-closed.
+    /// Client connections, including half-closed ones.
     pub connections: usize,
 }
 
-/// What is to be done now, once.
+/// An action that the main loop must take once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
-    /// Accept the connections that wait, then no more; half-close idle connections, now and
-    /// whenever one becomes idle.
+    /// Accept the pending connections and then no more; half-close connections that are idle or
+    /// become idle later.
     CloseIdleConnections,
-    /// Answer all open requests.
+    /// Give all open requests their final answers.
     AnswerOpenRequests,
-    /// End the process.
+    /// Exit the process.
     Exit,
 }
 
@@ -59,12 +61,13 @@
 #[derive(Debug, Default)]
 pub struct Shutdown {
     phase: Phase,
-    /// The latest times at which closing, ending and finished begin.
+    /// The latest times at which closing, ending and finished start; zeros before the signal.
     phase_starts: [Micros; 3],
 }
 
 impl Shutdown {
-    /// There was a signal. False: it is not the first, which changes nothing.
+    /// Starts the shutdown after a signal. `longest_wait` is the longest time that any client waits
+    /// for an answer. Returns false and changes nothing if the shutdown has already started.
     pub fn begin(&mut self, now: Micros, longest_wait: Micros) -> bool {
         if self.phase != Phase::Serving {
             return false;
@@ -80,22 +83,23 @@
         true
     }
 
-    /// The present phase.
+    /// The current phase; it changes in [`Shutdown::begin`] and [`Shutdown::next_step`] only.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When requests that are taken from now on must be answered at the latest.
+    /// When requests must be answered at the latest; `None` before the signal, when only their own
+    /// deadlines apply.
     pub fn answer_deadline(&self) -> Option<Micros> {
         (self.phase != Phase::Serving).then_some(self.phase_starts[1])
     }
 
-    /// When [`Shutdown::next_step`] is to be called though nothing else happens.
+    /// The times at which [`Shutdown::next_step`] must be called even if nothing else happens.
     pub fn phase_starts(&self) -> [Micros; 3] {
         self.phase_starts
     }
 
-    /// The next step, if its time has come; the caller asks again until there is none.
+    /// Returns the next step if its time has come. The caller repeats this until there is none.
     pub fn next_step(&mut self, now: Micros, remaining: Remaining) -> Option<ShutdownStep> {
         let [closing_at, ending_at, finished_at] = self.phase_starts;
         let is_drained = remaining == Remaining::default();
