--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -1,25 +1,25 @@
-//! Tables of numbered slots. A key holds the generation of its slot, so that a late event finds
-//! nothing once the slot is reused.
+//! Tables of reusable slots. A key contains a generation besides the slot's index, so that a late
+//! event for a removed entry finds nothing even if the slot is in use again.
 
 use slab::Slab;
 
 #[cfg(test)]
 mod tests;
 
-/// Bits of the slot's index in a key.
+/// The low bits of a key that are the slot's index; the bits above are the generation.
 const SLOT_BITS: u32 = 32;
 
-/// Slot and generation of an entry; as a number it is never 0.
+/// The slot and generation of an entry. As a number it is never 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(u64);
 
 impl Key {
-    /// The key as a number, as the balancer knows it.
+    /// The key as the number that identifies the entry to the balancer.
     pub fn number(self) -> u64 {
         self.0
     }
 
-    /// The key that has this number.
+    /// Turns a number from [`Key::number`] back into the key.
     pub fn from_number(number: u64) -> Self {
         Key(number)
     }
@@ -34,9 +34,10 @@
     value: T,
 }
 
-/// A table whose entries are found by their keys.
+/// A table of entries that are found by their keys.
 pub struct Table<T> {
     slots: Slab<Entry<T>>,
+    /// The generation of the last key; it wraps around and skips 0.
     generation: u32,
 }
 
@@ -55,7 +56,7 @@
         Self::default()
     }
 
-    /// The key that the next insertion gets.
+    /// The key that the next [`Table::insert`] will return.
     pub fn next_key(&self) -> Key {
         let generation = self.generation.wrapping_add(1).max(1);
         let slot = self.slots.vacant_key() as u64;
@@ -70,13 +71,13 @@
         key
     }
 
-    /// The entry of a key, if it was not removed.
+    /// The entry of a key; `None` if it was removed.
     pub fn get(&self, key: Key) -> Option<&T> {
         let entry = self.slots.get(key.slot())?;
         (entry.key == key).then_some(&entry.value)
     }
 
-    /// The same, to change it.
+    /// Mutable access to the entry of a key; `None` if it was removed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         let entry = self.slots.get_mut(key.slot())?;
         (entry.key == key).then_some(&mut entry.value)
@@ -89,12 +90,12 @@
         Some(entry.value)
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// All entries with their keys, in the order of their slots.
+    /// All entries with their keys, ordered by slot.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
         self.slots
             .iter()
--- a/crates/gateway/src/table/tests.rs
+++ b/crates/gateway/src/table/tests.rs
@@ -1,13 +1,13 @@
-//! Keys of removed entries, and the wrap-around of generations.
+//! A key must never find the entry that reuses its slot, and must never be 0.
 
 use super::*;
 
 #[test]
 fn key_of_a_removed_entry_finds_nothing_after_its_slot_is_reused() {
     let mut table = Table::new();
-    let promised = table.next_key();
+    let announced_key = table.next_key();
     let first = table.insert("first");
-    assert_eq!((promised, table.get(first)), (first, Some(&"first")));
+    assert_eq!((announced_key, table.get(first)), (first, Some(&"first")));
     assert_eq!(table.remove(first), Some("first"));
     let second = table.insert("second");
     assert_eq!(first.slot(), second.slot());
--- a/crates/gateway/tests/log_lines.rs
+++ b/crates/gateway/tests/log_lines.rs
@@ -1,8 +1,9 @@
-//! Each line that operators may see in a gateway's log is explained in docs/on-call.md.
+//! Every log line at level info or above must be explained in docs/on-call.md. Guards against new
+//! or reworded lines that on-call operators can't look up.
 
 use std::path::{Path, PathBuf};
 
-/// Where the lines of the program are written.
+/// The directories with the source of the gateway process.
 const SOURCES: [&str; 6] = [
     "crates/gateway/src",
     "crates/store/src",
@@ -12,8 +13,8 @@
     "src/balancer",
 ];
 
-/// What begins a line that is logged at the usual level or above.
-const LOGGING: [&str; 7] = [
+/// The code before the format string of a log line at level info or above.
+const LOG_CALLS: [&str; 7] = [
     "tracing::info!(",
     "tracing::warn!(",
     "tracing::error!(",
@@ -23,23 +24,23 @@
     "Action::Log(format!(",
 ];
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn sources(directory: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(directory).expect("a directory of sources") {
+fn collect_sources(directory: &Path, files: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(directory).expect("a source directory") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, files);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            found.push(path);
+            files.push(path);
         }
     }
 }
 
-/// The text of the string that begins behind the first quote, with lines joined as the compiler
-/// does.
+/// The content of the first string literal in `code`, with escaped line breaks removed as the
+/// compiler does.
 fn first_string(code: &str) -> String {
     let mut text = String::new();
     let mut chars = code.chars().skip_while(|c| *c != '"').skip(1).peekable();
@@ -58,8 +59,8 @@
     text
 }
 
-/// The parts of a format string between its placeholders.
-fn fixed_parts(format: &str) -> Vec<String> {
+/// The literal parts of a format string between its placeholders, without those of one character.
+fn literal_parts(format: &str) -> Vec<String> {
     let mut parts = vec![String::new()];
     let mut depth = 0;
     for c in format.chars() {
@@ -77,8 +78,8 @@
     parts.filter(|part| part.len() > 1).collect()
 }
 
-/// Whether a line of the page holds all parts in their order.
-fn explains(line: &str, parts: &[String]) -> bool {
+/// Whether a line of the page contains all parts in their order.
+fn contains_in_order(line: &str, parts: &[String]) -> bool {
     let mut rest = line;
     for part in parts {
         let Some(at) = rest.find(part.as_str()) else {
@@ -90,29 +91,33 @@
 }
 
 #[test]
-fn every_log_line_is_found_on_the_on_call_page() {
-    let page = std::fs::read_to_string(root().join("docs/on-call.md")).expect("the page");
+fn every_log_line_is_explained_on_the_on_call_page() {
+    let page = std::fs::read_to_string(workspace_root().join("docs/on-call.md")).expect("the page");
     let mut files = Vec::new();
     for source in SOURCES {
-        sources(&root().join(source), &mut files);
+        collect_sources(&workspace_root().join(source), &mut files);
     }
     let (mut count, mut missing) = (0, Vec::new());
     for file in files {
         let code = std::fs::read_to_string(&file).expect("a source file");
-        for logging in LOGGING {
-            for (at, _) in code.match_indices(logging) {
-                let format = first_string(&code[at + logging.len()..]);
-                let parts = fixed_parts(&format);
+        for log_call in LOG_CALLS {
+            for (at, _) in code.match_indices(log_call) {
+                let format = first_string(&code[at + log_call.len()..]);
+                let parts = literal_parts(&format);
                 if parts.is_empty() {
                     continue;
                 }
                 count += 1;
-                if !page.lines().any(|line| explains(line, &parts)) {
+                if !page.lines().any(|line| contains_in_order(line, &parts)) {
                     missing.push(format!("{}: {format}", file.display()));
                 }
             }
         }
     }
     assert!(count > 30, "{count} lines found");
-    assert!(missing.is_empty(), "not explained:\n{}", missing.join("\n"));
+    assert!(
+        missing.is_empty(),
+        "log lines that docs/on-call.md does not explain:\n{}",
+        missing.join("\n")
+    );
 }
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -1,34 +1,36 @@
-//! Graceful shutdown: every order of signal, time, ends of requests and of connections.
+//! Graceful shutdown under every order of signals, passing time and ends of requests and
+//! connections. Guards against steps out of order, an exit that loses requests, and an exit so late
+//! that the process is killed.
 
 use eideryard_gateway::shutdown::{Phase, Remaining, Shutdown, ShutdownStep};
 
 const START: u64 = 50_000_000;
 
-/// Asks until there is no further step, as the main loop does.
-fn next_steps(shutdown: &mut Shutdown, now: u64, remaining: Remaining) -> Vec<ShutdownStep> {
+/// Collects steps until there is none, as the main loop does.
+fn take_steps(shutdown: &mut Shutdown, now: u64, remaining: Remaining) -> Vec<ShutdownStep> {
     std::iter::from_fn(|| shutdown.next_step(now, remaining)).collect()
 }
 
-/// What can happen, in any order: the signal, a second one, time that passes, and requests and
-/// connections that end or begin.
+/// An event in any order: a signal, microseconds that pass, or new numbers of open requests and
+/// connections.
 #[derive(Clone, Copy)]
-enum Happening {
+enum Event {
     Signal,
-    Pass(u64),
-    Remain(usize, usize),
+    TimePassed(u64),
+    OpenCounts(usize, usize),
 }
 
-const HAPPENINGS: [Happening; 7] = [
-    Happening::Signal,
-    Happening::Signal,
-    Happening::Pass(300_000),
-    Happening::Pass(500_000),
-    Happening::Remain(0, 0),
-    Happening::Remain(0, 2),
-    Happening::Remain(1, 1),
+const EVENTS: [Event; 7] = [
+    Event::Signal,
+    Event::Signal,
+    Event::TimePassed(300_000),
+    Event::TimePassed(500_000),
+    Event::OpenCounts(0, 0),
+    Event::OpenCounts(0, 2),
+    Event::OpenCounts(1, 1),
 ];
 
-/// A gateway that shuts down, with the steps that it has taken.
+/// A shutdown with simulated time, and the steps that it has taken.
 struct Run {
     shutdown: Shutdown,
     longest_wait: u64,
@@ -50,9 +52,9 @@
         }
     }
 
-    fn apply(&mut self, happening: Happening) {
-        match happening {
-            Happening::Signal => {
+    fn apply(&mut self, event: Event) {
+        match event {
+            Event::Signal => {
                 assert_eq!(
                     self.shutdown.begin(self.now, self.longest_wait),
                     self.signalled_at.is_none(),
@@ -60,37 +62,38 @@
                 );
                 self.signalled_at.get_or_insert(self.now);
             }
-            Happening::Pass(time) => self.now += time,
-            Happening::Remain(requests, connections) => {
+            Event::TimePassed(duration) => self.now += duration,
+            Event::OpenCounts(requests, connections) => {
                 self.remaining = Remaining {
                     requests,
                     connections,
                 }
             }
         }
-        let new_steps = next_steps(&mut self.shutdown, self.now, self.remaining);
+        let new_steps = take_steps(&mut self.shutdown, self.now, self.remaining);
         assert!(
             self.signalled_at.is_some() || new_steps.is_empty(),
-            "nothing happens before the signal"
+            "a step before the signal"
         );
         let is_last_phase = self.now >= self.shutdown.phase_starts()[2];
         let may_exit = self.remaining == Remaining::default() || is_last_phase;
         assert!(
             !new_steps.contains(&ShutdownStep::Exit) || may_exit,
-            "left early with {:?} of {}",
+            "early exit with {:?} open, longest wait {}",
             self.remaining,
             self.longest_wait
         );
         self.steps.extend(new_steps);
     }
 
-    /// Whatever remains for good, the end comes before the process may be killed.
+    /// Checks that the process exits before it may be killed, even if the open requests and
+    /// connections never end, and that it has taken all steps once and in order.
     fn check_end(&mut self) {
         let killed_at = self.signalled_at.unwrap() + 700_000 + self.longest_wait.min(3_000_000);
         for phase_start in self.shutdown.phase_starts() {
             assert!(phase_start < killed_at);
             self.now = self.now.max(phase_start);
-            let new_steps = next_steps(&mut self.shutdown, self.now, self.remaining);
+            let new_steps = take_steps(&mut self.shutdown, self.now, self.remaining);
             self.steps.extend(new_steps);
         }
         assert_eq!(self.shutdown.phase(), Phase::Finished);
@@ -111,13 +114,13 @@
 #[test]
 fn every_order_of_events_takes_the_steps_in_order_once_and_ends_in_bounded_time() {
     let mut orders = 0;
-    let mut indices: Vec<usize> = (0..HAPPENINGS.len()).collect();
+    let mut indices: Vec<usize> = (0..EVENTS.len()).collect();
     permutations(&mut indices, 0, &mut |order| {
         for longest_wait in [100_000, 900_000, 20_000_000] {
             orders += 1;
             let mut run = Run::new(longest_wait);
             for &index in order {
-                run.apply(HAPPENINGS[index]);
+                run.apply(EVENTS[index]);
             }
             run.check_end();
         }
@@ -129,21 +132,21 @@
     if from == items.len() {
         return visit(items);
     }
-    for other in from..items.len() {
-        items.swap(from, other);
+    for index in from..items.len() {
+        items.swap(from, index);
         permutations(items, from + 1, visit);
-        items.swap(from, other);
+        items.swap(from, index);
     }
 }
 
-/// Requests come until 0.6 s after the signal: nothing closes before that, unless the kill comes
-/// sooner.
+/// Clients send requests until 0.6 s after the signal. Closing connections before that loses
+/// requests, so closing starts earlier only if the process is killed earlier.
 #[test]
-fn closing_waits_for_the_last_clients_and_finishes_once_nothing_remains() {
+fn closing_starts_after_the_last_clients_and_finishes_once_all_connections_end() {
     let mut shutdown = Shutdown::default();
     assert!(shutdown.begin(START, 2_000_000));
     assert_eq!(
-        next_steps(&mut shutdown, START + 650_000, Remaining::default()),
+        take_steps(&mut shutdown, START + 650_000, Remaining::default()),
         []
     );
     let idle_connection = Remaining {
@@ -151,30 +154,30 @@
         connections: 1,
     };
     assert_eq!(
-        next_steps(&mut shutdown, START + 700_000, idle_connection),
+        take_steps(&mut shutdown, START + 700_000, idle_connection),
         [ShutdownStep::CloseIdleConnections]
     );
     assert_eq!(
-        next_steps(&mut shutdown, START + 710_000, idle_connection),
+        take_steps(&mut shutdown, START + 710_000, idle_connection),
         []
     );
     assert_eq!(
-        next_steps(&mut shutdown, START + 720_000, Remaining::default()),
+        take_steps(&mut shutdown, START + 720_000, Remaining::default()),
         [ShutdownStep::Exit]
     );
-    // A wait so short that the kill comes at once after the last clients still leaves time to
-    // close.
+    // If the longest wait is so short that the kill follows closely after the last clients, there
+    // is still time to close.
     let mut shutdown = Shutdown::default();
     shutdown.begin(START, 100_000);
     assert_eq!(
-        next_steps(&mut shutdown, START + 600_000, idle_connection),
+        take_steps(&mut shutdown, START + 600_000, idle_connection),
         [
             ShutdownStep::CloseIdleConnections,
             ShutdownStep::AnswerOpenRequests
         ]
     );
     assert_eq!(
-        next_steps(&mut shutdown, START + 700_000, idle_connection),
+        take_steps(&mut shutdown, START + 700_000, idle_connection),
         [ShutdownStep::Exit]
     );
 }
