--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -38,7 +38,7 @@
             Action::Fail { request } => self.fail(Key::from_number(request)),
             Action::SetTimer { after, tag } => self.set_timer(now, after, tag),
             // The discovery service reports changes by itself whenever it can be reached.
-            Action::Subscribe if self.discovery.is_up() => {
+            Action::Subscribe if self.discovery.has_connection() => {
                 self.events.push_back(Event::EndpointChanges(Vec::new()));
             }
             Action::Subscribe => self.events.push_back(Event::DiscoveryFailed),
@@ -61,7 +61,7 @@
             .filter_map(|attempt| attempt.connection)
         {
             let is_sent = self.engines.update_rank(connection, &request.id, rank);
-            self.counters.ranks += u64::from(is_sent);
+            self.counters.rank_updates += u64::from(is_sent);
         }
     }
 
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -16,8 +16,12 @@
         if !self.shutdown.begin(now, self.longest_wait) {
             return;
         }
-        tracing::info!("stopping; {} requests are open", self.counters.open());
-        self.event_recorder.record_host(now, &HostEvent::Stopping);
+        tracing::info!(
+            "stopping; {} requests are open",
+            self.counters.open_requests()
+        );
+        self.event_recorder
+            .record_host_event(now, &HostEvent::Stopping);
         self.clients.is_healthy = false;
         if let Some(intent_durability) = &mut self.intent_durability {
             intent_durability.release_leases(now);
@@ -34,12 +38,12 @@
                 self.close_idle_connections();
             }
             let remaining = Remaining {
-                requests: self.counters.open() as usize,
+                requests: self.counters.open_requests() as usize,
                 connections: self.clients.len(),
             };
             match self.shutdown.next_step(self.clock.now(), remaining) {
-                Some(ShutdownStep::CloseIdle | ShutdownStep::Exit) => {}
-                Some(ShutdownStep::AnswerOpen) => self.expire_open_requests(),
+                Some(ShutdownStep::CloseIdleConnections | ShutdownStep::Exit) => {}
+                Some(ShutdownStep::AnswerOpenRequests) => self.expire_open_requests(),
                 None => return,
             }
             if self.is_done() {
