--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -37,12 +37,12 @@
         &[
             ("intents", counters.intents),
             ("waited", counters.waited),
-            ("pinned", counters.pinned),
-            ("doubted", counters.doubted),
+            ("pinned", counters.known_prior_location),
+            ("doubted", counters.unknown_prior_location),
             ("refused_full", counters.refused_full),
             ("refused_stalled", counters.refused_stalled),
             ("refused_no_majority", counters.refused_no_majority),
-            ("drains_heard", counters.drains_heard),
+            ("drains_heard", counters.drains_from_peers),
         ],
     )
 }
@@ -53,11 +53,11 @@
         "Spooled",
         &[
             ("begun", counters.begun),
-            ("whole", counters.whole),
+            ("whole", counters.completed),
             ("dropped", counters.dropped),
-            ("parts", counters.parts),
-            ("returned", counters.returned),
-            ("gone", counters.gone),
+            ("parts", counters.parts_sent),
+            ("returned", counters.reattached),
+            ("gone", counters.not_found),
             ("disk_errors", counters.disk_errors),
         ],
     )
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -168,7 +168,7 @@
             }
         }
         if !draining.is_empty() {
-            intent_durability.counters.drains_heard += draining.len() as u64;
+            intent_durability.counters.drains_from_peers += draining.len() as u64;
             self.events.push_back(Event::EndpointChanges(draining));
         }
     }
--- a/crates/gateway/src/intent_durability/counters.rs
+++ b/crates/gateway/src/intent_durability/counters.rs
@@ -10,9 +10,9 @@
     /// Sends that waited for their intent.
     pub waited: u64,
     /// Requests bound to the place where they may have run before.
-    pub pinned: u64,
+    pub known_prior_location: u64,
     /// Requests that may have run before in an unknown place.
-    pub doubted: u64,
+    pub unknown_prior_location: u64,
     /// Requests refused since the intent log is full.
     pub refused_full: u64,
     /// Requests refused since the store is slow or fails.
@@ -20,7 +20,7 @@
     /// Requests refused since no majority of voters answers.
     pub refused_no_majority: u64,
     /// Engines that were closed here by what a peer's endpoint list said.
-    pub drains_heard: u64,
+    pub drains_from_peers: u64,
 }
 
 impl IntentCounters {
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -116,9 +116,9 @@
         let admitted = self.check_request(now, class, key, is_retry);
         match &admitted {
             Ok(prior) if prior.iter().any(|attempt| attempt.since == 0) => {
-                self.counters.doubted += 1;
+                self.counters.unknown_prior_location += 1;
             }
-            Ok(prior) if !prior.is_empty() => self.counters.pinned += 1,
+            Ok(prior) if !prior.is_empty() => self.counters.known_prior_location += 1,
             Ok(_) => {}
             Err(reason) => self.counters.count_refusal(*reason),
         }
--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -186,15 +186,15 @@
     /// Results begun.
     pub begun: u64,
     /// Results completed.
-    pub whole: u64,
+    pub completed: u64,
     /// Results dropped.
     pub dropped: u64,
     /// Parts sent.
-    pub parts: u64,
+    pub parts_sent: u64,
     /// Clients that asked again and were answered or attached.
-    pub returned: u64,
+    pub reattached: u64,
     /// Clients that asked again too late.
-    pub gone: u64,
+    pub not_found: u64,
     /// Reads and writes that failed.
     pub disk_errors: u64,
 }
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -31,12 +31,12 @@
             Arrival::First => {
                 // Nothing of it is known here, and asking starts no run.
                 self.returns.refused(name);
-                self.counters.gone += 1;
+                self.counters.not_found += 1;
                 let reason = "nothing is known of this request";
                 return Some(Delivery::error(waiter, ErrorKind::Gone, reason));
             }
             Arrival::Gone => {
-                self.counters.gone += 1;
+                self.counters.not_found += 1;
                 return Some(Delivery::expired(waiter));
             }
             Arrival::Crowded => {
@@ -50,7 +50,7 @@
             }
             Arrival::Answered(RunEnd::Result(id)) => self.part(waiter, id, 0, now),
         };
-        self.counters.returned += 1;
+        self.counters.reattached += 1;
         delivery
     }
 
@@ -183,7 +183,7 @@
         let token = self.keys.write(&token, &name);
         self.spool.close(part.result, !part.has_more, now);
         self.schedule_expiry(part.result);
-        self.counters.parts += 1;
+        self.counters.parts_sent += 1;
         Some(Delivery::Part(ResultPart {
             waiter: part.waiter,
             rows: part.rows.into_iter().flatten().collect(),
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -130,7 +130,7 @@
         let name = stored.name.clone();
         self.spool.end(id, true, now);
         self.schedule_expiry(id);
-        self.counters.whole += 1;
+        self.counters.completed += 1;
         let waiters = self.returns.ends(&name, RunEnd::Result(id));
         waiters
             .into_iter()
