--- a/crates/cli/tests/gateway.rs
+++ b/crates/cli/tests/gateway.rs
@@ -661,7 +661,7 @@
         (Some(&*configured.to_string()), "'bulletin'"),
     ] {
         gateway.reload(text);
-        let line = gateway.line_with("not reloaded");
+        let line = gateway.line_with("configuration not reloaded");
         assert!(line.contains(words), "{line}");
     }
     // A bulletin that isn't there yet, and at once another: the numbers go on, and the old link
@@ -670,7 +670,7 @@
     for next in [standin::unused_address(), new.address()] {
         configured["bulletin"] = json!(next.to_string());
         gateway.reload(Some(&configured.to_string()));
-        gateway.line_with("reloaded; the bulletin is at");
+        gateway.line_with("configuration reloaded: connecting to the bulletin at");
     }
     let mut end = new.accept().unwrap();
     assert_eq!(end.after, 2);
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -319,9 +319,9 @@
     first.terminate();
     first.ended();
     let mut again = Running::launched(&config, &operator);
-    let line = again.line_with("learned figures");
+    let line = again.line_with("learned estimates");
     assert!(
-        line.contains("of 1 engines") && line.contains("doubted by their age"),
+        line.contains("of 1 engines") && line.contains("weight decreases with their age"),
         "{line}"
     );
     again.listens();
@@ -329,7 +329,7 @@
     again.ended();
     config["settings"]["peers-total"] = json!(2);
     let mut other = Running::launched(&config, &operator);
-    let line = other.line_with("learned figures");
+    let line = other.line_with("learned estimates");
     assert!(
         line.contains("dropped") && line.contains("settings differ"),
         "{line}"
--- a/crates/fleet-test/tests/fleet.rs
+++ b/crates/fleet-test/tests/fleet.rs
@@ -263,11 +263,11 @@
     );
     let logs = logs(directory.path());
     assert!(
-        logs.contains("NO majority of keepers can be asked"),
+        logs.contains("NO majority of keepers is reachable"),
         "{logs}"
     );
     assert!(
-        logs.matches("a majority of keepers can be asked").count() >= 5,
+        logs.matches("a majority of keepers is reachable").count() >= 5,
         "it came back: {logs}"
     );
     let served =
@@ -330,7 +330,7 @@
     let logs = logs(directory.path());
     assert!(counted(directory.path(), "drains_heard") > 0, "{logs}");
     assert!(
-        logs.contains("learned figures of a peer are taken for hints"),
+        logs.contains("learned estimates of a peer are used as hints"),
         "{logs}"
     );
     assert!(
--- a/crates/gateway/src/checkpoint.rs
+++ b/crates/gateway/src/checkpoint.rs
@@ -1,6 +1,6 @@
-//! Checkpoints: what the balancer has learned, as bytes in the store, with the time and the
-//! settings under which it was learned. How much of it still counts after a restart the balancer
-//! decides.
+//! Checkpoints of the balancer's learned estimates: their encoding in the store, with the time at
+//! which and the settings under which they were saved. The balancer decides how much weight
+//! restored estimates get.
 
 use eideryard::interface::{ClassEstimates, EngineEstimates, LearnedState, Micros};
 use serde::{Deserialize, Serialize};
@@ -9,12 +9,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Interval at which checkpoints are written, while anything happens.
+/// Minimum interval between periodic checkpoints, in microseconds. It is checked whenever the main
+/// loop wakes, so an idle gateway writes none.
 pub const INTERVAL: Micros = 5_000_000;
-/// Key of the checkpoint in the store.
+/// The store's key under which the checkpoint is saved.
 pub const STORE_KEY: &[u8] = b"l";
 
-/// The order of fields of this and the following types is the format in the store.
+/// A checkpoint as the store holds it. The order of the fields of this type and of the following
+/// ones defines the stored format (postcard).
 #[derive(Serialize, Deserialize)]
 struct Checkpoint {
     saved_at: Micros,
@@ -123,18 +125,18 @@
 /// Why a checkpoint is not restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CheckpointError {
-    /// It can't be decoded, or holds numbers that are not finite.
-    #[error("they can't be read")]
+    /// The bytes can't be decoded, or contain numbers that are not finite.
+    #[error("it can't be decoded")]
     Unreadable,
-    /// It was written under other settings.
-    #[error("the settings differ from those they were learned under")]
-    OtherSettings,
-    /// It was written in the future: the clock stepped back.
-    #[error("they are of a time that has not come: the clock stepped back")]
-    Future,
+    /// The checkpoint was saved under other settings.
+    #[error("the settings differ from those under which it was saved")]
+    DifferentSettings,
+    /// The checkpoint was saved at a time later than now: the clock stepped back.
+    #[error("it was saved at a time later than now: the clock stepped back")]
+    SavedInFuture,
 }
 
-/// Encodes a checkpoint that is saved now.
+/// Encodes a checkpoint. `saved_at` is the time from which [`from_bytes`] computes its age.
 pub fn to_bytes(learned: &LearnedState, saved_at: Micros, settings_fingerprint: u64) -> Vec<u8> {
     let checkpoint = Checkpoint {
         saved_at,
@@ -143,11 +145,15 @@
         engines: learned.engines.iter().map(StoredEngine::from).collect(),
         baseline_load: learned.baseline_load,
     };
-    // Plain numbers can always be encoded.
+    // Encoding can't fail, since the types consist of plain numbers only.
     postcard::to_stdvec(&checkpoint).unwrap_or_default()
 }
 
-/// Decodes a checkpoint. Returns what was learned, and how long ago in microseconds.
+/// Decodes a checkpoint. Returns the learned estimates and their age in microseconds.
+///
+/// # Errors
+///
+/// Returns why the checkpoint can't be restored.
 pub fn from_bytes(
     bytes: &[u8],
     now: Micros,
@@ -159,11 +165,11 @@
         return Err(CheckpointError::Unreadable);
     }
     if checkpoint.settings_fingerprint != settings_fingerprint {
-        return Err(CheckpointError::OtherSettings);
+        return Err(CheckpointError::DifferentSettings);
     }
     let age = now
         .checked_sub(checkpoint.saved_at)
-        .ok_or(CheckpointError::Future)?;
+        .ok_or(CheckpointError::SavedInFuture)?;
     let learned = LearnedState {
         classes: checkpoint.classes.into_iter().map(Into::into).collect(),
         engines: checkpoint.engines.into_iter().map(Into::into).collect(),
--- a/crates/gateway/src/checkpoint/tests.rs
+++ b/crates/gateway/src/checkpoint/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of checkpoints.
+//! Tests of the encoding of checkpoints.
 
 use super::*;
 
@@ -27,21 +27,24 @@
     assert_eq!(from_bytes(&bytes, 130, 42), Ok((learned.clone(), 30)));
     assert_eq!(
         from_bytes(&bytes, 130, 43),
-        Err(CheckpointError::OtherSettings)
+        Err(CheckpointError::DifferentSettings)
+    );
+    assert_eq!(
+        from_bytes(&bytes, 99, 42),
+        Err(CheckpointError::SavedInFuture)
     );
-    assert_eq!(from_bytes(&bytes, 99, 42), Err(CheckpointError::Future));
     for length in 0..bytes.len() {
         assert_eq!(
             from_bytes(&bytes[..length], 130, 42),
             Err(CheckpointError::Unreadable)
         );
     }
-    let broken = LearnedState {
+    let not_finite = LearnedState {
         baseline_load: f64::NAN,
         ..learned
     };
     assert_eq!(
-        from_bytes(&to_bytes(&broken, 100, 42), 130, 42),
+        from_bytes(&to_bytes(&not_finite, 100, 42), 130, 42),
         Err(CheckpointError::Unreadable)
     );
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,10 +1,11 @@
-//! The gateway's main loop, around the balancer: what sockets, deadlines and service discovery
-//! report becomes events for the balancer, and its actions are carried out in their order. Nothing
-//! is decided here.
+//! The gateway's main loop. It turns input from sockets, deadlines and service discovery into
+//! events for the balancer, and carries out the balancer's actions in the order in which it returns
+//! them. All scheduling decisions are made by the balancer, none here.
 //!
-//! [`Gateway`] owns the parts; each submodule holds one way through them. A request goes through
-//! `request_intake` (received from a client), `actions` (sent to an engine), `attempt_outcomes` and
-//! `result_delivery` (answered). An update of the engines goes through `endpoint_updates`.
+//! [`Gateway`] owns all components; each submodule implements one path through them. A request
+//! passes through `request_intake` (received from a client), `actions` (sent to an engine),
+//! `attempt_outcomes` and `result_delivery` (answered). Changes of the endpoint list pass through
+//! `endpoint_updates`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -38,11 +39,12 @@
 mod shutdown_steps;
 mod startup;
 
-/// How long connecting clients wait in the queue before another attempt whether a descriptor is
-/// free again.
+/// Delay before the next attempt to accept connections, in microseconds, after no file descriptor
+/// was free. Connecting clients wait in the listen queue meanwhile.
 const ACCEPT_RETRY_DELAY: Micros = 20_000;
 
-/// One gateway: all its parts, and the events and actions between them.
+/// The state of one gateway process: its components, and the events and actions that pass between
+/// them.
 pub struct Gateway {
     balancer: Balancer,
     clock: Clock,
@@ -56,7 +58,7 @@
     event_recorder: EventRecorder,
     result_spool: Option<Box<ResultSpoolDriver>>,
     intent_durability: Option<Box<IntentDurability>>,
-    /// Requests whose results are arriving for the result spool.
+    /// Requests whose result pages are being received into the result spool.
     incoming_results: BTreeSet<Key>,
     /// Events that the balancer has not handled yet.
     events: VecDeque<Event>,
@@ -64,23 +66,25 @@
     retry_after_allowed: bool,
     longest_wait: Micros,
     engine_names: BTreeMap<EngineId, String>,
-    /// What service discovery last reported of each engine, as the event log holds it.
+    /// The last report of service discovery on each engine, in the form that the event log stores.
     last_listed: BTreeMap<EngineId, ListedEngine>,
-    /// The endpoints as the balancer last got them, with the drains that peers reported.
+    /// The endpoints as last passed to the balancer, including drains that peers reported.
     last_endpoints: BTreeMap<EngineId, Endpoint>,
     client_events: Vec<ClientEvent>,
     engine_events: Vec<EngineEvent>,
     shutdown: Shutdown,
 }
 
-/// The state of the connection to service discovery before something was done with it.
+/// A snapshot of the connection to service discovery, taken before an operation to detect what the
+/// operation changed.
 struct DiscoveryState {
     is_receiving: bool,
     event_count: u64,
 }
 
 impl Gateway {
-    /// How long the event loop may wait for sockets and signals; `None`: for ever.
+    /// The longest time that the event loop may wait for sockets and signals; `None` if there is no
+    /// limit.
     pub fn next_wait(&self, pending: &[WakeReason]) -> Option<Duration> {
         if !pending.is_empty() {
             return Some(Duration::ZERO);
@@ -92,20 +96,21 @@
             self.deadlines.next(),
             self.event_recorder.next_deadline(),
             result_spool.and_then(|result_spool| result_spool.next_deadline(now)),
-            intent_durability.and_then(|intent_durability| intent_durability.deadline(now)),
+            intent_durability.and_then(|intent_durability| intent_durability.next_deadline(now)),
         ];
         let next = next_deadlines.into_iter().flatten().min()?;
         Some(Duration::from_micros(next.saturating_sub(self.clock.now())))
     }
 
-    /// Handles everything that a wait brought. Sockets come first and deadlines after them: an
-    /// answer that has arrived is not late only because this process was delayed.
+    /// Handles everything that has become ready since the last call. Sockets are read before
+    /// deadlines are checked, so that an answer that has arrived in time does not count as late
+    /// only because this process was delayed.
     pub fn poll(&mut self, wakes: &mut PendingWakes) {
         let mut unfinished = PendingWakes::new();
         for wake in wakes.drain(..) {
             self.handle_wake(wake, &mut unfinished);
         }
-        // Answers and requests for pages need no decision, so they don't wait for the balancer.
+        // Answers and page requests need no decision of the balancer, so they are written first.
         self.flush();
         self.run_balancer();
         while let Some(deadline) = self.deadlines.pop_expired(self.clock.now()) {
@@ -146,7 +151,7 @@
                     unfinished.push(wake);
                 }
             }
-            // Polled whenever the main loop wakes.
+            // Both are polled at the end of each poll, whatever woke the main loop.
             WakeReason::ResultSpool | WakeReason::IntentDurability => {}
             WakeReason::Stop => self.begin_shutdown(),
             WakeReason::Reload => self.reload(),
@@ -184,13 +189,13 @@
             Deadline::Accept => {
                 self.accept();
             }
-            // The steps of the shutdown are taken at the end of each poll.
+            // This deadline only wakes the main loop; `poll` runs the shutdown steps at its end.
             Deadline::Shutdown => {}
         }
         self.handle_engine_events();
     }
 
-    /// Accepts all connections that wait. False: some still wait.
+    /// Accepts all connections in the listen queue. Returns false if some are still queued.
     fn accept(&mut self) -> bool {
         let has_accepted_all = self.with_clients(Clients::accept);
         if !has_accepted_all {
@@ -202,7 +207,8 @@
         has_accepted_all
     }
 
-    /// Hands all events to the balancer, carries out its actions, and writes what they queued.
+    /// Passes all queued events to the balancer, carries out its actions, and writes the output
+    /// that they queued, until no event is left.
     fn run_balancer(&mut self) {
         loop {
             while let Some(event) = self.events.pop_front() {
@@ -222,8 +228,8 @@
         }
     }
 
-    /// Writes what waits for clients and engines. While the balancer has events to handle, no
-    /// attempt begins: that a client has left or an engine drains may be among them.
+    /// Writes queued output to clients and engines. No attempt is started while events for the
+    /// balancer are queued: one of them may report that a client left or that an engine drains.
     fn flush(&mut self) {
         self.with_clients(Clients::flush);
         self.handle_client_events();
@@ -246,7 +252,7 @@
         self.handle_engine_events();
     }
 
-    /// Calls a function of the clients' connections with what it uses besides.
+    /// Calls `function` on the client connections with the context that it needs.
     fn with_clients<T>(
         &mut self,
         function: impl FnOnce(&mut Clients, &mut ClientContext<'_>) -> T,
@@ -261,7 +267,7 @@
         function(&mut self.clients, &mut context)
     }
 
-    /// Calls a function of the engines' connections with what it uses besides.
+    /// Calls `function` on the engine connections with the context that it needs.
     fn with_engines<T>(
         &mut self,
         function: impl FnOnce(&mut Engines, &mut EngineContext<'_>) -> T,
@@ -275,8 +281,8 @@
         function(&mut self.engines, &mut context)
     }
 
-    /// SIGHUP: reads the configuration again, and connects to service discovery at the address that
-    /// it names now. Everything else in it applies from the next start on. An invalid file changes
+    /// Handles SIGHUP: reads the configuration again, and connects to service discovery at the
+    /// address in it. All other changes apply from the next start on. An invalid file changes
     /// nothing.
     fn reload(&mut self) {
         let now = self.clock.now();
@@ -285,7 +291,10 @@
                 self.counters.reloads += 1;
                 self.event_recorder
                     .record_host(now, &HostEvent::ConfigReloaded { succeeded: true });
-                tracing::info!("reloaded; the bulletin is at {}", config.discovery);
+                tracing::info!(
+                    "configuration reloaded: connecting to the bulletin at {}",
+                    config.discovery
+                );
                 self.discovery
                     .change_address(config.discovery, now, &mut self.deadlines);
             }
@@ -293,7 +302,9 @@
                 self.counters.reloads_failed += 1;
                 self.event_recorder
                     .record_host(now, &HostEvent::ConfigReloaded { succeeded: false });
-                tracing::error!("not reloaded, the old configuration stays: {error}");
+                tracing::error!(
+                    "configuration not reloaded, the previous one stays in use: {error}"
+                );
             }
         }
     }
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -7,11 +7,12 @@
 mod durability_results;
 mod sends;
 
-/// Shorter delays are not advised to clients: the wire states whole milliseconds.
+/// The shortest delay that clients are advised to wait before a retry, in microseconds: the wire
+/// format has whole milliseconds. Refusals with a shorter delay carry no advice.
 const MIN_RETRY_AFTER: Micros = 1000;
 
 impl Gateway {
-    /// Carries out one action.
+    /// Carries out one action of the balancer and records it in the event log.
     pub(super) fn execute_action(&mut self, now: Micros, action: Action) {
         if !matches!(action, Action::Send { .. }) {
             self.event_recorder.record_action(now, &action);
@@ -37,7 +38,8 @@
             } => self.refuse(Key::from_number(request), retry_after),
             Action::Fail { request } => self.fail(Key::from_number(request)),
             Action::SetTimer { after, tag } => self.set_timer(now, after, tag),
-            // The discovery service reports changes by itself whenever it can be reached.
+            // A connected discovery service sends changes without a subscription, so an empty list
+            // of changes confirms it at once.
             Action::Subscribe if self.discovery.is_up() => {
                 self.events.push_back(Event::EndpointChanges(Vec::new()));
             }
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Sets the memory and the rank of a request; engines that run it are told of a new rank.
+    /// Sets the memory grant and the rank of a request, and sends a changed rank to the engines
+    /// that run it.
     pub(super) fn apply_grant(&mut self, key: Key, grant_mb: f64, rank: u8) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -65,20 +68,26 @@
         }
     }
 
-    /// Probes an engine, unless the owner of its probing reported a moment ago.
+    /// Probes an engine, unless the gateway that holds the lease for probing it has sent a recent
+    /// report.
     fn probe(&mut self, now: Micros, engine: EngineId) {
         let durability = self.intent_durability.as_mut();
-        let shared = durability.and_then(|durability| durability.recent_report(now, engine));
-        if shared.is_some() {
-            return self.add_probed(engine, Outcome::Answered, shared);
+        let recent_report = durability.and_then(|durability| durability.recent_report(now, engine));
+        if recent_report.is_some() {
+            return self.push_probe_result(engine, Outcome::Answered, recent_report);
         }
-        let probed = self.with_engines(|engines, context| engines.probe(engine, context));
-        if let Err(outcome) = probed {
-            self.add_probed(engine, outcome, None);
+        let started = self.with_engines(|engines, context| engines.probe(engine, context));
+        if let Err(outcome) = started {
+            self.push_probe_result(engine, outcome, None);
         }
     }
 
-    fn add_probed(&mut self, engine: EngineId, outcome: Outcome, report: Option<LoadReport>) {
+    fn push_probe_result(
+        &mut self,
+        engine: EngineId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
         self.events.push_back(Event::Probed(Probed {
             engine,
             outcome,
@@ -102,7 +111,8 @@
         let timer = self
             .deadlines
             .set(now + after, Deadline::BalancerTimer(tag));
-        // A request's own timer is removed with it; others fire.
+        // Remembered so that the timer of a request is cancelled with the request. Timers that
+        // belong to no request always fire.
         let Some(number) = tag.checked_sub(end_tag(0)) else {
             return;
         };
@@ -111,7 +121,7 @@
         }
     }
 
-    /// Log lines of the balancer name engines by number; operators know them by name.
+    /// Replaces engine numbers in a log line of the balancer by the names that operators know.
     fn with_engine_names(&self, text: &str) -> String {
         let mut words = Vec::new();
         for word in text.split(' ') {
--- a/crates/gateway/src/gateway/actions/durability_results.rs
+++ b/crates/gateway/src/gateway/actions/durability_results.rs
@@ -1,5 +1,6 @@
-//! What the intent durability and the fleet bring: sends whose intents are durable, refused sends,
-//! shared probes, drains of engines and hints of peers.
+//! Handles the results of [`IntentDurability`](crate::intent_durability::IntentDurability) and of
+//! the fleet: sends whose intents are durable, refused sends, shared probes, drains of engines and
+//! hints from peers.
 
 use eideryard_event_log::RejectReason;
 use eideryard_intent_log::state::RETRY_AFTER;
@@ -10,7 +11,8 @@
 };
 
 impl Gateway {
-    /// Polls the intent durability and handles all that it brings.
+    /// Polls [`IntentDurability`](crate::intent_durability::IntentDurability) and handles its
+    /// results.
     pub(in crate::gateway) fn poll_intent_durability(&mut self) {
         let now = self.clock.now();
         let Some(durability) = &mut self.intent_durability else {
@@ -28,7 +30,7 @@
             self.event_recorder
                 .record_host(now, &HostEvent::Fleet(event));
         }
-        let has_news = !results.is_empty()
+        let has_changes = !results.is_empty()
             || !drains.is_empty()
             || hint.is_some()
             || !probe_work.due_engines.is_empty()
@@ -40,7 +42,7 @@
                 .push_back(Event::CheckpointRestored { learned, age });
         }
         self.apply_send_results(now, results);
-        if has_news {
+        if has_changes {
             self.run_balancer();
             self.flush();
         }
@@ -51,12 +53,12 @@
 
     fn apply_probe_work(&mut self, probe_work: ProbeWork) {
         for engine in probe_work.due_engines {
-            // That an engine can't be reached from here is not reported: each gateway finds that
-            // out for itself.
+            // A failed probe is not shared: whether an engine is reachable is specific to each
+            // gateway.
             let _ = self.with_engines(|engines, context| engines.probe(engine, context));
         }
         for (engine, report) in probe_work.reports {
-            self.add_probed(engine, Outcome::Answered, Some(report));
+            self.push_probe_result(engine, Outcome::Answered, Some(report));
         }
     }
 
@@ -72,7 +74,7 @@
         }
     }
 
-    /// The intent of a send is durable.
+    /// Sends an attempt whose intent is durable now, if the retry window is still open.
     fn dispatch_durable(&mut self, now: Micros, send: PendingSend) {
         let key = send.request;
         let Some(request) = self.requests.get_mut(key) else {
@@ -81,7 +83,7 @@
         let Some(attempt) = request.attempts.get_mut(send.attempt) else {
             return;
         };
-        // An attempt that was given up meanwhile no longer waits.
+        // An attempt that was cancelled meanwhile no longer waits and is not sent.
         if !std::mem::take(&mut attempt.awaits_durability) {
             return;
         }
@@ -95,8 +97,8 @@
         }
     }
 
-    /// Other gateways may have run a request: the balancer learns that before it learns that the
-    /// attempt was not sent.
+    /// Ends a send because other gateways may have run its request. The prior runs are reported to
+    /// the balancer before the outcome of the attempt, so that it considers them for the next one.
     fn end_with_prior_runs(&mut self, found: SendWithPriorRuns) {
         let PendingSend {
             request, attempt, ..
@@ -108,7 +110,7 @@
         self.cancel_attempt(request, attempt, Outcome::NotSent);
     }
 
-    /// A send has waited for too long; its request is refused if nothing else of it was sent.
+    /// Ends a send that waited too long. Its request is refused if it has no other attempt.
     fn refuse_send(&mut self, now: Micros, refused: &RefusedSend) {
         let PendingSend {
             request, attempt, ..
@@ -117,9 +119,9 @@
             .requests
             .get(request)
             .is_some_and(|state| state.attempts.len() == 1 && state.attempts[0].awaits_durability);
-        // The balancer learns that the client is gone before it learns of the attempt's end.
-        // Otherwise it would send a further attempt, of a request that no longer exists here, and
-        // never learn of that one's end.
+        // The balancer must handle `ClientLeft` before the end of the attempt. Otherwise it would
+        // send another attempt of a request that no longer exists here, and would never get the
+        // outcome of that attempt.
         if is_only_attempt {
             self.events.push_back(Event::ClientLeft {
                 request: request.number(),
@@ -127,12 +129,12 @@
         }
         self.cancel_attempt(request, attempt, Outcome::NotSent);
         if is_only_attempt {
-            self.reject_for(now, request, refused.reason);
+            self.refuse_with_reason(now, request, refused.reason);
         }
     }
 
-    /// Refuses a request with the reason, and with a time to retry after where that is allowed.
-    fn reject_for(&mut self, now: Micros, request: Key, reason: RejectReason) {
+    /// Refuses a request with a reason, and with a retry delay if the settings allow that.
+    fn refuse_with_reason(&mut self, now: Micros, request: Key, reason: RejectReason) {
         let event = HostEvent::RefusalExplained {
             request: request.number(),
             reason,
--- a/crates/gateway/src/gateway/actions/sends.rs
+++ b/crates/gateway/src/gateway/actions/sends.rs
@@ -1,4 +1,5 @@
-//! The way of a send: its intent is prepared, then its first byte may go out.
+//! Sends attempts to engines. If an attempt needs an intent, no byte of it is sent before the
+//! intent is durable.
 
 use eideryard::interface::PriorAttempt;
 use eideryard_engine_protocol::Serve;
@@ -21,8 +22,8 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        // Recorded here and not with the other actions: for a request that has ended nothing is
-        // sent.
+        // Recorded here and not with the other actions, since nothing is sent for a request that
+        // has ended.
         let action = Action::Send {
             request: key.number(),
             engine,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Drops what an earlier attempt that ended half way has spooled.
+    /// Drops the pages that an earlier, incomplete attempt has spooled.
     fn restart_spooling(&mut self, now: Micros, key: Key) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -94,12 +95,13 @@
             key: request.key.as_deref(),
             engine,
             attempt_deadline,
-            known: &request.prior_attempts,
+            prior_attempts: &request.prior_attempts,
         };
         durability.prepare_send(now, &send_request)
     }
 
-    /// Adds an attempt to its request. Returns its number among the request's attempts.
+    /// Adds an attempt to its request. Returns its index among the request's attempts, or `None` if
+    /// the request has ended.
     fn add_attempt(
         &mut self,
         now: Micros,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Remembers prior attempts of a request, and tells the balancer.
+    /// Adds prior attempts to a request and reports them to the balancer.
     pub(super) fn add_prior_attempts(&mut self, key: Key, prior_attempts: Vec<PriorAttempt>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -146,12 +148,13 @@
         });
     }
 
-    /// An attempt ends before anything of it was sent.
+    /// Ends an attempt of which no byte was sent.
     pub(super) fn end_unsent(&mut self, key: Key, attempt: usize) {
         self.end_attempt(AttemptEnd::new(key, attempt, Outcome::NotSent));
     }
 
-    /// Sends an attempt to its engine.
+    /// Queues an attempt on a connection to its engine, or ends it if its deadline has come or the
+    /// engine can't take it.
     pub(super) fn dispatch(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -1,4 +1,5 @@
-//! The way of an engine's answers: results go to clients, the ends of attempts to the balancer.
+//! Handles answers of engines: sends results to clients and reports the outcomes of attempts to the
+//! balancer.
 
 use eideryard::interface::{AttemptEnded, Event, Outcome, Probed};
 use eideryard_event_log::AnswerKind;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Sends the first successful result to the client.
+    /// Sends a result to the client, unless the request has been answered already.
     fn answer_result(&mut self, key: Key, pages: &[Vec<u8>]) {
         let pages = pages.iter().map(Vec::as_slice);
         let is_sent = self.answer(key, AnswerKind::Served, |output, call_id| {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Sends a request's final answer, unless it has had one or nobody waits. True: it is queued
-    /// for the client.
+    /// Sends a request's final answer, unless it has been answered or its client has left. Returns
+    /// whether the answer is queued for the client.
     fn answer(
         &mut self,
         key: Key,
@@ -93,7 +94,7 @@
         is_sent
     }
 
-    /// Answers a request with an error: it is rejected or has failed.
+    /// Answers a request with an error, counts it as refused or failed, and releases its slot.
     pub(super) fn answer_error(&mut self, key: Key, reply: &ErrorReply<'_>) {
         self.end_spooled_run(key, reply.kind);
         let is_rejected = reply.kind == ErrorKind::TryLater;
@@ -111,7 +112,7 @@
         self.requests.release(key, &mut self.deadlines);
     }
 
-    /// An attempt has its outcome: its intent is closed, and the balancer learns of it.
+    /// Ends an attempt: closes its intent and reports its outcome to the balancer.
     pub(super) fn end_attempt(&mut self, end: AttemptEnd) {
         let now = self.clock.now();
         let Some(request) = self.requests.get_mut(end.request) else {
@@ -149,12 +150,13 @@
         if tracing::enabled!(tracing::Level::DEBUG) {
             let _span = self.attempt_span(end.request, engine);
             let outcome = end.outcome;
-            tracing::debug!(?outcome, "attempt {} is over", end.attempt);
+            tracing::debug!(?outcome, "attempt {} ended", end.attempt);
         }
         self.requests.release(end.request, &mut self.deadlines);
     }
 
-    /// Cancels an attempt: it ends with this outcome, or as never sent.
+    /// Cancels an attempt. It ends with `outcome`, or as not sent if no byte of it can have reached
+    /// the engine.
     pub(super) fn cancel_attempt(&mut self, key: Key, attempt: usize, outcome: Outcome) {
         let Some(request) = self.requests.get(key) else {
             return;
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! The way of an update of the engines: from service discovery and from peers to the balancer and
-//! to the connections.
+//! Applies changes of the endpoint list, as reported by service discovery and by peers, to the
+//! balancer and to the connections.
 
 use std::collections::BTreeSet;
 
@@ -14,12 +14,13 @@
 use crate::shutdown::Phase as ShutdownPhase;
 
 const MICROS_PER_MS: Micros = 1000;
-/// Constants of the FNV-1a hash, which engines' numbers are derived by.
+/// Constants of the 32-bit FNV-1a hash, from which engine numbers are derived.
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
 impl Gateway {
-    /// Reads from service discovery. True: there may be more.
+    /// Reads from the connection to service discovery and handles complete items. Returns whether
+    /// there may be more to read.
     pub(super) fn read_discovery(&mut self) -> bool {
         let mut items = Vec::new();
         let before = self.discovery_state();
@@ -36,13 +37,13 @@
         may_have_more
     }
 
-    /// Service discovery reports engines that have changed, or all engines.
+    /// Applies an item of service discovery: a list of changed engines, or of all engines.
     pub(super) fn handle_discovery_item(&mut self, item: Item) {
         let Some(roster) = item.roster else { return };
         let mut endpoints: Vec<Endpoint> = roster
             .hosts
             .iter()
-            .map(|discovered| self.endpoint_of(discovered))
+            .map(|discovered| self.build_endpoint(discovered))
             .collect();
         self.exchange_drains(item.no, &mut endpoints);
         for (endpoint, discovered) in endpoints.iter().zip(&roster.hosts) {
@@ -59,20 +60,20 @@
         } else {
             Event::EndpointChanges(endpoints)
         };
-        // The ends of attempts that the update caused come after the update itself.
+        // The balancer gets the update before the outcomes of attempts that the update ended.
         self.events.push_back(event);
         self.handle_engine_events();
         let is_serving = self.shutdown.phase() == ShutdownPhase::Serving;
         self.clients.is_healthy |= is_serving && !self.engine_names.is_empty();
         if roster.whole || has_removed {
-            self.forget_engines();
+            self.forget_removed_engines();
         }
         if let Some(intent_durability) = &mut self.intent_durability {
             intent_durability.update_lease_tasks(self.clock.now());
         }
     }
 
-    /// Applies one engine's update to everything but the balancer.
+    /// Applies the update of one engine to all components except the balancer.
     fn update_endpoint(&mut self, endpoint: &Endpoint, discovered: &DiscoveredEngine) {
         let address = match endpoint.phase {
             Phase::Removed => None,
@@ -90,7 +91,7 @@
         });
     }
 
-    /// Removes all engines that a snapshot doesn't list.
+    /// Removes all engines that are missing from a complete endpoint list.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<EngineId> = endpoints.iter().map(|endpoint| endpoint.engine).collect();
         for engine in self.engines.ids() {
@@ -100,10 +101,10 @@
         }
     }
 
-    /// Engines come under new names all day: a name stays as long as its engine or a connection to
-    /// it, and goes with the next update that removes an engine. Other updates need no walk over
-    /// all names.
-    fn forget_engines(&mut self) {
+    /// Drops what is stored about engines that neither exist nor have a connection. Engines get new
+    /// names all day, so these tables would grow without limit. Only updates that remove an engine
+    /// call this; other updates need no scan of all names.
+    fn forget_removed_engines(&mut self) {
         let engines = &self.engines;
         self.engine_names
             .retain(|&engine, _| engines.contains(engine));
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Reports drains to peers; an engine that a peer with a newer list reported as draining counts
-    /// as draining here too.
+    /// Reports engines that are not ready to peers, and marks those as draining that a peer with a
+    /// newer endpoint list has reported so. `number` is the discovery event number of this list.
     fn exchange_drains(&mut self, number: u64, endpoints: &mut [Endpoint]) {
         let now = self.clock.now();
         let Some(intent_durability) = &mut self.intent_durability else {
@@ -137,16 +138,16 @@
             if endpoint.phase != Phase::Ready {
                 continue;
             }
-            let binding =
-                intent_durability.binding_drain(endpoint.engine, endpoint.booted_at, number);
-            if binding.is_some() {
+            let overriding =
+                intent_durability.overriding_drain(endpoint.engine, endpoint.booted_at, number);
+            if overriding.is_some() {
                 endpoint.phase = Phase::Draining;
             }
         }
     }
 
-    /// Peers report engines as draining that are ready by the list of this gateway: they get
-    /// nothing new.
+    /// Marks engines as draining that are ready in this gateway's own endpoint list but draining in
+    /// the newer list of a peer. They get no new attempts.
     pub(super) fn handle_peer_drains(&mut self, drains: Vec<Drain>) {
         let number = self.discovery.last_event();
         let Some(intent_durability) = &mut self.intent_durability else {
@@ -160,9 +161,9 @@
             if endpoint.phase != Phase::Ready {
                 continue;
             }
-            let binding =
-                intent_durability.binding_drain(endpoint.engine, endpoint.booted_at, number);
-            if binding.is_some() {
+            let overriding =
+                intent_durability.overriding_drain(endpoint.engine, endpoint.booted_at, number);
+            if overriding.is_some() {
                 endpoint.phase = Phase::Draining;
                 draining.push(*endpoint);
             }
@@ -191,15 +192,15 @@
         self.last_listed.insert(endpoint.engine, listed);
     }
 
-    /// The endpoint that the balancer gets for an engine. A zone or kind that the settings don't
-    /// know gets the index behind the last one.
-    fn endpoint_of(&mut self, discovered: &DiscoveredEngine) -> Endpoint {
+    /// Converts an engine to the endpoint that is passed to the balancer. A zone or kind that is
+    /// not in the settings gets the index after the last known one.
+    fn build_endpoint(&mut self, discovered: &DiscoveredEngine) -> Endpoint {
         let engine = self.engine_number(&discovered.host);
-        let index_in = |names: &[String], name: &str, list| {
+        let index_in = |names: &[String], name: &str, attribute| {
             let index = index_of(names, name);
             if index.is_none() {
                 tracing::warn!(
-                    "engine {}: {list} '{name}' is not in the settings",
+                    "engine {}: {attribute} '{name}' is not in the settings and counts as unknown",
                     discovered.host
                 );
             }
@@ -219,8 +220,9 @@
         }
     }
 
-    /// An engine's number: the same at every gateway and after every restart, since it is a hash of
-    /// the name. Of two names with one hash, the later gets the next free number.
+    /// Returns the number of an engine, and assigns one to a new name. It is a hash of the name,
+    /// and thus the same at every gateway and after every restart. If two names have the same hash,
+    /// the later one gets the next free number.
     fn engine_number(&mut self, name: &str) -> EngineId {
         let mut number = name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
             (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -1,4 +1,4 @@
-//! What goes to the event log, to the store at the end, and to the log.
+//! Writes to the event log and to the program's log, and the last checkpoint at the end.
 
 use eideryard::interface::EngineId;
 use eideryard_discovery::Item;
@@ -11,21 +11,22 @@
 use crate::table::Key;
 
 impl Gateway {
-    /// The span of log lines about a request.
+    /// Creates the tracing span for log lines about a request.
     pub(super) fn request_span(&self, key: Key) -> tracing::Span {
         let request = self.requests.get(key);
         let class = request.and_then(|request| self.names.classes.get(request.class));
         tracing::debug_span!("request", id = request.map(|request| &*request.id), class)
     }
 
-    /// The span of log lines about an attempt at an engine.
+    /// Enters the tracing span for log lines about an attempt at an engine.
     pub(super) fn attempt_span(&self, key: Key, engine: EngineId) -> tracing::span::EnteredSpan {
         let request = self.request_span(key);
         let engine = self.engine_names.get(&engine);
         tracing::debug_span!(parent: &request, "attempt", engine).entered()
     }
 
-    /// Records the current state, where a segment of the event log begins.
+    /// Records the current state if a new segment of the event log has begun, so that each segment
+    /// can be read without the earlier ones.
     pub(super) fn record_state(&mut self) {
         let now = self.clock.now();
         if !self.event_recorder.needs_state(now) {
@@ -59,7 +60,7 @@
         self.event_recorder.record_state(now, state);
     }
 
-    /// Records connections of clients that were opened, are closing or have ended.
+    /// Records client connections that were opened, are closing or have closed since the last call.
     pub(super) fn record_connection_changes(&mut self) {
         let now = self.clock.now();
         for (key, change) in self.clients.changes.drain(..) {
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Records what has changed at the connection to service discovery since `before`, with the
-    /// items that were received.
+    /// Records changes of the connection to service discovery since `before`, and the numbers of
+    /// the items that were received.
     pub(super) fn record_discovery_changes(&mut self, before: &DiscoveryState, items: &[Item]) {
         let now = self.clock.now();
         let is_receiving = self.discovery.is_receiving();
@@ -105,23 +106,23 @@
         }
     }
 
-    /// Records a request that was taken.
-    pub(super) fn record_offer(&mut self, key: Key) {
+    /// Records a request that was accepted.
+    pub(super) fn record_request_received(&mut self, key: Key) {
         if !self.event_recorder.is_enabled() {
             return;
         }
         if let Some(request) = self.requests.get(key) {
-            let offered = HostEvent::RequestReceived(offer(key, request));
+            let offered = HostEvent::RequestReceived(client_request(key, request));
             self.event_recorder.record_host(self.clock.now(), &offered);
         }
     }
 
-    /// Records the end of a request that was taken and got no answer.
+    /// Records that an accepted request ended without an answer; `kind` is the reason.
     pub(super) fn record_unanswered(&mut self, key: Key, kind: AnswerKind) {
         self.record_answer(key, kind, false);
     }
 
-    /// Records the answer of a request that was taken.
+    /// Records the answer to an accepted request.
     pub(super) fn record_answer(&mut self, key: Key, kind: AnswerKind, is_late: bool) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -136,7 +137,8 @@
         self.event_recorder.record_host(self.clock.now(), &answered);
     }
 
-    /// Records a request that was not taken.
+    /// Records a request that was rejected on arrival. `labels` is `None` if the request could not
+    /// be parsed.
     pub(super) fn record_rejection(&mut self, reason: RejectReason, labels: Option<RequestLabels>) {
         let rejected = HostEvent::RequestRejected {
             reason,
@@ -146,7 +148,7 @@
         self.event_recorder.record_host(self.clock.now(), &rejected);
     }
 
-    /// Writes the last entries of the store, the event log and the log.
+    /// Saves the last checkpoint, and writes the last entries of the event log and of the log.
     pub fn finish(&mut self) {
         let now = self.clock.now();
         if let Some(intent_durability) = &mut self.intent_durability {
@@ -163,7 +165,7 @@
         self.log_counters();
     }
 
-    /// Logs all counters, and the size of each table.
+    /// Logs all counters and table sizes at info level.
     pub fn log_counters(&self) {
         let tables = self
             .table_sizes()
@@ -182,7 +184,8 @@
         tracing::info!("counters: {counters}; tables {tables}{result_spool}{intents}");
     }
 
-    /// Everything that may grow, with its size: none of these may go on growing through a long day.
+    /// The size of each table whose length depends on the traffic, by the name that is logged. A
+    /// size that keeps growing through a long day is a leak.
     fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         let (engines, connections) = self.engines.sizes();
         let (requests, ids) = self.requests.sizes();
@@ -205,8 +208,8 @@
     }
 }
 
-/// What the event log holds of a request beside what the balancer gets.
-fn offer(key: Key, request: &Request) -> ClientRequest {
+/// The properties of a request that the event log records in addition to the balancer's event.
+fn client_request(key: Key, request: &Request) -> ClientRequest {
     let id = u64::from_str_radix(&request.id, 16).unwrap_or_default();
     ClientRequest {
         request: key.number(),
@@ -222,7 +225,7 @@
         .rev()
         .find(|attempt| attempt.connection.is_some());
     OpenRequest {
-        client_request: offer(key, request),
+        client_request: client_request(key, request),
         class: request.class,
         tenant: request.tenant,
         arrived_at: request.taken_at,
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -1,5 +1,4 @@
-//! The way of a request from a client's connection into a slot of the table, or to an immediate
-//! answer.
+//! Handles calls of clients: a request gets a slot in the request table, or an immediate answer.
 
 use eideryard::interface::{Event, PriorAttempt, Request};
 use eideryard_event_log::{AnswerKind, HostEvent, RejectReason};
@@ -12,7 +11,7 @@
 use crate::result_spool::{ResultOwner, Waiter};
 use crate::table::Key;
 
-/// The number that a client gave a request on its connection.
+/// Identifies a call: the client's connection, and the number that the client chose for the call.
 #[derive(Clone, Copy)]
 struct CallId {
     client: Key,
@@ -47,8 +46,8 @@
         }
     }
 
-    /// Takes a request in, or answers it at once: invalid ones, those that attach to an earlier run
-    /// of the same key, and those for which there is no room or no durable intent.
+    /// Accepts a request, unless it is invalid, attaches to an earlier run of the same key, or is
+    /// rejected because memory is full or its intent can't be made durable.
     fn handle_call(&mut self, client: Key, id: u32, call: Result<Call, CallError>) {
         self.counters.taken += 1;
         let call_id = CallId { client, id };
@@ -70,13 +69,13 @@
             return;
         }
         match self.prior_attempts(&call) {
-            Ok(prior_attempts) => self.take_request(call_id, call, prior_attempts, is_spooled),
+            Ok(prior_attempts) => self.accept_request(call_id, call, prior_attempts, is_spooled),
             Err(reason) => self.answer_not_durable(call_id, call.labels(), reason),
         }
     }
 
-    /// A request whose key is that of an earlier run gets that run's result, without room or an
-    /// attempt of its own. False: there is no such run.
+    /// Attaches a call to the earlier run of its key, if there is one, to get that run's result
+    /// without a slot or an attempt of its own. Returns whether there is such a run.
     fn attach_to_run(&mut self, call_id: CallId, call: &Call) -> bool {
         let (Some(key), Some(result_spool)) = (&call.key, &mut self.result_spool) else {
             return false;
@@ -103,7 +102,8 @@
         true
     }
 
-    /// Whether the request's result will fit into the result spool; answers the request if not.
+    /// Checks whether the request's result is expected to fit into the result spool. If not,
+    /// rejects the request and returns false.
     fn admit_to_spool(&mut self, call_id: CallId, call: &Call) -> bool {
         let owner = ResultOwner {
             labels: call.labels(),
@@ -125,8 +125,8 @@
         false
     }
 
-    /// Attempts of this request that may have run before; an error if its intent can't be made
-    /// durable now.
+    /// Returns earlier attempts of this request that may have run, or the reason why its intent
+    /// can't be made durable now.
     fn prior_attempts(&mut self, call: &Call) -> Result<Vec<PriorAttempt>, RejectReason> {
         let now = self.clock.now();
         match &mut self.intent_durability {
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Gives a request a slot and reports it to the balancer.
-    fn take_request(
+    /// Puts a request into the request table and reports it to the balancer.
+    fn accept_request(
         &mut self,
         call_id: CallId,
         call: Call,
@@ -152,8 +152,8 @@
             Some(last_answer) => deadline.min(last_answer),
             None => deadline,
         };
-        // The balancer orders requests by this key; a request without an ordering key has an order
-        // of its own.
+        // The balancer orders requests that have the same ordering key; without one, the
+        // idempotency key takes its place.
         let order_key = call.order_key.as_deref().or(call.key.as_deref());
         let mut arrived = Request {
             id: 0,
@@ -185,12 +185,12 @@
         }
         self.request_span(request)
             .in_scope(|| tracing::debug!("taken"));
-        self.record_offer(request);
+        self.record_request_received(request);
         arrived.id = request.number();
         self.events.push_back(Event::Arrived(arrived));
     }
 
-    /// Prepares the result spool for a request's result.
+    /// Registers a request's run with the result spool.
     fn begin_spooling(&mut self, key: Key) {
         let now = self.clock.now();
         let Some(request) = self.requests.get_mut(key) else {
@@ -208,7 +208,7 @@
         result_spool.begin(key.number(), name, Waiter::of_request(request), owner, now);
     }
 
-    /// Rejects a request with a key, since its intent can't be made durable now.
+    /// Rejects a request because its intent can't be made durable now.
     fn answer_not_durable(&mut self, call_id: CallId, labels: RequestLabels, reason: RejectReason) {
         self.count_no_room(reason, labels);
         let reply = ErrorReply {
@@ -218,10 +218,10 @@
         self.answer_call(call_id, &reply);
     }
 
-    /// Answers an invalid request with the field that is at fault.
+    /// Answers an invalid request with an error that names the invalid field.
     fn answer_invalid(&mut self, call_id: CallId, error: CallError) {
         let field = error.wire_word();
-        tracing::debug!("a request can't be used: {field}");
+        tracing::debug!("invalid request rejected: field {field}");
         self.counters.invalid += 1;
         self.record_rejection(RejectReason::Invalid, None);
         let reply = ErrorReply {
@@ -243,7 +243,7 @@
             .answer(client, id, |output| reply.write(output, id));
     }
 
-    /// Nobody waits for the answer of this request any more.
+    /// Ends a request whose client no longer waits for the answer.
     fn handle_client_left(&mut self, key: Key, kind: AnswerKind) {
         self.end_spooled_run(key, ErrorKind::TryLater);
         self.record_unanswered(key, kind);
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -1,4 +1,5 @@
-//! The way of spooled results: pages arrive from engines, clients query them.
+//! Handles spooled results: receives pages from engines and sends them to the clients that query
+//! them.
 
 use eideryard::interface::Event;
 use eideryard_event_log::{AnswerKind, HostEvent};
@@ -11,8 +12,8 @@
 use crate::table::Key;
 
 impl Gateway {
-    /// The client of a request whose result is spooled has disconnected: the run continues, so that
-    /// the client can ask for its result later. False: the request isn't spooled.
+    /// Handles a disconnected client whose result is spooled: the run continues, so that the client
+    /// can query the result later. Returns false if the request isn't spooled.
     pub(super) fn detach_spooled_request(&mut self, key: Key) -> bool {
         let Some(request) = self.requests.get_mut(key) else {
             return false;
@@ -28,7 +29,7 @@
         true
     }
 
-    /// The next page of a result has arrived. A request whose result can't be kept fails at once.
+    /// Adds a page to a spooled result. If the spool can't store it, the request fails at once.
     pub(super) fn handle_result_page(&mut self, key: Key, rows: Vec<u8>) {
         let now = self.clock.now();
         let Some(result_spool) = &mut self.result_spool else {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// A result is complete: everybody who waits for it gets it.
+    /// Handles the end of a spooled result: sends its first part to all waiting clients.
     pub(super) fn handle_spooled_result(&mut self, key: Key) {
         let now = self.clock.now();
         self.incoming_results.remove(&key);
@@ -70,12 +71,13 @@
         }
     }
 
-    /// A run ended without a result, by `TryLater` or another error: all others who wait for it are
-    /// told the same as its own client.
+    /// Ends a spooled run that has no result. All clients attached to it get the same kind of error
+    /// (`TryLater` or `Failed`) as the client whose request started it; the caller answers that
+    /// one.
     pub(super) fn end_spooled_run(&mut self, key: Key, error: ErrorKind) {
         self.incoming_results.remove(&key);
         let now = self.clock.now();
-        let own_client = self.requests.get(key).map(Waiter::of_request);
+        let starting_client = self.requests.get(key).map(Waiter::of_request);
         let Some(result_spool) = &mut self.result_spool else {
             return;
         };
@@ -89,7 +91,7 @@
             ErrorKind::Failed
         };
         for waiter in result_spool.end_without_result(key.number(), is_rejected, now) {
-            if Some(waiter) != own_client {
+            if Some(waiter) != starting_client {
                 self.deliver(&Delivery::Error {
                     waiter,
                     kind,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// A client asks for a spooled result or releases it.
+    /// Handles a client's query for a spooled result, or the release of one.
     pub(super) fn handle_result_query(&mut self, client: Key, call_id: u32, query: ResultQuery) {
         let now = self.clock.now();
         let waiter = Waiter {
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Sends a part of a result, or an error, to a client who waits for it. Where the connection
-    /// has ended, the client asks again or not at all.
+    /// Sends a part of a result, or an error, to a waiting client. If the connection has closed,
+    /// the message is dropped: the client has to send its query again.
     pub(super) fn deliver(&mut self, delivery: &Delivery) {
         let waiter = delivery.waiter();
         let (is_sent, kind) = match delivery {
@@ -165,7 +167,7 @@
         })
     }
 
-    /// Counts the answer of a waiter that is a request of its own.
+    /// Counts and records an answer, if the waiting call counts as a request of its own.
     fn count_delivery(&mut self, waiter: &Waiter, kind: AnswerKind) {
         let Some(labels) = waiter.counted_as else {
             return;
@@ -186,7 +188,7 @@
         self.event_recorder.record_host(self.clock.now(), &answered);
     }
 
-    /// Lets the result spool work, and requests pages of results that there is room for now.
+    /// Polls the result spool, and requests more pages from engines for which it has room now.
     pub(super) fn poll_result_spool(&mut self) {
         let now = self.clock.now();
         let Some(result_spool) = &mut self.result_spool else {
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -9,14 +9,17 @@
 use crate::shutdown::{Phase, Remaining, ShutdownStep};
 
 impl Gateway {
-    /// SIGTERM: everything that arrives is still served, until clients have stopped connecting and
-    /// all requests are answered.
+    /// Handles SIGTERM: starts the shutdown. New requests are still served until clients have
+    /// stopped connecting and all requests are answered.
     pub(super) fn begin_shutdown(&mut self) {
         let now = self.clock.now();
         if !self.shutdown.begin(now, self.longest_wait) {
             return;
         }
-        tracing::info!("stopping; {} requests are open", self.counters.open());
+        tracing::info!(
+            "stopping: {} open requests are still served",
+            self.counters.open()
+        );
         self.event_recorder.record_host(now, &HostEvent::Stopping);
         self.clients.is_healthy = false;
         if let Some(intent_durability) = &mut self.intent_durability {
@@ -27,7 +30,7 @@
         }
     }
 
-    /// Takes the steps whose time has come, at the end of each poll.
+    /// Runs the shutdown steps that are due. Called at the end of each poll.
     pub(super) fn poll_shutdown(&mut self) {
         while self.shutdown.phase() != Phase::Serving {
             if self.shutdown.phase() >= Phase::Closing {
@@ -48,7 +51,8 @@
         }
     }
 
-    /// Lets the balancer's timer of each open request fire now, so that it gets its final answer.
+    /// Fires the balancer's end timer of each open request now, so that the request gets its final
+    /// answer.
     fn expire_open_requests(&mut self) {
         for request in self.requests.open_keys() {
             let tag = end_tag(request.number());
@@ -58,7 +62,7 @@
     }
 
     fn close_idle_connections(&mut self) {
-        // Connections that wait are owed an answer; later ones are not accepted.
+        // Connections in the listen queue are accepted and answered before listening stops.
         if self.accept() {
             self.clients.stop_listening();
         }
@@ -67,7 +71,7 @@
         self.run_balancer();
     }
 
-    /// Whether nothing is left to do.
+    /// Whether the shutdown is complete, so that the process can exit.
     pub fn is_done(&self) -> bool {
         self.shutdown.phase() == Phase::Finished
     }
--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the gateway's parts, from the configurations of the platform and of the operator.
+//! Starts the gateway's components from the configurations of the platform and of the operator.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -24,15 +24,15 @@
 use crate::result_spool::ResultSpoolDriver;
 use crate::shutdown::Shutdown;
 
-/// Descriptors for what is neither a client nor an engine: listener, service discovery, event loop,
-/// signals, standard streams.
+/// File descriptors reserved for everything but client and engine connections: listener, service
+/// discovery, event loop, signals, standard streams.
 const OTHER_DESCRIPTORS: usize = 24;
 
 /// Wakes the main loop from another thread.
 type Waker = Box<dyn Fn() + Send>;
 
 impl Gateway {
-    /// Starts all parts and listens for clients.
+    /// Starts all components, restores the saved state and listens for clients.
     pub fn start(
         config: Config,
         operator: &OperatorConfig,
@@ -92,8 +92,8 @@
         Ok(gateway)
     }
 
-    /// Hands the engines that are known and what was learned of them to the balancer, and connects
-    /// to service discovery.
+    /// Passes the engines listed in the configuration and the restored checkpoint to the balancer,
+    /// and connects to service discovery.
     fn load_initial_state(&mut self, known_items: Vec<Item>, now: Micros) {
         self.record_state();
         for item in known_items {
@@ -102,12 +102,12 @@
         self.discovery
             .connect(now, &mut self.deadlines, &mut self.counters);
         self.run_balancer();
-        // After the endpoints: the checkpoint is compared with the engines that are there now.
+        // After the endpoints, because the balancer matches the checkpoint with existing engines.
         self.restore_checkpoint();
         self.run_balancer();
     }
 
-    /// Hands what was learned before the last restart to the balancer.
+    /// Passes the estimates that were saved before the last restart to the balancer.
     fn restore_checkpoint(&mut self) {
         let Some(intent_durability) = &mut self.intent_durability else {
             return;
@@ -153,7 +153,8 @@
     let Some(store_config) = &operator.store else {
         return Ok(None);
     };
-    // Different for each start and gateway: the seed alone is the same after a restart.
+    // Must differ between gateways and between starts; the configured seed alone stays the same
+    // after a restart.
     let seed = config.seed ^ now.rotate_left(23) ^ u64::from(std::process::id());
     let store_waker = waker(event_loop, WakeReason::IntentDurability)?;
     let (mut intent_durability, recovered) = IntentDurability::start(
@@ -185,7 +186,8 @@
     Ok(Some(Box::new(intent_durability)))
 }
 
-/// A function by which another thread wakes the main loop for a reason.
+/// Creates a function with which another thread wakes the main loop; `reason` is reported to
+/// [`Gateway::poll`].
 fn waker(event_loop: &EventLoopHandle, reason: WakeReason) -> io::Result<Waker> {
     let (ping, source) = calloop::ping::make_ping()?;
     event_loop
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -1,7 +1,8 @@
-//! Joins the intent log (`eideryard_intent_log`, which decides) to the store: what is written
-//! before a send, what waits for that write, and what a start finds. It owns the store's thread
-//! and, in a fleet, the replication driver; the gateway's loop calls it. Without `store-dir` in the
-//! operator's file there is none.
+//! Connects the intent log (`eideryard_intent_log`, which makes the decisions) to the store: writes
+//! intents before requests are sent, holds back sends until their intents are durable, and restores
+//! intents at the start. [`IntentDurability`] owns the store's writer thread and, in a fleet, the
+//! replication driver; the gateway's main loop calls it. It exists only if the operator's file
+//! contains `store-dir`.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -29,63 +30,64 @@
 use recovery::{recover, RecoveryContext};
 pub use sends::{PendingSend, RefusedSend, SendPlan, SendRequest, SendResults, SendWithPriorRuns};
 
-/// The share of the memory limit that intents may take is one in this many.
+/// Intents may use the memory limit divided by this number.
 const INTENTS_MEMORY_DIVISOR: u64 = 16;
-/// The share of the memory limit that a voter's replicas of the whole fleet's intents may take is
-/// one in this many.
+/// A voter's replicas of the whole fleet's intents may use the memory limit divided by this number.
 const REPLICAS_MEMORY_DIVISOR: u64 = 8;
-/// Memory of an intent, in the log and in the store's index.
+/// Memory that one intent uses in the intent log and in the store's index, in bytes.
 const INTENT_MEMORY_BYTES: u64 = 320;
-/// Disk space of an intent.
+/// Disk space that one intent uses, in bytes.
 const INTENT_DISK_BYTES: u64 = 72;
-/// The share of the store's budget that may hold live intents is one in this many.
+/// Live intents may use the store's disk budget divided by this number.
 const LIVE_DISK_DIVISOR: u64 = 3;
 
-/// Intents of one gateway and what depends on them.
+/// The intents of one gateway, the sends that wait for them, and the replication of both in a
+/// fleet.
 pub struct IntentDurability {
     intent_log: IntentLog,
-    /// Nothing where the store can't be used: requests that need an intent are refused then.
+    /// `None` if the store can't be used; requests that need an intent are refused then.
     worker: Option<Worker>,
     pending_sends: PendingSends<PendingSend>,
     replication: Option<Box<ReplicationDriver>>,
     status_writer: Option<StatusWriter>,
-    /// Retry window of each class.
-    windows: Vec<Micros>,
+    /// The retry window of each class, by the class's index in the settings.
+    retry_windows: Vec<Micros>,
     engine_places: BTreeMap<EngineId, Place>,
     checkpoints: Checkpoints,
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub counters: IntentCounters,
 }
 
 impl IntentDurability {
-    /// Opens the store and starts its thread, which calls `wake` when writes are durable. Also
-    /// returns what the store held for the fleet. If the store can't be used, requests that need it
-    /// are refused.
+    /// Opens the store and starts its writer thread, which calls `wake` when writes have become
+    /// durable. Also returns the part of the store that replication needs, or `None` if the store
+    /// can't be opened; requests that need the store are refused then. `seed` must differ between
+    /// starts.
     pub fn start(
         config: &StoreConfig,
         settings: &Settings,
         memory_mb: u64,
         now: Micros,
-        random: u64,
+        seed: u64,
         wake: Box<dyn Fn() + Send>,
     ) -> (Self, Option<RecoveredState>) {
         let settings_fingerprint = settings_fingerprint(settings);
         let context = RecoveryContext {
-            limits: limits(config, memory_mb),
+            limits: intent_limits(config, memory_mb),
             classes: &settings.classes,
             settings_fingerprint,
             now,
-            random,
+            seed,
         };
         let recovery = recover(config, &context, wake);
-        let windows = settings.classes.iter().map(|class| class.window).collect();
+        let retry_windows = settings.classes.iter().map(|class| class.window).collect();
         let durability = IntentDurability {
             intent_log: recovery.intent_log,
             worker: recovery.worker,
             pending_sends: PendingSends::default(),
             replication: None,
             status_writer: None,
-            windows,
+            retry_windows,
             engine_places: BTreeMap::new(),
             checkpoints: Checkpoints::new(settings_fingerprint, recovery.learned_state, now),
             counters: IntentCounters::default(),
@@ -93,17 +95,19 @@
         (durability, recovery.recovered_state)
     }
 
-    /// Replicas of the whole fleet's intents that a voter with this memory has room for.
+    /// The number of replicas of the whole fleet's intents that fit into a voter's share of
+    /// `memory_mb`.
     pub fn max_replicas(memory_mb: u64) -> usize {
         ((memory_mb << 20) / REPLICAS_MEMORY_DIVISOR / INTENT_MEMORY_BYTES) as usize
     }
 
-    /// Joins the fleet, with what the store held for it. Without a usable store the gateway stays
-    /// alone, and refuses requests that need it.
+    /// Joins the fleet with the state that was recovered from the store. Without a usable store
+    /// this does nothing: the gateway runs alone and refuses requests that need the store.
     ///
     /// # Errors
     ///
-    /// The links or the thread that writes the status file can't be started.
+    /// Returns an error if the links to peers or the thread that writes the status file can't be
+    /// started.
     pub fn join_fleet(
         &mut self,
         fleet: &FleetConfig,
@@ -121,7 +125,7 @@
         Ok(())
     }
 
-    /// Sets where an engine runs, as the endpoint list says.
+    /// Sets the zone and cell of an engine, as listed in the endpoint list.
     pub fn set_place(&mut self, engine: EngineId, zone: u32, cell: u32) {
         self.engine_places.insert(engine, Place { zone, cell });
     }
@@ -131,23 +135,23 @@
         self.engine_places.retain(|engine, _| exists(*engine));
     }
 
-    /// The retry window of a class.
-    fn window(&self, class: usize) -> Micros {
-        self.windows.get(class).copied().unwrap_or(0)
+    /// The retry window of a class in microseconds; 0 if the class is unknown.
+    fn retry_window(&self, class: usize) -> Micros {
+        self.retry_windows.get(class).copied().unwrap_or(0)
     }
 
-    /// When [`IntentDurability::poll`] has something to do.
-    pub fn deadline(&self, now: Micros) -> Option<Micros> {
+    /// The next time at which [`IntentDurability::poll`] must be called even if nothing arrives.
+    pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
         let replication = self.replication.as_ref();
         let deadlines = [
             self.intent_log.next_deadline(),
             self.pending_sends.next_deadline(),
-            replication.map(|replication| replication.deadline(now)),
+            replication.map(|replication| replication.next_deadline(now)),
         ];
         deadlines.into_iter().flatten().min()
     }
 
-    /// Sizes of the tables, by the names that the log prints.
+    /// The sizes of all tables, by the names under which they are logged.
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         let mut sizes = vec![
             ("intents", self.intent_log.len()),
@@ -160,8 +164,8 @@
     }
 }
 
-/// The bound on intents, by memory and by the store's budget.
-fn limits(config: &StoreConfig, memory_mb: u64) -> Limits {
+/// The maximum number of intents, by the memory limit and by the store's disk budget.
+fn intent_limits(config: &StoreConfig, memory_mb: u64) -> Limits {
     let by_memory = (memory_mb << 20) / INTENTS_MEMORY_DIVISOR / INTENT_MEMORY_BYTES;
     let by_disk = config.budget / LIVE_DISK_DIVISOR / INTENT_DISK_BYTES;
     Limits {
--- a/crates/gateway/src/intent_durability/counters.rs
+++ b/crates/gateway/src/intent_durability/counters.rs
@@ -1,30 +1,32 @@
-//! What the intent durability counts. The names in the log stand in `counter_text`.
+//! Counters of [`IntentDurability`](super::IntentDurability). `counter_text` defines the names
+//! under which they are logged.
 
 use eideryard_event_log::RejectReason;
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IntentCounters {
     /// Intents that were written before a send.
     pub intents: u64,
-    /// Sends that waited for their intent.
+    /// Sends that waited until their intent was durable.
     pub waited: u64,
-    /// Requests bound to the place where they may have run before.
+    /// Arriving requests that may have run before at a known zone and cell.
     pub known_prior_location: u64,
-    /// Requests that may have run before in an unknown place.
+    /// Arriving requests that may have run before at an unknown zone and cell.
     pub unknown_prior_location: u64,
-    /// Requests refused since the intent log is full.
+    /// Requests refused because the intent log is full.
     pub refused_full: u64,
-    /// Requests refused since the store is slow or fails.
+    /// Requests refused because the store is slow or fails.
     pub refused_stalled: u64,
-    /// Requests refused since no majority of voters answers.
+    /// Requests refused because no majority of voters answers.
     pub refused_no_majority: u64,
-    /// Engines that were closed here by what a peer's endpoint list said.
+    /// Engines that got no new attempts because a peer's endpoint list has them as draining or
+    /// removed.
     pub drains_from_peers: u64,
 }
 
 impl IntentCounters {
-    /// Counts a refused request by its reason.
+    /// Counts a refused request by the reason of the refusal.
     pub(super) fn count_refusal(&mut self, reason: RejectReason) {
         match reason {
             RejectReason::IntentLogFull => self.refused_full += 1,
--- a/crates/gateway/src/intent_durability/fleet.rs
+++ b/crates/gateway/src/intent_durability/fleet.rs
@@ -1,5 +1,5 @@
-//! What the gateway exchanges with its peers beside intents: drains of engines, shared probes and
-//! events for the event log. Without a fleet all of it is empty.
+//! Data other than intents that the gateway exchanges with its peers: drains of engines, shared
+//! probes and events for the event log. Without a fleet all functions do nothing or return nothing.
 
 use eideryard::interface::{EngineId, LoadReport, Micros};
 use eideryard_event_log::FleetEvent;
@@ -8,22 +8,22 @@
 use super::IntentDurability;
 use crate::replication::ReplicationDriver;
 
-/// What shared probes ask of the gateway.
+/// Work that shared probing creates for the gateway.
 #[derive(Default)]
 pub struct ProbeWork {
-    /// Engines that this gateway is to probe now on behalf of all.
+    /// Engines that this gateway has to probe now on behalf of the whole fleet.
     pub due_engines: Vec<EngineId>,
-    /// Reports of engines that other gateways probed.
+    /// Load reports of engines that other gateways have probed.
     pub reports: Vec<(EngineId, LoadReport)>,
 }
 
 impl IntentDurability {
-    /// The replication driver, in a fleet.
+    /// The replication driver; `None` without a fleet or without a usable store.
     pub fn replication(&self) -> Option<&ReplicationDriver> {
         self.replication.as_deref()
     }
 
-    /// What peers' endpoint lists say of engines, since the last call.
+    /// Takes the drains of engines that peers have reported since the last call.
     pub fn take_drains(&mut self) -> Vec<Drain> {
         match &mut self.replication {
             Some(replication) => replication.take_drains(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Tells peers what this gateway's own endpoint list says of engines.
+    /// Reports engines that are draining or removed in this gateway's own endpoint list to peers.
     pub fn publish_drains(&mut self, now: Micros, drains: Vec<Drain>) {
         if drains.is_empty() {
             return;
@@ -41,18 +41,20 @@
         }
     }
 
-    /// A peer's newer endpoint list that closes an engine which this gateway's own list allows.
-    pub fn binding_drain(
+    /// Returns the drain of an engine by a peer's endpoint list that is newer than this gateway's
+    /// own list, whose number is `list_number`; `None` if there is no such drain.
+    pub fn overriding_drain(
         &self,
         engine: EngineId,
         booted_at: Micros,
         list_number: u64,
     ) -> Option<Drain> {
         let replication = self.replication.as_ref()?;
-        replication.binding_drain(engine, booted_at, list_number)
+        replication.overriding_drain(engine, booted_at, list_number)
     }
 
-    /// Probes that are due here, and reports of other gateways' probes since the last call.
+    /// Takes the probes that are due here, and the reports of other gateways' probes since the last
+    /// call.
     pub fn take_probe_work(&mut self, now: Micros) -> ProbeWork {
         let replication = self.replication.as_mut();
         let Some(leases) = replication.and_then(|replication| replication.leases_mut()) else {
@@ -64,20 +66,23 @@
         }
     }
 
-    /// A report recent enough to replace a probe of this gateway's own.
+    /// Returns a peer's load report of an engine that is recent enough to replace a probe by this
+    /// gateway.
     pub fn recent_report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
         let leases = self.replication.as_mut()?.leases_mut()?;
         leases.recent_report(now, engine)
     }
 
-    /// An engine has answered a probe of this gateway.
+    /// Publishes the answer of an engine to a probe of this gateway, if it holds the lease for
+    /// probing that engine.
     pub fn publish_report(&mut self, now: Micros, engine: EngineId, report: &LoadReport) {
         if let (Some(replication), Some(worker)) = (&mut self.replication, &mut self.worker) {
             replication.run_leases(|leases| leases.publish_report(now, engine, report, worker));
         }
     }
 
-    /// The endpoint list has changed: this gateway may own the probing of the engines in it.
+    /// Makes this gateway a candidate for the probing leases of all engines in the endpoint list.
+    /// Called when the list has changed.
     pub fn update_lease_tasks(&mut self, now: Micros) {
         let replication = self.replication.as_mut();
         if let Some(leases) = replication.and_then(|replication| replication.leases_mut()) {
@@ -85,7 +90,7 @@
         }
     }
 
-    /// The gateway shuts down: others need not wait for its leases to expire.
+    /// Releases all leases at shutdown, so that other gateways need not wait for their expiry.
     pub fn release_leases(&mut self, now: Micros) {
         if let (Some(replication), Some(worker)) = (&mut self.replication, &mut self.worker) {
             replication.run_leases(|leases| leases.stop(now, worker));
@@ -93,14 +98,14 @@
         }
     }
 
-    /// Sends the messages to peers that were queued since.
+    /// Sends the messages to peers that have been queued.
     pub fn flush(&mut self) {
         if let Some(replication) = &mut self.replication {
             replication.flush();
         }
     }
 
-    /// Events for the event log since the last call.
+    /// Takes the events for the event log since the last call.
     pub fn take_fleet_events(&mut self) -> Vec<FleetEvent> {
         match &mut self.replication {
             Some(replication) => replication.take_events(),
@@ -108,7 +113,8 @@
         }
     }
 
-    /// All that the event log knows of the fleet, for the beginning of a segment.
+    /// The current state of the fleet as events, recorded at the beginning of a segment of the
+    /// event log.
     pub fn fleet_state(&self) -> Vec<FleetEvent> {
         match &self.replication {
             Some(replication) => replication.state_events(),
--- a/crates/gateway/src/intent_durability/learned_state.rs
+++ b/crates/gateway/src/intent_durability/learned_state.rs
@@ -1,4 +1,4 @@
-//! Checkpoints of what the balancer has learned: saved to the store, restored at the start, and
+//! Checkpoints of the balancer's learned estimates: saved to the store, restored at the start, and
 //! exchanged with peers as hints.
 
 use eideryard::interface::{LearnedState, Micros};
@@ -7,14 +7,14 @@
 use super::IntentDurability;
 use crate::checkpoint;
 
-/// When checkpoints were saved and restored.
+/// When a checkpoint was last saved, and what was restored.
 pub(super) struct Checkpoints {
-    /// Of the settings under which the state is learned.
+    /// Fingerprint of the current settings; checkpoints of other settings are not restored.
     settings_fingerprint: u64,
     saved_at: Micros,
-    /// The checkpoint that the start found and its age, until it is taken.
+    /// The checkpoint found at the start and its age in microseconds, until it is taken.
     restored: Option<(LearnedState, Micros)>,
-    /// Whether a checkpoint or a peer's hint was restored.
+    /// Whether a checkpoint or a peer's hint has been restored. Later hints are ignored.
     has_restored: bool,
 }
 
@@ -34,22 +34,23 @@
 }
 
 impl IntentDurability {
-    /// The checkpoint that the start found and its age, once.
+    /// Takes the checkpoint found at the start and its age in microseconds. Later calls return
+    /// `None`.
     pub fn take_restored_state(&mut self) -> Option<(LearnedState, Micros)> {
         self.checkpoints.restored.take()
     }
 
-    /// Whether it is time for a checkpoint.
+    /// Whether it is time to save a checkpoint. Never true without a usable store.
     pub fn is_checkpoint_due(&self, now: Micros) -> bool {
         self.worker.is_some() && now >= self.checkpoints.saved_at + checkpoint::INTERVAL
     }
 
-    /// Saves what the balancer has learned, and offers it to peers.
+    /// Saves the balancer's learned estimates to the store, and offers them to peers as a hint.
     pub fn save_checkpoint(&mut self, now: Micros, learned: &LearnedState) {
         self.checkpoints.saved_at = now;
         let fingerprint = self.checkpoints.settings_fingerprint;
         if let Some(replication) = &mut self.replication {
-            // A hint carries its age beside it.
+            // Saved at time 0, since the message that carries a hint has its age in another field.
             let hint = checkpoint::to_bytes(learned, 0, fingerprint);
             replication.set_learned_state(now, hint);
         }
@@ -57,13 +58,13 @@
             let bytes = checkpoint::to_bytes(learned, now, fingerprint);
             let mut batch = Batch::default();
             batch.put(checkpoint::STORE_KEY.to_vec(), bytes, 0);
-            // If the store takes no more now, the next checkpoint is written.
+            // If the store rejects the write, the next checkpoint replaces this one.
             worker.write(batch);
         }
     }
 
-    /// What a peer had learned and its age, once, and only where this gateway started without a
-    /// checkpoint.
+    /// Takes the learned estimates of a peer and their age in microseconds. Returns them at most
+    /// once, and only if this gateway started without a checkpoint.
     pub fn take_peer_hint(&mut self) -> Option<(LearnedState, Micros)> {
         let (bytes, age) = self.replication.as_mut()?.take_peer_hint()?;
         if self.checkpoints.has_restored {
@@ -72,7 +73,7 @@
         self.checkpoints.has_restored = true;
         let fingerprint = self.checkpoints.settings_fingerprint;
         let hint = checkpoint::from_bytes(&bytes, age, fingerprint).ok()?;
-        tracing::info!("fleet: learned figures of a peer are taken for hints");
+        tracing::info!("fleet: learned estimates of a peer are used as hints");
         Some(hint)
     }
 }
--- a/crates/gateway/src/intent_durability/recovery.rs
+++ b/crates/gateway/src/intent_durability/recovery.rs
@@ -1,5 +1,5 @@
-//! Opens the store at the start: restores the intent log and the checkpoint, and logs what was
-//! found.
+//! Opens the store at the start, restores the intent log and the checkpoint from it, and logs the
+//! result.
 
 use eideryard::interface::{Class, LearnedState, Micros};
 use eideryard_intent_log::{entry, IntentLog, Limits, UncertainWindow};
@@ -10,28 +10,28 @@
 use crate::checkpoint;
 use crate::recovered_state::RecoveredState;
 
-/// Under what the store is opened.
+/// Parameters of recovery.
 pub(super) struct RecoveryContext<'a> {
     pub(super) limits: Limits,
     pub(super) classes: &'a [Class],
     pub(super) settings_fingerprint: u64,
     pub(super) now: Micros,
-    /// Differs between starts.
-    pub(super) random: u64,
+    /// A random number that differs between starts.
+    pub(super) seed: u64,
 }
 
-/// What a start has recovered.
+/// The result of recovery.
 pub(super) struct Recovery {
     pub(super) intent_log: IntentLog,
-    /// Nothing if the store can't be used.
+    /// `None` if the store can't be used.
     pub(super) worker: Option<Worker>,
-    /// The last checkpoint and its age.
+    /// The last checkpoint and its age in microseconds, if it can be restored.
     pub(super) learned_state: Option<(LearnedState, Micros)>,
     pub(super) recovered_state: Option<RecoveredState>,
 }
 
-/// Opens the store. If that fails, intents are kept in memory only, and requests that need a
-/// durable one are refused.
+/// Opens the store and recovers the state in it. If the store can't be opened, intents are kept in
+/// memory only, and requests that need a durable intent are refused.
 pub(super) fn recover(
     config: &StoreConfig,
     context: &RecoveryContext<'_>,
@@ -43,15 +43,15 @@
             budget: config.budget,
         },
         context.now / 1000,
-        context.random,
+        context.seed,
     );
     match opened {
-        Ok((store, report)) => recover_from(store, &report, context, wake),
+        Ok((store, report)) => recover_from_store(store, &report, context, wake),
         Err(error) => start_without_store(config, &error, context),
     }
 }
 
-fn recover_from(
+fn recover_from_store(
     store: Store,
     report: &RecoveryReport,
     context: &RecoveryContext<'_>,
@@ -62,7 +62,9 @@
     let learned_state = restore_checkpoint(&store, context);
     let recovered_state = RecoveredState::read(&store, report);
     let worker = Worker::start(store, wake)
-        .inspect_err(|e| tracing::error!("store: {e}; keyed requests are refused"))
+        .inspect_err(|e| {
+            tracing::error!("store: no writer thread, keyed requests are refused: {e}")
+        })
         .ok();
     Recovery {
         intent_log,
@@ -78,8 +80,8 @@
     context: &RecoveryContext<'_>,
 ) -> Recovery {
     tracing::error!(
-        "store {}: {error}. Safe classes are served; keyed and unsafe requests are refused until the \
-         gateway starts with a store that can be used",
+        "store {} can't be opened: {error}. Requests of safe classes are served; keyed and unsafe \
+         ones are refused until the gateway is restarted with a usable store",
         config.directory.display()
     );
     let intent_log = IntentLog::restore(
@@ -125,37 +127,40 @@
     match checkpoint::from_bytes(&stored.bytes, context.now, context.settings_fingerprint) {
         Ok((learned, age)) => {
             tracing::info!(
-                "store: learned figures of {} engines, {:.1} s old: hints, doubted by their age",
+                "store: learned estimates of {} engines, {:.1} s old, are restored; their weight \
+                 decreases with their age",
                 learned.engines.len(),
                 age as f64 / 1e6
             );
             Some((learned, age))
         }
         Err(error) => {
-            tracing::info!("store: learned figures are dropped: {error}");
+            tracing::info!("store: the checkpoint of learned estimates is dropped: {error}");
             None
         }
     }
 }
 
-/// Logs what the start found.
+/// Logs the result of opening the store.
 fn log_report(report: &RecoveryReport, now: Micros, uncertain: UncertainWindow) {
     tracing::info!(
-        "store: life {:016x}, start {}: {}",
+        "store: incarnation {:016x}, start {}: {}",
         report.identity,
         report.start,
         describe_status(report, now)
     );
     if report.torn_bytes > 0 {
         tracing::info!(
-            "store: {} bytes at the end were never whole; nobody was told of them",
+            "store: {} bytes of incomplete writes at the end are dropped; none of these writes was \
+             reported as durable",
             report.torn_bytes
         );
     }
     if let UncertainWindow::Before(time) = uncertain {
         tracing::info!(
-            "store: retries of keys that it doesn't know are not run until their class's window after \
-             {} ms has passed (Unix time), except where all engines drop a repeat",
+            "store: intents from before {} ms (Unix time) may be missing; until the retry window \
+             of their class after that time has passed, retries with unknown keys are not run, \
+             unless all engines drop a repeated request",
             time / 1000
         );
     }
@@ -165,17 +170,18 @@
     let keys = report.keys;
     let age = (now / 1000).saturating_sub(report.last_segment_at_ms) as f64 / 1e3;
     match &report.status {
-        RecoveryStatus::New => "nothing was there: it begins as a stranger".to_string(),
+        RecoveryStatus::New => "no data found; starts with a new identity".to_string(),
         RecoveryStatus::Whole => {
-            format!("{keys} keys, last begun {age:.1} s ago, whole: all of it is trusted")
+            format!("{keys} keys, last segment begun {age:.1} s ago; the data is complete")
         }
         RecoveryStatus::Copy => format!(
-            "{keys} keys in a copy of the directory that was written, last begun {age:.1} s ago: what \
-             came behind it is not known here, so it begins as a stranger with hints"
+            "{keys} keys in a copy of the original directory, last segment begun {age:.1} s ago; \
+             later writes may be missing, so it starts with a new identity and uses the data as \
+             hints"
         ),
         RecoveryStatus::Damaged { segment, at } => format!(
-            "{keys} keys up to byte {at} of {segment}, which is damaged: what lies behind is dropped, \
-             so it begins as a stranger with hints"
+            "{keys} keys up to byte {at} of {segment}, which is damaged there; later data is \
+             dropped, so it starts with a new identity and uses the data as hints"
         ),
     }
 }
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -1,5 +1,6 @@
-//! The way of a request that needs an intent: admitted, written before its send, sent once the
-//! intent is durable (and claimed, in a fleet), and ended.
+//! Handles requests that need an intent: checks them on arrival, writes the intent before a send,
+//! releases the send once the intent is durable (and, in a fleet, its key is claimed), and updates
+//! the intent when the attempt ends.
 
 use eideryard::interface::{EngineId, Micros, PriorAttempt};
 use eideryard_event_log::RejectReason;
@@ -17,95 +18,95 @@
 
 /// A send that the balancer has decided on.
 pub struct SendRequest<'a> {
-    /// Class of the request.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Idempotency key of the request, if it has one.
+    /// Idempotency key of the request; `None` if the client sent none.
     pub key: Option<&'a str>,
-    /// Engine that the request goes to.
+    /// Engine that the balancer has chosen.
     pub engine: EngineId,
-    /// When the attempt is given up.
+    /// Time at which the attempt is cancelled if it has not ended.
     pub attempt_deadline: Micros,
-    /// Prior attempts that the balancer knows of.
-    pub known: &'a [PriorAttempt],
+    /// Prior attempts of the request that the balancer already knows.
+    pub prior_attempts: &'a [PriorAttempt],
 }
 
-/// What is to be done with a send.
+/// How to proceed with a send.
 pub enum SendPlan {
-    /// Send it now.
+    /// Send now.
     Immediate,
-    /// Send it once its intent is durable. From now on it counts among what may have run.
+    /// Send once the intent is durable. From now on this attempt counts as one that may have run.
     AfterWrite {
-        /// Number of the write, as the store's worker counts them.
+        /// Number of the write, assigned by the store's worker in increasing order.
         ticket: u64,
-        /// Number of the claim that it waits for too.
+        /// Number of the claim that must be granted as well; `None` without a fleet.
         claim: Option<u64>,
-        /// This attempt, as a later one sees it.
+        /// This attempt, in the form in which later attempts see it.
         prior_attempt: PriorAttempt,
     },
-    /// Don't send it: the store takes no more.
+    /// Don't send: the store rejects writes because too many are queued.
     StoreFull,
-    /// Don't send it: the balancer has to know of another attempt first.
+    /// Don't send: first the balancer must take this other attempt into account.
     PriorAttemptFound(PriorAttempt),
 }
 
 /// An attempt that waits until its intent is durable.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingSend {
-    /// Number of the write, as the store's worker counts them.
+    /// Number of the write, assigned by the store's worker in increasing order.
     pub ticket: u64,
-    /// Number of the claim that it waits for too.
+    /// Number of the claim that must be granted as well; `None` without a fleet.
     pub claim: Option<u64>,
-    /// The request.
+    /// Slot of the request in the request table.
     pub request: Key,
-    /// Number of the attempt among the request's.
+    /// Index of the attempt among the request's attempts.
     pub attempt: usize,
-    /// Engine that it goes to.
+    /// Engine that the attempt is sent to.
     pub engine: EngineId,
-    /// When the attempt is given up.
+    /// Time at which the attempt is cancelled if it has not ended.
     pub attempt_deadline: Micros,
 }
 
-/// A send that waited for too long, or in vain.
+/// A send that timed out, or whose claim got no majority.
 pub struct RefusedSend {
-    /// The send.
+    /// The send that waited.
     pub send: PendingSend,
-    /// Why it is refused.
+    /// The reason, which the client gets if its request is refused.
     pub reason: RejectReason,
 }
 
-/// A send that other gateways may have run before.
+/// A send whose request other gateways may have run already.
 pub struct SendWithPriorRuns {
-    /// The send.
+    /// The send that waited.
     pub send: PendingSend,
-    /// What may have run.
+    /// The attempts of other gateways that may have run.
     pub prior_attempts: Vec<PriorAttempt>,
 }
 
-/// What has become of sends that waited.
+/// The results of waiting sends, in one poll.
 #[derive(Default)]
 pub struct SendResults {
-    /// To be sent now.
+    /// Sends to carry out now.
     pub ready: Vec<PendingSend>,
-    /// Not to be sent; their requests are refused where nothing else of them was sent.
+    /// Sends not to carry out. A request is refused if this is its only attempt.
     pub refused: Vec<RefusedSend>,
-    /// Not to be sent: the balancer decides anew.
+    /// Sends not to carry out now: the balancer decides again with knowledge of the prior runs.
     pub with_prior_runs: Vec<SendWithPriorRuns>,
 }
 
 impl SendResults {
-    /// Whether nothing has become of any send.
+    /// Whether there is no result.
     pub fn is_empty(&self) -> bool {
         self.ready.is_empty() && self.refused.is_empty() && self.with_prior_runs.is_empty()
     }
 }
 
 impl IntentDurability {
-    /// Decides on a request that arrives: returns what of it may have run before. `is_retry` says
-    /// whether its client marked it so.
+    /// Checks a request on arrival. Returns its earlier attempts that may have run. `is_retry` is
+    /// whether the client marked the request as a retry.
     ///
     /// # Errors
     ///
-    /// Why the request is refused.
+    /// Returns the reason for which the request must be refused.
     pub fn admit_request(
         &mut self,
         now: Micros,
@@ -134,7 +135,8 @@
     ) -> Result<Vec<PriorAttempt>, RejectReason> {
         let is_held_up = self.pending_sends.is_held_up(now, self.durable_ticket());
         let is_failing = self.worker.as_ref().is_none_or(Worker::is_failing) || is_held_up;
-        // In a fleet the voters know what this store may have forgotten.
+        // In a fleet, intents that are missing from this store are known to the voters, so a retry
+        // of an unknown key needs no special treatment.
         let is_retry = is_retry && self.replication.is_none();
         let request = IncomingRequest {
             class,
@@ -159,7 +161,7 @@
         Ok(prior)
     }
 
-    /// The last write that is durable.
+    /// The ticket of the last durable write; 0 if there is none.
     fn durable_ticket(&self) -> u64 {
         self.worker.as_ref().map_or(0, Worker::durable)
     }
@@ -168,7 +170,7 @@
         let key = write.key.clone();
         let mut batch = Batch::default();
         match &write.intent {
-            // The store drops it by its own clock if this gateway never does.
+            // The store drops the intent at its expiry even if this gateway never removes it.
             Some(intent) => {
                 let expires_ms = intent.until / 1000 + RETENTION_MARGIN / 1000;
                 batch.put(key, entry::to_bytes(intent), expires_ms);
@@ -178,7 +180,7 @@
         self.worker.as_mut()?.write(batch)
     }
 
-    /// Decides on a send; writes and claims its intent where it needs one.
+    /// Decides how to proceed with a send. If it needs an intent, writes and claims the intent.
     pub fn prepare_send(&mut self, now: Micros, request: &SendRequest<'_>) -> SendPlan {
         let place = self.engine_places.get(&request.engine);
         let place = place.copied().unwrap_or_default();
@@ -186,7 +188,7 @@
             class: request.class,
             key: request.key,
             place,
-            known: request.known,
+            known: request.prior_attempts,
         };
         let decision = self.intent_log.on_send(now, attempt);
         let write = match decision {
@@ -207,7 +209,8 @@
         }
     }
 
-    /// Claims the key of a send from the voters, in a fleet. Returns the claim's number.
+    /// Claims the key of a send from the voters. Returns the number of the claim, or `None` without
+    /// a fleet.
     fn claim(
         &mut self,
         now: Micros,
@@ -215,30 +218,36 @@
         write: &IntentWrite,
     ) -> Option<u64> {
         let remaining = request.attempt_deadline.saturating_sub(now);
-        let retention = remaining + self.window(request.class) + RETENTION_MARGIN;
+        let retention = remaining + self.retry_window(request.class) + RETENTION_MARGIN;
         let replication = self.replication.as_mut()?;
         let worker = self.worker.as_mut()?;
         let claim = Claim {
             stored_key: &write.key,
             intent: write.intent.as_ref()?,
             retention,
-            known: request.known,
+            prior_attempts: request.prior_attempts,
         };
         Some(replication.claim(now, &claim, worker))
     }
 
-    /// Whether a send that waited is still within the window of what may have run before it.
-    pub fn is_within_window(&self, now: Micros, class: usize, known: &[PriorAttempt]) -> bool {
-        is_within_window(now, self.window(class), known)
+    /// Whether a send that has waited is still within the retry window of all prior attempts.
+    pub fn is_within_window(
+        &self,
+        now: Micros,
+        class: usize,
+        prior_attempts: &[PriorAttempt],
+    ) -> bool {
+        is_within_window(now, self.retry_window(class), prior_attempts)
     }
 
-    /// Keeps a send until its intent is durable.
+    /// Holds back a send until its intent is durable.
     pub fn add_pending_send(&mut self, now: Micros, send: PendingSend) {
         self.counters.waited += 1;
         self.pending_sends.push(now, send.ticket, send.claim, send);
     }
 
-    /// An attempt has ended. `never_ran` says whether it is sure that it didn't run.
+    /// Updates the intent of an attempt that has ended. `never_ran` is true if the attempt
+    /// certainly did not run.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -254,29 +263,29 @@
         let Some(write) = self.intent_log.on_attempt_ended(now, attempt) else {
             return;
         };
-        // If the store takes no more, the intent is only remembered for longer.
+        // If the store rejects this write, the only effect is that the intent is kept for longer.
         self.write_intent(&write);
         let intent = write.intent.as_ref();
         if intent.is_some_and(|intent| intent.in_flight > 0) {
             return;
         }
-        let retention = self.window(class) + RETENTION_MARGIN;
+        let retention = self.retry_window(class) + RETENTION_MARGIN;
         if let (Some(replication), Some(worker)) = (&mut self.replication, &mut self.worker) {
             replication.on_attempts_ended(now, &write.key, intent, retention, worker);
         }
     }
 
-    /// Handles what is durable, what has arrived from peers and what is due. Returns what has
-    /// become of sends that waited.
+    /// Handles durable writes, messages of peers and expired deadlines. Returns the results of
+    /// waiting sends.
     pub fn poll(&mut self, now: Micros) -> SendResults {
         for write in self.intent_log.expire(now) {
             self.write_intent(&write);
         }
         let mut results = SendResults::default();
         self.apply_verdicts(now, &mut results);
-        let waited = self.pending_sends.poll(now, self.durable_ticket());
-        results.ready = waited.ready;
-        for (send, reason) in waited.timed_out {
+        let poll_result = self.pending_sends.poll(now, self.durable_ticket());
+        results.ready = poll_result.ready;
+        for (send, reason) in poll_result.timed_out {
             let reason = match reason {
                 TimeoutReason::Store => RejectReason::StoreStalled,
                 TimeoutReason::Claim => RejectReason::NoMajority,
@@ -326,7 +335,7 @@
     }
 }
 
-/// An attempt, as a later attempt at the same key sees it.
+/// Converts an attempt to the form in which later attempts of the same key see it.
 fn as_prior_attempt(now: Micros, place: Place, intent: Option<&Intent>) -> PriorAttempt {
     PriorAttempt {
         zone: place.zone,
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -1,8 +1,9 @@
-//! Joins the lease state (`eideryard_leases`, which decides) to the store and, through
-//! [`LeaseAction`]s that the replication driver carries out, to the links among gateways.
+//! Connects the lease state (`eideryard_leases`, which makes the decisions) to the store and, by
+//! means of [`LeaseAction`]s that the replication driver carries out, to the links between
+//! gateways.
 //!
-//! One kind of task is in use: probing an engine, whose report goes to all gateways. Without `task`
-//! in the operator's file there is no driver.
+//! There is one kind of task: probing an engine and sending its load report to all gateways. The
+//! driver exists only if the operator's file contains `task`.
 
 use std::collections::BTreeSet;
 
@@ -22,13 +23,13 @@
 pub use stored_tokens::{decode_token, TOKEN_KEY_PREFIX};
 use stored_tokens::{remove_token, store_token};
 
-/// What the replication driver is to do for the lease driver.
+/// An action that the replication driver carries out for the lease driver.
 pub enum LeaseAction {
-    /// Send a message to a voter.
+    /// Send a message over the link to a voter; `voter` is its index in the list of voters.
     SendToVoter { voter: usize, message: Message },
-    /// Send a message to a gateway that made a link here.
+    /// Send a message to a gateway that has opened a link to this one.
     SendToRequester { requester: u64, message: Message },
-    /// Send a message to all gateways that made links here.
+    /// Send a message to all gateways that have opened links to this one, except one.
     SendToAllRequesters {
         except: Option<u64>,
         message: Message,
@@ -37,46 +38,45 @@
     AwaitDurable(PendingToken),
 }
 
-/// A token that is written to the store but not durable yet.
+/// A fencing token that was written to the store but is not durable yet.
 pub struct PendingToken {
-    /// Number of the write, as the store's worker counts them.
+    /// Number of the write, assigned by the store's worker in increasing order.
     pub ticket: u64,
     pub task: Task,
     pub token: FencingToken,
-    /// What follows once the token is durable.
+    /// Outputs to carry out once the token is durable, and not before.
     pub then: Vec<Output>,
 }
 
-/// Engines whose probing is owned here, and the greatest known token of each engine, for the status
-/// file.
+/// The state of the probing leases, for the status file.
 #[derive(Default)]
 pub struct LeaseStatus {
-    /// Engines whose probing this gateway owns, and the terms under which it does.
+    /// Engines whose probing lease this gateway holds, each with the term of the lease.
     pub owned: Vec<(EngineId, u64)>,
-    /// The greatest known token of each engine.
+    /// The greatest known fencing token of each engine.
     pub known: Vec<(EngineId, FencingToken)>,
 }
 
-/// How fencing tokens name this incarnation of the gateway: differs between starts, so that no two
-/// incarnations share a token.
+/// The identifier of this incarnation of the gateway in fencing tokens. It differs between starts,
+/// so that no two incarnations share a token.
 pub fn lease_owner(origin: Origin) -> u64 {
     origin.identity ^ origin.start.rotate_left(40)
 }
 
-/// Leases of one gateway.
+/// The leases of one gateway.
 pub struct LeaseDriver {
     core: LeaseCore,
     last_report_number: u64,
     reports: Reports<LoadReport>,
-    /// Reports that the balancer has not seen yet.
+    /// Reports of other gateways that have not been passed to the balancer yet.
     fresh_reports: Vec<(EngineId, LoadReport)>,
     events: Vec<FleetEvent>,
     probes_spared: u64,
 }
 
 impl LeaseDriver {
-    /// A driver with the tokens that the store holds. `voter_index` is this gateway's place among
-    /// the voters, if it is one.
+    /// Creates a driver with the tokens recovered from the store. `voter_index` is the index of
+    /// this gateway among the voters; `None` if it is no voter.
     pub fn new(
         voter_count: usize,
         voter_index: Option<usize>,
@@ -99,7 +99,7 @@
         }
     }
 
-    fn perform(
+    fn perform_outputs(
         &mut self,
         now: Micros,
         outputs: Vec<Output>,
@@ -118,7 +118,7 @@
                     actions.push(LeaseAction::SendToAllRequesters { except, message });
                 }
                 Output::StoreToken { task, token, then } => {
-                    // A promise that can't be made durable is never sent.
+                    // If the write is rejected, the promise is not durable and is never sent.
                     if let Some(ticket) = worker.write(store_token(task, token)) {
                         actions.push(LeaseAction::AwaitDurable(PendingToken {
                             ticket,
@@ -129,12 +129,12 @@
                     }
                 }
                 Output::RemoveToken(task) => {
-                    // If the write fails, the token is removed after the next start.
+                    // If the write is rejected, the token is removed after the next start.
                     worker.write(remove_token(task));
                 }
                 Output::VoteForSelf { task, token } => {
                     let outputs = self.core.on_own_vote(now, task, token);
-                    actions.extend(self.perform(now, outputs, worker));
+                    actions.extend(self.perform_outputs(now, outputs, worker));
                 }
                 Output::Apply {
                     task,
@@ -151,7 +151,7 @@
 
     fn record_ownership(&mut self, task: Task, token: FencingToken, is_owner: bool) {
         tracing::debug!(
-            "task {} {}: term {} {is_owner}",
+            "lease of task {} {}: term {}, is_owner={is_owner}",
             task.kind,
             task.number,
             token.term
@@ -193,7 +193,7 @@
         }
     }
 
-    /// A message of a gateway that made a link here.
+    /// Handles a message of a gateway that has opened a link to this one.
     pub fn on_requester_message(
         &mut self,
         now: Micros,
@@ -205,10 +205,10 @@
         let outputs = self
             .core
             .on_requester_message(now, requester, message, readiness);
-        self.perform(now, outputs, worker)
+        self.perform_outputs(now, outputs, worker)
     }
 
-    /// A message of a voter that this gateway has a link to.
+    /// Handles a message of a voter that this gateway has opened a link to.
     pub fn on_voter_message(
         &mut self,
         now: Micros,
@@ -217,10 +217,10 @@
         worker: &mut Worker,
     ) -> Vec<LeaseAction> {
         let outputs = self.core.on_voter_message(now, voter, message);
-        self.perform(now, outputs, worker)
+        self.perform_outputs(now, outputs, worker)
     }
 
-    /// A token is durable: what waited for it follows.
+    /// Handles a token that has become durable: carries out the outputs that waited for it.
     pub fn on_token_durable(
         &mut self,
         now: Micros,
@@ -228,23 +228,24 @@
         worker: &mut Worker,
     ) -> Vec<LeaseAction> {
         self.core.mark_durable(pending.task, pending.token);
-        self.perform(now, pending.then, worker)
+        self.perform_outputs(now, pending.then, worker)
     }
 
-    /// Acts on the passing of time.
+    /// Handles expired timers: renews, requests and gives up leases.
     pub fn on_timer(
         &mut self,
         now: Micros,
         readiness: VoterReadiness,
         worker: &mut Worker,
     ) -> Vec<LeaseAction> {
-        // The gateway's clock begins at Unix time.
+        // The gateway's clock counts from the Unix epoch.
         let unix_ms = now / 1000;
         let outputs = self.core.on_timer(now, unix_ms, readiness);
-        self.perform(now, outputs, worker)
+        self.perform_outputs(now, outputs, worker)
     }
 
-    /// Sets the engines that exist: the probing of each is a task that this gateway may own.
+    /// Sets the engines that exist. For each, this gateway becomes a candidate for the probing
+    /// lease.
     pub fn set_engines(&mut self, now: Micros, engines: impl Iterator<Item = EngineId>) {
         let engines: BTreeSet<EngineId> = engines.collect();
         for engine in &engines {
@@ -256,14 +257,14 @@
             .retain_engines(|engine| engines.contains(&engine));
     }
 
-    /// Engines that this gateway is to probe now on behalf of all.
+    /// Takes the engines that this gateway has to probe now on behalf of the whole fleet.
     pub fn take_due_probes(&mut self, now: Micros) -> Vec<EngineId> {
         let owned = self.core.held_tokens(now).map(|(task, _)| task);
         self.reports.take_due_probes(now, owned)
     }
 
-    /// An engine has answered a probe of this gateway: sends the report to all, if this gateway
-    /// owns its probing.
+    /// Sends an engine's answer to a probe of this gateway to all gateways, if this gateway holds
+    /// the probing lease of the engine.
     pub fn publish_report(
         &mut self,
         now: Micros,
@@ -274,43 +275,46 @@
         self.last_report_number += 1;
         let payload = ProbeReport::new(self.last_report_number, report).to_bytes();
         let outputs = self.core.act(now, probe_task(engine), payload);
-        let actions = self.perform(now, outputs, worker);
+        let actions = self.perform_outputs(now, outputs, worker);
         // The balancer has this report already.
         self.fresh_reports
             .retain(|(reported, _)| *reported != engine);
         actions
     }
 
-    /// A report recent enough to replace a probe of this gateway's own.
+    /// Returns another gateway's report of an engine that is recent enough to replace a probe by
+    /// this gateway, and counts the probe as spared.
     pub fn recent_report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
         let report = self.reports.recent_report(now, engine);
         self.probes_spared += u64::from(report.is_some());
         report
     }
 
-    /// Reports of other gateways since the last call.
+    /// Takes the reports that other gateways have sent since the last call.
     pub fn take_fresh_reports(&mut self) -> Vec<(EngineId, LoadReport)> {
         std::mem::take(&mut self.fresh_reports)
     }
 
-    /// Events for the event log since the last call.
+    /// Takes the events for the event log since the last call.
     pub fn take_events(&mut self) -> Vec<FleetEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// All tokens known here, for a peer that catches up.
+    /// A message with all tokens known here, for a peer that catches up; `None` if there are no
+    /// tokens.
     pub fn tokens_message(&self) -> Option<Message> {
         self.core.tokens_message()
     }
 
-    /// The gateway shuts down: its tasks are free at once.
+    /// Releases all leases at shutdown, so that other gateways can acquire them at once.
     pub fn stop(&mut self, now: Micros, worker: &mut Worker) -> Vec<LeaseAction> {
         let outputs = self.core.stop();
-        self.perform(now, outputs, worker)
+        self.perform_outputs(now, outputs, worker)
     }
 
-    /// When [`LeaseDriver::on_timer`] or [`LeaseDriver::take_due_probes`] has something to do.
-    pub fn deadline(&self, now: Micros) -> Micros {
+    /// The next time at which [`LeaseDriver::on_timer`] or [`LeaseDriver::take_due_probes`] must be
+    /// called.
+    pub fn next_deadline(&self, now: Micros) -> Micros {
         let owned = self.core.held_tokens(now).map(|(task, _)| task);
         let next_timer = self.core.deadline();
         match self.reports.next_probe_at(now, owned) {
@@ -319,17 +323,17 @@
         }
     }
 
-    /// What was counted since the start.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> Counters {
         self.core.counters()
     }
 
-    /// Probes that a recent report replaced, since the start.
+    /// The number of probes since the start that a recent report of another gateway replaced.
     pub fn probes_spared(&self) -> u64 {
         self.probes_spared
     }
 
-    /// Owned tasks and known tokens, for the status file.
+    /// The leases held here and the known tokens, for the status file.
     pub fn status(&self, now: Micros) -> LeaseStatus {
         let held = self.core.held_tokens(now);
         let known = self.core.fences().tokens();
--- a/crates/gateway/src/leases/probe_report.rs
+++ b/crates/gateway/src/leases/probe_report.rs
@@ -1,20 +1,24 @@
-//! An engine's load report as the owner of its probing sends it to all gateways.
+//! The encoding of an engine's load report, which the holder of the engine's probing lease sends to
+//! all gateways.
 
 use eideryard::interface::{LoadReport, Micros};
 use serde::{Deserialize, Serialize};
 
-/// The payload of an owner's work. The order of fields is the format on the wire.
+/// The payload of a lease holder's work message. The order of fields is the format on the wire.
 #[derive(Serialize, Deserialize)]
 pub(super) struct ProbeReport {
-    /// Grows under one token: each voter passes the report on, and one copy counts.
+    /// Increases with each report under one token. Each voter forwards the report, and receivers
+    /// drop further copies by this number.
     pub(super) number: u64,
+    /// Microseconds between the engine's answer and the sending of the report.
     pub(super) age: Micros,
-    /// The fields of [`LoadReport`], in order.
+    /// The fields of [`LoadReport`] in the order of their declaration; `None` if the engine did not
+    /// report the value.
     load: [Option<f64>; 5],
 }
 
 impl ProbeReport {
-    /// A report that an engine has just answered.
+    /// Creates a report from an answer that an engine has just sent.
     pub(super) fn new(number: u64, report: &LoadReport) -> Self {
         ProbeReport {
             number,
@@ -44,7 +48,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Nothing if the bytes are no report.
+    /// Returns `None` if the bytes can't be decoded.
     pub(super) fn from_bytes(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/gateway/src/leases/stored_tokens.rs
+++ b/crates/gateway/src/leases/stored_tokens.rs
@@ -1,9 +1,10 @@
-//! Fencing tokens as the store holds them.
+//! The encoding of fencing tokens in the store.
 
 use eideryard_leases::{FencingToken, Task};
 use eideryard_store::Batch;
 
-/// Prefix of the store's keys of tokens; the task's kind and number follow.
+/// Prefix of the store's keys for tokens. The task's kind (one byte) and number (four bytes,
+/// big-endian) follow.
 pub const TOKEN_KEY_PREFIX: &[u8] = b"t";
 
 fn token_key(task: Task) -> Vec<u8> {
@@ -13,7 +14,7 @@
     key
 }
 
-/// Decodes a key and value of the store; nothing if it is no token.
+/// Decodes a key and value of the store; `None` if they are no token.
 pub fn decode_token(key: &[u8], value: &[u8]) -> Option<(Task, FencingToken)> {
     let key = key.strip_prefix(TOKEN_KEY_PREFIX)?;
     let (kind, number) = key.split_first()?;
@@ -25,7 +26,7 @@
     Some((task, token))
 }
 
-/// The write that stores a task's token.
+/// Creates the write that stores a task's token.
 pub(super) fn store_token(task: Task, token: FencingToken) -> Batch {
     let mut batch = Batch::default();
     let value = postcard::to_stdvec(&token).unwrap_or_default();
@@ -33,7 +34,7 @@
     batch
 }
 
-/// The write that removes a task's token.
+/// Creates the write that removes a task's token.
 pub(super) fn remove_token(task: Task) -> Batch {
     let mut batch = Batch::default();
     batch.remove(token_key(task));
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -1,5 +1,5 @@
-//! What links among gateways carry, for programs that stand in for a gateway at the other end of a
-//! link.
+//! The messages on links between gateways, for test programs that emulate a gateway at the other
+//! end of a link.
 
 pub use crate::fingerprints::classes_fingerprint;
 pub use crate::replication::PeerMessage;
--- a/crates/gateway/src/recovered_state.rs
+++ b/crates/gateway/src/recovered_state.rs
@@ -1,5 +1,5 @@
-//! What the store held for the fleet when the gateway started: read by the intent durability, which
-//! owns the store, and handed to the replication driver.
+//! The part of the store that replication needs. It is read at the start by `intent_durability`,
+//! which owns the store, and passed to the replication driver.
 
 use eideryard_leases::{FencingToken, Task};
 use eideryard_replication::{entry, Origin, ReplicaRecord};
@@ -7,28 +7,28 @@
 
 use crate::leases::{decode_token, TOKEN_KEY_PREFIX};
 
-/// Key under which a voter stores the identity under which it votes.
+/// The store's key under which a voter saves the identity that it votes with.
 pub const VOTER_IDENTITY_KEY: &[u8] = b"v";
 
-/// A replica and its key.
+/// The key of a replica, without the store's prefix, and the replica.
 pub type StoredReplica = (Vec<u8>, ReplicaRecord);
 
-/// The fleet's part of a recovered store.
+/// Replication state that was recovered from the store.
 pub struct RecoveredState {
-    /// Identity of the store and number of this start.
+    /// The identity of the store, and the number of this start of the gateway.
     pub origin: Origin,
-    /// Whether the store lost nothing that it ever acknowledged.
+    /// Whether the store still has all writes that it ever acknowledged as durable.
     pub is_complete: bool,
-    /// The identity under which this gateway last voted, if it did.
+    /// The identity that this gateway last voted with; `None` if it has never voted.
     pub voter_identity: Option<Vec<u8>>,
-    /// Replicas of the fleet's intents.
+    /// Replicas of the intents of the whole fleet.
     pub replicas: Vec<StoredReplica>,
-    /// Fencing tokens of tasks.
+    /// The greatest fencing token of each task that was promised or seen.
     pub tokens: Vec<(Task, FencingToken)>,
 }
 
 impl RecoveredState {
-    /// Reads the fleet's part of a store.
+    /// Reads the state from an opened store.
     pub fn read(store: &Store, report: &RecoveryReport) -> Self {
         RecoveredState {
             origin: Origin {
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -1,7 +1,7 @@
-//! Joins the replication core (`eideryard_replication`, which decides) to the links among gateways
-//! and to the store: carries messages, makes replicas durable before they are acknowledged, and
-//! reports what became of claims. The intent durability owns the driver and calls it from the
-//! gateway's loop. Without `fleet` in the operator's file there is none.
+//! Connects the replication core (`eideryard_replication`, which makes the decisions) to the links
+//! between gateways and to the store: passes messages, makes replicas durable before they are
+//! acknowledged, and returns the verdicts on claims. `intent_durability` owns the driver and calls
+//! it from the gateway's main loop. The driver exists only if the operator's file contains `fleet`.
 
 use std::collections::VecDeque;
 
@@ -33,64 +33,67 @@
 pub use translation::prior_attempts;
 use translation::{known_place, prior_runs, replication_peer, transport_peer};
 
-/// Events of peers that are handled at a time: clients and engines wait no longer than for these.
+/// Maximum number of peer events handled in one poll. It limits how long peers can delay clients
+/// and engines.
 const MAX_PEER_EVENTS: usize = 512;
 
-/// What links among gateways carry. The order of variants is the format on the wire.
+/// A message on a link between gateways. The order of variants is the format on the wire.
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Replicas of intents.
+    /// A message about claims, replicas of intents, drains or hints.
     Replication(Message),
-    /// Leases of tasks, and work under them.
+    /// A message about leases of tasks, or work done under a lease.
     Leases(eideryard_leases::Message),
 }
 
-/// Outputs of the core that wait for a write of the store.
+/// Outputs of the core that are carried out once a write to the store is durable.
 struct PendingOutputs {
-    /// Number of the write, as the store's worker counts them.
+    /// Number of the write, assigned by the store's worker in increasing order.
     ticket: u64,
     outputs: Vec<Output>,
 }
 
-/// A claim of a key before its request is sent.
+/// A claim of an idempotency key, made before the request with that key is sent.
 pub struct Claim<'a> {
-    /// The key as the store holds it.
+    /// The key in the form that the store uses, with its prefix.
     pub stored_key: &'a [u8],
-    /// The intent to send.
+    /// The intent that was written for the send.
     pub intent: &'a Intent,
-    /// How long the claim's record is kept.
+    /// How long voters keep the record of the claim, in microseconds.
     pub retention: Micros,
-    /// Prior attempts that the balancer knows of.
-    pub known: &'a [PriorAttempt],
+    /// Prior attempts of the request that the balancer already knows.
+    pub prior_attempts: &'a [PriorAttempt],
 }
 
-/// Replication of one gateway.
+/// The replication state of one gateway, with its links to peers.
 pub struct ReplicationDriver {
     core: Core,
     hub: Hub<PeerMessage>,
+    /// `None` unless the operator's file contains `task`.
     leases: Option<LeaseDriver>,
-    /// Fencing tokens that are written but not durable yet, in the order of their tickets.
+    /// Fencing tokens that were written but are not durable yet, in the order of their tickets.
     pending_tokens: VecDeque<PendingToken>,
-    /// In the order of their tickets.
+    /// Outputs that wait for writes, in the order of their tickets.
     pending_outputs: VecDeque<PendingOutputs>,
-    /// What became of claims since the last call, by the claims' numbers.
+    /// Verdicts since the last poll, with the numbers of their claims.
     verdicts: Vec<(u64, Verdict)>,
     last_claim_number: u64,
     peers: PeerTable,
-    /// What peers' endpoint lists say of engines, since the last call.
+    /// Drains of engines that peers have reported, until they are taken.
     drains: Vec<Drain>,
-    /// What a peer had learned when this gateway started, and its age.
+    /// The checkpoint of a peer that arrived first, and its age in microseconds. Its bytes are
+    /// empty once it was taken.
     peer_hint: Option<(Vec<u8>, Micros)>,
-    /// Events for the event log since the last call.
+    /// Events for the event log, until they are taken.
     events: Vec<FleetEvent>,
     has_majority: bool,
-    fleet: String,
+    fleet_name: String,
     name: String,
-    status_at: Micros,
+    next_status_at: Micros,
 }
 
 impl ReplicationDriver {
-    /// Why no claim can be made now, if none can.
+    /// The reason why no claim can be made now; `None` if claims can be made.
     pub fn claim_rejection(&self) -> Option<RejectReason> {
         let reason = match self.core.claim_error()? {
             ClaimError::Full => RejectReason::IntentLogFull,
@@ -99,7 +102,8 @@
         Some(reason)
     }
 
-    /// Claims a key before its request is sent. Returns the claim's number.
+    /// Claims a key before its request is sent. Returns the number under which [`Self::poll`]
+    /// returns the verdict.
     pub fn claim(&mut self, now: Micros, claim: &Claim<'_>, worker: &mut Worker) -> u64 {
         self.last_claim_number += 1;
         let number = self.last_claim_number;
@@ -111,14 +115,15 @@
             place: known_place(intent),
             since,
             retention: claim.retention,
-            known: prior_runs(claim.known),
+            known: prior_runs(claim.prior_attempts),
         };
         let outputs = self.core.claim(now, request);
-        self.perform(now, outputs, worker);
+        self.perform_outputs(now, outputs, worker);
         number
     }
 
-    /// All attempts at a key have ended; `intent` is what is left of it, if it ran.
+    /// Reports to the voters that all attempts of a key have ended. `intent` is the remaining
+    /// intent; `None` if no attempt ran.
     pub fn on_attempts_ended(
         &mut self,
         now: Micros,
@@ -134,10 +139,11 @@
             retention,
         };
         let outputs = self.core.on_ended(now, ended);
-        self.perform(now, outputs, worker);
+        self.perform_outputs(now, outputs, worker);
     }
 
-    /// Handles what has arrived, what is durable and what is due. Returns what became of claims.
+    /// Handles messages of peers, durable writes and expired deadlines. Returns the verdicts on
+    /// claims, with the numbers of the claims.
     pub fn poll(&mut self, now: Micros, worker: &mut Worker) -> Vec<(u64, Verdict)> {
         for _ in 0..MAX_PEER_EVENTS {
             let Some(event) = self.hub.try_recv() else {
@@ -152,7 +158,7 @@
         self.run_leases(|leases| leases.on_timer(now, readiness, worker));
         if now >= self.core.next_deadline() {
             let outputs = self.core.poll(now);
-            self.perform(now, outputs, worker);
+            self.perform_outputs(now, outputs, worker);
         }
         self.check_majority();
         self.hub.flush();
@@ -170,61 +176,62 @@
         });
         let article = if has_majority { "a" } else { "NO" };
         tracing::info!(
-            "fleet {}: {article} majority of keepers can be asked",
-            self.fleet
+            "fleet {}: {article} majority of keepers is reachable",
+            self.fleet_name
         );
     }
 
-    /// What peers' endpoint lists say of engines, since the last call.
+    /// Takes the drains of engines that peers have reported since the last call.
     pub fn take_drains(&mut self) -> Vec<Drain> {
         std::mem::take(&mut self.drains)
     }
 
-    /// Tells peers what this gateway's own endpoint list says of engines.
+    /// Reports drains in this gateway's own endpoint list to peers.
     pub fn publish_drains(&mut self, now: Micros, drains: Vec<Drain>, worker: &mut Worker) {
         let outputs = self.core.on_local_drains(drains);
-        self.perform(now, outputs, worker);
-        // What this gateway published itself it knows already.
+        self.perform_outputs(now, outputs, worker);
+        // The core also outputs this gateway's own drains, which need not be handled again.
         self.drains.clear();
     }
 
-    /// A peer's newer endpoint list that closes an engine, if there is one.
-    pub fn binding_drain(&self, engine: u32, booted_at: u64, list_number: u64) -> Option<Drain> {
+    /// Returns the drain of an engine by a peer's endpoint list that is newer than `list_number`,
+    /// if there is one.
+    pub fn overriding_drain(&self, engine: u32, booted_at: u64, list_number: u64) -> Option<Drain> {
         self.core.overriding_drain(engine, booted_at, list_number)
     }
 
-    /// Sets the learned state that peers get as a hint when they start.
+    /// Sets the checkpoint that peers get as a hint when they start.
     pub fn set_learned_state(&mut self, now: Micros, checkpoint: Vec<u8>) {
         self.core.set_hints(now, checkpoint);
     }
 
-    /// What a peer had learned when this gateway started, and its age; once.
+    /// Takes the checkpoint of a peer and its age in microseconds. Returns one checkpoint at most.
     pub fn take_peer_hint(&mut self) -> Option<(Vec<u8>, Micros)> {
         let (checkpoint, age) = self.peer_hint.as_mut()?;
         if checkpoint.is_empty() {
             return None;
         }
-        // An empty hint stays, so that no second one is taken.
+        // Empty bytes stay in `peer_hint`, so that no later hint is stored.
         Some((std::mem::take(checkpoint), *age))
     }
 
-    /// Sends the messages that were queued since.
+    /// Sends the queued messages.
     pub fn flush(&mut self) {
         self.hub.flush();
     }
 
-    /// When [`ReplicationDriver::poll`] has something to do.
-    pub fn deadline(&self, now: Micros) -> Micros {
+    /// The next time at which [`ReplicationDriver::poll`] must be called even if nothing arrives.
+    pub fn next_deadline(&self, now: Micros) -> Micros {
         let leases = self.leases.as_ref();
-        let lease_deadline = leases.map_or(Micros::MAX, |leases| leases.deadline(now));
+        let lease_deadline = leases.map_or(Micros::MAX, |leases| leases.next_deadline(now));
         self.core
             .next_deadline()
-            .min(self.status_at)
+            .min(self.next_status_at)
             .min(lease_deadline)
     }
 }
 
-/// The key that voters know: without the prefix of this gateway's store.
+/// The form of a key that voters use: without the prefix byte of this gateway's store.
 fn replicated_key(stored_key: &[u8]) -> &[u8] {
     &stored_key[1..]
 }
--- a/crates/gateway/src/replication/lease_messages.rs
+++ b/crates/gateway/src/replication/lease_messages.rs
@@ -1,9 +1,10 @@
-//! Carries out what the lease driver asks for, over the links and through the store.
+//! Carries out the actions of the lease driver, and passes lease messages between it and the links.
 
 use super::*;
 
 impl ReplicationDriver {
-    /// Whether this voter has everything that it ever promised.
+    /// Whether this voter still has everything that it ever promised, so that it may vote on
+    /// leases.
     pub(super) fn voter_readiness(&self) -> VoterReadiness {
         if self.core.is_voting() {
             VoterReadiness::Ready
@@ -50,7 +51,8 @@
         }
     }
 
-    /// What a full queue loses is requested again or expires.
+    /// Queues a message to a peer. A message that a full queue drops is requested again, or the
+    /// lease that it is about expires.
     pub(super) fn send_lease_message(
         &mut self,
         peer: TransportPeer,
@@ -59,7 +61,7 @@
         self.hub.send(peer, PeerMessage::Leases(message));
     }
 
-    /// Calls the lease driver, if there is one, and carries out what it asks for.
+    /// Calls the lease driver, if there is one, and carries out the actions that it returns.
     pub fn run_leases(&mut self, call: impl FnOnce(&mut LeaseDriver) -> Vec<LeaseAction>) {
         if let Some(leases) = &mut self.leases {
             let actions = call(leases);
@@ -67,12 +69,12 @@
         }
     }
 
-    /// The lease driver, where there is one.
+    /// The lease driver; `None` unless the operator's file contains `task`.
     pub fn leases_mut(&mut self) -> Option<&mut LeaseDriver> {
         self.leases.as_mut()
     }
 
-    /// Calls the lease driver with each token that has become durable.
+    /// Passes each token that has become durable to the lease driver.
     pub(super) fn continue_durable_tokens(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/replication/outputs.rs
+++ b/crates/gateway/src/replication/outputs.rs
@@ -1,9 +1,15 @@
-//! Carries out what the replication core asks for, over the links and through the store.
+//! Carries out the outputs of the replication core: sends messages over the links and writes
+//! replicas to the store.
 
 use super::*;
 
 impl ReplicationDriver {
-    pub(super) fn perform(&mut self, now: Micros, outputs: Vec<Output>, worker: &mut Worker) {
+    pub(super) fn perform_outputs(
+        &mut self,
+        now: Micros,
+        outputs: Vec<Output>,
+        worker: &mut Worker,
+    ) {
         let mut outputs = VecDeque::from(outputs);
         while let Some(output) = outputs.pop_front() {
             match output {
@@ -28,10 +34,12 @@
         }
     }
 
-    /// What a full queue loses is sent again or given up by the core.
+    /// Queues a message to a peer. A message that a full queue drops is sent again by the core, or
+    /// given up.
     fn send(&mut self, peer: Peer, message: Message) {
         let peer = transport_peer(peer);
-        // A peer that catches up gets all fencing tokens before it has all replicas, and votes.
+        // A peer that catches up must get all fencing tokens before the message that completes its
+        // replicas, because it votes from then on.
         if matches!(
             message,
             Message::StatePart { is_last: true, .. } | Message::VoterStatus { .. }
@@ -61,7 +69,7 @@
         if after_durable.is_empty() {
             return;
         }
-        // What can't be made durable is never acknowledged.
+        // If the write is rejected, the replica is not durable and is never acknowledged.
         if let Some(ticket) = ticket {
             let pending = PendingOutputs {
                 ticket,
@@ -71,9 +79,13 @@
         }
     }
 
-    /// This voter has caught up: it tells the requesters once that is durable.
+    /// Handles that this voter has caught up: saves its identity, and announces to all requesters
+    /// that it votes once that is durable.
     fn begin_voting(&mut self, worker: &mut Worker) {
-        tracing::info!("fleet {}: caught up; this keeper votes", self.fleet);
+        tracing::info!(
+            "fleet {}: this keeper has caught up and votes from now on",
+            self.fleet_name
+        );
         self.events
             .push(FleetEvent::VotingChanged { is_voter: true });
         let identity = self.core.origin().identity.to_be_bytes();
@@ -92,7 +104,7 @@
         }
     }
 
-    /// Carries out what waited for writes that are durable now.
+    /// Carries out the outputs that waited for writes that are durable now.
     pub(super) fn perform_durable_outputs(
         &mut self,
         now: Micros,
@@ -104,7 +116,7 @@
                 break;
             }
             if let Some(pending) = self.pending_outputs.pop_front() {
-                self.perform(now, pending.outputs, worker);
+                self.perform_outputs(now, pending.outputs, worker);
             }
         }
     }
--- a/crates/gateway/src/replication/peer_events.rs
+++ b/crates/gateway/src/replication/peer_events.rs
@@ -1,4 +1,5 @@
-//! What the links report: messages, and peers that connect, change their state or are rejected.
+//! Handles events of the links: messages, and peers that connect, change their state or are
+//! rejected.
 
 use super::peers::VoterHealth;
 use super::*;
@@ -27,7 +28,7 @@
             } => self.on_peer_state(now, peer, VoterHealth { state, round_trip }),
             PeerEvent::Rejected { name, reason } => return self.on_rejected(name, reason),
         };
-        self.perform(now, outputs, worker);
+        self.perform_outputs(now, outputs, worker);
     }
 
     fn on_connected(&mut self, now: Micros, peer: TransportPeer, name: String) -> Vec<Output> {
@@ -75,7 +76,7 @@
             return;
         }
         let state = health.state.name();
-        tracing::info!("fleet {}: {name} is {state}", self.fleet);
+        tracing::info!("fleet {}: peer {name} is {state}", self.fleet_name);
         self.events.push(FleetEvent::PeerState {
             name,
             state: state.into(),
@@ -86,7 +87,10 @@
         if !self.peers.set_rejection(&name, &reason) {
             return;
         }
-        tracing::warn!("fleet {}: no link with '{name}': {reason}", self.fleet);
+        tracing::warn!(
+            "fleet {}: link with peer '{name}' rejected: {reason}",
+            self.fleet_name
+        );
         self.events.push(FleetEvent::PeerRejected { name, reason });
     }
 }
--- a/crates/gateway/src/replication/peers.rs
+++ b/crates/gateway/src/replication/peers.rs
@@ -1,28 +1,28 @@
-//! The peers of this gateway: who is linked, how voters do, and who was rejected.
+//! The peers of this gateway: open links, health of the voters, and rejected peers.
 
 use std::collections::BTreeMap;
 
 use eideryard::interface::Micros;
 use eideryard_peer_transport::{Peer as TransportPeer, PeerState};
 
-/// Rejected peers that are remembered with the reason.
+/// Maximum number of rejected peers that are remembered with the reason.
 const MAX_REJECTED_PEERS: usize = 400;
 
-/// How a voter does.
+/// The health of a voter, as measured by the link to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct VoterHealth {
     pub(super) state: PeerState,
-    /// Mean time of a round trip.
+    /// Mean round-trip time in microseconds.
     pub(super) round_trip: Micros,
 }
 
-/// All that is known of peers.
+/// The peers by name, with their links, health and rejections.
 pub(super) struct PeerTable {
     voter_names: Vec<String>,
-    /// Names of the gateways that made links here, by the links' numbers.
+    /// Names of the gateways that have opened links to this one, by link number.
     requesters: BTreeMap<u64, String>,
     voter_health: BTreeMap<String, VoterHealth>,
-    /// Why a peer was last rejected, by its name.
+    /// The reason for the last rejection of each peer, by peer name.
     rejected: BTreeMap<String, String>,
 }
 
@@ -40,7 +40,7 @@
         self.voter_names.iter().any(|voter| voter == name)
     }
 
-    /// Name of the peer at the other end of a link.
+    /// The name of the peer at the other end of a link, if the link exists.
     pub(super) fn name_of(&self, peer: TransportPeer) -> Option<&String> {
         match peer {
             TransportPeer::Voter(index) => self.voter_names.get(index),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Numbers of the links that other gateways made here.
+    /// The numbers of the links that other gateways have opened to this one.
     pub(super) fn requester_links(&self) -> impl Iterator<Item = u64> + '_ {
         self.requesters.keys().copied()
     }
@@ -65,7 +65,7 @@
         self.requesters.remove(&link);
     }
 
-    /// Sets how a voter does. Returns whether its state has changed.
+    /// Sets the health of a voter. Returns whether its state has changed.
     pub(super) fn set_voter_health(&mut self, name: &str, health: VoterHealth) -> bool {
         let previous = self.voter_health.insert(name.to_string(), health);
         previous.is_none_or(|previous| previous.state != health.state)
@@ -75,12 +75,13 @@
         &self.voter_health
     }
 
-    /// A peer was accepted: that it was rejected before no longer matters.
+    /// Forgets the last rejection of a peer. Called when the peer is accepted.
     pub(super) fn clear_rejection(&mut self, name: &str) {
         self.rejected.remove(name);
     }
 
-    /// Remembers why a peer was rejected. Returns whether that is new.
+    /// Stores the reason for which a peer was rejected. Returns false if the reason is the same as
+    /// last time or the table is full.
     pub(super) fn set_rejection(&mut self, name: &str, reason: &str) -> bool {
         let previous = self.rejected.get(name);
         let has_room = previous.is_some() || self.rejected.len() < MAX_REJECTED_PEERS;
--- a/crates/gateway/src/replication/startup.rs
+++ b/crates/gateway/src/replication/startup.rs
@@ -15,37 +15,39 @@
 use crate::fingerprints::classes_fingerprint;
 use crate::recovered_state::RecoveredState;
 
-/// Bytes of replicas that a voter sends to peers that catch up, in a second and to all together.
+/// Maximum rate at which a voter sends replicas to all peers that catch up together, in bytes per
+/// second.
 const CATCH_UP_BYTES_PER_SECOND: u64 = 2 << 20;
 
-/// The gateway that the driver belongs to.
+/// The parameters of the gateway that the driver belongs to.
 #[derive(Clone, Copy)]
 pub struct ReplicationContext<'a> {
-    /// Name of the gateway.
+    /// Name of the gateway in the platform's configuration; a voter has the same name in the
+    /// operator's file.
     pub name: &'a str,
-    /// Settings of the balancer.
+    /// Settings of the balancer, whose classes must be the same at all gateways of the fleet.
     pub settings: &'a Settings,
-    /// The longest that a request may wait.
+    /// The longest time that a request may wait, in microseconds.
     pub longest_wait: Micros,
-    /// Replicas that a voter has room for.
+    /// The number of replicas that fit into a voter's memory.
     pub max_replicas: usize,
-    /// Time of the start.
+    /// Time of the start, in microseconds since the Unix epoch.
     pub now: Micros,
-    /// Differs between starts.
+    /// A random number that differs between starts.
     pub seed: u64,
 }
 
 /// Why the driver can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A voter must be reachable.
-    #[error("fleet: '{name}' is a keeper and has no 'listen' line")]
+    /// The gateway is a voter but has no address to listen on, so that peers can't reach it.
+    #[error("fleet: '{name}' is a keeper but the operator's file has no 'listen' line; add one")]
     NoListenAddress {
-        /// Name of the gateway.
+        /// Name of the gateway in the platform's configuration.
         name: String,
     },
-    /// The links can't be started.
-    #[error("fleet: {0}; see 'listen' in the operator's file")]
+    /// The thread of the links can't be started, or its address can't be listened on.
+    #[error("fleet: can't start links to peers: {0}; check 'listen' in the operator's file")]
     Links(io::Error),
 }
 
@@ -61,6 +63,11 @@
 
 impl ReplicationDriver {
     /// Starts the driver and the thread of its links, which calls `wake` when there are events.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the gateway is a voter without a `listen` address, or if the links can't
+    /// be started.
     pub fn start(
         config: &FleetConfig,
         context: ReplicationContext<'_>,
@@ -119,14 +126,15 @@
             peer_hint: None,
             events,
             has_majority: false,
-            fleet: config.name.clone(),
+            fleet_name: config.name.clone(),
             name: context.name.to_string(),
-            status_at: 0,
+            next_status_at: 0,
         })
     }
 }
 
-/// Whether the store holds everything that this gateway ever promised under its identity.
+/// Whether the store contains everything that this gateway ever promised as a voter, so that it may
+/// vote without catching up first.
 fn may_vote_at_once(recovered: &RecoveredState) -> bool {
     let identity = recovered.origin.identity.to_be_bytes();
     recovered.is_complete && recovered.voter_identity.as_deref() == Some(&identity[..])
@@ -201,13 +209,18 @@
             .iter()
             .map(|(name, _)| name.as_str())
             .collect();
-        tracing::info!("fleet {fleet}: no keeper; it asks {}", names.join(" "));
+        tracing::info!(
+            "fleet {fleet}: this gateway is no keeper; its keepers are {}",
+            names.join(" ")
+        );
     } else if can_vote {
-        tracing::info!("fleet {fleet}: a keeper with {replica_count} copies; it votes");
+        tracing::info!(
+            "fleet {fleet}: this gateway is a keeper with {replica_count} replicas and votes"
+        );
     } else {
         tracing::info!(
-            "fleet {fleet}: a keeper that may lack what it had ({replica_count} copies are hints); \
-             it catches up before it votes"
+            "fleet {fleet}: this gateway is a keeper that may have lost replicas; it uses the \
+             {replica_count} that it has as hints, and catches up before it votes"
         );
     }
 }
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -1,4 +1,4 @@
-//! The state of the replication, for the event log, the counters and the status file.
+//! Reports the state of replication to the event log, the counters and the status file.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use super::*;
 use crate::leases::LeaseStatus;
 
-/// Interval at which the status file is written.
+/// Interval at which the status file is written, in microseconds.
 const STATUS_INTERVAL: Micros = 250_000;
-/// Fingerprints of replicas are taken at whole multiples of this time, so that the files that two
-/// voters wrote within one second can be compared.
+/// Fingerprints of replicas are computed as of multiples of this time in microseconds, so that the
+/// fingerprints in status files that two voters write within the same second can be compared.
 const FINGERPRINT_INTERVAL: Micros = 1_000_000;
 
 impl ReplicationDriver {
-    /// Events for the event log since the last call.
+    /// Takes the events for the event log since the last call.
     pub fn take_events(&mut self) -> Vec<FleetEvent> {
         let mut events = std::mem::take(&mut self.events);
         if let Some(leases) = &mut self.leases {
@@ -23,12 +23,13 @@
         events
     }
 
-    /// The lease driver, where there is one.
+    /// The lease driver; `None` unless the operator's file contains `task`.
     pub fn leases(&self) -> Option<&LeaseDriver> {
         self.leases.as_ref()
     }
 
-    /// All that the event log knows of the fleet, for the beginning of a segment.
+    /// The current state of the fleet as events, recorded at the beginning of a segment of the
+    /// event log.
     pub fn state_events(&self) -> Vec<FleetEvent> {
         let mut events = Vec::new();
         for (name, health) in self.peers.voter_health() {
@@ -48,12 +49,12 @@
         events
     }
 
-    /// What was counted since the start.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> eideryard_replication::core::Counters {
         self.core.counters()
     }
 
-    /// Sizes of the tables, by the names that the log prints.
+    /// The sizes of all tables, by the names under which they are logged.
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         [
             ("copies", self.core.replicas().len()),
@@ -63,16 +64,16 @@
         ]
     }
 
-    /// The content of the status file, if it is time to write it.
+    /// The content of the status file; `None` if it is not yet time to write it again.
     pub fn status(&mut self, now: Micros) -> Option<Value> {
-        if now < self.status_at {
+        if now < self.next_status_at {
             return None;
         }
-        self.status_at = now + STATUS_INTERVAL;
+        self.next_status_at = now + STATUS_INTERVAL;
         Some(self.status_content(now))
     }
 
-    /// The keys are read by scripts.
+    /// Builds the content of the status file. Scripts read the keys, so they must not change.
     fn status_content(&self, now: Micros) -> Value {
         let core = &self.core;
         let origin = core.origin();
@@ -86,7 +87,7 @@
             "won": lease_counters.acquired, "lost": lease_counters.lost,
             "applied": lease_counters.applied, "fenced": lease_counters.fenced,
             "own_fenced": lease_counters.rejected,
-            "name": self.name, "fleet": self.fleet, "at_ms": now / 1000,
+            "name": self.name, "fleet": self.fleet_name, "at_ms": now / 1000,
             "identity": format!("{:016x}", origin.identity), "start": origin.start,
             "keeper": self.peers.is_voter(&self.name), "votes": core.is_voting(),
             "majority": self.has_majority, "peers": self.peer_status(),
@@ -120,7 +121,7 @@
     }
 }
 
-/// The known tokens, as the status file lists them: engine, term and owner.
+/// The known fencing tokens in the form of the status file: arrays of engine, term and owner.
 fn known_terms(status: &LeaseStatus) -> Vec<Value> {
     let mut terms = Vec::new();
     for (engine, token) in &status.known {
--- a/crates/gateway/src/replication/translation.rs
+++ b/crates/gateway/src/replication/translation.rs
@@ -1,11 +1,12 @@
-//! Peers, places and prior attempts, as the links, the replicas and the balancer each name them.
+//! Converts peers, locations and prior attempts between the types of the links, of the replication
+//! core and of the balancer.
 
 use eideryard::interface::{Micros, PriorAttempt};
 use eideryard_intent_log::{Intent, Place};
 use eideryard_peer_transport::Peer as TransportPeer;
 use eideryard_replication::{Peer, PriorRun, PriorRuns};
 
-/// Time zero means "unknown" to the balancer, so a known time is at least this.
+/// Lower limit of known times in microseconds, since the balancer takes time 0 for "unknown".
 const MIN_KNOWN_TIME: Micros = 1;
 
 pub(super) fn replication_peer(peer: TransportPeer) -> Peer {
@@ -22,8 +23,8 @@
     }
 }
 
-/// Prior attempts as the balancer knows them. An attempt that may have run in several places has an
-/// unknown place and time.
+/// Converts prior runs to the balancer's type. A run that may have been at several locations gets
+/// an unknown location and time.
 pub fn prior_attempts(runs: &PriorRuns) -> Vec<PriorAttempt> {
     let prior_attempt = |run: &PriorRun| match run.place {
         Some(place) => PriorAttempt {
@@ -40,7 +41,7 @@
     runs.iter().map(prior_attempt).collect()
 }
 
-/// Prior attempts as voters know them.
+/// Converts prior attempts to the type that voters use.
 pub(super) fn prior_runs(attempts: &[PriorAttempt]) -> PriorRuns {
     let place = |attempt: &PriorAttempt| {
         (attempt.since > 0).then_some(Place {
@@ -57,7 +58,7 @@
         .collect()
 }
 
-/// Where an intent's attempt runs, if it is known.
+/// The zone and cell in which an intent's attempt runs; `None` if they are unknown.
 pub(super) fn known_place(intent: &Intent) -> Option<Place> {
     (intent.since > 0).then_some(intent.place)
 }
--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -1,6 +1,6 @@
-//! Spooled results: joins the decisions of the `eideryard-result-spool` package to its disk worker.
-//! The gateway's main loop owns one [`ResultSpoolDriver`], which holds the pages in memory, knows
-//! which are on disk, and finds the result of a request that a client asks for again.
+//! Spooled results: connects the decisions of the `eideryard-result-spool` package to its disk
+//! worker. The gateway's main loop owns one [`ResultSpoolDriver`], which stores pages in memory,
+//! tracks those on disk, and finds the result of a request when a client queries it again.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -24,31 +24,34 @@
 mod queries;
 mod runs;
 
-/// Bytes of a segment file.
+/// Size at which a segment file is full, in bytes.
 const SEGMENT_BYTES: u64 = 4 << 20;
-/// Background work for each poll and each second: a page's write is handed over in microseconds,
-/// and a disk that takes 64 MB a second is a slow one.
+/// Limit of background work: 500 µs in each poll, since passing a page to the disk worker takes
+/// microseconds, and 64 MB per second, which even a slow disk can write.
 const WORK_BUDGET: WorkBudget = WorkBudget {
     round_time: 500,
     bytes_per_s: 64e6,
 };
-/// How long a failed disk is not used.
+/// Delay before pages are written to disk again after a failed write, in microseconds.
 const DISK_RETRY_DELAY: Micros = 500_000;
 
-/// The number of a result: that of the request whose run produces it.
+/// The number of a result, equal to the number of the request whose run produces it.
 pub type ResultId = u64;
 
-/// Who waits for an answer: a connection, and the client's number of the call on it.
+/// A call that waits for an answer: the client's connection, and the number that the client chose
+/// for the call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Waiter {
     pub client: Key,
     pub call_id: u32,
-    /// The call is a request of its own, and its answer is counted as that of one.
+    /// Class and tenant under which the answer is counted, if the call is a request that was
+    /// attached to an earlier run; `None` for queries, and for the request that began the run,
+    /// which is counted elsewhere.
     pub counted_as: Option<RequestLabels>,
 }
 
 impl Waiter {
-    /// The client of the request that began the run.
+    /// The call of the request that began the run.
     pub fn of_request(request: &Request) -> Self {
         Waiter {
             client: request.client,
@@ -58,11 +61,11 @@
     }
 }
 
-/// Who a result belongs to, for fair shares of the spool.
+/// The owner of a result, by whom the spool's space is divided into fair shares.
 #[derive(Clone, Copy, Debug)]
 pub struct ResultOwner {
     pub labels: RequestLabels,
-    /// Where the client comes from, as a number.
+    /// The client's network address, mapped to a number.
     pub address: u64,
 }
 
@@ -75,30 +78,30 @@
     }
 }
 
-/// A request that is not admitted, since its result would not fit.
+/// The rejection of a request whose result is not expected to fit into the spool.
 pub struct SpoolRejection {
     pub reason: RejectReason,
-    /// When there may be room, from now.
+    /// Microseconds from now until there may be room; `None` if unknown.
     pub retry_after: Option<Micros>,
 }
 
-/// How a run ended, for all who ask.
+/// How a run ended, kept for clients that query it later.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum RunEnd {
+enum RunOutcome {
     Result(ResultId),
     Failed,
 }
 
-/// A part of a result that goes out in one message.
+/// The part of a result that is sent in one message.
 pub struct ResultPart {
     pub waiter: Waiter,
     pub rows: Vec<Vec<u8>>,
-    /// By this the client asks for the next part.
+    /// Page token with which the client queries the next part.
     pub token: String,
     pub has_more: bool,
 }
 
-/// What a client is to be sent.
+/// A message to send to a client.
 pub enum Delivery {
     Part(ResultPart),
     Error {
@@ -109,7 +112,7 @@
 }
 
 impl Delivery {
-    /// Who gets it.
+    /// The call that the message answers.
     pub fn waiter(&self) -> Waiter {
         match self {
             Delivery::Part(part) => part.waiter,
@@ -125,43 +128,44 @@
         }
     }
 
-    /// The result isn't kept any longer.
+    /// The error for a result that has expired or was dropped.
     fn expired(waiter: Waiter) -> Self {
         Delivery::error(waiter, ErrorKind::Gone, "its result is kept no longer")
     }
 }
 
-/// Where a page is.
+/// The rows of one page of a result, or their position on disk.
 enum StoredPage {
     Memory(Vec<u8>),
-    /// It is being written to disk.
-    Moving(Vec<u8>, Place),
+    /// Being written to disk; still in memory until the write has succeeded.
+    Writing(Vec<u8>, Place),
     Disk(Place),
 }
 
 impl StoredPage {
     fn length(&self) -> u64 {
         match self {
-            StoredPage::Memory(rows) | StoredPage::Moving(rows, _) => rows.len() as u64,
+            StoredPage::Memory(rows) | StoredPage::Writing(rows, _) => rows.len() as u64,
             StoredPage::Disk(place) => u64::from(place.length),
         }
     }
 }
 
-/// A result, or a failure that is remembered.
+/// A result, or the remembered failure of a run, which has no pages.
 struct StoredResult {
-    /// By this clients ask for it again.
+    /// The name by which clients query the result: the request's idempotency key or else its id.
     name: Box<str>,
     pages: Vec<StoredPage>,
-    expiry: Option<Timer>,
+    expiry_timer: Option<Timer>,
     labels: RequestLabels,
 }
 
-/// A part whose pages are being read from disk.
+/// A part of a result, some of whose pages may still have to be read from disk.
 struct PendingPart {
     waiter: Waiter,
     result: ResultId,
-    first: usize,
+    first_page: usize,
+    /// The rows of each page from `first_page` on; `None` until the page was read.
     rows: Vec<Option<Vec<u8>>>,
     has_more: bool,
 }
@@ -172,30 +176,30 @@
     }
 }
 
-/// Background work.
+/// A job for the background scheduler.
 enum Work {
     /// Writes a page to disk.
-    Move(ResultId, usize),
+    WritePage(ResultId, usize),
     /// Removes a segment file.
-    Remove(u64),
+    RemoveSegment(u64),
 }
 
-/// What the spool has counted since the start.
+/// Counters of the spool since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResultSpoolCounters {
-    /// Results begun.
+    /// Runs that began to spool a result.
     pub begun: u64,
-    /// Results completed.
+    /// Results received completely.
     pub completed: u64,
-    /// Results dropped.
+    /// Results and remembered failures dropped, after expiry or to make room.
     pub dropped: u64,
-    /// Parts sent.
+    /// Parts of results passed on for sending.
     pub parts_sent: u64,
-    /// Clients that asked again and were answered or attached.
+    /// Calls for a known run that were answered or attached to it.
     pub reattached: u64,
-    /// Clients that asked again too late.
+    /// Calls for a run that is unknown or whose result was dropped.
     pub not_found: u64,
-    /// Reads and writes that failed.
+    /// Reads and writes on disk that failed.
     pub disk_errors: u64,
 }
 
@@ -204,23 +208,31 @@
     spool: Spool,
     sizes: Sizes,
     keys: Keys,
+    /// Time at which the gateway started. It is part of page tokens, so that tokens of earlier
+    /// starts are recognized.
     epoch: Micros,
-    /// Bytes of the largest single result.
+    /// Maximum size of a single result in bytes.
     max_result_bytes: u64,
-    /// How long a failure is remembered for clients that ask again.
+    /// How long the failure of a run is remembered for later queries, in microseconds.
     failure_retention: Micros,
-    stored: HashMap<ResultId, StoredResult>,
-    returns: Returns<Waiter, RunEnd>,
+    results: HashMap<ResultId, StoredResult>,
+    returns: Returns<Waiter, RunOutcome>,
     segments: Segments,
+    /// `None` if the operator's file sets no directory: pages are then kept in memory only.
     worker: Option<Worker>,
     background: Scheduler<Work>,
-    expiry: Wheel<ResultId>,
-    pending: VecDeque<PendingPart>,
+    expiry_timers: Wheel<ResultId>,
+    pending_parts: VecDeque<PendingPart>,
     pub counters: ResultSpoolCounters,
 }
 
 impl ResultSpoolDriver {
-    /// Starts the spool; `wake` is called from the disk worker's thread when it has done something.
+    /// Starts the spool. `wake` is called from the disk worker's thread when it has finished an
+    /// order.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the disk worker can't be started.
     pub fn start(
         name: &str,
         epoch: Micros,
@@ -248,19 +260,19 @@
             epoch,
             max_result_bytes: config.result,
             failure_retention: config.unclaimed,
-            stored: HashMap::new(),
+            results: HashMap::new(),
             returns: Returns::new(),
             segments: Segments::new(SEGMENT_BYTES),
             worker,
             background: Scheduler::new(WORK_BUDGET, epoch),
-            expiry: Wheel::new(epoch),
-            pending: VecDeque::new(),
+            expiry_timers: Wheel::new(epoch),
+            pending_parts: VecDeque::new(),
             counters: ResultSpoolCounters::default(),
         })
     }
 
-    /// Bytes in memory, on disk and claimed in all, and the number of results, each by the name
-    /// under which it is logged.
+    /// Bytes in memory, on disk and claimed, and the number of results, by the names under which
+    /// they are logged.
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         let (memory, disk, claims) = self.spool.used();
         [
--- a/crates/gateway/src/result_spool/disk.rs
+++ b/crates/gateway/src/result_spool/disk.rs
@@ -1,5 +1,4 @@
-//! Pages on disk: those that are moved there, those that are read back, and the segment files that
-//! are freed.
+//! Pages on disk: writing them, reading them back, and removing segment files.
 
 use std::io;
 
@@ -13,14 +12,14 @@
 use crate::error_reply::ErrorKind;
 
 impl ResultSpoolDriver {
-    /// Schedules moves of pages to disk, where memory runs short.
-    pub(super) fn make_room(&mut self, now: Micros) {
+    /// Schedules writes of pages to disk if memory runs short.
+    pub(super) fn schedule_page_writes(&mut self, now: Micros) {
         if self.worker.is_none() {
             return;
         }
         for Choice::Move { result, page } in self.spool.moves(now) {
             let Some(StoredPage::Memory(rows)) = self
-                .stored
+                .results
                 .get(&result)
                 .and_then(|stored| stored.pages.get(page))
             else {
@@ -28,7 +27,7 @@
             };
             let bytes = rows.len() as u64;
             self.spool.moving(result, page);
-            let work = Work::Move(result, page);
+            let work = Work::WritePage(result, page);
             if self
                 .background
                 .offer(now, Urgency::Room, work, bytes)
@@ -40,14 +39,15 @@
         }
     }
 
-    /// Hands a page to the disk worker.
+    /// Passes a page to the disk worker.
     pub(super) fn write_page(&mut self, result: ResultId, page: usize, now: Micros) {
-        // The page may be that of another run than the one that was to move.
+        // The run may have been restarted since the write was scheduled, so that the page is
+        // another one.
         if !self.spool.is_moving(result, page) {
             return;
         }
         let Some(StoredPage::Memory(rows)) = self
-            .stored
+            .results
             .get(&result)
             .and_then(|stored| stored.pages.get(page))
         else {
@@ -61,16 +61,16 @@
             begins,
             bytes: rows.clone(),
         };
-        let is_ordered = match &self.worker {
+        let is_queued = match &self.worker {
             Some(worker) => worker.order(order).is_ok(),
             None => false,
         };
-        if !is_ordered {
+        if !is_queued {
             self.abandon_segment(place, now);
             self.spool.moved(result, page, false, now);
             return;
         }
-        let Some(stored) = self.stored.get_mut(&result) else {
+        let Some(stored) = self.results.get_mut(&result) else {
             return;
         };
         let Some(page) = stored.pages.get_mut(page) else {
@@ -78,11 +78,11 @@
         };
         if let StoredPage::Memory(rows) = page {
             let rows = std::mem::take(rows);
-            *page = StoredPage::Moving(rows, place);
+            *page = StoredPage::Writing(rows, place);
         }
     }
 
-    /// The worker has written or read a page.
+    /// Handles an order that the disk worker has finished.
     pub(super) fn handle_done(&mut self, done: Done, now: Micros, deliveries: &mut Vec<Delivery>) {
         match done {
             Done::Written {
@@ -108,17 +108,17 @@
         now: Micros,
     ) {
         let stored_page = self
-            .stored
+            .results
             .get_mut(&result)
             .and_then(|stored| stored.pages.get_mut(page));
-        // A page that was dropped meanwhile has given its place back.
+        // The space of a page that was dropped meanwhile has been freed already.
         let Some(stored_page) = stored_page else {
             return;
         };
-        let StoredPage::Moving(rows, moving_to) = stored_page else {
+        let StoredPage::Writing(rows, target) = stored_page else {
             return;
         };
-        if *moving_to != place {
+        if *target != place {
             return;
         }
         *stored_page = if outcome.is_ok() {
@@ -130,12 +130,13 @@
         self.spool.moved(result, page, outcome.is_ok(), retry_at);
         if let Err(e) = outcome {
             self.counters.disk_errors += 1;
-            tracing::warn!("the spool's disk fails, what is in memory goes on: {e}");
+            tracing::warn!("result spool: can't write a page to disk, it stays in memory: {e}");
             self.abandon_segment(place, now);
         }
     }
 
-    /// A page was read from disk, for all parts that wait for it.
+    /// Adds a page that was read from disk to all parts that wait for it. If the read failed, these
+    /// parts fail.
     fn handle_read(
         &mut self,
         result: ResultId,
@@ -144,9 +145,9 @@
         now: Micros,
         deliveries: &mut Vec<Delivery>,
     ) {
-        for mut part in std::mem::take(&mut self.pending) {
+        for mut part in std::mem::take(&mut self.pending_parts) {
             let index = page
-                .checked_sub(part.first)
+                .checked_sub(part.first_page)
                 .filter(|_| part.result == result);
             let slot = index
                 .and_then(|index| part.rows.get_mut(index))
@@ -155,7 +156,9 @@
                 (Some(slot), Ok(rows)) => *slot = Some(rows.clone()),
                 (Some(_), Err(e)) => {
                     self.counters.disk_errors += 1;
-                    tracing::warn!("a page of the spool can't be read: {e}");
+                    tracing::warn!(
+                        "result spool: can't read a page from disk, its query fails: {e}"
+                    );
                     self.spool.close(result, false, now);
                     let reason = "a page of it can't be read";
                     deliveries.push(Delivery::error(part.waiter, ErrorKind::Failed, reason));
@@ -166,12 +169,13 @@
             if part.is_complete() {
                 deliveries.extend(self.finish_part(part, now));
             } else {
-                self.pending.push_back(part);
+                self.pending_parts.push_back(part);
             }
         }
     }
 
-    /// Nothing that follows in a segment whose write failed can be relied on.
+    /// Stops appending to the current segment after a failed write, since data after that write
+    /// can't be relied on.
     fn abandon_segment(&mut self, place: Place, now: Micros) {
         let freed = [self.segments.free(place), self.segments.abandon()];
         for segment in freed.into_iter().flatten() {
@@ -179,10 +183,10 @@
         }
     }
 
-    /// Frees the places of pages that are dropped.
+    /// Frees the disk space of dropped pages.
     pub(super) fn free_pages(&mut self, pages: Vec<StoredPage>, now: Micros) {
         for page in pages {
-            if let StoredPage::Disk(place) | StoredPage::Moving(_, place) = page {
+            if let StoredPage::Disk(place) | StoredPage::Writing(_, place) = page {
                 if let Some(segment) = self.segments.free(place) {
                     self.remove_segment(segment, now);
                 }
@@ -190,10 +194,10 @@
         }
     }
 
-    /// Schedules the removal of a segment file. Where the schedule is full, the file is removed at
-    /// the next start.
+    /// Schedules the removal of a segment file. If the schedule is full, the file stays until the
+    /// next start removes it.
     pub(super) fn remove_segment(&mut self, segment: u64, now: Micros) {
-        let work = Work::Remove(segment);
+        let work = Work::RemoveSegment(segment);
         let _ = self.background.offer(now, Urgency::Tidy, work, 0);
     }
 }
--- a/crates/gateway/src/result_spool/maintenance.rs
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -6,8 +6,8 @@
 use super::{Delivery, ResultId, ResultSpoolDriver, Work};
 
 impl ResultSpoolDriver {
-    /// Handles what the disk worker has done, starts work that may be done now, and drops results
-    /// that have expired. Returns what goes to clients.
+    /// Handles finished orders of the disk worker, starts background jobs within the work budget,
+    /// and drops expired results. Returns messages for clients.
     pub fn poll(&mut self, now: Micros) -> Vec<Delivery> {
         let mut deliveries = Vec::new();
         let done: Vec<Done> = self.worker.iter().flat_map(Worker::done).collect();
@@ -15,15 +15,18 @@
             self.handle_done(done, now, &mut deliveries);
         }
         self.start_work(now);
-        while let Some(id) = self.expiry.pop_expired(now) {
+        while let Some(id) = self.expiry_timers.pop_expired(now) {
             self.handle_expiry(id, now);
         }
         deliveries
     }
 
-    /// When [`ResultSpoolDriver::poll`] has something to do, if nothing else happens.
+    /// The next time at which [`ResultSpoolDriver::poll`] must be called even if nothing arrives.
     pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
-        let deadlines = [self.expiry.next_expiry(), self.background.next_job_at(now)];
+        let deadlines = [
+            self.expiry_timers.next_expiry(),
+            self.background.next_job_at(now),
+        ];
         deadlines.into_iter().flatten().min()
     }
 
@@ -31,13 +34,13 @@
         self.background.start_round();
         while let Some(job) = self.background.next_job(now) {
             match job.work {
-                Work::Move(result, page) => self.write_page(result, page, now),
-                Work::Remove(segment) => {
+                Work::WritePage(result, page) => self.write_page(result, page, now),
+                Work::RemoveSegment(segment) => {
                     let Some(worker) = &self.worker else {
                         continue;
                     };
                     if worker.order(Order::Remove { segment }).is_err() {
-                        // The disk is behind: later, with the others that wait.
+                        // The worker's queue is full: schedule the removal again for later.
                         self.remove_segment(segment, now);
                         break;
                     }
@@ -47,13 +50,13 @@
     }
 
     fn handle_expiry(&mut self, id: ResultId, now: Micros) {
-        if let Some(stored) = self.stored.get_mut(&id) {
-            stored.expiry = None;
+        if let Some(stored) = self.results.get_mut(&id) {
+            stored.expiry_timer = None;
         }
         match self.spool.expires(id) {
             Some(expires_at) if expires_at <= now => self.drop_result(id, now),
             Some(_) => self.schedule_expiry(id),
-            // A failure that was remembered for long enough.
+            // A remembered failure has expired.
             None if !self.spool.holds(id) => self.drop_result(id, now),
             None => {}
         }
@@ -63,25 +66,25 @@
         let Some(expires_at) = self.spool.expires(id) else {
             return;
         };
-        let Some(stored) = self.stored.get_mut(&id) else {
+        let Some(stored) = self.results.get_mut(&id) else {
             return;
         };
-        let timer = self.expiry.set(expires_at, id);
-        if let Some(previous_timer) = stored.expiry.replace(timer) {
-            self.expiry.cancel(previous_timer);
+        let timer = self.expiry_timers.set(expires_at, id);
+        if let Some(previous_timer) = stored.expiry_timer.replace(timer) {
+            self.expiry_timers.cancel(previous_timer);
         }
     }
 
-    /// Drops a result, unless a part of it is being sent.
+    /// Drops a result and frees its pages, unless a part of it is being sent.
     pub(super) fn drop_result(&mut self, id: ResultId, now: Micros) {
         if self.spool.holds(id) && !self.spool.drop(id, now) {
             return;
         }
-        let Some(stored) = self.stored.remove(&id) else {
+        let Some(stored) = self.results.remove(&id) else {
             return;
         };
-        if let Some(timer) = stored.expiry {
-            self.expiry.cancel(timer);
+        if let Some(timer) = stored.expiry_timer {
+            self.expiry_timers.cancel(timer);
         }
         self.returns.drops(&stored.name);
         self.free_pages(stored.pages, now);
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -1,4 +1,4 @@
-//! Queries of clients for results, and the parts that they are sent.
+//! Answers clients' queries for results, in parts that fit into one message.
 
 use eideryard::interface::Micros;
 use eideryard_result_spool::returns::Arrival;
@@ -7,29 +7,31 @@
 use eideryard_result_spool::PageLocation;
 
 use super::{
-    Delivery, PendingPart, ResultId, ResultPart, ResultSpoolDriver, RunEnd, StoredPage, Waiter,
+    Delivery, PendingPart, ResultId, ResultPart, ResultSpoolDriver, RunOutcome, StoredPage, Waiter,
 };
 use crate::error_reply::ErrorKind;
 
-/// Bytes of rows in one message, as for results that aren't spooled.
+/// Maximum bytes of rows in one message, the same as for results that aren't spooled. A larger
+/// single page is sent alone.
 const MAX_MESSAGE_BYTES: usize = 48_000;
-/// How long a page token is valid: at least as long as its result is kept.
+/// How long a page token is valid, in microseconds: at least as long as its result is kept.
 const TOKEN_LIFETIME: Micros = 600_000_000;
-/// Parts that wait for the disk; further clients are told to try later.
+/// Maximum number of parts that wait for reads from disk; further queries get `TryLater`.
 const MAX_PENDING_PARTS: usize = 4096;
 
 impl ResultSpoolDriver {
-    /// Whether a request of this name runs, or has ended.
+    /// Whether a run with this name is in progress or remembered; see `StoredResult::name`.
     pub fn is_known(&self, name: &str) -> bool {
         self.returns.knows(name)
     }
 
-    /// A client asks again for the request of this name: what it is sent now, if anything is known
-    /// yet.
+    /// Answers a client's repeated query for a run by its name. Returns `None` if the run is in
+    /// progress: the client gets the result when the run ends.
     pub fn reattach(&mut self, name: &str, waiter: Waiter, now: Micros) -> Option<Delivery> {
         let delivery = match self.returns.arrives(name, waiter) {
             Arrival::First => {
-                // Nothing of it is known here, and asking starts no run.
+                // The run is unknown. `arrives` has registered it as new; since a query starts no
+                // run, that is undone.
                 self.returns.refused(name);
                 self.counters.not_found += 1;
                 let reason = "nothing is known of this request";
@@ -44,18 +46,19 @@
                 return Some(Delivery::error(waiter, ErrorKind::TryLater, reason));
             }
             Arrival::Attached => None,
-            Arrival::Answered(RunEnd::Failed) => {
+            Arrival::Answered(RunOutcome::Failed) => {
                 let reason = "the request has failed";
                 Some(Delivery::error(waiter, ErrorKind::Failed, reason))
             }
-            Arrival::Answered(RunEnd::Result(id)) => self.part(waiter, id, 0, now),
+            Arrival::Answered(RunOutcome::Result(id)) => self.prepare_part(waiter, id, 0, now),
         };
         self.counters.reattached += 1;
         delivery
     }
 
-    /// A client asks for a page by its token, with the id of its request, which only that client
-    /// knows.
+    /// Answers a query for the page named by a token. `name` is the id of the client's request,
+    /// which authenticates the client, since only that client knows it. Returns `None` if the page
+    /// is being read from disk.
     pub fn page_by_token(
         &mut self,
         token: &str,
@@ -64,7 +67,7 @@
         now: Micros,
     ) -> Option<Delivery> {
         match self.keys.read(token, name, self.epoch, now) {
-            Ok(token) => self.part(waiter, token.result, token.page as usize, now),
+            Ok(token) => self.prepare_part(waiter, token.result, token.page as usize, now),
             Err(error) => {
                 let kind = match error {
                     TokenError::Forged => ErrorKind::Forged,
@@ -75,7 +78,8 @@
         }
     }
 
-    /// The client needs the result no longer.
+    /// Handles a client's message that it no longer needs the result: from now on the result is
+    /// kept only as long as delivered ones are.
     pub fn release(&mut self, token: &str, name: &str, now: Micros) {
         if let Ok(token) = self.keys.read(token, name, self.epoch, now) {
             self.spool.open(token.result, now);
@@ -84,21 +88,21 @@
         }
     }
 
-    /// The pages from `first` on that fit into a message: at once, or when they were read from
-    /// disk.
-    pub(super) fn part(
+    /// Prepares a message with the pages from `first_page` on that fit. Returns `None` if pages
+    /// must be read from disk first; [`Self::poll`] returns the message later.
+    pub(super) fn prepare_part(
         &mut self,
         waiter: Waiter,
         id: ResultId,
-        first: usize,
+        first_page: usize,
         now: Micros,
     ) -> Option<Delivery> {
-        let Some(pending) = self.collect_part(waiter, id, first) else {
+        let Some(pending) = self.collect_part(waiter, id, first_page) else {
             return Some(Delivery::expired(waiter));
         };
-        let end = first + pending.rows.len();
+        let end = first_page + pending.rows.len();
         let is_empty = pending.rows.is_empty();
-        if is_empty && self.spool.read(id, first, now) != PageLocation::NoSuch {
+        if is_empty && self.spool.read(id, first_page, now) != PageLocation::NoSuch {
             return Some(Delivery::expired(waiter));
         }
         self.spool.open(id, now);
@@ -108,51 +112,52 @@
         if pending.is_complete() {
             return self.finish_part(pending, now);
         }
-        if self.pending.len() >= MAX_PENDING_PARTS || !self.order_reads(&pending) {
+        if self.pending_parts.len() >= MAX_PENDING_PARTS || !self.order_reads(&pending) {
             self.spool.close(id, false, now);
             let reason = "the spool's disk is busy";
             return Some(Delivery::error(waiter, ErrorKind::TryLater, reason));
         }
-        self.pending.push_back(pending);
+        self.pending_parts.push_back(pending);
         None
     }
 
-    /// The rows of a part that are in memory, with gaps for those on disk.
-    fn collect_part(&self, waiter: Waiter, id: ResultId, first: usize) -> Option<PendingPart> {
-        let stored = self.stored.get(&id)?;
+    /// Collects the pages of a part. Those on disk are `None` until they are read.
+    fn collect_part(&self, waiter: Waiter, id: ResultId, first_page: usize) -> Option<PendingPart> {
+        let stored = self.results.get(&id)?;
         let mut bytes = 0;
         let mut rows = Vec::new();
-        for page in stored.pages.iter().skip(first) {
+        for page in stored.pages.iter().skip(first_page) {
             let page_bytes = page.length() as usize;
             if !rows.is_empty() && bytes + page_bytes > MAX_MESSAGE_BYTES {
                 break;
             }
             bytes += page_bytes;
             rows.push(match page {
-                StoredPage::Memory(rows) | StoredPage::Moving(rows, _) => Some(rows.clone()),
+                StoredPage::Memory(rows) | StoredPage::Writing(rows, _) => Some(rows.clone()),
                 StoredPage::Disk(_) => None,
             });
         }
-        let has_more = first + rows.len() < stored.pages.len();
+        let has_more = first_page + rows.len() < stored.pages.len();
         Some(PendingPart {
             waiter,
             result: id,
-            first,
+            first_page,
             rows,
             has_more,
         })
     }
 
-    /// Orders reads of the pages of a part that are on disk. False: the disk is behind.
+    /// Orders reads of those pages of a part that are on disk. Returns false if the disk worker's
+    /// queue is full.
     fn order_reads(&self, pending: &PendingPart) -> bool {
         let Some(worker) = &self.worker else {
             return false;
         };
-        let Some(stored) = self.stored.get(&pending.result) else {
+        let Some(stored) = self.results.get(&pending.result) else {
             return false;
         };
         for (offset, rows) in pending.rows.iter().enumerate() {
-            let page = pending.first + offset;
+            let page = pending.first_page + offset;
             let Some(StoredPage::Disk(place)) = stored.pages.get(page) else {
                 continue;
             };
@@ -171,13 +176,14 @@
         true
     }
 
-    /// The message for a part whose pages are all there.
+    /// Creates the message for a part whose pages are all in memory. Returns `None` if the result
+    /// was dropped meanwhile.
     pub(super) fn finish_part(&mut self, part: PendingPart, now: Micros) -> Option<Delivery> {
-        let name = self.stored.get(&part.result)?.name.clone();
+        let name = self.results.get(&part.result)?.name.clone();
         let token = Token {
             result: part.result,
             epoch: self.epoch,
-            page: (part.first + part.rows.len()) as u32,
+            page: (part.first_page + part.rows.len()) as u32,
             expires: now + TOKEN_LIFETIME,
         };
         let token = self.keys.write(&token, &name);
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -1,28 +1,34 @@
-//! Runs whose results are spooled, from their admission to their end.
+//! Runs whose results are spooled, from admission to the end of the run.
 
 use eideryard::interface::Micros;
 use eideryard_result_spool::limits::MAX_RESULTS;
 use eideryard_result_spool::{Admission, RejectReason};
 
 use super::{
-    Delivery, ResultId, ResultOwner, ResultSpoolDriver, RunEnd, SpoolRejection, StoredPage,
+    Delivery, ResultId, ResultOwner, ResultSpoolDriver, RunOutcome, SpoolRejection, StoredPage,
     StoredResult, Waiter,
 };
 use crate::requests::RequestLabels;
 
-/// The expected size of a result before anything was learned.
+/// Expected size of a result in bytes, until sizes for its class have been learned.
 const DEFAULT_RESULT_BYTES: u64 = 48_000;
-/// Names of runs that are known: as many as results, and as many failures.
+/// Maximum number of runs that are stored: room for the maximum number of results, and for as many
+/// failures.
 const MAX_NAMES: usize = 2 * MAX_RESULTS;
 
 impl ResultSpoolDriver {
-    /// Checks whether a request's result will fit; drops the results that have to go for it.
+    /// Checks whether a request's result is expected to fit, and drops older results if necessary
+    /// to make room for it.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the request is rejected, and when a retry may succeed.
     pub fn admit(&mut self, owner: ResultOwner, now: Micros) -> Result<(), SpoolRejection> {
         let mut expected = self.expected_bytes(owner.labels);
         if expected > self.max_result_bytes && self.sizes.doubts() {
             expected = DEFAULT_RESULT_BYTES;
         }
-        if self.stored.len() >= MAX_NAMES {
+        if self.results.len() >= MAX_NAMES {
             return Err(SpoolRejection {
                 reason: RejectReason::Full,
                 retry_after: None,
@@ -47,7 +53,7 @@
             .expected(labels.class, labels.tenant, DEFAULT_RESULT_BYTES)
     }
 
-    /// A request was taken: whoever asks for this name gets the result of its run.
+    /// Registers the run of an accepted request. From now on, calls for `name` attach to this run.
     pub fn begin(
         &mut self,
         id: ResultId,
@@ -61,51 +67,56 @@
         let stored = StoredResult {
             name: name.into(),
             pages: Vec::new(),
-            expiry: None,
+            expiry_timer: None,
             labels: owner.labels,
         };
-        self.stored.insert(id, stored);
+        self.results.insert(id, stored);
         self.returns.arrives(name, waiter);
         self.counters.begun += 1;
     }
 
     /// Whether a request's result is spooled.
     pub fn is_spooled(&self, id: ResultId) -> bool {
-        self.stored.contains_key(&id)
+        self.results.contains_key(&id)
     }
 
-    /// Bytes of pages that may be requested from the engine now.
+    /// The number of bytes of pages that may be requested from the engine now.
     pub fn free_bytes(&self, id: ResultId) -> u64 {
         self.spool.ahead(id)
     }
 
-    /// Adds the next page of a result; an error if the result can't be kept.
+    /// Adds the next page of a result.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if the result can't be stored.
     pub fn add_page(
         &mut self,
         id: ResultId,
         rows: Vec<u8>,
         now: Micros,
     ) -> Result<(), RejectReason> {
-        let Some(stored) = self.stored.get_mut(&id) else {
+        let Some(stored) = self.results.get_mut(&id) else {
             return Ok(());
         };
         if let Err(reason) = self.spool.page(id, rows.len() as u64, now) {
             if reason == RejectReason::TooLarge {
-                // All that is known of its size; the next such requests are rejected before they
-                // are sent.
+                // The actual size is unknown, so the least possible one is learned. Later requests
+                // of this class and tenant are then rejected before they are sent.
                 let RequestLabels { class, tenant } = stored.labels;
                 self.sizes.learn(class, tenant, self.max_result_bytes + 1);
             }
             return Err(reason);
         }
         stored.pages.push(StoredPage::Memory(rows));
-        self.make_room(now);
+        self.schedule_page_writes(now);
         Ok(())
     }
 
-    /// Forgets the pages of a run that is tried again: rows of two runs are never mixed.
+    /// Drops the pages of a run that is attempted again, so that rows of two attempts are never
+    /// mixed.
     pub fn restart(&mut self, id: ResultId, owner: ResultOwner, now: Micros) {
-        let Some(stored) = self.stored.get_mut(&id) else {
+        let Some(stored) = self.results.get_mut(&id) else {
             return;
         };
         if stored.pages.is_empty() {
@@ -119,9 +130,9 @@
         self.spool.begin(id, owner.spool_owner(), expected, now);
     }
 
-    /// All pages have arrived. Returns what goes to those who wait.
+    /// Ends a run whose pages have all arrived. Returns the messages to the waiting clients.
     pub fn complete(&mut self, id: ResultId, now: Micros) -> Vec<Delivery> {
-        let Some(stored) = self.stored.get(&id) else {
+        let Some(stored) = self.results.get(&id) else {
             return Vec::new();
         };
         let bytes = stored.pages.iter().map(StoredPage::length).sum();
@@ -131,22 +142,22 @@
         self.spool.end(id, true, now);
         self.schedule_expiry(id);
         self.counters.completed += 1;
-        let waiters = self.returns.ends(&name, RunEnd::Result(id));
+        let waiters = self.returns.ends(&name, RunOutcome::Result(id));
         waiters
             .into_iter()
-            .filter_map(|waiter| self.part(waiter, id, 0, now))
+            .filter_map(|waiter| self.prepare_part(waiter, id, 0, now))
             .collect()
     }
 
-    /// The run ended without a result: rejected before anything ran, or failed for good. Returns
-    /// who waits for it.
+    /// Ends a run that has no result: it was rejected before anything ran (`is_rejected`), so that
+    /// the name can be used again, or it failed finally. Returns the waiting clients.
     pub fn end_without_result(
         &mut self,
         id: ResultId,
         is_rejected: bool,
         now: Micros,
     ) -> Vec<Waiter> {
-        let Some(stored) = self.stored.get(&id) else {
+        let Some(stored) = self.results.get(&id) else {
             return Vec::new();
         };
         let name = stored.name.clone();
@@ -156,23 +167,23 @@
             self.drop_result(id, now);
             return waiters;
         }
-        // Nobody has seen a row of it, so only the failure is kept.
+        // No client has got a row of it, so only the failure is stored.
         self.spool.drop(id, now);
-        let timer = self.expiry.set(now + self.failure_retention, id);
-        if let Some(stored) = self.stored.get_mut(&id) {
-            let previous_timer = stored.expiry.replace(timer);
+        let timer = self.expiry_timers.set(now + self.failure_retention, id);
+        if let Some(stored) = self.results.get_mut(&id) {
+            let previous_timer = stored.expiry_timer.replace(timer);
             let pages = std::mem::take(&mut stored.pages);
             if let Some(previous_timer) = previous_timer {
-                self.expiry.cancel(previous_timer);
+                self.expiry_timers.cancel(previous_timer);
             }
             self.free_pages(pages, now);
         }
-        self.returns.ends(&name, RunEnd::Failed)
+        self.returns.ends(&name, RunOutcome::Failed)
     }
 
-    /// The connection of a waiter has ended; the run goes on for whoever asks again.
+    /// Removes a waiting client whose connection has closed. The run continues for later queries.
     pub fn detach(&mut self, id: ResultId, waiter: &Waiter) {
-        if let Some(stored) = self.stored.get(&id) {
+        if let Some(stored) = self.results.get(&id) {
             self.returns.leaves(&stored.name, waiter);
         }
     }
