--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -68,7 +68,8 @@
     engine_names: BTreeMap<EngineId, String>,
     /// The last report of service discovery on each engine, in the form that the event log stores.
     last_listed: BTreeMap<EngineId, ListedEngine>,
-    /// The endpoints as last passed to the balancer, including drains that peers reported.
+    /// The endpoints as last passed to the balancer, including drains that peers reported. Empty
+    /// without `intent_durability`.
     last_endpoints: BTreeMap<EngineId, Endpoint>,
     client_events: Vec<ClientEvent>,
     engine_events: Vec<EngineEvent>,
--- a/crates/gateway/src/gateway/actions/durability_results.rs
+++ b/crates/gateway/src/gateway/actions/durability_results.rs
@@ -1,6 +1,5 @@
-//! Handles the results of [`IntentDurability`](crate::intent_durability::IntentDurability) and of
-//! the fleet: sends whose intents are durable, refused sends, shared probes, drains of engines and
-//! hints from peers.
+//! Handles the results of [`IntentDurability`] and of the fleet: sends whose intents are durable,
+//! refused sends, shared probes, drains of engines and hints from peers.
 
 use eideryard_event_log::RejectReason;
 use eideryard_intent_log::state::RETRY_AFTER;
@@ -11,8 +10,7 @@
 };
 
 impl Gateway {
-    /// Polls [`IntentDurability`](crate::intent_durability::IntentDurability) and handles its
-    /// results.
+    /// Polls [`IntentDurability`] and handles its results.
     pub(in crate::gateway) fn poll_intent_durability(&mut self) {
         let now = self.clock.now();
         let Some(durability) = &mut self.intent_durability else {
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -137,8 +137,8 @@
         self.event_recorder.record_host(self.clock.now(), &answered);
     }
 
-    /// Records a request that was rejected on arrival. `labels` is `None` if the request could not
-    /// be parsed.
+    /// Records a request that was rejected on arrival. `labels` is `None` if the request is
+    /// invalid or its client has disconnected.
     pub(super) fn record_rejection(&mut self, reason: RejectReason, labels: Option<RequestLabels>) {
         let rejected = HostEvent::RequestRejected {
             reason,
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown of the gateway, in the phases of [`Shutdown`].
+//! Graceful shutdown of the gateway, in the phases of [`Shutdown`](crate::shutdown::Shutdown).
 
 use eideryard::interface::{end_tag, Event};
 use eideryard_event_log::HostEvent;
--- a/crates/gateway/src/intent_durability/recovery.rs
+++ b/crates/gateway/src/intent_durability/recovery.rs
@@ -63,7 +63,7 @@
     let recovered_state = RecoveredState::read(&store, report);
     let worker = Worker::start(store, wake)
         .inspect_err(|e| {
-            tracing::error!("store: no writer thread, keyed requests are refused: {e}")
+            tracing::error!("store: no writer thread, keyed requests are refused: {e}");
         })
         .ok();
     Recovery {
