--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -41,8 +41,8 @@
 /// Live intents may use the store's disk budget divided by this number.
 const LIVE_DISK_DIVISOR: u64 = 3;
 
-/// The intents of one gateway, the sends that wait for them, and, in a fleet, the replication of the
-/// intents.
+/// The intents of one gateway, the sends that wait for them, and, in a fleet, the replication of
+/// the intents.
 pub struct IntentDurability {
     intent_log: IntentLog,
     /// `None` if the store can't be used; requests that need an intent are refused then.
