--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -135,7 +135,7 @@
     fn handle_wake(&mut self, wake: WakeReason, unfinished: &mut PendingWakes) {
         match wake {
             WakeReason::Listener => {
-                self.accept();
+                self.accept_connections();
             }
             WakeReason::Client(key) => {
                 self.with_clients(|clients, context| clients.read(key, context));
@@ -188,7 +188,7 @@
                 self.record_discovery_changes(&before, &[]);
             }
             Deadline::Accept => {
-                self.accept();
+                self.accept_connections();
             }
             // This deadline only wakes the main loop; `poll` runs the shutdown steps at its end.
             Deadline::Shutdown => {}
@@ -197,7 +197,7 @@
     }
 
     /// Accepts all connections in the listen queue. Returns false if some are still queued.
-    fn accept(&mut self) -> bool {
+    fn accept_connections(&mut self) -> bool {
         let has_accepted_all = self.with_clients(Clients::accept);
         if !has_accepted_all {
             let retry_at = self.clock.now() + ACCEPT_RETRY_DELAY;
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -27,16 +27,16 @@
                 request,
                 engine,
                 attempt_deadline,
-            } => self.send(now, Key::from_number(request), engine, attempt_deadline),
-            Action::Probe { engine } => self.probe(now, engine),
+            } => self.send_attempt(now, Key::from_number(request), engine, attempt_deadline),
+            Action::Probe { engine } => self.probe_engine(now, engine),
             Action::Cancel { request, attempt } => {
                 self.cancel_attempt(Key::from_number(request), attempt, Outcome::Cancelled);
             }
             Action::Refuse {
                 request,
                 retry_after,
-            } => self.refuse(Key::from_number(request), retry_after),
-            Action::Fail { request } => self.fail(Key::from_number(request)),
+            } => self.refuse_request(Key::from_number(request), retry_after),
+            Action::Fail { request } => self.fail_request(Key::from_number(request)),
             Action::SetTimer { after, tag } => self.set_timer(now, after, tag),
             // A connected discovery service sends changes without a subscription, so an empty list
             // of changes confirms it at once.
@@ -70,7 +70,7 @@
 
     /// Probes an engine, unless the gateway that holds the lease for probing it has sent a recent
     /// report.
-    fn probe(&mut self, now: Micros, engine: EngineId) {
+    fn probe_engine(&mut self, now: Micros, engine: EngineId) {
         let durability = self.intent_durability.as_mut();
         let recent_report = durability.and_then(|durability| durability.recent_report(now, engine));
         if recent_report.is_some() {
@@ -95,7 +95,7 @@
         }));
     }
 
-    fn refuse(&mut self, key: Key, retry_after: Micros) {
+    fn refuse_request(&mut self, key: Key, retry_after: Micros) {
         let reply = ErrorReply {
             retry_after: Some(retry_after).filter(|after| *after >= MIN_RETRY_AFTER),
             ..ErrorReply::new(ErrorKind::TryLater)
@@ -103,7 +103,7 @@
         self.answer_error(key, &reply);
     }
 
-    fn fail(&mut self, key: Key) {
+    fn fail_request(&mut self, key: Key) {
         self.answer_error(key, &ErrorReply::new(ErrorKind::Failed));
     }
 
--- a/crates/gateway/src/gateway/actions/durability_results.rs
+++ b/crates/gateway/src/gateway/actions/durability_results.rs
@@ -62,7 +62,7 @@
 
     fn apply_send_results(&mut self, now: Micros, results: SendResults) {
         for send in results.ready {
-            self.dispatch_durable(now, send);
+            self.dispatch_durable_send(now, send);
         }
         for send in results.with_prior_runs {
             self.end_with_prior_runs(send);
@@ -73,7 +73,7 @@
     }
 
     /// Sends an attempt whose intent is durable now, if the retry window is still open.
-    fn dispatch_durable(&mut self, now: Micros, send: PendingSend) {
+    fn dispatch_durable_send(&mut self, now: Micros, send: PendingSend) {
         let key = send.request;
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -91,7 +91,7 @@
         if is_within_window {
             self.dispatch(now, key, send.attempt, send.engine, send.attempt_deadline);
         } else {
-            self.end_unsent(key, send.attempt);
+            self.end_unsent_attempt(key, send.attempt);
         }
     }
 
--- a/crates/gateway/src/gateway/actions/sends.rs
+++ b/crates/gateway/src/gateway/actions/sends.rs
@@ -12,7 +12,7 @@
 
 impl Gateway {
     /// Carries out the balancer's decision to send a request to an engine.
-    pub(super) fn send(
+    pub(super) fn send_attempt(
         &mut self,
         now: Micros,
         key: Key,
@@ -40,10 +40,10 @@
         };
         match plan {
             SendPlan::Immediate => self.dispatch(now, key, attempt, engine, attempt_deadline),
-            SendPlan::StoreFull => self.end_unsent(key, attempt),
+            SendPlan::StoreFull => self.end_unsent_attempt(key, attempt),
             SendPlan::PriorAttemptFound(prior_attempt) => {
                 self.add_prior_attempts(key, vec![prior_attempt]);
-                self.end_unsent(key, attempt);
+                self.end_unsent_attempt(key, attempt);
             }
             SendPlan::AfterWrite {
                 ticket,
@@ -73,7 +73,7 @@
             address: self.clients.address_of(request.client),
         };
         if let Some(result_spool) = &mut self.result_spool {
-            result_spool.restart(key.number(), owner, now);
+            result_spool.restart_run(key.number(), owner, now);
         }
         self.incoming_results.remove(&key);
     }
@@ -149,7 +149,7 @@
     }
 
     /// Ends an attempt of which no byte was sent.
-    pub(super) fn end_unsent(&mut self, key: Key, attempt: usize) {
+    pub(super) fn end_unsent_attempt(&mut self, key: Key, attempt: usize) {
         self.end_attempt(AttemptEnd::new(key, attempt, Outcome::NotSent));
     }
 
@@ -168,7 +168,7 @@
         };
         let wait_ms = attempt_deadline.saturating_sub(now) / 1000;
         if wait_ms == 0 {
-            return self.end_unsent(key, attempt);
+            return self.end_unsent_attempt(key, attempt);
         }
         let serve = Serve {
             id: &request.id,
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -78,7 +78,7 @@
         let address = match endpoint.phase {
             Phase::Removed => None,
             _ => parse_address(&discovered.dial)
-                .inspect_err(|e| tracing::warn!("engine {}: {e}", discovered.host))
+                .inspect_err(|e| tracing::warn!("engine {}: {e}; unreachable", discovered.host))
                 .ok(),
         };
         self.record_endpoint(endpoint, discovered);
@@ -195,7 +195,7 @@
     /// Converts an engine to the endpoint that is passed to the balancer. A zone or kind that is
     /// not in the settings gets the index after the last known one.
     fn build_endpoint(&mut self, discovered: &DiscoveredEngine) -> Endpoint {
-        let engine = self.engine_number(&discovered.host);
+        let engine = self.assign_engine_number(&discovered.host);
         let index_in = |names: &[String], name: &str, attribute| {
             let index = index_of(names, name);
             if index.is_none() {
@@ -223,7 +223,7 @@
     /// Returns the number of an engine, and assigns one to a new name. It is a hash of the name,
     /// and thus the same at every gateway and after every restart. If two names have the same hash,
     /// the later one gets the next free number.
-    fn engine_number(&mut self, name: &str) -> EngineId {
+    fn assign_engine_number(&mut self, name: &str) -> EngineId {
         let mut number = name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
             (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
         });
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -112,8 +112,8 @@
             return;
         }
         if let Some(request) = self.requests.get(key) {
-            let offered = HostEvent::RequestReceived(client_request(key, request));
-            self.event_recorder.record_host(self.clock.now(), &offered);
+            let received = HostEvent::RequestReceived(client_request(key, request));
+            self.event_recorder.record_host(self.clock.now(), &received);
         }
     }
 
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -80,7 +80,7 @@
         let (Some(key), Some(result_spool)) = (&call.key, &mut self.result_spool) else {
             return false;
         };
-        if !result_spool.is_known(key) {
+        if !result_spool.is_known_run(key) {
             return false;
         }
         let now = self.clock.now();
@@ -116,7 +116,7 @@
         let Err(rejection) = result_spool.admit(owner, now) else {
             return true;
         };
-        self.count_no_room(RejectReason::StatementMemoryFull, owner.labels);
+        self.count_rejected_request(RejectReason::StatementMemoryFull, owner.labels);
         let reply = ErrorReply {
             retry_after: rejection.retry_after.filter(|_| self.retry_after_allowed),
             ..ErrorReply::with_reason(ErrorKind::TryLater, rejection.reason.word())
@@ -171,7 +171,7 @@
             Ok(request) => request,
             Err(InsertError::DuplicateId) => return self.answer_invalid(call_id, CallError::Id),
             Err(InsertError::NoRoom) => {
-                self.count_no_room(RejectReason::StatementMemoryFull, labels);
+                self.count_rejected_request(RejectReason::StatementMemoryFull, labels);
                 self.answer_call(call_id, &ErrorReply::new(ErrorKind::TryLater));
                 return;
             }
@@ -205,12 +205,12 @@
             address: self.clients.address_of(request.client),
         };
         let name = request.key.as_ref().unwrap_or(&request.id);
-        result_spool.begin(key.number(), name, Waiter::of_request(request), owner, now);
+        result_spool.begin_run(key.number(), name, Waiter::of_request(request), owner, now);
     }
 
     /// Rejects a request because its intent can't be made durable now.
     fn answer_not_durable(&mut self, call_id: CallId, labels: RequestLabels, reason: RejectReason) {
-        self.count_no_room(reason, labels);
+        self.count_rejected_request(reason, labels);
         let reply = ErrorReply {
             retry_after: self.retry_after_allowed.then_some(RETRY_AFTER),
             ..ErrorReply::with_reason(ErrorKind::TryLater, reason.name())
@@ -231,7 +231,7 @@
         self.answer_call(call_id, &reply);
     }
 
-    fn count_no_room(&mut self, reason: RejectReason, labels: RequestLabels) {
+    fn count_rejected_request(&mut self, reason: RejectReason, labels: RequestLabels) {
         self.counters.refused += 1;
         self.counters.no_room += 1;
         self.record_rejection(reason, Some(labels));
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -23,7 +23,7 @@
         }
         request.is_answered = true;
         if let Some(result_spool) = &mut self.result_spool {
-            result_spool.detach(key.number(), &Waiter::of_request(request));
+            result_spool.detach_client(key.number(), &Waiter::of_request(request));
         }
         self.record_unanswered(key, AnswerKind::Lost);
         true
@@ -56,7 +56,7 @@
         let Some(result_spool) = &mut self.result_spool else {
             return;
         };
-        let deliveries = result_spool.complete(key.number(), now);
+        let deliveries = result_spool.complete_run(key.number(), now);
         if let Some(request) = self.requests.get_mut(key) {
             if !request.is_answered {
                 request.is_answered = true;
@@ -90,7 +90,7 @@
         } else {
             ErrorKind::Failed
         };
-        for waiter in result_spool.end_without_result(key.number(), is_rejected, now) {
+        for waiter in result_spool.end_run_without_result(key.number(), is_rejected, now) {
             if Some(waiter) != starting_client {
                 self.deliver(&Delivery::Error {
                     waiter,
@@ -116,7 +116,7 @@
             ResultQuery::Page { token, id } => result_spool.page_by_token(&token, &id, waiter, now),
             ResultQuery::Reattach { id } => result_spool.reattach(&id, waiter, now),
             ResultQuery::Release { token, id } => {
-                result_spool.release(&token, &id, now);
+                result_spool.release_result(&token, &id, now);
                 self.clients.answer(client, call_id, |output| {
                     write_part(output, call_id, std::iter::empty(), &[]);
                 });
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -63,7 +63,7 @@
 
     fn close_idle_connections(&mut self) {
         // Connections in the listen queue are accepted and answered before listening stops.
-        if self.accept() {
+        if self.accept_connections() {
             self.clients.stop_listening();
         }
         self.with_clients(Clients::close_idle_connections);
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -21,7 +21,7 @@
 
 impl ResultSpoolDriver {
     /// Whether a run with this name is in progress or remembered; see `StoredResult::name`.
-    pub fn is_known(&self, name: &str) -> bool {
+    pub fn is_known_run(&self, name: &str) -> bool {
         self.returns.knows(name)
     }
 
@@ -80,7 +80,7 @@
 
     /// Handles a client's message that it no longer needs the result: from now on the result is
     /// kept only as long as delivered ones are.
-    pub fn release(&mut self, token: &str, name: &str, now: Micros) {
+    pub fn release_result(&mut self, token: &str, name: &str, now: Micros) {
         if let Ok(token) = self.keys.read(token, name, self.epoch, now) {
             self.spool.open(token.result, now);
             self.spool.close(token.result, true, now);
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -54,7 +54,7 @@
     }
 
     /// Registers the run of an accepted request. From now on, calls for `name` attach to this run.
-    pub fn begin(
+    pub fn begin_run(
         &mut self,
         id: ResultId,
         name: &str,
@@ -115,7 +115,7 @@
 
     /// Drops the pages of a run that is attempted again, so that rows of two attempts are never
     /// mixed.
-    pub fn restart(&mut self, id: ResultId, owner: ResultOwner, now: Micros) {
+    pub fn restart_run(&mut self, id: ResultId, owner: ResultOwner, now: Micros) {
         let Some(stored) = self.results.get_mut(&id) else {
             return;
         };
@@ -131,7 +131,7 @@
     }
 
     /// Ends a run whose pages have all arrived. Returns the messages to the waiting clients.
-    pub fn complete(&mut self, id: ResultId, now: Micros) -> Vec<Delivery> {
+    pub fn complete_run(&mut self, id: ResultId, now: Micros) -> Vec<Delivery> {
         let Some(stored) = self.results.get(&id) else {
             return Vec::new();
         };
@@ -151,7 +151,7 @@
 
     /// Ends a run that has no result: it was rejected before anything ran (`is_rejected`), so that
     /// the name can be used again, or it failed finally. Returns the waiting clients.
-    pub fn end_without_result(
+    pub fn end_run_without_result(
         &mut self,
         id: ResultId,
         is_rejected: bool,
@@ -182,7 +182,7 @@
     }
 
     /// Removes a waiting client whose connection has closed. The run continues for later queries.
-    pub fn detach(&mut self, id: ResultId, waiter: &Waiter) {
+    pub fn detach_client(&mut self, id: ResultId, waiter: &Waiter) {
         if let Some(stored) = self.results.get(&id) {
             self.returns.leaves(&stored.name, waiter);
         }
