--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown of the gateway, in the phases of [`Shutdown`].
+//! Graceful shutdown of the gateway, in the phases of [`Shutdown`](crate::shutdown::Shutdown).
 
 use eideryard::interface::{request_timer_tag, Event};
 use eideryard_event_log::HostEvent;
@@ -9,15 +9,15 @@
 use crate::shutdown::{Phase, Remaining, ShutdownStep};
 
 impl Gateway {
-    /// SIGTERM: everything that arrives is still served, until clients have stopped connecting and
-    /// all requests are answered.
+    /// Handles SIGTERM: starts the shutdown. New requests are still served until clients have
+    /// stopped connecting and all requests are answered.
     pub(super) fn begin_shutdown(&mut self) {
         let now = self.clock.now();
         if !self.shutdown.begin(now, self.longest_wait) {
             return;
         }
         tracing::info!(
-            "stopping; {} requests are open",
+            "stopping: {} open requests are still served",
             self.counters.open_requests()
         );
         self.event_recorder
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Takes the steps whose time has come, at the end of each poll.
+    /// Runs the shutdown steps that are due. Called at the end of each poll.
     pub(super) fn poll_shutdown(&mut self) {
         while self.shutdown.phase() != Phase::Serving {
             if self.shutdown.phase() >= Phase::Closing {
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Lets the balancer's timer of each open request fire now, so that it gets its final answer.
+    /// Fires the balancer's end timer of each open request now, so that the request gets its final
+    /// answer.
     fn expire_open_requests(&mut self) {
         for request in self.requests.open_keys() {
             let tag = request_timer_tag(request.number());
@@ -62,8 +63,8 @@
     }
 
     fn close_idle_connections(&mut self) {
-        // Connections that wait are owed an answer; later ones are not accepted.
-        if self.accept() {
+        // Connections in the listen queue are accepted and answered before listening stops.
+        if self.accept_connections() {
             self.clients.stop_listening();
         }
         self.with_clients(Clients::close_idle_connections);
@@ -71,7 +72,7 @@
         self.run_balancer();
     }
 
-    /// Whether nothing is left to do.
+    /// Whether the shutdown is complete, so that the process can exit.
     pub fn is_done(&self) -> bool {
         self.shutdown.phase() == Phase::Finished
     }
