--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -31,8 +31,8 @@
         now < self.pressure_until || now >= self.latency_ignored_until && is_slow
     }
 
-    /// Whether the engine recently reported that it is busy or rejected an attempt, or is far slower
-    /// than at its best.
+    /// Whether the engine recently reported that it is busy or rejected an attempt, or is far
+    /// slower than at its best.
     pub(super) fn is_saturated(&self, now: Micros) -> bool {
         now < self.pressure_until || self.slowdown > SATURATION_SLOWDOWN * self.best_slowdown
     }
