--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -125,6 +125,8 @@
 /// The word before a group of counters in the log, and the counters of the group.
 type Group = (&'static str, &'static [Counter]);
 
+/// All counters in the order of the log line. Scripts match the names, which therefore stay even if
+/// a field is renamed.
 const GROUPS: &[Group] = &[
     (
         "requests ",
