--- a/crates/console/src/draw/header.rs
+++ b/crates/console/src/draw/header.rs
@@ -85,7 +85,7 @@
         ended(AnswerKind::Served),
         ended(AnswerKind::Refused),
         ended(AnswerKind::Failed),
-        ended(AnswerKind::Lost),
+        ended(AnswerKind::Undelivered),
     )
 }
 
--- a/crates/event-log/src/tally.rs
+++ b/crates/event-log/src/tally.rs
@@ -106,7 +106,7 @@
                 self.totals.invalid += 1;
                 return;
             }
-            RejectReason::ClientDisconnected => AnswerKind::Lost,
+            RejectReason::ClientDisconnected => AnswerKind::Undelivered,
             RejectReason::StatementMemoryFull => {
                 self.totals.statement_memory_full += 1;
                 AnswerKind::Refused
@@ -170,8 +170,8 @@
             AnswerKind::Served => &mut self.served,
             AnswerKind::Refused => &mut self.refused,
             AnswerKind::Failed => &mut self.failed,
-            AnswerKind::Forgotten => &mut self.forgotten,
-            AnswerKind::Lost => &mut self.lost,
+            AnswerKind::Abandoned => &mut self.abandoned,
+            AnswerKind::Undelivered => &mut self.undelivered,
         }
     }
 
--- a/crates/event-log/src/text/names.rs
+++ b/crates/event-log/src/text/names.rs
@@ -43,8 +43,8 @@
         AnswerKind::Served => "Served",
         AnswerKind::Refused => "Refused",
         AnswerKind::Failed => "Failed",
-        AnswerKind::Forgotten => "Forgotten",
-        AnswerKind::Lost => "Lost",
+        AnswerKind::Abandoned => "Forgotten",
+        AnswerKind::Undelivered => "Lost",
     }
 }
 
--- a/crates/event-log/src/totals.rs
+++ b/crates/event-log/src/totals.rs
@@ -48,9 +48,9 @@
     /// Messages that could not be used.
     invalid = "invalid",
     /// Requests that their clients cancelled.
-    forgotten = "forgotten",
+    abandoned = "forgotten",
     /// Requests whose clients disconnected before the answer.
-    lost = "lost",
+    undelivered = "lost",
     /// Requests answered after their deadline.
     late = "late",
     /// Requests refused because open statements filled their memory.
@@ -120,9 +120,9 @@
     /// With an error.
     Failed,
     /// The client cancelled it.
-    Forgotten,
+    Abandoned,
     /// The client disconnected.
-    Lost,
+    Undelivered,
 }
 
 impl AnswerKind {
@@ -131,8 +131,8 @@
         AnswerKind::Served,
         AnswerKind::Refused,
         AnswerKind::Failed,
-        AnswerKind::Forgotten,
-        AnswerKind::Lost,
+        AnswerKind::Abandoned,
+        AnswerKind::Undelivered,
     ];
 
     /// The kind as logs and pages name it.
@@ -141,8 +141,8 @@
             AnswerKind::Served => "served",
             AnswerKind::Refused => "refused",
             AnswerKind::Failed => "failed",
-            AnswerKind::Forgotten => "forgotten",
-            AnswerKind::Lost => "lost",
+            AnswerKind::Abandoned => "forgotten",
+            AnswerKind::Undelivered => "lost",
         }
     }
 }
@@ -166,14 +166,14 @@
 
     /// All values: received, by [`AnswerKind`], late.
     pub fn values(&self) -> [u64; GROUP_VALUES] {
-        let [served, refused, failed, forgotten, lost] = self.ended;
+        let [served, refused, failed, abandoned, undelivered] = self.ended;
         [
             self.received,
             served,
             refused,
             failed,
-            forgotten,
-            lost,
+            abandoned,
+            undelivered,
             self.late,
         ]
     }
@@ -280,8 +280,8 @@
             + totals.refused
             + totals.failed
             + totals.invalid
-            + totals.forgotten
-            + totals.lost;
+            + totals.abandoned
+            + totals.undelivered;
         totals.received.saturating_sub(ended)
     }
 }
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -86,7 +86,11 @@
             .clients
             .answer(request.client, call_id, |output| write(output, call_id));
         self.counters.lost += u64::from(!is_sent);
-        let kind = if is_sent { kind } else { AnswerKind::Lost };
+        let kind = if is_sent {
+            kind
+        } else {
+            AnswerKind::Undelivered
+        };
         self.request_span(key)
             .in_scope(|| tracing::debug!(late = is_late, "{}", kind.name()));
         self.record_answer(key, kind, is_late);
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -29,7 +29,7 @@
                 }
                 ClientEvent::Forgotten(request) => {
                     self.counters.forgotten += 1;
-                    self.handle_client_left(request, AnswerKind::Forgotten);
+                    self.handle_client_left(request, AnswerKind::Abandoned);
                 }
                 ClientEvent::ConnectionRejected(request) => {
                     self.events.push_back(Event::ClientLeft {
@@ -40,7 +40,7 @@
                 ClientEvent::Disconnected(request) => {
                     self.counters.lost += 1;
                     if !self.detach_spooled_request(request) {
-                        self.handle_client_left(request, AnswerKind::Lost);
+                        self.handle_client_left(request, AnswerKind::Undelivered);
                     }
                 }
             }
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -24,7 +24,7 @@
         if let Some(result_spool) = &mut self.result_spool {
             result_spool.detach(key.number(), &Waiter::of_request(request));
         }
-        self.record_unanswered(key, AnswerKind::Lost);
+        self.record_unanswered(key, AnswerKind::Undelivered);
         true
     }
 
@@ -147,7 +147,11 @@
                 (is_sent, answer_kind)
             }
         };
-        let kind = if is_sent { kind } else { AnswerKind::Lost };
+        let kind = if is_sent {
+            kind
+        } else {
+            AnswerKind::Undelivered
+        };
         self.count_delivery(&waiter, kind);
     }
 
--- a/crates/report/src/page/service.rs
+++ b/crates/report/src/page/service.rs
@@ -89,8 +89,8 @@
         AnswerKind::Served => "served",
         AnswerKind::Refused => "refused",
         AnswerKind::Failed => "failed",
-        AnswerKind::Forgotten => "forgotten",
-        AnswerKind::Lost => "lost",
+        AnswerKind::Abandoned => "forgotten",
+        AnswerKind::Undelivered => "lost",
     }
 }
 
--- a/crates/report/src/summary/headline.rs
+++ b/crates/report/src/summary/headline.rs
@@ -61,7 +61,7 @@
         totals.refused,
         reasons.unwrap_or_default(),
         totals.failed,
-        totals.lost,
+        totals.undelivered,
         losses.unwrap_or_default()
     )
 }
