--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -74,7 +74,7 @@
         for (name, value) in tally.totals.pairs() {
             object.insert(name.to_string(), json!(value));
         }
-        object.insert("open".into(), json!(tally.open()));
+        object.insert("open".into(), json!(tally.open_requests()));
         object.insert("ended".into(), json!(self.final_counters.is_some()));
         object.insert("gaps".into(), json!(self.gaps));
         object.insert("left_out".into(), json!(self.missing_entries));
@@ -93,7 +93,7 @@
             source.name,
             source.epoch,
             totals.join(" "),
-            tally.open()
+            tally.open_requests()
         )
     }
 }
--- a/crates/event-log/src/totals.rs
+++ b/crates/event-log/src/totals.rs
@@ -274,7 +274,7 @@
     }
 
     /// Requests received that have not ended.
-    pub fn open(&self) -> u64 {
+    pub fn open_requests(&self) -> u64 {
         let totals = &self.totals;
         let ended = totals.served
             + totals.refused
--- a/crates/report/src/page/gateways.rs
+++ b/crates/report/src/page/gateways.rs
@@ -76,5 +76,5 @@
 }
 
 fn open_requests(run: &GatewayRun) -> u64 {
-    run.running_tally.tally.open()
+    run.running_tally.tally.open_requests()
 }
--- a/crates/report/src/summary/caveats.rs
+++ b/crates/report/src/summary/caveats.rs
@@ -39,7 +39,7 @@
 /// Requests that were open where logs break off: their clients got no answer from that gateway.
 pub fn unanswered_at_break_off(view: &View) -> u64 {
     broken_off_runs(view)
-        .map(|run| run.running_tally.tally.open())
+        .map(|run| run.running_tally.tally.open_requests())
         .sum()
 }
 
@@ -70,7 +70,7 @@
         run.name,
         clock(run.epoch),
         clock_ms(run.last_at),
-        plural(run.running_tally.tally.open(), "request")
+        plural(run.running_tally.tally.open_requests(), "request")
     )
 }
 
