--- a/crates/event-log/src/reader/merged.rs
+++ b/crates/event-log/src/reader/merged.rs
@@ -59,7 +59,7 @@
         let reader = Self::new(directories, false, from)?;
         if reader.sources.is_empty() {
             let path = directories.first().cloned().unwrap_or_default();
-            return Err(ReadError::Nothing { path });
+            return Err(ReadError::NoSegments { path });
         }
         Ok(reader)
     }
--- a/crates/event-log/src/reader/mod.rs
+++ b/crates/event-log/src/reader/mod.rs
@@ -34,7 +34,7 @@
     },
     /// The directories hold no segment files.
     #[error("{path}: no record is there (files named NAME.START.NUMBER.eyr)")]
-    Nothing {
+    NoSegments {
         /// The first directory.
         path: PathBuf,
     },
@@ -43,7 +43,7 @@
         "{path}: version {version} of the record is newer than this program, which reads up to \
              {VERSION}; use the program that wrote it, or a later one"
     )]
-    Newer {
+    UnsupportedVersion {
         /// The segment file.
         path: PathBuf,
         /// Its version.
--- a/crates/event-log/src/reader/stream.rs
+++ b/crates/event-log/src/reader/stream.rs
@@ -247,7 +247,9 @@
             return Ok(false);
         }
         match read_file_head(&self.buffer) {
-            Some(version) if version > VERSION => return Err(ReadError::Newer { path, version }),
+            Some(version) if version > VERSION => {
+                return Err(ReadError::UnsupportedVersion { path, version })
+            }
             Some(_) => self.used = FILE_HEAD,
             None => {
                 let length = self.buffer.len().min(FILE_HEAD);
