--- a/crates/event-log/src/frame.rs
+++ b/crates/event-log/src/frame.rs
@@ -11,9 +11,9 @@
 /// The version that is written, and the newest that is read.
 pub const VERSION: u32 = 3;
 /// Bytes of a file's header.
-pub const FILE_HEAD: usize = 16;
+pub const FILE_HEADER_BYTES: usize = 16;
 /// Bytes of a frame's header.
-pub const FRAME_HEAD: usize = 36;
+pub const FRAME_HEADER_BYTES: usize = 36;
 /// Longest payload in bytes, so that a damaged length costs no memory.
 pub const MAX_PAYLOAD: usize = 1 << 20;
 
@@ -32,7 +32,7 @@
 
 /// A frame's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Frame {
+pub struct FrameHeader {
     /// When the gateway that wrote it started.
     pub epoch: Micros,
     /// Counts from 1 through all segments of an epoch.
@@ -43,7 +43,7 @@
     pub length: usize,
 }
 
-impl Frame {
+impl FrameHeader {
     /// The context that its first entry was encoded in.
     pub fn context(&self) -> Context {
         Context::new(self.first_at)
@@ -51,8 +51,8 @@
 }
 
 /// The header of a segment file.
-pub fn file_head() -> [u8; FILE_HEAD] {
-    let mut head = [0; FILE_HEAD];
+pub fn encode_file_header() -> [u8; FILE_HEADER_BYTES] {
+    let mut head = [0; FILE_HEADER_BYTES];
     head[..FILE_VERSION].copy_from_slice(&FILE_MARKER);
     head[FILE_VERSION..FILE_CHECKSUM].copy_from_slice(&VERSION.to_le_bytes());
     let checksum = crc32fast::hash(&head[..FILE_CHECKSUM]);
@@ -61,8 +61,8 @@
 }
 
 /// The version in a file's header; `None` if the header is damaged.
-pub fn read_file_head(bytes: &[u8]) -> Option<u32> {
-    let head = bytes.first_chunk::<FILE_HEAD>()?;
+pub fn decode_file_header(bytes: &[u8]) -> Option<u32> {
+    let head = bytes.first_chunk::<FILE_HEADER_BYTES>()?;
     let has_marker = head[..FILE_VERSION] == FILE_MARKER;
     let checksum = crc32fast::hash(&head[..FILE_CHECKSUM]);
     let is_valid = has_marker && u32_at(head, FILE_CHECKSUM) == checksum;
@@ -70,13 +70,13 @@
 }
 
 /// The header of a frame with this payload.
-pub fn frame_head(
+pub fn encode_frame_header(
     epoch: Micros,
     number: u64,
     first_at: Micros,
     payload: &[u8],
-) -> [u8; FRAME_HEAD] {
-    let mut head = [0; FRAME_HEAD];
+) -> [u8; FRAME_HEADER_BYTES] {
+    let mut head = [0; FRAME_HEADER_BYTES];
     head[..CHECKSUM].copy_from_slice(&FRAME_MARKER);
     head[LENGTH..EPOCH].copy_from_slice(&(payload.len() as u32).to_le_bytes());
     head[EPOCH..NUMBER].copy_from_slice(&epoch.to_le_bytes());
@@ -90,7 +90,7 @@
 /// The time at which a frame starts, without a check of its checksum: good enough to choose where
 /// to start reading.
 pub fn frame_first_at(bytes: &[u8]) -> Option<Micros> {
-    let has_head = bytes.len() >= FRAME_HEAD && bytes.starts_with(&FRAME_MARKER);
+    let has_head = bytes.len() >= FRAME_HEADER_BYTES && bytes.starts_with(&FRAME_MARKER);
     has_head.then(|| u64_at(bytes, FIRST_AT))
 }
 
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameSearch {
     /// A whole frame with a valid checksum.
-    Frame(Frame),
+    Frame(FrameHeader),
     /// A frame may start here; this many bytes in all are needed to know.
     Incomplete(usize),
     /// No frame starts here. The next one may start after this many bytes.
@@ -107,10 +107,10 @@
 
 /// Looks for a frame at the start of some bytes.
 pub fn find_frame(bytes: &[u8]) -> FrameSearch {
-    if bytes.len() < FRAME_HEAD {
+    if bytes.len() < FRAME_HEADER_BYTES {
         let may_be_marker = starts_like_marker(bytes);
         return if may_be_marker {
-            FrameSearch::Incomplete(FRAME_HEAD)
+            FrameSearch::Incomplete(FRAME_HEADER_BYTES)
         } else {
             FrameSearch::NotFound(next_marker(bytes))
         };
@@ -122,14 +122,14 @@
     if length > MAX_PAYLOAD {
         return FrameSearch::NotFound(next_marker(bytes));
     }
-    let end = FRAME_HEAD + length;
-    let Some(payload) = bytes.get(FRAME_HEAD..end) else {
+    let end = FRAME_HEADER_BYTES + length;
+    let Some(payload) = bytes.get(FRAME_HEADER_BYTES..end) else {
         return FrameSearch::Incomplete(end);
     };
     if frame_checksum(bytes, payload) != u32_at(bytes, CHECKSUM) {
         return FrameSearch::NotFound(next_marker(bytes));
     }
-    FrameSearch::Frame(Frame {
+    FrameSearch::Frame(FrameHeader {
         epoch: u64_at(bytes, EPOCH),
         number: u64_at(bytes, NUMBER),
         first_at: u64_at(bytes, FIRST_AT),
@@ -152,7 +152,7 @@
 
 fn frame_checksum(head: &[u8], payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&head[LENGTH..FRAME_HEAD]);
+    hasher.update(&head[LENGTH..FRAME_HEADER_BYTES]);
     hasher.update(payload);
     hasher.finalize()
 }
--- a/crates/event-log/src/reader/merged.rs
+++ b/crates/event-log/src/reader/merged.rs
@@ -9,7 +9,7 @@
 use super::segments::{drop_segments_before, list_segments, SegmentFile, SourceKey};
 use super::stream::{SegmentStream, Step};
 use super::{io_error, Problem, ReadContent, ReadEntry, ReadError, Source};
-use crate::frame::{find_frame, FrameSearch, FRAME_HEAD};
+use crate::frame::{find_frame, FrameSearch, FRAME_HEADER_BYTES};
 
 /// Reads the logs of some directories by time.
 pub struct MergedReader {
@@ -222,7 +222,7 @@
         let length = match find_frame(rest) {
             FrameSearch::Frame(frame) => {
                 last = last.max(frame.first_at);
-                FRAME_HEAD + frame.length
+                FRAME_HEADER_BYTES + frame.length
             }
             FrameSearch::NotFound(count) => count.min(rest.len()),
             FrameSearch::Incomplete(_) => 1,
--- a/crates/event-log/src/reader/segments.rs
+++ b/crates/event-log/src/reader/segments.rs
@@ -9,7 +9,7 @@
 
 use super::{io_error, ReadError};
 use crate::file_name::parse_file_name;
-use crate::frame::{frame_first_at, FILE_HEAD, FRAME_HEAD};
+use crate::frame::{frame_first_at, FILE_HEADER_BYTES, FRAME_HEADER_BYTES};
 
 /// One start of one gateway in one directory. The order is that of [`super::Source`]s.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,8 +69,8 @@
 fn first_at(path: &Path) -> Option<Micros> {
     let mut head = Vec::new();
     let file = File::open(path).ok()?;
-    file.take((FILE_HEAD + FRAME_HEAD) as u64)
+    file.take((FILE_HEADER_BYTES + FRAME_HEADER_BYTES) as u64)
         .read_to_end(&mut head)
         .ok()?;
-    frame_first_at(head.get(FILE_HEAD..)?)
+    frame_first_at(head.get(FILE_HEADER_BYTES..)?)
 }
--- a/crates/event-log/src/reader/stream.rs
+++ b/crates/event-log/src/reader/stream.rs
@@ -11,7 +11,8 @@
 use crate::codec::{Context, Decoder, DecoderPosition};
 use crate::entry::Entry;
 use crate::frame::{
-    find_frame, read_file_head, Frame, FrameSearch, FILE_HEAD, FRAME_HEAD, MAX_PAYLOAD, VERSION,
+    decode_file_header, find_frame, FrameHeader, FrameSearch, FILE_HEADER_BYTES,
+    FRAME_HEADER_BYTES, MAX_PAYLOAD, VERSION,
 };
 
 /// Bytes that are read at once.
@@ -64,7 +65,7 @@
         SegmentStream {
             files,
             open: None,
-            buffer: Vec::with_capacity(CHUNK_BYTES + FRAME_HEAD + MAX_PAYLOAD / 4),
+            buffer: Vec::with_capacity(CHUNK_BYTES + FRAME_HEADER_BYTES + MAX_PAYLOAD / 4),
             buffer_position: 0,
             used: 0,
             frame: None,
@@ -156,8 +157,8 @@
     }
 
     /// Starts decoding a frame, unless it was read before or is of another start.
-    fn start_frame(&mut self, frame: Frame) -> Option<Step> {
-        let length = FRAME_HEAD + frame.length;
+    fn start_frame(&mut self, frame: FrameHeader) -> Option<Step> {
+        let length = FRAME_HEADER_BYTES + frame.length;
         if frame.epoch != self.epoch || frame.number <= self.last_frame {
             self.skip(length, ProblemKind::DuplicateFrame);
             return None;
@@ -165,7 +166,7 @@
         let are_frames_missing = self.last_frame > 0 && frame.number > self.last_frame + 1;
         self.last_frame = frame.number;
         self.frame = Some(FrameRest {
-            start: self.used + FRAME_HEAD,
+            start: self.used + FRAME_HEADER_BYTES,
             end: self.used + length,
             context: frame.context(),
         });
@@ -239,20 +240,20 @@
             file,
             path: path.clone(),
         });
-        while self.buffer.len() < FILE_HEAD && self.fill()? {}
-        if self.buffer.len() < FILE_HEAD && self.is_followed && self.files.is_empty() {
+        while self.buffer.len() < FILE_HEADER_BYTES && self.fill()? {}
+        if self.buffer.len() < FILE_HEADER_BYTES && self.is_followed && self.files.is_empty() {
             // The writer has made the file and not yet written its header.
             self.close_file();
             self.files.push_front(path);
             return Ok(false);
         }
-        match read_file_head(&self.buffer) {
+        match decode_file_header(&self.buffer) {
             Some(version) if version > VERSION => {
                 return Err(ReadError::UnsupportedVersion { path, version })
             }
-            Some(_) => self.used = FILE_HEAD,
+            Some(_) => self.used = FILE_HEADER_BYTES,
             None => {
-                let length = self.buffer.len().min(FILE_HEAD);
+                let length = self.buffer.len().min(FILE_HEADER_BYTES);
                 self.skip(length, ProblemKind::FileHeadDamaged);
             }
         }
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -16,7 +16,7 @@
 use crate::disk::{Disk, Segment};
 use crate::entry::{EntryRef, HostEvent};
 use crate::file_name::{file_name, file_name_prefix, parse_file_name};
-use crate::frame::{file_head, frame_head};
+use crate::frame::{encode_file_header, encode_frame_header};
 use crate::totals::Tally;
 
 /// Most segment files of one gateway, whatever their size: a disk that fails again and again leaves
@@ -144,7 +144,7 @@
         self.segments += 1;
         let name = file_name(&self.config.name, self.config.epoch, self.segments);
         let mut file = self.disk.create(&name)?;
-        let head = file_head();
+        let head = encode_file_header();
         file.append(&head)?;
         self.open = Some(OpenSegment {
             file,
@@ -159,7 +159,7 @@
             return Ok(());
         };
         self.frames += 1;
-        let head = frame_head(self.config.epoch, self.frames, first_at, payload);
+        let head = encode_frame_header(self.config.epoch, self.frames, first_at, payload);
         open.file.append(&head)?;
         open.file.append(payload)?;
         open.length += (head.len() + payload.len()) as u64;
--- a/crates/event-log/tests/failures.rs
+++ b/crates/event-log/tests/failures.rs
@@ -418,7 +418,7 @@
     let mut rng = Rng::with_seed(99);
     let directory = tempfile::tempdir().unwrap();
     for round in 0..400 {
-        let mut bytes = frame::file_head().to_vec();
+        let mut bytes = frame::encode_file_header().to_vec();
         for number in 1..4 {
             let mut payload: Vec<u8> = (0..rng.usize(0..300)).map(|_| rng.u8(0..60)).collect();
             if rng.bool() {
@@ -427,7 +427,7 @@
                 payload.splice(0..0, good);
             }
             if rng.u8(0..4) > 0 {
-                bytes.extend(frame::frame_head(START, number, START, &payload));
+                bytes.extend(frame::encode_frame_header(START, number, START, &payload));
             }
             bytes.extend(payload);
         }
--- a/fuzz/fuzz_targets/record.rs
+++ b/fuzz/fuzz_targets/record.rs
@@ -3,14 +3,14 @@
 #![no_main]
 
 use eideryard_event_log::codec::{Context, Decoder};
-use eideryard_event_log::frame::{find_frame, FrameSearch, FRAME_HEAD};
+use eideryard_event_log::frame::{find_frame, FrameSearch, FRAME_HEADER_BYTES};
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|bytes: &[u8]| {
     let mut rest = bytes;
     while !rest.is_empty() {
         rest = match find_frame(rest) {
-            FrameSearch::Frame(frame) => &rest[FRAME_HEAD + frame.length..],
+            FrameSearch::Frame(frame) => &rest[FRAME_HEADER_BYTES + frame.length..],
             FrameSearch::NotFound(count) => &rest[count.min(rest.len())..],
             FrameSearch::Incomplete(_) => &rest[1..],
         };
