--- a/crates/event-log/src/config.rs
+++ b/crates/event-log/src/config.rs
@@ -23,9 +23,9 @@
     /// Time to wait after a file error before the next attempt to write.
     pub retry_delay: Duration,
     /// How many classes are counted.
-    pub classes: usize,
+    pub class_count: usize,
     /// How many tenants are counted.
-    pub tenants: usize,
+    pub tenant_count: usize,
 }
 
 /// Encoded entries on their way to the writer; one batch becomes one frame.
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -70,7 +70,7 @@
         let (filled, to_write) = sync_channel(BATCH_COUNT);
         let (written, empty) = sync_channel(BATCH_COUNT);
         let has_lost = Arc::new(AtomicBool::new(false));
-        let tally = Tally::with_groups(config.classes, config.tenants);
+        let tally = Tally::with_groups(config.class_count, config.tenant_count);
         for _ in 0..BATCH_COUNT {
             // The channel has room for all buffers.
             let _ = written.try_send(empty_batch(&tally));
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -58,7 +58,7 @@
 impl Writer {
     pub fn new(config: Config, disk: Box<dyn Disk>, has_lost: Arc<AtomicBool>) -> Self {
         Writer {
-            written: Tally::with_groups(config.classes, config.tenants),
+            written: Tally::with_groups(config.class_count, config.tenant_count),
             written_until: config.epoch,
             config,
             disk,
--- a/crates/event-log/tests/common/log_files.rs
+++ b/crates/event-log/tests/common/log_files.rs
@@ -18,8 +18,8 @@
         max_segment_bytes: segment,
         max_segment_age: 600_000_000,
         retry_delay: std::time::Duration::from_millis(20),
-        classes: 4,
-        tenants: 3,
+        class_count: 4,
+        tenant_count: 3,
     }
 }
 
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -39,8 +39,8 @@
             max_segment_bytes: event_log.segment,
             max_segment_age: event_log.segment_time,
             retry_delay: RETRY_DELAY,
-            classes: names.classes.len(),
-            tenants: names.tenants.len(),
+            class_count: names.classes.len(),
+            tenant_count: names.tenants.len(),
         };
         let directory = Directory(event_log.directory.clone());
         match Recorder::start(config, Box::new(directory)) {
