--- a/crates/event-log/src/codec/action.rs
+++ b/crates/event-log/src/codec/action.rs
@@ -1,4 +1,4 @@
-//! Actions of the decision module.
+//! Encodes actions of the decision module.
 
 use eideryard::interface::{end_tag, Action};
 
@@ -15,7 +15,7 @@
             rank,
         } => {
             encoder.put_request(*request);
-            encoder.put_real(*grant_mb);
+            encoder.put_float(*grant_mb);
             encoder.put_byte(*rank);
             kind::GRANT
         }
@@ -43,7 +43,7 @@
             retry_after,
         } => {
             encoder.put_request(*request);
-            encoder.put_number(*retry_after);
+            encoder.put_varint(*retry_after);
             kind::REFUSE
         }
         Action::Fail { request } => {
@@ -51,7 +51,7 @@
             kind::FAIL
         }
         Action::SetTimer { after, tag } => {
-            encoder.put_number(*after);
+            encoder.put_varint(*after);
             encoder.put_timer_tag(*tag);
             kind::SET_TIMER
         }
@@ -63,12 +63,12 @@
     }
 }
 
-/// Reads the content of an action of this kind.
+/// Decodes the content of an action of this kind.
 pub(super) fn decode(decoder: &mut Decoder<'_>, kind: u8) -> Decoded<Action> {
     Ok(match kind {
         kind::GRANT => Action::Grant {
             request: decoder.read_request()?,
-            grant_mb: decoder.read_real()?,
+            grant_mb: decoder.read_float()?,
             rank: decoder.read_byte()?,
         },
         kind::SEND => Action::Send {
@@ -85,13 +85,13 @@
         },
         kind::REFUSE => Action::Refuse {
             request: decoder.read_request()?,
-            retry_after: decoder.read_number()?,
+            retry_after: decoder.read_varint()?,
         },
         kind::FAIL => Action::Fail {
             request: decoder.read_request()?,
         },
         kind::SET_TIMER => Action::SetTimer {
-            after: decoder.read_number()?,
+            after: decoder.read_varint()?,
             tag: decoder.read_timer_tag()?,
         },
         kind::SUBSCRIBE => Action::Subscribe,
@@ -101,13 +101,13 @@
 }
 
 impl Encoder<'_> {
-    /// The tag of a request's deadline timer is encoded as the request, others as numbers.
+    /// Appends the tag of a timer: for a request's deadline timer the request, otherwise a number.
     pub(super) fn put_timer_tag(&mut self, tag: u64) {
         let request = request_of_timer(tag);
         self.put_flag(request.is_some());
         match request {
             Some(request) => self.put_request(request),
-            None => self.put_number(tag),
+            None => self.put_varint(tag),
         }
     }
 }
@@ -117,7 +117,7 @@
         if self.read_flag()? {
             Ok(end_tag(self.read_request()?))
         } else {
-            self.read_number()
+            self.read_varint()
         }
     }
 }
--- a/crates/event-log/src/codec/attempt.rs
+++ b/crates/event-log/src/codec/attempt.rs
@@ -1,11 +1,12 @@
-//! Progress and ends of attempts, probes and load reports, within events of the decision module.
+//! Encodes progress and ends of attempts, probes and load reports within events of the decision
+//! module.
 
 use eideryard::interface::{AttemptEnded, LoadReport, Outcome, Probed, Progress, ResourceUsage};
 
 use super::primitives::{value_at, Decoder, Encoder};
 use super::{kind, DecodeError, Decoded};
 
-/// Outcomes by their number in the log.
+/// The outcomes. The index of each is the number that the log stores.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Answered,
     Outcome::Error,
@@ -17,13 +18,13 @@
     Outcome::NotSent,
 ];
 
-/// The byte of an ended attempt: its outcome in the low four bits, flags above them.
+/// The byte of an ended attempt consists of the outcome in the low four bits and flags above them.
 const OUTCOME_MASK: u8 = 15;
 const COMPLETE_FLAG: u8 = 1 << 4;
 const ALREADY_REPORTED_FLAG: u8 = 1 << 5;
 const USAGE_FLAG: u8 = 1 << 6;
 
-/// The byte before a progress report.
+/// The byte that precedes a progress report.
 const PROGRESS_SHARE: u8 = 0;
 const PROGRESS_SPILLING: u8 = 1;
 const PROGRESS_WAITS_FOR_MEMORY: u8 = 2;
@@ -34,11 +35,11 @@
         match progress {
             Progress::Share(share) => {
                 self.put_byte(PROGRESS_SHARE);
-                self.put_real(*share);
+                self.put_float(*share);
             }
             Progress::Spilling(missing_mb) => {
                 self.put_byte(PROGRESS_SPILLING);
-                self.put_real(*missing_mb);
+                self.put_float(*missing_mb);
             }
             Progress::WaitsForMemory => self.put_byte(PROGRESS_WAITS_FOR_MEMORY),
             Progress::WaitsForLoad => self.put_byte(PROGRESS_WAITS_FOR_LOAD),
@@ -59,10 +60,10 @@
         self.put_request(ended.request);
         self.put_index(ended.attempt);
         self.put_byte(flags);
-        self.put_number(ended.spent);
+        self.put_varint(ended.spent);
         if let Some(usage) = &ended.usage {
-            self.put_real(usage.work);
-            self.put_real(usage.memory_mb);
+            self.put_float(usage.work);
+            self.put_float(usage.memory_mb);
         }
         self.put_load_report(ended.report.as_ref());
         kind::ATTEMPT_ENDED
@@ -78,7 +79,7 @@
     fn put_load_report(&mut self, report: Option<&LoadReport>) {
         self.put_flag(report.is_some());
         if let Some(report) = report {
-            self.put_optional_reals(&[
+            self.put_optional_floats(&[
                 report.in_flight,
                 report.waiting_for_memory,
                 report.cores_busy,
@@ -97,8 +98,8 @@
 impl Decoder<'_> {
     pub(super) fn read_progress(&mut self) -> Decoded<Progress> {
         match self.read_byte()? {
-            PROGRESS_SHARE => Ok(Progress::Share(self.read_real()?)),
-            PROGRESS_SPILLING => Ok(Progress::Spilling(self.read_real()?)),
+            PROGRESS_SHARE => Ok(Progress::Share(self.read_float()?)),
+            PROGRESS_SPILLING => Ok(Progress::Spilling(self.read_float()?)),
             PROGRESS_WAITS_FOR_MEMORY => Ok(Progress::WaitsForMemory),
             PROGRESS_WAITS_FOR_LOAD => Ok(Progress::WaitsForLoad),
             _ => Err(DecodeError::ValueOutOfRange),
@@ -110,7 +111,7 @@
         let attempt = self.read_index()?;
         let flags = self.read_byte()?;
         let outcome = value_at(&OUTCOMES, flags & OUTCOME_MASK)?;
-        let spent = self.read_number()?;
+        let spent = self.read_varint()?;
         let usage = if flags & USAGE_FLAG != 0 {
             Some(self.read_resource_usage()?)
         } else {
@@ -130,8 +131,8 @@
 
     fn read_resource_usage(&mut self) -> Decoded<ResourceUsage> {
         Ok(ResourceUsage {
-            work: self.read_real()?,
-            memory_mb: self.read_real()?,
+            work: self.read_float()?,
+            memory_mb: self.read_float()?,
         })
     }
 
@@ -148,7 +149,7 @@
             return Ok(None);
         }
         let [in_flight, waiting_for_memory, cores_busy, memory_granted, disks_busy] =
-            self.read_optional_reals()?;
+            self.read_optional_floats()?;
         Ok(Some(LoadReport {
             in_flight,
             waiting_for_memory,
--- a/crates/event-log/src/codec/event.rs
+++ b/crates/event-log/src/codec/event.rs
@@ -1,4 +1,4 @@
-//! Events of the decision module.
+//! Encodes events of the decision module.
 
 use eideryard::interface::{
     ClassEstimates, Endpoint, EngineEstimates, Event, LearnedState, Micros, Phase, PriorAttempt,
@@ -11,9 +11,9 @@
 
 /// Most engines in a restored checkpoint.
 const MAX_LEARNED_ENGINES: usize = 4096;
-/// Most prior attempts of one request.
+/// Most prior attempts in one entry.
 const MAX_PRIOR_ATTEMPTS: usize = 64;
-/// Phases by their number in the log.
+/// The phases. The index of each is the number that the log stores.
 const PHASES: [Phase; 3] = [Phase::Ready, Phase::Draining, Phase::Removed];
 
 /// Appends an event's content and returns its kind.
@@ -67,7 +67,7 @@
     }
 }
 
-/// Reads the content of an event of this kind.
+/// Decodes the content of an event of this kind.
 pub(super) fn decode(decoder: &mut Decoder<'_>, kind: u8) -> Decoded<Event> {
     Ok(match kind {
         kind::ENDPOINT_SNAPSHOT => Event::EndpointSnapshot(decoder.read_endpoints()?),
@@ -108,14 +108,14 @@
 
 impl Encoder<'_> {
     fn put_endpoints(&mut self, endpoints: &[Endpoint]) {
-        self.put_number(endpoints.len() as u64);
+        self.put_varint(endpoints.len() as u64);
         for endpoint in endpoints {
             self.put_engine(endpoint.engine);
-            self.put_number(u64::from(endpoint.zone));
-            self.put_number(u64::from(endpoint.kind));
-            self.put_number(u64::from(endpoint.cell));
+            self.put_varint(u64::from(endpoint.zone));
+            self.put_varint(u64::from(endpoint.kind));
+            self.put_varint(u64::from(endpoint.cell));
             self.put_phase(endpoint.phase);
-            self.put_number(endpoint.booted_at);
+            self.put_varint(endpoint.booted_at);
         }
     }
 
@@ -140,7 +140,7 @@
             kind: self.read_u32()?,
             cell: self.read_u32()?,
             phase: self.read_phase()?,
-            booted_at: self.read_number()?,
+            booted_at: self.read_varint()?,
         })
     }
 
@@ -153,38 +153,38 @@
 
 impl Encoder<'_> {
     fn put_checkpoint_restored(&mut self, learned: &LearnedState, age: Micros) -> u8 {
-        self.put_number(age);
-        self.put_number(learned.classes.len() as u64);
+        self.put_varint(age);
+        self.put_varint(learned.classes.len() as u64);
         for class in &learned.classes {
-            self.put_optional_reals(&[Some(class.work_ratio), Some(class.memory_ratio)]);
-            self.put_optional_reals(&[Some(class.work), class.memory_mb]);
+            self.put_optional_floats(&[Some(class.work_ratio), Some(class.memory_ratio)]);
+            self.put_optional_floats(&[Some(class.work), class.memory_mb]);
         }
-        self.put_number(learned.engines.len() as u64);
+        self.put_varint(learned.engines.len() as u64);
         for engine in &learned.engines {
-            self.put_number(u64::from(engine.engine));
-            self.put_number(engine.booted_at);
-            self.put_optional_reals(&[Some(engine.slowdown), Some(engine.best_slowdown)]);
-            self.put_optional_reals(&[Some(engine.bad), Some(engine.foreign_load)]);
+            self.put_varint(u64::from(engine.engine));
+            self.put_varint(engine.booted_at);
+            self.put_optional_floats(&[Some(engine.slowdown), Some(engine.best_slowdown)]);
+            self.put_optional_floats(&[Some(engine.bad), Some(engine.foreign_load)]);
         }
-        self.put_real(learned.baseline_load);
+        self.put_float(learned.baseline_load);
         kind::CHECKPOINT_RESTORED
     }
 }
 
 impl Decoder<'_> {
     fn read_checkpoint_restored(&mut self) -> Decoded<Event> {
-        let age = self.read_number()?;
+        let age = self.read_varint()?;
         let learned = LearnedState {
             classes: self.read_list(MAX_GROUPS, Self::read_class_estimates)?,
             engines: self.read_list(MAX_LEARNED_ENGINES, Self::read_engine_estimates)?,
-            baseline_load: self.read_real()?,
+            baseline_load: self.read_float()?,
         };
         Ok(Event::CheckpointRestored { learned, age })
     }
 
     fn read_class_estimates(&mut self) -> Decoded<ClassEstimates> {
-        let [work_ratio, memory_ratio] = self.read_reals_or_zero()?;
-        let [work, memory_mb] = self.read_optional_reals()?;
+        let [work_ratio, memory_ratio] = self.read_floats_or_zero()?;
+        let [work, memory_mb] = self.read_optional_floats()?;
         Ok(ClassEstimates {
             work_ratio,
             memory_ratio,
@@ -195,9 +195,9 @@
 
     fn read_engine_estimates(&mut self) -> Decoded<EngineEstimates> {
         let engine = self.read_u32_truncated()?;
-        let booted_at = self.read_number()?;
-        let [slowdown, best_slowdown] = self.read_reals_or_zero()?;
-        let [bad, foreign_load] = self.read_reals_or_zero()?;
+        let booted_at = self.read_varint()?;
+        let [slowdown, best_slowdown] = self.read_floats_or_zero()?;
+        let [bad, foreign_load] = self.read_floats_or_zero()?;
         Ok(EngineEstimates {
             engine,
             booted_at,
@@ -217,8 +217,8 @@
         self.put_index(request.class);
         self.put_index(request.tenant);
         self.put_time_after(request.deadline);
-        self.put_optional_reals(&[request.work, request.memory_mb]);
-        self.put_number(request.group);
+        self.put_optional_floats(&[request.work, request.memory_mb]);
+        self.put_varint(request.group);
         self.put_text(request.key.as_deref().unwrap_or(""));
         if request.prior_attempts.is_empty() {
             return kind::ARRIVED;
@@ -228,24 +228,24 @@
     }
 
     fn put_prior_attempts(&mut self, attempts: &[PriorAttempt]) {
-        self.put_number(attempts.len() as u64);
+        self.put_varint(attempts.len() as u64);
         for attempt in attempts {
-            self.put_number(u64::from(attempt.zone));
-            self.put_number(u64::from(attempt.cell));
-            self.put_number(attempt.since);
+            self.put_varint(u64::from(attempt.zone));
+            self.put_varint(u64::from(attempt.cell));
+            self.put_varint(attempt.since);
         }
     }
 }
 
 impl Decoder<'_> {
-    /// A request without its prior attempts.
+    /// Reads a request without its prior attempts.
     fn read_arrived(&mut self) -> Decoded<Request> {
         let id = self.read_request()?;
         let class = self.read_index()?;
         let tenant = self.read_index()?;
         let deadline = self.read_time_after()?;
-        let [work, memory_mb] = self.read_optional_reals()?;
-        let group = self.read_number()?;
+        let [work, memory_mb] = self.read_optional_floats()?;
+        let group = self.read_varint()?;
         let key = Some(self.read_text()?).filter(|key| !key.is_empty());
         Ok(Request {
             id,
@@ -268,7 +268,7 @@
         Ok(PriorAttempt {
             zone: self.read_u32_truncated()?,
             cell: self.read_u32_truncated()?,
-            since: self.read_number()?,
+            since: self.read_varint()?,
         })
     }
 }
--- a/crates/event-log/src/codec/fleet.rs
+++ b/crates/event-log/src/codec/fleet.rs
@@ -1,4 +1,4 @@
-//! Events of the group of gateways.
+//! Encodes events of the group of gateways.
 
 use super::primitives::{Decoder, Encoder};
 use super::{kind, DecodeError, Decoded};
@@ -30,8 +30,8 @@
             term,
             is_held,
         } => {
-            encoder.put_number(u64::from(*task));
-            encoder.put_number(*term);
+            encoder.put_varint(u64::from(*task));
+            encoder.put_varint(*term);
             encoder.put_flag(*is_held);
             kind::LEASE_CHANGED
         }
@@ -41,16 +41,16 @@
             owner,
             is_accepted,
         } => {
-            encoder.put_number(u64::from(*task));
-            encoder.put_number(*term);
-            encoder.put_number(*owner);
+            encoder.put_varint(u64::from(*task));
+            encoder.put_varint(*term);
+            encoder.put_varint(*owner);
             encoder.put_flag(*is_accepted);
             kind::WORK_RECEIVED
         }
     }
 }
 
-/// Reads the content of an event of this kind.
+/// Decodes the content of an event of this kind.
 pub(super) fn decode(decoder: &mut Decoder<'_>, kind: u8) -> Decoded<FleetEvent> {
     Ok(match kind {
         kind::PEER_STATE => FleetEvent::PeerState {
@@ -69,13 +69,13 @@
         },
         kind::LEASE_CHANGED => FleetEvent::LeaseChanged {
             task: decoder.read_u32_truncated()?,
-            term: decoder.read_number()?,
+            term: decoder.read_varint()?,
             is_held: decoder.read_flag()?,
         },
         kind::WORK_RECEIVED => FleetEvent::WorkReceived {
             task: decoder.read_u32_truncated()?,
-            term: decoder.read_number()?,
-            owner: decoder.read_number()?,
+            term: decoder.read_varint()?,
+            owner: decoder.read_varint()?,
             is_accepted: decoder.read_flag()?,
         },
         kind => return Err(DecodeError::UnknownKind(kind)),
--- a/crates/event-log/src/codec/host.rs
+++ b/crates/event-log/src/codec/host.rs
@@ -1,4 +1,4 @@
-//! Events of the gateway outside the decision module.
+//! Encodes events of the gateway outside the decision module.
 
 use std::net::IpAddr;
 
@@ -8,10 +8,11 @@
 use super::{fleet, kind, DecodeError, Decoded};
 use crate::entry::{AnswerKind, ClientRequest, CloseReason, HostEvent, RejectReason};
 
-/// The byte before an address.
+/// The byte that precedes an IP address.
 const IP_VERSION_4: u8 = 4;
 const IP_VERSION_6: u8 = 6;
-/// The byte of an answer: its kind in the low four bits, above them whether it was late.
+/// The byte of an answer consists of its kind in the low four bits and, above them, a flag that is
+/// set if the answer was late.
 const ANSWER_KIND_MASK: u8 = 15;
 const ANSWER_LATE_SHIFT: u8 = 4;
 
@@ -69,7 +70,7 @@
     }
 }
 
-/// Reads the content of an event of this kind.
+/// Decodes the content of an event of this kind.
 pub(super) fn decode(decoder: &mut Decoder<'_>, kind: u8) -> Decoded<HostEvent> {
     match kind {
         kind::SEGMENT_STARTED => decoder.read_segment_started(),
@@ -267,7 +268,7 @@
     }
 
     fn put_discovery_event(&mut self, number: u64) -> u8 {
-        self.put_number(number);
+        self.put_varint(number);
         kind::DISCOVERY_EVENT
     }
 
@@ -284,7 +285,7 @@
     }
 
     fn read_discovery_event(&mut self) -> Decoded<HostEvent> {
-        let number = self.read_number()?;
+        let number = self.read_varint()?;
         Ok(HostEvent::DiscoveryEvent { number })
     }
 
--- a/crates/event-log/src/codec/kind.rs
+++ b/crates/event-log/src/codec/kind.rs
@@ -1,4 +1,5 @@
-//! The first byte of each entry. Numbers are part of the stored format.
+//! The kinds of entries, stored as the first byte of each entry. The numbers are part of the stored
+//! format and must not change.
 
 pub const ENDPOINT_SNAPSHOT: u8 = 1;
 pub const ENDPOINT_CHANGES: u8 = 2;
@@ -10,11 +11,11 @@
 pub const PROBED: u8 = 8;
 pub const CLIENT_LEFT: u8 = 9;
 pub const TIMER: u8 = 10;
-/// [`ARRIVED`] of a request with prior attempts.
+/// Like [`ARRIVED`], for a request with prior attempts.
 pub const ARRIVED_WITH_PRIOR_ATTEMPTS: u8 = 11;
 pub const CHECKPOINT_RESTORED: u8 = 12;
 pub const PRIOR_ATTEMPTS: u8 = 13;
-/// Kinds up to this are events of the decision module.
+/// Highest number that is reserved for events of the decision module.
 pub const LAST_EVENT: u8 = 19;
 
 pub const GRANT: u8 = 20;
@@ -26,7 +27,7 @@
 pub const SET_TIMER: u8 = 26;
 pub const SUBSCRIBE: u8 = 27;
 pub const LOG: u8 = 28;
-/// Kinds up to this are events or actions of the decision module.
+/// Highest number that is reserved for actions of the decision module.
 pub const LAST_ACTION: u8 = 39;
 
 pub const SEGMENT_STARTED: u8 = 40;
--- a/crates/event-log/src/codec/mod.rs
+++ b/crates/event-log/src/codec/mod.rs
@@ -1,14 +1,15 @@
-//! Encoding of log entries as bytes, and decoding, without I/O. The recorder encodes with
+//! Encodes log entries as bytes and decodes them, without I/O. The recorder encodes with
 //! [`Context::encode`], the reader decodes with [`Decoder`].
 //!
-//! Times are encoded as differences from the entry before, requests as differences of their
-//! generation from the request named last. Both start anew in each frame, so that a frame can be
-//! decoded without those before it.
+//! The time of an entry is encoded as the difference from the entry before it. The id of a request
+//! is encoded as the difference of its generation from that of the last encoded request. Both
+//! differences start from known values in each frame, so that a frame can be decoded without the
+//! frames before it.
 //!
-//! `event` (with `attempt`) and `action` hold what enters and leaves the decision module, `host`,
-//! `segment` and `fleet` the gateway's own events, `totals` the totals, and `primitives` the
-//! numbers and texts that all of them consist of. Encoding and decoding of one thing stand side by
-//! side.
+//! `event` (with `attempt`) and `action` encode the inputs and outputs of the decision module,
+//! `host`, `segment` and `fleet` the gateway's own events, `totals` the totals, and `primitives`
+//! the numbers and texts that all entries consist of. The encoder and the decoder of each type are
+//! in the same file.
 
 mod action;
 mod attempt;
@@ -26,49 +27,49 @@
 use primitives::Encoder;
 pub use primitives::{Decoder, DecoderPosition};
 
-/// Longest name or text in bytes: longer ones are cut when they are encoded and are an error when
-/// they are decoded.
+/// Longest name or text in bytes. Longer texts are truncated by the encoder and rejected by the
+/// decoder.
 pub const MAX_TEXT: usize = 1024;
-/// Most items of one list. A longer list of endpoints continues in another entry.
+/// Most items in one list. A longer list of endpoints is split into several entries.
 pub const MAX_ITEMS: usize = 65_536;
 
 /// Why bytes can't be decoded as an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The payload ends within the entry.
-    #[error("an entry stops short")]
+    #[error("the frame ends within an entry")]
     Truncated,
-    /// The first byte is none of the known kinds.
-    #[error("kind {0} of entry is not known")]
+    /// The entry's first byte is not a known kind.
+    #[error("unknown kind {0} of entry")]
     UnknownKind(u8),
     /// A number, an index or a length is out of its range.
-    #[error("a value out of range")]
+    #[error("a value in an entry is out of range")]
     ValueOutOfRange,
     /// A text is not UTF-8.
-    #[error("a text that is not UTF-8")]
+    #[error("a text in an entry is not valid UTF-8")]
     InvalidUtf8,
 }
 
 type Decoded<T> = Result<T, DecodeError>;
 
-/// What the next entry of a frame is encoded relative to.
+/// The values that the next entry of a frame is encoded relative to.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Context {
-    /// Time of the entry before, or of the frame's start.
+    /// Time of the previous entry, or of the start of the frame.
     at: Micros,
-    /// The upper half of the id of the request named last: the generation of its slot.
+    /// The generation of the last encoded request, which is the upper half of its id.
     generation: u32,
 }
 
 impl Context {
-    /// The context at the start of a frame that begins at this time.
+    /// The context at the start of a frame that starts at this time.
     pub fn new(at: Micros) -> Self {
         Context { at, generation: 0 }
     }
 
-    /// Appends an entry to `out`.
+    /// Encodes an entry and appends it to `out`.
     pub fn encode(&mut self, out: &mut Vec<u8>, at: Micros, entry: EntryRef<'_>) {
-        // The kind is known once the content is written.
+        // Reserves the byte of the kind, which is known once the content is encoded.
         let kind_position = out.len();
         out.push(0);
         let mut encoder = Encoder { out, context: self };
--- a/crates/event-log/src/codec/primitives.rs
+++ b/crates/event-log/src/codec/primitives.rs
@@ -1,18 +1,19 @@
-//! Numbers, texts, times and ids: what entries consist of. [`Encoder`] appends them to a buffer,
-//! [`Decoder`] reads them from one frame's payload.
+//! Encodes the numbers, texts, times and ids that entries consist of. [`Encoder`] appends them to a
+//! buffer, [`Decoder`] reads them from the payload of one frame.
 
 use eideryard::interface::{EngineId, Micros, RequestId};
 
 use super::{Context, DecodeError, Decoded, MAX_ITEMS, MAX_TEXT};
 
-/// The low half of request and connection ids: the slot. The high half is its generation.
+/// Masks the slot in the id of a request or connection. The upper half is the slot's generation.
 const SLOT_MASK: u64 = 0xffff_ffff;
-/// Bytes of the longest number.
-const MAX_NUMBER_BYTES: usize = 10;
-/// The two lowest bits of a real's first byte say how it is encoded.
-const REAL_WHOLE: u64 = 0;
-const REAL_THOUSANDTHS: u64 = 1;
-const REAL_BITS: u8 = 2;
+/// Length in bytes of the longest variable-length integer.
+const MAX_VARINT_BYTES: usize = 10;
+/// The two lowest bits of a float's first byte state its encoding: an integer, an integer number of
+/// thousandths, or the raw bits.
+const FLOAT_INTEGER: u64 = 0;
+const FLOAT_THOUSANDTHS: u64 = 1;
+const FLOAT_RAW_BITS: u8 = 2;
 
 /// Appends one entry to a buffer.
 pub(super) struct Encoder<'a> {
@@ -20,23 +21,24 @@
     pub context: &'a mut Context,
 }
 
-/// Decodes the entries of one frame, one after the other.
+/// Decodes the entries in the payload of one frame, one after the other.
 pub struct Decoder<'a> {
     rest: &'a [u8],
     pub(super) context: Context,
 }
 
-/// Where a [`Decoder`] stands: enough to continue with another one.
+/// The position of a [`Decoder`], with which another one can continue.
 #[derive(Clone, Copy, Debug)]
 pub struct DecoderPosition {
-    /// Bytes that aren't decoded yet.
+    /// Number of bytes at the end of the payload that aren't decoded yet.
     pub remaining: usize,
-    /// What the next entry is encoded relative to.
+    /// The context that the next entry was encoded with.
     pub context: Context,
 }
 
 impl<'a> Decoder<'a> {
-    /// A decoder of a payload, or of the rest of one with the context there.
+    /// Creates a decoder for a payload and the context at its start. To continue an earlier
+    /// decoder, pass the rest of its payload and the context of its position.
     pub fn new(payload: &'a [u8], context: Context) -> Self {
         Decoder {
             rest: payload,
@@ -44,7 +46,7 @@
         }
     }
 
-    /// How much is left, and the context there.
+    /// The number of remaining bytes and the context of the next entry.
     pub fn position(&self) -> DecoderPosition {
         DecoderPosition {
             remaining: self.rest.len(),
@@ -97,14 +99,14 @@
         }
     }
 
-    /// A byte that is the index of one of these values.
+    /// Reads a byte that is the index of one of these values.
     pub(super) fn read_one_of<T: Copy>(&mut self, values: &[T]) -> Decoded<T> {
         let index = self.read_byte()?;
         value_at(values, index)
     }
 }
 
-/// The value with this index.
+/// Returns the value with this index, or an error if there is none.
 pub(super) fn value_at<T: Copy>(values: &[T], index: u8) -> Decoded<T> {
     values
         .get(usize::from(index))
@@ -112,11 +114,12 @@
         .ok_or(DecodeError::ValueOutOfRange)
 }
 
-// ---- Whole numbers ----
+// ---- Integers ----
 
 impl Encoder<'_> {
-    /// Seven bits a byte, the lowest first; the top bit says that more follow.
-    pub fn put_number(&mut self, mut value: u64) {
+    /// Appends a variable-length integer: seven bits per byte, the lowest first. The top bit of a
+    /// byte is set if more bytes follow.
+    pub fn put_varint(&mut self, mut value: u64) {
         while value >= 0x80 {
             self.put_byte(value as u8 | 0x80);
             value >>= 7;
@@ -124,32 +127,32 @@
         self.put_byte(value as u8);
     }
 
-    /// Zigzag: small numbers of either sign are short.
+    /// Appends a signed integer in zigzag encoding, so that small numbers of either sign are short.
     pub fn put_signed(&mut self, value: i64) {
-        self.put_number((value << 1 ^ value >> 63) as u64);
+        self.put_varint((value << 1 ^ value >> 63) as u64);
     }
 
     pub fn put_index(&mut self, index: usize) {
-        self.put_number(index as u64);
+        self.put_varint(index as u64);
     }
 
-    /// 0 is none; otherwise the index plus one.
+    /// Appends the index plus one, or 0 for `None`.
     pub fn put_optional_index(&mut self, index: Option<usize>) {
-        self.put_number(index.map_or(0, |index| index as u64 + 1));
+        self.put_varint(index.map_or(0, |index| index as u64 + 1));
     }
 }
 
 impl Decoder<'_> {
-    pub(super) fn read_number(&mut self) -> Decoded<u64> {
+    pub(super) fn read_varint(&mut self) -> Decoded<u64> {
         let mut value = 0u64;
-        for (position, byte) in self.rest.iter().enumerate().take(MAX_NUMBER_BYTES) {
+        for (position, byte) in self.rest.iter().enumerate().take(MAX_VARINT_BYTES) {
             value |= u64::from(byte & 0x7f) << (7 * position);
             if byte & 0x80 == 0 {
                 self.rest = &self.rest[position + 1..];
                 return Ok(value);
             }
         }
-        if self.rest.len() < MAX_NUMBER_BYTES {
+        if self.rest.len() < MAX_VARINT_BYTES {
             Err(DecodeError::Truncated)
         } else {
             Err(DecodeError::ValueOutOfRange)
@@ -157,18 +160,18 @@
     }
 
     pub(super) fn read_signed(&mut self) -> Decoded<i64> {
-        let value = self.read_number()?;
+        let value = self.read_varint()?;
         Ok((value >> 1) as i64 ^ -((value & 1) as i64))
     }
 
     pub(super) fn read_u32(&mut self) -> Decoded<u32> {
-        let value = self.read_number()?;
+        let value = self.read_varint()?;
         value.try_into().map_err(|_| DecodeError::ValueOutOfRange)
     }
 
-    /// A number of which only the lowest 32 bits count.
+    /// Reads a number and ignores all but its lowest 32 bits.
     pub(super) fn read_u32_truncated(&mut self) -> Decoded<u32> {
-        Ok(self.read_number()? as u32)
+        Ok(self.read_varint()? as u32)
     }
 
     pub(super) fn read_index(&mut self) -> Decoded<usize> {
@@ -179,7 +182,7 @@
         Ok(self.read_index()?.checked_sub(1))
     }
 
-    /// The length of a list or text of at most `max`.
+    /// Reads the length of a list or text; more than `max` is an error.
     pub(super) fn read_length(&mut self, max: usize) -> Decoded<usize> {
         let length = self.read_index()?;
         if length > max {
@@ -188,7 +191,7 @@
         Ok(length)
     }
 
-    /// A list of at most `max` items, each read by the same function.
+    /// Reads a list of at most `max` items with a function that reads one item.
     pub(super) fn read_list<T>(
         &mut self,
         max: usize,
@@ -199,42 +202,45 @@
     }
 }
 
-// ---- Real numbers ----
+// ---- Floats ----
 
 impl Encoder<'_> {
-    /// Whole thousandths, as most values are, become a number; other values all their bits.
-    pub fn put_real(&mut self, value: f64) {
+    /// Appends a float. Most values are a multiple of 1/1000 and are encoded as an integer, others
+    /// with all 64 bits.
+    pub fn put_float(&mut self, value: f64) {
         match thousandths(value) {
-            Some(value) if value % 1000 == 0 => self.put_number((value / 1000) << 2 | REAL_WHOLE),
-            Some(value) => self.put_number(value << 2 | REAL_THOUSANDTHS),
+            Some(value) if value % 1000 == 0 => {
+                self.put_varint((value / 1000) << 2 | FLOAT_INTEGER)
+            }
+            Some(value) => self.put_varint(value << 2 | FLOAT_THOUSANDTHS),
             None => {
-                self.put_byte(REAL_BITS);
+                self.put_byte(FLOAT_RAW_BITS);
                 self.put_bytes(&value.to_bits().to_le_bytes());
             }
         }
     }
 
-    pub fn put_reals(&mut self, values: &[f64]) {
-        self.put_number(values.len() as u64);
+    pub fn put_floats(&mut self, values: &[f64]) {
+        self.put_varint(values.len() as u64);
         for value in values {
-            self.put_real(*value);
+            self.put_float(*value);
         }
     }
 
-    /// A byte with a bit for each value that is present, then those values.
-    pub fn put_optional_reals(&mut self, values: &[Option<f64>]) {
+    /// Appends a byte with one bit for each value, set if it is present, then the present values.
+    pub fn put_optional_floats(&mut self, values: &[Option<f64>]) {
         let mut present = 0u8;
         for (position, value) in values.iter().enumerate() {
             present |= u8::from(value.is_some()) << position;
         }
         self.put_byte(present);
         for value in values.iter().flatten() {
-            self.put_real(*value);
+            self.put_float(*value);
         }
     }
 }
 
-/// A value as whole thousandths, if it is exactly that.
+/// The value as a number of thousandths, if that represents it exactly.
 fn thousandths(value: f64) -> Option<u64> {
     let scaled = value * 1e3;
     if !(0.0..1e15).contains(&scaled) {
@@ -246,21 +252,21 @@
 }
 
 impl Decoder<'_> {
-    pub(super) fn read_real(&mut self) -> Decoded<f64> {
-        if self.rest.first() == Some(&REAL_BITS) {
+    pub(super) fn read_float(&mut self) -> Decoded<f64> {
+        if self.rest.first() == Some(&FLOAT_RAW_BITS) {
             self.read_byte()?;
             let bits = u64::from_le_bytes(self.read_bytes()?);
             return Ok(f64::from_bits(bits));
         }
-        let value = self.read_number()?;
+        let value = self.read_varint()?;
         match value & 3 {
-            REAL_WHOLE => Ok((value >> 2) as f64),
-            REAL_THOUSANDTHS => Ok((value >> 2) as f64 / 1e3),
+            FLOAT_INTEGER => Ok((value >> 2) as f64),
+            FLOAT_THOUSANDTHS => Ok((value >> 2) as f64 / 1e3),
             _ => Err(DecodeError::ValueOutOfRange),
         }
     }
 
-    pub(super) fn read_optional_reals<const N: usize>(&mut self) -> Decoded<[Option<f64>; N]> {
+    pub(super) fn read_optional_floats<const N: usize>(&mut self) -> Decoded<[Option<f64>; N]> {
         let present = self.read_byte()?;
         if present >> N != 0 {
             return Err(DecodeError::ValueOutOfRange);
@@ -268,15 +274,15 @@
         let mut values = [None; N];
         for (position, value) in values.iter_mut().enumerate() {
             if present >> position & 1 == 1 {
-                *value = Some(self.read_real()?);
+                *value = Some(self.read_float()?);
             }
         }
         Ok(values)
     }
 
-    /// Reals of which an absent one is 0.
-    pub(super) fn read_reals_or_zero<const N: usize>(&mut self) -> Decoded<[f64; N]> {
-        let values = self.read_optional_reals::<N>()?;
+    /// Reads optional floats and replaces absent ones by 0.
+    pub(super) fn read_floats_or_zero<const N: usize>(&mut self) -> Decoded<[f64; N]> {
+        let values = self.read_optional_floats::<N>()?;
         Ok(values.map(Option::unwrap_or_default))
     }
 }
@@ -284,18 +290,18 @@
 // ---- Texts ----
 
 impl Encoder<'_> {
-    /// A text of at most [`MAX_TEXT`] bytes; what is longer is cut.
+    /// Appends a text, truncated to at most [`MAX_TEXT`] bytes.
     pub fn put_text(&mut self, text: &str) {
         let mut length = text.len().min(MAX_TEXT);
         while !text.is_char_boundary(length) {
             length -= 1;
         }
-        self.put_number(length as u64);
+        self.put_varint(length as u64);
         self.put_bytes(&text.as_bytes()[..length]);
     }
 
     pub fn put_texts(&mut self, texts: &[String]) {
-        self.put_number(texts.len() as u64);
+        self.put_varint(texts.len() as u64);
         for text in texts {
             self.put_text(text);
         }
@@ -319,7 +325,7 @@
     }
 }
 
-// ---- Times: distances from the entry's own time ----
+// ---- Times, as differences from the time of the entry ----
 
 impl Encoder<'_> {
     pub fn put_time_after(&mut self, time: Micros) {
@@ -348,18 +354,19 @@
         self.put_bytes(&engine.to_le_bytes());
     }
 
-    /// The generation relative to that of the request named before, then the slot.
+    /// Appends the difference of the generation from that of the last encoded request, then the
+    /// slot.
     pub fn put_request(&mut self, request: RequestId) {
         let generation = (request >> 32) as u32;
         let step = generation.wrapping_sub(self.context.generation) as i32;
         self.put_signed(i64::from(step));
-        self.put_number(request & SLOT_MASK);
+        self.put_varint(request & SLOT_MASK);
         self.context.generation = generation;
     }
 
     pub fn put_connection(&mut self, connection: u64) {
-        self.put_number(connection & SLOT_MASK);
-        self.put_number(connection >> 32);
+        self.put_varint(connection & SLOT_MASK);
+        self.put_varint(connection >> 32);
     }
 }
 
--- a/crates/event-log/src/codec/segment.rs
+++ b/crates/event-log/src/codec/segment.rs
@@ -1,4 +1,4 @@
-//! The state at the start of a segment, the end of a log and gaps in it.
+//! Encodes the state at the start of a segment, the end of a log and gaps in it.
 
 use eideryard::interface::Micros;
 
@@ -10,8 +10,8 @@
 impl Encoder<'_> {
     pub(super) fn put_segment_started(&mut self, name: &str, epoch: Micros, segment: u64) -> u8 {
         self.put_text(name);
-        self.put_number(epoch);
-        self.put_number(segment);
+        self.put_varint(epoch);
+        self.put_varint(segment);
         kind::SEGMENT_STARTED
     }
 
@@ -20,7 +20,7 @@
         self.put_texts(&names.tenants);
         self.put_texts(&names.zones);
         self.put_texts(&names.kinds);
-        self.put_reals(&names.threads);
+        self.put_floats(&names.threads);
         kind::NAMES
     }
 
@@ -28,10 +28,10 @@
         self.put_engine(listed.engine);
         self.put_text(&listed.name);
         self.put_text(&listed.address);
-        self.put_number(u64::from(listed.zone));
-        self.put_number(u64::from(listed.kind));
+        self.put_varint(u64::from(listed.zone));
+        self.put_varint(u64::from(listed.kind));
         self.put_phase(listed.phase);
-        self.put_number(listed.booted_at);
+        self.put_varint(listed.booted_at);
         kind::ENGINE
     }
 
@@ -41,7 +41,7 @@
         self.put_index(open.tenant);
         self.put_time_before(open.arrived_at);
         self.put_time_after(open.deadline);
-        self.put_number(open.attempts);
+        self.put_varint(open.attempts);
         self.put_flag(open.running.is_some());
         if let Some(attempt) = open.running {
             self.put_engine(attempt.engine);
@@ -56,10 +56,10 @@
     }
 
     pub(super) fn put_ended(&mut self, counters: &[(String, u64)]) -> u8 {
-        self.put_number(counters.len() as u64);
+        self.put_varint(counters.len() as u64);
         for (name, value) in counters {
             self.put_text(name);
-            self.put_number(*value);
+            self.put_varint(*value);
         }
         kind::ENDED
     }
@@ -73,7 +73,7 @@
     ) -> u8 {
         self.put_time_before(from);
         self.put_time_before(to);
-        self.put_number(entries);
+        self.put_varint(entries);
         self.put_tally(counted);
         kind::GAP
     }
@@ -83,8 +83,8 @@
     pub(super) fn read_segment_started(&mut self) -> Decoded<HostEvent> {
         Ok(HostEvent::SegmentStarted {
             name: self.read_text()?,
-            epoch: self.read_number()?,
-            segment: self.read_number()?,
+            epoch: self.read_varint()?,
+            segment: self.read_varint()?,
         })
     }
 
@@ -94,7 +94,7 @@
             tenants: self.read_texts()?,
             zones: self.read_texts()?,
             kinds: self.read_texts()?,
-            threads: self.read_list(MAX_ITEMS, Self::read_real)?,
+            threads: self.read_list(MAX_ITEMS, Self::read_float)?,
         })
     }
 
@@ -106,7 +106,7 @@
             zone: self.read_u32()?,
             kind: self.read_u32()?,
             phase: self.read_phase()?,
-            booted_at: self.read_number()?,
+            booted_at: self.read_varint()?,
         })
     }
 
@@ -117,7 +117,7 @@
             tenant: self.read_index()?,
             arrived_at: self.read_time_before()?,
             deadline: self.read_time_after()?,
-            attempts: self.read_number()?,
+            attempts: self.read_varint()?,
             running: self.read_running_attempt()?,
         })
     }
@@ -146,12 +146,12 @@
         Ok(HostEvent::Gap {
             from: self.read_time_before()?,
             to: self.read_time_before()?,
-            entries: self.read_number()?,
+            entries: self.read_varint()?,
             counted: Box::new(self.read_tally()?),
         })
     }
 
     pub(super) fn read_counter(&mut self) -> Decoded<(String, u64)> {
-        Ok((self.read_text()?, self.read_number()?))
+        Ok((self.read_text()?, self.read_varint()?))
     }
 }
--- a/crates/event-log/src/config.rs
+++ b/crates/event-log/src/config.rs
@@ -1,5 +1,4 @@
-//! Configuration of a recorder, and the buffers that pass between the recorder and its writer
-//! thread.
+//! Configuration of a recorder, and the buffers that it exchanges with its writer thread.
 
 use std::time::Duration;
 
@@ -7,36 +6,37 @@
 
 use crate::totals::Tally;
 
-/// How a gateway's event log is written.
+/// Name, size limits and retry behaviour of a gateway's event log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The gateway's name. Together with `epoch` it names the files.
+    /// The gateway's name. The names of the segment files consist of it, `epoch` and a number.
     pub name: String,
-    /// When the gateway started.
+    /// When the gateway started, in microseconds since the Unix epoch. Identifies this run.
     pub epoch: Micros,
-    /// Bytes of all segments of this name together; beyond that the oldest are removed.
+    /// Limit on the total size of all segments of this gateway, those of earlier runs included. The
+    /// oldest segments are removed to stay below it.
     pub max_total_bytes: u64,
-    /// Bytes after which the next segment starts.
+    /// Size in bytes at which the next segment starts.
     pub max_segment_bytes: u64,
-    /// Age after which the next segment starts, however small this one is.
+    /// Age in microseconds at which the next segment starts, whatever the size of this one.
     pub max_segment_age: Micros,
-    /// Time to wait after a file error before the next attempt to write.
+    /// Time to wait after a file error before writing is tried again.
     pub retry_delay: Duration,
-    /// How many classes are counted.
+    /// Number of classes that have totals of their own.
     pub class_count: usize,
-    /// How many tenants are counted.
+    /// Number of tenants that have totals of their own.
     pub tenant_count: usize,
 }
 
-/// Encoded entries on their way to the writer; one batch becomes one frame.
+/// Encoded entries that the recorder passes to the writer. One batch becomes one frame.
 pub(crate) struct Batch {
     pub bytes: Vec<u8>,
     pub first_at: Micros,
     pub last_at: Micros,
-    /// Whether it is the first of a segment.
+    /// Whether this is the first batch of a segment.
     pub starts_segment: bool,
-    /// The totals before its first entry.
+    /// The totals before the batch's first entry.
     pub before: Tally,
-    /// The totals after its last entry.
+    /// The totals after the batch's last entry.
     pub after: Tally,
 }
--- a/crates/event-log/src/disk.rs
+++ b/crates/event-log/src/disk.rs
@@ -1,4 +1,4 @@
-//! File access of the writer behind two narrow traits, so that tests can make any of it fail.
+//! File access of the writer, behind two narrow traits so that tests can make each call fail.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -6,23 +6,23 @@
 
 /// The directory that segments are written to.
 pub trait Disk: Send {
-    /// Names and sizes in bytes of the files that are there.
+    /// Lists the names and sizes in bytes of all files in the directory.
     fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
-    /// Creates a file that must not exist.
+    /// Creates a file; fails if it exists already.
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>>;
-    /// Removes a file.
+    /// Removes the file with this name.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
 /// A segment file that is being written.
 pub trait Segment: Send {
-    /// Appends bytes.
+    /// Appends all bytes. A failed call may leave some of them in the file.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Truncates the file, to remove what a failed append may have left.
+    /// Truncates the file to `length` bytes, to remove what a failed append may have left.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
 }
 
-/// A directory of the file system; it is created where it is missing.
+/// A directory of the file system. It is created if it doesn't exist.
 pub struct Directory(pub PathBuf);
 
 impl Disk for Directory {
--- a/crates/event-log/src/entry/fleet.rs
+++ b/crates/event-log/src/entry/fleet.rs
@@ -1,50 +1,50 @@
-//! Events of the group of gateways.
+//! Events of the group of gateways that replicate each other's intents.
 
-/// An event of the group of gateways that replicates intents.
+/// An event of the group of gateways that replicate each other's intents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
-    /// The failure detector's state of a peer.
+    /// The failure detector reports a new state of a peer.
     PeerState {
-        /// The peer's name.
+        /// The name of the peer, as configured.
         name: String,
-        /// `up`, `slow`, `silent` or `gone`.
+        /// The new state: `up`, `slow`, `silent` or `gone`.
         state: String,
     },
     /// A peer's handshake was rejected, by this gateway or by the peer.
     PeerRejected {
-        /// The peer's name.
+        /// The name of the peer, as configured.
         name: String,
-        /// The reason as text.
+        /// Why the handshake was rejected, as text for operators.
         reason: String,
     },
-    /// Whether this gateway votes.
+    /// This gateway became a voter or stopped being one.
     VotingChanged {
-        /// True: it votes from now on.
+        /// True if it is a voter from now on.
         is_voter: bool,
     },
-    /// Whether a majority of voters can be reached.
+    /// A majority of voters became reachable or unreachable.
     MajorityChanged {
-        /// True: it can from now on.
+        /// True if a majority can be reached from now on.
         is_reachable: bool,
     },
     /// This gateway acquired or lost a lease.
     LeaseChanged {
-        /// The engine that the leased task is for.
+        /// The number of the engine that the leased task is for.
         task: u32,
-        /// The term of the lease.
+        /// The term of the lease, part of the fencing token.
         term: u64,
-        /// True: the lease is held from now on.
+        /// True if this gateway holds the lease from now on.
         is_held: bool,
     },
     /// Work of a lease holder arrived and was checked against the fencing token.
     WorkReceived {
-        /// The engine that the leased task is for.
+        /// The number of the engine that the leased task is for.
         task: u32,
-        /// The term that the work was sent under.
+        /// The term of the lease under which the work was sent.
         term: u64,
-        /// The gateway that sent the work.
+        /// The id of the gateway that sent the work.
         owner: u64,
-        /// False: the token was stale and the work is ignored.
+        /// False if the token was stale and the work is ignored.
         is_accepted: bool,
     },
 }
--- a/crates/event-log/src/entry/host.rs
+++ b/crates/event-log/src/entry/host.rs
@@ -7,7 +7,7 @@
 use super::{AnswerKind, CloseReason, FleetEvent, RejectReason};
 use crate::totals::Tally;
 
-/// Names of classes, tenants, zones and kinds by the index that the decision module uses.
+/// Names of classes, tenants, zones and kinds, by the index that entries use for them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// Names of the query classes.
@@ -18,109 +18,111 @@
     pub zones: Vec<String>,
     /// Names of the kinds of engines.
     pub kinds: Vec<String>,
-    /// Threads that a query of each class runs on, by class.
+    /// Number of threads that a query of each class runs on. Empty in logs that don't state it.
     pub threads: Vec<f64>,
 }
 
 impl Names {
-    /// Threads that a query of a class runs on; 1 where the log doesn't state it.
+    /// Number of threads that a query of a class runs on; 1 if the log doesn't state it.
     pub fn threads_of_class(&self, class: usize) -> f64 {
         self.threads.get(class).copied().unwrap_or(1.0)
     }
 }
 
-/// An endpoint of the discovery service, with the engine's name and address.
+/// An engine as the discovery service lists it, with its name and address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEngine {
-    /// The engine's number.
+    /// The engine's number in entries of the decision module.
     pub engine: EngineId,
     /// The engine's name in the discovery service.
     pub name: String,
-    /// Host and port; empty where it isn't known.
+    /// Host and port; empty if not known.
     pub address: String,
-    /// Index of its zone.
+    /// Index of the zone in [`Names::zones`].
     pub zone: u32,
-    /// Index of its kind.
+    /// Index of the kind of engine in [`Names::kinds`].
     pub kind: u32,
-    /// Whether it takes queries, drains or was removed.
+    /// Whether the engine accepts queries, is draining or was removed.
     pub phase: Phase,
-    /// When the engine's process started.
+    /// When the engine's process started, as the discovery service reports it.
     pub booted_at: Micros,
 }
 
-/// How a request that the decision module handles is known to its client.
+/// Connects the decision module's id of a request with the client's id and connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientRequest {
-    /// The decision module's id.
+    /// The id that the decision module uses.
     pub request: RequestId,
-    /// The id that its client gave it.
+    /// The id that the client gave the request.
     pub id: u64,
-    /// The connection it came on, as numbered by [`HostEvent::Connected`].
+    /// The number of the connection that it arrived on, see [`HostEvent::Connected`].
     pub connection: u64,
 }
 
 /// An attempt that was running when a segment began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunningAttempt {
-    /// The engine that it runs on.
+    /// The engine that the attempt runs on.
     pub engine: EngineId,
-    /// When it was sent there.
+    /// When the attempt was sent, in microseconds since the Unix epoch.
     pub sent_at: Micros,
 }
 
 /// A request that was open when a segment began.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OpenRequest {
-    /// Its ids and its connection.
+    /// The ids of the request and its connection.
     pub client_request: ClientRequest,
-    /// Index of its class.
+    /// Index of the request's class in [`Names::classes`].
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant in [`Names::tenants`].
     pub tenant: usize,
-    /// When it arrived.
+    /// When the request arrived, in microseconds since the Unix epoch.
     pub arrived_at: Micros,
-    /// When its client stops waiting.
+    /// When the client stops waiting, in microseconds since the Unix epoch.
     pub deadline: Micros,
-    /// How many attempts were made, the running one included.
+    /// Number of attempts so far, the running one included.
     pub attempts: u64,
-    /// Its last attempt, if that is running.
+    /// The last attempt, if it is still running.
     pub running: Option<RunningAttempt>,
 }
 
 /// An event of the gateway outside the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostEvent {
-    /// A segment starts. The entries up to [`HostEvent::StateComplete`] repeat what was known then.
+    /// A segment starts. The entries up to [`HostEvent::StateComplete`] repeat the state at that
+    /// time.
     SegmentStarted {
         /// The gateway's name.
         name: String,
-        /// When the gateway started.
+        /// When the gateway started, in microseconds since the Unix epoch.
         epoch: Micros,
-        /// The segment's number, from 1.
+        /// The segment's number within this run of the gateway, from 1.
         segment: u64,
     },
-    /// Names of the indexes that entries use.
+    /// The names of the classes, tenants, zones and kinds that entries refer to by index.
     Names(Names),
-    /// A new or changed endpoint.
+    /// An engine that is new or changed in the endpoint list.
     Engine(ListedEngine),
     /// A request that was open at the start of the segment.
     OpenRequest(OpenRequest),
-    /// The totals since the start of the gateway.
+    /// The totals since the start of the gateway, repeated at intervals and in the state of each
+    /// segment.
     Tally(Box<Tally>),
-    /// End of the state at the start of a segment.
+    /// The end of the state at the start of a segment.
     StateComplete,
     /// A client connected.
     Connected {
-        /// The number of the connection.
+        /// The number that this gateway gave the connection.
         connection: u64,
-        /// The client's address.
+        /// The client's IP address.
         address: IpAddr,
     },
     /// The gateway closes a connection; [`HostEvent::Disconnected`] follows once it is closed.
     ConnectionClosing {
         /// The number of the connection.
         connection: u64,
-        /// Why it is closed.
+        /// Why the gateway closes it.
         reason: CloseReason,
     },
     /// A connection is closed.
@@ -128,80 +130,80 @@
         /// The number of the connection.
         connection: u64,
     },
-    /// A request got an id of the decision module.
+    /// A request arrived and got an id for the decision module.
     RequestReceived(ClientRequest),
-    /// A client's retry waits for the answer of the run that is already open. Its own end is an
-    /// [`HostEvent::Answered`] of request 0.
+    /// A client sent a request again, and the retry waits for the answer to the request that is
+    /// already open. The retry ends with a [`HostEvent::Answered`] of request 0.
     RetryAttached {
-        /// Index of its class.
+        /// Index of the retry's class.
         class: usize,
-        /// Index of its tenant.
+        /// Index of the retry's tenant.
         tenant: usize,
     },
-    /// A message was rejected before the decision module saw it.
+    /// A client's message was rejected before it reached the decision module.
     RequestRejected {
-        /// Why.
+        /// Why it was rejected.
         reason: RejectReason,
-        /// Index of its class, where that is known.
+        /// Index of the request's class; `None` if the message didn't state a valid one.
         class: Option<usize>,
-        /// Index of its tenant, where that is known.
+        /// Index of the request's tenant; `None` if the message didn't state a valid one.
         tenant: Option<usize>,
     },
-    /// A request got its final answer.
+    /// A request ended: it was answered, or its client cancelled it or disconnected.
     Answered {
-        /// The decision module's id, or 0 for an attached retry.
+        /// The id that the decision module uses, or 0 for an attached retry.
         request: RequestId,
-        /// Index of its class.
+        /// Index of the request's class.
         class: usize,
-        /// Index of its tenant.
+        /// Index of the request's tenant.
         tenant: usize,
-        /// How it ended.
+        /// How the request ended.
         kind: AnswerKind,
-        /// Whether that was after its client's deadline.
+        /// Whether it ended after the client's deadline.
         is_late: bool,
     },
     /// The connection to the discovery service was established or lost.
     DiscoveryLink {
-        /// True: it was established.
+        /// True if it was established, false if it was lost.
         is_up: bool,
     },
     /// A numbered event of the discovery service was applied.
     DiscoveryEvent {
-        /// The number that the service gave it.
+        /// The number that the service gave the event.
         number: u64,
     },
-    /// Why an accepted request is refused, where the reason is its intent.
+    /// The reason why an accepted request is refused: its intent could not be made durable.
     RefusalExplained {
-        /// The decision module's id.
+        /// The id that the decision module uses.
         request: RequestId,
-        /// Why.
+        /// Why the intent is not durable.
         reason: RejectReason,
     },
     /// An event of the group of gateways.
     Fleet(FleetEvent),
-    /// The configuration was read again.
+    /// The configuration was reloaded.
     ConfigReloaded {
-        /// False: it was invalid and the old one stays.
+        /// False if the new configuration was invalid and the old one stays in use.
         succeeded: bool,
     },
     /// Nothing else was logged for [`crate::recorder::HEARTBEAT_INTERVAL`].
     Heartbeat,
     /// The gateway shuts down and accepts no more requests.
     Stopping,
-    /// The gateway ended in order.
+    /// The gateway ended after a regular shutdown.
     Ended {
-        /// Its own counters at that time, by name.
+        /// The gateway's counters at that time, by name.
         counters: Vec<(String, u64)>,
     },
-    /// Entries that could not be written.
+    /// Entries are missing here because they could not be written.
     Gap {
-        /// Time of the last entry before them.
+        /// Time of the last entry before the gap.
         from: Micros,
-        /// Time of the first entry after them.
+        /// Time of the first entry after the gap.
         to: Micros,
-        /// How many are missing.
+        /// Number of missing entries.
         entries: u64,
-        /// What they add to the totals.
+        /// What the missing entries add to the totals.
         counted: Box<Tally>,
     },
 }
--- a/crates/event-log/src/entry/mod.rs
+++ b/crates/event-log/src/entry/mod.rs
@@ -1,6 +1,6 @@
-//! The entries of an event log: decision module events and actions, and events of the gateway
-//! around it. The gateway creates them, [`crate::codec`] encodes and decodes them, and the analysis
-//! and the `records` commands read them.
+//! The entries of an event log: the events and actions of the decision module, and the events of
+//! the gateway around it. The gateway creates them, [`crate::codec`] encodes and decodes them, and
+//! the analysis and the `records` commands read them.
 
 mod fleet;
 mod host;
@@ -24,7 +24,7 @@
     Host(HostEvent),
 }
 
-/// A borrowed [`Entry`], so that recording needs no copy.
+/// A borrowed [`Entry`], so that an entry can be recorded without copying it.
 #[derive(Clone, Copy, Debug)]
 pub enum EntryRef<'a> {
     /// An input of the decision module.
@@ -36,7 +36,7 @@
 }
 
 impl Entry {
-    /// The request that the entry is about, if any.
+    /// The id of the request that the entry is about, if any.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             Entry::Event(event) => request_of_event(event),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The same entry, borrowed.
+    /// Borrows the entry.
     pub fn as_ref(&self) -> EntryRef<'_> {
         match self {
             Entry::Event(event) => EntryRef::Event(event),
@@ -91,7 +91,7 @@
     }
 }
 
-/// The request whose deadline timer has this tag, if the tag is one of those.
+/// The request whose deadline timer has this tag; `None` for the tags of other timers.
 pub(crate) fn request_of_timer(tag: u64) -> Option<RequestId> {
     tag.checked_sub(end_tag(0))
         .filter(|request| request >> 32 != 0)
--- a/crates/event-log/src/entry/reasons.rs
+++ b/crates/event-log/src/entry/reasons.rs
@@ -1,14 +1,14 @@
-//! Why messages are rejected and connections closed.
+//! The reasons why messages are rejected and connections are closed.
 
-/// Why a message of a client was rejected before the decision module saw a request, or why a
-/// request was refused for want of a durable intent.
+/// Why a client's message was rejected before it reached the decision module, or why a request was
+/// refused because its intent could not be made durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The message can't be used.
+    /// The message is not a valid request.
     Invalid,
-    /// Statements of open requests fill the memory that is set aside for them.
+    /// The statements of open requests fill the memory that is reserved for them.
     StatementMemoryFull,
-    /// The client's connection had ended.
+    /// The client's connection was already closed.
     ClientDisconnected,
     /// The intent log is full.
     IntentLogFull,
@@ -19,7 +19,7 @@
 }
 
 impl RejectReason {
-    /// All reasons; the index of each is its byte in the log.
+    /// All reasons. The index of each is the byte that the log stores.
     pub const ALL: [RejectReason; 6] = [
         RejectReason::Invalid,
         RejectReason::StatementMemoryFull,
@@ -29,7 +29,7 @@
         RejectReason::NoMajority,
     ];
 
-    /// The reason as answers, logs and pages name it.
+    /// The name of the reason in answers to clients, in logs and on report pages.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::Invalid => "invalid",
@@ -45,20 +45,21 @@
 /// Why the gateway closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client sent bytes that are no message.
+    /// The client sent bytes that can't be parsed as a message.
     Malformed,
-    /// No whole message or no progress within the time limit.
+    /// The client completed no message, or made no progress with one, within the time limit.
     IdleTimeout,
-    /// The client's incomplete messages take more than its share of the memory for unread bytes.
+    /// The client's incomplete messages take more than the connection's share of the memory for
+    /// unread bytes.
     TooMuchUnread,
     /// The client doesn't read its answers.
     NotReading,
-    /// The connection was closed in favour of a new one.
+    /// The connection was closed to make room for a new one.
     Evicted,
 }
 
 impl CloseReason {
-    /// All reasons; the index of each is its byte in the log.
+    /// All reasons. The index of each is the byte that the log stores.
     pub const ALL: [CloseReason; 5] = [
         CloseReason::Malformed,
         CloseReason::IdleTimeout,
--- a/crates/event-log/src/file_name.rs
+++ b/crates/event-log/src/file_name.rs
@@ -1,4 +1,4 @@
-//! Names of segment files: `NAME.START.NUMBER.eyr`. They sort by gateway, start and number.
+//! Names of segment files: `NAME.START.NUMBER.eyr`. They sort by gateway, start time and number.
 
 use std::path::Path;
 
@@ -6,24 +6,25 @@
 
 const EXTENSION: &str = "eyr";
 
-/// What the name of a segment file says.
+/// The parts of a segment file's name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SegmentName {
-    /// The gateway's name; characters that file names don't take are replaced.
+    /// The gateway's name. Characters other than ASCII letters, digits, `_` and `-` are replaced by
+    /// `_`.
     pub gateway: String,
-    /// When the gateway started.
+    /// When the gateway started, in microseconds since the Unix epoch.
     pub epoch: Micros,
-    /// The segment's number.
+    /// The segment's number within this run of the gateway, from 1.
     pub segment: u64,
 }
 
-/// The name of a segment's file.
+/// Builds the name of a segment's file.
 pub fn file_name(gateway: &str, epoch: Micros, segment: u64) -> String {
     let gateway = file_name_prefix(gateway);
     format!("{gateway}.{epoch:016x}.{segment:08}.{EXTENSION}")
 }
 
-/// What all file names of a gateway begin with, up to the first dot.
+/// The part before the first dot that all file names of a gateway share.
 pub(crate) fn file_name_prefix(gateway: &str) -> String {
     let replace = |character: char| {
         if character.is_ascii_alphanumeric() || character == '_' || character == '-' {
@@ -35,7 +36,7 @@
     gateway.chars().map(replace).collect()
 }
 
-/// What a file's name says, if it is a segment's.
+/// Parses a file's name; `None` if it isn't the name of a segment.
 pub fn parse_file_name(path: &Path) -> Option<SegmentName> {
     let mut parts = path.file_name()?.to_str()?.split('.');
     let gateway = parts.next()?;
--- a/crates/event-log/src/frame.rs
+++ b/crates/event-log/src/frame.rs
@@ -1,111 +1,112 @@
-//! Frames of a segment file: batches of entries with a length, a checksum and a number. A segment
-//! file is a header followed by frames. In a damaged file the reader searches for the next marker
-//! whose frame has a valid checksum.
+//! Frames of a segment file. A segment file is a header followed by frames, and a frame is a header
+//! with a length, a checksum and a number, followed by a batch of entries. In a damaged file the
+//! reader searches for the next marker of a frame with a valid checksum.
 
 use eideryard::interface::Micros;
 
 use crate::codec::Context;
 
-/// The first bytes of a segment file, before its version and a checksum of both.
+/// The first bytes of a segment file. The version and a checksum of marker and version follow.
 pub const FILE_MARKER: [u8; 8] = *b"EIDERREC";
-/// The version that is written, and the newest that is read.
+/// The format version that is written, and the newest one that can be read.
 pub const VERSION: u32 = 3;
-/// Bytes of a file's header.
+/// Length of a file's header in bytes.
 pub const FILE_HEADER_BYTES: usize = 16;
-/// Bytes of a frame's header.
+/// Length of a frame's header in bytes.
 pub const FRAME_HEADER_BYTES: usize = 36;
-/// Longest payload in bytes, so that a damaged length costs no memory.
+/// Longest payload in bytes. Bounds the memory that a damaged length field can claim.
 pub const MAX_PAYLOAD: usize = 1 << 20;
 
 const FRAME_MARKER: [u8; 4] = [0xe1, 0xde, 0x12, 0xc4];
 
-// Offsets of a file header's fields; the marker is at 0.
-const FILE_VERSION: usize = 8;
-const FILE_CHECKSUM: usize = 12;
+// Offsets of the fields of a file's header. The marker is at 0.
+const FILE_VERSION_OFFSET: usize = 8;
+const FILE_CHECKSUM_OFFSET: usize = 12;
 
-// Offsets of a frame header's fields; the marker is at 0. The checksum covers all that follows it.
-const CHECKSUM: usize = 4;
-const LENGTH: usize = 8;
-const EPOCH: usize = 12;
-const NUMBER: usize = 20;
-const FIRST_AT: usize = 28;
+// Offsets of the fields of a frame's header. The marker is at 0. The checksum covers all bytes of
+// the header and the payload after itself.
+const CHECKSUM_OFFSET: usize = 4;
+const LENGTH_OFFSET: usize = 8;
+const EPOCH_OFFSET: usize = 12;
+const NUMBER_OFFSET: usize = 20;
+const FIRST_AT_OFFSET: usize = 28;
 
-/// A frame's header.
+/// The header of a frame, without its marker and checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
-    /// When the gateway that wrote it started.
+    /// When the gateway that wrote the frame started, in microseconds since the Unix epoch.
     pub epoch: Micros,
-    /// Counts from 1 through all segments of an epoch.
+    /// The frame's number within one run of the gateway, from 1, counted across its segments.
     pub number: u64,
-    /// Time of its first entry.
+    /// Time of the frame's first entry, in microseconds since the Unix epoch.
     pub first_at: Micros,
-    /// Bytes of its payload.
+    /// Length of the payload in bytes.
     pub length: usize,
 }
 
 impl FrameHeader {
-    /// The context that its first entry was encoded in.
+    /// The context that the frame's first entry was encoded with.
     pub fn context(&self) -> Context {
         Context::new(self.first_at)
     }
 }
 
-/// The header of a segment file.
+/// Encodes the header of a segment file, with the current [`VERSION`].
 pub fn encode_file_header() -> [u8; FILE_HEADER_BYTES] {
-    let mut head = [0; FILE_HEADER_BYTES];
-    head[..FILE_VERSION].copy_from_slice(&FILE_MARKER);
-    head[FILE_VERSION..FILE_CHECKSUM].copy_from_slice(&VERSION.to_le_bytes());
-    let checksum = crc32fast::hash(&head[..FILE_CHECKSUM]);
-    head[FILE_CHECKSUM..].copy_from_slice(&checksum.to_le_bytes());
-    head
+    let mut header = [0; FILE_HEADER_BYTES];
+    header[..FILE_VERSION_OFFSET].copy_from_slice(&FILE_MARKER);
+    header[FILE_VERSION_OFFSET..FILE_CHECKSUM_OFFSET].copy_from_slice(&VERSION.to_le_bytes());
+    let checksum = crc32fast::hash(&header[..FILE_CHECKSUM_OFFSET]);
+    header[FILE_CHECKSUM_OFFSET..].copy_from_slice(&checksum.to_le_bytes());
+    header
 }
 
-/// The version in a file's header; `None` if the header is damaged.
+/// Returns the version in a file's header, or `None` if the header is damaged.
 pub fn decode_file_header(bytes: &[u8]) -> Option<u32> {
-    let head = bytes.first_chunk::<FILE_HEADER_BYTES>()?;
-    let has_marker = head[..FILE_VERSION] == FILE_MARKER;
-    let checksum = crc32fast::hash(&head[..FILE_CHECKSUM]);
-    let is_valid = has_marker && u32_at(head, FILE_CHECKSUM) == checksum;
-    is_valid.then(|| u32_at(head, FILE_VERSION))
+    let header = bytes.first_chunk::<FILE_HEADER_BYTES>()?;
+    let has_marker = header[..FILE_VERSION_OFFSET] == FILE_MARKER;
+    let checksum = crc32fast::hash(&header[..FILE_CHECKSUM_OFFSET]);
+    let is_valid = has_marker && u32_at(header, FILE_CHECKSUM_OFFSET) == checksum;
+    is_valid.then(|| u32_at(header, FILE_VERSION_OFFSET))
 }
 
-/// The header of a frame with this payload.
+/// Encodes the header of a frame with this payload.
 pub fn encode_frame_header(
     epoch: Micros,
     number: u64,
     first_at: Micros,
     payload: &[u8],
 ) -> [u8; FRAME_HEADER_BYTES] {
-    let mut head = [0; FRAME_HEADER_BYTES];
-    head[..CHECKSUM].copy_from_slice(&FRAME_MARKER);
-    head[LENGTH..EPOCH].copy_from_slice(&(payload.len() as u32).to_le_bytes());
-    head[EPOCH..NUMBER].copy_from_slice(&epoch.to_le_bytes());
-    head[NUMBER..FIRST_AT].copy_from_slice(&number.to_le_bytes());
-    head[FIRST_AT..].copy_from_slice(&first_at.to_le_bytes());
-    let checksum = frame_checksum(&head, payload);
-    head[CHECKSUM..LENGTH].copy_from_slice(&checksum.to_le_bytes());
-    head
+    let mut header = [0; FRAME_HEADER_BYTES];
+    header[..CHECKSUM_OFFSET].copy_from_slice(&FRAME_MARKER);
+    header[LENGTH_OFFSET..EPOCH_OFFSET].copy_from_slice(&(payload.len() as u32).to_le_bytes());
+    header[EPOCH_OFFSET..NUMBER_OFFSET].copy_from_slice(&epoch.to_le_bytes());
+    header[NUMBER_OFFSET..FIRST_AT_OFFSET].copy_from_slice(&number.to_le_bytes());
+    header[FIRST_AT_OFFSET..].copy_from_slice(&first_at.to_le_bytes());
+    let checksum = frame_checksum(&header, payload);
+    header[CHECKSUM_OFFSET..LENGTH_OFFSET].copy_from_slice(&checksum.to_le_bytes());
+    header
 }
 
-/// The time at which a frame starts, without a check of its checksum: good enough to choose where
-/// to start reading.
+/// The time of a frame's first entry, without verifying the checksum. Precise enough to choose the
+/// segment at which reading starts.
 pub fn frame_first_at(bytes: &[u8]) -> Option<Micros> {
-    let has_head = bytes.len() >= FRAME_HEADER_BYTES && bytes.starts_with(&FRAME_MARKER);
-    has_head.then(|| u64_at(bytes, FIRST_AT))
+    let has_header = bytes.len() >= FRAME_HEADER_BYTES && bytes.starts_with(&FRAME_MARKER);
+    has_header.then(|| u64_at(bytes, FIRST_AT_OFFSET))
 }
 
-/// What [`find_frame`] found at the start of some bytes.
+/// The result of [`find_frame`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameSearch {
-    /// A whole frame with a valid checksum.
+    /// A complete frame with a valid checksum starts here.
     Frame(FrameHeader),
-    /// A frame may start here; this many bytes in all are needed to know.
+    /// A frame may start here. At least this many bytes from here are needed to decide.
     Incomplete(usize),
     /// No frame starts here. The next one may start after this many bytes.
     NotFound(usize),
 }
 
-/// Looks for a frame at the start of some bytes.
+/// Checks whether `bytes` start with a valid frame.
 pub fn find_frame(bytes: &[u8]) -> FrameSearch {
     if bytes.len() < FRAME_HEADER_BYTES {
         let may_be_marker = starts_like_marker(bytes);
@@ -118,7 +119,7 @@
     if !bytes.starts_with(&FRAME_MARKER) {
         return FrameSearch::NotFound(next_marker(bytes));
     }
-    let length = u32_at(bytes, LENGTH) as usize;
+    let length = u32_at(bytes, LENGTH_OFFSET) as usize;
     if length > MAX_PAYLOAD {
         return FrameSearch::NotFound(next_marker(bytes));
     }
@@ -126,33 +127,33 @@
     let Some(payload) = bytes.get(FRAME_HEADER_BYTES..end) else {
         return FrameSearch::Incomplete(end);
     };
-    if frame_checksum(bytes, payload) != u32_at(bytes, CHECKSUM) {
+    if frame_checksum(bytes, payload) != u32_at(bytes, CHECKSUM_OFFSET) {
         return FrameSearch::NotFound(next_marker(bytes));
     }
     FrameSearch::Frame(FrameHeader {
-        epoch: u64_at(bytes, EPOCH),
-        number: u64_at(bytes, NUMBER),
-        first_at: u64_at(bytes, FIRST_AT),
+        epoch: u64_at(bytes, EPOCH_OFFSET),
+        number: u64_at(bytes, NUMBER_OFFSET),
+        first_at: u64_at(bytes, FIRST_AT_OFFSET),
         length,
     })
 }
 
-/// Whether bytes start with the marker, or are the start of one.
+/// Whether `bytes` start with the marker, or end within a marker that starts at their beginning.
 fn starts_like_marker(bytes: &[u8]) -> bool {
     let length = bytes.len().min(FRAME_MARKER.len());
     FRAME_MARKER.starts_with(&bytes[..length])
 }
 
-/// Distance to the next position after the first byte at which a marker may start.
+/// Offset of the next position after the first byte at which a marker may start.
 fn next_marker(bytes: &[u8]) -> usize {
     (1..bytes.len())
         .find(|position| starts_like_marker(&bytes[*position..]))
         .unwrap_or(bytes.len().max(1))
 }
 
-fn frame_checksum(head: &[u8], payload: &[u8]) -> u32 {
+fn frame_checksum(header: &[u8], payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&head[LENGTH..FRAME_HEADER_BYTES]);
+    hasher.update(&header[LENGTH_OFFSET..FRAME_HEADER_BYTES]);
     hasher.update(payload);
     hasher.finalize()
 }
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -1,20 +1,22 @@
-//! The event log of a gateway: the inputs and outputs of its decision module and its own events, as
-//! an append-only series of segment files from which an incident can be reconstructed.
+//! The event log of a gateway: an append-only series of segment files from which an incident can
+//! be reconstructed. It contains the inputs and outputs of the decision module, which chooses an
+//! engine for each request, and the events of the gateway process around that module.
 //!
-//! The gateway records through [`Recorder`], which belongs to its event loop, never waits and owns
-//! the buffers. A writer thread owns the segment files. [`MergedReader`] reads the logs of any
-//! number of gateways by time and skips damaged parts.
+//! The gateway records entries through [`Recorder`], which runs on the event loop's thread, never
+//! blocks and owns the buffers. A writer thread owns the segment files. [`MergedReader`] merges the
+//! logs of any number of gateways in order of time and skips damaged parts.
 //!
 //! - [`entry`]: the types of entries.
-//! - [`codec`] and [`frame`]: entries as bytes, and frames of entries with checksums, without I/O.
-//! - [`tally`] and [`totals`]: counting of entries, with the same code where they are written, left
-//!   out and read.
-//! - [`recorder`], [`disk`] and [`file_name`]: writing; [`reader`]: reading.
-//! - [`text`]: entries as text.
+//! - [`codec`] and [`frame`]: encode entries as bytes and put them into frames with checksums,
+//!   without I/O.
+//! - [`tally`] and [`totals`]: count entries. The same code counts entries that are written,
+//!   dropped or read back.
+//! - [`recorder`], [`disk`] and [`file_name`]: write logs. [`reader`]: reads them.
+//! - [`text`]: formats entries as text.
 //!
-//! Memory is bounded: a recorder holds [`recorder::BATCH_COUNT`] buffers of
-//! [`recorder::BATCH_BYTES`], a reader one buffer of about [`frame::MAX_PAYLOAD`] for each start of
-//! a gateway.
+//! Memory is bounded: a recorder owns [`recorder::BATCH_COUNT`] buffers of
+//! [`recorder::BATCH_BYTES`]. A reader owns one buffer of about [`frame::MAX_PAYLOAD`] for each run
+//! of a gateway, which lasts from the start of the process to its end.
 //!
 //! # Example
 //!
--- a/crates/event-log/src/reader/merged.rs
+++ b/crates/event-log/src/reader/merged.rs
@@ -1,4 +1,4 @@
-//! All logs of some directories as one stream of entries by time.
+//! Merges all logs of some directories into one stream of entries in order of time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,25 +11,25 @@
 use super::{io_error, Problem, ReadContent, ReadEntry, ReadError, Source};
 use crate::frame::{find_frame, FrameSearch, FRAME_HEADER_BYTES};
 
-/// Reads the logs of some directories by time.
+/// Reads all logs of some directories as one stream of entries in order of time.
 pub struct MergedReader {
     directories: Vec<PathBuf>,
     /// Whether the logs may still grow.
-    is_followed: bool,
-    /// Segments that end before this are not read.
+    is_following: bool,
+    /// Of each log, segments before the last one that starts no later than this are not read.
     from: Micros,
     sources: Vec<Source>,
-    /// One for each source, in their order.
+    /// One stream for each source, in the order of `sources`.
     heads: Vec<StreamHead>,
-    /// Time and source of the next entry of each stream; the earliest is at the top.
+    /// Time and source of the next entry of each stream, with the earliest at the top.
     queue: BinaryHeap<Reverse<(Micros, usize)>>,
 }
 
-/// A stream and the entry that it returns next.
+/// A stream and its next entry, which is already decoded.
 struct StreamHead {
     stream: SegmentStream,
     next: Option<ReadContent>,
-    /// Time of the last entry read; damage after it gets the same time.
+    /// Time of the last entry read. Damage that follows is reported with the same time.
     last_at: Micros,
 }
 
@@ -37,13 +37,13 @@
     /// Reads logs from their start to their end.
     ///
     /// # Errors
-    /// If a directory can't be read or no directory has a log.
+    /// If a directory can't be read or no directory contains a log.
     pub fn open(directories: &[PathBuf]) -> Result<Self, ReadError> {
         Self::open_from(directories, 0)
     }
 
-    /// Like [`MergedReader::open`], for logs that are still written:
-    /// [`MergedReader::next_entry`] returns `None` where there is nothing yet.
+    /// Like [`MergedReader::open`], for logs that are still being written.
+    /// [`MergedReader::next_entry`] returns `None` if there is no further entry yet.
     ///
     /// # Errors
     /// If a directory can't be read.
@@ -51,10 +51,11 @@
         Self::follow_from(directories, 0)
     }
 
-    /// Reads each log from the start of its last segment that starts no later than `from`.
+    /// Reads each log from the start of its last segment that starts no later than `from`, in
+    /// microseconds since the Unix epoch.
     ///
     /// # Errors
-    /// If a directory can't be read or no directory has a log.
+    /// If a directory can't be read or no directory contains a log.
     pub fn open_from(directories: &[PathBuf], from: Micros) -> Result<Self, ReadError> {
         let reader = Self::new(directories, false, from)?;
         if reader.sources.is_empty() {
@@ -64,7 +65,7 @@
         Ok(reader)
     }
 
-    /// Both: from a time on, and logs that are still written.
+    /// Like [`MergedReader::open_from`], for logs that are still being written.
     ///
     /// # Errors
     /// If a directory can't be read.
@@ -72,10 +73,10 @@
         Self::new(directories, true, from)
     }
 
-    fn new(directories: &[PathBuf], is_followed: bool, from: Micros) -> Result<Self, ReadError> {
+    fn new(directories: &[PathBuf], is_following: bool, from: Micros) -> Result<Self, ReadError> {
         let mut reader = MergedReader {
             directories: directories.to_vec(),
-            is_followed,
+            is_following,
             from,
             sources: Vec::new(),
             heads: Vec::new(),
@@ -85,12 +86,12 @@
         Ok(reader)
     }
 
-    /// The starts of gateways found so far.
+    /// The runs of gateways found so far.
     pub fn sources(&self) -> &[Source] {
         &self.sources
     }
 
-    /// What was skipped so far, with the index of its source.
+    /// The parts skipped so far, each with the index of its source.
     pub fn problems(&self) -> impl Iterator<Item = (usize, &Problem)> {
         self.heads.iter().enumerate().flat_map(|(source, head)| {
             let problems = head.stream.problems();
@@ -98,7 +99,7 @@
         })
     }
 
-    /// The time of the last frame of all logs, without reading what comes before.
+    /// The time of the last frame of all logs, without reading the entries before it.
     ///
     /// # Errors
     /// If a file can't be read.
@@ -113,10 +114,11 @@
         Ok(last)
     }
 
-    /// The next entry of all logs; `None` at the end, or for now where logs are followed.
+    /// Returns the next entry of all logs. `None` is the end, or for logs that are still being
+    /// written, that there is no further entry yet.
     ///
     /// # Errors
-    /// If a file can't be read or is of a later version.
+    /// If a file can't be read or has a newer format version.
     pub fn next_entry(&mut self) -> Result<Option<ReadEntry>, ReadError> {
         loop {
             if let Some(Reverse((at, source))) = self.queue.pop() {
@@ -131,7 +133,7 @@
                 }
                 continue;
             }
-            if !self.is_followed {
+            if !self.is_following {
                 return Ok(None);
             }
             self.update_sources()?;
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Reads the next entry of each stream that had none.
+    /// Reads the next entry of each stream that has none decoded.
     fn advance_all(&mut self) -> Result<(), ReadError> {
         for source in 0..self.heads.len() {
             if self.heads[source].next.is_none() {
@@ -170,7 +172,7 @@
 
     // ---- Files ----
 
-    /// Looks for new segments and new starts of gateways.
+    /// Adds new segments and new runs of gateways.
     fn update_sources(&mut self) -> Result<(), ReadError> {
         for (key, files) in list_segments(&self.directories)? {
             let is_same = |source: &Source| source.epoch == key.epoch && source.name == key.name;
@@ -195,7 +197,7 @@
         }
         let paths = files.into_iter().map(|file| file.path).collect();
         self.heads.push(StreamHead {
-            stream: SegmentStream::new(key.epoch, paths, self.is_followed),
+            stream: SegmentStream::new(key.epoch, paths, self.is_following),
             next: None,
             last_at: key.epoch,
         });
@@ -213,7 +215,7 @@
     files.iter().map(|file| file.size).sum()
 }
 
-/// The time of a file's last frame; 0 if it has none.
+/// The time of a file's last frame; 0 if the file contains none.
 fn last_frame_at(path: &Path) -> Result<Micros, ReadError> {
     let bytes = std::fs::read(path).map_err(io_error(path))?;
     let mut rest = &bytes[..];
--- a/crates/event-log/src/reader/mod.rs
+++ b/crates/event-log/src/reader/mod.rs
@@ -1,9 +1,10 @@
-//! Reading of logs: the segments of any number of gateways and directories as one stream of entries
-//! by time, with one frame of each gateway in memory at a time. Damaged parts are skipped and
-//! reported as [`Problem`]s; no entry is returned twice.
+//! Reads logs: the segments of any number of gateways and directories as one stream of entries in
+//! order of time, with one frame of each gateway in memory at a time. Damaged parts are skipped and
+//! reported as [`Problem`]s. No entry is returned twice.
 //!
-//! [`MergedReader`] is the entry point. Below it, `stream` reads the segments of one start of one
-//! gateway and `segments` lists the files.
+//! [`MergedReader`] is the entry point. Below it, `stream` reads the segments of one run of one
+//! gateway and `segments` lists the files. A run lasts from the start of a gateway's process to its
+//! end.
 
 mod merged;
 mod segments;
@@ -24,29 +25,32 @@
 /// Why a log can't be read at all.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The file system refused.
+    /// A file or directory can't be read.
     #[error("{path}: {error}")]
     Io {
         /// The file or directory.
         path: PathBuf,
-        /// What the file system said.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The directories hold no segment files.
-    #[error("{path}: no record is there (files named NAME.START.NUMBER.eyr)")]
+    /// The directories contain no segment files.
+    #[error(
+        "{path}: no event log found; expected segment files named NAME.START.NUMBER.eyr in the \
+             directory"
+    )]
     NoSegments {
-        /// The first directory.
+        /// The first directory that was searched.
         path: PathBuf,
     },
-    /// The log was written by a later version.
+    /// The log was written by a newer version of the program.
     #[error(
-        "{path}: version {version} of the record is newer than this program, which reads up to \
-             {VERSION}; use the program that wrote it, or a later one"
+        "{path}: the event log has format version {version}, but this program reads versions up to \
+             {VERSION}; use the program that wrote the log, or a later one"
     )]
     UnsupportedVersion {
         /// The segment file.
         path: PathBuf,
-        /// Its version.
+        /// The format version in the file's header.
         version: u32,
     },
 }
@@ -56,11 +60,11 @@
 pub struct Problem {
     /// The segment file.
     pub file: PathBuf,
-    /// Position of the first byte that was skipped.
+    /// Offset in the file of the first skipped byte.
     pub from: u64,
-    /// How many bytes were skipped.
+    /// Number of skipped bytes; 0 for missing frames.
     pub bytes: u64,
-    /// Why.
+    /// Why the bytes were skipped.
     pub kind: ProblemKind,
 }
 
@@ -68,19 +72,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProblemKind {
     /// The file doesn't start with a valid header.
-    #[error("the file's head is damaged")]
-    FileHeadDamaged,
-    /// No frame has a valid checksum there.
-    #[error("no frame with a fitting checksum")]
+    #[error("the file's header is damaged")]
+    FileHeaderDamaged,
+    /// No frame with a valid checksum starts in these bytes.
+    #[error("no frame with a valid checksum")]
     NoValidFrame,
     /// The file ends within a frame.
-    #[error("a frame that isn't whole")]
+    #[error("the file ends within a frame")]
     IncompleteFrame,
-    /// The frame's number was read before, or the frame is of another start of the gateway.
-    #[error("a frame that was read before, or of another start")]
+    /// The frame's number was read before, or the frame belongs to another run of the gateway.
+    #[error("a frame that was already read, or that belongs to another run of the gateway")]
     DuplicateFrame,
-    /// The number of the frame there is not the next one.
-    #[error("frames before this are missing")]
+    /// The number of the frame at this position is higher than the next one expected.
+    #[error("frames are missing before this position")]
     MissingFrames,
     /// The frame is intact, but an entry can't be decoded.
     #[error(transparent)]
@@ -95,41 +99,42 @@
     }
 }
 
-/// One start of one gateway.
+/// One run of one gateway, from the start of its process to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
     /// The gateway's name.
     pub name: String,
-    /// When it started.
+    /// When the gateway started, in microseconds since the Unix epoch.
     pub epoch: Micros,
-    /// The directory of its segments.
+    /// The directory that contains the segments of this run.
     pub directory: PathBuf,
-    /// Bytes of its segments.
+    /// Total size of the segments in bytes.
     pub bytes: u64,
 }
 
-/// An entry, or damage, in the order of time.
+/// An entry, or a damaged part, with its source and time.
 #[derive(Debug)]
 pub struct ReadEntry {
-    /// Index of its source in [`MergedReader::sources`].
+    /// Index of the source in [`MergedReader::sources`].
     pub source: usize,
-    /// Time of the entry; of the entry before, for damage.
+    /// Time of the entry, in microseconds since the Unix epoch. For damage, the time of the entry
+    /// before it.
     pub at: Micros,
-    /// What was read.
+    /// The entry or the damage.
     pub content: ReadContent,
 }
 
-/// What was read at one place of a log.
+/// What was read at one position of a log.
 #[derive(Debug)]
 pub enum ReadContent {
-    /// An entry.
+    /// A decoded entry.
     Entry(Entry),
-    /// Something could not be read here: totals up to now may lack entries, until the next
+    /// Part of the log could not be read here. Totals may lack entries until the next
     /// [`HostEvent::Tally`](crate::HostEvent::Tally).
     Damaged,
 }
 
-/// Maps an I/O error of a file or directory.
+/// Returns a function that adds the path of a file or directory to an I/O error.
 fn io_error(path: &Path) -> impl Fn(io::Error) -> ReadError + '_ {
     move |error| ReadError::Io {
         path: path.to_path_buf(),
--- a/crates/event-log/src/reader/segments.rs
+++ b/crates/event-log/src/reader/segments.rs
@@ -1,4 +1,4 @@
-//! Lists the segment files of directories, by start of a gateway.
+//! Lists the segment files of directories, grouped by run of a gateway.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -11,7 +11,8 @@
 use crate::file_name::parse_file_name;
 use crate::frame::{frame_first_at, FILE_HEADER_BYTES, FRAME_HEADER_BYTES};
 
-/// One start of one gateway in one directory. The order is that of [`super::Source`]s.
+/// Identifies one run of one gateway in one directory. Sources are added in the order of their
+/// keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceKey {
     pub epoch: Micros,
@@ -19,7 +20,7 @@
     pub directory: PathBuf,
 }
 
-/// A segment file. The order is that in which they were written.
+/// A segment file. Files of one run sort in the order in which they were written.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SegmentFile {
     pub number: u64,
@@ -27,7 +28,8 @@
     pub size: u64,
 }
 
-/// All segment files of some directories, in the order in which they were written.
+/// Lists all segment files of some directories, those of each run in the order in which they were
+/// written.
 pub fn list_segments(
     directories: &[PathBuf],
 ) -> Result<BTreeMap<SourceKey, Vec<SegmentFile>>, ReadError> {
@@ -57,20 +59,20 @@
     Ok(sources)
 }
 
-/// Drops the segments before the last one that starts no later than this.
+/// Drops the segments before the last one that starts no later than `time`.
 pub fn drop_segments_before(files: &mut Vec<SegmentFile>, time: Micros) {
     let starts_early = |file: &SegmentFile| first_at(&file.path).is_some_and(|at| at <= time);
-    // Segments start one after the other, so a binary search opens only a few of them.
+    // Segments are ordered by start time, so a binary search has to open only a few of them.
     let count = files.partition_point(starts_early);
     files.drain(..count.saturating_sub(1));
 }
 
-/// When a segment starts, by its first frame.
+/// The time of a segment's first frame; `None` if it can't be read.
 fn first_at(path: &Path) -> Option<Micros> {
-    let mut head = Vec::new();
+    let mut header = Vec::new();
     let file = File::open(path).ok()?;
     file.take((FILE_HEADER_BYTES + FRAME_HEADER_BYTES) as u64)
-        .read_to_end(&mut head)
+        .read_to_end(&mut header)
         .ok()?;
-    frame_first_at(head.get(FILE_HEADER_BYTES..)?)
+    frame_first_at(header.get(FILE_HEADER_BYTES..)?)
 }
--- a/crates/event-log/src/reader/stream.rs
+++ b/crates/event-log/src/reader/stream.rs
@@ -1,4 +1,4 @@
-//! The segments of one start of one gateway, read one after the other.
+//! Reads the segments of one run of one gateway, one after the other.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -15,26 +15,26 @@
     FRAME_HEADER_BYTES, MAX_PAYLOAD, VERSION,
 };
 
-/// Bytes that are read at once.
+/// Most bytes that one call reads from a file.
 const CHUNK_BYTES: usize = 256 << 10;
 
-/// Reads the entries of one start of one gateway. It owns the open file and one buffer.
+/// Reads the entries of one run of one gateway. It owns the open file and one buffer.
 pub struct SegmentStream {
     files: VecDeque<PathBuf>,
     open: Option<OpenFile>,
     buffer: Vec<u8>,
-    /// Position in the file at which the buffer starts.
+    /// Offset in the file of the first byte of the buffer.
     buffer_position: u64,
-    /// Bytes of the buffer that are used up.
-    used: usize,
+    /// Number of bytes at the start of the buffer that are already processed.
+    consumed: usize,
     frame: Option<FrameRest>,
     epoch: Micros,
     last_frame: u64,
-    /// What is being skipped at the moment; it grows until a frame is found.
+    /// The part that is being skipped. It grows until a frame is found.
     skipped: Option<Problem>,
     problems: Vec<Problem>,
     /// Whether the files may still grow, so that an incomplete end is not a problem.
-    is_followed: bool,
+    is_following: bool,
 }
 
 struct OpenFile {
@@ -42,7 +42,7 @@
     path: PathBuf,
 }
 
-/// The entries of a frame that aren't decoded yet, as a range of the buffer.
+/// The part of a frame that isn't decoded yet, as a range of the buffer.
 #[derive(Clone, Copy)]
 struct FrameRest {
     start: usize,
@@ -50,45 +50,45 @@
     context: Context,
 }
 
-/// What a stream returns next.
+/// The result of one step of a stream.
 pub enum Step {
     /// An entry and its time.
     Entry(Micros, Entry),
-    /// Something before this could not be read.
+    /// A part before this position could not be read.
     Damaged,
-    /// The end, or the end for now.
+    /// The end of the log; for logs that are still being written, there may be more later.
     End,
 }
 
 impl SegmentStream {
-    pub fn new(epoch: Micros, files: VecDeque<PathBuf>, is_followed: bool) -> Self {
+    pub fn new(epoch: Micros, files: VecDeque<PathBuf>, is_following: bool) -> Self {
         SegmentStream {
             files,
             open: None,
             buffer: Vec::with_capacity(CHUNK_BYTES + FRAME_HEADER_BYTES + MAX_PAYLOAD / 4),
             buffer_position: 0,
-            used: 0,
+            consumed: 0,
             frame: None,
             epoch,
             last_frame: 0,
             skipped: None,
             problems: Vec::new(),
-            is_followed,
+            is_following,
         }
     }
 
-    /// What was skipped so far.
+    /// The parts skipped so far.
     pub fn problems(&self) -> &[Problem] {
         &self.problems
     }
 
-    /// The last file that is known and not yet read to its end.
+    /// The last known file that isn't read to its end yet.
     pub fn last_file(&self) -> Option<&Path> {
         let open = self.open.as_ref().map(|open| &open.path);
         self.files.back().or(open).map(PathBuf::as_path)
     }
 
-    /// Adds those files that come after the last one.
+    /// Adds the files that follow the last known one.
     pub fn add_newer_files(&mut self, files: impl Iterator<Item = PathBuf>) {
         let Some(last) = self.last_file().map(Path::to_path_buf) else {
             return;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Decodes the next entry of the current frame; `None` if there is none.
+    /// Decodes the next entry of the current frame; `None` if the frame has no further entry.
     fn decode_entry(&mut self) -> Option<Step> {
         let frame = self.frame?;
         let mut decoder = Decoder::new(&self.buffer[frame.start..frame.end], frame.context);
@@ -127,12 +127,12 @@
             }
             Ok(None) => {
                 self.frame = None;
-                self.used = frame.end;
+                self.consumed = frame.end;
                 None
             }
             Err(error) => {
                 self.frame = None;
-                self.used = frame.end;
+                self.consumed = frame.end;
                 self.problems.push(Problem {
                     file: self.open_path(),
                     from: self.buffer_position + frame.start as u64,
@@ -144,19 +144,19 @@
         }
     }
 
-    /// Looks for a frame in the buffer, and reads on where there is none.
+    /// Searches the buffer for the next frame, and reads more of the file if it is incomplete.
     fn search_frame(&mut self) -> Result<Option<Step>, ReadError> {
-        match find_frame(&self.buffer[self.used..]) {
+        match find_frame(&self.buffer[self.consumed..]) {
             FrameSearch::Frame(frame) => Ok(self.start_frame(frame)),
             FrameSearch::NotFound(count) => {
                 self.skip(count, ProblemKind::NoValidFrame);
                 Ok(None)
             }
-            FrameSearch::Incomplete(_) => self.read_on(),
+            FrameSearch::Incomplete(_) => self.read_more(),
         }
     }
 
-    /// Starts decoding a frame, unless it was read before or is of another start.
+    /// Starts decoding a frame, unless it was read before or belongs to another run.
     fn start_frame(&mut self, frame: FrameHeader) -> Option<Step> {
         let length = FRAME_HEADER_BYTES + frame.length;
         if frame.epoch != self.epoch || frame.number <= self.last_frame {
@@ -166,8 +166,8 @@
         let are_frames_missing = self.last_frame > 0 && frame.number > self.last_frame + 1;
         self.last_frame = frame.number;
         self.frame = Some(FrameRest {
-            start: self.used + FRAME_HEADER_BYTES,
-            end: self.used + length,
+            start: self.consumed + FRAME_HEADER_BYTES,
+            end: self.consumed + length,
             context: frame.context(),
         });
         if let Some(problem) = self.skipped.take() {
@@ -177,7 +177,7 @@
         if are_frames_missing {
             self.problems.push(Problem {
                 file: self.open_path(),
-                from: self.buffer_position + self.used as u64,
+                from: self.buffer_position + self.consumed as u64,
                 bytes: 0,
                 kind: ProblemKind::MissingFrames,
             });
@@ -186,15 +186,15 @@
         None
     }
 
-    /// Reads more of the file; at its end, ends the file.
-    fn read_on(&mut self) -> Result<Option<Step>, ReadError> {
+    /// Reads more of the file, or closes it at its end.
+    fn read_more(&mut self) -> Result<Option<Step>, ReadError> {
         if self.fill()? {
             return Ok(None);
         }
-        if self.is_followed && self.files.is_empty() {
+        if self.is_following && self.files.is_empty() {
             return Ok(Some(Step::End));
         }
-        if self.buffer.len() > self.used {
+        if self.buffer.len() > self.consumed {
             self.skip(1, ProblemKind::IncompleteFrame);
             return Ok(None);
         }
@@ -208,8 +208,8 @@
 
     /// Marks the next bytes of the buffer as skipped.
     fn skip(&mut self, count: usize, kind: ProblemKind) {
-        let from = self.buffer_position + self.used as u64;
-        self.used += count;
+        let from = self.buffer_position + self.consumed as u64;
+        self.consumed += count;
         match &mut self.skipped {
             Some(problem) => problem.bytes += count as u64,
             None => {
@@ -241,8 +241,8 @@
             path: path.clone(),
         });
         while self.buffer.len() < FILE_HEADER_BYTES && self.fill()? {}
-        if self.buffer.len() < FILE_HEADER_BYTES && self.is_followed && self.files.is_empty() {
-            // The writer has made the file and not yet written its header.
+        if self.buffer.len() < FILE_HEADER_BYTES && self.is_following && self.files.is_empty() {
+            // The writer has created the file but not written its header yet.
             self.close_file();
             self.files.push_front(path);
             return Ok(false);
@@ -251,10 +251,10 @@
             Some(version) if version > VERSION => {
                 return Err(ReadError::UnsupportedVersion { path, version })
             }
-            Some(_) => self.used = FILE_HEADER_BYTES,
+            Some(_) => self.consumed = FILE_HEADER_BYTES,
             None => {
                 let length = self.buffer.len().min(FILE_HEADER_BYTES);
-                self.skip(length, ProblemKind::FileHeadDamaged);
+                self.skip(length, ProblemKind::FileHeaderDamaged);
             }
         }
         Ok(true)
@@ -264,18 +264,18 @@
         self.open = None;
         self.buffer.clear();
         self.buffer_position = 0;
-        self.used = 0;
+        self.consumed = 0;
     }
 
-    /// Drops what is used up from the buffer and reads more behind the rest. Returns false if the
-    /// file has no more now.
+    /// Removes processed bytes from the buffer and appends more of the file. Returns false if the
+    /// file contains no more bytes at this time.
     fn fill(&mut self) -> Result<bool, ReadError> {
         let Some(open) = &mut self.open else {
             return Ok(false);
         };
-        self.buffer.drain(..self.used);
-        self.buffer_position += self.used as u64;
-        self.used = 0;
+        self.buffer.drain(..self.consumed);
+        self.buffer_position += self.consumed as u64;
+        self.consumed = 0;
         let before = self.buffer.len();
         (&mut open.file)
             .take(CHUNK_BYTES as u64)
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -1,7 +1,7 @@
-//! The event loop's side of a log: it encodes entries into buffers that were allocated at the start
-//! and passes them to the writer thread. It never waits, and recording allocates nothing. Where the
-//! writer can't keep up, entries are counted and left out; a new segment then starts with the state
-//! as it is, followed by an entry that describes the gap.
+//! The event loop's side of a log. It encodes entries into buffers that were allocated at startup
+//! and passes them to the writer thread. It never blocks, and recording an entry allocates nothing.
+//! If the writer can't keep up, entries are counted but dropped. A new segment then starts with the
+//! current state, followed by an entry that describes the gap.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
@@ -19,45 +19,47 @@
 use crate::totals::Tally;
 use crate::writer::Writer;
 
-/// Buffers between the event loop and the writer. At 500 requests a second and some 100 bytes each
-/// they hold half a minute of entries.
+/// Number of buffers between the event loop and the writer. At 500 requests per second and about
+/// 100 bytes per request they have room for half a minute of entries.
 pub const BATCH_COUNT: usize = 24;
-/// Bytes after which a buffer goes to the writer.
+/// Size in bytes at which a buffer is sent to the writer.
 pub const BATCH_BYTES: usize = 64 << 10;
-/// Extra room in each buffer for its last entry. Only lists of endpoints are longer.
+/// Extra capacity in bytes of each buffer for its last entry. Only lists of endpoints are longer.
 const MAX_ENTRY_BYTES: usize = 4 << 10;
-/// Longest time that an entry stays in memory before it goes to the writer.
+/// Longest time in microseconds that an entry stays in memory before it is sent to the writer.
 const MAX_BATCH_AGE: Micros = 200_000;
-/// A gateway that has nothing else to record writes a heartbeat this often, so that the reader
-/// notices its end.
+/// Interval in microseconds of the heartbeats that an idle gateway records, so that a reader can
+/// tell an idle gateway from one that has ended.
 pub const HEARTBEAT_INTERVAL: Micros = 1_000_000;
-/// Totals are repeated this often, so that they are exact again after damage.
+/// Interval in microseconds at which the totals are recorded, so that a reader has exact totals
+/// again after a damaged part.
 const TALLY_INTERVAL: Micros = 5_000_000;
-/// The usual [`Config::retry_delay`].
+/// The [`Config::retry_delay`] that gateways use.
 pub const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How long dropping the recorder waits for the writer.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often dropping the recorder looks whether the writer has ended.
+/// How often dropping the recorder checks whether the writer thread has ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Records the entries of one gateway. Dropping it writes what is left.
+/// Records the entries of one gateway. Dropping it sends the remaining entries to the writer and
+/// waits a limited time for them to be written.
 pub struct Recorder {
     config: Config,
-    /// `None` once the recorder is being dropped; the writer then ends.
-    filled: Option<SyncSender<Batch>>,
-    empty: Receiver<Batch>,
-    /// Set by the writer when it had to leave something out.
-    has_lost: Arc<AtomicBool>,
+    /// `None` once the recorder is being dropped, which ends the writer thread.
+    filled_batches: Option<SyncSender<Batch>>,
+    free_batches: Receiver<Batch>,
+    /// Set by the writer when it has dropped entries and needs a new segment.
+    has_lost_entries: Arc<AtomicBool>,
     writer: Option<JoinHandle<()>>,
     batch: Option<Batch>,
     context: Context,
     tally: Tally,
     last_tally_at: Micros,
     last_entry_at: Micros,
-    segment: u64,
+    segment_number: u64,
     segment_bytes: u64,
     segment_started_at: Micros,
-    /// Entries are left out until a segment starts with the state.
+    /// Entries are dropped until a segment starts with the state.
     needs_state: bool,
 }
 
@@ -65,62 +67,62 @@
     /// Starts the writer thread.
     ///
     /// # Errors
-    /// If the thread can't be started. Errors of the disk are logged and tried again later.
+    /// If the thread can't be started. Disk errors are logged, and writing is tried again later.
     pub fn start(config: Config, disk: Box<dyn Disk>) -> std::io::Result<Self> {
-        let (filled, to_write) = sync_channel(BATCH_COUNT);
-        let (written, empty) = sync_channel(BATCH_COUNT);
-        let has_lost = Arc::new(AtomicBool::new(false));
+        let (filled_batches, batches_to_write) = sync_channel(BATCH_COUNT);
+        let (written_batches, free_batches) = sync_channel(BATCH_COUNT);
+        let has_lost_entries = Arc::new(AtomicBool::new(false));
         let tally = Tally::with_groups(config.class_count, config.tenant_count);
         for _ in 0..BATCH_COUNT {
             // The channel has room for all buffers.
-            let _ = written.try_send(empty_batch(&tally));
+            let _ = written_batches.try_send(empty_batch(&tally));
         }
-        let writer = Writer::new(config.clone(), disk, has_lost.clone());
+        let writer = Writer::new(config.clone(), disk, has_lost_entries.clone());
         let thread = std::thread::Builder::new()
             .name("record".into())
-            .spawn(move || writer.run(&to_write, &written))?;
+            .spawn(move || writer.run(&batches_to_write, &written_batches))?;
         Ok(Recorder {
             config,
-            filled: Some(filled),
-            empty,
-            has_lost,
+            filled_batches: Some(filled_batches),
+            free_batches,
+            has_lost_entries,
             writer: Some(thread),
             batch: None,
             context: Context::default(),
             tally,
             last_tally_at: 0,
             last_entry_at: 0,
-            segment: 0,
+            segment_number: 0,
             segment_bytes: 0,
             segment_started_at: 0,
             needs_state: true,
         })
     }
 
-    /// The totals since the start, recorded or not.
+    /// The totals since the start of the gateway, dropped entries included.
     pub fn tally(&self) -> &Tally {
         &self.tally
     }
 
-    /// Whether a segment should start. The caller then calls [`Recorder::start_segment`], records
-    /// the state with [`Recorder::record_state`] and calls [`Recorder::finish_state`].
+    /// Whether a new segment should start. If so, the caller calls [`Recorder::start_segment`],
+    /// records the state with [`Recorder::record_state`] and calls [`Recorder::finish_state`].
     pub fn needs_segment(&self, now: Micros) -> bool {
         let age = now.saturating_sub(self.segment_started_at);
         self.needs_state
             || age >= self.config.max_segment_age
             || self.segment_bytes >= self.config.max_segment_bytes
-            || self.has_lost.load(Ordering::Relaxed)
+            || self.has_lost_entries.load(Ordering::Relaxed)
     }
 
-    /// Starts a segment. Returns false if no buffer is free now; the caller tries again later.
+    /// Starts a segment. Returns false if no buffer is free; the caller then tries again later.
     pub fn start_segment(&mut self, now: Micros) -> bool {
         self.send_batch();
         if !self.ensure_batch(now) {
             return false;
         }
-        self.has_lost.store(false, Ordering::Relaxed);
+        self.has_lost_entries.store(false, Ordering::Relaxed);
         self.needs_state = false;
-        self.segment += 1;
+        self.segment_number += 1;
         self.segment_bytes = 0;
         self.segment_started_at = now;
         self.last_tally_at = now;
@@ -130,28 +132,29 @@
         let started = HostEvent::SegmentStarted {
             name: self.config.name.clone(),
             epoch: self.config.epoch,
-            segment: self.segment,
+            segment: self.segment_number,
         };
         self.record_state(now, &started);
         true
     }
 
-    /// Records part of the state at the start of a segment, which is not counted.
+    /// Records part of the state at the start of a segment. It repeats earlier entries and is not
+    /// counted.
     pub fn record_state(&mut self, now: Micros, event: &HostEvent) {
         if !self.needs_state && self.ensure_batch(now) {
             self.append(now, EntryRef::Host(event));
         }
     }
 
-    /// Ends the state at the start of a segment.
+    /// Ends the state at the start of a segment by recording the totals and an end mark.
     pub fn finish_state(&mut self, now: Micros) {
         self.record_tally(now);
         self.record_state(now, &HostEvent::StateComplete);
     }
 
-    /// Records an entry, or counts it as left out.
+    /// Counts an entry and records it, or drops it if no buffer is free.
     pub fn record(&mut self, now: Micros, entry: EntryRef<'_>) {
-        // A new batch starts from the totals without this entry.
+        // The totals at the start of a new batch must not include this entry.
         let can_append = !self.needs_state && self.ensure_batch(now);
         self.tally.count(entry);
         if can_append {
@@ -159,7 +162,8 @@
         }
     }
 
-    /// When [`Recorder::flush`] has something to do, if nothing else happens.
+    /// When [`Recorder::flush`] should be called next if no entry is recorded before; `None` if a
+    /// segment has to start first.
     pub fn next_flush_at(&self) -> Option<Micros> {
         if let Some(batch) = &self.batch {
             return Some(batch.first_at + MAX_BATCH_AGE);
@@ -167,8 +171,8 @@
         (!self.needs_state).then_some(self.last_entry_at + HEARTBEAT_INTERVAL)
     }
 
-    /// Sends a batch that is old enough to the writer, and records totals and heartbeats that are
-    /// due.
+    /// Sends the batch to the writer if it is old enough, and records totals and heartbeats at
+    /// their intervals.
     pub fn flush(&mut self, now: Micros) {
         let is_tally_due = now.saturating_sub(self.last_tally_at) >= TALLY_INTERVAL;
         if self.batch.is_some() && !self.needs_state && is_tally_due {
@@ -202,13 +206,13 @@
         }
     }
 
-    /// Takes a free buffer if none is in use. Returns false, and leaves entries out from now on, if
-    /// none is free.
+    /// Takes a free buffer unless one is in use. If none is free, returns false and drops entries
+    /// from now on.
     fn ensure_batch(&mut self, now: Micros) -> bool {
         if self.batch.is_some() {
             return true;
         }
-        let Ok(mut batch) = self.empty.try_recv() else {
+        let Ok(mut batch) = self.free_batches.try_recv() else {
             self.needs_state = true;
             return false;
         };
@@ -229,8 +233,8 @@
         self.segment_bytes += batch.bytes.len() as u64;
         batch.after.clone_from(&self.tally);
         // The channel has room for all buffers, so this fails only if the writer has ended.
-        if let Some(filled) = &self.filled {
-            self.needs_state |= filled.try_send(batch).is_err();
+        if let Some(filled_batches) = &self.filled_batches {
+            self.needs_state |= filled_batches.try_send(batch).is_err();
         }
     }
 }
@@ -246,12 +250,12 @@
     }
 }
 
-/// Sends the writer what is left and gives it a limited time: a disk that hangs doesn't keep the
-/// process from ending.
+/// Sends the remaining entries to the writer and waits at most [`SHUTDOWN_TIMEOUT`], so that a disk
+/// that hangs can't keep the process from ending.
 impl Drop for Recorder {
     fn drop(&mut self) {
         self.send_batch();
-        self.filled = None;
+        self.filled_batches = None;
         let Some(writer) = self.writer.take() else {
             return;
         };
--- a/crates/event-log/src/tally.rs
+++ b/crates/event-log/src/tally.rs
@@ -1,16 +1,16 @@
-//! Counting of entries. Recorder and reader count with the same code, so that the totals of entries
-//! that were left out are exact.
+//! Counts entries. Recorder and reader use the same code, so that the totals of entries that were
+//! dropped are exact.
 
 use eideryard::interface::{Action, Event, Outcome};
 
 use crate::entry::{AnswerKind, CloseReason, EntryRef, HostEvent, RejectReason};
 use crate::totals::{group_mut, GroupTotals, Tally, Totals};
 
-/// Totals of a log while it is read. A segment starts with a state that repeats earlier entries and
-/// so counts nothing, and with the totals up to then.
+/// Totals of a log while it is read. A segment starts with a state, which repeats earlier entries
+/// and isn't counted, and with the totals before that segment.
 #[derive(Clone, Debug, Default)]
 pub struct RunningTally {
-    /// The totals up to the last entry.
+    /// The totals up to the last entry that was added.
     pub tally: Tally,
     is_in_state: bool,
 }
@@ -21,7 +21,8 @@
         self.is_in_state
     }
 
-    /// Counts an entry that was read.
+    /// Counts an entry that was read, unless it belongs to a state. A recorded tally replaces the
+    /// totals.
     pub fn add(&mut self, entry: EntryRef<'_>) {
         match entry {
             EntryRef::Host(HostEvent::SegmentStarted { .. }) => self.is_in_state = true,
@@ -35,7 +36,7 @@
 }
 
 impl Tally {
-    /// Counts an entry.
+    /// Counts an entry in all totals that it affects.
     pub fn count(&mut self, entry: EntryRef<'_>) {
         self.entries += 1;
         match entry {
@@ -80,14 +81,14 @@
 
     fn count_received(&mut self, class: usize, tenant: usize) {
         self.totals.received += 1;
-        self.for_groups(Some(class), Some(tenant), |group| group.received += 1);
+        self.update_groups(Some(class), Some(tenant), |group| group.received += 1);
     }
 
     fn count_answered(&mut self, class: usize, tenant: usize, kind: AnswerKind, is_late: bool) {
         let late = u64::from(is_late);
         *self.totals.answer_mut(kind) += 1;
         self.totals.late += late;
-        self.for_groups(Some(class), Some(tenant), |group| {
+        self.update_groups(Some(class), Some(tenant), |group| {
             group.ended[kind as usize] += 1;
             group.late += late;
         });
@@ -102,7 +103,7 @@
         self.totals.received += 1;
         let kind = match reason {
             RejectReason::Invalid => {
-                // It has no class and no tenant.
+                // An invalid message has no known class or tenant.
                 self.totals.invalid += 1;
                 return;
             }
@@ -117,14 +118,14 @@
             }
         };
         *self.totals.answer_mut(kind) += 1;
-        self.for_groups(class, tenant, |group| {
+        self.update_groups(class, tenant, |group| {
             group.received += 1;
             group.ended[kind as usize] += 1;
         });
     }
 
-    /// Changes the totals of a class and of a tenant, where they are known.
-    fn for_groups(
+    /// Applies a change to the totals of a class and of a tenant, if they are known.
+    fn update_groups(
         &mut self,
         class: Option<usize>,
         tenant: Option<usize>,
@@ -140,7 +141,8 @@
 }
 
 impl Totals {
-    /// Counts a refusal for want of a durable intent; other reasons have totals of their own.
+    /// Counts a refusal because the request's intent could not be made durable. Other reasons are
+    /// counted elsewhere.
     fn count_refusal(&mut self, reason: RejectReason) {
         match reason {
             RejectReason::IntentLogFull => self.intent_log_full += 1,
--- a/crates/event-log/src/text/action.rs
+++ b/crates/event-log/src/text/action.rs
@@ -1,4 +1,4 @@
-//! Actions of the decision module as text.
+//! Formats actions of the decision module as text.
 
 use std::fmt::{self, Debug, Formatter};
 
--- a/crates/event-log/src/text/event.rs
+++ b/crates/event-log/src/text/event.rs
@@ -1,4 +1,4 @@
-//! Events of the decision module as text.
+//! Formats events of the decision module as text.
 
 use std::fmt::{self, Debug, Formatter};
 
--- a/crates/event-log/src/text/fleet.rs
+++ b/crates/event-log/src/text/fleet.rs
@@ -1,4 +1,4 @@
-//! Events of the group of gateways as text.
+//! Formats events of the group of gateways as text.
 
 use std::fmt::{self, Debug, Formatter};
 
--- a/crates/event-log/src/text/host.rs
+++ b/crates/event-log/src/text/host.rs
@@ -1,4 +1,4 @@
-//! Events of the gateway outside the decision module as text.
+//! Formats events of the gateway outside the decision module as text.
 
 use std::fmt::{self, Debug, Formatter};
 use std::net::IpAddr;
--- a/crates/event-log/src/text/mod.rs
+++ b/crates/event-log/src/text/mod.rs
@@ -1,6 +1,6 @@
-//! Entries as text, for `eideryard records dump` and `eideryard records find`. Users search this
-//! text, so its names are an interface: they stand here as strings and are independent of the names
-//! of types and fields.
+//! Formats entries as text for `eideryard records dump` and `eideryard records find`. Users search
+//! this text, so its names are a stable interface. They are written here as strings and don't
+//! follow the names of types and fields.
 
 mod action;
 mod event;
@@ -17,7 +17,8 @@
 use host::HostText;
 pub use names::{outcome_name, phase_name};
 
-/// Displays an entry on one line: where it comes from (`in`, `out` or `host`) and what it holds.
+/// Displays an entry on one line: its origin (`in` and `out` for events and actions of the decision
+/// module, `host` for other events of the gateway) and its content.
 pub struct EntryText<'a>(pub EntryRef<'a>);
 
 impl Display for EntryText<'_> {
@@ -30,7 +31,7 @@
     }
 }
 
-/// A name that is written without quotes.
+/// A name whose `Debug` output has no quotes.
 struct Bare(&'static str);
 
 impl Debug for Bare {
--- a/crates/event-log/src/text/names.rs
+++ b/crates/event-log/src/text/names.rs
@@ -1,10 +1,10 @@
-//! Names of outcomes, phases and reasons in the text of entries.
+//! Names of outcomes, phases, answers and reasons in the text of entries.
 
 use eideryard::interface::{Outcome, Phase};
 
 use crate::entry::{AnswerKind, CloseReason, RejectReason};
 
-/// An outcome's name in text.
+/// The name of an outcome in the text of entries.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Answered => "Answered",
@@ -18,7 +18,7 @@
     }
 }
 
-/// A phase's name in text.
+/// The name of a phase in the text of entries.
 pub fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Ready => "Ready",
--- a/crates/event-log/src/totals.rs
+++ b/crates/event-log/src/totals.rs
@@ -1,16 +1,16 @@
 //! Totals of entries as plain data: over all requests, by class and by tenant, and the difference
-//! between two states of them. [`crate::tally`] does the counting.
+//! between two sets of totals. [`crate::tally`] does the counting.
 
 use std::fmt::{self, Debug, Formatter};
 
-/// Classes and tenants beyond this number count in the overall totals only. It bounds the memory
-/// that a damaged log can claim.
+/// Classes and tenants with an index of this or more count in the overall totals only. Bounds the
+/// memory that a damaged log can claim.
 pub const MAX_GROUPS: usize = 256;
-/// Values of one [`GroupTotals`].
+/// Number of values in one [`GroupTotals`].
 pub const GROUP_VALUES: usize = 7;
 
 /// Defines [`Totals`]: the fields in the order in which the log stores them, each with its name in
-/// counters, commands and JSON.
+/// counters, in the output of commands and in JSON.
 macro_rules! define_totals {
     ($($(#[$documentation:meta])* $field:ident = $name:literal),* $(,)?) => {
         /// Totals over all requests, connections and events of one gateway.
@@ -20,15 +20,15 @@
         }
 
         impl Totals {
-            /// The names of all totals, in their order.
+            /// The names of all totals, in the order in which the log stores them.
             pub const NAMES: &'static [&'static str] = &[$($name),*];
 
-            /// All totals with their names, in their order.
+            /// All totals with their names, in the order of [`Totals::NAMES`].
             pub fn pairs(&self) -> impl Iterator<Item = (&'static str, u64)> {
                 [$(($name, self.$field)),*].into_iter()
             }
 
-            /// All totals in their order, for changing them.
+            /// Mutable references to all totals, in the order of [`Totals::NAMES`].
             pub fn values_mut(&mut self) -> impl Iterator<Item = &mut u64> {
                 [$(&mut self.$field),*].into_iter()
             }
@@ -41,11 +41,11 @@
     received = "taken",
     /// Requests answered with a result.
     served = "served",
-    /// Requests refused, to be tried again later.
+    /// Requests refused; the client may try again later.
     refused = "refused",
     /// Requests answered with an error.
     failed = "failed",
-    /// Messages that could not be used.
+    /// Messages of clients that are not valid requests.
     invalid = "invalid",
     /// Requests that their clients cancelled.
     abandoned = "forgotten",
@@ -59,11 +59,11 @@
     sent = "sent",
     /// Attempts that engines answered.
     answered = "answered",
-    /// Attempts that ended with an engine's error.
+    /// Attempts that ended with an error of the engine.
     error = "error",
     /// Attempts that an engine rejected because it was full.
     at_capacity = "full",
-    /// Attempts that ran into their deadline.
+    /// Attempts that were not answered by their deadline.
     timed_out = "timed_out",
     /// Attempts for which no connection could be made.
     no_connection = "no_connection",
@@ -73,13 +73,13 @@
     cancelled = "cancelled",
     /// Attempts that were withdrawn before they were sent.
     not_sent = "unsent",
-    /// Numbered events of the discovery service.
+    /// Numbered events received from the discovery service.
     discovery_events = "list_events",
-    /// Connections of clients.
+    /// Connections that clients opened.
     connections = "connections",
-    /// Configurations applied while running.
+    /// Configurations that were reloaded and applied while the gateway ran.
     reloads = "reloads",
-    /// Configurations rejected while running.
+    /// Configurations that were reloaded and rejected as invalid while the gateway ran.
     reloads_failed = "reloads_failed",
     /// Connections closed because of malformed messages.
     malformed = "malformed",
@@ -87,7 +87,7 @@
     idle_timeout = "silent",
     /// Connections closed because of too many unread bytes.
     too_much_unread = "hoarding",
-    /// Connections closed because the client didn't read.
+    /// Connections closed because the client didn't read its answers.
     not_reading = "deaf",
     /// Connections closed in favour of new ones.
     evicted = "evicted",
@@ -99,7 +99,7 @@
     no_majority = "no_majority",
 );
 
-/// Prints the names of [`Totals::NAMES`]: `records dump` shows this text.
+/// Prints the names of [`Totals::NAMES`], because `records dump` shows this text.
 impl Debug for Totals {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let mut text = f.debug_struct("Totals");
@@ -113,20 +113,20 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AnswerKind {
-    /// With a result.
+    /// The client got a result.
     Served,
-    /// It may be tried again later.
+    /// The gateway refused the request; the client may try again later.
     Refused,
-    /// With an error.
+    /// The client got an error.
     Failed,
-    /// The client cancelled it.
+    /// The client cancelled the request.
     Abandoned,
-    /// The client disconnected.
+    /// The client disconnected before the answer.
     Undelivered,
 }
 
 impl AnswerKind {
-    /// All kinds; the index of each is its number in the log.
+    /// All kinds. The index of each is the number that the log stores.
     pub const ALL: [AnswerKind; 5] = [
         AnswerKind::Served,
         AnswerKind::Refused,
@@ -135,7 +135,7 @@
         AnswerKind::Undelivered,
     ];
 
-    /// The kind as logs and pages name it.
+    /// The name of the kind in logs and on report pages.
     pub fn name(self) -> &'static str {
         match self {
             AnswerKind::Served => "served",
@@ -150,7 +150,7 @@
 /// Totals of one class or tenant.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub struct GroupTotals {
-    /// Requests that clients sent.
+    /// Requests of this class or tenant that clients sent, rejected ones included.
     pub received: u64,
     /// Requests that ended, indexed by [`AnswerKind`].
     pub ended: [u64; AnswerKind::ALL.len()],
@@ -159,12 +159,13 @@
 }
 
 impl GroupTotals {
-    /// Requests that ended in this way.
+    /// Requests that ended with this kind of answer.
     pub fn ended(&self, kind: AnswerKind) -> u64 {
         self.ended[kind as usize]
     }
 
-    /// All values: received, by [`AnswerKind`], late.
+    /// All values in the order in which the log stores them: received, ended by [`AnswerKind`],
+    /// late.
     pub fn values(&self) -> [u64; GROUP_VALUES] {
         let [served, refused, failed, abandoned, undelivered] = self.ended;
         [
@@ -196,7 +197,7 @@
     }
 }
 
-/// The names are those of `records dump`.
+/// Prints the outer names of the fields, because `records dump` shows this text.
 impl Debug for GroupTotals {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.debug_struct("Lane")
@@ -210,17 +211,17 @@
 /// All totals of one gateway since its start.
 #[derive(Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Entries that count: all but those that repeat the state at the start of a segment.
+    /// Number of entries, without those that repeat the state at the start of a segment.
     pub entries: u64,
-    /// Totals over everything.
+    /// Totals over all classes and tenants.
     pub totals: Totals,
-    /// Totals by class.
+    /// Totals by index of the class.
     pub classes: Vec<GroupTotals>,
-    /// Totals by tenant.
+    /// Totals by index of the tenant.
     pub tenants: Vec<GroupTotals>,
 }
 
-/// The names are those of `records dump`.
+/// Prints the outer names of the fields, because `records dump` shows this text.
 impl Debug for Tally {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.debug_struct("Tally")
@@ -232,7 +233,8 @@
     }
 }
 
-/// By hand, so that `clone_from` reuses the vectors: the recorder must not allocate.
+/// Implemented by hand so that `clone_from` reuses the vectors, because the recorder must not
+/// allocate.
 impl Clone for Tally {
     fn clone(&self) -> Self {
         let mut copy = Tally::default();
@@ -249,7 +251,7 @@
 }
 
 impl Tally {
-    /// Zero totals with room for so many classes and tenants, so that counting allocates nothing.
+    /// Zero totals for this number of classes and tenants, so that counting allocates nothing.
     pub fn with_groups(classes: usize, tenants: usize) -> Self {
         let zeros = |count: usize| vec![GroupTotals::default(); count.min(MAX_GROUPS)];
         Tally {
@@ -259,7 +261,7 @@
         }
     }
 
-    /// What was counted between an earlier state and this one.
+    /// The difference between these totals and earlier ones.
     pub fn since(&self, before: &Tally) -> Tally {
         let mut totals = self.totals;
         for (value, (_, earlier)) in totals.values_mut().zip(before.totals.pairs()) {
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Requests received that have not ended.
+    /// Number of requests that were received and have not ended.
     pub fn open_requests(&self) -> u64 {
         let totals = &self.totals;
         let ended = totals.served
@@ -295,7 +297,8 @@
     differences
 }
 
-/// The totals of a class or tenant; `None` beyond [`MAX_GROUPS`].
+/// The totals of the class or tenant with this index, added if missing; `None` from
+/// [`MAX_GROUPS`] on.
 pub(crate) fn group_mut(groups: &mut Vec<GroupTotals>, index: usize) -> Option<&mut GroupTotals> {
     if index >= groups.len() && index < MAX_GROUPS {
         groups.resize(index + 1, GroupTotals::default());
