--- a/crates/event-log/benches/record.rs
+++ b/crates/event-log/benches/record.rs
@@ -1,6 +1,6 @@
-//! Cost of the event log: recording an entry on the event loop's thread, its bytes, and reading it
-//! back, each compared with plain JSON lines. The entries are those of a usual request. Run with
-//! `cargo bench -p eideryard-event-log`.
+//! Measures the cost of the event log: recording entries on the event loop's thread, the size of an
+//! entry, and decoding and reading entries. Size and encoding are compared with plain JSON lines.
+//! The entries are those of a typical request. Run with `cargo bench -p eideryard-event-log`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -17,25 +17,25 @@
 use std::cell::Cell;
 use std::io::Write;
 
-/// Counts allocations of the thread that measures.
-struct Counting;
+/// Counts the allocations of each thread.
+struct CountingAllocator;
 
 thread_local!(static ALLOCATIONS: Cell<u64> = const { Cell::new(0) });
 
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        // A thread that ends counts no more.
+        // Fails for a thread that is ending, whose allocations don't matter.
         let _ = ALLOCATIONS.try_with(|count| count.set(count.get() + 1));
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn entries(count: u64) -> Vec<(Micros, Entry)> {
     (100..100 + count / 11)
@@ -43,8 +43,8 @@
         .collect()
 }
 
-/// One JSON object a line, as a text log of the same events would be.
-fn json_line(out: &mut Vec<u8>, at: Micros, entry: &Entry) {
+/// Writes an entry as one line of JSON, as a text log of the same events would contain it.
+fn write_json_line(out: &mut Vec<u8>, at: Micros, entry: &Entry) {
     // Writing to a vector cannot fail.
     let _ = match entry.as_ref() {
         EntryRef::Event(event) => writeln!(out, "{{\"at\":{at},\"in\":\"{event:?}\"}}"),
@@ -54,38 +54,38 @@
 }
 
 fn main() {
-    sizes();
+    print_sizes();
     divan::main();
 }
 
-/// Figures that need no clock: bytes an entry, and allocations while recording.
-fn sizes() {
+/// Prints the figures that need no timing: bytes per entry, and allocations while recording.
+fn print_sizes() {
     let entries = entries(110_000);
     let (mut bytes, mut context, mut json) = (Vec::new(), Context::new(START), Vec::new());
     for (at, entry) in &entries {
         context.encode(&mut bytes, *at, entry.as_ref());
-        json_line(&mut json, *at, entry);
+        write_json_line(&mut json, *at, entry);
     }
-    let each = |bytes: &[u8]| bytes.len() as f64 / entries.len() as f64;
+    let bytes_per_entry = |bytes: &[u8]| bytes.len() as f64 / entries.len() as f64;
     println!(
-        "bytes an entry: {:.1}, as JSON lines {:.1}",
-        each(&bytes),
-        each(&json)
+        "bytes per entry: {:.1}, as JSON lines {:.1}",
+        bytes_per_entry(&bytes),
+        bytes_per_entry(&json)
     );
     let directory = tempfile::tempdir().expect("a directory");
-    let mut recorder = recorder(directory.path());
-    let begun = ALLOCATIONS.get();
+    let mut recorder = start_recorder(directory.path());
+    let allocations_before = ALLOCATIONS.get();
     for (at, entry) in &entries {
         recorder.record(*at, entry.as_ref());
     }
     println!(
         "allocations while {} entries were recorded: {}",
         entries.len(),
-        ALLOCATIONS.get() - begun
+        ALLOCATIONS.get() - allocations_before
     );
 }
 
-fn recorder(directory: &std::path::Path) -> Recorder {
+fn start_recorder(directory: &std::path::Path) -> Recorder {
     let config = config("bench", 1 << 30);
     let mut recorder =
         Recorder::start(config, Box::new(Directory(directory.into()))).expect("a thread");
@@ -93,14 +93,14 @@
     recorder
 }
 
-/// On the event loop's thread, with the writer running: 11,000 entries at a time.
+/// Records 11,000 entries per sample on the event loop's thread, while the writer thread runs.
 #[divan::bench(sample_count = 200)]
 fn record(bencher: Bencher<'_, '_>) {
     let entries = entries(11_000);
     let directory = tempfile::tempdir().expect("a directory");
-    let mut recorder = recorder(directory.path());
-    // The writer has the time that it has between two looks at sockets, so that nothing is left
-    // out.
+    let mut recorder = start_recorder(directory.path());
+    // Gives the writer as much time as it has between two polls of the sockets, so that no entry
+    // is dropped.
     let pause = || std::thread::sleep(std::time::Duration::from_millis(4));
     bencher
         .counter(ItemsCount::new(entries.len()))
@@ -110,10 +110,10 @@
                 recorder.record(*at, entry.as_ref());
             }
         });
-    assert!(!recorder.needs_segment(START), "entries were left out");
+    assert!(!recorder.needs_segment(START), "entries were dropped");
 }
 
-/// The codec alone.
+/// Encodes entries without recorder and writer.
 #[divan::bench(sample_count = 200)]
 fn encode(bencher: Bencher<'_, '_>) {
     let entries = entries(11_000);
@@ -138,7 +138,7 @@
         .bench_local(|| {
             out.clear();
             for (at, entry) in entries.iter() {
-                json_line(&mut out, *at, entry);
+                write_json_line(&mut out, *at, entry);
             }
         });
 }
@@ -163,7 +163,8 @@
         });
 }
 
-/// From files, with checksums, merged by time: two gateways' logs of 550,000 entries each.
+/// Reads two gateways' logs of 550,000 entries each from files, verifies checksums and merges them
+/// by time.
 #[divan::bench(sample_count = 5)]
 fn read_two_records(bencher: Bencher<'_, '_>) {
     let directory = tempfile::tempdir().expect("a directory");
@@ -179,7 +180,7 @@
             start_segment_if_needed(&mut recorder, *at);
             recorder.record(*at, entry.as_ref());
             if number % 20_000 == 0 {
-                // The writer keeps up, so that nothing is left out.
+                // Lets the writer keep up, so that no entry is dropped.
                 std::thread::sleep(std::time::Duration::from_millis(5));
             }
         }
@@ -187,9 +188,10 @@
     bencher
         .counter(ItemsCount::new(2 * entries.len()))
         .bench_local(|| {
-            let mut merged = MergedReader::open(&[directory.path().into()]).expect("records");
+            let mut merged =
+                MergedReader::open(&[directory.path().into()]).expect("the event logs");
             let mut count = 0;
-            while merged.next_entry().expect("whole records").is_some() {
+            while merged.next_entry().expect("undamaged event logs").is_some() {
                 count += 1;
             }
             assert!(count >= 2 * entries.len());
--- a/crates/event-log/src/codec/mod.rs
+++ b/crates/event-log/src/codec/mod.rs
@@ -30,7 +30,8 @@
 /// Longest name or text in bytes. Longer texts are truncated by the encoder and rejected by the
 /// decoder.
 pub const MAX_TEXT: usize = 1024;
-/// Most items in one list. A longer list of endpoints is split into several entries.
+/// Most items in one list. The decoder rejects longer lists; the encoder doesn't check, so that a
+/// longer list of endpoints has to be split into several entries before it is encoded.
 pub const MAX_ITEMS: usize = 65_536;
 
 /// Why bytes can't be decoded as an entry.
--- a/crates/event-log/src/entry/reasons.rs
+++ b/crates/event-log/src/entry/reasons.rs
@@ -10,7 +10,7 @@
     StatementMemoryFull,
     /// The client's connection was already closed.
     ClientDisconnected,
-    /// The intent log is full.
+    /// The intent log has reached its size limit.
     IntentLogFull,
     /// The intent log's store has not written for too long.
     StoreStalled,
--- a/crates/event-log/tests/common/failing_disk.rs
+++ b/crates/event-log/tests/common/failing_disk.rs
@@ -7,12 +7,13 @@
 
 use eideryard_event_log::disk::{Directory, Disk, Segment};
 
-/// A real directory in which the calls fail that a countdown says: from the n-th on, so many.
+/// A directory of the file system in which `failures` successive calls fail, after `until_failure`
+/// calls that succeed.
 pub struct FailingDisk {
     pub inner: Directory,
     pub until_failure: Arc<AtomicI64>,
     pub failures: i64,
-    /// A failed append leaves half of its bytes behind.
+    /// Whether a failed append writes the first half of its bytes.
     pub leaves_partial_writes: bool,
 }
 
@@ -27,9 +28,9 @@
         }
     }
 
-    fn call(counter: &AtomicI64, failures: i64) -> io::Result<()> {
-        let left = counter.fetch_sub(1, Ordering::Relaxed);
-        if left <= 0 && left > -failures {
+    fn count_call(counter: &AtomicI64, failures: i64) -> io::Result<()> {
+        let calls_until_failure = counter.fetch_sub(1, Ordering::Relaxed);
+        if calls_until_failure <= 0 && calls_until_failure > -failures {
             Err(io::Error::other("the disk is full"))
         } else {
             Ok(())
@@ -46,12 +47,12 @@
 
 impl Disk for FailingDisk {
     fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
-        Self::call(&self.until_failure, self.failures)?;
+        Self::count_call(&self.until_failure, self.failures)?;
         self.inner.list()
     }
 
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>> {
-        Self::call(&self.until_failure, self.failures)?;
+        Self::count_call(&self.until_failure, self.failures)?;
         let (inner, until_failure) = (self.inner.create(name)?, self.until_failure.clone());
         Ok(Box::new(FailingSegment {
             inner,
@@ -62,23 +63,23 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        Self::call(&self.until_failure, self.failures)?;
+        Self::count_call(&self.until_failure, self.failures)?;
         self.inner.remove(name)
     }
 }
 
 impl Segment for FailingSegment {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let called = FailingDisk::call(&self.until_failure, self.failures);
-        if called.is_err() && self.leaves_partial_writes {
+        let result = FailingDisk::count_call(&self.until_failure, self.failures);
+        if result.is_err() && self.leaves_partial_writes {
             self.inner.append(&bytes[..bytes.len() / 2])?;
         }
-        called?;
+        result?;
         self.inner.append(bytes)
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        FailingDisk::call(&self.until_failure, self.failures)?;
+        FailingDisk::count_call(&self.until_failure, self.failures)?;
         self.inner.truncate(length)
     }
 }
--- a/crates/event-log/tests/common/mod.rs
+++ b/crates/event-log/tests/common/mod.rs
@@ -1,5 +1,9 @@
-//! Helpers of the tests and benches.
-#![allow(dead_code, unused_imports, reason = "each test uses some of them")]
+//! Helpers for the tests and benches.
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test uses only some of the helpers"
+)]
 
 mod failing_disk;
 mod log_files;
@@ -8,10 +12,10 @@
 
 pub use failing_disk::FailingDisk;
 pub use log_files::{config, read_log, record_random_entries, start_segment_if_needed, ReadLog};
-pub use random_entries::entry;
+pub use random_entries::random_entry;
 pub use served_request::served_request_entries;
 
 use eideryard::interface::Micros;
 
-/// When the gateway of a log starts.
+/// When the gateways of the test logs start, in microseconds since the Unix epoch.
 pub const START: Micros = 1_796_147_675_000_000;
--- a/crates/event-log/tests/common/random_entries.rs
+++ b/crates/event-log/tests/common/random_entries.rs
@@ -1,4 +1,4 @@
-//! Random entries from a seed.
+//! Generates random entries from a seed.
 
 use eideryard::interface::{
     Action, AttemptEnded, Event, LoadReport, Micros, Outcome, Phase, Probed, Progress, Request,
@@ -9,7 +9,7 @@
 
 use super::START;
 
-fn real(rng: &mut Rng) -> f64 {
+fn random_float(rng: &mut Rng) -> f64 {
     match rng.u8(0..5) {
         0 => rng.u32(..) as f64,
         1 => rng.u32(..) as f64 / 1000.0,
@@ -19,7 +19,7 @@
     }
 }
 
-fn outcome(rng: &mut Rng) -> Outcome {
+fn random_outcome(rng: &mut Rng) -> Outcome {
     use Outcome::*;
     *rng.choice(&[
         Answered,
@@ -34,82 +34,85 @@
     .unwrap()
 }
 
-fn report(rng: &mut Rng) -> Option<LoadReport> {
-    let mut some = |chance: bool| chance.then(|| real(rng));
-    let [a, b, c] = [some(true), some(false), some(true)];
+fn random_load_report(rng: &mut Rng) -> Option<LoadReport> {
+    let mut value_if = |is_present: bool| is_present.then(|| random_float(rng));
+    let [in_flight, waiting_for_memory, cores_busy] =
+        [value_if(true), value_if(false), value_if(true)];
     rng.bool().then_some(LoadReport {
-        in_flight: a,
-        waiting_for_memory: b,
-        cores_busy: c,
+        in_flight,
+        waiting_for_memory,
+        cores_busy,
         ..LoadReport::default()
     })
 }
 
-fn phase(rng: &mut Rng) -> Phase {
+fn random_phase(rng: &mut Rng) -> Phase {
     *rng.choice(&[Phase::Ready, Phase::Draining, Phase::Removed])
         .unwrap()
 }
 
-fn listed(rng: &mut Rng) -> Vec<eideryard::interface::Endpoint> {
-    let entry = |rng: &mut Rng| eideryard::interface::Endpoint {
+fn random_endpoints(rng: &mut Rng) -> Vec<eideryard::interface::Endpoint> {
+    let random_endpoint = |rng: &mut Rng| eideryard::interface::Endpoint {
         engine: rng.u32(..),
         zone: rng.u32(0..9),
         kind: rng.u32(..),
         cell: rng.u32(0..300),
-        phase: phase(rng),
+        phase: random_phase(rng),
         booted_at: rng.u64(..),
     };
-    (0..rng.usize(0..20)).map(|_| entry(rng)).collect()
+    (0..rng.usize(0..20))
+        .map(|_| random_endpoint(rng))
+        .collect()
 }
 
-pub fn request(rng: &mut Rng) -> RequestId {
+pub fn random_request_id(rng: &mut Rng) -> RequestId {
     (rng.u64(1..1 << 20) << 32) | rng.u64(0..200)
 }
 
-/// Any entry that a gateway may record after a segment's state.
+/// Generates any kind of entry that a gateway may record after the state of a segment.
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario, told from its beginning to its end"
+    reason = "one match arm for each kind of entry"
 )]
-pub fn entry(rng: &mut Rng, at: Micros) -> Entry {
-    let id = request(rng);
+pub fn random_entry(rng: &mut Rng, at: Micros) -> Entry {
+    let id = random_request_id(rng);
     let class = rng.usize(0..4);
     let tenant = rng.usize(0..3);
-    let offer = ClientRequest {
+    let client_request = ClientRequest {
         request: id,
         id: rng.u64(..),
-        connection: request(rng),
+        connection: random_request_id(rng),
     };
     match rng.u8(0..36) {
-        0 => Entry::Event(Event::EndpointSnapshot(listed(rng))),
-        1 => Entry::Event(Event::EndpointChanges(listed(rng))),
+        0 => Entry::Event(Event::EndpointSnapshot(random_endpoints(rng))),
+        1 => Entry::Event(Event::EndpointChanges(random_endpoints(rng))),
         2 if rng.bool() => Entry::Event(Event::DiscoveryFailed),
         2 => {
-            let class = |rng: &mut Rng| eideryard::interface::ClassEstimates {
-                work_ratio: real(rng),
-                memory_ratio: real(rng),
-                work: real(rng),
-                memory_mb: rng.bool().then(|| real(rng)),
+            let random_class = |rng: &mut Rng| eideryard::interface::ClassEstimates {
+                work_ratio: random_float(rng),
+                memory_ratio: random_float(rng),
+                work: random_float(rng),
+                memory_mb: rng.bool().then(|| random_float(rng)),
             };
-            let engine = |rng: &mut Rng| eideryard::interface::EngineEstimates {
+            let random_engine = |rng: &mut Rng| eideryard::interface::EngineEstimates {
                 engine: rng.u32(..),
                 booted_at: rng.u64(..),
-                slowdown: real(rng),
-                best_slowdown: real(rng),
-                bad: real(rng),
-                foreign_load: real(rng),
+                slowdown: random_float(rng),
+                best_slowdown: random_float(rng),
+                bad: random_float(rng),
+                foreign_load: random_float(rng),
             };
             let (classes, engines) = (
-                (0..rng.usize(0..4)).map(|_| class(rng)).collect(),
-                vec![engine(rng)],
+                (0..rng.usize(0..4)).map(|_| random_class(rng)).collect(),
+                vec![random_engine(rng)],
             );
-            let lessons = eideryard::interface::LearnedState {
+            let learned = eideryard::interface::LearnedState {
                 classes,
                 engines,
-                baseline_load: real(rng),
+                baseline_load: random_float(rng),
             };
             Entry::Event(Event::CheckpointRestored {
-                learned: lessons,
+                learned,
                 age: rng.u64(..),
             })
         }
@@ -119,8 +122,8 @@
             tenant,
             key: rng.bool().then(|| format!("{:032x}", rng.u128(..))),
             deadline: at + rng.u64(0..10_000_000),
-            work: rng.bool().then(|| real(rng)),
-            memory_mb: rng.bool().then(|| real(rng)),
+            work: rng.bool().then(|| random_float(rng)),
+            memory_mb: rng.bool().then(|| random_float(rng)),
             group: rng.u64(0..500),
             prior_attempts: (0..rng.usize(0..3))
                 .map(|_| eideryard::interface::PriorAttempt {
@@ -171,35 +174,35 @@
             reason: *rng.choice(&RejectReason::ALL).unwrap(),
         }),
         8 => {
-            let notes = [
-                Progress::Share(real(rng)),
-                Progress::Spilling(real(rng)),
+            let reports = [
+                Progress::Share(random_float(rng)),
+                Progress::Spilling(random_float(rng)),
                 Progress::WaitsForMemory,
                 Progress::WaitsForLoad,
             ];
             Entry::Event(Event::ProgressReported {
                 request: id,
                 attempt: rng.usize(0..9),
-                progress: *rng.choice(&notes).unwrap(),
+                progress: *rng.choice(&reports).unwrap(),
             })
         }
         9..=12 => Entry::Event(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt: rng.usize(0..9),
-            outcome: outcome(rng),
+            outcome: random_outcome(rng),
             spent: rng.u64(0..9_000_000),
             complete: rng.bool(),
             already_reported: rng.bool(),
             usage: rng.bool().then(|| ResourceUsage {
-                work: real(rng),
-                memory_mb: real(rng),
+                work: random_float(rng),
+                memory_mb: random_float(rng),
             }),
-            report: report(rng),
+            report: random_load_report(rng),
         })),
         13 => Entry::Event(Event::Probed(Probed {
             engine: rng.u32(..),
-            outcome: outcome(rng),
-            report: report(rng),
+            outcome: random_outcome(rng),
+            report: random_load_report(rng),
         })),
         14 => Entry::Event(Event::ClientLeft { request: id }),
         15 => Entry::Event(Event::Timer {
@@ -207,7 +210,7 @@
         }),
         16 => Entry::Action(Action::Grant {
             request: id,
-            grant_mb: real(rng),
+            grant_mb: random_float(rng),
             rank: rng.u8(0..4),
         }),
         17 | 18 => Entry::Action(Action::Send {
@@ -242,22 +245,22 @@
         }),
         32 => Entry::Host(HostEvent::RetryAttached { class, tenant }),
         26 => Entry::Host(HostEvent::Disconnected { connection: id }),
-        27 => Entry::Host(HostEvent::RequestReceived(offer)),
+        27 => Entry::Host(HostEvent::RequestReceived(client_request)),
         28 => {
-            let how = *rng.choice(&RejectReason::ALL).unwrap();
+            let reason = *rng.choice(&RejectReason::ALL).unwrap();
             Entry::Host(HostEvent::RequestRejected {
-                reason: how,
+                reason,
                 class: rng.bool().then_some(class),
                 tenant: rng.bool().then_some(tenant),
             })
         }
         29 | 30 => {
-            let how = *rng.choice(&AnswerKind::ALL).unwrap();
+            let kind = *rng.choice(&AnswerKind::ALL).unwrap();
             Entry::Host(HostEvent::Answered {
                 request: id,
                 class,
                 tenant,
-                kind: how,
+                kind,
                 is_late: rng.bool(),
             })
         }
--- a/crates/event-log/tests/common/served_request.rs
+++ b/crates/event-log/tests/common/served_request.rs
@@ -1,4 +1,4 @@
-//! The entries of a usual request.
+//! The entries of a typical request.
 
 use eideryard::interface::{
     Action, AttemptEnded, Event, LoadReport, Micros, Outcome, Request, ResourceUsage,
@@ -7,16 +7,13 @@
 
 use super::START;
 
-/// What a gateway records of one request that is served at its first attempt, with two beats of the
-/// module.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, told from its beginning to its end"
-)]
+/// The entries that a gateway records for one request that is served by its first attempt, with two
+/// timer events of the decision module.
+#[expect(clippy::too_many_lines, reason = "one sequence of entries")]
 pub fn served_request_entries(number: u64) -> Vec<(Micros, Entry)> {
-    let (id, begin) = ((number << 32) | (number % 300), START + number * 2000);
+    let (id, started_at) = ((number << 32) | (number % 300), START + number * 2000);
     let engine = 0x9e37_0000 + (number % 12) as u32;
-    let offer = ClientRequest {
+    let client_request = ClientRequest {
         request: id,
         id: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         connection: (77 << 32) | 3,
@@ -26,7 +23,7 @@
         class: (number % 3) as usize,
         tenant: (number % 3) as usize,
         key: None,
-        deadline: begin + 1_500_000,
+        deadline: started_at + 1_500_000,
         work: Some(812_000.0 + number as f64 * 100.0),
         prior_attempts: Vec::new(),
         memory_mb: Some(96.0),
@@ -50,16 +47,16 @@
         }),
         report: Some(report),
     };
-    // Of one that came forty before it.
-    let before = id - (40 << 32);
+    // The answer belongs to the request that came forty requests earlier.
+    let earlier_request = id - (40 << 32);
     let answered = HostEvent::Answered {
-        request: before,
+        request: earlier_request,
         class: arrived.class,
         tenant: arrived.tenant,
         kind: AnswerKind::Served,
         is_late: false,
     };
-    let beat = |at| {
+    let tick = |at| {
         [
             (at, Entry::Event(Event::Timer { tag: 0 })),
             (
@@ -72,17 +69,20 @@
         ]
     };
     let mut entries = vec![
-        (begin, Entry::Host(HostEvent::RequestReceived(offer))),
-        (begin + 14, Entry::Event(Event::Arrived(arrived))),
         (
-            begin + 14,
+            started_at,
+            Entry::Host(HostEvent::RequestReceived(client_request)),
+        ),
+        (started_at + 14, Entry::Event(Event::Arrived(arrived))),
+        (
+            started_at + 14,
             Entry::Action(Action::SetTimer {
                 after: 1_349_900,
                 tag: id + 1,
             }),
         ),
         (
-            begin + 14,
+            started_at + 14,
             Entry::Action(Action::Grant {
                 request: id,
                 grant_mb: 120.0,
@@ -90,23 +90,23 @@
             }),
         ),
         (
-            begin + 14,
+            started_at + 14,
             Entry::Action(Action::Send {
                 request: id,
                 engine,
-                attempt_deadline: begin + 1_490_000,
+                attempt_deadline: started_at + 1_490_000,
             }),
         ),
-        (begin + 900, Entry::Host(answered)),
+        (started_at + 900, Entry::Host(answered)),
         (
-            begin + 950,
+            started_at + 950,
             Entry::Event(Event::AttemptEnded(AttemptEnded {
-                request: before,
+                request: earlier_request,
                 ..ended
             })),
         ),
     ];
-    entries.extend(beat(begin + 1000));
-    entries.extend(beat(begin + 1500));
+    entries.extend(tick(started_at + 1000));
+    entries.extend(tick(started_at + 1500));
     entries
 }
--- a/crates/event-log/tests/failures.rs
+++ b/crates/event-log/tests/failures.rs
@@ -1,5 +1,5 @@
-//! Failures that the event log has to survive: a disk that fails, a full queue, bytes that are cut
-//! or flipped.
+//! Failures that the event log has to survive: a failing disk, a full queue, and files with cut or
+//! flipped bytes.
 
 mod common;
 
@@ -11,8 +11,12 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-fn recorder(directory: &Path, segment: u64) -> Recorder {
-    Recorder::start(config("g1", segment), Box::new(Directory(directory.into()))).unwrap()
+fn start_recorder(directory: &Path, max_segment_bytes: u64) -> Recorder {
+    Recorder::start(
+        config("g1", max_segment_bytes),
+        Box::new(Directory(directory.into())),
+    )
+    .unwrap()
 }
 
 fn segments(directory: &Path) -> Vec<PathBuf> {
@@ -26,7 +30,7 @@
 fn entries_are_decoded_as_encoded() {
     let mut rng = Rng::with_seed(7);
     let entries: Vec<_> = (0..20_000)
-        .map(|n| (START + n * 37, entry(&mut rng, START + n * 37)))
+        .map(|n| (START + n * 37, random_entry(&mut rng, START + n * 37)))
         .collect();
     let (mut bytes, mut context) = (Vec::new(), Context::new(START));
     for (at, entry) in entries.iter() {
@@ -34,8 +38,11 @@
     }
     let mut decoder = Decoder::new(&bytes, Context::new(START));
     for (at, entry) in &entries {
-        let (told_at, told) = decoder.next_entry().unwrap().unwrap();
-        assert_eq!((*at, format!("{entry:?}")), (told_at, format!("{told:?}")));
+        let (decoded_at, decoded) = decoder.next_entry().unwrap().unwrap();
+        assert_eq!(
+            (*at, format!("{entry:?}")),
+            (decoded_at, format!("{decoded:?}"))
+        );
     }
     assert!(decoder.next_entry().unwrap().is_none());
 }
@@ -43,21 +50,24 @@
 #[test]
 fn all_entries_are_read_back_through_many_segments() {
     let directory = tempfile::tempdir().unwrap();
-    let mut recorder = recorder(directory.path(), 64 << 10);
+    let mut recorder = start_recorder(directory.path(), 64 << 10);
     let counted = record_random_entries(&mut recorder, 3, 50_000);
     drop(recorder);
     assert!(segments(directory.path()).len() > 5);
     let read = read_log(directory.path()).unwrap();
-    // A writer that a busy machine holds up leaves gaps, which tell what they left out.
-    let left_out: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
+    // On a busy machine the writer may fall behind and leave gaps, which state what they lack.
+    let missing_entries: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
     assert_eq!(
-        (counting_entries(&read) + left_out, read.problems.len()),
+        (
+            counting_entries(&read) + missing_entries,
+            read.problems.len()
+        ),
         (50_000, 0)
     );
     assert_eq!(read.counted, counted);
     assert!(
         read.entries.windows(2).all(|pair| pair[0].0 <= pair[1].0),
-        "by time"
+        "entries are not in order of time"
     );
 }
 
@@ -77,13 +87,13 @@
         .iter()
         .map(|file| file.metadata().unwrap().len())
         .sum::<u64>();
-    // The one that is written may be a buffer longer than a segment.
+    // The open segment may exceed the segment limit by a buffer.
     assert!(sizes <= budget + (160 << 10), "{sizes}");
     assert_eq!(read_log(directory.path()).unwrap().counted, counted);
 }
 
-/// Whatever call fails first and for however long, the log states exactly what was left out, and
-/// recording resumes.
+/// Guards against entries that are lost without a gap entry when a disk call fails, whichever call
+/// fails first and however many fail. Recording has to resume.
 #[test]
 fn failing_disk_loses_entries_and_the_log_states_how_many() {
     for (first, failures) in [
@@ -101,7 +111,7 @@
             let directory = tempfile::tempdir().unwrap();
             let disk = FailingDisk::new(directory.path(), first, failures, leaves_partial_writes);
             let mut recorder = Recorder::start(config("g1", 64 << 10), Box::new(disk)).unwrap();
-            // Until the writer's pause after a fault is over.
+            // Records until the writer's retry delay after a failure is over.
             let mut rng = Rng::with_seed(first as u64);
             let until = std::time::Instant::now() + std::time::Duration::from_millis(250);
             let mut at = START;
@@ -109,7 +119,7 @@
                 for _ in 0..400 {
                     at += 1000;
                     start_segment_if_needed(&mut recorder, at);
-                    recorder.record(at, entry(&mut rng, at).as_ref());
+                    recorder.record(at, random_entry(&mut rng, at).as_ref());
                     recorder.flush(at);
                 }
                 std::thread::sleep(std::time::Duration::from_millis(10));
@@ -122,14 +132,14 @@
             );
             assert_eq!(read.counted, counted, "{case}");
             assert!(!read.gaps.is_empty(), "{case}");
-            for ((entries, missing), before) in read.gaps.iter().zip(&read.before_gaps) {
+            for ((entries, missing), before) in read.gaps.iter().zip(&read.tallies_before_gaps) {
                 assert!(*entries > 0 && missing.entries == *entries, "{case}");
                 assert!(before.entries + entries <= counted.entries, "{case}");
             }
-            // What was told and what was left out are all there was, to the entry.
-            let left_out: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
+            // The entries read and the entries missing add up to all that were recorded.
+            let missing_entries: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
             assert_eq!(
-                counting_entries(&read) + left_out,
+                counting_entries(&read) + missing_entries,
                 counted.entries,
                 "{case}"
             );
@@ -137,7 +147,7 @@
     }
 }
 
-/// How many entries of a log count.
+/// The number of entries of a log that count, which excludes the state of each segment.
 fn counting_entries(read: &ReadLog) -> u64 {
     let mut counted = tally::RunningTally::default();
     let mut count = 0;
@@ -178,25 +188,30 @@
     let directory = tempfile::tempdir().unwrap();
     let disk = Slow(Directory(directory.path().into()));
     let mut recorder = Recorder::start(config("g1", 1 << 20), Box::new(disk)).unwrap();
-    // Far more than the buffers hold, at once; then a little more, when the writer has caught up.
+    // Far more entries than the buffers have room for, at once, then some more after the writer has
+    // caught up.
     record_random_entries(&mut recorder, 5, 200_000);
     std::thread::sleep(std::time::Duration::from_millis(300));
     let counted = record_random_entries(&mut recorder, 6, 1000);
     drop(recorder);
     let read = read_log(directory.path()).unwrap();
     assert!(!read.gaps.is_empty());
-    let left_out: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
+    let missing_entries: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
     assert_eq!(
-        (read.counted.clone(), counting_entries(&read) + left_out),
+        (
+            read.counted.clone(),
+            counting_entries(&read) + missing_entries
+        ),
         (counted.clone(), counted.entries)
     );
 }
 
-/// A small log, cut after and flipped at each of its bytes.
+/// Guards against a reader that fails, repeats entries or hides damage. For each byte of a small
+/// log, reads a copy that ends before this byte and one with a flipped bit in it.
 #[test]
 fn damage_at_any_byte_is_skipped_and_reported_without_repeating_entries() {
     let directory = tempfile::tempdir().unwrap();
-    let mut recorder = recorder(directory.path(), 1 << 20);
+    let mut recorder = start_recorder(directory.path(), 1 << 20);
     record_random_entries(&mut recorder, 11, 150);
     drop(recorder);
     let file = &segments(directory.path())[0];
@@ -223,21 +238,20 @@
                 Ok(read) => read,
                 Err(e) => panic!("byte {at}, cut {cut}: {e}"),
             };
-            // What is told is a part of what was there, in order.
-            let mut left = all.iter();
+            // The entries read are a part of the original ones, in the same order.
+            let mut remaining = all.iter();
             for entry in &read.entries {
                 let entry = format!("{entry:?}");
                 assert!(
-                    left.any(|own| *own == entry),
-                    "byte {at}, cut {cut}: {entry} was not there, or is told twice"
+                    remaining.any(|original| *original == entry),
+                    "byte {at}, cut {cut}: {entry} was never recorded, or is read twice"
                 );
             }
-            // What was missing at the end of a file that was cut between two frames, nobody can
-            // say.
-            let all_there = read.entries.len() == all.len();
+            // A file that is cut between two frames doesn't show that its end is missing.
+            let is_complete = read.entries.len() == all.len();
             assert!(
-                all_there || !read.problems.is_empty() || cut,
-                "byte {at}: nothing is said"
+                is_complete || !read.problems.is_empty() || cut,
+                "byte {at}: entries are missing and no problem is reported"
             );
             for problem in &read.problems {
                 assert!(
@@ -250,7 +264,7 @@
 }
 
 #[test]
-fn restart_is_a_source_of_its_own_and_earlier_files_count_for_the_limit() {
+fn each_restart_is_a_separate_source_and_earlier_files_count_towards_the_limit() {
     let directory = tempfile::tempdir().unwrap();
     for start in 0..6u64 {
         let epoch = START + start * 100_000_000;
@@ -269,7 +283,7 @@
         .collect();
     assert!(
         starts.len() < 6 && starts.contains(&(START + 500_000_000)),
-        "the oldest went"
+        "the oldest files must be removed and the newest kept: {starts:?}"
     );
     let merged = MergedReader::open(&[directory.path().into()]).unwrap();
     assert_eq!(merged.sources().len(), starts.len());
@@ -278,36 +292,36 @@
 #[test]
 fn newer_version_is_an_error_with_a_remedy() {
     let directory = tempfile::tempdir().unwrap();
-    record_random_entries(&mut recorder(directory.path(), 1 << 20), 1, 10);
+    record_random_entries(&mut start_recorder(directory.path(), 1 << 20), 1, 10);
     let file = segments(directory.path()).remove(0);
     let mut bytes = std::fs::read(&file).unwrap();
     bytes[8..12].copy_from_slice(&4u32.to_le_bytes());
-    let sum = crc32fast::hash(&bytes[..12]);
-    bytes[12..16].copy_from_slice(&sum.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes[..12]);
+    bytes[12..16].copy_from_slice(&checksum.to_le_bytes());
     std::fs::write(&file, bytes).unwrap();
-    let said = read_log(directory.path()).err().unwrap().to_string();
+    let message = read_log(directory.path()).err().unwrap().to_string();
     assert!(
-        said.contains("version 4") && said.contains("use the program"),
-        "{said}"
+        message.contains("version 4") && message.contains("use the program"),
+        "{message}"
     );
 }
 
-/// A gap begins where a gateway ended, not where its last request did, and heartbeats take only a
-/// few bytes.
+/// Without heartbeats a reader would see an idle gateway end at its last request. Heartbeats must
+/// take only a few bytes.
 #[test]
 fn idle_gateway_writes_heartbeats() {
     let directory = tempfile::tempdir().unwrap();
-    let mut recorder = recorder(directory.path(), 64 << 10);
+    let mut recorder = start_recorder(directory.path(), 64 << 10);
     let mut at = START;
     start_segment_if_needed(&mut recorder, at);
     recorder.flush(at);
-    let idle = 120;
-    while at < START + idle * 1_000_000 {
-        // As the loop does: nothing happens before the recorder wants to be called.
+    let idle_seconds = 120;
+    while at < START + idle_seconds * 1_000_000 {
+        // Like the event loop, calls the recorder only when it asks for it.
         at = recorder.next_flush_at().unwrap_or(at);
         start_segment_if_needed(&mut recorder, at);
         recorder.flush(at);
-        // A minute here is a moment for the writer, which has to keep up.
+        // Simulated time passes quickly; gives the writer real time to keep up.
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
     drop(recorder);
@@ -315,37 +329,37 @@
         .iter()
         .map(|file| file.metadata().unwrap().len())
         .sum();
-    assert!(bytes < idle * 100, "{bytes} bytes");
+    assert!(bytes < idle_seconds * 100, "{bytes} bytes");
     let mut merged = MergedReader::open(&[directory.path().into()]).unwrap();
     let mut last = START;
-    while let Some(told) = merged.next_entry().unwrap() {
+    while let Some(read) = merged.next_entry().unwrap() {
         assert!(
-            told.at - last <= recorder::HEARTBEAT_INTERVAL + 200_000,
-            "silent for {} us",
-            told.at - last
+            read.at - last <= recorder::HEARTBEAT_INTERVAL + 200_000,
+            "no entry for {} us",
+            read.at - last
         );
-        last = told.at;
+        last = read.at;
     }
-    assert!(START + idle * 1_000_000 - last <= recorder::HEARTBEAT_INTERVAL);
+    assert!(START + idle_seconds * 1_000_000 - last <= recorder::HEARTBEAT_INTERVAL);
 }
 
 #[test]
 fn growing_log_is_followed_frame_by_frame() {
     let directory = tempfile::tempdir().unwrap();
-    let mut recorder = recorder(directory.path(), 64 << 10);
+    let mut recorder = start_recorder(directory.path(), 64 << 10);
     let mut merged = MergedReader::follow(&[directory.path().into()]).unwrap();
-    let (mut told, mut rng, mut at) = (0, Rng::with_seed(1), START);
+    let (mut entry_count, mut rng, mut at) = (0, Rng::with_seed(1), START);
     let mut counted = tally::RunningTally::default();
     for round in 0..40 {
         for _ in 0..500 {
             at += 1000;
             start_segment_if_needed(&mut recorder, at);
-            recorder.record(at, entry(&mut rng, at).as_ref());
+            recorder.record(at, random_entry(&mut rng, at).as_ref());
             recorder.flush(at);
         }
         at += 1_000_000;
         recorder.flush(at);
-        // The writer is a thread: what it has not written yet comes later.
+        // The writer thread may not have written all entries yet, so this waits for them.
         let until = std::time::Instant::now() + std::time::Duration::from_secs(20);
         while counted.tally != *recorder.tally() && std::time::Instant::now() < until {
             while let Some(next) = merged.next_entry().unwrap() {
@@ -353,20 +367,20 @@
                     panic!("damage")
                 };
                 counted.add(entry.as_ref());
-                told += 1;
+                entry_count += 1;
             }
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
         assert!(counted.tally == *recorder.tally(), "round {round}");
     }
-    assert!(told >= 20_000, "{told}");
+    assert!(entry_count >= 20_000, "{entry_count}");
     assert_eq!(merged.problems().count(), 0);
 }
 
 #[test]
-fn followed_segment_without_its_header_yet_is_no_damage() {
+fn segment_whose_header_is_not_written_yet_is_not_damaged() {
     let directory = tempfile::tempdir().unwrap();
-    let mut recorder = recorder(directory.path(), 64 << 10);
+    let mut recorder = start_recorder(directory.path(), 64 << 10);
     record_random_entries(&mut recorder, 7, 10);
     drop(recorder);
     let mut paths = std::fs::read_dir(directory.path()).unwrap();
@@ -390,17 +404,17 @@
 #[test]
 fn reading_from_a_time_starts_at_the_segment_before_it_with_exact_totals() {
     let directory = tempfile::tempdir().unwrap();
-    let mut recorder = recorder(directory.path(), 64 << 10);
+    let mut recorder = start_recorder(directory.path(), 64 << 10);
     let counted = record_random_entries(&mut recorder, 3, 50_000);
     drop(recorder);
     let from = START + 40_000_000;
     let mut merged = MergedReader::open_from(&[directory.path().into()], from).unwrap();
-    let mut folded = tally::RunningTally::default();
+    let mut counted_from_log = tally::RunningTally::default();
     let mut first = None;
-    while let Some(told) = merged.next_entry().unwrap() {
-        first.get_or_insert(told.at);
-        if let reader::ReadContent::Entry(entry) = told.content {
-            folded.add(entry.as_ref());
+    while let Some(read) = merged.next_entry().unwrap() {
+        first.get_or_insert(read.at);
+        if let reader::ReadContent::Entry(entry) = read.content {
+            counted_from_log.add(entry.as_ref());
         }
     }
     let first = first.unwrap();
@@ -409,10 +423,11 @@
         "{}",
         first - START
     );
-    assert_eq!(folded.tally, counted);
+    assert_eq!(counted_from_log.tally, counted);
 }
 
-/// Random bytes, and frames with valid checksums around random payloads.
+/// Guards against a decoder that panics on invalid data: random bytes, and frames with valid
+/// checksums and random payloads.
 #[test]
 fn random_bytes_are_errors_without_panic() {
     let mut rng = Rng::with_seed(99);
@@ -422,9 +437,13 @@
         for number in 1..4 {
             let mut payload: Vec<u8> = (0..rng.usize(0..300)).map(|_| rng.u8(0..60)).collect();
             if rng.bool() {
-                let (mut good, mut context) = (Vec::new(), Context::new(START));
-                context.encode(&mut good, START, entry(&mut rng, START).as_ref());
-                payload.splice(0..0, good);
+                let (mut valid_entry, mut context) = (Vec::new(), Context::new(START));
+                context.encode(
+                    &mut valid_entry,
+                    START,
+                    random_entry(&mut rng, START).as_ref(),
+                );
+                payload.splice(0..0, valid_entry);
             }
             if rng.u8(0..4) > 0 {
                 bytes.extend(frame::encode_frame_header(START, number, START, &payload));
--- a/crates/event-log/tests/golden.rs
+++ b/crates/event-log/tests/golden.rs
@@ -1,8 +1,9 @@
-//! Segments that an earlier version wrote are written byte for byte the same, and read whole.
+//! Guards against changes of the stored format: entries are written byte for byte as an earlier
+//! version wrote them, and its segments are read completely.
 
 mod common;
 
-use common::{config, entry, START};
+use common::{config, random_entry, START};
 use eideryard::interface::{Action, Micros, Phase};
 use eideryard_emulators::golden;
 use eideryard_event_log::codec::Context;
@@ -11,11 +12,11 @@
 use fastrand::Rng;
 use std::collections::BTreeSet;
 
-/// Times between two entries, in microseconds: a frame holds about forty, so that all frames fit
-/// the buffers.
+/// Time between two entries in microseconds. A frame then contains about forty entries, so that all
+/// frames fit into the buffers.
 const STEP: Micros = 5_000;
-/// Bytes after which the next segment begins.
-const SEGMENT: u64 = 9_000;
+/// Size in bytes at which the next segment starts.
+const MAX_SEGMENT_BYTES: u64 = 9_000;
 
 fn open_request() -> OpenRequest {
     OpenRequest {
@@ -36,10 +37,10 @@
     }
 }
 
-/// What the random entries of the other tests leave out.
-fn more_entries() -> Vec<Entry> {
-    let open = open_request();
-    let listed = ListedEngine {
+/// Kinds of entries that the random entries of the other tests don't include.
+fn fixed_entries() -> Vec<Entry> {
+    let open_request = open_request();
+    let listed_engine = ListedEngine {
         engine: 17,
         name: "s-17".into(),
         address: "127.0.0.1:7101".into(),
@@ -48,12 +49,12 @@
         phase: Phase::Draining,
         booted_at: START - 5,
     };
-    let hosts = vec![
-        HostEvent::Engine(listed),
-        HostEvent::OpenRequest(open),
+    let host_events = vec![
+        HostEvent::Engine(listed_engine),
+        HostEvent::OpenRequest(open_request),
         HostEvent::OpenRequest(OpenRequest {
             running: None,
-            ..open
+            ..open_request
         }),
         HostEvent::DiscoveryLink { is_up: true },
         HostEvent::DiscoveryLink { is_up: false },
@@ -80,7 +81,7 @@
             is_accepted: false,
         }),
     ];
-    let mut entries: Vec<Entry> = hosts.into_iter().map(Entry::Host).collect();
+    let mut entries: Vec<Entry> = host_events.into_iter().map(Entry::Host).collect();
     entries.push(Entry::Action(Action::Subscribe));
     entries
 }
@@ -89,9 +90,9 @@
     let mut rng = Rng::with_seed(45);
     let random = (0..400)
         .map(|number| START + number * STEP)
-        .map(|at| (at, entry(&mut rng, at)));
+        .map(|at| (at, random_entry(&mut rng, at)));
     let mut entries: Vec<(Micros, Entry)> = random.collect();
-    for entry in more_entries() {
+    for entry in fixed_entries() {
         let at = entries[entries.len() - 1].0 + STEP;
         entries.push((at, entry));
     }
@@ -100,7 +101,7 @@
 
 fn write_log(directory: &std::path::Path) {
     let disk = Box::new(Directory(directory.to_path_buf()));
-    let mut recorder = Recorder::start(config("g1", SEGMENT), disk).expect("a recorder");
+    let mut recorder = Recorder::start(config("g1", MAX_SEGMENT_BYTES), disk).expect("a recorder");
     for (at, entry) in entries() {
         common::start_segment_if_needed(&mut recorder, at);
         recorder.record(at, entry.as_ref());
@@ -130,19 +131,19 @@
 }
 
 #[test]
-fn golden_segments_are_read_whole_and_hold_every_kind() {
-    let mut merged = MergedReader::open(&[golden::path("event-log")]).expect("a record");
+fn golden_segments_are_read_completely_and_contain_every_kind() {
+    let mut merged = MergedReader::open(&[golden::path("event-log")]).expect("an event log");
     let (mut kinds, mut bytes) = (BTreeSet::new(), Vec::new());
-    while let Some(told) = merged.next_entry().expect("readable") {
-        let reader::ReadContent::Entry(entry) = told.content else {
+    while let Some(read) = merged.next_entry().expect("readable") {
+        let reader::ReadContent::Entry(entry) = read.content else {
             panic!("damaged")
         };
-        let begin = bytes.len();
-        Context::new(told.at).encode(&mut bytes, told.at, entry.as_ref());
-        kinds.insert(bytes[begin]);
+        let kind_position = bytes.len();
+        Context::new(read.at).encode(&mut bytes, read.at, entry.as_ref());
+        kinds.insert(bytes[kind_position]);
     }
     assert_eq!(merged.problems().count(), 0);
-    let every: BTreeSet<u8> = (1..=13).chain(20..=28).chain(40..=66).collect();
-    assert_eq!(kinds, every);
+    let all_kinds: BTreeSet<u8> = (1..=13).chain(20..=28).chain(40..=66).collect();
+    assert_eq!(kinds, all_kinds);
     golden::check("event-log-entries.bin", &bytes);
 }
