--- a/crates/event-log/benches/record.rs
+++ b/crates/event-log/benches/record.rs
@@ -18,11 +18,11 @@
 use std::io::Write;
 
 /// Counts the allocations of each thread.
-struct CountingAllocator;
+struct Counting;
 
 thread_local!(static ALLOCATIONS: Cell<u64> = const { Cell::new(0) });
 
-unsafe impl GlobalAlloc for CountingAllocator {
+unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         // Fails for a thread that is ending, whose allocations don't matter.
         let _ = ALLOCATIONS.try_with(|count| count.set(count.get() + 1));
@@ -35,7 +35,7 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: CountingAllocator = CountingAllocator;
+static ALLOCATOR: Counting = Counting;
 
 fn entries(count: u64) -> Vec<(Micros, Entry)> {
     (100..100 + count / 11)
--- a/crates/event-log/src/text/mod.rs
+++ b/crates/event-log/src/text/mod.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Writes `NAME { FIELD: VALUE, … }`.
+/// Formats a variant with fields as `NAME { FIELD: VALUE, … }`, with names that differ from Rust's.
 fn write_struct(f: &mut Formatter<'_>, name: &str, fields: &[(&str, &dyn Debug)]) -> fmt::Result {
     let mut text = f.debug_struct(name);
     for (field, value) in fields {
@@ -49,7 +49,7 @@
     text.finish()
 }
 
-/// Writes `NAME(VALUE)`.
+/// Formats a variant with one unnamed field as `NAME(VALUE)`.
 fn write_tuple(f: &mut Formatter<'_>, name: &str, value: &dyn Debug) -> fmt::Result {
     f.debug_tuple(name).field(value).finish()
 }
--- a/crates/event-log/src/totals.rs
+++ b/crates/event-log/src/totals.rs
@@ -53,7 +53,8 @@
     undelivered = "lost",
     /// Requests answered after their deadline.
     late = "late",
-    /// Requests refused because open statements filled their memory.
+    /// Requests refused because the statements of open requests filled the memory reserved for
+    /// them.
     statement_memory_full = "no_room",
     /// Attempts sent to engines.
     sent = "sent",
