--- a/crates/event-log/src/codec/primitives.rs
+++ b/crates/event-log/src/codec/primitives.rs
@@ -210,7 +210,7 @@
     pub fn put_float(&mut self, value: f64) {
         match thousandths(value) {
             Some(value) if value % 1000 == 0 => {
-                self.put_varint((value / 1000) << 2 | FLOAT_INTEGER)
+                self.put_varint((value / 1000) << 2 | FLOAT_INTEGER);
             }
             Some(value) => self.put_varint(value << 2 | FLOAT_THOUSANDTHS),
             None => {
--- a/crates/event-log/src/reader/stream.rs
+++ b/crates/event-log/src/reader/stream.rs
@@ -249,7 +249,7 @@
         }
         match decode_file_header(&self.buffer) {
             Some(version) if version > VERSION => {
-                return Err(ReadError::UnsupportedVersion { path, version })
+                return Err(ReadError::UnsupportedVersion { path, version });
             }
             Some(_) => self.consumed = FILE_HEADER_BYTES,
             None => {
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -250,7 +250,7 @@
     }
 }
 
-/// Sends the remaining entries to the writer and waits at most [`SHUTDOWN_TIMEOUT`], so that a disk
+/// Sends the remaining entries to the writer and waits at most `SHUTDOWN_TIMEOUT`, so that a disk
 /// that hangs can't keep the process from ending.
 impl Drop for Recorder {
     fn drop(&mut self) {
