--- a/crates/event-log/src/text/mod.rs
+++ b/crates/event-log/src/text/mod.rs
@@ -1,6 +1,6 @@
-//! Entries as text, for `eideryard records dump` and `eideryard records find`. Users search this
-//! text, so its names are an interface: they stand here as strings and are independent of the names
-//! of types and fields.
+//! Formats entries as text for `eideryard records dump` and `eideryard records find`. Users search
+//! this text, so its names are a stable interface. They are written here as strings and don't
+//! follow the names of types and fields.
 
 mod action;
 mod event;
@@ -17,7 +17,8 @@
 use host::HostText;
 pub use names::{outcome_name, phase_name};
 
-/// Displays an entry on one line: where it comes from (`in`, `out` or `host`) and what it holds.
+/// Displays an entry on one line: its origin (`in` and `out` for events and actions of the decision
+/// module, `host` for other events of the gateway) and its content.
 pub struct EntryText<'a>(pub EntryRef<'a>);
 
 impl Display for EntryText<'_> {
@@ -30,7 +31,7 @@
     }
 }
 
-/// A name that is written without quotes.
+/// A name whose `Debug` output has no quotes.
 struct Bare(&'static str);
 
 impl Debug for Bare {
@@ -39,7 +40,7 @@
     }
 }
 
-/// Writes `NAME { FIELD: VALUE, … }`.
+/// Formats a variant with fields as `NAME { FIELD: VALUE, … }`, with names that differ from Rust's.
 fn write_struct(f: &mut Formatter<'_>, name: &str, fields: &[(&str, &dyn Debug)]) -> fmt::Result {
     let mut text = f.debug_struct(name);
     for (field, value) in fields {
@@ -48,7 +49,7 @@
     text.finish()
 }
 
-/// Writes `NAME(VALUE)`.
+/// Formats a variant with one unnamed field as `NAME(VALUE)`.
 fn write_tuple(f: &mut Formatter<'_>, name: &str, value: &dyn Debug) -> fmt::Result {
     f.debug_tuple(name).field(value).finish()
 }
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -28,7 +28,7 @@
                 }
                 ClientEvent::RequestCancelled(request) => {
                     self.counters.abandoned += 1;
-                    self.handle_client_left(request, AnswerKind::Forgotten);
+                    self.handle_client_left(request, AnswerKind::Abandoned);
                 }
                 ClientEvent::ConnectionRejected(request) => {
                     self.events.push_back(Event::ClientLeft {
@@ -39,7 +39,7 @@
                 ClientEvent::Disconnected(request) => {
                     self.counters.undelivered += 1;
                     if !self.detach_spooled_request(request) {
-                        self.handle_client_left(request, AnswerKind::Lost);
+                        self.handle_client_left(request, AnswerKind::Undelivered);
                     }
                 }
             }
