--- a/crates/fleet-test/src/check/copies/tests.rs
+++ b/crates/fleet-test/src/check/copies/tests.rs
@@ -11,7 +11,7 @@
         location: None,
         since: 1,
         until: 2,
-        nominal_ms: 20_000,
+        origin_expiry_ms: 20_000,
     };
     let held: VoterReplicas = [(
         b"key".to_vec(),
--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -101,7 +101,7 @@
         location: None,
         age: 0,
         remaining: KEPT,
-        nominal_ms: KEPT / 1_000,
+        origin_expiry_ms: KEPT / 1_000,
     };
     // Keys as the ledger makes them, of an even spread.
     let key = number
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -52,7 +52,7 @@
         location,
         since: AT + 5,
         until: AT + 9_000_000,
-        nominal_ms: AT_MS + 9_000,
+        origin_expiry_ms: AT_MS + 9_000,
     };
     ReplicaRecord::from([
         (ORIGIN, record(1, Phase::InFlight, Some(LOCATION))),
@@ -160,7 +160,7 @@
         location: Some(LOCATION),
         age: 70_000,
         remaining: 9_000_000,
-        nominal_ms: AT_MS,
+        origin_expiry_ms: AT_MS,
     }
 }
 
--- a/crates/replication/src/compare.rs
+++ b/crates/replication/src/compare.rs
@@ -77,7 +77,7 @@
     replica
         .into_iter()
         .flatten()
-        .filter(|(_, record)| record.nominal_ms > now_ms + EXPIRY_MARGIN / 1000)
+        .filter(|(_, record)| record.origin_expiry_ms > now_ms + EXPIRY_MARGIN / 1000)
         .map(|(origin, record)| {
             let revision = Revision {
                 version: record.version,
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -52,7 +52,7 @@
             location: request.location,
             since,
             until,
-            nominal_ms: until / 1000,
+            origin_expiry_ms: until / 1000,
         };
         let record = self.claims.write(now, key, record);
         self.claims
@@ -223,7 +223,7 @@
             phase,
             location: ended.location,
             until,
-            nominal_ms: until / 1000,
+            origin_expiry_ms: until / 1000,
             ..previous
         };
         let record = self.claims.write(now, key, record);
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -52,7 +52,7 @@
     pub until: Micros,
     /// Expiry at the origin, in Unix milliseconds of the origin's clock. Used to compare replicas,
     /// never to decide anything.
-    pub nominal_ms: u64,
+    pub origin_expiry_ms: u64,
 }
 
 /// A record in a message: ages and durations in place of times.
@@ -69,7 +69,7 @@
     /// Microseconds for which the record is still retained.
     pub remaining: Micros,
     /// As in [`Record`].
-    pub nominal_ms: u64,
+    pub origin_expiry_ms: u64,
 }
 
 /// What another gateway may have done with a key.
@@ -92,7 +92,7 @@
                 record.version,
                 record.phase,
                 record.location,
-                record.nominal_ms,
+                record.origin_expiry_ms,
             )
         };
         let later = if order(&self) >= order(&other) {
@@ -115,7 +115,7 @@
             location: self.location,
             age: now.saturating_sub(self.since),
             remaining: self.until.saturating_sub(now),
-            nominal_ms: self.nominal_ms,
+            origin_expiry_ms: self.origin_expiry_ms,
         }
     }
 }
@@ -131,7 +131,7 @@
             location: self.location,
             since: requested_at.unwrap_or(now).saturating_sub(self.age),
             until: now + self.remaining,
-            nominal_ms: self.nominal_ms,
+            origin_expiry_ms: self.origin_expiry_ms,
         }
     }
 }
--- a/crates/replication/src/replica_set.rs
+++ b/crates/replication/src/replica_set.rs
@@ -265,7 +265,7 @@
 
 /// The second in which a record expires at its origin.
 fn expiry_second(record: Record) -> u64 {
-    record.nominal_ms / 1000
+    record.origin_expiry_ms / 1000
 }
 
 /// Records that expire in this second or later are compared.
--- a/crates/replication/tests/compare.rs
+++ b/crates/replication/tests/compare.rs
@@ -8,14 +8,14 @@
     start: 1,
 };
 
-fn replicas(version: u32, nominal_ms: u64) -> VoterReplicas {
+fn replicas(version: u32, origin_expiry_ms: u64) -> VoterReplicas {
     let record = Record {
         version,
         phase: Phase::MayHaveRun,
         location: None,
         since: 1,
         until: 2,
-        nominal_ms,
+        origin_expiry_ms,
     };
     [(b"key".to_vec(), [(ORIGIN, record)].into())].into()
 }
--- a/crates/replication/tests/merge.rs
+++ b/crates/replication/tests/merge.rs
@@ -29,7 +29,7 @@
                 location,
                 since,
                 until,
-                nominal_ms: content,
+                origin_expiry_ms: content,
             },
         )
     })
@@ -92,7 +92,7 @@
     fn incremental_fingerprints_equal_those_of_the_records(records in vec((0..4u8, record_of_origin()), 0..30), now in 0..4u64) {
         let mut replicas = ReplicaSet::new(Limits { entries: 3 });
         for (key, (origin, record)) in &records {
-            let record = Record { nominal_ms: u64::from(record.version) * 900, ..*record };
+            let record = Record { origin_expiry_ms: u64::from(record.version) * 900, ..*record };
             replicas.merge(&[*key], *origin, record);
             replicas.expire(u64::from(*key) * 200);
         }
