--- a/crates/fleet-test/src/simulated/requests.rs
+++ b/crates/fleet-test/src/simulated/requests.rs
@@ -1,6 +1,6 @@
 //! Keyed requests: asked, claimed, sent, ended, asked again.
 
-use eideryard_replication::core::{ClaimRequest, EndedRun};
+use eideryard_replication::core::{ClaimRequest, EndedAttempts};
 
 use super::*;
 
@@ -117,13 +117,15 @@
             self.gateways[gateway].local.remove(&key);
         }
         let location = Some(Location { zone: 0, cell });
-        let ended = EndedRun {
+        let ended = EndedAttempts {
             key: &key_of(key),
             location,
             may_have_run: ran,
             retention: WINDOW + SLACK,
         };
-        let outputs = self.gateways[gateway].core.on_ended(self.time.now, ended);
+        let outputs = self.gateways[gateway]
+            .core
+            .on_attempts_ended(self.time.now, ended);
         self.perform(gateway, outputs);
     }
 
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -10,7 +10,7 @@
 use eideryard_intent_log::Intent;
 use eideryard_leases::VoterReadiness;
 use eideryard_peer_transport::{Hub, Peer as TransportPeer, PeerEvent, PeerState};
-use eideryard_replication::core::{ClaimError, ClaimRequest, EndedRun};
+use eideryard_replication::core::{ClaimError, ClaimRequest, EndedAttempts};
 use eideryard_replication::drains::Drain;
 use eideryard_replication::{entry, Core, Message, Origin, Output, Peer, ReplicaRecord, Verdict};
 use eideryard_store::worker::Worker;
@@ -127,13 +127,13 @@
         retention: Micros,
         worker: &mut Worker,
     ) {
-        let ended = EndedRun {
+        let ended = EndedAttempts {
             key: replicated_key(stored_key),
             location: intent.and_then(known_location),
             may_have_run: intent.is_some(),
             retention,
         };
-        let outputs = self.core.on_ended(now, ended);
+        let outputs = self.core.on_attempts_ended(now, ended);
         self.perform(now, outputs, worker);
     }
 
--- a/crates/replication/src/core.rs
+++ b/crates/replication/src/core.rs
@@ -77,7 +77,7 @@
 
 /// End of all attempts at a key.
 #[derive(Clone, Copy, Debug)]
-pub struct EndedRun<'a> {
+pub struct EndedAttempts<'a> {
     /// The key.
     pub key: &'a [u8],
     /// Where it may have run; `None` for several places.
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -1,6 +1,6 @@
 //! Claims: those that this gateway makes, and those of others that this voter answers.
 
-use super::{ClaimError, ClaimRequest, Core, EndedRun, Output, Peer};
+use super::{ClaimError, ClaimRequest, Core, EndedAttempts, Output, Peer};
 use crate::claims::{PriorRuns, Verdict, CLAIM_TIMEOUT};
 use crate::entry::{self, Origin, Phase, Record, ReplicaView, WireRecord};
 use crate::message::{ClaimRejection, Message};
@@ -202,13 +202,13 @@
     }
 
     /// Drops a claim that is no longer wanted. What voters hold of it is resolved by
-    /// [`Core::on_ended`].
+    /// [`Core::on_attempts_ended`].
     pub fn cancel_claim(&mut self, number: u64) {
         self.claims.cancel(number);
     }
 
     /// All attempts at a key that this gateway claimed have ended, for now.
-    pub fn on_ended(&mut self, now: Micros, ended: EndedRun<'_>) -> Vec<Output> {
+    pub fn on_attempts_ended(&mut self, now: Micros, ended: EndedAttempts<'_>) -> Vec<Output> {
         let key = ended.key;
         let Some(previous) = self.claims.get(key).copied() else {
             return Vec::new();
