--- a/crates/fleet-test/src/simulated/links.rs
+++ b/crates/fleet-test/src/simulated/links.rs
@@ -82,11 +82,14 @@
                         self.at(takes, Event::Flush { keeper: at, start });
                     }
                 }
-                Output::LocalVote { number, views } => {
+                Output::LocalVote {
+                    number,
+                    reported_runs,
+                } => {
                     let verdict =
                         self.gateways[at]
                             .core
-                            .on_local_vote(self.time.now, number, &views);
+                            .on_local_vote(self.time.now, number, &reported_runs);
                     self.perform(at, verdict.into_iter().collect());
                 }
                 Output::Verdict(number, verdict) => self.decided(at, number, verdict),
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -13,7 +13,7 @@
 use eideryard_peer_transport::Handshake;
 use eideryard_replication::drains::Drain;
 use eideryard_replication::entry::{
-    self as copies, Origin, Phase, Record, ReplicaRecord, ReplicaView, WireRecord,
+    self as copies, Origin, Phase, Record, ReplicaRecord, ReportedRun, WireRecord,
 };
 use eideryard_replication::message::{ClaimRejection, Entry, Message};
 use eideryard_store::{inspect, Batch, Config, Directory, Store};
@@ -172,11 +172,11 @@
 fn messages() -> Vec<PeerMessage> {
     let (key, origin, record) = (b"key".to_vec(), ORIGIN, travelling());
     let seen = vec![
-        ReplicaView {
+        ReportedRun {
             location: Some(LOCATION),
             age: 5,
         },
-        ReplicaView {
+        ReportedRun {
             location: None,
             age: 0,
         },
@@ -211,7 +211,7 @@
         },
         Message::ClaimAccepted {
             number: 1,
-            views: seen,
+            reported_runs: seen,
         },
         Message::ClaimRejected {
             number: 2,
--- a/crates/gateway/src/replication/outputs.rs
+++ b/crates/gateway/src/replication/outputs.rs
@@ -15,8 +15,11 @@
                 } => {
                     self.store_replica(&key, replica.as_ref(), after_durable, worker);
                 }
-                Output::LocalVote { number, views } => {
-                    outputs.extend(self.core.on_local_vote(now, number, &views));
+                Output::LocalVote {
+                    number,
+                    reported_runs,
+                } => {
+                    outputs.extend(self.core.on_local_vote(now, number, &reported_runs));
                 }
                 Output::Verdict(claim, verdict) => self.verdicts.push((claim, verdict)),
                 Output::EngineDrained(drain) => self.drains.push(drain),
--- a/crates/replication/src/claims.rs
+++ b/crates/replication/src/claims.rs
@@ -10,7 +10,7 @@
 
 use eideryard_intent_log::Location;
 
-use crate::entry::{Phase, Record, ReplicaView};
+use crate::entry::{Phase, Record, ReportedRun};
 use crate::message::ClaimRejection;
 use crate::Micros;
 
@@ -241,7 +241,7 @@
         now: Micros,
         number: u64,
         voter: usize,
-        views: &[ReplicaView],
+        reported_runs: &[ReportedRun],
     ) -> Option<Verdict> {
         let majority = self.majority();
         let claim = self.pending.get_mut(&number)?;
@@ -249,10 +249,12 @@
         // The voter measured the age after the request was sent, so the run may be older than that
         // by now, but never younger.
         let requested_at = claim.requested_at;
-        claim.reported.extend(views.iter().map(|view| PriorRun {
-            location: view.location,
-            since: requested_at.saturating_sub(view.age),
-        }));
+        claim
+            .reported
+            .extend(reported_runs.iter().map(|view| PriorRun {
+                location: view.location,
+                since: requested_at.saturating_sub(view.age),
+            }));
         if claim.is_timed_out(now) {
             return self.close_without_majority(number);
         }
--- a/crates/replication/src/core.rs
+++ b/crates/replication/src/core.rs
@@ -8,7 +8,7 @@
 use crate::anti_entropy::{ReplicationProgress, TransferBudget};
 use crate::claims::{Claims, PriorRuns, Verdict};
 use crate::drains::{Drain, Drains};
-use crate::entry::{Origin, Record, ReplicaRecord, ReplicaView};
+use crate::entry::{Origin, Record, ReplicaRecord, ReportedRun};
 use crate::message::Message;
 use crate::replica_set::{Limits, ReplicaSet};
 use crate::Micros;
@@ -107,7 +107,7 @@
         /// Number of the claim.
         number: u64,
         /// What other gateways may have done with the key.
-        views: Vec<ReplicaView>,
+        reported_runs: Vec<ReportedRun>,
     },
     /// A claim, by its number, has its verdict.
     Verdict(u64, Verdict),
--- a/crates/replication/src/core/messages.rs
+++ b/crates/replication/src/core/messages.rs
@@ -66,11 +66,14 @@
 
     fn on_voter_message(&mut self, now: Micros, voter: usize, message: Message) -> Vec<Output> {
         match message {
-            Message::ClaimAccepted { number, views } => {
+            Message::ClaimAccepted {
+                number,
+                reported_runs,
+            } => {
                 if let Some((key, version)) = self.claims.pending_version(number) {
                     self.claims.on_acknowledged(voter, &key, version);
                 }
-                Vec::from_iter(self.on_vote(now, number, voter, &views))
+                Vec::from_iter(self.on_vote(now, number, voter, &reported_runs))
             }
             Message::ClaimRejected { number, reason } => {
                 if reason == ClaimRejection::CatchingUp {
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -2,7 +2,7 @@
 
 use super::{ClaimError, ClaimRequest, Core, EndedAttempts, Output, Peer};
 use crate::claims::{PriorRuns, Verdict, CLAIM_TIMEOUT};
-use crate::entry::{self, Origin, Phase, Record, ReplicaView, WireRecord};
+use crate::entry::{self, Origin, Phase, Record, ReportedRun, WireRecord};
 use crate::message::{ClaimRejection, Message};
 use crate::replica_set::MergeResult;
 use crate::Micros;
@@ -93,22 +93,28 @@
         key: &[u8],
         record: Record,
     ) -> Vec<Output> {
-        let views = self.views_of_others(key, self.origin, now);
+        let reported_runs = self.runs_of_others(key, self.origin, now);
         if self.replicas.merge(key, self.origin, record) == MergeResult::Full {
             return Vec::from_iter(self.on_rejection(number, voter, ClaimRejection::Full));
         }
         self.claims.on_acknowledged(voter, key, record.version);
         if self.is_voting() {
-            return vec![self.store(key, vec![Output::LocalVote { number, views }])];
+            return vec![self.store(
+                key,
+                vec![Output::LocalVote {
+                    number,
+                    reported_runs,
+                }],
+            )];
         }
         let mut outputs = vec![self.store(key, Vec::new())];
         outputs.extend(self.on_rejection(number, voter, ClaimRejection::CatchingUp));
         outputs
     }
 
-    fn views_of_others(&self, key: &[u8], requester: Origin, now: Micros) -> Vec<ReplicaView> {
+    fn runs_of_others(&self, key: &[u8], requester: Origin, now: Micros) -> Vec<ReportedRun> {
         self.replicas.get(key).map_or(Vec::new(), |replica| {
-            entry::views_of_others(replica, requester, now)
+            entry::runs_of_others(replica, requester, now)
         })
     }
 
@@ -126,7 +132,7 @@
             record,
         } = claim;
         let reply = |message| Output::Send(Peer::Requester(link), message);
-        let views = self.views_of_others(key, origin, now);
+        let reported_runs = self.runs_of_others(key, origin, now);
         if self.replicas.merge(key, origin, record) == MergeResult::Full {
             self.counters.rejected += 1;
             let reason = ClaimRejection::Full;
@@ -140,7 +146,10 @@
             return vec![self.store(key, Vec::new()), rejection];
         }
         self.counters.accepted += 1;
-        let vote = reply(Message::ClaimAccepted { number, views });
+        let vote = reply(Message::ClaimAccepted {
+            number,
+            reported_runs,
+        });
         vec![self.store(key, vec![vote])]
     }
 
@@ -149,10 +158,10 @@
         &mut self,
         now: Micros,
         number: u64,
-        views: &[ReplicaView],
+        reported_runs: &[ReportedRun],
     ) -> Option<Output> {
         let voter = self.config.voter_index?;
-        self.on_vote(now, number, voter, views)
+        self.on_vote(now, number, voter, reported_runs)
     }
 
     pub(super) fn on_vote(
@@ -160,9 +169,9 @@
         now: Micros,
         number: u64,
         voter: usize,
-        views: &[ReplicaView],
+        reported_runs: &[ReportedRun],
     ) -> Option<Output> {
-        let verdict = self.claims.on_accepted(now, number, voter, views)?;
+        let verdict = self.claims.on_accepted(now, number, voter, reported_runs)?;
         Some(self.decide(number, verdict))
     }
 
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -74,7 +74,7 @@
 
 /// What another gateway may have done with a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ReplicaView {
+pub struct ReportedRun {
     /// Where it may have run; `None` for several places.
     pub location: Option<Location>,
     /// Microseconds since it may have run.
@@ -154,15 +154,11 @@
 }
 
 /// What origins other than `requester` may have done, with ages by this replica's clock.
-pub fn views_of_others(
-    replica: &ReplicaRecord,
-    requester: Origin,
-    now: Micros,
-) -> Vec<ReplicaView> {
+pub fn runs_of_others(replica: &ReplicaRecord, requester: Origin, now: Micros) -> Vec<ReportedRun> {
     replica
         .iter()
         .filter(|(origin, record)| **origin != requester && record.phase != Phase::NeverRan)
-        .map(|(_, record)| ReplicaView {
+        .map(|(_, record)| ReportedRun {
             location: record.location,
             age: now.saturating_sub(record.since),
         })
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -46,7 +46,7 @@
 //!     known: Vec::new(),
 //! };
 //! assert_eq!(core.claim(0, request).len(), 3, "one message to each voter");
-//! let accepted = Message::ClaimAccepted { number: 1, views: Vec::new() };
+//! let accepted = Message::ClaimAccepted { number: 1, reported_runs: Vec::new() };
 //! assert_eq!(core.on_message(10, Peer::Voter(0), accepted.clone()), []);
 //! let outputs = core.on_message(20, Peer::Voter(2), accepted);
 //! assert_eq!(outputs, [Output::Verdict(1, Verdict::Granted)]);
@@ -63,7 +63,7 @@
 
 pub use crate::core::{Config, Core, Output, Peer};
 pub use claims::{PriorRun, PriorRuns, Verdict};
-pub use entry::{Origin, Phase, Record, ReplicaRecord, ReplicaView};
+pub use entry::{Origin, Phase, Record, ReplicaRecord, ReportedRun};
 pub use message::Message;
 
 /// Microseconds of the host's clock.
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::drains::Drain;
-use crate::entry::{Origin, ReplicaView, WireRecord};
+use crate::entry::{Origin, ReportedRun, WireRecord};
 
 /// Why a voter rejects a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
         /// Number of the claim.
         number: u64,
         /// What other gateways may have done with the key.
-        views: Vec<ReplicaView>,
+        reported_runs: Vec<ReportedRun>,
     },
     /// The voter gives no vote.
     ClaimRejected {
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -194,8 +194,7 @@
         if !state.senders[sender].up {
             return;
         }
-        let is_unopposed =
-            matches!(&message, Message::ClaimAccepted { views, .. } if views.is_empty());
+        let is_unopposed = matches!(&message, Message::ClaimAccepted { reported_runs, .. } if reported_runs.is_empty());
         let outputs = state.senders[sender]
             .core
             .on_message(NOW, Peer::Voter(voter), message);
