--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -302,7 +302,7 @@
         voter_index: Some(own),
         max_retention: KEPT,
         limits: Limits {
-            entries: (entries + TIMED_CLAIMS) as usize,
+            max_keys: (entries + TIMED_CLAIMS) as usize,
         },
         transfer_bytes_per_s: CATCH_UP,
         send_without_majority: false,
--- a/crates/fleet-test/src/simulated.rs
+++ b/crates/fleet-test/src/simulated.rs
@@ -250,7 +250,7 @@
             voters: self.size.keepers,
             voter_index: (at < self.size.keepers).then_some(at),
             max_retention: LONGEST,
-            limits: Limits { entries: 100_000 },
+            limits: Limits { max_keys: 100_000 },
             transfer_bytes_per_s: 1 << 20,
             send_without_majority: false,
         };
--- a/crates/gateway/src/replication/startup.rs
+++ b/crates/gateway/src/replication/startup.rs
@@ -148,7 +148,7 @@
         voter_index,
         max_retention: context.longest_wait + longest_window + RETENTION_MARGIN,
         limits: Limits {
-            entries: context.max_replicas,
+            max_keys: context.max_replicas,
         },
         transfer_bytes_per_s: CATCH_UP_BYTES_PER_SECOND,
         send_without_majority: config.send_without,
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -19,7 +19,7 @@
 impl Core {
     /// Why no request that needs a claim is accepted now, if that is so.
     pub fn claim_error(&self) -> Option<ClaimError> {
-        if self.claims.records() >= self.config.limits.entries {
+        if self.claims.records() >= self.config.limits.max_keys {
             return Some(ClaimError::Full);
         }
         if !self.config.send_without_majority && !self.has_majority() {
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -28,7 +28,7 @@
 //!     voters: 3,
 //!     voter_index: None,
 //!     max_retention: 20_000_000,
-//!     limits: Limits { entries: 1_000 },
+//!     limits: Limits { max_keys: 1_000 },
 //!     transfer_bytes_per_s: 1 << 20,
 //!     send_without_majority: false,
 //! };
--- a/crates/replication/src/replica_set.rs
+++ b/crates/replication/src/replica_set.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
     /// Keys of the whole fleet that a voter holds.
-    pub entries: usize,
+    pub max_keys: usize,
 }
 
 /// All replica records of a voter.
@@ -171,7 +171,7 @@
     fn has_room_for(&self, key: &[u8], origin: Origin) -> bool {
         match self.replicas.get(key) {
             Some(replica) => replica.len() < MAX_RECORDS || replica.contains_key(&origin),
-            None => self.replicas.len() < self.limits.entries,
+            None => self.replicas.len() < self.limits.max_keys,
         }
     }
 
--- a/crates/replication/tests/claims.rs
+++ b/crates/replication/tests/claims.rs
@@ -12,7 +12,7 @@
         voters: 1,
         voter_index: None,
         max_retention: RETENTION,
-        limits: Limits { entries: 9 },
+        limits: Limits { max_keys: 9 },
         transfer_bytes_per_s: 1 << 20,
         send_without_majority: false,
     };
--- a/crates/replication/tests/merge.rs
+++ b/crates/replication/tests/merge.rs
@@ -90,7 +90,7 @@
 
     #[test]
     fn incremental_fingerprints_equal_those_of_the_records(records in vec((0..4u8, record_of_origin()), 0..30), now in 0..4u64) {
-        let mut replicas = ReplicaSet::new(Limits { entries: 3 });
+        let mut replicas = ReplicaSet::new(Limits { max_keys: 3 });
         for (key, (origin, record)) in &records {
             let record = Record { origin_expiry_ms: u64::from(record.version) * 900, ..*record };
             replicas.merge(&[*key], *origin, record);
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -106,7 +106,7 @@
         voters: VOTERS,
         voter_index,
         max_retention: MAX_RETENTION,
-        limits: Limits { entries: 9 },
+        limits: Limits { max_keys: 9 },
         transfer_bytes_per_s: 1 << 20,
         send_without_majority: false,
     }
