--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -197,7 +197,7 @@
         records,
     }];
     let drain = Drain {
-        number: 9,
+        list_event_number: 9,
         engine: 17,
         booted_at: 3,
         is_removed: true,
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -127,7 +127,7 @@
             .iter()
             .filter(|endpoint| endpoint.phase != Phase::Ready);
         let drains = not_ready.map(|endpoint| Drain {
-            number,
+            list_event_number: number,
             engine: endpoint.engine,
             booted_at: endpoint.booted_at,
             is_removed: endpoint.phase == Phase::Removed,
--- a/crates/replication/src/core/hints.rs
+++ b/crates/replication/src/core/hints.rs
@@ -67,7 +67,12 @@
 
     /// The drain that overrides this gateway's own list; see
     /// [`Drains::overriding`](crate::drains::Drains::overriding).
-    pub fn overriding_drain(&self, engine: u32, booted_at: u64, number: u64) -> Option<Drain> {
-        self.drains.overriding(engine, booted_at, number)
+    pub fn overriding_drain(
+        &self,
+        engine: u32,
+        booted_at: u64,
+        list_event_number: u64,
+    ) -> Option<Drain> {
+        self.drains.overriding(engine, booted_at, list_event_number)
     }
 }
--- a/crates/replication/src/drains.rs
+++ b/crates/replication/src/drains.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Drain {
     /// Number of the list's event.
-    pub number: u64,
+    pub list_event_number: u64,
     /// The engine.
     pub engine: u32,
     /// Start of its process: another process under the same name is not meant.
@@ -51,11 +51,12 @@
         }
     }
 
-    /// The drain that overrides a gateway's own list up to event `number`, in which the engine is
+    /// The drain that overrides a gateway's own list up to event `list_event_number`, in which the engine is
     /// usable.
-    pub fn overriding(&self, engine: u32, booted_at: u64, number: u64) -> Option<Drain> {
+    pub fn overriding(&self, engine: u32, booted_at: u64, list_event_number: u64) -> Option<Drain> {
         let drain = self.latest.get(&engine)?;
-        (drain.number > number && drain.booted_at >= booted_at).then_some(*drain)
+        (drain.list_event_number > list_event_number && drain.booted_at >= booted_at)
+            .then_some(*drain)
     }
 
     /// All drains that are remembered.
--- a/crates/replication/tests/drains.rs
+++ b/crates/replication/tests/drains.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_drain_overrides_older_lists_of_the_same_process_only() {
     let drain = Drain {
-        number: 7,
+        list_event_number: 7,
         engine: 1,
         booted_at: 100,
         is_removed: false,
@@ -14,7 +14,7 @@
     assert!(drains.record(drain) && !drains.record(drain));
     assert!(
         !drains.record(Drain {
-            number: 6,
+            list_event_number: 6,
             is_removed: true,
             ..drain
         }),
@@ -34,7 +34,7 @@
     assert_eq!(drains.overriding(2, 100, 0), None);
     for engine in 0..2 * MAX_DRAINS as u32 {
         drains.record(Drain {
-            number: u64::from(engine),
+            list_event_number: u64::from(engine),
             engine: 9 + engine,
             booted_at: 1,
             is_removed: true,
