--- a/crates/fleet-test/src/simulated/requests.rs
+++ b/crates/fleet-test/src/simulated/requests.rs
@@ -96,7 +96,7 @@
             location,
             since,
             retention: keep,
-            known,
+            known_runs: known,
         };
         let outputs = own.core.claim(self.time.now, claim);
         self.perform(gateway, outputs);
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -111,7 +111,7 @@
             location: known_location(intent),
             since,
             retention: claim.retention,
-            known: prior_runs(claim.known),
+            known_runs: prior_runs(claim.known),
         };
         let outputs = self.core.claim(now, request);
         self.perform(now, outputs, worker);
--- a/crates/replication/src/core.rs
+++ b/crates/replication/src/core.rs
@@ -72,7 +72,7 @@
     /// For how long the record is to be retained.
     pub retention: Micros,
     /// Runs that the balancer was told of.
-    pub known: PriorRuns,
+    pub known_runs: PriorRuns,
 }
 
 /// End of all attempts at a key.
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -56,7 +56,7 @@
         };
         let record = self.claims.write(now, key, record);
         self.claims
-            .open(now, number, key, record.version, request.known);
+            .open(now, number, key, record.version, request.known_runs);
         let mut wire_record = record.to_wire(now);
         if since < now {
             // The request is in flight already and ages while the claim waits.
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -43,7 +43,7 @@
 //!     location: None,
 //!     since: 0,
 //!     retention: 5_000_000,
-//!     known: Vec::new(),
+//!     known_runs: Vec::new(),
 //! };
 //! assert_eq!(core.claim(0, request).len(), 3, "one message to each voter");
 //! let accepted = Message::ClaimAccepted { number: 1, reported_runs: Vec::new() };
--- a/crates/replication/tests/claims.rs
+++ b/crates/replication/tests/claims.rs
@@ -32,7 +32,7 @@
         location: None,
         since,
         retention: RETENTION,
-        known: Vec::new(),
+        known_runs: Vec::new(),
     };
     match core.claim(now, request).as_slice() {
         [Output::Send(Peer::Voter(0), Message::Claim { record, .. })] => record.age,
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -314,7 +314,7 @@
                     location,
                     since: NOW,
                     retention: MAX_RETENTION,
-                    known: Vec::new(),
+                    known_runs: Vec::new(),
                 };
                 let outputs = sender.core.claim(NOW, claim);
                 self.perform_sender(&mut state, at, outputs);
