--- a/crates/peer-transport/src/failure_detector.rs
+++ b/crates/peer-transport/src/failure_detector.rs
@@ -1,7 +1,8 @@
-//! The state of a peer, by the times at which its frames arrived. No I/O.
+//! Failure detector: derives the state of a peer from the arrival times of its frames. No I/O.
 //!
-//! No fixed limit suits all links. Lateness is measured against the mean and deviation of the
-//! intervals between arrivals on this link, and against the link's own round trips.
+//! No fixed timeout suits all links. A frame is late relative to the mean and deviation of the
+//! intervals between arrivals on the same link; a reply is late relative to the mean round trip
+//! time of that link.
 
 use crate::limits::{DISCONNECT_TIMEOUT, HEARTBEAT_INTERVAL};
 use crate::Micros;
@@ -9,34 +10,34 @@
 #[cfg(test)]
 mod tests;
 
-/// What a loaded machine may add to any interval between two arrivals.
+/// Tolerance for scheduling delays on a machine under high system load, added to each limit.
 const SCHEDULING_MARGIN: Micros = 60_000;
 /// Deviations above the mean interval at which a peer is slow.
 const SLOW_DEVIATIONS: f64 = 4.0;
 /// Deviations above the mean interval at which a peer is silent.
 const SILENT_DEVIATIONS: f64 = 10.0;
-/// A round trip of this many times the mean is slow.
+/// A round trip longer than this multiple of the mean, plus [`SCHEDULING_MARGIN`], is slow.
 const SLOW_ROUND_TRIP_FACTOR: f64 = 4.0;
-/// Weight of one more observation in the mean, as TCP weights round trips.
+/// Weight of a new observation in the mean; TCP uses the same for its round trip estimate.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
-/// Weight of one more observation in the deviation.
+/// Weight of a new observation in the deviation.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 
-/// How a peer does.
+/// Health of a peer, from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerState {
-    /// Its frames arrive as usual.
+    /// Frames and replies of the peer arrive in the usual time.
     Up,
-    /// Its frames arrive later than usual, or it answers slowly.
+    /// Frames of the peer are late, or its replies to heartbeats are slow.
     Slow,
-    /// A frame is long overdue.
+    /// No frame has arrived for much longer than usual.
     Silent,
-    /// The link no longer exists.
+    /// Nothing has arrived for [`DISCONNECT_TIMEOUT`], or the link was closed.
     Disconnected,
 }
 
 impl PeerState {
-    /// The word for a state in the log, the event log and the status file.
+    /// The name of the state in log lines, the event log and the status file.
     pub fn name(self) -> &'static str {
         match self {
             PeerState::Up => "up",
@@ -47,7 +48,7 @@
     }
 }
 
-/// Weighted mean and deviation of durations, in microseconds.
+/// Exponentially weighted mean and deviation of durations, in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct RunningMean {
     mean: f64,
@@ -68,21 +69,21 @@
     sent_at: Micros,
 }
 
-/// Failure detector of one link. All times are the caller's.
+/// Failure detector of one link. The caller passes the current time to each method.
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
     last_received_at: Micros,
     intervals: RunningMean,
     round_trips: RunningMean,
     is_round_trip_slow: bool,
-    /// The oldest heartbeat without an answer.
+    /// The oldest heartbeat without a reply.
     unanswered: Option<SentHeartbeat>,
-    last_number: u64,
-    last_sent_at: Micros,
+    last_heartbeat_number: u64,
+    last_heartbeat_at: Micros,
 }
 
 impl FailureDetector {
-    /// The detector of a link that was just made.
+    /// Creates the detector of a link that was opened at `now`, with the state [`PeerState::Up`].
     pub fn new(now: Micros) -> Self {
         FailureDetector {
             last_received_at: now,
@@ -96,37 +97,38 @@
             },
             is_round_trip_slow: false,
             unanswered: None,
-            last_number: 0,
-            last_sent_at: now,
+            last_heartbeat_number: 0,
+            last_heartbeat_at: now,
         }
     }
 
-    /// A frame has arrived.
+    /// Updates the arrival intervals with a frame that has arrived at `now`.
     pub fn on_frame(&mut self, now: Micros) {
         let interval = now.saturating_sub(self.last_received_at);
-        // Frames that arrive together say nothing about how long a pause may be.
+        // Frames that arrive in one burst would shorten the mean without saying anything about the
+        // usual pause between frames.
         if interval >= HEARTBEAT_INTERVAL / 4 {
             self.intervals.add(interval as f64);
         }
         self.last_received_at = now;
     }
 
-    /// The number of a heartbeat that is to be sent now, if one is.
+    /// Returns the number of the heartbeat to send now, or `None` if none is due yet.
     pub fn take_due_heartbeat(&mut self, now: Micros) -> Option<u64> {
         if now < self.next_heartbeat_at() {
             return None;
         }
-        self.last_sent_at = now;
-        self.last_number += 1;
-        // The oldest one without an answer shows how long answers take.
+        self.last_heartbeat_at = now;
+        self.last_heartbeat_number += 1;
+        // The oldest heartbeat without a reply shows how long replies take at least.
         self.unanswered.get_or_insert(SentHeartbeat {
-            number: self.last_number,
+            number: self.last_heartbeat_number,
             sent_at: now,
         });
-        Some(self.last_number)
+        Some(self.last_heartbeat_number)
     }
 
-    /// A heartbeat was answered.
+    /// Updates the round trip time with the reply to heartbeat `number`.
     pub fn on_heartbeat_reply(&mut self, now: Micros, number: u64) {
         let Some(sent) = self.unanswered.take_if(|sent| sent.number <= number) else {
             return;
@@ -134,11 +136,12 @@
         let round_trip = now.saturating_sub(sent.sent_at) as f64;
         let limit = SLOW_ROUND_TRIP_FACTOR * self.round_trips.mean + SCHEDULING_MARGIN as f64;
         self.is_round_trip_slow = round_trip > limit;
-        // A link that stays slow becomes usual, but not by a single answer.
+        // The limit on the observation keeps one slow reply from raising the mean too far. If
+        // replies stay slow, the mean follows and the peer is up again.
         self.round_trips.add(round_trip.min(limit));
     }
 
-    /// Mean time of a round trip.
+    /// Weighted mean of the round trip times, in microseconds; 0 before the first reply.
     pub fn round_trip(&self) -> Micros {
         self.round_trips.mean as Micros
     }
@@ -148,27 +151,28 @@
         interval as Micros + SCHEDULING_MARGIN
     }
 
-    /// The state of the peer now.
+    /// Judges the peer by the frames and replies that have arrived until `now`.
     pub fn state(&self, now: Micros) -> PeerState {
-        let quiet_for = now.saturating_sub(self.last_received_at);
-        let unanswered_for = self
+        let silence = now.saturating_sub(self.last_received_at);
+        let reply_delay = self
             .unanswered
             .map_or(0, |sent| now.saturating_sub(sent.sent_at));
         let slow_limit = self.interval_limit(SLOW_DEVIATIONS);
         let silent_limit = self.interval_limit(SILENT_DEVIATIONS);
-        if quiet_for >= DISCONNECT_TIMEOUT {
+        if silence >= DISCONNECT_TIMEOUT {
             PeerState::Disconnected
-        } else if quiet_for > silent_limit.min(DISCONNECT_TIMEOUT / 2) {
+        } else if silence > silent_limit.min(DISCONNECT_TIMEOUT / 2) {
             PeerState::Silent
-        } else if quiet_for > slow_limit || self.is_round_trip_slow || unanswered_for > slow_limit {
+        } else if silence > slow_limit || self.is_round_trip_slow || reply_delay > slow_limit {
             PeerState::Slow
         } else {
             PeerState::Up
         }
     }
 
-    /// When a heartbeat is due, and the state may change though nothing arrives.
+    /// Time of the next heartbeat. The state has to be checked at this time too, since it changes
+    /// if no frame arrives.
     pub fn next_heartbeat_at(&self) -> Micros {
-        self.last_sent_at + HEARTBEAT_INTERVAL
+        self.last_heartbeat_at + HEARTBEAT_INTERVAL
     }
 }
--- a/crates/peer-transport/src/failure_detector/tests.rs
+++ b/crates/peer-transport/src/failure_detector/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// The detector of a peer whose frames arrive at an interval, with a little scatter, and when the
-/// last one arrived.
-fn steady_peer(interval: Micros, count: u64) -> (FailureDetector, Micros) {
+/// Returns the detector of a peer whose frames arrive at `interval` with up to 10% of jitter, and
+/// the arrival time of the last frame.
+fn detector_of_steady_peer(interval: Micros, count: u64) -> (FailureDetector, Micros) {
     let mut detector = FailureDetector::new(0);
     let mut now = 0;
     for number in 0..count {
@@ -20,13 +20,13 @@
 
 #[test]
 fn a_steady_peer_is_up_and_one_that_stops_becomes_slow_silent_and_disconnected() {
-    let (detector, last) = steady_peer(HEARTBEAT_INTERVAL, 100);
+    let (detector, last) = detector_of_steady_peer(HEARTBEAT_INTERVAL, 100);
     let states: Vec<PeerState> = (0..DISCONNECT_TIMEOUT / 10_000 + 2)
         .map(|step| detector.state(last + step * 10_000))
         .collect();
     assert!(
         states.windows(2).all(|pair| pair[0] <= pair[1]),
-        "it never gets better by silence"
+        "the state never improves while nothing arrives"
     );
     for state in [
         PeerState::Up,
@@ -43,13 +43,13 @@
 }
 
 #[test]
-fn a_link_that_always_took_long_is_given_longer() {
+fn a_link_with_long_intervals_has_a_longer_timeout() {
     let silent_after = |interval| {
-        let (detector, last) = steady_peer(interval, 100);
+        let (detector, last) = detector_of_steady_peer(interval, 100);
         (0..)
             .step_by(1_000)
-            .find(|quiet_for| detector.state(last + quiet_for) >= PeerState::Silent)
-            .expect("it becomes silent at some time")
+            .find(|silence| detector.state(last + silence) >= PeerState::Silent)
+            .expect("the peer becomes silent eventually")
     };
     assert!(
         silent_after(HEARTBEAT_INTERVAL) < silent_after(2 * HEARTBEAT_INTERVAL)
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn a_peer_whose_answers_slow_down_is_slow_while_it_is_heard() {
-    let (mut detector, mut now) = steady_peer(HEARTBEAT_INTERVAL, 50);
+fn a_peer_whose_replies_slow_down_is_slow_although_its_frames_arrive() {
+    let (mut detector, mut now) = detector_of_steady_peer(HEARTBEAT_INTERVAL, 50);
     assert_eq!(detector.state(now), PeerState::Up);
     for _ in 0..3 {
         now += HEARTBEAT_INTERVAL;
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -1,5 +1,5 @@
-//! Frames on a link: the length and the checksum of the content, then the content as `postcard`
-//! encodes it. No I/O.
+//! Encoding of the frames on a link: length and checksum of the content, followed by the content
+//! encoded with `postcard`. No I/O.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -11,60 +11,60 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes before the content: its length and its checksum, four bytes each, in network byte order.
+/// Size of the header: length and CRC-32 of the content, four bytes each, in network byte order.
 const HEADER_BYTES: usize = 8;
 
-/// The content of a frame; `M` is the host's message. The order of variants is the format on the
-/// wire.
+/// The content of a frame. `M` is the type of the host's messages. The order of the variants is
+/// part of the wire format and must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame<M> {
-    /// The first frame of each end.
+    /// Introduces the sender; the first frame in each direction.
     Handshake(Handshake),
-    /// Why the sender closes the link, as text for the operator.
+    /// The sender rejects the receiver and closes the link; the text tells the operator why.
     Rejected(String),
-    /// Asks for a reply with the same number.
+    /// Requests a [`Frame::HeartbeatReply`] with the same number.
     Heartbeat(u64),
-    /// Answers a heartbeat.
+    /// Replies to the heartbeat with this number.
     HeartbeatReply(u64),
-    /// A message of the host.
+    /// A message of the host, which the links carry without interpreting it.
     Message(M),
 }
 
-/// Why received bytes are no frame.
+/// Why received bytes are not a valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The header announces more than [`MAX_FRAME_BYTES`].
-    #[error("a frame of {0} bytes, of which {MAX_FRAME_BYTES} are the most")]
+    /// The header states this length, more than [`MAX_FRAME_BYTES`].
+    #[error("the frame header states {0} bytes of content, the maximum is {MAX_FRAME_BYTES}")]
     TooLong(u32),
     /// The content doesn't match its checksum.
-    #[error("a frame's checksum is wrong")]
+    #[error("the content of the frame does not match the checksum in its header")]
     Checksum,
-    /// The content can't be decoded.
-    #[error("a frame can't be read as this version writes them")]
+    /// The content is not exactly one encoded [`Frame`].
+    #[error("the content of the frame can't be decoded in the format of this version")]
     Unreadable,
 }
 
 /// Why a frame can't be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum WriteError {
-    /// The content has this many bytes, more than [`MAX_FRAME_BYTES`].
-    #[error("a frame of {0} bytes can't be sent, {MAX_FRAME_BYTES} are the most")]
+    /// The encoded content has this many bytes, more than [`MAX_FRAME_BYTES`].
+    #[error("the content of the frame has {0} bytes, the maximum is {MAX_FRAME_BYTES}")]
     TooLong(usize),
-    /// The content can't be encoded.
-    #[error("a frame's content can't be encoded")]
+    /// The host's message can't be encoded with `postcard`.
+    #[error("the content of the frame can't be encoded")]
     Unserializable,
 }
 
-/// A frame that was read.
+/// A frame decoded by [`read`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReadFrame<M> {
-    /// The frame.
+    /// The decoded content.
     pub frame: Frame<M>,
-    /// Bytes that it took, header included.
+    /// Bytes that the frame takes in the buffer, header included; the next frame follows them.
     pub length: usize,
 }
 
-/// Appends a frame to a buffer. If it fails, nothing is appended.
+/// Appends an encoded frame to a buffer. On an error the buffer is unchanged.
 pub fn write<M: Serialize>(buffer: &mut Vec<u8>, frame: &Frame<M>) -> Result<(), WriteError> {
     let content = postcard::to_stdvec(frame).map_err(|_| WriteError::Unserializable)?;
     if content.len() > MAX_FRAME_BYTES {
@@ -76,7 +76,7 @@
     Ok(())
 }
 
-/// Reads the first frame of a buffer; nothing if it is not whole yet.
+/// Decodes the first frame of a buffer. Returns `None` if the frame is still incomplete.
 pub fn read<M: DeserializeOwned>(buffer: &[u8]) -> Result<Option<ReadFrame<M>>, FrameError> {
     let Some((header, rest)) = buffer.split_first_chunk::<HEADER_BYTES>() else {
         return Ok(None);
--- a/crates/peer-transport/src/frame/tests.rs
+++ b/crates/peer-transport/src/frame/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of frames.
+//! Tests of the frame encoding.
 
 use super::*;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn frames_come_back_whole_and_only_whole() {
+fn frames_round_trip_and_incomplete_frames_are_not_decoded() {
     let bytes = two_frames();
     let first = read::<String>(&bytes).expect("sound").expect("whole");
     assert_eq!(first.frame, Frame::Message("first".into()));
@@ -28,12 +28,12 @@
 fn a_corrupted_byte_never_decodes_to_another_message() {
     let bytes = two_frames();
     let first = read::<String>(&bytes).expect("sound").expect("whole");
-    for at in 0..first.length {
+    for position in 0..first.length {
         for bit in 0..8 {
             let mut corrupted = bytes.clone();
-            corrupted[at] ^= 1 << bit;
-            if let Ok(Some(other)) = read::<String>(&corrupted) {
-                assert_eq!(other.frame, first.frame, "bit {bit} of byte {at}");
+            corrupted[position] ^= 1 << bit;
+            if let Ok(Some(decoded)) = read::<String>(&corrupted) {
+                assert_eq!(decoded.frame, first.frame, "bit {bit} of byte {position}");
             }
         }
     }
--- a/crates/peer-transport/src/handshake.rs
+++ b/crates/peer-transport/src/handshake.rs
@@ -1,4 +1,4 @@
-//! Handshakes: what both ends of a link send first, and why a peer is rejected. No I/O.
+//! Handshake: what both ends of a link send first, and the checks that reject a peer. No I/O.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -6,87 +6,94 @@
 #[cfg(test)]
 mod tests;
 
-/// Version of the frames and of all that they carry. Gateways of different versions reject each
-/// other.
+/// Version of the frame format and of all messages in frames. Gateways with different versions
+/// reject each other.
 pub const VERSION: u32 = 1;
 
-/// How a gateway introduces itself. The order of fields is the format on the wire.
+/// What a gateway states about itself. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
-    /// [`VERSION`] of the sender.
+    /// [`VERSION`] of the sending program.
     pub version: u32,
-    /// Name of its fleet.
+    /// Name of the fleet, from the `fleet` directive of the operator's file.
     pub fleet: String,
-    /// Its own name.
+    /// Name of the sending gateway, unique in the fleet.
     pub name: String,
-    /// Names of the fleet's voters in its operator's file, in the order of their names.
+    /// Names of all voters in the sender's operator's file, sorted.
     pub voters: Vec<String>,
-    /// Fingerprint of its request classes, since replicas refer to a class by its number.
+    /// Fingerprint of the sender's request classes. Both ends must agree on it because replicas
+    /// refer to a class by its number.
     pub classes_fingerprint: u64,
-    /// Identity of its store.
+    /// Identity of the sender's store; a new, damaged or copied store gets a new random one.
     pub identity: u64,
-    /// How often a gateway was started with this store.
+    /// Number of times that the gateway was started with this store, this start included.
     pub start_number: u64,
 }
 
-/// Identity and start number under which a name was last accepted.
+/// Store identity and start number in the last accepted handshake of a gateway name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownStart {
     /// Identity of the peer's store.
     pub identity: u64,
-    /// The peer's start number.
+    /// Number of the peer's start with that store.
     pub start_number: u64,
 }
 
-/// Why a peer is rejected. Its text is sent to the peer and logged at both ends.
+/// Why a peer is rejected. The text is sent to the peer and logged at both ends, so it must make
+/// sense from either side.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HandshakeError {
-    /// The versions differ.
-    #[error("one speaks version {theirs}, the other {ours}: run the same program on both")]
+    /// The peer runs a different [`VERSION`].
+    #[error(
+        "the protocol versions differ, {theirs} and {ours}: run the same program on both gateways"
+    )]
     Version {
         /// This gateway's version.
         ours: u32,
         /// The peer's version.
         theirs: u32,
     },
-    /// The fleets differ.
-    #[error("one is of fleet '{theirs}', the other of '{ours}': see 'fleet' in both files")]
+    /// The peer belongs to another fleet.
+    #[error("the fleet names differ, '{theirs}' and '{ours}': see 'fleet' in both operator files")]
     Fleet {
         /// This gateway's fleet.
         ours: String,
         /// The peer's fleet.
         theirs: String,
     },
-    /// Another gateway than the dialed voter answers.
-    #[error("'{theirs}' answers at the address of keeper '{expected}': see its 'keeper' line")]
+    /// A gateway other than the dialed voter answered.
+    #[error(
+        "gateway '{theirs}' answers at the address of keeper '{expected}': \
+         see the 'keeper' line of '{expected}'"
+    )]
     Name {
         /// Name of the voter that was dialed.
         expected: String,
-        /// Name of the gateway that answers.
+        /// Name of the gateway that answered.
         theirs: String,
     },
-    /// Both have the same name.
-    #[error("both call themselves '{0}': each gateway of a fleet needs a name of its own")]
+    /// The peer has the same name as this gateway.
+    #[error("both gateways are named '{0}': each gateway of a fleet needs a unique name")]
     SameName(String),
-    /// The lists of voters differ.
+    /// The operator's files list different voters.
     #[error(
-        "the files name different keepers, {} and {}: they must be the same in all of a fleet's",
+        "the files name different keepers, {} and {}: all operator files of a fleet must agree",
         theirs.join(" "),
         ours.join(" ")
     )]
     Voters {
-        /// This gateway's list.
+        /// Names of the voters in this gateway's file.
         ours: Vec<String>,
-        /// The peer's list.
+        /// Names of the voters in the peer's file.
         theirs: Vec<String>,
     },
-    /// The request classes differ.
-    #[error("their settings name different classes: a fleet's gateways need the same settings")]
+    /// The fingerprints of the request classes differ.
+    #[error("the settings name different classes: all gateways of a fleet need the same settings")]
     Classes,
-    /// A later start of the peer's store was accepted before.
+    /// A later start with the same store was accepted before.
     #[error(
-        "'{name}' says that this is its start {start_number}, but start {known} was heard: \
-         an old copy or a second process"
+        "gateway '{name}' reports start {start_number}, but start {latest} was already accepted: \
+         an old copy of its store or a second process is running"
     )]
     OutdatedStart {
         /// Name of the peer.
@@ -94,14 +101,18 @@
         /// The peer's start number.
         start_number: u64,
         /// The latest start number that was accepted.
-        known: u64,
+        latest: u64,
     },
 }
 
-/// Decides whether a peer is accepted.
+/// Checks the handshake of a peer against this gateway's own.
+///
+/// `expected_name` is the name of the dialed voter, or `None` if the peer opened the link.
+/// `known_start` is the last accepted start of a gateway with the peer's name, if there was one.
 ///
-/// `expected_name` is the name of the voter if this gateway dialed one; `known_start` is under what
-/// the peer's name was last accepted.
+/// # Errors
+///
+/// The first difference because of which the peer is rejected.
 pub fn check_handshake(
     ours: &Handshake,
     theirs: &Handshake,
@@ -138,19 +149,22 @@
     if ours.classes_fingerprint != theirs.classes_fingerprint {
         return Err(HandshakeError::Classes);
     }
-    check_start(theirs, known_start)
+    check_start_number(theirs, known_start)
 }
 
-fn check_start(theirs: &Handshake, known_start: Option<KnownStart>) -> Result<(), HandshakeError> {
+fn check_start_number(
+    theirs: &Handshake,
+    known_start: Option<KnownStart>,
+) -> Result<(), HandshakeError> {
     let Some(known) = known_start else {
         return Ok(());
     };
-    // A new store begins to count its starts anew.
+    // A store with a new identity may count its starts from 1 again.
     if known.identity == theirs.identity && known.start_number > theirs.start_number {
         return Err(HandshakeError::OutdatedStart {
             name: theirs.name.clone(),
             start_number: theirs.start_number,
-            known: known.start_number,
+            latest: known.start_number,
         });
     }
     Ok(())
--- a/crates/peer-transport/src/handshake/tests.rs
+++ b/crates/peer-transport/src/handshake/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn each_difference_is_rejected_with_a_reason_of_its_own() {
+fn each_difference_is_rejected_with_its_specific_reason() {
     let ours = handshake("g1");
     assert_eq!(
         check_handshake(&ours, &handshake("g2"), Some("g2"), known_start(7, 3)),
@@ -31,7 +31,7 @@
     assert_eq!(
         check_handshake(&ours, &handshake("g2"), None, known_start(8, 9)),
         Ok(()),
-        "a new store begins anew"
+        "a new store may have a lower start number"
     );
     type Change = fn(&mut Handshake);
     let changes: [(&str, Change); 6] = [
@@ -42,20 +42,20 @@
         ("different classes", |theirs| {
             theirs.classes_fingerprint += 1;
         }),
-        ("an old copy or a second process", |theirs| {
+        ("an old copy of its store or a second process", |theirs| {
             theirs.start_number -= 1;
         }),
     ];
-    for (word, change) in changes {
+    for (expected_text, change) in changes {
         let mut theirs = handshake("g2");
         change(&mut theirs);
         let reason = check_handshake(&ours, &theirs, Some("g2"), known_start(7, 3))
-            .expect_err(word)
+            .expect_err(expected_text)
             .to_string();
-        assert!(reason.contains(word), "{reason}");
+        assert!(reason.contains(expected_text), "{reason}");
     }
     let reason = check_handshake(&ours, &handshake("g1"), None, None)
         .expect_err("itself")
         .to_string();
-    assert!(reason.contains("a name of its own"), "{reason}");
+    assert!(reason.contains("a unique name"), "{reason}");
 }
--- a/crates/peer-transport/src/hub.rs
+++ b/crates/peer-transport/src/hub.rs
@@ -1,8 +1,8 @@
-//! The host's side of the links: two bounded queues to and from the thread that owns all links.
+//! The host's interface to the links: bounded queues to and from the thread that owns all links.
 //!
-//! The host's loop never waits for the thread. A queue that is full loses what is put into it;
-//! the host's protocols expect messages to get lost. The thread is named `peers`; dropping the
-//! [`Hub`] closes the queue, at which the thread returns, and joins it.
+//! The host never blocks on the thread. Messages sent while the queue to the thread is full are
+//! dropped; the host's protocols tolerate lost messages. The thread is named `peers`. Dropping the
+//! [`Hub`] closes the queue, upon which the thread ends, and joins the thread.
 
 use std::io;
 use std::net::SocketAddr;
@@ -33,79 +33,81 @@
 /// The other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Peer {
-    /// A voter that this gateway dials, by its index in the fleet's list.
+    /// A voter that this gateway dialed, by the voter's index in the fleet's list of voters.
     Voter(usize),
-    /// A gateway that made a link here, by a number that is never used again.
+    /// A gateway that opened a link to this one, by the number of the link. Numbers are never
+    /// reused.
     Requester(u64),
 }
 
-/// A voter that is dialed.
+/// A voter that this gateway keeps a link to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterAddress {
-    /// Its index in the fleet's list.
+    /// Index of the voter in the fleet's list of voters.
     pub index: usize,
-    /// The name that it must answer with.
+    /// Name that the voter's handshake must contain.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the voter listens.
     pub address: SocketAddr,
 }
 
-/// What the links of a gateway are.
+/// Configuration of the links of a gateway.
 pub struct Config {
-    /// How this gateway introduces itself.
+    /// Handshake that is sent to all peers.
     pub handshake: Handshake,
-    /// Where this gateway listens, if it does.
+    /// Address on which this gateway listens; `None` if no peer dials it.
     pub listen_address: Option<SocketAddr>,
-    /// The voters that it dials.
+    /// All voters except this gateway itself.
     pub voters: Vec<VoterAddress>,
-    /// Seed of the random delays before voters are dialed.
+    /// Seed of the random delays between attempts to dial a voter.
     pub seed: u64,
 }
 
-/// What the thread reports to the host.
+/// An event that the thread reports to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerEvent<M> {
-    /// A link is up: handshakes were exchanged and accepted.
+    /// A link is usable: this gateway has accepted the handshake of the peer.
     Connected {
-        /// The other end.
+        /// The peer at the other end.
         peer: Peer,
-        /// Its name.
+        /// Name in the handshake of the peer.
         name: String,
     },
     /// A message has arrived.
     Message {
-        /// Who sent it.
+        /// Sender of the message.
         peer: Peer,
-        /// What it sent.
+        /// The decoded message.
         message: M,
     },
-    /// The state of a peer has changed.
+    /// The state of a connected peer has changed.
     State {
-        /// The other end.
+        /// The peer whose state has changed.
         peer: Peer,
-        /// Its new state; after [`PeerState::Disconnected`] the link no longer exists.
+        /// The new state; after [`PeerState::Disconnected`] the link no longer exists.
         state: PeerState,
-        /// Mean time of a round trip.
+        /// Mean round trip time; 0 for a peer that dialed this gateway, since only the end that
+        /// dialed sends heartbeats.
         round_trip: Micros,
     },
     /// This gateway has rejected a peer, or was rejected by it.
     Rejected {
-        /// Name of the peer.
+        /// Name of the peer; empty if a peer that dialed this gateway rejects it.
         name: String,
-        /// Why, as text for the operator.
+        /// The reason, as text for the operator.
         reason: String,
     },
 }
 
-/// A message of the host on its way to the thread.
+/// A message from the host to a peer, queued for the thread.
 struct OutgoingMessage<M> {
     peer: Peer,
     message: M,
 }
 
-/// The host's handle of all links.
+/// Handle of the host to all links. Dropping it closes them.
 pub struct Hub<M> {
-    /// Nothing once the hub is being dropped, at which the thread ends.
+    /// `None` while the hub is being dropped; the closed queue makes the thread end.
     outgoing: Option<SyncSender<OutgoingMessage<M>>>,
     events: Receiver<PeerEvent<M>>,
     waker: Arc<Waker>,
@@ -115,12 +117,12 @@
 }
 
 impl<M: Serialize + DeserializeOwned + Send + 'static> Hub<M> {
-    /// Opens the listener and starts the thread. The thread calls `wake_host` when there are events
-    /// to receive.
+    /// Opens the listener and starts the thread. The thread calls `wake_host` after it has queued
+    /// events.
     ///
     /// # Errors
     ///
-    /// The listener can't be opened, or the thread can't be started.
+    /// The listener, the poller or its waker can't be opened, or the thread can't be started.
     pub fn start(config: Config, wake_host: Box<dyn Fn() + Send>) -> io::Result<Self> {
         let (outgoing_sender, outgoing) = sync_channel(MAX_QUEUED_MESSAGES);
         let (event_sender, events) = sync_channel(MAX_QUEUED_MESSAGES);
@@ -141,13 +143,14 @@
         })
     }
 
-    /// Where this gateway listens, if it does.
+    /// Address on which this gateway listens, with the port that the system has chosen if the
+    /// configured port was 0; `None` if it does not listen.
     pub fn local_address(&self) -> Option<SocketAddr> {
         self.local_address
     }
 
-    /// Queues a message; the thread sends it after the next [`Hub::flush`]. It is lost if the queue
-    /// is full or there is no link to the peer.
+    /// Queues a message, which the thread sends after the next [`Hub::flush`]. The message is
+    /// dropped if the queue is full or there is no link to the peer.
     pub fn send(&mut self, peer: Peer, message: M) {
         let Some(outgoing) = &self.outgoing else {
             return;
@@ -157,15 +160,15 @@
         }
     }
 
-    /// Wakes the thread if messages were queued.
+    /// Wakes the thread if messages were queued since the last call.
     pub fn flush(&mut self) {
         if std::mem::take(&mut self.needs_wake) {
-            // If it fails, the thread finds the messages when its wait for sockets times out.
+            // If waking fails, the thread finds the messages when its poll times out.
             let _ = self.waker.wake();
         }
     }
 
-    /// The next event, if there is one.
+    /// Returns the next event, or `None` if no event is queued.
     pub fn try_recv(&mut self) -> Option<PeerEvent<M>> {
         self.events.try_recv().ok()
     }
@@ -178,15 +181,15 @@
         let Some(thread) = self.thread.take() else {
             return;
         };
-        let give_up_at = Instant::now() + SHUTDOWN_TIMEOUT;
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
         while !thread.is_finished() {
-            if Instant::now() >= give_up_at {
-                // The program ends without it.
+            if Instant::now() >= deadline {
+                // The thread is left detached so that the program can end.
                 return;
             }
             std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
-        // If it has panicked, the panic has been reported where it happened.
+        // A panic of the thread has already been reported by the panic hook.
         let _ = thread.join();
     }
 }
--- a/crates/peer-transport/src/hub/dialer.rs
+++ b/crates/peer-transport/src/hub/dialer.rs
@@ -1,4 +1,4 @@
-//! The voters that are dialed, and when each is dialed again after a failure.
+//! Tracks the links to the dialed voters and when to dial each voter again after a failure.
 
 use std::net::SocketAddr;
 
@@ -9,10 +9,10 @@
 use crate::Micros;
 
 /// A voter and the state of the link to it.
-struct Dial {
+struct VoterDial {
     voter: VoterAddress,
     state: DialState,
-    /// Upper bound of the delay before the next retry.
+    /// Upper bound of the delay before the next retry. Doubles with each failure.
     retry_delay: Micros,
 }
 
@@ -21,20 +21,20 @@
     Waiting { retry_at: Micros },
 }
 
-/// All voters that are dialed.
+/// The voters that this gateway dials and the state of each.
 pub(super) struct Dialer {
-    dials: Vec<Dial>,
+    dials: Vec<VoterDial>,
     rng: fastrand::Rng,
 }
 
 impl Dialer {
-    /// Voters are dialed first at random times soon after the start.
+    /// Schedules the first attempt at each voter at a random time within [`MIN_RETRY_DELAY`].
     pub(super) fn new(voters: Vec<VoterAddress>, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut dials = Vec::new();
         for voter in voters {
             let retry_at = rng.u64(0..MIN_RETRY_DELAY);
-            dials.push(Dial {
+            dials.push(VoterDial {
                 voter,
                 state: DialState::Waiting { retry_at },
                 retry_delay: MIN_RETRY_DELAY,
@@ -47,9 +47,10 @@
         self.dials.len()
     }
 
-    /// Positions of the voters that are to be dialed now.
+    /// Positions of the voters to dial at `now`. A position is an index into the list passed to
+    /// [`Dialer::new`], unlike [`VoterAddress::index`].
     pub(super) fn due_positions(&self, now: Micros) -> Vec<usize> {
-        let is_due = |dial: &Dial| match dial.state {
+        let is_due = |dial: &VoterDial| match dial.state {
             DialState::Waiting { retry_at } => retry_at <= now,
             DialState::Linked(_) => false,
         };
@@ -58,9 +59,9 @@
             .collect()
     }
 
-    /// When a voter is to be dialed next.
+    /// Time of the next attempt to dial a voter; `None` if there is a link to each.
     pub(super) fn next_retry_at(&self) -> Option<Micros> {
-        let retry_at = |dial: &Dial| match dial.state {
+        let retry_at = |dial: &VoterDial| match dial.state {
             DialState::Waiting { retry_at } => Some(retry_at),
             DialState::Linked(_) => None,
         };
@@ -75,8 +76,8 @@
         self.voter(position).address
     }
 
-    /// The link to a voter, by the voter's index in the fleet's list.
-    pub(super) fn link_to(&self, voter_index: usize) -> Option<Token> {
+    /// The link to a voter, by [`VoterAddress::index`].
+    pub(super) fn link_to_voter(&self, voter_index: usize) -> Option<Token> {
         let dial = self
             .dials
             .iter()
@@ -87,11 +88,11 @@
         }
     }
 
-    pub(super) fn on_linked(&mut self, position: usize, token: Token) {
+    pub(super) fn on_dialed(&mut self, position: usize, token: Token) {
         self.dials[position].state = DialState::Linked(token);
     }
 
-    /// A voter has accepted this gateway: the next failure is the first one again.
+    /// Resets the retry delay of a voter that has accepted the handshake of this gateway.
     pub(super) fn on_accepted(&mut self, voter_index: usize) {
         let mut dials = self.dials.iter_mut();
         if let Some(dial) = dials.find(|dial| dial.voter.index == voter_index) {
@@ -99,15 +100,16 @@
         }
     }
 
-    /// A link was dropped; if a voter was dialed for it, that voter is dialed again.
+    /// Schedules a retry if the dropped link was one to a dialed voter.
     pub(super) fn on_dropped(&mut self, token: Token, now: Micros) {
-        let is_link = |dial: &Dial| matches!(dial.state, DialState::Linked(link) if link == token);
+        let is_link =
+            |dial: &VoterDial| matches!(dial.state, DialState::Linked(link) if link == token);
         if let Some(position) = self.dials.iter().position(is_link) {
-            self.retry_later(position, now);
+            self.schedule_retry(position, now);
         }
     }
 
-    pub(super) fn retry_later(&mut self, position: usize, now: Micros) {
+    pub(super) fn schedule_retry(&mut self, position: usize, now: Micros) {
         let dial = &mut self.dials[position];
         let delay = self.rng.u64(dial.retry_delay / 2..=dial.retry_delay);
         dial.state = DialState::Waiting {
--- a/crates/peer-transport/src/hub/event_loop.rs
+++ b/crates/peer-transport/src/hub/event_loop.rs
@@ -1,5 +1,5 @@
-//! The thread that owns all links: it dials voters, accepts other gateways, sends heartbeats and
-//! drops links that fail. It does not interpret the messages that it carries.
+//! Event loop of the thread that owns all links. It dials voters, accepts connections of other
+//! gateways, sends heartbeats and drops failed links. It does not interpret the host's messages.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -31,13 +31,13 @@
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
 const FIRST_LINK: Token = Token(2);
-/// Events of sockets that are handled at a time.
+/// Maximum number of socket events that one poll returns.
 const MAX_POLL_EVENTS: usize = 256;
 
 /// The host has dropped its [`super::Hub`].
 struct HostDisconnected;
 
-/// State of the thread.
+/// State of the thread; [`EventLoop::run`] is its main function.
 pub(super) struct EventLoop<M> {
     handshake: Handshake,
     poll: Poll,
@@ -45,7 +45,7 @@
     listener: Option<TcpListener>,
     links: LinkTable,
     dialer: Dialer,
-    /// Under what each name was last accepted.
+    /// The last accepted start of each gateway name, at most `MAX_LINKS` names.
     known_starts: BTreeMap<String, KnownStart>,
     outgoing: Receiver<OutgoingMessage<M>>,
     events: EventQueue<M>,
@@ -53,7 +53,7 @@
 }
 
 impl<M: Serialize + DeserializeOwned + Send + 'static> EventLoop<M> {
-    /// Opens the listener, if the gateway listens.
+    /// Creates the poller, and opens the listener if the configuration has a listen address.
     pub(super) fn new(
         config: Config,
         outgoing: Receiver<OutgoingMessage<M>>,
@@ -93,10 +93,13 @@
     pub(super) fn run(&mut self) {
         let mut poll_events = Events::with_capacity(MAX_POLL_EVENTS);
         loop {
-            let timeout = self.next_wait();
+            let timeout = self.poll_timeout();
             match self.poll.poll(&mut poll_events, Some(timeout)) {
                 Err(e) if e.kind() != io::ErrorKind::Interrupted => {
-                    log::error!("fleet: links can't be waited for, so there are none: {e}");
+                    log::error!(
+                        "fleet: polling the sockets failed; no peer can be reached until the \
+                         gateway is restarted: {e}"
+                    );
                     return;
                 }
                 _ => {}
@@ -118,8 +121,8 @@
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// How long to wait for the sockets at most.
-    fn next_wait(&self) -> Duration {
+    /// Timeout of the next poll.
+    fn poll_timeout(&self) -> Duration {
         if self.events.has_backlog() {
             return FULL_QUEUE_POLL_TIMEOUT;
         }
@@ -128,13 +131,13 @@
         }
         let now = self.now();
         let heartbeat_at = self.links.next_heartbeat_at();
-        let next = heartbeat_at.into_iter().chain(self.dialer.next_retry_at());
-        let wait = next
+        let deadlines = heartbeat_at.into_iter().chain(self.dialer.next_retry_at());
+        let timeout = deadlines
             .min()
             .unwrap_or(now + HEARTBEAT_INTERVAL)
             .saturating_sub(now)
             .clamp(MIN_POLL_TIMEOUT, HEARTBEAT_INTERVAL);
-        Duration::from_micros(wait)
+        Duration::from_micros(timeout)
     }
 
     fn on_poll_events(&mut self, poll_events: &Events) {
@@ -170,11 +173,11 @@
         }
         let now = self.now();
         let registry = self.poll.registry();
-        // If the socket can't be registered it is closed, and the peer dials again.
+        // A socket that can't be registered is closed, and the peer dials again.
         let _ = self.links.add_requester(registry, stream, now);
     }
 
-    /// Passes the host's messages to their links.
+    /// Queues the messages of the host on their links.
     fn send_outgoing(&mut self) -> Result<(), HostDisconnected> {
         loop {
             match self.outgoing.try_recv() {
@@ -188,7 +191,7 @@
     fn send_message(&mut self, outgoing: OutgoingMessage<M>) {
         let token = match outgoing.peer {
             Peer::Requester(number) => Some(Token(number as usize)),
-            Peer::Voter(index) => self.dialer.link_to(index),
+            Peer::Voter(index) => self.dialer.link_to_voter(index),
         };
         let Some(token) = token else {
             return;
@@ -213,13 +216,13 @@
     fn dial(&mut self, position: usize) {
         match self.connect(position) {
             Ok(token) => {
-                self.dialer.on_linked(position, token);
+                self.dialer.on_dialed(position, token);
                 let handshake = self.handshake.clone();
                 self.queue_frame(token, &Frame::Handshake(handshake));
             }
             Err(_) => {
                 let now = self.now();
-                self.dialer.retry_later(position, now);
+                self.dialer.schedule_retry(position, now);
             }
         }
     }
@@ -238,7 +241,7 @@
             return;
         };
         if let Some(name) = &entry.peer_name {
-            log::debug!("fleet: the link to {name} is dropped: {reason}");
+            log::debug!("fleet: dropped the link to {name}: {reason}");
             self.events.push(PeerEvent::State {
                 peer: entry.peer,
                 state: PeerState::Disconnected,
@@ -249,7 +252,7 @@
         self.dialer.on_dropped(token, now);
     }
 
-    /// Dials voters, sends heartbeats and drops links that are late.
+    /// Dials voters, sends heartbeats and drops links that have timed out.
     fn on_timer(&mut self) {
         let now = self.now();
         for position in self.dialer.due_positions(now) {
@@ -270,7 +273,7 @@
             }
             return;
         }
-        // The end that dialed sends heartbeats; the other end notices when they stop.
+        // Only the end that dialed sends heartbeats; the other end detects their absence.
         if entry.is_dialed() {
             if let Some(number) = entry.detector.take_due_heartbeat(now) {
                 self.queue_frame(token, &Frame::Heartbeat(number));
@@ -279,7 +282,8 @@
         self.report_state(token, now);
     }
 
-    /// Reports the state of a peer if it has changed.
+    /// Reports the state of a peer to the host if it has changed, and drops the link if the peer is
+    /// disconnected.
     fn report_state(&mut self, token: Token, now: Micros) {
         let Some(entry) = self.links.get_mut(token) else {
             return;
--- a/crates/peer-transport/src/hub/event_loop/incoming.rs
+++ b/crates/peer-transport/src/hub/event_loop/incoming.rs
@@ -1,4 +1,4 @@
-//! Frames that arrive: handshakes, heartbeats and messages.
+//! Handling of received frames: handshakes, heartbeats and messages.
 
 use super::*;
 use crate::handshake::{check_handshake, HandshakeError};
@@ -6,7 +6,7 @@
 use crate::link::LinkRead;
 
 impl<M: Serialize + DeserializeOwned + Send + 'static> EventLoop<M> {
-    /// Reads the links that have something to read, until the host's queue is full.
+    /// Reads the links that may have data, until the queue to the host is full.
     pub(super) fn read_links(&mut self) {
         for token in self.links.readable_tokens() {
             if self.events.has_backlog() {
@@ -34,7 +34,7 @@
             return self.report_state(token, now);
         };
         if let ReadError::Frame(error) = error {
-            log::warn!("fleet: {error}; the link is dropped");
+            log::warn!("fleet: received an invalid frame, dropping the link: {error}");
         }
         self.drop_link(token, DropReason::ConnectionEnded);
     }
@@ -60,7 +60,7 @@
             Frame::Message(message) if is_accepted => {
                 self.events.push(PeerEvent::Message { peer, message });
             }
-            // Before its handshake nothing else counts, and a second handshake doesn't either.
+            // Before the handshake all other frames are ignored, and after it further handshakes.
             _ => {}
         }
     }
@@ -76,10 +76,10 @@
         if let Err(error) = checked {
             return self.reject(token, theirs.name, &error);
         }
-        // A second link under one name: the older one belongs to a process or a path that no longer
-        // exists.
+        // If a second link has the same name, the older one belongs to a process or a network path
+        // that no longer exists.
         if let Peer::Requester(_) = peer {
-            if let Some(older) = self.links.requester_named(&theirs.name) {
+            if let Some(older) = self.links.requester_link(&theirs.name) {
                 self.drop_link(older, DropReason::Replaced);
             }
         }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Tells a peer why it is rejected, and drops the link once that is sent.
+    /// Sends the reason of the rejection to a peer; the link is dropped once the frame is sent.
     fn reject(&mut self, token: Token, name: String, error: &HandshakeError) {
         let reason = error.to_string();
         self.queue_frame(token, &Frame::Rejected(reason.clone()));
--- a/crates/peer-transport/src/hub/event_queue.rs
+++ b/crates/peer-transport/src/hub/event_queue.rs
@@ -1,17 +1,18 @@
-//! Events on their way to the host, which the thread never waits for.
+//! Queue of events from the thread to the host. The thread never blocks on the host.
 
 use std::collections::VecDeque;
 use std::sync::mpsc::{SyncSender, TrySendError};
 
 use super::PeerEvent;
 
-/// The queue to the host, and the events that it had no room for.
+/// The bounded queue to the host, and the events that do not fit into it yet.
 pub(super) struct EventQueue<M> {
     sender: SyncSender<PeerEvent<M>>,
-    /// While there is a backlog no link is read.
+    /// Events that are not in the queue yet. No link is read while there are any, so that
+    /// the backlog stays short.
     backlog: VecDeque<PeerEvent<M>>,
     wake_host: Box<dyn Fn() + Send>,
-    has_delivered: bool,
+    needs_wake: bool,
 }
 
 impl<M> EventQueue<M> {
@@ -20,7 +21,7 @@
             sender,
             backlog: VecDeque::new(),
             wake_host,
-            has_delivered: false,
+            needs_wake: false,
         }
     }
 
@@ -32,11 +33,11 @@
         !self.backlog.is_empty()
     }
 
-    /// Hands over as many events as there is room for.
+    /// Moves as many events from the backlog to the queue as fit.
     pub(super) fn deliver(&mut self) {
         while let Some(event) = self.backlog.pop_front() {
             match self.sender.try_send(event) {
-                Ok(()) => self.has_delivered = true,
+                Ok(()) => self.needs_wake = true,
                 Err(TrySendError::Full(event)) => {
                     self.backlog.push_front(event);
                     break;
@@ -46,9 +47,9 @@
         }
     }
 
-    /// Wakes the host if events were handed over since the last call.
+    /// Wakes the host if events were queued since the last call.
     pub(super) fn wake_host(&mut self) {
-        if std::mem::take(&mut self.has_delivered) {
+        if std::mem::take(&mut self.needs_wake) {
             (self.wake_host)();
         }
     }
--- a/crates/peer-transport/src/hub/link_table.rs
+++ b/crates/peer-transport/src/hub/link_table.rs
@@ -1,4 +1,4 @@
-//! All links by their token, with what the thread knows of each.
+//! Table of all links by poll token, with the state of each.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,37 +18,37 @@
 /// Why a link is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum DropReason {
-    #[error("it takes nothing")]
+    #[error("the send buffer is full because the peer does not read")]
     SendBufferFull,
-    #[error("it broke")]
+    #[error("writing to the socket failed")]
     WriteFailed,
-    #[error("turned away")]
+    #[error("the handshake was rejected")]
     Rejected,
-    #[error("it ended")]
+    #[error("the connection was closed or failed, or a received frame was invalid")]
     ConnectionEnded,
-    #[error("a newer link took its place")]
+    #[error("the peer has opened a newer link")]
     Replaced,
-    #[error("it didn't say who it is")]
+    #[error("no handshake was received in time")]
     HandshakeTimeout,
-    #[error("nothing is heard of it")]
+    #[error("nothing was received for too long")]
     Silent,
 }
 
-/// A link and its peer.
+/// A link with the state of its peer.
 pub(super) struct LinkEntry {
     pub(super) link: Link,
     pub(super) peer: Peer,
-    /// The name of the voter that was dialed.
+    /// Name of the dialed voter; `None` if the peer opened the link.
     pub(super) expected_name: Option<String>,
-    /// The name of the peer, once its handshake was accepted.
+    /// Name of the peer; `None` until its handshake is accepted.
     pub(super) peer_name: Option<String>,
     pub(super) detector: FailureDetector,
-    /// The state that the host was last told.
+    /// The state that was last reported to the host.
     pub(super) reported_state: PeerState,
     pub(super) created_at: Micros,
     /// Whether the socket may have bytes to read.
     pub(super) is_readable: bool,
-    /// Whether the link is dropped once everything queued is sent.
+    /// Whether to drop the link once all queued bytes are sent.
     pub(super) closes_when_flushed: bool,
 }
 
@@ -57,7 +57,7 @@
         self.peer_name.is_some()
     }
 
-    /// Whether this gateway dialed; it is this end that sends heartbeats.
+    /// Whether this gateway opened the link. The end that opened a link sends the heartbeats.
     pub(super) fn is_dialed(&self) -> bool {
         matches!(self.peer, Peer::Voter(_))
     }
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Whether a further link of another gateway is refused.
+    /// Whether to refuse another link from a gateway. Links to voters have room reserved.
     pub(super) fn is_full(&self, voter_count: usize) -> bool {
         self.links.len() >= MAX_LINKS + voter_count
     }
 
-    /// Adds a link of a gateway that connected to this one.
+    /// Adds a link that another gateway opened.
     pub(super) fn add_requester(
         &mut self,
         registry: &Registry,
@@ -96,7 +96,7 @@
         self.add(registry, stream, peer, None, now)
     }
 
-    /// Adds a link to a voter that was dialed.
+    /// Adds a link that this gateway opened to a voter.
     pub(super) fn add_voter(
         &mut self,
         registry: &Registry,
@@ -119,7 +119,7 @@
     ) -> io::Result<Token> {
         let token = Token(self.next_token);
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        // Without it messages are only delayed.
+        // If this fails, messages may be delayed but still arrive.
         let _ = stream.set_nodelay(true);
         self.next_token += 1;
         let entry = LinkEntry {
@@ -158,7 +158,7 @@
         self.links.values().any(|entry| entry.is_readable)
     }
 
-    /// When the next heartbeat is due.
+    /// Time of the next heartbeat on any link; `None` if this gateway has opened none.
     pub(super) fn next_heartbeat_at(&self) -> Option<Micros> {
         self.links
             .values()
@@ -167,17 +167,17 @@
             .min()
     }
 
-    /// The link that a gateway of this name made, if it was accepted.
-    pub(super) fn requester_named(&self, name: &str) -> Option<Token> {
-        let is_it =
+    /// The accepted link that a gateway with this name opened, if there is one.
+    pub(super) fn requester_link(&self, name: &str) -> Option<Token> {
+        let is_requester =
             |entry: &LinkEntry| !entry.is_dialed() && entry.peer_name.as_deref() == Some(name);
         let mut links = self.links.iter();
         links
-            .find(|(_, entry)| is_it(entry))
+            .find(|(_, entry)| is_requester(entry))
             .map(|(token, _)| *token)
     }
 
-    /// Queues a frame on a link, if it exists.
+    /// Queues a frame on a link; does nothing if the link no longer exists.
     pub(super) fn queue<M: Serialize>(
         &mut self,
         token: Token,
@@ -190,12 +190,12 @@
         Ok(())
     }
 
-    /// The socket of a link accepts bytes.
+    /// Marks a link as writable, so that [`LinkTable::flush`] continues to send on it.
     pub(super) fn on_writable(&mut self, token: Token) {
         self.unflushed.push(token);
     }
 
-    /// Sends what is queued. Returns the links that are to be dropped.
+    /// Sends the queued frames. Returns the links to drop.
     pub(super) fn flush(&mut self) -> Vec<(Token, DropReason)> {
         let mut unflushed = std::mem::take(&mut self.unflushed);
         unflushed.sort_unstable();
@@ -206,7 +206,7 @@
                 continue;
             };
             match entry.link.flush() {
-                // The connection is still being made.
+                // The connection is not established yet; a writable event follows.
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => {}
                 Err(_) => dropped.push((token, DropReason::WriteFailed)),
                 Ok(()) if entry.closes_when_flushed && entry.link.is_flushed() => {
@@ -218,10 +218,10 @@
         dropped
     }
 
-    /// Removes a link.
+    /// Removes a link and deregisters its socket.
     pub(super) fn remove(&mut self, registry: &Registry, token: Token) -> Option<LinkEntry> {
         let mut entry = self.links.remove(&token)?;
-        // The socket is closed anyway.
+        // An error can be ignored because the socket is closed next.
         let _ = registry.deregister(&mut entry.link.stream);
         Some(entry)
     }
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -1,19 +1,19 @@
-//! Links among the gateways of a fleet, as the operator's file names them.
+//! TCP links between the gateways of a fleet, as configured in the operator's file.
 //!
-//! Every gateway dials each voter and sends its requests on that link, which carries the answers
-//! too; two voters have two links between them. [`Hub`] is the host's side: it owns one thread, and
-//! the thread owns all links. What the links carry is the host's own type, encoded with `postcard`.
+//! Every gateway dials each voter and sends its requests on that link; the voter replies on the
+//! same link. Two voters therefore have two links between them. [`Hub`] is the host's interface: it
+//! owns one thread, which owns all links. The message type is the host's, encoded with `postcard`.
 //!
-//! - [`hub`]: the host's queues, and behind them the thread with its event loop, dialer and links;
+//! - [`hub`]: the host's queues and the thread behind them, with event loop, dialer and link table;
 //! - [`link`]: one connection with its buffers;
 //! - [`frame`]: checksummed frames of bounded length (no I/O);
-//! - [`handshake`]: decides which peer is accepted (no I/O);
-//! - [`failure_detector`]: the state of a peer by the times at which its frames arrived (no I/O);
-//! - [`limits`]: all bounds.
+//! - [`handshake`]: decides whether a peer is accepted (no I/O);
+//! - [`failure_detector`]: derives the state of a peer from arrival times of frames (no I/O);
+//! - [`limits`]: all bounds and timeouts.
 //!
 //! # Example
 //!
-//! Two gateways, of which the second dials the first:
+//! Two gateways; the second one dials the first:
 //!
 //! ```
 //! use eideryard_peer_transport::{Config, Handshake, Hub, PeerEvent, VoterAddress, VERSION};
@@ -67,5 +67,5 @@
 pub use handshake::{Handshake, HandshakeError, VERSION};
 pub use hub::{Config, Hub, Peer, PeerEvent, VoterAddress};
 
-/// Microseconds, of durations or since the start of the thread.
+/// Microseconds: a duration, or a time since the start of the thread.
 pub type Micros = u64;
--- a/crates/peer-transport/src/limits.rs
+++ b/crates/peer-transport/src/limits.rs
@@ -1,35 +1,37 @@
-//! All bounds and time limits of the links.
+//! Bounds and timeouts of the links.
 
 use std::time::Duration;
 
 use crate::Micros;
 
-/// Links that other gateways made; further ones are closed at once.
+/// Maximum number of links that other gateways open; further connections are closed at once.
 pub const MAX_LINKS: usize = 400;
-/// Messages that are queued between the host and the thread, in each direction.
+/// Capacity of the queues between the host and the thread, in messages per direction.
 pub const MAX_QUEUED_MESSAGES: usize = 8192;
-/// Bytes of the content of one frame.
+/// Maximum size of the content of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 256 << 10;
-/// Bytes that a peer has not read yet; beyond that its link is dropped and made anew.
+/// Maximum size of the send buffer of a link, in bytes. If a peer reads so slowly that it is
+/// exceeded, the link is dropped and opened again.
 pub const MAX_UNSENT_BYTES: usize = 1 << 20;
-/// Bytes that are read of one link at a time, so that no link keeps the others waiting.
+/// Bytes that are read from one link per turn, so that no link starves the others.
 pub(crate) const MAX_READ_BYTES: usize = 64 << 10;
 
-/// Interval at which heartbeats are sent.
+/// Interval between heartbeats on a link.
 pub const HEARTBEAT_INTERVAL: Micros = 300_000;
-/// A link on which nothing arrived for this time is dropped.
+/// A link on which nothing arrives for this long is dropped.
 pub const DISCONNECT_TIMEOUT: Micros = 4_000_000;
-/// A peer that has sent no handshake after this time is dropped.
+/// A link without an accepted handshake is dropped after this time.
 pub(crate) const HANDSHAKE_TIMEOUT: Micros = 2_000_000;
-/// A lost link is dialed again after a random delay, whose upper bound doubles with each failure.
+/// Initial upper bound of the random delay before a voter is dialed again. The bound doubles with
+/// each failure.
 pub(crate) const MIN_RETRY_DELAY: Micros = 100_000;
-/// Greatest upper bound of the delay before a voter is dialed again.
+/// Largest upper bound of the random delay before a voter is dialed again.
 pub(crate) const MAX_RETRY_DELAY: Micros = 2_000_000;
-/// Least time that the thread waits for its sockets.
+/// Minimum timeout of a poll, so that the thread does not spin on imminent deadlines.
 pub(crate) const MIN_POLL_TIMEOUT: Micros = 1_000;
-/// How soon the thread tries again where the host's queue is full.
+/// Timeout of a poll while the queue to the host is full, after which delivery is retried.
 pub(crate) const FULL_QUEUE_POLL_TIMEOUT: Duration = Duration::from_millis(2);
-/// How long a host that drops its [`crate::Hub`] waits for the thread to end.
+/// Maximum time for which dropping a [`crate::Hub`] waits for the thread to end.
 pub(crate) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Interval at which that host looks whether the thread has ended.
+/// Interval at which dropping a [`crate::Hub`] checks whether the thread has ended.
 pub(crate) const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(2);
--- a/crates/peer-transport/src/link.rs
+++ b/crates/peer-transport/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection with its buffers: received bytes become frames, frames become sent bytes.
+//! One connection with its buffers: decodes received frames and encodes frames to send.
 
 use std::io::{self, Read, Write};
 
@@ -10,47 +10,48 @@
 use crate::frame::{self, Frame, FrameError};
 use crate::limits::{MAX_FRAME_BYTES, MAX_READ_BYTES, MAX_UNSENT_BYTES};
 
-/// Bytes of one read of the socket.
+/// Size of the buffer for one read of the socket.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// A connection and the bytes that wait in either direction.
+/// A connection with its receive and send buffers.
 pub struct Link {
-    /// The socket; its owner registers it with the poller.
+    /// The nonblocking socket. The owner of the link registers it with the poller.
     pub stream: TcpStream,
+    /// Received bytes that are not decoded yet.
     unread: Vec<u8>,
+    /// Encoded frames, of which the first `sent` bytes are already sent.
     unsent: Vec<u8>,
-    /// How many bytes of `unsent` are sent.
     sent: usize,
 }
 
-/// The peer has not read [`MAX_UNSENT_BYTES`]: the link is to be dropped.
+/// More than [`MAX_UNSENT_BYTES`] wait to be sent; the owner has to drop the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the peer has not read {MAX_UNSENT_BYTES} bytes")]
+#[error("the send buffer is full: the peer has left more than {MAX_UNSENT_BYTES} bytes unread")]
 pub struct SendBufferFull;
 
-/// Why a link can't be read any further.
+/// Why no more frames can be read from a link.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The connection has ended or failed.
+    /// The peer has closed the connection, or reading failed.
     #[error(transparent)]
     Connection(#[from] io::Error),
-    /// The peer has sent something that is no frame.
+    /// The peer has sent an invalid frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// What reading a link returned.
+/// Result of [`Link::read`].
 pub struct LinkRead<M> {
-    /// The frames that are whole.
+    /// All complete frames that were received.
     pub frames: Vec<Frame<M>>,
-    /// Whether there may be more without a further event of the socket.
+    /// Whether the socket may have more data, for which the poller sends no further event.
     pub has_more: bool,
-    /// Why nothing follows these frames.
+    /// Set if no more frames can be read from the link after `frames`.
     pub error: Option<ReadError>,
 }
 
 impl Link {
-    /// A link over a socket.
+    /// Creates a link with empty buffers on a nonblocking socket.
     pub fn new(stream: TcpStream) -> Self {
         Link {
             stream,
@@ -60,8 +61,12 @@
         }
     }
 
-    /// Queues a frame behind those that wait. A frame that is too long is dropped: messages are
-    /// sent at most once.
+    /// Appends a frame to the send buffer. A frame that can't be encoded or is too long is silently
+    /// dropped, since messages are delivered at most once anyway.
+    ///
+    /// # Errors
+    ///
+    /// The send buffer exceeds its limit.
     pub fn queue<M: Serialize>(&mut self, frame: &Frame<M>) -> Result<(), SendBufferFull> {
         let _ = frame::write(&mut self.unsent, frame);
         if self.unsent.len() - self.sent > MAX_UNSENT_BYTES {
@@ -70,7 +75,7 @@
         Ok(())
     }
 
-    /// Sends as much as the socket accepts.
+    /// Sends as much of the send buffer as the socket accepts.
     pub fn flush(&mut self) -> io::Result<()> {
         while self.sent < self.unsent.len() {
             match self.stream.write(&self.unsent[self.sent..]) {
@@ -84,7 +89,7 @@
         if self.sent == self.unsent.len() {
             self.unsent.clear();
             self.sent = 0;
-            // Memory that one burst took is given back.
+            // Frees the memory of a burst.
             self.unsent.shrink_to(MAX_READ_BYTES);
         } else if self.sent >= MAX_READ_BYTES {
             self.unsent.drain(..self.sent);
@@ -93,12 +98,12 @@
         Ok(())
     }
 
-    /// Whether everything queued is sent.
+    /// Whether all queued frames are sent.
     pub fn is_flushed(&self) -> bool {
         self.unsent.is_empty()
     }
 
-    /// Reads what has arrived, up to a bound.
+    /// Reads and decodes received frames, about [`MAX_READ_BYTES`] at a time.
     pub fn read<M: DeserializeOwned>(&mut self) -> LinkRead<M> {
         let (has_more, connection_error) = match self.fill() {
             Ok(has_more) => (has_more, None),
@@ -113,7 +118,8 @@
         }
     }
 
-    /// Reads the socket into the buffer. Returns whether it stopped before the socket was empty.
+    /// Reads from the socket into the receive buffer. Returns whether it stopped at a limit, so
+    /// that the socket may have more data.
     fn fill(&mut self) -> io::Result<bool> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         let mut total = 0;
@@ -132,7 +138,7 @@
         Ok(true)
     }
 
-    /// Moves the whole frames out of the buffer.
+    /// Decodes and removes all complete frames of the receive buffer.
     fn decode<M: DeserializeOwned>(
         &mut self,
         frames: &mut Vec<Frame<M>>,
