--- a/crates/peer-transport/src/failure_detector/tests.rs
+++ b/crates/peer-transport/src/failure_detector/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the failure detector.
+//! Tests of the failure detector: with one timeout for all links, it would report a distant peer as
+//! silent, or notice too late that a near one has stopped.
 
 use super::*;
 
--- a/crates/peer-transport/src/frame/tests.rs
+++ b/crates/peer-transport/src/frame/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the frame encoding.
+//! Tests of the frame encoding: a truncated or corrupted frame must not decode to another message.
 
 use super::*;
 
--- a/crates/peer-transport/src/handshake/tests.rs
+++ b/crates/peer-transport/src/handshake/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of handshakes.
+//! Tests of the handshake: a peer with which this gateway can't cooperate must be rejected, with a
+//! text that tells the operator the difference.
 
 use super::*;
 
--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -1,40 +1,41 @@
-//! When a voter may vote, and the budget of state transfers.
+//! Decides when a voter may vote, and bounds the bandwidth of state transfers.
 //!
-//! A voter that has all records that it ever acknowledged votes at once. One that may have lost
-//! some, because its store is new, wiped, damaged or restored, first gets the records of the other
-//! voters, or waits until everything that it may have lost has expired.
+//! A voter that has all records that it ever acknowledged votes immediately. A voter that may have
+//! lost some, because its store is new, wiped, damaged or restored, first fetches the records of
+//! other voters, or waits until everything that it may have lost has expired.
 //!
-//! Of N voters a write was acknowledged by M, a majority. A voter that may have been among them has
-//! the write again once M others that vote have sent all their records: at least M - 1 of the N - 1
-//! others hold it, and M - 1 and M of N - 1 overlap.
+//! A write is acknowledged by a majority, M of N voters. A voter that lost such a write has it
+//! again once M other voting voters have sent all their records: at least M - 1 of the N - 1 others
+//! have the write, and any M - 1 and any M of N - 1 voters overlap in at least one.
 
 use std::collections::BTreeSet;
 
 use crate::Micros;
 
-/// A state request is repeated when no part of its answer has come for so long.
+/// A state request is repeated if no part of the reply has arrived for this long.
 pub const TRANSFER_TIMEOUT: Micros = 1_000_000;
-/// Interval between comparisons with one other voter.
+/// Interval between scrubs. Each scrub compares this voter's records with one other voter's.
 pub const SCRUB_INTERVAL: Micros = 3_000_000;
 
-/// How far this gateway is from voting.
+/// Whether this gateway votes, or what it waits for before it does.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReplicationProgress {
-    /// It is no voter: it holds no records for others.
+    /// Not a voter; keeps no replica records of other gateways.
     Requester,
-    /// It votes.
+    /// A voter that has all records that it ever acknowledged.
     Voting,
-    /// It is a voter that may lack records.
+    /// A voter that may have lost records and does not vote yet.
     CatchingUp {
-        /// Time at which all that it may have lost has expired.
+        /// Time at which everything that it may have lost has expired.
         until: Micros,
-        /// Voting voters that have sent all their records since it asked.
+        /// Voting voters that have sent all their records since this start.
         complete_from: BTreeSet<usize>,
     },
 }
 
-/// Number of other voters whose records a voter needs before it votes again.
-pub fn needed_transfers(voters: usize) -> usize {
+/// Number of other voters that must send all their records before a voter that may have lost some
+/// votes again, in a fleet of `voters` voters.
+pub fn required_transfers(voters: usize) -> usize {
     voters / 2 + 1
 }
 
@@ -44,7 +45,9 @@
         *self == ReplicationProgress::Voting
     }
 
-    /// `voter` has sent all its records. Returns whether this gateway votes from now on.
+    /// Notes that `voter` has sent all its records; they count only if `is_voting` says that it
+    /// votes itself. `voters` is the number of voters of the fleet. Returns whether this gateway
+    /// starts to vote.
     pub fn on_transfer_complete(&mut self, voter: usize, is_voting: bool, voters: usize) -> bool {
         let ReplicationProgress::CatchingUp { complete_from, .. } = self else {
             return false;
@@ -52,15 +55,15 @@
         if is_voting {
             complete_from.insert(voter);
         }
-        let is_done = complete_from.len() >= needed_transfers(voters);
+        let is_done = complete_from.len() >= required_transfers(voters);
         if is_done {
             *self = ReplicationProgress::Voting;
         }
         is_done
     }
 
-    /// Ends catching up once all that may be lost has expired. Returns whether this gateway votes
-    /// from now on.
+    /// Ends the catch-up if everything that may be lost has expired. Returns whether this gateway
+    /// starts to vote.
     pub fn poll(&mut self, now: Micros) -> bool {
         let has_expired =
             matches!(self, ReplicationProgress::CatchingUp { until, .. } if *until <= now);
@@ -71,7 +74,7 @@
     }
 }
 
-/// Token bucket of bytes that a voter sends in state transfers, over all receivers.
+/// Token bucket for the bytes that a voter sends in state transfers, shared by all receivers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TransferBudget {
     bytes_per_s: u64,
@@ -79,18 +82,18 @@
     refilled_at: Micros,
 }
 
-/// The bucket holds this part of a second's bytes.
+/// The capacity of the bucket is a second's budget divided by this.
 const BURSTS_PER_S: u64 = 4;
 
-/// The budget is spent.
+/// Returned if no bytes may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetExhausted {
-    /// Delay after which to ask again, in milliseconds.
+    /// Delay after which the bucket is full again, in milliseconds.
     pub retry_after_ms: u64,
 }
 
 impl TransferBudget {
-    /// A full bucket.
+    /// Creates a full bucket that is refilled with `bytes_per_s`.
     pub fn new(bytes_per_s: u64) -> Self {
         TransferBudget {
             bytes_per_s,
@@ -109,7 +112,11 @@
         }
     }
 
-    /// Bytes that may be sent now.
+    /// Refills the bucket and returns the bytes that may be sent now.
+    ///
+    /// # Errors
+    ///
+    /// The bucket is empty.
     pub fn available(&mut self, now: Micros) -> Result<usize, BudgetExhausted> {
         self.refill(now);
         match self.available {
@@ -120,7 +127,8 @@
         }
     }
 
-    /// Takes bytes that were sent.
+    /// Takes sent bytes out of the bucket. They may exceed [`TransferBudget::available`], since the
+    /// last entry of a part is sent whole.
     pub fn spend(&mut self, bytes: usize) {
         self.available = self.available.saturating_sub(bytes as u64);
     }
--- a/crates/replication/src/claims.rs
+++ b/crates/replication/src/claims.rs
@@ -1,9 +1,10 @@
-//! Claims of this gateway, and the records that it wrote itself.
+//! Claims that this gateway makes, and the records that it has written itself.
 //!
-//! Before a gateway sends a request it claims the key at all voters. The claim is granted once a
-//! majority holds it durably and none of them knows of a run that the balancer was not told of.
-//! Claim and query are one message, so a first attempt costs one round trip. A voter merges a claim
-//! before it answers, and two majorities overlap in a voter: of two claims on a key at least one
+//! Before a gateway sends a request to an engine, it claims the request's key at all voters. The
+//! claim is granted once a majority of the voters has stored it durably and none of them reports an
+//! earlier run of the key that the balancer does not know of. The claim and the query for earlier
+//! runs are one message, so a first attempt costs one round trip. A voter merges a claim before it
+//! replies, and two majorities have a voter in common, so of two claims on a key at least one
 //! learns of the other.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,23 +15,25 @@
 use crate::message::ClaimRejection;
 use crate::Micros;
 
-/// A claim without a majority after this time is given up.
+/// Time after which a claim without a majority fails.
 pub const CLAIM_TIMEOUT: Micros = 500_000;
-/// Two reports of the same run may differ in its start by so much.
+/// Maximum difference between the start of a run that the balancer knows and the start in a report
+/// of the same run.
 const REPORT_TOLERANCE: Micros = 50_000;
-/// Updates that are sent to one voter in one poll, where its link has come up or it missed some.
+/// Maximum number of updates that are resent to one voter at a time, when its link comes up or when
+/// it lacks some.
 pub const MAX_RESENT_UPDATES: usize = 64;
 
-/// A run that may have happened.
+/// A run of a key at an engine that may have happened before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PriorRun {
-    /// Where; `None` for several places.
+    /// Location of the run; `None` if it may have run at several.
     pub location: Option<Location>,
-    /// Earliest time at which it may have run, by this gateway's clock.
+    /// Earliest time at which the run may have begun, by this gateway's clock.
     pub since: Micros,
 }
 
-/// Runs of one key that may have happened.
+/// Runs of one key that may have happened before.
 pub type PriorRuns = Vec<PriorRun>;
 
 /// Outcome of a claim.
@@ -38,9 +41,11 @@
 pub enum Verdict {
     /// The request may be sent.
     Granted,
-    /// The balancer has to be told of these runs first.
+    /// The claim is refused because of these runs, of which the balancer does not know all. It may
+    /// decide again with them.
     PriorRunsFound(PriorRuns),
-    /// No majority answered; the runs that the others reported and the balancer was not told of.
+    /// No majority of the voters has accepted the claim. Contains the runs that a minority
+    /// reported, unless the balancer knows all of them.
     NoMajority(PriorRuns),
 }
 
@@ -50,34 +55,35 @@
     key: Vec<u8>,
     version: u32,
     requested_at: Micros,
-    /// Voters that hold the claim.
-    accepted: BTreeSet<usize>,
-    rejected: BTreeMap<usize, ClaimRejection>,
-    /// Runs that the balancer was told of.
-    known: PriorRuns,
-    /// Runs that voters reported.
-    reported: PriorRuns,
+    /// Voters that have stored the claim durably.
+    accepted_by: BTreeSet<usize>,
+    rejected_by: BTreeMap<usize, ClaimRejection>,
+    /// Runs that the balancer knows of.
+    known_runs: PriorRuns,
+    /// Runs that voters have reported.
+    reported_runs: PriorRuns,
 }
 
 impl PendingClaim {
-    /// The reported runs, the earliest of each place, if the balancer was not told of one of them.
+    /// Returns the reported runs, the earliest at each location, or nothing if the balancer knows
+    /// all of them.
     fn into_unknown_runs(self) -> PriorRuns {
         let PendingClaim {
-            known,
-            mut reported,
+            known_runs,
+            mut reported_runs,
             ..
         } = self;
         let is_known = |run: &PriorRun| {
-            known.iter().any(|known| {
+            known_runs.iter().any(|known| {
                 known.location == run.location && known.since <= run.since + REPORT_TOLERANCE
             })
         };
-        if reported.iter().all(is_known) {
+        if reported_runs.iter().all(is_known) {
             return PriorRuns::new();
         }
-        reported.sort();
-        reported.dedup_by_key(|run| run.location);
-        reported
+        reported_runs.sort();
+        reported_runs.dedup_by_key(|run| run.location);
+        reported_runs
     }
 
     fn is_timed_out(&self, now: Micros) -> bool {
@@ -85,30 +91,31 @@
     }
 }
 
-/// A record that this gateway wrote, until all voters have its last version.
+/// A record that this gateway has written. It is kept until all voters have its last version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LocalRecord {
     record: Record,
     written_at: Micros,
-    missing_at: BTreeSet<usize>,
+    missing_at_voters: BTreeSet<usize>,
 }
 
-/// Claims without a verdict, and the records that this gateway wrote.
+/// Claims without a verdict, and the records that this gateway has written.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Claims {
     voters: usize,
-    /// Versions given by this incarnation, over all keys: a key that was forgotten and is claimed
-    /// again must not restart at the first version.
-    versions: u32,
+    /// Last version that this incarnation gave to a record of any key. It counts over all keys
+    /// because a key that was forgotten and is claimed again must not get an earlier version.
+    last_version: u32,
     pending: BTreeMap<u64, PendingClaim>,
     records: BTreeMap<Vec<u8>, LocalRecord>,
-    /// For each voter, the keys whose last version it does not have.
+    /// For each voter, the keys whose last version it has not acknowledged.
     missing_keys: BTreeMap<usize, BTreeSet<Vec<u8>>>,
+    /// Keys of all records, by the time at which the record expires.
     expiry: BTreeSet<(Micros, Vec<u8>)>,
 }
 
 impl Claims {
-    /// No claims, in a fleet with so many voters.
+    /// Creates an empty state for a fleet of `voters` voters.
     pub fn new(voters: usize) -> Self {
         Claims {
             voters,
@@ -116,7 +123,7 @@
         }
     }
 
-    /// Voters that make a majority.
+    /// Number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters / 2 + 1
     }
@@ -126,12 +133,12 @@
         self.pending.len()
     }
 
-    /// Number of records that this gateway wrote and still holds.
+    /// Number of records that this gateway has written and still keeps.
     pub fn records(&self) -> usize {
         self.records.len()
     }
 
-    /// Largest number of keys whose last version one voter does not have.
+    /// Number of keys whose last version a voter lacks, for the voter that lacks the most.
     pub fn replication_lag(&self) -> usize {
         self.missing_keys
             .values()
@@ -140,19 +147,19 @@
             .unwrap_or(0)
     }
 
-    /// Writes a new version of a record, which no voter has yet, and returns it.
+    /// Writes a new version of the record of a key and returns it. No voter has that version yet.
     pub fn write(&mut self, now: Micros, key: &[u8], mut record: Record) -> Record {
         if let Some(previous) = self.records.get(key).map(|local| local.record) {
             record.since = record.since.min(previous.since);
             record.until = record.until.max(previous.until);
             self.expiry.remove(&(previous.until, key.to_vec()));
         }
-        self.versions += 1;
-        record.version = self.versions;
+        self.last_version += 1;
+        record.version = self.last_version;
         let local = LocalRecord {
             record,
             written_at: now,
-            missing_at: (0..self.voters).collect(),
+            missing_at_voters: (0..self.voters).collect(),
         };
         self.records.insert(key.to_vec(), local);
         self.expiry.insert((record.until, key.to_vec()));
@@ -163,12 +170,13 @@
         record
     }
 
-    /// The record that this gateway wrote of a key.
+    /// The record that this gateway has written for a key.
     pub fn get(&self, key: &[u8]) -> Option<&Record> {
         self.records.get(key).map(|local| &local.record)
     }
 
-    /// A voter has a version of a record durably.
+    /// Notes that a voter has durably stored a version of a record. A record that all voters have
+    /// and that is not in flight is forgotten.
     pub fn on_acknowledged(&mut self, voter: usize, key: &[u8], version: u32) {
         let Some(local) = self.records.get_mut(key) else {
             return;
@@ -176,8 +184,8 @@
         if local.record.version > version {
             return;
         }
-        local.missing_at.remove(&voter);
-        let is_done = local.missing_at.is_empty() && local.record.phase != Phase::InFlight;
+        local.missing_at_voters.remove(&voter);
+        let is_done = local.missing_at_voters.is_empty() && local.record.phase != Phase::InFlight;
         self.remove_missing(voter, key);
         if is_done {
             self.forget(key);
@@ -195,12 +203,13 @@
             return;
         };
         self.expiry.remove(&(local.record.until, key.to_vec()));
-        for voter in local.missing_at {
+        for voter in local.missing_at_voters {
             self.remove_missing(voter, key);
         }
     }
 
-    /// Records written up to a time that a voter does not have, at most [`MAX_RESENT_UPDATES`].
+    /// Records that a voter lacks and that were written at `written_until` or earlier, at most
+    /// [`MAX_RESENT_UPDATES`].
     pub fn missing_records(&self, voter: usize, written_until: Micros) -> Vec<(Vec<u8>, Record)> {
         self.missing_keys
             .get(&voter)
@@ -213,16 +222,24 @@
             .collect()
     }
 
-    /// Opens a claim for a version of a record. `known` are the runs that the balancer was told of.
-    pub fn open(&mut self, now: Micros, number: u64, key: &[u8], version: u32, known: PriorRuns) {
+    /// Opens a claim for a version of a record. `known_runs` are the runs that the balancer knows
+    /// of.
+    pub fn open(
+        &mut self,
+        now: Micros,
+        number: u64,
+        key: &[u8],
+        version: u32,
+        known_runs: PriorRuns,
+    ) {
         let claim = PendingClaim {
             key: key.to_vec(),
             version,
             requested_at: now,
-            accepted: BTreeSet::new(),
-            rejected: BTreeMap::new(),
-            known,
-            reported: PriorRuns::new(),
+            accepted_by: BTreeSet::new(),
+            rejected_by: BTreeMap::new(),
+            known_runs,
+            reported_runs: PriorRuns::new(),
         };
         self.pending.insert(number, claim);
     }
@@ -233,9 +250,10 @@
         Some((claim.key.clone(), claim.version))
     }
 
-    /// A voter holds a claim. Returns the verdict, once there is one. A vote that is processed
-    /// after the timeout, as by a process that was stopped, grants nothing: voters may have dropped
-    /// the claim by then.
+    /// Counts the vote of a voter that has stored a claim. Returns the verdict once there is one.
+    ///
+    /// A vote that is processed after the timeout, for example because the process was suspended,
+    /// doesn't grant the claim: voters may have dropped their record of it by then.
     pub fn on_accepted(
         &mut self,
         now: Micros,
@@ -245,20 +263,20 @@
     ) -> Option<Verdict> {
         let majority = self.majority();
         let claim = self.pending.get_mut(&number)?;
-        claim.accepted.insert(voter);
-        // The voter measured the age after the request was sent, so the run may be older than that
-        // by now, but never younger.
+        claim.accepted_by.insert(voter);
+        // The voter measured the age after the claim was sent. Subtracting it from the time of
+        // sending can make the run appear older than it is, but never younger.
         let requested_at = claim.requested_at;
         claim
-            .reported
-            .extend(reported_runs.iter().map(|view| PriorRun {
-                location: view.location,
-                since: requested_at.saturating_sub(view.age),
+            .reported_runs
+            .extend(reported_runs.iter().map(|run| PriorRun {
+                location: run.location,
+                since: requested_at.saturating_sub(run.age),
             }));
         if claim.is_timed_out(now) {
             return self.close_without_majority(number);
         }
-        if claim.accepted.len() < majority {
+        if claim.accepted_by.len() < majority {
             return None;
         }
         let unknown = self.pending.remove(&number)?.into_unknown_runs();
@@ -269,7 +287,8 @@
         })
     }
 
-    /// A voter rejects a claim. Returns a verdict where a majority can't be reached any more.
+    /// Counts the rejection of a claim by a voter. Returns a verdict if a majority has become
+    /// impossible.
     pub fn on_rejected(
         &mut self,
         number: u64,
@@ -278,8 +297,8 @@
     ) -> Option<Verdict> {
         let majority = self.majority();
         let claim = self.pending.get_mut(&number)?;
-        claim.rejected.insert(voter, reason);
-        if self.voters - claim.rejected.len() >= majority {
+        claim.rejected_by.insert(voter, reason);
+        if self.voters - claim.rejected_by.len() >= majority {
             return None;
         }
         self.close_without_majority(number)
@@ -290,7 +309,7 @@
         Some(Verdict::NoMajority(claim.into_unknown_runs()))
     }
 
-    /// Closes claims that are past [`CLAIM_TIMEOUT`].
+    /// Closes claims that are older than [`CLAIM_TIMEOUT`] and returns their verdicts.
     pub fn time_out(&mut self, now: Micros) -> Vec<(u64, Verdict)> {
         let timed_out: Vec<u64> = self
             .pending
@@ -304,12 +323,12 @@
             .collect()
     }
 
-    /// Drops a claim that is no longer wanted.
+    /// Drops a claim whose verdict is no longer needed.
     pub fn cancel(&mut self, number: u64) {
         self.pending.remove(&number);
     }
 
-    /// Forgets records that voters drop by now too.
+    /// Forgets expired records; the voters drop theirs too.
     pub fn expire(&mut self, now: Micros) {
         while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
             let Some((_, key)) = self.expiry.pop_first() else {
@@ -319,7 +338,8 @@
         }
     }
 
-    /// When [`Claims::time_out`] or [`Claims::expire`] has something to do.
+    /// Time at which [`Claims::time_out`] or [`Claims::expire`] has to be called next; `None` if
+    /// there is nothing to wait for.
     pub fn next_deadline(&self) -> Option<Micros> {
         let timeout = self
             .pending
--- a/crates/replication/src/compare.rs
+++ b/crates/replication/src/compare.rs
@@ -1,41 +1,42 @@
-//! Comparison of replica records between voters, read from their stores. Used by tools and checks,
-//! not by a running gateway.
+//! Compares the replica records in the stores of several voters. Used by tools and checks, not by a
+//! running gateway.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::entry::{self, Origin, ReplicaRecord};
 use crate::replica_set::EXPIRY_MARGIN;
 
-/// Replica records of one voter, by the intent log's keys.
+/// Replica records of one voter, by the key in the intent log.
 pub type VoterReplicas = BTreeMap<Vec<u8>, ReplicaRecord>;
 
-/// A key of which voters hold different records.
+/// A key whose records differ between voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// The key.
+    /// The key in the intent log, without a prefix.
     pub key: Vec<u8>,
-    /// For each voter, in their order: the origins whose newest record it lacks, with the version
-    /// that it holds.
+    /// For each voter, in the order of the arguments: the origins whose newest record it lacks,
+    /// each with the version that it has instead, or `None` if it has none.
     pub missing: Vec<Vec<(Origin, Option<u32>)>>,
 }
 
 /// Result of [`compare`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comparison {
-    /// Number of keys that were compared.
+    /// Number of keys with at least one record that is not about to expire.
     pub compared: u64,
-    /// Keys that differ.
+    /// Keys whose records differ, in the order of the keys.
     pub differences: Vec<Difference>,
 }
 
-/// Version and fingerprint of a record; the greater one is the newer.
+/// Version and fingerprint of a record. The greater revision is the newer one.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Revision {
     version: u32,
     fingerprint: u64,
 }
 
-/// Reads replica records from the keys and values of a store; other keys are skipped.
+/// Reads the replica records among the keys and values of a store. Other keys, and values that
+/// can't be decoded, are skipped.
 pub fn read_replicas<'a>(pairs: impl Iterator<Item = (&'a [u8], &'a [u8])>) -> VoterReplicas {
     pairs
         .filter_map(|(key, value)| {
@@ -45,8 +46,9 @@
         .collect()
 }
 
-/// Compares the replicas of several voters at a time in Unix milliseconds. Records that are about
-/// to expire are left out.
+/// Compares the replica records of several voters. `now_ms` is the current time in Unix
+/// milliseconds: records that are about to expire are skipped, since some voters may have dropped
+/// them already.
 pub fn compare(voters: &[VoterReplicas], now_ms: u64) -> Comparison {
     let keys: BTreeSet<&Vec<u8>> = voters.iter().flat_map(|voter| voter.keys()).collect();
     let mut compared = 0;
--- a/crates/replication/src/core.rs
+++ b/crates/replication/src/core.rs
@@ -1,5 +1,6 @@
-//! One gateway's part of the protocol: messages, time and notices of durable writes in, outputs
-//! out. The gateway and the simulated fleet carry the outputs out.
+//! One gateway's part of the replication protocol, without I/O. Its inputs are messages, the time
+//! and notices of durable writes. The caller, the gateway or the simulated fleet, performs the
+//! outputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,137 +21,142 @@
 
 use state_transfer::{OutgoingTransfer, VoterLink};
 
-/// Interval at which updates that voters lack are sent again.
+/// Interval at which updates that voters have not acknowledged are resent.
 const RESEND_INTERVAL: Micros = 250_000;
 
-/// Other end of a link.
+/// The other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Peer {
-    /// A voter, by its index, over the link that this gateway opened.
+    /// A voter, by its index, on the link that this gateway opened.
     Voter(usize),
-    /// A gateway that opened a link to this one, by the link's number.
+    /// A gateway that opened a link to this one, by the number of the link.
     Requester(u64),
 }
 
-/// Settings of one gateway's part.
+/// Configuration of a [`Core`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Number of voters of the fleet.
+    /// Number of voters in the fleet.
     pub voters: usize,
-    /// This gateway's index among them, if it is a voter.
+    /// Index of this gateway among the voters; `None` if it is not a voter.
     pub voter_index: Option<usize>,
-    /// Longest time for which a record is retained: longest wait, window and margin.
+    /// Maximum time for which a record is retained: the longest wait of a request, the longest
+    /// window in which engines drop duplicates, and a margin.
     pub max_retention: Micros,
-    /// Bounds of the replica set.
+    /// Bounds of the replica set and of this gateway's own records.
     pub limits: Limits,
-    /// Bytes a second of state transfers, over all receivers.
+    /// Budget of outgoing state transfers in bytes per second, shared by all receivers.
     pub transfer_bytes_per_s: u64,
-    /// Whether requests are sent without a majority. Otherwise they are refused.
+    /// Whether requests may be sent if no majority of the voters accepts the claim. Otherwise they
+    /// are refused.
     pub send_without_majority: bool,
 }
 
-/// Why a gateway accepts no request that needs a claim.
+/// Why a gateway accepts no requests that need a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimError {
-    /// Too many of its records are in flight or not at all voters yet; none is forgotten early.
+    /// [`Limits::max_keys`] of its own records are in flight or not acknowledged by all voters.
+    /// None of them may be forgotten early.
     Full,
-    /// No majority of voters can be reached.
+    /// No majority of voters that vote can be reached.
     NoMajority,
 }
 
 /// A claim of a key, before its request is sent.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest<'a> {
-    /// Number that names the claim in its verdict.
+    /// Number of the claim, chosen by the caller; [`Output::Verdict`] refers to it.
     pub number: u64,
-    /// The key.
+    /// Key of the request, without the intent log's prefix.
     pub key: &'a [u8],
-    /// Where the request is to run; `None` for several places.
+    /// Location at which the request is to run; `None` if there are several.
     pub location: Option<Location>,
-    /// Earliest time at which it may have run.
+    /// Earliest time at which the request may have run; `now` for a first attempt.
     pub since: Micros,
-    /// For how long the record is to be retained.
+    /// Time from now for which the record is to be retained.
     pub retention: Micros,
-    /// Runs that the balancer was told of.
+    /// Runs that the balancer knows of; they do not prevent the claim from being granted.
     pub known_runs: PriorRuns,
 }
 
-/// End of all attempts at a key.
+/// Describes a key of which all attempts have ended.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempts<'a> {
-    /// The key.
+    /// Key of the request, without the intent log's prefix.
     pub key: &'a [u8],
-    /// Where it may have run; `None` for several places.
+    /// Location at which the request may have run; `None` if there are several.
     pub location: Option<Location>,
     /// Whether one of the attempts may have run.
     pub may_have_run: bool,
-    /// For how long the record is to be retained.
+    /// Time from now for which the record is to be retained.
     pub retention: Micros,
 }
 
-/// What the caller is to do.
+/// An action that the caller has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message.
+    /// Send a message over the link to this peer. The protocol tolerates that it gets lost.
     Send(Peer, Message),
     /// Write a replica record to the store.
     Store {
-        /// Its key.
+        /// Key of the record, without the prefix of [`stored_key`](crate::entry::stored_key).
         key: Vec<u8>,
-        /// The record; `None` to remove it.
+        /// The replica record; `None` to remove it from the store.
         replica: Option<ReplicaRecord>,
-        /// Outputs to carry out once the write is durable, and not before.
+        /// Outputs to perform only once the write is durable.
         after_durable: Vec<Output>,
     },
-    /// Call [`Core::on_local_vote`]: this voter votes on a claim of its own.
+    /// Call [`Core::on_local_vote`]: this gateway, a voter, votes on its own claim.
     LocalVote {
-        /// Number of the claim.
+        /// Number from the [`ClaimRequest`].
         number: u64,
-        /// What other gateways may have done with the key.
+        /// Runs of the key by other gateways that may have happened.
         reported_runs: Vec<ReportedRun>,
     },
-    /// A claim, by its number, has its verdict.
+    /// The outcome of the claim with this number.
     Verdict(u64, Verdict),
-    /// An engine is drained or removed by a list of another gateway.
+    /// Stop new requests to an engine that is drained or removed in an endpoint list, this
+    /// gateway's own or that of another.
     EngineDrained(Drain),
-    /// Learned figures of another gateway.
+    /// Use the figures that another gateway has learned of the engines as a hint.
     Hints {
-        /// Bytes of a checkpoint.
+        /// Encoded checkpoint of the other gateway's balancer.
         checkpoint: Vec<u8>,
-        /// Microseconds since it was taken.
+        /// Microseconds since the checkpoint was taken.
         age: Micros,
     },
-    /// This voter votes from now on. The store must remember it behind all earlier writes; then all
-    /// gateways that opened a link to this one are to be told.
+    /// This voter starts to vote. The caller has to write that to the store after all earlier
+    /// writes, and then to inform all gateways that opened a link to this one.
     BecameVoter,
 }
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Claims of this gateway.
+    /// Claims that this gateway has made.
     pub claims: u64,
-    /// Claims that were granted.
+    /// Claims of this gateway that a majority granted.
     pub granted: u64,
-    /// Claims that found runs of other gateways.
+    /// Claims of this gateway that were refused because of unknown runs by other gateways.
     pub prior_runs_found: u64,
-    /// Claims that found no majority.
+    /// Claims of this gateway that no majority accepted.
     pub without_majority: u64,
-    /// Of these, those that were sent all the same.
+    /// Claims without a majority whose requests were sent nevertheless; included in
+    /// `without_majority`.
     pub sent_without_majority: u64,
-    /// Claims of other gateways that were accepted.
+    /// Claims of other gateways for which this voter voted.
     pub accepted: u64,
-    /// Claims of other gateways that were rejected.
+    /// Claims of other gateways for which this voter did not vote.
     pub rejected: u64,
-    /// Records that state transfers brought.
+    /// Records that state transfers added or changed.
     pub repaired: u64,
-    /// Bytes of entries that state transfers brought.
+    /// Estimated bytes of the entries received in state transfers.
     pub transferred_bytes: u64,
-    /// Updates that were sent again.
+    /// Updates that were resent to voters.
     pub resent: u64,
 }
 
-/// One gateway's part of the protocol.
+/// State of one gateway's part of the replication protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Core {
     config: Config,
@@ -158,34 +164,35 @@
     progress: ReplicationProgress,
     replicas: ReplicaSet,
     claims: Claims,
-    /// Links to voters, by their index.
+    /// Links to the voters, by the index of the voter.
     voters: Vec<VoterLink>,
-    /// State transfers to other voters, by the link that they were requested on.
+    /// State transfers to other voters, by the link on which they were requested.
     outgoing_transfers: BTreeMap<u64, OutgoingTransfer>,
-    /// Links that other gateways opened.
+    /// Open links of other gateways to this one.
     requesters: BTreeSet<u64>,
     drains: Drains,
-    /// This gateway's last checkpoint, and when it was taken.
+    /// Last checkpoint of this gateway's balancer, and when it was taken.
     hints: Option<(Vec<u8>, Micros)>,
     transfer_budget: TransferBudget,
     last_request_number: u64,
     last_resend_at: Micros,
     last_scrub_at: Micros,
-    scrubs: usize,
+    scrub_count: usize,
     counters: Counters,
 }
 
 impl Core {
-    /// The state at a start. `is_complete` states that the store has all records that this voter
-    /// ever acknowledged, and that it voted; `stored` are the store's replica records.
+    /// Creates the state at the start of a gateway. `has_all_records` says that this voter voted
+    /// with this store and that the store has all records that it ever acknowledged. `stored` are
+    /// the replica records in the store.
     pub fn start(
         config: Config,
         origin: Origin,
-        is_complete: bool,
+        has_all_records: bool,
         stored: impl Iterator<Item = (Vec<u8>, ReplicaRecord)>,
         now: Micros,
     ) -> Self {
-        let progress = match (config.voter_index, is_complete) {
+        let progress = match (config.voter_index, has_all_records) {
             (None, _) => ReplicationProgress::Requester,
             (Some(_), true) => ReplicationProgress::Voting,
             (Some(_), false) => ReplicationProgress::CatchingUp {
@@ -211,28 +218,28 @@
             last_request_number: 0,
             last_resend_at: now,
             last_scrub_at: now,
-            scrubs: 0,
+            scrub_count: 0,
             counters: Counters::default(),
             config,
         }
     }
 
-    /// This gateway's incarnation.
+    /// Incarnation of this gateway, which its records name as their origin.
     pub fn origin(&self) -> Origin {
         self.origin
     }
 
-    /// Whether this gateway is a voter that votes.
+    /// Whether this gateway is a voter that currently votes.
     pub fn is_voting(&self) -> bool {
         self.progress.is_voting()
     }
 
-    /// The replica records that this voter holds.
+    /// Replica records that this gateway keeps as a voter.
     pub fn replicas(&self) -> &ReplicaSet {
         &self.replicas
     }
 
-    /// This gateway's claims and records.
+    /// Claims of this gateway and the records that it has written.
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
@@ -242,14 +249,14 @@
         self.counters
     }
 
-    /// A link came up or was closed. A reconnected voter gets the updates that it lacks; a gateway
-    /// that opened a link here is told whether this one votes.
+    /// Handles a link that came up or was closed. A reconnected voter is sent the updates that it
+    /// lacks; a gateway that opened a link to this one is sent whether this one votes.
     pub fn on_link(&mut self, now: Micros, peer: Peer, is_up: bool) -> Vec<Output> {
         match peer {
             Peer::Voter(voter) => self.on_voter_link(now, voter, is_up),
             Peer::Requester(link) if is_up => {
                 self.requesters.insert(link);
-                self.greet_requester(now, peer)
+                self.initial_messages(now, peer)
             }
             Peer::Requester(link) => {
                 self.outgoing_transfers.remove(&link);
@@ -275,7 +282,7 @@
         outputs
     }
 
-    /// The other end of an open link stopped answering, or answers again.
+    /// Handles that the peer on an open link has stopped responding or responds again.
     pub fn on_reachability(&mut self, now: Micros, peer: Peer, is_reachable: bool) -> Vec<Output> {
         let Peer::Voter(voter) = peer else {
             return Vec::new();
@@ -290,24 +297,25 @@
         self.resend_updates(now, voter, now)
     }
 
-    /// Indices of voters that have a link which is up.
+    /// Indices of the voters whose link is up.
     fn reachable_voters(&self) -> Vec<usize> {
         (0..self.voters.len())
             .filter(|voter| self.voters[*voter].is_up)
             .collect()
     }
 
-    /// Updates that a voter lacks of those written up to a time.
+    /// Messages with the updates that a voter lacks and that were written at `written_until` or
+    /// earlier.
     fn resend_updates(&mut self, now: Micros, voter: usize, written_until: Micros) -> Vec<Output> {
         let missing = self.claims.missing_records(voter, written_until);
         self.counters.resent += missing.len() as u64;
         missing
             .into_iter()
-            .map(|(key, record)| self.update(now, voter, key, record))
+            .map(|(key, record)| self.update_message(now, voter, key, record))
             .collect()
     }
 
-    fn update(&self, now: Micros, voter: usize, key: Vec<u8>, record: Record) -> Output {
+    fn update_message(&self, now: Micros, voter: usize, key: Vec<u8>, record: Record) -> Output {
         let message = Message::Update {
             key,
             origin: self.origin,
@@ -316,8 +324,9 @@
         Output::Send(Peer::Voter(voter), message)
     }
 
-    /// The write of a key's replica record, with what follows once it is durable.
-    fn store(&self, key: &[u8], after_durable: Vec<Output>) -> Output {
+    /// Output that writes the replica record of a key, with the outputs to perform once it is
+    /// durable.
+    fn store_output(&self, key: &[u8], after_durable: Vec<Output>) -> Output {
         Output::Store {
             key: key.to_vec(),
             replica: self.replicas.get(key).cloned(),
@@ -325,12 +334,12 @@
         }
     }
 
-    /// Handles timers: claims past their timeout, expired records, state transfers and updates to
-    /// be sent again.
+    /// Handles everything that depends on time: claims past their timeout, expired records, state
+    /// transfers and updates to resend.
     pub fn poll(&mut self, now: Micros) -> Vec<Output> {
         let mut outputs = Vec::new();
         for (number, verdict) in self.claims.time_out(now) {
-            outputs.push(self.decide(number, verdict));
+            outputs.push(self.resolve_verdict(number, verdict));
         }
         self.claims.expire(now);
         for key in self.replicas.expire(now) {
@@ -355,7 +364,7 @@
         outputs
     }
 
-    /// When [`Core::poll`] is to be called next.
+    /// Time at which [`Core::poll`] has to be called next.
     pub fn next_deadline(&self) -> Micros {
         let resend_at = self.last_resend_at + RESEND_INTERVAL;
         self.replicas
--- a/crates/replication/src/core/hints.rs
+++ b/crates/replication/src/core/hints.rs
@@ -1,5 +1,5 @@
-//! What gateways tell each other without being asked: drains of engines and learned figures. Both
-//! go over the links of [`Core`] and need no vote.
+//! Unsolicited messages between gateways: drains of engines, and learned figures as hints. Both use
+//! the links of [`Core`] and need no vote.
 
 use super::{Core, Output, Peer};
 use crate::drains::Drain;
@@ -7,9 +7,9 @@
 use crate::Micros;
 
 impl Core {
-    /// Messages to a gateway that opened a link here: whether this one votes, its drains and its
-    /// learned figures.
-    pub(super) fn greet_requester(&self, now: Micros, peer: Peer) -> Vec<Output> {
+    /// Messages to a gateway that has opened a link to this one: whether this one votes, the known
+    /// drains and the learned figures.
+    pub(super) fn initial_messages(&self, now: Micros, peer: Peer) -> Vec<Output> {
         let status = Message::VoterStatus {
             is_voting: self.is_voting(),
         };
@@ -25,24 +25,25 @@
         outputs
     }
 
-    /// All drains that are known, if there are any.
+    /// Message with all known drains; `None` if there are none.
     pub(super) fn send_known_drains(&self, peer: Peer) -> Option<Output> {
         let drains: Vec<Drain> = self.drains.iter().collect();
         (!drains.is_empty()).then_some(Output::Send(peer, Message::Drains { drains }))
     }
 
-    /// Sets this gateway's learned figures, which other gateways may take as a hint at their start.
+    /// Sets the checkpoint of this gateway's learned figures. It is sent to gateways that connect,
+    /// as a hint at their start.
     pub fn set_hints(&mut self, now: Micros, checkpoint: Vec<u8>) {
         self.hints = Some((checkpoint, now));
     }
 
-    /// This gateway's own list drains or removes engines.
+    /// Handles drains and removals that this gateway's own endpoint list reported.
     pub fn on_local_drains(&mut self, drains: Vec<Drain>) -> Vec<Output> {
-        self.spread_drains(drains, None)
+        self.forward_drains(drains, None)
     }
 
-    /// Sends new drains on to all linked gateways except the one that sent them.
-    pub(super) fn spread_drains(&mut self, drains: Vec<Drain>, from: Option<Peer>) -> Vec<Output> {
+    /// Forwards new drains to all linked gateways except the sender `from`.
+    pub(super) fn forward_drains(&mut self, drains: Vec<Drain>, from: Option<Peer>) -> Vec<Output> {
         let mut new_drains = drains;
         new_drains.retain(|drain| self.drains.record(*drain));
         if new_drains.is_empty() {
@@ -65,7 +66,7 @@
         outputs
     }
 
-    /// The drain that overrides this gateway's own list; see
+    /// The drain that overrides this gateway's own endpoint list; see
     /// [`Drains::overriding`](crate::drains::Drains::overriding).
     pub fn overriding_drain(
         &self,
--- a/crates/replication/src/core/messages.rs
+++ b/crates/replication/src/core/messages.rs
@@ -1,5 +1,5 @@
-//! Dispatch of messages by who sent them: requests come over links that others opened, answers over
-//! links that this gateway opened. Anything else is ignored.
+//! Dispatch of received messages by their sender: requests arrive on links that other gateways
+//! opened, replies on links that this gateway opened. Anything else is ignored.
 
 use super::state_transfer::{OutgoingTransfer, ReceivedPart};
 use super::voting::RemoteClaim;
@@ -10,10 +10,10 @@
 use crate::Micros;
 
 impl Core {
-    /// Handles a message of a peer.
+    /// Handles a message that a peer has sent.
     pub fn on_message(&mut self, now: Micros, from: Peer, message: Message) -> Vec<Output> {
         match (from, message) {
-            (_, Message::Drains { drains }) => self.spread_drains(drains, Some(from)),
+            (_, Message::Drains { drains }) => self.forward_drains(drains, Some(from)),
             (Peer::Requester(link), message) => self.on_requester_message(now, link, message),
             (Peer::Voter(voter), message) => self.on_voter_message(now, voter, message),
         }
@@ -61,7 +61,7 @@
             version: record.version,
         };
         let reply = Output::Send(Peer::Requester(link), acknowledgement);
-        vec![self.store(key, vec![reply])]
+        vec![self.store_output(key, vec![reply])]
     }
 
     fn on_voter_message(&mut self, now: Micros, voter: usize, message: Message) -> Vec<Output> {
--- a/crates/replication/src/core/state_transfer.rs
+++ b/crates/replication/src/core/state_transfer.rs
@@ -1,5 +1,5 @@
-//! State transfer between voters: requests for replica records that this voter may lack, their
-//! answers, and the answers to the requests of others.
+//! State transfer between voters: requests the replica records that this voter may lack, merges the
+//! replies, and serves the requests of other voters.
 
 use super::{Core, Output, Peer};
 use crate::anti_entropy::{BudgetExhausted, SCRUB_INTERVAL, TRANSFER_TIMEOUT};
@@ -7,22 +7,24 @@
 use crate::replica_set::{wire_bytes, MergeResult, PageRequest, ReplicaSet};
 use crate::Micros;
 
-/// Bytes of one part of a state transfer.
+/// Maximum size of one part of a state transfer in estimated bytes; exceeded by at most one entry.
 const MAX_PART_BYTES: usize = 32 << 10;
 
-/// This gateway's link to a voter.
+/// State of this gateway's link to a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct VoterLink {
+    /// Whether the link is open and the voter responds.
     pub is_up: bool,
+    /// Whether the voter has said that it votes.
     pub is_voting: bool,
-    /// The state transfer that was requested and has not ended.
+    /// The requested state transfer that has not ended yet.
     pub transfer: Option<IncomingTransfer>,
-    /// No state is requested before this time.
+    /// Earliest time of the next state request.
     pub next_transfer_at: Micros,
 }
 
 impl VoterLink {
-    /// Ends the transfer in progress; the next one begins at this time at the earliest.
+    /// Ends the transfer in progress. The next one is not requested before `until`.
     pub fn postpone_transfer(&mut self, until: Micros) {
         self.transfer = None;
         self.next_transfer_at = until;
@@ -36,7 +38,7 @@
     }
 }
 
-/// A state transfer that this voter requested.
+/// A state transfer that this voter has requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct IncomingTransfer {
     number: u64,
@@ -44,16 +46,19 @@
     last_part_at: Micros,
 }
 
-/// A state transfer that another voter requested.
+/// A state transfer that another voter has requested from this one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct OutgoingTransfer {
     number: u64,
+    /// For each key range, whether its fingerprint differs from the requester's.
     differing_ranges: Vec<bool>,
+    /// Last key that was sent; `None` before the first part.
     last_key: Option<Vec<u8>>,
 }
 
 impl OutgoingTransfer {
-    /// A transfer of the ranges in which `replicas` differ from the requester's fingerprints.
+    /// Creates a transfer of the ranges in which `replicas` differ from the requester's
+    /// fingerprints.
     pub fn new(number: u64, replicas: &ReplicaSet, fingerprints: &[u64], now: Micros) -> Self {
         let differing_ranges = replicas
             .range_fingerprints(now)
@@ -69,7 +74,7 @@
     }
 }
 
-/// Content of a [`Message::StatePart`].
+/// Fields of a [`Message::StatePart`].
 pub(super) struct ReceivedPart {
     pub number: u64,
     pub entries: Vec<Entry>,
@@ -78,7 +83,7 @@
 }
 
 impl Core {
-    /// Sends one part of each requested transfer, as far as the budget allows.
+    /// Messages with one part of each requested transfer, as far as the budget allows.
     pub(super) fn serve_transfers(&mut self, now: Micros) -> Vec<Output> {
         let links: Vec<u64> = self.outgoing_transfers.keys().copied().collect();
         links
@@ -95,8 +100,8 @@
         let number = transfer.number;
         let max_bytes = match self.transfer_budget.available(now) {
             Ok(available) => available.min(MAX_PART_BYTES),
-            // A transfer that has begun goes on with the next budget; others are to be requested
-            // again.
+            // A transfer that has begun continues when there is budget again. Others have to be
+            // requested again.
             Err(_) if transfer.last_key.is_some() => return None,
             Err(BudgetExhausted { retry_after_ms }) => {
                 self.outgoing_transfers.remove(&link);
@@ -128,7 +133,7 @@
         })
     }
 
-    /// Merges a part of a transfer that this voter requested.
+    /// Merges a part of a transfer that this voter has requested.
     pub(super) fn on_state_part(
         &mut self,
         now: Micros,
@@ -173,11 +178,11 @@
                 has_changed = true;
             }
         }
-        has_changed.then(|| self.store(&entry.key, Vec::new()))
+        has_changed.then(|| self.store_output(&entry.key, Vec::new()))
     }
 
-    /// Requests replica records of other voters: of all until this one votes, then of one in turn,
-    /// to repair differences (a scrub).
+    /// Requests replica records from other voters: from all of them until this one votes,
+    /// afterwards from one at a time in turn to repair differences (a scrub).
     pub(super) fn request_transfers(&mut self, now: Micros) -> Vec<Output> {
         if self.config.voter_index.is_none() {
             return Vec::new();
@@ -190,8 +195,8 @@
         sources.retain(|voter| self.voters[*voter].may_request_transfer(now));
         if is_scrub {
             self.last_scrub_at = now;
-            self.scrubs += 1;
-            let turn = self.scrubs % sources.len().max(1);
+            self.scrub_count += 1;
+            let turn = self.scrub_count % sources.len().max(1);
             sources = sources.get(turn).copied().into_iter().collect();
         }
         sources
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -1,4 +1,4 @@
-//! Claims: those that this gateway makes, and those of others that this voter answers.
+//! Claims: makes those of this gateway, and replies to those of others if this gateway is a voter.
 
 use super::{ClaimError, ClaimRequest, Core, EndedAttempts, Output, Peer};
 use crate::claims::{PriorRuns, Verdict, CLAIM_TIMEOUT};
@@ -7,7 +7,7 @@
 use crate::replica_set::MergeResult;
 use crate::Micros;
 
-/// A claim of another gateway, its record by this voter's clock.
+/// A claim of another gateway, with the times of its record by this voter's clock.
 #[derive(Clone, Copy)]
 pub(super) struct RemoteClaim<'a> {
     pub number: u64,
@@ -17,7 +17,7 @@
 }
 
 impl Core {
-    /// Why no request that needs a claim is accepted now, if that is so.
+    /// The reason why requests that need a claim can't be accepted now; `None` if they can.
     pub fn claim_error(&self) -> Option<ClaimError> {
         if self.claims.records() >= self.config.limits.max_keys {
             return Some(ClaimError::Full);
@@ -28,7 +28,7 @@
         None
     }
 
-    /// Whether a majority of voters, as far as this gateway knows, can grant a claim.
+    /// Whether a majority of the voters votes and can be reached, as far as this gateway knows.
     pub fn has_majority(&self) -> bool {
         let remote_votes = self
             .voters
@@ -39,7 +39,7 @@
         remote_votes + usize::from(has_local_vote) >= self.claims.majority()
     }
 
-    /// Claims a key before its request is sent. The verdict comes as [`Output::Verdict`].
+    /// Claims a key before its request is sent. The verdict follows as an [`Output::Verdict`].
     pub fn claim(&mut self, now: Micros, request: ClaimRequest<'_>) -> Vec<Output> {
         let ClaimRequest {
             number, key, since, ..
@@ -59,7 +59,8 @@
             .open(now, number, key, record.version, request.known_runs);
         let mut wire_record = record.to_wire(now);
         if since < now {
-            // The request is in flight already and ages while the claim waits.
+            // An earlier attempt is in flight and ages further while the claim is pending, for up
+            // to the timeout.
             wire_record.age += CLAIM_TIMEOUT;
         }
         let mut outputs = self.send_claim(number, key, wire_record);
@@ -84,7 +85,7 @@
             .collect()
     }
 
-    /// A claim of this gateway at itself, where it is a voter.
+    /// Makes this voter store and vote on a claim of its own gateway.
     fn claim_locally(
         &mut self,
         now: Micros,
@@ -99,7 +100,7 @@
         }
         self.claims.on_acknowledged(voter, key, record.version);
         if self.is_voting() {
-            return vec![self.store(
+            return vec![self.store_output(
                 key,
                 vec![Output::LocalVote {
                     number,
@@ -107,7 +108,7 @@
                 }],
             )];
         }
-        let mut outputs = vec![self.store(key, Vec::new())];
+        let mut outputs = vec![self.store_output(key, Vec::new())];
         outputs.extend(self.on_rejection(number, voter, ClaimRejection::CatchingUp));
         outputs
     }
@@ -118,7 +119,7 @@
         })
     }
 
-    /// Answers a claim of another gateway.
+    /// Replies to the claim of another gateway.
     pub(super) fn on_claim(
         &mut self,
         now: Micros,
@@ -139,21 +140,22 @@
             return vec![reply(Message::ClaimRejected { number, reason })];
         }
         if !self.is_voting() {
-            // The record is kept, but a voter that may lack records of others gives no vote.
+            // The record is stored, but a voter that may lack records of others must not vote.
             self.counters.rejected += 1;
             let reason = ClaimRejection::CatchingUp;
             let rejection = reply(Message::ClaimRejected { number, reason });
-            return vec![self.store(key, Vec::new()), rejection];
+            return vec![self.store_output(key, Vec::new()), rejection];
         }
         self.counters.accepted += 1;
         let vote = reply(Message::ClaimAccepted {
             number,
             reported_runs,
         });
-        vec![self.store(key, vec![vote])]
+        vec![self.store_output(key, vec![vote])]
     }
 
-    /// This voter's record of its own claim is durable, as requested by [`Output::LocalVote`].
+    /// Counts this voter's vote for its own claim once the record is durable, as requested by
+    /// [`Output::LocalVote`].
     pub fn on_local_vote(
         &mut self,
         now: Micros,
@@ -172,7 +174,7 @@
         reported_runs: &[ReportedRun],
     ) -> Option<Output> {
         let verdict = self.claims.on_accepted(now, number, voter, reported_runs)?;
-        Some(self.decide(number, verdict))
+        Some(self.resolve_verdict(number, verdict))
     }
 
     pub(super) fn on_rejection(
@@ -182,11 +184,11 @@
         reason: ClaimRejection,
     ) -> Option<Output> {
         let verdict = self.claims.on_rejected(number, voter, reason)?;
-        Some(self.decide(number, verdict))
+        Some(self.resolve_verdict(number, verdict))
     }
 
-    /// Counts a verdict, and applies the setting for claims without a majority.
-    pub(super) fn decide(&mut self, number: u64, verdict: Verdict) -> Output {
+    /// Counts a verdict, and replaces one without a majority if requests may be sent nevertheless.
+    pub(super) fn resolve_verdict(&mut self, number: u64, verdict: Verdict) -> Output {
         match verdict {
             Verdict::Granted => self.counters.granted += 1,
             Verdict::PriorRunsFound(_) => self.counters.prior_runs_found += 1,
@@ -194,29 +196,31 @@
         }
         let verdict = match verdict {
             Verdict::NoMajority(runs) if self.config.send_without_majority => {
-                self.decide_without_majority(runs)
+                self.resolve_without_majority(runs)
             }
             verdict => verdict,
         };
         Output::Verdict(number, verdict)
     }
 
-    /// Runs that a minority reported are respected all the same.
-    fn decide_without_majority(&mut self, reported: PriorRuns) -> Verdict {
-        if !reported.is_empty() {
-            return Verdict::PriorRunsFound(reported);
+    /// Grants the claim, unless a minority of the voters has reported runs that the balancer does
+    /// not know.
+    fn resolve_without_majority(&mut self, reported_runs: PriorRuns) -> Verdict {
+        if !reported_runs.is_empty() {
+            return Verdict::PriorRunsFound(reported_runs);
         }
         self.counters.sent_without_majority += 1;
         Verdict::Granted
     }
 
-    /// Drops a claim that is no longer wanted. What voters hold of it is resolved by
-    /// [`Core::on_attempts_ended`].
+    /// Drops a claim whose verdict is no longer needed. [`Core::on_attempts_ended`] updates the
+    /// record that voters have stored for it.
     pub fn cancel_claim(&mut self, number: u64) {
         self.claims.cancel(number);
     }
 
-    /// All attempts at a key that this gateway claimed have ended, for now.
+    /// Updates the record of a key that this gateway has claimed, after all attempts so far have
+    /// ended.
     pub fn on_attempts_ended(&mut self, now: Micros, ended: EndedAttempts<'_>) -> Vec<Output> {
         let key = ended.key;
         let Some(previous) = self.claims.get(key).copied() else {
@@ -240,11 +244,11 @@
         if let Some(voter) = self.config.voter_index {
             if self.replicas.merge(key, self.origin, record) != MergeResult::Full {
                 self.claims.on_acknowledged(voter, key, record.version);
-                outputs.push(self.store(key, Vec::new()));
+                outputs.push(self.store_output(key, Vec::new()));
             }
         }
         for voter in self.reachable_voters() {
-            outputs.push(self.update(now, voter, key.to_vec(), record));
+            outputs.push(self.update_message(now, voter, key.to_vec(), record));
         }
         outputs
     }
--- a/crates/replication/src/drains.rs
+++ b/crates/replication/src/drains.rs
@@ -1,26 +1,28 @@
-//! Drains and removals of engines learned from any gateway's endpoint list.
+//! Drains and removals of engines that any gateway has learned from its endpoint list.
 //!
-//! They close engines at all linked gateways and never open one. Events are ordered by the number
-//! of the list that reported them; a gateway whose own list is as new follows its own list.
+//! They stop new requests to an engine at all linked gateways and never permit any. They are
+//! ordered by the number of the discovery event that reported them. A gateway whose own endpoint
+//! list is at least as new follows its own list.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Engines that are remembered; beyond it the entry of the oldest list is dropped.
+/// Maximum number of engines whose drain is remembered. Beyond it the drain with the lowest event
+/// number is dropped.
 pub const MAX_DRAINS: usize = 4096;
 
-/// What a list reported of an engine's process. Ordered by list number first; the order of fields
-/// is also the wire format.
+/// A drain or removal of an engine process that an endpoint list reported. Ordered by the event
+/// number first. The order of the fields is also the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Drain {
-    /// Number of the list's event.
+    /// Number of the discovery event with the endpoint list that reported this.
     pub list_event_number: u64,
-    /// The engine.
+    /// Number of the engine in the endpoint lists of all gateways.
     pub engine: u32,
-    /// Start of its process: another process under the same name is not meant.
+    /// Start time of the engine's process. A later process of the same engine is not affected.
     pub booted_at: u64,
-    /// Whether it was removed, rather than only closed for new requests.
+    /// Whether the engine was removed from the list rather than only drained.
     pub is_removed: bool,
 }
 
@@ -31,7 +33,7 @@
 }
 
 impl Drains {
-    /// Records a drain. Returns whether it is new and so has to be sent on.
+    /// Records a drain. Returns whether it is new, in which case it must be forwarded.
     pub fn record(&mut self, drain: Drain) -> bool {
         let latest = self.latest.get(&drain.engine);
         if latest.is_some_and(|latest| *latest >= drain) {
@@ -51,25 +53,25 @@
         }
     }
 
-    /// The drain that overrides a gateway's own list up to event `list_event_number`, in which the engine is
-    /// usable.
+    /// The drain that overrides a gateway's own endpoint list with number `list_event_number`, in
+    /// which the engine process that started at `booted_at` is ready.
     pub fn overriding(&self, engine: u32, booted_at: u64, list_event_number: u64) -> Option<Drain> {
         let drain = self.latest.get(&engine)?;
         (drain.list_event_number > list_event_number && drain.booted_at >= booted_at)
             .then_some(*drain)
     }
 
-    /// All drains that are remembered.
+    /// All remembered drains, in the order of the engines.
     pub fn iter(&self) -> impl Iterator<Item = Drain> + '_ {
         self.latest.values().copied()
     }
 
-    /// Number of drains that are remembered.
+    /// Number of remembered drains, one per engine.
     pub fn len(&self) -> usize {
         self.latest.len()
     }
 
-    /// Whether no drain is remembered.
+    /// Returns `true` if no drain is remembered.
     pub fn is_empty(&self) -> bool {
         self.latest.is_empty()
     }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,10 +1,10 @@
-//! What a replica holds of a key, how two replicas merge, and how a record is stored.
+//! Replica records: their content, merging and encoding.
 //!
 //! A key has one record for each incarnation of a gateway that claimed it. Only that incarnation
 //! writes the record, and it increases the version with each write, so the greater version is the
 //! later one. Times are local to each replica: a merge keeps the earliest time at which the request
 //! may have run and the latest time until which the record is retained. Merges are therefore
-//! commutative, associative and idempotent, whatever order messages arrive in.
+//! commutative, associative and idempotent, and messages may arrive in any order.
 
 use std::collections::btree_map;
 use std::collections::BTreeMap;
@@ -14,39 +14,39 @@
 
 use crate::Micros;
 
-/// One incarnation of a gateway's state.
+/// The incarnation of a gateway that writes a record: one start with one store.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Origin {
-    /// Identity of the gateway's store.
+    /// Identity of the gateway's store. A new or damaged store gets a new one.
     pub identity: u64,
-    /// Number of the start with that store.
+    /// Number of the start of the gateway with that store.
     pub start: u64,
 }
 
-/// What is known of a run; later phases are greater.
+/// What the writer of a record knows of its attempts. Later phases are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
     /// An attempt may be in flight.
     InFlight,
-    /// All attempts have ended, and none of them ran.
+    /// All attempts have ended and none of them ran at an engine.
     NeverRan,
-    /// All attempts have ended, and one of them may have run.
+    /// All attempts have ended and at least one may have run at an engine.
     MayHaveRun,
 }
 
-/// What one incarnation did with a key, in times of the replica's clock.
+/// What one incarnation did with a key, with times by the clock of the gateway that keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Increases with each write of the origin.
+    /// Version of the record; increases with each write of the origin.
     pub version: u32,
-    /// What is known of the run.
+    /// What the origin knows of its attempts.
     pub phase: Phase,
-    /// Where it may have run; `None` for several places, so that no engine can be relied on to drop
-    /// a repeat.
+    /// Location at which the request may have run. `None` if there are several, in which case no
+    /// engine can be relied on to drop a duplicate.
     pub location: Option<Location>,
-    /// Earliest time at which it may have run, in microseconds of this replica's clock.
+    /// Earliest time at which the request may have run, in microseconds of this replica's clock.
     pub since: Micros,
     /// Time at which this replica drops the record, in microseconds of its clock.
     pub until: Micros,
@@ -55,29 +55,30 @@
     pub origin_expiry_ms: u64,
 }
 
-/// A record in a message: ages and durations in place of times.
+/// A [`Record`] in a message, with ages and durations instead of times. The order of the fields is
+/// the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WireRecord {
-    /// As in [`Record`].
+    /// See [`Record::version`].
     pub version: u32,
-    /// As in [`Record`].
+    /// See [`Record::phase`].
     pub phase: Phase,
-    /// As in [`Record`].
+    /// See [`Record::location`].
     pub location: Option<Location>,
-    /// Microseconds since it may have run.
+    /// Microseconds since the earliest time at which the request may have run.
     pub age: Micros,
-    /// Microseconds for which the record is still retained.
+    /// Microseconds for which the record is still to be retained.
     pub remaining: Micros,
-    /// As in [`Record`].
+    /// See [`Record::origin_expiry_ms`].
     pub origin_expiry_ms: u64,
 }
 
-/// What another gateway may have done with a key.
+/// A run of a key by another gateway, as a voter reports it to a gateway that claims the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReportedRun {
-    /// Where it may have run; `None` for several places.
+    /// Location at which the request may have run; `None` if there are several.
     pub location: Option<Location>,
-    /// Microseconds since it may have run.
+    /// Microseconds since the earliest time at which the request may have run.
     pub age: Micros,
 }
 
@@ -85,7 +86,8 @@
 pub type ReplicaRecord = BTreeMap<Origin, Record>;
 
 impl Record {
-    /// Merges two records of the same origin.
+    /// Merges two records of the same origin: the content of the later version, the earliest
+    /// `since` and the latest `until`.
     pub fn merge(self, other: Record) -> Record {
         let order = |record: &Record| {
             (
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The record as a message carries it.
+    /// Converts the record for a message that is sent at `now`.
     pub fn to_wire(&self, now: Micros) -> WireRecord {
         WireRecord {
             version: self.version,
@@ -121,9 +123,9 @@
 }
 
 impl WireRecord {
-    /// The record by the clock of its receiver. `requested_at` is the earliest time at which the
-    /// message may have been sent, where that is known; otherwise the record is taken to be as old
-    /// as it states on arrival.
+    /// Converts the record to the clock of its receiver. `requested_at` is the earliest time at
+    /// which the message may have been sent, if it is a reply to a request. Otherwise the age is
+    /// taken to be correct at `now`, the time of arrival.
     pub fn to_record(&self, now: Micros, requested_at: Option<Micros>) -> Record {
         Record {
             version: self.version,
@@ -136,8 +138,8 @@
     }
 }
 
-/// Merges a record into a replica record. Returns whether anything that is compared between
-/// replicas changed.
+/// Merges the record of an origin into a replica record. Returns whether its [`fingerprint`] has
+/// changed, which is compared between voters.
 pub fn merge(replica: &mut ReplicaRecord, origin: Origin, record: Record) -> bool {
     match replica.entry(origin) {
         btree_map::Entry::Vacant(vacant) => {
@@ -153,7 +155,7 @@
     }
 }
 
-/// What origins other than `requester` may have done, with ages by this replica's clock.
+/// The runs by origins other than `requester` that may have happened, with their ages at `now`.
 pub fn runs_of_others(replica: &ReplicaRecord, requester: Origin, now: Micros) -> Vec<ReportedRun> {
     replica
         .iter()
@@ -165,13 +167,13 @@
         .collect()
 }
 
-/// Fingerprint of what two replicas of a record must agree on: version, phase and place, but not
-/// each replica's times.
+/// Fingerprint of the parts of a record on which all voters should agree: version, phase and
+/// location, but not the times, which are local to each voter.
 pub fn fingerprint(origin: &Origin, record: &Record) -> u64 {
     fingerprint_with_key(&[], origin, record)
 }
 
-/// Fingerprint of a record within a table of many keys.
+/// Like [`fingerprint`], with the key, for the combined fingerprint of many keys.
 pub fn fingerprint_with_key(key: &[u8], origin: &Origin, record: &Record) -> u64 {
     let compared = (key, origin, record.version, record.phase, record.location);
     let bytes = postcard::to_stdvec(&compared).unwrap_or_default();
@@ -184,18 +186,19 @@
 /// Prefix of replica records among the keys of a voter's store.
 pub const PREFIX: &[u8] = b"c";
 
-/// Key of a replica record in a voter's store. `key` is the intent log's key without its prefix.
+/// Key of a replica record in a voter's store. `key` is the key in the intent log without its
+/// prefix.
 pub fn stored_key(key: &[u8]) -> Vec<u8> {
     [PREFIX, key].concat()
 }
 
-/// Bytes of a replica record in the store.
+/// Encodes a replica record for the store, with postcard: the order of fields is the format.
 pub fn to_bytes(replica: &ReplicaRecord) -> Vec<u8> {
-    // Serialization of plain numbers does not fail.
+    // Serializing plain numbers can't fail.
     postcard::to_stdvec(replica).unwrap_or_default()
 }
 
-/// Reads a replica record from the store; `None` where the bytes are not exactly one record.
+/// Decodes a replica record from the store. Returns `None` if the bytes are not exactly one.
 pub fn from_bytes(bytes: &[u8]) -> Option<ReplicaRecord> {
     postcard::take_from_bytes(bytes)
         .ok()
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,23 +1,24 @@
-//! Replication of intents among the gateways of a fleet: a few of them, the voters, remember which
-//! gateway may have sent which keyed request, so that a retry at another gateway does not run the
-//! request a second time.
+//! Replication of intents between the gateways of a fleet. A few gateways, the voters, keep records
+//! of which gateway may have sent which keyed request, so that a retry at another gateway does not
+//! run the request a second time.
 //!
-//! The package does no I/O. Messages, time and notices of durable writes go in; messages, writes
-//! and verdicts come out as [`Output`]. The gateway runs a [`Core`] over its links and its store;
-//! the simulated fleet of `eideryard-fleet-test` and the model check run the same one.
+//! The package does no I/O. Its inputs are messages, the time and notices of durable writes; its
+//! outputs are messages, writes and verdicts ([`Output`]). The gateway runs a [`Core`] with its
+//! links and its store; the simulated fleet of `eideryard-fleet-test` and the model check run the
+//! same code.
 //!
-//! State and its owner:
+//! Modules:
 //!
-//! - [`entry`]: what a replica holds of a key, and how two replicas merge;
+//! - [`entry`]: replica records of a key, their merging and encoding;
 //! - [`replica_set`]: a voter's table of replica records, bounded by [`replica_set::Limits`];
-//! - [`claims`]: this gateway's claims in flight and the records that it wrote itself;
+//! - [`claims`]: this gateway's claims in flight and the records that it has written itself;
 //! - [`anti_entropy`]: whether this voter may vote, and the budget of state transfers;
-//! - [`drains`]: removals and drains of engines learned from any gateway;
+//! - [`drains`]: drains and removals of engines learned from any gateway;
 //! - [`compare`]: differences between the stores of several voters, for tools;
-//! - [`core`]: joins them to one gateway's part of the protocol ([`message`]).
+//! - [`core`]: combines these into one gateway's part of the protocol ([`message`]).
 //!
-//! Clocks of different gateways are never compared: messages carry ages and durations, and each
-//! receiver counts them by its own clock.
+//! Clocks of different gateways are never compared: messages contain ages and durations, and each
+//! receiver converts them to its own clock.
 //!
 //! ```
 //! use eideryard_replication::core::ClaimRequest;
@@ -66,5 +67,5 @@
 pub use entry::{Origin, Phase, Record, ReplicaRecord, ReportedRun};
 pub use message::Message;
 
-/// Microseconds of the host's clock.
+/// Microseconds: a duration, or a time by the host's clock.
 pub type Micros = u64;
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between a gateway and the voters.
 //!
-//! They are encoded with postcard: the order of variants and fields is the format and must not
-//! change. Names are free.
+//! They are encoded with postcard: the order of variants and fields is the wire format and must not
+//! change. Names are not encoded and may change.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,105 +11,107 @@
 /// Why a voter rejects a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimRejection {
-    /// It may have lost records and has not caught up yet.
+    /// The voter may have lost records and has not caught up yet.
     CatchingUp,
-    /// Its table of replica records is full; records are never dropped early.
+    /// The voter's table of replica records is full. Records are never dropped before they expire.
     Full,
 }
 
-/// A message about replicas.
+/// A message of the replication protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender is about to run the key and asks what the voter knows of it.
+    /// The sender is about to send a request with this key to an engine. It asks the voter to store
+    /// its record and to report earlier runs.
     Claim {
-        /// Number of the claim at its sender.
+        /// Number of the claim, chosen by its sender.
         number: u64,
-        /// The claimed key.
+        /// The claimed key, without the intent log's prefix.
         key: Vec<u8>,
         /// Incarnation of the sender.
         origin: Origin,
         /// The sender's record of the key.
         record: WireRecord,
     },
-    /// The claim is durable at the voter.
+    /// The voter has stored the claim durably and votes for it.
     ClaimAccepted {
-        /// Number of the claim.
+        /// Number from the [`Message::Claim`].
         number: u64,
-        /// What other gateways may have done with the key.
+        /// Runs of the key by other gateways that may have happened.
         reported_runs: Vec<ReportedRun>,
     },
-    /// The voter gives no vote.
+    /// The voter does not vote for the claim.
     ClaimRejected {
-        /// Number of the claim.
+        /// Number from the [`Message::Claim`].
         number: u64,
-        /// Why.
+        /// Why the voter does not vote.
         reason: ClaimRejection,
     },
-    /// A new version of the sender's record; no vote is requested.
+    /// A new version of the sender's record, which needs no vote.
     Update {
-        /// The key.
+        /// Key of the record.
         key: Vec<u8>,
         /// Incarnation of the sender.
         origin: Origin,
         /// The sender's record of the key.
         record: WireRecord,
     },
-    /// An update is durable at the voter.
+    /// The voter has stored an update durably.
     UpdateAcknowledged {
-        /// The key.
+        /// Key of the record.
         key: Vec<u8>,
-        /// Version that is durable.
+        /// Version of the record that is durable at the voter.
         version: u32,
     },
-    /// A voter requests all entries in ranges of keys where the receiver's replicas differ.
+    /// A voter requests all entries in the key ranges whose fingerprints differ at the receiver.
     StateRequest {
-        /// Number of the request at its sender.
+        /// Number of the request, chosen by its sender.
         number: u64,
-        /// The sender's fingerprint of each range.
+        /// The sender's fingerprint of each of the [`RANGES`](crate::replica_set::RANGES).
         fingerprints: Vec<u64>,
     },
-    /// A part of the answer to [`Message::StateRequest`].
+    /// A part of the reply to a [`Message::StateRequest`].
     StatePart {
-        /// Number of the request.
+        /// Number from the request.
         number: u64,
-        /// Entries of this part.
+        /// Entries in the order of their keys; keys are greater than in the part before.
         entries: Vec<Entry>,
         /// Whether this is the last part.
         is_last: bool,
-        /// Whether the sender votes, so has all records that it ever acknowledged.
+        /// Whether the sender votes, and therefore has all records that it ever acknowledged.
         is_voting: bool,
     },
-    /// The budget of state transfers is spent.
+    /// Rejects a [`Message::StateRequest`] because the budget of state transfers is exhausted.
     RetryLater {
-        /// Number of the request.
+        /// Number from the request.
         number: u64,
         /// Delay before the next request, in milliseconds.
         delay_ms: u64,
     },
-    /// Drains and removals of engines, sent on to every linked gateway.
+    /// Drains and removals of engines, which the receiver forwards to every linked gateway.
     Drains {
-        /// All of them, or those that are new.
+        /// All known drains when a link comes up, afterwards only new ones.
         drains: Vec<Drain>,
     },
-    /// Learned figures of the sender, as a hint for a gateway that starts without any.
+    /// What the sender has learned of the engines, as a hint for a gateway that starts without any
+    /// such figures.
     Hints {
-        /// Bytes of a checkpoint.
+        /// Encoded checkpoint of the sender's balancer.
         checkpoint: Vec<u8>,
         /// Microseconds since the checkpoint was taken.
         age: u64,
     },
-    /// Whether the sender votes; sent when a link comes up and at each change.
+    /// Tells the receiver whether the sender votes; sent when a link comes up and at each change.
     VoterStatus {
-        /// Whether it votes.
+        /// Whether the sender votes.
         is_voting: bool,
     },
 }
 
-/// A key and all its records.
+/// A key with all its records, as sent in a state transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The key.
+    /// The key, without the intent log's prefix.
     pub key: Vec<u8>,
-    /// Records by origin.
+    /// One record for each origin, in the order of the origins.
     pub records: Vec<(Origin, WireRecord)>,
 }
--- a/crates/replication/src/replica_set.rs
+++ b/crates/replication/src/replica_set.rs
@@ -1,5 +1,5 @@
-//! A voter's table of replica records: merges, limits, expiry, fingerprints by range of keys, and
-//! pages of what another voter lacks.
+//! A voter's table of replica records, with merging, limits, expiry, fingerprints of key ranges,
+//! and pages of entries for state transfers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -8,80 +8,82 @@
 use crate::message::Entry;
 use crate::Micros;
 
-/// Ranges of keys that have a fingerprint each.
+/// Number of key ranges. Two voters compare one fingerprint per range.
 pub const RANGES: usize = 64;
-/// Records that expire at their origin within this time are not compared: another voter may have
-/// dropped them already.
+/// Records that expire at their origin within this time are not compared, because another voter may
+/// have dropped them already.
 pub const EXPIRY_MARGIN: Micros = 1_000_000;
-/// Records of one key, one for each incarnation that claimed it. A further one is rejected.
+/// Maximum number of records of one key. Each incarnation that claims the key has one; further ones
+/// are rejected.
 pub const MAX_RECORDS: usize = 32;
 
-/// Estimated bytes on the wire of one record.
+/// Estimated size of one record on the wire, in bytes.
 const RECORD_WIRE_BYTES: usize = 40;
-/// Estimated bytes on the wire of an entry, without its key and records.
+/// Estimated size of an entry on the wire without its key and records, in bytes.
 const ENTRY_WIRE_BYTES: usize = 4;
 
 /// Bounds of a [`ReplicaSet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Keys of the whole fleet that a voter holds.
+    /// Maximum number of keys, of the whole fleet, that a voter keeps.
     pub max_keys: usize,
 }
 
-/// All replica records of a voter.
+/// Table of all replica records of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicaSet {
     limits: Limits,
     replicas: BTreeMap<Vec<u8>, ReplicaRecord>,
-    /// All keys, by the time at which they are dropped.
+    /// All keys, by the time at which they expire.
     expiry: BTreeSet<(Micros, Vec<u8>)>,
-    /// Fingerprints of each range, by the second in which records expire at their origin. They are
-    /// updated with each change, so a summary costs the same for any number of records.
+    /// Fingerprints of all ranges, by the second in which the records expire at their origin. They
+    /// are updated with each change, so that [`ReplicaSet::range_fingerprints`] costs the same for
+    /// any number of records.
     fingerprints: BTreeMap<u64, Vec<u64>>,
 }
 
-/// Effect of [`ReplicaSet::merge`].
+/// Result of [`ReplicaSet::merge`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeResult {
-    /// Something that is compared between replicas changed.
+    /// Something that voters compare has changed.
     Changed,
-    /// Nothing that is compared changed.
+    /// Nothing that voters compare has changed.
     Unchanged,
-    /// There is no room; the record was not taken.
+    /// The record was rejected because the table or the key has no room for it.
     Full,
 }
 
-/// Position of a page of entries in the table.
+/// Selects the entries of a page.
 #[derive(Clone, Copy, Debug)]
 pub struct PageRequest<'a> {
-    /// For each range, whether its entries are wanted.
+    /// For each range, whether its entries are included.
     pub differing_ranges: &'a [bool],
-    /// Only keys behind this one.
+    /// Only keys greater than this one are included; `None` for all.
     pub after: Option<&'a [u8]>,
-    /// No further entry is begun once the page has so many bytes.
+    /// No entry is added once the page has this many estimated bytes.
     pub max_bytes: usize,
 }
 
-/// A page of entries.
+/// A part of the entries in the table, as selected by a [`PageRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
     /// Entries in the order of their keys.
     pub entries: Vec<Entry>,
-    /// Whether more follow.
+    /// Whether more selected entries follow.
     pub has_more: bool,
 }
 
-/// The range of a key.
+/// The index of the range that contains a key, less than [`RANGES`]. Keys are assigned by hash.
 pub fn range_of(key: &[u8]) -> usize {
     usize::from(blake3::hash(key).as_bytes()[0]) % RANGES
 }
 
-/// Estimated bytes of an entry on the wire.
+/// Estimated size of an entry on the wire, in bytes.
 pub fn wire_bytes(entry: &Entry) -> usize {
     entry.key.len() + ENTRY_WIRE_BYTES + entry.records.len() * RECORD_WIRE_BYTES
 }
 
-/// Fingerprint of what all voters should agree on of a key at a time.
+/// Fingerprint of those records of a key on which all voters should agree at `now`.
 pub fn fingerprint_of(key: &[u8], replica: &ReplicaRecord, now: Micros) -> u64 {
     replica
         .iter()
@@ -92,7 +94,7 @@
 }
 
 impl ReplicaSet {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: Limits) -> Self {
         ReplicaSet {
             limits,
@@ -102,24 +104,24 @@
         }
     }
 
-    /// Number of keys.
+    /// Number of keys in the table.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Whether there are no keys.
+    /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
 
-    /// The replica record of a key.
+    /// All records of a key; `None` if the table does not contain it.
     pub fn get(&self, key: &[u8]) -> Option<&ReplicaRecord> {
         self.replicas.get(key)
     }
 
-    /// Takes a replica record from the store at a start. For how long the voter was down is not
-    /// known: records are retained for the whole time once more, and a record dated in the future
-    /// is bound to no place.
+    /// Adds a replica record from the store at the start of a voter. How long the voter was down is
+    /// unknown: all records are retained for `max_retention` again, and a record whose start is in
+    /// the future loses its location.
     pub fn restore(
         &mut self,
         key: Vec<u8>,
@@ -141,7 +143,7 @@
         self.replicas.insert(key, replica);
     }
 
-    /// Merges a record of an origin into the replica record of a key.
+    /// Merges the record of an origin into the replica record of a key.
     pub fn merge(&mut self, key: &[u8], origin: Origin, record: Record) -> MergeResult {
         if !self.has_room_for(key, origin) {
             return MergeResult::Full;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Drops what has expired, and returns its keys.
+    /// Drops expired replica records and returns their keys.
     pub fn expire(&mut self, now: Micros) -> Vec<Vec<u8>> {
         let mut expired = Vec::new();
         while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
@@ -191,36 +193,39 @@
         expired
     }
 
-    /// When [`ReplicaSet::expire`] has something to drop.
+    /// Time at which the next replica record expires; `None` if the table is empty.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.expiry.first().map(|(until, _)| *until)
     }
 
-    /// One fingerprint for each range, of records that are not about to expire.
+    /// One fingerprint for each range, over the records that are not about to expire.
     pub fn range_fingerprints(&self, now: Micros) -> Vec<u64> {
         let mut sums = vec![0u64; RANGES];
-        for (_, of_second) in self.fingerprints.range(first_compared_second(now)..) {
-            for (sum, fingerprint) in sums.iter_mut().zip(of_second) {
+        for (_, second_fingerprints) in self.fingerprints.range(first_compared_second(now)..) {
+            for (sum, fingerprint) in sums.iter_mut().zip(second_fingerprints) {
                 *sum ^= fingerprint;
             }
         }
         sums
     }
 
-    /// Adds a record's fingerprint, or removes it again: both are an exclusive or.
+    /// Adds or removes the fingerprint of a record; both are an exclusive or.
     fn toggle_fingerprint(&mut self, key: &[u8], origin: &Origin, record: &Record) {
         let second = expiry_second(*record);
-        let of_second = self
+        let second_fingerprints = self
             .fingerprints
             .entry(second)
             .or_insert_with(|| vec![0; RANGES]);
-        of_second[range_of(key)] ^= entry::fingerprint_with_key(key, origin, record);
-        if of_second.iter().all(|fingerprint| *fingerprint == 0) {
+        second_fingerprints[range_of(key)] ^= entry::fingerprint_with_key(key, origin, record);
+        if second_fingerprints
+            .iter()
+            .all(|fingerprint| *fingerprint == 0)
+        {
             self.fingerprints.remove(&second);
         }
     }
 
-    /// The next entries of ranges that differ from another voter's.
+    /// Returns the next entries that a request selects, with ages at `now`.
     pub fn page(&self, request: PageRequest<'_>, now: Micros) -> Page {
         let mut page = Page {
             entries: Vec::new(),
@@ -229,11 +234,14 @@
         if !request.differing_ranges.contains(&true) {
             return page;
         }
-        let first = request.after.map_or(Bound::Unbounded, Bound::Excluded);
+        let lower_bound = request.after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut page_bytes = 0;
-        for (key, replica) in self.replicas.range::<[u8], _>((first, Bound::Unbounded)) {
-            let is_wanted = request.differing_ranges.get(range_of(key)).copied();
-            if !is_wanted.unwrap_or(true) {
+        for (key, replica) in self
+            .replicas
+            .range::<[u8], _>((lower_bound, Bound::Unbounded))
+        {
+            let is_included = request.differing_ranges.get(range_of(key)).copied();
+            if !is_included.unwrap_or(true) {
                 continue;
             }
             if page_bytes >= request.max_bytes {
@@ -268,7 +276,7 @@
     record.origin_expiry_ms / 1000
 }
 
-/// Records that expire in this second or later are compared.
+/// The first second whose expiring records are compared at `now`.
 fn first_compared_second(now: Micros) -> u64 {
     (now + EXPIRY_MARGIN) / 1_000_000 + 1
 }
--- a/crates/replication/tests/claims.rs
+++ b/crates/replication/tests/claims.rs
@@ -1,4 +1,5 @@
-//! Claims as voters receive them.
+//! Ages in claims as voters receive them. A claim that understates the age of an earlier attempt
+//! lets a retry run after the engine has forgotten that attempt.
 
 use eideryard_replication::claims::CLAIM_TIMEOUT;
 use eideryard_replication::core::ClaimRequest;
@@ -7,7 +8,7 @@
 
 const RETENTION: Micros = 20_000_000;
 
-fn requester() -> Core {
+fn requester_core() -> Core {
     let config = Config {
         voters: 1,
         voter_index: None,
@@ -36,20 +37,20 @@
     };
     match core.claim(now, request).as_slice() {
         [Output::Send(Peer::Voter(0), Message::Claim { record, .. })] => record.age,
-        outputs => panic!("one claim is expected: {outputs:?}"),
+        outputs => panic!("expected one claim, got {outputs:?}"),
     }
 }
 
 #[test]
-fn a_claim_of_a_request_in_flight_is_sent_older_by_the_claim_timeout() {
-    let mut core = requester();
+fn a_claim_of_a_request_in_flight_adds_the_claim_timeout_to_its_age() {
+    let mut core = requester_core();
     assert_eq!(claimed_age(&mut core, 1_000, 1_000), 0);
     assert_eq!(claimed_age(&mut core, 3_000, 2_500), 2_000 + CLAIM_TIMEOUT);
 }
 
 #[test]
-fn a_new_claim_of_a_key_keeps_its_first_start_without_the_timeout() {
-    let mut core = requester();
+fn a_new_claim_of_a_key_keeps_the_first_start_and_adds_no_timeout() {
+    let mut core = requester_core();
     assert_eq!(claimed_age(&mut core, 1_000, 1_000), 0);
     assert_eq!(claimed_age(&mut core, 3_000, 3_000), 2_000);
 }
--- a/crates/replication/tests/compare.rs
+++ b/crates/replication/tests/compare.rs
@@ -1,4 +1,5 @@
-//! Comparison of voters' stores.
+//! The comparison of voters' stores must report a record that one voter lost or holds in an older
+//! version, but not one that expires soon, which some voters may have dropped already.
 
 use eideryard_replication::compare::{compare, Comparison, VoterReplicas};
 use eideryard_replication::{Origin, Phase, Record};
@@ -22,21 +23,21 @@
 
 #[test]
 fn a_missing_or_older_record_is_a_difference_until_it_expires_at_its_origin() {
-    let compared = |a: VoterReplicas, b: VoterReplicas| compare(&[a, b], 10_000);
+    let compare_two = |a: VoterReplicas, b: VoterReplicas| compare(&[a, b], 10_000);
     assert_eq!(
-        compared(replicas(2, 20_000), replicas(2, 20_000)),
+        compare_two(replicas(2, 20_000), replicas(2, 20_000)),
         Comparison {
             compared: 1,
             differences: Vec::new()
         }
     );
-    let older = compared(replicas(2, 20_000), replicas(1, 20_000)).differences;
+    let older = compare_two(replicas(2, 20_000), replicas(1, 20_000)).differences;
     assert_eq!(older[0].missing, [vec![], vec![(ORIGIN, Some(1))]]);
-    let missing = compared(replicas(2, 20_000), VoterReplicas::new()).differences;
+    let missing = compare_two(replicas(2, 20_000), VoterReplicas::new()).differences;
     assert_eq!(missing[0].missing, [vec![], vec![(ORIGIN, None)]]);
     assert_eq!(
-        compared(replicas(2, 10_500), VoterReplicas::new()).differences,
+        compare_two(replicas(2, 10_500), VoterReplicas::new()).differences,
         Vec::new(),
-        "it is about to be dropped"
+        "records that are about to expire are skipped"
     );
 }
--- a/crates/replication/tests/drains.rs
+++ b/crates/replication/tests/drains.rs
@@ -1,4 +1,5 @@
-//! Drains and removals of engines.
+//! A drain from a peer must override older endpoint lists of the same engine process only.
+//! Otherwise a gateway sends requests to a draining engine, or none to a restarted one.
 
 use eideryard_replication::drains::{Drain, Drains, MAX_DRAINS};
 
@@ -24,12 +25,12 @@
     assert_eq!(
         drains.overriding(1, 100, 7),
         None,
-        "a list that is as new is followed"
+        "a gateway follows its own list if it is as new"
     );
     assert_eq!(
         drains.overriding(1, 101, 6),
         None,
-        "the process has been restarted since"
+        "the engine has been restarted since"
     );
     assert_eq!(drains.overriding(2, 100, 0), None);
     for engine in 0..2 * MAX_DRAINS as u32 {
--- a/crates/replication/tests/merge.rs
+++ b/crates/replication/tests/merge.rs
@@ -1,5 +1,5 @@
-//! Replica records merge to the same result in any order and with any repeats, and keep the safe
-//! times.
+//! Properties of merging: the result does not depend on order or repetition of messages, and a
+//! merge never makes a run appear later or a record expire sooner.
 
 use eideryard_intent_log::Location;
 use eideryard_replication::entry::{self, merge, Origin, Phase, Record, ReplicaRecord};
@@ -11,8 +11,8 @@
     (0..3u64, 1..3u64).prop_map(|(identity, start)| Origin { identity, start })
 }
 
-/// A record with its origin. Only the origin writes its records, so there is one of each version:
-/// its content is derived from both.
+/// A record with its origin. Only the origin writes its records, so each of its versions has one
+/// content, which is derived from origin and version.
 fn record_of_origin() -> impl Strategy<Value = (Origin, Record)> {
     (origin(), 1..5u32, 0..1000u64, 0..1000u64).prop_map(|(origin, version, since, until)| {
         let content = origin.identity * 31 + origin.start * 7 + u64::from(version);
@@ -45,26 +45,26 @@
 
 proptest! {
     #[test]
-    fn any_order_and_any_repeats_give_the_same_replica_record(
+    fn order_and_repetition_do_not_change_the_merged_record(
         records in vec(record_of_origin(), 0..12),
         order in vec(any::<prop::sample::Index>(), 0..24),
     ) {
         let once = merged_records(&records);
-        let mut again = records.clone();
-        again.reverse();
+        let mut reordered = records.clone();
+        reordered.reverse();
         if !records.is_empty() {
-            again.extend(order.iter().map(|at| records[at.index(records.len())]));
+            reordered.extend(order.iter().map(|index| records[index.index(records.len())]));
         }
-        prop_assert_eq!(merged_records(&again), once);
+        prop_assert_eq!(merged_records(&reordered), once);
     }
 
     #[test]
-    fn replica_records_merge_as_their_records_do(
+    fn merging_replica_records_is_commutative_associative_and_idempotent(
         a in vec(record_of_origin(), 0..8), b in vec(record_of_origin(), 0..8), c in vec(record_of_origin(), 0..8),
     ) {
-        let merged = |own: &ReplicaRecord, other: &ReplicaRecord| {
-            let mut replica = own.clone();
-            for (origin, record) in other.iter() { _ = merge(&mut replica, *origin, *record) }
+        let merged = |first: &ReplicaRecord, second: &ReplicaRecord| {
+            let mut replica = first.clone();
+            for (origin, record) in second.iter() { _ = merge(&mut replica, *origin, *record) }
             replica
         };
         let (a, b, c) = (merged_records(&a), merged_records(&b), merged_records(&c));
@@ -74,7 +74,7 @@
     }
 
     #[test]
-    fn a_merge_never_makes_a_record_younger_or_expires_it_sooner(
+    fn a_merge_never_makes_a_record_start_later_or_expire_sooner(
         records in vec(record_of_origin(), 1..12),
     ) {
         let replica = merged_records(&records);
@@ -96,24 +96,33 @@
             replicas.merge(&[*key], *origin, record);
             replicas.expire(u64::from(*key) * 200);
         }
-        let mut whole = vec![0u64; RANGES];
+        let mut expected = vec![0u64; RANGES];
         for key in 0..4u8 {
             let fingerprint = replicas.get(&[key]).map_or(0, |replica| fingerprint_of(&[key], replica, now * 1_000_000));
-            whole[range_of(&[key])] ^= fingerprint;
+            expected[range_of(&[key])] ^= fingerprint;
         }
-        prop_assert_eq!(replicas.range_fingerprints(now * 1_000_000), whole);
+        prop_assert_eq!(replicas.range_fingerprints(now * 1_000_000), expected);
     }
 
-    /// Whatever the receiver's clock shows.
+    /// Holds for any difference between the clocks of sender and receiver.
     #[test]
-    fn a_transferred_record_is_never_younger_or_expires_sooner(
-        (_, record) in record_of_origin(), sent in 1000..2000u64, trip in 0..500u64, clock in 0..100_000u64,
+    fn a_transferred_record_never_starts_later_or_expires_sooner(
+        (_, record) in record_of_origin(),
+        sent_at in 1000..2000u64,
+        delay in 0..500u64,
+        clock_difference in 0..100_000u64,
     ) {
-        let (requested_at, answered_at) = (sent, sent + trip);
+        let (requested_at, answered_at) = (sent_at, sent_at + delay);
         let wire_record = record.to_wire(answered_at);
-        // The receiver's clock shows `clock` more.
-        let arrived = wire_record.to_record(answered_at + trip + clock, Some(requested_at + clock));
-        prop_assert!(arrived.since <= record.since + clock);
-        prop_assert!(arrived.until >= record.until.min(answered_at) + clock || arrived.until >= record.until + clock);
+        // The receiver's clock is ahead by `clock_difference`.
+        let received = wire_record.to_record(
+            answered_at + delay + clock_difference,
+            Some(requested_at + clock_difference),
+        );
+        prop_assert!(received.since <= record.since + clock_difference);
+        prop_assert!(
+            received.until >= record.until.min(answered_at) + clock_difference
+                || received.until >= record.until + clock_difference
+        );
     }
 }
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -1,8 +1,6 @@
-//! Model check of write, acknowledge, crash, lost disk and retry at another gateway, to a stated
-//! depth. The model runs the real cores: two gateways that send, three voters, one client that
-//! sends its key to one gateway and then to the other. All orders of claims, flushes and faults are
-//! tried; an answer arrives when it is sent, or is lost with its voter. The cores never let the
-//! request take effect twice; each of three injected bugs is found.
+//! Model check against a request that takes effect twice when its client retries at another gateway
+//! while voters crash or lose their disks. Runs real cores, two gateways and three voters, through
+//! all orders of steps up to `DEPTH`. A reply arrives when it is sent, or is lost with its voter.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +13,18 @@
 const VOTERS: usize = 3;
 const SENDERS: usize = 2;
 const KEY: &[u8] = b"\0\0key";
-/// Time does not advance: the whole run fits into every window.
+/// Time does not advance, so no claim times out and no record expires.
 const NOW: u64 = 1_000_000_000;
 const MAX_RETENTION: u64 = 20_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Bug {
     None,
-    /// A voter acknowledges before its flush.
+    /// A voter acknowledges a claim before it is flushed.
     EarlyAcknowledgement,
-    /// A gateway sends with one vote.
+    /// A gateway sends its request after a single vote.
     SingleVote,
-    /// A voter that lost its disk votes at once.
+    /// A voter that has lost its disk votes immediately.
     WipedVotes,
 }
 
@@ -40,13 +38,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Voter {
     core: Core,
-    /// Replica records that are durable.
+    /// Durable replica records.
     disk: BTreeMap<Vec<u8>, ReplicaRecord>,
-    /// Replica records that are written, flushed or not.
+    /// Written replica records, flushed or not.
     written: BTreeMap<Vec<u8>, ReplicaRecord>,
-    /// Answers that wait for the flush, by their receiver.
+    /// Replies that wait for the flush, with the gateway that receives them.
     waiting_for_flush: Vec<(usize, Message)>,
-    starts: u64,
+    start_count: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -54,7 +52,7 @@
     core: Core,
     /// State of the client's request at this gateway.
     stage: Stage,
-    up: bool,
+    is_up: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -70,6 +68,7 @@
     senders: Vec<Sender>,
     voters: Vec<Voter>,
     messages: Vec<(Link, Message)>,
+    /// Number of times that an engine has run the request.
     effects: u8,
     kills: u8,
     wipes: u8,
@@ -86,18 +85,18 @@
     Kill(usize),
     /// The process of a voter is killed and restarts without its disk.
     Wipe(usize),
-    /// A gateway that has sent stops for good; its client retries elsewhere.
+    /// A gateway that has sent the request stops for good.
     Stop(usize),
 }
 
-/// What a restarted voter finds.
+/// Whether a restarted voter still has its disk.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Disk {
     Kept,
     Lost,
 }
 
-struct World {
+struct ReplicationModel {
     bug: Bug,
 }
 
@@ -112,25 +111,25 @@
     }
 }
 
-impl World {
+impl ReplicationModel {
     fn voter_core(
         &self,
         index: usize,
-        starts: u64,
-        is_complete: bool,
+        start_count: u64,
+        has_all_records: bool,
         disk: &BTreeMap<Vec<u8>, ReplicaRecord>,
     ) -> Core {
         let origin = Origin {
             identity: 100 + index as u64,
-            start: starts,
+            start: start_count,
         };
-        let is_complete = is_complete || self.bug == Bug::WipedVotes;
+        let has_all_records = has_all_records || self.bug == Bug::WipedVotes;
         let stored = disk.clone().into_iter();
-        Core::start(config(Some(index)), origin, is_complete, stored, NOW)
+        Core::start(config(Some(index)), origin, has_all_records, stored, NOW)
     }
 
-    /// Carries out the outputs of a sender's core.
-    fn perform_sender(&self, state: &mut State, sender: usize, outputs: Vec<Output>) {
+    /// Performs the outputs of a sender's core.
+    fn perform_sender_outputs(&self, state: &mut State, sender: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send(Peer::Voter(voter), message) => {
@@ -148,24 +147,24 @@
         }
         state.senders[sender].stage = match verdict {
             Verdict::Granted => {
-                // The engine runs it. Each gateway sends to its own cell, so no engine drops the
-                // other's request as a repeat.
+                // An engine runs the request. Each gateway sends to another cell, so no engine
+                // drops the second request as a duplicate.
                 state.effects += 1;
                 Stage::Sent
             }
-            // With a run known in another cell the balancer sends nothing.
+            // If there may be a run in another cell, the balancer does not send the request.
             _ => Stage::Refused,
         };
     }
 
-    /// Carries out the outputs of a voter's core.
-    fn perform_voter(&self, state: &mut State, voter: usize, outputs: Vec<Output>) {
+    /// Performs the outputs of a voter's core.
+    fn perform_voter_outputs(&self, state: &mut State, voter: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                // State requests between voters are not answered here: a wiped voter does not catch
-                // up.
+                // State requests between voters get no reply in this model, so a wiped voter does
+                // not catch up.
                 Output::Send(Peer::Requester(sender), message) => {
-                    self.on_answer(state, voter, sender as usize, message);
+                    self.on_reply(state, voter, sender as usize, message);
                 }
                 Output::Store {
                     key,
@@ -176,7 +175,7 @@
                     for output in after_durable {
                         if let Output::Send(Peer::Requester(sender), message) = output {
                             if self.bug == Bug::EarlyAcknowledgement {
-                                self.on_answer(state, voter, sender as usize, message);
+                                self.on_reply(state, voter, sender as usize, message);
                             } else {
                                 let waiting = &mut state.voters[voter].waiting_for_flush;
                                 waiting.push((sender as usize, message));
@@ -189,45 +188,49 @@
         }
     }
 
-    /// A voter's answer arrives.
-    fn on_answer(&self, state: &mut State, voter: usize, sender: usize, message: Message) {
-        if !state.senders[sender].up {
+    /// Delivers the reply of a voter to a gateway.
+    fn on_reply(&self, state: &mut State, voter: usize, sender: usize, message: Message) {
+        if !state.senders[sender].is_up {
             return;
         }
-        let is_unopposed = matches!(&message, Message::ClaimAccepted { reported_runs, .. } if reported_runs.is_empty());
+        let reports_no_runs = matches!(
+            &message,
+            Message::ClaimAccepted { reported_runs, .. } if reported_runs.is_empty()
+        );
         let outputs = state.senders[sender]
             .core
             .on_message(NOW, Peer::Voter(voter), message);
-        if self.bug == Bug::SingleVote && is_unopposed {
+        if self.bug == Bug::SingleVote && reports_no_runs {
             self.on_verdict(state, sender, &Verdict::Granted);
         } else {
-            self.perform_sender(state, sender, outputs);
+            self.perform_sender_outputs(state, sender, outputs);
         }
     }
 
     fn restart(&self, state: &mut State, index: usize, disk: Disk) {
         let voter = &mut state.voters[index];
-        voter.starts += 1;
+        voter.start_count += 1;
         if disk == Disk::Lost {
             voter.disk.clear();
         }
         voter.written = voter.disk.clone();
         voter.waiting_for_flush.clear();
-        let is_complete = voter.core.is_voting() && disk == Disk::Kept;
-        voter.core = self.voter_core(index, voter.starts, is_complete, &voter.disk);
-        // Its links are closed; senders claim once, so messages in flight are lost.
+        let has_all_records = voter.core.is_voting() && disk == Disk::Kept;
+        voter.core = self.voter_core(index, voter.start_count, has_all_records, &voter.disk);
+        // The links of the voter are closed. Senders claim only once, so messages in flight are
+        // lost.
         state.messages.retain(|(link, _)| link.voter != index);
     }
 }
 
-impl Model for World {
+impl Model for ReplicationModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let sender = |at: usize| {
+        let sender = |index: usize| {
             let origin = Origin {
-                identity: at as u64 + 1,
+                identity: index as u64 + 1,
                 start: 1,
             };
             let mut core = Core::start(config(None), origin, true, std::iter::empty(), NOW);
@@ -237,14 +240,14 @@
             Sender {
                 core,
                 stage: Stage::Idle,
-                up: true,
+                is_up: true,
             }
         };
-        let voter = |at: usize| Voter {
+        let voter = |index: usize| Voter {
             core: Core::start(
-                config(Some(at)),
+                config(Some(index)),
                 Origin {
-                    identity: 100 + at as u64,
+                    identity: 100 + index as u64,
                     start: 1,
                 },
                 true,
@@ -254,7 +257,7 @@
             disk: BTreeMap::new(),
             written: BTreeMap::new(),
             waiting_for_flush: Vec::new(),
-            starts: 1,
+            start_count: 1,
         };
         let senders = (0..SENDERS).map(sender).collect();
         let voters = (0..VOTERS).map(voter).collect();
@@ -269,31 +272,31 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        for (at, sender) in state.senders.iter().enumerate() {
-            // First at one gateway, then at the other, answered or not.
-            if sender.up
+        for (index, sender) in state.senders.iter().enumerate() {
+            // The client sends to the first gateway, then to the second, with or without a reply.
+            if sender.is_up
                 && sender.stage == Stage::Idle
-                && (at == 0 || state.senders[0].stage != Stage::Idle)
+                && (index == 0 || state.senders[0].stage != Stage::Idle)
             {
-                actions.push(Step::Request(at));
+                actions.push(Step::Request(index));
             }
-            if sender.up && sender.stage == Stage::Sent && at == 0 {
-                actions.push(Step::Stop(at));
+            if sender.is_up && sender.stage == Stage::Sent && index == 0 {
+                actions.push(Step::Stop(index));
             }
         }
         let mut links: Vec<Link> = state.messages.iter().map(|(link, _)| *link).collect();
         links.sort();
         links.dedup();
         actions.extend(links.into_iter().map(Step::Deliver));
-        for (at, voter) in state.voters.iter().enumerate() {
+        for (index, voter) in state.voters.iter().enumerate() {
             if voter.written != voter.disk || !voter.waiting_for_flush.is_empty() {
-                actions.push(Step::Flush(at));
+                actions.push(Step::Flush(index));
             }
             if state.kills < 1 {
-                actions.push(Step::Kill(at));
+                actions.push(Step::Kill(index));
             }
             if state.wipes < 1 {
-                actions.push(Step::Wipe(at));
+                actions.push(Step::Wipe(index));
             }
         }
     }
@@ -301,12 +304,12 @@
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
-            Step::Request(at) => {
-                let sender = &mut state.senders[at];
+            Step::Request(index) => {
+                let sender = &mut state.senders[index];
                 sender.stage = Stage::Claimed;
                 let location = Some(Location {
                     zone: 0,
-                    cell: at as u32,
+                    cell: index as u32,
                 });
                 let claim = ClaimRequest {
                     number: 1,
@@ -317,44 +320,47 @@
                     known_runs: Vec::new(),
                 };
                 let outputs = sender.core.claim(NOW, claim);
-                self.perform_sender(&mut state, at, outputs);
+                self.perform_sender_outputs(&mut state, index, outputs);
             }
             Step::Deliver(link) => {
-                let first = state.messages.iter().position(|(of, _)| *of == link)?;
+                let first = state
+                    .messages
+                    .iter()
+                    .position(|(message_link, _)| *message_link == link)?;
                 let (_, message) = state.messages.remove(first);
                 let from = Peer::Requester(link.sender as u64);
                 let voter = &mut state.voters[link.voter];
                 let outputs = voter.core.on_message(NOW, from, message);
-                self.perform_voter(&mut state, link.voter, outputs);
+                self.perform_voter_outputs(&mut state, link.voter, outputs);
             }
-            Step::Flush(at) => {
-                let voter = &mut state.voters[at];
+            Step::Flush(index) => {
+                let voter = &mut state.voters[index];
                 voter.disk = voter.written.clone();
                 for (sender, message) in std::mem::take(&mut voter.waiting_for_flush) {
-                    self.on_answer(&mut state, at, sender, message);
+                    self.on_reply(&mut state, index, sender, message);
                 }
             }
-            Step::Kill(at) => {
+            Step::Kill(index) => {
                 state.kills += 1;
-                self.restart(&mut state, at, Disk::Kept);
+                self.restart(&mut state, index, Disk::Kept);
             }
-            Step::Wipe(at) => {
+            Step::Wipe(index) => {
                 state.wipes += 1;
-                self.restart(&mut state, at, Disk::Lost);
+                self.restart(&mut state, index, Disk::Lost);
             }
-            Step::Stop(at) => state.senders[at].up = false,
+            Step::Stop(index) => state.senders[index].is_up = false,
         }
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no effect twice", |_, state: &State| state.effects < 2),
-            Property::sometimes("an effect after a wipe", |_, state: &State| {
+            Property::always("no repeated effect", |_, state: &State| state.effects < 2),
+            Property::sometimes("a request takes effect after a wipe", |_, state: &State| {
                 state.wipes > 0 && state.effects == 1
             }),
             Property::sometimes(
-                "a retry that learns of the first attempt",
+                "a retry is refused because of the first attempt",
                 |_, state: &State| {
                     state.senders[0].stage == Stage::Sent
                         && state.senders[1].stage == Stage::Refused
@@ -368,7 +374,7 @@
 
 #[test]
 fn no_order_of_messages_flushes_kills_and_wipes_takes_effect_twice() {
-    let checker = World { bug: Bug::None }
+    let checker = ReplicationModel { bug: Bug::None }
         .checker()
         .target_max_depth(DEPTH)
         .threads(4)
@@ -383,17 +389,17 @@
 }
 
 #[test]
-fn injected_bugs_are_found() {
+fn the_model_check_finds_each_injected_bug() {
     for bug in [Bug::EarlyAcknowledgement, Bug::SingleVote, Bug::WipedVotes] {
-        let checker = World { bug }
+        let checker = ReplicationModel { bug }
             .checker()
             .target_max_depth(DEPTH)
             .threads(4)
             .spawn_bfs()
             .join();
         assert!(
-            checker.discovery("no effect twice").is_some(),
-            "{bug:?} is not found"
+            checker.discovery("no repeated effect").is_some(),
+            "the model check does not find {bug:?}"
         );
     }
 }
