--- a/crates/peer-transport/src/failure_detector.rs
+++ b/crates/peer-transport/src/failure_detector.rs
@@ -30,7 +30,7 @@
     Up,
     /// Frames of the peer are late, or its replies to heartbeats are slow.
     Slow,
-    /// No frame has arrived for much longer than usual.
+    /// No frame has arrived for much longer than usual, or for half of [`DISCONNECT_TIMEOUT`].
     Silent,
     /// Nothing has arrived for [`DISCONNECT_TIMEOUT`], or the link was closed.
     Disconnected,
@@ -120,7 +120,8 @@
         }
         self.last_heartbeat_at = now;
         self.last_heartbeat_number += 1;
-        // The oldest heartbeat without a reply shows how long replies take at least.
+        // Only the oldest heartbeat without a reply is kept: its age is the least time that replies
+        // take now.
         self.unanswered.get_or_insert(SentHeartbeat {
             number: self.last_heartbeat_number,
             sent_at: now,
--- a/crates/peer-transport/src/hub/event_queue.rs
+++ b/crates/peer-transport/src/hub/event_queue.rs
@@ -8,8 +8,8 @@
 /// The bounded queue to the host, and the events that do not fit into it yet.
 pub(super) struct EventQueue<M> {
     sender: SyncSender<PeerEvent<M>>,
-    /// Events that are not in the queue yet. No link is read while there are any, so that
-    /// the backlog stays short.
+    /// Events that are not in the queue yet. No link is read while there are any, so that the
+    /// backlog stays short.
     backlog: VecDeque<PeerEvent<M>>,
     wake_host: Box<dyn Fn() + Send>,
     needs_wake: bool,
--- a/crates/peer-transport/src/link.rs
+++ b/crates/peer-transport/src/link.rs
@@ -103,14 +103,14 @@
         self.unsent.is_empty()
     }
 
-    /// Reads and decodes received frames, about [`MAX_READ_BYTES`] at a time.
+    /// Reads and decodes received frames, about 64 KiB per call.
     pub fn read<M: DeserializeOwned>(&mut self) -> LinkRead<M> {
-        let (has_more, connection_error) = match self.fill() {
+        let (has_more, connection_error) = match self.read_socket() {
             Ok(has_more) => (has_more, None),
             Err(error) => (false, Some(ReadError::Connection(error))),
         };
         let mut frames = Vec::new();
-        let frame_error = self.decode(&mut frames).err().map(ReadError::Frame);
+        let frame_error = self.decode_frames(&mut frames).err().map(ReadError::Frame);
         LinkRead {
             frames,
             has_more,
@@ -120,7 +120,7 @@
 
     /// Reads from the socket into the receive buffer. Returns whether it stopped at a limit, so
     /// that the socket may have more data.
-    fn fill(&mut self) -> io::Result<bool> {
+    fn read_socket(&mut self) -> io::Result<bool> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         let mut total = 0;
         while total < MAX_READ_BYTES && self.unread.len() <= 2 * MAX_FRAME_BYTES {
@@ -139,7 +139,7 @@
     }
 
     /// Decodes and removes all complete frames of the receive buffer.
-    fn decode<M: DeserializeOwned>(
+    fn decode_frames<M: DeserializeOwned>(
         &mut self,
         frames: &mut Vec<Frame<M>>,
     ) -> Result<(), FrameError> {
--- a/crates/replication/src/drains.rs
+++ b/crates/replication/src/drains.rs
@@ -1,6 +1,6 @@
 //! Drains and removals of engines that any gateway has learned from its endpoint list.
 //!
-//! They stop new requests to an engine at all linked gateways and never permit any. They are
+//! Drains stop new requests to an engine at all linked gateways and never permit any. They are
 //! ordered by the number of the discovery event that reported them. A gateway whose own endpoint
 //! list is at least as new follows its own list.
 
