--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -101,7 +101,7 @@
         location: None,
         age: 0,
         remaining: KEPT,
-        nominal_ms: KEPT / 1_000,
+        origin_expiry_ms: KEPT / 1_000,
     };
     // Keys as the ledger makes them, of an even spread.
     let key = number
@@ -302,7 +302,7 @@
         voter_index: Some(own),
         max_retention: KEPT,
         limits: Limits {
-            entries: (entries + TIMED_CLAIMS) as usize,
+            max_keys: (entries + TIMED_CLAIMS) as usize,
         },
         transfer_bytes_per_s: CATCH_UP,
         send_without_majority: false,
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -13,7 +13,7 @@
 use eideryard_peer_transport::Handshake;
 use eideryard_replication::drains::Drain;
 use eideryard_replication::entry::{
-    self as copies, Origin, Phase, Record, ReplicaRecord, ReplicaView, WireRecord,
+    self as copies, Origin, Phase, Record, ReplicaRecord, ReportedRun, WireRecord,
 };
 use eideryard_replication::message::{ClaimRejection, Entry, Message};
 use eideryard_store::{inspect, Batch, Config, Directory, Store};
@@ -52,7 +52,7 @@
         location,
         since: AT + 5,
         until: AT + 9_000_000,
-        nominal_ms: AT_MS + 9_000,
+        origin_expiry_ms: AT_MS + 9_000,
     };
     ReplicaRecord::from([
         (ORIGIN, record(1, Phase::InFlight, Some(LOCATION))),
@@ -160,7 +160,7 @@
         location: Some(LOCATION),
         age: 70_000,
         remaining: 9_000_000,
-        nominal_ms: AT_MS,
+        origin_expiry_ms: AT_MS,
     }
 }
 
@@ -172,11 +172,11 @@
 fn messages() -> Vec<PeerMessage> {
     let (key, origin, record) = (b"key".to_vec(), ORIGIN, travelling());
     let seen = vec![
-        ReplicaView {
+        ReportedRun {
             location: Some(LOCATION),
             age: 5,
         },
-        ReplicaView {
+        ReportedRun {
             location: None,
             age: 0,
         },
@@ -197,7 +197,7 @@
         records,
     }];
     let drain = Drain {
-        number: 9,
+        list_event_number: 9,
         engine: 17,
         booted_at: 3,
         is_removed: true,
@@ -211,7 +211,7 @@
         },
         Message::ClaimAccepted {
             number: 1,
-            views: seen,
+            reported_runs: seen,
         },
         Message::ClaimRejected {
             number: 2,
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -10,7 +10,7 @@
 use eideryard_intent_log::Intent;
 use eideryard_leases::VoterReadiness;
 use eideryard_peer_transport::{Hub, Peer as TransportPeer, PeerEvent, PeerState};
-use eideryard_replication::core::{ClaimError, ClaimRequest, EndedRun};
+use eideryard_replication::core::{ClaimError, ClaimRequest, EndedAttempts};
 use eideryard_replication::drains::Drain;
 use eideryard_replication::{entry, Core, Message, Origin, Output, Peer, ReplicaRecord, Verdict};
 use eideryard_store::worker::Worker;
@@ -115,7 +115,7 @@
             location: known_location(intent),
             since,
             retention: claim.retention,
-            known: prior_runs(claim.prior_attempts),
+            known_runs: prior_runs(claim.prior_attempts),
         };
         let outputs = self.core.claim(now, request);
         self.perform_outputs(now, outputs, worker);
@@ -132,13 +132,13 @@
         retention: Micros,
         worker: &mut Worker,
     ) {
-        let ended = EndedRun {
+        let ended = EndedAttempts {
             key: replicated_key(stored_key),
             location: intent.and_then(known_location),
             may_have_run: intent.is_some(),
             retention,
         };
-        let outputs = self.core.on_ended(now, ended);
+        let outputs = self.core.on_attempts_ended(now, ended);
         self.perform_outputs(now, outputs, worker);
     }
 
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -1,13 +1,13 @@
-//! Claims: those that this gateway makes, and those of others that this voter answers.
+//! Claims: makes those of this gateway, and replies to those of others if this gateway is a voter.
 
-use super::{ClaimError, ClaimRequest, Core, EndedRun, Output, Peer};
+use super::{ClaimError, ClaimRequest, Core, EndedAttempts, Output, Peer};
 use crate::claims::{PriorRuns, Verdict, CLAIM_TIMEOUT};
-use crate::entry::{self, Origin, Phase, Record, ReplicaView, WireRecord};
+use crate::entry::{self, Origin, Phase, Record, ReportedRun, WireRecord};
 use crate::message::{ClaimRejection, Message};
 use crate::replica_set::MergeResult;
 use crate::Micros;
 
-/// A claim of another gateway, its record by this voter's clock.
+/// A claim of another gateway, with the times of its record by this voter's clock.
 #[derive(Clone, Copy)]
 pub(super) struct RemoteClaim<'a> {
     pub number: u64,
@@ -17,9 +17,9 @@
 }
 
 impl Core {
-    /// Why no request that needs a claim is accepted now, if that is so.
+    /// The reason why requests that need a claim can't be accepted now; `None` if they can.
     pub fn claim_error(&self) -> Option<ClaimError> {
-        if self.claims.records() >= self.config.limits.entries {
+        if self.claims.records() >= self.config.limits.max_keys {
             return Some(ClaimError::Full);
         }
         if !self.config.send_without_majority && !self.has_majority() {
@@ -28,7 +28,7 @@
         None
     }
 
-    /// Whether a majority of voters, as far as this gateway knows, can grant a claim.
+    /// Whether a majority of the voters votes and can be reached, as far as this gateway knows.
     pub fn has_majority(&self) -> bool {
         let remote_votes = self
             .voters
@@ -39,7 +39,7 @@
         remote_votes + usize::from(has_local_vote) >= self.claims.majority()
     }
 
-    /// Claims a key before its request is sent. The verdict comes as [`Output::Verdict`].
+    /// Claims a key before its request is sent. The verdict follows as an [`Output::Verdict`].
     pub fn claim(&mut self, now: Micros, request: ClaimRequest<'_>) -> Vec<Output> {
         let ClaimRequest {
             number, key, since, ..
@@ -52,14 +52,15 @@
             location: request.location,
             since,
             until,
-            nominal_ms: until / 1000,
+            origin_expiry_ms: until / 1000,
         };
         let record = self.claims.write(now, key, record);
         self.claims
-            .open(now, number, key, record.version, request.known);
+            .open(now, number, key, record.version, request.known_runs);
         let mut wire_record = record.to_wire(now);
         if since < now {
-            // The request is in flight already and ages while the claim waits.
+            // An earlier attempt is in flight and ages further while the claim is pending, for up
+            // to the timeout.
             wire_record.age += CLAIM_TIMEOUT;
         }
         let mut outputs = self.send_claim(number, key, wire_record);
@@ -84,7 +85,7 @@
             .collect()
     }
 
-    /// A claim of this gateway at itself, where it is a voter.
+    /// Makes this voter store and vote on a claim of its own gateway.
     fn claim_locally(
         &mut self,
         now: Micros,
@@ -93,26 +94,32 @@
         key: &[u8],
         record: Record,
     ) -> Vec<Output> {
-        let views = self.views_of_others(key, self.origin, now);
+        let reported_runs = self.runs_of_others(key, self.origin, now);
         if self.replicas.merge(key, self.origin, record) == MergeResult::Full {
             return Vec::from_iter(self.on_rejection(number, voter, ClaimRejection::Full));
         }
         self.claims.on_acknowledged(voter, key, record.version);
         if self.is_voting() {
-            return vec![self.store(key, vec![Output::LocalVote { number, views }])];
+            return vec![self.store_output(
+                key,
+                vec![Output::LocalVote {
+                    number,
+                    reported_runs,
+                }],
+            )];
         }
-        let mut outputs = vec![self.store(key, Vec::new())];
+        let mut outputs = vec![self.store_output(key, Vec::new())];
         outputs.extend(self.on_rejection(number, voter, ClaimRejection::CatchingUp));
         outputs
     }
 
-    fn views_of_others(&self, key: &[u8], requester: Origin, now: Micros) -> Vec<ReplicaView> {
+    fn runs_of_others(&self, key: &[u8], requester: Origin, now: Micros) -> Vec<ReportedRun> {
         self.replicas.get(key).map_or(Vec::new(), |replica| {
-            entry::views_of_others(replica, requester, now)
+            entry::runs_of_others(replica, requester, now)
         })
     }
 
-    /// Answers a claim of another gateway.
+    /// Replies to the claim of another gateway.
     pub(super) fn on_claim(
         &mut self,
         now: Micros,
@@ -126,33 +133,37 @@
             record,
         } = claim;
         let reply = |message| Output::Send(Peer::Requester(link), message);
-        let views = self.views_of_others(key, origin, now);
+        let reported_runs = self.runs_of_others(key, origin, now);
         if self.replicas.merge(key, origin, record) == MergeResult::Full {
             self.counters.rejected += 1;
             let reason = ClaimRejection::Full;
             return vec![reply(Message::ClaimRejected { number, reason })];
         }
         if !self.is_voting() {
-            // The record is kept, but a voter that may lack records of others gives no vote.
+            // The record is stored, but a voter that may lack records of others must not vote.
             self.counters.rejected += 1;
             let reason = ClaimRejection::CatchingUp;
             let rejection = reply(Message::ClaimRejected { number, reason });
-            return vec![self.store(key, Vec::new()), rejection];
+            return vec![self.store_output(key, Vec::new()), rejection];
         }
         self.counters.accepted += 1;
-        let vote = reply(Message::ClaimAccepted { number, views });
-        vec![self.store(key, vec![vote])]
+        let vote = reply(Message::ClaimAccepted {
+            number,
+            reported_runs,
+        });
+        vec![self.store_output(key, vec![vote])]
     }
 
-    /// This voter's record of its own claim is durable, as requested by [`Output::LocalVote`].
+    /// Counts this voter's vote for its own claim once the record is durable, as requested by
+    /// [`Output::LocalVote`].
     pub fn on_local_vote(
         &mut self,
         now: Micros,
         number: u64,
-        views: &[ReplicaView],
+        reported_runs: &[ReportedRun],
     ) -> Option<Output> {
         let voter = self.config.voter_index?;
-        self.on_vote(now, number, voter, views)
+        self.on_vote(now, number, voter, reported_runs)
     }
 
     pub(super) fn on_vote(
@@ -160,10 +171,10 @@
         now: Micros,
         number: u64,
         voter: usize,
-        views: &[ReplicaView],
+        reported_runs: &[ReportedRun],
     ) -> Option<Output> {
-        let verdict = self.claims.on_accepted(now, number, voter, views)?;
-        Some(self.decide(number, verdict))
+        let verdict = self.claims.on_accepted(now, number, voter, reported_runs)?;
+        Some(self.resolve_verdict(number, verdict))
     }
 
     pub(super) fn on_rejection(
@@ -173,11 +184,11 @@
         reason: ClaimRejection,
     ) -> Option<Output> {
         let verdict = self.claims.on_rejected(number, voter, reason)?;
-        Some(self.decide(number, verdict))
+        Some(self.resolve_verdict(number, verdict))
     }
 
-    /// Counts a verdict, and applies the setting for claims without a majority.
-    pub(super) fn decide(&mut self, number: u64, verdict: Verdict) -> Output {
+    /// Counts a verdict, and replaces one without a majority if requests may be sent nevertheless.
+    pub(super) fn resolve_verdict(&mut self, number: u64, verdict: Verdict) -> Output {
         match verdict {
             Verdict::Granted => self.counters.granted += 1,
             Verdict::PriorRunsFound(_) => self.counters.prior_runs_found += 1,
@@ -185,30 +196,32 @@
         }
         let verdict = match verdict {
             Verdict::NoMajority(runs) if self.config.send_without_majority => {
-                self.decide_without_majority(runs)
+                self.resolve_without_majority(runs)
             }
             verdict => verdict,
         };
         Output::Verdict(number, verdict)
     }
 
-    /// Runs that a minority reported are respected all the same.
-    fn decide_without_majority(&mut self, reported: PriorRuns) -> Verdict {
-        if !reported.is_empty() {
-            return Verdict::PriorRunsFound(reported);
+    /// Grants the claim, unless a minority of the voters has reported runs that the balancer does
+    /// not know.
+    fn resolve_without_majority(&mut self, reported_runs: PriorRuns) -> Verdict {
+        if !reported_runs.is_empty() {
+            return Verdict::PriorRunsFound(reported_runs);
         }
         self.counters.sent_without_majority += 1;
         Verdict::Granted
     }
 
-    /// Drops a claim that is no longer wanted. What voters hold of it is resolved by
-    /// [`Core::on_ended`].
+    /// Drops a claim whose verdict is no longer needed. [`Core::on_attempts_ended`] updates the
+    /// record that voters have stored for it.
     pub fn cancel_claim(&mut self, number: u64) {
         self.claims.cancel(number);
     }
 
-    /// All attempts at a key that this gateway claimed have ended, for now.
-    pub fn on_ended(&mut self, now: Micros, ended: EndedRun<'_>) -> Vec<Output> {
+    /// Updates the record of a key that this gateway has claimed, after all attempts so far have
+    /// ended.
+    pub fn on_attempts_ended(&mut self, now: Micros, ended: EndedAttempts<'_>) -> Vec<Output> {
         let key = ended.key;
         let Some(previous) = self.claims.get(key).copied() else {
             return Vec::new();
@@ -223,7 +236,7 @@
             phase,
             location: ended.location,
             until,
-            nominal_ms: until / 1000,
+            origin_expiry_ms: until / 1000,
             ..previous
         };
         let record = self.claims.write(now, key, record);
@@ -231,11 +244,11 @@
         if let Some(voter) = self.config.voter_index {
             if self.replicas.merge(key, self.origin, record) != MergeResult::Full {
                 self.claims.on_acknowledged(voter, key, record.version);
-                outputs.push(self.store(key, Vec::new()));
+                outputs.push(self.store_output(key, Vec::new()));
             }
         }
         for voter in self.reachable_voters() {
-            outputs.push(self.update(now, voter, key.to_vec(), record));
+            outputs.push(self.update_message(now, voter, key.to_vec(), record));
         }
         outputs
     }
--- a/crates/replication/tests/drains.rs
+++ b/crates/replication/tests/drains.rs
@@ -1,11 +1,12 @@
-//! Drains and removals of engines.
+//! A drain from a peer must override older endpoint lists of the same engine process only.
+//! Otherwise a gateway sends requests to a draining engine, or none to a restarted one.
 
 use eideryard_replication::drains::{Drain, Drains, MAX_DRAINS};
 
 #[test]
 fn a_drain_overrides_older_lists_of_the_same_process_only() {
     let drain = Drain {
-        number: 7,
+        list_event_number: 7,
         engine: 1,
         booted_at: 100,
         is_removed: false,
@@ -14,7 +15,7 @@
     assert!(drains.record(drain) && !drains.record(drain));
     assert!(
         !drains.record(Drain {
-            number: 6,
+            list_event_number: 6,
             is_removed: true,
             ..drain
         }),
@@ -24,17 +25,17 @@
     assert_eq!(
         drains.overriding(1, 100, 7),
         None,
-        "a list that is as new is followed"
+        "a gateway follows its own list if it is as new"
     );
     assert_eq!(
         drains.overriding(1, 101, 6),
         None,
-        "the process has been restarted since"
+        "the engine has been restarted since"
     );
     assert_eq!(drains.overriding(2, 100, 0), None);
     for engine in 0..2 * MAX_DRAINS as u32 {
         drains.record(Drain {
-            number: u64::from(engine),
+            list_event_number: u64::from(engine),
             engine: 9 + engine,
             booted_at: 1,
             is_removed: true,
