--- a/crates/cli/tests/outward_names.rs
+++ b/crates/cli/tests/outward_names.rs
@@ -193,9 +193,10 @@
     has_word(literals, name, |before, after| {
         let begins = before.is_empty() || before.ends_with('\n');
         let is_capital = !name.contains(|c: char| c.is_ascii_lowercase());
-        let next = after.trim_start_matches(' ').chars().next();
+        let is_before_value = |text: &str| text.starts_with(['\x01', '\x02']);
         (begins && (is_capital || after.starts_with('\n')))
-            || next.is_some_and(|c| "=:(,\x01\x02".contains(c))
+            || after.starts_with(['=', ':', '(', ','])
+            || is_before_value(after.strip_prefix(' ').unwrap_or(after))
     })
 }
 
