--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! What the command line takes.
+//! Commands and options of the command line.
 
 use crate::moment::{self, Moment};
 use clap::{Args, Parser, Subcommand};
@@ -6,14 +6,14 @@
 
 /// Help of `console --at`.
 const CONSOLE_AT_HELP: &str =
-    "Begin paused at this time: HH:MM[:SS] on the records' last day, or a Unix time in seconds; UTC";
+    "Start paused at this time: HH:MM[:SS] on the last day of the event logs, or a Unix time in seconds; UTC";
 /// Help of `report --from`.
 const SPAN_FROM_HELP: &str =
-    "Leave out what came before: HH:MM[:SS] on the records' last day, or a Unix time in seconds; UTC";
+    "Leave out entries before this time: HH:MM[:SS] on the last day of the event logs, or a Unix time in seconds; UTC";
 
 /// A workload manager in front of analytic engines.
 ///
-/// Without a command it runs the gateway, with the configuration that EDGE_CONFIG names.
+/// Without a command, it runs the gateway with the configuration file that EDGE_CONFIG names.
 #[derive(Parser)]
 #[command(
     name = "eideryard",
@@ -21,10 +21,10 @@
     about,
     long_about,
     after_help = "\
-Exit codes: 0, 1 (it failed), 2 (wrong use)."
+Exit codes: 0 (success), 1 (failure), 2 (wrong usage)."
 )]
 pub struct Arguments {
-    /// The operator's file: settings beside the platform's, one directive a line
+    /// The operator's file: settings in addition to the platform's, one directive per line
     #[arg(long, env = "EIDERYARD_OPERATOR", value_name = "FILE", global = true)]
     pub operator: Option<String>,
     #[command(subcommand)]
@@ -33,78 +33,78 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run the gateway (also without any command)
+    /// Run the gateway (the default without a command)
     Run,
-    /// Check configurations (JSON) and operator's files; say file, line, column and what was
+    /// Check configurations (JSON) and operator's files; report file, line, column and what was
     /// expected
     Check {
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Look into records of gateways
+    /// Inspect the event logs of gateways
     Records {
         #[command(subcommand)]
         what: RecordsCommand,
     },
-    /// Look into a gateway's store, while no gateway has it
+    /// Inspect or compact the store of a gateway that is not running
     Store {
         #[command(subcommand)]
         what: StoreCommand,
     },
-    /// How the gateways of a fleet stand to each other, by what their store directories say
+    /// Show the state of a fleet's gateways, leases and copies, from their store directories
     Fleet {
         #[command(subcommand)]
         what: FleetCommand,
     },
-    /// Watch gateways through their records, live or at any time that they hold
+    /// Watch gateways through their event logs, live or at any recorded time
     Console {
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
         #[arg(long, value_name = "TIME", value_parser = moment::parse, help = CONSOLE_AT_HELP)]
         at: Option<Moment>,
     },
-    /// Make one HTML page of an incident from gateways' records
+    /// Write an HTML page about an incident from the event logs of gateways
     Report {
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
-        /// Where the page goes
+        /// Path of the page
         #[arg(long, value_name = "FILE.html")]
         out: PathBuf,
         #[command(flatten)]
         span: Span,
     },
-    /// Print completions for a shell
+    /// Print command completions for a shell
     Completions { shell: clap_complete::Shell },
     /// Print the manual page
     Man,
-    /// Print the reference of the operator's file, as Markdown
+    /// Print the reference of the operator's file as Markdown
     Reference,
 }
 
-/// A part of the records, by time.
+/// A span of time of the event logs.
 #[derive(Args, Clone, Copy, Default)]
 pub struct Span {
-    /// The beginning of the part.
+    /// Start of the span; if absent, the first entry.
     #[arg(long, value_name = "TIME", value_parser = moment::parse, help = SPAN_FROM_HELP)]
     pub from: Option<Moment>,
-    /// Leave out what came after
+    /// Leave out entries after this time, given in the same format as --from
     #[arg(long, value_name = "TIME", value_parser = moment::parse)]
     pub to: Option<Moment>,
 }
 
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// One line a gateway: whether it votes, reaches a majority, and what of its peers is wrong
+    /// Print one line per gateway: whether it votes and reaches a majority, and its faulty peers
     Status {
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
     },
-    /// Which gateway does which work for all, since which term, and what fences turned away
+    /// Print which gateway owns each shared task, since which term, and what fences rejected
     Owners {
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
     },
-    /// Which copies differ between keepers, and what each lacks; changes nothing
+    /// Print which copies differ between keepers and what each keeper lacks; change nothing
     Copies {
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
@@ -113,17 +113,17 @@
 
 #[derive(Subcommand)]
 pub enum StoreCommand {
-    /// Read all of it and say what it holds, and what of it a gateway would trust; change nothing
+    /// Read the whole store and report what it contains and what is damaged; change nothing
     Check {
         #[arg(value_name = "DIR")]
         directory: PathBuf,
     },
-    /// Print every key, one a line; change nothing
+    /// Print every key, one per line; change nothing
     Dump {
         #[arg(value_name = "DIR")]
         directory: PathBuf,
     },
-    /// Rewrite it as one snapshot, without what has expired
+    /// Rewrite the store as one snapshot, without expired keys
     Compact {
         #[arg(value_name = "DIR")]
         directory: PathBuf,
@@ -132,28 +132,28 @@
 
 #[derive(Subcommand)]
 pub enum RecordsCommand {
-    /// Read all of it, say what is damaged or missing, and hold what was counted against the
+    /// Read all entries, report what is damaged or missing, and compare the totals with the
     /// gateways' own counters
     Verify {
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
     },
-    /// Print what each start of each gateway counted
+    /// Print the totals of each start of each gateway
     Tally {
-        /// One JSON object for each start, named as in the counters
+        /// Print one JSON object per start, with the names of the counters as keys
         #[arg(long)]
         json: bool,
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
     },
-    /// Print the life of the requests with this id (16 hex digits)
+    /// Print all entries about the requests with this id (16 hex digits)
     Find {
         #[arg(value_name = "ID")]
         id: String,
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
     },
-    /// Print every entry, one a line
+    /// Print every entry, one per line
     Dump {
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,5 @@
-//! `eideryard check`: a configuration is JSON, all else is an operator's file.
+//! `eideryard check`: checks configurations and operator's files. A file that begins with `{` is a
+//! configuration (JSON), any other an operator's file.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,7 +11,7 @@
 
 use crate::error::CliError;
 
-/// What a good file is.
+/// What a valid file contains.
 enum FileKind {
     Configuration,
     OperatorFile,
@@ -30,14 +31,14 @@
 enum FileError {
     #[error("{name}: {error}")]
     Io { name: String, error: io::Error },
-    #[error("{name}:{line}:{column}: {error}; expected JSON, as the platform writes it")]
+    #[error("{name}:{line}:{column}: {error}; expected a configuration as JSON")]
     Json {
         name: String,
         line: usize,
         column: usize,
         error: serde_json::Error,
     },
-    #[error("{name}:{line}:{column}: {error}; see docs/operating for what each member holds")]
+    #[error("{name}:{line}:{column}: {error}; see docs/operating for the values of each member")]
     Configuration {
         name: String,
         line: usize,
@@ -57,7 +58,7 @@
     let mut unusable = 0;
     for file in files {
         match check_file(file) {
-            Ok(kind) => println!("{}: a good {}", file.display(), kind.name()),
+            Ok(kind) => println!("{}: a valid {}", file.display(), kind.name()),
             Err(error) => {
                 unusable += 1;
                 println!("{error}");
@@ -108,15 +109,15 @@
     Ok(())
 }
 
-/// Line and column of the member that a message names in quotes: of the last part of its path that
-/// the text holds as a name, else of the beginning.
+/// Line and column of the member whose path a message names in quotes. If the text contains only
+/// the first parts of the path, those of the last part found; if none, those of the beginning.
 fn find_member(text: &str, message: &str) -> (usize, usize) {
     let path = message.split('\'').nth(1).unwrap_or("");
     let mut position = 0;
     let mut found = 0;
     for part in path.split('.') {
         if let Ok(index) = part.parse::<usize>() {
-            // The item of a list: each of them begins with a brace.
+            // An index into a list, each item of which begins with a brace.
             let braces = text[position..].match_indices('{').map(|(at, _)| at);
             position += braces.take(index + 1).last().unwrap_or(0);
             continue;
@@ -130,7 +131,7 @@
     line_and_column(text, found)
 }
 
-/// Both from 1; columns count characters.
+/// Line and column of a byte position, both from 1. Columns count characters.
 fn line_and_column(text: &str, position: usize) -> (usize, usize) {
     let before = &text[..position];
     let line_start = before.rfind('\n').map_or(0, |end| end + 1);
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails. Each error is one line on standard error.
+//! Errors of the commands. Each is printed as one line on standard error.
 
 use std::io;
 use std::path::PathBuf;
@@ -13,9 +13,9 @@
     /// Some of the checked files can't be used.
     #[error("{unusable} of {total} files can't be used")]
     UnusableFiles {
-        /// How many.
+        /// Number of files that can't be used.
         unusable: usize,
-        /// How many were checked.
+        /// Number of files that were checked.
         total: usize,
     },
     /// Event logs can't be read.
@@ -25,50 +25,53 @@
     #[error(transparent)]
     Output(#[from] io::Error),
     /// Event logs are damaged or don't agree with the gateways' counters.
-    #[error("{0} things are wrong with these records")]
+    #[error("{0} problems in these event logs; see the lines above")]
     DamagedRecords(usize),
     /// An id of a request is malformed.
-    #[error("'{0}' is no id; expected 16 hex digits")]
+    #[error("'{0}' is not a request id; expected 16 hex digits")]
     MalformedId(String),
-    /// No event log holds a request.
-    #[error("no record tells of {0}")]
+    /// No event log contains a request with the given id.
+    #[error("no request with id {0} in these event logs")]
     UnknownId(String),
-    /// A span of time is empty.
+    /// The given span of time is empty.
     #[error("--from is not before --to")]
     EmptySpan,
     /// A gateway's status file can't be read.
-    #[error("{path}: {problem}; name the store-dir of a gateway whose file has 'fleet'")]
+    #[error(
+        "{path}: {problem}; expected the store-dir of a gateway whose operator's file has 'fleet'"
+    )]
     StatusFile {
         /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Why the file can't be read.
         problem: StatusFileProblem,
     },
-    /// Some gateways reach no majority of voters.
+    /// Some gateways reach no majority of voters; their names.
     #[error(
-        "no majority of keepers at {0}: keyed and unsafe requests are refused there, or sent at a risk"
+        "no majority of keepers at {0}: keyed and unsafe requests are refused there, or sent at the risk \
+         of a second effect"
     )]
     NoMajority(String),
-    /// Replicas can't be compared.
-    #[error("copies are compared between keepers: name the store-dir of two or more")]
+    /// Fewer than two voters were named, so that there are no replicas to compare.
+    #[error("copies are compared between keepers; expected the store-dir of two or more keepers")]
     TooFewVoters,
     /// A store can't be used.
     #[error("{directory}: {problem}")]
     Store {
         /// Directory of the store.
         directory: PathBuf,
-        /// What is wrong.
+        /// Why the store can't be used.
         problem: StoreProblem,
     },
     /// A store is damaged.
     #[error(
-        "{segment} is damaged at byte {offset}: a gateway takes what lies before it as hints and begins as a \
-         stranger; nothing has to be done by hand"
+        "{segment} is damaged at byte {offset}: a gateway uses the data before it only as hints and starts \
+         with a new identity; no action is needed"
     )]
     DamagedStore {
-        /// Name of the segment.
+        /// File name of the segment.
         segment: String,
-        /// The first damaged byte.
+        /// Offset of the first damaged byte in the segment.
         offset: u64,
     },
     /// A report can't be written.
@@ -76,7 +79,7 @@
     Report {
         /// Path of the page.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the system call.
         error: io::Error,
     },
     /// The console ended with an error.
@@ -84,25 +87,25 @@
     Console(#[from] ConsoleError),
 }
 
-/// What is wrong with a status file.
+/// Why a status file can't be read.
 #[derive(Debug, Error)]
 pub enum StatusFileProblem {
-    /// It can't be read.
+    /// The file is missing or can't be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It holds something else.
+    /// The file's content isn't JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// What is wrong with a store.
+/// Why a store can't be used.
 #[derive(Debug, Error)]
 pub enum StoreProblem {
     /// The directory doesn't exist.
-    #[error("no such directory; name the one that store-dir names")]
+    #[error("no such directory; expected the directory that store-dir names")]
     NoDirectory,
-    /// The directory holds no store.
-    #[error("no store is there")]
+    /// The directory contains no store.
+    #[error("the directory contains no store")]
     NoStore,
     /// The store can't be opened.
     #[error(transparent)]
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `eideryard fleet`: how the gateways of a fleet stand, from their status files and stores.
+//! `eideryard fleet`: the state of a fleet's gateways, from their status files and stores.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,11 +9,11 @@
 
 use crate::error::{CliError, StatusFileProblem, StoreProblem};
 
-/// A status file that is older than this is of a gateway that does not run.
+/// A gateway whose status file is older than this, in milliseconds, is taken as not running.
 const MAX_STATUS_AGE_MS: u64 = 3_000;
-/// Name of the status file in a store's directory.
+/// Name of the status file in a gateway's store directory.
 const STATUS_FILE: &str = "STATUS";
-/// States of peers that are reported, as the status file names them.
+/// Faulty states of peers, as the status file names them. Peers in these states are printed.
 const REPORTED_STATES: [&str; 3] = ["slow", "silent", "gone"];
 
 fn now_ms() -> u64 {
@@ -21,7 +21,7 @@
     since.unwrap_or_default().as_millis() as u64
 }
 
-/// The status file of a gateway.
+/// The JSON object of a gateway's status file.
 struct Status(Value);
 
 impl Status {
@@ -44,20 +44,20 @@
         self.0[name].as_u64().unwrap_or(0)
     }
 
-    fn flag(&self, name: &str) -> bool {
+    fn is_true(&self, name: &str) -> bool {
         self.0[name] == true
     }
 
-    /// What the gateway runs as.
+    /// The role of the gateway, as `fleet status` prints it.
     fn role(&self) -> &'static str {
-        match (self.flag("keeper"), self.flag("votes")) {
+        match (self.is_true("keeper"), self.is_true("votes")) {
             (false, _) => "asker",
             (true, true) => "votes",
             (true, false) => "catch-up",
         }
     }
 
-    /// When the gateway wrote it, in words.
+    /// The age of the status file, as `fleet status` prints it.
     fn age(&self) -> String {
         let age_ms = now_ms().saturating_sub(self.number("at_ms"));
         if age_ms > MAX_STATUS_AGE_MS {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Names of the peers in a state.
+    /// Names of the peers in the given state.
     fn peers_in(&self, state: &str) -> Vec<&str> {
         let peers = self.0["peers"].as_object().into_iter().flatten();
         let peers = peers.filter(|(_, peer)| peer["state"] == state);
@@ -79,7 +79,11 @@
             "{:<12} {:<9} {:<9} {:<8} {:>7} {:>7} {:>8} {:>8} {:>7} {:>7}",
             self.name(),
             self.role(),
-            if self.flag("majority") { "yes" } else { "NO" },
+            if self.is_true("majority") {
+                "yes"
+            } else {
+                "NO"
+            },
             self.age(),
             self.number("copies"),
             self.number("lagging"),
@@ -101,7 +105,7 @@
     }
 }
 
-/// Prints a line for each gateway, and what is wrong below it.
+/// Prints a line for each gateway, followed by its faulty peers and rejected links.
 ///
 /// # Errors
 ///
@@ -124,7 +128,7 @@
     for directory in directories {
         let status = Status::read(directory)?;
         status.print();
-        if !status.flag("majority") {
+        if !status.is_true("majority") {
             without_majority.push(status.name().to_string());
         }
     }
@@ -135,7 +139,7 @@
     }
 }
 
-/// Prints who holds which lease since which term, and what fences rejected.
+/// Prints the lease counters of each gateway, then the owner and the term of each task.
 ///
 /// # Errors
 ///
@@ -168,14 +172,14 @@
             .find(|status| status.0["owner"].as_str() == Some(&holder));
         let name = match status {
             Some(status) => status.name().to_string(),
-            None => format!("another ({holder})"),
+            None => format!("a gateway that was not named ({holder})"),
         };
         println!("probe {task:08x}: term {term}, {name}");
     }
     Ok(())
 }
 
-/// Of each task the greatest term that any gateway knows, with its owner.
+/// For each task, the greatest term that any gateway knows, and the owner in that term.
 fn greatest_terms(statuses: &[Status]) -> BTreeMap<u64, (u64, u64)> {
     let mut greatest: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
     let terms = statuses
@@ -189,13 +193,13 @@
     greatest
 }
 
-/// A voter's replicas, as its store holds them.
+/// The replicas that a voter's store contains.
 struct NamedReplicas {
     name: String,
     replicas: VoterReplicas,
 }
 
-/// Prints which replicas differ between voters, and why.
+/// Prints which replicas differ between voters, and what each voter lacks.
 ///
 /// # Errors
 ///
@@ -204,7 +208,7 @@
     let mut voters = Vec::new();
     for directory in directories {
         let status = Status::read(directory)?;
-        if status.flag("keeper") {
+        if status.is_true("keeper") {
             let name = status.name().to_string();
             let replicas = read_voter(directory)?;
             voters.push(NamedReplicas { name, replicas });
@@ -225,19 +229,21 @@
         let key = hex(&difference.key);
         for (voter, missing) in voters.iter().zip(&difference.missing) {
             for (origin, version) in missing {
-                let held = match version {
+                let known_version = match version {
                     Some(version) => format!("version {version}"),
-                    None => "nothing of it".into(),
+                    None => "nothing".into(),
                 };
                 println!(
-                    "{key}: {} has {held} of what start {} of {:016x} said, others have more",
+                    "{key}: {} has {known_version} from start {} of gateway {:016x}, others have a newer version",
                     voter.name, origin.start, origin.identity
                 );
             }
         }
     }
     if !comparison.differences.is_empty() {
-        println!("keepers that run and reach each other mend this by themselves within seconds");
+        println!(
+            "keepers that run and reach each other repair this within seconds; no action is needed"
+        );
     }
     Ok(())
 }
--- a/crates/cli/src/logger.rs
+++ b/crates/cli/src/logger.rs
@@ -1,6 +1,6 @@
-//! The structured log, on standard error: lines of text or JSON, levels by target. A line that
-//! can't be written at once, or is one too many in its second, is dropped and counted, so that the
-//! log never holds the program up.
+//! The structured log on standard error: lines of text or JSON, with levels by target. A line that
+//! would block, or that exceeds the limit of lines per second, is dropped and counted, so that
+//! logging never blocks the program.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -20,24 +20,25 @@
 #[cfg(test)]
 mod tests;
 
-/// A pipe that is ready takes a write of this length whole.
-const MAX_LINE: usize = 4096;
-/// Lines in one second, so that a fault that repeats doesn't fill the disk behind the pipe.
-const MAX_LINES: u64 = 200;
+/// Bytes of the longest line. A pipe that polls as writable takes a write of this length whole.
+const MAX_LINE_BYTES: usize = 4096;
+/// Greatest number of lines per second, so that a repeating fault doesn't fill the disk that the
+/// log is stored on.
+const MAX_LINES_PER_SECOND: u64 = 200;
 
-/// Starts to log. `EIDERYARD_LOG` (a level, or levels by target as in
-/// `info,eideryard_gateway=debug`) goes before the operator's file; what neither names is logged
-/// from info on.
-pub fn start(named: Option<&str>, log: &LogConfig) {
+/// Installs the logger. `environment` is the value of `EIDERYARD_LOG`: a level, or levels by target
+/// as in `info,eideryard_gateway=debug`. It takes precedence over the operator's file. Without
+/// either, the level is info.
+pub fn start(environment: Option<&str>, log: &LogConfig) {
     let json = log.json;
-    let guard = move || Guard {
+    let writer = move || LimitedWriter {
         sink: Stderr,
-        lines: &LINES,
+        lines: &LINE_COUNTS,
         json,
     };
-    let levels = levels(named, log);
+    let level_filter = level_filter(environment, log);
     let layer = tracing_subscriber::fmt::layer();
-    // It fails only where a logger is set already, which then stays.
+    // This fails only if a logger is already installed, which then stays in use.
     let _ = if json {
         let layer = layer
             .json()
@@ -45,21 +46,24 @@
             .with_current_span(false)
             .with_span_list(true);
         tracing_subscriber::registry()
-            .with(layer.with_writer(guard))
-            .with(levels)
+            .with(layer.with_writer(writer))
+            .with(level_filter)
             .try_init()
     } else {
-        let layer = layer.with_ansi(false).event_format(Text).with_writer(guard);
+        let layer = layer
+            .with_ansi(false)
+            .event_format(TextFormat)
+            .with_writer(writer);
         tracing_subscriber::registry()
             .with(layer)
-            .with(levels)
+            .with(level_filter)
             .try_init()
     };
 }
 
-fn levels(named: Option<&str>, log: &LogConfig) -> Targets {
+fn level_filter(environment: Option<&str>, log: &LogConfig) -> Targets {
     let level = |text: &str| text.parse::<LevelFilter>().ok();
-    let usual = log
+    let default_level = log
         .level
         .as_deref()
         .and_then(level)
@@ -68,14 +72,18 @@
         .targets
         .iter()
         .filter_map(|(target, text)| Some((target.clone(), level(text)?)));
-    let own = Targets::new().with_default(usual).with_targets(targets);
-    named.and_then(|named| named.parse().ok()).unwrap_or(own)
+    let configured = Targets::new()
+        .with_default(default_level)
+        .with_targets(targets);
+    environment
+        .and_then(|environment| environment.parse().ok())
+        .unwrap_or(configured)
 }
 
-/// One line a record: seconds, level, the spans' fields, the message.
-struct Text;
+/// Formats an event as one line: Unix seconds, level, the fields of its spans, the message.
+struct TextFormat;
 
-impl<S, N> FormatEvent<S, N> for Text
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -86,7 +94,7 @@
         mut out: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let at = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let level = match *event.metadata().level() {
@@ -96,7 +104,12 @@
             Level::DEBUG => "debug",
             Level::TRACE => "trace",
         };
-        write!(out, "{}.{:03} {level} ", at.as_secs(), at.subsec_millis())?;
+        write!(
+            out,
+            "{}.{:03} {level} ",
+            since_epoch.as_secs(),
+            since_epoch.subsec_millis()
+        )?;
         for span in context
             .event_scope()
             .into_iter()
@@ -116,8 +129,9 @@
     }
 }
 
-/// Where lines go, and whether it takes one now.
+/// Destination of the log's lines.
 trait Sink {
+    /// Whether a line can be written without blocking.
     fn is_ready(&self) -> bool;
     fn write(&mut self, line: &[u8]) -> io::Result<()>;
 }
@@ -127,12 +141,13 @@
 impl Sink for Stderr {
     fn is_ready(&self) -> bool {
         let stderr = rustix::stdio::stderr();
-        let mut wanted = [PollFd::new(&stderr, PollFlags::OUT)];
-        let at_once = Timespec {
+        let mut poll_fds = [PollFd::new(&stderr, PollFlags::OUT)];
+        let no_wait = Timespec {
             tv_sec: 0,
             tv_nsec: 0,
         };
-        poll(&mut wanted, Some(&at_once)).is_ok() && wanted[0].revents().contains(PollFlags::OUT)
+        poll(&mut poll_fds, Some(&no_wait)).is_ok()
+            && poll_fds[0].revents().contains(PollFlags::OUT)
     }
 
     fn write(&mut self, line: &[u8]) -> io::Result<()> {
@@ -140,60 +155,62 @@
     }
 }
 
-struct Lines {
+/// Counts written and dropped lines, for all threads.
+struct LineCounts {
+    /// Lines dropped since the last notice about them.
     dropped: AtomicU64,
-    /// The second that is counted, and the lines in it.
+    /// The Unix second that `lines` counts.
     second: AtomicU64,
     lines: AtomicU64,
 }
 
-impl Lines {
+impl LineCounts {
     const fn new() -> Self {
-        Lines {
+        LineCounts {
             dropped: AtomicU64::new(0),
             second: AtomicU64::new(0),
             lines: AtomicU64::new(0),
         }
     }
 
-    /// Whether one more may be written in this second.
-    fn take(&self, second: u64) -> bool {
+    /// Counts a line of a Unix second, and returns whether it is within the limit.
+    fn count_line(&self, second: u64) -> bool {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
-        self.lines.fetch_add(1, Ordering::Relaxed) < MAX_LINES
+        self.lines.fetch_add(1, Ordering::Relaxed) < MAX_LINES_PER_SECOND
     }
 }
 
-static LINES: Lines = Lines::new();
+static LINE_COUNTS: LineCounts = LineCounts::new();
 
-/// The layer between the formats and standard error.
-struct Guard<S> {
+/// Writer between the formatter and standard error that limits the rate and length of lines.
+struct LimitedWriter<S> {
     sink: S,
-    lines: &'static Lines,
+    lines: &'static LineCounts,
     json: bool,
 }
 
-impl<S: Sink> Guard<S> {
-    /// A line as it may go out: one line, whole in one write.
-    fn fit(&self, line: &[u8]) -> Vec<u8> {
+impl<S: Sink> LimitedWriter<S> {
+    /// Limits a formatted event to one line that fits into one write.
+    fn limit_line(&self, line: &[u8]) -> Vec<u8> {
         if self.json {
-            let short = line.len() <= MAX_LINE;
-            let instead = || {
+            let is_short = line.len() <= MAX_LINE_BYTES;
+            let notice = || {
                 format!(
-                    "{{\"level\":\"WARN\",\"message\":\"a line of {} bytes was left out\"}}\n",
+                    "{{\"level\":\"WARN\",\"message\":\"a log line of {} bytes was dropped: it is too long\"}}\n",
                     line.len()
                 )
             };
-            return if short {
+            return if is_short {
                 line.to_vec()
             } else {
-                instead().into_bytes()
+                notice().into_bytes()
             };
         }
         let text = String::from_utf8_lossy(line);
         let mut text = text.trim_end_matches('\n').replace(['\n', '\r'], " ");
-        let mut cut = text.len().min(MAX_LINE - 1);
+        let mut cut = text.len().min(MAX_LINE_BYTES - 1);
         while !text.is_char_boundary(cut) {
             cut -= 1;
         }
@@ -202,34 +219,35 @@
         text.into_bytes()
     }
 
-    fn dropped(&self, count: u64, second: u64) -> String {
+    /// The notice about dropped lines.
+    fn dropped_notice(&self, count: u64, second: u64) -> String {
         if self.json {
             format!(
-            "{{\"level\":\"WARN\",\"message\":\"lines before this were dropped\",\"dropped\":{count}}}\n"
+            "{{\"level\":\"WARN\",\"message\":\"log lines before this one were dropped\",\"dropped\":{count}}}\n"
         )
         } else {
-            format!("{second}.000 warn {count} lines before this were dropped\n")
+            format!("{second}.000 warn {count} log lines before this one were dropped\n")
         }
     }
 }
 
-impl<S: Sink> Write for Guard<S> {
-    /// Called once for each line, with all of it.
+impl<S: Sink> Write for LimitedWriter<S> {
+    /// The formatter calls this once for each event, with the whole line.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let second = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_secs();
-        if !self.lines.take(second) || !self.sink.is_ready() {
+        if !self.lines.count_line(second) || !self.sink.is_ready() {
             self.lines.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(line.len());
         }
         let mut out = Vec::new();
         if let count @ 1.. = self.lines.dropped.swap(0, Ordering::Relaxed) {
-            out.extend(self.dropped(count, second).bytes());
+            out.extend(self.dropped_notice(count, second).bytes());
         }
-        out.extend(self.fit(line));
-        // There is nowhere to tell of a log that can't be written.
+        out.extend(self.limit_line(line));
+        // An error of the log itself can't be reported anywhere.
         let _ = self.sink.write(&out);
         Ok(line.len())
     }
--- a/crates/cli/src/logger/tests.rs
+++ b/crates/cli/src/logger/tests.rs
@@ -1,4 +1,4 @@
-//! Lines that are dropped, cut and filtered.
+//! Tests that lines are dropped, shortened and filtered by level.
 
 use super::*;
 use std::sync::{Arc, Mutex};
@@ -6,12 +6,12 @@
 #[derive(Clone, Default)]
 struct Pipe {
     written: Arc<Mutex<Vec<u8>>>,
-    full: bool,
+    is_full: bool,
 }
 
 impl Sink for Pipe {
     fn is_ready(&self) -> bool {
-        !self.full
+        !self.is_full
     }
 
     fn write(&mut self, line: &[u8]) -> io::Result<()> {
@@ -21,44 +21,50 @@
 }
 
 #[test]
-fn lines_that_would_wait_or_are_too_many_are_dropped_and_counted() {
-    static OWN: Lines = Lines::new();
+fn lines_that_would_block_or_exceed_the_rate_are_dropped_and_counted() {
+    static COUNTS: LineCounts = LineCounts::new();
     let pipe = Pipe::default();
-    let mut guard = Guard {
+    let mut writer = LimitedWriter {
         sink: pipe.clone(),
-        lines: &OWN,
+        lines: &COUNTS,
         json: false,
     };
-    guard.sink.full = true;
-    guard.write_all(b"waits\n").unwrap();
-    guard.sink.full = false;
-    guard.write_all(b"two\nlines\n").unwrap();
+    writer.sink.is_full = true;
+    writer.write_all(b"waits\n").unwrap();
+    writer.sink.is_full = false;
+    writer.write_all(b"two\nlines\n").unwrap();
     let text = String::from_utf8(pipe.written.lock().unwrap().clone()).unwrap();
     assert!(
-        text.contains("1 lines before this were dropped\n") && text.ends_with("two lines\n"),
+        text.contains("1 log lines before this one were dropped\n")
+            && text.ends_with("two lines\n"),
         "{text}"
     );
-    let many = Lines::new();
-    assert_eq!((0..500).filter(|_| many.take(7)).count() as u64, MAX_LINES);
-    assert!(many.take(8), "each second has its own");
-    assert_eq!(guard.fit(&[b'x'; 9000]).len(), MAX_LINE);
-    guard.json = true;
-    let line: serde_json::Value = serde_json::from_slice(&guard.fit(&[b'x'; 9000])).unwrap();
+    let counts = LineCounts::new();
+    assert_eq!(
+        (0..500).filter(|_| counts.count_line(7)).count() as u64,
+        MAX_LINES_PER_SECOND
+    );
+    assert!(counts.count_line(8), "each second has its own limit");
+    assert_eq!(writer.limit_line(&[b'x'; 9000]).len(), MAX_LINE_BYTES);
+    writer.json = true;
+    let line: serde_json::Value =
+        serde_json::from_slice(&writer.limit_line(&[b'x'; 9000])).unwrap();
     assert!(line["message"].as_str().unwrap().contains("9000"));
 }
 
 #[test]
-fn the_environment_goes_before_the_operators_file_and_targets_before_the_rest() {
-    let log = LogConfig {
+fn the_environment_overrides_the_operators_file_and_targets_override_the_level() {
+    let config = LogConfig {
         level: Some("warn".into()),
         targets: vec![("record".into(), "debug".into())],
         json: false,
     };
-    let own = levels(None, &log);
+    let filter = level_filter(None, &config);
     assert!(
-        own.would_enable("record", &Level::DEBUG) && !own.would_enable("gateway", &Level::INFO)
+        filter.would_enable("record", &Level::DEBUG)
+            && !filter.would_enable("gateway", &Level::INFO)
     );
-    assert!(levels(Some("debug"), &log).would_enable("gateway", &Level::DEBUG));
-    assert!(levels(Some("nonsense=="), &log).would_enable("gateway", &Level::WARN));
-    assert!(!levels(None, &LogConfig::default()).would_enable("gateway", &Level::DEBUG));
+    assert!(level_filter(Some("debug"), &config).would_enable("gateway", &Level::DEBUG));
+    assert!(level_filter(Some("nonsense=="), &config).would_enable("gateway", &Level::WARN));
+    assert!(!level_filter(None, &LogConfig::default()).would_enable("gateway", &Level::DEBUG));
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! The program `eideryard`: its command line. Exit codes: 0, 1 (it failed), 2 (wrong use).
+//! The program `eideryard` and its command line. Exit codes: 0 (success), 1 (failure), 2 (wrong
+//! usage).
 
 mod arguments;
 mod check;
@@ -93,7 +94,7 @@
     Ok(())
 }
 
-/// The gateway itself: what fails goes to its log.
+/// Runs the gateway. Errors are written to its log, in the format that the operator's file sets.
 fn run(operator: Option<&str>) -> ExitCode {
     let operator = match operator {
         Some(path) => OperatorConfig::from_file(path),
--- a/crates/cli/src/moment.rs
+++ b/crates/cli/src/moment.rs
@@ -1,4 +1,4 @@
-//! Times on the command line.
+//! Times that are given on the command line.
 
 use thiserror::Error;
 
@@ -7,24 +7,25 @@
 
 /// Microseconds of a day.
 const DAY: u64 = 86_400_000_000;
-/// Unix seconds from here on are no time.
+/// Upper bound of Unix times, in seconds; greater numbers are rejected as mistakes.
 const MAX_UNIX_SECONDS: f64 = 1e11;
 
-/// A Unix time, or a time of day that an event log's own day completes; microseconds.
+/// A Unix time, or a time of day, to which the last day of the event logs is added; both in
+/// microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Moment {
-    /// A Unix time.
+    /// Microseconds since 1970, UTC.
     Unix(u64),
-    /// A time of day.
+    /// Microseconds since midnight, UTC.
     OfDay(u64),
 }
 
-/// A text that names no time.
+/// The given text isn't a time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("'{0}' is neither HH:MM[:SS] nor a Unix time in seconds")]
 pub struct MomentError(String);
 
-/// A part of a time of day: its seconds, and the bound of its value.
+/// A part of a time of day: its length in seconds, and the exclusive upper bound of its value.
 struct TimePart {
     seconds: f64,
     bound: f64,
@@ -43,11 +44,11 @@
     bound: 60.0,
 };
 
-/// Parses a time.
+/// Parses a time in one of the forms HH:MM, HH:MM:SS and Unix seconds.
 ///
 /// # Errors
 ///
-/// The text names no time.
+/// The text isn't a time.
 pub fn parse(text: &str) -> Result<Moment, MomentError> {
     let moment = if text.contains(':') {
         parse_time_of_day(text)
@@ -80,7 +81,7 @@
 }
 
 impl Moment {
-    /// The Unix time, with the day of another time where this one has none.
+    /// The Unix time in microseconds. A time of day is taken on the day of `at`.
     pub fn on_day_of(self, at: u64) -> u64 {
         match self {
             Moment::Unix(at) => at,
--- a/crates/cli/src/moment/tests.rs
+++ b/crates/cli/src/moment/tests.rs
@@ -1,4 +1,4 @@
-//! Times in each of their forms.
+//! Tests of parsing times in each form.
 
 use super::*;
 
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -1,4 +1,4 @@
-//! `eideryard records`: what is in event logs, and whether they are whole.
+//! `eideryard records`: prints the content of event logs, and checks whether they are complete.
 
 use std::collections::BTreeSet;
 use std::io::{self, BufWriter, Write};
@@ -13,19 +13,19 @@
 
 use crate::error::CliError;
 
-/// Hexadecimal digits of a client's id of a request.
+/// Hexadecimal digits of the id that a client gives to a request.
 const ID_DIGITS: usize = 16;
 
-/// What the log of one start of a gateway holds.
+/// Summary of the event log of one start of a gateway.
 #[derive(Default)]
 struct StartSummary {
     tally: RunningTally,
     entries: u64,
     gaps: u64,
     missing_entries: u64,
-    /// Something could not be read, and no tally has come since.
+    /// Part of the log couldn't be read, and no tally entry followed that restores the totals.
     is_damaged: bool,
-    /// The counters that the gateway ended with.
+    /// The gateway's own counters at its end; absent if it was killed or still runs.
     final_counters: Option<Vec<(String, u64)>>,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Counters of which the gateway and its log give different figures, a line for each.
+    /// A line for each counter whose value differs between the gateway and its event log.
     fn differences(&self) -> Vec<String> {
         let counters = self.final_counters.as_deref().unwrap_or_default();
         let mut differences = Vec::new();
@@ -98,7 +98,7 @@
     }
 }
 
-/// Reads all logs, and summarizes each start of a gateway.
+/// Reads all event logs and summarizes each start of a gateway.
 fn summarize(directories: &[PathBuf]) -> Result<(MergedReader, Vec<StartSummary>), ReadError> {
     let mut reader = MergedReader::open(directories)?;
     let mut starts = Vec::new();
@@ -109,11 +109,11 @@
     Ok((reader, starts))
 }
 
-/// Prints whether logs are whole and agree with the gateways' own counters.
+/// Prints whether event logs are complete and agree with the gateways' own counters.
 ///
 /// # Errors
 ///
-/// The logs can't be read, are damaged, or don't agree.
+/// The logs can't be read or are damaged, or their totals differ from the counters.
 pub fn verify(directories: &[PathBuf]) -> Result<(), CliError> {
     let (reader, starts) = summarize(directories)?;
     let mut problems = 0;
@@ -129,9 +129,9 @@
         );
         let differences = start.differences();
         if start.final_counters.is_none() {
-            println!("  it doesn't end: the gateway runs still, or was killed");
+            println!("  the log has no end: the gateway still runs or was killed");
         } else if differences.is_empty() {
-            println!("  it agrees with the gateway's own counters");
+            println!("  the totals agree with the gateway's own counters");
         } else {
             problems += 1;
             for difference in differences {
@@ -184,8 +184,8 @@
 ///
 /// The id is malformed or unknown, the logs can't be read, or standard output can't be written.
 pub fn find(id: &str, directories: &[PathBuf]) -> Result<(), CliError> {
-    let wanted = match u64::from_str_radix(id, 16) {
-        Ok(wanted) if id.len() == ID_DIGITS => wanted,
+    let wanted_id = match u64::from_str_radix(id, 16) {
+        Ok(wanted_id) if id.len() == ID_DIGITS => wanted_id,
         _ => return Err(CliError::MalformedId(id.to_string())),
     };
     let mut found: BTreeSet<(usize, RequestId)> = BTreeSet::new();
@@ -195,7 +195,7 @@
             Entry::Host(HostEvent::OpenRequest(open)) => Some(&open.client_request),
             _ => None,
         };
-        if let Some(client_request) = client_request.filter(|request| request.id == wanted) {
+        if let Some(client_request) = client_request.filter(|request| request.id == wanted_id) {
             found.insert((source, client_request.request));
         }
         let request = entry.request();
@@ -207,7 +207,8 @@
     Ok(())
 }
 
-/// Prints the entries that are wanted, by the index of their source.
+/// Prints the entries for which `is_wanted` is true. Its arguments are the index of the entry's
+/// source and the entry.
 fn print(
     directories: &[PathBuf],
     mut is_wanted: impl FnMut(usize, &Entry) -> bool,
@@ -229,7 +230,7 @@
             }
         };
         match written {
-            // The reader of standard output has seen enough.
+            // The reader of standard output has closed the pipe, which is no error.
             Err(error) if error.kind() == io::ErrorKind::BrokenPipe => return Ok(()),
             written => written?,
         }
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,4 +1,4 @@
-//! `eideryard store`: what a gateway's store holds, and its rewriting.
+//! `eideryard store`: checks, prints and compacts a gateway's store.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -10,7 +10,8 @@
 use crate::error::{CliError, StoreProblem};
 use crate::fleet::hex;
 
-/// A store that is rewritten by hand may grow as it has to.
+/// Budget in bytes for a store that an operator compacts: larger than any store, so that it never
+/// limits the rewriting.
 const ANY_BUDGET: u64 = 1 << 44;
 
 fn now_ms() -> u64 {
@@ -34,31 +35,31 @@
     eideryard_store::inspect(directory).map_err(|problem| error(directory, problem))
 }
 
-/// Prints whether a store is whole, without changing it.
+/// Prints whether a store is complete, without changing it.
 ///
 /// # Errors
 ///
 /// The store can't be read, or is damaged.
 pub fn check(directory: &Path) -> Result<(), CliError> {
-    let found = read(directory)?;
-    let Some(newest) = found.newest_header else {
-        println!("no store is there: a gateway would begin as a stranger");
+    let recovered = read(directory)?;
+    let Some(newest) = recovered.newest_header else {
+        println!("the directory contains no store: a gateway would start with a new identity");
         return Ok(());
     };
     let age = now_ms().saturating_sub(newest.at_ms) as f64 / 1e3;
     println!(
-        "start {}, last begun {age:.1} s ago; {} keys, {} batches",
+        "start {}, newest segment created {age:.1} s ago; {} keys, {} batches",
         newest.start_number,
-        found.keys.len(),
-        found.last_batch
+        recovered.keys.len(),
+        recovered.last_batch
     );
-    if found.torn_bytes > 0 {
+    if recovered.torn_bytes > 0 {
         println!(
-            "{} bytes at the end were never whole: nobody was told that they were durable",
-            found.torn_bytes
+            "{} bytes at the end are an unfinished write, which was never reported as durable",
+            recovered.torn_bytes
         );
     }
-    if let Some(damage) = found.damage {
+    if let Some(damage) = recovered.damage {
         return Err(CliError::DamagedStore {
             segment: damage.segment,
             offset: damage.offset,
@@ -68,7 +69,7 @@
     Ok(())
 }
 
-/// An intent as `eideryard store dump` prints it; the names in it are an interface.
+/// An intent as `eideryard store dump` prints it. Scripts read the names in this text.
 fn intent_text(intent: &Intent) -> String {
     let Intent {
         since,
@@ -104,7 +105,7 @@
     Ok(())
 }
 
-/// What a store was found to be; the names in it are an interface.
+/// How complete a store is. Scripts read the names in this text.
 fn status_text(status: &RecoveryStatus) -> String {
     match status {
         RecoveryStatus::New => "New".into(),
@@ -116,7 +117,7 @@
     }
 }
 
-/// Rewrites a store that no gateway has open.
+/// Compacts a store that no gateway has open.
 ///
 /// # Errors
 ///
@@ -127,12 +128,12 @@
     }
     let files = Box::new(Directory::new(directory));
     let config = Config { budget: ANY_BUDGET };
-    let (mut store, found) = Store::open(files, config, now_ms(), now_ms())
+    let (mut store, recovered) = Store::open(files, config, now_ms(), now_ms())
         .map_err(|problem| error(directory, problem))?;
-    if !matches!(found.status, RecoveryStatus::Whole) {
+    if !matches!(recovered.status, RecoveryStatus::Whole) {
         println!(
-            "it was not whole ({}): the gateway that starts with it begins as a stranger",
-            status_text(&found.status)
+            "the store was not whole ({}): a gateway that opens it starts with a new identity",
+            status_text(&recovered.status)
         );
     }
     let before = store.bytes();
@@ -140,7 +141,7 @@
         .rebuild(now_ms())
         .map_err(|problem| error(directory, problem))?;
     println!(
-        "{} keys; {before} bytes are {} now",
+        "{} keys; compacted from {before} to {} bytes",
         store.len(),
         store.bytes()
     );
--- a/crates/cli/src/view.rs
+++ b/crates/cli/src/view.rs
@@ -1,4 +1,4 @@
-//! Event logs folded to views, which the report and the console show.
+//! Folds event logs into the view that the report shows, and resolves times for the console.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 use crate::error::CliError;
 use crate::moment::Moment;
 
-/// A time on the last day of the logs.
+/// The Unix time of a moment, in microseconds. A time of day is on the last day of the logs.
 ///
 /// # Errors
 ///
@@ -26,7 +26,8 @@
     Ok(Some(at.on_day_of(last)))
 }
 
-/// Folds a span of time of the logs, each from the last segment that begins before it.
+/// Folds the entries of a span of time into a view. Each log is read from the last segment that
+/// begins before the span, as its first entries contain the state at that time.
 ///
 /// # Errors
 ///
