--- a/crates/cli/benches/cpu.rs
+++ b/crates/cli/benches/cpu.rs
@@ -1,5 +1,6 @@
-//! Processor time of a gateway at 500 requests a second, with and without the record, in turn.
-//! `cargo bench -p eideryard-cli`: about three minutes, most of which is waiting.
+//! Measures the processor time of a gateway at 500 requests per second, alternately with and
+//! without the event log. `cargo bench -p eideryard-cli` takes about three minutes, most of it
+//! waiting.
 
 use eideryard_emulators::scenario::Scenario;
 use eideryard_fleet_test::processes::Programs;
@@ -23,12 +24,12 @@
 }
 ";
 
-/// Milliseconds of processor time for each request taken.
-fn round(record: bool) -> f64 {
+/// Runs the scenario once. Returns milliseconds of processor time per request.
+fn run_scenario(has_event_log: bool) -> f64 {
     let directory = tempfile::tempdir().expect("a directory");
     let operator = directory.path().join("operator.conf");
     let records = directory.path().join("records");
-    let text = if record {
+    let text = if has_event_log {
         format!("record-dir \"{}\"\n", records.display())
     } else {
         String::new()
@@ -41,35 +42,38 @@
         directory: directory.path().into(),
     };
     let scenario = Scenario::read("steady", SCENARIO).expect("a good scenario");
-    let played = play(scenario, Some(programs)).expect("it can be played");
+    let played = play(scenario, Some(programs)).expect("the scenario can be played");
     let ending = &played.endings[0];
-    let counters = ending.counters.as_ref().expect("it ends by itself");
+    let counters = ending
+        .counters
+        .as_ref()
+        .expect("the gateway ends by itself");
     let served = counters["served"] as f64 / counters["taken"] as f64;
     assert!(
         played.ledger.breaks == 0 && served > 0.95,
-        "{served:.3} of all are served: {counters:?}"
+        "a share of {served:.3} was served: {counters:?}"
     );
     ending.cpu.as_secs_f64() * 1e3 / counters["taken"] as f64
 }
 
 fn main() {
-    // Cargo tests benches too, with a word that asks for nothing.
+    // `cargo test` runs benches as well, without this argument.
     if !std::env::args().any(|word| word == "--bench") {
         return;
     }
     let mut ratios = Vec::new();
     for number in 1..=ROUNDS {
-        // Each goes first as often as second.
+        // Each variant runs first in half of the rounds.
         let order = [number % 2 == 0, number % 2 == 1];
-        let first = round(order[0]);
-        let second = round(order[1]);
+        let first = run_scenario(order[0]);
+        let second = run_scenario(order[1]);
         let (with, without) = if order[0] {
             (first, second)
         } else {
             (second, first)
         };
         println!(
-            "round {number}: {with:.4} ms a request with the record, {without:.4} without, ratio {:.3}",
+            "round {number}: {with:.4} ms per request with the event log, {without:.4} without, ratio {:.3}",
             with / without
         );
         ratios.push(with / without);
--- a/crates/cli/benches/day.rs
+++ b/crates/cli/benches/day.rs
@@ -1,5 +1,5 @@
-//! A long record: ten million entries, written, read and made a page of, with the most memory that
-//! it took. `cargo bench -p eideryard-cli --bench day`.
+//! Writes an event log of ten million entries and measures the time and peak memory of verifying it
+//! and of writing the report page. `cargo bench -p eideryard-cli --bench day`.
 
 #[path = "../../event-log/tests/common/mod.rs"]
 mod common;
@@ -12,34 +12,38 @@
 
 const ENTRIES: u64 = 10_000_000;
 
-/// The most memory that a process has held, in MB, by the system's own account.
-fn most_memory(process: u32) -> Option<u64> {
+/// Peak resident memory of a process in MB, as the kernel reports it.
+fn peak_memory(process: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
     Some(line.split_whitespace().nth(1)?.parse::<u64>().ok()? / 1024)
 }
 
-fn run(what: &str, words: &[&str]) {
-    let began = Instant::now();
+fn run(name: &str, arguments: &[&str]) {
+    let started = Instant::now();
     let mut child = Command::new(env!("CARGO_BIN_EXE_eideryard"))
-        .args(words)
+        .args(arguments)
         .stdout(Stdio::null())
         .spawn()
         .expect("the program runs");
     let mut memory = 0;
-    while child.try_wait().expect("it can be waited for").is_none() {
-        memory = most_memory(child.id()).unwrap_or(memory).max(memory);
+    while child
+        .try_wait()
+        .expect("the program can be waited for")
+        .is_none()
+    {
+        memory = peak_memory(child.id()).unwrap_or(memory).max(memory);
         std::thread::sleep(Duration::from_millis(2));
     }
-    let took = began.elapsed().as_secs_f64();
+    let seconds = started.elapsed().as_secs_f64();
     println!(
-        "{what}: {took:.2} s, {:.1} million entries a second, {memory} MB",
-        ENTRIES as f64 / took / 1e6
+        "{name}: {seconds:.2} s, {:.1} million entries per second, {memory} MB",
+        ENTRIES as f64 / seconds / 1e6
     );
 }
 
 fn main() {
-    // Cargo tests benches too, with a word that asks for nothing.
+    // `cargo test` runs benches as well, without this argument.
     if !std::env::args().any(|word| word == "--bench") {
         return;
     }
@@ -60,7 +64,7 @@
         }
         number += 1;
         if number % 2000 == 0 {
-            // The writer keeps up, so that nothing is left out.
+            // Lets the writer thread keep up, so that no entry is left out.
             std::thread::sleep(Duration::from_millis(4));
         }
     }
@@ -70,9 +74,9 @@
     let page = directory.path().join("page.html").display().to_string();
     run("verify", &["records", "verify", &records]);
     run("report", &["report", &records, "--out", &page]);
-    let part = ["--from", "1796147875", "--to", "1796147935"];
+    let span = ["--from", "1796147875", "--to", "1796147935"];
     run(
         "report of a minute",
-        &[&["report", &records, "--out", &page][..], &part].concat(),
+        &[&["report", &records, "--out", &page][..], &span].concat(),
     );
 }
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -4,10 +4,8 @@
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
-/// Help of `console --at`.
 const CONSOLE_AT_HELP: &str =
     "Start paused at this time: HH:MM[:SS] on the last day of the event logs, or a Unix time in seconds; UTC";
-/// Help of `report --from`.
 const SPAN_FROM_HELP: &str =
     "Leave out entries before this time: HH:MM[:SS] on the last day of the event logs, or a Unix time in seconds; UTC";
 
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,11 +1,12 @@
-//! Starts the program against stand-ins on loopback, on ports that the system gives.
+//! Starts the program with emulated engines and an emulated service discovery, on loopback and on
+//! ports that the system chooses.
 #![allow(dead_code)]
 
-pub use eideryard_emulators::scripted as standin;
+pub use eideryard_emulators::scripted;
 
 use rustix::process::{kill_process, Pid, Signal};
+use scripted::{Bulletin, Client, Engine, EngineEnd, PATIENCE};
 use serde_json::{json, Value};
-use standin::{Bulletin, Client, Engine, EngineEnd, PATIENCE};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -16,9 +17,10 @@
 
 pub const QUERY: &[u8] = b"SELECT * FROM sales_17.orders";
 
-static STARTED: AtomicU32 = AtomicU32::new(0);
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A configuration with one class of each effect and the engines given.
+/// A configuration with one class for each kind of effect (`report` is safe, `load` is keyed,
+/// `change` is unsafe), whose known endpoint list contains the given engines.
 pub fn config(bulletin: SocketAddr, engines: &[SocketAddr]) -> Value {
     let hosts: Vec<Value> = engines
         .iter()
@@ -55,64 +57,67 @@
            "health": health, "share": 1, "born_ms": 0})
 }
 
-pub struct Running {
+/// A gateway process. When it is dropped, the process is stopped, and the tally of its event log is
+/// compared with its own counters.
+pub struct GatewayProcess {
     child: Child,
     config: PathBuf,
     pub address: SocketAddr,
     log: Receiver<String>,
-    /// Its last counters, where a test has taken them.
-    counted: Option<String>,
+    /// The last line of counters, if a test has already taken it from the log.
+    last_counters: Option<String>,
 }
 
-impl Running {
+impl GatewayProcess {
     pub fn start(config: &Value) -> Self {
-        Self::start_with(config, "")
+        Self::start_with_operator(config, "")
     }
 
-    /// With more lines in the operator's file.
-    pub fn start_with(config: &Value, operator: &str) -> Self {
-        let mut running = Self::launched(config, operator);
-        running.listens();
-        running
+    /// Starts a gateway with additional lines in the operator's file.
+    pub fn start_with_operator(config: &Value, operator: &str) -> Self {
+        let mut gateway = Self::spawn(config, operator);
+        gateway.wait_until_listening();
+        gateway
     }
 
-    /// In a process that gets so many descriptors.
-    pub fn start_within(config: &Value, descriptors: u64) -> Self {
-        let mut running = Self::launched_by(config, "", Some(descriptors));
-        running.listens();
-        running
+    /// Starts a gateway whose process is limited to `descriptors` file descriptors.
+    pub fn start_with_descriptors(config: &Value, descriptors: u64) -> Self {
+        let mut gateway = Self::spawn_with(config, "", Some(descriptors));
+        gateway.wait_until_listening();
+        gateway
     }
 
-    /// What it says before it listens is there to be read.
-    pub fn launched(config: &Value, operator: &str) -> Self {
-        Self::launched_by(config, operator, None)
+    /// Starts a gateway without waiting until it listens, so that a test can read the log lines
+    /// that come before.
+    pub fn spawn(config: &Value, operator: &str) -> Self {
+        Self::spawn_with(config, operator, None)
     }
 
-    fn launched_by(config: &Value, operator: &str, descriptors: Option<u64>) -> Self {
-        let (child, log, config) = launch(config, operator, descriptors);
+    fn spawn_with(config: &Value, operator: &str, descriptors: Option<u64>) -> Self {
+        let (child, log, config) = spawn_program(config, operator, descriptors);
         let address = "127.0.0.1:0".parse().expect("an address");
-        Running {
+        GatewayProcess {
             child,
             config,
             address,
             log,
-            counted: None,
+            last_counters: None,
         }
     }
 
-    pub fn listens(&mut self) {
-        let line = self.line_with("listens on ");
+    pub fn wait_until_listening(&mut self) {
+        let line = self.wait_for_line("listens on ");
         let address = line.rsplit(' ').next().expect("a last word");
         self.address = address.parse().expect("the log names the address");
     }
 
     pub fn kill(mut self) {
         self.child.kill().expect("the gateway runs");
-        self.child.wait().expect("it ends");
+        self.child.wait().expect("the process ends");
     }
 
-    /// The next line of the log that holds a text.
-    pub fn line_with(&mut self, text: &str) -> String {
+    /// Waits for the next line of the log that contains `text`.
+    pub fn wait_for_line(&mut self, text: &str) -> String {
         loop {
             let line = self
                 .log
@@ -133,60 +138,66 @@
         kill_process(pid, signal).expect("the gateway runs");
     }
 
-    /// Holds the process still, so that what happens meanwhile is there at once when it goes on.
+    /// Stops the process, so that it finds everything that happens meanwhile at once when it is
+    /// resumed.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits until a counter has a value.
-    pub fn until(&mut self, name: &str, value: u64) {
+    /// Waits until the counter `name` equals `value`.
+    pub fn wait_for_counter(&mut self, name: &str, value: u64) {
         while self.counters()[name] != value {}
     }
 
     pub fn counters(&mut self) -> BTreeMap<String, u64> {
-        counters(&self.counters_line())
+        counters(&self.log_counters())
     }
 
-    pub fn counters_line(&mut self) -> String {
+    pub fn log_counters(&mut self) -> String {
         self.signal(Signal::USR1);
-        self.line_with("counters:")
+        self.wait_for_line("counters:")
     }
 
-    /// Puts other text in the place of the configuration, or takes the file away, and sends SIGHUP.
+    /// Replaces the configuration file's content, or removes the file if `text` is `None`, and
+    /// sends SIGHUP.
     pub fn reload(&mut self, text: Option<&str>) {
         match text {
             Some(text) => std::fs::write(&self.config, text),
             None => std::fs::remove_file(&self.config),
         }
-        .expect("the file of the configuration can be changed");
+        .expect("the configuration file can be changed");
         self.signal(Signal::HUP);
     }
 
     pub fn terminate(&mut self) {
         self.signal(Signal::TERM);
-        self.line_with("stopping");
+        self.wait_for_line("stopping");
     }
 
-    fn compare(&mut self, records: &std::path::Path) {
+    /// Asserts that the tally of the event log equals the last counters that the gateway logged.
+    fn compare_with_event_log(&mut self, event_log: &std::path::Path) {
         let last = std::iter::from_fn(|| self.log.recv_timeout(PATIENCE).ok());
         let last = last.filter(|line| line.contains("counters:")).last();
-        let Some(counted) = last.or(self.counted.take()).map(|line| counters(&line)) else {
+        let Some(last_counters) = last
+            .or(self.last_counters.take())
+            .map(|line| counters(&line))
+        else {
             return;
         };
         let mut tally = Command::new(env!("CARGO_BIN_EXE_eideryard"));
-        tally.args(["records", "tally", "--json"]).arg(records);
-        let told = tally.output().expect("the program runs").stdout;
-        let told: Value = serde_json::from_slice(&told).expect("one object for one start");
+        tally.args(["records", "tally", "--json"]).arg(event_log);
+        let output = tally.output().expect("the program runs").stdout;
+        let output: Value = serde_json::from_slice(&output).expect("one object for one start");
         let mut compared = 0;
-        for (name, value) in told.as_object().expect("an object") {
-            if let Some(own) = counted.get(name) {
+        for (name, value) in output.as_object().expect("an object") {
+            if let Some(counter) = last_counters.get(name) {
                 assert_eq!(
                     value.as_u64(),
-                    Some(*own),
+                    Some(*counter),
                     "{name} as recorded and as counted"
                 );
                 compared += 1;
@@ -195,18 +206,18 @@
         assert!(compared > 25, "{compared} figures compared");
     }
 
-    /// How it ended by itself after SIGTERM, and what it counted.
-    pub fn ended(mut self) -> (ExitStatus, BTreeMap<String, u64>) {
-        let line = self.line_with("counters:");
-        let counted = counters(&line);
-        self.counted = Some(line);
-        (self.child.wait().expect("the gateway ends"), counted)
+    /// Waits for the process to exit after SIGTERM. Returns its exit status and last counters.
+    pub fn wait_for_exit(mut self) -> (ExitStatus, BTreeMap<String, u64>) {
+        let line = self.wait_for_line("counters:");
+        let last_counters = counters(&line);
+        self.last_counters = Some(line);
+        (self.child.wait().expect("the gateway ends"), last_counters)
     }
 }
 
-/// Each gateway of each test keeps a record, and at its end the record's tally has the figure of
-/// every counter.
-impl Drop for Running {
+/// Each gateway of each test writes an event log. At its end, the tally of the log must have the
+/// same value as every counter.
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         if std::thread::panicking() {
             let _ = self.child.kill();
@@ -214,33 +225,36 @@
             self.signal(Signal::TERM);
         }
         let ended = self.child.wait();
-        let records = record_of(&self.config);
+        let event_log = event_log_directory(&self.config);
         if !std::thread::panicking() && ended.is_ok_and(|status| status.success()) {
-            self.compare(&records);
+            self.compare_with_event_log(&event_log);
         }
-        let _ = std::fs::remove_dir_all(records);
+        let _ = std::fs::remove_dir_all(event_log);
     }
 }
 
-fn record_of(config: &std::path::Path) -> PathBuf {
+fn event_log_directory(config: &std::path::Path) -> PathBuf {
     config.with_extension("records")
 }
 
-fn launch(
+fn spawn_program(
     config: &Value,
-    more: &str,
+    operator_lines: &str,
     descriptors: Option<u64>,
 ) -> (Child, Receiver<String>, PathBuf) {
-    let number = STARTED.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("eideryard-{}-{number}.json", std::process::id()));
-    std::fs::write(&path, config.to_string()).expect("a file for the configuration");
+    std::fs::write(&path, config.to_string()).expect("the configuration file can be written");
     let operator = path.with_extension("conf");
     std::fs::write(
         &operator,
-        format!("record-dir \"{}\"\n{more}", record_of(&path).display()),
+        format!(
+            "record-dir \"{}\"\n{operator_lines}",
+            event_log_directory(&path).display()
+        ),
     )
-    .expect("a file");
-    // The shell sets the limit and becomes the program.
+    .expect("the operator's file can be written");
+    // The shell sets the limit of descriptors, then executes the program in its place.
     let limit = descriptors.map_or(String::new(), |limit| format!("ulimit -n {limit}; "));
     let mut child = Command::new("/bin/sh")
         .args([
@@ -254,24 +268,24 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let stderr = BufReader::new(child.stderr.take().expect("its log"));
+    let stderr = BufReader::new(child.stderr.take().expect("standard error is piped"));
     let (sender, log) = channel();
-    let file = path.clone();
+    let config_file = path.clone();
     std::thread::spawn(move || {
         for line in stderr.lines().map_while(Result::ok) {
             let _ = sender.send(line);
         }
-        let _ = std::fs::remove_file(file.with_extension("conf"));
-        let _ = std::fs::remove_file(file);
+        let _ = std::fs::remove_file(config_file.with_extension("conf"));
+        let _ = std::fs::remove_file(config_file);
     });
     (child, log, path)
 }
 
-/// Runs the program on a configuration that it can't use: how it ended, and what it said.
-pub fn refused_start(config: &Value) -> (ExitStatus, String) {
-    let (mut child, log, _) = launch(config, "", None);
-    let said = log.recv_timeout(PATIENCE).expect("a line that says why");
-    (child.wait().expect("the program ends"), said)
+/// Runs the program on a configuration that it can't use. Returns its exit status and first line.
+pub fn run_to_failure(config: &Value) -> (ExitStatus, String) {
+    let (mut child, log, _) = spawn_program(config, "", None);
+    let line = log.recv_timeout(PATIENCE).expect("a line that says why");
+    (child.wait().expect("the program ends"), line)
 }
 
 fn counters(line: &str) -> BTreeMap<String, u64> {
@@ -295,8 +309,8 @@
     counted
 }
 
-/// Stand-ins for one bulletin and so many engines.
-pub fn stand_ins(engines: usize) -> (Bulletin, Vec<Engine>) {
+/// Starts an emulated service discovery and the given number of emulated engines.
+pub fn start_emulators(engines: usize) -> (Bulletin, Vec<Engine>) {
     let bulletin = Bulletin::listen("127.0.0.1:0").expect("a port");
     (
         bulletin,
@@ -310,7 +324,7 @@
     engines.iter().map(Engine::address).collect()
 }
 
-/// The usual fields of a request.
+/// The fields of a typical request: 80 ms of work and 96 MB of memory, for the tenant `acme`.
 pub fn fields<'a>(id: &'a str, wait_ms: &'a str) -> Vec<(&'a str, &'a str)> {
     vec![
         ("i", id),
@@ -321,8 +335,8 @@
     ]
 }
 
-/// The next command of a kind; others are passed over.
-pub fn next(end: &mut EngineEnd, verb: &str) -> standin::Command {
+/// Waits for the next command with the given verb, and skips others.
+pub fn next_command(end: &mut EngineEnd, verb: &str) -> scripted::Command {
     loop {
         let command = end
             .command()
@@ -333,20 +347,20 @@
     }
 }
 
-/// A gateway in front of one engine, and a client of it.
-pub fn up() -> (Bulletin, Vec<Engine>, Running, Client) {
-    let (bulletin, engines) = stand_ins(1);
-    let gateway = Running::start(&config(bulletin.address(), &addresses(&engines)));
+/// Starts a gateway with one engine, and connects a client.
+pub fn start_one() -> (Bulletin, Vec<Engine>, GatewayProcess, Client) {
+    let (bulletin, engines) = start_emulators(1);
+    let gateway = GatewayProcess::start(&config(bulletin.address(), &addresses(&engines)));
     let client = gateway.client();
     (bulletin, engines, gateway, client)
 }
 
-/// The client's first query, as the engine gets it.
-pub fn called(client: &mut Client, engine: &Engine) -> (EngineEnd, standin::Command) {
+/// Sends the client's first query, and returns the engine's connection and the command it received.
+pub fn send_query(client: &mut Client, engine: &Engine) -> (EngineEnd, scripted::Command) {
     client
         .call(1, "report", &fields("0000000000000001", "15000"), QUERY)
         .expect("the gateway reads");
     let mut end = engine.accept().expect("the gateway dials");
-    let serve = next(&mut end, "serve");
+    let serve = next_command(&mut end, "serve");
     (end, serve)
 }
--- a/crates/cli/tests/effects.rs
+++ b/crates/cli/tests/effects.rs
@@ -1,10 +1,13 @@
-//! Effects: each class of effect against each way in which an attempt can go wrong. What is unsafe
-//! to repeat comes to an engine once, unless no byte of it ever went out.
+//! Safe, keyed and unsafe requests, each with every way in which an attempt can fail. Guards
+//! against a second run of an unsafe request: it may reach an engine only once, unless none of its
+//! bytes was sent.
 
 mod common;
 
-use common::standin::{Answer, Bulletin, Client, Engine, EngineEnd};
-use common::{addresses, config, fields, host, next, stand_ins, Running, QUERY};
+use common::scripted::{Answer, Bulletin, Client, Engine, EngineEnd};
+use common::{
+    addresses, config, fields, host, next_command, start_emulators, GatewayProcess, QUERY,
+};
 use serde_json::{json, Value};
 
 const ID: &str = "0000000000000001";
@@ -14,22 +17,22 @@
 struct Stage {
     _bulletin: Bulletin,
     engine: Engine,
-    gateway: Running,
+    gateway: GatewayProcess,
     client: Client,
 }
 
-/// A gateway before one engine, and a client that has asked for one of the classes.
-fn asked(class: &str, wait: &str, change: impl Fn(&mut Value)) -> Stage {
-    let (bulletin, mut engines) = stand_ins(1);
+/// Starts a gateway with one engine. Its client has sent a request of the given class.
+fn start_with_request(class: &str, wait: &str, change: impl Fn(&mut Value)) -> Stage {
+    let (bulletin, mut engines) = start_emulators(1);
     let mut configured = config(bulletin.address(), &addresses(&engines));
     change(&mut configured);
-    let gateway = Running::start(&configured);
+    let gateway = GatewayProcess::start(&configured);
     let mut client = gateway.client();
-    let mut given = fields(ID, wait);
+    let mut request_fields = fields(ID, wait);
     if class == "load" {
-        given.push(("k", KEY));
+        request_fields.push(("k", KEY));
     }
-    client.call(1, class, &given, QUERY).unwrap();
+    client.call(1, class, &request_fields, QUERY).unwrap();
     Stage {
         _bulletin: bulletin,
         engine: engines.remove(0),
@@ -39,15 +42,16 @@
 }
 
 impl Stage {
-    fn begun(&mut self) -> EngineEnd {
+    fn accept_request(&mut self) -> EngineEnd {
         let mut end = self.engine.accept().unwrap();
-        assert_eq!(next(&mut end, "serve").id(), ID);
+        assert_eq!(next_command(&mut end, "serve").id(), ID);
         end
     }
 
-    /// A repeat comes, is answered, and its client is served.
-    fn repeated(mut self, sent: u64) {
-        let mut end = self.begun();
+    /// Answers a second attempt, and asserts that the client is served and on the number of
+    /// attempts sent.
+    fn assert_repeated(mut self, sent: u64) {
+        let mut end = self.accept_request();
         end.answer(ID, "OK", "count=1", "a\tb\tc\n").unwrap();
         assert!(matches!(
             self.client.answer().unwrap(),
@@ -56,8 +60,8 @@
         assert_eq!(self.gateway.counters()["sent"], sent);
     }
 
-    /// It has failed, and nothing came a second time.
-    fn failed(mut self) {
+    /// Asserts that the request has failed after a single attempt.
+    fn assert_failed(mut self) {
         let answer = self.client.answer().unwrap();
         assert!(
             matches!(&answer, Answer::Error { id: 1, word, .. } if word == "Failed"),
@@ -68,51 +72,53 @@
 }
 
 #[test]
-fn reset_under_a_request_that_has_begun() {
+fn a_connection_reset_repeats_all_but_unsafe_requests() {
     for class in CLASSES {
-        let mut stage = asked(class, "15000", |_| ());
-        drop(stage.begun());
+        let mut stage = start_with_request(class, "15000", |_| ());
+        drop(stage.accept_request());
         if class == "change" {
-            stage.failed();
+            stage.assert_failed();
         } else {
-            stage.repeated(2);
+            stage.assert_repeated(2);
         }
     }
 }
 
-/// The connection stands, and an answer begins that never ends.
+/// The connection stays open, and an answer begins that is never completed.
 #[test]
-fn an_answer_that_never_ends() {
+fn an_unfinished_answer_repeats_all_but_unsafe_requests() {
     for class in CLASSES {
-        let soon = |own: &mut Value| own["settings"]["limits"]["dial-timeout-us"] = json!(100_000);
-        let mut stage = asked(class, "15000", soon);
-        let mut end = stage.begun();
+        let shorten_timeout = |configuration: &mut Value| {
+            configuration["settings"]["limits"]["dial-timeout-us"] = json!(100_000);
+        };
+        let mut stage = start_with_request(class, "15000", shorten_timeout);
+        let mut end = stage.accept_request();
         end.write_raw(format!("{ID} OK count=1 4000\r\na\tb").as_bytes())
             .unwrap();
         if class == "change" {
-            stage.failed();
+            stage.assert_failed();
         } else {
-            stage.repeated(2);
+            stage.assert_repeated(2);
         }
     }
 }
 
-/// Turned away unseen, and the same said once more some time later, when the next attempt is out:
-/// no class takes the second word for the end of that.
+/// The engine answers BUSY without running the request, and sends the same answer again when the
+/// next attempt is running. The second answer must not end that attempt.
 #[test]
-fn a_second_answer_that_comes_late() {
+fn a_late_second_answer_does_not_end_the_next_attempt() {
     for class in CLASSES {
-        let mut stage = asked(class, "15000", |_| ());
-        let mut end = stage.begun();
+        let mut stage = start_with_request(class, "15000", |_| ());
+        let mut end = stage.accept_request();
         end.answer(ID, "BUSY", "-", "").unwrap();
         let mut again = stage
             .engine
             .accept()
             .unwrap_or_else(|e| panic!("{class}: {e} {:?}", stage.gateway.counters()));
-        assert_eq!(next(&mut again, "serve").id(), ID);
+        assert_eq!(next_command(&mut again, "serve").id(), ID);
         end.answer(ID, "BUSY", "-", "").unwrap();
         end.answer(ID, "OK", "count=1", "x\ty\tz\n").unwrap();
-        stage.gateway.until("full", 1);
+        stage.gateway.wait_for_counter("full", 1);
         again.answer(ID, "OK", "count=1", "a\tb\tc\n").unwrap();
         let answer = stage.client.answer().unwrap();
         assert_eq!(
@@ -127,42 +133,42 @@
     }
 }
 
-/// Refused connections prove that nothing ran: each class goes on to the engine that is there.
+/// A refused connection proves that nothing ran, so requests of every class go to the other engine.
 #[test]
-fn a_connection_that_is_refused() {
+fn a_refused_connection_sends_every_class_to_another_engine() {
     for class in CLASSES {
-        let nobody = common::standin::unused_address();
-        let mut stage = asked(class, "15000", |own| {
-            let hosts = own["known"]["items"][0]["roster"]["hosts"]
+        let unused_address = common::scripted::unused_address();
+        let mut stage = start_with_request(class, "15000", |configuration| {
+            let hosts = configuration["known"]["items"][0]["roster"]["hosts"]
                 .as_array_mut()
                 .unwrap();
-            hosts.push(host("s-nobody", nobody, "up"));
+            hosts.push(host("s-nobody", unused_address, "up"));
         });
-        let mut end = stage.begun();
+        let mut end = stage.accept_request();
         end.answer(ID, "OK", "count=1", "a\tb\tc\n").unwrap();
         assert!(matches!(
             stage.client.answer().unwrap(),
             Answer::Result { id: 1, .. }
         ));
-        let counted = stage.gateway.counters();
-        assert_eq!(counted["sent"], 1 + counted["no_connection"]);
+        let counters = stage.gateway.counters();
+        assert_eq!(counters["sent"], 1 + counters["no_connection"]);
     }
 }
 
-/// It hangs for good, the wait is short: one final answer, refused only where a repeat does no
-/// harm, and what comes after it changes nothing.
+/// The engine doesn't answer within the request's deadline. The client gets one final answer, which
+/// invites a retry only if a second run does no harm. A later answer of the engine changes nothing.
 #[test]
-fn an_engine_that_hangs_past_the_wait() {
+fn an_engine_that_exceeds_the_deadline_causes_one_final_answer() {
     for (class, word) in [
         ("report", "TryLater"),
         ("load", "TryLater"),
         ("change", "Failed"),
     ] {
-        let mut stage = asked(class, "500", |_| ());
-        let mut end = stage.begun();
+        let mut stage = start_with_request(class, "500", |_| ());
+        let mut end = stage.accept_request();
         let answer = stage.client.answer().unwrap();
         assert!(
-            matches!(&answer, Answer::Error { id: 1, word: own, .. } if own == word),
+            matches!(&answer, Answer::Error { id: 1, word: answered, .. } if answered == word),
             "{class}: {answer:?}"
         );
         end.answer(ID, "OK", "count=1", "a\tb\tc\n").unwrap();
@@ -176,15 +182,15 @@
     }
 }
 
-/// Second copies are permitted in general: what is unsafe still has one attempt out, also while its
-/// engine is mute beside one that speaks.
+/// Hedged requests are permitted, but an unsafe request still has only one attempt, even if its
+/// engine is silent while the other one responds.
 #[test]
-fn a_mute_engine_gets_no_second_copy_of_what_is_unsafe() {
-    let (bulletin, engines) = stand_ins(2);
+fn an_unsafe_request_is_not_hedged_when_its_engine_is_silent() {
+    let (bulletin, engines) = start_emulators(2);
     let mut configured = config(bulletin.address(), &addresses(&engines));
     configured["settings"]["limits"]["may-duplicate"] = json!(true);
     configured["settings"]["extra"]["note-period-us"] = json!(50_000);
-    let mut gateway = Running::start(&configured);
+    let mut gateway = GatewayProcess::start(&configured);
     let mut client = gateway.client();
     client
         .call(1, "change", &fields(ID, "3000"), QUERY)
@@ -197,15 +203,14 @@
     assert_eq!(gateway.counters()["sent"], 1);
 }
 
-/// Requests of an ordered class bear the key of their order beside that of their effect: those of
-/// one order run one at a time, whatever their other keys, those of another beside them, and one
-/// without keeps nobody back.
+/// Requests of a sequential class carry an order key in addition to their idempotency key. Requests
+/// with the same order key run one at a time; those with another key or none run concurrently.
 #[test]
-fn requests_of_one_order_run_one_at_a_time() {
-    let (bulletin, engines) = stand_ins(1);
+fn requests_with_the_same_order_key_run_one_at_a_time() {
+    let (bulletin, engines) = start_emulators(1);
     let mut configured = config(bulletin.address(), &addresses(&engines));
     configured["settings"]["grades"][1]["sequential"] = json!(true);
-    let mut gateway = Running::start(&configured);
+    let mut gateway = GatewayProcess::start(&configured);
     let mut client = gateway.client();
     let ids = [
         "0000000000000001",
@@ -221,22 +226,22 @@
         None,
     ];
     for (number, ((id, key), order)) in ids.iter().zip(&keys).zip(orders).enumerate() {
-        let mut given = fields(id, "15000");
-        given.push(("k", key));
-        given.extend(order.map(|order| ("o", order)));
+        let mut request_fields = fields(id, "15000");
+        request_fields.push(("k", key));
+        request_fields.extend(order.map(|order| ("o", order)));
         client
-            .call(number as u64 + 1, "load", &given, QUERY)
+            .call(number as u64 + 1, "load", &request_fields, QUERY)
             .unwrap();
     }
-    gateway.until("taken", 4);
+    gateway.wait_for_counter("taken", 4);
     let mut end = engines[0].accept().unwrap();
     let first: Vec<String> = (0..3)
-        .map(|_| next(&mut end, "serve").id().to_string())
+        .map(|_| next_command(&mut end, "serve").id().to_string())
         .collect();
     assert_eq!(first, [ids[0], ids[2], ids[3]]);
     assert_eq!(gateway.counters()["sent"], 3);
     end.answer(ids[0], "OK", "count=1", "a\tb\tc\n").unwrap();
-    let second = next(&mut end, "serve");
+    let second = next_command(&mut end, "serve");
     assert_eq!(
         (second.id(), second.field("replay")),
         (ids[1], Some(keys[1].as_str()))
@@ -249,30 +254,33 @@
     }
 }
 
-/// Cancels are forbidden, and an attempt's time is up: it is given up on the wire too, before the
-/// next of its order is sent, which would else find it out there.
+/// Cancels are forbidden, and an attempt times out. It is nevertheless cancelled at the engine
+/// before the next request of its order is sent, since the two would run concurrently otherwise.
 #[test]
-fn an_attempt_whose_time_is_up_is_given_up_before_the_next_of_its_order() {
-    let (bulletin, engines) = stand_ins(1);
+fn a_timed_out_attempt_is_cancelled_before_the_next_of_its_order() {
+    let (bulletin, engines) = start_emulators(1);
     let mut configured = config(bulletin.address(), &addresses(&engines));
     configured["settings"]["grades"][1]["sequential"] = json!(true);
     configured["settings"]["limits"]["may-cancel"] = json!(false);
-    let gateway = Running::start(&configured);
+    let gateway = GatewayProcess::start(&configured);
     let mut client = gateway.client();
     let second = "0000000000000002";
     for (number, id, wait) in [(1, ID, "500"), (2, second, "15000")] {
         let key = format!("{id}{id}");
-        let mut given = fields(id, wait);
-        given.extend([("k", key.as_str()), ("o", "0000ccb1d26c6c8b")]);
-        client.call(number, "load", &given, QUERY).unwrap();
+        let mut request_fields = fields(id, wait);
+        request_fields.extend([("k", key.as_str()), ("o", "0000ccb1d26c6c8b")]);
+        client.call(number, "load", &request_fields, QUERY).unwrap();
     }
     let mut end = engines[0].accept().unwrap();
-    let said: Vec<_> = std::iter::from_fn(|| end.command().ok())
-        .filter(|own| own.verb() != "weigh")
+    let commands: Vec<_> = std::iter::from_fn(|| end.command().ok())
+        .filter(|command| command.verb() != "weigh")
         .take(3)
         .collect();
-    let said: Vec<_> = said.iter().map(|own| (own.verb(), own.id())).collect();
-    assert_eq!(said, [("serve", ID), ("cancel", ID), ("serve", second)]);
+    let commands: Vec<_> = commands
+        .iter()
+        .map(|command| (command.verb(), command.id()))
+        .collect();
+    assert_eq!(commands, [("serve", ID), ("cancel", ID), ("serve", second)]);
     end.answer(second, "OK", "count=1", "a\tb\tc\n").unwrap();
     assert!(matches!(
         client.answer().unwrap(),
--- a/crates/cli/tests/first_byte.rs
+++ b/crates/cli/tests/first_byte.rs
@@ -1,92 +1,106 @@
-//! What changes between the decision to send an attempt and its first byte: a dial that comes up
-//! late, or a socket buffer that is full, holds the byte back until the test has had the change
-//! happen.
+//! Changes between the decision to send an attempt and its first byte. A slow dial or a full socket
+//! buffer delays the byte until the change has happened. Guards against attempts that begin
+//! although the request has ended or the engine may no longer be used.
 
 mod common;
 
-use common::standin::{Answer, Client, Engine, EngineEnd, Held};
-use common::{addresses, config, fields, host, next, stand_ins, Running, QUERY};
+use common::scripted::{Answer, Client, Engine, EngineEnd, Held};
+use common::{
+    addresses, config, fields, host, next_command, start_emulators, GatewayProcess, QUERY,
+};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
 const FIRST: &str = "0000000000000001";
 const SECOND: &str = "0000000000000002";
 
-/// A gateway whose dials to the first engine wait, and the other engines.
-fn behind_held(
+/// Starts a gateway whose dials to the first engine are held until the test releases them. Returns
+/// the other engines as well.
+fn start_with_held_dials(
     more: usize,
     change: impl Fn(&mut Value),
-) -> (common::standin::Bulletin, Held, Vec<Engine>, Running) {
-    let (bulletin, others) = stand_ins(more);
+) -> (
+    common::scripted::Bulletin,
+    Held,
+    Vec<Engine>,
+    GatewayProcess,
+) {
+    let (bulletin, others) = start_emulators(more);
     let held = Engine::held().unwrap();
     let all: Vec<SocketAddr> = std::iter::once(held.engine.address())
         .chain(addresses(&others))
         .collect();
     let mut configured = config(bulletin.address(), &all);
     change(&mut configured);
-    (bulletin, held, others, Running::start(&configured))
+    (bulletin, held, others, GatewayProcess::start(&configured))
 }
 
-fn answers(end: &mut EngineEnd, id: &str) {
+fn answer_with_one_page(end: &mut EngineEnd, id: &str) {
     end.answer(id, "OK", "count=1", "a\tb\tc\n").unwrap();
 }
 
-/// Gone by its connection's end and by a forget, where cancels are allowed and where they aren't:
-/// in each case the first that the engine gets is the request of another client.
+/// The client closes its connection or forgets the request, with and without permission to cancel.
+/// In each case, the first request that the engine receives is that of another client.
 #[test]
-fn a_request_whose_client_has_gone_during_the_dial_is_never_sent() {
-    for (may_cancel, closes) in [(false, true), (false, false), (true, true), (true, false)] {
-        let forbid = |own: &mut Value| own["settings"]["limits"]["may-cancel"] = json!(may_cancel);
-        let (_bulletin, mut held, _, mut gateway) = behind_held(0, forbid);
-        let mut leaves = gateway.client();
-        leaves
+fn a_request_whose_client_disconnects_during_the_dial_is_never_sent() {
+    for (may_cancel, closes_connection) in
+        [(false, true), (false, false), (true, true), (true, false)]
+    {
+        let set_may_cancel = |configuration: &mut Value| {
+            configuration["settings"]["limits"]["may-cancel"] = json!(may_cancel);
+        };
+        let (_bulletin, mut held, _, mut gateway) = start_with_held_dials(0, set_may_cancel);
+        let mut leaving_client = gateway.client();
+        leaving_client
             .call(1, "report", &fields(FIRST, "15000"), QUERY)
             .unwrap();
-        gateway.until("dials", 1);
-        if closes {
-            drop(leaves);
-            gateway.until("lost", 1);
+        gateway.wait_for_counter("dials", 1);
+        if closes_connection {
+            drop(leaving_client);
+            gateway.wait_for_counter("lost", 1);
         } else {
-            leaves.forget(1).unwrap();
-            gateway.until("forgotten", 1);
+            leaving_client.forget(1).unwrap();
+            gateway.wait_for_counter("forgotten", 1);
         }
-        let mut stays = gateway.client();
-        stays
+        let mut staying_client = gateway.client();
+        staying_client
             .call(2, "report", &fields(SECOND, "15000"), QUERY)
             .unwrap();
-        gateway.until("sent", 2);
+        gateway.wait_for_counter("sent", 2);
         held.let_go().unwrap();
         let mut end = held.engine.accept().unwrap();
-        let serve = next(&mut end, "serve");
+        let serve = next_command(&mut end, "serve");
         assert_eq!(
             serve.id(),
             SECOND,
-            "cancels {may_cancel}, the client closed {closes}"
+            "cancels {may_cancel}, the client closed {closes_connection}"
         );
-        answers(&mut end, SECOND);
+        answer_with_one_page(&mut end, SECOND);
         assert!(matches!(
-            stays.answer().unwrap(),
+            staying_client.answer().unwrap(),
             Answer::Result { id: 2, .. }
         ));
-        let counted = gateway.counters();
-        assert_eq!((counted["unsent"], counted["requests"]), (1, 0));
+        let counters = gateway.counters();
+        assert_eq!((counters["unsent"], counters["requests"]), (1, 0));
     }
 }
 
-/// Told during the dial to drain, to be gone, or to have another address, where somebody else may
-/// run by now: it goes to the engine that is there.
+/// During the dial, service discovery lists the engine as draining, removed or with another
+/// address; another process may listen at the old one. The request goes to the listed engine.
 #[test]
-fn nothing_begins_at_an_engine_that_drains_is_gone_or_has_moved_since_the_dial() {
+fn no_request_begins_at_an_engine_that_drained_was_removed_or_moved_during_the_dial() {
     for state in ["draining", "removed", "moved"] {
-        let idle = |own: &mut Value| own["settings"]["limits"]["conn-idle-us"] = json!(200_000);
-        let (bulletin, mut held, _, mut gateway) = behind_held(0, idle);
+        let shorten_idle_time = |configuration: &mut Value| {
+            configuration["settings"]["limits"]["conn-idle-us"] = json!(200_000);
+        };
+        let (bulletin, mut held, _, mut gateway) = start_with_held_dials(0, shorten_idle_time);
         let mut stream = bulletin.accept().unwrap();
         let other = Engine::listen("127.0.0.1:0").unwrap();
         let mut client = gateway.client();
         client
             .call(1, "report", &fields(FIRST, "15000"), QUERY)
             .unwrap();
-        gateway.until("dials", 1);
+        gateway.wait_for_counter("dials", 1);
         let hosts = match state {
             "moved" => vec![host("s-0", other.address(), "up")],
             _ => vec![
@@ -96,7 +110,7 @@
         };
         let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": hosts}});
         stream.event(2, &item.to_string()).unwrap();
-        gateway.until("list_events", 1);
+        gateway.wait_for_counter("list_events", 1);
         held.let_go().unwrap();
         let closed = held
             .engine
@@ -104,10 +118,10 @@
             .unwrap()
             .command()
             .map(|command| command.words);
-        assert!(closed.is_err(), "{state}: it got {closed:?}");
+        assert!(closed.is_err(), "{state}: the engine received {closed:?}");
         let mut end = other.accept().unwrap();
-        assert_eq!(next(&mut end, "serve").id(), FIRST);
-        answers(&mut end, FIRST);
+        assert_eq!(next_command(&mut end, "serve").id(), FIRST);
+        answer_with_one_page(&mut end, FIRST);
         assert!(matches!(
             client.answer().unwrap(),
             Answer::Result { id: 1, .. }
@@ -115,62 +129,63 @@
     }
 }
 
-/// The first try may have run; the engines forget its key while the second one's dial is under way.
+/// The first attempt may have run. The window in which engines remember its key ends during the
+/// dial for the second attempt.
 #[test]
-fn a_repeat_does_not_begin_after_its_window() {
-    let short = |own: &mut Value| {
-        own["settings"]["grades"][1]["window-us"] = json!(400_000);
-        own["settings"]["limits"]["conn-idle-us"] = json!(200_000);
+fn a_keyed_retry_does_not_begin_after_its_window() {
+    let shorten_window = |configuration: &mut Value| {
+        configuration["settings"]["grades"][1]["window-us"] = json!(400_000);
+        configuration["settings"]["limits"]["conn-idle-us"] = json!(200_000);
     };
-    let (_bulletin, mut held, _, mut gateway) = behind_held(0, short);
+    let (_bulletin, mut held, _, mut gateway) = start_with_held_dials(0, shorten_window);
     let mut client = gateway.client();
     let mut keyed = fields(FIRST, "15000");
     keyed.push(("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
     client.call(1, "load", &keyed, QUERY).unwrap();
     held.let_go().unwrap();
     let mut end = held.engine.accept().unwrap();
-    assert_eq!(next(&mut end, "serve").id(), FIRST);
+    assert_eq!(next_command(&mut end, "serve").id(), FIRST);
     held.fill().unwrap();
     drop(end);
-    gateway.until("dials", 2);
-    // The dial takes a second at least: the system asks again no sooner.
+    gateway.wait_for_counter("dials", 2);
+    // The dial takes at least a second: the kernel doesn't retransmit a SYN earlier.
     held.let_go().unwrap();
     let mut end = held.engine.accept().unwrap();
     let closed = end.command().map(|command| command.words);
-    assert!(closed.is_err(), "it got {closed:?}");
+    assert!(closed.is_err(), "the engine received {closed:?}");
     assert!(
         matches!(client.answer().unwrap(), Answer::Error { id: 1, word, .. } if word == "TryLater")
     );
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert_eq!(
-        (counted["broken"], counted["unsent"], counted["sent"]),
+        (counters["broken"], counters["unsent"], counters["sent"]),
         (1, 1, 2)
     );
 }
 
-/// What is unsafe to repeat: withdrawn before its first byte it never ran, so it may be sent again,
-/// and no refusal or second attempt follows on one that began.
+/// An unsafe request that is withdrawn before its first byte never ran and may be sent again. Once
+/// it has begun, it is neither refused nor sent a second time.
 #[test]
-fn an_unsafe_request_is_sent_again_only_where_it_never_began() {
-    let (bulletin, mut held, _, mut gateway) = behind_held(0, |_| ());
+fn an_unsafe_request_is_sent_again_only_if_it_never_began() {
+    let (bulletin, mut held, _, mut gateway) = start_with_held_dials(0, |_| ());
     let mut stream = bulletin.accept().unwrap();
     let other = Engine::listen("127.0.0.1:0").unwrap();
     let mut client = gateway.client();
     client
         .call(1, "change", &fields(FIRST, "15000"), QUERY)
         .unwrap();
-    gateway.until("dials", 1);
+    gateway.wait_for_counter("dials", 1);
     let hosts = [
         host("s-0", held.engine.address(), "draining"),
         host("s-1", other.address(), "up"),
     ];
     let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": hosts}});
     stream.event(2, &item.to_string()).unwrap();
-    gateway.until("list_events", 1);
+    gateway.wait_for_counter("list_events", 1);
     held.let_go().unwrap();
     let mut end = other.accept().unwrap();
-    assert_eq!(next(&mut end, "serve").id(), FIRST);
-    // Reset under a request that has begun.
+    assert_eq!(next_command(&mut end, "serve").id(), FIRST);
+    // The connection ends while the request runs.
     drop(end);
     assert!(
         matches!(client.answer().unwrap(), Answer::Error { id: 1, word, .. } if word == "Failed")
@@ -178,17 +193,17 @@
     assert_eq!(gateway.counters()["sent"], 2);
 }
 
-/// Cancels are forbidden and the engine doesn't read: what waits behind the full buffer isn't for
-/// it any more.
+/// Cancels are forbidden and the engine doesn't read. Requests that wait behind the full buffer
+/// must not be sent after their client has disconnected.
 #[test]
-fn what_waits_behind_a_full_buffer_goes_with_its_client() {
+fn requests_behind_a_full_buffer_are_dropped_with_their_client() {
     const SENT: u64 = 14;
-    let (bulletin, engines) = stand_ins(1);
+    let (bulletin, engines) = start_emulators(1);
     let mut configured = config(bulletin.address(), &addresses(&engines));
     configured["settings"]["limits"]["may-cancel"] = json!(false);
-    let mut gateway = Running::start(&configured);
+    let mut gateway = GatewayProcess::start(&configured);
     let mut client = gateway.client();
-    // More than a connection takes while its other end doesn't read.
+    // More than the buffers of a connection take while the engine doesn't read.
     let mut statement = QUERY.to_vec();
     statement.resize(1_000_000, b' ');
     for number in 1..=SENT {
@@ -198,20 +213,20 @@
             .unwrap();
     }
     let mut end = engines[0].accept().unwrap();
-    gateway.until("sent", SENT);
+    gateway.wait_for_counter("sent", SENT);
     drop(client);
-    gateway.until("lost", SENT);
-    let mut whole = 0;
-    // The last of them, so that all before it have been read.
+    gateway.wait_for_counter("lost", SENT);
+    let mut received = 0;
+    // Once this request arrives, the engine has read all requests before it.
     let mut after = Client::connect(gateway.address).unwrap();
     after
         .call(1, "report", &fields("00000000000000ff", "15000"), QUERY)
         .unwrap();
-    while next(&mut end, "serve").id() != "00000000000000ff" {
-        whole += 1;
+    while next_command(&mut end, "serve").id() != "00000000000000ff" {
+        received += 1;
     }
     assert!(
-        whole < SENT,
-        "{whole} requests came to the engine after their client had gone"
+        received < SENT,
+        "the engine received {received} requests, some of them after their client had disconnected"
     );
 }
--- a/crates/cli/tests/gateway.rs
+++ b/crates/cli/tests/gateway.rs
@@ -1,35 +1,36 @@
-//! The whole program on loopback, against stand-ins that do what each test says. Everything waits
-//! for an event; nothing asserts a time.
+//! Tests of the whole program on loopback. Emulated engines, clients and service discovery do what
+//! each test scripts. All tests wait for events, and none asserts a duration.
 
 mod common;
 
-use common::standin::{self, Answer, Client, Engine};
+use common::scripted::{self, Answer, Client, Engine};
 use common::{
-    addresses, called, config, fields, host, next, refused_start, stand_ins, up, Running, QUERY,
+    addresses, config, fields, host, next_command, run_to_failure, send_query, start_emulators,
+    start_one, GatewayProcess, QUERY,
 };
 use serde_json::json;
 use std::io::ErrorKind;
 
-fn failed(answer: &Answer, number: u64) -> bool {
+fn is_failure(answer: &Answer, number: u64) -> bool {
     matches!(answer, Answer::Error { id, word, .. } if *id == number && word == "Failed")
 }
 
-fn invalid(answer: &Answer, number: u64) -> bool {
+fn is_invalid(answer: &Answer, number: u64) -> bool {
     matches!(answer, Answer::Error { id, word, .. } if *id == number && word == "Invalid")
 }
 
-fn refused(answer: &Answer) -> bool {
+fn is_refusal(answer: &Answer) -> bool {
     matches!(answer, Answer::Error { word, .. } if word == "TryLater")
 }
 
 #[test]
-fn a_query_is_sent_with_its_terms_and_its_pages_come_back_as_one_result() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
+fn a_query_is_sent_with_its_parameters_and_its_pages_are_returned_as_one_result() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
     client
         .call(7, "report", &fields("9b1f03aa5c7e2d41", "15000"), QUERY)
         .unwrap();
     let mut end = engines[0].accept().unwrap();
-    let serve = next(&mut end, "serve");
+    let serve = next_command(&mut end, "serve");
     assert_eq!(
         (serve.id(), serve.payload.as_slice()),
         ("9b1f03aa5c7e2d41", QUERY)
@@ -52,8 +53,8 @@
         "a\tb\tc\n",
     )
     .unwrap();
-    assert_eq!(next(&mut end, "read").words[2], "1");
-    assert_eq!(next(&mut end, "read").words[2], "2");
+    assert_eq!(next_command(&mut end, "read").words[2], "1");
+    assert_eq!(next_command(&mut end, "read").words[2], "2");
     end.answer(serve.id(), "ROWS", "pos=2", "g\th\ti\n")
         .unwrap();
     end.answer(serve.id(), "ROWS", "pos=1", "d\te\tf\n")
@@ -65,8 +66,8 @@
             body: b"a\tb\tc\nd\te\tf\ng\th\ti\n".to_vec()
         }
     );
-    assert_eq!(next(&mut end, "release").id(), serve.id());
-    let counted = gateway.counters();
+    assert_eq!(next_command(&mut end, "release").id(), serve.id());
+    let counters = gateway.counters();
     let expected = [
         ("taken", 1),
         ("served", 1),
@@ -76,13 +77,13 @@
         ("notes", 1),
     ];
     for (name, count) in expected.into_iter() {
-        assert_eq!(counted[name], count, "{name}");
+        assert_eq!(counters[name], count, "{name}");
     }
 }
 
 #[test]
-fn a_key_goes_on_unchanged_and_a_keyed_request_without_one_is_an_error() {
-    let (_bulletin, engines, _gateway, mut client) = up();
+fn a_key_is_forwarded_unchanged_and_a_keyed_request_without_one_is_invalid() {
+    let (_bulletin, engines, _gateway, mut client) = start_one();
     client
         .call(1, "load", &fields("0000000000000001", "15000"), QUERY)
         .unwrap();
@@ -94,18 +95,18 @@
     client.call(2, "load", &with_key, QUERY).unwrap();
     let mut end = engines[0].accept().unwrap();
     assert_eq!(
-        next(&mut end, "serve").field("replay"),
+        next_command(&mut end, "serve").field("replay"),
         Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     );
 }
 
 #[test]
-fn what_cannot_be_used_gets_an_error_and_the_connection_goes_on() {
-    let (_bulletin, _engines, mut gateway, mut client) = up();
+fn an_invalid_request_gets_an_error_and_its_connection_stays_open() {
+    let (_bulletin, _engines, mut gateway, mut client) = start_one();
     let without = |name: &str| {
         fields("0000000000000001", "9000")
             .into_iter()
-            .filter(|(own, _)| *own != name)
+            .filter(|(field, _)| *field != name)
             .collect::<Vec<_>>()
     };
     client
@@ -141,55 +142,55 @@
 }
 
 #[test]
-fn what_cannot_be_read_ends_all_that_is_open_on_its_connection() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
-    let (mut end, serve) = called(&mut client, &engines[0]);
+fn an_undecodable_message_ends_all_open_requests_of_its_connection() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
+    let (mut end, serve) = send_query(&mut client, &engines[0]);
     client.write_raw(b"\xc1\xc1\xc1").unwrap();
-    assert!(failed(&client.answer().unwrap(), 1));
-    assert_eq!(next(&mut end, "cancel").id(), serve.id());
+    assert!(is_failure(&client.answer().unwrap(), 1));
+    assert_eq!(next_command(&mut end, "cancel").id(), serve.id());
     assert_eq!(
         client.answer().unwrap_err().kind(),
         ErrorKind::UnexpectedEof
     );
-    // Two open requests of one number can't be answered apart, and a message beyond all bounds
-    // isn't read.
-    let huge = [
+    // The answers to two open requests with the same number can't be told apart, and a message
+    // above the size limit isn't read.
+    let oversized = [
         &[
             0x94, 0, 1, 0xa1, b'x', 0x92, 0x80, 0xc6, 0x03, 0x93, 0x87, 0,
         ][..],
         &[0; 100_000],
     ]
     .concat();
-    let same = standin::call(1, "report", &fields("0000000000000002", "15000"), QUERY);
-    let again = standin::call(1, "report", &fields("0000000000000003", "15000"), QUERY);
-    for bytes in [huge, [same, again].concat()] {
+    let first = scripted::call(1, "report", &fields("0000000000000002", "15000"), QUERY);
+    let again = scripted::call(1, "report", &fields("0000000000000003", "15000"), QUERY);
+    for bytes in [oversized, [first, again].concat()] {
         let mut client = gateway.client();
         client.write_raw(&bytes).unwrap();
         client.until_closed();
     }
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert_eq!(
-        (counted["malformed"], counted["open"], counted["served"]),
+        (counters["malformed"], counters["open"], counters["served"]),
         (3, 0, 0)
     );
 }
 
 #[test]
-fn what_goes_beyond_the_protocol_is_an_error_while_the_rest_goes_on() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
+fn requests_that_violate_the_protocol_are_invalid_and_the_others_are_served() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
     let id = |number: u64| format!("{number:016x}");
     let calls = (1..=40)
-        .map(|number| standin::call(number, "report", &fields(&id(number), "15000"), QUERY));
+        .map(|number| scripted::call(number, "report", &fields(&id(number), "15000"), QUERY));
     client
         .write_raw(&calls.collect::<Vec<_>>().concat())
         .unwrap();
     for number in 33..=40 {
         assert!(
-            invalid(&client.answer().unwrap(), number),
-            "a connection carries 32 open requests"
+            is_invalid(&client.answer().unwrap(), number),
+            "a connection may have 32 open requests"
         );
     }
-    // Ids of open requests, and of those that were, on another connection.
+    // The ids of an open request and, below, of an ended one are used again on another connection.
     let mut other = gateway.client();
     other
         .call(
@@ -199,65 +200,67 @@
             b"SELECT * FROM sales_18.orders",
         )
         .unwrap();
-    assert!(invalid(&other.answer().unwrap(), 1));
+    assert!(is_invalid(&other.answer().unwrap(), 1));
     let mut end = engines[0].accept().unwrap();
-    let serve = next(&mut end, "serve");
+    let serve = next_command(&mut end, "serve");
     end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
         .unwrap();
     assert!(matches!(client.answer().unwrap(), Answer::Result { .. }));
     other
         .call(2, "report", &fields(serve.id(), "15000"), QUERY)
         .unwrap();
-    assert!(invalid(&other.answer().unwrap(), 2));
-    // What is taken back with its request is never taken.
-    let call = standin::call(3, "report", &fields(&id(41), "15000"), QUERY);
+    assert!(is_invalid(&other.answer().unwrap(), 2));
+    // A request that arrives together with its forget message is never counted as taken.
+    let call = scripted::call(3, "report", &fields(&id(41), "15000"), QUERY);
     other
-        .write_raw(&[call, standin::forget(3)].concat())
+        .write_raw(&[call, scripted::forget(3)].concat())
         .unwrap();
     other.ask_health(4).unwrap();
     assert_eq!(
         other.answer().unwrap(),
         Answer::Health { id: 4, well: true }
     );
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert_eq!(
-        (counted["taken"], counted["invalid"], counted["served"]),
+        (counters["taken"], counters["invalid"], counters["served"]),
         (42, 10, 1)
     );
 }
 
 #[test]
-fn a_connection_that_says_nothing_or_stops_half_way_is_closed_and_an_idle_one_is_not() {
-    let (_bulletin, _engines, mut gateway, mut asked) = up();
-    asked.ask_health(1).unwrap();
+fn connections_without_a_complete_message_are_closed_and_idle_ones_are_not() {
+    let (_bulletin, _engines, mut gateway, mut idle_client) = start_one();
+    idle_client.ask_health(1).unwrap();
     assert_eq!(
-        asked.answer().unwrap(),
+        idle_client.answer().unwrap(),
         Answer::Health { id: 1, well: true }
     );
-    let mut half = gateway.client();
-    half.write_raw(&standin::call(1, "report", &fields("0000000000000002", "15000"), QUERY)[..60])
+    let mut partial = gateway.client();
+    partial
+        .write_raw(&scripted::call(1, "report", &fields("0000000000000002", "15000"), QUERY)[..60])
         .unwrap();
     let mut only_forgets = gateway.client();
     only_forgets.forget(9).unwrap();
-    for mut client in [gateway.client(), half, only_forgets] {
+    for mut client in [gateway.client(), partial, only_forgets] {
         client.until_closed();
     }
-    asked.ask_health(2).unwrap();
+    idle_client.ask_health(2).unwrap();
     assert_eq!(
-        asked.answer().unwrap(),
+        idle_client.answer().unwrap(),
         Answer::Health { id: 2, well: true }
     );
     assert_eq!(gateway.counters()["silent"], 3);
 }
 
 #[test]
-fn what_cannot_end_in_time_is_refused_and_an_overload_says_when_to_come_back() {
-    let (_bulletin, _engines, gateway, mut client) = up();
+fn requests_that_cannot_end_in_time_are_refused_and_overload_refusals_carry_a_retry_time() {
+    let (_bulletin, _engines, gateway, mut client) = start_one();
     client
         .call(1, "report", &fields("0000000000000001", "20"), QUERY)
         .unwrap();
-    assert!(refused(&client.answer().unwrap()));
-    // Far more work than the engine can do in time: some give way, told when to come back.
+    assert!(is_refusal(&client.answer().unwrap()));
+    // Far more work than the engine can do in time: some requests are refused, with advice when to
+    // retry.
     let mut clients = vec![client];
     for number in 0..200u64 {
         let id = format!("{number:015x}f");
@@ -277,7 +280,7 @@
             .call(number, "report", &heavy, QUERY)
             .unwrap();
     }
-    // The last ones would wait longest.
+    // The last requests would wait longest, so they are refused.
     let mut client = clients.pop().unwrap();
     let Answer::Error { word, fields, .. } = client.answer().unwrap() else {
         panic!("a refusal")
@@ -293,13 +296,13 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_has_failed() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
+fn an_unsafe_request_that_may_have_run_fails() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
     client
         .call(1, "change", &fields("0000000000000001", "15000"), QUERY)
         .unwrap();
     let mut end = engines[0].accept().unwrap();
-    let serve = next(&mut end, "serve");
+    let serve = next_command(&mut end, "serve");
     end.answer(serve.id(), "ERR", "-", "").unwrap();
     assert!(
         matches!(client.answer().unwrap(), Answer::Error { id: 1, word, .. } if word == "Failed")
@@ -308,15 +311,15 @@
 }
 
 #[test]
-fn a_request_that_is_forgotten_is_given_up_at_the_engine_and_gets_no_answer() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
-    let (mut end, serve) = called(&mut client, &engines[0]);
+fn a_forgotten_request_is_cancelled_at_the_engine_and_gets_no_answer() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
+    let (mut end, serve) = send_query(&mut client, &engines[0]);
     client.forget(1).unwrap();
-    assert_eq!(next(&mut end, "cancel").id(), serve.id());
-    // An answer that crossed the cancel is passed over, and its pages are given back.
+    assert_eq!(next_command(&mut end, "cancel").id(), serve.id());
+    // An answer that crosses the cancel on the wire is ignored, and its result is released.
     end.answer(serve.id(), "OK", "count=2", "a\tb\tc\n")
         .unwrap();
-    assert_eq!(next(&mut end, "release").id(), serve.id());
+    assert_eq!(next_command(&mut end, "release").id(), serve.id());
     client.ask_health(2).unwrap();
     assert_eq!(
         client.answer().unwrap(),
@@ -326,21 +329,21 @@
 }
 
 #[test]
-fn a_client_that_goes_away_leaves_nothing_running() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
-    let (mut end, serve) = called(&mut client, &engines[0]);
+fn the_requests_of_a_disconnected_client_are_cancelled() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
+    let (mut end, serve) = send_query(&mut client, &engines[0]);
     drop(client);
-    assert_eq!(next(&mut end, "cancel").id(), serve.id());
+    assert_eq!(next_command(&mut end, "cancel").id(), serve.id());
     assert_eq!(gateway.counters()["lost"], 1);
 }
 
 #[test]
-fn an_engine_that_refuses_connections_is_passed_by() {
-    let (bulletin, engines) = stand_ins(2);
+fn an_engine_that_refuses_connections_is_avoided() {
+    let (bulletin, engines) = start_emulators(2);
     let mut closed = addresses(&engines);
     let [_, good] = <[Engine; 2]>::try_from(engines).ok().unwrap();
     closed[1] = good.address();
-    let mut gateway = Running::start(&config(bulletin.address(), &closed));
+    let mut gateway = GatewayProcess::start(&config(bulletin.address(), &closed));
     let mut client = gateway.client();
     for number in 1..=8u64 {
         let id = format!("{number:016x}");
@@ -356,69 +359,69 @@
     }
     let mut end = good.accept().unwrap();
     for _ in 1..=8 {
-        let serve = next(&mut end, "serve");
+        let serve = next_command(&mut end, "serve");
         end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
             .unwrap();
     }
     for _ in 1..=8 {
         assert!(matches!(client.answer().unwrap(), Answer::Result { .. }));
     }
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert_eq!(
-        (counted["served"], counted["sent"]),
-        (8, 8 + counted["no_connection"])
+        (counters["served"], counters["sent"]),
+        (8, 8 + counters["no_connection"])
     );
 }
 
 #[test]
-fn an_engine_that_dies_in_the_middle_costs_an_attempt() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
-    let (end, _) = called(&mut client, &engines[0]);
+fn a_request_is_sent_again_after_its_engine_has_closed_the_connection() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
+    let (end, _) = send_query(&mut client, &engines[0]);
     drop(end);
     let mut end = engines[0].accept().unwrap();
-    let serve = next(&mut end, "serve");
+    let serve = next_command(&mut end, "serve");
     end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
         .unwrap();
     assert!(matches!(
         client.answer().unwrap(),
         Answer::Result { id: 1, .. }
     ));
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert_eq!(
-        (counted["broken"], counted["answered"], counted["sent"]),
+        (counters["broken"], counters["answered"], counters["sent"]),
         (1, 1, 2)
     );
 }
 
 #[test]
-fn a_silent_engine_is_given_up_and_the_client_is_refused_in_time() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
+fn a_request_at_a_silent_engine_is_cancelled_and_refused_in_time() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
     client
         .call(1, "report", &fields("0000000000000001", "400"), QUERY)
         .unwrap();
     let mut end = engines[0].accept().unwrap();
-    let serve = next(&mut end, "serve");
-    assert!(refused(&client.answer().unwrap()));
-    assert_eq!(next(&mut end, "cancel").id(), serve.id());
-    let counted = gateway.counters();
+    let serve = next_command(&mut end, "serve");
+    assert!(is_refusal(&client.answer().unwrap()));
+    assert_eq!(next_command(&mut end, "cancel").id(), serve.id());
+    let counters = gateway.counters();
     assert_eq!(
-        (counted["refused"], counted["open"], counted["late"]),
+        (counters["refused"], counters["open"], counters["late"]),
         (1, 0, 0)
     );
 }
 
 #[test]
-fn a_lost_page_is_an_attempt_that_failed_and_no_half_result_reaches_the_client() {
-    let (_bulletin, engines, _gateway, mut client) = up();
-    let (mut end, serve) = called(&mut client, &engines[0]);
+fn a_lost_page_fails_the_attempt_and_no_partial_result_reaches_the_client() {
+    let (_bulletin, engines, _gateway, mut client) = start_one();
+    let (mut end, serve) = send_query(&mut client, &engines[0]);
     end.answer(serve.id(), "OK", "count=2", "half\tof\tit\n")
         .unwrap();
-    next(&mut end, "read");
+    next_command(&mut end, "read");
     end.answer(serve.id(), "ERR", "-", "").unwrap();
-    // Not on the same connection: a second copy of that end could be taken for the end of this
-    // attempt.
+    // The next attempt uses another connection: a duplicate of the error answer could be taken for
+    // the end of this attempt.
     let mut end = engines[0].accept().unwrap();
-    let again = next(&mut end, "serve");
+    let again = next_command(&mut end, "serve");
     assert_eq!(again.id(), serve.id());
     end.answer(again.id(), "OK", "count=1", "a\tb\tc\n")
         .unwrap();
@@ -432,12 +435,12 @@
 }
 
 #[test]
-fn an_engine_that_says_no_answer_loses_its_connection() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
-    let (mut end, _) = called(&mut client, &engines[0]);
+fn an_engine_that_sends_no_valid_answer_loses_its_connection() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
+    let (mut end, _) = send_query(&mut client, &engines[0]);
     end.write_raw(b"HTTP/1.1 400 Bad Request\r\n\r\n").unwrap();
     let mut end = engines[0].accept().unwrap();
-    let serve = next(&mut end, "serve");
+    let serve = next_command(&mut end, "serve");
     end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
         .unwrap();
     assert!(matches!(
@@ -448,13 +451,13 @@
 }
 
 #[test]
-fn more_than_belongs_to_an_answer_does_no_harm() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
-    let (mut end, serve) = called(&mut client, &engines[0]);
+fn unexpected_and_repeated_answers_are_ignored() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
+    let (mut end, serve) = send_query(&mut client, &engines[0]);
     client
         .call(2, "report", &fields("0000000000000002", "15000"), QUERY)
         .unwrap();
-    let other = next(&mut end, "serve");
+    let other = next_command(&mut end, "serve");
     end.answer("ffffffffffffffff", "OK", "count=3", "x\ty\tz\n")
         .unwrap();
     for _ in 0..2 {
@@ -467,7 +470,7 @@
     }
     let body = b"a\tb\tc\nd\te\tf\nd\te\tf\n".to_vec();
     assert_eq!(client.answer().unwrap(), Answer::Result { id: 1, body });
-    // The other request goes on, there.
+    // The other request continues on the same connection.
     end.answer(other.id(), "OK", "count=1", "a\tb\tc\n")
         .unwrap();
     assert!(matches!(
@@ -478,14 +481,14 @@
 }
 
 #[test]
-fn a_late_copy_is_not_taken_for_the_end_of_a_later_attempt() {
-    let (_bulletin, engines, _gateway, mut client) = up();
-    let (mut end, serve) = called(&mut client, &engines[0]);
+fn a_duplicate_answer_does_not_end_a_later_attempt() {
+    let (_bulletin, engines, _gateway, mut client) = start_one();
+    let (mut end, serve) = send_query(&mut client, &engines[0]);
     for _ in 0..2 {
         end.answer(serve.id(), "ERR", "-", "").unwrap();
     }
     let mut again = engines[0].accept().unwrap();
-    let serve = next(&mut again, "serve");
+    let serve = next_command(&mut again, "serve");
     end.answer(serve.id(), "OK", "count=1", "of\tno\tuse\n")
         .unwrap();
     again
@@ -501,35 +504,35 @@
 }
 
 #[test]
-fn a_spoilt_answer_costs_its_connection_and_no_half_result_is_served() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
+fn a_malformed_answer_closes_its_connection_and_no_partial_result_is_served() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
     let long = "x".repeat(8000);
-    let spoilt = [
+    let malformed = [
         "ID OK - 6\r\na\tb\tc\n\r\n",               // no number of pages
-        "ID OK count=0 6\r\na\tb\tc\n\r\n",         // none at all
+        "ID OK count=0 6\r\na\tb\tc\n\r\n",         // no pages at all
         "ID OK count=1 4\r\na\tb\n\r\n",            // two columns
         "ID OK count=1 5\r\na\tb\tc\r\n",           // half a row
-        "ID OK count=1 9\r\na\tb\tc\n\r\n\r\n\r\n", // longer than it is
-        "ID OK count=1 3000000000\r\na\tb\tc\n",    // longer than anything
+        "ID OK count=1 9\r\na\tb\tc\n\r\n\r\n\r\n", // longer than its announced length
+        "ID OK count=1 3000000000\r\na\tb\tc\n",    // longer than any result may be
         "\x1b\x07 noise \r\n",                      // no answer
         long.as_str(),                              // a line without an end
-        "ID OK count=1 600\r\na\tb\tc\n",           // it stops short
-        "ID OK count=2 6\r\na\tb\tc\n\r\nID ROWS pos=7 6\r\nd\te\tf\n\r\n", // a page that isn't there
+        "ID OK count=1 600\r\na\tb\tc\n",           // ends before its announced length
+        "ID OK count=2 6\r\na\tb\tc\n\r\nID ROWS pos=7 6\r\nd\te\tf\n\r\n", // a page that doesn't exist
     ];
-    let mut end: Option<standin::EngineEnd> = None;
-    for (number, bytes) in spoilt.iter().enumerate() {
+    let mut end: Option<scripted::EngineEnd> = None;
+    for (number, bytes) in malformed.iter().enumerate() {
         let id = format!("{:016x}", number + 1);
         client
             .call(1, "report", &fields(&id, "15000"), QUERY)
             .unwrap();
         let mut first = end.take().unwrap_or_else(|| engines[0].accept().unwrap());
-        assert_eq!(next(&mut first, "serve").id(), id);
+        assert_eq!(next_command(&mut first, "serve").id(), id);
         first
             .write_raw(bytes.replace("ID", &id).as_bytes())
             .unwrap();
         first.until_closed();
         let end = end.insert(engines[0].accept().unwrap());
-        let serve = next(end, "serve");
+        let serve = next_command(end, "serve");
         end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
             .unwrap();
         assert_eq!(
@@ -540,36 +543,36 @@
             }
         );
     }
-    assert_eq!(gateway.counters()["broken"], spoilt.len() as u64);
+    assert_eq!(gateway.counters()["broken"], malformed.len() as u64);
 }
 
 #[test]
-fn a_connection_that_has_fallen_silent_is_replaced() {
-    let (bulletin, engines) = stand_ins(1);
-    let mut noting = config(bulletin.address(), &addresses(&engines));
-    noting["settings"]["limits"]["dial-timeout-us"] = json!(100_000);
-    let gateway = Running::start(&noting);
+fn a_silent_engine_connection_is_replaced() {
+    let (bulletin, engines) = start_emulators(1);
+    let mut configured = config(bulletin.address(), &addresses(&engines));
+    configured["settings"]["limits"]["dial-timeout-us"] = json!(100_000);
+    let gateway = GatewayProcess::start(&configured);
     let mut client = gateway.client();
     client
         .call(1, "report", &fields("0000000000000001", "900"), QUERY)
         .unwrap();
     let mut silent = engines[0].accept().unwrap();
-    next(&mut silent, "serve");
-    assert!(refused(&client.answer().unwrap()));
+    next_command(&mut silent, "serve");
+    assert!(is_refusal(&client.answer().unwrap()));
     client
         .call(2, "report", &fields("0000000000000002", "15000"), QUERY)
         .unwrap();
-    next(&mut engines[0].accept().unwrap(), "serve");
+    next_command(&mut engines[0].accept().unwrap(), "serve");
     silent.until_closed();
 }
 
-/// Found on a day when an engine stopped reading: requests left in the buffer went out after their
+/// An engine stops reading. Requests that remained in the send buffer used to be sent after their
 /// final answer.
 #[test]
-fn nothing_goes_out_for_a_request_after_its_answer() {
+fn a_request_is_not_sent_after_its_final_answer() {
     const SENT: u64 = 14;
-    let (_bulletin, engines, mut gateway, mut client) = up();
-    // More than a connection takes while its other end doesn't read.
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
+    // More than the buffers of a connection take while the engine doesn't read.
     let mut statement = QUERY.to_vec();
     statement.resize(1_000_000, b' ');
     for number in 1..=SENT {
@@ -580,60 +583,61 @@
     }
     let mut end = engines[0].accept().unwrap();
     for _ in 1..=SENT {
-        assert!(refused(&client.answer().unwrap()));
+        assert!(is_refusal(&client.answer().unwrap()));
     }
-    let mut whole = 0;
+    let mut received = 0;
     while let Ok(command) = end.command() {
-        whole += (command.verb() == "serve") as u64;
+        received += (command.verb() == "serve") as u64;
     }
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert!(
-        counted["unsent"] > 0,
-        "the buffers of the system took everything"
+        counters["unsent"] > 0,
+        "the kernel's buffers took all requests"
     );
     assert!(
-        whole < SENT,
-        "{whole} requests came to the engine after their answers"
+        received < SENT,
+        "the engine received {received} requests, some of them after their answers"
     );
 }
 
 #[test]
-fn the_bulletin_is_called_again_after_its_end_and_after_a_gap() {
-    let (bulletin, engines) = stand_ins(2);
+fn the_bulletin_is_reconnected_after_its_stream_ends_and_after_a_gap() {
+    let (bulletin, engines) = start_emulators(2);
     let known = [engines[0].address()];
-    let mut gateway = Running::start(&config(bulletin.address(), &known));
-    let change = |no: u64, hosts: Vec<serde_json::Value>| {
-        json!({"no": no, "roster": {"seq": no, "whole": false, "hosts": hosts}}).to_string()
+    let mut gateway = GatewayProcess::start(&config(bulletin.address(), &known));
+    let list_event = |event_number: u64, hosts: Vec<serde_json::Value>| {
+        json!({"no": event_number, "roster": {"seq": event_number, "whole": false, "hosts": hosts}})
+            .to_string()
     };
     let mut end = bulletin.accept().unwrap();
     assert_eq!(end.after, 1);
     end.event(
         2,
-        &change(2, vec![host("s-new", engines[1].address(), "up")]),
+        &list_event(2, vec![host("s-new", engines[1].address(), "up")]),
     )
     .unwrap();
     drop(end);
     let mut end = bulletin.accept().unwrap();
     assert_eq!(end.after, 2);
-    // Event 3 is missing: the stream can't be trusted, and the gateway asks for what it lacks.
-    end.event(4, &change(4, vec![])).unwrap();
+    // Event 3 is missing, so the gateway discards the stream and requests the missing events.
+    end.event(4, &list_event(4, vec![])).unwrap();
     let mut end = bulletin.accept().unwrap();
     assert_eq!(end.after, 2);
     end.event(
         3,
-        &change(3, vec![host("s-0", engines[0].address(), "removed")]),
+        &list_event(3, vec![host("s-0", engines[0].address(), "removed")]),
     )
     .unwrap();
-    end.event(4, &change(4, vec![])).unwrap();
+    end.event(4, &list_event(4, vec![])).unwrap();
     drop(end);
     assert_eq!(bulletin.accept().unwrap().after, 4);
-    // The engine that was known at the start has gone, so the query finds the new one.
+    // The engine that was known at the start has been removed, so the query goes to the new one.
     let mut client = gateway.client();
     client
         .call(1, "report", &fields("0000000000000001", "15000"), QUERY)
         .unwrap();
     let mut end = engines[1].accept().unwrap();
-    let serve = next(&mut end, "serve");
+    let serve = next_command(&mut end, "serve");
     end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
         .unwrap();
     assert!(matches!(
@@ -644,33 +648,33 @@
 }
 
 #[test]
-fn sighup_moves_the_link_to_the_bulletin_of_the_new_configuration() {
-    let (old, engines) = stand_ins(2);
+fn sighup_connects_to_the_bulletin_of_the_new_configuration() {
+    let (old, engines) = start_emulators(2);
     let mut configured = config(old.address(), &addresses(&engines[..1]));
-    let mut gateway = Running::start(&configured);
+    let mut gateway = GatewayProcess::start(&configured);
     let mut stream = old.accept().unwrap();
     stream
         .event(2, r#"{"no":2,"roster":{"seq":2,"hosts":[]}}"#)
         .unwrap();
-    // What can't be used is named, and the old configuration stays.
-    let half = configured.to_string()[..200].to_string();
+    // An invalid configuration is reported, and the old one stays in force.
+    let partial = configured.to_string()[..200].to_string();
     configured["bulletin"] = json!("nowhere");
-    for (text, words) in [
-        (Some(half.as_str()), "EOF"),
+    for (text, expected) in [
+        (Some(partial.as_str()), "EOF"),
         (None, "configuration"),
         (Some(&*configured.to_string()), "'bulletin'"),
     ] {
         gateway.reload(text);
-        let line = gateway.line_with("not reloaded");
-        assert!(line.contains(words), "{line}");
+        let line = gateway.wait_for_line("not reloaded");
+        assert!(line.contains(expected), "{line}");
     }
-    // A bulletin that isn't there yet, and at once another: the numbers go on, and the old link
-    // ends.
-    let (mut new, _) = stand_ins(0);
-    for next in [standin::unused_address(), new.address()] {
+    // The bulletin moves to an address where none listens, and at once to another. The new stream
+    // continues after the last event number, and the old connection is closed.
+    let (mut new, _) = start_emulators(0);
+    for next in [scripted::unused_address(), new.address()] {
         configured["bulletin"] = json!(next.to_string());
         gateway.reload(Some(&configured.to_string()));
-        gateway.line_with("reloaded; the bulletin is at");
+        gateway.wait_for_line("reloaded; the bulletin is at");
     }
     let mut end = new.accept().unwrap();
     assert_eq!(end.after, 2);
@@ -685,7 +689,7 @@
     )
     .unwrap();
     let mut client = gateway.client();
-    let (mut engine, serve) = called(&mut client, &engines[1]);
+    let (mut engine, serve) = send_query(&mut client, &engines[1]);
     engine
         .answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
         .unwrap();
@@ -693,26 +697,26 @@
         client.answer().unwrap(),
         Answer::Result { id: 1, .. }
     ));
-    // One more while it stops.
+    // One more reload while the gateway shuts down.
     gateway.terminate();
-    (new, _) = stand_ins(0);
+    (new, _) = start_emulators(0);
     configured["bulletin"] = json!(new.address().to_string());
     gateway.reload(Some(&configured.to_string()));
     assert_eq!(new.accept().unwrap().after, 3);
-    let (status, counted) = gateway.ended();
+    let (status, counters) = gateway.wait_for_exit();
     assert!(status.success(), "{status}");
-    assert_eq!((counted["reloads"], counted["reloads_failed"]), (3, 3));
+    assert_eq!((counters["reloads"], counters["reloads_failed"]), (3, 3));
 }
 
 #[test]
-fn a_connection_to_a_process_that_has_restarted_is_not_waited_for() {
-    let (bulletin, engines) = stand_ins(1);
-    let gateway = Running::start(&config(bulletin.address(), &addresses(&engines)));
+fn connections_to_an_engine_that_has_restarted_are_closed() {
+    let (bulletin, engines) = start_emulators(1);
+    let gateway = GatewayProcess::start(&config(bulletin.address(), &addresses(&engines)));
     let mut stream = bulletin.accept().unwrap();
     let mut client = gateway.client();
-    let (mut silent, _) = called(&mut client, &engines[0]);
-    // The machine vanished without a word, and its engine runs again: started long after that
-    // connection.
+    let (mut silent, _) = send_query(&mut client, &engines[0]);
+    // The engine's machine failed without closing its connections, and the engine runs again: its
+    // start time is later than that of the connection.
     let mut again = host("s-0", engines[0].address(), "up");
     again["born_ms"] = json!(4_000_000_000_000u64);
     let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": [again]}});
@@ -724,9 +728,9 @@
 }
 
 #[test]
-fn sigterm_finishes_what_is_open_and_takes_what_still_comes() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
-    let (mut end, first) = called(&mut client, &engines[0]);
+fn sigterm_finishes_open_requests_and_accepts_new_ones_meanwhile() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
+    let (mut end, first) = send_query(&mut client, &engines[0]);
     gateway.terminate();
     let mut late = Client::connect(gateway.address).unwrap();
     late.ask_health(1).unwrap();
@@ -736,7 +740,7 @@
     );
     late.call(2, "report", &fields("0000000000000002", "15000"), QUERY)
         .unwrap();
-    let second = next(&mut end, "serve");
+    let second = next_command(&mut end, "serve");
     for serve in [&first, &second] {
         end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
             .unwrap();
@@ -749,59 +753,60 @@
         late.answer().unwrap(),
         Answer::Result { id: 2, .. }
     ));
-    let (status, counted) = gateway.ended();
+    let (status, counters) = gateway.wait_for_exit();
     assert!(status.success(), "{status}");
-    assert_eq!((counted["served"], counted["open"]), (2, 0));
+    assert_eq!((counters["served"], counters["open"]), (2, 0));
 }
 
 #[test]
-fn what_an_engine_never_answers_is_answered_before_a_stopping_gateway_is_killed() {
-    let (_bulletin, engines, mut gateway, mut client) = up();
+fn a_stopping_gateway_refuses_requests_that_its_engine_never_answers() {
+    let (_bulletin, engines, mut gateway, mut client) = start_one();
     client
         .call(1, "report", &fields("0000000000000001", "20000"), QUERY)
         .unwrap();
     let mut end = engines[0].accept().unwrap();
-    next(&mut end, "serve");
+    next_command(&mut end, "serve");
     gateway.terminate();
-    assert!(refused(&client.answer().unwrap()));
-    let (status, counted) = gateway.ended();
+    assert!(is_refusal(&client.answer().unwrap()));
+    let (status, counters) = gateway.wait_for_exit();
     assert!(status.success(), "{status}");
-    assert_eq!((counted["refused"], counted["open"]), (1, 0));
+    assert_eq!((counters["refused"], counters["open"]), (1, 0));
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_no_stop_up() {
+fn a_client_that_does_not_read_does_not_delay_shutdown() {
     const ROUNDS: u64 = 12;
-    let (_bulletin, mut engines, mut gateway, mut deaf) = up();
-    // Longest results, of eight pages each, far more than the buffers of a connection take.
+    let (_bulletin, mut engines, mut gateway, mut client) = start_one();
+    // Large results of eight pages each, far more than the buffers of a connection take.
     engines.remove(0).answer_all(8, "a\tb\tc\n".repeat(1000));
     for number in 0..32 * ROUNDS {
         let id = format!("{number:016x}");
-        deaf.call(number, "report", &fields(&id, "15000"), QUERY)
+        client
+            .call(number, "report", &fields(&id, "15000"), QUERY)
             .unwrap();
         while number % 32 == 31 && gateway.counters()["open"] > 0 {}
     }
     gateway.terminate();
-    let (status, counted) = gateway.ended();
+    let (status, counters) = gateway.wait_for_exit();
     assert!(
-        status.success() && counted["open"] == 0,
-        "{status} {counted:?}"
+        status.success() && counters["open"] == 0,
+        "{status} {counters:?}"
     );
 }
 
 #[test]
-fn messages_that_are_not_whole_have_a_bound_for_all_together() {
-    let (bulletin, engines) = stand_ins(1);
-    let mut small = config(bulletin.address(), &addresses(&engines));
-    small["limits"]["memory_mb"] = json!(1);
-    let mut gateway = Running::start(&small);
-    // A body of 900,000 bytes is announced, a third of it comes.
-    let mut hoarder = gateway.client();
+fn incomplete_messages_share_one_memory_limit() {
+    let (bulletin, engines) = start_emulators(1);
+    let mut configured = config(bulletin.address(), &addresses(&engines));
+    configured["limits"]["memory_mb"] = json!(1);
+    let mut gateway = GatewayProcess::start(&configured);
+    // A body of 900,000 bytes is announced, and a third of it is sent.
+    let mut incomplete_client = gateway.client();
     let head = [
         0x94, 0, 1, 0xa6, b'r', b'e', b'p', b'o', b'r', b't', 0x92, 0x80, 0xc6, 0, 0x0d, 0xbb, 0xa0,
     ];
-    let _ = hoarder.write_raw(&[&head[..], &[b' '; 300_000]].concat());
-    hoarder.until_closed();
+    let _ = incomplete_client.write_raw(&[&head[..], &[b' '; 300_000]].concat());
+    incomplete_client.until_closed();
     let mut client = gateway.client();
     client.ask_health(1).unwrap();
     assert_eq!(
@@ -812,19 +817,20 @@
 }
 
 #[test]
-fn idle_clients_give_way_when_descriptors_run_short() {
-    let (bulletin, engines) = stand_ins(1);
-    let mut few = config(bulletin.address(), &addresses(&engines));
-    few["limits"]["sockets"] = json!(64);
-    let gateway = Running::start(&few);
+fn idle_clients_are_disconnected_when_descriptors_run_out() {
+    let (bulletin, engines) = start_emulators(1);
+    let mut configured = config(bulletin.address(), &addresses(&engines));
+    configured["limits"]["sockets"] = json!(64);
+    let gateway = GatewayProcess::start(&configured);
     let mut idle: Vec<Client> = (0..32).map(|_| gateway.client()).collect();
     for client in &mut idle {
         client.ask_health(1).unwrap();
         client.answer().unwrap();
     }
-    // The table is full; two more are taken in, and those that asked for nothing for longest go.
-    let mut more: Vec<Client> = (0..2).map(|_| gateway.client()).collect();
-    for client in &mut more {
+    // The table is full. Two more clients are accepted, and those idle for longest are
+    // disconnected.
+    let mut new_clients: Vec<Client> = (0..2).map(|_| gateway.client()).collect();
+    for client in &mut new_clients {
         client.ask_health(2).unwrap();
         assert_eq!(
             client.answer().unwrap(),
@@ -841,24 +847,24 @@
     );
 }
 
-/// All day engines come under new names, some where another one was, and clients on new
-/// connections.
+/// Engines keep coming under new names, some at the address of a former one, and clients on new
+/// connections. Guards against tables that grow with all names and connections ever seen.
 #[test]
-fn no_table_grows_with_generations_of_engines_and_clients() {
+fn no_table_grows_with_the_number_of_former_engines_and_clients() {
     const GENERATIONS: u64 = 300;
-    let (bulletin, engines) = stand_ins(2);
-    let mut gateway = Running::start(&config(bulletin.address(), &addresses(&engines[..1])));
+    let (bulletin, engines) = start_emulators(2);
+    let mut gateway = GatewayProcess::start(&config(bulletin.address(), &addresses(&engines[..1])));
     let mut stream = bulletin.accept().unwrap();
-    let mut before = host("s-0", engines[0].address(), "removed");
+    let mut former = host("s-0", engines[0].address(), "removed");
     for number in 0..GENERATIONS {
         let address = engines[number as usize % 2].address();
-        let (name, no) = (format!("s-{number:08x}"), number + 2);
-        let hosts = [before, host(&name, address, "up")];
-        let item = json!({"no": no, "roster": {"seq": no, "whole": false, "hosts": hosts}});
-        stream.event(no, &item.to_string()).unwrap();
-        before = host(&name, address, "removed");
-        // A query shows that the change has come: it goes to the engine that is listed now, on a
-        // new connection also where the address is that of one that has gone.
+        let (name, event_number) = (format!("s-{number:08x}"), number + 2);
+        let hosts = [former, host(&name, address, "up")];
+        let item = json!({"no": event_number, "roster": {"seq": event_number, "whole": false, "hosts": hosts}});
+        stream.event(event_number, &item.to_string()).unwrap();
+        former = host(&name, address, "removed");
+        // The query must go to the engine that is listed now, on a new connection even if a former
+        // engine had the same address.
         let mut client = gateway.client();
         let id = format!("{number:016x}");
         loop {
@@ -872,18 +878,18 @@
             .call(2, "report", &fields(&id, "15000"), QUERY)
             .unwrap();
         let mut end = engines[number as usize % 2].accept().unwrap();
-        let serve = next(&mut end, "serve");
+        let serve = next_command(&mut end, "serve");
         assert_eq!(serve.id(), id);
         end.answer(serve.id(), "OK", "count=1", "a\tb\tc\n")
             .unwrap();
         assert!(matches!(client.answer().unwrap(), Answer::Result { .. }));
     }
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert_eq!(
-        (counted["served"], counted["ids"]),
+        (counters["served"], counters["ids"]),
         (GENERATIONS, GENERATIONS)
     );
-    for (name, most) in [
+    for (name, limit) in [
         ("engines", 2),
         ("engine_conns", 2),
         ("engine_names", 2),
@@ -891,22 +897,22 @@
         ("clients", 4),
         ("deadlines", 8),
     ] {
-        assert!(counted[name] <= most, "{name}: {}", counted[name]);
+        assert!(counters[name] <= limit, "{name}: {}", counters[name]);
     }
 }
 
 #[test]
-fn descriptors_that_run_short_are_not_held_against_an_engine() {
-    let (bulletin, engines) = stand_ins(3);
-    let mut few = config(bulletin.address(), &addresses(&engines));
-    // One connection to engines is all that these limits leave.
-    few["limits"]["sockets"] = json!(50);
-    let mut gateway = Running::start(&few);
+fn a_lack_of_descriptors_does_not_count_as_an_engine_failure() {
+    let (bulletin, engines) = start_emulators(3);
+    let mut configured = config(bulletin.address(), &addresses(&engines));
+    // These limits leave descriptors for only one connection to an engine.
+    configured["limits"]["sockets"] = json!(50);
+    let mut gateway = GatewayProcess::start(&configured);
     let mut client = gateway.client();
     for engine in engines.into_iter() {
         engine.answer_all(1, "a\tb\tc\n".into());
     }
-    // An idle connection gives way to one that is needed.
+    // An idle connection is closed in favour of one that is needed.
     for number in 1..=12u64 {
         let id = format!("{number:016x}");
         let statement = format!("SELECT * FROM sales_{number}.orders");
@@ -920,20 +926,20 @@
             .unwrap();
         assert!(matches!(client.answer().unwrap(), Answer::Result { .. }));
     }
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert_eq!(
         (
-            counted["engine_conns"],
-            counted["no_connection"],
-            counted["served"]
+            counters["engine_conns"],
+            counters["no_connection"],
+            counters["served"]
         ),
         (1, 0, 12)
     );
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_named_and_ends_the_start() {
-    let (bulletin, engines) = stand_ins(1);
+fn an_invalid_configuration_is_reported_and_prevents_the_start() {
+    let (bulletin, engines) = start_emulators(1);
     let good = config(bulletin.address(), &addresses(&engines));
     let cases = [
         ("/listen", json!("nowhere"), "'listen' is 'nowhere'"),
@@ -956,27 +962,30 @@
         ),
         ("/limits/sockets", json!(-4), "'limits.sockets' is -4"),
     ];
-    for (path, value, words) in cases {
-        let mut bad = good.clone();
-        *bad.pointer_mut(path).expect(path) = value;
-        let (status, said) = refused_start(&bad);
-        assert!(!status.success() && said.contains(words), "{path}: {said}");
+    for (path, value, expected) in cases {
+        let mut invalid = good.clone();
+        *invalid.pointer_mut(path).expect(path) = value;
+        let (status, line) = run_to_failure(&invalid);
+        assert!(
+            !status.success() && line.contains(expected),
+            "{path}: {line}"
+        );
     }
 }
 
 #[test]
-fn a_gateway_is_well_once_its_list_is_known() {
-    let (bulletin, engines) = stand_ins(1);
+fn a_gateway_is_healthy_once_its_endpoint_list_is_known() {
+    let (bulletin, engines) = start_emulators(1);
     let mut empty = config(bulletin.address(), &[]);
     empty["known"] = json!({"no": 0, "items": []});
-    let gateway = Running::start(&empty);
+    let gateway = GatewayProcess::start(&empty);
     let mut client = gateway.client();
     client.ask_health(1).unwrap();
     assert_eq!(
         client.answer().unwrap(),
         Answer::Health { id: 1, well: false }
     );
-    // Held until there is an engine.
+    // The request waits until an engine is listed.
     client
         .call(2, "report", &fields("0000000000000002", "15000"), QUERY)
         .unwrap();
@@ -987,7 +996,7 @@
         .unwrap()
         .event(1, &item.to_string())
         .unwrap();
-    next(&mut engines[0].accept().unwrap(), "serve");
+    next_command(&mut engines[0].accept().unwrap(), "serve");
     client.ask_health(3).unwrap();
     assert_eq!(
         client.answer().unwrap(),
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -1,12 +1,13 @@
-//! What the command line prints of golden data and of files that can't be used, as an earlier
-//! version did.
+//! Compares the output of the commands for golden data, help and unusable files with that of an
+//! earlier version: scripts and older data depend on it.
 
 use std::process::Command;
 
 use eideryard_emulators::golden;
 
-/// Standard output, standard error and exit code, in the directory of golden data.
-fn printed(arguments: &[&str]) -> Vec<u8> {
+/// Standard output, standard error and exit code of the program, run in the directory of golden
+/// data.
+fn run(arguments: &[&str]) -> Vec<u8> {
     let output = Command::new(env!("CARGO_BIN_EXE_eideryard"))
         .args(arguments)
         .current_dir(golden::path(""))
@@ -22,28 +23,25 @@
 }
 
 #[test]
-fn records_are_printed_as_before() {
-    golden::check(
-        "records-dump.txt",
-        &printed(&["records", "dump", "event-log"]),
-    );
+fn event_logs_are_printed_as_in_the_golden_files() {
+    golden::check("records-dump.txt", &run(&["records", "dump", "event-log"]));
     golden::check(
         "records-tally.txt",
-        &printed(&["records", "tally", "--json", "event-log"]),
+        &run(&["records", "tally", "--json", "event-log"]),
     );
     golden::check(
         "records-verify.txt",
-        &printed(&["records", "verify", "event-log"]),
+        &run(&["records", "verify", "event-log"]),
     );
 }
 
 #[test]
-fn a_store_is_printed_as_before() {
-    golden::check("store-dump.txt", &printed(&["store", "dump", "store"]));
+fn a_store_is_printed_as_in_the_golden_file() {
+    golden::check("store-dump.txt", &run(&["store", "dump", "store"]));
 }
 
 #[test]
-fn files_that_cannot_be_used_are_explained_as_before() {
+fn unusable_files_are_reported_as_in_the_golden_file() {
     let names = std::fs::read_dir(golden::path("check")).expect("golden files");
     let mut names: Vec<String> = names
         .map(|file| {
@@ -60,12 +58,12 @@
         .into_iter()
         .chain(names.iter().map(String::as_str))
         .collect();
-    golden::check("check.txt", &printed(&arguments));
+    golden::check("check.txt", &run(&arguments));
 }
 
 #[test]
-fn help_and_reference_are_printed_as_before() {
-    golden::check("reference.txt", &printed(&["reference"]));
+fn help_and_reference_are_printed_as_in_the_golden_files() {
+    golden::check("reference.txt", &run(&["reference"]));
     let commands: [&[&str]; 7] = [
         &["--help"],
         &["check", "--help"],
@@ -77,9 +75,9 @@
     ];
     let text: Vec<u8> = commands
         .iter()
-        .flat_map(|arguments| printed(arguments))
+        .flat_map(|arguments| run(arguments))
         .collect();
-    // Where lines break depends on the features of the argument parser that a build switches on.
+    // The positions of line breaks depend on the features of clap that the build enables.
     let text = String::from_utf8(text).expect("text");
     let words: Vec<&str> = text.split_whitespace().collect();
     golden::check("help.txt", words.join(" ").as_bytes());
--- a/crates/cli/tests/incident.rs
+++ b/crates/cli/tests/incident.rs
@@ -1,6 +1,6 @@
-//! The scripted incident on loopback: two gateways, six engines, three killed together, a flood
-//! during a roster outage, a gateway killed and started again. Records, report and the gateways'
-//! own counters must agree exactly.
+//! Plays a scripted incident on loopback: two gateways and six engines, of which three are killed
+//! together, a flood of requests while the bulletin is down, and a gateway that is killed and
+//! started again. Event logs, the report and the gateways' own counters must agree exactly.
 
 use eideryard_emulators::scenario::Scenario;
 use eideryard_fleet_test::processes::Programs;
@@ -15,18 +15,18 @@
     "/../../examples/incident.scenario"
 );
 
-fn eideryard(words: &[&str]) -> Output {
+fn run_program(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_eideryard"))
-        .args(words)
+        .args(arguments)
         .output()
         .expect("the program runs")
 }
 
-fn told(output: &Output) -> String {
-    String::from_utf8(output.stdout.clone()).expect("it tells text")
+fn stdout(output: &Output) -> String {
+    String::from_utf8(output.stdout.clone()).expect("the output is UTF-8")
 }
 
-fn played(directory: &Path, text: &str) -> (Played, PathBuf) {
+fn play_scenario(directory: &Path, text: &str) -> (Played, PathBuf) {
     let records = directory.join("records");
     let operator = directory.join("operator.conf");
     std::fs::write(&operator, format!("record-dir \"{}\"\n", records.display())).unwrap();
@@ -41,8 +41,8 @@
     (played, records)
 }
 
-/// The cells of the report's table of gateways, by column, for each row.
-fn rows(page: &str) -> Vec<BTreeMap<String, String>> {
+/// The rows of the report's table of gateways, each with its cells by column name.
+fn table_rows(page: &str) -> Vec<BTreeMap<String, String>> {
     let table = page
         .split("What each start of each gateway counted")
         .nth(1)
@@ -64,12 +64,12 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario, told from its beginning to its end"
+    reason = "one scenario, from its beginning to its end"
 )]
-fn records_report_and_counters_of_the_incident_agree_exactly() {
+fn event_logs_report_and_counters_of_the_incident_agree_exactly() {
     let directory = tempfile::tempdir().unwrap();
     let text = std::fs::read_to_string(SCENARIO).unwrap();
-    let (played, records) = played(directory.path(), &text);
+    let (played, records) = play_scenario(directory.path(), &text);
     let ledger = &played.ledger;
     assert_eq!(ledger.broken, [] as [String; 0], "rules");
     let total = ledger.total();
@@ -83,51 +83,51 @@
     );
 
     let records = records.to_str().unwrap();
-    let verified = eideryard(&["records", "verify", records]);
-    assert!(verified.status.success(), "{}", told(&verified));
-    let tally = eideryard(&["records", "tally", "--json", records]);
-    let tallies: Vec<Value> = told(&tally)
+    let verified = run_program(&["records", "verify", records]);
+    assert!(verified.status.success(), "{}", stdout(&verified));
+    let tally = run_program(&["records", "tally", "--json", records]);
+    let tallies: Vec<Value> = stdout(&tally)
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
     assert_eq!(tallies.len(), 3, "two gateways, one of them twice");
 
-    // Each start that ended by itself printed counters: all that a record tells has the same figure
-    // there.
+    // Each gateway that ended by itself logged its counters, which must equal the totals of its
+    // event log.
     let mut compared = 0;
     for ending in &played.endings {
         let name = ending.name.split('#').next().unwrap();
         let number: usize = ending.name.split('#').nth(1).unwrap().parse().unwrap();
-        let own = tallies
+        let own_tally = tallies
             .iter()
             .filter(|tally| tally["name"] == name)
             .nth(number - 1)
             .expect(name);
         let Some(counters) = &ending.counters else {
             assert_eq!(
-                (&own["ended"], name, number),
+                (&own_tally["ended"], name, number),
                 (&Value::Bool(false), "g1", 1)
             );
             continue;
         };
-        for (counter, value) in own.as_object().unwrap() {
+        for (counter, value) in own_tally.as_object().unwrap() {
             if let Some(counted) = counters.get(counter.as_str()) {
                 assert_eq!(value.as_u64(), Some(*counted), "{} {counter}", ending.name);
                 compared += 1;
             }
         }
         assert_eq!(
-            (&own["ended"], &own["gaps"], &own["exact"]),
+            (&own_tally["ended"], &own_tally["gaps"], &own_tally["exact"]),
             (&true.into(), &0.into(), &true.into())
         );
     }
     assert!(compared >= 2 * 20, "{compared} figures compared");
 
     let out = directory.path().join("report.html");
-    let report = eideryard(&["report", records, "--out", out.to_str().unwrap()]);
+    let report = run_program(&["report", records, "--out", out.to_str().unwrap()]);
     assert!(report.status.success());
     let page = std::fs::read_to_string(&out).unwrap();
-    let rows = rows(&page);
+    let rows = table_rows(&page);
     assert_eq!(rows.len(), 4, "three starts and their sum");
     for (row, tally) in rows.iter().zip(&tallies) {
         for column in [
@@ -151,13 +151,13 @@
         }
     }
 
-    // What a person would tell of that morning.
-    let head = told(&report);
+    // The headline and the episodes that an operator must find in the report.
+    let head = stdout(&report);
     assert!(
         head.contains("3 of 6 engines ended together (e-1, e-2 and e-3)"),
         "{head}"
     );
-    for words in [
+    for phrase in [
         "rival flooded from 127.0.0.9",
         "the bulletin was out of reach of g1 and g2",
         "the record of g1 has a gap",
@@ -165,7 +165,10 @@
         "did not end by itself",
         "roster silent (g1 and g2) and flood (rival) overlap",
     ] {
-        assert!(page.contains(words), "'{words}' is not told");
+        assert!(
+            page.contains(phrase),
+            "'{phrase}' is missing from the report"
+        );
     }
     assert!(
         !page.contains("<script src") && !page.contains("http://") && !page.contains("https://")
@@ -173,25 +176,25 @@
     let floods = page.matches(">flood<").count();
     assert_eq!(floods, 1, "one flood, not one for each symptom");
 
-    // A carrier asks after one that was refused.
-    let asked = page.split("id=\"asked\"").nth(1).unwrap();
-    let id = asked
+    // The entries of one refused request can be found by its id.
+    let section = page.split("id=\"asked\"").nth(1).unwrap();
+    let id = section
         .split("class=\"id\">")
         .nth(1)
         .unwrap()
         .split('<')
         .next()
         .unwrap();
-    let life = told(&eideryard(&["records", "find", id, records]));
+    let entries = stdout(&run_program(&["records", "find", id, records]));
     assert!(
-        life.contains("Offered") && life.contains("Answered") && life.contains("Arrived"),
-        "{life}"
+        entries.contains("Offered") && entries.contains("Answered") && entries.contains("Arrived"),
+        "{entries}"
     );
 
-    // A part of it, from a segment's state on.
+    // A report on a span of time starts from the state at the beginning of a segment.
     let epoch = tallies[0]["epoch"].as_u64().unwrap() / 1_000_000;
     let (from, to) = ((epoch + 8).to_string(), (epoch + 10).to_string());
-    let part = eideryard(&[
+    let part = run_program(&[
         "report",
         records,
         "--out",
@@ -202,14 +205,14 @@
         &to,
     ]);
     assert!(
-        part.status.success() && !told(&part).contains("engines ended"),
+        part.status.success() && !stdout(&part).contains("engines ended"),
         "{}",
-        told(&part)
+        stdout(&part)
     );
 }
 
 #[test]
-fn wrong_use_is_told_and_exits_with_2_what_failed_with_1() {
+fn wrong_usage_exits_with_2_and_failures_with_1() {
     let directory = tempfile::tempdir().unwrap();
     let path = |name: &str| directory.path().join(name).display().to_string();
     std::fs::write(path("good.conf"), "record-dir x\nrecord-budget 8MB\n").unwrap();
@@ -225,32 +228,32 @@
         config.replacen("1000000,", "\"soon\",", 1),
     )
     .unwrap();
-    let code = |words: &[&str]| eideryard(words).status.code();
+    let code = |arguments: &[&str]| run_program(arguments).status.code();
     assert_eq!(code(&["check", &path("good.conf")]), Some(0));
-    let checked = eideryard(&[
+    let checked = run_program(&[
         "check",
         &path("good.conf"),
         &path("bad.conf"),
         &path("bad.json"),
         &path("aim.json"),
     ]);
-    let said = told(&checked);
+    let findings = stdout(&checked);
     assert_eq!(checked.status.code(), Some(1));
     assert!(
-        said.contains(
+        findings.contains(
             "bad.conf:2:3: 'record-bugdet' is no directive; did you mean 'record-budget'?"
         ),
-        "{said}"
+        "{findings}"
     );
-    assert!(said.contains("bad.json:3:12: "), "{said}");
+    assert!(findings.contains("bad.json:3:12: "), "{findings}");
     let line = config
         .lines()
         .position(|line| line.contains("aim-us"))
         .unwrap()
         + 1;
     assert!(
-        said.contains(&format!("aim.json:{line}:")) && said.contains("'grades.0.aim-us'"),
-        "{said}"
+        findings.contains(&format!("aim.json:{line}:")) && findings.contains("'grades.0.aim-us'"),
+        "{findings}"
     );
     assert_eq!(code(&["check", &path("nowhere")]), Some(1));
     for wrong in [
@@ -264,7 +267,7 @@
     }
     assert_eq!(code(&["records", "tally", &path("nothing")]), Some(1));
     assert_eq!(code(&["records", "find", "xyz", &path("nothing")]), Some(1));
-    assert!(told(&eideryard(&["man"])).contains(".TH eideryard"));
-    assert!(told(&eideryard(&["completions", "bash"])).contains("_eideryard"));
+    assert!(stdout(&run_program(&["man"])).contains(".TH eideryard"));
+    assert!(stdout(&run_program(&["completions", "bash"])).contains("_eideryard"));
     assert_eq!(code(&["--help"]), Some(0));
 }
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -1,5 +1,5 @@
-//! A small scale run with processes of the program: each request is answered, whatever the list's
-//! length.
+//! A small run of the scale test with real processes. Guards against requests that stay unanswered
+//! with a long endpoint list, and against measurements that are missing from the run's result.
 
 use eideryard_fleet_test::scale::control::IN_FORCE_WITHIN;
 use eideryard_fleet_test::scale::measure::Axis;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 #[test]
-fn real_gateways_serve_all_and_their_cost_is_measured() {
+fn real_gateways_serve_all_requests_and_their_cost_is_measured() {
     let sizes = Sizes {
         gateways: vec![17],
         engines: vec![8, 80],
@@ -42,8 +42,8 @@
     assert_eq!(count("process.request", Axis::Engines), 2);
     assert_eq!(count("process.memory", Axis::Clients), 2);
     assert_eq!(count("process.list", Axis::Engines), 2);
-    // Configuration changes reached all processes, and hollow gateways followed the same list
-    // beside them.
+    // Configuration changes reached all processes, and hollow gateways followed the same endpoint
+    // list at the same time.
     assert_eq!(count("process.reload", Axis::Engines), 2);
     assert_eq!(count("reload.in_force", Axis::Reloads), 2);
     assert_eq!(
@@ -53,14 +53,14 @@
         ),
         (2, 2)
     );
-    // Keepers took keyed requests of other gateways.
+    // Voters claimed keyed requests for other gateways.
     assert_eq!(count("keeper.claim.time", Axis::Claims), 4);
     assert_eq!(count("keeper.links.time", Axis::Links), 1);
 }
 
-/// A gateway that stands still has no new configuration in time, and takes it up once it goes on.
+/// A stopped gateway doesn't apply a new configuration in time, and applies it once it is resumed.
 #[test]
-fn a_change_of_the_configuration_counts_as_missed_while_one_gateway_stands_still() {
+fn a_configuration_change_counts_as_missed_while_one_gateway_is_stopped() {
     let program = Path::new(env!("CARGO_BIN_EXE_eideryard"));
     let size = Size {
         gateways: 2,
@@ -70,16 +70,22 @@
     let (moment, within) = (Duration::from_millis(50), Duration::from_millis(200));
     let mut fleet = Fleet::start(program, 2, size).expect("processes start");
     fleet.signal(0, Signal::STOP);
-    let still = fleet.reload(1, moment, within).expect("processes run");
-    assert_eq!((still.missed, still.in_force_after.len()), (1, 0));
+    let while_stopped = fleet.reload(1, moment, within).expect("processes run");
+    assert_eq!(
+        (while_stopped.missed, while_stopped.in_force_after.len()),
+        (1, 0)
+    );
     fleet.signal(0, Signal::CONT);
-    let moves = fleet
+    let after_resume = fleet
         .reload(1, moment, IN_FORCE_WITHIN)
         .expect("processes run");
-    assert_eq!((moves.missed, moves.in_force_after.len()), (0, 1));
-    let ended = fleet.end().expect("processes end");
     assert_eq!(
-        (ended.crashed.len(), ended.counted("reloads_failed")),
+        (after_resume.missed, after_resume.in_force_after.len()),
+        (0, 1)
+    );
+    let exits = fleet.end().expect("processes end");
+    assert_eq!(
+        (exits.crashed.len(), exits.counted("reloads_failed")),
         (0, vec![Some(0); 2])
     );
 }
--- a/crates/cli/tests/spool.rs
+++ b/crates/cli/tests/spool.rs
@@ -1,9 +1,10 @@
-//! Spooled results on loopback: engines are free at once, clients read by tokens, whoever comes
-//! again gets the answer of the one run.
+//! The result spool: engines are released as soon as their result is spooled, clients read pages by
+//! tokens, and a repeated request gets the result of the first run. Guards against lost, mixed or
+//! doubled results, and against engines that slow clients occupy.
 
 mod common;
 
-use common::standin::{Answer, Client, Engine, EngineEnd};
+use common::scripted::{Answer, Client, Engine, EngineEnd};
 use common::*;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -11,15 +12,14 @@
 
 const ID: &str = "0000000000000001";
 
-/// An engine whose results have so many pages; its rows tell its name and the run. It counts runs
-/// and releases.
+/// What an emulated engine has counted.
 #[derive(Clone, Default)]
-struct Seen {
+struct EngineCounts {
     runs: Arc<AtomicU64>,
     released: Arc<AtomicU64>,
 }
 
-impl Seen {
+impl EngineCounts {
     fn runs(&self) -> u64 {
         self.runs.load(Ordering::SeqCst)
     }
@@ -29,79 +29,81 @@
     }
 }
 
-fn rows(name: &str, run: u64, page: usize) -> String {
+fn page_rows(name: &str, run: u64, page: usize) -> String {
     (0..150)
         .map(|row| format!("{name}\t{run}-{page}-{row}\tsome text of a row\n"))
         .collect()
 }
 
-fn result(name: &str, run: u64, pages: usize) -> Vec<u8> {
+fn expected_result(name: &str, run: u64, pages: usize) -> Vec<u8> {
     (0..pages)
-        .map(|page| rows(name, run, page))
+        .map(|page| page_rows(name, run, page))
         .collect::<String>()
         .into_bytes()
 }
 
-/// The page at which the first of some engines that it is asked of dies.
-type Dies = (usize, Arc<AtomicBool>);
+/// The page on whose request an engine closes its connection, and whether one of the engines that
+/// share the flag has already done so.
+type BreakOff = (usize, Arc<AtomicBool>);
 
 fn serve(
     engine: Engine,
     name: &'static str,
     pages: usize,
     pause: Duration,
-    dies: Option<Dies>,
-) -> Seen {
-    let seen = Seen::default();
-    let own = seen.clone();
+    break_off: Option<BreakOff>,
+) -> EngineCounts {
+    let counts = EngineCounts::default();
+    let engine_counts = counts.clone();
     std::thread::spawn(move || {
         while let Ok(end) = engine.accept() {
-            let (seen, dies) = (own.clone(), dies.clone());
-            std::thread::spawn(move || answers(end, name, pages, pause, dies, &seen));
+            let (counts, break_off) = (engine_counts.clone(), break_off.clone());
+            std::thread::spawn(move || {
+                answer_commands(end, name, pages, pause, break_off, &counts);
+            });
         }
     });
-    seen
+    counts
 }
 
 #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-fn answers(
+fn answer_commands(
     mut end: EngineEnd,
     name: &str,
     pages: usize,
     pause: Duration,
-    dies: Option<Dies>,
-    seen: &Seen,
+    break_off: Option<BreakOff>,
+    counts: &EngineCounts,
 ) {
     let mut run = 0;
     while let Ok(command) = end.command() {
         let _ = match command.verb() {
             "serve" => {
-                run = seen.runs.fetch_add(1, Ordering::SeqCst) + 1;
+                run = counts.runs.fetch_add(1, Ordering::SeqCst) + 1;
                 std::thread::sleep(pause);
                 end.answer(
                     command.id(),
                     "OK",
                     &format!("count={pages},ticks=80,footprint=12"),
-                    &rows(name, run, 0),
+                    &page_rows(name, run, 0),
                 )
             }
             "read" => {
                 let page: usize = command.words[2].parse().expect("a number");
-                if dies
-                    .as_ref()
-                    .is_some_and(|(at, died)| *at == page && !died.swap(true, Ordering::SeqCst))
-                {
+                if break_off.as_ref().is_some_and(|(at, has_broken_off)| {
+                    *at == page && !has_broken_off.swap(true, Ordering::SeqCst)
+                }) {
                     return;
                 }
                 end.answer(
                     command.id(),
                     "ROWS",
                     &format!("pos={page}"),
-                    &rows(name, run, page),
+                    &page_rows(name, run, page),
                 )
             }
             "release" => {
-                seen.released.fetch_add(1, Ordering::SeqCst);
+                counts.released.fetch_add(1, Ordering::SeqCst);
                 Ok(())
             }
             _ => Ok(()),
@@ -109,25 +111,29 @@
     }
 }
 
-fn operator(more: &str) -> String {
-    format!("spool-memory 4MB\nspool-key \"a secret for tests only\"\n{more}")
+fn operator_with_spool(operator_lines: &str) -> String {
+    format!("spool-memory 4MB\nspool-key \"a secret for tests only\"\n{operator_lines}")
 }
 
-/// A gateway with a spool in front of one engine with results of so many pages.
-fn started(pages: usize, pause: Duration, more: &str) -> (Running, Seen, standin::Bulletin) {
-    let (bulletin, mut engines) = stand_ins(1);
-    let gateway = Running::start_with(
+/// Starts a gateway with a spool, and one engine whose results have the given number of pages.
+fn start_spooling_gateway(
+    pages: usize,
+    pause: Duration,
+    operator_lines: &str,
+) -> (GatewayProcess, EngineCounts, scripted::Bulletin) {
+    let (bulletin, mut engines) = start_emulators(1);
+    let gateway = GatewayProcess::start_with_operator(
         &config(bulletin.address(), &addresses(&engines)),
-        &operator(more),
+        &operator_with_spool(operator_lines),
     );
-    let seen = serve(engines.remove(0), "e", pages, pause, None);
-    (gateway, seen, bulletin)
+    let counts = serve(engines.remove(0), "e", pages, pause, None);
+    (gateway, counts, bulletin)
 }
 
-fn call(client: &mut Client, number: u64, id: &str) {
+fn send_call(client: &mut Client, number: u64, id: &str) {
     let mut fields = fields(id, "15000");
     fields.push(("p", "1"));
-    // Another table group each, so that they go to different engines.
+    // Each statement reads another table group, so that the requests go to different engines.
     let statement = format!("SELECT * FROM sales_{number}.orders");
     client
         .call(number, "report", &fields, statement.as_bytes())
@@ -137,12 +143,12 @@
 fn field(fields: &[(String, String)], name: &str) -> String {
     fields
         .iter()
-        .find(|(own, _)| own == name)
+        .find(|(field_name, _)| field_name == name)
         .map(|(_, value)| value.clone())
         .unwrap_or_default()
 }
 
-fn part(client: &mut Client) -> (Vec<u8>, String, bool) {
+fn read_part(client: &mut Client) -> (Vec<u8>, String, bool) {
     match client.answer().expect("an answer") {
         Answer::Part { body, fields, .. } => {
             (body, field(&fields, "token"), field(&fields, "more") == "1")
@@ -151,31 +157,31 @@
     }
 }
 
-fn error(client: &mut Client) -> (String, String) {
+fn read_error(client: &mut Client) -> (String, String) {
     match client.answer().expect("an answer") {
         Answer::Error { word, fields, .. } => (word, field(&fields, "why")),
         other => panic!("{other:?}"),
     }
 }
 
-/// The rest of a result behind a part.
-fn rest(
+/// Reads the remaining pages of a result. Returns the whole result.
+fn read_remaining_pages(
     client: &mut Client,
     id: &str,
     mut whole: Vec<u8>,
     mut token: String,
-    mut more: bool,
+    mut has_more: bool,
 ) -> Vec<u8> {
     let mut number = 1000;
-    while more {
+    while has_more {
         number += 1;
         client
             .ask(number, "page", &[("token", &token), ("i", id)])
             .expect("the gateway reads");
-        let (body, next, goes_on) = part(client);
+        let (body, next_token, has_next) = read_part(client);
         assert!(!body.is_empty() && body.len() <= 48_000);
         whole.extend(body);
-        (token, more) = (next, goes_on);
+        (token, has_more) = (next_token, has_next);
     }
     whole
 }
@@ -183,43 +189,48 @@
 #[test]
 fn a_large_result_is_read_by_tokens_long_after_its_engine_is_free() {
     let directory = tempfile::tempdir().unwrap();
-    // Far more than the memory of the spool: most of it goes through the disk.
-    let more = format!(
+    // Far more than the memory of the spool, so that most of it is written to disk.
+    let operator_lines = format!(
         "spool-dir \"{}\"\nspool-disk 64MB\nspool-result 32MB\n",
         directory.path().display()
     );
-    let (mut gateway, seen, _bulletin) = started(1500, Duration::ZERO, &more);
+    let (mut gateway, counts, _bulletin) =
+        start_spooling_gateway(1500, Duration::ZERO, &operator_lines);
     let mut client = gateway.client();
-    call(&mut client, 1, ID);
-    let (body, token, goes_on) = part(&mut client);
-    let counted = gateway.counters();
+    send_call(&mut client, 1, ID);
+    let (body, token, has_more) = read_part(&mut client);
+    let counters = gateway.counters();
     assert_eq!(
-        (seen.runs(), seen.released(), counted["spool_results"]),
+        (counts.runs(), counts.released(), counters["spool_results"]),
         (1, 1, 1),
-        "the engine is free"
+        "the engine was released"
+    );
+    assert!(
+        counters["spool_memory"] <= 4 << 20 && counters["spool_disk"] > 0,
+        "{counters:?}"
     );
+    let whole = read_remaining_pages(&mut client, ID, body, token, has_more);
     assert!(
-        counted["spool_memory"] <= 4 << 20 && counted["spool_disk"] > 0,
-        "{counted:?}"
+        whole == expected_result("e", 1, 1500),
+        "{} bytes",
+        whole.len()
     );
-    let whole = rest(&mut client, ID, body, token, goes_on);
-    assert!(whole == result("e", 1, 1500), "{} bytes", whole.len());
-    assert_eq!((gateway.counters()["served"], seen.runs()), (1, 1));
+    assert_eq!((gateway.counters()["served"], counts.runs()), (1, 1));
     drop(gateway);
     assert_eq!(
         std::fs::read_dir(directory.path()).unwrap().count(),
         0,
-        "nothing is left behind"
+        "files remain in the directory of the spool"
     );
 }
 
 #[test]
-fn whoever_comes_again_gets_the_answer_of_the_one_run() {
-    let (gateway, seen, _bulletin) = started(40, Duration::from_millis(300), "");
+fn a_client_that_reconnects_gets_the_result_of_the_first_run() {
+    let (gateway, counts, _bulletin) = start_spooling_gateway(40, Duration::from_millis(300), "");
     let mut first = gateway.client();
-    call(&mut first, 1, ID);
-    // Sent, and the connection is gone before the answer.
-    while seen.runs() == 0 {
+    send_call(&mut first, 1, ID);
+    // The request has been sent to the engine, and its connection closes before the answer.
+    while counts.runs() == 0 {
         std::thread::sleep(Duration::from_millis(5));
     }
     drop(first);
@@ -227,103 +238,115 @@
     for client in clients.iter_mut() {
         client.ask(7, "again", &[("i", ID)]).unwrap();
     }
-    let wholes = clients.each_mut().map(|client| {
-        let (body, token, more) = part(client);
-        rest(client, ID, body, token, more)
+    let results = clients.each_mut().map(|client| {
+        let (body, token, has_more) = read_part(client);
+        read_remaining_pages(client, ID, body, token, has_more)
     });
     assert!(
-        wholes.iter().all(|whole| *whole == result("e", 1, 40)),
+        results
+            .iter()
+            .all(|whole| *whole == expected_result("e", 1, 40)),
         "the same to the byte"
     );
-    // And once more, when all is over.
+    // Once more after the run has ended and both clients have read the result.
     let mut late = gateway.client();
     late.ask(8, "again", &[("i", ID)]).unwrap();
-    let (body, token, more) = part(&mut late);
-    assert!(rest(&mut late, ID, body, token, more) == wholes[0]);
-    assert_eq!(seen.runs(), 1);
+    let (body, token, has_more) = read_part(&mut late);
+    assert!(read_remaining_pages(&mut late, ID, body, token, has_more) == results[0]);
+    assert_eq!(counts.runs(), 1);
 }
 
 #[test]
-fn a_key_that_comes_again_runs_once_and_each_call_has_its_answer() {
+fn requests_with_the_same_key_run_once_and_each_gets_the_result() {
     const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    let (mut gateway, seen, _bulletin) = started(40, Duration::from_millis(300), "");
+    let (mut gateway, counts, _bulletin) =
+        start_spooling_gateway(40, Duration::from_millis(300), "");
     let mut clients = [gateway.client(), gateway.client(), gateway.client()];
     for (number, client) in clients.iter_mut().enumerate() {
         let id = format!("{:016x}", number + 1);
         let mut fields = fields(&id, "15000");
         fields.extend([("p", "1"), ("k", KEY)]);
         client.call(1, "load", &fields, QUERY).unwrap();
-        // The third is sent when the first has its answer.
+        // The third is sent after the first two have been served.
         while number == 1 && gateway.counters()["served"] < 2 {
             std::thread::sleep(Duration::from_millis(20));
         }
     }
-    let wholes = clients.each_mut().map(|client| {
-        let (body, token, more) = part(client);
-        rest(client, KEY, body, token, more)
+    let results = clients.each_mut().map(|client| {
+        let (body, token, has_more) = read_part(client);
+        read_remaining_pages(client, KEY, body, token, has_more)
     });
     assert!(
-        wholes.iter().all(|whole| *whole == result("e", 1, 40)),
+        results
+            .iter()
+            .all(|whole| *whole == expected_result("e", 1, 40)),
         "the same to the byte"
     );
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert_eq!(
         (
-            seen.runs(),
-            counted["taken"],
-            counted["served"],
-            counted["sent"]
+            counts.runs(),
+            counters["taken"],
+            counters["served"],
+            counters["sent"]
         ),
         (1, 3, 3, 1)
     );
 }
 
 #[test]
-fn an_engine_that_dies_half_way_leaves_no_row_of_its_run() {
-    let (bulletin, mut engines) = stand_ins(2);
-    let gateway = Running::start_with(
+fn a_result_contains_no_rows_of_a_run_that_broke_off() {
+    let (bulletin, mut engines) = start_emulators(2);
+    let gateway = GatewayProcess::start_with_operator(
         &config(bulletin.address(), &addresses(&engines)),
-        &operator(""),
+        &operator_with_spool(""),
     );
-    let died = Arc::new(AtomicBool::new(false));
+    let has_broken_off = Arc::new(AtomicBool::new(false));
     let mut engine = |name| {
         serve(
             engines.remove(0),
             name,
             40,
             Duration::ZERO,
-            Some((7, died.clone())),
+            Some((7, has_broken_off.clone())),
         )
     };
-    let seen = [("one", engine("one")), ("two", engine("two"))];
+    let counts = [("one", engine("one")), ("two", engine("two"))];
     let mut client = gateway.client();
-    call(&mut client, 1, ID);
-    let (body, token, more) = part(&mut client);
-    let whole = rest(&mut client, ID, body, token, more);
-    let runs: u64 = seen.iter().map(|(_, seen)| seen.runs()).sum();
-    assert!(died.load(Ordering::SeqCst) && runs == 2, "{runs} runs");
-    let of_one_run =
-        |(name, seen): &(&str, Seen)| (1..=seen.runs()).any(|run| whole == result(name, run, 40));
-    assert!(seen.iter().any(of_one_run), "rows of one run");
+    send_call(&mut client, 1, ID);
+    let (body, token, has_more) = read_part(&mut client);
+    let whole = read_remaining_pages(&mut client, ID, body, token, has_more);
+    let runs: u64 = counts.iter().map(|(_, counts)| counts.runs()).sum();
+    assert!(
+        has_broken_off.load(Ordering::SeqCst) && runs == 2,
+        "{runs} runs"
+    );
+    let of_one_run = |(name, counts): &(&str, EngineCounts)| {
+        (1..=counts.runs()).any(|run| whole == expected_result(name, run, 40))
+    };
+    assert!(
+        counts.iter().any(of_one_run),
+        "the result contains rows of several runs"
+    );
 }
 
 #[test]
-fn tokens_of_others_and_results_of_the_past_get_a_clear_error() {
-    let (gateway, _seen, _bulletin) = started(
+fn foreign_tokens_and_expired_results_get_distinct_errors() {
+    let (gateway, _counts, _bulletin) = start_spooling_gateway(
         40,
         Duration::ZERO,
         "spool-unclaimed 1s\nspool-delivered 1s\n",
     );
     let mut client = gateway.client();
-    call(&mut client, 1, ID);
-    let (_, token, _) = part(&mut client);
-    let mut ask = |number, token: &str, id: &str| {
+    send_call(&mut client, 1, ID);
+    let (_, token, _) = read_part(&mut client);
+    let mut ask_page = |number, token: &str, id: &str| {
         client
             .ask(number, "page", &[("token", token), ("i", id)])
             .unwrap();
         client.answer().unwrap()
     };
-    assert!(matches!(ask(2, &token, ID), Answer::Part { .. }));
+    assert!(matches!(ask_page(2, &token, ID), Answer::Part { .. }));
     for (token, id) in [
         (token.as_str(), "0000000000000002"),
         ("nonsense", ID),
@@ -331,29 +354,30 @@
         (&token[1..], ID),
     ] {
         assert!(
-            matches!(ask(3, token, id), Answer::Error { word, .. } if word == "Forged"),
+            matches!(ask_page(3, token, id), Answer::Error { word, .. } if word == "Forged"),
             "{token} {id}"
         );
     }
-    // Nobody uses it any more.
+    // The result expires without use.
     std::thread::sleep(Duration::from_millis(2500));
-    assert!(matches!(ask(4, &token, ID), Answer::Error { word, .. } if word == "Gone"));
+    assert!(matches!(ask_page(4, &token, ID), Answer::Error { word, .. } if word == "Gone"));
     client.ask(5, "again", &[("i", ID)]).unwrap();
-    assert_eq!(error(&mut client).0, "Gone");
+    assert_eq!(read_error(&mut client).0, "Gone");
     client
         .ask(6, "again", &[("i", "00000000000000ff")])
         .unwrap();
-    assert_eq!(error(&mut client).0, "Gone", "asking starts no run");
+    assert_eq!(read_error(&mut client).0, "Gone", "no run was started");
 }
 
 #[test]
-fn what_will_not_fit_is_refused_before_it_is_sent_and_what_grows_too_large_fails_at_once() {
-    let (mut gateway, seen, _bulletin) = started(400, Duration::ZERO, "spool-result 1MB\n");
+fn results_that_will_not_fit_are_refused_before_sending_and_too_large_ones_fail_at_once() {
+    let (mut gateway, counts, _bulletin) =
+        start_spooling_gateway(400, Duration::ZERO, "spool-result 1MB\n");
     let mut client = gateway.client();
     for number in 1..=9u64 {
-        call(&mut client, number, &format!("{number:016x}"));
-        let (word, why) = error(&mut client);
-        // Eight outcomes teach the size; from then on nothing is sent for it.
+        send_call(&mut client, number, &format!("{number:016x}"));
+        let (word, why) = read_error(&mut client);
+        // Eight outcomes teach the gateway the size; later requests of it are not sent.
         let word_then = if number <= 8 { "Failed" } else { "TryLater" };
         assert_eq!(
             (word.as_str(), why.as_str()),
@@ -361,22 +385,26 @@
             "{number}"
         );
     }
-    let counted = gateway.counters();
+    let counters = gateway.counters();
     assert_eq!(
         (
-            counted["failed"],
-            counted["refused"],
-            counted["spool_claims"]
+            counters["failed"],
+            counters["refused"],
+            counters["spool_claims"]
         ),
         (8, 1, 0),
-        "{counted:?}"
+        "{counters:?}"
     );
-    assert_eq!(seen.runs(), 8);
+    assert_eq!(counts.runs(), 8);
     let mut late = gateway.client();
     late.ask(1, "again", &[("i", "0000000000000003")]).unwrap();
-    assert_eq!(error(&mut late).0, "Failed", "the answer of a failure too");
-    // Without the field nothing is new: a result of one message comes as ever.
-    let (plain, _small, _bulletin) = started(1, Duration::ZERO, "");
+    assert_eq!(
+        read_error(&mut late).0,
+        "Failed",
+        "a failure is answered again as well"
+    );
+    // A client that doesn't ask for pages gets the result in one message, as without a spool.
+    let (plain, _plain_counts, _bulletin) = start_spooling_gateway(1, Duration::ZERO, "");
     let mut client = plain.client();
     client
         .call(1, "report", &fields(ID, "15000"), QUERY)
@@ -385,16 +413,16 @@
         client.answer().unwrap(),
         Answer::Result {
             id: 1,
-            body: result("e", 1, 1)
+            body: expected_result("e", 1, 1)
         }
     );
     client.ask(2, "page", &[("token", "x"), ("i", ID)]).unwrap();
-    assert_eq!(error(&mut client).0, "Forged");
+    assert_eq!(read_error(&mut client).0, "Forged");
 }
 
 #[test]
-fn without_a_spool_its_methods_are_not_there() {
-    let (_bulletin, _engines, gateway, mut client) = up();
+fn without_a_spool_its_methods_are_invalid() {
+    let (_bulletin, _engines, gateway, mut client) = start_one();
     client.ask(1, "again", &[("i", ID)]).unwrap();
     assert!(matches!(client.answer().unwrap(), Answer::Error { word, .. } if word == "Invalid"));
     drop(gateway);
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -1,56 +1,61 @@
-//! The store on the real gateway: off unless a directive says so, intents that outlive a kill, a
-//! store that can't be used, and what the command line says of one.
+//! The store of a gateway process: it is off without a directive, intents survive a kill, an
+//! unusable store is reported, and the `store` commands work on its directory. Guards against
+//! second runs of requests after a restart.
 
 mod common;
 
-use common::standin::{Answer, Bulletin, Engine};
+use common::scripted::{Answer, Bulletin, Engine};
 use common::*;
 use serde_json::{json, Value};
 use std::path::Path;
 use std::process::Command;
 
-fn started(engines: &[&Engine], operator: &str) -> (Running, Bulletin) {
+fn start_with_store(engines: &[&Engine], operator: &str) -> (GatewayProcess, Bulletin) {
     let bulletin = Bulletin::listen("127.0.0.1:0").unwrap();
     let mut config = config(
         bulletin.address(),
         &engines.iter().map(|e| e.address()).collect::<Vec<_>>(),
     );
-    // Each engine remembers its own keys alone.
+    // Engines share no idempotency keys: each is a cell of its own, and the group of keyed requests
+    // is the cell.
     let hosts = &mut config["known"]["items"][0]["roster"]["hosts"];
     for (block, host) in hosts.as_array_mut().unwrap().iter_mut().enumerate() {
         host["block"] = json!(block);
     }
     config["settings"]["grades"][1]["group"] = json!("cell");
-    (Running::start_with(&config, operator), bulletin)
+    (
+        GatewayProcess::start_with_operator(&config, operator),
+        bulletin,
+    )
 }
 
-fn directive(directory: &Path) -> String {
+fn store_directive(directory: &Path) -> String {
     format!("store-dir \"{}\"\n", directory.display())
 }
 
 const KEY: &str = "00000000000000000000000000000abc";
 
-fn keyed(id: &str, marked: bool) -> Vec<(&str, &str)> {
+fn keyed_fields(id: &str, is_retry: bool) -> Vec<(&str, &str)> {
     let mut fields = vec![("i", id), ("d", "15000"), ("t", "acme"), ("k", KEY)];
-    fields.extend(marked.then_some(("r", "1")));
+    fields.extend(is_retry.then_some(("r", "1")));
     fields
 }
 
-fn word(answer: Answer) -> String {
+fn error_word(answer: Answer) -> String {
     match answer {
         Answer::Error { word, .. } => word,
         other => format!("{other:?}"),
     }
 }
 
-/// What `run` has open when nothing turns anything on: the promise that all that is new ships
-/// switched off.
+/// Every optional feature is off by default: without an operator's file, `run` has no further
+/// threads, sockets and files open for writing.
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario, told from its beginning to its end"
+    reason = "one scenario, from its beginning to its end"
 )]
-fn without_directives_run_has_one_thread_one_listener_no_udp_and_writes_no_file() {
+fn without_directives_run_has_one_thread_one_listener_no_udp_socket_and_writes_no_file() {
     let engine = Engine::listen("127.0.0.1:0").unwrap();
     let bulletin = Bulletin::listen("127.0.0.1:0").unwrap();
     let directory = tempfile::tempdir().unwrap();
@@ -60,7 +65,7 @@
         config(bulletin.address(), &[engine.address()]).to_string(),
     )
     .unwrap();
-    // As the platform does: the configuration and nothing else.
+    // The platform starts the program like this: with the configuration and nothing else.
     let mut child = Command::new(env!("CARGO_BIN_EXE_eideryard"))
         .arg("run")
         .env("EDGE_CONFIG", &path)
@@ -92,30 +97,30 @@
             .find_map(|line| line.strip_prefix("flags:"))
             .unwrap()
             .trim();
-        let writes = u32::from_str_radix(flags, 8).unwrap() & 3 != 0;
+        let is_writable = u32::from_str_radix(flags, 8).unwrap() & 3 != 0;
         if let Some(inode) = target.strip_prefix("socket:[") {
             sockets.push(inode.trim_end_matches(']').to_string());
         } else if target.starts_with('/') && !target.starts_with("/dev/") && number > 2 {
-            assert!(!writes, "{target} is open for writing");
+            assert!(!is_writable, "{target} is open for writing");
         }
     }
-    let of = |table: &str, state: &str| {
+    let count_sockets = |table: &str, state: &str| {
         let rows = std::fs::read_to_string(format!("{process}/net/{table}")).unwrap_or_default();
         let rows = rows.lines().skip(1).map(|row| {
             row.split_whitespace()
                 .map(str::to_string)
                 .collect::<Vec<_>>()
         });
-        let own =
+        let matching =
             rows.filter(|row| sockets.contains(&row[9]) && (state.is_empty() || row[3] == state));
-        own.count()
+        matching.count()
     };
     assert_eq!(
         (
-            of("tcp", "0A"),
-            of("tcp6", "0A"),
-            of("udp", ""),
-            of("udp6", "")
+            count_sockets("tcp", "0A"),
+            count_sockets("tcp6", "0A"),
+            count_sockets("udp", ""),
+            count_sockets("udp6", "")
         ),
         (1, 0, 0, 0)
     );
@@ -123,43 +128,44 @@
     child.wait().unwrap();
 }
 
-/// Killed while a keyed request runs, the gateway pins its retry to the engine that may still run
-/// it: within the scope and window it goes there and nowhere else.
+/// The gateway is killed while a keyed request runs. After the restart it sends a retry of the
+/// request only to the cell that may have run it, as only its engine knows the key, as long as the
+/// window of the class lasts.
 #[test]
-fn a_retry_after_a_kill_goes_to_the_engine_that_may_have_run_it_and_nowhere_else() {
+fn a_retry_after_a_kill_goes_only_to_the_engine_that_may_have_run_the_request() {
     let directory = tempfile::tempdir().unwrap();
-    let operator = directive(directory.path());
+    let operator = store_directive(directory.path());
     let engines = [
         Engine::listen("127.0.0.1:0").unwrap(),
         Engine::listen("127.0.0.1:0").unwrap(),
     ];
-    let (running, _bulletin) = started(&[&engines[0], &engines[1]], &operator);
-    let mut client = running.client();
+    let (gateway, _bulletin) = start_with_store(&[&engines[0], &engines[1]], &operator);
+    let mut client = gateway.client();
     client
-        .call(1, "load", &keyed("0000000000000001", false), QUERY)
+        .call(1, "load", &keyed_fields("0000000000000001", false), QUERY)
         .unwrap();
-    // Whichever engine it goes to, that is the one.
+    // Either engine may get the request.
     for engine in engines.iter() {
         engine.listener.set_nonblocking(true).unwrap();
     }
-    let until = std::time::Instant::now() + standin::PATIENCE;
+    let deadline = std::time::Instant::now() + scripted::PATIENCE;
     let first = loop {
-        assert!(std::time::Instant::now() < until, "nothing was sent");
+        assert!(std::time::Instant::now() < deadline, "nothing was sent");
         if let Some(at) = engines.iter().position(|engine| engine.accept().is_ok()) {
             break at;
         }
     };
-    running.kill();
-    let (running, _bulletin) = started(&[&engines[0], &engines[1]], &operator);
+    gateway.kill();
+    let (gateway, _bulletin) = start_with_store(&[&engines[0], &engines[1]], &operator);
     for engine in engines.iter() {
         engine.listener.set_nonblocking(false).unwrap();
     }
-    let mut client = running.client();
+    let mut client = gateway.client();
     client
-        .call(1, "load", &keyed("0000000000000002", true), QUERY)
+        .call(1, "load", &keyed_fields("0000000000000002", true), QUERY)
         .unwrap();
     let mut end = engines[first].accept().unwrap();
-    let serve = next(&mut end, "serve");
+    let serve = next_command(&mut end, "serve");
     assert_eq!(
         (serve.id(), serve.field("replay")),
         ("0000000000000002", Some(KEY))
@@ -172,69 +178,69 @@
     )
     .unwrap();
     assert!(matches!(client.answer().unwrap(), Answer::Result { .. }));
-    // A change without a key that its engine drops has no second try at all, at whichever engine it
-    // runs.
-    running.kill();
-    let (running, _bulletin) = started(&[&engines[first]], &operator);
-    let mut client = running.client();
-    let unsafe_fields = keyed("0000000000000003", false);
+    // An unsafe request that may have run before the kill fails without a second attempt, whichever
+    // engine ran it.
+    gateway.kill();
+    let (gateway, _bulletin) = start_with_store(&[&engines[first]], &operator);
+    let mut client = gateway.client();
+    let unsafe_fields = keyed_fields("0000000000000003", false);
     client.call(2, "change", &unsafe_fields, QUERY).unwrap();
     let mut end = engines[first].accept().unwrap();
-    let serve = next(&mut end, "serve");
+    let serve = next_command(&mut end, "serve");
     assert_eq!(serve.id(), "0000000000000003");
-    running.kill();
-    let (running, _bulletin) = started(&[&engines[0], &engines[1]], &operator);
-    let mut client = running.client();
+    gateway.kill();
+    let (gateway, _bulletin) = start_with_store(&[&engines[0], &engines[1]], &operator);
+    let mut client = gateway.client();
     client
-        .call(1, "change", &keyed("0000000000000004", true), QUERY)
+        .call(1, "change", &keyed_fields("0000000000000004", true), QUERY)
         .unwrap();
-    assert_eq!(word(client.answer().unwrap()), "Failed");
-    running.kill();
+    assert_eq!(error_word(client.answer().unwrap()), "Failed");
+    gateway.kill();
 }
 
-/// A stranger under the gateway's name: a marked retry of what it can't know fails, a first try
-/// runs, safe classes never notice.
+/// A gateway with an empty store doesn't know what ran before. A request that is marked as a retry
+/// fails, as it may have run; one that is not marked runs. Safe classes are not affected.
 #[test]
-fn a_wiped_store_runs_no_retry_that_it_can_not_know() {
+fn a_gateway_with_a_wiped_store_fails_marked_retries() {
     let directory = tempfile::tempdir().unwrap();
     let engine = Engine::listen("127.0.0.1:0").unwrap();
-    let (mut running, _bulletin) = started(&[&engine], &directive(directory.path()));
-    let mut client = running.client();
+    let (mut gateway, _bulletin) = start_with_store(&[&engine], &store_directive(directory.path()));
+    let mut client = gateway.client();
     client
-        .call(1, "load", &keyed("0000000000000001", true), QUERY)
+        .call(1, "load", &keyed_fields("0000000000000001", true), QUERY)
         .unwrap();
-    assert_eq!(word(client.answer().unwrap()), "Failed");
+    assert_eq!(error_word(client.answer().unwrap()), "Failed");
     client
-        .call(2, "load", &keyed("0000000000000002", false), QUERY)
+        .call(2, "load", &keyed_fields("0000000000000002", false), QUERY)
         .unwrap();
     let mut end = engine.accept().unwrap();
-    assert_eq!(next(&mut end, "serve").id(), "0000000000000002");
-    let counters = running.counters_line();
+    assert_eq!(next_command(&mut end, "serve").id(), "0000000000000002");
+    let counters = gateway.log_counters();
     assert!(
         counters.contains("intents: 1") && counters.contains("doubted: 1"),
         "{counters}"
     );
-    running.kill();
+    gateway.kill();
 }
 
 #[test]
-fn a_store_that_can_not_be_used_is_said_with_the_remedy_and_safe_classes_are_served() {
+fn an_unusable_store_is_reported_with_a_remedy_and_safe_classes_are_served() {
     let directory = tempfile::tempdir().unwrap();
     let engine = Engine::listen("127.0.0.1:0").unwrap();
-    let (first, _bulletin) = started(&[&engine], &directive(directory.path()));
-    // Two processes on one directory.
+    let (first, _bulletin) = start_with_store(&[&engine], &store_directive(directory.path()));
+    // A second process uses the same directory.
     let bulletin = Bulletin::listen("127.0.0.1:0").unwrap();
     let config: Value = config(bulletin.address(), &[engine.address()]);
-    let mut second = Running::launched(&config, &directive(directory.path()));
-    let line = second.line_with("store ");
+    let mut second = GatewayProcess::spawn(&config, &store_directive(directory.path()));
+    let line = second.wait_for_line("store ");
     assert!(
         line.contains("another process has the store") && line.contains("name another directory"),
         "{line}"
     );
-    second.listens();
+    second.wait_until_listening();
     let mut client = second.client();
     client
-        .call(1, "load", &keyed("0000000000000001", false), QUERY)
+        .call(1, "load", &keyed_fields("0000000000000001", false), QUERY)
         .unwrap();
     match client.answer().unwrap() {
         Answer::Error { word, fields, .. } => {
@@ -257,7 +263,7 @@
         )
         .unwrap();
     assert_eq!(
-        next(&mut engine.accept().unwrap(), "serve").id(),
+        next_command(&mut engine.accept().unwrap(), "serve").id(),
         "0000000000000002"
     );
     first.kill();
@@ -265,19 +271,19 @@
 }
 
 #[test]
-fn the_command_line_says_what_a_store_holds_and_rewrites_it() {
+fn the_store_commands_check_dump_and_compact_a_store() {
     let directory = tempfile::tempdir().unwrap();
     let engine = Engine::listen("127.0.0.1:0").unwrap();
-    let (running, _bulletin) = started(&[&engine], &directive(directory.path()));
-    let mut client = running.client();
+    let (gateway, _bulletin) = start_with_store(&[&engine], &store_directive(directory.path()));
+    let mut client = gateway.client();
     client
-        .call(1, "load", &keyed("0000000000000001", false), QUERY)
+        .call(1, "load", &keyed_fields("0000000000000001", false), QUERY)
         .unwrap();
-    next(&mut engine.accept().unwrap(), "serve");
+    next_command(&mut engine.accept().unwrap(), "serve");
     let path = directory.path().to_str().unwrap();
-    let said = |words: &[&str]| {
+    let run_program = |arguments: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_eideryard"))
-            .args(words)
+            .args(arguments)
             .output()
             .unwrap();
         (
@@ -285,51 +291,52 @@
             String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned(),
         )
     };
-    let (code, text) = said(&["store", "compact", path]);
+    let (code, text) = run_program(&["store", "compact", path]);
     assert!(
         code == Some(1) && text.contains("another process has the store"),
         "{text}"
     );
-    running.kill();
-    let (code, text) = said(&["store", "check", path]);
+    gateway.kill();
+    let (code, text) = run_program(&["store", "check", path]);
     assert!(
         code == Some(0) && text.contains("1 keys") && text.contains("whole"),
         "{text}"
     );
-    let (code, text) = said(&["store", "dump", path]);
+    let (code, text) = run_program(&["store", "dump", path]);
     assert!(code == Some(0) && text.contains("0abc Intent"), "{text}");
-    assert_eq!(said(&["store", "compact", path]).0, Some(0));
-    assert!(said(&["store", "check", path]).1.contains("1 keys"));
-    let (code, text) = said(&["store", "check", "/nowhere/at/all"]);
+    assert_eq!(run_program(&["store", "compact", path]).0, Some(0));
+    assert!(run_program(&["store", "check", path]).1.contains("1 keys"));
+    let (code, text) = run_program(&["store", "check", "/nowhere/at/all"]);
     assert!(
         code == Some(1) && text.contains("no such directory"),
         "{text}"
     );
 }
 
-/// What was learned comes back after a planned restart with its age, and not under other settings.
+/// Learned estimates are restored after a planned restart, discounted by their age, and dropped if
+/// the settings have changed.
 #[test]
-fn learned_figures_come_back_as_hints_and_are_dropped_under_other_settings() {
+fn learned_estimates_are_restored_as_hints_and_dropped_under_other_settings() {
     let directory = tempfile::tempdir().unwrap();
     let engine = Engine::listen("127.0.0.1:0").unwrap();
     let bulletin = Bulletin::listen("127.0.0.1:0").unwrap();
     let mut config = config(bulletin.address(), &[engine.address()]);
-    let operator = directive(directory.path());
-    let mut first = Running::start_with(&config, &operator);
+    let operator = store_directive(directory.path());
+    let mut first = GatewayProcess::start_with_operator(&config, &operator);
     first.terminate();
-    first.ended();
-    let mut again = Running::launched(&config, &operator);
-    let line = again.line_with("learned figures");
+    first.wait_for_exit();
+    let mut again = GatewayProcess::spawn(&config, &operator);
+    let line = again.wait_for_line("learned figures");
     assert!(
         line.contains("of 1 engines") && line.contains("doubted by their age"),
         "{line}"
     );
-    again.listens();
+    again.wait_until_listening();
     again.terminate();
-    again.ended();
+    again.wait_for_exit();
     config["settings"]["peers-total"] = json!(2);
-    let mut other = Running::launched(&config, &operator);
-    let line = other.line_with("learned figures");
+    let mut other = GatewayProcess::spawn(&config, &operator);
+    let line = other.wait_for_line("learned figures");
     assert!(
         line.contains("dropped") && line.contains("settings differ"),
         "{line}"
