--- a/crates/cli/tests/outward_names.rs
+++ b/crates/cli/tests/outward_names.rs
@@ -170,7 +170,7 @@
     character.is_ascii_alphanumeric() || character == '_'
 }
 
-/// Whether a text goes on a word, directly or after a hyphen.
+/// Whether the adjacent text continues a word, directly or after a hyphen.
 fn continues_word(mut adjacent: impl Iterator<Item = char>) -> bool {
     match adjacent.next() {
         Some('-') => adjacent.next().is_some_and(is_word_character),
@@ -195,7 +195,7 @@
         let is_capital = !name.contains(|c: char| c.is_ascii_lowercase());
         let is_before_value = |text: &str| text.starts_with(['\x01', '\x02']);
         (begins && (is_capital || after.starts_with('\n')))
-            || after.starts_with(['=', ':', '(', ','])
+            || after.starts_with(['=', ':'])
             || is_before_value(after.strip_prefix(' ').unwrap_or(after))
     })
 }
