--- a/crates/engine-protocol/src/answer.rs
+++ b/crates/engine-protocol/src/answer.rs
@@ -17,7 +17,7 @@
     /// The request's id, or the tag of a probe.
     pub id: &'a str,
     /// What is answered.
-    pub word: Word,
+    pub kind: AnswerKind,
     /// What is said of it.
     pub fields: Fields<'a>,
     /// A page of the result.
@@ -26,7 +26,7 @@
 
 /// What is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum AnswerKind {
     /// A good end, with page 0.
     Ok,
     /// At capacity: it never ran.
@@ -45,17 +45,17 @@
     Down,
 }
 
-impl Word {
+impl AnswerKind {
     fn parse(text: &str) -> Result<Self, Malformed> {
         match text {
-            "OK" => Ok(Word::Ok),
-            "BUSY" => Ok(Word::Busy),
-            "ERR" => Ok(Word::Err),
-            "VOID" => Ok(Word::Void),
-            "NOTE" => Ok(Word::Note),
-            "ROWS" => Ok(Word::Rows),
-            "UP" => Ok(Word::Up),
-            "DOWN" => Ok(Word::Down),
+            "OK" => Ok(AnswerKind::Ok),
+            "BUSY" => Ok(AnswerKind::Busy),
+            "ERR" => Ok(AnswerKind::Err),
+            "VOID" => Ok(AnswerKind::Void),
+            "NOTE" => Ok(AnswerKind::Note),
+            "ROWS" => Ok(AnswerKind::Rows),
+            "UP" => Ok(AnswerKind::Up),
+            "DOWN" => Ok(AnswerKind::Down),
             _ => Err(Malformed),
         }
     }
@@ -98,7 +98,7 @@
 /// The head of an answer.
 struct Head<'a> {
     id: &'a str,
-    word: Word,
+    kind: AnswerKind,
     fields: Fields<'a>,
     payload_length: usize,
 }
@@ -128,7 +128,7 @@
     }
     let answer = Answer {
         id: head.id,
-        word: head.word,
+        kind: head.kind,
         fields: head.fields,
         payload: &bytes[start..end],
     };
@@ -152,7 +152,7 @@
     }
     Ok(Head {
         id,
-        word: Word::parse(word)?,
+        kind: AnswerKind::parse(word)?,
         fields: Fields(if fields == "-" { "" } else { fields }),
         payload_length,
     })
--- a/crates/engine-protocol/src/command.rs
+++ b/crates/engine-protocol/src/command.rs
@@ -4,7 +4,7 @@
 
 /// The command that sends a query.
 #[derive(Debug)]
-pub struct Serve<'a> {
+pub struct ServeCommand<'a> {
     /// The request's id.
     pub id: &'a str,
     /// Name of its class.
@@ -21,7 +21,7 @@
     pub statement: &'a [u8],
 }
 
-impl Serve<'_> {
+impl ServeCommand<'_> {
     /// Writes the command with its statement.
     pub fn write(&self, out: &mut Vec<u8>) {
         let mut line = format!(
@@ -51,7 +51,7 @@
 }
 
 /// Writes the command that changes a running query's rank.
-pub fn write_weigh(out: &mut Vec<u8>, id: &str, rank: u8) {
+pub fn write_rank_update(out: &mut Vec<u8>, id: &str, rank: u8) {
     out.extend_from_slice(format!("weigh {id} {rank}\r\n").as_bytes());
 }
 
@@ -66,6 +66,6 @@
 }
 
 /// Writes the probe that brings the load report.
-pub fn write_gauges(out: &mut Vec<u8>, tag: &str) {
+pub fn write_load_probe(out: &mut Vec<u8>, tag: &str) {
     out.extend_from_slice(format!("gauges {tag}\r\n").as_bytes());
 }
--- a/crates/engine-protocol/src/lib.rs
+++ b/crates/engine-protocol/src/lib.rs
@@ -6,15 +6,17 @@
 //! and nowhere else.
 //!
 //! ```
-//! use eideryard_engine_protocol::{decode, Word};
+//! use eideryard_engine_protocol::{decode, AnswerKind};
 //!
 //! let (answer, length) = decode(b"7f BUSY - 0\r\n\r\n")?.expect("a whole answer");
-//! assert_eq!((answer.id, answer.word, length), ("7f", Word::Busy, 15));
+//! assert_eq!((answer.id, answer.kind, length), ("7f", AnswerKind::Busy, 15));
 //! # Ok::<(), eideryard_engine_protocol::Malformed>(())
 //! ```
 
 mod answer;
 mod command;
 
-pub use answer::{decode, Answer, Fields, Malformed, Word, MAX_HEAD, MAX_PAYLOAD};
-pub use command::{write_cancel, write_gauges, write_read, write_release, write_weigh, Serve};
+pub use answer::{decode, Answer, AnswerKind, Fields, Malformed, MAX_HEAD, MAX_PAYLOAD};
+pub use command::{
+    write_cancel, write_load_probe, write_rank_update, write_read, write_release, ServeCommand,
+};
--- a/crates/engine-protocol/tests/codec.rs
+++ b/crates/engine-protocol/tests/codec.rs
@@ -9,8 +9,8 @@
 fn answers_are_found_whole_byte_by_byte_and_behind_each_other() {
     let (answer, length) = decode(GOOD).unwrap().unwrap();
     assert_eq!(
-        (answer.id, answer.word, answer.payload, length),
-        ("9b1f", Word::Ok, &b"a\tb\tc\n"[..], GOOD.len())
+        (answer.id, answer.kind, answer.payload, length),
+        ("9b1f", AnswerKind::Ok, &b"a\tb\tc\n"[..], GOOD.len())
     );
     assert_eq!(answer.fields.number::<usize>("count"), Some(2));
     assert_eq!(answer.fields.number::<f64>("ticks"), Some(80.5));
@@ -21,8 +21,8 @@
     let two = [GOOD, b"x NOTE - 0\r\n\r\n"].concat();
     let (note, length) = decode(&two[GOOD.len()..]).unwrap().unwrap();
     assert_eq!(
-        (note.word, note.fields.get("remark"), length),
-        (Word::Note, None, 14)
+        (note.kind, note.fields.get("remark"), length),
+        (AnswerKind::Note, None, 14)
     );
 }
 
@@ -76,7 +76,7 @@
 #[test]
 fn commands_are_written_as_the_protocol_says() {
     let mut out = Vec::new();
-    let mut serve = Serve {
+    let mut serve = ServeCommand {
         id: "9b1f",
         class: "report",
         wait_ms: 1200,
@@ -96,10 +96,10 @@
     assert_eq!(out, b"serve 9b1f profile=report,max=1200 0\r\n\r\n");
     out.clear();
     write_cancel(&mut out, "a");
-    write_weigh(&mut out, "a", 3);
+    write_rank_update(&mut out, "a", 3);
     write_read(&mut out, "a", 1);
     write_release(&mut out, "a");
-    write_gauges(&mut out, "t");
+    write_load_probe(&mut out, "t");
     assert_eq!(
         out,
         b"cancel a\r\nweigh a 3\r\nread a 1\r\nrelease a\r\ngauges t\r\n"
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -360,7 +360,7 @@
 #[test]
 fn messages_on_the_wires_are_as_before() {
     let mut bytes = Vec::new();
-    let serve = engine_line::Serve {
+    let serve = engine_line::ServeCommand {
         id: "7f",
         class: "report",
         wait_ms: 900,
@@ -370,7 +370,7 @@
         statement: b"SELECT 1",
     };
     serve.write(&mut bytes);
-    engine_line::Serve {
+    engine_line::ServeCommand {
         key: None,
         grant_mb: 0,
         rank: None,
@@ -378,10 +378,10 @@
     }
     .write(&mut bytes);
     engine_line::write_cancel(&mut bytes, "7f");
-    engine_line::write_weigh(&mut bytes, "7f", 3);
+    engine_line::write_rank_update(&mut bytes, "7f", 3);
     engine_line::write_read(&mut bytes, "7f", 2);
     engine_line::write_release(&mut bytes, "7f");
-    engine_line::write_gauges(&mut bytes, "probe-1");
+    engine_line::write_load_probe(&mut bytes, "probe-1");
     golden::check("engine-commands.bin", &bytes);
     let mut bytes = Vec::new();
     let pages: [&[u8]; 2] = [b"a\tb\tc\n", b"d\te\tf\n"];
--- a/crates/gateway/src/engines/answers.rs
+++ b/crates/gateway/src/engines/answers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use eideryard::interface::Outcome;
-use eideryard_engine_protocol::{self as engine_protocol, Answer, Word};
+use eideryard_engine_protocol::{self as engine_protocol, Answer, AnswerKind};
 
 use super::answer_fields::{
     check_page, load_report, page_count, page_index, progress, resource_usage, spooled_page_count,
@@ -43,19 +43,23 @@
     output: &mut Vec<u8>,
     events: &mut Vec<EngineEvent>,
 ) -> Result<Option<EngineEvent>, AnswerError> {
-    match (&mut attempt.stage, answer.word) {
-        (AttemptStage::Running, Word::Ok) if attempt.is_spooled => {
+    match (&mut attempt.stage, answer.kind) {
+        (AttemptStage::Running, AnswerKind::Ok) if attempt.is_spooled => {
             start_spooling(attempt, answer, events)
         }
-        (AttemptStage::Running, Word::Ok) => start_reading(attempt, answer, output),
-        (AttemptStage::Running, Word::Busy | Word::Void) => {
+        (AttemptStage::Running, AnswerKind::Ok) => start_reading(attempt, answer, output),
+        (AttemptStage::Running, AnswerKind::Busy | AnswerKind::Void) => {
             Ok(Some(attempt_ended(attempt, answer, Outcome::AtCapacity)))
         }
-        (AttemptStage::SpoolingPages(_), Word::Rows) => spool_page(attempt, answer, output, events),
-        (AttemptStage::ReadingPages(_), Word::Rows) => read_page(attempt, answer, output),
+        (AttemptStage::SpoolingPages(_), AnswerKind::Rows) => {
+            spool_page(attempt, answer, output, events)
+        }
+        (AttemptStage::ReadingPages(_), AnswerKind::Rows) => read_page(attempt, answer, output),
         // A duplicate of the first page.
-        (AttemptStage::ReadingPages(_) | AttemptStage::SpoolingPages(_), Word::Ok) => Ok(None),
-        (_, Word::Note) => {
+        (AttemptStage::ReadingPages(_) | AttemptStage::SpoolingPages(_), AnswerKind::Ok) => {
+            Ok(None)
+        }
+        (_, AnswerKind::Note) => {
             let progress = progress(&answer.fields);
             Ok(progress.map(|progress| EngineEvent::Progress {
                 request: attempt.request,
@@ -63,7 +67,7 @@
                 progress,
             }))
         }
-        (_, Word::Err) => Ok(Some(attempt_ended(attempt, answer, Outcome::Error))),
+        (_, AnswerKind::Err) => Ok(Some(attempt_ended(attempt, answer, Outcome::Error))),
         _ => Err(AnswerError::UnexpectedAnswer),
     }
 }
--- a/crates/gateway/src/engines/engine_connection.rs
+++ b/crates/gateway/src/engines/engine_connection.rs
@@ -154,7 +154,7 @@
             }
             if let Some(rank) = attempt.deferred_rank.take() {
                 if matches!(attempt.stage, AttemptStage::Running) {
-                    engine_protocol::write_weigh(output.tail(), id, rank);
+                    engine_protocol::write_rank_update(output.tail(), id, rank);
                 }
             }
         }
--- a/crates/gateway/src/engines/reading.rs
+++ b/crates/gateway/src/engines/reading.rs
@@ -1,7 +1,7 @@
 //! Reads the engines' answers and matches them to the open attempts and probes.
 
 use eideryard::interface::Outcome;
-use eideryard_engine_protocol::{self as engine_protocol, decode, Answer, Word};
+use eideryard_engine_protocol::{self as engine_protocol, decode, Answer, AnswerKind};
 
 use super::answer_fields::{load_report, page_count};
 use super::answers::{handle_answer, AnswerError};
@@ -125,14 +125,14 @@
         // The answer belongs to a cancelled attempt, is a duplicate, or matches no request; all of
         // these are harmless. If a success crossed the cancel, the engine may still keep pages of
         // the result, so they are released.
-        let has_pages = answer.word == Word::Ok && page_count(answer) > Some(1);
+        let has_pages = answer.kind == AnswerKind::Ok && page_count(answer) > Some(1);
         if has_pages && connection.ended_ids.contains(answer.id) {
             engine_protocol::write_release(output, answer.id);
         }
         return Ok(());
     };
-    context.counters.progress_reports += u64::from(answer.word == Word::Note);
-    context.counters.result_pages += u64::from(answer.word == Word::Rows);
+    context.counters.progress_reports += u64::from(answer.kind == AnswerKind::Note);
+    context.counters.result_pages += u64::from(answer.kind == AnswerKind::Rows);
     let Some(event) = handle_answer(attempt, answer, output, context.events)? else {
         return Ok(());
     };
@@ -147,7 +147,7 @@
 }
 
 fn probe_end(connection: &EngineConnection, answer: &Answer<'_>) -> EngineEvent {
-    let outcome = if answer.word == Word::Up {
+    let outcome = if answer.kind == AnswerKind::Up {
         Outcome::Answered
     } else {
         Outcome::AtCapacity
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -2,7 +2,7 @@
 //! them.
 
 use eideryard::interface::{EngineId, Outcome};
-use eideryard_engine_protocol::{self as engine_protocol, Serve};
+use eideryard_engine_protocol::{self as engine_protocol, ServeCommand};
 
 use super::engine_connection::{AttemptStage, EngineConnection, OpenAttempt, OutputRange};
 use super::{AttemptTarget, EngineContext, EngineEvent, Engines, MAX_ENDED_IDS};
@@ -21,7 +21,7 @@
         &mut self,
         engine: EngineId,
         target: AttemptTarget,
-        serve: &Serve<'_>,
+        serve: &ServeCommand<'_>,
         context: &mut EngineContext<'_>,
     ) -> Result<Key, Outcome> {
         let max_streams = self.limits.max_streams;
@@ -133,7 +133,7 @@
         self.probes_sent += 1;
         context.counters.probes += 1;
         let tag = probe_tag(self.probes_sent);
-        engine_protocol::write_gauges(connection.stream.output.tail(), &tag);
+        engine_protocol::write_load_probe(connection.stream.output.tail(), &tag);
         // The engine answers a probe without running a query, so it gets as long as a dial.
         let timeout_at = context.now + self.limits.dial_timeout;
         let deadline = Deadline::Probe(key, self.probes_sent);
@@ -178,7 +178,7 @@
             if connection.stream.written < attempt.output.end {
                 attempt.deferred_rank = Some(rank);
             } else {
-                engine_protocol::write_weigh(connection.stream.output.tail(), id, rank);
+                engine_protocol::write_rank_update(connection.stream.output.tail(), id, rank);
             }
         }
         self.unflushed.push(key);
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -6,13 +6,13 @@
 use crate::counters::Counters;
 use crate::deadlines::Deadlines;
 use calloop::EventLoop;
-use eideryard_engine_protocol::Serve;
+use eideryard_engine_protocol::ServeCommand;
 
 const NOW: Micros = 1_000_000;
 
-fn serve(id: &str) -> Serve<'_> {
+fn serve(id: &str) -> ServeCommand<'_> {
     let statement = b"SELECT 1";
-    Serve {
+    ServeCommand {
         id,
         class: "report",
         wait_ms: 900,
--- a/crates/gateway/src/gateway/actions/sends.rs
+++ b/crates/gateway/src/gateway/actions/sends.rs
@@ -2,7 +2,7 @@
 //! intent is durable.
 
 use eideryard::interface::PriorAttempt;
-use eideryard_engine_protocol::Serve;
+use eideryard_engine_protocol::ServeCommand;
 
 use super::*;
 use crate::engines::AttemptTarget;
@@ -170,7 +170,7 @@
         if wait_ms == 0 {
             return self.end_unsent_attempt(key, attempt);
         }
-        let serve = Serve {
+        let serve = ServeCommand {
             id: &request.id,
             class: &self.names.classes[request.class],
             wait_ms,
