--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -386,7 +386,7 @@
     let mut bytes = Vec::new();
     let pages: [&[u8]; 2] = [b"a\tb\tc\n", b"d\te\tf\n"];
     rpc::write_result(&mut bytes, 1, pages.into_iter());
-    rpc::write_part(
+    rpc::write_partial_result(
         &mut bytes,
         2,
         pages.into_iter(),
--- a/crates/gateway/src/clients/decoding.rs
+++ b/crates/gateway/src/clients/decoding.rs
@@ -61,7 +61,7 @@
                 let call = Call::read(self.context.names, method, &fields, body);
                 self.handle_call(id, call)
             }
-            Message::Ask {
+            Message::CallWithoutBody {
                 id,
                 method: HEALTH_METHOD,
                 ..
@@ -69,15 +69,15 @@
                 self.answer_health(id);
                 Ok(())
             }
-            Message::Ask { id, method, fields } => {
+            Message::CallWithoutBody { id, method, fields } => {
                 let query = result_query(method, &fields);
                 match query.filter(|_| self.accepts_result_queries) {
                     Some(query) => self.handle_result_query(id, query),
                     None => self.handle_call(id, Err(CallError::Parameters)),
                 }
             }
-            Message::Unusable { id } => self.handle_call(id, Err(CallError::Parameters)),
-            Message::Forget { ids } => {
+            Message::InvalidRequest { id } => self.handle_call(id, Err(CallError::Parameters)),
+            Message::Cancel { ids } => {
                 for id in ids {
                     self.cancel_request(id);
                 }
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -3,7 +3,7 @@
 
 use eideryard::interface::Event;
 use eideryard_event_log::{AnswerKind, HostEvent};
-use eideryard_msgpack_rpc::write_part;
+use eideryard_msgpack_rpc::write_partial_result;
 
 use super::Gateway;
 use crate::clients::ResultQuery;
@@ -118,7 +118,7 @@
             ResultQuery::Release { token, id } => {
                 result_spool.release_result(&token, &id, now);
                 self.clients.answer(client, call_id, |output| {
-                    write_part(output, call_id, std::iter::empty(), &[]);
+                    write_partial_result(output, call_id, std::iter::empty(), &[]);
                 });
                 None
             }
@@ -163,7 +163,7 @@
         ];
         let rows = part.rows.iter().map(Vec::as_slice);
         self.clients.answer(client, call_id, |output| {
-            write_part(output, call_id, rows, &fields);
+            write_partial_result(output, call_id, rows, &fields);
         })
     }
 
--- a/crates/msgpack-rpc/src/decode.rs
+++ b/crates/msgpack-rpc/src/decode.rs
@@ -30,7 +30,7 @@
         body: &'a [u8],
     },
     /// A request without a body, as the question after a gateway's health.
-    Ask {
+    CallWithoutBody {
         /// Its number.
         id: u32,
         /// What is asked.
@@ -39,12 +39,12 @@
         fields: Fields<'a>,
     },
     /// The client no longer waits for these.
-    Forget {
+    Cancel {
         /// Their numbers.
         ids: Vec<u32>,
     },
     /// A request whose parameters are none that this protocol has.
-    Unusable {
+    InvalidRequest {
         /// Its number.
         id: u32,
     },
@@ -109,7 +109,7 @@
             _ => None,
         };
         self.advance_to(&whole);
-        Ok(message.unwrap_or(Message::Unusable { id }))
+        Ok(message.unwrap_or(Message::InvalidRequest { id }))
     }
 
     fn parameters(&mut self, id: u32, method: &'a str) -> Result<Option<Message<'a>>, Stop> {
@@ -117,7 +117,7 @@
             return Ok(None);
         };
         if count == 0 {
-            return Ok(Some(Message::Ask {
+            return Ok(Some(Message::CallWithoutBody {
                 id,
                 method,
                 fields: Vec::new(),
@@ -127,7 +127,7 @@
             return Ok(None);
         };
         if count == 1 {
-            return Ok(Some(Message::Ask { id, method, fields }));
+            return Ok(Some(Message::CallWithoutBody { id, method, fields }));
         }
         Ok(match self.value()? {
             Value::Bytes(body) => Some(Message::Call {
@@ -184,6 +184,6 @@
                 _ => return Ok(Message::Other),
             }
         }
-        Ok(Message::Forget { ids })
+        Ok(Message::Cancel { ids })
     }
 }
--- a/crates/msgpack-rpc/src/encode.rs
+++ b/crates/msgpack-rpc/src/encode.rs
@@ -22,11 +22,11 @@
 
 /// Writes the result of a request, in the pages that it came in.
 pub fn write_result<'a>(out: &mut Vec<u8>, id: u32, pages: impl Iterator<Item = &'a [u8]> + Clone) {
-    write_part(out, id, pages, &[]);
+    write_partial_result(out, id, pages, &[]);
 }
 
 /// Writes a part of a result, with fields that say how it goes on.
-pub fn write_part<'a>(
+pub fn write_partial_result<'a>(
     out: &mut Vec<u8>,
     id: u32,
     pages: impl Iterator<Item = &'a [u8]> + Clone,
--- a/crates/msgpack-rpc/src/lib.rs
+++ b/crates/msgpack-rpc/src/lib.rs
@@ -19,7 +19,7 @@
 mod encode;
 
 pub use decode::{decode, Fields, Malformed, Message};
-pub use encode::{write_error, write_health, write_part, write_result};
+pub use encode::{write_error, write_health, write_partial_result, write_result};
 
 /// Bytes of the longest message that is read.
 pub const MAX_BYTES: usize = 1 << 20;
--- a/crates/msgpack-rpc/tests/codec.rs
+++ b/crates/msgpack-rpc/tests/codec.rs
@@ -46,12 +46,12 @@
     ];
     assert_eq!(
         decode(&forget),
-        Ok(Some((Message::Forget { ids: vec![7, 256] }, forget.len())))
+        Ok(Some((Message::Cancel { ids: vec![7, 256] }, forget.len())))
     );
     let health = [
         0x94, 0, 8, 0xa6, b'i', b's', b'W', b'e', b'l', b'l', 0x91, 0x80,
     ];
-    let asked = Message::Ask {
+    let asked = Message::CallWithoutBody {
         id: 8,
         method: "isWell",
         fields: vec![],
@@ -66,7 +66,7 @@
         bytes.extend(parameters);
         assert_eq!(
             decode(&bytes),
-            Ok(Some((Message::Unusable { id: 9 }, bytes.len()))),
+            Ok(Some((Message::InvalidRequest { id: 9 }, bytes.len()))),
             "{parameters:x?}"
         );
     }
@@ -122,7 +122,7 @@
     let ids = vec![1; 1000];
     assert_eq!(
         decode(&forget(1000)),
-        Ok(Some((Message::Forget { ids }, forget(1000).len())))
+        Ok(Some((Message::Cancel { ids }, forget(1000).len())))
     );
     let long = forget(1_000_000);
     assert_eq!(decode(&long[..MAX_VALUES / 2]), Ok(None));
