--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,17 +1,17 @@
 //! Service discovery: a list of engines as numbered server-sent events over HTTP. Bytes in, events
 //! out, no I/O.
 //!
-//! [`Reader`] holds the state of one response; [`Item`] is what an event's data says. The words of
-//! the protocol stand in this package and nowhere else.
+//! [`Reader`] keeps the state of one response, and [`DiscoveryEvent`] is the parsed data of one
+//! event. The field names of the protocol occur in this package and nowhere else.
 //!
 //! ```
-//! use eideryard_discovery::{Item, Reader, StreamEvent};
+//! use eideryard_discovery::{DiscoveryEvent, Reader, StreamEvent};
 //!
 //! let mut events = Vec::new();
 //! let response = b"HTTP/1.1 200 OK\r\n\r\nid: 7\ndata: {\"no\": 7}\n\n";
 //! Reader::default().read(response, &mut events)?;
 //! let StreamEvent::Event { data, .. } = &events[0] else { panic!("an event") };
-//! assert_eq!(Item::read(data).map(|item| item.no), Ok(7));
+//! assert_eq!(DiscoveryEvent::read(data).map(|event| event.number), Ok(7));
 //! # Ok::<(), eideryard_discovery::StreamError>(())
 //! ```
 
@@ -22,7 +22,10 @@
 
 pub use error::StreamError;
 pub use http::{request, MAX_HEAD};
-pub use item::{DiscoveredEngine, Item, ItemError, Known, Roster, State};
+pub use item::{
+    DiscoveredEngine, DiscoveryEvent, DiscoveryEventError, EndpointUpdate, EngineHealth,
+    InitialEvents,
+};
 pub use sse::{StreamEvent, MAX_EVENT};
 
 /// Reads one response of service discovery, in pieces as they come.
--- a/crates/discovery/tests/reader.rs
+++ b/crates/discovery/tests/reader.rs
@@ -118,7 +118,7 @@
         }
         for heard in heard {
             if let StreamEvent::Event { data, .. } = heard {
-                let _ = Item::read(&data);
+                let _ = DiscoveryEvent::read(&data);
             }
         }
     }
@@ -126,14 +126,21 @@
 
 #[test]
 fn items_are_read_and_what_is_none_is_an_error() {
-    let item = Item::read(EVENT).unwrap();
-    let listed = &item.roster.as_ref().unwrap().hosts[0];
+    let item = DiscoveryEvent::read(EVENT).unwrap();
+    let listed = &item.update.as_ref().unwrap().engines[0];
     assert_eq!(
-        (item.no, listed.host.as_str(), listed.block, listed.health),
-        (41, "s-00c41f7a", 2, State::Up)
+        (
+            item.number,
+            listed.name.as_str(),
+            listed.cell,
+            listed.health
+        ),
+        (41, "s-00c41f7a", 2, EngineHealth::Up)
     );
     assert_eq!(
-        Item::read(r#"{"no":42,"weather":"fair"}"#).unwrap().roster,
+        DiscoveryEvent::read(r#"{"no":42,"weather":"fair"}"#)
+            .unwrap()
+            .update,
         None
     );
     for wrong in [
@@ -142,14 +149,14 @@
         r#"{"no":-1}"#,
         r#"{"no":1,"roster":{"hosts":[{"host":"x","health":"odd"}]}}"#,
     ] {
-        assert!(Item::read(wrong).is_err(), "{wrong}");
+        assert!(DiscoveryEvent::read(wrong).is_err(), "{wrong}");
     }
     let known = serde_json::from_str(&format!(r#"{{"no":41,"items":[{EVENT}]}}"#)).unwrap();
     assert_eq!(
-        Known::read(&known).unwrap(),
-        Known {
-            no: 41,
-            items: vec![item]
+        InitialEvents::read(&known).unwrap(),
+        InitialEvents {
+            last_number: 41,
+            events: vec![item]
         }
     );
 }
--- a/crates/fleet-test/src/scale/discovery.rs
+++ b/crates/fleet-test/src/scale/discovery.rs
@@ -8,7 +8,9 @@
 
 use eideryard::balancer::Balancer;
 use eideryard::interface::{Endpoint, Event, Micros, Phase};
-use eideryard_discovery::{DiscoveredEngine, Item, Reader, Roster, State, StreamEvent};
+use eideryard_discovery::{
+    DiscoveredEngine, DiscoveryEvent, EndpointUpdate, EngineHealth, Reader, StreamEvent,
+};
 use serde_json::{json, Value};
 
 use super::decisions::{self, Fleet};
@@ -100,7 +102,7 @@
             .expect("a good event");
         let items = heard.iter().filter_map(item);
         items
-            .filter_map(|item| item.roster.as_ref().map(update))
+            .filter_map(|item| item.update.as_ref().map(update))
             .collect()
     }
 }
@@ -154,17 +156,17 @@
     }
 }
 
-fn item(heard: &StreamEvent) -> Option<Item> {
+fn item(heard: &StreamEvent) -> Option<DiscoveryEvent> {
     match heard {
-        StreamEvent::Event { data, .. } => Item::read(data).ok(),
+        StreamEvent::Event { data, .. } => DiscoveryEvent::read(data).ok(),
         _ => None,
     }
 }
 
-fn update(roster: &Roster) -> ListUpdate {
+fn update(roster: &EndpointUpdate) -> ListUpdate {
     ListUpdate {
-        whole: roster.whole,
-        entries: roster.hosts.iter().map(entry).collect(),
+        whole: roster.is_snapshot,
+        entries: roster.engines.iter().map(entry).collect(),
     }
 }
 
@@ -172,15 +174,15 @@
 /// them.
 fn entry(listed: &DiscoveredEngine) -> Endpoint {
     let number = listed
-        .host
+        .name
         .rsplit('-')
         .next()
         .and_then(|digits| digits.parse().ok())
         .unwrap_or(0);
     let phase = match listed.health {
-        State::Up => Phase::Ready,
-        State::Draining => Phase::Draining,
-        State::Removed => Phase::Removed,
+        EngineHealth::Up => Phase::Ready,
+        EngineHealth::Draining => Phase::Draining,
+        EngineHealth::Removed => Phase::Removed,
     };
     Endpoint {
         phase,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use eideryard::interface::Settings;
-use eideryard_discovery::{ItemError, Known};
+use eideryard_discovery::{DiscoveryEventError, InitialEvents};
 use eideryard_settings::{
     read_host_settings, read_settings, HostSettings, SettingsError, SettingsTree,
 };
@@ -33,7 +33,7 @@
     pub discovery_address: SocketAddr,
     /// The endpoints that service discovery had reported when the file was written, with the number
     /// of the last event among them (key `known`).
-    pub initial_endpoints: Known,
+    pub initial_endpoints: InitialEvents,
     /// The settings of the balancer, from the key `settings`.
     pub settings: Settings,
     /// The settings of the gateway process around the balancer, from the key `settings` too.
@@ -98,7 +98,7 @@
     NotHex(String),
     /// The initial endpoints are invalid.
     #[error("'known': {0}")]
-    Known(ItemError),
+    Known(DiscoveryEventError),
     /// The settings are invalid.
     #[error("{0}")]
     Settings(#[from] SettingsError),
@@ -135,7 +135,7 @@
             memory_mb: read_limit(&root, "memory_mb", DEFAULT_MEMORY_MB)?,
             max_descriptors: read_limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
             discovery_address: read_address(&root, "bulletin")?,
-            initial_endpoints: Known::read(read_member(&root, "known")?)
+            initial_endpoints: InitialEvents::read(read_member(&root, "known")?)
                 .map_err(ConfigTextError::Known)?,
             settings: read_settings(&tree)?,
             host: read_host_settings(&tree)?,
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -6,7 +6,9 @@
 use std::net::SocketAddr;
 
 use eideryard::interface::Micros;
-use eideryard_discovery::{request, Item, ItemError, Reader, StreamError, StreamEvent};
+use eideryard_discovery::{
+    request, DiscoveryEvent, DiscoveryEventError, Reader, StreamError, StreamEvent,
+};
 
 use crate::connection::{Connection, EventLoopHandle, ReadOutcome, WakeReason, MAX_READS_PER_TURN};
 use crate::counters::Counters;
@@ -41,7 +43,7 @@
     #[error("{0}")]
     InvalidStream(StreamError),
     #[error("an event is invalid: {0}")]
-    InvalidEvent(ItemError),
+    InvalidEvent(DiscoveryEventError),
     #[error("event {received} follows event {last}, the events between are missing")]
     MissedEvents { received: u64, last: u64 },
 }
@@ -177,7 +179,7 @@
         now: Micros,
         deadlines: &mut Deadlines,
         counters: &mut Counters,
-        items: &mut Vec<Item>,
+        items: &mut Vec<DiscoveryEvent>,
     ) -> bool {
         match self.read_events(now, deadlines, counters, items) {
             Ok(may_have_more) => may_have_more,
@@ -193,7 +195,7 @@
         now: Micros,
         deadlines: &mut Deadlines,
         counters: &mut Counters,
-        items: &mut Vec<Item>,
+        items: &mut Vec<DiscoveryEvent>,
     ) -> Result<bool, DisconnectReason> {
         let Some(DiscoveryStream { connection, .. }) = &mut self.stream else {
             return Ok(false);
@@ -243,20 +245,23 @@
         &mut self,
         data: &str,
         counters: &mut Counters,
-        items: &mut Vec<Item>,
+        items: &mut Vec<DiscoveryEvent>,
     ) -> Result<(), DisconnectReason> {
-        let item = Item::read(data).map_err(DisconnectReason::InvalidEvent)?;
-        if item.no <= self.last_event {
+        let item = DiscoveryEvent::read(data).map_err(DisconnectReason::InvalidEvent)?;
+        if item.number <= self.last_event {
             return Ok(());
         }
-        let is_snapshot = item.roster.as_ref().is_some_and(|roster| roster.whole);
-        if item.no > self.last_event + 1 && !is_snapshot {
+        let is_snapshot = item
+            .update
+            .as_ref()
+            .is_some_and(|update| update.is_snapshot);
+        if item.number > self.last_event + 1 && !is_snapshot {
             return Err(DisconnectReason::MissedEvents {
-                received: item.no,
+                received: item.number,
                 last: self.last_event,
             });
         }
-        self.last_event = item.no;
+        self.last_event = item.number;
         self.retry_delay = 0;
         counters.discovery_events += 1;
         items.push(item);
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use eideryard::interface::{Endpoint, EngineId, Event, Micros, Phase};
-use eideryard_discovery::{DiscoveredEngine, Item, State};
+use eideryard_discovery::{DiscoveredEngine, DiscoveryEvent, EngineHealth};
 use eideryard_event_log::{HostEvent, ListedEngine};
 use eideryard_replication::drains::Drain;
 
@@ -38,24 +38,24 @@
     }
 
     /// Applies an item of service discovery: a list of changed engines, or of all engines.
-    pub(super) fn handle_discovery_item(&mut self, item: Item) {
-        let Some(roster) = item.roster else { return };
+    pub(super) fn handle_discovery_item(&mut self, item: DiscoveryEvent) {
+        let Some(roster) = item.update else { return };
         let mut endpoints: Vec<Endpoint> = roster
-            .hosts
+            .engines
             .iter()
             .map(|discovered| self.build_endpoint(discovered))
             .collect();
-        self.exchange_drains(item.no, &mut endpoints);
-        for (endpoint, discovered) in endpoints.iter().zip(&roster.hosts) {
+        self.exchange_drains(item.number, &mut endpoints);
+        for (endpoint, discovered) in endpoints.iter().zip(&roster.engines) {
             self.update_endpoint(endpoint, discovered);
         }
-        if roster.whole {
+        if roster.is_snapshot {
             self.remove_unlisted(&endpoints);
         }
         let has_removed = endpoints
             .iter()
             .any(|endpoint| endpoint.phase == Phase::Removed);
-        let event = if roster.whole {
+        let event = if roster.is_snapshot {
             Event::EndpointSnapshot(endpoints)
         } else {
             Event::EndpointChanges(endpoints)
@@ -65,7 +65,7 @@
         self.handle_engine_events();
         let is_serving = self.shutdown.phase() == ShutdownPhase::Serving;
         self.clients.is_healthy |= is_serving && !self.engine_names.is_empty();
-        if roster.whole || has_removed {
+        if roster.is_snapshot || has_removed {
             self.forget_removed_engines();
         }
         if let Some(intent_durability) = &mut self.intent_durability {
@@ -77,8 +77,8 @@
     fn update_endpoint(&mut self, endpoint: &Endpoint, discovered: &DiscoveredEngine) {
         let address = match endpoint.phase {
             Phase::Removed => None,
-            _ => parse_address(&discovered.dial)
-                .inspect_err(|e| tracing::warn!("engine {}: {e}; unreachable", discovered.host))
+            _ => parse_address(&discovered.address)
+                .inspect_err(|e| tracing::warn!("engine {}: {e}; unreachable", discovered.name))
                 .ok(),
         };
         self.record_endpoint(endpoint, discovered);
@@ -180,8 +180,8 @@
         }
         let listed = ListedEngine {
             engine: endpoint.engine,
-            name: discovered.host.clone(),
-            address: discovered.dial.clone(),
+            name: discovered.name.clone(),
+            address: discovered.address.clone(),
             zone: endpoint.zone,
             kind: endpoint.kind,
             phase: endpoint.phase,
@@ -195,28 +195,28 @@
     /// Converts an engine to the endpoint that is passed to the balancer. A zone or kind that is
     /// not in the settings gets the index after the last known one.
     fn build_endpoint(&mut self, discovered: &DiscoveredEngine) -> Endpoint {
-        let engine = self.assign_engine_number(&discovered.host);
+        let engine = self.assign_engine_number(&discovered.name);
         let index_in = |names: &[String], name: &str, attribute| {
             let index = index_of(names, name);
             if index.is_none() {
                 tracing::warn!(
                     "engine {}: {attribute} '{name}' is not in the settings and counts as unknown",
-                    discovered.host
+                    discovered.name
                 );
             }
             index.unwrap_or(names.len()) as u32
         };
         Endpoint {
             engine,
-            zone: index_in(&self.names.zones, &discovered.site, "zone"),
-            kind: index_in(&self.names.kinds, &discovered.class, "kind"),
-            cell: discovered.block,
+            zone: index_in(&self.names.zones, &discovered.zone, "zone"),
+            kind: index_in(&self.names.kinds, &discovered.machine_kind, "kind"),
+            cell: discovered.cell,
             phase: match discovered.health {
-                State::Up => Phase::Ready,
-                State::Draining => Phase::Draining,
-                State::Removed => Phase::Removed,
+                EngineHealth::Up => Phase::Ready,
+                EngineHealth::Draining => Phase::Draining,
+                EngineHealth::Removed => Phase::Removed,
             },
-            booted_at: discovered.born_ms.saturating_mul(MICROS_PER_MS),
+            booted_at: discovered.booted_at_ms.saturating_mul(MICROS_PER_MS),
         }
     }
 
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -1,7 +1,7 @@
 //! Writes to the event log and to the program's log, and the last checkpoint at the end.
 
 use eideryard::interface::EngineId;
-use eideryard_discovery::Item;
+use eideryard_discovery::DiscoveryEvent;
 use eideryard_event_log::entry::RunningAttempt;
 use eideryard_event_log::{AnswerKind, ClientRequest, HostEvent, OpenRequest, RejectReason};
 
@@ -89,7 +89,11 @@
 
     /// Records changes of the connection to service discovery since `before`, and the numbers of
     /// the items that were received.
-    pub(super) fn record_discovery_changes(&mut self, before: &DiscoveryState, items: &[Item]) {
+    pub(super) fn record_discovery_changes(
+        &mut self,
+        before: &DiscoveryState,
+        items: &[DiscoveryEvent],
+    ) {
         let now = self.clock.now();
         let is_receiving = self.discovery.is_receiving();
         if is_receiving != before.is_receiving {
@@ -100,7 +104,9 @@
         }
         if self.counters.discovery_events != before.event_count {
             for item in items {
-                let list_event = HostEvent::DiscoveryEvent { number: item.no };
+                let list_event = HostEvent::DiscoveryEvent {
+                    number: item.number,
+                };
                 self.event_recorder.record_host_event(now, &list_event);
             }
         }
--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -5,7 +5,7 @@
 
 use eideryard::balancer::Balancer;
 use eideryard::interface::{Event, Micros};
-use eideryard_discovery::Item;
+use eideryard_discovery::DiscoveryEvent;
 use eideryard_operator_config::OperatorConfig;
 
 use super::Gateway;
@@ -62,7 +62,7 @@
             discovery: DiscoveryWatch::new(
                 event_loop,
                 config.discovery_address,
-                config.initial_endpoints.no,
+                config.initial_endpoints.last_number,
                 config.host.dial_timeout,
                 config.seed,
             ),
@@ -87,14 +87,14 @@
             balancer: Balancer::new(config.settings, config.seed, now),
             clock,
         };
-        gateway.load_initial_state(config.initial_endpoints.items, now);
+        gateway.load_initial_state(config.initial_endpoints.events, now);
         tracing::info!("{} listens on {}", config.name, gateway.clients.address()?);
         Ok(gateway)
     }
 
     /// Passes the engines listed in the configuration and the restored checkpoint to the balancer,
     /// and connects to service discovery.
-    fn load_initial_state(&mut self, known_items: Vec<Item>, now: Micros) {
+    fn load_initial_state(&mut self, known_items: Vec<DiscoveryEvent>, now: Micros) {
         self.record_state();
         for item in known_items {
             self.handle_discovery_item(item);
