--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -47,7 +47,7 @@
             &config.name,
             now,
             names.for_event_log(),
-            operator.record.as_ref(),
+            operator.event_log.as_ref(),
         );
         let clients_config = ClientsConfig {
             listen_address: config.listen_address,
--- a/crates/gateway/src/replication/startup.rs
+++ b/crates/gateway/src/replication/startup.rs
@@ -74,11 +74,7 @@
         recovered: RecoveredState,
         wake: Box<dyn Fn() + Send>,
     ) -> Result<Self, StartError> {
-        let voter_names: Vec<String> = config
-            .keepers
-            .iter()
-            .map(|(name, _)| name.clone())
-            .collect();
+        let voter_names: Vec<String> = config.voters.iter().map(|(name, _)| name.clone()).collect();
         let voter_index = voter_names.iter().position(|name| name == context.name);
         if voter_index.is_some() && config.listen.is_none() {
             return Err(StartError::NoListenAddress {
@@ -111,7 +107,7 @@
         let voter_count = voter_names.len();
         let tokens = recovered.tokens;
         let leases = config
-            .probes
+            .has_shared_probes
             .then(|| LeaseDriver::new(voter_count, voter_index, origin, tokens, context.now));
         Ok(ReplicationDriver {
             core,
@@ -152,14 +148,14 @@
         .filter(|class| class.effect != Effect::Idempotent);
     let longest_window = durable_classes.map(|class| class.window).max().unwrap_or(0);
     Config {
-        voters: config.keepers.len(),
+        voters: config.voters.len(),
         voter_index,
         max_retention: context.longest_wait + longest_window + RETENTION_MARGIN,
         limits: Limits {
             entries: context.max_replicas,
         },
         transfer_bytes_per_s: CATCH_UP_BYTES_PER_SECOND,
-        send_without_majority: config.send_without,
+        send_without_majority: config.may_send_without_majority,
     }
 }
 
@@ -179,7 +175,7 @@
         start_number: origin.start,
     };
     let mut other_voters = Vec::new();
-    for (index, (name, address)) in config.keepers.iter().enumerate() {
+    for (index, (name, address)) in config.voters.iter().enumerate() {
         if name != context.name {
             other_voters.push(VoterAddress {
                 index,
@@ -205,7 +201,7 @@
     let fleet = &config.name;
     if voter_index.is_none() {
         let names: Vec<&str> = config
-            .keepers
+            .voters
             .iter()
             .map(|(name, _)| name.as_str())
             .collect();
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -17,11 +17,11 @@
     /// Where other gateways reach this one.
     pub listen: Option<SocketAddr>,
     /// Name and address of each voter, in the order of their names.
-    pub keepers: Vec<(String, SocketAddr)>,
+    pub voters: Vec<(String, SocketAddr)>,
     /// Keyed requests are sent without a majority too.
-    pub send_without: bool,
+    pub may_send_without_majority: bool,
     /// One gateway probes each engine for all.
-    pub probes: bool,
+    pub has_shared_probes: bool,
 }
 
 pub(crate) fn read(
@@ -43,9 +43,10 @@
     Ok(Some(FleetConfig {
         name: fleet.values[0].text().to_string(),
         listen: listen.and_then(|setting| address(setting.values.first()?)),
-        keepers: read_voters(fleet)?,
-        send_without: without_majority.is_some_and(|setting| setting.values[0].text() == "send"),
-        probes: has_task(fleet, "probe"),
+        voters: read_voters(fleet)?,
+        may_send_without_majority: without_majority
+            .is_some_and(|setting| setting.values[0].text() == "send"),
+        has_shared_probes: has_task(fleet, "probe"),
     }))
 }
 
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
     /// The event log; off where it is not set.
-    pub record: Option<EventLogConfig>,
+    pub event_log: Option<EventLogConfig>,
     /// Spooled results; off where they are not set.
     pub spool: Option<SpoolConfig>,
     /// Durable state; off where it is not set.
@@ -87,12 +87,12 @@
     pub fn read(file: &str, text: &str) -> Result<Self, ConfigError> {
         let settings = eideryard_config_syntax::read(file, text, TABLE, &from_files)?;
         let settings = Settings(&settings);
-        let record = event_log::read(&settings)?;
+        let event_log = event_log::read(&settings)?;
         let spool = spool::read(&settings)?;
         let store = store::read(&settings)?;
         let fleet = fleet::read(&settings, store.is_some())?;
         Ok(OperatorConfig {
-            record,
+            event_log,
             spool,
             store,
             fleet,
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -18,7 +18,7 @@
         .collect();
     let record = OperatorConfig::read(path, &on)
         .unwrap()
-        .record
+        .event_log
         .expect("the record is on");
     assert_eq!((record.budget, record.segment), (256 << 20, 8 << 20));
 }
@@ -52,7 +52,7 @@
     assert!(said(text).starts_with("op.conf:3:1: a segment takes more than half of the budget"));
     let small = OperatorConfig::read("op.conf", "record-dir /x\nrecord-budget 8MB\n")
         .unwrap()
-        .record
+        .event_log
         .unwrap();
     assert_eq!(
         small.segment,
@@ -89,20 +89,21 @@
     let three = "keeper c 127.0.0.1:3\nkeeper a 127.0.0.1:1\nkeeper b 127.0.0.1:2\n";
     let read = |text: &str| OperatorConfig::read("op.conf", text);
     let fleet = read(&block(three)).unwrap().fleet.unwrap();
-    let names: Vec<&str> = fleet
-        .keepers
-        .iter()
-        .map(|(name, _)| name.as_str())
-        .collect();
+    let names: Vec<&str> = fleet.voters.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(
-        (names, fleet.send_without, fleet.probes, fleet.listen),
+        (
+            names,
+            fleet.may_send_without_majority,
+            fleet.has_shared_probes,
+            fleet.listen
+        ),
         (vec!["a", "b", "c"], false, false, None)
     );
     let more = block(&format!(
         "{three}listen 127.0.0.1:7\nwithout-majority send\ntask probe\n"
     ));
     let fleet = read(&more).unwrap().fleet.unwrap();
-    assert!(fleet.send_without && fleet.probes && fleet.listen.is_some());
+    assert!(fleet.may_send_without_majority && fleet.has_shared_probes && fleet.listen.is_some());
     for (text, words) in [
         (
             format!("fleet north {{\n{three}}}\n"),
