--- a/crates/background-scheduler/src/lib.rs
+++ b/crates/background-scheduler/src/lib.rs
@@ -10,8 +10,8 @@
 //!
 //! let budget = Budget { round_time: 500, bytes_per_s: 64e6 };
 //! let mut scheduler = Scheduler::new(budget, 0);
-//! scheduler.offer(0, Urgency::Tidy, "tidy", 100).expect("room");
-//! scheduler.offer(0, Urgency::Room, "move to disk", 100).expect("room");
+//! scheduler.submit(0, Urgency::Cleanup, "tidy", 100).expect("room");
+//! scheduler.submit(0, Urgency::FreeSpace, "move to disk", 100).expect("room");
 //! let job = scheduler.next_job(10).expect("a job");
 //! assert_eq!(job.work, "move to disk");
 //! ```
--- a/crates/background-scheduler/src/scheduler.rs
+++ b/crates/background-scheduler/src/scheduler.rs
@@ -21,11 +21,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
     /// Room that is needed now: moves to disk, deletion when full.
-    Room,
+    FreeSpace,
     /// Deletion of what has expired.
     Expiry,
     /// Deletion and tidying with room to spare.
-    Tidy,
+    Cleanup,
     /// Checks of stored data.
     Verify,
 }
@@ -33,9 +33,9 @@
 impl Urgency {
     /// All urgencies, the most urgent first.
     pub const ALL: [Urgency; 4] = [
-        Urgency::Room,
+        Urgency::FreeSpace,
         Urgency::Expiry,
-        Urgency::Tidy,
+        Urgency::Cleanup,
         Urgency::Verify,
     ];
 }
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// The work itself, where too many jobs of its urgency wait.
-    pub fn offer(&mut self, now: Micros, urgency: Urgency, work: W, bytes: u64) -> Result<(), W> {
+    pub fn submit(&mut self, now: Micros, urgency: Urgency, work: W, bytes: u64) -> Result<(), W> {
         let queue = &mut self.queues[urgency as usize];
         if queue.len() >= MAX_WAITING {
             return Err(work);
@@ -105,7 +105,7 @@
     }
 
     /// Jobs of an urgency that wait.
-    pub fn waiting(&self, urgency: Urgency) -> usize {
+    pub fn queue_length(&self, urgency: Urgency) -> usize {
         self.queues[urgency as usize].len()
     }
 
@@ -163,6 +163,6 @@
 
     fn most_urgent(&self) -> Option<Urgency> {
         let mut urgencies = Urgency::ALL.into_iter();
-        urgencies.find(|urgency| self.waiting(*urgency) > 0)
+        urgencies.find(|urgency| self.queue_length(*urgency) > 0)
     }
 }
--- a/crates/background-scheduler/tests/model.rs
+++ b/crates/background-scheduler/tests/model.rs
@@ -76,12 +76,12 @@
         },
         0,
     );
-    scheduler.offer(0, Urgency::Verify, "old", 10).unwrap();
-    scheduler.offer(5, Urgency::Tidy, "tidy", 10).unwrap();
-    scheduler.offer(9, Urgency::Room, "room", 10).unwrap();
+    scheduler.submit(0, Urgency::Verify, "old", 10).unwrap();
+    scheduler.submit(5, Urgency::Cleanup, "tidy", 10).unwrap();
+    scheduler.submit(9, Urgency::FreeSpace, "room", 10).unwrap();
     assert_eq!(scheduler.next_job(10).unwrap().work, "room");
     scheduler
-        .offer(9_999_000, Urgency::Room, "room again", 10)
+        .submit(9_999_000, Urgency::FreeSpace, "room again", 10)
         .unwrap();
     assert_eq!(
         scheduler.next_job(10_000_001).unwrap().work,
@@ -100,7 +100,7 @@
         },
         0,
     );
-    (0..100).for_each(|n| scheduler.offer(0, Urgency::Tidy, n, 100).unwrap());
+    (0..100).for_each(|n| scheduler.submit(0, Urgency::Cleanup, n, 100).unwrap());
     let mut done = 0;
     for _ in 0..50 {
         scheduler.start_round();
@@ -140,14 +140,14 @@
         0,
     );
     let taken = (0..70_000)
-        .filter(|n| scheduler.offer(0, Urgency::Verify, *n, 1).is_ok())
+        .filter(|n| scheduler.submit(0, Urgency::Verify, *n, 1).is_ok())
         .count();
     assert_eq!(
-        (taken, scheduler.waiting(Urgency::Verify)),
+        (taken, scheduler.queue_length(Urgency::Verify)),
         (65_536, 65_536)
     );
     assert!(
-        scheduler.offer(0, Urgency::Room, 0, 1).is_ok(),
+        scheduler.submit(0, Urgency::FreeSpace, 0, 1).is_ok(),
         "each urgency has its own bound"
     );
 }
--- a/crates/gateway/src/result_spool/disk.rs
+++ b/crates/gateway/src/result_spool/disk.rs
@@ -30,7 +30,7 @@
             let work = Work::WritePage(result, page);
             if self
                 .background
-                .offer(now, Urgency::Room, work, bytes)
+                .submit(now, Urgency::FreeSpace, work, bytes)
                 .is_err()
             {
                 self.spool.moved(result, page, false, now);
@@ -198,6 +198,6 @@
     /// next start removes it.
     pub(super) fn remove_segment(&mut self, segment: u64, now: Micros) {
         let work = Work::RemoveSegment(segment);
-        let _ = self.background.offer(now, Urgency::Tidy, work, 0);
+        let _ = self.background.submit(now, Urgency::Cleanup, work, 0);
     }
 }
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -231,12 +231,12 @@
         if !self.store.should_rewrite() {
             return;
         }
-        if self.slice_scheduler.waiting(Urgency::Tidy) == 0 {
+        if self.slice_scheduler.queue_length(Urgency::Cleanup) == 0 {
             // The queue is empty, so it accepts the slice.
             let now_us = self.now_us();
             let _ = self
                 .slice_scheduler
-                .offer(now_us, Urgency::Tidy, (), REWRITE_SLICE_BYTES);
+                .submit(now_us, Urgency::Cleanup, (), REWRITE_SLICE_BYTES);
         }
         self.slice_scheduler.start_round();
         let now_us = self.now_us();
