--- a/crates/config-syntax/src/include.rs
+++ b/crates/config-syntax/src/include.rs
@@ -20,14 +20,14 @@
 }
 
 /// Opens an included file, by the name of the one that includes it and its own.
-pub type Open = dyn Fn(&str, &str) -> io::Result<IncludedFile>;
+pub type OpenInclude = dyn Fn(&str, &str) -> io::Result<IncludedFile>;
 
 /// Opens a file of the file system, relative to the file that includes it.
 ///
 /// # Errors
 ///
 /// The file can't be read.
-pub fn from_files(file: &str, name: &str) -> io::Result<IncludedFile> {
+pub fn open_include_file(file: &str, name: &str) -> io::Result<IncludedFile> {
     let directory = Path::new(file).parent().unwrap_or(Path::new(""));
     let path = directory.join(name);
     let text = std::fs::read_to_string(&path)?;
@@ -41,7 +41,7 @@
 pub(crate) fn parse_with_includes(
     file: &str,
     text: &str,
-    open: &Open,
+    open: &OpenInclude,
 ) -> Result<Vec<Statement>, ConfigError> {
     let mut reader = Reader {
         open,
@@ -51,7 +51,7 @@
 }
 
 struct Reader<'a> {
-    open: &'a Open,
+    open: &'a OpenInclude,
     file_count: usize,
 }
 
--- a/crates/config-syntax/src/lib.rs
+++ b/crates/config-syntax/src/lib.rs
@@ -8,7 +8,7 @@
 //! nothing is kept.
 //!
 //! ```
-//! use eideryard_config_syntax::{from_files, read, Directive, ValueKind};
+//! use eideryard_config_syntax::{open_include_file, read, Directive, ValueKind};
 //!
 //! const TABLE: &[Directive] = &[Directive::new(
 //!     "budget",
@@ -16,7 +16,7 @@
 //!     "64MB",
 //!     "Bytes at most.",
 //! )];
-//! let settings = read("example.conf", "budget 16MB", TABLE, &from_files)?;
+//! let settings = read("example.conf", "budget 16MB", TABLE, &open_include_file)?;
 //! assert_eq!(settings[0].values[0].number(), 16 << 20);
 //! # Ok::<(), eideryard_config_syntax::ConfigError>(())
 //! ```
@@ -29,7 +29,7 @@
 pub mod value;
 
 pub use error::{ConfigError, Location};
-pub use include::{from_files, Open};
+pub use include::{open_include_file, OpenInclude};
 pub use reference::reference;
 pub use table::{Directive, Setting};
 pub use value::{Value, ValueKind};
@@ -43,7 +43,7 @@
     file: &str,
     text: &str,
     table: &'static [Directive],
-    open: &Open,
+    open: &OpenInclude,
 ) -> Result<Vec<Setting>, ConfigError> {
     let statements = include::parse_with_includes(file, text, open)?;
     table::check(&statements, table)
--- a/crates/emulators/src/scenario.rs
+++ b/crates/emulators/src/scenario.rs
@@ -22,8 +22,12 @@
     /// Reads its text; `file` is named where something is wrong.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
     pub fn read(file: &str, text: &str) -> Result<Self, ConfigError> {
-        let settings =
-            eideryard_config_syntax::read(file, text, TABLE, &eideryard_config_syntax::from_files)?;
+        let settings = eideryard_config_syntax::read(
+            file,
+            text,
+            TABLE,
+            &eideryard_config_syntax::open_include_file,
+        )?;
         let all = |name: &'static str| settings.iter().filter(move |setting| setting.name == name);
         let first =
             |name: &'static str| all(name).next().and_then(|setting| setting.values.first());
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -22,7 +22,7 @@
 
 use std::io;
 
-use eideryard_config_syntax::{from_files, ConfigError};
+use eideryard_config_syntax::{open_include_file, ConfigError};
 use thiserror::Error;
 
 pub use directives::TABLE;
@@ -85,7 +85,7 @@
     ///
     /// The first place that can't be used, with the remedy.
     pub fn read(file: &str, text: &str) -> Result<Self, ConfigError> {
-        let settings = eideryard_config_syntax::read(file, text, TABLE, &from_files)?;
+        let settings = eideryard_config_syntax::read(file, text, TABLE, &open_include_file)?;
         let settings = Settings(&settings);
         let event_log = event_log::read(&settings)?;
         let spool = spool::read(&settings)?;
