--- a/crates/cli/tests/incident.rs
+++ b/crates/cli/tests/incident.rs
@@ -238,7 +238,7 @@
     assert_eq!(checked.status.code(), Some(1));
     assert!(
         said.contains(
-            "bad.conf:2:3: 'record-bugdet' is no directive; did you mean 'record-budget'?"
+            "bad.conf:2:3: 'record-bugdet' is not a directive; did you mean 'record-budget'?"
         ),
         "{said}"
     );
--- a/crates/config-syntax/src/error.rs
+++ b/crates/config-syntax/src/error.rs
@@ -1,16 +1,16 @@
-//! What is wrong with a text, where, and what would be right.
+//! Errors in a configuration text, with their location and a hint on how to fix them.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// A place in a text.
+/// A position in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// Name of the file.
+    /// Name of the file, as it is given by the caller or by the include directive.
     pub file: Arc<str>,
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column number in characters, starting at 1.
     pub column: usize,
 }
 
@@ -20,20 +20,20 @@
     }
 }
 
-/// A text that can't be used.
+/// Why a configuration text was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{location}: {problem}; {hint}")]
 pub struct ConfigError {
-    /// Where.
+    /// Position of the first character that is wrong.
     pub location: Location,
-    /// What is wrong.
+    /// What was found.
     pub problem: String,
     /// What was expected, or the remedy.
     pub hint: String,
 }
 
 impl ConfigError {
-    /// An error at a place.
+    /// Creates an error at a location.
     pub fn new(location: Location, problem: &str, hint: &str) -> Self {
         ConfigError {
             location,
@@ -43,7 +43,8 @@
     }
 }
 
-/// "did you mean" for a word that is near a known one, else all of the known words.
+/// Returns a hint for an unknown word: the most similar known word if one is similar enough,
+/// otherwise all known words.
 pub fn suggest<'a>(word: &str, known: impl Iterator<Item = &'a str> + Clone) -> String {
     let distances = known
         .clone()
@@ -52,6 +53,6 @@
         Some((distance, nearest)) if distance <= 1 + nearest.len() / 4 => {
             format!("did you mean '{nearest}'?")
         }
-        _ => format!("known here: {}", known.collect::<Vec<_>>().join(", ")),
+        _ => format!("expected one of: {}", known.collect::<Vec<_>>().join(", ")),
     }
 }
--- a/crates/config-syntax/src/grammar.rs
+++ b/crates/config-syntax/src/grammar.rs
@@ -1,7 +1,7 @@
-//! Text to statements.
+//! The grammar: splits a text into statements.
 //!
 //! ```text
-//! line  = words [ "{" ]  |  "}"      then an optional comment and the end of the line
+//! line  = words [ "{" ]  |  "}"      followed by an optional comment and the end of the line
 //! word  = bare | '"' characters, with \" and \\ '"'
 //! ```
 
@@ -17,34 +17,34 @@
 
 use crate::error::{ConfigError, Location};
 
-/// Bytes of a text.
+/// Maximum length in bytes of a text.
 pub const MAX_BYTES: usize = 1 << 20;
-/// Blocks within each other.
+/// Maximum number of nested blocks.
 pub const MAX_NESTED_BLOCKS: usize = 8;
 
-/// A word and where it stands.
+/// A word and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Word {
-    /// The word without its quotes.
+    /// The word without quotes and escapes.
     pub text: String,
-    /// Where it begins.
+    /// Location of the first character, which may be the quote.
     pub location: Location,
 }
 
-/// A directive with its words, and its block where it has one.
+/// A directive's name, its further words, and its block if it has one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// At least one.
+    /// The words in the order of the line. There is at least one: the directive's name.
     pub words: Vec<Word>,
-    /// Statements of the block.
+    /// The statements of the block; `None` if there is no block.
     pub block: Option<Vec<Statement>>,
 }
 
-/// Parses the statements of a text; `file` is its name in errors.
+/// Parses a text; `file` is its name in errors.
 ///
 /// # Errors
 ///
-/// The first line that can't be read.
+/// Returns the location of the first syntax error.
 pub fn parse(file: &str, text: &str) -> Result<Vec<Statement>, ConfigError> {
     let file: Arc<str> = file.into();
     if text.len() > MAX_BYTES {
@@ -53,7 +53,7 @@
             line: 1,
             column: 1,
         };
-        let hint = format!("{MAX_BYTES} bytes are the most");
+        let hint = format!("the maximum is {MAX_BYTES} bytes");
         return Err(ConfigError::new(location, "the text is too long", &hint));
     }
     let mut blocks = Blocks::default();
@@ -68,18 +68,18 @@
     blocks.finish()
 }
 
-/// A line of a text.
+/// One line of a text.
 struct SourceLine<'a> {
     file: &'a Arc<str>,
-    /// From 1.
+    /// Line number, starting at 1.
     number: usize,
     text: &'a str,
 }
 
 impl SourceLine<'_> {
-    /// The place of a byte of this line.
-    fn location(&self, byte: usize) -> Location {
-        let before = self.text.get(..byte).unwrap_or(self.text);
+    /// Returns the location of the byte at an offset within the line.
+    fn location(&self, offset: usize) -> Location {
+        let before = self.text.get(..offset).unwrap_or(self.text);
         Location {
             file: self.file.clone(),
             line: self.number,
@@ -87,27 +87,27 @@
         }
     }
 
-    /// An error at the first character that is no space.
+    /// Returns an error at the first character after the indentation.
     fn error(&self, problem: &str, hint: &str) -> ConfigError {
         let indent = self.text.len() - self.text.trim_start().len();
         ConfigError::new(self.location(indent), problem, hint)
     }
 }
 
-/// A word and the byte at which it begins.
+/// A word and the byte offset in the line at which it begins.
 struct ParsedWord {
-    byte: usize,
+    offset: usize,
     text: String,
 }
 
-/// What stands at the end of a line.
+/// The brace at the end of a line.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Brace {
     Opening,
     Closing,
 }
 
-/// What a line holds.
+/// The content of a line without its comment.
 struct ParsedLine {
     words: Vec<ParsedWord>,
     brace: Option<Brace>,
@@ -115,28 +115,28 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-fn quoted(input: &mut Input<'_>) -> ModalResult<String> {
+fn parse_quoted(input: &mut Input<'_>) -> ModalResult<String> {
     let escaped = preceded('\\', one_of(['"', '\\']));
     delimited('"', repeat(0.., alt((none_of(['"', '\\']), escaped))), '"').parse_next(input)
 }
 
-fn bare(input: &mut Input<'_>) -> ModalResult<String> {
+fn parse_bare(input: &mut Input<'_>) -> ModalResult<String> {
     let is_bare = |c: char| !c.is_whitespace() && !matches!(c, '{' | '}' | '"' | '#');
     take_while(1.., is_bare)
         .map(str::to_string)
         .parse_next(input)
 }
 
-fn word(input: &mut Input<'_>) -> ModalResult<ParsedWord> {
-    let byte = input.current_token_start();
-    let text = alt((quoted, bare)).parse_next(input)?;
+fn parse_word(input: &mut Input<'_>) -> ModalResult<ParsedWord> {
+    let offset = input.current_token_start();
+    let text = alt((parse_quoted, parse_bare)).parse_next(input)?;
     space0.parse_next(input)?;
-    Ok(ParsedWord { byte, text })
+    Ok(ParsedWord { offset, text })
 }
 
-fn line(input: &mut Input<'_>) -> ModalResult<ParsedLine> {
+fn parse_line_content(input: &mut Input<'_>) -> ModalResult<ParsedLine> {
     space0.parse_next(input)?;
-    let words = repeat(0.., word).parse_next(input)?;
+    let words = repeat(0.., parse_word).parse_next(input)?;
     let opening = '{'.value(Brace::Opening);
     let closing = '}'.value(Brace::Closing);
     let brace = opt(alt((opening, closing))).parse_next(input)?;
@@ -147,68 +147,68 @@
 
 fn parse_line(source: &SourceLine<'_>) -> Result<ParsedLine, ConfigError> {
     let mut input = LocatingSlice::new(source.text);
-    let parsed = line.parse_next(&mut input);
+    let parsed = parse_line_content.parse_next(&mut input);
     let end = input.current_token_start();
     match parsed {
         Ok(parsed) if end == source.text.len() => Ok(parsed),
-        _ => Err(unreadable(source, &mut input, end)),
+        _ => Err(syntax_error(source, &mut input, end)),
     }
 }
 
-/// The error of a line of which no more than so many bytes can be read.
-fn unreadable(source: &SourceLine<'_>, rest: &mut Input<'_>, end: usize) -> ConfigError {
+/// Returns the error for a line that could only be parsed up to the offset `end`.
+fn syntax_error(source: &SourceLine<'_>, rest: &mut Input<'_>, end: usize) -> ConfigError {
     let found = opt(any::<_, ContextError>).parse_next(rest).ok().flatten();
     let problem = match found {
-        Some('"') => "a quoted text isn't closed, or has a stray backslash".to_string(),
-        Some(c) => format!("'{c}' can't stand here"),
-        None => "the line can't be read".to_string(),
+        Some('"') => "a quoted string is not closed or contains an invalid escape".to_string(),
+        Some(c) => format!("unexpected character '{c}'"),
+        None => "the line can't be parsed".to_string(),
     };
-    let hint = "a line holds words and at most one '{' or '}' at its end; quote other characters";
+    let hint = "expected words and at most one '{' or '}' at the end of the line; put words with other characters in quotes";
     ConfigError::new(source.location(end), &problem, hint)
 }
 
-/// A block that is not closed yet.
+/// A block whose closing brace has not been parsed yet.
 struct OpenBlock {
-    /// The words of the statement that opened it.
+    /// The words of the statement that opened the block.
     words: Vec<Word>,
     statements: Vec<Statement>,
 }
 
-/// The statements that were read so far.
+/// The statements of the lines parsed so far.
 #[derive(Default)]
 struct Blocks {
-    /// Those outside of all blocks.
+    /// The statements outside of all blocks.
     statements: Vec<Statement>,
-    /// The blocks that are open, the innermost last.
+    /// The open blocks, the innermost last.
     open: Vec<OpenBlock>,
 }
 
 impl Blocks {
     fn add_line(&mut self, source: &SourceLine<'_>, parsed: ParsedLine) -> Result<(), ConfigError> {
         let mut words = Vec::new();
-        for ParsedWord { byte, text } in parsed.words {
-            let location = source.location(byte);
+        for ParsedWord { offset, text } in parsed.words {
+            let location = source.location(offset);
             words.push(Word { text, location });
         }
         match parsed.brace {
-            Some(Brace::Opening) => self.open(source, words),
-            Some(Brace::Closing) => self.close(source, &words),
+            Some(Brace::Opening) => self.open_block(source, words),
+            Some(Brace::Closing) => self.close_block(source, &words),
             None if words.is_empty() => Ok(()),
             None => {
-                self.add(Statement { words, block: None });
+                self.add_statement(Statement { words, block: None });
                 Ok(())
             }
         }
     }
 
-    fn open(&mut self, source: &SourceLine<'_>, words: Vec<Word>) -> Result<(), ConfigError> {
+    fn open_block(&mut self, source: &SourceLine<'_>, words: Vec<Word>) -> Result<(), ConfigError> {
         if words.is_empty() {
             let hint = "write: DIRECTIVE VALUE... {";
             return Err(source.error("'{' without a directive", hint));
         }
         if self.open.len() >= MAX_NESTED_BLOCKS {
-            let hint = format!("{MAX_NESTED_BLOCKS} are the most");
-            return Err(source.error("too many blocks within each other", &hint));
+            let hint = format!("the maximum is {MAX_NESTED_BLOCKS}");
+            return Err(source.error("too many nested blocks", &hint));
         }
         self.open.push(OpenBlock {
             words,
@@ -217,15 +217,15 @@
         Ok(())
     }
 
-    fn close(&mut self, source: &SourceLine<'_>, words: &[Word]) -> Result<(), ConfigError> {
+    fn close_block(&mut self, source: &SourceLine<'_>, words: &[Word]) -> Result<(), ConfigError> {
         if !words.is_empty() {
             let hint = "move it to a line of its own";
-            return Err(source.error("'}' stands alone on its line", hint));
+            return Err(source.error("'}' must be alone on its line", hint));
         }
         let Some(closed) = self.open.pop() else {
-            return Err(source.error("'}' closes nothing", "remove it"));
+            return Err(source.error("'}' without an open block", "remove it"));
         };
-        self.add(Statement {
+        self.add_statement(Statement {
             words: closed.words,
             block: Some(closed.statements),
         });
@@ -233,7 +233,7 @@
     }
 
     /// Adds a statement to the innermost block.
-    fn add(&mut self, statement: Statement) {
+    fn add_statement(&mut self, statement: Statement) {
         let statements = match self.open.last_mut() {
             Some(block) => &mut block.statements,
             None => &mut self.statements,
@@ -246,7 +246,7 @@
             None => Ok(self.statements),
             Some(block) => Err(ConfigError::new(
                 block.words[0].location.clone(),
-                "this block isn't closed",
+                "this block is not closed",
                 "add a line with '}'",
             )),
         }
--- a/crates/config-syntax/src/include.rs
+++ b/crates/config-syntax/src/include.rs
@@ -1,4 +1,4 @@
-//! Files that include others.
+//! The `include` directive, which inserts the statements of another file.
 
 use std::io;
 use std::path::Path;
@@ -6,27 +6,29 @@
 use crate::error::ConfigError;
 use crate::grammar::{self, Statement};
 
-/// Files within files: an include that names itself ends here.
+/// Maximum depth of nested files, counting the first one. It also stops a file that includes
+/// itself.
 const MAX_DEPTH: usize = 8;
-/// Files in all.
+/// Maximum number of files, counting the first one.
 const MAX_FILES: usize = 64;
 
 /// The name and the text of an included file.
 pub struct IncludedFile {
-    /// Its name in errors, and what its own includes are relative to.
+    /// Name of the file in errors. The paths of its own includes are relative to it.
     pub name: String,
-    /// Its text.
+    /// Content of the file.
     pub text: String,
 }
 
-/// Opens an included file, by the name of the one that includes it and its own.
+/// Reads an included file. The arguments are the name of the including file and the path in the
+/// include directive.
 pub type OpenInclude = dyn Fn(&str, &str) -> io::Result<IncludedFile>;
 
-/// Opens a file of the file system, relative to the file that includes it.
+/// Reads an included file from the file system. The path `name` is relative to the including file.
 ///
 /// # Errors
 ///
-/// The file can't be read.
+/// Returns an error if the file can't be read or is not UTF-8.
 pub fn open_include_file(file: &str, name: &str) -> io::Result<IncludedFile> {
     let directory = Path::new(file).parent().unwrap_or(Path::new(""));
     let path = directory.join(name);
@@ -37,26 +39,26 @@
     })
 }
 
-/// The statements of a text, with those of included files in the place of their includes.
+/// Parses a text and replaces each include directive by the statements of the included file.
 pub(crate) fn parse_with_includes(
     file: &str,
     text: &str,
     open: &OpenInclude,
 ) -> Result<Vec<Statement>, ConfigError> {
-    let mut reader = Reader {
+    let mut resolver = IncludeResolver {
         open,
         file_count: 1,
     };
-    reader.read(file, text, 0)
+    resolver.parse_file(file, text, 0)
 }
 
-struct Reader<'a> {
+struct IncludeResolver<'a> {
     open: &'a OpenInclude,
     file_count: usize,
 }
 
-impl Reader<'_> {
-    fn read(
+impl IncludeResolver<'_> {
+    fn parse_file(
         &mut self,
         file: &str,
         text: &str,
@@ -65,7 +67,7 @@
         let mut statements = Vec::new();
         for statement in grammar::parse(file, text)? {
             if statement.words[0].text == "include" {
-                statements.extend(self.include(file, &statement, depth + 1)?);
+                statements.extend(self.parse_included(file, &statement, depth + 1)?);
             } else {
                 statements.push(statement);
             }
@@ -73,7 +75,7 @@
         Ok(statements)
     }
 
-    fn include(
+    fn parse_included(
         &mut self,
         file: &str,
         statement: &Statement,
@@ -83,7 +85,7 @@
         let [_, name] = &statement.words[..] else {
             return Err(ConfigError::new(
                 location.clone(),
-                "include takes one file",
+                "include takes exactly one file",
                 "write: include FILE",
             ));
         };
@@ -91,17 +93,17 @@
         if depth >= MAX_DEPTH || self.file_count > MAX_FILES {
             return Err(ConfigError::new(
                 location.clone(),
-                "too many files include each other",
-                &format!("{MAX_DEPTH} files deep and {MAX_FILES} in all may be included"),
+                "too many included files",
+                &format!("the maximum is {MAX_DEPTH} nested files and {MAX_FILES} files in total"),
             ));
         }
         let included = (self.open)(file, &name.text).map_err(|error| {
             ConfigError::new(
                 name.location.clone(),
                 &format!("'{}' can't be read: {error}", name.text),
-                "paths are relative to the file that includes",
+                "paths are relative to the including file",
             )
         })?;
-        self.read(&included.name, &included.text, depth)
+        self.parse_file(&included.name, &included.text, depth)
     }
 }
--- a/crates/config-syntax/src/lib.rs
+++ b/crates/config-syntax/src/lib.rs
@@ -1,11 +1,11 @@
-//! Line-based settings: `directive value...`, blocks in braces, comments behind `#`, `include
-//! FILE`.
+//! A line-based configuration syntax: `directive value...`, blocks in braces, comments after `#`,
+//! and `include FILE`.
 //!
-//! [`grammar`] splits text into statements, [`mod@include`] follows included files, [`value`] reads
-//! single values with their units, [`table`] checks statements against a table of directives and
-//! gives typed settings, and [`mod@reference`] makes a page of a table. The operator's file and the
-//! scenarios of the emulators are two such tables. Files are read by a function of the caller;
-//! nothing is kept.
+//! [`grammar`] splits text into statements, [`mod@include`] inserts included files, [`value`]
+//! parses single values with their units, [`table`] checks statements against a table of directives
+//! and returns typed settings, and [`mod@reference`] renders a table as Markdown. The operator's
+//! file and the scenarios of the emulators are defined by such tables. The caller provides the
+//! function that reads included files.
 //!
 //! ```
 //! use eideryard_config_syntax::{open_include_file, read, Directive, ValueKind};
@@ -34,11 +34,11 @@
 pub use table::{Directive, Setting};
 pub use value::{Value, ValueKind};
 
-/// Reads a text and all that it includes, and checks it against a table.
+/// Parses a text and the files that it includes, and checks them against a table.
 ///
 /// # Errors
 ///
-/// The first place that can't be used, with the remedy.
+/// Returns the location of the first syntax error or invalid setting, with the remedy.
 pub fn read(
     file: &str,
     text: &str,
--- a/crates/config-syntax/src/reference.rs
+++ b/crates/config-syntax/src/reference.rs
@@ -1,12 +1,13 @@
-//! The reference page of a table of directives, as Markdown.
+//! The reference of a table of directives as Markdown.
 
 use crate::table::Directive;
 use crate::value::ValueKind;
 
-/// A directive that takes others, and the table of these.
-type Inner<'a> = (&'a Directive, &'a [Directive]);
+/// A directive that contains others, and the table of these.
+type InnerTable<'a> = (&'a Directive, &'a [Directive]);
 
-/// The reference of a table: the table itself, then those of its blocks, level by level.
+/// Returns the Markdown tables for a table of directives and then for those nested in it, level by
+/// level.
 pub fn reference(table: &[Directive]) -> String {
     let mut page = String::new();
     let mut level = write_rows(table, &mut page);
@@ -21,9 +22,9 @@
     page
 }
 
-/// Writes a table, and returns the directives in it that take others.
-fn write_rows<'a>(table: &'a [Directive], page: &mut String) -> Vec<Inner<'a>> {
-    *page += "| directive | values | without it | meaning |\n| --- | --- | --- | --- |\n";
+/// Appends the rows for one table and returns the tables nested in it.
+fn write_rows<'a>(table: &'a [Directive], page: &mut String) -> Vec<InnerTable<'a>> {
+    *page += "| directive | values | default | meaning |\n| --- | --- | --- | --- |\n";
     let mut inner = Vec::new();
     for directive in table {
         let usage = escape(&directive.usage());
--- a/crates/config-syntax/src/table.rs
+++ b/crates/config-syntax/src/table.rs
@@ -1,37 +1,37 @@
-//! Tables of directives, against which statements are checked.
+//! Tables of directives, and the check of statements against a table.
 
 use crate::error::{suggest, ConfigError, Location};
 use crate::grammar::{Statement, Word};
 use crate::value::{Value, ValueKind};
 
-/// A word behind a directive's values that takes a value itself.
+/// A named option after a directive's values, and the kind of the option's value.
 pub type DirectiveOption = (&'static str, ValueKind);
 
-/// One directive.
+/// The definition of a directive: what it takes and what it is for.
 #[derive(Debug)]
 pub struct Directive {
-    /// Its name, the first word of its statements.
+    /// The first word of the directive's statements.
     pub name: &'static str,
-    /// The values that it takes, in order.
+    /// Kinds of the required values, in order.
     pub values: &'static [ValueKind],
-    /// One or more further values, all of one kind.
+    /// Kind of the one or more further values after `values`; `None` if there are none.
     pub rest: Option<ValueKind>,
-    /// Behind the values, a word and its value each, in any order; none is needed.
+    /// Named options after the values, in any order. All are optional.
     pub options: &'static [DirectiveOption],
-    /// Behind the values, another directive of this table.
+    /// Table of the directives of which one must follow after the values; `None` if none follows.
     pub nested: Option<&'static [Directive]>,
-    /// It takes a block, with directives of this table.
+    /// Table of the directives in the block; `None` if the directive has no block.
     pub block: Option<&'static [Directive]>,
-    /// It may be given more than once.
+    /// Whether the directive may be given more than once.
     pub is_repeatable: bool,
-    /// What holds where it isn't given, in words.
+    /// Description of what applies if the directive is not given.
     pub default: &'static str,
-    /// What it is for, in words.
+    /// Description of what the directive sets.
     pub help: &'static str,
 }
 
 impl Directive {
-    /// A directive with plain values, given once.
+    /// Creates a directive that has only required values and may be given once.
     pub const fn new(
         name: &'static str,
         values: &'static [ValueKind],
@@ -51,37 +51,37 @@
         }
     }
 
-    /// The same, which may be given more than once.
+    /// Allows the directive to be given more than once.
     pub const fn repeatable(mut self) -> Self {
         self.is_repeatable = true;
         self
     }
 
-    /// The same with one or more further values.
+    /// Requires one or more further values after the others.
     pub const fn rest(mut self, kind: ValueKind) -> Self {
         self.rest = Some(kind);
         self
     }
 
-    /// The same with options behind its values.
+    /// Allows options after the values.
     pub const fn options(mut self, options: &'static [DirectiveOption]) -> Self {
         self.options = options;
         self
     }
 
-    /// The same with another directive behind its values.
+    /// Requires another directive after the values.
     pub const fn nested(mut self, table: &'static [Directive]) -> Self {
         self.nested = Some(table);
         self
     }
 
-    /// The same with a block.
+    /// Requires a block.
     pub const fn block(mut self, table: &'static [Directive]) -> Self {
         self.block = Some(table);
         self
     }
 
-    /// How it is written.
+    /// Returns the directive's syntax, such as `record-dir PATH`.
     pub fn usage(&self) -> String {
         let mut usage = self.name.to_string();
         for kind in self.values {
@@ -102,47 +102,47 @@
         usage
     }
 
-    fn option(&self, word: &Word) -> Option<&'static DirectiveOption> {
+    fn find_option(&self, word: &Word) -> Option<&'static DirectiveOption> {
         self.options.iter().find(|(name, _)| *name == word.text)
     }
 }
 
-/// A statement that fits its directive.
+/// A statement that was checked against its directive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setting {
-    /// The directive's name.
+    /// Name of the directive.
     pub name: &'static str,
-    /// Where it stands.
+    /// Location of the directive's name.
     pub location: Location,
-    /// The values, and behind them the further ones.
+    /// The required values, followed by the further ones.
     pub values: Vec<Value>,
-    /// The options that were given.
+    /// The given options in the order of the statement.
     pub options: Vec<(&'static str, Value)>,
-    /// The directive behind its values.
+    /// The directive after the values, if this one takes another.
     pub nested: Option<Box<Setting>>,
-    /// The settings of its block.
+    /// The settings in the block; empty without a block.
     pub block: Vec<Setting>,
 }
 
 impl Setting {
-    /// The value of an option, where it is given.
+    /// Returns the value of an option, or `None` if it is not given.
     pub fn option(&self, name: &str) -> Option<&Value> {
-        let option = self.options.iter().find(|(known, _)| *known == name);
+        let option = self.options.iter().find(|(option, _)| *option == name);
         option.map(|(_, value)| value)
     }
 
-    /// A setting of its block.
+    /// Returns the first setting of a directive in the block.
     pub fn inner(&self, name: &str) -> Option<&Setting> {
         find(&self.block, name)
     }
 
-    /// The first value of a setting of its block.
+    /// Returns the first value of the first setting of a directive in the block.
     pub fn inner_value(&self, name: &str) -> Option<&Value> {
         self.inner(name)?.values.first()
     }
 }
 
-/// The first setting of a directive.
+/// Returns the first setting of a directive.
 pub fn find<'a>(settings: &'a [Setting], name: &str) -> Option<&'a Setting> {
     settings.iter().find(|setting| setting.name == name)
 }
@@ -151,7 +151,7 @@
 ///
 /// # Errors
 ///
-/// The first statement that doesn't fit, with the remedy.
+/// Returns the location of the first invalid statement, with the remedy.
 pub fn check(
     statements: &[Statement],
     table: &'static [Directive],
@@ -162,21 +162,21 @@
         let directive = find_directive(&statement.words[0], table)?;
         let setting = check_statement(directive, &statement.words, block)?;
         if !directive.is_repeatable {
-            reject_second(&settings, &setting)?;
+            reject_duplicate(&settings, &setting)?;
         }
         settings.push(setting);
     }
     Ok(settings)
 }
 
-fn reject_second(settings: &[Setting], setting: &Setting) -> Result<(), ConfigError> {
+fn reject_duplicate(settings: &[Setting], setting: &Setting) -> Result<(), ConfigError> {
     let Some(first) = find(settings, setting.name) else {
         return Ok(());
     };
     Err(ConfigError::new(
         setting.location.clone(),
         &format!("'{}' is given twice", setting.name),
-        &format!("it stands at {} already; remove one", first.location),
+        &format!("it is already set at {}; remove one", first.location),
     ))
 }
 
@@ -188,7 +188,7 @@
     directive.ok_or_else(|| {
         ConfigError::new(
             word.location.clone(),
-            &format!("'{}' is no directive", word.text),
+            &format!("'{}' is not a directive", word.text),
             &suggest(&word.text, table.iter().map(|directive| directive.name)),
         )
     })
@@ -201,8 +201,8 @@
 ) -> Result<Setting, ConfigError> {
     let mut checker = Checker {
         directive,
-        first: &words[0],
-        words: &words[1..],
+        name: &words[0],
+        remaining_words: &words[1..],
     };
     let values = checker.take_values()?;
     let options = checker.take_options()?;
@@ -221,49 +221,48 @@
     })
 }
 
-/// Takes the words of one statement from the front, as its directive says.
+/// Takes the words of one statement from front to back, as the directive's definition requires.
 struct Checker<'a> {
     directive: &'static Directive,
-    first: &'a Word,
-    /// What is not taken yet.
-    words: &'a [Word],
+    name: &'a Word,
+    remaining_words: &'a [Word],
 }
 
 impl Checker<'_> {
     fn take_values(&mut self) -> Result<Vec<Value>, ConfigError> {
         let mut values = Vec::new();
         for kind in self.directive.values {
-            let Some((word, rest)) = self.words.split_first() else {
+            let Some((word, rest)) = self.remaining_words.split_first() else {
                 return Err(self.error("lacks a value"));
             };
             values.push(parse_value(kind, word)?);
-            self.words = rest;
+            self.remaining_words = rest;
         }
         let Some(kind) = &self.directive.rest else {
             return Ok(values);
         };
-        let is_option = |word: &Word| self.directive.option(word).is_some();
-        let first_option = self.words.iter().position(is_option);
+        let is_option = |word: &Word| self.directive.find_option(word).is_some();
+        let first_option = self.remaining_words.iter().position(is_option);
         let (further, rest) = self
-            .words
-            .split_at(first_option.unwrap_or(self.words.len()));
+            .remaining_words
+            .split_at(first_option.unwrap_or(self.remaining_words.len()));
         if further.is_empty() {
             return Err(self.error("lacks a value"));
         }
         for word in further {
             values.push(parse_value(kind, word)?);
         }
-        self.words = rest;
+        self.remaining_words = rest;
         Ok(values)
     }
 
     fn take_options(&mut self) -> Result<Vec<(&'static str, Value)>, ConfigError> {
         let mut options: Vec<(&'static str, Value)> = Vec::new();
-        while let Some((word, rest)) = self.words.split_first() {
-            let Some((name, kind)) = self.directive.option(word) else {
+        while let Some((word, rest)) = self.remaining_words.split_first() {
+            let Some((name, kind)) = self.directive.find_option(word) else {
                 break;
             };
-            if options.iter().any(|(known, _)| known == name) {
+            if options.iter().any(|(given, _)| given == name) {
                 return Err(ConfigError::new(
                     word.location.clone(),
                     &format!("'{name}' is given twice"),
@@ -271,26 +270,26 @@
                 ));
             }
             let Some((value, rest)) = rest.split_first() else {
-                return Err(self.error(&format!("lacks a value behind '{name}'")));
+                return Err(self.error(&format!("lacks a value after '{name}'")));
             };
             options.push((name, parse_value(kind, value)?));
-            self.words = rest;
+            self.remaining_words = rest;
         }
         Ok(options)
     }
 
-    /// Takes the directive behind the values, which the block then belongs to.
+    /// Takes the directive after the values. The block of the statement then belongs to it.
     fn take_nested(&self, block: Option<&[Statement]>) -> Result<Option<Setting>, ConfigError> {
-        match (self.directive.nested, self.words.first()) {
+        match (self.directive.nested, self.remaining_words.first()) {
             (Some(table), Some(word)) => {
                 let directive = find_directive(word, table)?;
-                check_statement(directive, self.words, block).map(Some)
+                check_statement(directive, self.remaining_words, block).map(Some)
             }
-            (Some(_), None) => Err(self.error("lacks a directive behind its values")),
+            (Some(_), None) => Err(self.error("lacks a directive after its values")),
             (None, Some(extra)) => Err(ConfigError::new(
                 extra.location.clone(),
                 &format!(
-                    "'{}' is more than '{}' takes",
+                    "'{}' is one word more than '{}' takes",
                     extra.text, self.directive.name
                 ),
                 &self.usage(),
@@ -314,7 +313,7 @@
 
     fn error(&self, problem: &str) -> ConfigError {
         ConfigError::new(
-            self.first.location.clone(),
+            self.name.location.clone(),
             &format!("'{}' {problem}", self.directive.name),
             &self.usage(),
         )
@@ -329,7 +328,7 @@
         };
         ConfigError::new(
             word.location.clone(),
-            &format!("'{}' can't be used", word.text),
+            &format!("'{}' is not a valid value", word.text),
             &hint,
         )
     })
--- a/crates/config-syntax/src/value.rs
+++ b/crates/config-syntax/src/value.rs
@@ -1,68 +1,69 @@
-//! Single values with their units.
+//! The kinds of values, with their units and limits.
 
 use std::net::SocketAddr;
 
-/// What a value must be. Bounds are inclusive.
+/// The kind of a value and its inclusive limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ValueKind {
-    /// Bytes: `64MB`, `4KB`, `100B`; units of 1,024.
+    /// A size in bytes: `64MB`, `4KB`, `100B`. Each unit is 1,024 times the smaller one.
     Size {
-        /// The smallest.
+        /// The minimum.
         least: u64,
-        /// The largest.
+        /// The maximum.
         most: u64,
     },
-    /// Microseconds: `250ms`, `1.5s`, `10m`, `24h`, `80us`.
+    /// A time in microseconds: `250ms`, `1.5s`, `10m`, `24h`, `80us`.
     Time {
-        /// The shortest.
+        /// The minimum.
         least: u64,
-        /// The longest.
+        /// The maximum.
         most: u64,
     },
-    /// A part of one: `20%`.
+    /// A share from 0% to 100%, stored as 0.0 to 1.0: `20%`.
     Share,
     /// A whole number.
     Count {
-        /// The smallest.
+        /// The minimum.
         least: u64,
-        /// The largest.
+        /// The maximum.
         most: u64,
     },
-    /// Events a second: `50/s`.
+    /// Events per second: `50/s`.
     Rate {
-        /// The largest.
+        /// The maximum.
         most: f64,
     },
     /// One of these words.
     Choice(&'static [&'static str]),
-    /// An address with a port.
+    /// An IP address with a port.
     Address,
-    /// Letters, digits, `.`, `_` and `-`, 64 at most.
+    /// At most 64 ASCII letters, digits, `.`, `_` or `-`.
     Name,
     /// A path of the file system.
     Path,
-    /// Any text.
+    /// Any string.
     Text,
 }
 
-/// A value that fits its kind.
+/// A parsed value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A size in bytes, a time in microseconds, or a count.
     Number(u64),
     /// A share or a rate.
     Real(f64),
-    /// An address with a port.
+    /// An IP address with a port.
     Address(SocketAddr),
     /// A choice, name, path or text.
     Text(String),
 }
 
-/// Characters of a name.
+/// Maximum length of a name.
 const MAX_NAME_LENGTH: usize = 64;
-/// A size or time with a fraction stays under this.
+/// Exclusive maximum of a size or time that is written with a fraction, so that the conversion from
+/// `f64` can't overflow.
 const MAX_SCALED: f64 = 1e18;
-/// Units of size, in bytes.
+/// Names of the units of size, with their bytes.
 const SIZES: [(&str, u64); 5] = [
     ("TB", 1 << 40),
     ("GB", 1 << 30),
@@ -70,7 +71,7 @@
     ("KB", 1 << 10),
     ("B", 1),
 ];
-/// Units of time, in microseconds.
+/// Names of the units of time, with their microseconds.
 const TIMES: [(&str, u64); 5] = [
     ("us", 1),
     ("ms", 1_000),
@@ -79,8 +80,8 @@
     ("h", 3_600_000_000),
 ];
 
-/// A number in the largest unit that leaves no fraction, as a person would write it.
-fn in_units(value: u64, units: &[(&str, u64)]) -> String {
+/// Formats a number in the largest unit that leaves no fraction.
+fn format_with_unit(value: u64, units: &[(&str, u64)]) -> String {
     let fits = units
         .iter()
         .filter(|(_, unit)| value.is_multiple_of(*unit) && value >= *unit);
@@ -90,21 +91,25 @@
     }
 }
 
-/// " from 1 to 64", as far as the bounds bind.
+/// Returns a description such as " from 1 to 64". A minimum of 0 and a maximum of `u64::MAX` are
+/// omitted.
 fn describe_bounds(least: u64, most: u64, units: &[(&str, u64)]) -> String {
     match (least, most) {
         (0, u64::MAX) => String::new(),
-        (least, u64::MAX) => format!(" of {} at least", in_units(least, units)),
-        (0, most) => format!(" of {} at most", in_units(most, units)),
+        (least, u64::MAX) => format!(" of at least {}", format_with_unit(least, units)),
+        (0, most) => format!(" of at most {}", format_with_unit(most, units)),
         (least, most) => {
-            let (least, most) = (in_units(least, units), in_units(most, units));
+            let (least, most) = (
+                format_with_unit(least, units),
+                format_with_unit(most, units),
+            );
             format!(" from {least} to {most}")
         }
     }
 }
 
 impl ValueKind {
-    /// What is expected, in words.
+    /// Describes the expected value, as a part of an error message.
     pub fn expected(&self) -> String {
         match self {
             ValueKind::Size { least, most } => {
@@ -120,16 +125,16 @@
             ValueKind::Count { least, most } => {
                 format!("a whole number{}", describe_bounds(*least, *most, &[]))
             }
-            ValueKind::Rate { most } => format!("a rate like 50/s, {most}/s at most"),
+            ValueKind::Rate { most } => format!("a rate like 50/s, at most {most}/s"),
             ValueKind::Choice(words) => format!("one of {}", words.join(", ")),
             ValueKind::Address => "an address with a port, like 127.0.0.1:7000".into(),
-            ValueKind::Name => "a name of letters, digits, '.', '_' or '-', 64 at most".into(),
+            ValueKind::Name => "a name of at most 64 letters, digits, '.', '_' or '-'".into(),
             ValueKind::Path => "a path".into(),
             ValueKind::Text => "a text".into(),
         }
     }
 
-    /// The word that stands for such a value in the usage of a directive.
+    /// Returns the placeholder for such a value in the syntax of a directive.
     pub fn placeholder(&self) -> String {
         match self {
             ValueKind::Size { .. } => "SIZE".into(),
@@ -145,12 +150,16 @@
         }
     }
 
-    /// Parses a value of this kind; `None` where the text is none.
+    /// Parses a value of this kind, or returns `None` if the text is not one.
     pub fn parse(&self, text: &str) -> Option<Value> {
         match self {
-            ValueKind::Size { least, most } => bounded(parse_scaled(text, &SIZES)?, *least, *most),
-            ValueKind::Time { least, most } => bounded(parse_scaled(text, &TIMES)?, *least, *most),
-            ValueKind::Count { least, most } => bounded(parse_whole(text)?, *least, *most),
+            ValueKind::Size { least, most } => {
+                check_limits(parse_scaled(text, &SIZES)?, *least, *most)
+            }
+            ValueKind::Time { least, most } => {
+                check_limits(parse_scaled(text, &TIMES)?, *least, *most)
+            }
+            ValueKind::Count { least, most } => check_limits(parse_whole(text)?, *least, *most),
             ValueKind::Share => {
                 let share = parse_decimal(text.strip_suffix('%')?)? / 100.0;
                 (0.0..=1.0).contains(&share).then_some(Value::Real(share))
@@ -171,7 +180,7 @@
     }
 }
 
-fn bounded(number: u64, least: u64, most: u64) -> Option<Value> {
+fn check_limits(number: u64, least: u64, most: u64) -> Option<Value> {
     (least..=most)
         .contains(&number)
         .then_some(Value::Number(number))
@@ -186,7 +195,7 @@
     !text.is_empty() && text.len() <= MAX_NAME_LENGTH && text.chars().all(is_allowed)
 }
 
-/// Digits alone.
+/// Parses a number that consists of digits only.
 fn parse_whole(text: &str) -> Option<u64> {
     let is_whole = text.bytes().all(|byte| byte.is_ascii_digit());
     if is_whole {
@@ -196,7 +205,7 @@
     }
 }
 
-/// Digits with at most one point: neither signs nor exponents nor words.
+/// Parses digits with at most one point. Signs, exponents and words like `inf` are rejected.
 fn parse_decimal(text: &str) -> Option<f64> {
     let is_allowed = |byte: u8| byte.is_ascii_digit() || byte == b'.';
     let is_decimal = text.bytes().all(is_allowed) && text.bytes().any(|byte| byte.is_ascii_digit());
@@ -207,7 +216,7 @@
     }
 }
 
-/// A number with one of the units; 0 needs none.
+/// Parses a number with one of the units, which only `0` may lack.
 fn parse_scaled(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     if text == "0" {
         return Some(0);
@@ -226,7 +235,7 @@
 }
 
 impl Value {
-    /// The number of a size, time or count; 0 of another kind.
+    /// Returns the number of a size, time or count, and 0 for any other value.
     pub fn number(&self) -> u64 {
         match self {
             Value::Number(number) => *number,
@@ -234,7 +243,7 @@
         }
     }
 
-    /// The number of a share or rate, or of a size, time or count; 0 of another kind.
+    /// Returns the number of a share, rate, size, time or count, and 0 for any other value.
     pub fn real(&self) -> f64 {
         match self {
             Value::Real(real) => *real,
@@ -243,7 +252,7 @@
         }
     }
 
-    /// The text of a choice, name, path or text; empty of another kind.
+    /// Returns the text of a choice, name, path or text, and an empty string for any other value.
     pub fn text(&self) -> &str {
         match self {
             Value::Text(text) => text,
--- a/crates/config-syntax/tests/texts.rs
+++ b/crates/config-syntax/tests/texts.rs
@@ -1,4 +1,4 @@
-//! Good and bad texts: what is read, and what is said of what can't be.
+//! Valid and invalid texts: the parsed settings, and the errors with their locations.
 
 use eideryard_config_syntax::include::IncludedFile;
 use eideryard_config_syntax::{read, ConfigError, Directive, Setting, ValueKind};
@@ -85,8 +85,8 @@
 }
 
 #[test]
-fn values_are_read_in_their_units() {
-    let text = "# all of it\nsize 64MB # behind\n\n  pause 1.5s\ntitle \"a \\\"b\\\" # c {\"\nlisten 127.0.0.1:7000\n\
+fn values_are_parsed_with_their_units() {
+    let text = "# all of it\nsize 64MB # after\n\n  pause 1.5s\ntitle \"a \\\"b\\\" # c {\"\nlisten 127.0.0.1:7000\n\
                 rate 2.5/s\nengine e-1 {\n  cores 4\n  share 20%\n}\nengine e_2 {\n}\nat 4s kill a b for 250ms\n\
                 include more.conf\n";
     let settings = parse(text).unwrap();
@@ -116,16 +116,13 @@
     assert_eq!(settings[8].location.file.as_ref(), "more.conf");
 }
 
-/// Each with where it is found, and words of what is said.
+/// Each case has the text, the line and column of the error, and a part of the message.
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, told from its beginning to its end"
-)]
-fn what_is_wrong_is_named_with_its_place_and_a_remedy() {
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
+fn errors_contain_the_location_and_a_remedy() {
     let cases = [
         ("sise 1MB", 1, 1, "did you mean 'size'?"),
-        ("color red", 1, 1, "known here: size, pause"),
+        ("color red", 1, 1, "expected one of: size, pause"),
         ("\n\n  size 1TB", 3, 8, "a size like 64MB from 1KB to 1GB"),
         ("size 64", 1, 6, "expected a size"),
         ("size 64mb", 1, 6, "expected a size"),
@@ -144,11 +141,11 @@
             "size 1MB\nmode fast\nsize 2MB",
             3,
             1,
-            "it stands at a.conf:1:1 already",
+            "it is already set at a.conf:1:1",
         ),
         ("engine e-1", 1, 1, "lacks its block"),
         ("size 1MB {\n}", 1, 1, "takes no block"),
-        ("engine e/1 {\n}", 1, 8, "a name of letters"),
+        ("engine e/1 {\n}", 1, 8, "a name of at most 64 letters"),
         (
             "engine e {\ncores 0\n}",
             2,
@@ -158,45 +155,45 @@
         ("engine e {\ncores 1\ncores 2\n}", 3, 1, "given twice"),
         ("engine e {\nshare 120%\n}", 2, 7, "from 0% to 100%"),
         ("engine e {\n", 1, 1, "add a line with '}'"),
-        ("}", 1, 1, "closes nothing"),
-        ("engine e { cores 1 }", 1, 12, "can't stand here"),
-        ("title \"open", 1, 7, "quoted text isn't closed"),
-        ("title \"a\\n\"", 1, 7, "stray backslash"),
-        ("at 4s", 1, 1, "lacks a directive behind its values"),
+        ("}", 1, 1, "without an open block"),
+        ("engine e { cores 1 }", 1, 12, "unexpected character 'c'"),
+        ("title \"open", 1, 7, "quoted string is not closed"),
+        ("title \"a\\n\"", 1, 7, "invalid escape"),
+        ("at 4s", 1, 1, "lacks a directive after its values"),
         ("at 4s kil a", 1, 7, "did you mean 'kill'?"),
         ("at 4s kill", 1, 7, "lacks a value"),
-        ("at 4s kill a for", 1, 7, "lacks a value behind 'for'"),
+        ("at 4s kill a for", 1, 7, "lacks a value after 'for'"),
         ("at 4s kill a for 1s for 2s", 1, 21, "given twice"),
         ("include", 1, 1, "write: include FILE"),
         ("include nowhere.conf", 1, 9, "no such file"),
-        ("include loop.conf", 1, 1, "too many files"),
-        ("größe 1MB", 1, 1, "is no directive"),
+        ("include loop.conf", 1, 1, "too many included files"),
+        ("größe 1MB", 1, 1, "is not a directive"),
     ];
-    for (text, line, column, words) in cases {
+    for (text, line, column, message) in cases {
         let error = parse(text).expect_err(text);
         assert_eq!(
             (error.location.line, error.location.column),
             (line, column),
             "{text}: {error}"
         );
-        assert!(error.to_string().contains(words), "{text}: {error}");
+        assert!(error.to_string().contains(message), "{text}: {error}");
     }
     let deep = "engine e {\n".repeat(1000);
     assert!(parse(&deep)
         .unwrap_err()
         .problem
-        .contains("too many blocks"));
+        .contains("too many nested blocks"));
     assert!(parse(&" ".repeat(2 << 20))
         .unwrap_err()
         .problem
         .contains("too long"));
 }
 
-/// Seeded mutations of a good text: read or refused, in bounded time, and the place lies within the
-/// text.
+/// Guards against panics and endless loops on invalid input: mutated texts are either parsed or
+/// rejected with a location that is within the text.
 #[test]
-fn mutated_texts_are_read_or_refused() {
-    const GOOD: &str =
+fn mutated_texts_are_parsed_or_rejected() {
+    const VALID: &str =
         "size 64MB\npause 1.5s # x\ntitle \"a b\"\nengine e-1 {\n cores 4\n}\nat 4s kill a b for 1s\n";
     let mut rng = fastrand::Rng::with_seed(5);
     let pieces = [
@@ -216,9 +213,9 @@
         "99999999999",
         "%",
     ];
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..20_000 {
-        let mut text: Vec<char> = GOOD.chars().collect();
+        let mut text: Vec<char> = VALID.chars().collect();
         for _ in 0..rng.usize(1..4) {
             let at = rng
                 .usize(0..text.len().max(1))
@@ -234,7 +231,7 @@
         }
         let text: String = text.into_iter().collect();
         if let Err(error) = parse(&text) {
-            refused += 1;
+            rejected += 1;
             let lines: Vec<&str> = text.lines().collect();
             let line = lines.get(error.location.line - 1).copied().unwrap_or("");
             assert!(
@@ -243,11 +240,11 @@
             );
         }
     }
-    assert!((5_000..20_000).contains(&refused), "{refused}");
+    assert!((5_000..20_000).contains(&rejected), "{rejected}");
 }
 
 #[test]
-fn the_reference_names_every_directive_once() {
+fn the_reference_contains_every_directive_once() {
     let page = eideryard_config_syntax::reference(TABLE);
     for name in [
         "`size SIZE`",
--- a/crates/emulators/tests/scenarios.rs
+++ b/crates/emulators/tests/scenarios.rs
@@ -41,7 +41,7 @@
             "a.scenario:1:1: 'e-9' is not there; there are: e-1, e-2",
         ),
         ("at 1s stall e-1 for ever", "a time like 250ms"),
-        ("at 1s explode e-1", "is no directive"),
+        ("at 1s explode e-1", "is not a directive"),
         (
             "load a {\n class booking\n}",
             "class 'booking', which is not there",
@@ -51,7 +51,10 @@
             "tenant 'nobody', which is not there",
         ),
         ("load a {\n from 10.0.0.1\n}", "expected one of 127.0.0.0/8"),
-        ("at 1s bulletin sideways", "known here: up, down, silent"),
+        (
+            "at 1s bulletin sideways",
+            "expected one of: up, down, silent",
+        ),
         ("at 1s kill-gateway g1", "'g1' is not there"),
     ] {
         let said = read(text).expect_err(text);
--- a/crates/operator-config/src/directives.rs
+++ b/crates/operator-config/src/directives.rs
@@ -1,155 +1,158 @@
-//! The directives of the operator's file, with their help. The words are an interface.
+//! The directives of the operator's file, with their help texts. Operators depend on the names of
+//! directives and values.
 
 use eideryard_config_syntax::{Directive, ValueKind};
 
-/// Bytes of a megabyte.
+/// One megabyte in bytes.
 pub(crate) const MB: u64 = 1 << 20;
-/// Microseconds of a second.
+/// One second in microseconds.
 pub(crate) const SECOND: u64 = 1_000_000;
-/// Microseconds of a day.
+/// One day in microseconds.
 const DAY: u64 = 86_400 * SECOND;
-/// Directives of a `fleet` block.
+/// The directives of a `fleet` block.
 const FLEET: &[Directive] = &[
     Directive::new(
         "listen",
         &[ValueKind::Address],
-        "nowhere; keepers need one",
-        "Where other gateways of the fleet reach this one. No sign-in: a network of the fleet's own.",
+        "none; required for a keeper",
+        "Address at which this gateway accepts connections from the other gateways of the fleet. There is no \
+         authentication: use a private network.",
     ),
     Directive::new(
         "keeper",
         &[ValueKind::Name, ValueKind::Address],
-        "none; a fleet needs 3, 5 or 7",
-        "A gateway that holds copies and votes, by its name in the platform's configuration.",
+        "none; a fleet needs 3, 5 or 7 keepers",
+        "A gateway that keeps replicas and votes. NAME is its name in the platform's configuration.",
     )
     .repeatable(),
     Directive::new(
         "task",
         &[ValueKind::Choice(&["probe"])],
-        "none: each for itself",
-        "Work that one gateway does for all: `probe` asks each engine for its load once a second; all \
-         hear it.",
+        "none; each gateway works for itself",
+        "Work that one gateway does for the whole fleet. `probe`: it asks each engine for its load once a second \
+         and sends the answers to all gateways.",
     )
     .repeatable(),
     Directive::new(
         "without-majority",
         &[ValueKind::Choice(&["refuse", "send"])],
         "refuse",
-        "Keyed and unsafe requests while no majority of keepers can hold their intents: refused with advice, \
-         or sent at the risk of a second effect.",
+        "What happens to keyed and unsafe requests while no majority of keepers can store their intents: they are \
+         refused with advice when to retry, or sent at the risk that they take effect twice.",
     ),
 ];
 
-/// Every directive of the operator's file.
+/// The directives of the operator's file outside of blocks. Those of a block belong to its
+/// directive.
 pub const TABLE: &[Directive] = &[
     Directive::new(
         "record-dir",
         &[ValueKind::Path],
-        "no record",
-        "Directory of the event record; it is made where it is missing. Turns the record on.",
+        "no event log",
+        "Directory of the event log, created if missing. Turns the event log on.",
     ),
     Directive::new(
         "record-budget",
         &[ValueKind::Size { least: MB, most: 1 << 40 }],
         "256MB",
-        "Bytes of all segments of this gateway together; the oldest go first.",
+        "Maximum size of all segments of this gateway together. The oldest segments are deleted first.",
     ),
     Directive::new(
         "record-segment",
         &[ValueKind::Size { least: 64 << 10, most: 1 << 30 }],
-        "8MB, a quarter of the budget at most",
-        "A segment ends at this size. Reading can begin at each segment's start.",
+        "8MB, but at most a quarter of record-budget",
+        "Size at which a segment ends. Reading can start at the beginning of any segment.",
     ),
     Directive::new(
         "record-segment-time",
         &[ValueKind::Time { least: SECOND, most: DAY }],
         "10m",
-        "A segment ends after this time, however small it is.",
+        "Time after which a segment ends, however small it is.",
     ),
     Directive::new(
         "spool-memory",
         &[ValueKind::Size { least: MB, most: 1 << 40 }],
         "no spool",
-        "Memory for results that clients take by pages. Turns the spool and its methods on.",
+        "Memory for results that clients fetch in pages. Turns the result spool and its methods on.",
     ),
     Directive::new(
         "spool-dir",
         &[ValueKind::Path],
         "memory only",
-        "Directory of the spool's files, which are removed with their results.",
+        "Directory of the spool's files. Each file is deleted together with its results.",
     ),
     Directive::new(
         "spool-disk",
         &[ValueKind::Size { least: MB, most: 1 << 44 }],
         "1GB",
-        "Bytes of these files at the most.",
+        "Maximum size of the files in spool-dir together.",
     ),
     Directive::new(
         "spool-result",
         &[ValueKind::Size { least: 48 << 10, most: 1 << 40 }],
-        "a quarter of memory and disk",
-        "The largest single result; a larger one fails.",
+        "a quarter of spool-memory and spool-disk together",
+        "Maximum size of a single result. A larger result fails.",
     ),
     Directive::new(
         "spool-unclaimed",
         &[ValueKind::Time { least: SECOND, most: DAY }],
         "60s",
-        "How long a result waits for its client, from its last use.",
+        "How long a result waits for its client, counted from its last use.",
     ),
     Directive::new(
         "spool-delivered",
         &[ValueKind::Time { least: SECOND, most: DAY }],
         "15s",
-        "How long one that was delivered is kept for a client that comes again.",
+        "How long a delivered result is kept, in case the client requests it again.",
     ),
     Directive::new(
         "spool-key",
         &[ValueKind::Text],
-        "none; the spool needs one",
-        "Secret that page tokens are made with, 16 characters at least.",
+        "none; required for the spool",
+        "Secret that page tokens are made with, at least 16 characters.",
     ),
     Directive::new(
         "spool-previous-key",
         &[ValueKind::Text],
         "none",
-        "The secret before it: its tokens are taken still.",
+        "The previous secret. Tokens that were made with it are still accepted.",
     ),
     Directive::new(
         "store-dir",
         &[ValueKind::Path],
         "no store",
-        "Directory of this gateway's durable state, one for each; made where it is missing. Turns it on.",
+        "Directory of this gateway's durable state, created if missing. Each gateway needs its own. Turns the store on.",
     ),
     Directive::new(
         "store-budget",
         &[ValueKind::Size { least: MB, most: 1 << 40 }],
         "64MB",
-        "Bytes of the store's files at the most; a third of them may be live.",
+        "Maximum size of the store's files together. At most a third of it may be live data.",
     ),
     Directive::new(
         "fleet",
         &[ValueKind::Name],
         "alone",
-        "The fleet that this gateway shares its intents with, in a block. It needs store-dir.",
+        "The fleet that this gateway shares its intents with. Requires store-dir.",
     )
     .block(FLEET),
     Directive::new(
         "log-level",
         &[ValueKind::Choice(&["error", "warn", "info", "debug", "trace"])],
         "info",
-        "The least serious lines that are logged. `EIDERYARD_LOG` goes before it.",
+        "The least severe level that is logged. `EIDERYARD_LOG` takes precedence.",
     ),
     Directive::new(
         "log-target",
         &[ValueKind::Text, ValueKind::Choice(&["off", "error", "warn", "info", "debug", "trace"])],
-        "as log-level",
-        "Another level for one part of the program, by the target that its lines name.",
+        "the same as log-level",
+        "A different level for one part of the program. TEXT is the target in its log lines.",
     )
     .repeatable(),
     Directive::new(
         "log-format",
         &[ValueKind::Choice(&["text", "json"])],
         "text",
-        "Lines of text, or one JSON object a line.",
+        "Format of the log: lines of text, or one JSON object per line.",
     ),
 ];
--- a/crates/operator-config/src/event_log.rs
+++ b/crates/operator-config/src/event_log.rs
@@ -1,4 +1,4 @@
-//! The event log: `record-…`.
+//! The configuration of the event log, from the `record-…` directives.
 
 use std::path::PathBuf;
 
@@ -7,11 +7,11 @@
 use crate::directives::{MB, SECOND};
 use crate::settings::Settings;
 
-/// Bytes of all segments where nothing is set.
+/// Default of `record-budget`, in bytes.
 const DEFAULT_BUDGET: u64 = 256 * MB;
-/// Bytes of a segment where nothing is set; at most a quarter of the budget.
+/// Default of `record-segment`, in bytes, unless a quarter of the budget is less.
 const DEFAULT_SEGMENT: u64 = 8 * MB;
-/// Microseconds of a segment where nothing is set.
+/// Default of `record-segment-time`, in microseconds.
 const DEFAULT_SEGMENT_TIME: u64 = 600 * SECOND;
 
 /// Where the event log is written, and how much of it is kept.
@@ -19,11 +19,11 @@
 pub struct EventLogConfig {
     /// Directory of the segments.
     pub directory: PathBuf,
-    /// Bytes of all segments together.
+    /// Maximum size in bytes of all segments together.
     pub budget: u64,
-    /// Bytes at which a segment ends.
+    /// Size in bytes at which a segment ends.
     pub segment: u64,
-    /// Microseconds after which a segment ends.
+    /// Time in microseconds after which a segment ends.
     pub segment_time: u64,
 }
 
@@ -32,8 +32,8 @@
     let segment = settings.number_or("record-segment", DEFAULT_SEGMENT.min(budget / 4));
     check_segment(settings, segment, budget)?;
     let Some(directory) = settings.text("record-dir") else {
-        let remedy = "add record-dir PATH, which turns it on";
-        settings.reject_prefix("record-", "a record", remedy)?;
+        let remedy = "add record-dir PATH, which turns the event log on";
+        settings.reject_prefix("record-", "an event log", remedy)?;
         return Ok(None);
     };
     Ok(Some(EventLogConfig {
@@ -56,7 +56,7 @@
     };
     Err(ConfigError::new(
         setting.location.clone(),
-        "a segment takes more than half of the budget",
+        "a segment is larger than half of the budget",
         "raise record-budget or lower record-segment",
     ))
 }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet that a gateway shares its intents with: the `fleet` block.
+//! The configuration of the fleet that a gateway shares its intents with, from the `fleet` block.
 
 use std::net::SocketAddr;
 
@@ -6,21 +6,24 @@
 
 use crate::settings::Settings;
 
-/// Numbers of voters that a fleet may have: odd, so that each majority is as small as it can be.
+/// The allowed numbers of voters. With an even number, a majority would be larger without
+/// tolerating more failures.
 const VOTER_COUNTS: [usize; 3] = [3, 5, 7];
 
-/// The fleet that a gateway is of.
+/// The fleet that a gateway is a member of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetConfig {
     /// Name of the fleet.
     pub name: String,
-    /// Where other gateways reach this one.
+    /// Address for connections from other gateways. A voter needs one; `None`: the gateway accepts
+    /// none.
     pub listen: Option<SocketAddr>,
-    /// Name and address of each voter, in the order of their names.
+    /// Name and address of each voter, sorted by name. The file calls them keepers.
     pub voters: Vec<(String, SocketAddr)>,
-    /// Keyed requests are sent without a majority too.
+    /// Whether keyed and unsafe requests are sent while no majority of voters is reachable, at the
+    /// risk that they take effect twice.
     pub may_send_without_majority: bool,
-    /// One gateway probes each engine for all.
+    /// Whether one gateway at a time probes each engine for the whole fleet.
     pub has_shared_probes: bool,
 }
 
@@ -34,7 +37,7 @@
     if !has_store {
         return Err(ConfigError::new(
             fleet.location.clone(),
-            "a fleet without a store: intents could not be made durable",
+            "a fleet needs a store to make intents durable",
             "add store-dir PATH",
         ));
     }
@@ -42,7 +45,7 @@
     let without_majority = table::find(&fleet.block, "without-majority");
     Ok(Some(FleetConfig {
         name: fleet.values[0].text().to_string(),
-        listen: listen.and_then(|setting| address(setting.values.first()?)),
+        listen: listen.and_then(|setting| socket_address(setting.values.first()?)),
         voters: read_voters(fleet)?,
         may_send_without_majority: without_majority
             .is_some_and(|setting| setting.values[0].text() == "send"),
@@ -58,18 +61,18 @@
         .filter(|setting| setting.name == "keeper")
     {
         let name = setting.values[0].text();
-        let Some(address) = address(&setting.values[1]) else {
+        let Some(address) = socket_address(&setting.values[1]) else {
             return Err(ConfigError::new(
                 setting.location.clone(),
-                "a keeper's address can't be used",
-                "write ADDRESS:PORT",
+                "the address of the keeper is not valid",
+                "write: keeper NAME ADDRESS:PORT",
             ));
         };
-        if voters.iter().any(|(known, _)| known == name) {
+        if voters.iter().any(|(other, _)| other == name) {
             return Err(ConfigError::new(
                 setting.location.clone(),
-                &format!("keeper '{name}' stands there twice"),
-                "each keeper has one line",
+                &format!("keeper '{name}' is given twice"),
+                "remove one",
             ));
         }
         voters.push((name.to_string(), address));
@@ -77,8 +80,8 @@
     if !VOTER_COUNTS.contains(&voters.len()) {
         return Err(ConfigError::new(
             fleet.location.clone(),
-            &format!("a fleet with {} keepers", voters.len()),
-            "name 3, 5 or 7: keeper NAME ADDRESS",
+            &format!("the fleet has {} keepers", voters.len()),
+            "expected 3, 5 or 7; write one line for each: keeper NAME ADDRESS",
         ));
     }
     voters.sort();
@@ -90,7 +93,7 @@
     tasks.any(|setting| setting.values[0].text() == task)
 }
 
-fn address(value: &Value) -> Option<SocketAddr> {
+fn socket_address(value: &Value) -> Option<SocketAddr> {
     match value {
         Value::Address(address) => Some(*address),
         _ => None,
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,7 +1,8 @@
-//! The operator's file: what an operator may set beside the platform's configuration.
+//! The operator's file, which contains settings in addition to the platform's configuration.
 //!
-//! All directives stand in [`TABLE`], from which the reference page is made; each part of the file
-//! becomes a typed configuration of its own. Nothing is kept, and without a file nothing changes.
+//! [`TABLE`] defines all directives; the reference page is generated from it. Each group of
+//! directives is converted to its own type, such as [`StoreConfig`]. Without a file, all optional
+//! parts are off.
 //!
 //! ```
 //! use eideryard_operator_config::OperatorConfig;
@@ -34,43 +35,43 @@
 
 use settings::Settings;
 
-/// Why an operator's file can't be used.
+/// Why the operator's file was rejected.
 #[derive(Debug, Error)]
 pub enum OperatorFileError {
-    /// The file can't be read.
-    #[error("operator's file {path}: {error}")]
+    /// The file can't be opened or is not UTF-8.
+    #[error("can't read the operator's file {path}: {error}")]
     Io {
         /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// Its text can't be used.
+    /// The file contains an invalid line or setting.
     #[error(transparent)]
     Text(#[from] ConfigError),
 }
 
-/// All that an operator's file sets.
+/// The settings of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// The event log; off where it is not set.
+    /// The event log; `None`: off.
     pub event_log: Option<EventLogConfig>,
-    /// Spooled results; off where they are not set.
+    /// The result spool; `None`: off.
     pub spool: Option<SpoolConfig>,
-    /// Durable state; off where it is not set.
+    /// The store for durable state; `None`: off.
     pub store: Option<StoreConfig>,
-    /// The fleet that this gateway is of; alone where it is not set.
+    /// The fleet that this gateway is a member of; `None`: it works alone.
     pub fleet: Option<FleetConfig>,
-    /// The log.
+    /// Levels and format of the program's log on standard error.
     pub log: LogConfig,
 }
 
 impl OperatorConfig {
-    /// Reads the file at a path and what it includes.
+    /// Reads the file at `path` and the files that it includes.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or its text can't be used.
+    /// Returns an error if the file can't be read or contains an invalid line or setting.
     pub fn from_file(path: &str) -> Result<Self, OperatorFileError> {
         let text = std::fs::read_to_string(path).map_err(|error| OperatorFileError::Io {
             path: path.to_string(),
@@ -79,11 +80,11 @@
         Ok(Self::read(path, &text)?)
     }
 
-    /// Reads the text of a file; `file` is its name in errors.
+    /// Parses the text of a file; `file` is its name in errors.
     ///
     /// # Errors
     ///
-    /// The first place that can't be used, with the remedy.
+    /// Returns the location of the first invalid line or setting, with the remedy.
     pub fn read(file: &str, text: &str) -> Result<Self, ConfigError> {
         let settings = eideryard_config_syntax::read(file, text, TABLE, &open_include_file)?;
         let settings = Settings(&settings);
--- a/crates/operator-config/src/log.rs
+++ b/crates/operator-config/src/log.rs
@@ -1,15 +1,15 @@
-//! The log: `log-…`.
+//! The configuration of the log, from the `log-…` directives.
 
 use crate::settings::Settings;
 
-/// Which lines are logged, and in which form.
+/// Which events are logged, and in which format.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogConfig {
-    /// The least serious level that is logged.
+    /// The least severe level that is logged; `None`: `info`.
     pub level: Option<String>,
-    /// Other levels, by target.
+    /// Pairs of a target and its level, which replaces `level` for this target.
     pub targets: Vec<(String, String)>,
-    /// One JSON object a line instead of text.
+    /// Whether each line is a JSON object instead of text.
     pub json: bool,
 }
 
--- a/crates/operator-config/src/spool.rs
+++ b/crates/operator-config/src/spool.rs
@@ -1,4 +1,4 @@
-//! Spooled results: `spool-…`.
+//! The configuration of the result spool, from the `spool-…` directives.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -8,37 +8,38 @@
 use crate::directives::SECOND;
 use crate::settings::Settings;
 
-/// Characters of a secret at least.
+/// Minimum length in bytes of the secret for page tokens.
 const MIN_KEY_LENGTH: usize = 16;
-/// Bytes on disk where a directory is set and nothing else.
+/// Default of `spool-disk`, in bytes, if `spool-dir` is given.
 const DEFAULT_DISK: u64 = 1 << 30;
-/// Microseconds that a result waits for its client where nothing is set.
+/// Default of `spool-unclaimed`, in microseconds.
 const DEFAULT_UNCLAIMED: u64 = 60 * SECOND;
-/// Microseconds that a delivered result is kept where nothing is set.
+/// Default of `spool-delivered`, in microseconds.
 const DEFAULT_DELIVERED: u64 = 15 * SECOND;
 
-/// Room for spooled results, how long they are kept, and the secrets of page tokens.
+/// Limits on the size and age of spooled results, and the secrets for page tokens.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SpoolConfig {
-    /// Bytes in memory.
+    /// Maximum size in bytes of the results in memory together.
     pub memory: u64,
-    /// Directory of the files; memory only where it is not set.
+    /// Directory of the spool's files; `None`: results are kept in memory only.
     pub directory: Option<PathBuf>,
-    /// Bytes on disk.
+    /// Maximum size in bytes of the spool's files together; 0 without a directory.
     pub disk: u64,
-    /// Bytes of the largest single result.
+    /// Maximum size in bytes of a single result.
     pub result: u64,
-    /// Microseconds that a result waits for its client, from its last use.
+    /// Microseconds that a result waits for its client, counted from its last use.
     pub unclaimed: u64,
-    /// Microseconds that a delivered result is kept.
+    /// Microseconds that a delivered result is kept, in case the client requests it again.
     pub delivered: u64,
-    /// The secret that page tokens are made with.
+    /// The secret that page tokens are made with, at least 16 characters.
     pub key: String,
-    /// The secret before it, whose tokens are still valid.
+    /// The previous secret, whose tokens are still accepted; `None`: only tokens made with `key`
+    /// are accepted.
     pub previous_key: Option<String>,
 }
 
-/// Without the secrets.
+/// Omits the secrets, so that they never appear in a log.
 impl fmt::Debug for SpoolConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("SpoolConfig")
@@ -51,8 +52,8 @@
 }
 
 pub(crate) fn read(settings: &Settings<'_>) -> Result<Option<SpoolConfig>, ConfigError> {
-    let Some(turns_on) = settings.get("spool-memory") else {
-        let remedy = "add spool-memory SIZE, which turns it on";
+    let Some(memory_setting) = settings.get("spool-memory") else {
+        let remedy = "add spool-memory SIZE, which turns the spool on";
         settings.reject_prefix("spool-", "a spool", remedy)?;
         return Ok(None);
     };
@@ -69,19 +70,19 @@
         result: settings.number_or("spool-result", (memory + disk) / 4),
         unclaimed: settings.number_or("spool-unclaimed", DEFAULT_UNCLAIMED),
         delivered: settings.number_or("spool-delivered", DEFAULT_DELIVERED),
-        key: read_key(settings, turns_on)?,
+        key: read_key(settings, memory_setting)?,
         previous_key: settings.text("spool-previous-key"),
     }))
 }
 
-fn read_key(settings: &Settings<'_>, turns_on: &Setting) -> Result<String, ConfigError> {
+fn read_key(settings: &Settings<'_>, memory_setting: &Setting) -> Result<String, ConfigError> {
     match settings.text("spool-key") {
         Some(key) if key.len() >= MIN_KEY_LENGTH => Ok(key),
         _ => {
-            let setting = settings.get("spool-key").unwrap_or(turns_on);
+            let setting = settings.get("spool-key").unwrap_or(memory_setting);
             Err(ConfigError::new(
                 setting.location.clone(),
-                "the spool has no secret of 16 characters",
+                "the spool needs a secret of at least 16 characters",
                 "add spool-key SECRET",
             ))
         }
--- a/crates/operator-config/src/store.rs
+++ b/crates/operator-config/src/store.rs
@@ -1,4 +1,4 @@
-//! Durable state: `store-…`.
+//! The configuration of the store for durable state, from the `store-…` directives.
 
 use std::path::PathBuf;
 
@@ -7,15 +7,15 @@
 use crate::directives::MB;
 use crate::settings::Settings;
 
-/// Bytes of the store's files where nothing is set.
+/// Default of `store-budget`, in bytes.
 const DEFAULT_BUDGET: u64 = 64 * MB;
 
-/// Where durable state is kept, and how much.
+/// Where durable state is stored, and how much space it may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreConfig {
-    /// Directory of the store.
+    /// Directory of the store's files. Each gateway needs its own.
     pub directory: PathBuf,
-    /// Bytes of its files at most.
+    /// Maximum size in bytes of the store's files together.
     pub budget: u64,
 }
 
@@ -31,7 +31,7 @@
     };
     Err(ConfigError::new(
         setting.location.clone(),
-        "'store-budget' without a store",
-        "add store-dir PATH, which turns it on",
+        "'store-budget' has no effect without a store",
+        "add store-dir PATH, which turns the store on",
     ))
 }
