--- a/crates/background-scheduler/src/lib.rs
+++ b/crates/background-scheduler/src/lib.rs
@@ -1,17 +1,17 @@
-//! Work that may wait, done a little at a time so that urgent work never does.
+//! Scheduling of background work in small jobs, so that it never delays requests.
 //!
-//! [`Scheduler`] chooses the next job by priority, within a budget of time for each round of the
-//! event loop and of bytes for each second. [`Wheel`] holds deadlines in a hierarchical timing
-//! wheel: setting and cancelling one costs the same however many there are. Both are pure and own
-//! nothing but their queues: the time is an argument, the host does the work.
+//! [`Scheduler`] selects the next job by urgency, within a time budget per round of the event loop
+//! and a byte budget per second. [`Wheel`] is a hierarchical timing wheel for deadlines: setting
+//! and cancelling one takes constant time. Neither does I/O or reads a clock: the caller passes the
+//! time and executes the jobs.
 //!
 //! ```
 //! use eideryard_background_scheduler::{Budget, Scheduler, Urgency};
 //!
 //! let budget = Budget { round_time: 500, bytes_per_s: 64e6 };
 //! let mut scheduler = Scheduler::new(budget, 0);
-//! scheduler.submit(0, Urgency::Cleanup, "tidy", 100).expect("room");
-//! scheduler.submit(0, Urgency::FreeSpace, "move to disk", 100).expect("room");
+//! scheduler.submit(0, Urgency::Cleanup, "rewrite", 100).expect("queue is not full");
+//! scheduler.submit(0, Urgency::FreeSpace, "move to disk", 100).expect("queue is not full");
 //! let job = scheduler.next_job(10).expect("a job");
 //! assert_eq!(job.work, "move to disk");
 //! ```
--- a/crates/background-scheduler/src/scheduler.rs
+++ b/crates/background-scheduler/src/scheduler.rs
@@ -1,37 +1,37 @@
-//! Which job is done next of the work that may wait.
+//! Selection of the next background job.
 //!
-//! Each kind of work has an urgency; the most urgent that has something to do comes first. Two
-//! budgets bound it: time in each round of the event loop, so that requests wait for no more than
-//! that, and bytes in each second, so that a disk has room for what matters. A job that has waited
-//! for long enough goes before more urgent ones, so that none starves.
+//! Each job has an urgency, and the most urgent job is next. Two budgets limit the work: time per
+//! round of the event loop, which is the longest that requests wait for it, and bytes per second,
+//! which leaves disk throughput to the requests. To prevent starvation, a job that has waited for
+//! too long goes before more urgent ones.
 
 use std::collections::VecDeque;
 
 /// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// Jobs of one urgency that may wait; further ones are returned to whoever offers them.
-const MAX_WAITING: usize = 65_536;
-/// A job that has waited for so long goes first, whatever its urgency.
+/// Maximum number of queued jobs of one urgency. Further jobs are returned to the caller.
+const MAX_QUEUED: usize = 65_536;
+/// Waiting time after which a job is next, whatever its urgency.
 const STARVATION_LIMIT: Micros = 10_000_000;
-/// Bytes that may be saved up, as a part of a second's.
+/// Unused byte budget that can accumulate, in seconds of the budget.
 const BURST_SECONDS: f64 = 0.25;
 
-/// How urgent a job is, the most urgent first.
+/// The urgency of a job. The variants are ordered from the most urgent to the least.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
-    /// Room that is needed now: moves to disk, deletion when full.
+    /// Work that frees space which is needed now: moves to disk, and deletion when storage is full.
     FreeSpace,
-    /// Deletion of what has expired.
+    /// Deletion of expired data.
     Expiry,
-    /// Deletion and tidying with room to spare.
+    /// Deletion and compaction while there is still free space.
     Cleanup,
-    /// Checks of stored data.
+    /// Verification of stored data.
     Verify,
 }
 
 impl Urgency {
-    /// All urgencies, the most urgent first.
+    /// All urgencies, starting with the most urgent.
     pub const ALL: [Urgency; 4] = [
         Urgency::FreeSpace,
         Urgency::Expiry,
@@ -40,104 +40,107 @@
     ];
 }
 
-/// What background work may take.
+/// The limits for background work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Time of one round of the event loop.
+    /// Maximum time in microseconds per round of the event loop.
     pub round_time: Micros,
-    /// Bytes a second that it may read and write.
+    /// Maximum number of bytes read and written per second.
     pub bytes_per_s: f64,
 }
 
-/// A piece of work.
+/// A unit of background work that is executed without interruption.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job<W> {
-    /// How urgent it is.
+    /// The urgency with which the job was submitted.
     pub urgency: Urgency,
-    /// What is to be done.
+    /// Description of the work, which only the caller interprets.
     pub work: W,
-    /// Bytes that it will read and write.
+    /// Number of bytes that the job will read and write, as estimated by the caller.
     pub bytes: u64,
-    offered_at: Micros,
+    submitted_at: Micros,
 }
 
-/// Queues of jobs, and what of the budgets is left.
+/// The queued jobs and the unused part of the budgets.
 pub struct Scheduler<W> {
     budget: Budget,
-    /// One queue an urgency.
+    /// One queue per urgency, in the order of [`Urgency::ALL`].
     queues: [VecDeque<Job<W>>; Urgency::ALL.len()],
-    /// Bytes that may be used now; it falls below 0 by at most one job.
-    allowance: f64,
+    /// Bytes that may be used now. At most one job can make it negative.
+    available_bytes: f64,
     refilled_at: Micros,
-    /// Time used in this round.
-    used: Micros,
+    /// Time used in the current round.
+    used_time: Micros,
 }
 
 impl<W> Scheduler<W> {
-    /// A scheduler without jobs.
+    /// Creates a scheduler without jobs.
     pub fn new(budget: Budget, now: Micros) -> Self {
         Scheduler {
             budget,
             queues: Default::default(),
-            allowance: budget.bytes_per_s * BURST_SECONDS,
+            available_bytes: budget.bytes_per_s * BURST_SECONDS,
             refilled_at: now,
-            used: 0,
+            used_time: 0,
         }
     }
 
-    /// Adds a job.
+    /// Queues a job.
     ///
     /// # Errors
     ///
-    /// The work itself, where too many jobs of its urgency wait.
+    /// Returns `work` if too many jobs of this urgency are queued.
     pub fn submit(&mut self, now: Micros, urgency: Urgency, work: W, bytes: u64) -> Result<(), W> {
         let queue = &mut self.queues[urgency as usize];
-        if queue.len() >= MAX_WAITING {
+        if queue.len() >= MAX_QUEUED {
             return Err(work);
         }
         queue.push_back(Job {
             urgency,
             work,
             bytes,
-            offered_at: now,
+            submitted_at: now,
         });
         Ok(())
     }
 
-    /// Jobs of an urgency that wait.
+    /// Returns the number of queued jobs of an urgency.
     pub fn queue_length(&self, urgency: Urgency) -> usize {
         self.queues[urgency as usize].len()
     }
 
-    /// Begins a round of the event loop.
+    /// Starts a round of the event loop, which renews the time budget.
     pub fn start_round(&mut self) {
-        self.used = 0;
+        self.used_time = 0;
     }
 
-    /// Takes the job to be done now; none where a budget is used up. [`Scheduler::finish_job`]
-    /// reports how long it took.
+    /// Removes and returns the next job, or `None` if there is none or a budget is used up. After
+    /// the job, call [`Scheduler::finish_job`].
     pub fn next_job(&mut self, now: Micros) -> Option<Job<W>> {
         self.refill(now);
-        if self.used >= self.budget.round_time || self.allowance < 0.0 {
+        if self.used_time >= self.budget.round_time || self.available_bytes < 0.0 {
             return None;
         }
-        let urgency = self.starving(now).or_else(|| self.most_urgent())?;
+        let urgency = self
+            .find_starving(now)
+            .or_else(|| self.find_most_urgent())?;
         let job = self.queues[urgency as usize].pop_front()?;
-        self.allowance -= job.bytes as f64;
+        self.available_bytes -= job.bytes as f64;
         Some(job)
     }
 
-    /// Reports how long a job took.
+    /// Charges the duration of a finished job to the time budget.
     pub fn finish_job(&mut self, duration: Micros) {
-        self.used += duration;
+        self.used_time += duration;
     }
 
-    /// When there may be a job to be done again, if none is offered meanwhile.
+    /// Returns the earliest time at which [`Scheduler::next_job`] may return a queued job, or
+    /// `None` if no job is queued.
     pub fn next_job_at(&self, now: Micros) -> Option<Micros> {
         if self.queues.iter().all(VecDeque::is_empty) {
             return None;
         }
-        let missing_bytes = (-self.allowance).max(0.0);
+        let missing_bytes = (-self.available_bytes).max(0.0);
         let seconds = missing_bytes / self.budget.bytes_per_s.max(1.0);
         Some(now + (seconds * 1e6).ceil() as Micros)
     }
@@ -145,23 +148,25 @@
     fn refill(&mut self, now: Micros) {
         let seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.refilled_at = self.refilled_at.max(now);
-        let most = self.budget.bytes_per_s * BURST_SECONDS;
-        self.allowance = (self.allowance + seconds * self.budget.bytes_per_s).min(most);
+        let max_bytes = self.budget.bytes_per_s * BURST_SECONDS;
+        self.available_bytes =
+            (self.available_bytes + seconds * self.budget.bytes_per_s).min(max_bytes);
     }
 
-    /// The urgency of the job that has waited longest, if that is too long.
-    fn starving(&self, now: Micros) -> Option<Urgency> {
+    /// Returns the urgency of the job that has waited longest, if it has reached the starvation
+    /// limit.
+    fn find_starving(&self, now: Micros) -> Option<Urgency> {
         let mut oldest: Option<&Job<W>> = None;
         for job in self.queues.iter().filter_map(VecDeque::front) {
-            let is_starving = job.offered_at + STARVATION_LIMIT <= now;
-            if is_starving && oldest.is_none_or(|oldest| job.offered_at < oldest.offered_at) {
+            let is_starving = job.submitted_at + STARVATION_LIMIT <= now;
+            if is_starving && oldest.is_none_or(|oldest| job.submitted_at < oldest.submitted_at) {
                 oldest = Some(job);
             }
         }
         oldest.map(|job| job.urgency)
     }
 
-    fn most_urgent(&self) -> Option<Urgency> {
+    fn find_most_urgent(&self) -> Option<Urgency> {
         let mut urgencies = Urgency::ALL.into_iter();
         urgencies.find(|urgency| self.queue_length(*urgency) > 0)
     }
--- a/crates/background-scheduler/src/wheel.rs
+++ b/crates/background-scheduler/src/wheel.rs
@@ -1,9 +1,9 @@
-//! A hierarchical timing wheel. Each level has 64 slots; a slot of the next level is as long as all
-//! of this one. A deadline goes to the level that its distance asks for and moves down as its time
-//! comes near, six times at the most.
+//! A hierarchical timing wheel. Each level has 64 slots, and one slot spans as much time as all
+//! slots of the level below. The distance of a deadline determines its first level. The deadline
+//! moves down as its time approaches, at most six times.
 //!
-//! Deadlines expire no earlier than asked and at most a tick later; those of one tick expire in the
-//! order in which they were set.
+//! A deadline never expires early and at most one tick late. Deadlines of the same tick expire in
+//! the order in which they were set.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -13,28 +13,28 @@
 /// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// A tick is 1,024 microseconds.
+/// Binary logarithm of the length of a tick, which is 1,024 microseconds.
 const TICK_BITS: u32 = 10;
-/// Bits of a slot's number.
+/// Number of bits in the index of a slot.
 const SLOT_BITS: u32 = 6;
-/// Slots of a level.
+/// Number of slots per level.
 const SLOTS: usize = 1 << SLOT_BITS;
-/// Levels of the wheel.
+/// Number of levels.
 const LEVELS: usize = 6;
-/// Ticks that the wheel spans: over two years. A later deadline waits at the far end and is placed
-/// again there.
+/// Number of ticks that the wheel spans, which is over two years. A later deadline is put into the
+/// last slot and linked again when that slot is reached.
 const SPAN_TICKS: u64 = 1 << (SLOT_BITS * LEVELS as u32);
-/// The end of a list.
+/// Marks the end of a list.
 const NONE: u32 = u32::MAX;
 
-/// A deadline that was set, by which it can be cancelled.
+/// Handle for cancelling a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timer {
     entry: u32,
     generation: u32,
 }
 
-/// A slot of a level.
+/// The position of a slot.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Slot {
     level: usize,
@@ -43,9 +43,9 @@
 
 struct Entry<T> {
     generation: u32,
-    /// When it expires.
+    /// The tick at which the deadline expires.
     tick: u64,
-    /// The order in which deadlines of one tick were set.
+    /// Sequence number, by which deadlines of the same tick are ordered.
     order: u64,
     slot: Slot,
     previous: u32,
@@ -53,7 +53,7 @@
     payload: T,
 }
 
-/// A doubly linked list of entries.
+/// A doubly linked list of entries, by their indices in the slab.
 #[derive(Clone, Copy)]
 struct List {
     first: u32,
@@ -65,48 +65,48 @@
     last: NONE,
 };
 
-/// Deadlines with a payload each.
+/// A set of deadlines, each with a payload.
 pub struct Wheel<T> {
     entries: Slab<Entry<T>>,
     levels: [[List; SLOTS]; LEVELS],
-    /// A bit for each slot of a level that holds something.
+    /// A bit for each slot of a level, set if the slot contains an entry.
     occupied: [u64; LEVELS],
-    /// The tick up to which all has expired.
-    now: u64,
+    /// The current tick. All deadlines up to this tick have expired.
+    current_tick: u64,
     set_count: u64,
     generation: u32,
-    /// Payloads that expired and were not taken yet, in order.
+    /// Payloads of expired deadlines that the caller has not taken yet, in order.
     expired: VecDeque<T>,
 }
 
 impl<T> Wheel<T> {
-    /// A wheel without deadlines.
+    /// Creates a wheel without deadlines.
     pub fn new(now: Micros) -> Self {
         Wheel {
             entries: Slab::new(),
             levels: [[EMPTY; SLOTS]; LEVELS],
             occupied: [0; LEVELS],
-            now: now >> TICK_BITS,
+            current_tick: now >> TICK_BITS,
             set_count: 0,
             generation: 0,
             expired: VecDeque::new(),
         }
     }
 
-    /// Deadlines that are set, with those that expired and were not taken yet.
+    /// Returns the number of deadlines, including expired ones that were not taken yet.
     pub fn len(&self) -> usize {
         self.entries.len() + self.expired.len()
     }
 
-    /// Whether no deadline is set.
+    /// Returns whether there is no deadline, not even an expired one that was not taken yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Sets a deadline.
+    /// Sets a deadline. If `at` is in the past, the deadline expires with the next tick.
     pub fn set(&mut self, at: Micros, payload: T) -> Timer {
-        // Never early: the tick that begins at the time or after it.
-        let tick = at.div_ceil(1 << TICK_BITS).max(self.now + 1);
+        // Rounds up, so that the deadline never expires early.
+        let tick = at.div_ceil(1 << TICK_BITS).max(self.current_tick + 1);
         self.generation = self.generation.wrapping_add(1);
         self.set_count += 1;
         let generation = self.generation;
@@ -123,7 +123,7 @@
         Timer { entry, generation }
     }
 
-    /// Cancels a deadline and returns its payload; `None` where it expired or was cancelled before.
+    /// Cancels a deadline and returns its payload, or `None` if it has expired or was cancelled.
     pub fn cancel(&mut self, timer: Timer) -> Option<T> {
         let entry = self.entries.get(timer.entry as usize)?;
         if entry.generation != timer.generation {
@@ -133,28 +133,28 @@
         Some(self.entries.remove(timer.entry as usize).payload)
     }
 
-    /// A time before which nothing expires, which may be earlier than the next deadline; `None`
-    /// where none is set.
+    /// Returns a time before which no deadline expires, or `None` if there is no deadline. It may
+    /// be earlier than the next deadline.
     pub fn next_expiry(&self) -> Option<Micros> {
         if !self.expired.is_empty() {
-            return Some(self.now << TICK_BITS);
+            return Some(self.current_tick << TICK_BITS);
         }
         let (begin, _) = self.next_occupied()?;
         Some(begin << TICK_BITS)
     }
 
-    /// Takes the payload of the next deadline that has expired by a time.
+    /// Removes the next deadline that has expired by `now` and returns its payload.
     pub fn pop_expired(&mut self, now: Micros) -> Option<T> {
         let end = now >> TICK_BITS;
         while self.expired.is_empty() {
             match self.next_occupied() {
                 Some((begin, slot)) if begin <= end => {
-                    self.now = begin;
-                    self.drain(slot);
+                    self.current_tick = begin;
+                    self.empty_slot(slot);
                 }
                 _ => {
-                    // Nothing lies between, so no slot is skipped.
-                    self.now = self.now.max(end);
+                    // All slots up to `end` are empty.
+                    self.current_tick = self.current_tick.max(end);
                     return None;
                 }
             }
@@ -162,9 +162,9 @@
         self.expired.pop_front()
     }
 
-    /// Links an entry into the slot that its distance from now asks for.
+    /// Appends an entry to the list of the slot for its tick.
     fn link(&mut self, id: u32) {
-        let slot = self.slot_of(self.entries[id as usize].tick);
+        let slot = self.slot_for_tick(self.entries[id as usize].tick);
         let list = &mut self.levels[slot.level][slot.index];
         let previous = std::mem::replace(&mut list.last, id);
         if previous == NONE {
@@ -179,10 +179,11 @@
         self.occupied[slot.level] |= 1 << slot.index;
     }
 
-    /// The slot of a tick: the highest bit in which it differs from now gives the level.
-    fn slot_of(&self, tick: u64) -> Slot {
-        let tick = tick.min(self.now + SPAN_TICKS - 1);
-        let difference = (tick ^ self.now) | 1;
+    /// Returns the slot for a tick. The level follows from the highest bit in which the tick
+    /// differs from the current one.
+    fn slot_for_tick(&self, tick: u64) -> Slot {
+        let tick = tick.min(self.current_tick + SPAN_TICKS - 1);
+        let difference = (tick ^ self.current_tick) | 1;
         let highest_bit = 63 - difference.leading_zeros();
         let level = (highest_bit / SLOT_BITS).min(LEVELS as u32 - 1);
         let index = (tick >> (SLOT_BITS * level)) as usize % SLOTS;
@@ -211,45 +212,48 @@
         }
     }
 
-    /// The next slot that holds something, with the tick at which it begins.
+    /// Returns the next occupied slot, with the tick at which it begins.
     fn next_occupied(&self) -> Option<(u64, Slot)> {
-        let slots = (0..LEVELS).filter_map(|level| self.next_occupied_of(level));
-        // Where two begin at once, the higher first: what it holds may belong into the lower.
+        let slots = (0..LEVELS).filter_map(|level| self.next_occupied_in(level));
+        // If two slots begin at the same tick, the higher level comes first, because its entries
+        // may have to move to the slot of the lower level.
         slots.min_by_key(|(begin, slot)| (*begin, Reverse(slot.level)))
     }
 
-    fn next_occupied_of(&self, level: usize) -> Option<(u64, Slot)> {
-        let now = self.now >> (SLOT_BITS * level as u32);
-        let current = now % SLOTS as u64;
-        // Bit 0 is the slot that now is in. It was emptied when now came there, but for the
-        // highest level, whose slots come round again.
+    fn next_occupied_in(&self, level: usize) -> Option<(u64, Slot)> {
+        let current_slot = self.current_tick >> (SLOT_BITS * level as u32);
+        let current = current_slot % SLOTS as u64;
+        // Bit 0 is the slot of the current tick. It was emptied when its first tick was reached, so
+        // that it can only be occupied in the highest level, whose slots are used again for the
+        // next turn of the wheel.
         let from_current = self.occupied[level].rotate_right(current as u32);
         let ahead = match (from_current & !1, from_current & 1) {
             (0, 0) => return None,
             (0, _) => SLOTS as u64,
             (later, _) => u64::from(later.trailing_zeros()),
         };
-        let begin = (now + ahead) << (SLOT_BITS * level as u32);
+        let begin = (current_slot + ahead) << (SLOT_BITS * level as u32);
         let index = ((current + ahead) % SLOTS as u64) as usize;
         Some((begin, Slot { level, index }))
     }
 
-    /// Empties a slot: what expires now goes to `expired`, the rest to nearer slots.
-    fn drain(&mut self, slot: Slot) {
+    /// Empties a slot. Entries that expire at the current tick are moved to `expired`, and all
+    /// others to slots of a lower level.
+    fn empty_slot(&mut self, slot: Slot) {
         let mut expired = Vec::new();
         let list = std::mem::replace(&mut self.levels[slot.level][slot.index], EMPTY);
         self.occupied[slot.level] &= !(1 << slot.index);
         let mut id = list.first;
         while id != NONE {
             let next = self.entries[id as usize].next;
-            if self.entries[id as usize].tick <= self.now {
+            if self.entries[id as usize].tick <= self.current_tick {
                 expired.push(id);
             } else {
                 self.link(id);
             }
             id = next;
         }
-        // Some came from higher levels, behind others that were set later.
+        // An entry that moved down from a higher level may be behind one that was set later.
         expired.sort_unstable_by_key(|id| self.entries[*id as usize].order);
         for id in expired {
             let payload = self.entries.remove(id as usize).payload;
--- a/crates/background-scheduler/tests/model.rs
+++ b/crates/background-scheduler/tests/model.rs
@@ -1,4 +1,5 @@
-//! Wheel and scheduler against plain models, under random operations.
+//! The timing wheel compared with an ordered map under random operations, and the scheduler's order
+//! and budgets.
 
 use eideryard_background_scheduler::scheduler::Budget;
 use eideryard_background_scheduler::{Scheduler, Urgency, Wheel};
@@ -9,28 +10,31 @@
 
 #[derive(Clone, Debug)]
 enum Step {
+    /// Sets a deadline at a distance from now.
     Set(u64),
-    TakeBack(usize),
-    Pass(u64),
+    /// Cancels the deadline at a position in the model, modulo its length.
+    Cancel(usize),
+    /// Lets time pass.
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    // Distances of every level, from nothing to beyond the wheel.
+    // Distances for all levels, from 0 to beyond the span of the wheel.
     let distance = (0u32..48).prop_flat_map(|bits| 0..=(1u64 << bits));
     prop_oneof![
         4 => distance.clone().prop_map(Step::Set),
-        1 => any::<usize>().prop_map(Step::TakeBack),
-        3 => distance.prop_map(Step::Pass),
+        1 => any::<usize>().prop_map(Step::Cancel),
+        3 => distance.prop_map(Step::Advance),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Each deadline fires once, no earlier than asked and at most a tick late, in order; `next` is
-    /// never late.
+    /// Each deadline must expire exactly once, in order, never early and at most one tick late, and
+    /// `next_expiry` must never be later than the next deadline.
     #[test]
-    fn the_wheel_fires_as_an_ordered_map_does(steps in proptest::collection::vec(step(), 1..200)) {
+    fn the_wheel_expires_deadlines_as_an_ordered_map_does(steps in proptest::collection::vec(step(), 1..200)) {
         let mut now = 5_000_000_000u64;
         let mut wheel = Wheel::new(now);
         let mut model: BTreeMap<(u64, usize), _> = BTreeMap::new();
@@ -38,25 +42,26 @@
             match step {
                 Step::Set(distance) => {
                     let at = now + distance;
-                    // It counts in ticks: what is due within this one fires with the next.
+                    // The wheel counts in ticks: a deadline within the current tick expires with
+                    // the next one.
                     let tick = at.div_ceil(TICK).max(now / TICK + 1);
                     model.insert((tick, number), wheel.set(at, number));
                 }
-                Step::TakeBack(which) if !model.is_empty() => {
-                    let key = *model.keys().nth(which % model.len()).unwrap();
+                Step::Cancel(index) if !model.is_empty() => {
+                    let key = *model.keys().nth(index % model.len()).unwrap();
                     let timer = model.remove(&key).unwrap();
                     prop_assert_eq!(wheel.cancel(timer), Some(key.1));
                     prop_assert_eq!(wheel.cancel(timer), None);
                 }
-                Step::TakeBack(_) => {}
-                Step::Pass(distance) => {
+                Step::Cancel(_) => {}
+                Step::Advance(distance) => {
                     if let (Some(next), Some(((tick, _), _))) = (wheel.next_expiry(), model.first_key_value()) {
                         prop_assert!(next <= tick * TICK, "next {} after {}", next, tick * TICK);
                     }
                     now += distance;
-                    while let Some(fired) = wheel.pop_expired(now) {
-                        let ((tick, number), _) = model.pop_first().expect("something is set");
-                        prop_assert_eq!(fired, number);
+                    while let Some(expired) = wheel.pop_expired(now) {
+                        let ((tick, number), _) = model.pop_first().expect("a deadline is set");
+                        prop_assert_eq!(expired, number);
                         prop_assert!(tick <= now / TICK);
                     }
                     prop_assert!(model.first_key_value().is_none_or(|((tick, _), _)| *tick > now / TICK));
@@ -68,7 +73,7 @@
 }
 
 #[test]
-fn urgent_work_goes_first_and_none_starves() {
+fn urgent_jobs_go_first_and_none_starves() {
     let mut scheduler = Scheduler::new(
         Budget {
             round_time: 1000,
@@ -77,22 +82,29 @@
         0,
     );
     scheduler.submit(0, Urgency::Verify, "old", 10).unwrap();
-    scheduler.submit(5, Urgency::Cleanup, "tidy", 10).unwrap();
-    scheduler.submit(9, Urgency::FreeSpace, "room", 10).unwrap();
-    assert_eq!(scheduler.next_job(10).unwrap().work, "room");
     scheduler
-        .submit(9_999_000, Urgency::FreeSpace, "room again", 10)
+        .submit(5, Urgency::Cleanup, "cleanup", 10)
+        .unwrap();
+    scheduler
+        .submit(9, Urgency::FreeSpace, "free space", 10)
+        .unwrap();
+    assert_eq!(scheduler.next_job(10).unwrap().work, "free space");
+    scheduler
+        .submit(9_999_000, Urgency::FreeSpace, "free space again", 10)
         .unwrap();
     assert_eq!(
         scheduler.next_job(10_000_001).unwrap().work,
         "old",
-        "it has waited for too long"
+        "a job that has waited for too long goes first"
+    );
+    assert_eq!(
+        scheduler.next_job(10_000_001).unwrap().work,
+        "free space again"
     );
-    assert_eq!(scheduler.next_job(10_000_001).unwrap().work, "room again");
 }
 
 #[test]
-fn a_look_and_a_second_have_their_budgets() {
+fn the_budgets_limit_the_jobs_of_a_round_and_of_a_second() {
     let mut scheduler = Scheduler::new(
         Budget {
             round_time: 100,
@@ -101,19 +113,19 @@
         0,
     );
     (0..100).for_each(|n| scheduler.submit(0, Urgency::Cleanup, n, 100).unwrap());
-    let mut done = 0;
+    let mut finished_jobs = 0;
     for _ in 0..50 {
         scheduler.start_round();
         while scheduler.next_job(0).is_some() {
             scheduler.finish_job(40);
-            done += 1;
+            finished_jobs += 1;
         }
     }
     assert_eq!(
-        done, 3,
-        "a quarter of a second's bytes may be saved up, and one job more begun"
+        finished_jobs, 3,
+        "the bytes of a quarter of a second can accumulate, and one further job may start"
     );
-    let mut looks = Vec::new();
+    let mut jobs_per_round = Vec::new();
     for second in 1..=5u64 {
         scheduler.start_round();
         let mut count = 0;
@@ -121,17 +133,17 @@
             scheduler.finish_job(40);
             count += 1;
         }
-        looks.push(count);
+        jobs_per_round.push(count);
     }
     assert!(
-        looks.iter().all(|count| *count <= 3),
-        "no look takes more than its time: {looks:?}"
+        jobs_per_round.iter().all(|count| *count <= 3),
+        "a round exceeds its time budget: {jobs_per_round:?}"
     );
     assert!(scheduler.next_job_at(5_000_000).is_some());
 }
 
 #[test]
-fn what_is_too_much_is_given_back() {
+fn a_job_is_returned_if_the_queue_of_its_urgency_is_full() {
     let mut scheduler = Scheduler::new(
         Budget {
             round_time: 1,
@@ -139,15 +151,15 @@
         },
         0,
     );
-    let taken = (0..70_000)
+    let accepted = (0..70_000)
         .filter(|n| scheduler.submit(0, Urgency::Verify, *n, 1).is_ok())
         .count();
     assert_eq!(
-        (taken, scheduler.queue_length(Urgency::Verify)),
+        (accepted, scheduler.queue_length(Urgency::Verify)),
         (65_536, 65_536)
     );
     assert!(
         scheduler.submit(0, Urgency::FreeSpace, 0, 1).is_ok(),
-        "each urgency has its own bound"
+        "each urgency has its own limit"
     );
 }
--- a/crates/sql-tables/src/lib.rs
+++ b/crates/sql-tables/src/lib.rs
@@ -1,9 +1,9 @@
-//! The group of tables of a SQL statement: the number behind the underscore in the name of the
-//! schema that it reads or writes, as 17 in `sales_17.orders`.
+//! Finds the table group of an SQL statement: the number after the underscore in the name of the
+//! schema that the statement reads or writes, such as 17 in `sales_17.orders`.
 //!
-//! Names in strings and comments don't count, nor the schema `staging`. No grammar is needed for
-//! that: the statement is cut into tokens, and a schema is a name with a dot behind it. One that
-//! follows a word which names tables goes before others, since an alias may look like one.
+//! Names in strings and comments are ignored, and so is the schema `staging`. No SQL parser is
+//! needed: the statement is split into tokens, and a schema is a name that is followed by a dot. A
+//! name after a keyword such as `FROM` has precedence, because an alias may look like a schema.
 //!
 //! ```
 //! use eideryard_sql_tables::table_group;
@@ -15,14 +15,15 @@
 
 use tokens::{tokenize, Token};
 
-/// The schema whose number names no group.
+/// Prefix of schemas whose number is not a table group.
 const STAGING_SCHEMA: &str = "staging";
 
-/// The group of tables that the statement reads or writes, where it names one.
+/// Returns the table group that the statement reads or writes, or `None` if it names none. If it
+/// names several, the first one after a keyword such as `FROM` counts.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let tokens = tokenize(statement);
-    let mut group_elsewhere = None;
-    let mut names_tables = false;
+    let mut fallback_group = None;
+    let mut expects_tables = false;
     let mut position = 0;
     while position < tokens.len() {
         let Token::Name(name) = &tokens[position] else {
@@ -33,31 +34,31 @@
         position += 2 * path.len() - 1;
         if path.len() == 1 {
             if tokens.get(position) != Some(&Token::Dot) {
-                names_tables = names_tables_behind(name, names_tables);
+                expects_tables = expects_tables_after(name, expects_tables);
             }
             continue;
         }
-        // Where tables are named the last is the table, and the schema stands before it.
-        let group = if names_tables {
-            schema_group(path[path.len() - 2])
+        // In the name of a table, the last part is the table and the one before it the schema.
+        let group = if expects_tables {
+            parse_schema_group(path[path.len() - 2])
         } else {
-            path.iter().find_map(|name| schema_group(name))
+            path.iter().find_map(|name| parse_schema_group(name))
         };
-        if names_tables && group.is_some() {
+        if expects_tables && group.is_some() {
             return group;
         }
-        group_elsewhere = group_elsewhere.or(group);
+        fallback_group = fallback_group.or(group);
     }
-    group_elsewhere
+    fallback_group
 }
 
-/// The names that dots join, from the first token on, which is one.
+/// Returns the parts of a dotted name. The first token must be a name.
 fn read_path(tokens: &[Token]) -> Vec<&str> {
     let mut path = Vec::new();
     let mut rest = tokens;
-    while let [Token::Name(name), behind @ ..] = rest {
+    while let [Token::Name(name), following @ ..] = rest {
         path.push(name.as_str());
-        match behind {
+        match following {
             [Token::Dot, after_dot @ ..] => rest = after_dot,
             _ => break,
         }
@@ -65,22 +66,23 @@
     path
 }
 
-/// Whether the names behind a word are those of tables.
-fn names_tables_behind(word: &str, before: bool) -> bool {
+/// Returns whether the names after a word are tables. Words other than the keywords below don't
+/// change that.
+fn expects_tables_after(word: &str, expected_before: bool) -> bool {
     match word.to_ascii_lowercase().as_str() {
         "select" | "where" | "on" | "set" | "values" | "group" | "order" | "having" | "limit" => {
             false
         }
         "from" | "join" | "into" | "update" | "table" | "copy" | "using" => true,
-        _ => before,
+        _ => expected_before,
     }
 }
 
-/// The number in a schema's name: a word, an underscore, digits.
-fn schema_group(schema: &str) -> Option<u64> {
-    let (word, number) = schema.rsplit_once('_')?;
+/// Parses the table group from a schema's name, which must be a prefix, an underscore and digits.
+fn parse_schema_group(schema: &str) -> Option<u64> {
+    let (prefix, number) = schema.rsplit_once('_')?;
     let is_number = number.bytes().all(|byte| byte.is_ascii_digit());
-    if word.is_empty() || word.eq_ignore_ascii_case(STAGING_SCHEMA) || !is_number {
+    if prefix.is_empty() || prefix.eq_ignore_ascii_case(STAGING_SCHEMA) || !is_number {
         return None;
     }
     number.parse().ok()
--- a/crates/sql-tables/src/tokens.rs
+++ b/crates/sql-tables/src/tokens.rs
@@ -1,16 +1,17 @@
-//! A statement cut into tokens; strings and comments are skipped.
+//! The tokenizer for SQL statements. It returns one token for each string and none for comments.
 
-/// A token that can matter; everything else is `Other`.
+/// A token. Only names and the punctuation of names are distinguished.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Token {
-    /// A name, quoted or not.
+    /// A name or keyword, without quotes.
     Name(String),
     Dot,
     Comma,
+    /// A string, a number or any other character.
     Other,
 }
 
-/// Cuts a statement into tokens.
+/// Splits a statement into tokens.
 pub(crate) fn tokenize(text: &[u8]) -> Vec<Token> {
     let mut tokenizer = Tokenizer {
         text,
@@ -18,7 +19,7 @@
         tokens: Vec::new(),
     };
     while let Some(&byte) = text.get(tokenizer.position) {
-        tokenizer.read(byte);
+        tokenizer.read_next(byte);
     }
     tokenizer.tokens
 }
@@ -30,8 +31,8 @@
 }
 
 impl Tokenizer<'_> {
-    /// Reads the token, space or comment that begins with a byte.
-    fn read(&mut self, byte: u8) {
+    /// Reads the token, whitespace or comment at the current position, which begins with `byte`.
+    fn read_next(&mut self, byte: u8) {
         let next = self.text.get(self.position + 1).copied();
         match (byte, next) {
             (b'-', Some(b'-')) => self.position = end_of_line(self.text, self.position),
@@ -41,10 +42,10 @@
                 self.tokens.push(Token::Other);
             }
             (b'"' | b'`', _) => self.read_quoted_name(byte),
-            (b'$', _) => self.read_dollar(),
+            (b'$', _) => self.read_dollar_quoted(),
             _ if begins_name(byte) => self.read_name(),
             _ if byte.is_ascii_digit() => self.read_number(),
-            _ => self.read_mark(byte),
+            _ => self.read_punctuation(byte),
         }
     }
 
@@ -56,14 +57,14 @@
         self.position = end;
     }
 
-    /// A text quoted with dollars, or a lone dollar.
-    fn read_dollar(&mut self) {
+    /// Reads a dollar-quoted string, or a single dollar sign.
+    fn read_dollar_quoted(&mut self) {
         let Some(tag) = dollar_tag(&self.text[self.position..]) else {
-            return self.read_mark(b'$');
+            return self.read_punctuation(b'$');
         };
         let body = &self.text[self.position + tag.len()..];
-        let close = body.windows(tag.len()).position(|window| window == tag);
-        self.position = match close {
+        let closing_tag = body.windows(tag.len()).position(|window| window == tag);
+        self.position = match closing_tag {
             Some(length) => self.position + length + 2 * tag.len(),
             None => self.text.len(),
         };
@@ -77,14 +78,14 @@
         self.push_name(&self.text[begin..self.position]);
     }
 
-    /// A number with its fraction, so that its dot is no path.
+    /// Reads a number with its fraction, so that its dot isn't taken for that of a dotted name.
     fn read_number(&mut self) {
         let is_in_number = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'_');
         self.skip_while(is_in_number);
         self.tokens.push(Token::Other);
     }
 
-    fn read_mark(&mut self, byte: u8) {
+    fn read_punctuation(&mut self, byte: u8) {
         match byte {
             b'.' => self.tokens.push(Token::Dot),
             b',' => self.tokens.push(Token::Comma),
@@ -114,7 +115,7 @@
     length.map_or(text.len(), |length| begin + length)
 }
 
-/// The end of a quoted text, in which the quote is doubled to stand for itself.
+/// Returns the end of a quoted string or name. A doubled quote inside it is an escaped quote.
 fn end_of_quote(text: &[u8], begin: usize, quote: u8) -> usize {
     let mut position = begin + 1;
     while let Some(&byte) = text.get(position) {
@@ -130,7 +131,7 @@
     text.len()
 }
 
-/// The end of a block comment, which may hold others.
+/// Returns the end of a block comment, which may contain nested ones.
 fn end_of_comment(text: &[u8], begin: usize) -> usize {
     let mut position = begin + 2;
     let mut depth = 1;
@@ -150,7 +151,8 @@
     position
 }
 
-/// The mark that opens and closes a text quoted with dollars: `$$` or `$word$`.
+/// Returns the tag at the beginning of a dollar-quoted string, `$$` or `$word$`, or `None` if the
+/// text does not begin with a tag. The same tag ends the string.
 fn dollar_tag(text: &[u8]) -> Option<&[u8]> {
     let is_inside = |byte: &&u8| begins_name(**byte) || byte.is_ascii_digit();
     let inside = text[1..].iter().take_while(is_inside).count();
--- a/crates/sql-tables/tests/cases.rs
+++ b/crates/sql-tables/tests/cases.rs
@@ -1,9 +1,9 @@
-//! Statements and the group of tables that each names.
+//! SQL statements and their table groups.
 
 use eideryard_sql_tables::table_group;
 
 #[test]
-fn the_group_is_the_number_of_the_schema_that_is_read_or_written() {
+fn the_table_group_is_the_number_of_the_schema_that_is_read_or_written() {
     let cases = [
         ("SELECT * FROM sales_17.orders", Some(17)),
         ("select a.x from sales_17.orders a where a.x > 3", Some(17)),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn junk_never_panics() {
+fn random_statements_never_cause_a_panic() {
     let mut rng = fastrand::Rng::with_seed(11);
     for _ in 0..20_000 {
         let parts = [
