--- a/crates/cli/tests/gateway.rs
+++ b/crates/cli/tests/gateway.rs
@@ -665,7 +665,7 @@
         (Some(&*configured.to_string()), "'bulletin'"),
     ] {
         gateway.reload(text);
-        let line = gateway.wait_for_line("not reloaded");
+        let line = gateway.wait_for_line("configuration not reloaded");
         assert!(line.contains(expected), "{line}");
     }
     // The bulletin moves to an address where none listens, and at once to another. The new stream
@@ -674,7 +674,7 @@
     for next in [scripted::unused_address(), new.address()] {
         configured["bulletin"] = json!(next.to_string());
         gateway.reload(Some(&configured.to_string()));
-        gateway.wait_for_line("reloaded; the bulletin is at");
+        gateway.wait_for_line("configuration reloaded: connecting to the bulletin at");
     }
     let mut end = new.accept().unwrap();
     assert_eq!(end.after, 2);
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -326,9 +326,9 @@
     first.terminate();
     first.wait_for_exit();
     let mut again = GatewayProcess::spawn(&config, &operator);
-    let line = again.wait_for_line("learned figures");
+    let line = again.wait_for_line("learned estimates");
     assert!(
-        line.contains("of 1 engines") && line.contains("doubted by their age"),
+        line.contains("of 1 engines") && line.contains("weight decreases with their age"),
         "{line}"
     );
     again.wait_until_listening();
@@ -336,7 +336,7 @@
     again.wait_for_exit();
     config["settings"]["peers-total"] = json!(2);
     let mut other = GatewayProcess::spawn(&config, &operator);
-    let line = other.wait_for_line("learned figures");
+    let line = other.wait_for_line("learned estimates");
     assert!(
         line.contains("dropped") && line.contains("settings differ"),
         "{line}"
--- a/crates/event-log/tests/common/random_entries.rs
+++ b/crates/event-log/tests/common/random_entries.rs
@@ -1,7 +1,7 @@
 //! Random entries from a seed.
 
 use eideryard::interface::{
-    Action, AttemptEnded, Event, LoadReport, Micros, Outcome, Phase, Probed, Progress, Request,
+    Action, AttemptEnded, Event, LoadReport, Micros, Outcome, Phase, ProbeEnded, Progress, Request,
     RequestId, ResourceUsage,
 };
 use eideryard_event_log::*;
@@ -96,7 +96,7 @@
                 booted_at: rng.u64(..),
                 slowdown: real(rng),
                 best_slowdown: real(rng),
-                bad: real(rng),
+                bad_outcome_share: real(rng),
                 foreign_load: real(rng),
             };
             let (classes, engines) = (
@@ -188,15 +188,15 @@
             attempt: rng.usize(0..9),
             outcome: outcome(rng),
             spent: rng.u64(0..9_000_000),
-            complete: rng.bool(),
-            already_reported: rng.bool(),
+            is_request_complete: rng.bool(),
+            is_already_reported: rng.bool(),
             usage: rng.bool().then(|| ResourceUsage {
                 work: real(rng),
                 memory_mb: real(rng),
             }),
             report: report(rng),
         })),
-        13 => Entry::Event(Event::Probed(Probed {
+        13 => Entry::Event(Event::ProbeEnded(ProbeEnded {
             engine: rng.u32(..),
             outcome: outcome(rng),
             report: report(rng),
--- a/crates/fleet-test/src/scale/node.rs
+++ b/crates/fleet-test/src/scale/node.rs
@@ -175,14 +175,14 @@
             work: spent as f64,
             memory_mb: 40.0,
         });
-        let (outcome, complete, told) = (Outcome::Answered, true, false);
+        let (outcome, is_request_complete, told) = (Outcome::Answered, true, false);
         let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
-            complete,
-            already_reported: told,
+            is_request_complete,
+            is_already_reported: told,
             usage: bill,
             report: None,
         };
@@ -207,12 +207,12 @@
                         in_flight: Some(1.0),
                         ..LoadReport::default()
                     };
-                    let probed = Probed {
+                    let probed = ProbeEnded {
                         engine,
                         outcome: Outcome::Answered,
                         report: Some(report),
                     };
-                    self.handle(Event::Probed(probed));
+                    self.handle(Event::ProbeEnded(probed));
                 }
                 _ => {}
             }
@@ -238,14 +238,14 @@
         if begins {
             return self.time.at(takes, Happens::Ends { request, attempt });
         }
-        let (outcome, spent, complete, told) = (Outcome::NotSent, 0, false, false);
+        let (outcome, spent, is_request_complete, told) = (Outcome::NotSent, 0, false, false);
         let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
-            complete,
-            already_reported: told,
+            is_request_complete,
+            is_already_reported: told,
             usage: None,
             report: None,
         };
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -1,17 +1,18 @@
 //! Carries out the balancer's actions.
 
-use eideryard::interface::{end_tag, LoadReport};
+use eideryard::interface::{request_timer_tag, LoadReport};
 
 use super::*;
 
 mod durability_results;
 mod sends;
 
-/// Shorter delays are not advised to clients: the wire states whole milliseconds.
+/// The shortest delay that clients are advised to wait before a retry, in microseconds: the wire
+/// format has whole milliseconds. Refusals with a shorter delay carry no advice.
 const MIN_RETRY_AFTER: Micros = 1000;
 
 impl Gateway {
-    /// Carries out one action.
+    /// Carries out one action of the balancer and records it in the event log.
     pub(super) fn execute_action(&mut self, now: Micros, action: Action) {
         if !matches!(action, Action::Send { .. }) {
             self.event_recorder.record_action(now, &action);
@@ -26,19 +27,20 @@
                 request,
                 engine,
                 attempt_deadline,
-            } => self.send(now, Key::from_number(request), engine, attempt_deadline),
-            Action::Probe { engine } => self.probe(now, engine),
+            } => self.send_attempt(now, Key::from_number(request), engine, attempt_deadline),
+            Action::Probe { engine } => self.probe_engine(now, engine),
             Action::Cancel { request, attempt } => {
                 self.cancel_attempt(Key::from_number(request), attempt, Outcome::Cancelled);
             }
             Action::Refuse {
                 request,
                 retry_after,
-            } => self.refuse(Key::from_number(request), retry_after),
-            Action::Fail { request } => self.fail(Key::from_number(request)),
+            } => self.refuse_request(Key::from_number(request), retry_after),
+            Action::Fail { request } => self.fail_request(Key::from_number(request)),
             Action::SetTimer { after, tag } => self.set_timer(now, after, tag),
-            // The discovery service reports changes by itself whenever it can be reached.
-            Action::Subscribe if self.discovery.is_up() => {
+            // A connected discovery service sends changes without a subscription, so an empty list
+            // of changes confirms it at once.
+            Action::Subscribe if self.discovery.has_connection() => {
                 self.events.push_back(Event::EndpointChanges(Vec::new()));
             }
             Action::Subscribe => self.events.push_back(Event::DiscoveryFailed),
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Sets the memory and the rank of a request; engines that run it are told of a new rank.
+    /// Sets the memory grant and the rank of a request, and sends a changed rank to the engines
+    /// that run it.
     pub(super) fn apply_grant(&mut self, key: Key, grant_mb: f64, rank: u8) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -61,32 +64,38 @@
             .filter_map(|attempt| attempt.connection)
         {
             let is_sent = self.engines.update_rank(connection, &request.id, rank);
-            self.counters.ranks += u64::from(is_sent);
+            self.counters.rank_updates += u64::from(is_sent);
         }
     }
 
-    /// Probes an engine, unless the owner of its probing reported a moment ago.
-    fn probe(&mut self, now: Micros, engine: EngineId) {
+    /// Probes an engine, unless the gateway that holds the lease for probing it has sent a recent
+    /// report.
+    fn probe_engine(&mut self, now: Micros, engine: EngineId) {
         let durability = self.intent_durability.as_mut();
-        let shared = durability.and_then(|durability| durability.recent_report(now, engine));
-        if shared.is_some() {
-            return self.add_probed(engine, Outcome::Answered, shared);
+        let recent_report = durability.and_then(|durability| durability.recent_report(now, engine));
+        if recent_report.is_some() {
+            return self.push_probe_result(engine, Outcome::Answered, recent_report);
         }
-        let probed = self.with_engines(|engines, context| engines.probe(engine, context));
-        if let Err(outcome) = probed {
-            self.add_probed(engine, outcome, None);
+        let started = self.with_engines(|engines, context| engines.probe(engine, context));
+        if let Err(outcome) = started {
+            self.push_probe_result(engine, outcome, None);
         }
     }
 
-    fn add_probed(&mut self, engine: EngineId, outcome: Outcome, report: Option<LoadReport>) {
-        self.events.push_back(Event::Probed(Probed {
+    fn push_probe_result(
+        &mut self,
+        engine: EngineId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
+        self.events.push_back(Event::ProbeEnded(ProbeEnded {
             engine,
             outcome,
             report,
         }));
     }
 
-    fn refuse(&mut self, key: Key, retry_after: Micros) {
+    fn refuse_request(&mut self, key: Key, retry_after: Micros) {
         let reply = ErrorReply {
             retry_after: Some(retry_after).filter(|after| *after >= MIN_RETRY_AFTER),
             ..ErrorReply::new(ErrorKind::TryLater)
@@ -94,7 +103,7 @@
         self.answer_error(key, &reply);
     }
 
-    fn fail(&mut self, key: Key) {
+    fn fail_request(&mut self, key: Key) {
         self.answer_error(key, &ErrorReply::new(ErrorKind::Failed));
     }
 
@@ -102,8 +111,9 @@
         let timer = self
             .deadlines
             .set(now + after, Deadline::BalancerTimer(tag));
-        // A request's own timer is removed with it; others fire.
-        let Some(number) = tag.checked_sub(end_tag(0)) else {
+        // Remembered so that the timer of a request is cancelled with the request. Timers that
+        // belong to no request always fire.
+        let Some(number) = tag.checked_sub(request_timer_tag(0)) else {
             return;
         };
         if let Some(request) = self.requests.get_mut(Key::from_number(number)) {
@@ -111,7 +121,7 @@
         }
     }
 
-    /// Log lines of the balancer name engines by number; operators know them by name.
+    /// Replaces engine numbers in a log line of the balancer by the names that operators know.
     fn with_engine_names(&self, text: &str) -> String {
         let mut words = Vec::new();
         for word in text.split(' ') {
--- a/crates/gateway/src/gateway/actions/sends.rs
+++ b/crates/gateway/src/gateway/actions/sends.rs
@@ -1,4 +1,5 @@
-//! The way of a send: its intent is prepared, then its first byte may go out.
+//! Sends attempts to engines. If an attempt needs an intent, no byte of it is sent before the
+//! intent is durable.
 
 use eideryard::interface::PriorAttempt;
 use eideryard_engine_protocol::Serve;
@@ -11,7 +12,7 @@
 
 impl Gateway {
     /// Carries out the balancer's decision to send a request to an engine.
-    pub(super) fn send(
+    pub(super) fn send_attempt(
         &mut self,
         now: Micros,
         key: Key,
@@ -21,8 +22,8 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        // Recorded here and not with the other actions: for a request that has ended nothing is
-        // sent.
+        // Recorded here and not with the other actions, since nothing is sent for a request that
+        // has ended.
         let action = Action::Send {
             request: key.number(),
             engine,
@@ -32,17 +33,17 @@
         if request.is_spooled {
             self.restart_spooling(now, key);
         }
-        self.counters.sent += 1;
+        self.counters.attempts_sent += 1;
         let plan = self.prepare_send(now, key, engine, attempt_deadline);
         let Some(attempt) = self.add_attempt(now, key, engine, &plan) else {
             return;
         };
         match plan {
             SendPlan::Immediate => self.dispatch(now, key, attempt, engine, attempt_deadline),
-            SendPlan::StoreFull => self.end_unsent(key, attempt),
+            SendPlan::StoreFull => self.end_unsent_attempt(key, attempt),
             SendPlan::PriorAttemptFound(prior_attempt) => {
                 self.add_prior_attempts(key, vec![prior_attempt]);
-                self.end_unsent(key, attempt);
+                self.end_unsent_attempt(key, attempt);
             }
             SendPlan::AfterWrite {
                 ticket,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Drops what an earlier attempt that ended half way has spooled.
+    /// Drops the pages that an earlier, incomplete attempt has spooled.
     fn restart_spooling(&mut self, now: Micros, key: Key) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -72,7 +73,7 @@
             address: self.clients.address_of(request.client),
         };
         if let Some(result_spool) = &mut self.result_spool {
-            result_spool.restart(key.number(), owner, now);
+            result_spool.restart_run(key.number(), owner, now);
         }
         self.incoming_results.remove(&key);
     }
@@ -94,12 +95,13 @@
             key: request.key.as_deref(),
             engine,
             attempt_deadline,
-            known: &request.prior_attempts,
+            prior_attempts: &request.prior_attempts,
         };
         durability.prepare_send(now, &send_request)
     }
 
-    /// Adds an attempt to its request. Returns its number among the request's attempts.
+    /// Adds an attempt to its request. Returns its index among the request's attempts, or `None` if
+    /// the request has ended.
     fn add_attempt(
         &mut self,
         now: Micros,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Remembers prior attempts of a request, and tells the balancer.
+    /// Adds prior attempts to a request and reports them to the balancer.
     pub(super) fn add_prior_attempts(&mut self, key: Key, prior_attempts: Vec<PriorAttempt>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -146,12 +148,13 @@
         });
     }
 
-    /// An attempt ends before anything of it was sent.
-    pub(super) fn end_unsent(&mut self, key: Key, attempt: usize) {
+    /// Ends an attempt of which no byte was sent.
+    pub(super) fn end_unsent_attempt(&mut self, key: Key, attempt: usize) {
         self.end_attempt(AttemptEnd::new(key, attempt, Outcome::NotSent));
     }
 
-    /// Sends an attempt to its engine.
+    /// Queues an attempt on a connection to its engine, or ends it if its deadline has come or the
+    /// engine can't take it.
     pub(super) fn dispatch(
         &mut self,
         now: Micros,
@@ -165,7 +168,7 @@
         };
         let wait_ms = attempt_deadline.saturating_sub(now) / 1000;
         if wait_ms == 0 {
-            return self.end_unsent(key, attempt);
+            return self.end_unsent_attempt(key, attempt);
         }
         let serve = Serve {
             id: &request.id,
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -1,6 +1,7 @@
-//! The way of an engine's answers: results go to clients, the ends of attempts to the balancer.
+//! Handles answers of engines: sends results to clients and reports the outcomes of attempts to the
+//! balancer.
 
-use eideryard::interface::{AttemptEnded, Event, Outcome, Probed};
+use eideryard::interface::{AttemptEnded, Event, Outcome, ProbeEnded};
 use eideryard_event_log::AnswerKind;
 use eideryard_msgpack_rpc::write_result;
 
@@ -43,7 +44,7 @@
                     {
                         intent_durability.publish_report(now, engine, report);
                     }
-                    self.events.push_back(Event::Probed(Probed {
+                    self.events.push_back(Event::ProbeEnded(ProbeEnded {
                         engine,
                         outcome,
                         report,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Sends the first successful result to the client.
+    /// Sends a result to the client, unless the request has been answered already.
     fn answer_result(&mut self, key: Key, pages: &[Vec<u8>]) {
         let pages = pages.iter().map(Vec::as_slice);
         let is_sent = self.answer(key, AnswerKind::Served, |output, call_id| {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Sends a request's final answer, unless it has had one or nobody waits. True: it is queued
-    /// for the client.
+    /// Sends a request's final answer, unless it has been answered or its client has left. Returns
+    /// whether the answer is queued for the client.
     fn answer(
         &mut self,
         key: Key,
@@ -80,12 +81,12 @@
         }
         request.is_answered = true;
         let is_late = self.clock.now() > request.deadline;
-        self.counters.late += u64::from(is_late);
+        self.counters.answered_late += u64::from(is_late);
         let call_id = request.call_id;
         let is_sent = self
             .clients
             .answer(request.client, call_id, |output| write(output, call_id));
-        self.counters.lost += u64::from(!is_sent);
+        self.counters.undelivered += u64::from(!is_sent);
         let kind = if is_sent { kind } else { AnswerKind::Lost };
         self.request_span(key)
             .in_scope(|| tracing::debug!(late = is_late, "{}", kind.name()));
@@ -93,7 +94,7 @@
         is_sent
     }
 
-    /// Answers a request with an error: it is rejected or has failed.
+    /// Answers a request with an error, counts it as refused or failed, and releases its slot.
     pub(super) fn answer_error(&mut self, key: Key, reply: &ErrorReply<'_>) {
         self.end_spooled_run(key, reply.kind);
         let is_rejected = reply.kind == ErrorKind::TryLater;
@@ -111,7 +112,7 @@
         self.requests.release(key, &mut self.deadlines);
     }
 
-    /// An attempt has its outcome: its intent is closed, and the balancer learns of it.
+    /// Ends an attempt: closes its intent and reports its outcome to the balancer.
     pub(super) fn end_attempt(&mut self, end: AttemptEnd) {
         let now = self.clock.now();
         let Some(request) = self.requests.get_mut(end.request) else {
@@ -141,20 +142,21 @@
             attempt: end.attempt,
             outcome: end.outcome,
             spent: now.saturating_sub(attempt.sent_at),
-            complete: is_answered,
-            already_reported: end.already_reported,
+            is_request_complete: is_answered,
+            is_already_reported: end.is_already_reported,
             usage: end.usage,
             report: end.report,
         }));
         if tracing::enabled!(tracing::Level::DEBUG) {
             let _span = self.attempt_span(end.request, engine);
             let outcome = end.outcome;
-            tracing::debug!(?outcome, "attempt {} is over", end.attempt);
+            tracing::debug!(?outcome, "attempt {} ended", end.attempt);
         }
         self.requests.release(end.request, &mut self.deadlines);
     }
 
-    /// Cancels an attempt: it ends with this outcome, or as never sent.
+    /// Cancels an attempt. It ends with `outcome`, or as not sent if no byte of it can have reached
+    /// the engine.
     pub(super) fn cancel_attempt(&mut self, key: Key, attempt: usize, outcome: Outcome) {
         let Some(request) = self.requests.get(key) else {
             return;
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -1,4 +1,5 @@
-//! The way of spooled results: pages arrive from engines, clients query them.
+//! Handles spooled results: receives pages from engines and sends them to the clients that query
+//! them.
 
 use eideryard::interface::Event;
 use eideryard_event_log::{AnswerKind, HostEvent};
@@ -11,8 +12,8 @@
 use crate::table::Key;
 
 impl Gateway {
-    /// The client of a request whose result is spooled has disconnected: the run continues, so that
-    /// the client can ask for its result later. False: the request isn't spooled.
+    /// Handles a disconnected client whose result is spooled: the run continues, so that the client
+    /// can query the result later. Returns false if the request isn't spooled.
     pub(super) fn detach_spooled_request(&mut self, key: Key) -> bool {
         let Some(request) = self.requests.get_mut(key) else {
             return false;
@@ -22,13 +23,13 @@
         }
         request.is_answered = true;
         if let Some(result_spool) = &mut self.result_spool {
-            result_spool.detach(key.number(), &Waiter::of_request(request));
+            result_spool.detach_client(key.number(), &Waiter::of_request(request));
         }
         self.record_unanswered(key, AnswerKind::Lost);
         true
     }
 
-    /// The next page of a result has arrived. A request whose result can't be kept fails at once.
+    /// Adds a page to a spooled result. If the spool can't store it, the request fails at once.
     pub(super) fn handle_result_page(&mut self, key: Key, rows: Vec<u8>) {
         let now = self.clock.now();
         let Some(result_spool) = &mut self.result_spool else {
@@ -48,19 +49,19 @@
         }
     }
 
-    /// A result is complete: everybody who waits for it gets it.
+    /// Handles the end of a spooled result: sends its first part to all waiting clients.
     pub(super) fn handle_spooled_result(&mut self, key: Key) {
         let now = self.clock.now();
         self.incoming_results.remove(&key);
         let Some(result_spool) = &mut self.result_spool else {
             return;
         };
-        let deliveries = result_spool.complete(key.number(), now);
+        let deliveries = result_spool.complete_run(key.number(), now);
         if let Some(request) = self.requests.get_mut(key) {
             if !request.is_answered {
                 request.is_answered = true;
                 let is_late = now > request.deadline;
-                self.counters.late += u64::from(is_late);
+                self.counters.answered_late += u64::from(is_late);
                 self.counters.served += 1;
                 self.record_answer(key, AnswerKind::Served, is_late);
             }
@@ -70,12 +71,13 @@
         }
     }
 
-    /// A run ended without a result, by `TryLater` or another error: all others who wait for it are
-    /// told the same as its own client.
+    /// Ends a spooled run that has no result. All clients attached to it get the same kind of error
+    /// (`TryLater` or `Failed`) as the client whose request started it; the caller answers that
+    /// one.
     pub(super) fn end_spooled_run(&mut self, key: Key, error: ErrorKind) {
         self.incoming_results.remove(&key);
         let now = self.clock.now();
-        let own_client = self.requests.get(key).map(Waiter::of_request);
+        let starting_client = self.requests.get(key).map(Waiter::of_request);
         let Some(result_spool) = &mut self.result_spool else {
             return;
         };
@@ -88,8 +90,8 @@
         } else {
             ErrorKind::Failed
         };
-        for waiter in result_spool.end_without_result(key.number(), is_rejected, now) {
-            if Some(waiter) != own_client {
+        for waiter in result_spool.end_run_without_result(key.number(), is_rejected, now) {
+            if Some(waiter) != starting_client {
                 self.deliver(&Delivery::Error {
                     waiter,
                     kind,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// A client asks for a spooled result or releases it.
+    /// Handles a client's query for a spooled result, or the release of one.
     pub(super) fn handle_result_query(&mut self, client: Key, call_id: u32, query: ResultQuery) {
         let now = self.clock.now();
         let waiter = Waiter {
@@ -114,7 +116,7 @@
             ResultQuery::Page { token, id } => result_spool.page_by_token(&token, &id, waiter, now),
             ResultQuery::Reattach { id } => result_spool.reattach(&id, waiter, now),
             ResultQuery::Release { token, id } => {
-                result_spool.release(&token, &id, now);
+                result_spool.release_result(&token, &id, now);
                 self.clients.answer(client, call_id, |output| {
                     write_part(output, call_id, std::iter::empty(), &[]);
                 });
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Sends a part of a result, or an error, to a client who waits for it. Where the connection
-    /// has ended, the client asks again or not at all.
+    /// Sends a part of a result, or an error, to a waiting client. If the connection has closed,
+    /// the message is dropped: the client has to send its query again.
     pub(super) fn deliver(&mut self, delivery: &Delivery) {
         let waiter = delivery.waiter();
         let (is_sent, kind) = match delivery {
@@ -165,7 +167,7 @@
         })
     }
 
-    /// Counts the answer of a waiter that is a request of its own.
+    /// Counts and records an answer, if the waiting call counts as a request of its own.
     fn count_delivery(&mut self, waiter: &Waiter, kind: AnswerKind) {
         let Some(labels) = waiter.counted_as else {
             return;
@@ -174,7 +176,7 @@
             AnswerKind::Served => self.counters.served += 1,
             AnswerKind::Refused => self.counters.refused += 1,
             AnswerKind::Failed => self.counters.failed += 1,
-            _ => self.counters.lost += 1,
+            _ => self.counters.undelivered += 1,
         }
         let answered = HostEvent::Answered {
             request: 0,
@@ -183,10 +185,11 @@
             kind,
             is_late: false,
         };
-        self.event_recorder.record_host(self.clock.now(), &answered);
+        self.event_recorder
+            .record_host_event(self.clock.now(), &answered);
     }
 
-    /// Lets the result spool work, and requests pages of results that there is room for now.
+    /// Polls the result spool, and requests more pages from engines for which it has room now.
     pub(super) fn poll_result_spool(&mut self) {
         let now = self.clock.now();
         let Some(result_spool) = &mut self.result_spool else {
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -1,6 +1,6 @@
-//! Graceful shutdown of the gateway, in the phases of [`Shutdown`].
+//! Graceful shutdown of the gateway, in the phases of [`Shutdown`](crate::shutdown::Shutdown).
 
-use eideryard::interface::{end_tag, Event};
+use eideryard::interface::{request_timer_tag, Event};
 use eideryard_event_log::HostEvent;
 
 use super::Gateway;
@@ -9,15 +9,19 @@
 use crate::shutdown::{Phase, Remaining, ShutdownStep};
 
 impl Gateway {
-    /// SIGTERM: everything that arrives is still served, until clients have stopped connecting and
-    /// all requests are answered.
+    /// Handles SIGTERM: starts the shutdown. New requests are still served until clients have
+    /// stopped connecting and all requests are answered.
     pub(super) fn begin_shutdown(&mut self) {
         let now = self.clock.now();
         if !self.shutdown.begin(now, self.longest_wait) {
             return;
         }
-        tracing::info!("stopping; {} requests are open", self.counters.open());
-        self.event_recorder.record_host(now, &HostEvent::Stopping);
+        tracing::info!(
+            "stopping: {} open requests are still served",
+            self.counters.open_requests()
+        );
+        self.event_recorder
+            .record_host_event(now, &HostEvent::Stopping);
         self.clients.is_healthy = false;
         if let Some(intent_durability) = &mut self.intent_durability {
             intent_durability.release_leases(now);
@@ -27,19 +31,19 @@
         }
     }
 
-    /// Takes the steps whose time has come, at the end of each poll.
+    /// Runs the shutdown steps that are due. Called at the end of each poll.
     pub(super) fn poll_shutdown(&mut self) {
         while self.shutdown.phase() != Phase::Serving {
             if self.shutdown.phase() >= Phase::Closing {
                 self.close_idle_connections();
             }
             let remaining = Remaining {
-                requests: self.counters.open() as usize,
+                requests: self.counters.open_requests() as usize,
                 connections: self.clients.len(),
             };
             match self.shutdown.next_step(self.clock.now(), remaining) {
-                Some(ShutdownStep::CloseIdle | ShutdownStep::Exit) => {}
-                Some(ShutdownStep::AnswerOpen) => self.expire_open_requests(),
+                Some(ShutdownStep::CloseIdleConnections | ShutdownStep::Exit) => {}
+                Some(ShutdownStep::AnswerOpenRequests) => self.expire_open_requests(),
                 None => return,
             }
             if self.is_done() {
@@ -48,18 +52,19 @@
         }
     }
 
-    /// Lets the balancer's timer of each open request fire now, so that it gets its final answer.
+    /// Fires the balancer's end timer of each open request now, so that the request gets its final
+    /// answer.
     fn expire_open_requests(&mut self) {
         for request in self.requests.open_keys() {
-            let tag = end_tag(request.number());
+            let tag = request_timer_tag(request.number());
             self.events.push_back(Event::Timer { tag });
         }
         self.run_balancer();
     }
 
     fn close_idle_connections(&mut self) {
-        // Connections that wait are owed an answer; later ones are not accepted.
-        if self.accept() {
+        // Connections in the listen queue are accepted and answered before listening stops.
+        if self.accept_connections() {
             self.clients.stop_listening();
         }
         self.with_clients(Clients::close_idle_connections);
@@ -67,7 +72,7 @@
         self.run_balancer();
     }
 
-    /// Whether nothing is left to do.
+    /// Whether the shutdown is complete, so that the process can exit.
     pub fn is_done(&self) -> bool {
         self.shutdown.phase() == Phase::Finished
     }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,7 +1,8 @@
-//! Lines of the protocol as events of the balancer.
+//! Parses lines of the protocol into events of the balancer.
 
 use eideryard::interface::{
-    AttemptEnded, Event, LoadReport, Outcome, Probed, Progress, Request, RequestId, ResourceUsage,
+    AttemptEnded, Event, LoadReport, Outcome, ProbeEnded, Progress, Request, RequestId,
+    ResourceUsage,
 };
 use eideryard_settings::set_reported_value;
 
@@ -9,16 +10,16 @@
 use crate::line::Line;
 use crate::lists::EndpointLists;
 
-/// A request carries an estimate of its work where this bit of its options is set.
+/// Bit of `options` that marks the work estimate of a request as valid.
 const HAS_WORK_ESTIMATE: u64 = 1;
-/// What a level of this value in a progress report says: the query waits for a load of its group.
+/// `level` of a progress report whose query waits for a load of its table group.
 const WAITS_FOR_LOAD_LEVEL: f64 = 2.0;
-/// A field of usage holds milliseconds of work times this, plus memory.
+/// `stats` is the work in milliseconds multiplied by this, plus the memory.
 const USAGE_WORK_UNIT: u64 = 4096;
-/// Unit of memory in a field of usage, in megabytes.
+/// Unit of the memory in `stats`, in megabytes.
 const USAGE_MEMORY_UNIT_MB: f64 = 4.0;
 
-/// Whether a verb reports an event to one gateway.
+/// Whether lines with this verb report an event to one gateway.
 pub fn is_event(verb: &str) -> bool {
     matches!(
         verb,
@@ -34,7 +35,7 @@
     )
 }
 
-/// The event that a line reports, where it concerns the balancer.
+/// Returns the event that a line reports; `None` if the balancer doesn't use it.
 pub fn parse_event(line: &Line<'_>, lists: &EndpointLists) -> Result<Option<Event>, AdapterError> {
     let event = match line.verb {
         "MEMBERS" => parse_endpoints(line, lists)?,
@@ -44,7 +45,7 @@
         },
         "HINT_UPDATE" => return parse_progress(line),
         "FINISHED" => Event::AttemptEnded(parse_attempt_ended(line)?),
-        "PROBE_DONE" => Event::Probed(Probed {
+        "PROBE_DONE" => Event::ProbeEnded(ProbeEnded {
             engine: line.required("engine")?,
             outcome: parse_outcome(line)?,
             report: parse_load_report(line)?,
@@ -115,8 +116,8 @@
         attempt: line.required("send-no")?,
         outcome: parse_outcome(line)?,
         spent: line.value_or("spent-us", 0)?,
-        complete: line.value_or("complete", 0u8)? != 0,
-        already_reported: false,
+        is_request_complete: line.value_or("complete", 0u8)? != 0,
+        is_already_reported: false,
         usage: line.optional("stats")?.and_then(parse_usage),
         report: parse_load_report(line)?,
     })
@@ -136,7 +137,7 @@
     }
 }
 
-/// What a query cost; 0 is an answer that doesn't tell.
+/// Returns the resources that a query used; `None` for 0, an answer that doesn't report them.
 fn parse_usage(field: u64) -> Option<ResourceUsage> {
     (field > 0).then_some(ResourceUsage {
         work: (field / USAGE_WORK_UNIT) as f64 * 1e3,
@@ -151,7 +152,7 @@
     let mut report = LoadReport::default();
     for part in text.split(',').filter(|part| !part.is_empty()) {
         let Some((name, value)) = part.split_once(':') else {
-            return Err(AdapterError::NotAFigure {
+            return Err(AdapterError::MalformedReportValue {
                 verb: line.verb.to_string(),
                 part: part.to_string(),
             });
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -52,8 +52,8 @@
 
 /// Interval of the periodic maintenance, in ticks of `Settings::tick`.
 const MAINTENANCE_TICKS: u64 = 10;
-/// Tag of the maintenance timer. The timer that ends a request has the tag `end_tag(request)`,
-/// which is never 0.
+/// Tag of the maintenance timer. The timer that ends a request has the tag
+/// `request_timer_tag(request)`, which is never 0.
 const MAINTENANCE_TAG: u64 = 0;
 /// After service discovery failed, the next subscription follows after `Settings::poll_interval`
 /// divided by this.
@@ -89,11 +89,11 @@
     /// settings, seeds, times and events lead to equal actions.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let ring_position = match settings.index {
+        let ring_position = match settings.gateway_index {
             Some(index) => index / settings.peers,
             None => rng.f64(),
         };
-        let should_subscribe = settings.discovery == Discovery::Ask;
+        let should_subscribe = settings.discovery == Discovery::Poll;
         let load_estimates = LoadEstimates::new(settings.warm_up_duration);
         let latency_time_constant = load_estimates.latency_time_constant();
         let mut balancer = Balancer {
@@ -112,7 +112,7 @@
             load_estimates,
             slow_start: SlowStart::new(&settings),
             outlier_detection: OutlierDetection::new(&settings, latency_time_constant),
-            retry_budget: RetryBudget::new(settings.attempt_budget),
+            retry_budget: RetryBudget::new(settings.retry_budget),
             tenant_quotas: TenantQuotas::new(&settings, now),
             sampling_budget: SamplingBudget::new(settings.probe_tariff),
             is_maintenance_scheduled: false,
@@ -155,7 +155,7 @@
                 progress,
             } => self.on_progress(request, attempt, progress),
             Event::StreamBegan { request } => self.mark_streaming(request),
-            Event::Probed(probed) => self.on_probed(&probed),
+            Event::ProbeEnded(probed) => self.on_probed(&probed),
             Event::ClientLeft { request } => self.close_request(request),
             Event::Timer {
                 tag: MAINTENANCE_TAG,
--- a/src/balancer/arrival.rs
+++ b/src/balancer/arrival.rs
@@ -4,7 +4,7 @@
 use super::affinity::GROUP_DECAY_REQUESTS;
 use super::class_estimates::LEARNING_RATE;
 use super::Balancer;
-use crate::interface::{end_tag, Action, Micros, Request, RequestId};
+use crate::interface::{request_timer_tag, Action, Micros, Request, RequestId};
 use crate::request_state::PendingRequest;
 use crate::traffic::{GroupCount, Traffic};
 
@@ -86,14 +86,14 @@
     /// timer that ends it.
     fn register_request(&mut self, pending: &PendingRequest) {
         let request = &pending.request;
-        let is_ordered = self.settings.classes[request.class].ordered;
+        let is_ordered = self.settings.classes[request.class].is_ordered;
         if let Some(key) = request.key.as_ref().filter(|_| is_ordered) {
             self.key_ordering.push(key, request.id);
         }
         self.retry_budget.record_request(self.now);
         self.actions.push(Action::SetTimer {
             after: pending.end_deadline - self.now,
-            tag: end_tag(request.id),
+            tag: request_timer_tag(request.id),
         });
         self.queue.insert(pending);
     }
--- a/src/balancer/completion.rs
+++ b/src/balancer/completion.rs
@@ -40,7 +40,7 @@
 
     /// Limits a time until a client's retry to what the settings allow; 0: none is sent.
     fn bounded_retry_after(&self, retry_after: Micros) -> Micros {
-        if self.settings.retry_after_allowed {
+        if self.settings.may_send_retry_after {
             retry_after.min(self.settings.max_retry_after)
         } else {
             0
--- a/src/balancer/queue_release.rs
+++ b/src/balancer/queue_release.rs
@@ -36,7 +36,7 @@
             }
             // For retries and ordered requests there may be other reasons than a lack of room.
             let is_limited_by_room_only =
-                pending.attempts.is_empty() && !self.settings.classes[class].ordered;
+                pending.attempts.is_empty() && !self.settings.classes[class].is_ordered;
             if let Some(engine) = self.choose_engine(id) {
                 self.send(id, engine);
                 is_full = self.full_classes();
