--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -8,7 +8,7 @@
 use eideryard::interface::Micros;
 use eideryard_background_scheduler::{Budget as WorkBudget, Scheduler, Timer, Wheel};
 use eideryard_operator_config::SpoolConfig;
-use eideryard_result_spool::returns::Returns;
+use eideryard_result_spool::run_registry::RunRegistry;
 use eideryard_result_spool::segments::{Place, Segments};
 use eideryard_result_spool::size::Sizes;
 use eideryard_result_spool::token::Keys;
@@ -216,7 +216,7 @@
     /// How long the failure of a run is remembered for later queries, in microseconds.
     failure_retention: Micros,
     results: HashMap<ResultId, StoredResult>,
-    returns: Returns<Waiter, RunOutcome>,
+    run_registry: RunRegistry<Waiter, RunOutcome>,
     segments: Segments,
     /// `None` if the operator's file sets no directory: pages are then kept in memory only.
     worker: Option<Worker>,
@@ -261,7 +261,7 @@
             max_result_bytes: config.result,
             failure_retention: config.unclaimed,
             results: HashMap::new(),
-            returns: Returns::new(),
+            run_registry: RunRegistry::new(),
             segments: Segments::new(SEGMENT_BYTES),
             worker,
             background: Scheduler::new(WORK_BUDGET, epoch),
--- a/crates/gateway/src/result_spool/maintenance.rs
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -86,7 +86,7 @@
         if let Some(timer) = stored.expiry_timer {
             self.expiry_timers.cancel(timer);
         }
-        self.returns.drops(&stored.name);
+        self.run_registry.drop_answer(&stored.name);
         self.free_pages(stored.pages, now);
         self.counters.dropped += 1;
     }
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -1,7 +1,7 @@
 //! Answers clients' queries for results, in parts that fit into one message.
 
 use eideryard::interface::Micros;
-use eideryard_result_spool::returns::Arrival;
+use eideryard_result_spool::run_registry::Arrival;
 use eideryard_result_spool::token::{Token, TokenError};
 use eideryard_result_spool::worker::Order;
 use eideryard_result_spool::PageLocation;
@@ -22,17 +22,17 @@
 impl ResultSpoolDriver {
     /// Whether a run with this name is in progress or remembered; see `StoredResult::name`.
     pub fn is_known_run(&self, name: &str) -> bool {
-        self.returns.knows(name)
+        self.run_registry.contains(name)
     }
 
     /// Answers a client's repeated query for a run by its name. Returns `None` if the run is in
     /// progress: the client gets the result when the run ends.
     pub fn reattach(&mut self, name: &str, waiter: Waiter, now: Micros) -> Option<Delivery> {
-        let delivery = match self.returns.arrives(name, waiter) {
+        let delivery = match self.run_registry.register(name, waiter) {
             Arrival::First => {
-                // The run is unknown. `arrives` has registered it as new; since a query starts no
+                // The run is unknown. `register` has added it as new; since a query starts no
                 // run, that is undone.
-                self.returns.refused(name);
+                self.run_registry.withdraw(name);
                 self.counters.not_found += 1;
                 let reason = "nothing is known of this request";
                 return Some(Delivery::error(waiter, ErrorKind::Gone, reason));
@@ -41,7 +41,7 @@
                 self.counters.not_found += 1;
                 return Some(Delivery::expired(waiter));
             }
-            Arrival::Crowded => {
+            Arrival::TooManyWaiters => {
                 let reason = "too many wait for it";
                 return Some(Delivery::error(waiter, ErrorKind::TryLater, reason));
             }
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -71,7 +71,7 @@
             labels: owner.labels,
         };
         self.results.insert(id, stored);
-        self.returns.arrives(name, waiter);
+        self.run_registry.register(name, waiter);
         self.counters.begun += 1;
     }
 
@@ -142,7 +142,7 @@
         self.spool.end(id, true, now);
         self.schedule_expiry(id);
         self.counters.completed += 1;
-        let waiters = self.returns.ends(&name, RunOutcome::Result(id));
+        let waiters = self.run_registry.finish(&name, RunOutcome::Result(id));
         waiters
             .into_iter()
             .filter_map(|waiter| self.prepare_part(waiter, id, 0, now))
@@ -163,7 +163,7 @@
         let name = stored.name.clone();
         self.spool.end(id, false, now);
         if is_rejected {
-            let waiters = self.returns.refused(&name);
+            let waiters = self.run_registry.withdraw(&name);
             self.drop_result(id, now);
             return waiters;
         }
@@ -178,13 +178,13 @@
             }
             self.free_pages(pages, now);
         }
-        self.returns.ends(&name, RunOutcome::Failed)
+        self.run_registry.finish(&name, RunOutcome::Failed)
     }
 
     /// Removes a waiting client whose connection has closed. The run continues for later queries.
     pub fn detach_client(&mut self, id: ResultId, waiter: &Waiter) {
         if let Some(stored) = self.results.get(&id) {
-            self.returns.leaves(&stored.name, waiter);
+            self.run_registry.detach(&stored.name, waiter);
         }
     }
 }
--- a/crates/result-spool/src/lib.rs
+++ b/crates/result-spool/src/lib.rs
@@ -11,7 +11,7 @@
 #![expect(missing_docs, reason = "public items are still to be described")]
 
 pub mod limits;
-pub mod returns;
+pub mod run_registry;
 pub mod segments;
 pub mod size;
 pub mod state;
--- a/crates/result-spool/src/returns.rs
+++ b/crates/result-spool/src/run_registry.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a request is known by when it comes again: its key, or the id of its first try.
-pub type Name = Box<str>;
+pub type RunName = Box<str>;
 
 /// Names whose answers were dropped are known as gone as long as there are no more than this.
 const MAX_GONE: usize = 65_536;
@@ -22,7 +22,7 @@
     /// Its answer was dropped: a failure that says so.
     Gone,
     /// Too many wait for this one already: refused.
-    Crowded,
+    TooManyWaiters,
 }
 
 enum Run<W, A> {
@@ -31,23 +31,23 @@
 }
 
 /// Runs by name; `W` is who waits, `A` an answer, small: a result's number, or a failure.
-pub struct Returns<W, A> {
-    runs: BTreeMap<Name, Run<W, A>>,
-    /// Dropped ones, oldest first; [`Returns::gone`] finds them by name.
-    gone: BTreeMap<Name, u64>,
-    order: VecDeque<(Name, u64)>,
+pub struct RunRegistry<W, A> {
+    runs: BTreeMap<RunName, Run<W, A>>,
+    /// Dropped ones, oldest first; [`RunRegistry::gone`] finds them by name.
+    gone: BTreeMap<RunName, u64>,
+    order: VecDeque<(RunName, u64)>,
     dropped: u64,
 }
 
-impl<W: PartialEq, A: Clone> Default for Returns<W, A> {
+impl<W: PartialEq, A: Clone> Default for RunRegistry<W, A> {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl<W: PartialEq, A: Clone> Returns<W, A> {
+impl<W: PartialEq, A: Clone> RunRegistry<W, A> {
     pub fn new() -> Self {
-        Returns {
+        RunRegistry {
             runs: BTreeMap::new(),
             gone: BTreeMap::new(),
             order: VecDeque::new(),
@@ -61,14 +61,14 @@
     }
 
     /// Whether anything is known of a name: a run that goes on, an answer, or that it is gone.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.runs.contains_key(name) || self.gone.contains_key(name)
     }
 
-    pub fn arrives(&mut self, name: &str, who: W) -> Arrival<A> {
+    pub fn register(&mut self, name: &str, who: W) -> Arrival<A> {
         match self.runs.get_mut(name) {
             Some(Run::Ended(answer)) => Arrival::Answered(answer.clone()),
-            Some(Run::Runs(waiting)) if waiting.len() >= MAX_WAITING => Arrival::Crowded,
+            Some(Run::Runs(waiting)) if waiting.len() >= MAX_WAITING => Arrival::TooManyWaiters,
             Some(Run::Runs(waiting)) => {
                 waiting.push(who);
                 Arrival::Attached
@@ -82,7 +82,7 @@
     }
 
     /// Who waited has gone. True: nobody waits any more, though the run goes on.
-    pub fn leaves(&mut self, name: &str, who: &W) -> bool {
+    pub fn detach(&mut self, name: &str, who: &W) -> bool {
         match self.runs.get_mut(name) {
             Some(Run::Runs(waiting)) => {
                 waiting.retain(|own| own != who);
@@ -93,7 +93,7 @@
     }
 
     /// The run has ended: gives all who wait, for the same answer.
-    pub fn ends(&mut self, name: &str, answer: A) -> Vec<W> {
+    pub fn finish(&mut self, name: &str, answer: A) -> Vec<W> {
         match self.runs.get_mut(name) {
             Some(run @ Run::Runs(_)) => match std::mem::replace(run, Run::Ended(answer)) {
                 Run::Runs(waiting) => waiting,
@@ -105,7 +105,7 @@
 
     /// It was refused before anything ran: it may come again as if it had not been there. Gives all
     /// who wait.
-    pub fn refused(&mut self, name: &str) -> Vec<W> {
+    pub fn withdraw(&mut self, name: &str) -> Vec<W> {
         match self.runs.remove(name) {
             Some(Run::Runs(waiting)) => waiting,
             Some(ended) => {
@@ -117,7 +117,7 @@
     }
 
     /// Its answer is kept no longer.
-    pub fn drops(&mut self, name: &str) {
+    pub fn drop_answer(&mut self, name: &str) {
         if !matches!(self.runs.get(name), Some(Run::Ended(_))) {
             return;
         }
