--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -119,7 +119,7 @@
         self.count_rejected_request(RejectReason::StatementMemoryFull, owner.labels);
         let reply = ErrorReply {
             retry_after: rejection.retry_after.filter(|_| self.may_send_retry_after),
-            ..ErrorReply::with_reason(ErrorKind::TryLater, rejection.reason.word())
+            ..ErrorReply::with_reason(ErrorKind::TryLater, rejection.reason.as_str())
         };
         self.answer_call(call_id, &reply);
         false
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -43,7 +43,7 @@
                 self.events.push_back(Event::ClientLeft {
                     request: key.number(),
                 });
-                let reply = ErrorReply::with_reason(ErrorKind::Failed, reason.word());
+                let reply = ErrorReply::with_reason(ErrorKind::Failed, reason.as_str());
                 self.answer_error(key, &reply);
             }
         }
--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -249,9 +249,9 @@
         let budget = Budget {
             memory: config.memory,
             disk: if worker.is_some() { config.disk } else { 0 },
-            result: config.result,
-            unclaimed: config.unclaimed,
-            delivered: config.delivered,
+            max_result_bytes: config.result,
+            unclaimed_retention: config.unclaimed,
+            delivered_retention: config.delivered,
         };
         Ok(ResultSpoolDriver {
             spool: Spool::new(budget, epoch),
--- a/crates/gateway/src/result_spool/disk.rs
+++ b/crates/gateway/src/result_spool/disk.rs
@@ -6,7 +6,7 @@
 use eideryard_background_scheduler::Urgency;
 use eideryard_result_spool::segments::Place;
 use eideryard_result_spool::worker::{Done, Order};
-use eideryard_result_spool::Choice;
+use eideryard_result_spool::SpoolAction;
 
 use super::{Delivery, ResultId, ResultSpoolDriver, StoredPage, Work, DISK_RETRY_DELAY};
 use crate::error_reply::ErrorKind;
@@ -17,7 +17,7 @@
         if self.worker.is_none() {
             return;
         }
-        for Choice::Move { result, page } in self.spool.moves(now) {
+        for SpoolAction::Move { result, page } in self.spool.choose_moves(now) {
             let Some(StoredPage::Memory(rows)) = self
                 .results
                 .get(&result)
@@ -26,14 +26,14 @@
                 continue;
             };
             let bytes = rows.len() as u64;
-            self.spool.moving(result, page);
+            self.spool.start_move(result, page);
             let work = Work::WritePage(result, page);
             if self
                 .background
                 .offer(now, Urgency::Room, work, bytes)
                 .is_err()
             {
-                self.spool.moved(result, page, false, now);
+                self.spool.finish_move(result, page, false, now);
                 return;
             }
         }
@@ -67,7 +67,7 @@
         };
         if !is_queued {
             self.abandon_segment(place, now);
-            self.spool.moved(result, page, false, now);
+            self.spool.finish_move(result, page, false, now);
             return;
         }
         let Some(stored) = self.results.get_mut(&result) else {
@@ -127,7 +127,8 @@
             StoredPage::Memory(std::mem::take(rows))
         };
         let retry_at = now + DISK_RETRY_DELAY;
-        self.spool.moved(result, page, outcome.is_ok(), retry_at);
+        self.spool
+            .finish_move(result, page, outcome.is_ok(), retry_at);
         if let Err(e) = outcome {
             self.counters.disk_errors += 1;
             tracing::warn!("result spool: can't write a page to disk, it stays in memory: {e}");
@@ -159,7 +160,7 @@
                     tracing::warn!(
                         "result spool: can't read a page from disk, its query fails: {e}"
                     );
-                    self.spool.close(result, false, now);
+                    self.spool.close_reader(result, false, now);
                     let reason = "a page of it can't be read";
                     deliveries.push(Delivery::error(part.waiter, ErrorKind::Failed, reason));
                     continue;
--- a/crates/gateway/src/result_spool/maintenance.rs
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -53,17 +53,17 @@
         if let Some(stored) = self.results.get_mut(&id) {
             stored.expiry_timer = None;
         }
-        match self.spool.expires(id) {
+        match self.spool.expiry(id) {
             Some(expires_at) if expires_at <= now => self.drop_result(id, now),
             Some(_) => self.schedule_expiry(id),
             // A remembered failure has expired.
-            None if !self.spool.holds(id) => self.drop_result(id, now),
+            None if !self.spool.contains(id) => self.drop_result(id, now),
             None => {}
         }
     }
 
     pub(super) fn schedule_expiry(&mut self, id: ResultId) {
-        let Some(expires_at) = self.spool.expires(id) else {
+        let Some(expires_at) = self.spool.expiry(id) else {
             return;
         };
         let Some(stored) = self.results.get_mut(&id) else {
@@ -77,7 +77,7 @@
 
     /// Drops a result and frees its pages, unless a part of it is being sent.
     pub(super) fn drop_result(&mut self, id: ResultId, now: Micros) {
-        if self.spool.holds(id) && !self.spool.drop(id, now) {
+        if self.spool.contains(id) && !self.spool.drop_result(id, now) {
             return;
         }
         let Some(stored) = self.results.remove(&id) else {
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -82,8 +82,8 @@
     /// kept only as long as delivered ones are.
     pub fn release_result(&mut self, token: &str, name: &str, now: Micros) {
         if let Ok(token) = self.keys.read(token, name, self.epoch, now) {
-            self.spool.open(token.result, now);
-            self.spool.close(token.result, true, now);
+            self.spool.open_reader(token.result, now);
+            self.spool.close_reader(token.result, true, now);
             self.schedule_expiry(token.result);
         }
     }
@@ -102,18 +102,18 @@
         };
         let end = first_page + pending.rows.len();
         let is_empty = pending.rows.is_empty();
-        if is_empty && self.spool.read(id, first_page, now) != PageLocation::NoSuch {
+        if is_empty && self.spool.locate_page(id, first_page, now) != PageLocation::PastEnd {
             return Some(Delivery::expired(waiter));
         }
-        self.spool.open(id, now);
+        self.spool.open_reader(id, now);
         if !is_empty {
-            self.spool.read(id, end - 1, now);
+            self.spool.locate_page(id, end - 1, now);
         }
         if pending.is_complete() {
             return self.finish_part(pending, now);
         }
         if self.pending_parts.len() >= MAX_PENDING_PARTS || !self.order_reads(&pending) {
-            self.spool.close(id, false, now);
+            self.spool.close_reader(id, false, now);
             let reason = "the spool's disk is busy";
             return Some(Delivery::error(waiter, ErrorKind::TryLater, reason));
         }
@@ -187,7 +187,7 @@
             expires: now + TOKEN_LIFETIME,
         };
         let token = self.keys.write(&token, &name);
-        self.spool.close(part.result, !part.has_more, now);
+        self.spool.close_reader(part.result, !part.has_more, now);
         self.schedule_expiry(part.result);
         self.counters.parts_sent += 1;
         Some(Delivery::Part(ResultPart {
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -35,14 +35,17 @@
             });
         }
         match self.spool.admit(owner.spool_owner(), expected, now) {
-            Admission::Yes { dropping } => {
-                for id in dropping {
+            Admission::Admitted { to_drop } => {
+                for id in to_drop {
                     self.drop_result(id, now);
                 }
                 Ok(())
             }
-            Admission::No { why, retry_after } => Err(SpoolRejection {
-                reason: why,
+            Admission::Rejected {
+                reason,
+                retry_after,
+            } => Err(SpoolRejection {
+                reason,
                 retry_after,
             }),
         }
@@ -82,7 +85,7 @@
 
     /// The number of bytes of pages that may be requested from the engine now.
     pub fn free_bytes(&self, id: ResultId) -> u64 {
-        self.spool.ahead(id)
+        self.spool.read_ahead_bytes(id)
     }
 
     /// Adds the next page of a result.
@@ -99,7 +102,7 @@
         let Some(stored) = self.results.get_mut(&id) else {
             return Ok(());
         };
-        if let Err(reason) = self.spool.page(id, rows.len() as u64, now) {
+        if let Err(reason) = self.spool.add_page(id, rows.len() as u64, now) {
             if reason == RejectReason::TooLarge {
                 // The actual size is unknown, so the least possible one is learned. Later requests
                 // of this class and tenant are then rejected before they are sent.
@@ -124,7 +127,7 @@
         }
         let pages = std::mem::take(&mut stored.pages);
         self.spool.end(id, false, now);
-        self.spool.drop(id, now);
+        self.spool.drop_result(id, now);
         self.free_pages(pages, now);
         let expected = self.expected_bytes(owner.labels);
         self.spool.begin(id, owner.spool_owner(), expected, now);
@@ -168,7 +171,7 @@
             return waiters;
         }
         // No client has got a row of it, so only the failure is stored.
-        self.spool.drop(id, now);
+        self.spool.drop_result(id, now);
         let timer = self.expiry_timers.set(now + self.failure_retention, id);
         if let Some(stored) = self.results.get_mut(&id) {
             let previous_timer = stored.expiry_timer.replace(timer);
--- a/crates/result-spool/benches/choices.rs
+++ b/crates/result-spool/benches/choices.rs
@@ -4,7 +4,7 @@
 
 use eideryard_result_spool::size::Sizes;
 use eideryard_result_spool::{
-    Admission, Budget, Choice, Micros, Owner, PageLocation, Policy, Spool,
+    Admission, Budget, Micros, Owner, PageLocation, Policy, Spool, SpoolAction,
 };
 use fastrand::Rng;
 use plotters::prelude::*;
@@ -15,9 +15,9 @@
 const BUDGET: Budget = Budget {
     memory: 16 << 20,
     disk: 48 << 20,
-    result: 32 << 20,
-    unclaimed: 20_000_000,
-    delivered: 10_000_000,
+    max_result_bytes: 32 << 20,
+    unclaimed_retention: 20_000_000,
+    delivered_retention: 10_000_000,
 };
 const PAGE: u64 = 6000;
 /// Bytes a second: of an engine for one result, of a fast and of a slow client, and of the disk.
@@ -60,7 +60,7 @@
 )]
 fn simulate(policy: Policy, by_size: bool, seed: u64) -> Counted {
     let mut rng = Rng::with_seed(seed);
-    let mut spool = Spool::with(BUDGET, policy, 0);
+    let mut spool = Spool::with_policy(BUDGET, policy, 0);
     let mut sizes = Sizes::default();
     let mut runs: BTreeMap<u64, Run> = BTreeMap::new();
     let (mut counted, mut next, mut now) = (Counted::default(), 0u64, 0);
@@ -93,11 +93,11 @@
             } else {
                 USUAL
             };
-            let Admission::Yes { dropping } = spool.admit(owner, expected, now) else {
+            let Admission::Admitted { to_drop } = spool.admit(owner, expected, now) else {
                 continue;
             };
-            for id in dropping {
-                spool.drop(id, now);
+            for id in to_drop {
+                spool.drop_result(id, now);
                 // Its client may still come for it.
                 if let Some(run) = runs.remove(&id) {
                     counted.wasted_bytes += if run.read < run.size { run.come } else { 0 };
@@ -125,16 +125,15 @@
         let mut over = Vec::new();
         for (id, run) in &mut runs {
             // From the engine.
-            let mut room =
-                ((ENGINE * step) as u64).min(spool.ahead(*id).max(if run.come < run.size {
-                    PAGE
-                } else {
-                    0
-                }));
+            let mut room = ((ENGINE * step) as u64).min(
+                spool
+                    .read_ahead_bytes(*id)
+                    .max(if run.come < run.size { PAGE } else { 0 }),
+            );
             let mut failed = false;
             while run.come < run.size && room > 0 && !failed {
                 let bytes = PAGE.min(run.size - run.come);
-                failed = spool.page(*id, bytes, now).is_err();
+                failed = spool.add_page(*id, bytes, now).is_err();
                 if !failed {
                     (run.come, room) = (run.come + bytes, room.saturating_sub(bytes));
                     counted.bytes += bytes;
@@ -142,35 +141,35 @@
             }
             if failed {
                 spool.end(*id, false, now);
-                spool.drop(*id, now);
+                spool.drop_result(*id, now);
                 counted.wasted_bytes += run.come;
                 over.push(*id);
                 continue;
             }
-            if run.come >= run.size && run.read == 0 && spool.expires(*id).is_none() && !run.open {
+            if run.come >= run.size && run.read == 0 && spool.expiry(*id).is_none() && !run.open {
                 spool.end(*id, true, now);
                 sizes.learn(run.class, run.tenant, run.size);
             }
             // To the client.
             if run.come >= run.size && now >= run.reads_at && run.read < run.size {
                 if !run.open {
-                    run.open = spool.open(*id, now);
+                    run.open = spool.open_reader(*id, now);
                 }
                 run.read = (run.read + (run.rate * step) as u64).min(run.size);
-                let is = spool.read(*id, (run.read.saturating_sub(1) / PAGE) as usize, now);
+                let is = spool.locate_page(*id, (run.read.saturating_sub(1) / PAGE) as usize, now);
                 assert!(
                     matches!(is, PageLocation::Memory | PageLocation::Disk),
                     "{is:?}"
                 );
                 if run.read >= run.size {
-                    spool.close(*id, true, now);
+                    spool.close_reader(*id, true, now);
                     counted.small_served += (run.class == 0) as u64;
                     counted.large_served += (run.class != 0) as u64;
                     counted.others_served += (run.class != 0 && run.tenant != 0) as u64;
                 }
             }
-            if spool.expires(*id).is_some_and(|at| at <= now) {
-                spool.drop(*id, now);
+            if spool.expiry(*id).is_some_and(|at| at <= now) {
+                spool.drop_result(*id, now);
                 counted.wasted_bytes += if run.read < run.size { run.come } else { 0 };
                 over.push(*id);
             }
@@ -179,13 +178,13 @@
             _ = runs.remove(id);
         }
         let mut disk = (DISK * step) as u64;
-        for Choice::Move { result, page } in spool.moves(now) {
+        for SpoolAction::Move { result, page } in spool.choose_moves(now) {
             if disk < PAGE {
                 break;
             }
             disk -= PAGE;
-            spool.moving(result, page);
-            spool.moved(result, page, true, 0);
+            spool.start_move(result, page);
+            spool.finish_move(result, page, true, 0);
         }
     }
     counted
--- a/crates/result-spool/src/lib.rs
+++ b/crates/result-spool/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod worker;
 
 pub use limits::Budget;
-pub use state::{Admission, Choice, Owner, PageLocation, Policy, RejectReason, Spool};
+pub use state::{Admission, Owner, PageLocation, Policy, RejectReason, Spool, SpoolAction};
 
 /// Microseconds on the host's clock.
 pub type Micros = u64;
--- a/crates/result-spool/src/limits.rs
+++ b/crates/result-spool/src/limits.rs
@@ -40,11 +40,11 @@
     pub memory: u64,
     pub disk: u64,
     /// The largest single result.
-    pub result: u64,
+    pub max_result_bytes: u64,
     /// How long a whole result waits for its client, from its last use.
-    pub unclaimed: Micros,
+    pub unclaimed_retention: Micros,
     /// How long one that was delivered is kept for a client that comes again.
-    pub delivered: Micros,
+    pub delivered_retention: Micros,
 }
 
 impl Budget {
--- a/crates/result-spool/src/state.rs
+++ b/crates/result-spool/src/state.rs
@@ -29,7 +29,7 @@
 }
 
 impl RejectReason {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             RejectReason::TooLarge => "too-large",
             RejectReason::Full => "spool-full",
@@ -42,18 +42,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// There is room, once these are dropped.
-    Yes { dropping: Vec<ResultId> },
+    Admitted { to_drop: Vec<ResultId> },
     /// When to come back, by how fast room comes free; nothing where that is of no use.
-    No {
-        why: RejectReason,
+    Rejected {
+        reason: RejectReason,
         retry_after: Option<Micros>,
     },
 }
 
 /// What the host is to do with pages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
-    /// Write this page of a result to disk, and tell with [`Spool::moved`].
+pub enum SpoolAction {
+    /// Write this page of a result to disk, and tell with [`Spool::finish_move`].
     Move { result: ResultId, page: usize },
 }
 
@@ -64,7 +64,7 @@
     /// It has not come from the engine yet.
     NotYet,
     /// The result ended before this page.
-    NoSuch,
+    PastEnd,
     /// The result ended as failed: what was read before stays valid, the rest never comes.
     Failed,
     /// Dropped, or never there.
@@ -180,10 +180,10 @@
 
 impl Spool {
     pub fn new(budget: Budget, now: Micros) -> Self {
-        Self::with(budget, Policy::default(), now)
+        Self::with_policy(budget, Policy::default(), now)
     }
 
-    pub fn with(budget: Budget, policy: Policy, now: Micros) -> Self {
+    pub fn with_policy(budget: Budget, policy: Policy, now: Micros) -> Self {
         Spool {
             budget,
             policy,
@@ -209,7 +209,7 @@
         self.results.is_empty()
     }
 
-    pub fn holds(&self, id: ResultId) -> bool {
+    pub fn contains(&self, id: ResultId) -> bool {
         self.results.contains_key(&id)
     }
 
@@ -231,8 +231,11 @@
     /// Whether a result of an expected size will fit, before anything is sent for it.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
     pub fn admit(&self, owner: Owner, expected: u64, now: Micros) -> Admission {
-        let no = |why, retry_after| Admission::No { why, retry_after };
-        if expected > self.budget.result {
+        let no = |reason, retry_after| Admission::Rejected {
+            reason,
+            retry_after,
+        };
+        if expected > self.budget.max_result_bytes {
             return no(RejectReason::TooLarge, None);
         }
         let total = self.total(now);
@@ -243,7 +246,7 @@
         };
         let room = total.saturating_sub(kept_back);
         let wanted = self.claims + expected;
-        let (mut dropping, mut freed) = (Vec::new(), 0);
+        let (mut to_drop, mut freed) = (Vec::new(), 0);
         if self.policy.shares && wanted as f64 > PRESSURE * total as f64 {
             let over = |sum: Option<&u64>, share: f64| {
                 let most = (total as f64 * share) as u64;
@@ -268,7 +271,7 @@
                     of_tenant = of_tenant.saturating_sub(own(held.owner.tenant == owner.tenant));
                     of_address =
                         of_address.saturating_sub(own(held.owner.address == owner.address));
-                    dropping.push(*id);
+                    to_drop.push(*id);
                     freed += held.bytes;
                 }
             }
@@ -282,9 +285,9 @@
         let mut short = wanted.saturating_sub(room + freed);
         let mut leaving = self.leaving.iter();
         let full = self.results.len() >= MAX_RESULTS;
-        while short > 0 || (full && dropping.is_empty()) {
+        while short > 0 || (full && to_drop.is_empty()) {
             let last = |held: &Held, unclaimed: bool| {
-                !unclaimed || held.touched_at + self.budget.unclaimed <= now
+                !unclaimed || held.touched_at + self.budget.unclaimed_retention <= now
             };
             let next = leaving.next().and_then(|(unclaimed, _, id)| {
                 self.results
@@ -295,12 +298,12 @@
             let Some((id, bytes)) = next else {
                 return no(RejectReason::Full, Some(self.advice(short)));
             };
-            if !dropping.contains(&id) {
-                dropping.push(id);
+            if !to_drop.contains(&id) {
+                to_drop.push(id);
                 short = short.saturating_sub(bytes);
             }
         }
-        Admission::Yes { dropping }
+        Admission::Admitted { to_drop }
     }
 
     /// How long it takes until so much comes free, at the rate of late.
@@ -343,7 +346,7 @@
     /// Bytes that an engine may be asked for ahead of what is there. What is promised is there to
     /// be filled, yet no faster than memory takes it: a slow reader's engine reads on into the disk
     /// and is free all the same.
-    pub fn ahead(&self, id: ResultId) -> u64 {
+    pub fn read_ahead_bytes(&self, id: ResultId) -> u64 {
         let Some(held) = self
             .results
             .get(&id)
@@ -359,7 +362,7 @@
     }
 
     /// A page has come. An error: the result can't be kept, which is its failure.
-    pub fn page(&mut self, id: ResultId, bytes: u64, now: Micros) -> Result<(), RejectReason> {
+    pub fn add_page(&mut self, id: ResultId, bytes: u64, now: Micros) -> Result<(), RejectReason> {
         let total = self.total(now);
         let Some(held) = self
             .results
@@ -369,7 +372,7 @@
             return Ok(());
         };
         let before = held.claim();
-        if held.bytes + bytes > self.budget.result {
+        if held.bytes + bytes > self.budget.max_result_bytes {
             return Err(RejectReason::TooLarge);
         }
         let after = before.max(held.bytes + bytes);
@@ -426,8 +429,8 @@
         }
     }
 
-    /// A client reads from now on, until [`Spool::close`]: meanwhile the result stays.
-    pub fn open(&mut self, id: ResultId, now: Micros) -> bool {
+    /// A client reads from now on, until [`Spool::close_reader`]: meanwhile the result stays.
+    pub fn open_reader(&mut self, id: ResultId, now: Micros) -> bool {
         self.unfile(id);
         let Some(held) = self.results.get_mut(&id) else {
             return false;
@@ -437,7 +440,7 @@
         true
     }
 
-    pub fn close(&mut self, id: ResultId, delivered: bool, now: Micros) {
+    pub fn close_reader(&mut self, id: ResultId, delivered: bool, now: Micros) {
         if let Some(held) = self.results.get_mut(&id).filter(|held| held.readers > 0) {
             held.readers -= 1;
             held.delivered |= delivered;
@@ -450,7 +453,7 @@
     }
 
     /// Where a page is, for one who reads it now.
-    pub fn read(&mut self, id: ResultId, page: usize, now: Micros) -> PageLocation {
+    pub fn locate_page(&mut self, id: ResultId, page: usize, now: Micros) -> PageLocation {
         let Some(held) = self.results.get_mut(&id) else {
             return PageLocation::Gone;
         };
@@ -467,7 +470,7 @@
             ) => PageLocation::Disk,
             (Some(_), _) => PageLocation::Memory,
             (None, State::Filling) => PageLocation::NotYet,
-            (None, State::Whole) => PageLocation::NoSuch,
+            (None, State::Whole) => PageLocation::PastEnd,
             (None, State::Failed) => PageLocation::Failed,
         }
     }
@@ -478,7 +481,7 @@
     /// those of results that nobody reads, the longest unused first, their first pages last; before
     /// these, what readers have passed and what is furthest ahead of them. What a reader takes next
     /// stays.
-    pub fn moves(&self, now: Micros) -> Vec<Choice> {
+    pub fn choose_moves(&self, now: Micros) -> Vec<SpoolAction> {
         let mark = |part: f64| (self.budget.memory as f64 * part) as u64;
         // What is on its way needs no second choice, so pages are looked through once for many that
         // come.
@@ -520,7 +523,7 @@
             }
             excess = excess.saturating_sub(bytes);
             room -= bytes;
-            choices.push(Choice::Move { result, page });
+            choices.push(SpoolAction::Move { result, page });
         }
         choices
     }
@@ -539,8 +542,8 @@
         self.results.get_mut(&id)?.pages.get_mut(page)
     }
 
-    /// A page is being written: it counts in both places until [`Spool::moved`].
-    pub fn moving(&mut self, id: ResultId, page: usize) {
+    /// A page is being written: it counts in both places until [`Spool::finish_move`].
+    pub fn start_move(&mut self, id: ResultId, page: usize) {
         if let Some(page) = self
             .page_mut(id, page)
             .filter(|page| page.tier == Tier::Memory)
@@ -559,7 +562,7 @@
 
     /// It was written, or could not be: then nothing is written for a while, and what is in memory
     /// stays there.
-    pub fn moved(&mut self, id: ResultId, page: usize, written: bool, again_at: Micros) {
+    pub fn finish_move(&mut self, id: ResultId, page: usize, written: bool, again_at: Micros) {
         if !written {
             self.disk_fails_until = Some(again_at);
         }
@@ -584,18 +587,18 @@
     // ---- Leaving ----
 
     /// When a result's time is over, unless it is used until then.
-    pub fn expires(&self, id: ResultId) -> Option<Micros> {
+    pub fn expiry(&self, id: ResultId) -> Option<Micros> {
         let held = self.results.get(&id).filter(|held| held.droppable())?;
         let keeps = if held.delivered {
-            self.budget.delivered
+            self.budget.delivered_retention
         } else {
-            self.budget.unclaimed
+            self.budget.unclaimed_retention
         };
         Some(held.touched_at + keeps)
     }
 
     /// Forgets a result. False: it is read or still comes, so it stays.
-    pub fn drop(&mut self, id: ResultId, now: Micros) -> bool {
+    pub fn drop_result(&mut self, id: ResultId, now: Micros) -> bool {
         if !self.results.get(&id).is_some_and(Held::droppable) {
             return false;
         }
--- a/crates/result-spool/tests/model.rs
+++ b/crates/result-spool/tests/model.rs
@@ -10,9 +10,9 @@
 const BUDGET: Budget = Budget {
     memory: 512 * KB,
     disk: 2048 * KB,
-    result: 900 * KB,
-    unclaimed: 5_000_000,
-    delivered: 1_000_000,
+    max_result_bytes: 900 * KB,
+    unclaimed_retention: 5_000_000,
+    delivered_retention: 1_000_000,
 };
 
 #[derive(Clone, Debug)]
@@ -106,20 +106,20 @@
                 Step::Ask { tenant, address, expected } => {
                     let owner = Owner { tenant, address };
                     match spool.admit(owner, expected, now) {
-                        Admission::Yes { dropping } => {
-                            for id in dropping {
+                        Admission::Admitted { to_drop } => {
+                            for id in to_drop {
                                 let own = plain.remove(&id).expect("it is there");
                                 prop_assert!(own.readers == 0 && !own.filling, "one that is read, or comes, is dropped");
-                                prop_assert!(spool.drop(id, now));
+                                prop_assert!(spool.drop_result(id, now));
                             }
                             next += 1;
                             spool.begin(next, owner, expected, now);
                             let pages = Vec::new();
                             plain.insert(next, Plain { owner, promised: expected, pages, filling: true, whole: false, readers: 0 });
                         }
-                        Admission::No { why, retry_after } => {
+                        Admission::Rejected { reason, retry_after } => {
                             let advised = retry_after.is_some_and(|after| (MIN_ADVICE..=MAX_ADVICE).contains(&after));
-                            prop_assert_eq!(advised, why != RejectReason::TooLarge);
+                            prop_assert_eq!(advised, reason != RejectReason::TooLarge);
                         }
                     }
                 }
@@ -129,7 +129,7 @@
                     if !own.filling {
                         continue;
                     }
-                    match spool.page(id, bytes, now) {
+                    match spool.add_page(id, bytes, now) {
                         Ok(()) => own.pages.push(bytes),
                         Err(_) => {
                             own.filling = false;
@@ -147,31 +147,31 @@
                 }
                 Step::Open { which } => {
                     let Some(id) = at(which, &plain) else { continue };
-                    prop_assert!(spool.open(id, now));
+                    prop_assert!(spool.open_reader(id, now));
                     plain.get_mut(&id).unwrap().readers += 1;
                 }
                 Step::Close { which, delivered } => {
                     let Some(id) = at(which, &plain) else { continue };
-                    spool.close(id, delivered, now);
+                    spool.close_reader(id, delivered, now);
                     let own = plain.get_mut(&id).unwrap();
                     own.readers = own.readers.saturating_sub(1);
                 }
                 Step::Read { which, page } => {
                     let Some(id) = at(which, &plain) else { continue };
                     let own = &plain[&id];
-                    let is = spool.read(id, page, now);
+                    let is = spool.locate_page(id, page, now);
                     let expected = match (page < own.pages.len(), own.filling, own.whole) {
                         (true, ..) => matches!(is, PageLocation::Memory | PageLocation::Disk),
                         (false, true, _) => is == PageLocation::NotYet,
-                        (false, false, true) => is == PageLocation::NoSuch,
+                        (false, false, true) => is == PageLocation::PastEnd,
                         (false, false, false) => is == PageLocation::Failed,
                     };
                     prop_assert!(expected, "{:?}", is);
                 }
                 Step::Move { written } => {
-                    for Choice::Move { result, page } in spool.moves(now) {
-                        spool.moving(result, page);
-                        spool.moved(result, page, written, now + 500_000);
+                    for SpoolAction::Move { result, page } in spool.choose_moves(now) {
+                        spool.start_move(result, page);
+                        spool.finish_move(result, page, written, now + 500_000);
                         if !written {
                             break;
                         }
@@ -181,10 +181,10 @@
                     let Some(id) = at(which, &plain) else { continue };
                     let own = &plain[&id];
                     let may = own.readers == 0 && !own.filling;
-                    prop_assert_eq!(spool.drop(id, now), may);
+                    prop_assert_eq!(spool.drop_result(id, now), may);
                     if may {
                         plain.remove(&id);
-                        prop_assert_eq!(spool.read(id, 0, now), PageLocation::Gone);
+                        prop_assert_eq!(spool.locate_page(id, 0, now), PageLocation::Gone);
                     }
                 }
                 Step::Pass { time } => now += time,
@@ -195,7 +195,7 @@
             prop_assert!(memory <= BUDGET.memory && disk <= BUDGET.disk && claims <= BUDGET.total());
             prop_assert_eq!(spool.len(), plain.len());
             for own in plain.values() {
-                prop_assert!(own.bytes() <= BUDGET.result);
+                prop_assert!(own.bytes() <= BUDGET.max_result_bytes);
                 let _ = own.owner;
             }
         }
@@ -208,12 +208,12 @@
 };
 
 fn yes(spool: &Spool, owner: Owner, expected: u64) -> bool {
-    matches!(spool.admit(owner, expected, 0), Admission::Yes { .. })
+    matches!(spool.admit(owner, expected, 0), Admission::Admitted { .. })
 }
 
 fn why(spool: &Spool, owner: Owner, expected: u64) -> RejectReason {
     match spool.admit(owner, expected, 0) {
-        Admission::No { why, .. } => why,
+        Admission::Rejected { reason, .. } => reason,
         yes => panic!("{yes:?}"),
     }
 }
@@ -278,25 +278,25 @@
         .collect();
     for id in &ids {
         for _ in 0..10 {
-            spool.page(*id, 10 * KB, 1).unwrap();
-            for Choice::Move { result, page } in spool.moves(1) {
-                spool.moving(result, page);
-                spool.moved(result, page, true, 1);
+            spool.add_page(*id, 10 * KB, 1).unwrap();
+            for SpoolAction::Move { result, page } in spool.choose_moves(1) {
+                spool.start_move(result, page);
+                spool.finish_move(result, page, true, 1);
             }
         }
         spool.end(*id, true, 1);
     }
     assert_eq!(why(&spool, ONE, 100 * KB), RejectReason::TenantsShare);
     for (number, id) in ids.iter().enumerate() {
-        spool.open(*id, 2);
-        spool.close(*id, true, 3 + number as u64);
+        spool.open_reader(*id, 2);
+        spool.close_reader(*id, true, 3 + number as u64);
     }
-    let Admission::Yes { dropping } = spool.admit(ONE, 100 * KB, 20) else {
+    let Admission::Admitted { to_drop } = spool.admit(ONE, 100 * KB, 20) else {
         panic!("refused")
     };
     assert!(
-        dropping == ids[..dropping.len()] && (5..10).contains(&dropping.len()),
-        "{dropping:?}"
+        to_drop == ids[..to_drop.len()] && (5..10).contains(&to_drop.len()),
+        "{to_drop:?}"
     );
     assert_eq!(why(&spool, ONE, 901 * KB), RejectReason::TooLarge);
 }
@@ -312,32 +312,35 @@
         };
         spool.begin(number, owner, 200 * KB, 0);
         for _ in 0..20 {
-            spool.page(number, 10 * KB, 0).unwrap();
-            for Choice::Move { result, page } in spool.moves(0) {
-                spool.moving(result, page);
-                spool.moved(result, page, true, 0);
+            spool.add_page(number, 10 * KB, 0).unwrap();
+            for SpoolAction::Move { result, page } in spool.choose_moves(0) {
+                spool.start_move(result, page);
+                spool.finish_move(result, page, true, 0);
             }
         }
         spool.end(number, true, number);
-        spool.open(number, 20 + number);
+        spool.open_reader(number, 20 + number);
         if number != 3 {
-            spool.close(number, number % 2 == 1, 40 + number);
+            spool.close_reader(number, number % 2 == 1, 40 + number);
         }
     }
     let new = Owner {
         tenant: 99,
         address: 99,
     };
-    let Admission::Yes { dropping } = spool.admit(new, 500 * KB, 100) else {
+    let Admission::Admitted { to_drop } = spool.admit(new, 500 * KB, 100) else {
         panic!("no room")
     };
     assert_eq!(
-        dropping,
+        to_drop,
         [1, 5],
         "delivered ones, the longest unused first, not the one that is read"
     );
     let unclaimed = spool.admit(new, 890 * KB, 100);
-    assert!(matches!(unclaimed, Admission::Yes { .. }), "{unclaimed:?}");
+    assert!(
+        matches!(unclaimed, Admission::Admitted { .. }),
+        "{unclaimed:?}"
+    );
 }
 
 /// Guards against a disk that fails being counted on.
@@ -345,14 +348,14 @@
 fn a_disk_that_fails_shrinks_the_room_and_it_comes_back() {
     let mut spool = Spool::new(BUDGET, 0);
     spool.begin(1, ONE, 500 * KB, 0);
-    (0..45).for_each(|_| spool.page(1, 10 * KB, 0).unwrap());
-    let moves = spool.moves(0);
+    (0..45).for_each(|_| spool.add_page(1, 10 * KB, 0).unwrap());
+    let moves = spool.choose_moves(0);
     assert!(!moves.is_empty());
-    let Choice::Move { result, page } = moves[0];
-    spool.moving(result, page);
-    spool.moved(result, page, false, 1_000_000);
+    let SpoolAction::Move { result, page } = moves[0];
+    spool.start_move(result, page);
+    spool.finish_move(result, page, false, 1_000_000);
     assert_eq!(
-        (spool.used().1, spool.moves(10)),
+        (spool.used().1, spool.choose_moves(10)),
         (0, Vec::new()),
         "nothing is tried for a while"
     );
@@ -362,13 +365,13 @@
     };
     assert!(!matches!(
         spool.admit(two, 100 * KB, 10),
-        Admission::Yes { .. }
+        Admission::Admitted { .. }
     ));
     assert!(matches!(
         spool.admit(two, 100 * KB, 1_000_001),
-        Admission::Yes { .. }
+        Admission::Admitted { .. }
     ));
-    assert!(!spool.moves(1_000_001).is_empty());
+    assert!(!spool.choose_moves(1_000_001).is_empty());
 }
 
 /// Guards against advice that has nothing to do with how fast room comes free.
@@ -397,9 +400,9 @@
                 KB,
                 0,
             );
-            (0..20).for_each(|_| _ = spool.page(number, KB, 0));
+            (0..20).for_each(|_| _ = spool.add_page(number, KB, 0));
             spool.end(number, true, 0);
-            spool.drop(number, 1_000_000);
+            spool.drop_result(number, 1_000_000);
         }
         match spool.admit(
             Owner {
@@ -409,7 +412,7 @@
             300 * KB,
             1_000_000,
         ) {
-            Admission::No { retry_after, .. } => retry_after.unwrap(),
+            Admission::Rejected { retry_after, .. } => retry_after.unwrap(),
             yes => panic!("{yes:?}"),
         }
     };
@@ -423,10 +426,10 @@
 fn an_engine_is_read_ahead_as_far_as_was_promised_and_memory_takes() {
     let mut spool = Spool::new(BUDGET, 0);
     spool.begin(1, ONE, 100 * KB, 0);
-    assert_eq!(spool.ahead(1), 100 * KB);
-    (0..10).for_each(|_| spool.page(1, 10 * KB, 0).unwrap());
+    assert_eq!(spool.read_ahead_bytes(1), 100 * KB);
+    (0..10).for_each(|_| spool.add_page(1, 10 * KB, 0).unwrap());
     assert_eq!(
-        spool.ahead(1),
+        spool.read_ahead_bytes(1),
         MIN_AHEAD,
         "more than was promised comes page by page"
     );
@@ -439,7 +442,11 @@
         800 * KB,
         0,
     );
-    assert_eq!(spool.ahead(2), 206 * KB, "half of the memory that is free");
+    assert_eq!(
+        spool.read_ahead_bytes(2),
+        206 * KB,
+        "half of the memory that is free"
+    );
     spool.end(1, true, 0);
-    assert_eq!(spool.ahead(1), 0);
+    assert_eq!(spool.read_ahead_bytes(1), 0);
 }
