--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -9,7 +9,7 @@
 use eideryard_background_scheduler::{Budget as WorkBudget, Scheduler, Timer, Wheel};
 use eideryard_operator_config::SpoolConfig;
 use eideryard_result_spool::run_registry::RunRegistry;
-use eideryard_result_spool::segments::{Place, Segments};
+use eideryard_result_spool::segments::{PagePosition, Segments};
 use eideryard_result_spool::size::Sizes;
 use eideryard_result_spool::token::Keys;
 use eideryard_result_spool::worker::{Directory, Worker};
@@ -138,15 +138,15 @@
 enum StoredPage {
     Memory(Vec<u8>),
     /// Being written to disk; still in memory until the write has succeeded.
-    Writing(Vec<u8>, Place),
-    Disk(Place),
+    Writing(Vec<u8>, PagePosition),
+    Disk(PagePosition),
 }
 
 impl StoredPage {
     fn length(&self) -> u64 {
         match self {
             StoredPage::Memory(rows) | StoredPage::Writing(rows, _) => rows.len() as u64,
-            StoredPage::Disk(place) => u64::from(place.length),
+            StoredPage::Disk(position) => u64::from(position.length),
         }
     }
 }
@@ -227,8 +227,8 @@
 }
 
 impl ResultSpoolDriver {
-    /// Starts the spool. `wake` is called from the disk worker's thread when it has finished an
-    /// order.
+    /// Starts the spool. `wake` is called from the disk worker's thread when it has finished a
+    /// job.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/result_spool/disk.rs
+++ b/crates/gateway/src/result_spool/disk.rs
@@ -4,8 +4,8 @@
 
 use eideryard::interface::Micros;
 use eideryard_background_scheduler::Urgency;
-use eideryard_result_spool::segments::Place;
-use eideryard_result_spool::worker::{Done, Order};
+use eideryard_result_spool::segments::PagePosition;
+use eideryard_result_spool::worker::{DiskJob, FinishedJob};
 use eideryard_result_spool::SpoolAction;
 
 use super::{Delivery, ResultId, ResultSpoolDriver, StoredPage, Work, DISK_RETRY_DELAY};
@@ -53,20 +53,20 @@
         else {
             return;
         };
-        let (place, begins) = self.segments.place(rows.len() as u32);
-        let order = Order::Write {
+        let (position, starts_segment) = self.segments.allocate(rows.len() as u32);
+        let job = DiskJob::Write {
             result,
             page: page as u32,
-            place,
-            begins,
+            position,
+            starts_segment,
             bytes: rows.clone(),
         };
         let is_queued = match &self.worker {
-            Some(worker) => worker.order(order).is_ok(),
+            Some(worker) => worker.submit(job).is_ok(),
             None => false,
         };
         if !is_queued {
-            self.abandon_segment(place, now);
+            self.abandon_segment(position, now);
             self.spool.finish_move(result, page, false, now);
             return;
         }
@@ -78,20 +78,25 @@
         };
         if let StoredPage::Memory(rows) = page {
             let rows = std::mem::take(rows);
-            *page = StoredPage::Writing(rows, place);
+            *page = StoredPage::Writing(rows, position);
         }
     }
 
-    /// Handles an order that the disk worker has finished.
-    pub(super) fn handle_done(&mut self, done: Done, now: Micros, deliveries: &mut Vec<Delivery>) {
+    /// Handles a job that the disk worker has finished.
+    pub(super) fn handle_done(
+        &mut self,
+        done: FinishedJob,
+        now: Micros,
+        deliveries: &mut Vec<Delivery>,
+    ) {
         match done {
-            Done::Written {
+            FinishedJob::Written {
                 result,
                 page,
-                place,
+                position,
                 outcome,
-            } => self.handle_written(result, page as usize, place, outcome, now),
-            Done::Read {
+            } => self.handle_written(result, page as usize, position, outcome, now),
+            FinishedJob::Read {
                 result,
                 page,
                 outcome,
@@ -103,7 +108,7 @@
         &mut self,
         result: ResultId,
         page: usize,
-        place: Place,
+        position: PagePosition,
         outcome: io::Result<()>,
         now: Micros,
     ) {
@@ -118,11 +123,11 @@
         let StoredPage::Writing(rows, target) = stored_page else {
             return;
         };
-        if *target != place {
+        if *target != position {
             return;
         }
         *stored_page = if outcome.is_ok() {
-            StoredPage::Disk(place)
+            StoredPage::Disk(position)
         } else {
             StoredPage::Memory(std::mem::take(rows))
         };
@@ -132,7 +137,7 @@
         if let Err(e) = outcome {
             self.counters.disk_errors += 1;
             tracing::warn!("result spool: can't write a page to disk, it stays in memory: {e}");
-            self.abandon_segment(place, now);
+            self.abandon_segment(position, now);
         }
     }
 
@@ -177,8 +182,8 @@
 
     /// Stops appending to the current segment after a failed write, since data after that write
     /// can't be relied on.
-    fn abandon_segment(&mut self, place: Place, now: Micros) {
-        let freed = [self.segments.free(place), self.segments.abandon()];
+    fn abandon_segment(&mut self, position: PagePosition, now: Micros) {
+        let freed = [self.segments.free(position), self.segments.abandon()];
         for segment in freed.into_iter().flatten() {
             self.remove_segment(segment, now);
         }
@@ -187,8 +192,8 @@
     /// Frees the disk space of dropped pages.
     pub(super) fn free_pages(&mut self, pages: Vec<StoredPage>, now: Micros) {
         for page in pages {
-            if let StoredPage::Disk(place) | StoredPage::Writing(_, place) = page {
-                if let Some(segment) = self.segments.free(place) {
+            if let StoredPage::Disk(position) | StoredPage::Writing(_, position) = page {
+                if let Some(segment) = self.segments.free(position) {
                     self.remove_segment(segment, now);
                 }
             }
--- a/crates/gateway/src/result_spool/maintenance.rs
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -1,16 +1,16 @@
 //! Background work and the expiry of results.
 
 use eideryard::interface::Micros;
-use eideryard_result_spool::worker::{Done, Order, Worker};
+use eideryard_result_spool::worker::{DiskJob, FinishedJob, Worker};
 
 use super::{Delivery, ResultId, ResultSpoolDriver, Work};
 
 impl ResultSpoolDriver {
-    /// Handles finished orders of the disk worker, starts background jobs within the work budget,
+    /// Handles finished jobs of the disk worker, starts background jobs within the work budget,
     /// and drops expired results. Returns messages for clients.
     pub fn poll(&mut self, now: Micros) -> Vec<Delivery> {
         let mut deliveries = Vec::new();
-        let done: Vec<Done> = self.worker.iter().flat_map(Worker::done).collect();
+        let done: Vec<FinishedJob> = self.worker.iter().flat_map(Worker::finished_jobs).collect();
         for done in done {
             self.handle_done(done, now, &mut deliveries);
         }
@@ -39,7 +39,7 @@
                     let Some(worker) = &self.worker else {
                         continue;
                     };
-                    if worker.order(Order::Remove { segment }).is_err() {
+                    if worker.submit(DiskJob::Remove { segment }).is_err() {
                         // The worker's queue is full: schedule the removal again for later.
                         self.remove_segment(segment, now);
                         break;
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -3,7 +3,7 @@
 use eideryard::interface::Micros;
 use eideryard_result_spool::run_registry::Arrival;
 use eideryard_result_spool::token::{Token, TokenError};
-use eideryard_result_spool::worker::Order;
+use eideryard_result_spool::worker::DiskJob;
 use eideryard_result_spool::PageLocation;
 
 use super::{
@@ -112,7 +112,7 @@
         if pending.is_complete() {
             return self.finish_part(pending, now);
         }
-        if self.pending_parts.len() >= MAX_PENDING_PARTS || !self.order_reads(&pending) {
+        if self.pending_parts.len() >= MAX_PENDING_PARTS || !self.submit_reads(&pending) {
             self.spool.close_reader(id, false, now);
             let reason = "the spool's disk is busy";
             return Some(Delivery::error(waiter, ErrorKind::TryLater, reason));
@@ -147,9 +147,9 @@
         })
     }
 
-    /// Orders reads of those pages of a part that are on disk. Returns false if the disk worker's
+    /// Submits reads of those pages of a part that are on disk. Returns false if the disk worker's
     /// queue is full.
-    fn order_reads(&self, pending: &PendingPart) -> bool {
+    fn submit_reads(&self, pending: &PendingPart) -> bool {
         let Some(worker) = &self.worker else {
             return false;
         };
@@ -158,18 +158,18 @@
         };
         for (offset, rows) in pending.rows.iter().enumerate() {
             let page = pending.first_page + offset;
-            let Some(StoredPage::Disk(place)) = stored.pages.get(page) else {
+            let Some(StoredPage::Disk(position)) = stored.pages.get(page) else {
                 continue;
             };
             if rows.is_some() {
                 continue;
             }
-            let order = Order::Read {
+            let job = DiskJob::Read {
                 result: pending.result,
                 page: page as u32,
-                place: *place,
+                position: *position,
             };
-            if worker.order(order).is_err() {
+            if worker.submit(job).is_err() {
                 return false;
             }
         }
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -25,7 +25,7 @@
     /// Returns why the request is rejected, and when a retry may succeed.
     pub fn admit(&mut self, owner: ResultOwner, now: Micros) -> Result<(), SpoolRejection> {
         let mut expected = self.expected_bytes(owner.labels);
-        if expected > self.max_result_bytes && self.sizes.doubts() {
+        if expected > self.max_result_bytes && self.sizes.should_bypass_rejection() {
             expected = DEFAULT_RESULT_BYTES;
         }
         if self.results.len() >= MAX_NAMES {
--- a/crates/result-spool/src/segments.rs
+++ b/crates/result-spool/src/segments.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 
 /// Before each page: mark, result, page, length, checksum.
-pub const HEAD: usize = 28;
+pub const HEADER_BYTES: usize = 28;
 const MARK: [u8; 4] = [0x5b, 0x9e, 0xd1, 0x07];
 
 /// A page on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct PagePosition {
     pub segment: u64,
     pub offset: u64,
     /// Of the page, without its head.
@@ -45,22 +45,22 @@
     }
 
     /// Where the next page goes; true with it: a new segment begins there.
-    pub fn place(&mut self, length: u32) -> (Place, bool) {
-        let begins = self.open.is_none_or(|(_, used)| used >= self.size);
-        if begins {
+    pub fn allocate(&mut self, length: u32) -> (PagePosition, bool) {
+        let starts_segment = self.open.is_none_or(|(_, used)| used >= self.size);
+        if starts_segment {
             self.open = Some((self.next, 0));
             self.wanted.insert(self.next, 0);
             self.next += 1;
         }
         let (segment, used) = self.open.get_or_insert((0, 0));
-        let place = Place {
+        let position = PagePosition {
             segment: *segment,
             offset: *used,
             length,
         };
-        *used += (HEAD as u64) + length as u64;
-        *self.wanted.entry(place.segment).or_default() += length as u64;
-        (place, begins)
+        *used += (HEADER_BYTES as u64) + length as u64;
+        *self.wanted.entry(position.segment).or_default() += length as u64;
+        (position, starts_segment)
     }
 
     /// Nothing more goes into the open segment: a write there failed, so what follows can't be
@@ -71,10 +71,10 @@
     }
 
     /// A page is wanted no longer. Gives its segment where that is to be removed.
-    pub fn free(&mut self, place: Place) -> Option<u64> {
-        let wanted = self.wanted.get_mut(&place.segment)?;
-        *wanted = wanted.saturating_sub(place.length as u64);
-        self.sweep(place.segment)
+    pub fn free(&mut self, position: PagePosition) -> Option<u64> {
+        let wanted = self.wanted.get_mut(&position.segment)?;
+        *wanted = wanted.saturating_sub(position.length as u64);
+        self.sweep(position.segment)
     }
 
     fn sweep(&mut self, segment: u64) -> Option<u64> {
@@ -88,8 +88,8 @@
     }
 }
 
-pub fn head(result: u64, page: u32, bytes: &[u8]) -> [u8; HEAD] {
-    let mut head = [0; HEAD];
+pub fn encode_header(result: u64, page: u32, bytes: &[u8]) -> [u8; HEADER_BYTES] {
+    let mut head = [0; HEADER_BYTES];
     head[..4].copy_from_slice(&MARK);
     head[8..16].copy_from_slice(&result.to_le_bytes());
     head[16..20].copy_from_slice(&page.to_le_bytes());
@@ -101,14 +101,14 @@
 
 fn sum(head: &[u8], bytes: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&head[8..HEAD]);
+    hasher.update(&head[8..HEADER_BYTES]);
     hasher.update(bytes);
     hasher.finalize()
 }
 
 /// The page that some bytes hold, if they hold that one, whole.
-pub fn check(bytes: &[u8], result: u64, page: u32) -> Option<&[u8]> {
-    let (own, rest) = bytes.split_at_checked(HEAD)?;
-    let same = own == head(result, page, rest).as_slice();
+pub fn verify_page(bytes: &[u8], result: u64, page: u32) -> Option<&[u8]> {
+    let (own, rest) = bytes.split_at_checked(HEADER_BYTES)?;
+    let same = own == encode_header(result, page, rest).as_slice();
     same.then_some(rest)
 }
--- a/crates/result-spool/src/size.rs
+++ b/crates/result-spool/src/size.rs
@@ -104,7 +104,7 @@
 
     /// Whether a refusal by what was learned is to be doubted: nothing more is learned of what is
     /// refused, so one in some goes through.
-    pub fn doubts(&mut self) -> bool {
+    pub fn should_bypass_rejection(&mut self) -> bool {
         self.refused = (self.refused + 1) % DOUBTED;
         self.refused == 0
     }
--- a/crates/result-spool/src/worker.rs
+++ b/crates/result-spool/src/worker.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use crate::segments::{check, head, Place, HEAD};
+use crate::segments::{encode_header, verify_page, PagePosition, HEADER_BYTES};
 use crate::state::ResultId;
 
 /// Orders that wait at the most; more are refused, and tried again by whoever gave them.
@@ -20,18 +20,18 @@
 const LAST_WORK: Duration = Duration::from_millis(300);
 
 #[derive(Debug)]
-pub enum Order {
+pub enum DiskJob {
     Write {
         result: ResultId,
         page: u32,
-        place: Place,
-        begins: bool,
+        position: PagePosition,
+        starts_segment: bool,
         bytes: Vec<u8>,
     },
     Read {
         result: ResultId,
         page: u32,
-        place: Place,
+        position: PagePosition,
     },
     Remove {
         segment: u64,
@@ -40,11 +40,11 @@
 
 /// What came of an order.
 #[derive(Debug)]
-pub enum Done {
+pub enum FinishedJob {
     Written {
         result: ResultId,
         page: u32,
-        place: Place,
+        position: PagePosition,
         outcome: io::Result<()>,
     },
     /// The page as it was written, or why it can't be had.
@@ -108,8 +108,8 @@
 }
 
 pub struct Worker {
-    orders: Option<SyncSender<Order>>,
-    done: Receiver<Done>,
+    orders: Option<SyncSender<DiskJob>>,
+    done: Receiver<FinishedJob>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -142,7 +142,7 @@
     }
 
     /// Gives the order back where too many wait.
-    pub fn order(&self, order: Order) -> Result<(), Order> {
+    pub fn submit(&self, order: DiskJob) -> Result<(), DiskJob> {
         let Some(orders) = &self.orders else {
             return Err(order);
         };
@@ -152,7 +152,7 @@
     }
 
     /// What was done since the last look.
-    pub fn done(&self) -> impl Iterator<Item = Done> + '_ {
+    pub fn finished_jobs(&self) -> impl Iterator<Item = FinishedJob> + '_ {
         self.done.try_iter()
     }
 }
@@ -185,38 +185,43 @@
     }
 
     #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-    fn run(mut self, orders: Receiver<Order>, tell: SyncSender<Done>, wake: Box<dyn Fn() + Send>) {
+    fn run(
+        mut self,
+        orders: Receiver<DiskJob>,
+        tell: SyncSender<FinishedJob>,
+        wake: Box<dyn Fn() + Send>,
+    ) {
         self.clean();
         while let Ok(order) = orders.recv() {
             let done = match order {
-                Order::Write {
+                DiskJob::Write {
                     result,
                     page,
-                    place,
-                    begins,
+                    position,
+                    starts_segment,
                     bytes,
                 } => {
-                    let outcome = self.write(result, page, place, begins, &bytes);
-                    Done::Written {
+                    let outcome = self.write(result, page, position, starts_segment, &bytes);
+                    FinishedJob::Written {
                         result,
                         page,
-                        place,
+                        position,
                         outcome,
                     }
                 }
-                Order::Read {
+                DiskJob::Read {
                     result,
                     page,
-                    place,
+                    position,
                 } => {
-                    let outcome = self.read(result, page, place);
-                    Done::Read {
+                    let outcome = self.read(result, page, position);
+                    FinishedJob::Read {
                         result,
                         page,
                         outcome,
                     }
                 }
-                Order::Remove { segment } => {
+                DiskJob::Remove { segment } => {
                     self.open.remove(&segment);
                     let name = self.name(segment);
                     if let Err(e) = self.disk.remove(&name) {
@@ -260,34 +265,34 @@
         &mut self,
         result: ResultId,
         page: u32,
-        place: Place,
-        begins: bool,
+        position: PagePosition,
+        starts_segment: bool,
         bytes: &[u8],
     ) -> io::Result<()> {
-        if begins {
-            let segment = self.disk.create(&self.name(place.segment))?;
-            self.open.insert(place.segment, segment);
+        if starts_segment {
+            let segment = self.disk.create(&self.name(position.segment))?;
+            self.open.insert(position.segment, segment);
         }
         let lost = || io::Error::new(io::ErrorKind::NotFound, "its segment could not be made");
-        let segment = self.open.get_mut(&place.segment).ok_or_else(lost)?;
-        let mut whole = Vec::with_capacity(HEAD + bytes.len());
-        whole.extend_from_slice(&head(result, page, bytes));
+        let segment = self.open.get_mut(&position.segment).ok_or_else(lost)?;
+        let mut whole = Vec::with_capacity(HEADER_BYTES + bytes.len());
+        whole.extend_from_slice(&encode_header(result, page, bytes));
         whole.extend_from_slice(bytes);
-        segment.write_at(place.offset, &whole)
+        segment.write_at(position.offset, &whole)
     }
 
-    fn read(&mut self, result: ResultId, page: u32, place: Place) -> io::Result<Vec<u8>> {
+    fn read(&mut self, result: ResultId, page: u32, position: PagePosition) -> io::Result<Vec<u8>> {
         let lost = || io::Error::new(io::ErrorKind::NotFound, "its segment is not there");
-        let segment = self.open.get_mut(&place.segment).ok_or_else(lost)?;
-        let mut whole = vec![0; HEAD + place.length as usize];
-        segment.read_at(place.offset, &mut whole)?;
+        let segment = self.open.get_mut(&position.segment).ok_or_else(lost)?;
+        let mut whole = vec![0; HEADER_BYTES + position.length as usize];
+        segment.read_at(position.offset, &mut whole)?;
         let spoilt = || {
             io::Error::new(
                 io::ErrorKind::InvalidData,
                 "the page is not as it was written",
             )
         };
-        check(&whole, result, page)
+        verify_page(&whole, result, page)
             .map(<[u8]>::to_vec)
             .ok_or_else(spoilt)
     }
--- a/crates/result-spool/tests/disk.rs
+++ b/crates/result-spool/tests/disk.rs
@@ -1,6 +1,6 @@
 //! The worker on disks that fail, tear and rot, with the core that it serves.
 
-use eideryard_result_spool::segments::{Place, Segments};
+use eideryard_result_spool::segments::{PagePosition, Segments};
 use eideryard_result_spool::worker::*;
 use std::collections::BTreeMap;
 use std::io;
@@ -69,9 +69,9 @@
     (worker, wakes)
 }
 
-fn next(worker: &Worker, wakes: &Receiver<()>) -> Done {
+fn next(worker: &Worker, wakes: &Receiver<()>) -> FinishedJob {
     loop {
-        if let Some(done) = worker.done().next() {
+        if let Some(done) = worker.finished_jobs().next() {
             return done;
         }
         wakes
@@ -94,58 +94,58 @@
     let directory = tempfile::tempdir().unwrap();
     let (worker, wakes) = worker(directory.path(), i64::MAX, 0);
     let mut segments = Segments::new(20_000);
-    let mut places: BTreeMap<(u64, u32), Place> = BTreeMap::new();
+    let mut positions: BTreeMap<(u64, u32), PagePosition> = BTreeMap::new();
     for result in 0..5 {
         for number in 0..20 {
             let bytes = page(result, number);
-            let (place, begins) = segments.place(bytes.len() as u32);
-            places.insert((result, number), place);
+            let (position, starts_segment) = segments.allocate(bytes.len() as u32);
+            positions.insert((result, number), position);
             worker
-                .order(Order::Write {
+                .submit(DiskJob::Write {
                     result,
                     page: number,
-                    place,
-                    begins,
+                    position,
+                    starts_segment,
                     bytes,
                 })
                 .unwrap();
-            let Done::Written { outcome, .. } = next(&worker, &wakes) else {
+            let FinishedJob::Written { outcome, .. } = next(&worker, &wakes) else {
                 panic!()
             };
             outcome.unwrap();
         }
     }
     assert!(segments.len() > 5);
-    for ((result, number), place) in places.iter().rev() {
+    for ((result, number), position) in positions.iter().rev() {
         worker
-            .order(Order::Read {
+            .submit(DiskJob::Read {
                 result: *result,
                 page: *number,
-                place: *place,
+                position: *position,
             })
             .unwrap();
-        let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+        let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
             panic!()
         };
         assert_eq!(outcome.unwrap(), page(*result, *number));
     }
     // Asked for as another's, a page is not given.
-    let place = places[&(0, 0)];
+    let position = positions[&(0, 0)];
     worker
-        .order(Order::Read {
+        .submit(DiskJob::Read {
             result: 1,
             page: 0,
-            place,
+            position,
         })
         .unwrap();
-    let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+    let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
         panic!()
     };
     assert_eq!(outcome.unwrap_err().kind(), io::ErrorKind::InvalidData);
-    for place in places.values() {
-        let gone = segments.free(*place);
+    for position in positions.values() {
+        let gone = segments.free(*position);
         for segment in gone.into_iter() {
-            worker.order(Order::Remove { segment }).unwrap();
+            worker.submit(DiskJob::Remove { segment }).unwrap();
         }
     }
     assert!(segments.len() <= 1, "only the open one is left");
@@ -166,41 +166,41 @@
     let mut failed = 0;
     for number in 0..20 {
         let bytes = page(1, number);
-        let (place, begins) = segments.place(bytes.len() as u32);
+        let (position, starts_segment) = segments.allocate(bytes.len() as u32);
         worker
-            .order(Order::Write {
+            .submit(DiskJob::Write {
                 result: 1,
                 page: number,
-                place,
-                begins,
+                position,
+                starts_segment,
                 bytes,
             })
             .unwrap();
-        let Done::Written { outcome, .. } = next(&worker, &wakes) else {
+        let FinishedJob::Written { outcome, .. } = next(&worker, &wakes) else {
             panic!()
         };
         match outcome {
-            Ok(()) => written.push((number, place)),
+            Ok(()) => written.push((number, position)),
             Err(_) => {
                 failed += 1;
-                segments.free(place);
+                segments.free(position);
                 let gone = segments.abandon();
                 for segment in gone.into_iter() {
-                    worker.order(Order::Remove { segment }).unwrap();
+                    worker.submit(DiskJob::Remove { segment }).unwrap();
                 }
             }
         }
     }
     assert_eq!((failed, written.len()), (3, 17));
-    for (number, place) in written {
+    for (number, position) in written {
         worker
-            .order(Order::Read {
+            .submit(DiskJob::Read {
                 result: 1,
                 page: number,
-                place,
+                position,
             })
             .unwrap();
-        let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+        let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
             panic!()
         };
         assert_eq!(outcome.unwrap(), page(1, number));
@@ -212,13 +212,13 @@
     let directory = tempfile::tempdir().unwrap();
     let (worker, wakes) = worker(directory.path(), i64::MAX, 0);
     let bytes = b"7\tshrimp\t3.4\n".to_vec();
-    let (place, begins) = Segments::new(100).place(bytes.len() as u32);
+    let (position, starts_segment) = Segments::new(100).allocate(bytes.len() as u32);
     worker
-        .order(Order::Write {
+        .submit(DiskJob::Write {
             result: 1,
             page: 0,
-            place,
-            begins,
+            position,
+            starts_segment,
             bytes: bytes.clone(),
         })
         .unwrap();
@@ -235,26 +235,26 @@
         rotten[at] ^= 4;
         std::fs::write(&file, rotten).unwrap();
         worker
-            .order(Order::Read {
+            .submit(DiskJob::Read {
                 result: 1,
                 page: 0,
-                place,
+                position,
             })
             .unwrap();
-        let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+        let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
             panic!()
         };
         assert!(outcome.is_err(), "byte {at}");
     }
     std::fs::write(&file, &whole[..whole.len() - 1]).unwrap();
     worker
-        .order(Order::Read {
+        .submit(DiskJob::Read {
             result: 1,
             page: 0,
-            place,
+            position,
         })
         .unwrap();
-    let Done::Read { outcome, .. } = next(&worker, &wakes) else {
+    let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
         panic!()
     };
     assert!(outcome.is_err(), "cut short");
