--- a/crates/emulators/src/bulletin.rs
+++ b/crates/emulators/src/bulletin.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::history::{Name, What};
+use crate::history::{Event, SharedName};
 use crate::ledger;
 use crate::place::Place;
 use tokio::sync::watch;
@@ -34,7 +34,7 @@
     pub address: SocketAddr,
     place: Place,
     /// The gateway that reads here, and where it is noted what it was told.
-    reader: Option<(Name, ledger::Shared)>,
+    reader: Option<(SharedName, ledger::Shared)>,
     events: RefCell<Vec<Value>>,
     /// Events that were there when it could be reached last.
     reachable: Cell<usize>,
@@ -48,7 +48,7 @@
     /// is kept.
     pub fn start(
         wanted: Option<SocketAddr>,
-        reader: Option<(Name, ledger::Shared)>,
+        reader: Option<(SharedName, ledger::Shared)>,
     ) -> io::Result<Rc<Self>> {
         let place = Place::reserve(wanted)?;
         let listener = place.listen()?;
@@ -109,14 +109,14 @@
             .filter_map(|event| event["roster"]["hosts"].as_array())
             .flatten()
         {
-            let engine: Name = host["host"].as_str().unwrap_or_default().into();
+            let engine: SharedName = host["host"].as_str().unwrap_or_default().into();
             let health = match host["health"].as_str() {
                 Some("up") => "up",
                 Some("draining") => "draining",
                 _ => "removed",
             };
             let gateway = reader.clone();
-            ledger.borrow_mut().happened(|| What::Told {
+            ledger.borrow_mut().happened(|| Event::EngineAnnounced {
                 gateway,
                 engine,
                 health,
--- a/crates/emulators/src/client.rs
+++ b/crates/emulators/src/client.rs
@@ -24,7 +24,7 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 use crate::engine::pages;
-use crate::history::{How, Name, Try, What};
+use crate::history::{Event, SharedName, Try, TryOutcome};
 use crate::ledger;
 use crate::scenario::{Back, ClassSpec, LoadSpec};
 use crate::scripted::{call, forget, parse_answer, Answer};
@@ -77,7 +77,7 @@
 type Open = (String, u64, oneshot::Sender<End>);
 
 struct Line {
-    gateway: Name,
+    gateway: SharedName,
     write: tokio::sync::Mutex<OwnedWriteHalf>,
     open: RefCell<BTreeMap<u64, Open>>,
     next: Cell<u64>,
@@ -98,7 +98,7 @@
 pub struct Load {
     spec: LoadSpec,
     class: ClassSpec,
-    name: Name,
+    name: SharedName,
     doors: Doors,
     ledger: ledger::Shared,
     lines: RefCell<Vec<Rc<Line>>>,
@@ -207,7 +207,7 @@
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
     async fn ask(self: Rc<Self>, mut asked: Asked) {
         let (mut refusals, mut losses) = (0, 0);
-        let mut before: Option<Name> = None;
+        let mut before: Option<SharedName> = None;
         loop {
             self.count(|answers| answers.asked += 1);
             asked.id = format!("{:016x}", self.rng.borrow_mut().random::<u64>());
@@ -229,7 +229,7 @@
                 let (load, key) = (self.name.clone(), asked.key.as_str().into());
                 self.ledger
                     .borrow_mut()
-                    .happened(|| What::NoDoor { load, key });
+                    .happened(|| Event::NoGatewayReachable { load, key });
                 return self.count(|answers| answers.lost += 1);
             };
             let end = self.one(&line, &asked).await;
@@ -273,10 +273,10 @@
         share > 0.0 && self.rng.borrow_mut().random::<f64>() < share
     }
 
-    fn over(&self, id: &str, how: How, advice: Option<u64>) {
-        self.ledger.borrow_mut().happened(|| What::Over {
+    fn over(&self, id: &str, outcome: TryOutcome, advice: Option<u64>) {
+        self.ledger.borrow_mut().happened(|| Event::TryEnded {
             id: hex(id),
-            how,
+            outcome,
             advice,
         });
     }
@@ -314,7 +314,7 @@
             .borrow_mut()
             .insert(number, (asked.id.clone(), asked.rows, told));
         self.ledger.borrow_mut().happened(|| {
-            What::Asked(Try {
+            Event::TrySent(Try {
                 load: self.name.clone(),
                 class: self.spec.class.as_str().into(),
                 id: hex(&asked.id),
@@ -343,7 +343,7 @@
                     line.end();
                 }
                 self.count(|answers| answers.forgotten += 1);
-                self.over(&asked.id, How::Forgotten, None);
+                self.over(&asked.id, TryOutcome::Forgotten, None);
                 return End::Final;
             }
         }
@@ -352,7 +352,7 @@
             // The connection ended first.
             Ok(Err(_)) => {
                 self.count(|answers| answers.lost += 1);
-                self.over(&asked.id, How::Reset, None);
+                self.over(&asked.id, TryOutcome::ConnectionLost, None);
                 End::Lost
             }
             Err(_) => {
@@ -365,7 +365,7 @@
                 }
                 drop(ledger);
                 self.count(|answers| answers.lost += 1);
-                self.over(&asked.id, How::Silence, None);
+                self.over(&asked.id, TryOutcome::Unanswered, None);
                 End::Lost
             }
         }
--- a/crates/emulators/src/client/lines.rs
+++ b/crates/emulators/src/client/lines.rs
@@ -4,7 +4,10 @@
 
 impl Load {
     /// The gateways that may be asked now, in the order in which they are tried.
-    pub(super) fn choices(&self, wanted: Option<(Name, Back)>) -> Vec<(Name, SocketAddr)> {
+    pub(super) fn choices(
+        &self,
+        wanted: Option<(SharedName, Back)>,
+    ) -> Vec<(SharedName, SocketAddr)> {
         let doors = self.doors.borrow();
         let own = |name: &str| {
             self.spec
@@ -12,7 +15,7 @@
                 .as_ref()
                 .is_none_or(|gateway| gateway == name)
         };
-        let mut doors: Vec<(Name, SocketAddr)> = doors
+        let mut doors: Vec<(SharedName, SocketAddr)> = doors
             .iter()
             .filter(|(name, _)| own(name))
             .map(|(name, at)| (name.as_str().into(), *at))
@@ -29,7 +32,10 @@
 
     /// A connection with room, to a gateway drawn anew; a gateway that can't be reached has not
     /// taken anything, and the next one is asked.
-    pub(super) async fn line(self: &Rc<Self>, wanted: Option<(Name, Back)>) -> Option<Rc<Line>> {
+    pub(super) async fn line(
+        self: &Rc<Self>,
+        wanted: Option<(SharedName, Back)>,
+    ) -> Option<Rc<Line>> {
         self.lines.borrow_mut().retain(|line| !line.ended.get());
         let choices = self.choices(wanted);
         let most = self.spec.connections.div_ceil(choices.len().max(1));
@@ -112,7 +118,7 @@
             let what = format!("{}: an answer that nothing waits for", self.spec.name);
             let mut ledger = self.ledger.borrow_mut();
             let (load, gateway) = (self.name.clone(), line.gateway.clone());
-            ledger.happened(|| What::Surplus { load, gateway });
+            ledger.happened(|| Event::UnexpectedAnswer { load, gateway });
             return ledger.break_rule(what);
         };
         let end = match answer {
@@ -120,11 +126,11 @@
                 if body != pages(&id, rows).concat().into_bytes() {
                     let what = format!("{}: {id} got what no engine made for it", self.spec.name);
                     let mut ledger = self.ledger.borrow_mut();
-                    ledger.happened(|| What::Garbled { id: hex(&id) });
+                    ledger.happened(|| Event::WrongResult { id: hex(&id) });
                     ledger.break_rule(what);
                 }
                 self.count(|answers| answers.served += 1);
-                self.over(&id, How::Served, None);
+                self.over(&id, TryOutcome::Served, None);
                 End::Final
             }
             Answer::Error { word, fields, .. } if word == "TryLater" => {
@@ -136,12 +142,12 @@
                     answers.refused += 1;
                     answers.advised += wait.is_some() as u64;
                 });
-                self.over(&id, How::Refused, wait);
+                self.over(&id, TryOutcome::Refused, wait);
                 End::Refused(wait)
             }
             _ => {
                 self.count(|answers| answers.failed += 1);
-                self.over(&id, How::Failed, None);
+                self.over(&id, TryOutcome::Failed, None);
                 End::Final
             }
         };
--- a/crates/emulators/src/engine.rs
+++ b/crates/emulators/src/engine.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::cores::{Cores, Query};
-use crate::history::{Name, What};
+use crate::history::{Event, SharedName};
 use crate::ledger;
 use crate::place::Place;
 use crate::scenario::{ClassSpec, EngineSpec, Scope};
@@ -113,7 +113,7 @@
     pub spec: EngineSpec,
     /// Where it listens.
     pub address: SocketAddr,
-    name: Name,
+    name: SharedName,
     place: Place,
     classes: Rc<Vec<ClassSpec>>,
     remembered: Remembered,
@@ -168,19 +168,19 @@
     }
 
     fn note_state(&self, begins: Option<u64>) {
-        self.ledger.borrow_mut().happened(|| What::Engine {
+        self.ledger.borrow_mut().happened(|| Event::Engine {
             engine: self.name.clone(),
             begins,
         });
     }
 
     /// A query is here no more.
-    fn left(&self, job: &Job, done: bool) {
+    fn left(&self, job: &Job, completed: bool) {
         let id = u64::from_str_radix(&job.id, 16).unwrap_or_default();
-        self.ledger.borrow_mut().happened(|| What::Left {
+        self.ledger.borrow_mut().happened(|| Event::QueryEnded {
             engine: self.name.clone(),
             id,
-            done,
+            completed,
         });
     }
 
--- a/crates/emulators/src/engine/queries.rs
+++ b/crates/emulators/src/engine/queries.rs
@@ -65,7 +65,7 @@
         let rows = told("rows").unwrap_or(4.0) as u64;
         state.cores.advance(self.now());
         state.cores.add(number, query);
-        self.ledger.borrow_mut().happened(|| What::Began {
+        self.ledger.borrow_mut().happened(|| Event::QueryStarted {
             engine: self.name.clone(),
             id: u64::from_str_radix(&id, 16).unwrap_or_default(),
             class: field("profile").unwrap_or_default().into(),
@@ -134,13 +134,13 @@
             let mut ledger = self.ledger.borrow_mut();
             if new {
                 ledger.took_effect(key, &self.spec.name);
-                ledger.happened(|| What::Effect {
+                ledger.happened(|| Event::Effect {
                     engine,
                     id,
                     key: key.as_str().into(),
                 });
             } else {
-                ledger.happened(|| What::Repeat {
+                ledger.happened(|| Event::RepeatDropped {
                     engine,
                     id,
                     key: key.as_str().into(),
--- a/crates/emulators/src/history.rs
+++ b/crates/emulators/src/history.rs
@@ -6,33 +6,33 @@
 /// Microseconds.
 pub type Micros = u64;
 /// A name that many events share.
-pub type Name = Rc<str>;
+pub type SharedName = Rc<str>;
 
 /// Entries that are kept; a run that needs more is too long to be checked and says so.
-pub const MOST: usize = 4_000_000;
+pub const MAX_EVENTS: usize = 4_000_000;
 
 /// One event.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Happened {
+pub struct TimedEvent {
     /// Unix microseconds.
     pub at: Micros,
     /// The event.
-    pub what: What,
+    pub event: Event,
 }
 
 /// One try of a request, as its client sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Try {
     /// Its load.
-    pub load: Name,
+    pub load: SharedName,
     /// Its class.
-    pub class: Name,
+    pub class: SharedName,
     /// Its own number.
     pub id: u64,
     /// Its key, in classes that have one; else a number of its own that all its tries share.
-    pub key: Name,
+    pub key: SharedName,
     /// The gateway that it was sent to.
-    pub gateway: Name,
+    pub gateway: SharedName,
     /// From 0 on.
     pub number: u64,
     /// It says that it is a retry.
@@ -43,7 +43,7 @@
 
 /// How a try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum How {
+pub enum TryOutcome {
     /// With its result.
     Served,
     /// It was refused.
@@ -53,14 +53,14 @@
     /// Its client took it back.
     Forgotten,
     /// Its connection ended first.
-    Reset,
+    ConnectionLost,
     /// Nothing came until long after its time.
-    Silence,
+    Unanswered,
 }
 
 /// What becomes of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Process {
+pub enum ProcessChange {
     /// It listens, for the n-th time under its name.
     Started(usize),
     /// It was killed.
@@ -77,114 +77,114 @@
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum Event {
     /// A client asked.
-    Asked(Try),
+    TrySent(Try),
     /// A try ended.
-    Over {
+    TryEnded {
         /// The number of the try.
         id: u64,
         /// How.
-        how: How,
+        outcome: TryOutcome,
         /// Milliseconds that a refusal says to stay away.
         advice: Option<u64>,
     },
     /// No gateway could be reached: the try was never sent.
-    NoDoor {
+    NoGatewayReachable {
         /// The load.
-        load: Name,
+        load: SharedName,
         /// Its key.
-        key: Name,
+        key: SharedName,
     },
     /// An answer that nothing waited for, or a second one.
-    Surplus {
+    UnexpectedAnswer {
         /// The load.
-        load: Name,
+        load: SharedName,
         /// The gateway.
-        gateway: Name,
+        gateway: SharedName,
     },
     /// A result that no engine made for it.
-    Garbled {
+    WrongResult {
         /// The number of the try.
         id: u64,
     },
     /// An engine began a query.
-    Began {
+    QueryStarted {
         /// The engine.
-        engine: Name,
+        engine: SharedName,
         /// The number of the try.
         id: u64,
         /// The class of its request.
-        class: Name,
+        class: SharedName,
         /// Its key.
-        key: Name,
+        key: SharedName,
         /// Seconds on one core.
         work: f64,
     },
     /// A query is no more: done, or ended with an error, cancelled or with its process.
-    Left {
+    QueryEnded {
         /// The engine.
-        engine: Name,
+        engine: SharedName,
         /// The number of the try.
         id: u64,
         /// Whether it was done.
-        done: bool,
+        completed: bool,
     },
     /// A write took effect.
     Effect {
         /// The engine.
-        engine: Name,
+        engine: SharedName,
         /// The number of the try.
         id: u64,
         /// Its key.
-        key: Name,
+        key: SharedName,
     },
     /// A repeat that the engine dropped.
-    Repeat {
+    RepeatDropped {
         /// The engine.
-        engine: Name,
+        engine: SharedName,
         /// The number of the try.
         id: u64,
         /// Its key.
-        key: Name,
+        key: SharedName,
     },
     /// An engine's process began or ended.
     Engine {
         /// The engine.
-        engine: Name,
+        engine: SharedName,
         /// It began now, and is warm after so long; nothing: it ended.
         begins: Option<Micros>,
     },
     /// The bulletin wrote to a gateway what has become of an engine.
-    Told {
+    EngineAnnounced {
         /// The gateway.
-        gateway: Name,
+        gateway: SharedName,
         /// The engine.
-        engine: Name,
+        engine: SharedName,
         /// What was told of it.
         health: &'static str,
     },
     /// A gateway's process changed.
     Gateway {
         /// The gateway.
-        gateway: Name,
+        gateway: SharedName,
         /// How.
-        how: Process,
+        change: ProcessChange,
     },
     /// A fault of a link begins or ends.
     Link {
         /// The link's one end.
-        from: Name,
+        from: SharedName,
         /// The link's other end.
-        to: Name,
+        to: SharedName,
         /// The fault.
         fault: &'static str,
         /// Whether it begins.
         begins: bool,
     },
     /// Something else that the rig did, in words.
-    Did {
+    Other {
         /// What it did.
-        what: String,
+        text: String,
     },
 }
--- a/crates/emulators/src/ledger.rs
+++ b/crates/emulators/src/ledger.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::Instant;
 
-use crate::history::{Happened, What, MOST};
+use crate::history::{Event, TimedEvent, MAX_EVENTS};
 
 /// What the clients of a load were answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 pub struct Ledger {
     began: Began,
     /// What happened, where it is kept.
-    pub history: Option<Vec<Happened>>,
+    pub history: Option<Vec<TimedEvent>>,
     /// Entries that there was no room for.
     pub left_out: u64,
     /// By load.
@@ -92,13 +92,13 @@
     }
 
     /// Keeps an event, where events are kept and there is room.
-    pub fn happened(&mut self, what: impl FnOnce() -> What) {
+    pub fn happened(&mut self, event: impl FnOnce() -> Event) {
         let at = self.now();
         let Some(history) = &mut self.history else {
             return;
         };
-        if history.len() < MOST {
-            history.push(Happened { at, what: what() });
+        if history.len() < MAX_EVENTS {
+            history.push(TimedEvent { at, event: event() });
         } else {
             self.left_out += 1;
         }
--- a/crates/fleet-test/src/check/answers.rs
+++ b/crates/fleet-test/src/check/answers.rs
@@ -2,42 +2,42 @@
 
 use std::collections::BTreeMap;
 
-use eideryard_emulators::history::{Happened, How, Name, What};
+use eideryard_emulators::history::{Event, SharedName, TimedEvent, TryOutcome};
 
 use super::{About, Break, History, Rule, Verdict};
 
 #[derive(Default)]
 struct Sums {
     asked: u64,
-    ends: BTreeMap<How, u64>,
+    ends: BTreeMap<TryOutcome, u64>,
 }
 
 /// Every try has exactly one final answer, or a cause for none.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn check(history: &History<'_>, verdict: &mut Verdict) {
-    let mut loads: BTreeMap<Name, Sums> = BTreeMap::new();
+    let mut loads: BTreeMap<SharedName, Sums> = BTreeMap::new();
     let mut causes: BTreeMap<&'static str, u64> = BTreeMap::new();
     let (mut unanswered, mut no_door) = (0, 0);
-    for Happened { at, what } in history.events {
-        let (rule, about, text) = match what {
-            What::Asked(tried) => {
+    for TimedEvent { at, event } in history.events {
+        let (rule, about, text) = match event {
+            Event::TrySent(tried) => {
                 loads.entry(tried.load.clone()).or_default().asked += 1;
                 continue;
             }
-            What::NoDoor { .. } => {
+            Event::NoGatewayReachable { .. } => {
                 no_door += 1;
                 continue;
             }
-            What::Surplus { load, gateway } => {
+            Event::UnexpectedAnswer { load, gateway } => {
                 let text = format!("{load}: an answer of {gateway} that nothing waits for");
                 (Rule::OneAnswer, About::Load(load.clone()), text)
             }
-            What::Garbled { id } => (
+            Event::WrongResult { id } => (
                 Rule::OneAnswer,
                 About::Request(*id),
                 "a result that no engine made for it".into(),
             ),
-            What::Over { id, how, .. } => {
+            Event::TryEnded { id, outcome, .. } => {
                 let Some((asked, tried)) = history.tries.get(id) else {
                     let text = "an end of a try that nobody made".to_string();
                     verdict.add(Break {
@@ -53,9 +53,9 @@
                     .entry(tried.load.clone())
                     .or_default()
                     .ends
-                    .entry(*how)
+                    .entry(*outcome)
                     .or_default() += 1;
-                if !matches!(how, How::Reset | How::Silence) {
+                if !matches!(outcome, TryOutcome::ConnectionLost | TryOutcome::Unanswered) {
                     continue;
                 }
                 match history.cause(&tried.gateway, *asked, *at) {
@@ -65,7 +65,7 @@
                     }
                     None => {
                         unanswered += 1;
-                        let what = if *how == How::Reset {
+                        let what = if *outcome == TryOutcome::ConnectionLost {
                             "ended its connection"
                         } else {
                             "said nothing"
@@ -113,15 +113,18 @@
         total.asked += sums.asked;
         sums.ends
             .iter()
-            .for_each(|(how, count)| *total.ends.entry(*how).or_default() += count);
+            .for_each(|(outcome, count)| *total.ends.entry(*outcome).or_default() += count);
     }
-    let of = |how| total.ends.get(&how).copied().unwrap_or(0);
+    let of = |outcome| total.ends.get(&outcome).copied().unwrap_or(0);
     verdict.figure("requests", total.asked);
-    verdict.figure("served", of(How::Served));
-    verdict.figure("refused", of(How::Refused));
-    verdict.figure("failed", of(How::Failed));
-    verdict.figure("forgotten", of(How::Forgotten));
-    verdict.figure("lost", of(How::Reset) + of(How::Silence));
+    verdict.figure("served", of(TryOutcome::Served));
+    verdict.figure("refused", of(TryOutcome::Refused));
+    verdict.figure("failed", of(TryOutcome::Failed));
+    verdict.figure("forgotten", of(TryOutcome::Forgotten));
+    verdict.figure(
+        "lost",
+        of(TryOutcome::ConnectionLost) + of(TryOutcome::Unanswered),
+    );
     verdict.figure("no_door", no_door);
     verdict.figure("unanswered", unanswered);
     for (cause, count) in causes {
--- a/crates/fleet-test/src/check/answers/tests.rs
+++ b/crates/fleet-test/src/check/answers/tests.rs
@@ -2,16 +2,16 @@
 
 use super::super::tests::*;
 use super::*;
-use eideryard_emulators::history::Process;
+use eideryard_emulators::history::ProcessChange;
 
 #[test]
 fn a_loss_needs_a_cause_and_every_try_one_end() {
     let kept = vec![
         asked(10, 1, "a", "g1", 0),
-        over(20, 1, How::Served),
+        over(20, 1, TryOutcome::Served),
         asked(30, 2, "b", "g1", 0),
-        gateway(40, "g1", Process::Killed),
-        over(50, 2, How::Reset),
+        gateway(40, "g1", ProcessChange::Killed),
+        over(50, 2, TryOutcome::ConnectionLost),
     ];
     let verdict = checked(&kept);
     assert!(verdict.kept(), "{:?}", verdict.breaks);
@@ -32,16 +32,16 @@
         kept.clone(),
     ];
     planted[0].remove(3);
-    planted[1].insert(2, over(25, 1, How::Failed));
+    planted[1].insert(2, over(25, 1, TryOutcome::Failed));
     planted[2].remove(1);
-    planted[3].push(over(60, 9, How::Served));
-    let surplus = What::Surplus {
+    planted[3].push(over(60, 9, TryOutcome::Served));
+    let surplus = Event::UnexpectedAnswer {
         load: "all".into(),
         gateway: "g1".into(),
     };
-    planted[4].push(Happened {
+    planted[4].push(TimedEvent {
         at: 60,
-        what: surplus,
+        event: surplus,
     });
     let found: Vec<Vec<Rule>> = planted
         .iter()
@@ -62,16 +62,16 @@
 
 #[test]
 fn a_pause_and_a_cut_link_excuse_a_silence_and_another_gateways_do_not() {
-    let events = |fault: &[Happened]| {
+    let events = |fault: &[TimedEvent]| {
         let mut events = vec![asked(10, 1, "a", "g1", 0)];
         events.extend_from_slice(fault);
-        events.push(over(90, 1, How::Silence));
+        events.push(over(90, 1, TryOutcome::Unanswered));
         events
     };
     let paused = |name| {
         events(&[
-            gateway(5, name, Process::Paused),
-            gateway(30, name, Process::Continued),
+            gateway(5, name, ProcessChange::Paused),
+            gateway(30, name, ProcessChange::Continued),
         ])
     };
     assert!(checked(&paused("g1")).kept() && !checked(&paused("g2")).kept());
--- a/crates/fleet-test/src/check/cold.rs
+++ b/crates/fleet-test/src/check/cold.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use eideryard_emulators::history::{Happened, Micros, Name, What};
+use eideryard_emulators::history::{Event, Micros, SharedName, TimedEvent};
 
 use super::{About, Break, Facts, History, Rule, Verdict};
 
@@ -19,11 +19,11 @@
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn check(facts: &Facts, history: &History<'_>, verdict: &mut Verdict) {
     let window = facts.fall_window.as_micros() as Micros;
-    let mut cold: BTreeMap<Name, Cold> = BTreeMap::new();
+    let mut cold: BTreeMap<SharedName, Cold> = BTreeMap::new();
     let (mut over, mut starts, mut worst) = (0, 0, 0.0f64);
-    for Happened { at, what } in history.events {
-        match what {
-            What::Engine { engine, begins } => {
+    for TimedEvent { at, event } in history.events {
+        match event {
+            Event::Engine { engine, begins } => {
                 cold.remove(engine);
                 if let Some(warm_within) = begins.filter(|warm| *warm > 0) {
                     starts += 1;
@@ -39,7 +39,7 @@
                     );
                 }
             }
-            What::Began { engine, work, .. } => {
+            Event::QueryStarted { engine, work, .. } => {
                 let Some(own) = cold.get_mut(engine) else {
                     continue;
                 };
--- a/crates/fleet-test/src/check/cold/tests.rs
+++ b/crates/fleet-test/src/check/cold/tests.rs
@@ -5,9 +5,9 @@
 
 #[test]
 fn what_all_gateways_send_together_to_a_cold_engine_is_summed_over_the_window() {
-    let start = Happened {
+    let start = TimedEvent {
         at: 0,
-        what: What::Engine {
+        event: Event::Engine {
             engine: "e1".into(),
             begins: Some(10_000_000),
         },
--- a/crates/fleet-test/src/check/drains.rs
+++ b/crates/fleet-test/src/check/drains.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 
-use eideryard_emulators::history::{Happened, Micros, Name, Process, What};
+use eideryard_emulators::history::{Event, Micros, ProcessChange, SharedName, TimedEvent};
 
 use super::{About, Break, Facts, History, Rule, Verdict, SLACK};
 use crate::links::BULLETIN;
@@ -18,11 +18,11 @@
 pub fn check(facts: &Facts, history: &History<'_>, verdict: &mut Verdict) {
     let grace = facts.drain_grace.as_micros() as Micros + SLACK;
     // Since when a gateway knows that it must not send to an engine.
-    let mut told: HashMap<(Name, Name), Micros> = HashMap::new();
+    let mut told: HashMap<(SharedName, SharedName), Micros> = HashMap::new();
     let mut after = 0;
-    for Happened { at, what } in history.events {
-        match what {
-            What::Told {
+    for TimedEvent { at, event } in history.events {
+        match event {
+            Event::EngineAnnounced {
                 gateway,
                 engine,
                 health,
@@ -35,15 +35,15 @@
                 }
             }
             // A process that starts knows what it is started with, from then on.
-            What::Gateway {
+            Event::Gateway {
                 gateway,
-                how: Process::Started(_),
+                change: ProcessChange::Started(_),
             } => {
                 told.iter_mut()
                     .filter(|((own, _), _)| own == gateway)
                     .for_each(|(_, since)| *since = *at);
             }
-            What::Began { engine, id, .. } => {
+            Event::QueryStarted { engine, id, .. } => {
                 let Some((_, tried)) = history.tries.get(id) else {
                     continue;
                 };
--- a/crates/fleet-test/src/check/drains/tests.rs
+++ b/crates/fleet-test/src/check/drains/tests.rs
@@ -7,9 +7,9 @@
 fn new_work_after_the_grace_is_caught_unless_a_fault_explains_it() {
     let told = |at, health| {
         let (gateway, engine) = ("g1".into(), "e1".into());
-        Happened {
+        TimedEvent {
             at,
-            what: What::Told {
+            event: Event::EngineAnnounced {
                 gateway,
                 engine,
                 health,
@@ -17,7 +17,7 @@
         }
     };
     let late = 10 + 500_000 + SLACK + 1;
-    let sent = |at, faults: &[Happened]| {
+    let sent = |at, faults: &[TimedEvent]| {
         let mut events = vec![told(10, "draining"), asked(20, 1, "a", "g1", 0)];
         events.extend_from_slice(faults);
         events.push(began(at, "e1", 1, 0.01));
@@ -29,8 +29,8 @@
         sent(
             late,
             &[
-                gateway(30, "g1", Process::Paused),
-                gateway(40, "g1", Process::Continued)
+                gateway(30, "g1", ProcessChange::Paused),
+                gateway(40, "g1", ProcessChange::Continued)
             ]
         ),
         0
@@ -44,8 +44,8 @@
     assert_eq!((sent(late, &cut("e1")), sent(late, &cut("e2"))), (0, 1));
     // A restart begins the grace anew, but doesn't make it forget.
     let restart = [
-        gateway(30, "g1", Process::Killed),
-        gateway(300_000, "g1", Process::Started(2)),
+        gateway(30, "g1", ProcessChange::Killed),
+        gateway(300_000, "g1", ProcessChange::Started(2)),
     ];
     assert_eq!(
         (sent(late, &restart), sent(late + 300_000, &restart)),
--- a/crates/fleet-test/src/check/effects.rs
+++ b/crates/fleet-test/src/check/effects.rs
@@ -4,24 +4,24 @@
 
 use std::collections::HashMap;
 
-use eideryard_emulators::history::{Happened, Micros, Name, What};
+use eideryard_emulators::history::{Event, Micros, SharedName, TimedEvent};
 
 use super::{About, Break, Facts, History, Rule, Verdict, SLACK};
 
 struct Effect<'a> {
     at: Micros,
-    engine: &'a Name,
+    engine: &'a SharedName,
     id: u64,
 }
 
 /// No key of a class that may not repeat takes effect twice within its window.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn check(facts: &Facts, history: &History<'_>, verdict: &mut Verdict) {
-    let mut effects: HashMap<(&Name, &Name), Vec<Effect<'_>>> = HashMap::new();
+    let mut effects: HashMap<(&SharedName, &SharedName), Vec<Effect<'_>>> = HashMap::new();
     let (mut all, mut twice, mut late, mut repeats) = (0, 0, 0, 0);
-    for Happened { at, what } in history.events {
-        match what {
-            What::Effect { engine, id, .. } => {
+    for TimedEvent { at, event } in history.events {
+        match event {
+            Event::Effect { engine, id, .. } => {
                 all += 1;
                 // By the key that all tries share; an engine knows only the id of an unsafe one.
                 let Some((_, tried)) = history.tries.get(id) else {
@@ -43,7 +43,7 @@
                     id: *id,
                 });
             }
-            What::Repeat { .. } => repeats += 1,
+            Event::RepeatDropped { .. } => repeats += 1,
             _ => {}
         }
     }
--- a/crates/fleet-test/src/check/mod.rs
+++ b/crates/fleet-test/src/check/mod.rs
@@ -19,7 +19,9 @@
 use std::fmt;
 use std::time::Duration;
 
-use eideryard_emulators::history::{Happened, How, Micros, Name, Process, Try, What};
+use eideryard_emulators::history::{
+    Event, Micros, ProcessChange, SharedName, TimedEvent, Try, TryOutcome,
+};
 use eideryard_emulators::scenario::{ClassSpec, EngineSpec, Scenario};
 
 pub use records::{of_records, Recorded};
@@ -76,15 +78,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum About {
     /// A key.
-    Key(Name),
+    Key(SharedName),
     /// A try of a request.
     Request(u64),
     /// An engine.
-    Engine(Name),
+    Engine(SharedName),
     /// The clients of a load.
-    Load(Name),
+    Load(SharedName),
     /// A gateway.
-    Gateway(Name),
+    Gateway(SharedName),
 }
 
 impl fmt::Display for About {
@@ -174,15 +176,15 @@
 /// A history with what the rules look up in it.
 pub struct History<'a> {
     /// All that happened, by time.
-    pub events: &'a [Happened],
+    pub events: &'a [TimedEvent],
     /// Tries by id, with when they were asked.
     pub tries: HashMap<u64, (Micros, &'a Try)>,
     /// Ends of tries by id.
-    pub ends: HashMap<u64, Vec<(Micros, How)>>,
+    pub ends: HashMap<u64, Vec<(Micros, TryOutcome)>>,
     /// When gateways were not there or stood still, by name.
-    pub gateways: BTreeMap<Name, Vec<Span>>,
+    pub gateways: BTreeMap<SharedName, Vec<Span>>,
     /// Faults of links, by their ends.
-    pub links: BTreeMap<(Name, Name), Vec<Span>>,
+    pub links: BTreeMap<(SharedName, SharedName), Vec<Span>>,
     /// When the last event happened.
     pub last: Micros,
 }
@@ -190,7 +192,7 @@
 impl<'a> History<'a> {
     /// Looks through a history once.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub fn new(events: &'a [Happened]) -> Self {
+    pub fn new(events: &'a [TimedEvent]) -> Self {
         let last = events.last().map_or(0, |last| last.at);
         let mut history = History {
             events,
@@ -200,27 +202,30 @@
             links: BTreeMap::new(),
             last,
         };
-        let mut absent: BTreeMap<Name, (Micros, &'static str)> = BTreeMap::new();
-        let mut paused: BTreeMap<Name, Micros> = BTreeMap::new();
+        let mut absent: BTreeMap<SharedName, (Micros, &'static str)> = BTreeMap::new();
+        let mut paused: BTreeMap<SharedName, Micros> = BTreeMap::new();
         // Several faults of one kind may lie on a link at once.
-        let mut faulty: BTreeMap<(Name, Name, &'static str), Vec<Micros>> = BTreeMap::new();
-        for Happened { at, what } in events {
-            match what {
-                What::Asked(tried) => _ = history.tries.insert(tried.id, (*at, tried)),
-                What::Over { id, how, .. } => {
-                    history.ends.entry(*id).or_default().push((*at, *how));
+        let mut faulty: BTreeMap<(SharedName, SharedName, &'static str), Vec<Micros>> =
+            BTreeMap::new();
+        for TimedEvent { at, event } in events {
+            match event {
+                Event::TrySent(tried) => _ = history.tries.insert(tried.id, (*at, tried)),
+                Event::TryEnded { id, outcome, .. } => {
+                    history.ends.entry(*id).or_default().push((*at, *outcome));
                 }
-                What::Gateway { gateway, how } => {
+                Event::Gateway { gateway, change } => {
                     let spans = history.gateways.entry(gateway.clone()).or_default();
-                    match how {
-                        Process::Killed => _ = absent.insert(gateway.clone(), (*at, "killed")),
-                        Process::Stopping => {
+                    match change {
+                        ProcessChange::Killed => {
+                            _ = absent.insert(gateway.clone(), (*at, "killed"))
+                        }
+                        ProcessChange::Stopping => {
                             _ = absent.entry(gateway.clone()).or_insert((*at, "stopped"));
                         }
-                        Process::Ended => {
+                        ProcessChange::Ended => {
                             _ = absent.entry(gateway.clone()).or_insert((*at, "ended"));
                         }
-                        Process::Started(_) => {
+                        ProcessChange::Started(_) => {
                             if let Some((from, what)) = absent.remove(gateway) {
                                 spans.push(Span {
                                     from,
@@ -229,8 +234,8 @@
                                 });
                             }
                         }
-                        Process::Paused => _ = paused.entry(gateway.clone()).or_insert(*at),
-                        Process::Continued => {
+                        ProcessChange::Paused => _ = paused.entry(gateway.clone()).or_insert(*at),
+                        ProcessChange::Continued => {
                             if let Some(from) = paused.remove(gateway) {
                                 spans.push(Span {
                                     from,
@@ -241,7 +246,7 @@
                         }
                     }
                 }
-                What::Link {
+                Event::Link {
                     from,
                     to,
                     fault,
@@ -361,7 +366,7 @@
 /// The verdict on a history, with what the records of its gateways say.
 pub fn check(
     facts: &Facts,
-    events: &[Happened],
+    events: &[TimedEvent],
     records: &[Recorded],
     crashed: &[String],
 ) -> Verdict {
--- a/crates/fleet-test/src/check/order.rs
+++ b/crates/fleet-test/src/check/order.rs
@@ -4,14 +4,14 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use eideryard_emulators::history::{Happened, Micros, Name, Process, What};
+use eideryard_emulators::history::{Event, Micros, ProcessChange, SharedName, TimedEvent};
 
 use super::{About, Break, Facts, History, Rule, Verdict, SLACK};
 use crate::config::ORDER_PAUSE;
 use crate::links::CLIENTS;
 
 /// One start of a gateway and a key of a class: what has an order of its own.
-type Lane = (Name, usize, Name, Name);
+type Lane = (SharedName, usize, SharedName, SharedName);
 
 /// Requests of one key of an ordered class run one at a time and in turn.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
@@ -23,21 +23,21 @@
         .map(|class| class.name.as_str())
         .collect();
     let pause = ORDER_PAUSE.as_micros() as Micros;
-    let mut starts: BTreeMap<Name, usize> = BTreeMap::new();
+    let mut starts: BTreeMap<SharedName, usize> = BTreeMap::new();
     let mut lanes: HashMap<u64, Lane> = HashMap::new();
     // What runs, by lane: id, engine, since.
-    let mut running: HashMap<Lane, Vec<(u64, Name, Micros)>> = HashMap::new();
+    let mut running: HashMap<Lane, Vec<(u64, SharedName, Micros)>> = HashMap::new();
     let mut waiting: HashMap<Lane, Vec<(Micros, u64)>> = HashMap::new();
     let mut runs = 0;
-    for Happened { at, what } in history.events {
-        match what {
-            What::Gateway {
+    for TimedEvent { at, event } in history.events {
+        match event {
+            Event::Gateway {
                 gateway,
-                how: Process::Started(start),
+                change: ProcessChange::Started(start),
             } => {
                 starts.insert(gateway.clone(), *start);
             }
-            What::Asked(tried) if ordered.contains(&*tried.class) => {
+            Event::TrySent(tried) if ordered.contains(&*tried.class) => {
                 let start = starts.get(&tried.gateway).copied().unwrap_or(0);
                 let lane = (
                     tried.gateway.clone(),
@@ -48,17 +48,17 @@
                 lanes.insert(tried.id, lane.clone());
                 waiting.entry(lane).or_default().push((*at, tried.id));
             }
-            What::Over { id, .. } => {
+            Event::TryEnded { id, .. } => {
                 let Some(lane) = lanes.get(id) else { continue };
                 waiting
                     .entry(lane.clone())
                     .or_default()
                     .retain(|(_, own)| own != id);
             }
-            What::Began { engine, id, .. } => {
+            Event::QueryStarted { engine, id, .. } => {
                 let Some(lane) = lanes.get(id) else { continue };
                 runs += 1;
-                let excused = |asked: Micros, to: &Name| {
+                let excused = |asked: Micros, to: &SharedName| {
                     let gateway = &lane.0;
                     let link = history
                         .of_link(gateway, to)
@@ -114,9 +114,13 @@
                     .or_default()
                     .push((*id, engine.clone(), *at));
             }
-            What::Left { engine, id, done } => {
+            Event::QueryEnded {
+                engine,
+                id,
+                completed,
+            } => {
                 let Some(lane) = lanes.get(id) else { continue };
-                if *done {
+                if *completed {
                     waiting
                         .entry(lane.clone())
                         .or_default()
--- a/crates/fleet-test/src/check/order/tests.rs
+++ b/crates/fleet-test/src/check/order/tests.rs
@@ -2,23 +2,26 @@
 
 use super::super::tests::*;
 use super::*;
-use eideryard_emulators::history::How;
+use eideryard_emulators::history::TryOutcome;
 
 #[test]
 fn two_of_one_key_at_a_time_or_out_of_turn_are_caught() {
-    let left = |at, id| Happened {
+    let left = |at, id| TimedEvent {
         at,
-        what: What::Left {
+        event: Event::QueryEnded {
             engine: "e1".into(),
             id,
-            done: true,
+            completed: true,
         },
     };
-    let count = |events: &[Happened]| checked(events).count(Rule::Order);
+    let count = |events: &[TimedEvent]| checked(events).count(Rule::Order);
     let two = |second: &str| vec![in_order(10, 1, "k"), in_order(200_000, 2, second)];
     let (apart, same) = (two("l"), two("k"));
     let overlap = [began(300_000, "e1", 1, 0.1), began(300_100, "e2", 2, 0.1)];
-    let ends = [over(400_000, 1, How::Served), over(400_001, 2, How::Served)];
+    let ends = [
+        over(400_000, 1, TryOutcome::Served),
+        over(400_001, 2, TryOutcome::Served),
+    ];
     assert_eq!(count(&[&apart[..], &overlap, &ends].concat()), 0);
     assert_eq!(count(&[&same[..], &overlap, &ends].concat()), 1);
     let turned = [
--- a/crates/fleet-test/src/check/owners.rs
+++ b/crates/fleet-test/src/check/owners.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use eideryard_emulators::history::{Micros, Name};
+use eideryard_emulators::history::{Micros, SharedName};
 use eideryard_event_log::reader::{MergedReader, ReadContent};
 use eideryard_event_log::{Entry, FleetEvent, HostEvent};
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Worked {
     /// The gateway whose fence met the work.
-    pub gateway: Name,
+    pub gateway: SharedName,
     /// When it did.
     pub at: Micros,
     /// The number of the task.
@@ -59,8 +59,8 @@
         return;
     }
     // By fence and task: the greatest token that counted, and the owner of each term.
-    let mut greatest: BTreeMap<(&Name, u32), (u64, u64)> = BTreeMap::new();
-    let mut owners: BTreeMap<(&Name, u32, u64), u64> = BTreeMap::new();
+    let mut greatest: BTreeMap<(&SharedName, u32), (u64, u64)> = BTreeMap::new();
+    let mut owners: BTreeMap<(&SharedName, u32, u64), u64> = BTreeMap::new();
     let (mut stale, mut two, mut fenced) = (0, 0, 0);
     let mut last: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut gap = 0;
--- a/crates/fleet-test/src/check/records.rs
+++ b/crates/fleet-test/src/check/records.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use eideryard::interface::{Action, Event, Outcome};
-use eideryard_emulators::history::{How, Micros, Name};
+use eideryard_emulators::history::{Micros, SharedName, TryOutcome};
 use eideryard_event_log::reader::{MergedReader, ReadContent};
 use eideryard_event_log::{AnswerKind, Entry, HostEvent};
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recorded {
     /// The gateway that wrote it.
-    pub gateway: Name,
+    pub gateway: SharedName,
     /// When it happened.
     pub at: Micros,
     /// The id that its client gave it.
@@ -30,7 +30,7 @@
     /// The gateway took it.
     Taken,
     /// An attempt went to an engine.
-    Sent(Name),
+    Sent(SharedName),
     /// An attempt ended.
     Ended(Outcome),
     /// It got its final answer.
@@ -46,7 +46,7 @@
     };
     // The client's id of each request that is open, and engines' names, by source.
     let mut ids: HashMap<(usize, u64), u64> = HashMap::new();
-    let mut engines: HashMap<(usize, u32), Name> = HashMap::new();
+    let mut engines: HashMap<(usize, u32), SharedName> = HashMap::new();
     while let Ok(Some(told)) = merged.next_entry() {
         let ReadContent::Entry(entry) = &told.content else {
             continue;
@@ -93,7 +93,7 @@
 
 /// What records say of ends is what clients were answered.
 pub fn check(history: &History<'_>, records: &[Recorded], verdict: &mut Verdict) {
-    let mut ended: HashMap<(&Name, u64), AnswerKind> = HashMap::new();
+    let mut ended: HashMap<(&SharedName, u64), AnswerKind> = HashMap::new();
     let (mut agree, mut differ) = (0, 0);
     for Recorded {
         gateway,
@@ -124,18 +124,22 @@
             .and_then(|ends| ends.first())
             .map(|(_, how)| *how);
         let same = match (seen, kind) {
-            (Some(How::Served), kind) => *kind == AnswerKind::Served,
-            (Some(How::Refused), kind) => *kind == AnswerKind::Refused,
-            (Some(How::Failed), kind) => *kind == AnswerKind::Failed,
+            (Some(TryOutcome::Served), kind) => *kind == AnswerKind::Served,
+            (Some(TryOutcome::Refused), kind) => *kind == AnswerKind::Refused,
+            (Some(TryOutcome::Failed), kind) => *kind == AnswerKind::Failed,
             // A client that has gone sees nothing, whatever the gateway says of it.
-            (Some(How::Forgotten | How::Reset | How::Silence) | None, _) => true,
+            (
+                Some(TryOutcome::Forgotten | TryOutcome::ConnectionLost | TryOutcome::Unanswered)
+                | None,
+                _,
+            ) => true,
         };
         if same {
             agree += 1;
         } else {
             let seen = seen.map_or("nothing", |how| match how {
-                How::Served => "a result",
-                How::Refused => "a refusal",
+                TryOutcome::Served => "a result",
+                TryOutcome::Refused => "a refusal",
                 _ => "a failure",
             });
             broken(format!(
--- a/crates/fleet-test/src/check/records/tests.rs
+++ b/crates/fleet-test/src/check/records/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_record_that_says_other_than_its_client_saw_is_caught() {
-    let events = [asked(10, 1, "a", "g1", 0), over(20, 1, How::Served)];
+    let events = [asked(10, 1, "a", "g1", 0), over(20, 1, TryOutcome::Served)];
     let said = |kind| Recorded {
         gateway: "g1".into(),
         at: 15,
--- a/crates/fleet-test/src/check/service.rs
+++ b/crates/fleet-test/src/check/service.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use eideryard_emulators::history::{Happened, How, Micros, Name, Process, What};
+use eideryard_emulators::history::{
+    Event, Micros, ProcessChange, SharedName, TimedEvent, TryOutcome,
+};
 
 use super::{Facts, History, Verdict};
 
@@ -43,7 +45,7 @@
 /// long that took.
 fn restarted(history: &History<'_>, verdict: &mut Verdict) {
     let starts = history.events.iter().filter(
-        |own| matches!(own.what, What::Gateway { how: Process::Started(number), .. } if number > 1),
+        |own| matches!(own.event, Event::Gateway { change: ProcessChange::Started(number), .. } if number > 1),
     );
     let starts: Vec<Micros> = starts.map(|own| own.at).collect();
     let (Some(first), Some(last)) = (starts.first(), starts.last()) else {
@@ -62,7 +64,7 @@
         asked += 1;
         let end = history.ends.get(&tried.id).and_then(|ends| ends.first());
         took.extend(
-            end.filter(|(_, how)| *how == How::Served)
+            end.filter(|(_, how)| *how == TryOutcome::Served)
                 .map(|(end, _)| end.saturating_sub(*at)),
         );
     }
@@ -79,15 +81,15 @@
 
 /// How long first tries that were served took, by class.
 fn latencies(history: &History<'_>, verdict: &mut Verdict) {
-    let mut took: BTreeMap<&Name, Vec<Micros>> = BTreeMap::new();
-    let mut asked: BTreeMap<&Name, u64> = BTreeMap::new();
+    let mut took: BTreeMap<&SharedName, Vec<Micros>> = BTreeMap::new();
+    let mut asked: BTreeMap<&SharedName, u64> = BTreeMap::new();
     for (at, tried) in history
         .tries
         .values()
         .filter(|(_, tried)| tried.number == 0)
     {
         let end = history.ends.get(&tried.id).and_then(|ends| ends.first());
-        let served = end.filter(|(_, how)| *how == How::Served);
+        let served = end.filter(|(_, how)| *how == TryOutcome::Served);
         *asked.entry(&tried.class).or_default() += 1;
         for (end, _) in served.into_iter() {
             took.entry(&tried.class).or_default().push(end - at);
@@ -111,21 +113,21 @@
 pub fn measure(facts: &Facts, history: &History<'_>, verdict: &mut Verdict) {
     restarted(history, verdict);
     latencies(history, verdict);
-    let mut firsts: BTreeMap<Name, Firsts> = BTreeMap::new();
-    let mut gateways: HashMap<&Name, u64> = HashMap::new();
-    let classes: HashMap<&Name, &Name> = history
+    let mut firsts: BTreeMap<SharedName, Firsts> = BTreeMap::new();
+    let mut gateways: HashMap<&SharedName, u64> = HashMap::new();
+    let classes: HashMap<&SharedName, &SharedName> = history
         .tries
         .values()
         .map(|(_, tried)| (&tried.load, &tried.class))
         .collect();
     let (mut loss, mut engine_back) = (None, None);
-    for Happened { at, what } in history.events {
-        match what {
-            What::Asked(tried) => {
+    for TimedEvent { at, event } in history.events {
+        match event {
+            Event::TrySent(tried) => {
                 *gateways.entry(&tried.gateway).or_default() += 1;
                 if tried.number == 0 {
                     let end = history.ends.get(&tried.id).and_then(|ends| ends.first());
-                    let served = end.is_some_and(|(_, how)| *how == How::Served);
+                    let served = end.is_some_and(|(_, how)| *how == TryOutcome::Served);
                     firsts
                         .entry(tried.class.clone())
                         .or_default()
@@ -134,7 +136,7 @@
                 }
             }
             // A request that found no gateway was not served either.
-            What::NoDoor { load, .. } => {
+            Event::NoGatewayReachable { load, .. } => {
                 firsts.entry("all".into()).or_default().push((*at, false));
                 let class = classes.get(load).into_iter();
                 class.for_each(|class| {
@@ -145,11 +147,11 @@
                 });
             }
             // Where power is lost again, service comes back after the last time.
-            What::Did { what } if what == "power-loss" => {
+            Event::Other { text } if text == "power-loss" => {
                 loss.get_or_insert(*at);
                 engine_back = None;
             }
-            What::Engine {
+            Event::Engine {
                 begins: Some(_), ..
             } if loss.is_some() => _ = engine_back.get_or_insert(*at),
             _ => {}
--- a/crates/fleet-test/src/check/story.rs
+++ b/crates/fleet-test/src/check/story.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeSet;
 
-use eideryard_emulators::history::{Happened, How, Micros, Name, Process, What};
+use eideryard_emulators::history::{
+    Event, Micros, ProcessChange, SharedName, TimedEvent, TryOutcome,
+};
 
 use super::records::{Recorded, Said};
 use super::{About, Break, History};
@@ -23,7 +25,7 @@
     };
     // All tries of the key up to the break, and who took part.
     let mut ids: BTreeSet<u64> = BTreeSet::new();
-    let mut parts: BTreeSet<Name> = BTreeSet::new();
+    let mut parts: BTreeSet<SharedName> = BTreeSet::new();
     let mut from = found.from;
     if let Some(key) = &key {
         for (id, (at, tried)) in history
@@ -41,21 +43,21 @@
     if let About::Engine(name) | About::Gateway(name) = &found.about {
         parts.insert(name.clone());
     }
-    for Happened { what, .. } in history.events {
-        if let What::Began { engine, id, .. } = what {
+    for TimedEvent { event, .. } in history.events {
+        if let Event::QueryStarted { engine, id, .. } = event {
             if ids.contains(id) {
                 parts.insert(engine.clone());
             }
         }
     }
-    let of_engine = |name: &Name| key.is_none() && parts.contains(name);
+    let of_engine = |name: &SharedName| key.is_none() && parts.contains(name);
     let mut lines: Vec<(Micros, String)> = Vec::new();
-    for Happened { at, what } in history.events {
+    for TimedEvent { at, event } in history.events {
         if *at + BEFORE < from || *at > found.to + 1 {
             continue;
         }
-        let line = match what {
-            What::Asked(tried) if ids.contains(&tried.id) => format!(
+        let line = match event {
+            Event::TrySent(tried) if ids.contains(&tried.id) => format!(
                 "client of {} asks {} (try {}{}, id {:016x})",
                 tried.load,
                 tried.gateway,
@@ -63,64 +65,69 @@
                 if tried.marked { ", marked" } else { "" },
                 tried.id
             ),
-            What::Over { id, how, advice } if ids.contains(id) => {
-                let how = match how {
-                    How::Served => "is served",
-                    How::Refused => "is refused",
-                    How::Failed => "is told that it failed",
-                    How::Forgotten => "takes it back",
-                    How::Reset => "loses the connection",
-                    How::Silence => "has waited in vain",
+            Event::TryEnded {
+                id,
+                outcome,
+                advice,
+            } if ids.contains(id) => {
+                let outcome = match outcome {
+                    TryOutcome::Served => "is served",
+                    TryOutcome::Refused => "is refused",
+                    TryOutcome::Failed => "is told that it failed",
+                    TryOutcome::Forgotten => "takes it back",
+                    TryOutcome::ConnectionLost => "loses the connection",
+                    TryOutcome::Unanswered => "has waited in vain",
                 };
                 let advice =
                     advice.map_or(String::new(), |ms| format!(", to come back after {ms} ms"));
-                format!("client {how}{advice} (id {id:016x})")
+                format!("client {outcome}{advice} (id {id:016x})")
             }
-            What::Began {
+            Event::QueryStarted {
                 engine, id, work, ..
             } if ids.contains(id) || of_engine(engine) => {
                 format!("{engine} begins {id:016x}, {:.0} ms of work", work * 1e3)
             }
-            What::Left {
+            Event::QueryEnded {
                 engine,
                 id,
-                done: false,
+                completed: false,
             } if ids.contains(id) => {
                 format!("{engine} gives {id:016x} up")
             }
-            What::Effect { engine, id, .. } if ids.contains(id) => {
+            Event::Effect { engine, id, .. } if ids.contains(id) => {
                 format!("{engine}: {id:016x} takes effect")
             }
-            What::Repeat { engine, id, .. } if ids.contains(id) => {
+            Event::RepeatDropped { engine, id, .. } if ids.contains(id) => {
                 format!("{engine}: {id:016x} is a repeat and dropped")
             }
-            What::Engine { engine, begins } if parts.contains(engine) => match begins {
+            Event::Engine { engine, begins } if parts.contains(engine) => match begins {
                 Some(_) => format!("{engine} starts"),
                 None => format!("{engine} ends"),
             },
-            What::Told {
+            Event::EngineAnnounced {
                 gateway,
                 engine,
                 health,
             } if of_engine(engine) => {
                 format!("the bulletin tells {gateway} that {engine} is {health}")
             }
-            What::Gateway { gateway, how } if parts.contains(gateway) => match how {
-                Process::Started(start) => format!("{gateway} listens, start {start}"),
-                Process::Killed => format!("{gateway} is killed"),
-                Process::Stopping => format!("{gateway} is told to end"),
-                Process::Ended => format!("{gateway} has ended"),
-                Process::Paused => format!("{gateway} is paused"),
-                Process::Continued => format!("{gateway} goes on"),
+            Event::Gateway { gateway, change } if parts.contains(gateway) => match change {
+                ProcessChange::Started(start) => format!("{gateway} listens, start {start}"),
+                ProcessChange::Killed => format!("{gateway} is killed"),
+                ProcessChange::Stopping => format!("{gateway} is told to end"),
+                ProcessChange::Ended => format!("{gateway} has ended"),
+                ProcessChange::Paused => format!("{gateway} is paused"),
+                ProcessChange::Continued => format!("{gateway} goes on"),
             },
-            What::Link {
+            Event::Link {
                 from,
                 to,
                 fault,
                 begins,
             } if parts.contains(from) || parts.contains(to) => {
                 // Links to engines that took no part say nothing.
-                let near = |end: &Name| parts.contains(end) || **end == *crate::links::CLIENTS;
+                let near =
+                    |end: &SharedName| parts.contains(end) || **end == *crate::links::CLIENTS;
                 if !near(from) || !near(to) {
                     continue;
                 }
@@ -129,7 +136,7 @@
                     if *begins { "begins" } else { "ends" }
                 )
             }
-            What::Did { what } if what.starts_with("power") => what.clone(),
+            Event::Other { text } if text.starts_with("power") => text.clone(),
             _ => continue,
         };
         lines.push((*at, line));
--- a/crates/fleet-test/src/check/story/tests.rs
+++ b/crates/fleet-test/src/check/story/tests.rs
@@ -9,13 +9,13 @@
         asked(10, 1, "a", "g1", 0),
         asked(11, 9, "other", "g3", 0),
         began(15, "e1", 1, 0.01),
-        gateway(16, "g1", Process::Killed),
-        gateway(16, "g3", Process::Killed),
-        over(17, 1, How::Reset),
+        gateway(16, "g1", ProcessChange::Killed),
+        gateway(16, "g3", ProcessChange::Killed),
+        over(17, 1, TryOutcome::ConnectionLost),
         effect(20, "e1", 1),
         asked(30, 2, "a", "g2", 1),
         effect(40, "e2", 2),
-        over(50, 2, How::Served),
+        over(50, 2, TryOutcome::Served),
     ];
     let verdict = checked(&events);
     let found = verdict
--- a/crates/fleet-test/src/check/tests.rs
+++ b/crates/fleet-test/src/check/tests.rs
@@ -12,7 +12,7 @@
     facts
 }
 
-pub fn checked(events: &[Happened]) -> Verdict {
+pub fn checked(events: &[TimedEvent]) -> Verdict {
     check(&facts(), events, &[], &[])
 }
 
@@ -31,35 +31,35 @@
     }
 }
 
-pub fn asked(at: Micros, id: u64, key: &str, gateway: &str, number: u64) -> Happened {
-    Happened {
+pub fn asked(at: Micros, id: u64, key: &str, gateway: &str, number: u64) -> TimedEvent {
+    TimedEvent {
         at,
-        what: What::Asked(tried("booking", id, key, gateway, number)),
+        event: Event::TrySent(tried("booking", id, key, gateway, number)),
     }
 }
 
-pub fn in_order(at: Micros, id: u64, key: &str) -> Happened {
-    Happened {
+pub fn in_order(at: Micros, id: u64, key: &str) -> TimedEvent {
+    TimedEvent {
         at,
-        what: What::Asked(tried("ledger", id, key, "g1", 0)),
+        event: Event::TrySent(tried("ledger", id, key, "g1", 0)),
     }
 }
 
-pub fn over(at: Micros, id: u64, how: How) -> Happened {
-    Happened {
+pub fn over(at: Micros, id: u64, outcome: TryOutcome) -> TimedEvent {
+    TimedEvent {
         at,
-        what: What::Over {
+        event: Event::TryEnded {
             id,
-            how,
+            outcome,
             advice: None,
         },
     }
 }
 
-pub fn effect(at: Micros, engine: &str, id: u64) -> Happened {
-    Happened {
+pub fn effect(at: Micros, engine: &str, id: u64) -> TimedEvent {
+    TimedEvent {
         at,
-        what: What::Effect {
+        event: Event::Effect {
             engine: engine.into(),
             id,
             key: "".into(),
@@ -67,11 +67,11 @@
     }
 }
 
-pub fn began(at: Micros, engine: &str, id: u64, work: f64) -> Happened {
+pub fn began(at: Micros, engine: &str, id: u64, work: f64) -> TimedEvent {
     let (engine, class, key) = (engine.into(), "booking".into(), "".into());
-    Happened {
+    TimedEvent {
         at,
-        what: What::Began {
+        event: Event::QueryStarted {
             engine,
             id,
             class,
@@ -81,20 +81,20 @@
     }
 }
 
-pub fn gateway(at: Micros, name: &str, how: Process) -> Happened {
-    Happened {
+pub fn gateway(at: Micros, name: &str, change: ProcessChange) -> TimedEvent {
+    TimedEvent {
         at,
-        what: What::Gateway {
+        event: Event::Gateway {
             gateway: name.into(),
-            how,
+            change,
         },
     }
 }
 
-pub fn link(at: Micros, from: &str, to: &str, fault: &'static str, begins: bool) -> Happened {
-    Happened {
+pub fn link(at: Micros, from: &str, to: &str, fault: &'static str, begins: bool) -> TimedEvent {
+    TimedEvent {
         at,
-        what: What::Link {
+        event: Event::Link {
             from: from.into(),
             to: to.into(),
             fault,
--- a/crates/fleet-test/src/links.rs
+++ b/crates/fleet-test/src/links.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use eideryard_emulators::history::{Name, What};
+use eideryard_emulators::history::{Event, SharedName};
 use eideryard_emulators::ledger;
 use eideryard_emulators::scenario::{Step, Way};
 
@@ -18,9 +18,9 @@
 
 /// The relays of all links, by their ends.
 pub struct Links {
-    links: BTreeMap<(Name, Name), Rc<Relay>>,
-    gateways: Vec<Name>,
-    engines: Vec<Name>,
+    links: BTreeMap<(SharedName, SharedName), Rc<Relay>>,
+    gateways: Vec<SharedName>,
+    engines: Vec<SharedName>,
     ledger: ledger::Shared,
     next: u64,
 }
@@ -29,14 +29,14 @@
 pub struct Lasting {
     number: u64,
     fault: Fault,
-    on: Vec<(Name, Name)>,
+    on: Vec<(SharedName, SharedName)>,
 }
 
 impl Links {
     /// Opens a door for each link of these gateways and engines.
     pub fn start(
-        gateways: Vec<Name>,
-        engines: Vec<Name>,
+        gateways: Vec<SharedName>,
+        engines: Vec<SharedName>,
         ledger: ledger::Shared,
     ) -> io::Result<Self> {
         let mut links = BTreeMap::new();
@@ -78,7 +78,8 @@
 
     /// Where gateways reach another one of them.
     pub fn lead_peers(&self, to: &str, target: Option<SocketAddr>) {
-        let of_peers = |(from, own): &(Name, Name)| **own == *to && self.gateways.contains(from);
+        let of_peers =
+            |(from, own): &(SharedName, SharedName)| **own == *to && self.gateways.contains(from);
         self.links
             .iter()
             .filter(|(ends, _)| of_peers(ends))
@@ -92,7 +93,7 @@
             .for_each(|relay| relay.lead_to(target));
     }
 
-    fn is(&self, name: &str, end: &Name) -> bool {
+    fn is(&self, name: &str, end: &SharedName) -> bool {
         match name {
             "any" => true,
             "gateways" => self.gateways.contains(end),
@@ -102,9 +103,9 @@
     }
 
     /// Links between two ends as a step names them, and whether they are named from their far end.
-    fn between(&self, a: &str, b: &str) -> Vec<((Name, Name), bool)> {
-        let along = |from: &Name, to: &Name| self.is(a, from) && self.is(b, to);
-        let against = |from: &Name, to: &Name| self.is(b, from) && self.is(a, to);
+    fn between(&self, a: &str, b: &str) -> Vec<((SharedName, SharedName), bool)> {
+        let along = |from: &SharedName, to: &SharedName| self.is(a, from) && self.is(b, to);
+        let against = |from: &SharedName, to: &SharedName| self.is(b, from) && self.is(a, to);
         let all = self
             .links
             .keys()
@@ -156,9 +157,9 @@
         }
     }
 
-    fn note(&self, from: &Name, to: &Name, fault: &'static str, begins: bool) {
+    fn note(&self, from: &SharedName, to: &SharedName, fault: &'static str, begins: bool) {
         let (from, to) = (from.clone(), to.clone());
-        self.ledger.borrow_mut().happened(|| What::Link {
+        self.ledger.borrow_mut().happened(|| Event::Link {
             from,
             to,
             fault,
--- a/crates/fleet-test/src/world.rs
+++ b/crates/fleet-test/src/world.rs
@@ -9,7 +9,7 @@
 use eideryard_emulators::bulletin::Bulletin;
 use eideryard_emulators::client::{Doors, Load};
 use eideryard_emulators::engine::{Engine, Remembered};
-use eideryard_emulators::history::{Name, Process};
+use eideryard_emulators::history::{ProcessChange, SharedName};
 use eideryard_emulators::ledger::{Ledger, Shared};
 use eideryard_emulators::scenario::{Scenario, Step};
 use rand::rngs::StdRng;
@@ -114,7 +114,7 @@
                 seed,
             )?);
         }
-        let names: Vec<Name> = scenario
+        let names: Vec<SharedName> = scenario
             .gateways
             .iter()
             .map(|own| own.name.as_str().into())
@@ -272,7 +272,7 @@
         self.look_for_crashes().await?;
         let agreed = self.copies_agree().await?;
         for name in self.processes.names() {
-            self.signal(&name, Signal::TERM, Process::Stopping);
+            self.signal(&name, Signal::TERM, ProcessChange::Stopping);
         }
         for name in self.processes.names() {
             self.ended(&name).await?;
--- a/crates/fleet-test/src/world/parts.rs
+++ b/crates/fleet-test/src/world/parts.rs
@@ -7,7 +7,7 @@
 
 use eideryard_emulators::bulletin::Mood;
 use eideryard_emulators::engine::Engine;
-use eideryard_emulators::history::{Process, What};
+use eideryard_emulators::history::{Event, ProcessChange};
 use rustix::process::Signal;
 
 use super::{World, RECORD};
@@ -50,24 +50,24 @@
         Ok(())
     }
 
-    pub(super) fn note(&self, name: &str, how: Process) {
-        self.ledger.borrow_mut().happened(|| What::Gateway {
+    pub(super) fn note(&self, name: &str, change: ProcessChange) {
+        self.ledger.borrow_mut().happened(|| Event::Gateway {
             gateway: name.into(),
-            how,
+            change,
         });
     }
 
     /// Sends a signal; one that ends it closes its door as well.
-    pub(super) fn signal(&mut self, name: &str, signal: Signal, how: Process) {
+    pub(super) fn signal(&mut self, name: &str, signal: Signal, change: ProcessChange) {
         if !self.processes.names().iter().any(|own| own == name) {
             return;
         }
         self.processes.signal(name, signal);
-        self.note(name, how);
-        if matches!(how, Process::Killed | Process::Stopping) {
+        self.note(name, change);
+        if matches!(change, ProcessChange::Killed | ProcessChange::Stopping) {
             self.doors.borrow_mut().remove(name);
         }
-        if how == Process::Killed {
+        if change == ProcessChange::Killed {
             self.links
                 .iter()
                 .for_each(|links| links.lead_to(name, None));
@@ -90,7 +90,7 @@
         self.links
             .iter()
             .for_each(|links| links.lead_to(name, None));
-        self.note(name, Process::Ended);
+        self.note(name, ProcessChange::Ended);
         Ok(())
     }
 
@@ -137,7 +137,7 @@
         self.links
             .iter()
             .for_each(|links| links.lead_peers(name, reached));
-        self.note(name, Process::Started(start));
+        self.note(name, ProcessChange::Started(start));
         for door in door.into_iter() {
             _ = self.doors.borrow_mut().insert(name.to_string(), door);
         }
--- a/crates/fleet-test/src/world/power.rs
+++ b/crates/fleet-test/src/world/power.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use eideryard_emulators::bulletin::Mood;
-use eideryard_emulators::history::{Process, What};
+use eideryard_emulators::history::{Event, ProcessChange};
 use eideryard_emulators::scenario::Step;
 use rand::Rng;
 use rustix::process::Signal;
@@ -18,7 +18,7 @@
     pub(super) async fn power_loss(&mut self) -> io::Result<()> {
         let names = self.processes.names();
         for name in names.iter() {
-            self.signal(name, Signal::KILL, Process::Killed);
+            self.signal(name, Signal::KILL, ProcessChange::Killed);
         }
         self.engines
             .iter()
@@ -33,8 +33,8 @@
         for name in &names {
             let torn =
                 directories::tear(&directories::of(&programs.directory, name), &mut self.rng)?;
-            self.ledger.borrow_mut().happened(|| What::Did {
-                what: format!("{name}: {torn} files torn"),
+            self.ledger.borrow_mut().happened(|| Event::Other {
+                text: format!("{name}: {torn} files torn"),
             });
         }
         Ok(())
--- a/crates/fleet-test/src/world/steps.rs
+++ b/crates/fleet-test/src/world/steps.rs
@@ -7,7 +7,7 @@
 
 use eideryard_emulators::bulletin::Mood;
 use eideryard_emulators::engine::Engine;
-use eideryard_emulators::history::{Process, What};
+use eideryard_emulators::history::{Event, ProcessChange};
 use eideryard_emulators::scenario::Step;
 use rustix::process::Signal;
 
@@ -37,8 +37,8 @@
         Ok(())
     }
 
-    pub(super) fn did(&self, what: String) {
-        self.ledger.borrow_mut().happened(|| What::Did { what });
+    pub(super) fn did(&self, text: String) {
+        self.ledger.borrow_mut().happened(|| Event::Other { text });
     }
 
     pub(super) fn engines_of(&self, names: &[String]) -> Vec<Rc<Engine>> {
@@ -82,7 +82,7 @@
             "kill-gateway" => {
                 step.names
                     .iter()
-                    .for_each(|name| self.signal(name, Signal::KILL, Process::Killed));
+                    .for_each(|name| self.signal(name, Signal::KILL, ProcessChange::Killed));
                 for name in &step.names {
                     self.ended(name).await?;
                 }
@@ -90,7 +90,7 @@
             "stop-gateway" => step
                 .names
                 .iter()
-                .for_each(|name| self.signal(name, Signal::TERM, Process::Stopping)),
+                .for_each(|name| self.signal(name, Signal::TERM, ProcessChange::Stopping)),
             "start-gateway" => {
                 for name in step
                     .names
@@ -106,7 +106,7 @@
             "pause-gateway" => {
                 step.names
                     .iter()
-                    .for_each(|name| self.signal(name, Signal::STOP, Process::Paused));
+                    .for_each(|name| self.signal(name, Signal::STOP, ProcessChange::Paused));
                 let undo = |name: &String| (step.lasts, Next::Undo(Undo::Continue(name.clone())));
                 return Ok(step.names.iter().map(undo).collect());
             }
@@ -178,7 +178,7 @@
                 self.processes.let_go(&name);
                 self.did(format!("the disk of {name} goes on"));
             }
-            Undo::Continue(name) => self.signal(&name, Signal::CONT, Process::Continued),
+            Undo::Continue(name) => self.signal(&name, Signal::CONT, ProcessChange::Continued),
         }
     }
 
