--- a/crates/cli/benches/cpu.rs
+++ b/crates/cli/benches/cpu.rs
@@ -46,7 +46,7 @@
     let counters = ending.counters.as_ref().expect("it ends by itself");
     let served = counters["served"] as f64 / counters["taken"] as f64;
     assert!(
-        played.ledger.breaks == 0 && served > 0.95,
+        played.ledger.violation_count == 0 && served > 0.95,
         "{served:.3} of all are served: {counters:?}"
     );
     ending.cpu.as_secs_f64() * 1e3 / counters["taken"] as f64
--- a/crates/cli/tests/incident.rs
+++ b/crates/cli/tests/incident.rs
@@ -71,7 +71,7 @@
     let text = std::fs::read_to_string(SCENARIO).unwrap();
     let (played, records) = played(directory.path(), &text);
     let ledger = &played.ledger;
-    assert_eq!(ledger.broken, [] as [String; 0], "rules");
+    assert_eq!(ledger.violations, [] as [String; 0], "rules");
     let total = ledger.total();
     assert_eq!(
         total.asked,
--- a/crates/emulators/src/bulletin.rs
+++ b/crates/emulators/src/bulletin.rs
@@ -12,14 +12,14 @@
 
 use crate::history::{Event, SharedName};
 use crate::ledger;
-use crate::place::Place;
+use crate::reserved_address::ReservedAddress;
 use tokio::sync::watch;
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
 /// How service discovery answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum Availability {
     /// It answers.
     Up,
     /// Connections are refused, those that are open end.
@@ -32,14 +32,14 @@
 pub struct Bulletin {
     /// Where it listens.
     pub address: SocketAddr,
-    place: Place,
+    place: ReservedAddress,
     /// The gateway that reads here, and where it is noted what it was told.
-    reader: Option<(SharedName, ledger::Shared)>,
+    reader: Option<(SharedName, ledger::SharedLedger)>,
     events: RefCell<Vec<Value>>,
     /// Events that were there when it could be reached last.
     reachable: Cell<usize>,
     told: watch::Sender<usize>,
-    mood: Cell<Mood>,
+    mood: Cell<Availability>,
     tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
@@ -48,9 +48,9 @@
     /// is kept.
     pub fn start(
         wanted: Option<SocketAddr>,
-        reader: Option<(SharedName, ledger::Shared)>,
+        reader: Option<(SharedName, ledger::SharedLedger)>,
     ) -> io::Result<Rc<Self>> {
-        let place = Place::reserve(wanted)?;
+        let place = ReservedAddress::reserve(wanted)?;
         let listener = place.listen()?;
         let bulletin = Rc::new(Bulletin {
             address: place.address,
@@ -59,7 +59,7 @@
             events: RefCell::new(Vec::new()),
             reachable: Cell::new(0),
             told: watch::Sender::new(0),
-            mood: Cell::new(Mood::Up),
+            mood: Cell::new(Availability::Up),
             tasks: RefCell::new(Vec::new()),
         });
         bulletin.clone().serve(listener);
@@ -79,12 +79,12 @@
 
     /// The next event of the list; gives its number.
     #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-    pub fn tell(&self, whole: bool, hosts: Vec<Value>) -> usize {
+    pub fn publish(&self, whole: bool, hosts: Vec<Value>) -> usize {
         let mut events = self.events.borrow_mut();
         let number = events.len() + 1;
         events
             .push(json!({"no": number, "roster": {"seq": number, "whole": whole, "hosts": hosts}}));
-        if self.mood.get() != Mood::Down {
+        if self.mood.get() != Availability::Down {
             self.reachable.set(number);
         }
         self.told.send_replace(number);
@@ -93,7 +93,7 @@
 
     /// What a gateway that starts now is told of the past: the list as it was when the bulletin
     /// could be reached last.
-    pub fn known(&self) -> Value {
+    pub fn snapshot(&self) -> Value {
         let events = self.events.borrow();
         let reachable = self.reachable.get();
         self.note(&events[..reachable]);
@@ -116,7 +116,7 @@
                 _ => "removed",
             };
             let gateway = reader.clone();
-            ledger.borrow_mut().happened(|| Event::EngineAnnounced {
+            ledger.borrow_mut().record_event(|| Event::EngineAnnounced {
                 gateway,
                 engine,
                 health,
@@ -147,7 +147,7 @@
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
             .await?;
         loop {
-            if self.mood.get() == Mood::Up {
+            if self.mood.get() == Availability::Up {
                 let text: String = {
                     let events = self.events.borrow();
                     self.note(&events[after.min(events.len())..]);
@@ -170,18 +170,18 @@
     }
 
     /// Changes how it answers.
-    pub async fn set(self: &Rc<Self>, mood: Mood) -> io::Result<()> {
+    pub async fn set_availability(self: &Rc<Self>, mood: Availability) -> io::Result<()> {
         let before = self.mood.replace(mood);
-        if mood == Mood::Down {
+        if mood == Availability::Down {
             self.tasks
                 .borrow_mut()
                 .drain(..)
                 .for_each(|task| task.abort());
-        } else if before == Mood::Down {
+        } else if before == Availability::Down {
             tokio::task::yield_now().await;
             self.clone().serve(self.place.listen()?);
         }
-        if mood != Mood::Down {
+        if mood != Availability::Down {
             self.reachable.set(self.events.borrow().len());
         }
         Ok(())
--- a/crates/emulators/src/client.rs
+++ b/crates/emulators/src/client.rs
@@ -26,7 +26,7 @@
 use crate::engine::pages;
 use crate::history::{Event, SharedName, Try, TryOutcome};
 use crate::ledger;
-use crate::scenario::{Back, ClassSpec, LoadSpec};
+use crate::scenario::{ClassSpec, LoadSpec, RetryTarget};
 use crate::scripted::{call, forget, parse_answer, Answer};
 
 mod lines;
@@ -50,7 +50,7 @@
 const FORGETS_AFTER: Duration = Duration::from_millis(30);
 
 /// Where gateways listen now, by name; what was killed has no place.
-pub type Doors = Rc<RefCell<BTreeMap<String, SocketAddr>>>;
+pub type GatewayAddresses = Rc<RefCell<BTreeMap<String, SocketAddr>>>;
 
 struct Asked {
     /// New with every try.
@@ -99,8 +99,8 @@
     spec: LoadSpec,
     class: ClassSpec,
     name: SharedName,
-    doors: Doors,
-    ledger: ledger::Shared,
+    doors: GatewayAddresses,
+    ledger: ledger::SharedLedger,
     lines: RefCell<Vec<Rc<Line>>>,
     rng: RefCell<StdRng>,
     turn: Cell<usize>,
@@ -115,8 +115,8 @@
     pub fn new(
         spec: LoadSpec,
         class: ClassSpec,
-        doors: Doors,
-        ledger: ledger::Shared,
+        doors: GatewayAddresses,
+        ledger: ledger::SharedLedger,
         seed: u64,
     ) -> Rc<Self> {
         ledger
@@ -217,7 +217,7 @@
                 .map(|gateway| (gateway, self.spec.back));
             let mut line = self.line(wanted.clone()).await;
             // Who comes again to the same one waits until it is back.
-            let insists = matches!(wanted, Some((_, Back::Same)));
+            let insists = matches!(wanted, Some((_, RetryTarget::Same)));
             for _ in 0..if insists { LOOKS_AGAIN } else { 0 } {
                 if line.is_some() {
                     break;
@@ -229,7 +229,7 @@
                 let (load, key) = (self.name.clone(), asked.key.as_str().into());
                 self.ledger
                     .borrow_mut()
-                    .happened(|| Event::NoGatewayReachable { load, key });
+                    .record_event(|| Event::NoGatewayReachable { load, key });
                 return self.count(|answers| answers.lost += 1);
             };
             let end = self.one(&line, &asked).await;
@@ -274,7 +274,7 @@
     }
 
     fn over(&self, id: &str, outcome: TryOutcome, advice: Option<u64>) {
-        self.ledger.borrow_mut().happened(|| Event::TryEnded {
+        self.ledger.borrow_mut().record_event(|| Event::TryEnded {
             id: hex(id),
             outcome,
             advice,
@@ -313,7 +313,7 @@
         line.open
             .borrow_mut()
             .insert(number, (asked.id.clone(), asked.rows, told));
-        self.ledger.borrow_mut().happened(|| {
+        self.ledger.borrow_mut().record_event(|| {
             Event::TrySent(Try {
                 load: self.name.clone(),
                 class: self.spec.class.as_str().into(),
@@ -361,7 +361,7 @@
                 line.forgotten.borrow_mut().insert(number);
                 let mut ledger = self.ledger.borrow_mut();
                 if ledger.history.is_none() {
-                    ledger.break_rule(format!("{}: no answer at all", self.spec.name));
+                    ledger.record_violation(format!("{}: no answer at all", self.spec.name));
                 }
                 drop(ledger);
                 self.count(|answers| answers.lost += 1);
--- a/crates/emulators/src/client/lines.rs
+++ b/crates/emulators/src/client/lines.rs
@@ -6,7 +6,7 @@
     /// The gateways that may be asked now, in the order in which they are tried.
     pub(super) fn choices(
         &self,
-        wanted: Option<(SharedName, Back)>,
+        wanted: Option<(SharedName, RetryTarget)>,
     ) -> Vec<(SharedName, SocketAddr)> {
         let doors = self.doors.borrow();
         let own = |name: &str| {
@@ -22,9 +22,9 @@
             .collect();
         rand::seq::SliceRandom::shuffle(&mut doors[..], &mut *self.rng.borrow_mut());
         match wanted {
-            Some((gateway, Back::Same)) => doors.retain(|(name, _)| *name == gateway),
+            Some((gateway, RetryTarget::Same)) => doors.retain(|(name, _)| *name == gateway),
             // It is the last that is tried.
-            Some((gateway, Back::Other)) => doors.sort_by_key(|(name, _)| *name == gateway),
+            Some((gateway, RetryTarget::Other)) => doors.sort_by_key(|(name, _)| *name == gateway),
             _ => {}
         }
         doors
@@ -34,7 +34,7 @@
     /// taken anything, and the next one is asked.
     pub(super) async fn line(
         self: &Rc<Self>,
-        wanted: Option<(SharedName, Back)>,
+        wanted: Option<(SharedName, RetryTarget)>,
     ) -> Option<Rc<Line>> {
         self.lines.borrow_mut().retain(|line| !line.ended.get());
         let choices = self.choices(wanted);
@@ -118,16 +118,16 @@
             let what = format!("{}: an answer that nothing waits for", self.spec.name);
             let mut ledger = self.ledger.borrow_mut();
             let (load, gateway) = (self.name.clone(), line.gateway.clone());
-            ledger.happened(|| Event::UnexpectedAnswer { load, gateway });
-            return ledger.break_rule(what);
+            ledger.record_event(|| Event::UnexpectedAnswer { load, gateway });
+            return ledger.record_violation(what);
         };
         let end = match answer {
             Answer::Result { body, .. } => {
                 if body != pages(&id, rows).concat().into_bytes() {
                     let what = format!("{}: {id} got what no engine made for it", self.spec.name);
                     let mut ledger = self.ledger.borrow_mut();
-                    ledger.happened(|| Event::WrongResult { id: hex(&id) });
-                    ledger.break_rule(what);
+                    ledger.record_event(|| Event::WrongResult { id: hex(&id) });
+                    ledger.record_violation(what);
                 }
                 self.count(|answers| answers.served += 1);
                 self.over(&id, TryOutcome::Served, None);
--- a/crates/emulators/src/engine.rs
+++ b/crates/emulators/src/engine.rs
@@ -16,7 +16,7 @@
 use crate::cores::{Cores, Query};
 use crate::history::{Event, SharedName};
 use crate::ledger;
-use crate::place::Place;
+use crate::reserved_address::ReservedAddress;
 use crate::scenario::{ClassSpec, EngineSpec, Scope};
 
 mod faults;
@@ -44,12 +44,12 @@
 /// What all engines remember of keyed writes, by the group that shares it: when they took effect.
 /// It stands beside the data that was written, so no engine's end takes it away.
 #[derive(Clone, Default)]
-pub struct Remembered(Rc<RefCell<Keys>>);
+pub struct KeyMemory(Rc<RefCell<Keys>>);
 
 /// By group and key: when it took effect, and how long that is remembered.
 type Keys = HashMap<(Group, String), (Instant, Duration)>;
 
-impl Remembered {
+impl KeyMemory {
     /// Whether a write that began then is none that the group drops, as it knows of an effect whose
     /// window had not passed by then; from now on the group remembers it.
     fn is_new(&self, group: Group, key: &str, window: Duration, began: Instant) -> bool {
@@ -114,10 +114,10 @@
     /// Where it listens.
     pub address: SocketAddr,
     name: SharedName,
-    place: Place,
+    place: ReservedAddress,
     classes: Rc<Vec<ClassSpec>>,
-    remembered: Remembered,
-    ledger: ledger::Shared,
+    remembered: KeyMemory,
+    ledger: ledger::SharedLedger,
     began: Instant,
     state: RefCell<State>,
     changed: Notify,
@@ -132,11 +132,11 @@
     pub fn start(
         spec: EngineSpec,
         classes: Rc<Vec<ClassSpec>>,
-        remembered: Remembered,
-        ledger: ledger::Shared,
+        remembered: KeyMemory,
+        ledger: ledger::SharedLedger,
         seed: u64,
     ) -> io::Result<Rc<Self>> {
-        let place = Place::reserve(spec.listen)?;
+        let place = ReservedAddress::reserve(spec.listen)?;
         let listener = place.listen()?;
         let rng = rand::SeedableRng::seed_from_u64(seed);
         let state = State {
@@ -168,7 +168,7 @@
     }
 
     fn note_state(&self, begins: Option<u64>) {
-        self.ledger.borrow_mut().happened(|| Event::Engine {
+        self.ledger.borrow_mut().record_event(|| Event::Engine {
             engine: self.name.clone(),
             begins,
         });
@@ -177,7 +177,7 @@
     /// A query is here no more.
     fn left(&self, job: &Job, completed: bool) {
         let id = u64::from_str_radix(&job.id, 16).unwrap_or_default();
-        self.ledger.borrow_mut().happened(|| Event::QueryEnded {
+        self.ledger.borrow_mut().record_event(|| Event::QueryEnded {
             engine: self.name.clone(),
             id,
             completed,
--- a/crates/emulators/src/engine/queries.rs
+++ b/crates/emulators/src/engine/queries.rs
@@ -18,7 +18,7 @@
         *self
             .ledger
             .borrow_mut()
-            .begun
+            .queries_started
             .entry(self.spec.name.clone())
             .or_default() += !busy as u64;
         if busy {
@@ -65,13 +65,15 @@
         let rows = told("rows").unwrap_or(4.0) as u64;
         state.cores.advance(self.now());
         state.cores.add(number, query);
-        self.ledger.borrow_mut().happened(|| Event::QueryStarted {
-            engine: self.name.clone(),
-            id: u64::from_str_radix(&id, 16).unwrap_or_default(),
-            class: field("profile").unwrap_or_default().into(),
-            key: key.as_str().into(),
-            work: work / 1e3,
-        });
+        self.ledger
+            .borrow_mut()
+            .record_event(|| Event::QueryStarted {
+                engine: self.name.clone(),
+                id: u64::from_str_radix(&id, 16).unwrap_or_default(),
+                class: field("profile").unwrap_or_default().into(),
+                key: key.as_str().into(),
+                work: work / 1e3,
+            });
         state.jobs.insert(
             number,
             Job {
@@ -133,14 +135,14 @@
             );
             let mut ledger = self.ledger.borrow_mut();
             if new {
-                ledger.took_effect(key, &self.spec.name);
-                ledger.happened(|| Event::Effect {
+                ledger.record_effect(key, &self.spec.name);
+                ledger.record_event(|| Event::Effect {
                     engine,
                     id,
                     key: key.as_str().into(),
                 });
             } else {
-                ledger.happened(|| Event::RepeatDropped {
+                ledger.record_event(|| Event::RepeatDropped {
                     engine,
                     id,
                     key: key.as_str().into(),
--- a/crates/emulators/src/ledger.rs
+++ b/crates/emulators/src/ledger.rs
@@ -69,17 +69,17 @@
     /// What happened, where it is kept.
     pub history: Option<Vec<TimedEvent>>,
     /// Entries that there was no room for.
-    pub left_out: u64,
+    pub events_not_kept: u64,
     /// By load.
     pub answers: BTreeMap<String, Answers>,
     /// How often a write took effect, by its key or id.
     effects: HashMap<String, u32>,
     /// What broke a rule, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// How many broke one; the words of the first are kept.
-    pub breaks: u64,
+    pub violation_count: u64,
     /// Queries begun, by engine.
-    pub begun: BTreeMap<String, u64>,
+    pub queries_started: BTreeMap<String, u64>,
 }
 
 /// Words of so many broken rules are kept.
@@ -92,7 +92,7 @@
     }
 
     /// Keeps an event, where events are kept and there is room.
-    pub fn happened(&mut self, event: impl FnOnce() -> Event) {
+    pub fn record_event(&mut self, event: impl FnOnce() -> Event) {
         let at = self.now();
         let Some(history) = &mut self.history else {
             return;
@@ -100,24 +100,24 @@
         if history.len() < MAX_EVENTS {
             history.push(TimedEvent { at, event: event() });
         } else {
-            self.left_out += 1;
+            self.events_not_kept += 1;
         }
     }
 
     /// Counts a broken rule, in words.
-    pub fn break_rule(&mut self, what: String) {
-        self.breaks += 1;
-        if self.broken.len() < MAX_WORDS {
-            self.broken.push(what);
+    pub fn record_violation(&mut self, what: String) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_WORDS {
+            self.violations.push(what);
         }
     }
 
     /// A write took effect; a second time breaks a rule.
-    pub fn took_effect(&mut self, key: &str, engine: &str) {
+    pub fn record_effect(&mut self, key: &str, engine: &str) {
         let times = self.effects.entry(key.to_string()).or_default();
         *times += 1;
         if *times == 2 {
-            self.break_rule(format!(
+            self.record_violation(format!(
                 "{key} took effect twice, the second time at {engine}"
             ));
         }
@@ -130,4 +130,4 @@
 }
 
 /// The ledger that all parts of a run share.
-pub type Shared = Rc<RefCell<Ledger>>;
+pub type SharedLedger = Rc<RefCell<Ledger>>;
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -14,6 +14,6 @@
 pub mod golden;
 pub mod history;
 pub mod ledger;
-pub mod place;
+pub mod reserved_address;
 pub mod scenario;
 pub mod scripted;
--- a/crates/emulators/src/place.rs
+++ b/crates/emulators/src/reserved_address.rs
@@ -11,7 +11,7 @@
 const BACKLOG: i32 = 1024;
 
 /// A listening place that can close and open again.
-pub struct Place {
+pub struct ReservedAddress {
     /// Bound and never listening: it only holds the port.
     _held: Socket,
     /// Where it is.
@@ -25,7 +25,7 @@
     Ok(socket)
 }
 
-impl Place {
+impl ReservedAddress {
     /// The address that is wanted, or a port that the system chooses.
     pub fn reserve(wanted: Option<SocketAddr>) -> io::Result<Self> {
         let held = bound(wanted.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))))?;
@@ -33,7 +33,7 @@
             .local_addr()?
             .as_socket()
             .ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(Place {
+        Ok(ReservedAddress {
             _held: held,
             address,
         })
--- a/crates/emulators/src/scenario.rs
+++ b/crates/emulators/src/scenario.rs
@@ -8,7 +8,9 @@
 mod specs;
 
 pub use directives::TABLE;
-pub use specs::{Back, ClassSpec, EngineSpec, GatewaySpec, LoadSpec, Scenario, Scope, Step, Way};
+pub use specs::{
+    ClassSpec, EngineSpec, GatewaySpec, LinkDirection, LoadSpec, RetryTarget, Scenario, Scope, Step,
+};
 
 fn time(value: &Value) -> Duration {
     Duration::from_micros(value.number())
@@ -251,9 +253,9 @@
         forgets: value("forgets").map_or(0.0, Value::real),
         returns: value("returns").map_or(0, Value::number),
         back: match value("back").map(Value::text) {
-            Some("same") => Back::Same,
-            Some("other") => Back::Other,
-            _ => Back::Any,
+            Some("same") => RetryTarget::Same,
+            Some("other") => RetryTarget::Other,
+            _ => RetryTarget::Any,
         },
         marked: value("marked").map_or(1.0, Value::real),
         hasty: value("hasty").map_or(0.0, Value::real),
@@ -274,9 +276,9 @@
         }
         step.lasts = action.option("for").map_or(step.lasts, time);
         step.way = match action.option("way").map(Value::text) {
-            Some("there") => Way::There,
-            Some("back") => Way::Back,
-            _ => Way::Both,
+            Some("there") => LinkDirection::Forward,
+            Some("back") => LinkDirection::Reverse,
+            _ => LinkDirection::Both,
         };
         let times = ["by", "every", "within"].into_iter();
         step.time = times
--- a/crates/emulators/src/scenario/specs.rs
+++ b/crates/emulators/src/scenario/specs.rs
@@ -41,7 +41,7 @@
 
 /// The gateway that a client comes again to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Back {
+pub enum RetryTarget {
     /// Any of them.
     Any,
     /// The same one.
@@ -52,13 +52,13 @@
 
 /// The directions of a link that a fault is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkDirection {
     /// Both.
     Both,
     /// From the first end to the second.
-    There,
+    Forward,
     /// From the second end to the first.
-    Back,
+    Reverse,
 }
 
 /// Clients that ask at a rate.
@@ -99,7 +99,7 @@
     /// Tries more after a connection that ended or an answer that never came.
     pub returns: u64,
     /// The gateway that these go to.
-    pub back: Back,
+    pub back: RetryTarget,
     /// Part of the tries more that say so.
     pub marked: f64,
     /// Part of the tries more that come before the advice is over.
@@ -160,7 +160,7 @@
     /// For how long.
     pub lasts: Duration,
     /// Which directions of a link.
-    pub way: Way,
+    pub way: LinkDirection,
     /// By how much, how often, or within what time.
     pub time: Duration,
     /// Bytes a second.
@@ -170,7 +170,7 @@
 impl Step {
     /// One that strikes everything it names, both ways, for an hour.
     pub fn new(at: Duration, action: &'static str, names: Vec<String>) -> Self {
-        let (share, lasts, way) = (1.0, Duration::from_secs(3600), Way::Both);
+        let (share, lasts, way) = (1.0, Duration::from_secs(3600), LinkDirection::Both);
         Step {
             at,
             action,
--- a/crates/fleet-test/src/links.rs
+++ b/crates/fleet-test/src/links.rs
@@ -7,7 +7,7 @@
 
 use eideryard_emulators::history::{Event, SharedName};
 use eideryard_emulators::ledger;
-use eideryard_emulators::scenario::{Step, Way};
+use eideryard_emulators::scenario::{LinkDirection, Step};
 
 use crate::relay::{Fault, Relay};
 
@@ -21,7 +21,7 @@
     links: BTreeMap<(SharedName, SharedName), Rc<Relay>>,
     gateways: Vec<SharedName>,
     engines: Vec<SharedName>,
-    ledger: ledger::Shared,
+    ledger: ledger::SharedLedger,
     next: u64,
 }
 
@@ -37,7 +37,7 @@
     pub fn start(
         gateways: Vec<SharedName>,
         engines: Vec<SharedName>,
-        ledger: ledger::Shared,
+        ledger: ledger::SharedLedger,
     ) -> io::Result<Self> {
         let mut links = BTreeMap::new();
         for gateway in &gateways {
@@ -121,8 +121,8 @@
         let mut on = Vec::new();
         for ((from, to), turned) in self.between(&step.names[0], &step.names[1]) {
             let way = match (step.way, turned) {
-                (Way::There, true) => Way::Back,
-                (Way::Back, true) => Way::There,
+                (LinkDirection::Forward, true) => LinkDirection::Reverse,
+                (LinkDirection::Reverse, true) => LinkDirection::Forward,
                 (way, _) => way,
             };
             if let Some(relay) = self.link(&from, &to) {
@@ -159,7 +159,7 @@
 
     fn note(&self, from: &SharedName, to: &SharedName, fault: &'static str, begins: bool) {
         let (from, to) = (from.clone(), to.clone());
-        self.ledger.borrow_mut().happened(|| Event::Link {
+        self.ledger.borrow_mut().record_event(|| Event::Link {
             from,
             to,
             fault,
--- a/crates/fleet-test/src/relay.rs
+++ b/crates/fleet-test/src/relay.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use eideryard_emulators::place::Place;
-use eideryard_emulators::scenario::Way;
+use eideryard_emulators::reserved_address::ReservedAddress;
+use eideryard_emulators::scenario::LinkDirection;
 use socket2::{Domain, SockRef, Socket, Type};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{ReadHalf, WriteHalf};
@@ -79,7 +79,7 @@
     resets: u64,
 }
 
-fn folded(faults: &[(u64, Fault, Way)], vacant: bool, resets: u64) -> State {
+fn folded(faults: &[(u64, Fault, LinkDirection)], vacant: bool, resets: u64) -> State {
     let mut state = State {
         vacant,
         resets,
@@ -87,10 +87,10 @@
     };
     for (_, fault, way) in faults {
         let mut lanes: Vec<&mut Lane> = Vec::new();
-        if *way != Way::Back {
+        if *way != LinkDirection::Reverse {
             lanes.push(&mut state.there);
         }
-        if *way != Way::There {
+        if *way != LinkDirection::Forward {
             lanes.push(&mut state.back);
         }
         for lane in lanes {
@@ -113,16 +113,16 @@
 pub struct Relay {
     /// Where the link's one end finds the other.
     pub address: SocketAddr,
-    place: Place,
+    place: ReservedAddress,
     target: Cell<Option<SocketAddr>>,
-    faults: RefCell<Vec<(u64, Fault, Way)>>,
+    faults: RefCell<Vec<(u64, Fault, LinkDirection)>>,
     state: watch::Sender<State>,
 }
 
 impl Relay {
     /// Refuses until it has a target.
     pub fn start() -> io::Result<Rc<Self>> {
-        let place = Place::reserve(None)?;
+        let place = ReservedAddress::reserve(None)?;
         let relay = Rc::new(Relay {
             address: place.address,
             place,
@@ -145,7 +145,7 @@
     }
 
     /// Begins a fault under a number of its own.
-    pub fn begin(&self, number: u64, fault: Fault, way: Way) {
+    pub fn begin(&self, number: u64, fault: Fault, way: LinkDirection) {
         self.faults.borrow_mut().push((number, fault, way));
         self.refold();
     }
--- a/crates/fleet-test/src/relay/tests.rs
+++ b/crates/fleet-test/src/relay/tests.rs
@@ -37,7 +37,7 @@
         let short = Duration::from_millis(150);
         // A cut one way: what goes there arrives, what comes back waits; no new connection
         // comes up.
-        relay.begin(1, Fault::Cut, Way::Back);
+        relay.begin(1, Fault::Cut, LinkDirection::Reverse);
         assert!(timeout(short, echo(&mut stream, &mut bytes)).await.is_err());
         tokio::task::yield_now().await;
         assert!(
@@ -51,14 +51,14 @@
             "what was held arrives when the cut is over"
         );
         // A stall lets connections come up.
-        relay.begin(2, Fault::Stall, Way::Both);
+        relay.begin(2, Fault::Stall, LinkDirection::Both);
         tokio::task::yield_now().await;
         let mut second = connect().await.unwrap();
         assert!(timeout(short, echo(&mut second, &mut bytes)).await.is_err());
         relay.end(2);
         second.read_exact(&mut bytes).await.unwrap();
         // What is swallowed never arrives, and the connection ends with the fault.
-        relay.begin(3, Fault::Swallow, Way::There);
+        relay.begin(3, Fault::Swallow, LinkDirection::Forward);
         assert!(timeout(short, echo(&mut second, &mut bytes)).await.is_err());
         relay.end(3);
         assert!(second.read_exact(&mut bytes).await.is_err());
@@ -74,11 +74,11 @@
 fn faults_on_one_link_add_up_and_each_ends_alone() {
     let by = Duration::from_millis(5);
     let all = [
-        (1, Fault::Delay(by), Way::Both),
-        (2, Fault::Cut, Way::There),
-        (3, Fault::Throttle(100), Way::Back),
-        (4, Fault::Delay(by), Way::Back),
-        (5, Fault::Throttle(50), Way::Back),
+        (1, Fault::Delay(by), LinkDirection::Both),
+        (2, Fault::Cut, LinkDirection::Forward),
+        (3, Fault::Throttle(100), LinkDirection::Reverse),
+        (4, Fault::Delay(by), LinkDirection::Reverse),
+        (5, Fault::Throttle(50), LinkDirection::Reverse),
     ];
     let state = folded(&all, false, 0);
     assert!(state.there.holds && !state.back.holds && state.silent);
--- a/crates/fleet-test/src/run.rs
+++ b/crates/fleet-test/src/run.rs
@@ -127,10 +127,10 @@
     };
     let mut played = world::play_linked(scenario, programs)?;
     let events = played.ledger.history.take().unwrap_or_default();
-    if played.ledger.left_out > 0 {
+    if played.ledger.events_not_kept > 0 {
         let what = format!(
             "{} events found no room in the history",
-            played.ledger.left_out
+            played.ledger.events_not_kept
         );
         return Err(Trouble::Io(io::Error::other(what)));
     }
--- a/crates/fleet-test/src/world.rs
+++ b/crates/fleet-test/src/world.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use eideryard_emulators::bulletin::Bulletin;
-use eideryard_emulators::client::{Doors, Load};
-use eideryard_emulators::engine::{Engine, Remembered};
+use eideryard_emulators::client::{GatewayAddresses, Load};
+use eideryard_emulators::engine::{Engine, KeyMemory};
 use eideryard_emulators::history::{ProcessChange, SharedName};
-use eideryard_emulators::ledger::{Ledger, Shared};
+use eideryard_emulators::ledger::{Ledger, SharedLedger};
 use eideryard_emulators::scenario::{Scenario, Step};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -60,8 +60,8 @@
 struct World {
     scenario: Scenario,
     programs: Option<Programs>,
-    ledger: Shared,
-    doors: Doors,
+    ledger: SharedLedger,
+    doors: GatewayAddresses,
     /// One for each gateway where all links are the rig's own, since each finds engines at other
     /// doors.
     bulletins: BTreeMap<String, Rc<Bulletin>>,
@@ -99,9 +99,9 @@
 impl World {
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
     fn start(scenario: Scenario, programs: Option<Programs>, linked: bool) -> io::Result<Self> {
-        let ledger = Shared::default();
+        let ledger = SharedLedger::default();
         ledger.borrow_mut().history = linked.then(Vec::new);
-        let (classes, remembered) = (Rc::new(scenario.classes.clone()), Remembered::default());
+        let (classes, remembered) = (Rc::new(scenario.classes.clone()), KeyMemory::default());
         let mut engines = Vec::new();
         for (number, spec) in scenario.engines.iter().enumerate() {
             let seed = scenario.seed.wrapping_mul(31).wrapping_add(number as u64);
@@ -139,7 +139,7 @@
         }
         let world = World {
             ledger,
-            doors: Doors::default(),
+            doors: GatewayAddresses::default(),
             bulletins,
             engines,
             links,
@@ -160,7 +160,7 @@
                 .links
                 .iter()
                 .for_each(|links| links.lead(gateway, BULLETIN, Some(bulletin.address)));
-            bulletin.tell(true, world.listed(gateway, &world.engines, "up", 0));
+            bulletin.publish(true, world.listed(gateway, &world.engines, "up", 0));
         }
         Ok(world)
     }
@@ -197,7 +197,7 @@
 
     fn tell(&self, engines: &[Rc<Engine>], health: &str, born_ms: u64) {
         for (gateway, bulletin) in &self.bulletins {
-            bulletin.tell(false, self.listed(gateway, engines, health, born_ms));
+            bulletin.publish(false, self.listed(gateway, engines, health, born_ms));
         }
     }
 
--- a/crates/fleet-test/src/world/parts.rs
+++ b/crates/fleet-test/src/world/parts.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-use eideryard_emulators::bulletin::Mood;
+use eideryard_emulators::bulletin::Availability;
 use eideryard_emulators::engine::Engine;
 use eideryard_emulators::history::{Event, ProcessChange};
 use rustix::process::Signal;
@@ -39,10 +39,10 @@
         Ok(())
     }
 
-    pub(super) async fn bulletin(&self, mood: Mood) -> io::Result<()> {
+    pub(super) async fn bulletin(&self, mood: Availability) -> io::Result<()> {
         for (gateway, bulletin) in &self.bulletins {
-            bulletin.set(mood).await?;
-            let address = Some(bulletin.address).filter(|_| mood != Mood::Down);
+            bulletin.set_availability(mood).await?;
+            let address = Some(bulletin.address).filter(|_| mood != Availability::Down);
             self.links
                 .iter()
                 .for_each(|links| links.lead(gateway, BULLETIN, address));
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn note(&self, name: &str, change: ProcessChange) {
-        self.ledger.borrow_mut().happened(|| Event::Gateway {
+        self.ledger.borrow_mut().record_event(|| Event::Gateway {
             gateway: name.into(),
             change,
         });
@@ -84,7 +84,7 @@
         if !self.processes.ended(name).await? {
             self.ledger
                 .borrow_mut()
-                .break_rule(format!("gateway {name} doesn't end"));
+                .record_violation(format!("gateway {name} doesn't end"));
             self.crashed.push(name.to_string());
         }
         self.links
@@ -112,7 +112,7 @@
         let place = Place {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             bulletin: door.unwrap_or(bulletin.address),
-            known: bulletin.known(),
+            known: bulletin.snapshot(),
         };
         let config = config::config(&self.scenario, name, place);
         let more = match &self.links {
--- a/crates/fleet-test/src/world/power.rs
+++ b/crates/fleet-test/src/world/power.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use eideryard_emulators::bulletin::Mood;
+use eideryard_emulators::bulletin::Availability;
 use eideryard_emulators::history::{Event, ProcessChange};
 use eideryard_emulators::scenario::Step;
 use rand::Rng;
@@ -23,7 +23,7 @@
         self.engines
             .iter()
             .for_each(|engine| self.kill_engine(engine));
-        self.bulletin(Mood::Down).await?;
+        self.bulletin(Availability::Down).await?;
         for name in &names {
             self.ended(name).await?;
         }
@@ -33,7 +33,7 @@
         for name in &names {
             let torn =
                 directories::tear(&directories::of(&programs.directory, name), &mut self.rng)?;
-            self.ledger.borrow_mut().happened(|| Event::Other {
+            self.ledger.borrow_mut().record_event(|| Event::Other {
                 text: format!("{name}: {torn} files torn"),
             });
         }
--- a/crates/fleet-test/src/world/steps.rs
+++ b/crates/fleet-test/src/world/steps.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use eideryard_emulators::bulletin::Mood;
+use eideryard_emulators::bulletin::Availability;
 use eideryard_emulators::engine::Engine;
 use eideryard_emulators::history::{Event, ProcessChange};
 use eideryard_emulators::scenario::Step;
@@ -38,7 +38,9 @@
     }
 
     pub(super) fn did(&self, text: String) {
-        self.ledger.borrow_mut().happened(|| Event::Other { text });
+        self.ledger
+            .borrow_mut()
+            .record_event(|| Event::Other { text });
     }
 
     pub(super) fn engines_of(&self, names: &[String]) -> Vec<Rc<Engine>> {
@@ -73,9 +75,9 @@
             "list" => self.tell(&engines, "up", 0),
             "bulletin" => {
                 self.bulletin(match step.names[0].as_str() {
-                    "down" => Mood::Down,
-                    "silent" => Mood::Silent,
-                    _ => Mood::Up,
+                    "down" => Availability::Down,
+                    "silent" => Availability::Silent,
+                    _ => Availability::Up,
                 })
                 .await?;
             }
--- a/crates/fleet-test/tests/processes.rs
+++ b/crates/fleet-test/tests/processes.rs
@@ -171,7 +171,7 @@
     assert_eq!(
         (
             played.endings.len(),
-            played.ledger.breaks,
+            played.ledger.violation_count,
             played.ledger.total().asked
         ),
         (0, 0, 0)
--- a/examples/play/main.rs
+++ b/examples/play/main.rs
@@ -31,11 +31,11 @@
     for (load, answers) in &played.ledger.answers {
         println!("{load}: {answers:?}");
     }
-    for what in &played.ledger.broken {
+    for what in &played.ledger.violations {
         println!("BROKEN: {what}");
     }
     println!("the records are in {}", records.display());
-    match played.ledger.breaks {
+    match played.ledger.violation_count {
         0 => Ok(()),
         breaks => Err(format!("{breaks} rules broken").into()),
     }
