--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
-use standin::{Bulletin, Client, Engine, EngineEnd, PATIENCE};
+use standin::{Bulletin, Client, Engine, EngineConnection, PATIENCE};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -322,7 +322,7 @@
 }
 
 /// The next command of a kind; others are passed over.
-pub fn next(end: &mut EngineEnd, verb: &str) -> standin::Command {
+pub fn next(end: &mut EngineConnection, verb: &str) -> standin::Command {
     loop {
         let command = end
             .command()
@@ -342,7 +342,7 @@
 }
 
 /// The client's first query, as the engine gets it.
-pub fn called(client: &mut Client, engine: &Engine) -> (EngineEnd, standin::Command) {
+pub fn called(client: &mut Client, engine: &Engine) -> (EngineConnection, standin::Command) {
     client
         .call(1, "report", &fields("0000000000000001", "15000"), QUERY)
         .expect("the gateway reads");
--- a/crates/cli/tests/effects.rs
+++ b/crates/cli/tests/effects.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::standin::{Answer, Bulletin, Client, Engine, EngineEnd};
+use common::standin::{Answer, Bulletin, Client, Engine, EngineConnection};
 use common::{addresses, config, fields, host, next, stand_ins, Running, QUERY};
 use serde_json::{json, Value};
 
@@ -39,7 +39,7 @@
 }
 
 impl Stage {
-    fn begun(&mut self) -> EngineEnd {
+    fn begun(&mut self) -> EngineConnection {
         let mut end = self.engine.accept().unwrap();
         assert_eq!(next(&mut end, "serve").id(), ID);
         end
--- a/crates/cli/tests/first_byte.rs
+++ b/crates/cli/tests/first_byte.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::standin::{Answer, Client, Engine, EngineEnd, Held};
+use common::standin::{Answer, Client, Engine, EngineConnection, FullQueueEngine};
 use common::{addresses, config, fields, host, next, stand_ins, Running, QUERY};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
 fn behind_held(
     more: usize,
     change: impl Fn(&mut Value),
-) -> (common::standin::Bulletin, Held, Vec<Engine>, Running) {
+) -> (common::standin::Bulletin, FullQueueEngine, Vec<Engine>, Running) {
     let (bulletin, others) = stand_ins(more);
-    let held = Engine::held().unwrap();
+    let held = Engine::with_full_queue().unwrap();
     let all: Vec<SocketAddr> = std::iter::once(held.engine.address())
         .chain(addresses(&others))
         .collect();
@@ -27,7 +27,7 @@
     (bulletin, held, others, Running::start(&configured))
 }
 
-fn answers(end: &mut EngineEnd, id: &str) {
+fn answers(end: &mut EngineConnection, id: &str) {
     end.answer(id, "OK", "count=1", "a\tb\tc\n").unwrap();
 }
 
@@ -55,7 +55,7 @@
             .call(2, "report", &fields(SECOND, "15000"), QUERY)
             .unwrap();
         gateway.until("sent", 2);
-        held.let_go().unwrap();
+        held.free_queue().unwrap();
         let mut end = held.engine.accept().unwrap();
         let serve = next(&mut end, "serve");
         assert_eq!(
@@ -97,7 +97,7 @@
         let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": hosts}});
         stream.event(2, &item.to_string()).unwrap();
         gateway.until("list_events", 1);
-        held.let_go().unwrap();
+        held.free_queue().unwrap();
         let closed = held
             .engine
             .accept()
@@ -127,14 +127,14 @@
     let mut keyed = fields(FIRST, "15000");
     keyed.push(("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
     client.call(1, "load", &keyed, QUERY).unwrap();
-    held.let_go().unwrap();
+    held.free_queue().unwrap();
     let mut end = held.engine.accept().unwrap();
     assert_eq!(next(&mut end, "serve").id(), FIRST);
-    held.fill().unwrap();
+    held.fill_queue().unwrap();
     drop(end);
     gateway.until("dials", 2);
     // The dial takes a second at least: the system asks again no sooner.
-    held.let_go().unwrap();
+    held.free_queue().unwrap();
     let mut end = held.engine.accept().unwrap();
     let closed = end.command().map(|command| command.words);
     assert!(closed.is_err(), "it got {closed:?}");
@@ -167,7 +167,7 @@
     let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": hosts}});
     stream.event(2, &item.to_string()).unwrap();
     gateway.until("list_events", 1);
-    held.let_go().unwrap();
+    held.free_queue().unwrap();
     let mut end = other.accept().unwrap();
     assert_eq!(next(&mut end, "serve").id(), FIRST);
     // Reset under a request that has begun.
--- a/crates/cli/tests/gateway.rs
+++ b/crates/cli/tests/gateway.rs
@@ -516,7 +516,7 @@
         "ID OK count=1 600\r\na\tb\tc\n",           // it stops short
         "ID OK count=2 6\r\na\tb\tc\n\r\nID ROWS pos=7 6\r\nd\te\tf\n\r\n", // a page that isn't there
     ];
-    let mut end: Option<standin::EngineEnd> = None;
+    let mut end: Option<standin::EngineConnection> = None;
     for (number, bytes) in spoilt.iter().enumerate() {
         let id = format!("{:016x}", number + 1);
         client
@@ -674,7 +674,7 @@
     }
     let mut end = new.accept().unwrap();
     assert_eq!(end.after, 2);
-    assert!(stream.has_ended());
+    assert!(stream.wait_for_close());
     let hosts = vec![
         host("s-new", engines[1].address(), "up"),
         host("s-0", engines[0].address(), "removed"),
--- a/crates/cli/tests/spool.rs
+++ b/crates/cli/tests/spool.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::standin::{Answer, Client, Engine, EngineEnd};
+use common::standin::{Answer, Client, Engine, EngineConnection};
 use common::*;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -65,7 +65,7 @@
 
 #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
 fn answers(
-    mut end: EngineEnd,
+    mut end: EngineConnection,
     name: &str,
     pages: usize,
     pause: Duration,
--- a/crates/cli/tests/watch.rs
+++ b/crates/cli/tests/watch.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::standin::{Answer, BulletinEnd, Engine};
+use common::standin::{Answer, BulletinStream, Engine};
 use common::{addresses, called, config, host, stand_ins, Running};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
     let (half, rest) = drained.split_at(drained.len() / 2);
     old.write_raw(format!("id: 2\ndata: {half}").as_bytes())
         .unwrap();
-    let mut new: BulletinEnd = bulletin.accept().unwrap();
+    let mut new: BulletinStream = bulletin.accept().unwrap();
     assert_eq!(new.after, 1, "what came by halves isn't known");
     let _ = old.write_raw(format!("{rest}\n\n").as_bytes());
     let moved = [
--- a/crates/emulators/src/scripted.rs
+++ b/crates/emulators/src/scripted.rs
@@ -53,7 +53,7 @@
 }
 
 /// One connection of a gateway to an engine.
-pub struct EngineEnd {
+pub struct EngineConnection {
     lines: BufReader<TcpStream>,
 }
 
@@ -104,17 +104,17 @@
     }
 
     /// One whose queue of new connections is full: a dial to it comes up only after
-    /// [`Held::let_go`].
-    pub fn held() -> io::Result<Held> {
+    /// [`FullQueueEngine::free_queue`].
+    pub fn with_full_queue() -> io::Result<FullQueueEngine> {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         // The system queues one connection more than it is told.
         socket.listen(0)?;
-        let mut held = Held {
+        let mut held = FullQueueEngine {
             engine: Engine::over(socket.into())?,
             filler: None,
         };
-        held.fill()?;
+        held.fill_queue()?;
         Ok(held)
     }
 
@@ -145,36 +145,36 @@
     }
 
     /// The next connection.
-    pub fn accept(&self) -> io::Result<EngineEnd> {
+    pub fn accept(&self) -> io::Result<EngineConnection> {
         let (stream, _) = self.listener.accept()?;
-        Ok(EngineEnd {
+        Ok(EngineConnection {
             lines: BufReader::new(patient(stream)?),
         })
     }
 }
 
 /// An engine that holds back who dials it, and what fills its queue.
-pub struct Held {
+pub struct FullQueueEngine {
     /// The engine.
     pub engine: Engine,
     filler: Option<TcpStream>,
 }
 
-impl Held {
+impl FullQueueEngine {
     /// From here on dials wait.
-    pub fn fill(&mut self) -> io::Result<()> {
+    pub fn fill_queue(&mut self) -> io::Result<()> {
         self.filler = Some(TcpStream::connect(self.engine.address())?);
         Ok(())
     }
 
     /// The queue has room again.
-    pub fn let_go(&mut self) -> io::Result<()> {
+    pub fn free_queue(&mut self) -> io::Result<()> {
         self.filler = None;
         self.engine.listener.accept().map(|_| ())
     }
 }
 
-impl EngineEnd {
+impl EngineConnection {
     /// The next command; an error of kind `UnexpectedEof` once the gateway has closed the
     /// connection.
     pub fn command(&mut self) -> io::Result<Command> {
@@ -239,7 +239,7 @@
 }
 
 /// One response that is being streamed.
-pub struct BulletinEnd {
+pub struct BulletinStream {
     stream: TcpStream,
     /// The `Last-Event-ID` that the gateway sent.
     pub after: u64,
@@ -261,7 +261,7 @@
     }
 
     /// The next watch, once its request has been read and its answer has begun.
-    pub fn accept(&self) -> io::Result<BulletinEnd> {
+    pub fn accept(&self) -> io::Result<BulletinStream> {
         let (stream, _) = self.listener.accept()?;
         let mut lines = BufReader::new(patient(stream)?);
         let mut after = 0;
@@ -277,11 +277,11 @@
         let mut stream = lines.into_inner();
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n")?;
-        Ok(BulletinEnd { stream, after })
+        Ok(BulletinStream { stream, after })
     }
 }
 
-impl BulletinEnd {
+impl BulletinStream {
     /// Tells an event of the list.
     pub fn event(&mut self, number: u64, data: &str) -> io::Result<()> {
         self.stream
@@ -299,7 +299,7 @@
     }
 
     /// Waits until the gateway has ended the connection.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn wait_for_close(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 }
--- a/crates/fleet-test/src/scale/discovery_server.rs
+++ b/crates/fleet-test/src/scale/discovery_server.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use eideryard_emulators::scripted::{is_timeout, Bulletin, BulletinEnd};
+use eideryard_emulators::scripted::{is_timeout, Bulletin, BulletinStream};
 use serde_json::Value;
 
 use super::discovery;
@@ -22,7 +22,7 @@
 /// The number of the list that gateways start with.
 pub const FIRST_NUMBER: u64 = 1;
 
-type Watches = Arc<Mutex<Vec<BulletinEnd>>>;
+type Watches = Arc<Mutex<Vec<BulletinStream>>>;
 
 /// Service discovery at one address.
 pub struct DiscoveryServer {
@@ -34,7 +34,7 @@
     number: u64,
 }
 
-fn locked(watches: &Watches) -> MutexGuard<'_, Vec<BulletinEnd>> {
+fn locked(watches: &Watches) -> MutexGuard<'_, Vec<BulletinStream>> {
     watches.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
