--- a/crates/fleet-test/src/check/mod.rs
+++ b/crates/fleet-test/src/check/mod.rs
@@ -217,7 +217,7 @@
                     let spans = history.gateways.entry(gateway.clone()).or_default();
                     match change {
                         ProcessChange::Killed => {
-                            _ = absent.insert(gateway.clone(), (*at, "killed"))
+                            _ = absent.insert(gateway.clone(), (*at, "killed"));
                         }
                         ProcessChange::Stopping => {
                             _ = absent.entry(gateway.clone()).or_insert((*at, "stopped"));
--- a/crates/result-spool/benches/choices.rs
+++ b/crates/result-spool/benches/choices.rs
@@ -1,6 +1,6 @@
-//! What each choice of the spool is good for: a simulated spool that is too small for its day, with
-//! all choices, and with each replaced by a plain one. Ten seeds; draws docs/spool-choices.svg.
-//! `cargo bench -p eideryard-result-spool`.
+//! Measures the effect of each decision of the spool: simulates a spool that is too small for its
+//! load, with all decisions enabled and with each replaced by a simple one. Runs ten seeds and
+//! draws `docs/spool-choices.svg`. Run with `cargo bench -p eideryard-result-spool`.
 
 use eideryard_result_spool::size::Sizes;
 use eideryard_result_spool::{
@@ -10,8 +10,8 @@
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 
-const STEP: Micros = 10_000;
-const TIME: Micros = 120_000_000;
+const STEP_TIME: Micros = 10_000;
+const SIMULATED_TIME: Micros = 120_000_000;
 const BUDGET: Budget = Budget {
     memory: 16 << 20,
     disk: 48 << 20,
@@ -19,56 +19,57 @@
     unclaimed_retention: 20_000_000,
     delivered_retention: 10_000_000,
 };
-const PAGE: u64 = 6000;
-/// Bytes a second: of an engine for one result, of a fast and of a slow client, and of the disk.
-const ENGINE: f64 = 20e6;
-const FAST: f64 = 5e6;
-const SLOW: f64 = 50e3;
-const DISK: f64 = 60e6;
-const USUAL: u64 = 48_000;
+const PAGE_BYTES: u64 = 6000;
+/// Rates in bytes per second: of an engine for one result, of a fast and of a slow client, and of
+/// the disk.
+const ENGINE_RATE: f64 = 20e6;
+const FAST_CLIENT_RATE: f64 = 5e6;
+const SLOW_CLIENT_RATE: f64 = 50e3;
+const DISK_RATE: f64 = 60e6;
+const DEFAULT_RESULT_BYTES: u64 = 48_000;
 const SEEDS: u64 = 10;
 
 #[derive(Clone, Copy, Default)]
-struct Counted {
+struct Counts {
     small: u64,
     small_served: u64,
     large: u64,
     large_served: u64,
-    /// Of the large ones, those of tenants that don't flood.
-    others: u64,
-    others_served: u64,
-    /// Results whose engine's work was for nothing: failed half way, or gone before they were read.
+    /// Large results of tenants that don't flood.
+    other_tenants: u64,
+    other_tenants_served: u64,
+    /// Bytes of results that failed half way or were dropped before they were read.
     wasted_bytes: u64,
     bytes: u64,
 }
 
 struct Run {
     size: u64,
-    come: u64,
+    received: u64,
     read: u64,
     rate: f64,
-    /// Its client comes for it then.
-    reads_at: Micros,
+    /// Time at which the client begins to read.
+    read_from: Micros,
     class: usize,
     tenant: usize,
-    open: bool,
+    is_open: bool,
 }
 
 #[expect(
     clippy::too_many_lines,
     reason = "one scenario, told from its beginning to its end"
 )]
-fn simulate(policy: Policy, by_size: bool, seed: u64) -> Counted {
+fn simulate(policy: Policy, uses_learned_sizes: bool, seed: u64) -> Counts {
     let mut rng = Rng::with_seed(seed);
     let mut spool = Spool::with_policy(BUDGET, policy, 0);
     let mut sizes = Sizes::default();
     let mut runs: BTreeMap<u64, Run> = BTreeMap::new();
-    let (mut counted, mut next, mut now) = (Counted::default(), 0u64, 0);
-    while now < TIME {
-        now += STEP;
-        // Sixty requests a second; one tenant asks for most of the large ones.
+    let (mut counts, mut next_id, mut now) = (Counts::default(), 0u64, 0);
+    while now < SIMULATED_TIME {
+        now += STEP_TIME;
+        // Sixty requests per second; one tenant sends most of the large ones.
         for _ in 0..(rng.f64() < 0.6) as u32 {
-            next += 1;
+            next_id += 1;
             let (class, median) = match rng.u8(0..100) {
                 0..=89 => (0, 20e3),
                 90..=97 => (1, 1e6),
@@ -85,109 +86,120 @@
                 address: tenant as u64,
             };
             let small = class == 0;
-            counted.small += small as u64;
-            counted.large += !small as u64;
-            counted.others += (!small && tenant != 0) as u64;
-            let expected = if by_size {
-                sizes.expected(class, tenant, USUAL)
+            counts.small += small as u64;
+            counts.large += !small as u64;
+            counts.other_tenants += (!small && tenant != 0) as u64;
+            let expected = if uses_learned_sizes {
+                sizes.expected(class, tenant, DEFAULT_RESULT_BYTES)
             } else {
-                USUAL
+                DEFAULT_RESULT_BYTES
             };
             let Admission::Admitted { to_drop } = spool.admit(owner, expected, now) else {
                 continue;
             };
             for id in to_drop {
                 spool.drop_result(id, now);
-                // Its client may still come for it.
+                // The client may not have read it yet.
                 if let Some(run) = runs.remove(&id) {
-                    counted.wasted_bytes += if run.read < run.size { run.come } else { 0 };
+                    counts.wasted_bytes += if run.read < run.size { run.received } else { 0 };
                 }
             }
-            spool.begin(next, owner, expected, now);
-            let rate = if rng.f64() < 0.7 { FAST } else { SLOW };
-            // Some come back for theirs.
-            let reads_at = now + if rng.f64() < 0.1 { 8_000_000 } else { 0 };
+            spool.begin(next_id, owner, expected, now);
+            let rate = if rng.f64() < 0.7 {
+                FAST_CLIENT_RATE
+            } else {
+                SLOW_CLIENT_RATE
+            };
+            // Some clients reconnect later to read their results.
+            let read_from = now + if rng.f64() < 0.1 { 8_000_000 } else { 0 };
             runs.insert(
-                next,
+                next_id,
                 Run {
                     size,
-                    come: 0,
+                    received: 0,
                     read: 0,
                     rate,
-                    reads_at,
+                    read_from,
                     class,
                     tenant,
-                    open: false,
+                    is_open: false,
                 },
             );
         }
-        let step = STEP as f64 / 1e6;
-        let mut over = Vec::new();
+        let step_s = STEP_TIME as f64 / 1e6;
+        let mut ended = Vec::new();
         for (id, run) in &mut runs {
-            // From the engine.
-            let mut room = ((ENGINE * step) as u64).min(
-                spool
-                    .read_ahead_bytes(*id)
-                    .max(if run.come < run.size { PAGE } else { 0 }),
-            );
+            // Receive pages from the engine.
+            let mut room = ((ENGINE_RATE * step_s) as u64).min(spool.read_ahead_bytes(*id).max(
+                if run.received < run.size {
+                    PAGE_BYTES
+                } else {
+                    0
+                },
+            ));
             let mut failed = false;
-            while run.come < run.size && room > 0 && !failed {
-                let bytes = PAGE.min(run.size - run.come);
+            while run.received < run.size && room > 0 && !failed {
+                let bytes = PAGE_BYTES.min(run.size - run.received);
                 failed = spool.add_page(*id, bytes, now).is_err();
                 if !failed {
-                    (run.come, room) = (run.come + bytes, room.saturating_sub(bytes));
-                    counted.bytes += bytes;
+                    (run.received, room) = (run.received + bytes, room.saturating_sub(bytes));
+                    counts.bytes += bytes;
                 }
             }
             if failed {
                 spool.end(*id, false, now);
                 spool.drop_result(*id, now);
-                counted.wasted_bytes += run.come;
-                over.push(*id);
+                counts.wasted_bytes += run.received;
+                ended.push(*id);
                 continue;
             }
-            if run.come >= run.size && run.read == 0 && spool.expiry(*id).is_none() && !run.open {
+            if run.received >= run.size
+                && run.read == 0
+                && spool.expiry(*id).is_none()
+                && !run.is_open
+            {
                 spool.end(*id, true, now);
                 sizes.learn(run.class, run.tenant, run.size);
             }
-            // To the client.
-            if run.come >= run.size && now >= run.reads_at && run.read < run.size {
-                if !run.open {
-                    run.open = spool.open_reader(*id, now);
+            // Send pages to the client.
+            if run.received >= run.size && now >= run.read_from && run.read < run.size {
+                if !run.is_open {
+                    run.is_open = spool.open_reader(*id, now);
                 }
-                run.read = (run.read + (run.rate * step) as u64).min(run.size);
-                let is = spool.locate_page(*id, (run.read.saturating_sub(1) / PAGE) as usize, now);
+                run.read = (run.read + (run.rate * step_s) as u64).min(run.size);
+                let location =
+                    spool.locate_page(*id, (run.read.saturating_sub(1) / PAGE_BYTES) as usize, now);
                 assert!(
-                    matches!(is, PageLocation::Memory | PageLocation::Disk),
-                    "{is:?}"
+                    matches!(location, PageLocation::Memory | PageLocation::Disk),
+                    "{location:?}"
                 );
                 if run.read >= run.size {
                     spool.close_reader(*id, true, now);
-                    counted.small_served += (run.class == 0) as u64;
-                    counted.large_served += (run.class != 0) as u64;
-                    counted.others_served += (run.class != 0 && run.tenant != 0) as u64;
+                    counts.small_served += (run.class == 0) as u64;
+                    counts.large_served += (run.class != 0) as u64;
+                    counts.other_tenants_served += (run.class != 0 && run.tenant != 0) as u64;
                 }
             }
             if spool.expiry(*id).is_some_and(|at| at <= now) {
                 spool.drop_result(*id, now);
-                counted.wasted_bytes += if run.read < run.size { run.come } else { 0 };
-                over.push(*id);
+                counts.wasted_bytes += if run.read < run.size { run.received } else { 0 };
+                ended.push(*id);
             }
         }
-        for id in over.iter() {
+        for id in ended.iter() {
             _ = runs.remove(id);
         }
-        let mut disk = (DISK * step) as u64;
+        let mut disk = (DISK_RATE * step_s) as u64;
         for SpoolAction::Move { result, page } in spool.choose_moves(now) {
-            if disk < PAGE {
+            if disk < PAGE_BYTES {
                 break;
             }
-            disk -= PAGE;
+            disk -= PAGE_BYTES;
             spool.start_move(result, page);
             spool.finish_move(result, page, true, 0);
         }
     }
-    counted
+    counts
 }
 
 #[expect(
@@ -195,61 +207,61 @@
     reason = "one scenario, told from its beginning to its end"
 )]
 fn main() {
-    // Cargo tests benches too, with a word that asks for nothing.
+    // `cargo test` runs benches too, without this argument.
     if !std::env::args().any(|word| word == "--bench") {
         return;
     }
-    let all = Policy::default();
+    let default_policy = Policy::default();
     let variants = [
-        ("all choices", all, true),
+        ("all choices", default_policy, true),
         (
             "no reserve",
             Policy {
                 reserve: 0.0,
-                ..all
+                ..default_policy
             },
             true,
         ),
         (
             "no shares",
             Policy {
-                shares: false,
-                ..all
+                enforces_shares: false,
+                ..default_policy
             },
             true,
         ),
         (
             "longest unused out",
             Policy {
-                by_value: false,
-                ..all
+                drops_delivered_first: false,
+                ..default_policy
             },
             true,
         ),
-        ("not by size", all, false),
+        ("not by size", default_policy, false),
         (
             "all plain",
             Policy {
                 reserve: 0.0,
-                shares: false,
-                by_value: false,
+                enforces_shares: false,
+                drops_delivered_first: false,
             },
             false,
         ),
     ];
     let mut bars = Vec::new();
-    for (name, policy, by_size) in variants {
-        let mut sum = Counted::default();
+    for (name, policy, uses_learned_sizes) in variants {
+        let mut sum = Counts::default();
         for seed in 1..=SEEDS {
-            let own = simulate(policy, by_size, seed);
-            sum.small += own.small;
-            sum.small_served += own.small_served;
-            sum.large += own.large;
-            sum.large_served += own.large_served;
-            sum.others += own.others;
-            sum.others_served += own.others_served;
-            sum.wasted_bytes += own.wasted_bytes;
-            sum.bytes += own.bytes;
+            let counts = simulate(policy, uses_learned_sizes, seed);
+            sum.small += counts.small;
+            sum.small_served += counts.small_served;
+            sum.large += counts.large;
+            sum.large_served += counts.large_served;
+            sum.other_tenants += counts.other_tenants;
+            sum.other_tenants_served += counts.other_tenants_served;
+            sum.wasted_bytes += counts.wasted_bytes;
+            sum.bytes += counts.bytes;
         }
         let share = |part: u64, whole: u64| 100.0 * part as f64 / whole.max(1) as f64;
         let figures = [
@@ -258,9 +270,9 @@
             share(sum.wasted_bytes, sum.bytes),
         ];
         let [small, large, wasted] = figures;
-        let others = share(sum.others_served, sum.others);
+        let other_tenants = share(sum.other_tenants_served, sum.other_tenants);
         println!(
-            "{name}: small served {small:.1}%, large {large:.1}%, of tenants that don't flood {others:.1}%, \
+            "{name}: small served {small:.1}%, large {large:.1}%, of tenants that don't flood {other_tenants:.1}%, \
              engines' bytes for nothing {wasted:.1}%"
         );
         bars.push((name, figures));
--- a/crates/result-spool/src/lib.rs
+++ b/crates/result-spool/src/lib.rs
@@ -1,14 +1,12 @@
-//! Results between engines and clients: pages go in as they come from an engine and out as clients
-//! ask, and neither waits for the other.
+//! Buffers results between engines and clients: pages are stored as they arrive from an engine and
+//! delivered as clients ask for them, so that an engine doesn't wait for a slow client.
 //!
-//! [`limits`] has the budgets and all tuned values; [`size`] learns how large results are;
-//! [`state`] knows which pages are where and decides who is admitted, who moves to disk, who is
-//! dropped and how far an engine is read ahead; [`returns`] finds the one answer of a request that
-//! comes again; [`token`] names a page so that nobody else can; [`segments`] says where pages stand
-//! on disk. All of these are pure: no I/O, no clock. [`worker`] is the thread that writes and
-//! reads.
-
-#![expect(missing_docs, reason = "public items are still to be described")]
+//! [`limits`] contains the budget and the constants; [`size`] learns how large results are;
+//! [`state`] tracks where pages are stored and decides which results are admitted, which pages move
+//! to disk, which results are dropped and how far an engine is read ahead; [`run_registry`] finds
+//! the run of a request that is sent again; [`token`] signs references to pages; [`segments`]
+//! allocates positions of pages on disk. None of these does I/O or reads a clock. [`worker`] is the
+//! thread that writes and reads pages.
 
 pub mod limits;
 pub mod run_registry;
@@ -21,5 +19,5 @@
 pub use limits::Budget;
 pub use state::{Admission, Owner, PageLocation, Policy, RejectReason, Spool, SpoolAction};
 
-/// Microseconds on the host's clock.
+/// Microseconds, as a duration or as a time of the host's monotonic clock.
 pub type Micros = u64;
--- a/crates/result-spool/src/limits.rs
+++ b/crates/result-spool/src/limits.rs
@@ -1,53 +1,60 @@
-//! Budgets, and the tuned values of the spool with their units and reasons.
+//! The spool's budget and its constants, with units and reasons.
 
 use crate::Micros;
 
-/// Part of all room that one tenant, and one client address, may hold while room is short: one that
-/// floods leaves the larger part to others, and two that do still leave some.
+/// Fraction of the total space that one tenant may claim while space is short: one tenant that
+/// floods the spool leaves the larger part to others, and two still leave some.
 pub const TENANT_SHARE: f64 = 0.4;
+/// The same for one client address.
 pub const ADDRESS_SHARE: f64 = 0.25;
-/// Shares bind only from this part of all room on: with room to spare nobody gains from a refusal.
-pub const PRESSURE: f64 = 0.5;
-/// Part of all room that only small results may use, so that lookups are served while large reports
-/// fill the spool.
-pub const RESERVE: f64 = 0.1;
-/// Up to this size, in bytes, a result is small: it goes out in one message and is gone at once.
-pub const SMALL: u64 = 48_000;
-/// Pages that leave memory for disk begin to at this part of the memory, and stop below the second:
-/// moving one page at a time would have the disk busy all the time.
-pub const MOVE_FROM: f64 = 0.8;
-pub const MOVE_TO: f64 = 0.6;
-/// Pages that a reader takes next and that stay in memory: what a fast client asks for within a
-/// look or two.
+/// Shares are enforced only if more than this fraction of the total space would be claimed: with
+/// enough free space nobody gains from a rejection.
+pub const SHARE_PRESSURE: f64 = 0.5;
+/// Fraction of the total space that only small results may use, so that lookups are served while
+/// large reports fill the spool.
+pub const SMALL_RESERVE: f64 = 0.1;
+/// Maximum size of a small result, in bytes: it is sent in one message and needs its space only
+/// briefly.
+pub const SMALL_RESULT: u64 = 48_000;
+/// Pages start to move to disk above this fraction of the memory and stop at [`MOVE_LOW_MARK`]:
+/// moving one page at a time would keep the disk busy all the time.
+pub const MOVE_HIGH_MARK: f64 = 0.8;
+/// Fraction of the memory down to which pages move to disk.
+pub const MOVE_LOW_MARK: f64 = 0.6;
+/// Number of pages that stay in memory ahead of a reader: as many as a fast client asks for within
+/// one or two iterations of the event loop.
 pub const NEAR_PAGES: usize = 4;
-/// Time constant of the measured drain rate, in microseconds: long enough to see through one large
-/// delivery.
-pub const DRAIN_SPAN: f64 = 5e6;
-/// Advice when to come back is within these, in microseconds: sooner than the first it would be a
-/// storm, and what happens after the second nobody knows.
-pub const MIN_ADVICE: Micros = 100_000;
-pub const MAX_ADVICE: Micros = 30_000_000;
-/// Results that are kept at once, however small.
+/// Time constant of the decaying average of the rate at which space is freed, in microseconds: long
+/// enough that a single large delivery doesn't dominate it.
+pub const DRAIN_TIME_CONSTANT: f64 = 5e6;
+/// Minimum advice to clients when to retry, in microseconds: earlier retries would be a storm.
+pub const MIN_RETRY_AFTER: Micros = 100_000;
+/// Maximum advice to clients when to retry, in microseconds: the rate can't be predicted further
+/// ahead.
+pub const MAX_RETRY_AFTER: Micros = 30_000_000;
+/// Maximum number of results, whatever their sizes.
 pub const MAX_RESULTS: usize = 65_536;
-/// The least read-ahead, in bytes: a page must always be on its way, or the engine stands between
-/// two.
-pub const MIN_AHEAD: u64 = 12_000;
+/// Minimum read-ahead, in bytes: a page must always be in transit, or the engine is idle between
+/// two pages.
+pub const MIN_READ_AHEAD: u64 = 12_000;
 
-/// What an operator grants.
+/// The space and retention times that the operator configures.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Bytes in memory and on disk; no disk where there is none.
+    /// Memory for pages, in bytes.
     pub memory: u64,
+    /// Disk space for pages, in bytes; 0 if there is no directory.
     pub disk: u64,
-    /// The largest single result.
+    /// Maximum size of a single result, in bytes.
     pub max_result_bytes: u64,
-    /// How long a whole result waits for its client, from its last use.
+    /// How long a result that no client has received completely is kept after its last use.
     pub unclaimed_retention: Micros,
-    /// How long one that was delivered is kept for a client that comes again.
+    /// How long a delivered result is kept after its last use, for a client that asks for it again.
     pub delivered_retention: Micros,
 }
 
 impl Budget {
+    /// Bytes in memory and on disk.
     pub fn total(&self) -> u64 {
         self.memory + self.disk
     }
--- a/crates/result-spool/src/run_registry.rs
+++ b/crates/result-spool/src/run_registry.rs
@@ -1,42 +1,50 @@
-//! A request that comes again gets the answer of its one run: attached while that lasts, the same
-//! answer after it, and "gone" when that was dropped. Never a second run.
+//! Finds the run of a request that is sent again: the request is attached to the run while it is in
+//! progress, gets the same answer after it, and an error once the answer was dropped. A second run
+//! is never started.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a request is known by when it comes again: its key, or the id of its first try.
+/// The name of a run: the request's idempotency key, or else the id of the first request.
 pub type RunName = Box<str>;
 
-/// Names whose answers were dropped are known as gone as long as there are no more than this.
-const MAX_GONE: usize = 65_536;
-/// Clients that wait for one run; one client's tries, so more than a few are a fault.
-const MAX_WAITING: usize = 16;
+/// Maximum number of names that are remembered after their answers were dropped; then the oldest
+/// are forgotten.
+const MAX_DROPPED_NAMES: usize = 65_536;
+/// Maximum number of requests that wait for one run. They are retries of one client, so more than a
+/// few are a fault of that client.
+const MAX_WAITERS: usize = 16;
 
+/// What becomes of a request that has arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Arrival<A> {
-    /// Nothing is known of it: it runs.
+    /// The name is unknown: the request starts a new run.
     First,
-    /// Its run goes on: the answer of that is this one's too.
+    /// The run is in progress: the request waits for the same answer.
     Attached,
-    /// Its run has ended so.
+    /// The run has ended with this answer.
     Answered(A),
-    /// Its answer was dropped: a failure that says so.
+    /// The run has ended and its answer was dropped: the request fails.
     Gone,
-    /// Too many wait for this one already: refused.
+    /// Too many requests wait for this run already: the request is rejected.
     TooManyWaiters,
 }
 
 enum Run<W, A> {
-    Runs(Vec<W>),
+    /// In progress, with those that wait for its answer.
+    Running(Vec<W>),
     Ended(A),
 }
 
-/// Runs by name; `W` is who waits, `A` an answer, small: a result's number, or a failure.
+/// Runs by name. `W` identifies a waiting request; `A` is an answer, which is cloned and should be
+/// small, such as the number of a result.
 pub struct RunRegistry<W, A> {
     runs: BTreeMap<RunName, Run<W, A>>,
-    /// Dropped ones, oldest first; [`RunRegistry::gone`] finds them by name.
-    gone: BTreeMap<RunName, u64>,
-    order: VecDeque<(RunName, u64)>,
-    dropped: u64,
+    /// Names whose answers were dropped, with the value of `drop_count` at that time.
+    dropped_names: BTreeMap<RunName, u64>,
+    /// The same, oldest first. A name that was dropped again later has an outdated entry as well.
+    drop_order: VecDeque<(RunName, u64)>,
+    /// Number of answers dropped so far.
+    drop_count: u64,
 }
 
 impl<W: PartialEq, A: Clone> Default for RunRegistry<W, A> {
@@ -46,68 +54,74 @@
 }
 
 impl<W: PartialEq, A: Clone> RunRegistry<W, A> {
+    /// Creates an empty registry.
     pub fn new() -> Self {
         RunRegistry {
             runs: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            order: VecDeque::new(),
-            dropped: 0,
+            dropped_names: BTreeMap::new(),
+            drop_order: VecDeque::new(),
+            drop_count: 0,
         }
     }
 
-    /// Runs that go on or whose answers are kept, and names known as gone.
+    /// Number of runs in progress or with a kept answer, and number of remembered names whose
+    /// answers were dropped.
     pub fn len(&self) -> (usize, usize) {
-        (self.runs.len(), self.gone.len())
+        (self.runs.len(), self.dropped_names.len())
     }
 
-    /// Whether anything is known of a name: a run that goes on, an answer, or that it is gone.
+    /// Whether a name is known: its run is in progress, its answer is kept, or it is remembered
+    /// that the answer was dropped.
     pub fn contains(&self, name: &str) -> bool {
-        self.runs.contains_key(name) || self.gone.contains_key(name)
+        self.runs.contains_key(name) || self.dropped_names.contains_key(name)
     }
 
-    pub fn register(&mut self, name: &str, who: W) -> Arrival<A> {
+    /// Handles a request: attaches it to the run of its name, or starts a run if the name is
+    /// unknown.
+    pub fn register(&mut self, name: &str, waiter: W) -> Arrival<A> {
         match self.runs.get_mut(name) {
             Some(Run::Ended(answer)) => Arrival::Answered(answer.clone()),
-            Some(Run::Runs(waiting)) if waiting.len() >= MAX_WAITING => Arrival::TooManyWaiters,
-            Some(Run::Runs(waiting)) => {
-                waiting.push(who);
+            Some(Run::Running(waiters)) if waiters.len() >= MAX_WAITERS => Arrival::TooManyWaiters,
+            Some(Run::Running(waiters)) => {
+                waiters.push(waiter);
                 Arrival::Attached
             }
-            None if self.gone.contains_key(name) => Arrival::Gone,
+            None if self.dropped_names.contains_key(name) => Arrival::Gone,
             None => {
-                self.runs.insert(name.into(), Run::Runs(vec![who]));
+                self.runs.insert(name.into(), Run::Running(vec![waiter]));
                 Arrival::First
             }
         }
     }
 
-    /// Who waited has gone. True: nobody waits any more, though the run goes on.
-    pub fn detach(&mut self, name: &str, who: &W) -> bool {
+    /// Removes a waiting request. Returns true if the run is in progress and none waits for it now.
+    pub fn detach(&mut self, name: &str, waiter: &W) -> bool {
         match self.runs.get_mut(name) {
-            Some(Run::Runs(waiting)) => {
-                waiting.retain(|own| own != who);
-                waiting.is_empty()
+            Some(Run::Running(waiters)) => {
+                waiters.retain(|other| other != waiter);
+                waiters.is_empty()
             }
             _ => false,
         }
     }
 
-    /// The run has ended: gives all who wait, for the same answer.
+    /// Ends a run with its answer. Returns all requests that wait for it; empty if the run wasn't
+    /// in progress.
     pub fn finish(&mut self, name: &str, answer: A) -> Vec<W> {
         match self.runs.get_mut(name) {
-            Some(run @ Run::Runs(_)) => match std::mem::replace(run, Run::Ended(answer)) {
-                Run::Runs(waiting) => waiting,
+            Some(run @ Run::Running(_)) => match std::mem::replace(run, Run::Ended(answer)) {
+                Run::Running(waiters) => waiters,
                 Run::Ended(_) => Vec::new(),
             },
             _ => Vec::new(),
         }
     }
 
-    /// It was refused before anything ran: it may come again as if it had not been there. Gives all
-    /// who wait.
+    /// Removes a run that was rejected before anything ran, so that the name can be used again.
+    /// Returns all requests that wait for it.
     pub fn withdraw(&mut self, name: &str) -> Vec<W> {
         match self.runs.remove(name) {
-            Some(Run::Runs(waiting)) => waiting,
+            Some(Run::Running(waiters)) => waiters,
             Some(ended) => {
                 self.runs.insert(name.into(), ended);
                 Vec::new()
@@ -116,22 +130,24 @@
         }
     }
 
-    /// Its answer is kept no longer.
+    /// Drops the answer of a run that has ended. Its name is remembered as dropped.
     pub fn drop_answer(&mut self, name: &str) {
         if !matches!(self.runs.get(name), Some(Run::Ended(_))) {
             return;
         }
         self.runs.remove(name);
-        self.dropped += 1;
-        self.gone.insert(name.into(), self.dropped);
-        self.order.push_back((name.into(), self.dropped));
-        while self.gone.len() > MAX_GONE || self.order.len() > 2 * MAX_GONE {
-            let Some((name, number)) = self.order.pop_front() else {
+        self.drop_count += 1;
+        self.dropped_names.insert(name.into(), self.drop_count);
+        self.drop_order.push_back((name.into(), self.drop_count));
+        while self.dropped_names.len() > MAX_DROPPED_NAMES
+            || self.drop_order.len() > 2 * MAX_DROPPED_NAMES
+        {
+            let Some((name, number)) = self.drop_order.pop_front() else {
                 return;
             };
-            // It may have been dropped once more since.
-            if self.gone.get(&name) == Some(&number) {
-                self.gone.remove(&name);
+            // A different number means that the name was dropped again later.
+            if self.dropped_names.get(&name) == Some(&number) {
+                self.dropped_names.remove(&name);
             }
         }
     }
--- a/crates/result-spool/src/segments.rs
+++ b/crates/result-spool/src/segments.rs
@@ -1,114 +1,129 @@
-//! Where pages stand on disk: segments that are only appended to, and go as a whole when nothing in
-//! them is wanted any more. Pure: the worker does the reading and writing.
+//! Allocates positions of pages on disk: segments are files that are only appended to, and are
+//! removed as a whole when none of their pages is needed any longer. There is no I/O here: the
+//! worker reads and writes the files.
 
 use std::collections::BTreeMap;
 
-/// Before each page: mark, result, page, length, checksum.
+/// Size in bytes of the header before each page: magic bytes, checksum, result, page, length, and
+/// four zero bytes.
 pub const HEADER_BYTES: usize = 28;
-const MARK: [u8; 4] = [0x5b, 0x9e, 0xd1, 0x07];
+const MAGIC: [u8; 4] = [0x5b, 0x9e, 0xd1, 0x07];
 
-/// A page on disk.
+/// The position of a page on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PagePosition {
+    /// Number of the segment, from 1 in each start of the process.
     pub segment: u64,
+    /// Offset of the page's header in the segment, in bytes.
     pub offset: u64,
-    /// Of the page, without its head.
+    /// Length of the page without its header, in bytes.
     pub length: u32,
 }
 
-/// Segments that are there, with how much of each is wanted still.
+/// The existing segments and the bytes in each that are still needed.
 pub struct Segments {
-    size: u64,
-    next: u64,
-    /// The one that is appended to, and its length.
-    open: Option<(u64, u64)>,
-    wanted: BTreeMap<u64, u64>,
+    max_bytes: u64,
+    next_segment: u64,
+    /// The segment that is appended to, and its length.
+    open_segment: Option<(u64, u64)>,
+    /// Bytes of pages not yet freed, by segment.
+    live_bytes: BTreeMap<u64, u64>,
 }
 
 impl Segments {
-    /// A segment takes pages until it has this size.
-    pub fn new(size: u64) -> Self {
+    /// Creates an empty set of segments. Pages are appended to a segment until it has at least
+    /// `max_bytes`.
+    pub fn new(max_bytes: u64) -> Self {
         Segments {
-            size,
-            next: 1,
-            open: None,
-            wanted: BTreeMap::new(),
+            max_bytes,
+            next_segment: 1,
+            open_segment: None,
+            live_bytes: BTreeMap::new(),
         }
     }
 
+    /// Number of segments.
     pub fn len(&self) -> usize {
-        self.wanted.len()
+        self.live_bytes.len()
     }
 
+    /// Whether there are no segments.
     pub fn is_empty(&self) -> bool {
-        self.wanted.is_empty()
+        self.live_bytes.is_empty()
     }
 
-    /// Where the next page goes; true with it: a new segment begins there.
+    /// Allocates the position of the next page. Returns true with it if the page is the first of a
+    /// new segment.
     pub fn allocate(&mut self, length: u32) -> (PagePosition, bool) {
-        let starts_segment = self.open.is_none_or(|(_, used)| used >= self.size);
+        let starts_segment = self
+            .open_segment
+            .is_none_or(|(_, end)| end >= self.max_bytes);
         if starts_segment {
-            self.open = Some((self.next, 0));
-            self.wanted.insert(self.next, 0);
-            self.next += 1;
+            self.open_segment = Some((self.next_segment, 0));
+            self.live_bytes.insert(self.next_segment, 0);
+            self.next_segment += 1;
         }
-        let (segment, used) = self.open.get_or_insert((0, 0));
+        let (segment, end) = self.open_segment.get_or_insert((0, 0));
         let position = PagePosition {
             segment: *segment,
-            offset: *used,
+            offset: *end,
             length,
         };
-        *used += (HEADER_BYTES as u64) + length as u64;
-        *self.wanted.entry(position.segment).or_default() += length as u64;
+        *end += (HEADER_BYTES as u64) + length as u64;
+        *self.live_bytes.entry(position.segment).or_default() += length as u64;
         (position, starts_segment)
     }
 
-    /// Nothing more goes into the open segment: a write there failed, so what follows can't be
-    /// relied on. Gives it, if nothing in it is wanted.
+    /// Closes the segment that is appended to, because a write to it failed and data after that
+    /// can't be relied on. Returns its number if it must be removed, as none of its pages is
+    /// needed.
     pub fn abandon(&mut self) -> Option<u64> {
-        let (segment, _) = self.open.take()?;
-        self.sweep(segment)
+        let (segment, _) = self.open_segment.take()?;
+        self.remove_if_unused(segment)
     }
 
-    /// A page is wanted no longer. Gives its segment where that is to be removed.
+    /// Frees a page. Returns the number of its segment if that must be removed, as none of its
+    /// pages is needed any longer.
     pub fn free(&mut self, position: PagePosition) -> Option<u64> {
-        let wanted = self.wanted.get_mut(&position.segment)?;
-        *wanted = wanted.saturating_sub(position.length as u64);
-        self.sweep(position.segment)
+        let live_bytes = self.live_bytes.get_mut(&position.segment)?;
+        *live_bytes = live_bytes.saturating_sub(position.length as u64);
+        self.remove_if_unused(position.segment)
     }
 
-    fn sweep(&mut self, segment: u64) -> Option<u64> {
-        let open = self
-            .open
-            .is_some_and(|(open, used)| open == segment && used < self.size);
-        let unwanted = self.wanted.get(&segment) == Some(&0);
-        (unwanted && !open)
-            .then(|| self.wanted.remove(&segment).map(|_| segment))
+    fn remove_if_unused(&mut self, segment: u64) -> Option<u64> {
+        let is_open = self
+            .open_segment
+            .is_some_and(|(open, end)| open == segment && end < self.max_bytes);
+        let is_unused = self.live_bytes.get(&segment) == Some(&0);
+        (is_unused && !is_open)
+            .then(|| self.live_bytes.remove(&segment).map(|_| segment))
             .flatten()
     }
 }
 
+/// Encodes the header that precedes a page on disk, with a checksum of the header and the page.
 pub fn encode_header(result: u64, page: u32, bytes: &[u8]) -> [u8; HEADER_BYTES] {
-    let mut head = [0; HEADER_BYTES];
-    head[..4].copy_from_slice(&MARK);
-    head[8..16].copy_from_slice(&result.to_le_bytes());
-    head[16..20].copy_from_slice(&page.to_le_bytes());
-    head[20..24].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
-    let sum = sum(&head, bytes);
-    head[4..8].copy_from_slice(&sum.to_le_bytes());
-    head
+    let mut header = [0; HEADER_BYTES];
+    header[..4].copy_from_slice(&MAGIC);
+    header[8..16].copy_from_slice(&result.to_le_bytes());
+    header[16..20].copy_from_slice(&page.to_le_bytes());
+    header[20..24].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
+    let checksum = checksum(&header, bytes);
+    header[4..8].copy_from_slice(&checksum.to_le_bytes());
+    header
 }
 
-fn sum(head: &[u8], bytes: &[u8]) -> u32 {
+fn checksum(header: &[u8], bytes: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&head[8..HEADER_BYTES]);
+    hasher.update(&header[8..HEADER_BYTES]);
     hasher.update(bytes);
     hasher.finalize()
 }
 
-/// The page that some bytes hold, if they hold that one, whole.
+/// Returns the page after the header in `bytes`, or `None` if that isn't the given page or is
+/// damaged.
 pub fn verify_page(bytes: &[u8], result: u64, page: u32) -> Option<&[u8]> {
-    let (own, rest) = bytes.split_at_checked(HEADER_BYTES)?;
-    let same = own == encode_header(result, page, rest).as_slice();
-    same.then_some(rest)
+    let (actual_header, page_bytes) = bytes.split_at_checked(HEADER_BYTES)?;
+    let is_intact = actual_header == encode_header(result, page, page_bytes).as_slice();
+    is_intact.then_some(page_bytes)
 }
--- a/crates/result-spool/src/size.rs
+++ b/crates/result-spool/src/size.rs
@@ -1,87 +1,94 @@
-//! How large results are, learned from outcomes by class and tenant: a decaying histogram in steps
-//! of a quarter of an octave. What is asked for is a high quantile, since who is promised too
-//! little fails half way.
+//! Learns how large results are, by class and tenant, from completed results: a decaying histogram
+//! with bins of a quarter of an octave. The estimate is a high quantile, since a result that is
+//! larger than expected may fail half way.
 
 use std::collections::BTreeMap;
 
-/// Steps from 1 KB up to over 1 TB.
-const STEPS: usize = 124;
-const FIRST: f64 = 1024.0;
-/// Weight of each further outcome against the one before: about two hundred outcomes are
-/// remembered.
-const GROWTH: f64 = 1.005;
-/// The weights are scaled down when they get this large.
+/// Number of bins, from 1 KB up to over 1 TB.
+const BINS: usize = 124;
+/// Upper bound of the first bin, in bytes.
+const FIRST_BIN: f64 = 1024.0;
+/// Weight of each outcome relative to the one before, so that about the last two hundred outcomes
+/// determine the estimate.
+const WEIGHT_GROWTH: f64 = 1.005;
+/// All weights are scaled down when the weight of the next outcome exceeds this.
 const MAX_WEIGHT: f64 = 1e12;
-/// The part of results that are no larger than what is promised.
+/// Fraction of results that are no larger than the estimate.
 const QUANTILE: f64 = 0.95;
-/// Outcomes that are needed before a class's own, and a pair's own, figures are trusted.
-const MIN_SEEN: u32 = 8;
-/// One in so many refusals by what was learned is doubted: sizes change, and the cost is one result
-/// that fails.
-const DOUBTED: u64 = 16;
-/// Pairs of class and tenant that are told apart; the one unused for longest goes.
+/// Minimum number of outcomes of a class, or of a class and tenant, for an estimate of its own.
+const MIN_OUTCOMES: u32 = 8;
+/// One in this many rejections based on learned sizes is bypassed: sizes change, and the cost of a
+/// wrong guess is one result that fails.
+const REJECTIONS_PER_BYPASS: u64 = 16;
+/// Maximum number of pairs of class and tenant; the one unused for longest is dropped.
 const MAX_PAIRS: usize = 1024;
 
+/// A histogram of result sizes.
 #[derive(Clone)]
 struct Sketch {
-    weights: [f32; STEPS],
-    seen: u32,
-    next: f64,
-    used: u64,
+    weights: [f32; BINS],
+    outcomes: u32,
+    /// Weight of the next outcome.
+    next_weight: f64,
+    /// [`Sizes::outcome_count`] at the last outcome.
+    last_used: u64,
 }
 
 impl Sketch {
     fn new() -> Self {
         Sketch {
-            weights: [0.0; STEPS],
-            seen: 0,
-            next: 1.0,
-            used: 0,
+            weights: [0.0; BINS],
+            outcomes: 0,
+            next_weight: 1.0,
+            last_used: 0,
         }
     }
 
     fn learn(&mut self, bytes: u64) {
-        let step = ((bytes as f64 / FIRST).max(1.0).log2() * 4.0).ceil() as usize;
-        self.weights[step.min(STEPS - 1)] += self.next as f32;
-        self.seen = self.seen.saturating_add(1);
-        self.next *= GROWTH;
-        if self.next > MAX_WEIGHT {
+        let bin = ((bytes as f64 / FIRST_BIN).max(1.0).log2() * 4.0).ceil() as usize;
+        self.weights[bin.min(BINS - 1)] += self.next_weight as f32;
+        self.outcomes = self.outcomes.saturating_add(1);
+        self.next_weight *= WEIGHT_GROWTH;
+        if self.next_weight > MAX_WEIGHT {
             self.weights
                 .iter_mut()
                 .for_each(|weight| *weight /= MAX_WEIGHT as f32);
-            self.next /= MAX_WEIGHT;
+            self.next_weight /= MAX_WEIGHT;
         }
     }
 
-    /// The size that a share of results don't exceed.
+    /// Returns the size in bytes that the given fraction of results don't exceed, or `None` if
+    /// there are too few outcomes.
     fn quantile(&self, share: f64) -> Option<u64> {
-        if self.seen < MIN_SEEN {
+        if self.outcomes < MIN_OUTCOMES {
             return None;
         }
-        let sum: f64 = self.weights.iter().map(|weight| *weight as f64).sum();
-        let mut passed = 0.0;
-        for (step, weight) in self.weights.iter().enumerate() {
-            passed += *weight as f64;
-            if passed >= share * sum * (1.0 - 1e-6) {
-                return Some((FIRST * 2f64.powf(step as f64 / 4.0)).ceil() as u64);
+        let total_weight: f64 = self.weights.iter().map(|weight| *weight as f64).sum();
+        let mut weight_below = 0.0;
+        for (bin, weight) in self.weights.iter().enumerate() {
+            weight_below += *weight as f64;
+            if weight_below >= share * total_weight * (1.0 - 1e-6) {
+                return Some((FIRST_BIN * 2f64.powf(bin as f64 / 4.0)).ceil() as u64);
             }
         }
         None
     }
 }
 
+/// Learned sizes of results.
 #[derive(Default)]
 pub struct Sizes {
     classes: BTreeMap<usize, Sketch>,
     pairs: BTreeMap<(usize, usize), Sketch>,
-    clock: u64,
-    /// Refusals by what was learned, since the last that was doubted.
-    refused: u64,
+    outcome_count: u64,
+    /// Rejections based on learned sizes since the last one that was bypassed.
+    rejections: u64,
 }
 
 impl Sizes {
+    /// Adds the size of a completed result.
     pub fn learn(&mut self, class: usize, tenant: usize, bytes: u64) {
-        self.clock += 1;
+        self.outcome_count += 1;
         self.classes
             .entry(class)
             .or_insert_with(Sketch::new)
@@ -90,7 +97,7 @@
             let oldest = self
                 .pairs
                 .iter()
-                .min_by_key(|(_, sketch)| sketch.used)
+                .min_by_key(|(_, sketch)| sketch.last_used)
                 .map(|(pair, _)| *pair);
             oldest.map(|pair| self.pairs.remove(&pair));
         }
@@ -98,30 +105,31 @@
             .pairs
             .entry((class, tenant))
             .or_insert_with(Sketch::new);
-        pair.used = self.clock;
+        pair.last_used = self.outcome_count;
         pair.learn(bytes);
     }
 
-    /// Whether a refusal by what was learned is to be doubted: nothing more is learned of what is
-    /// refused, so one in some goes through.
+    /// Counts a rejection based on learned sizes and returns whether the request should be admitted
+    /// nevertheless. Rejected requests give no new outcomes, so without this the estimate could
+    /// never fall again.
     pub fn should_bypass_rejection(&mut self) -> bool {
-        self.refused = (self.refused + 1) % DOUBTED;
-        self.refused == 0
+        self.rejections = (self.rejections + 1) % REJECTIONS_PER_BYPASS;
+        self.rejections == 0
     }
 
-    /// What a result is to be promised: by its class and tenant, else its class, else what is
-    /// usual.
-    pub fn expected(&self, class: usize, tenant: usize, usual: u64) -> u64 {
+    /// Returns the expected size of a result in bytes: the estimate for its class and tenant, else
+    /// the one for its class, else `default_bytes`.
+    pub fn expected(&self, class: usize, tenant: usize, default_bytes: u64) -> u64 {
         let pair = self
             .pairs
             .get(&(class, tenant))
             .and_then(|sketch| sketch.quantile(QUANTILE));
-        let of_class = || {
+        let class_estimate = || {
             self.classes
                 .get(&class)
                 .and_then(|sketch| sketch.quantile(QUANTILE))
         };
-        pair.or_else(of_class).unwrap_or(usual)
+        pair.or_else(class_estimate).unwrap_or(default_bytes)
     }
 }
 
--- a/crates/result-spool/src/size/tests.rs
+++ b/crates/result-spool/src/size/tests.rs
@@ -1,22 +1,25 @@
-//! Tests of this module, on small inputs.
+//! Guards against estimates that ignore recent sizes, and against weights that overflow.
 
 use super::*;
 
 #[test]
-fn sizes_are_learned_by_pair_then_by_class_and_forgotten() {
+fn estimates_follow_the_pair_then_the_class_and_old_outcomes_fade() {
     let mut sizes = Sizes::default();
     assert_eq!(sizes.expected(1, 1, 777), 777);
     (0..100).for_each(|n| sizes.learn(1, 1, 10_000 + n * 100));
-    let near = |told: u64, wanted: f64| (0.8..1.3).contains(&(told as f64 / wanted));
+    let is_near = |estimate: u64, expected: f64| (0.8..1.3).contains(&(estimate as f64 / expected));
     assert!(
-        near(sizes.expected(1, 1, 0), 19_500.0),
+        is_near(sizes.expected(1, 1, 0), 19_500.0),
         "{}",
         sizes.expected(1, 1, 0)
     );
-    assert!(near(sizes.expected(1, 2, 0), 19_500.0), "its class's");
+    assert!(
+        is_near(sizes.expected(1, 2, 0), 19_500.0),
+        "the estimate of the class"
+    );
     assert_eq!(sizes.expected(2, 1, 5), 5);
     (0..1500).for_each(|_| sizes.learn(1, 1, 50_000_000));
-    assert!(near(sizes.expected(1, 1, 0), 50e6));
+    assert!(is_near(sizes.expected(1, 1, 0), 50e6));
     (0..3000).for_each(|n| sizes.learn(3, n, 1));
     assert!(sizes.pairs.len() <= MAX_PAIRS);
 }
--- a/crates/result-spool/src/state.rs
+++ b/crates/result-spool/src/state.rs
@@ -1,34 +1,39 @@
-//! Which pages are where, and what is decided about them. The host does what is chosen and tells
-//! how it went.
+//! Tracks where each page is stored and makes all decisions of the spool. The host carries out the
+//! decisions and reports the outcome; nothing here does I/O or reads a clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::limits::*;
 use crate::Micros;
 
-/// A result, as the host numbers it.
+/// The number of a result, assigned by the host.
 pub type ResultId = u64;
 
-/// Whose a result is, by numbers that the host gives.
+/// The owner of a result, by whom the spool's space is divided into fair shares. Both numbers are
+/// assigned by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Owner {
+    /// The tenant of the request.
     pub tenant: u32,
+    /// The client's network address, mapped to a number.
     pub address: u64,
 }
 
-/// Why there is no room.
+/// Why a result is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// No result may be so large: trying again is of no use.
+    /// Larger than [`Budget::max_result_bytes`], so a retry can't succeed.
     TooLarge,
-    /// All is taken, or promised.
+    /// All space is used, or claimed by results that are still being received.
     Full,
-    /// Its tenant, or its address, holds its part of what is short.
+    /// The tenant already claims its share while space is short; see [`TENANT_SHARE`].
     TenantsShare,
+    /// The client's address already claims its share while space is short; see [`ADDRESS_SHARE`].
     AddressShare,
 }
 
 impl RejectReason {
+    /// The reason as it is sent to clients.
     pub fn as_str(self) -> &'static str {
         match self {
             RejectReason::TooLarge => "too-large",
@@ -39,42 +44,58 @@
     }
 }
 
+/// Whether a new result may be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// There is room, once these are dropped.
-    Admitted { to_drop: Vec<ResultId> },
-    /// When to come back, by how fast room comes free; nothing where that is of no use.
+    /// There is room once the host has dropped these results with [`Spool::drop_result`].
+    Admitted {
+        /// Results to drop, in this order.
+        to_drop: Vec<ResultId>,
+    },
+    /// There is no room.
     Rejected {
+        /// Why there is no room.
         reason: RejectReason,
+        /// Microseconds from now until a retry may succeed, estimated from the rate at which space
+        /// has been freed recently; `None` if no retry can succeed.
         retry_after: Option<Micros>,
     },
 }
 
-/// What the host is to do with pages.
+/// An action on pages that the host must carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpoolAction {
-    /// Write this page of a result to disk, and tell with [`Spool::finish_move`].
-    Move { result: ResultId, page: usize },
+    /// Write a page to disk: report the start with [`Spool::start_move`] and the end with
+    /// [`Spool::finish_move`].
+    Move {
+        /// The result that the page belongs to.
+        result: ResultId,
+        /// Index of the page in the result, from 0.
+        page: usize,
+    },
 }
 
+/// Where a page is, or why it isn't available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PageLocation {
+    /// In memory, possibly while it is being written to disk.
     Memory,
+    /// On disk only.
     Disk,
-    /// It has not come from the engine yet.
+    /// Not yet received from the engine.
     NotYet,
-    /// The result ended before this page.
+    /// The result is complete and has fewer pages.
     PastEnd,
-    /// The result ended as failed: what was read before stays valid, the rest never comes.
+    /// The result failed before this page arrived. Pages read before remain valid.
     Failed,
-    /// Dropped, or never there.
+    /// The result was dropped or never existed.
     Gone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Tier {
     Memory,
-    /// Being written; it counts in both.
+    /// Being written to disk; counted as used in memory and on disk.
     Moving,
     Disk,
 }
@@ -87,89 +108,97 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// Pages are still arriving.
     Filling,
-    Whole,
+    Complete,
     Failed,
 }
 
 #[derive(Debug)]
-struct Held {
+struct StoredResult {
     owner: Owner,
-    promised: u64,
+    /// Expected size in bytes, claimed until the result has ended.
+    expected: u64,
+    /// Size of the pages received so far.
     bytes: u64,
-    /// Of these, in memory.
+    /// The part of `bytes` that is in memory.
     in_memory: u64,
     pages: Vec<Page>,
     state: State,
     readers: u32,
-    /// The page that is read next, as far as the readers have come.
+    /// Index of the page after the last one that a reader asked for; 0 if there is no reader.
     next: usize,
+    /// A reader has received the whole result.
     delivered: bool,
+    /// Time of the last page, read or change of state.
     touched_at: Micros,
 }
 
-impl Held {
-    /// What it may take in all: what is there, or promised while more comes.
-    fn claim(&self) -> u64 {
+impl StoredResult {
+    /// Bytes counted against the budget: the expected size while pages arrive, if it is larger than
+    /// what has been received.
+    fn claimed_bytes(&self) -> u64 {
         if self.state == State::Filling {
-            self.promised.max(self.bytes)
+            self.expected.max(self.bytes)
         } else {
             self.bytes
         }
     }
 
-    fn droppable(&self) -> bool {
+    fn is_droppable(&self) -> bool {
         self.readers == 0 && self.state != State::Filling
     }
 }
 
-/// The choices that can be switched off, to see what each is good for.
+/// The decisions that can be switched off, so that the benchmark can measure the effect of each.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Part of all room for small results only.
+    /// Fraction of the total space that only small results may use; see [`SMALL_RESULT`].
     pub reserve: f64,
-    /// Shares of tenants and addresses bind under pressure.
-    pub shares: bool,
-    /// Delivered results go first, others only past their time; else simply the longest unused.
-    pub by_value: bool,
+    /// Tenants and client addresses are limited to their shares while space is short.
+    pub enforces_shares: bool,
+    /// Delivered and failed results are dropped first, others only after their retention time. If
+    /// false, the result that has been unused for longest is dropped.
+    pub drops_delivered_first: bool,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            reserve: RESERVE,
-            shares: true,
-            by_value: true,
+            reserve: SMALL_RESERVE,
+            enforces_shares: true,
+            drops_delivered_first: true,
         }
     }
 }
 
+/// All stored results and the space that they use. The pages themselves are held by the host.
 pub struct Spool {
     budget: Budget,
     policy: Policy,
-    results: BTreeMap<ResultId, Held>,
-    /// Those that may go, in the order in which they do: delivered ones first, the longest unused
-    /// first.
-    leaving: BTreeSet<(bool, Micros, ResultId)>,
-    memory: u64,
-    disk: u64,
-    /// Of both: being written.
-    moving: u64,
-    claims: u64,
-    tenants: BTreeMap<u32, u64>,
-    addresses: BTreeMap<u64, u64>,
-    /// Nothing is written before.
+    results: BTreeMap<ResultId, StoredResult>,
+    /// Results that may be dropped, in the order in which they are: by whether they are
+    /// undelivered, then by the time of their last use.
+    drop_candidates: BTreeSet<(bool, Micros, ResultId)>,
+    memory_used: u64,
+    disk_used: u64,
+    /// Bytes being written to disk, counted in both `memory_used` and `disk_used`.
+    moving_bytes: u64,
+    claimed: u64,
+    claimed_by_tenant: BTreeMap<u32, u64>,
+    claimed_by_address: BTreeMap<u64, u64>,
+    /// Set by a failed write: nothing is written to disk before this time.
     disk_fails_until: Option<Micros>,
-    /// Bytes a microsecond that came free lately.
-    drain: f64,
-    drained_at: Micros,
+    /// Bytes freed per microsecond recently: an average that decays with [`DRAIN_TIME_CONSTANT`].
+    drain_rate: f64,
+    drain_updated_at: Micros,
 }
 
-fn add<K: Ord>(sums: &mut BTreeMap<K, u64>, key: K, bytes: u64) {
+fn add_bytes<K: Ord>(sums: &mut BTreeMap<K, u64>, key: K, bytes: u64) {
     *sums.entry(key).or_default() += bytes;
 }
 
-fn take<K: Ord>(sums: &mut BTreeMap<K, u64>, key: K, bytes: u64) {
+fn subtract_bytes<K: Ord>(sums: &mut BTreeMap<K, u64>, key: K, bytes: u64) {
     if let std::collections::btree_map::Entry::Occupied(mut sum) = sums.entry(key) {
         *sum.get_mut() -= bytes;
         if *sum.get() == 0 {
@@ -179,143 +208,163 @@
 }
 
 impl Spool {
+    /// Creates an empty spool with the default policy.
     pub fn new(budget: Budget, now: Micros) -> Self {
         Self::with_policy(budget, Policy::default(), now)
     }
 
+    /// Creates an empty spool.
     pub fn with_policy(budget: Budget, policy: Policy, now: Micros) -> Self {
         Spool {
             budget,
             policy,
             results: BTreeMap::new(),
-            leaving: BTreeSet::new(),
-            memory: 0,
-            disk: 0,
-            moving: 0,
-            claims: 0,
-            tenants: BTreeMap::new(),
-            addresses: BTreeMap::new(),
+            drop_candidates: BTreeSet::new(),
+            memory_used: 0,
+            disk_used: 0,
+            moving_bytes: 0,
+            claimed: 0,
+            claimed_by_tenant: BTreeMap::new(),
+            claimed_by_address: BTreeMap::new(),
             disk_fails_until: None,
-            drain: 0.0,
-            drained_at: now,
+            drain_rate: 0.0,
+            drain_updated_at: now,
         }
     }
 
+    /// Number of results, including those still being received.
     pub fn len(&self) -> usize {
         self.results.len()
     }
 
+    /// Whether there are no results.
     pub fn is_empty(&self) -> bool {
         self.results.is_empty()
     }
 
+    /// Whether a result is stored or being received.
     pub fn contains(&self, id: ResultId) -> bool {
         self.results.contains_key(&id)
     }
 
-    /// Bytes in memory, on disk, and claimed in all.
+    /// Bytes used in memory, used on disk, and claimed in total.
     pub fn used(&self) -> (u64, u64, u64) {
-        (self.memory, self.disk, self.claims)
+        (self.memory_used, self.disk_used, self.claimed)
     }
 
-    /// All room there is now: without the disk while that fails, but for what is there already.
+    /// Total space in bytes. While writes to disk fail, only the part of the disk that is already
+    /// used counts.
     fn total(&self, now: Micros) -> u64 {
         match self.disk_fails_until {
-            Some(until) if now < until => self.budget.memory + self.disk,
+            Some(until) if now < until => self.budget.memory + self.disk_used,
             _ => self.budget.total(),
         }
     }
 
     // ---- Admission ----
 
-    /// Whether a result of an expected size will fit, before anything is sent for it.
+    /// Decides whether a result of an expected size fits, before its request is sent to an engine.
+    /// Changes nothing.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
     pub fn admit(&self, owner: Owner, expected: u64, now: Micros) -> Admission {
-        let no = |reason, retry_after| Admission::Rejected {
+        let reject = |reason, retry_after| Admission::Rejected {
             reason,
             retry_after,
         };
         if expected > self.budget.max_result_bytes {
-            return no(RejectReason::TooLarge, None);
+            return reject(RejectReason::TooLarge, None);
         }
         let total = self.total(now);
-        let kept_back = if expected <= SMALL {
+        let reserved = if expected <= SMALL_RESULT {
             0
         } else {
             (total as f64 * self.policy.reserve) as u64
         };
-        let room = total.saturating_sub(kept_back);
-        let wanted = self.claims + expected;
+        let room = total.saturating_sub(reserved);
+        let wanted = self.claimed + expected;
         let (mut to_drop, mut freed) = (Vec::new(), 0);
-        if self.policy.shares && wanted as f64 > PRESSURE * total as f64 {
-            let over = |sum: Option<&u64>, share: f64| {
-                let most = (total as f64 * share) as u64;
-                // One alone may always have what a single result may.
-                sum.map_or(0, |sum| (sum + expected).saturating_sub(most))
+        if self.policy.enforces_shares && wanted as f64 > SHARE_PRESSURE * total as f64 {
+            let share_excess = |sum: Option<&u64>, share: f64| {
+                let limit = (total as f64 * share) as u64;
+                // An owner that claims nothing yet may always store a single result.
+                sum.map_or(0, |sum| (sum + expected).saturating_sub(limit))
             };
-            let mut of_tenant = over(self.tenants.get(&owner.tenant), TENANT_SHARE);
-            let mut of_address = over(self.addresses.get(&owner.address), ADDRESS_SHARE);
-            // What it has been delivered goes before it is refused more.
-            let delivered = self.leaving.iter().take_while(|(unclaimed, ..)| !unclaimed);
+            let mut tenant_excess =
+                share_excess(self.claimed_by_tenant.get(&owner.tenant), TENANT_SHARE);
+            let mut address_excess =
+                share_excess(self.claimed_by_address.get(&owner.address), ADDRESS_SHARE);
+            // The owner's own delivered results are dropped before it is rejected.
+            let delivered = self
+                .drop_candidates
+                .iter()
+                .take_while(|(is_undelivered, ..)| !is_undelivered);
             for (_, _, id) in delivered {
-                if of_tenant + of_address == 0 {
+                if tenant_excess + address_excess == 0 {
                     break;
                 }
-                let Some(held) = self.results.get(id) else {
+                let Some(stored) = self.results.get(id) else {
                     continue;
                 };
-                let helps = (held.owner.tenant == owner.tenant && of_tenant > 0)
-                    || (held.owner.address == owner.address && of_address > 0);
-                if helps {
-                    let own = |same: bool| if same { held.bytes } else { 0 };
-                    of_tenant = of_tenant.saturating_sub(own(held.owner.tenant == owner.tenant));
-                    of_address =
-                        of_address.saturating_sub(own(held.owner.address == owner.address));
+                let is_over_share = (stored.owner.tenant == owner.tenant && tenant_excess > 0)
+                    || (stored.owner.address == owner.address && address_excess > 0);
+                if is_over_share {
+                    let freed_if = |is_same: bool| if is_same { stored.bytes } else { 0 };
+                    tenant_excess =
+                        tenant_excess.saturating_sub(freed_if(stored.owner.tenant == owner.tenant));
+                    address_excess = address_excess
+                        .saturating_sub(freed_if(stored.owner.address == owner.address));
                     to_drop.push(*id);
-                    freed += held.bytes;
+                    freed += stored.bytes;
                 }
             }
-            if of_tenant > 0 {
-                return no(RejectReason::TenantsShare, Some(self.advice(of_tenant)));
+            if tenant_excess > 0 {
+                return reject(
+                    RejectReason::TenantsShare,
+                    Some(self.estimate_retry_after(tenant_excess)),
+                );
             }
-            if of_address > 0 {
-                return no(RejectReason::AddressShare, Some(self.advice(of_address)));
+            if address_excess > 0 {
+                return reject(
+                    RejectReason::AddressShare,
+                    Some(self.estimate_retry_after(address_excess)),
+                );
             }
         }
-        let mut short = wanted.saturating_sub(room + freed);
-        let mut leaving = self.leaving.iter();
+        let mut missing = wanted.saturating_sub(room + freed);
+        let mut drop_candidates = self.drop_candidates.iter();
         let full = self.results.len() >= MAX_RESULTS;
-        while short > 0 || (full && to_drop.is_empty()) {
-            let last = |held: &Held, unclaimed: bool| {
-                !unclaimed || held.touched_at + self.budget.unclaimed_retention <= now
+        while missing > 0 || (full && to_drop.is_empty()) {
+            let may_drop = |stored: &StoredResult, is_undelivered: bool| {
+                !is_undelivered || stored.touched_at + self.budget.unclaimed_retention <= now
             };
-            let next = leaving.next().and_then(|(unclaimed, _, id)| {
+            let next = drop_candidates.next().and_then(|(is_undelivered, _, id)| {
                 self.results
                     .get(id)
-                    .filter(|held| last(held, *unclaimed))
-                    .map(|held| (*id, held.bytes))
+                    .filter(|stored| may_drop(stored, *is_undelivered))
+                    .map(|stored| (*id, stored.bytes))
             });
             let Some((id, bytes)) = next else {
-                return no(RejectReason::Full, Some(self.advice(short)));
+                return reject(RejectReason::Full, Some(self.estimate_retry_after(missing)));
             };
             if !to_drop.contains(&id) {
                 to_drop.push(id);
-                short = short.saturating_sub(bytes);
+                missing = missing.saturating_sub(bytes);
             }
         }
         Admission::Admitted { to_drop }
     }
 
-    /// How long it takes until so much comes free, at the rate of late.
-    fn advice(&self, short: u64) -> Micros {
-        let wait = short as f64 / self.drain.max(1e-9);
-        (wait as Micros).clamp(MIN_ADVICE, MAX_ADVICE)
+    /// Estimates how long it takes until the missing bytes are freed, from the recent rate.
+    fn estimate_retry_after(&self, missing: u64) -> Micros {
+        let wait = missing as f64 / self.drain_rate.max(1e-9);
+        (wait as Micros).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    pub fn begin(&mut self, id: ResultId, owner: Owner, promised: u64, now: Micros) {
-        let held = Held {
+    /// Adds a result without pages. Its expected size is claimed until [`Spool::end`].
+    pub fn begin(&mut self, id: ResultId, owner: Owner, expected: u64, now: Micros) {
+        let stored = StoredResult {
             owner,
-            promised,
+            expected,
             bytes: 0,
             in_memory: 0,
             pages: Vec::new(),
@@ -325,143 +374,160 @@
             delivered: false,
             touched_at: now,
         };
-        self.claim(owner, held.claim());
-        self.results.insert(id, held);
+        self.add_claim(owner, stored.claimed_bytes());
+        self.results.insert(id, stored);
     }
 
-    fn claim(&mut self, owner: Owner, bytes: u64) {
-        self.claims += bytes;
-        add(&mut self.tenants, owner.tenant, bytes);
-        add(&mut self.addresses, owner.address, bytes);
+    fn add_claim(&mut self, owner: Owner, bytes: u64) {
+        self.claimed += bytes;
+        add_bytes(&mut self.claimed_by_tenant, owner.tenant, bytes);
+        add_bytes(&mut self.claimed_by_address, owner.address, bytes);
     }
 
-    fn unclaim(&mut self, owner: Owner, bytes: u64) {
-        self.claims -= bytes;
-        take(&mut self.tenants, owner.tenant, bytes);
-        take(&mut self.addresses, owner.address, bytes);
+    fn remove_claim(&mut self, owner: Owner, bytes: u64) {
+        self.claimed -= bytes;
+        subtract_bytes(&mut self.claimed_by_tenant, owner.tenant, bytes);
+        subtract_bytes(&mut self.claimed_by_address, owner.address, bytes);
     }
 
     // ---- Pages ----
 
-    /// Bytes that an engine may be asked for ahead of what is there. What is promised is there to
-    /// be filled, yet no faster than memory takes it: a slow reader's engine reads on into the disk
-    /// and is free all the same.
+    /// Bytes of further pages that may be requested from the engine now: the rest of the expected
+    /// size, but at most half of the free memory. Pages of slow readers move to disk meanwhile, so
+    /// that the engine is free long before the client has read its result.
     pub fn read_ahead_bytes(&self, id: ResultId) -> u64 {
-        let Some(held) = self
+        let Some(stored) = self
             .results
             .get(&id)
-            .filter(|held| held.state == State::Filling)
+            .filter(|stored| stored.state == State::Filling)
         else {
             return 0;
         };
-        let left = held.promised.saturating_sub(held.bytes);
-        let free = self.budget.memory.saturating_sub(self.memory);
-        // Who is near the end of what was promised goes on page by page: more is asked for as it
-        // comes.
-        left.max(MIN_AHEAD).min(free / 2)
+        let remaining = stored.expected.saturating_sub(stored.bytes);
+        let free = self.budget.memory.saturating_sub(self.memory_used);
+        // Near and past the expected size, further pages are requested one at a time.
+        remaining.max(MIN_READ_AHEAD).min(free / 2)
     }
 
-    /// A page has come. An error: the result can't be kept, which is its failure.
+    /// Adds the size of a page that was received; ignored unless the result is being received.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if the page doesn't fit. The caller must then end the result as failed.
     pub fn add_page(&mut self, id: ResultId, bytes: u64, now: Micros) -> Result<(), RejectReason> {
         let total = self.total(now);
-        let Some(held) = self
+        let Some(stored) = self
             .results
             .get_mut(&id)
-            .filter(|held| held.state == State::Filling)
+            .filter(|stored| stored.state == State::Filling)
         else {
             return Ok(());
         };
-        let before = held.claim();
-        if held.bytes + bytes > self.budget.max_result_bytes {
+        let before = stored.claimed_bytes();
+        if stored.bytes + bytes > self.budget.max_result_bytes {
             return Err(RejectReason::TooLarge);
         }
-        let after = before.max(held.bytes + bytes);
-        if self.claims - before + after > total || self.memory + bytes > self.budget.memory {
+        let after = before.max(stored.bytes + bytes);
+        if self.claimed - before + after > total || self.memory_used + bytes > self.budget.memory {
             return Err(RejectReason::Full);
         }
-        held.bytes += bytes;
-        held.in_memory += bytes;
-        held.pages.push(Page {
+        stored.bytes += bytes;
+        stored.in_memory += bytes;
+        stored.pages.push(Page {
             bytes,
             tier: Tier::Memory,
         });
-        held.touched_at = now;
-        let owner = held.owner;
-        self.memory += bytes;
-        self.unclaim(owner, before);
-        self.claim(owner, after);
+        stored.touched_at = now;
+        let owner = stored.owner;
+        self.memory_used += bytes;
+        self.remove_claim(owner, before);
+        self.add_claim(owner, after);
         Ok(())
     }
 
-    /// No more pages come: it is whole, or it has failed.
-    pub fn end(&mut self, id: ResultId, whole: bool, now: Micros) {
-        let Some(held) = self
+    /// Ends a result: all of its pages have been received, or it has failed.
+    pub fn end(&mut self, id: ResultId, is_complete: bool, now: Micros) {
+        let Some(stored) = self
             .results
             .get_mut(&id)
-            .filter(|held| held.state == State::Filling)
+            .filter(|stored| stored.state == State::Filling)
         else {
             return;
         };
-        let before = held.claim();
-        held.state = if whole { State::Whole } else { State::Failed };
-        held.touched_at = now;
-        let (owner, after) = (held.owner, held.claim());
-        self.unclaim(owner, before);
-        self.claim(owner, after);
-        self.file(id);
-    }
-
-    /// Puts a result where it belongs among those that may go.
-    fn file(&mut self, id: ResultId) {
-        if let Some(held) = self.results.get(&id).filter(|held| held.droppable()) {
-            // A failed one is of no more use once it was told, so it goes like one delivered.
-            let unclaimed =
-                self.policy.by_value && !(held.delivered || held.state == State::Failed);
-            self.leaving.insert((unclaimed, held.touched_at, id));
+        let before = stored.claimed_bytes();
+        stored.state = if is_complete {
+            State::Complete
+        } else {
+            State::Failed
+        };
+        stored.touched_at = now;
+        let (owner, after) = (stored.owner, stored.claimed_bytes());
+        self.remove_claim(owner, before);
+        self.add_claim(owner, after);
+        self.add_drop_candidate(id);
+    }
+
+    /// Adds a result to those that may be dropped, if it is one.
+    fn add_drop_candidate(&mut self, id: ResultId) {
+        if let Some(stored) = self.results.get(&id).filter(|stored| stored.is_droppable()) {
+            // Once its clients have been notified, a failed result isn't needed any longer, just
+            // like a delivered one.
+            let is_undelivered = self.policy.drops_delivered_first
+                && !(stored.delivered || stored.state == State::Failed);
+            self.drop_candidates
+                .insert((is_undelivered, stored.touched_at, id));
         }
     }
 
-    fn unfile(&mut self, id: ResultId) {
-        if let Some(held) = self.results.get(&id) {
-            for unclaimed in [false, true] {
-                self.leaving.remove(&(unclaimed, held.touched_at, id));
+    fn remove_drop_candidate(&mut self, id: ResultId) {
+        if let Some(stored) = self.results.get(&id) {
+            for is_undelivered in [false, true] {
+                self.drop_candidates
+                    .remove(&(is_undelivered, stored.touched_at, id));
             }
         }
     }
 
-    /// A client reads from now on, until [`Spool::close_reader`]: meanwhile the result stays.
+    /// Adds a reader: the result isn't dropped before [`Spool::close_reader`]. Returns false if the
+    /// result doesn't exist.
     pub fn open_reader(&mut self, id: ResultId, now: Micros) -> bool {
-        self.unfile(id);
-        let Some(held) = self.results.get_mut(&id) else {
+        self.remove_drop_candidate(id);
+        let Some(stored) = self.results.get_mut(&id) else {
             return false;
         };
-        held.readers += 1;
-        held.touched_at = now;
+        stored.readers += 1;
+        stored.touched_at = now;
         true
     }
 
+    /// Removes a reader. `delivered`: it has received the whole result.
     pub fn close_reader(&mut self, id: ResultId, delivered: bool, now: Micros) {
-        if let Some(held) = self.results.get_mut(&id).filter(|held| held.readers > 0) {
-            held.readers -= 1;
-            held.delivered |= delivered;
-            held.touched_at = now;
-            if held.readers == 0 {
-                held.next = 0;
+        if let Some(stored) = self
+            .results
+            .get_mut(&id)
+            .filter(|stored| stored.readers > 0)
+        {
+            stored.readers -= 1;
+            stored.delivered |= delivered;
+            stored.touched_at = now;
+            if stored.readers == 0 {
+                stored.next = 0;
             }
-            self.file(id);
+            self.add_drop_candidate(id);
         }
     }
 
-    /// Where a page is, for one who reads it now.
+    /// Returns where a page is and notes that it is read now, which decides on the pages that stay
+    /// in memory.
     pub fn locate_page(&mut self, id: ResultId, page: usize, now: Micros) -> PageLocation {
-        let Some(held) = self.results.get_mut(&id) else {
+        let Some(stored) = self.results.get_mut(&id) else {
             return PageLocation::Gone;
         };
-        if held.readers > 0 {
-            held.touched_at = now;
+        if stored.readers > 0 {
+            stored.touched_at = now;
         }
-        held.next = held.next.max(page + 1);
-        match (held.pages.get(page), held.state) {
+        stored.next = stored.next.max(page + 1);
+        match (stored.pages.get(page), stored.state) {
             (
                 Some(Page {
                     tier: Tier::Disk, ..
@@ -470,47 +536,49 @@
             ) => PageLocation::Disk,
             (Some(_), _) => PageLocation::Memory,
             (None, State::Filling) => PageLocation::NotYet,
-            (None, State::Whole) => PageLocation::PastEnd,
+            (None, State::Complete) => PageLocation::PastEnd,
             (None, State::Failed) => PageLocation::Failed,
         }
     }
 
     // ---- Memory to disk ----
 
-    /// Pages that go to disk now: none below the upper mark; above it down to the lower one. First
-    /// those of results that nobody reads, the longest unused first, their first pages last; before
-    /// these, what readers have passed and what is furthest ahead of them. What a reader takes next
-    /// stays.
+    /// Chooses the pages to write to disk now: none up to [`MOVE_HIGH_MARK`], above it as many as
+    /// bring the memory down to [`MOVE_LOW_MARK`]. The order is: results without a reader except
+    /// for their first pages, the longest unused first; pages that readers have passed; pages
+    /// furthest ahead of a reader; the first pages of results without a reader. The next
+    /// [`NEAR_PAGES`] pages of a reader stay in memory.
     pub fn choose_moves(&self, now: Micros) -> Vec<SpoolAction> {
         let mark = |part: f64| (self.budget.memory as f64 * part) as u64;
-        // What is on its way needs no second choice, so pages are looked through once for many that
-        // come.
-        let staying = self.memory - self.moving;
-        if staying <= mark(MOVE_FROM) || self.disk_fails_until.is_some_and(|until| now < until) {
+        // Pages being written don't count, so that the pages are scanned once for many that arrive,
+        // not for each.
+        let staying = self.memory_used - self.moving_bytes;
+        if staying <= mark(MOVE_HIGH_MARK) || self.disk_fails_until.is_some_and(|until| now < until)
+        {
             return Vec::new();
         }
-        let mut excess = staying.saturating_sub(mark(MOVE_TO));
-        let mut room = self.budget.disk.saturating_sub(self.disk);
+        let mut excess = staying.saturating_sub(mark(MOVE_LOW_MARK));
+        let mut room = self.budget.disk.saturating_sub(self.disk_used);
         let mut pages: Vec<(u8, Micros, std::cmp::Reverse<usize>, ResultId, usize, u64)> = self
             .pages()
             .filter(|(_, _, page)| page.tier == Tier::Memory)
-            .filter_map(|(id, at, page)| {
-                let held = &self.results[&id];
-                let near = (held.next..held.next + NEAR_PAGES).contains(&at);
-                let (order, since) = match (held.readers > 0, near) {
-                    (false, false) => (0, held.touched_at),
-                    (true, false) if at < held.next => (1, 0),
+            .filter_map(|(id, index, page)| {
+                let stored = &self.results[&id];
+                let is_near = (stored.next..stored.next + NEAR_PAGES).contains(&index);
+                let (rank, last_used) = match (stored.readers > 0, is_near) {
+                    (false, false) => (0, stored.touched_at),
+                    (true, false) if index < stored.next => (1, 0),
                     (true, false) => (2, 0),
-                    (false, true) => (3, held.touched_at),
+                    (false, true) => (3, stored.touched_at),
                     (true, true) => return None,
                 };
-                let distance = at.abs_diff(held.next);
+                let distance = index.abs_diff(stored.next);
                 Some((
-                    order,
-                    since,
+                    rank,
+                    last_used,
                     std::cmp::Reverse(distance),
                     id,
-                    at,
+                    index,
                     page.bytes,
                 ))
             })
@@ -529,12 +597,16 @@
     }
 
     fn pages(&self) -> impl Iterator<Item = (ResultId, usize, Page)> + '_ {
-        let in_memory = self.results.iter().filter(|(_, held)| held.in_memory > 0);
-        in_memory.flat_map(|(id, held)| {
-            held.pages
+        let in_memory = self
+            .results
+            .iter()
+            .filter(|(_, stored)| stored.in_memory > 0);
+        in_memory.flat_map(|(id, stored)| {
+            stored
+                .pages
                 .iter()
                 .enumerate()
-                .map(|(at, page)| (*id, at, *page))
+                .map(|(index, page)| (*id, index, *page))
         })
     }
 
@@ -542,7 +614,8 @@
         self.results.get_mut(&id)?.pages.get_mut(page)
     }
 
-    /// A page is being written: it counts in both places until [`Spool::finish_move`].
+    /// Marks a page as being written to disk: until [`Spool::finish_move`] it counts as used in
+    /// memory and on disk.
     pub fn start_move(&mut self, id: ResultId, page: usize) {
         if let Some(page) = self
             .page_mut(id, page)
@@ -550,21 +623,25 @@
         {
             page.tier = Tier::Moving;
             let bytes = page.bytes;
-            self.disk += bytes;
-            self.moving += bytes;
+            self.disk_used += bytes;
+            self.moving_bytes += bytes;
         }
     }
 
+    /// Whether a page is being written to disk.
     pub fn is_moving(&self, id: ResultId, page: usize) -> bool {
-        let page = self.results.get(&id).and_then(|held| held.pages.get(page));
+        let page = self
+            .results
+            .get(&id)
+            .and_then(|stored| stored.pages.get(page));
         page.is_some_and(|page| page.tier == Tier::Moving)
     }
 
-    /// It was written, or could not be: then nothing is written for a while, and what is in memory
-    /// stays there.
-    pub fn finish_move(&mut self, id: ResultId, page: usize, written: bool, again_at: Micros) {
+    /// Ends the write of a page. If it failed, the page stays in memory and nothing is written
+    /// before `retry_at`.
+    pub fn finish_move(&mut self, id: ResultId, page: usize, written: bool, retry_at: Micros) {
         if !written {
-            self.disk_fails_until = Some(again_at);
+            self.disk_fails_until = Some(retry_at);
         }
         if let Some(page) = self
             .page_mut(id, page)
@@ -572,62 +649,71 @@
         {
             page.tier = if written { Tier::Disk } else { Tier::Memory };
             let bytes = page.bytes;
-            self.moving -= bytes;
+            self.moving_bytes -= bytes;
             if written {
-                self.memory -= bytes;
+                self.memory_used -= bytes;
                 self.results
                     .entry(id)
-                    .and_modify(|held| held.in_memory -= bytes);
+                    .and_modify(|stored| stored.in_memory -= bytes);
             } else {
-                self.disk -= bytes;
+                self.disk_used -= bytes;
             }
         }
     }
 
-    // ---- Leaving ----
+    // ---- Expiry ----
 
-    /// When a result's time is over, unless it is used until then.
+    /// The time at which a result expires unless it is used before; `None` while it has readers or
+    /// is being received, or if it doesn't exist.
     pub fn expiry(&self, id: ResultId) -> Option<Micros> {
-        let held = self.results.get(&id).filter(|held| held.droppable())?;
-        let keeps = if held.delivered {
+        let stored = self
+            .results
+            .get(&id)
+            .filter(|stored| stored.is_droppable())?;
+        let retention = if stored.delivered {
             self.budget.delivered_retention
         } else {
             self.budget.unclaimed_retention
         };
-        Some(held.touched_at + keeps)
+        Some(stored.touched_at + retention)
     }
 
-    /// Forgets a result. False: it is read or still comes, so it stays.
+    /// Drops a result and frees its space. Returns false if it has readers, is being received or
+    /// doesn't exist.
     pub fn drop_result(&mut self, id: ResultId, now: Micros) -> bool {
-        if !self.results.get(&id).is_some_and(Held::droppable) {
+        if !self
+            .results
+            .get(&id)
+            .is_some_and(StoredResult::is_droppable)
+        {
             return false;
         }
-        self.unfile(id);
-        let Some(held) = self.results.remove(&id) else {
+        self.remove_drop_candidate(id);
+        let Some(stored) = self.results.remove(&id) else {
             return false;
         };
-        for page in &held.pages {
-            self.memory -= if page.tier == Tier::Disk {
+        for page in &stored.pages {
+            self.memory_used -= if page.tier == Tier::Disk {
                 0
             } else {
                 page.bytes
             };
-            self.disk -= if page.tier == Tier::Memory {
+            self.disk_used -= if page.tier == Tier::Memory {
                 0
             } else {
                 page.bytes
             };
-            self.moving -= if page.tier == Tier::Moving {
+            self.moving_bytes -= if page.tier == Tier::Moving {
                 page.bytes
             } else {
                 0
             };
         }
-        self.unclaim(held.owner, held.claim());
-        let passed = now.saturating_sub(self.drained_at) as f64;
-        self.drain *= (-passed / DRAIN_SPAN).exp();
-        self.drain += held.bytes as f64 / DRAIN_SPAN;
-        self.drained_at = now;
+        self.remove_claim(stored.owner, stored.claimed_bytes());
+        let elapsed = now.saturating_sub(self.drain_updated_at) as f64;
+        self.drain_rate *= (-elapsed / DRAIN_TIME_CONSTANT).exp();
+        self.drain_rate += stored.bytes as f64 / DRAIN_TIME_CONSTANT;
+        self.drain_updated_at = now;
         true
     }
 }
--- a/crates/result-spool/src/token/tests.rs
+++ b/crates/result-spool/src/token/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module, on small inputs.
+//! Guards against tokens that are accepted from another client, after their time, or when changed.
 
 use super::*;
 
@@ -10,36 +10,39 @@
 };
 
 #[test]
-fn a_token_names_its_page_and_keys_are_rotated() {
-    let old = Keys::new("first", None);
-    let new = Keys::new("second", Some("first"));
-    let newest = Keys::new("third", Some("second"));
-    let text = old.write(&TOKEN, "acme");
-    assert_eq!(text.len(), LENGTH);
-    assert_eq!(old.read(&text, "acme", 1_000, 4_999), Ok(TOKEN));
+fn a_token_is_valid_for_its_client_its_time_and_two_keys() {
+    let old_keys = Keys::new("first", None);
+    let new_keys = Keys::new("second", Some("first"));
+    let newest_keys = Keys::new("third", Some("second"));
+    let text = old_keys.write(&TOKEN, "acme");
+    assert_eq!(text.len(), TOKEN_LENGTH);
+    assert_eq!(old_keys.read(&text, "acme", 1_000, 4_999), Ok(TOKEN));
     assert_eq!(
-        new.read(&text, "acme", 1_000, 4_999),
+        new_keys.read(&text, "acme", 1_000, 4_999),
         Ok(TOKEN),
-        "the key before is taken too"
+        "a token signed with the previous key"
     );
     assert_eq!(
-        newest.read(&text, "acme", 1_000, 4_999),
+        newest_keys.read(&text, "acme", 1_000, 4_999),
         Err(TokenError::Forged)
     );
     assert_eq!(
-        old.read(&text, "rival", 1_000, 4_999),
+        old_keys.read(&text, "rival", 1_000, 4_999),
         Err(TokenError::Forged),
-        "another client's"
+        "a token of another client"
     );
     assert_eq!(
-        old.read(&text, "acme", 1_000, 5_000),
+        old_keys.read(&text, "acme", 1_000, 5_000),
         Err(TokenError::Expired)
     );
-    assert_eq!(old.read(&text, "acme", 2_000, 4_999), Err(TokenError::Gone));
+    assert_eq!(
+        old_keys.read(&text, "acme", 2_000, 4_999),
+        Err(TokenError::Gone)
+    );
 }
 
 #[test]
-fn whatever_is_changed_it_is_forged() {
+fn a_changed_token_is_rejected_as_forged() {
     let keys = Keys::new("secret", None);
     let text = keys.write(&TOKEN, "acme");
     for at in 0..text.len() {
@@ -52,12 +55,19 @@
             "{at}"
         );
     }
-    let long = [
+    let wrong_lengths = [
         text.clone() + "A",
-        "é".repeat(LENGTH / 2),
-        "=".repeat(LENGTH),
+        "é".repeat(TOKEN_LENGTH / 2),
+        "=".repeat(TOKEN_LENGTH),
     ];
-    for text in ["", "x", &text[1..], &long[0], &long[1], &long[2]] {
+    for text in [
+        "",
+        "x",
+        &text[1..],
+        &wrong_lengths[0],
+        &wrong_lengths[1],
+        &wrong_lengths[2],
+    ] {
         assert_eq!(
             keys.read(text, "acme", 1_000, 0),
             Err(TokenError::Forged),
--- a/crates/result-spool/src/worker.rs
+++ b/crates/result-spool/src/worker.rs
@@ -1,5 +1,6 @@
-//! The thread that writes and reads pages, so that the event loop waits for no disk. Orders go over
-//! a bounded channel; what came of them comes back over another, with a wake of the loop.
+//! The thread that writes and reads pages, so that the event loop never waits for the disk. Jobs
+//! are passed over a bounded channel; their outcomes return over another one, and the event loop is
+//! woken for each.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -13,61 +14,108 @@
 use crate::segments::{encode_header, verify_page, PagePosition, HEADER_BYTES};
 use crate::state::ResultId;
 
-/// Orders that wait at the most; more are refused, and tried again by whoever gave them.
-const MAX_ORDERS: usize = 256;
-const PREFIX: &str = "spool-";
-/// How long the end of the program waits for the thread.
-const LAST_WORK: Duration = Duration::from_millis(300);
+/// Maximum number of queued jobs; more are rejected, and the caller tries again later.
+const MAX_QUEUED_JOBS: usize = 256;
+const FILE_PREFIX: &str = "spool-";
+/// How long the process waits for the thread when it stops.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
 
+/// A job for the thread.
 #[derive(Debug)]
 pub enum DiskJob {
+    /// Writes a page.
     Write {
+        /// The result that the page belongs to.
         result: ResultId,
+        /// Index of the page in the result, from 0.
         page: u32,
+        /// The position from [`Segments::allocate`](crate::segments::Segments::allocate).
         position: PagePosition,
+        /// The page is the first of its segment, whose file is created.
         starts_segment: bool,
+        /// The page without its header.
         bytes: Vec<u8>,
     },
+    /// Reads a page.
     Read {
+        /// The result that the page belongs to.
         result: ResultId,
+        /// Index of the page in the result, from 0.
         page: u32,
+        /// The position at which the page was written.
         position: PagePosition,
     },
+    /// Removes a segment's file. It is not reported as a [`FinishedJob`].
     Remove {
+        /// Number of the segment.
         segment: u64,
     },
 }
 
-/// What came of an order.
+/// The outcome of a job.
 #[derive(Debug)]
 pub enum FinishedJob {
+    /// A page was written, or the write failed.
     Written {
+        /// The result that the page belongs to.
         result: ResultId,
+        /// Index of the page in the result, from 0.
         page: u32,
+        /// The position that the job named.
         position: PagePosition,
+        /// The error if the write failed; part of the page may have been written then.
         outcome: io::Result<()>,
     },
-    /// The page as it was written, or why it can't be had.
+    /// A page was read, or the read failed.
     Read {
+        /// The result that the page belongs to.
         result: ResultId,
+        /// Index of the page in the result, from 0.
         page: u32,
+        /// The page without its header. A damaged page is an error of kind `InvalidData`.
         outcome: io::Result<Vec<u8>>,
     },
 }
 
-/// All that the worker does with files, so that tests can let any of it fail.
+/// All file operations of the worker, so that tests can make any of them fail.
 pub trait Disk: Send {
+    /// Returns the names of all files.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the files can't be listed.
     fn list(&mut self) -> io::Result<Vec<String>>;
+    /// Creates a file that doesn't exist yet.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file can't be created.
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>>;
+    /// Removes a file.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file can't be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
+/// An open segment file.
 pub trait Segment: Send {
+    /// Writes all bytes at an offset.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the write fails; some of the bytes may have been written then.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
+    /// Fills `bytes` from an offset on.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the read fails or the file is too short.
     fn read_at(&mut self, offset: u64, bytes: &mut [u8]) -> io::Result<()>;
 }
 
-/// A directory of the real file system, made where it is missing.
+/// A directory of the file system; it is created if it doesn't exist.
 pub struct Directory(pub PathBuf);
 
 impl Disk for Directory {
@@ -107,93 +155,104 @@
     }
 }
 
+/// The handle of the thread. Dropping it stops the thread.
 pub struct Worker {
-    orders: Option<SyncSender<DiskJob>>,
-    done: Receiver<FinishedJob>,
+    jobs: Option<SyncSender<DiskJob>>,
+    finished: Receiver<FinishedJob>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Worker {
-    /// `wake` is called whenever something was done. What an earlier start of the same name left
-    /// behind is removed.
+    /// Starts the thread. `name` is the gateway's name and `epoch` the time of its start: both are
+    /// part of file names, and files that an earlier start of the same name left behind are
+    /// removed. `wake` is called after each finished job.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the thread can't be started.
     pub fn start(
         name: &str,
         epoch: u64,
         disk: Box<dyn Disk>,
         wake: Box<dyn Fn() + Send>,
     ) -> io::Result<Self> {
-        let (orders, to_do) = sync_channel(MAX_ORDERS);
-        // Each order brings one answer at the most, and the loop takes them at each look.
-        let (tell, done) = sync_channel(2 * MAX_ORDERS);
-        let own = Own {
+        let (jobs, job_receiver) = sync_channel(MAX_QUEUED_JOBS);
+        // Each job has at most one outcome, and the event loop takes all of them in each iteration.
+        let (results, finished) = sync_channel(2 * MAX_QUEUED_JOBS);
+        let worker_thread = WorkerThread {
             disk,
-            prefix: format!("{PREFIX}{name}-"),
+            prefix: format!("{FILE_PREFIX}{name}-"),
             epoch,
-            open: BTreeMap::new(),
+            open_segments: BTreeMap::new(),
         };
         let thread = std::thread::Builder::new()
             .name("spool".into())
-            .spawn(move || own.run(to_do, tell, wake))?;
+            .spawn(move || worker_thread.run(job_receiver, results, wake))?;
         Ok(Worker {
-            orders: Some(orders),
-            done,
+            jobs: Some(jobs),
+            finished,
             thread: Some(thread),
         })
     }
 
-    /// Gives the order back where too many wait.
-    pub fn submit(&self, order: DiskJob) -> Result<(), DiskJob> {
-        let Some(orders) = &self.orders else {
-            return Err(order);
+    /// Queues a job.
+    ///
+    /// # Errors
+    ///
+    /// Returns the job if the queue is full or the thread has ended.
+    pub fn submit(&self, job: DiskJob) -> Result<(), DiskJob> {
+        let Some(jobs) = &self.jobs else {
+            return Err(job);
         };
-        orders.try_send(order).map_err(|e| match e {
-            TrySendError::Full(order) | TrySendError::Disconnected(order) => order,
+        jobs.try_send(job).map_err(|e| match e {
+            TrySendError::Full(job) | TrySendError::Disconnected(job) => job,
         })
     }
 
-    /// What was done since the last look.
+    /// Returns the jobs that were finished since the last call.
     pub fn finished_jobs(&self) -> impl Iterator<Item = FinishedJob> + '_ {
-        self.done.try_iter()
+        self.finished.try_iter()
     }
 }
 
-/// The end: orders that wait are carried out no more, and the files go.
+/// Stops the thread: it discards queued jobs and removes its segment files.
 impl Drop for Worker {
     fn drop(&mut self) {
-        self.orders = None;
-        // Its answers have nobody who takes them.
-        self.done = sync_channel(0).1;
-        // Whatever the disk does, the program's end waits for it no longer than this.
-        let (until, thread) = (Instant::now() + LAST_WORK, self.thread.take());
-        while thread.as_ref().is_some_and(|thread| !thread.is_finished()) && Instant::now() < until
+        self.jobs = None;
+        // Nobody receives outcomes any longer, so that the thread doesn't block on sending them.
+        self.finished = sync_channel(0).1;
+        // A slow disk must not delay the end of the process any further.
+        let (deadline, thread) = (Instant::now() + SHUTDOWN_TIMEOUT, self.thread.take());
+        while thread.as_ref().is_some_and(|thread| !thread.is_finished())
+            && Instant::now() < deadline
         {
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-struct Own {
+struct WorkerThread {
     disk: Box<dyn Disk>,
     prefix: String,
     epoch: u64,
-    open: BTreeMap<u64, Box<dyn Segment>>,
+    open_segments: BTreeMap<u64, Box<dyn Segment>>,
 }
 
-impl Own {
-    fn name(&self, segment: u64) -> String {
+impl WorkerThread {
+    fn file_name(&self, segment: u64) -> String {
         format!("{}{:016x}-{segment:08}", self.prefix, self.epoch)
     }
 
     #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
     fn run(
         mut self,
-        orders: Receiver<DiskJob>,
-        tell: SyncSender<FinishedJob>,
+        jobs: Receiver<DiskJob>,
+        results: SyncSender<FinishedJob>,
         wake: Box<dyn Fn() + Send>,
     ) {
-        self.clean();
-        while let Ok(order) = orders.recv() {
-            let done = match order {
+        self.remove_leftover_files();
+        while let Ok(job) = jobs.recv() {
+            let finished_job = match job {
                 DiskJob::Write {
                     result,
                     page,
@@ -222,41 +281,41 @@
                     }
                 }
                 DiskJob::Remove { segment } => {
-                    self.open.remove(&segment);
-                    let name = self.name(segment);
-                    if let Err(e) = self.disk.remove(&name) {
-                        log::warn!("{name} of the spool can't be removed: {e}");
+                    self.open_segments.remove(&segment);
+                    let file_name = self.file_name(segment);
+                    if let Err(e) = self.disk.remove(&file_name) {
+                        log::warn!("result spool: can't remove the segment file {file_name}, the next start tries again: {e}");
                     }
                     continue;
                 }
             };
-            if tell.send(done).is_err() {
+            if results.send(finished_job).is_err() {
                 break;
             }
             wake();
         }
-        for segment in std::mem::take(&mut self.open).into_keys() {
-            // The next start removes what is left.
-            let _ = self.disk.remove(&self.name(segment));
+        for segment in std::mem::take(&mut self.open_segments).into_keys() {
+            // If this fails, the next start removes the file.
+            let _ = self.disk.remove(&self.file_name(segment));
         }
     }
 
-    /// Removes what an earlier start left: its results went with it.
-    fn clean(&mut self) {
+    /// Removes files of an earlier start, whose results are lost.
+    fn remove_leftover_files(&mut self) {
         let names = self.disk.list().unwrap_or_default();
-        let left: Vec<String> = names
+        let leftover_files: Vec<String> = names
             .into_iter()
             .filter(|name| name.starts_with(&self.prefix))
             .collect();
-        if !left.is_empty() {
+        if !leftover_files.is_empty() {
             log::info!(
-                "{} files of an earlier start are removed from the spool",
-                left.len()
+                "result spool: removing {} files that an earlier start left behind",
+                leftover_files.len()
             );
         }
-        for name in left {
-            if let Err(e) = self.disk.remove(&name) {
-                log::warn!("{name} of the spool can't be removed: {e}");
+        for file_name in leftover_files {
+            if let Err(e) = self.disk.remove(&file_name) {
+                log::warn!("result spool: can't remove the leftover file {file_name}, the next start tries again: {e}");
             }
         }
     }
@@ -270,30 +329,46 @@
         bytes: &[u8],
     ) -> io::Result<()> {
         if starts_segment {
-            let segment = self.disk.create(&self.name(position.segment))?;
-            self.open.insert(position.segment, segment);
+            let segment = self.disk.create(&self.file_name(position.segment))?;
+            self.open_segments.insert(position.segment, segment);
         }
-        let lost = || io::Error::new(io::ErrorKind::NotFound, "its segment could not be made");
-        let segment = self.open.get_mut(&position.segment).ok_or_else(lost)?;
-        let mut whole = Vec::with_capacity(HEADER_BYTES + bytes.len());
-        whole.extend_from_slice(&encode_header(result, page, bytes));
-        whole.extend_from_slice(bytes);
-        segment.write_at(position.offset, &whole)
+        let missing_segment = || {
+            io::Error::new(
+                io::ErrorKind::NotFound,
+                "the segment file of the page could not be created",
+            )
+        };
+        let segment = self
+            .open_segments
+            .get_mut(&position.segment)
+            .ok_or_else(missing_segment)?;
+        let mut buffer = Vec::with_capacity(HEADER_BYTES + bytes.len());
+        buffer.extend_from_slice(&encode_header(result, page, bytes));
+        buffer.extend_from_slice(bytes);
+        segment.write_at(position.offset, &buffer)
     }
 
     fn read(&mut self, result: ResultId, page: u32, position: PagePosition) -> io::Result<Vec<u8>> {
-        let lost = || io::Error::new(io::ErrorKind::NotFound, "its segment is not there");
-        let segment = self.open.get_mut(&position.segment).ok_or_else(lost)?;
-        let mut whole = vec![0; HEADER_BYTES + position.length as usize];
-        segment.read_at(position.offset, &mut whole)?;
-        let spoilt = || {
+        let missing_segment = || {
+            io::Error::new(
+                io::ErrorKind::NotFound,
+                "the segment file of the page doesn't exist",
+            )
+        };
+        let segment = self
+            .open_segments
+            .get_mut(&position.segment)
+            .ok_or_else(missing_segment)?;
+        let mut buffer = vec![0; HEADER_BYTES + position.length as usize];
+        segment.read_at(position.offset, &mut buffer)?;
+        let damaged_page = || {
             io::Error::new(
                 io::ErrorKind::InvalidData,
-                "the page is not as it was written",
+                "the page on disk is damaged: its header or checksum doesn't match",
             )
         };
-        verify_page(&whole, result, page)
+        verify_page(&buffer, result, page)
             .map(<[u8]>::to_vec)
-            .ok_or_else(spoilt)
+            .ok_or_else(damaged_page)
     }
 }
--- a/crates/result-spool/tests/disk.rs
+++ b/crates/result-spool/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The worker on disks that fail, tear and rot, with the core that it serves.
+//! The disk worker on disks that fail, write only part of a page, or damage a page.
 
 use eideryard_result_spool::segments::{PagePosition, Segments};
 use eideryard_result_spool::worker::*;
@@ -10,27 +10,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A real directory whose n-th write fails, and so many after it; a torn one leaves half of its
-/// bytes.
-struct Failing {
+/// A directory whose writes fail from a certain one on, a certain number of times. A failed write
+/// leaves half of its bytes.
+struct FailingDisk {
     inner: Directory,
-    left: Arc<AtomicI64>,
-    failures: i64,
+    writes_before_failure: Arc<AtomicI64>,
+    failure_count: i64,
 }
 
 struct FailingSegment(Box<dyn Segment>, Arc<AtomicI64>, i64);
 
-impl Disk for Failing {
+impl Disk for FailingDisk {
     fn list(&mut self) -> io::Result<Vec<String>> {
         self.inner.list()
     }
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>> {
         Ok(Box::new(FailingSegment(
             self.inner.create(name)?,
-            self.left.clone(),
-            self.failures,
+            self.writes_before_failure.clone(),
+            self.failure_count,
         )))
     }
     fn remove(&mut self, name: &str) -> io::Result<()> {
@@ -40,8 +40,8 @@
 
 impl Segment for FailingSegment {
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
-        let left = self.1.fetch_sub(1, Ordering::Relaxed);
-        if left <= 0 && left > -self.2 {
+        let writes_before_failure = self.1.fetch_sub(1, Ordering::Relaxed);
+        if writes_before_failure <= 0 && writes_before_failure > -self.2 {
             self.0.write_at(offset, &bytes[..bytes.len() / 2])?;
             return Err(io::Error::other("the disk is full"));
         }
@@ -52,35 +52,39 @@
     }
 }
 
-fn worker(directory: &Path, left: i64, failures: i64) -> (Worker, Receiver<()>) {
-    let disk = Failing {
+fn start_worker(
+    directory: &Path,
+    writes_before_failure: i64,
+    failure_count: i64,
+) -> (Worker, Receiver<()>) {
+    let disk = FailingDisk {
         inner: Directory(directory.into()),
-        left: Arc::new(AtomicI64::new(left)),
-        failures,
+        writes_before_failure: Arc::new(AtomicI64::new(writes_before_failure)),
+        failure_count,
     };
-    let (woken, wakes) = channel();
+    let (wake_sender, wake_receiver) = channel();
     let worker = Worker::start(
         "g1",
         7,
         Box::new(disk),
-        Box::new(move || _ = woken.send(())),
+        Box::new(move || _ = wake_sender.send(())),
     )
     .unwrap();
-    (worker, wakes)
+    (worker, wake_receiver)
 }
 
-fn next(worker: &Worker, wakes: &Receiver<()>) -> FinishedJob {
+fn next_finished(worker: &Worker, wake_receiver: &Receiver<()>) -> FinishedJob {
     loop {
         if let Some(done) = worker.finished_jobs().next() {
             return done;
         }
-        wakes
-            .recv_timeout(PATIENCE)
-            .expect("the worker does something");
+        wake_receiver
+            .recv_timeout(TIMEOUT)
+            .expect("the worker should finish a job");
     }
 }
 
-fn page(result: u64, page: u32) -> Vec<u8> {
+fn page_bytes(result: u64, page: u32) -> Vec<u8> {
     let mut rng = fastrand::Rng::with_seed(result << 32 | page as u64);
     (0..rng.usize(1..6000)).map(|_| rng.u8(..)).collect()
 }
@@ -90,14 +94,14 @@
     clippy::too_many_lines,
     reason = "one scenario, told from its beginning to its end"
 )]
-fn pages_come_back_as_they_were_and_segments_go_with_their_last_page() {
+fn pages_are_read_as_written_and_segments_are_removed_with_their_last_page() {
     let directory = tempfile::tempdir().unwrap();
-    let (worker, wakes) = worker(directory.path(), i64::MAX, 0);
+    let (worker, wake_receiver) = start_worker(directory.path(), i64::MAX, 0);
     let mut segments = Segments::new(20_000);
     let mut positions: BTreeMap<(u64, u32), PagePosition> = BTreeMap::new();
     for result in 0..5 {
         for number in 0..20 {
-            let bytes = page(result, number);
+            let bytes = page_bytes(result, number);
             let (position, starts_segment) = segments.allocate(bytes.len() as u32);
             positions.insert((result, number), position);
             worker
@@ -109,7 +113,8 @@
                     bytes,
                 })
                 .unwrap();
-            let FinishedJob::Written { outcome, .. } = next(&worker, &wakes) else {
+            let FinishedJob::Written { outcome, .. } = next_finished(&worker, &wake_receiver)
+            else {
                 panic!()
             };
             outcome.unwrap();
@@ -124,12 +129,12 @@
                 position: *position,
             })
             .unwrap();
-        let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
+        let FinishedJob::Read { outcome, .. } = next_finished(&worker, &wake_receiver) else {
             panic!()
         };
-        assert_eq!(outcome.unwrap(), page(*result, *number));
+        assert_eq!(outcome.unwrap(), page_bytes(*result, *number));
     }
-    // Asked for as another's, a page is not given.
+    // Reading a page as one of another result must fail.
     let position = positions[&(0, 0)];
     worker
         .submit(DiskJob::Read {
@@ -138,34 +143,34 @@
             position,
         })
         .unwrap();
-    let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
+    let FinishedJob::Read { outcome, .. } = next_finished(&worker, &wake_receiver) else {
         panic!()
     };
     assert_eq!(outcome.unwrap_err().kind(), io::ErrorKind::InvalidData);
     for position in positions.values() {
-        let gone = segments.free(*position);
-        for segment in gone.into_iter() {
+        let removed = segments.free(*position);
+        for segment in removed.into_iter() {
             worker.submit(DiskJob::Remove { segment }).unwrap();
         }
     }
-    assert!(segments.len() <= 1, "only the open one is left");
+    assert!(segments.len() <= 1, "only the open segment may remain");
     drop(worker);
     assert_eq!(
         std::fs::read_dir(directory.path()).unwrap().count(),
         0,
-        "and it goes at the end"
+        "the worker should remove it when it stops"
     );
 }
 
 #[test]
-fn a_write_that_fails_is_told_and_what_was_written_before_stays_whole() {
+fn a_failed_write_is_reported_and_earlier_pages_stay_intact() {
     let directory = tempfile::tempdir().unwrap();
-    let (worker, wakes) = worker(directory.path(), 5, 3);
+    let (worker, wake_receiver) = start_worker(directory.path(), 5, 3);
     let mut segments = Segments::new(1 << 20);
     let mut written = Vec::new();
     let mut failed = 0;
     for number in 0..20 {
-        let bytes = page(1, number);
+        let bytes = page_bytes(1, number);
         let (position, starts_segment) = segments.allocate(bytes.len() as u32);
         worker
             .submit(DiskJob::Write {
@@ -176,7 +181,7 @@
                 bytes,
             })
             .unwrap();
-        let FinishedJob::Written { outcome, .. } = next(&worker, &wakes) else {
+        let FinishedJob::Written { outcome, .. } = next_finished(&worker, &wake_receiver) else {
             panic!()
         };
         match outcome {
@@ -184,8 +189,8 @@
             Err(_) => {
                 failed += 1;
                 segments.free(position);
-                let gone = segments.abandon();
-                for segment in gone.into_iter() {
+                let removed = segments.abandon();
+                for segment in removed.into_iter() {
                     worker.submit(DiskJob::Remove { segment }).unwrap();
                 }
             }
@@ -200,17 +205,17 @@
                 position,
             })
             .unwrap();
-        let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
+        let FinishedJob::Read { outcome, .. } = next_finished(&worker, &wake_receiver) else {
             panic!()
         };
-        assert_eq!(outcome.unwrap(), page(1, number));
+        assert_eq!(outcome.unwrap(), page_bytes(1, number));
     }
 }
 
 #[test]
-fn a_page_that_has_rotted_is_an_error_at_every_byte() {
+fn a_page_with_any_damaged_byte_is_an_error() {
     let directory = tempfile::tempdir().unwrap();
-    let (worker, wakes) = worker(directory.path(), i64::MAX, 0);
+    let (worker, wake_receiver) = start_worker(directory.path(), i64::MAX, 0);
     let bytes = b"7\tshrimp\t3.4\n".to_vec();
     let (position, starts_segment) = Segments::new(100).allocate(bytes.len() as u32);
     worker
@@ -222,18 +227,18 @@
             bytes: bytes.clone(),
         })
         .unwrap();
-    next(&worker, &wakes);
+    next_finished(&worker, &wake_receiver);
     let file = std::fs::read_dir(directory.path())
         .unwrap()
         .next()
         .unwrap()
         .unwrap()
         .path();
-    let whole = std::fs::read(&file).unwrap();
-    for at in 0..whole.len() {
-        let mut rotten = whole.clone();
-        rotten[at] ^= 4;
-        std::fs::write(&file, rotten).unwrap();
+    let intact = std::fs::read(&file).unwrap();
+    for at in 0..intact.len() {
+        let mut damaged = intact.clone();
+        damaged[at] ^= 4;
+        std::fs::write(&file, damaged).unwrap();
         worker
             .submit(DiskJob::Read {
                 result: 1,
@@ -241,12 +246,12 @@
                 position,
             })
             .unwrap();
-        let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
+        let FinishedJob::Read { outcome, .. } = next_finished(&worker, &wake_receiver) else {
             panic!()
         };
         assert!(outcome.is_err(), "byte {at}");
     }
-    std::fs::write(&file, &whole[..whole.len() - 1]).unwrap();
+    std::fs::write(&file, &intact[..intact.len() - 1]).unwrap();
     worker
         .submit(DiskJob::Read {
             result: 1,
@@ -254,14 +259,14 @@
             position,
         })
         .unwrap();
-    let FinishedJob::Read { outcome, .. } = next(&worker, &wakes) else {
+    let FinishedJob::Read { outcome, .. } = next_finished(&worker, &wake_receiver) else {
         panic!()
     };
-    assert!(outcome.is_err(), "cut short");
+    assert!(outcome.is_err(), "the file is truncated");
 }
 
 #[test]
-fn what_an_earlier_start_left_is_removed_and_other_files_are_not() {
+fn files_of_an_earlier_start_are_removed_and_other_files_are_not() {
     let directory = tempfile::tempdir().unwrap();
     for name in [
         "spool-g1-0000000000000001-00000001",
@@ -270,11 +275,14 @@
     ] {
         std::fs::write(directory.path().join(name), "x").unwrap();
     }
-    drop(worker(directory.path(), i64::MAX, 0));
-    let mut left: Vec<String> = std::fs::read_dir(directory.path())
+    drop(start_worker(directory.path(), i64::MAX, 0));
+    let mut remaining_files: Vec<String> = std::fs::read_dir(directory.path())
         .unwrap()
         .map(|f| f.unwrap().file_name().into_string().unwrap())
         .collect();
-    left.sort();
-    assert_eq!(left, ["notes.txt", "spool-g2-0000000000000001-00000001"]);
+    remaining_files.sort();
+    assert_eq!(
+        remaining_files,
+        ["notes.txt", "spool-g2-0000000000000001-00000001"]
+    );
 }
--- a/crates/result-spool/tests/model.rs
+++ b/crates/result-spool/tests/model.rs
@@ -1,4 +1,5 @@
-//! The core against a plain model, under random operations: sums, bounds, and who may go.
+//! Compares the spool's state with a simple model under random operations: sums, limits, and which
+//! results may be dropped. Further tests check single decisions.
 
 use eideryard_result_spool::limits::*;
 use eideryard_result_spool::state::ResultId;
@@ -17,74 +18,74 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask {
+    Admit {
         tenant: u32,
         address: u64,
         expected: u64,
     },
     Page {
-        which: usize,
+        selector: usize,
         bytes: u64,
     },
     End {
-        which: usize,
-        whole: bool,
+        selector: usize,
+        is_complete: bool,
     },
     Open {
-        which: usize,
+        selector: usize,
     },
     Close {
-        which: usize,
+        selector: usize,
         delivered: bool,
     },
     Read {
-        which: usize,
+        selector: usize,
         page: usize,
     },
     Move {
         written: bool,
     },
     Drop {
-        which: usize,
+        selector: usize,
     },
-    Pass {
+    Wait {
         time: u64,
     },
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let which = any::<usize>();
+fn any_step() -> impl Strategy<Value = Step> {
+    let selector = any::<usize>();
     prop_oneof![
-        3 => (0u32..4, 0u64..6, 1u64..400 * KB).prop_map(|(tenant, address, expected)| Step::Ask { tenant, address, expected }),
-        8 => (which, 1u64..24 * KB).prop_map(|(which, bytes)| Step::Page { which, bytes }),
-        2 => (which, any::<bool>()).prop_map(|(which, whole)| Step::End { which, whole }),
-        2 => which.prop_map(|which| Step::Open { which }),
-        2 => (which, any::<bool>()).prop_map(|(which, delivered)| Step::Close { which, delivered }),
-        3 => (which, 0usize..40).prop_map(|(which, page)| Step::Read { which, page }),
+        3 => (0u32..4, 0u64..6, 1u64..400 * KB).prop_map(|(tenant, address, expected)| Step::Admit { tenant, address, expected }),
+        8 => (selector, 1u64..24 * KB).prop_map(|(selector, bytes)| Step::Page { selector, bytes }),
+        2 => (selector, any::<bool>()).prop_map(|(selector, is_complete)| Step::End { selector, is_complete }),
+        2 => selector.prop_map(|selector| Step::Open { selector }),
+        2 => (selector, any::<bool>()).prop_map(|(selector, delivered)| Step::Close { selector, delivered }),
+        3 => (selector, 0usize..40).prop_map(|(selector, page)| Step::Read { selector, page }),
         3 => proptest::bool::weighted(0.9).prop_map(|written| Step::Move { written }),
-        1 => which.prop_map(|which| Step::Drop { which }),
-        2 => (0u64..3_000_000).prop_map(|time| Step::Pass { time }),
+        1 => selector.prop_map(|selector| Step::Drop { selector }),
+        2 => (0u64..3_000_000).prop_map(|time| Step::Wait { time }),
     ]
 }
 
-/// What a plain table says of a result.
-struct Plain {
+/// The model of one result.
+struct ModelResult {
     owner: Owner,
-    promised: u64,
+    expected: u64,
     pages: Vec<u64>,
-    filling: bool,
-    whole: bool,
+    is_filling: bool,
+    is_complete: bool,
     readers: u32,
 }
 
-impl Plain {
+impl ModelResult {
     fn bytes(&self) -> u64 {
         self.pages.iter().sum()
     }
 
-    fn claim(&self) -> u64 {
-        if self.filling {
-            self.promised.max(self.bytes())
+    fn claimed_bytes(&self) -> u64 {
+        if self.is_filling {
+            self.expected.max(self.bytes())
         } else {
             self.bytes()
         }
@@ -95,78 +96,78 @@
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_core_holds_its_budgets_and_drops_only_what_may_go(steps in proptest::collection::vec(step(), 1..400)) {
+    fn the_spool_keeps_its_budgets_and_drops_only_unused_results(steps in proptest::collection::vec(any_step(), 1..400)) {
         let mut now = 1_000_000;
         let mut spool = Spool::new(BUDGET, now);
-        let mut plain: BTreeMap<ResultId, Plain> = BTreeMap::new();
-        let mut next = 0;
+        let mut model: BTreeMap<ResultId, ModelResult> = BTreeMap::new();
+        let mut next_id = 0;
         for step in steps {
-            let at = |which: usize, plain: &BTreeMap<ResultId, Plain>| plain.keys().nth(which % plain.len().max(1)).copied();
+            let id_of = |selector: usize, model: &BTreeMap<ResultId, ModelResult>| model.keys().nth(selector % model.len().max(1)).copied();
             match step {
-                Step::Ask { tenant, address, expected } => {
+                Step::Admit { tenant, address, expected } => {
                     let owner = Owner { tenant, address };
                     match spool.admit(owner, expected, now) {
                         Admission::Admitted { to_drop } => {
                             for id in to_drop {
-                                let own = plain.remove(&id).expect("it is there");
-                                prop_assert!(own.readers == 0 && !own.filling, "one that is read, or comes, is dropped");
+                                let entry = model.remove(&id).expect("a result to drop exists in the model");
+                                prop_assert!(entry.readers == 0 && !entry.is_filling, "a result that is being read or received is dropped");
                                 prop_assert!(spool.drop_result(id, now));
                             }
-                            next += 1;
-                            spool.begin(next, owner, expected, now);
+                            next_id += 1;
+                            spool.begin(next_id, owner, expected, now);
                             let pages = Vec::new();
-                            plain.insert(next, Plain { owner, promised: expected, pages, filling: true, whole: false, readers: 0 });
+                            model.insert(next_id, ModelResult { owner, expected, pages, is_filling: true, is_complete: false, readers: 0 });
                         }
                         Admission::Rejected { reason, retry_after } => {
-                            let advised = retry_after.is_some_and(|after| (MIN_ADVICE..=MAX_ADVICE).contains(&after));
+                            let advised = retry_after.is_some_and(|after| (MIN_RETRY_AFTER..=MAX_RETRY_AFTER).contains(&after));
                             prop_assert_eq!(advised, reason != RejectReason::TooLarge);
                         }
                     }
                 }
-                Step::Page { which, bytes } => {
-                    let Some(id) = at(which, &plain) else { continue };
-                    let own = plain.get_mut(&id).unwrap();
-                    if !own.filling {
+                Step::Page { selector, bytes } => {
+                    let Some(id) = id_of(selector, &model) else { continue };
+                    let entry = model.get_mut(&id).unwrap();
+                    if !entry.is_filling {
                         continue;
                     }
                     match spool.add_page(id, bytes, now) {
-                        Ok(()) => own.pages.push(bytes),
+                        Ok(()) => entry.pages.push(bytes),
                         Err(_) => {
-                            own.filling = false;
+                            entry.is_filling = false;
                             spool.end(id, false, now);
                         }
                     }
                 }
-                Step::End { which, whole } => {
-                    let Some(id) = at(which, &plain) else { continue };
-                    let own = plain.get_mut(&id).unwrap();
-                    if own.filling {
-                        (own.filling, own.whole) = (false, whole);
+                Step::End { selector, is_complete } => {
+                    let Some(id) = id_of(selector, &model) else { continue };
+                    let entry = model.get_mut(&id).unwrap();
+                    if entry.is_filling {
+                        (entry.is_filling, entry.is_complete) = (false, is_complete);
                     }
-                    spool.end(id, whole, now);
+                    spool.end(id, is_complete, now);
                 }
-                Step::Open { which } => {
-                    let Some(id) = at(which, &plain) else { continue };
+                Step::Open { selector } => {
+                    let Some(id) = id_of(selector, &model) else { continue };
                     prop_assert!(spool.open_reader(id, now));
-                    plain.get_mut(&id).unwrap().readers += 1;
+                    model.get_mut(&id).unwrap().readers += 1;
                 }
-                Step::Close { which, delivered } => {
-                    let Some(id) = at(which, &plain) else { continue };
+                Step::Close { selector, delivered } => {
+                    let Some(id) = id_of(selector, &model) else { continue };
                     spool.close_reader(id, delivered, now);
-                    let own = plain.get_mut(&id).unwrap();
-                    own.readers = own.readers.saturating_sub(1);
+                    let entry = model.get_mut(&id).unwrap();
+                    entry.readers = entry.readers.saturating_sub(1);
                 }
-                Step::Read { which, page } => {
-                    let Some(id) = at(which, &plain) else { continue };
-                    let own = &plain[&id];
-                    let is = spool.locate_page(id, page, now);
-                    let expected = match (page < own.pages.len(), own.filling, own.whole) {
-                        (true, ..) => matches!(is, PageLocation::Memory | PageLocation::Disk),
-                        (false, true, _) => is == PageLocation::NotYet,
-                        (false, false, true) => is == PageLocation::PastEnd,
-                        (false, false, false) => is == PageLocation::Failed,
+                Step::Read { selector, page } => {
+                    let Some(id) = id_of(selector, &model) else { continue };
+                    let entry = &model[&id];
+                    let location = spool.locate_page(id, page, now);
+                    let is_expected = match (page < entry.pages.len(), entry.is_filling, entry.is_complete) {
+                        (true, ..) => matches!(location, PageLocation::Memory | PageLocation::Disk),
+                        (false, true, _) => location == PageLocation::NotYet,
+                        (false, false, true) => location == PageLocation::PastEnd,
+                        (false, false, false) => location == PageLocation::Failed,
                     };
-                    prop_assert!(expected, "{:?}", is);
+                    prop_assert!(is_expected, "{:?}", location);
                 }
                 Step::Move { written } => {
                     for SpoolAction::Move { result, page } in spool.choose_moves(now) {
@@ -177,48 +178,48 @@
                         }
                     }
                 }
-                Step::Drop { which } => {
-                    let Some(id) = at(which, &plain) else { continue };
-                    let own = &plain[&id];
-                    let may = own.readers == 0 && !own.filling;
-                    prop_assert_eq!(spool.drop_result(id, now), may);
-                    if may {
-                        plain.remove(&id);
+                Step::Drop { selector } => {
+                    let Some(id) = id_of(selector, &model) else { continue };
+                    let entry = &model[&id];
+                    let is_droppable = entry.readers == 0 && !entry.is_filling;
+                    prop_assert_eq!(spool.drop_result(id, now), is_droppable);
+                    if is_droppable {
+                        model.remove(&id);
                         prop_assert_eq!(spool.locate_page(id, 0, now), PageLocation::Gone);
                     }
                 }
-                Step::Pass { time } => now += time,
+                Step::Wait { time } => now += time,
             }
-            let (memory, disk, claims) = spool.used();
-            prop_assert_eq!(memory + disk, plain.values().map(Plain::bytes).sum::<u64>());
-            prop_assert_eq!(claims, plain.values().map(Plain::claim).sum::<u64>());
-            prop_assert!(memory <= BUDGET.memory && disk <= BUDGET.disk && claims <= BUDGET.total());
-            prop_assert_eq!(spool.len(), plain.len());
-            for own in plain.values() {
-                prop_assert!(own.bytes() <= BUDGET.max_result_bytes);
-                let _ = own.owner;
+            let (memory, disk, claimed) = spool.used();
+            prop_assert_eq!(memory + disk, model.values().map(ModelResult::bytes).sum::<u64>());
+            prop_assert_eq!(claimed, model.values().map(ModelResult::claimed_bytes).sum::<u64>());
+            prop_assert!(memory <= BUDGET.memory && disk <= BUDGET.disk && claimed <= BUDGET.total());
+            prop_assert_eq!(spool.len(), model.len());
+            for entry in model.values() {
+                prop_assert!(entry.bytes() <= BUDGET.max_result_bytes);
+                let _ = entry.owner;
             }
         }
     }
 }
 
-const ONE: Owner = Owner {
+const OWNER: Owner = Owner {
     tenant: 1,
     address: 1,
 };
 
-fn yes(spool: &Spool, owner: Owner, expected: u64) -> bool {
+fn is_admitted(spool: &Spool, owner: Owner, expected: u64) -> bool {
     matches!(spool.admit(owner, expected, 0), Admission::Admitted { .. })
 }
 
-fn why(spool: &Spool, owner: Owner, expected: u64) -> RejectReason {
+fn reason(spool: &Spool, owner: Owner, expected: u64) -> RejectReason {
     match spool.admit(owner, expected, 0) {
         Admission::Rejected { reason, .. } => reason,
-        yes => panic!("{yes:?}"),
+        admission => panic!("{admission:?}"),
     }
 }
 
-/// Guards against large reports that leave no room for lookups.
+/// Guards against large reports that leave no space for lookups.
 #[test]
 fn small_results_have_a_reserve() {
     let mut spool = Spool::new(BUDGET, 0);
@@ -227,34 +228,37 @@
             tenant: number as u32,
             address: number,
         };
-        if yes(&spool, owner, 200 * KB) {
+        if is_admitted(&spool, owner, 200 * KB) {
             spool.begin(number, owner, 200 * KB, 0);
         }
     }
-    let new = Owner {
+    let new_owner = Owner {
         tenant: 99,
         address: 99,
     };
-    assert_eq!(why(&spool, new, 200 * KB), RejectReason::Full);
-    assert!(yes(&spool, new, 40_000), "a lookup finds room all the same");
+    assert_eq!(reason(&spool, new_owner, 200 * KB), RejectReason::Full);
+    assert!(
+        is_admitted(&spool, new_owner, 40_000),
+        "a lookup must find space nevertheless"
+    );
 }
 
-/// Guards against one tenant, or one address under many names, that takes all there is.
+/// Guards against one tenant, or one address under many tenants, that takes all of the space.
 #[test]
-fn shares_bind_under_pressure_only() {
+fn shares_are_enforced_only_while_space_is_short() {
     let mut spool = Spool::new(BUDGET, 0);
-    let mut taken = 0;
-    while yes(&spool, ONE, 100 * KB) {
-        taken += 100 * KB;
-        spool.begin(taken, ONE, 100 * KB, 0);
+    let mut claimed = 0;
+    while is_admitted(&spool, OWNER, 100 * KB) {
+        claimed += 100 * KB;
+        spool.begin(claimed, OWNER, 100 * KB, 0);
     }
     assert!(
-        taken as f64 > 0.45 * BUDGET.total() as f64,
-        "alone it has half of it: {taken}"
+        claimed as f64 > 0.45 * BUDGET.total() as f64,
+        "a single tenant should get half of the space: {claimed}"
     );
-    assert_eq!(why(&spool, ONE, 100 * KB), RejectReason::TenantsShare);
+    assert_eq!(reason(&spool, OWNER, 100 * KB), RejectReason::TenantsShare);
     assert_eq!(
-        why(
+        reason(
             &spool,
             Owner {
                 tenant: 2,
@@ -264,7 +268,7 @@
         ),
         RejectReason::AddressShare
     );
-    assert!(yes(
+    assert!(is_admitted(
         &spool,
         Owner {
             tenant: 2,
@@ -272,8 +276,8 @@
         },
         100 * KB
     ));
-    // What it was delivered goes before it is refused more, no more of it than helps.
-    let ids: Vec<u64> = (1..=taken / (100 * KB))
+    // Its delivered results are dropped before it is rejected, but no more of them than necessary.
+    let ids: Vec<u64> = (1..=claimed / (100 * KB))
         .map(|number| number * 100 * KB)
         .collect();
     for id in &ids {
@@ -286,24 +290,24 @@
         }
         spool.end(*id, true, 1);
     }
-    assert_eq!(why(&spool, ONE, 100 * KB), RejectReason::TenantsShare);
+    assert_eq!(reason(&spool, OWNER, 100 * KB), RejectReason::TenantsShare);
     for (number, id) in ids.iter().enumerate() {
         spool.open_reader(*id, 2);
         spool.close_reader(*id, true, 3 + number as u64);
     }
-    let Admission::Admitted { to_drop } = spool.admit(ONE, 100 * KB, 20) else {
+    let Admission::Admitted { to_drop } = spool.admit(OWNER, 100 * KB, 20) else {
         panic!("refused")
     };
     assert!(
         to_drop == ids[..to_drop.len()] && (5..10).contains(&to_drop.len()),
         "{to_drop:?}"
     );
-    assert_eq!(why(&spool, ONE, 901 * KB), RejectReason::TooLarge);
+    assert_eq!(reason(&spool, OWNER, 901 * KB), RejectReason::TooLarge);
 }
 
-/// Guards against a result that is read being dropped for one that comes.
+/// Guards against dropping a result that is being read to make room for a new one.
 #[test]
-fn delivered_results_make_room_and_read_ones_stay() {
+fn delivered_results_are_dropped_first_and_those_being_read_never() {
     let mut spool = Spool::new(BUDGET, 0);
     for number in 0..11 {
         let owner = Owner {
@@ -324,30 +328,30 @@
             spool.close_reader(number, number % 2 == 1, 40 + number);
         }
     }
-    let new = Owner {
+    let new_owner = Owner {
         tenant: 99,
         address: 99,
     };
-    let Admission::Admitted { to_drop } = spool.admit(new, 500 * KB, 100) else {
+    let Admission::Admitted { to_drop } = spool.admit(new_owner, 500 * KB, 100) else {
         panic!("no room")
     };
     assert_eq!(
         to_drop,
         [1, 5],
-        "delivered ones, the longest unused first, not the one that is read"
+        "delivered results, the longest unused first, but not the one being read"
     );
-    let unclaimed = spool.admit(new, 890 * KB, 100);
+    let unclaimed = spool.admit(new_owner, 890 * KB, 100);
     assert!(
         matches!(unclaimed, Admission::Admitted { .. }),
         "{unclaimed:?}"
     );
 }
 
-/// Guards against a disk that fails being counted on.
+/// Guards against admitting results that only fit on a disk that fails.
 #[test]
-fn a_disk_that_fails_shrinks_the_room_and_it_comes_back() {
+fn a_failing_disk_reduces_the_space_until_its_retry_time() {
     let mut spool = Spool::new(BUDGET, 0);
-    spool.begin(1, ONE, 500 * KB, 0);
+    spool.begin(1, OWNER, 500 * KB, 0);
     (0..45).for_each(|_| spool.add_page(1, 10 * KB, 0).unwrap());
     let moves = spool.choose_moves(0);
     assert!(!moves.is_empty());
@@ -357,27 +361,27 @@
     assert_eq!(
         (spool.used().1, spool.choose_moves(10)),
         (0, Vec::new()),
-        "nothing is tried for a while"
+        "nothing is written before the retry time"
     );
-    let two = Owner {
+    let other_owner = Owner {
         tenant: 2,
         address: 2,
     };
     assert!(!matches!(
-        spool.admit(two, 100 * KB, 10),
+        spool.admit(other_owner, 100 * KB, 10),
         Admission::Admitted { .. }
     ));
     assert!(matches!(
-        spool.admit(two, 100 * KB, 1_000_001),
+        spool.admit(other_owner, 100 * KB, 1_000_001),
         Admission::Admitted { .. }
     ));
     assert!(!spool.choose_moves(1_000_001).is_empty());
 }
 
-/// Guards against advice that has nothing to do with how fast room comes free.
+/// Guards against retry advice that doesn't depend on how fast space is freed.
 #[test]
-fn advice_follows_the_rate_at_which_room_comes_free() {
-    let advice = |drained: u64| {
+fn retry_advice_follows_the_rate_at_which_space_is_freed() {
+    let retry_after = |drained: u64| {
         let mut spool = Spool::new(BUDGET, 0);
         for number in 0..12 {
             spool.begin(
@@ -413,25 +417,30 @@
             1_000_000,
         ) {
             Admission::Rejected { retry_after, .. } => retry_after.unwrap(),
-            yes => panic!("{yes:?}"),
+            admission => panic!("{admission:?}"),
         }
     };
-    assert_eq!(advice(0), MAX_ADVICE);
-    assert!(advice(100) < advice(10), "{} {}", advice(100), advice(10));
+    assert_eq!(retry_after(0), MAX_RETRY_AFTER);
+    assert!(
+        retry_after(100) < retry_after(10),
+        "{} {}",
+        retry_after(100),
+        retry_after(10)
+    );
 }
 
-/// Guards against an engine that is held because a page isn't asked for, and against memory that
+/// Guards against an engine that waits because no page is requested, and against memory that
 /// overflows.
 #[test]
-fn an_engine_is_read_ahead_as_far_as_was_promised_and_memory_takes() {
+fn read_ahead_is_limited_by_the_expected_size_and_the_free_memory() {
     let mut spool = Spool::new(BUDGET, 0);
-    spool.begin(1, ONE, 100 * KB, 0);
+    spool.begin(1, OWNER, 100 * KB, 0);
     assert_eq!(spool.read_ahead_bytes(1), 100 * KB);
     (0..10).for_each(|_| spool.add_page(1, 10 * KB, 0).unwrap());
     assert_eq!(
         spool.read_ahead_bytes(1),
-        MIN_AHEAD,
-        "more than was promised comes page by page"
+        MIN_READ_AHEAD,
+        "beyond the expected size, pages are requested one at a time"
     );
     spool.begin(
         2,
@@ -445,7 +454,7 @@
     assert_eq!(
         spool.read_ahead_bytes(2),
         206 * KB,
-        "half of the memory that is free"
+        "half of the free memory"
     );
     spool.end(1, true, 0);
     assert_eq!(spool.read_ahead_bytes(1), 0);
