--- a/crates/cli/tests/first_byte.rs
+++ b/crates/cli/tests/first_byte.rs
@@ -16,7 +16,12 @@
 fn behind_held(
     more: usize,
     change: impl Fn(&mut Value),
-) -> (common::standin::Bulletin, FullQueueEngine, Vec<Engine>, Running) {
+) -> (
+    common::standin::Bulletin,
+    FullQueueEngine,
+    Vec<Engine>,
+    Running,
+) {
     let (bulletin, others) = stand_ins(more);
     let held = Engine::with_full_queue().unwrap();
     let all: Vec<SocketAddr> = std::iter::once(held.engine.address())
--- a/crates/emulators/src/bulletin.rs
+++ b/crates/emulators/src/bulletin.rs
@@ -1,5 +1,5 @@
-//! The bulletin on a socket: numbered events of the list, to whoever reads, from the event on that
-//! it knows.
+//! The bulletin (service discovery) on a socket: sends the numbered events of the endpoint list to
+//! each gateway that watches it, from the last event on that the gateway has received.
 
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -17,49 +17,54 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
-/// How service discovery answers.
+/// How service discovery responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It answers.
+    /// It responds.
     Up,
-    /// Connections are refused, those that are open end.
+    /// Connections are refused, and open ones are closed.
     Down,
-    /// Connections come up and nothing is said on them.
+    /// Connections are accepted but nothing is sent.
     Silent,
 }
 
-/// Service discovery: tells gateways of engines, and remembers all that it told.
+/// Service discovery: sends the endpoint list to gateways and keeps all of its events.
 pub struct Bulletin {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    place: ReservedAddress,
-    /// The gateway that reads here, and where it is noted what it was told.
+    reserved_address: ReservedAddress,
+    /// The gateway that watches this bulletin, and the ledger in which the events sent to it are
+    /// recorded; `None` if they aren't.
     reader: Option<(SharedName, ledger::SharedLedger)>,
     events: RefCell<Vec<Value>>,
-    /// Events that were there when it could be reached last.
-    reachable: Cell<usize>,
-    told: watch::Sender<usize>,
-    mood: Cell<Availability>,
+    /// Number of events that existed when it was reachable for the last time.
+    reachable_events: Cell<usize>,
+    event_count: watch::Sender<usize>,
+    availability: Cell<Availability>,
     tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
 impl Bulletin {
-    /// Listens at an address, or one of the system's choice; `reader` is who reads it, where that
-    /// is kept.
+    /// Listens at the requested address, or at a port that the system chooses. `reader` is the
+    /// gateway that watches it and the ledger for the events sent to it, if they are recorded.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the address can't be bound.
     pub fn start(
-        wanted: Option<SocketAddr>,
+        requested: Option<SocketAddr>,
         reader: Option<(SharedName, ledger::SharedLedger)>,
     ) -> io::Result<Rc<Self>> {
-        let place = ReservedAddress::reserve(wanted)?;
-        let listener = place.listen()?;
+        let reserved_address = ReservedAddress::reserve(requested)?;
+        let listener = reserved_address.listen()?;
         let bulletin = Rc::new(Bulletin {
-            address: place.address,
-            place,
+            address: reserved_address.address,
+            reserved_address,
             reader,
             events: RefCell::new(Vec::new()),
-            reachable: Cell::new(0),
-            told: watch::Sender::new(0),
-            mood: Cell::new(Availability::Up),
+            reachable_events: Cell::new(0),
+            event_count: watch::Sender::new(0),
+            availability: Cell::new(Availability::Up),
             tasks: RefCell::new(Vec::new()),
         });
         bulletin.clone().serve(listener);
@@ -67,40 +72,41 @@
     }
 
     fn serve(self: Rc<Self>, listener: TcpListener) {
-        let own = self.clone();
+        let bulletin = self.clone();
         let task = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let task = spawn_local(own.clone().reader(stream));
-                own.tasks.borrow_mut().push(task);
+                let task = spawn_local(bulletin.clone().serve_watch(stream));
+                bulletin.tasks.borrow_mut().push(task);
             }
         });
         self.tasks.borrow_mut().push(task);
     }
 
-    /// The next event of the list; gives its number.
+    /// Appends an event to the list and returns its number. `whole`: the event contains the whole
+    /// list, not only changes.
     #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
     pub fn publish(&self, whole: bool, hosts: Vec<Value>) -> usize {
         let mut events = self.events.borrow_mut();
         let number = events.len() + 1;
         events
             .push(json!({"no": number, "roster": {"seq": number, "whole": whole, "hosts": hosts}}));
-        if self.mood.get() != Availability::Down {
-            self.reachable.set(number);
+        if self.availability.get() != Availability::Down {
+            self.reachable_events.set(number);
         }
-        self.told.send_replace(number);
+        self.event_count.send_replace(number);
         number
     }
 
-    /// What a gateway that starts now is told of the past: the list as it was when the bulletin
-    /// could be reached last.
+    /// The events that are part of the configuration of a gateway that starts now: those that
+    /// existed when the bulletin was reachable for the last time.
     pub fn snapshot(&self) -> Value {
         let events = self.events.borrow();
-        let reachable = self.reachable.get();
-        self.note(&events[..reachable]);
-        json!({"no": reachable, "items": events[..reachable]})
+        let reachable_events = self.reachable_events.get();
+        self.record_announced(&events[..reachable_events]);
+        json!({"no": reachable_events, "items": events[..reachable_events]})
     }
 
-    fn note(&self, events: &[Value]) {
+    fn record_announced(&self, events: &[Value]) {
         let Some((reader, ledger)) = &self.reader else {
             return;
         };
@@ -124,12 +130,12 @@
         }
     }
 
-    async fn reader(self: Rc<Self>, stream: TcpStream) {
-        // It ends when the other side has gone.
-        let _ = self.read(stream).await;
+    async fn serve_watch(self: Rc<Self>, stream: TcpStream) {
+        // An error means that the gateway has closed the connection.
+        let _ = self.stream_events(stream).await;
     }
 
-    async fn read(&self, stream: TcpStream) -> io::Result<()> {
+    async fn stream_events(&self, stream: TcpStream) -> io::Result<()> {
         let mut lines = BufReader::new(stream);
         let mut after = 0usize;
         loop {
@@ -142,17 +148,18 @@
             }
         }
         let mut stream = lines.into_inner();
-        let mut news = self.told.subscribe();
+        let mut updates = self.event_count.subscribe();
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
             .await?;
         loop {
-            if self.mood.get() == Availability::Up {
+            if self.availability.get() == Availability::Up {
                 let text: String = {
                     let events = self.events.borrow();
-                    self.note(&events[after.min(events.len())..]);
-                    let news = events.iter().enumerate().skip(after);
-                    news.map(|(at, event)| format!("id: {}\ndata: {event}\n\n", at + 1))
+                    self.record_announced(&events[after.min(events.len())..]);
+                    let new_events = events.iter().enumerate().skip(after);
+                    new_events
+                        .map(|(at, event)| format!("id: {}\ndata: {event}\n\n", at + 1))
                         .collect()
                 };
                 after = self.events.borrow().len();
@@ -164,25 +171,29 @@
                     })
                     .await?;
             }
-            // A comment comes each second.
-            let _ = timeout(Duration::from_secs(1), news.changed()).await;
+            // Without new events a comment is sent each second, which keeps the stream alive.
+            let _ = timeout(Duration::from_secs(1), updates.changed()).await;
         }
     }
 
-    /// Changes how it answers.
-    pub async fn set_availability(self: &Rc<Self>, mood: Availability) -> io::Result<()> {
-        let before = self.mood.replace(mood);
-        if mood == Availability::Down {
+    /// Changes how it responds.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if it can't listen at its address again.
+    pub async fn set_availability(self: &Rc<Self>, availability: Availability) -> io::Result<()> {
+        let before = self.availability.replace(availability);
+        if availability == Availability::Down {
             self.tasks
                 .borrow_mut()
                 .drain(..)
                 .for_each(|task| task.abort());
         } else if before == Availability::Down {
             tokio::task::yield_now().await;
-            self.clone().serve(self.place.listen()?);
+            self.clone().serve(self.reserved_address.listen()?);
         }
-        if mood != Availability::Down {
-            self.reachable.set(self.events.borrow().len());
+        if availability != Availability::Down {
+            self.reachable_events.set(self.events.borrow().len());
         }
         Ok(())
     }
--- a/crates/emulators/src/client.rs
+++ b/crates/emulators/src/client.rs
@@ -1,10 +1,10 @@
-//! Clients: one load of a scenario, at random times that come of its seed. Each answer is held
-//! against what was asked; what is wrong goes to the ledger.
+//! Clients: one load of a scenario, with requests at random times drawn from its seed. Each answer
+//! is compared with the request, and errors are recorded in the ledger.
 //!
-//! Each request goes to a gateway drawn anew, as behind a plain front, on a connection that is kept
-//! to it. Who is refused comes again by the advice, and who loses the connection comes again with
-//! the same key, as often as the scenario says; an unsafe request is never asked again after a
-//! loss.
+//! Each request is sent to a randomly chosen gateway, as behind a simple balancer, on a connection
+//! that stays open. A rejected request is retried after the advised time, and one whose connection
+//! was lost is retried with the same key, as often as the scenario says. An unsafe request is never
+//! retried after a lost connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,68 +29,78 @@
 use crate::scenario::{ClassSpec, LoadSpec, RetryTarget};
 use crate::scripted::{call, forget, parse_answer, Answer};
 
-mod lines;
+mod connections;
 
-/// Open requests on one connection, as the protocol allows.
-const MAX_OPEN: usize = 32;
-/// An answer that has not come so long after the client's wait never comes.
-const GRACE: Duration = Duration::from_secs(2);
-/// After a loss a client comes again within this time, at random.
-const COMES_BACK: (f64, f64) = (0.05, 0.5);
-/// How often and how long a client that comes again to the same gateway looks whether it is back.
-const LOOKS_EVERY: Duration = Duration::from_millis(50);
-const LOOKS_AGAIN: usize = 60;
-/// Who comes before the advice is over comes after this part of it.
-const HASTY: f64 = 0.3;
-/// Who comes after the window comes so long after it.
-const LATE: Duration = Duration::from_millis(500);
-/// A connection that isn't up by then goes to the next gateway.
-const CONNECTS_WITHIN: Duration = Duration::from_millis(500);
-/// How soon a client that thinks better of it takes its request back.
-const FORGETS_AFTER: Duration = Duration::from_millis(30);
+/// Maximum number of open requests on one connection, as in the protocol.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// How long after the client's timeout an answer may still arrive before it counts as missing.
+const ANSWER_GRACE: Duration = Duration::from_secs(2);
+/// Range of the random delay before a retry after a lost connection, in seconds.
+const RECONNECT_DELAY_S: (f64, f64) = (0.05, 0.5);
+/// How often a client that retries at the same gateway tries to connect until that has started
+/// again.
+const RECONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of these attempts.
+const RECONNECT_POLLS: usize = 60;
+/// Fraction of the advised time after which a hasty client retries.
+const HASTY_FRACTION: f64 = 0.3;
+/// How long after the class's window a late client retries.
+const LATE_DELAY: Duration = Duration::from_millis(500);
+/// Timeout for connecting to a gateway; then the next one is tried.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after which a client cancels a request, if it does.
+const CANCEL_DELAY: Duration = Duration::from_millis(30);
 
-/// Where gateways listen now, by name; what was killed has no place.
+/// Addresses of the gateways that are running, by name.
 pub type GatewayAddresses = Rc<RefCell<BTreeMap<String, SocketAddr>>>;
 
-struct Asked {
+/// A request, from its first to its last try.
+struct PendingRequest {
     /// New with every try.
     id: String,
+    /// The same for all tries.
     key: String,
+    /// Number of rows of its result.
     rows: u64,
+    /// Number of earlier tries.
     tries: u64,
+    /// Whether this try is marked as a retry.
     marked: bool,
     statement: String,
+    /// Work in milliseconds on one core.
     work: f64,
     memory_mb: f64,
 }
 
-/// How a try ended.
-enum End {
+/// The outcome of a try, as far as it decides on a retry.
+enum TryEnd {
+    /// With a result, an error, or cancelled: the request isn't retried.
     Final,
-    /// Refused, with the advice if there was one.
+    /// Rejected, with the advised time until a retry in milliseconds, if there was one.
     Refused(Option<u64>),
-    /// Its connection ended, or no answer came.
+    /// The connection was lost, or no answer arrived.
     Lost,
 }
 
-/// What is open on a connection: id, rows of its result, and who waits.
-type Open = (String, u64, oneshot::Sender<End>);
+/// An open request: its id, the number of rows of its result, and the channel to its task.
+type OpenRequest = (String, u64, oneshot::Sender<TryEnd>);
 
-struct Line {
+struct Connection {
     gateway: SharedName,
     write: tokio::sync::Mutex<OwnedWriteHalf>,
-    open: RefCell<BTreeMap<u64, Open>>,
-    next: Cell<u64>,
-    ended: Cell<bool>,
-    /// Taken back: an answer that was on its way is none too many.
-    forgotten: RefCell<BTreeSet<u64>>,
+    /// By the number of the call.
+    open_requests: RefCell<BTreeMap<u64, OpenRequest>>,
+    last_number: Cell<u64>,
+    is_closed: Cell<bool>,
+    /// Numbers of cancelled and timed-out calls, whose answers may still arrive.
+    cancelled: RefCell<BTreeSet<u64>>,
 }
 
-impl Line {
-    /// Nothing more comes: all that waits is told so.
-    fn end(&self) {
-        self.ended.set(true);
-        self.open.borrow_mut().clear();
+impl Connection {
+    /// Marks the connection as closed and notifies the tasks of all open requests.
+    fn close(&self) {
+        self.is_closed.set(true);
+        self.open_requests.borrow_mut().clear();
     }
 }
 
@@ -99,23 +109,24 @@
     spec: LoadSpec,
     class: ClassSpec,
     name: SharedName,
-    doors: GatewayAddresses,
+    gateways: GatewayAddresses,
     ledger: ledger::SharedLedger,
-    lines: RefCell<Vec<Rc<Line>>>,
+    connections: RefCell<Vec<Rc<Connection>>>,
     rng: RefCell<StdRng>,
-    turn: Cell<usize>,
+    /// Counter that distributes requests to connections in turn.
+    next_connection: Cell<usize>,
 }
 
-fn hex(id: &str) -> u64 {
+fn parse_id(id: &str) -> u64 {
     u64::from_str_radix(id, 16).unwrap_or_default()
 }
 
 impl Load {
-    /// Those that a scenario names; their random numbers come of the seed.
+    /// Creates the clients of a load. All random numbers are drawn from the seed.
     pub fn new(
         spec: LoadSpec,
         class: ClassSpec,
-        doors: GatewayAddresses,
+        gateways: GatewayAddresses,
         ledger: ledger::SharedLedger,
         seed: u64,
     ) -> Rc<Self> {
@@ -125,7 +136,7 @@
             .entry(spec.name.clone())
             .or_default();
         let rng = RefCell::new(StdRng::seed_from_u64(seed));
-        let (lines, turn, name) = (
+        let (connections, next_connection, name) = (
             RefCell::default(),
             Cell::default(),
             spec.name.as_str().into(),
@@ -134,64 +145,67 @@
             spec,
             class,
             name,
-            doors,
+            gateways,
             ledger,
-            lines,
+            connections,
             rng,
-            turn,
+            next_connection,
         })
     }
 
-    /// From `begin` to its end, and until all have their answers.
-    pub async fn run(self: Rc<Self>, began: Instant, until: Duration) {
-        let end = began + self.spec.end.unwrap_or(until).min(until);
-        let Ok(gaps) = Exp::new(self.spec.rate) else {
+    /// Sends requests from the load's begin to its end, at `until` at the latest, and waits until
+    /// all of them have ended. Times of the scenario are counted from `run_start`.
+    pub async fn run(self: Rc<Self>, run_start: Instant, until: Duration) {
+        let end = run_start + self.spec.end.unwrap_or(until).min(until);
+        let Ok(intervals) = Exp::new(self.spec.rate) else {
             return;
         };
-        let mut next = began + self.spec.begin;
-        let mut waiting = Vec::new();
+        let mut next_at = run_start + self.spec.begin;
+        let mut tasks = Vec::new();
         loop {
-            next += Duration::from_secs_f64(gaps.sample(&mut *self.rng.borrow_mut()).min(3600.0));
-            if next >= end {
+            next_at +=
+                Duration::from_secs_f64(intervals.sample(&mut *self.rng.borrow_mut()).min(3600.0));
+            if next_at >= end {
                 break;
             }
-            sleep_until(next).await;
-            let asked = self.draw();
-            waiting.push(spawn_local(self.clone().ask(asked)));
-            waiting.retain(|task| !task.is_finished());
+            sleep_until(next_at).await;
+            let request = self.draw_request();
+            tasks.push(spawn_local(self.clone().run_request(request)));
+            tasks.retain(|task| !task.is_finished());
         }
-        for task in waiting {
+        for task in tasks {
             let _ = task.await;
         }
     }
 
-    fn count(&self, what: impl FnOnce(&mut ledger::Answers)) {
+    fn update_answers(&self, update: impl FnOnce(&mut ledger::Answers)) {
         self.ledger
             .borrow_mut()
             .answers
             .entry(self.spec.name.clone())
-            .and_modify(what);
+            .and_modify(update);
     }
 
-    fn draw(&self) -> Asked {
+    fn draw_request(&self) -> PendingRequest {
         let mut rng = self.rng.borrow_mut();
         let median = self.spec.work.as_secs_f64() * 1e3;
-        let mut of = |median: f64| match LogNormal::new(median.max(1e-3).ln(), self.spec.spread) {
-            Ok(spread) => spread.sample(&mut *rng),
-            Err(_) => median,
-        };
-        let (work, memory_mb) = (of(median), of(self.spec.memory_mb));
+        let mut draw_around =
+            |median: f64| match LogNormal::new(median.max(1e-3).ln(), self.spec.spread) {
+                Ok(spread) => spread.sample(&mut *rng),
+                Err(_) => median,
+            };
+        let (work, memory_mb) = (draw_around(median), draw_around(self.spec.memory_mb));
         let key = match self.spec.keys {
             Some(keys) => format!("{:032x}", rng.random_range(0..keys)),
             None => format!("{:032x}", rng.random::<u128>()),
         };
         let (rows, group) = (self.spec.rows, rng.random_range(1..50));
-        let told = format!(
+        let hints = format!(
             "work={work:.1} ram={memory_mb:.1} rows={rows} threads={}",
             self.class.threads
         );
-        let statement = format!("SELECT * FROM sales_{group}.orders /* {told} */");
-        Asked {
+        let statement = format!("SELECT * FROM sales_{group}.orders /* {hints} */");
+        PendingRequest {
             id: String::new(),
             key,
             rows,
@@ -203,136 +217,155 @@
         }
     }
 
-    /// One request until its last try has ended.
+    /// Sends a request and retries it until its last try has ended.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    async fn ask(self: Rc<Self>, mut asked: Asked) {
+    async fn run_request(self: Rc<Self>, mut request: PendingRequest) {
         let (mut refusals, mut losses) = (0, 0);
-        let mut before: Option<SharedName> = None;
+        let mut previous_gateway: Option<SharedName> = None;
         loop {
-            self.count(|answers| answers.asked += 1);
-            asked.id = format!("{:016x}", self.rng.borrow_mut().random::<u64>());
-            let wanted = before
+            self.update_answers(|answers| answers.asked += 1);
+            request.id = format!("{:016x}", self.rng.borrow_mut().random::<u64>());
+            let retry_target = previous_gateway
                 .clone()
                 .filter(|_| losses > 0)
                 .map(|gateway| (gateway, self.spec.back));
-            let mut line = self.line(wanted.clone()).await;
-            // Who comes again to the same one waits until it is back.
-            let insists = matches!(wanted, Some((_, RetryTarget::Same)));
-            for _ in 0..if insists { LOOKS_AGAIN } else { 0 } {
-                if line.is_some() {
+            let mut connection = self.acquire_connection(retry_target.clone()).await;
+            // A client that retries at the same gateway waits until that has started again.
+            let waits_for_gateway = matches!(retry_target, Some((_, RetryTarget::Same)));
+            for _ in 0..if waits_for_gateway {
+                RECONNECT_POLLS
+            } else {
+                0
+            } {
+                if connection.is_some() {
                     break;
                 }
-                sleep(LOOKS_EVERY).await;
-                line = self.line(wanted.clone()).await;
+                sleep(RECONNECT_POLL_INTERVAL).await;
+                connection = self.acquire_connection(retry_target.clone()).await;
             }
-            let Some(line) = line else {
-                let (load, key) = (self.name.clone(), asked.key.as_str().into());
+            let Some(connection) = connection else {
+                let (load, key) = (self.name.clone(), request.key.as_str().into());
                 self.ledger
                     .borrow_mut()
                     .record_event(|| Event::NoGatewayReachable { load, key });
-                return self.count(|answers| answers.lost += 1);
+                return self.update_answers(|answers| answers.lost += 1);
             };
-            let end = self.one(&line, &asked).await;
-            let late = self.chance(self.spec.late);
+            let end = self.send_try(&connection, &request).await;
+            let is_late = self.draw_bool(self.spec.late);
             let pause = match end {
-                End::Final => return,
-                End::Refused(advice) => {
+                TryEnd::Final => return,
+                TryEnd::Refused(advice) => {
                     refusals += 1;
                     if refusals > self.spec.retries {
                         return;
                     }
                     let advice = Duration::from_millis(advice.unwrap_or(100));
-                    if self.chance(self.spec.hasty) {
-                        advice.mul_f64(HASTY)
+                    if self.draw_bool(self.spec.hasty) {
+                        advice.mul_f64(HASTY_FRACTION)
                     } else {
                         advice
                     }
                 }
-                End::Lost => {
+                TryEnd::Lost => {
                     losses += 1;
                     if losses > self.spec.returns || self.class.effect == "unsafe" {
                         return;
                     }
-                    let (least, most) = COMES_BACK;
-                    Duration::from_secs_f64(self.rng.borrow_mut().random_range(least..most))
+                    let (min_delay, max_delay) = RECONNECT_DELAY_S;
+                    Duration::from_secs_f64(
+                        self.rng.borrow_mut().random_range(min_delay..max_delay),
+                    )
                 }
             };
-            sleep(if late {
-                pause.max(self.class.window + LATE)
+            sleep(if is_late {
+                pause.max(self.class.window + LATE_DELAY)
             } else {
                 pause
             })
             .await;
-            before = Some(line.gateway.clone());
-            asked.tries += 1;
-            asked.marked = self.chance(self.spec.marked);
+            previous_gateway = Some(connection.gateway.clone());
+            request.tries += 1;
+            request.marked = self.draw_bool(self.spec.marked);
         }
     }
 
-    fn chance(&self, share: f64) -> bool {
-        share > 0.0 && self.rng.borrow_mut().random::<f64>() < share
+    fn draw_bool(&self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.borrow_mut().random::<f64>() < probability
     }
 
-    fn over(&self, id: &str, outcome: TryOutcome, advice: Option<u64>) {
+    fn record_try_end(&self, id: &str, outcome: TryOutcome, advice: Option<u64>) {
         self.ledger.borrow_mut().record_event(|| Event::TryEnded {
-            id: hex(id),
+            id: parse_id(id),
             outcome,
             advice,
         });
     }
 
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    async fn one(&self, line: &Line, asked: &Asked) -> End {
-        let number = line.next.get() + 1;
-        line.next.set(number);
+    async fn send_try(&self, connection: &Connection, request: &PendingRequest) -> TryEnd {
+        let number = connection.last_number.get() + 1;
+        connection.last_number.set(number);
         let (wait, work, ram) = (
             self.spec.wait.as_millis().to_string(),
-            format!("{:.1}", asked.work),
-            format!("{:.1}", asked.memory_mb),
+            format!("{:.1}", request.work),
+            format!("{:.1}", request.memory_mb),
         );
         let mut fields = vec![
-            ("i", asked.id.as_str()),
+            ("i", request.id.as_str()),
             ("d", &wait),
             ("t", &self.spec.tenant),
             ("h", &work),
             ("ram", &ram),
         ];
         if self.class.effect == "keyed" || self.spec.keys.is_some() {
-            fields.push(("k", &asked.key));
+            fields.push(("k", &request.key));
         }
-        if asked.marked {
+        if request.marked {
             fields.push(("r", "1"));
         }
         let bytes = call(
             number,
             &self.spec.class,
             &fields,
-            asked.statement.as_bytes(),
+            request.statement.as_bytes(),
         );
-        let (told, verdict) = oneshot::channel();
-        line.open
+        let (end_sender, try_end) = oneshot::channel();
+        connection
+            .open_requests
             .borrow_mut()
-            .insert(number, (asked.id.clone(), asked.rows, told));
+            .insert(number, (request.id.clone(), request.rows, end_sender));
         self.ledger.borrow_mut().record_event(|| {
             Event::TrySent(Try {
                 load: self.name.clone(),
                 class: self.spec.class.as_str().into(),
-                id: hex(&asked.id),
-                key: asked.key.as_str().into(),
-                gateway: line.gateway.clone(),
-                number: asked.tries,
-                marked: asked.marked,
+                id: parse_id(&request.id),
+                key: request.key.as_str().into(),
+                gateway: connection.gateway.clone(),
+                number: request.tries,
+                marked: request.marked,
                 wait: self.spec.wait.as_micros() as u64,
             })
         });
-        if line.write.lock().await.write_all(&bytes).await.is_err() {
-            line.end();
+        if connection
+            .write
+            .lock()
+            .await
+            .write_all(&bytes)
+            .await
+            .is_err()
+        {
+            connection.close();
         }
-        if self.chance(self.spec.forgets) {
-            sleep(FORGETS_AFTER).await;
-            if line.open.borrow_mut().remove(&number).is_some() {
-                line.forgotten.borrow_mut().insert(number);
-                if line
+        if self.draw_bool(self.spec.forgets) {
+            sleep(CANCEL_DELAY).await;
+            if connection
+                .open_requests
+                .borrow_mut()
+                .remove(&number)
+                .is_some()
+            {
+                connection.cancelled.borrow_mut().insert(number);
+                if connection
                     .write
                     .lock()
                     .await
@@ -340,33 +373,33 @@
                     .await
                     .is_err()
                 {
-                    line.end();
+                    connection.close();
                 }
-                self.count(|answers| answers.forgotten += 1);
-                self.over(&asked.id, TryOutcome::Forgotten, None);
-                return End::Final;
+                self.update_answers(|answers| answers.forgotten += 1);
+                self.record_try_end(&request.id, TryOutcome::Forgotten, None);
+                return TryEnd::Final;
             }
         }
-        match timeout(self.spec.wait + GRACE, verdict).await {
+        match timeout(self.spec.wait + ANSWER_GRACE, try_end).await {
             Ok(Ok(end)) => end,
-            // The connection ended first.
+            // The connection was lost before an answer arrived.
             Ok(Err(_)) => {
-                self.count(|answers| answers.lost += 1);
-                self.over(&asked.id, TryOutcome::ConnectionLost, None);
-                End::Lost
+                self.update_answers(|answers| answers.lost += 1);
+                self.record_try_end(&request.id, TryOutcome::ConnectionLost, None);
+                TryEnd::Lost
             }
             Err(_) => {
-                // An answer that comes after all is told from one that nothing waited for.
-                line.open.borrow_mut().remove(&number);
-                line.forgotten.borrow_mut().insert(number);
+                // A late answer must not count as one without a request.
+                connection.open_requests.borrow_mut().remove(&number);
+                connection.cancelled.borrow_mut().insert(number);
                 let mut ledger = self.ledger.borrow_mut();
                 if ledger.history.is_none() {
                     ledger.record_violation(format!("{}: no answer at all", self.spec.name));
                 }
                 drop(ledger);
-                self.count(|answers| answers.lost += 1);
-                self.over(&asked.id, TryOutcome::Unanswered, None);
-                End::Lost
+                self.update_answers(|answers| answers.lost += 1);
+                self.record_try_end(&request.id, TryOutcome::Unanswered, None);
+                TryEnd::Lost
             }
         }
     }
--- a/crates/emulators/src/cores.rs
+++ b/crates/emulators/src/cores.rs
@@ -1,26 +1,27 @@
-//! The inside of an engine, without I/O or clock: queries share cores by their rank, each up to its
-//! threads, and wait while the memory granted doesn't fit. Times are seconds.
+//! The model of an engine's execution, without I/O or clock: queries share the cores by rank, each
+//! up to its number of threads, and wait until their memory fits. Times are in seconds.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// A query that runs or waits.
+/// A query that is running or waiting.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
-    /// Work left, as time on one core.
+    /// Remaining work, in seconds on one core.
     pub work: f64,
-    /// Threads that it runs on.
+    /// Number of threads, the maximum number of cores that it can use.
     pub threads: f64,
-    /// What it holds while it runs.
+    /// Memory that it needs while it runs, in MB.
     pub memory_mb: f64,
-    /// Its part of contended cores doubles with each rank.
+    /// Priority: with each rank the query's weight doubles when cores are contended. Ranks above 8
+    /// count as 8.
     pub rank: u8,
 }
 
-/// Cores and memory that queries share.
+/// An engine's cores and memory, and the queries that share them.
 pub struct Cores {
     cores: f64,
     memory_mb: f64,
-    /// Runs at this part of its cores when it starts, and at all of them after the time.
+    /// Fraction of the cores available at `started_at`; it grows to 1 within `warm_within` seconds.
     cold_share: f64,
     warm_within: f64,
     started_at: f64,
@@ -30,7 +31,8 @@
 }
 
 impl Cores {
-    /// `cold`: the part of its capacity that it has now, and seconds until it has all of it.
+    /// Creates an idle engine. `cold` is the fraction of its capacity that is available now, and
+    /// the seconds until all of it is; `None` if all of it is available.
     pub fn new(cores: f64, memory_mb: f64, cold: Option<(f64, f64)>, now: f64) -> Self {
         let (cold_share, warm_within) = cold.unwrap_or((1.0, 0.0));
         let (running, waiting) = Default::default();
@@ -46,38 +48,39 @@
         }
     }
 
-    /// Cores' worth that is done in a second now.
+    /// Capacity at this time, in cores; less than the number of cores while the engine warms up.
     pub fn capacity(&self) -> f64 {
         let age = self.now - self.started_at;
-        let warm = if age >= self.warm_within {
+        let warm_fraction = if age >= self.warm_within {
             1.0
         } else {
             age / self.warm_within
         };
-        self.cores * (self.cold_share + (1.0 - self.cold_share) * warm)
+        self.cores * (self.cold_share + (1.0 - self.cold_share) * warm_fraction)
     }
 
-    /// Queries that run.
+    /// Number of running queries.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Queries that wait for memory.
+    /// Number of queries that wait for memory.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether one of them waits.
+    /// Whether a query waits for memory.
     pub fn is_waiting(&self, id: u64) -> bool {
-        self.waiting.iter().any(|(own, _)| *own == id)
+        self.waiting.iter().any(|(other_id, _)| *other_id == id)
     }
 
-    /// Memory that queries hold.
+    /// Memory of the running queries, in MB.
     pub fn granted_mb(&self) -> f64 {
         self.running.values().map(|query| query.memory_mb).sum()
     }
 
-    /// Threads that want a core, against what there is: over 1 all are slowed.
+    /// Threads of the running queries divided by the capacity; above 1 the queries slow each other
+    /// down.
     pub fn pressure(&self) -> f64 {
         self.running
             .values()
@@ -86,25 +89,25 @@
             / self.capacity()
     }
 
-    /// Takes a query in.
+    /// Adds a query, which starts at once if its memory fits.
     pub fn add(&mut self, id: u64, query: Query) {
         self.waiting.push_back((id, query));
         self.admit();
     }
 
-    /// Drops a query.
+    /// Removes a query, running or waiting.
     pub fn remove(&mut self, id: u64) {
         self.running.remove(&id);
-        self.waiting.retain(|(own, _)| *own != id);
+        self.waiting.retain(|(other_id, _)| *other_id != id);
         self.admit();
     }
 
-    /// Changes the priority of a query.
-    pub fn weigh(&mut self, id: u64, rank: u8) {
+    /// Changes the rank of a query.
+    pub fn set_rank(&mut self, id: u64, rank: u8) {
         let waiting = self
             .waiting
             .iter_mut()
-            .filter(|(own, _)| *own == id)
+            .filter(|(other_id, _)| *other_id == id)
             .map(|(_, query)| query);
         self.running
             .get_mut(&id)
@@ -113,7 +116,8 @@
             .for_each(|query| query.rank = rank);
     }
 
-    /// Who fits goes on, first come first; one alone always fits.
+    /// Starts waiting queries in their order of arrival while their memory fits. A query always
+    /// fits if none is running.
     fn admit(&mut self) {
         while let Some((_, query)) = self.waiting.front() {
             if !self.running.is_empty() && self.granted_mb() + query.memory_mb > self.memory_mb {
@@ -123,37 +127,39 @@
         }
     }
 
-    /// Cores' worth that each query gets: by weight, none more than its threads, what one leaves
-    /// goes to others.
+    /// Distributes the capacity to the running queries by weight. No query gets more cores than it
+    /// has threads; what it can't use is distributed to the others.
     fn shares(&self) -> Vec<(u64, f64)> {
-        let mut left: Vec<(u64, f64, f64)> = self
+        let mut unassigned: Vec<(u64, f64, f64)> = self
             .running
             .iter()
-            .map(|(id, q)| (*id, q.threads, f64::from(1u32 << q.rank.min(8))))
+            .map(|(id, query)| (*id, query.threads, f64::from(1u32 << query.rank.min(8))))
             .collect();
-        let (mut free, mut shares) = (self.capacity(), Vec::new());
+        let (mut free_cores, mut shares) = (self.capacity(), Vec::new());
         loop {
-            let weights: f64 = left.iter().map(|(_, _, weight)| weight).sum();
-            let (full, rest): (Vec<_>, Vec<_>) = left
+            let weights: f64 = unassigned.iter().map(|(_, _, weight)| weight).sum();
+            let (saturated, contending): (Vec<_>, Vec<_>) = unassigned
                 .into_iter()
-                .partition(|(_, threads, weight)| free * weight / weights >= *threads);
-            if full.is_empty() {
+                .partition(|(_, threads, weight)| free_cores * weight / weights >= *threads);
+            if saturated.is_empty() {
                 shares.extend(
-                    rest.into_iter()
-                        .map(|(id, _, weight)| (id, free * weight / weights)),
+                    contending
+                        .into_iter()
+                        .map(|(id, _, weight)| (id, free_cores * weight / weights)),
                 );
                 return shares;
             }
-            free -= full.iter().map(|(_, threads, _)| threads).sum::<f64>();
-            shares.extend(full.into_iter().map(|(id, threads, _)| (id, threads)));
-            left = rest;
+            free_cores -= saturated.iter().map(|(_, threads, _)| threads).sum::<f64>();
+            shares.extend(saturated.into_iter().map(|(id, threads, _)| (id, threads)));
+            unassigned = contending;
         }
     }
 
-    /// Goes on to a time; gives what has ended by then, in order. Step by step, so that what one
-    /// leaves is used by others and warming up counts.
+    /// Advances to a time and returns the queries that have completed, in order. This is done in
+    /// steps, so that capacity freed by one query is used by the others and warming up takes
+    /// effect.
     pub fn advance(&mut self, to: f64) -> Vec<u64> {
-        let mut ended = Vec::new();
+        let mut completed = Vec::new();
         while self.now < to {
             let step = self
                 .next()
@@ -166,29 +172,34 @@
                     .and_modify(|query| query.work -= share * step);
             }
             self.now += step;
-            let over = |query: &Query| query.work <= 1e-9;
-            let done: Vec<u64> = self
+            let is_finished = |query: &Query| query.work <= 1e-9;
+            let finished: Vec<u64> = self
                 .running
                 .iter()
-                .filter(|(_, q)| over(q))
+                .filter(|(_, query)| is_finished(query))
                 .map(|(id, _)| *id)
                 .collect();
-            for id in done {
+            for id in finished {
                 self.running.remove(&id);
-                ended.push(id);
+                completed.push(id);
             }
             self.admit();
         }
-        ended
+        completed
     }
 
-    /// When to look again: the next end, or a moment later while it warms up.
+    /// The time at which [`Cores::advance`] should be called next: when the next query completes,
+    /// or at most 50 ms from now while the engine warms up. `None` if nothing is running.
     pub fn next(&self) -> Option<f64> {
-        let ends = self.shares().into_iter().filter(|(_, share)| *share > 0.0);
-        let ends = ends.map(|(id, share)| self.now + self.running[&id].work / share);
-        let end = ends.min_by(f64::total_cmp)?;
-        let warms = self.now - self.started_at < self.warm_within;
-        Some(if warms { end.min(self.now + 0.05) } else { end })
+        let end_times = self.shares().into_iter().filter(|(_, share)| *share > 0.0);
+        let end_times = end_times.map(|(id, share)| self.now + self.running[&id].work / share);
+        let next_end = end_times.min_by(f64::total_cmp)?;
+        let is_warming_up = self.now - self.started_at < self.warm_within;
+        Some(if is_warming_up {
+            next_end.min(self.now + 0.05)
+        } else {
+            next_end
+        })
     }
 }
 
--- a/crates/emulators/src/cores/tests.rs
+++ b/crates/emulators/src/cores/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module, on small inputs.
+//! Guards against an engine model whose queries run faster or slower than their share allows.
 
 use super::*;
 
@@ -12,24 +12,32 @@
 }
 
 #[test]
-fn queries_run_side_by_side_and_share_what_there_is_by_rank() {
+fn concurrent_queries_share_the_cores_by_rank() {
     let mut engine = Cores::new(4.0, 1000.0, None, 0.0);
     (1..=4).for_each(|id| engine.add(id, query(1.0, 1.0, 10.0, 1)));
     assert_eq!(
         engine.advance(1.001),
         [1, 2, 3, 4],
-        "four on four cores take no longer than one"
+        "four queries on four cores take no longer than one"
     );
-    // Two of eight threads: ranks 1 and 2 share 4 cores one to two.
+    // Two queries of eight threads each: ranks 1 and 2 share 4 cores one to two.
     engine.add(5, query(8.0, 8.0, 10.0, 1));
     engine.add(6, query(8.0, 8.0, 10.0, 2));
     assert!(engine.advance(3.9).is_empty());
-    assert_eq!(engine.advance(4.1), [6], "8 over 8/3 cores is 3 s");
-    assert_eq!(engine.advance(5.1), [5], "then it has all four");
+    assert_eq!(
+        engine.advance(4.1),
+        [6],
+        "8 s of work on 8/3 cores take 3 s"
+    );
+    assert_eq!(
+        engine.advance(5.1),
+        [5],
+        "the remaining query has all four cores"
+    );
 }
 
 #[test]
-fn what_does_not_fit_into_memory_waits_and_a_cold_start_is_slow() {
+fn queries_wait_for_memory_and_a_cold_start_is_slow() {
     let mut engine = Cores::new(2.0, 100.0, Some((0.5, 10.0)), 0.0);
     engine.add(1, query(1.0, 1.0, 60.0, 1));
     engine.add(2, query(1.0, 1.0, 60.0, 1));
@@ -37,7 +45,7 @@
     assert_eq!(
         engine.advance(1.1),
         [1],
-        "one thread has the one core that is there when cold"
+        "one thread uses the one core that is available when cold"
     );
     assert!(!engine.is_waiting(2));
     engine.remove(2);
--- a/crates/emulators/src/engine.rs
+++ b/crates/emulators/src/engine.rs
@@ -1,4 +1,4 @@
-//! An engine on a socket: queries run side by side in [`Cores`]; faults are switched from outside.
+//! An engine on a socket: queries run concurrently in [`Cores`]; a scenario switches its faults.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -22,18 +22,20 @@
 mod faults;
 mod queries;
 
-/// Notes tell of queries this often.
+/// Interval of notes on active queries.
 const NOTE_PERIOD: Duration = Duration::from_millis(500);
-/// Answers that wait on one connection; who doesn't read more loses it.
-const MAX_ANSWERS: usize = 4096;
-const MAX_STATEMENT: usize = 1 << 20;
-const PAGE: usize = 6000;
-/// No query runs for longer, so what it could repeat is remembered for as long.
-const LONGEST_RUN: Duration = Duration::from_secs(60);
-/// A query that spills does this many times its work.
-const SPILLS: f64 = 1.5;
+/// Maximum number of queued answers on one connection; further ones are dropped.
+const MAX_QUEUED_ANSWERS: usize = 4096;
+const MAX_STATEMENT_BYTES: usize = 1 << 20;
+/// Maximum size of a page of rows, unless a single row is larger.
+const PAGE_BYTES: usize = 6000;
+/// Maximum time that a query is expected to run. Keys are remembered for this long after their
+/// window, since a write may begin within the window and end later.
+const MAX_QUERY_TIME: Duration = Duration::from_secs(60);
+/// Factor by which the work of a query grows if less memory is granted than it needs.
+const SPILL_FACTOR: f64 = 1.5;
 
-/// The engines that know each other's keyed requests.
+/// A group of engines that share the memory of idempotency keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Group {
     All,
@@ -41,142 +43,159 @@
     Cell(u64),
 }
 
-/// What all engines remember of keyed writes, by the group that shares it: when they took effect.
-/// It stands beside the data that was written, so no engine's end takes it away.
+/// The keys of writes that have taken effect, for all engines, by the group that shares them. They
+/// are stored with the data that was written, so that they outlive an engine's process.
 #[derive(Clone, Default)]
 pub struct KeyMemory(Rc<RefCell<Keys>>);
 
-/// By group and key: when it took effect, and how long that is remembered.
+/// By group and key: the time at which the write took effect, and the window in which a repeat is
+/// dropped.
 type Keys = HashMap<(Group, String), (Instant, Duration)>;
 
 impl KeyMemory {
-    /// Whether a write that began then is none that the group drops, as it knows of an effect whose
-    /// window had not passed by then; from now on the group remembers it.
+    /// Whether a write that began at `began` takes effect, and if so remembers its key. It doesn't
+    /// if the window of an earlier write with the same key hadn't passed when it began.
     fn is_new(&self, group: Group, key: &str, window: Duration, began: Instant) -> bool {
-        let mut known = self.0.borrow_mut();
-        known.retain(|_, (at, window)| at.elapsed() < *window + LONGEST_RUN);
-        let place = (group, key.to_string());
-        let new = known
-            .get(&place)
+        let mut entries = self.0.borrow_mut();
+        entries.retain(|_, (at, window)| at.elapsed() < *window + MAX_QUERY_TIME);
+        let entry_key = (group, key.to_string());
+        let is_new = entries
+            .get(&entry_key)
             .is_none_or(|(at, window)| *at + *window < began);
-        if new {
-            known.insert(place, (Instant::now(), window));
+        if is_new {
+            entries.insert(entry_key, (Instant::now(), window));
         }
-        new
+        is_new
     }
 }
 
-/// What its effect is known by, where it has one.
+/// How the effect of a write is identified.
 enum Effect {
-    /// A repeat within the window is dropped.
+    /// By its idempotency key: repeats within the window are dropped by the group.
     Keyed(String, Group, Duration),
+    /// By the id of the request, for writes without a key.
     Once(String),
 }
 
-struct Job {
+/// A query that is running or waiting for memory.
+struct ActiveQuery {
     connection: u64,
     id: String,
     began: Instant,
+    /// `None` for queries that only read.
     effect: Option<Effect>,
+    /// Work in milliseconds on one core.
     work: f64,
     memory_mb: f64,
+    /// Number of rows of its result.
     rows: u64,
-    error: bool,
+    /// It ends with an error.
+    fails: bool,
 }
 
 #[derive(Default)]
 struct Faults {
-    /// Nothing is read or done before.
-    stalled: Option<Instant>,
-    /// Nothing is written or accepted before.
-    silent: Option<Instant>,
-    errors: f64,
+    /// Until this time no query completes, no command is handled and no answer is written.
+    stalled_until: Option<Instant>,
+    /// Until this time no command is handled and no answer is written, while queries go on.
+    silent_until: Option<Instant>,
+    /// Fraction of queries that end with an error until `errors_until`.
+    error_share: f64,
     errors_until: Option<Instant>,
+    /// Until this time all new queries are answered with `BUSY`.
     busy_until: Option<Instant>,
 }
 
 struct State {
     cores: Cores,
-    jobs: HashMap<u64, Job>,
-    /// Pages of results that were served, by connection and id.
+    queries: HashMap<u64, ActiveQuery>,
+    /// Pages of completed results that can still be read, by connection and id.
     results: HashMap<(u64, String), Vec<String>>,
     connections: BTreeMap<u64, mpsc::Sender<String>>,
     tasks: Vec<JoinHandle<()>>,
     faults: Faults,
-    next: u64,
+    /// Last number given to a connection or a query.
+    last_number: u64,
     rng: rand::rngs::StdRng,
 }
 
-/// An engine that runs queries on a stated number of cores.
+/// An engine that runs queries on a given number of cores.
 pub struct Engine {
-    /// What the scenario says of it.
+    /// Its configuration in the scenario.
     pub spec: EngineSpec,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     name: SharedName,
-    place: ReservedAddress,
+    reserved_address: ReservedAddress,
     classes: Rc<Vec<ClassSpec>>,
-    remembered: KeyMemory,
+    key_memory: KeyMemory,
     ledger: ledger::SharedLedger,
+    /// The time from which the times of [`Cores`] are counted.
     began: Instant,
     state: RefCell<State>,
-    changed: Notify,
+    /// Wakes the task that runs the queries.
+    queries_changed: Notify,
 }
 
-fn passed(until: Option<Instant>) -> bool {
+fn has_passed(until: Option<Instant>) -> bool {
     until.is_none_or(|until| until <= Instant::now())
 }
 
 impl Engine {
-    /// Binds its address and serves from now on.
+    /// Starts the engine at its address. `seed` determines which queries fail while it is to answer
+    /// some with errors.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the address can't be bound.
     pub fn start(
         spec: EngineSpec,
         classes: Rc<Vec<ClassSpec>>,
-        remembered: KeyMemory,
+        key_memory: KeyMemory,
         ledger: ledger::SharedLedger,
         seed: u64,
     ) -> io::Result<Rc<Self>> {
-        let place = ReservedAddress::reserve(spec.listen)?;
-        let listener = place.listen()?;
+        let reserved_address = ReservedAddress::reserve(spec.listen)?;
+        let listener = reserved_address.listen()?;
         let rng = rand::SeedableRng::seed_from_u64(seed);
         let state = State {
             cores: Cores::new(spec.cores as f64, spec.memory_mb, None, 0.0),
-            jobs: HashMap::new(),
+            queries: HashMap::new(),
             results: HashMap::new(),
             connections: BTreeMap::new(),
             tasks: Vec::new(),
             faults: Faults::default(),
-            next: 0,
+            last_number: 0,
             rng,
         };
         let engine = Rc::new(Engine {
-            address: place.address,
+            address: reserved_address.address,
             name: spec.name.as_str().into(),
-            place,
+            reserved_address,
             spec,
             classes,
-            remembered,
+            key_memory,
             ledger,
             began: Instant::now(),
             state: RefCell::new(state),
-            changed: Notify::new(),
+            queries_changed: Notify::new(),
         });
-        // Its process has run for long: it is warm.
-        engine.note_state(Some(0));
+        // The engine counts as warm, as if its process had been running for a long time.
+        engine.record_process_event(Some(0));
         engine.clone().serve(listener);
         Ok(engine)
     }
 
-    fn note_state(&self, begins: Option<u64>) {
+    fn record_process_event(&self, begins: Option<u64>) {
         self.ledger.borrow_mut().record_event(|| Event::Engine {
             engine: self.name.clone(),
             begins,
         });
     }
 
-    /// A query is here no more.
-    fn left(&self, job: &Job, completed: bool) {
-        let id = u64::from_str_radix(&job.id, 16).unwrap_or_default();
+    /// Records that a query has completed, or ended without completing.
+    fn record_query_ended(&self, query: &ActiveQuery, completed: bool) {
+        let id = u64::from_str_radix(&query.id, 16).unwrap_or_default();
         self.ledger.borrow_mut().record_event(|| Event::QueryEnded {
             engine: self.name.clone(),
             id,
@@ -190,8 +209,8 @@
 
     fn serve(self: Rc<Self>, listener: TcpListener) {
         let accepting = spawn_local(self.clone().accept(listener));
-        let running = spawn_local(self.clone().work());
-        let noting = spawn_local(self.clone().note());
+        let running = spawn_local(self.clone().run_queries());
+        let noting = spawn_local(self.clone().send_notes());
         self.state
             .borrow_mut()
             .tasks
@@ -202,29 +221,30 @@
         while let Ok((stream, _)) = listener.accept().await {
             let number = {
                 let mut state = self.state.borrow_mut();
-                state.next += 1;
-                state.next
+                state.last_number += 1;
+                state.last_number
             };
-            let task = spawn_local(self.clone().connection(number, stream));
+            let task = spawn_local(self.clone().serve_connection(number, stream));
             let mut state = self.state.borrow_mut();
             state.tasks.retain(|task| !task.is_finished());
             state.tasks.push(task);
         }
     }
 
-    /// One connection until it ends, and with it what runs on it.
-    async fn connection(self: Rc<Self>, number: u64, stream: TcpStream) {
-        // What ends here ends with a reset, as that of a process that dies.
+    /// Serves a connection until it ends. Its queries are stopped then, unless the engine finishes
+    /// orphaned queries.
+    async fn serve_connection(self: Rc<Self>, number: u64, stream: TcpStream) {
+        // Closing sends a reset, as when a process is killed.
         let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         let _ = stream.set_nodelay(true);
-        let (sender, mut answers) = mpsc::channel(MAX_ANSWERS);
+        let (sender, mut answers) = mpsc::channel(MAX_QUEUED_ANSWERS);
         self.state.borrow_mut().connections.insert(number, sender);
         let (read, mut write) = stream.into_split();
         let mut read = BufReader::new(read);
-        let reading = async { while self.command(number, &mut read).await.is_ok() {} };
+        let reading = async { while self.handle_command(number, &mut read).await.is_ok() {} };
         let writing = async {
             while let Some(answer) = answers.recv().await {
-                self.unless_silent().await;
+                self.wait_while_silent().await;
                 if write.write_all(answer.as_bytes()).await.is_err() {
                     return;
                 }
@@ -237,34 +257,34 @@
         let mut state = self.state.borrow_mut();
         state.connections.remove(&number);
         state.results.retain(|(of, _), _| *of != number);
-        let gone: Vec<u64> = state
-            .jobs
+        let orphaned: Vec<u64> = state
+            .queries
             .iter()
-            .filter(|(_, job)| job.connection == number)
+            .filter(|(_, query)| query.connection == number)
             .map(|(at, _)| *at)
             .collect();
         if !self.spec.finishes_orphans {
-            for number in gone {
+            for number in orphaned {
                 state
-                    .jobs
+                    .queries
                     .remove(&number)
                     .into_iter()
-                    .for_each(|job| self.left(&job, false));
+                    .for_each(|query| self.record_query_ended(&query, false));
                 state.cores.remove(number);
             }
         }
-        self.changed.notify_one();
+        self.queries_changed.notify_one();
     }
 
-    async fn unless_silent(&self) {
+    async fn wait_while_silent(&self) {
         loop {
             let until = self
                 .state
                 .borrow()
                 .faults
-                .silent
-                .max(self.state.borrow().faults.stalled);
-            if passed(until) {
+                .silent_until
+                .max(self.state.borrow().faults.stalled_until);
+            if has_passed(until) {
                 return;
             }
             sleep(Duration::from_millis(20)).await;
@@ -272,7 +292,7 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    async fn command<R: AsyncBufReadExt + AsyncReadExt + Unpin>(
+    async fn handle_command<R: AsyncBufReadExt + AsyncReadExt + Unpin>(
         &self,
         connection: u64,
         read: &mut R,
@@ -288,25 +308,25 @@
                 .get(3)
                 .and_then(|word| word.parse().ok())
                 .ok_or(io::ErrorKind::InvalidData)?;
-            if length > MAX_STATEMENT {
+            if length > MAX_STATEMENT_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
             payload.resize(length + 2, 0);
             read.read_exact(&mut payload).await?;
             payload.truncate(length);
         }
-        self.unless_silent().await;
+        self.wait_while_silent().await;
         let id = words.get(1).copied().unwrap_or("").to_string();
         match words[0] {
-            "serve" => self.begin(connection, id, words[2], &payload),
+            "serve" => self.start_query(connection, id, words[2], &payload),
             "cancel" => {
                 let mut state = self.state.borrow_mut();
-                if let Some(number) = state.job_of(connection, &id) {
+                if let Some(number) = state.find_query(connection, &id) {
                     state
-                        .jobs
+                        .queries
                         .remove(&number)
                         .into_iter()
-                        .for_each(|job| self.left(&job, false));
+                        .for_each(|query| self.record_query_ended(&query, false));
                     state.cores.advance(self.now());
                     state.cores.remove(number);
                 }
@@ -314,8 +334,8 @@
             "weigh" => {
                 let rank = words.get(2).and_then(|word| word.parse().ok()).unwrap_or(1);
                 let mut state = self.state.borrow_mut();
-                if let Some(job) = state.job_of(connection, &id) {
-                    state.cores.weigh(job, rank);
+                if let Some(query) = state.find_query(connection, &id) {
+                    state.cores.set_rank(query, rank);
                 }
             }
             "read" => {
@@ -330,35 +350,36 @@
                     .and_then(|pages| pages.get(page));
                 match rows {
                     Some(rows) => {
-                        state.answer(connection, &id, "ROWS", &format!("pos={page}"), rows);
+                        state.send_answer(connection, &id, "ROWS", &format!("pos={page}"), rows);
                     }
-                    None => state.answer(connection, &id, "ERR", "-", ""),
+                    None => state.send_answer(connection, &id, "ERR", "-", ""),
                 }
             }
             "release" => _ = self.state.borrow_mut().results.remove(&(connection, id)),
             "gauges" | "health" => {
                 let state = self.state.borrow();
-                state.answer(connection, &id, "UP", &state.report(), "");
+                state.send_answer(connection, &id, "UP", &state.report(), "");
             }
             _ => {}
         }
-        self.changed.notify_one();
+        self.queries_changed.notify_one();
         Ok(())
     }
 }
 
 impl State {
-    fn job_of(&self, connection: u64, id: &str) -> Option<u64> {
-        let mut jobs = self.jobs.iter();
-        jobs.find(|(_, job)| job.connection == connection && job.id == id)
+    fn find_query(&self, connection: u64, id: &str) -> Option<u64> {
+        let mut queries = self.queries.iter();
+        queries
+            .find(|(_, query)| query.connection == connection && query.id == id)
             .map(|(number, _)| *number)
     }
 
-    fn answer(&self, connection: u64, id: &str, word: &str, fields: &str, payload: &str) {
+    fn send_answer(&self, connection: u64, id: &str, kind: &str, fields: &str, payload: &str) {
         if let Some(answers) = self.connections.get(&connection) {
-            // Who doesn't read for so long has gone.
+            // The queue is full only if the gateway has stopped reading.
             let _ = answers.try_send(format!(
-                "{id} {word} {fields} {}\r\n{payload}\r\n",
+                "{id} {kind} {fields} {}\r\n{payload}\r\n",
                 payload.len()
             ));
         }
@@ -374,23 +395,26 @@
     }
 }
 
-/// A figure that a statement tells in its comment, as in `/* work=80 ram=64 rows=4 */`.
-fn told(statement: &str, name: &str) -> Option<f64> {
+/// A number from the comment of a statement, such as `/* work=80 ram=64 rows=4 */`; `None` if it
+/// contains none of that name.
+fn statement_hint(statement: &str, name: &str) -> Option<f64> {
     let comment = statement.split("/*").nth(1)?.split("*/").next()?;
-    let pair = comment
-        .split_whitespace()
-        .find_map(|pair| pair.split_once('=').filter(|(own, _)| *own == name));
+    let pair = comment.split_whitespace().find_map(|pair| {
+        pair.split_once('=')
+            .filter(|(field_name, _)| *field_name == name)
+    });
     pair.and_then(|(_, value)| value.parse().ok())
 }
 
-/// Rows that tell whose they are, in pages of whole rows.
+/// The result of the request with this id, in pages of whole rows. Each row contains the id, so
+/// that clients can check that a result is theirs.
 pub fn pages(id: &str, rows: u64) -> Vec<String> {
     let mut pages = vec![String::new()];
     for number in 0..rows {
         let row = format!("{id}\t{number}\tokra\n");
         if pages
             .last()
-            .is_some_and(|page| page.len() + row.len() > PAGE)
+            .is_some_and(|page| page.len() + row.len() > PAGE_BYTES)
         {
             pages.push(String::new());
         }
--- a/crates/emulators/src/engine/faults.rs
+++ b/crates/emulators/src/engine/faults.rs
@@ -1,16 +1,16 @@
-//! Faults of an engine, as a scenario begins and ends them.
+//! Faults of an engine that a scenario can cause.
 
 use super::*;
 
 impl Engine {
-    /// The process ends: connections are reset, nobody listens.
+    /// Ends the process: connections are reset and new ones refused. Queries and results are lost.
     pub fn kill(&self) {
-        self.note_state(None);
+        self.record_process_event(None);
         let mut state = self.state.borrow_mut();
         state.tasks.drain(..).for_each(|task| task.abort());
         state.connections.clear();
-        for (_, job) in state.jobs.drain() {
-            self.left(&job, false);
+        for (_, query) in state.queries.drain() {
+            self.record_query_ended(&query, false);
         }
         state.results.clear();
         state.faults = Faults::default();
@@ -22,13 +22,18 @@
         );
     }
 
-    /// A new process at the same address, with nothing in its memory.
+    /// Starts a new process at the same address, without queries or results. It has 40% of its
+    /// capacity at first if its warm-up time isn't zero.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if it can't listen at its address.
     pub async fn restart(self: &Rc<Self>) -> io::Result<()> {
         self.kill();
-        // Those that were aborted give their sockets back first.
+        // Lets the aborted tasks close their sockets first.
         tokio::task::yield_now().await;
-        let listener = self.place.listen()?;
-        self.note_state(Some(self.spec.warm_up.as_micros() as u64));
+        let listener = self.reserved_address.listen()?;
+        self.record_process_event(Some(self.spec.warm_up.as_micros() as u64));
         let cold = Some((0.4, self.spec.warm_up.as_secs_f64())).filter(|(_, within)| *within > 0.0);
         {
             let mut state = self.state.borrow_mut();
@@ -43,30 +48,31 @@
         Ok(())
     }
 
-    /// Resets its connections.
+    /// Resets all connections; the process goes on.
     pub fn reset(&self) {
         self.state.borrow_mut().connections.clear();
     }
 
-    /// Stands still for a while.
-    pub fn stall(&self, lasts: Duration) {
-        self.state.borrow_mut().faults.stalled = Some(Instant::now() + lasts);
-        self.changed.notify_one();
+    /// Pauses the engine for a time: no query completes, no command is handled, nothing is sent.
+    pub fn stall(&self, duration: Duration) {
+        self.state.borrow_mut().faults.stalled_until = Some(Instant::now() + duration);
+        self.queries_changed.notify_one();
     }
 
-    /// Says nothing more for a while.
-    pub fn vanish(&self, lasts: Duration) {
-        self.state.borrow_mut().faults.silent = Some(Instant::now() + lasts);
+    /// Sends nothing and handles no command for a time, while connections stay open and queries go
+    /// on.
+    pub fn vanish(&self, duration: Duration) {
+        self.state.borrow_mut().faults.silent_until = Some(Instant::now() + duration);
     }
 
-    /// Answers a share of queries with errors for a while.
-    pub fn fail(&self, share: f64, lasts: Duration) {
+    /// Answers a fraction of new queries with errors for a time.
+    pub fn fail(&self, share: f64, duration: Duration) {
         let faults = &mut self.state.borrow_mut().faults;
-        (faults.errors, faults.errors_until) = (share, Some(Instant::now() + lasts));
+        (faults.error_share, faults.errors_until) = (share, Some(Instant::now() + duration));
     }
 
-    /// Answers all new queries busy for a while.
-    pub fn turn_away(&self, lasts: Duration) {
-        self.state.borrow_mut().faults.busy_until = Some(Instant::now() + lasts);
+    /// Answers all new queries with `BUSY` for a time.
+    pub fn turn_away(&self, duration: Duration) {
+        self.state.borrow_mut().faults.busy_until = Some(Instant::now() + duration);
     }
 }
--- a/crates/emulators/src/engine/queries.rs
+++ b/crates/emulators/src/engine/queries.rs
@@ -1,28 +1,32 @@
-//! Queries: begun, run side by side, and ended.
+//! Queries, from their start to their answer.
 
 use super::*;
 
 impl Engine {
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub(super) fn begin(&self, connection: u64, id: String, fields: &str, statement: &[u8]) {
+    pub(super) fn start_query(&self, connection: u64, id: String, fields: &str, statement: &[u8]) {
         use rand::Rng;
         let field = |name: &str| {
             fields
                 .split(',')
-                .find_map(|pair| pair.split_once('=').filter(|(own, _)| *own == name))
+                .find_map(|pair| {
+                    pair.split_once('=')
+                        .filter(|(field_name, _)| *field_name == name)
+                })
                 .map(|(_, v)| v)
         };
-        let told = |name: &str| told(&String::from_utf8_lossy(statement), name);
+        let statement_hint = |name: &str| statement_hint(&String::from_utf8_lossy(statement), name);
         let mut state = self.state.borrow_mut();
-        let busy = !passed(state.faults.busy_until) || state.jobs.len() >= self.spec.sessions;
+        let is_busy =
+            !has_passed(state.faults.busy_until) || state.queries.len() >= self.spec.sessions;
         *self
             .ledger
             .borrow_mut()
             .queries_started
             .entry(self.spec.name.clone())
-            .or_default() += !busy as u64;
-        if busy {
-            return state.answer(connection, &id, "BUSY", &state.report(), "");
+            .or_default() += !is_busy as u64;
+        if is_busy {
+            return state.send_answer(connection, &id, "BUSY", &state.report(), "");
         }
         let class = self
             .classes
@@ -41,28 +45,31 @@
             Some((_, "unsafe")) => Some(Effect::Once(id.clone())),
             _ => None,
         };
-        let (work, memory_mb) = (told("work").unwrap_or(50.0), told("ram").unwrap_or(32.0));
+        let (work, memory_mb) = (
+            statement_hint("work").unwrap_or(50.0),
+            statement_hint("ram").unwrap_or(32.0),
+        );
         let granted = field("heap")
             .and_then(|heap| heap.parse().ok())
             .filter(|heap: &f64| *heap > 0.0);
-        let spills = granted.is_some_and(|granted| granted < memory_mb);
+        let does_spill = granted.is_some_and(|granted| granted < memory_mb);
         let query = Query {
-            work: work / 1e3 * if spills { SPILLS } else { 1.0 },
-            threads: told("threads").unwrap_or(1.0),
+            work: work / 1e3 * if does_spill { SPILL_FACTOR } else { 1.0 },
+            threads: statement_hint("threads").unwrap_or(1.0),
             memory_mb: granted.unwrap_or(memory_mb),
             rank: field("order")
                 .and_then(|rank| rank.parse().ok())
                 .unwrap_or(1),
         };
-        let errors = if passed(state.faults.errors_until) {
+        let error_share = if has_passed(state.faults.errors_until) {
             0.0
         } else {
-            state.faults.errors
+            state.faults.error_share
         };
-        let error = state.rng.random::<f64>() < errors;
-        state.next += 1;
-        let number = state.next;
-        let rows = told("rows").unwrap_or(4.0) as u64;
+        let fails = state.rng.random::<f64>() < error_share;
+        state.last_number += 1;
+        let number = state.last_number;
+        let rows = statement_hint("rows").unwrap_or(4.0) as u64;
         state.cores.advance(self.now());
         state.cores.add(number, query);
         self.ledger
@@ -74,9 +81,9 @@
                 key: key.as_str().into(),
                 work: work / 1e3,
             });
-        state.jobs.insert(
+        state.queries.insert(
             number,
-            Job {
+            ActiveQuery {
                 connection,
                 id,
                 began: Instant::now(),
@@ -84,57 +91,57 @@
                 work,
                 memory_mb,
                 rows,
-                error,
+                fails,
             },
         );
     }
 
-    /// Ends queries when they are done.
-    pub(super) async fn work(self: Rc<Self>) {
+    /// Runs the queries and answers each one that completes.
+    pub(super) async fn run_queries(self: Rc<Self>) {
         loop {
-            let stalled = self.state.borrow().faults.stalled;
-            if !passed(stalled) {
-                sleep_until(stalled.unwrap_or_else(Instant::now)).await;
+            let stalled_until = self.state.borrow().faults.stalled_until;
+            if !has_passed(stalled_until) {
+                sleep_until(stalled_until.unwrap_or_else(Instant::now)).await;
                 continue;
             }
             let next = {
                 let mut state = self.state.borrow_mut();
                 for number in state.cores.advance(self.now()) {
-                    if let Some(job) = state.jobs.remove(&number) {
-                        self.end(&mut state, job);
+                    if let Some(query) = state.queries.remove(&number) {
+                        self.end_query(&mut state, query);
                     }
                 }
                 state.cores.next()
             };
             let until = next.map(|next| self.began + Duration::from_secs_f64(next));
-            let hour = Instant::now() + Duration::from_secs(3600);
+            let one_hour_from_now = Instant::now() + Duration::from_secs(3600);
             tokio::select! {
-                () = sleep_until(until.unwrap_or(hour)) => {}
-                () = self.changed.notified() => {}
+                () = sleep_until(until.unwrap_or(one_hour_from_now)) => {}
+                () = self.queries_changed.notified() => {}
             }
         }
     }
 
-    pub(super) fn end(&self, state: &mut State, job: Job) {
-        if job.error {
-            self.left(&job, false);
-            return state.answer(job.connection, &job.id, "ERR", &state.report(), "");
+    pub(super) fn end_query(&self, state: &mut State, query: ActiveQuery) {
+        if query.fails {
+            self.record_query_ended(&query, false);
+            return state.send_answer(query.connection, &query.id, "ERR", &state.report(), "");
         }
-        if let Some(effect) = &job.effect {
-            let (key, new) = match effect {
+        if let Some(effect) = &query.effect {
+            let (key, is_new) = match effect {
                 Effect::Keyed(key, group, window) => (
                     key,
-                    self.remembered
-                        .is_new(group.clone(), key, *window, job.began),
+                    self.key_memory
+                        .is_new(group.clone(), key, *window, query.began),
                 ),
                 Effect::Once(id) => (id, true),
             };
             let (engine, id) = (
                 self.name.clone(),
-                u64::from_str_radix(&job.id, 16).unwrap_or_default(),
+                u64::from_str_radix(&query.id, 16).unwrap_or_default(),
             );
             let mut ledger = self.ledger.borrow_mut();
-            if new {
+            if is_new {
                 ledger.record_effect(key, &self.spec.name);
                 ledger.record_event(|| Event::Effect {
                     engine,
@@ -149,32 +156,30 @@
                 });
             }
         }
-        self.left(&job, true);
-        let pages = pages(&job.id, job.rows);
-        let bill = format!("ticks={:.1},footprint={:.1}", job.work, job.memory_mb);
+        self.record_query_ended(&query, true);
+        let pages = pages(&query.id, query.rows);
+        let bill = format!("ticks={:.1},footprint={:.1}", query.work, query.memory_mb);
         let fields = format!("count={},{bill},{}", pages.len(), state.report());
-        state.answer(job.connection, &job.id, "OK", &fields, &pages[0]);
+        state.send_answer(query.connection, &query.id, "OK", &fields, &pages[0]);
         if pages.len() > 1 {
-            state.results.insert((job.connection, job.id), pages);
+            state.results.insert((query.connection, query.id), pages);
         }
     }
 
-    pub(super) async fn note(self: Rc<Self>) {
+    pub(super) async fn send_notes(self: Rc<Self>) {
         loop {
             sleep(NOTE_PERIOD).await;
-            self.unless_silent().await;
+            self.wait_while_silent().await;
             let state = self.state.borrow();
-            for (number, job) in &state.jobs {
-                let held = state.cores.is_waiting(*number);
-                let fields = if held {
+            for (number, query) in &state.queries {
+                let is_waiting = state.cores.is_waiting(*number);
+                let fields = if is_waiting {
                     "remark=held,reading=1"
                 } else {
                     "remark=share,reading=0.5"
                 };
-                state.answer(job.connection, &job.id, "NOTE", fields, "");
+                state.send_answer(query.connection, &query.id, "NOTE", fields, "");
             }
         }
     }
-
-    // ---- Faults ----
 }
--- a/crates/emulators/src/history.rs
+++ b/crates/emulators/src/history.rs
@@ -1,190 +1,193 @@
-//! What happened on all sides, by time: clients, engines, the bulletin, gateways' processes, links.
-//! It is kept only where somebody holds it against rules afterwards.
+//! The history of a run: events of clients, engines, the bulletin, gateways' processes and links,
+//! in the order of time. It is recorded only if it is checked against rules afterwards.
 
 use std::rc::Rc;
 
-/// Microseconds.
+/// Microseconds, as a duration or as Unix time.
 pub type Micros = u64;
-/// A name that many events share.
+/// A name of an engine, gateway, load or class, or an idempotency key. It is reference-counted,
+/// since many events contain the same one.
 pub type SharedName = Rc<str>;
 
-/// Entries that are kept; a run that needs more is too long to be checked and says so.
+/// Maximum number of events that are recorded. A run with more is too long to be checked, which is
+/// reported; see [`Ledger::events_not_kept`](crate::ledger::Ledger::events_not_kept).
 pub const MAX_EVENTS: usize = 4_000_000;
 
-/// One event.
+/// An entry of the history.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedEvent {
-    /// Unix microseconds.
+    /// Unix time.
     pub at: Micros,
-    /// The event.
+    /// What happened.
     pub event: Event,
 }
 
 /// One try of a request, as its client sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Try {
-    /// Its load.
+    /// The load that sent it.
     pub load: SharedName,
-    /// Its class.
+    /// The class of the request.
     pub class: SharedName,
-    /// Its own number.
+    /// The request's id on the wire, new with every try.
     pub id: u64,
-    /// Its key, in classes that have one; else a number of its own that all its tries share.
+    /// The idempotency key, the same for all tries of a request. In classes without keys it isn't
+    /// sent and only connects the tries.
     pub key: SharedName,
-    /// The gateway that it was sent to.
+    /// The gateway to which it was sent.
     pub gateway: SharedName,
-    /// From 0 on.
+    /// Number of the try, from 0.
     pub number: u64,
-    /// It says that it is a retry.
+    /// Whether it is marked as a retry (field `r`).
     pub marked: bool,
-    /// How long its client waits.
+    /// The client's timeout.
     pub wait: Micros,
 }
 
 /// How a try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TryOutcome {
-    /// With its result.
+    /// The result arrived.
     Served,
-    /// It was refused.
+    /// The gateway rejected it with `TryLater`.
     Refused,
-    /// It failed.
+    /// The gateway answered with another error.
     Failed,
-    /// Its client took it back.
+    /// The client cancelled it.
     Forgotten,
-    /// Its connection ended first.
+    /// The connection was lost before an answer arrived.
     ConnectionLost,
-    /// Nothing came until long after its time.
+    /// No answer arrived until 2 s after the client's timeout.
     Unanswered,
 }
 
-/// What becomes of a gateway's process.
+/// A change in the state of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessChange {
-    /// It listens, for the n-th time under its name.
+    /// It listens; contains the number of starts under its name so far, from 1.
     Started(usize),
-    /// It was killed.
+    /// It was ended with SIGKILL.
     Killed,
-    /// It was asked to end.
+    /// It was asked to stop, with SIGTERM.
     Stopping,
-    /// It ended by itself.
+    /// It exited.
     Ended,
-    /// It was made to stand still.
+    /// It was paused, with SIGSTOP.
     Paused,
-    /// It goes on.
+    /// It was continued, with SIGCONT.
     Continued,
 }
 
-/// What happened.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client asked.
+    /// A client sent a request.
     TrySent(Try),
-    /// A try ended.
+    /// A client stopped waiting for a try, for one of the reasons in [`TryOutcome`].
     TryEnded {
-        /// The number of the try.
+        /// The id of the try.
         id: u64,
-        /// How.
+        /// How it ended.
         outcome: TryOutcome,
-        /// Milliseconds that a refusal says to stay away.
+        /// The advice in a rejection: milliseconds after which the client may retry.
         advice: Option<u64>,
     },
-    /// No gateway could be reached: the try was never sent.
+    /// No gateway could be reached, so that the try was never sent.
     NoGatewayReachable {
-        /// The load.
+        /// The load whose client tried to connect.
         load: SharedName,
-        /// Its key.
+        /// The key of the request.
         key: SharedName,
     },
-    /// An answer that nothing waited for, or a second one.
+    /// A client received an answer for which it has no open request, such as a second one.
     UnexpectedAnswer {
-        /// The load.
+        /// The load whose client received it.
         load: SharedName,
-        /// The gateway.
+        /// The gateway that sent it.
         gateway: SharedName,
     },
-    /// A result that no engine made for it.
+    /// A client received a result that differs from the one that engines produce for its request.
     WrongResult {
-        /// The number of the try.
+        /// The id of the try.
         id: u64,
     },
-    /// An engine began a query.
+    /// An engine started a query.
     QueryStarted {
-        /// The engine.
+        /// The engine that runs the query.
         engine: SharedName,
-        /// The number of the try.
+        /// The id of the try.
         id: u64,
         /// The class of its request.
         class: SharedName,
-        /// Its key.
+        /// The key of the request, or the id if it was sent without a key.
         key: SharedName,
-        /// Seconds on one core.
+        /// Work in seconds on one core.
         work: f64,
     },
-    /// A query is no more: done, or ended with an error, cancelled or with its process.
+    /// A query ended: it completed, failed, was cancelled, or its connection or process ended.
     QueryEnded {
-        /// The engine.
+        /// The engine that ran the query.
         engine: SharedName,
-        /// The number of the try.
+        /// The id of the try.
         id: u64,
-        /// Whether it was done.
+        /// Whether the query ran to its end without an error.
         completed: bool,
     },
-    /// A write took effect.
+    /// A write took effect on an engine.
     Effect {
-        /// The engine.
+        /// The engine that ran the write.
         engine: SharedName,
-        /// The number of the try.
+        /// The id of the try.
         id: u64,
-        /// Its key.
+        /// The key of the request, or the id if it was sent without a key.
         key: SharedName,
     },
-    /// A repeat that the engine dropped.
+    /// An engine dropped a repeated write, because its key was remembered.
     RepeatDropped {
-        /// The engine.
+        /// The engine that received the repeat.
         engine: SharedName,
-        /// The number of the try.
+        /// The id of the try.
         id: u64,
-        /// Its key.
+        /// The key of the request, or the id if it was sent without a key.
         key: SharedName,
     },
-    /// An engine's process began or ended.
+    /// An engine's process started or ended.
     Engine {
-        /// The engine.
+        /// The engine whose process it is.
         engine: SharedName,
-        /// It began now, and is warm after so long; nothing: it ended.
+        /// If it started, the time until it has all of its capacity; `None` if it ended.
         begins: Option<Micros>,
     },
-    /// The bulletin wrote to a gateway what has become of an engine.
+    /// The bulletin sent the state of an engine to a gateway.
     EngineAnnounced {
-        /// The gateway.
+        /// The gateway that watches the bulletin.
         gateway: SharedName,
-        /// The engine.
+        /// The engine in the event of the endpoint list.
         engine: SharedName,
-        /// What was told of it.
+        /// `up`, `draining` or `removed`.
         health: &'static str,
     },
-    /// A gateway's process changed.
+    /// The state of a gateway's process changed.
     Gateway {
-        /// The gateway.
+        /// The gateway whose process it is.
         gateway: SharedName,
-        /// How.
+        /// What became of the process.
         change: ProcessChange,
     },
-    /// A fault of a link begins or ends.
+    /// A fault of a link began or ended.
     Link {
-        /// The link's one end.
+        /// The end of the link that opens connections.
         from: SharedName,
-        /// The link's other end.
+        /// The end of the link that accepts connections.
         to: SharedName,
-        /// The fault.
+        /// The name of the fault, such as `cut` or `delay`.
         fault: &'static str,
-        /// Whether it begins.
+        /// Whether it began.
         begins: bool,
     },
-    /// Something else that the rig did, in words.
+    /// Another action of the fleet test.
     Other {
-        /// What it did.
+        /// A description of the action.
         text: String,
     },
 }
--- a/crates/emulators/src/ledger.rs
+++ b/crates/emulators/src/ledger.rs
@@ -1,4 +1,5 @@
-//! What was asked, answered and done, held against the rules.
+//! Counts requests, answers and effects of one run of a scenario, and violations of rules that are
+//! detected at once.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -9,89 +10,91 @@
 
 use crate::history::{Event, TimedEvent, MAX_EVENTS};
 
-/// What the clients of a load were answered.
+/// Numbers of requests of a load by their outcomes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
-    /// Requests.
+    /// Requests sent, each retry counted anew.
     pub asked: u64,
-    /// Those with their result.
+    /// Requests answered with their result.
     pub served: u64,
-    /// Those that were refused.
+    /// Requests rejected with `TryLater`.
     pub refused: u64,
-    /// Those that failed.
+    /// Requests answered with any other error.
     pub failed: u64,
-    /// Its connection ended first.
+    /// Requests without an answer: the connection was lost, no answer arrived in time, or no
+    /// gateway could be reached.
     pub lost: u64,
-    /// Taken back by its client.
+    /// Requests that the client cancelled.
     pub forgotten: u64,
-    /// Of the refused, those that said when to come back.
+    /// Rejected requests whose answer contained advice when to retry.
     pub advised: u64,
 }
 
 impl std::iter::Sum for Answers {
     fn sum<I: Iterator<Item = Answers>>(all: I) -> Self {
-        all.fold(Answers::default(), |sum, own| Answers {
-            asked: sum.asked + own.asked,
-            served: sum.served + own.served,
-            refused: sum.refused + own.refused,
-            failed: sum.failed + own.failed,
-            lost: sum.lost + own.lost,
-            forgotten: sum.forgotten + own.forgotten,
-            advised: sum.advised + own.advised,
+        all.fold(Answers::default(), |sum, answers| Answers {
+            asked: sum.asked + answers.asked,
+            served: sum.served + answers.served,
+            refused: sum.refused + answers.refused,
+            failed: sum.failed + answers.failed,
+            lost: sum.lost + answers.lost,
+            forgotten: sum.forgotten + answers.forgotten,
+            advised: sum.advised + answers.advised,
         })
     }
 }
 
-/// Turns this process's clock into Unix time, once: it doesn't step within a run.
+/// The start of a run by both clocks, so that times of the monotonic clock can be converted to Unix
+/// time that doesn't step within the run.
 #[derive(Clone, Copy, Debug)]
-struct Began {
+struct RunStart {
     instant: Instant,
-    unix: u64,
+    unix_us: u64,
 }
 
-impl Default for Began {
+impl Default for RunStart {
     fn default() -> Self {
-        let unix = SystemTime::now()
+        let unix_us = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_micros() as u64;
-        Began {
+        RunStart {
             instant: Instant::now(),
-            unix,
+            unix_us,
         }
     }
 }
 
-/// All that is counted of one run.
+/// All counts of one run of a scenario.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    began: Began,
-    /// What happened, where it is kept.
+    run_start: RunStart,
+    /// The recorded events, or `None` if none are recorded.
     pub history: Option<Vec<TimedEvent>>,
-    /// Entries that there was no room for.
+    /// Events that weren't recorded because there were [`MAX_EVENTS`] already.
     pub events_not_kept: u64,
-    /// By load.
+    /// Outcomes of requests, by the name of the load.
     pub answers: BTreeMap<String, Answers>,
-    /// How often a write took effect, by its key or id.
+    /// How often a write took effect, by its idempotency key or its id.
     effects: HashMap<String, u32>,
-    /// What broke a rule, in words.
+    /// Descriptions of the first violations.
     pub violations: Vec<String>,
-    /// How many broke one; the words of the first are kept.
+    /// Number of all violations.
     pub violation_count: u64,
-    /// Queries begun, by engine.
+    /// Number of queries started, by the name of the engine.
     pub queries_started: BTreeMap<String, u64>,
 }
 
-/// Words of so many broken rules are kept.
-const MAX_WORDS: usize = 50;
+/// Maximum number of violations whose descriptions are kept.
+const MAX_VIOLATION_TEXTS: usize = 50;
 
 impl Ledger {
-    /// Unix microseconds.
+    /// The current Unix time in microseconds.
     pub fn now(&self) -> u64 {
-        self.began.unix + self.began.instant.elapsed().as_micros() as u64
+        self.run_start.unix_us + self.run_start.instant.elapsed().as_micros() as u64
     }
 
-    /// Keeps an event, where events are kept and there is room.
+    /// Records an event, if events are recorded.
     pub fn record_event(&mut self, event: impl FnOnce() -> Event) {
         let at = self.now();
         let Some(history) = &mut self.history else {
@@ -104,30 +107,30 @@
         }
     }
 
-    /// Counts a broken rule, in words.
-    pub fn record_violation(&mut self, what: String) {
+    /// Counts a violation of a rule and keeps its description.
+    pub fn record_violation(&mut self, text: String) {
         self.violation_count += 1;
-        if self.violations.len() < MAX_WORDS {
-            self.violations.push(what);
+        if self.violations.len() < MAX_VIOLATION_TEXTS {
+            self.violations.push(text);
         }
     }
 
-    /// A write took effect; a second time breaks a rule.
+    /// Counts that a write took effect. The second time is a violation.
     pub fn record_effect(&mut self, key: &str, engine: &str) {
-        let times = self.effects.entry(key.to_string()).or_default();
-        *times += 1;
-        if *times == 2 {
+        let count = self.effects.entry(key.to_string()).or_default();
+        *count += 1;
+        if *count == 2 {
             self.record_violation(format!(
                 "{key} took effect twice, the second time at {engine}"
             ));
         }
     }
 
-    /// Answers of all loads.
+    /// The sum over all loads.
     pub fn total(&self) -> Answers {
         self.answers.values().copied().sum()
     }
 }
 
-/// The ledger that all parts of a run share.
+/// A ledger that all parts of a run share.
 pub type SharedLedger = Rc<RefCell<Ledger>>;
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,11 +1,11 @@
-//! Stand-ins for what is round a gateway, from the protocol's words, on loopback: engines, the
-//! bulletin, clients.
+//! Emulators of the systems around a gateway, which speak its protocols on loopback: engines, the
+//! bulletin (service discovery), clients.
 //!
-//! [`scripted`] has single ends of connections that a test moves by hand. The others are the parts
-//! of a [`scenario`], which the package `fleet-test` plays: engines that run queries side by side
-//! on a stated number of cores ([`cores`]), a bulletin, clients. What clients were answered and
-//! engines have done is counted in [`ledger`] and, where it is held against rules, kept in a
-//! [`history`].
+//! [`scripted`] contains single connections that a test controls step by step. The other modules
+//! are the parts of a [`scenario`], which the package `fleet-test` plays: engines that run queries
+//! concurrently on a given number of cores ([`cores`]), a bulletin, and clients. The answers to
+//! clients and the work of engines are counted in a [`ledger`] and, if they are to be checked
+//! afterwards, recorded in a [`history`].
 
 pub mod bulletin;
 pub mod client;
--- a/crates/emulators/src/reserved_address.rs
+++ b/crates/emulators/src/reserved_address.rs
@@ -1,5 +1,5 @@
-//! An address that stays this process's own while nobody listens on it: what was killed starts
-//! again there, and no other socket of the machine can have been given its port meanwhile.
+//! Keeps an address reserved while nothing listens at it, so that a process that was killed can
+//! start again at the same address: meanwhile the system gives the port to no other socket.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,18 +7,18 @@
 use socket2::{Domain, SockAddr, Socket, Type};
 use tokio::net::TcpListener;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// A listening place that can close and open again.
+/// An address at which a process can stop listening and start again.
 pub struct ReservedAddress {
-    /// Bound and never listening: it only holds the port.
-    _held: Socket,
-    /// Where it is.
+    /// Bound but never listening: it only reserves the port.
+    _reserving_socket: Socket,
+    /// The reserved address.
     pub address: SocketAddr,
 }
 
-fn bound(address: SocketAddr) -> io::Result<Socket> {
+fn bind_reusable(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&SockAddr::from(address))?;
@@ -26,22 +26,31 @@
 }
 
 impl ReservedAddress {
-    /// The address that is wanted, or a port that the system chooses.
-    pub fn reserve(wanted: Option<SocketAddr>) -> io::Result<Self> {
-        let held = bound(wanted.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))))?;
-        let address = held
+    /// Reserves the requested address, or a port on loopback that the system chooses.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the address can't be bound.
+    pub fn reserve(requested: Option<SocketAddr>) -> io::Result<Self> {
+        let reserving_socket =
+            bind_reusable(requested.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))))?;
+        let address = reserving_socket
             .local_addr()?
             .as_socket()
             .ok_or(io::ErrorKind::AddrNotAvailable)?;
         Ok(ReservedAddress {
-            _held: held,
+            _reserving_socket: reserving_socket,
             address,
         })
     }
 
-    /// Listens from now on, until what it gives is dropped.
+    /// Listens until the returned listener is dropped.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the address can't be bound or listened at.
     pub fn listen(&self) -> io::Result<TcpListener> {
-        let socket = bound(self.address)?;
+        let socket = bind_reusable(self.address)?;
         socket.listen(BACKLOG)?;
         socket.set_nonblocking(true)?;
         TcpListener::from_std(socket.into())
--- a/crates/emulators/src/scenario.rs
+++ b/crates/emulators/src/scenario.rs
@@ -1,4 +1,5 @@
-//! Scenarios: a script in the line-based form says what there is and what goes wrong when.
+//! Scenarios: text files in the line-based configuration syntax that define the parts of a run, and
+//! the faults that are caused at given times.
 
 use eideryard_config_syntax::{ConfigError, Directive, Setting, Value, ValueKind};
 use std::net::{IpAddr, SocketAddr};
@@ -21,7 +22,12 @@
 }
 
 impl Scenario {
-    /// Reads its text; `file` is named where something is wrong.
+    /// Parses the text of a scenario. `file` is the name that errors contain.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first error: an unknown directive, an invalid value, or a name that the scenario
+    /// doesn't define.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
     pub fn read(file: &str, text: &str) -> Result<Self, ConfigError> {
         let settings =
@@ -66,36 +72,39 @@
         let mut loads = Vec::new();
         for setting in all("load") {
             let load = load(setting)?;
-            let known = |what: &str, name: &str, names: Vec<&str>| {
-                if names.contains(&name) {
+            let check_name = |kind: &str, name: &str, known_names: Vec<&str>| {
+                if known_names.contains(&name) {
                     Ok(())
                 } else {
-                    let what = format!(
-                        "load '{}' has {what} '{name}', which is not there",
+                    let message = format!(
+                        "load '{}' uses the {kind} '{name}', which the scenario doesn't define",
                         load.name
                     );
                     Err(ConfigError::new(
                         setting.location.clone(),
-                        &what,
-                        &format!("there are: {}", names.join(", ")),
+                        &message,
+                        &format!("expected one of: {}", known_names.join(", ")),
                     ))
                 }
             };
-            known(
+            check_name(
                 "class",
                 &load.class,
                 classes.iter().map(|class| class.name.as_str()).collect(),
             )?;
-            known(
+            check_name(
                 "tenant",
                 &load.tenant,
                 tenants.iter().map(|(name, _)| name.as_str()).collect(),
             )?;
             if let Some(gateway) = &load.gateway {
-                known(
+                check_name(
                     "gateway",
                     gateway,
-                    gateways.iter().map(|own| own.name.as_str()).collect(),
+                    gateways
+                        .iter()
+                        .map(|gateway| gateway.name.as_str())
+                        .collect(),
                 )?;
             }
             loads.push(load);
@@ -103,7 +112,7 @@
         let mut steps = Vec::new();
         for setting in all("at") {
             let step = step(setting);
-            let names: Vec<&str> = match step.action {
+            let known_names: Vec<&str> = match step.action {
                 "bulletin" => vec!["up", "down", "silent"],
                 "power-loss" => Vec::new(),
                 action if action.starts_with("link-") => {
@@ -128,12 +137,12 @@
             if let Some(name) = step
                 .names
                 .iter()
-                .find(|name| !names.contains(&name.as_str()))
+                .find(|name| !known_names.contains(&name.as_str()))
             {
-                let hint = format!("there are: {}", names.join(", "));
+                let hint = format!("expected one of: {}", known_names.join(", "));
                 return Err(ConfigError::new(
                     setting.location.clone(),
-                    &format!("'{name}' is not there"),
+                    &format!("the scenario doesn't define '{name}'"),
                     &hint,
                 ));
             }
@@ -163,7 +172,7 @@
 
 fn engine(setting: &Setting, name: String) -> EngineSpec {
     let value = |name: &str| setting.inner_value(name);
-    let text = |name: &str, usual: &str| value(name).map_or(usual, Value::text).to_string();
+    let text = |name: &str, default: &str| value(name).map_or(default, Value::text).to_string();
     EngineSpec {
         name,
         listen: value("listen").and_then(address),
@@ -174,7 +183,7 @@
         kind: text("kind", "std"),
         zone: text("zone", "here"),
         cell: value("cell").map_or(0, Value::number),
-        finishes_orphans: value("orphans").is_some_and(|what| what.text() == "finish"),
+        finishes_orphans: value("orphans").is_some_and(|value| value.text() == "finish"),
     }
 }
 
@@ -186,7 +195,7 @@
         name: setting.values[0].text().to_string(),
         effect: effects
             .into_iter()
-            .find(|own| *own == effect)
+            .find(|name| *name == effect)
             .unwrap_or("safe"),
         aim: value("aim").map_or(Duration::from_secs(1), time),
         threads: value("threads").map_or(1, Value::number),
@@ -219,17 +228,17 @@
 
 fn load(setting: &Setting) -> Result<LoadSpec, ConfigError> {
     let value = |name: &str| setting.inner_value(name);
-    let text = |name: &str, usual: &str| value(name).map_or(usual, Value::text).to_string();
+    let text = |name: &str, default: &str| value(name).map_or(default, Value::text).to_string();
     let from = text("from", "127.0.0.1");
     let from: IpAddr = match from.parse() {
         Ok(IpAddr::V4(from)) if from.is_loopback() => from.into(),
         _ => {
-            let place = setting
+            let location = setting
                 .inner("from")
                 .map_or(setting.location.clone(), |from| from.location.clone());
             return Err(ConfigError::new(
-                place,
-                &format!("'{from}' can't be used"),
+                location,
+                &format!("'{from}' is not an IPv4 loopback address"),
                 "expected one of 127.0.0.0/8",
             ));
         }
--- a/crates/emulators/src/scenario/directives.rs
+++ b/crates/emulators/src/scenario/directives.rs
@@ -1,4 +1,4 @@
-//! The directives of a scenario, as tables.
+//! The tables of a scenario's directives, with their defaults and descriptions.
 
 use super::*;
 
@@ -19,7 +19,7 @@
         "listen",
         &[ValueKind::Address],
         "a port of the system",
-        "Where it listens.",
+        "Address at which it listens.",
     ),
     Directive::new(
         "cores",
@@ -28,13 +28,13 @@
             most: 1024,
         }],
         "8",
-        "Cores that its queries share.",
+        "Number of cores, shared by its queries.",
     ),
     Directive::new(
         "memory",
         &[ANY_SIZE],
         "16GB",
-        "Memory that queries hold together.",
+        "Memory for all running queries together.",
     ),
     Directive::new(
         "sessions",
@@ -43,16 +43,26 @@
             most: 1 << 20,
         }],
         "512",
-        "Queries at once; more are answered busy.",
+        "Maximum number of queries at a time; more are answered busy.",
     ),
     Directive::new(
         "warm-up",
         &[ANY_TIME],
         "0",
-        "Time from a start until it has all its cores; 40% of them at first.",
+        "Time from a start until all cores are available; 40% of them at first.",
+    ),
+    Directive::new(
+        "kind",
+        &[ValueKind::Name],
+        "std",
+        "Machine kind in the endpoint list.",
+    ),
+    Directive::new(
+        "zone",
+        &[ValueKind::Name],
+        "here",
+        "Zone in the endpoint list.",
     ),
-    Directive::new("kind", &[ValueKind::Name], "std", "Machine kind."),
-    Directive::new("zone", &[ValueKind::Name], "here", "Zone."),
     Directive::new(
         "cell",
         &[ValueKind::Count {
@@ -60,62 +70,62 @@
             most: 1 << 20,
         }],
         "0",
-        "Engines of one cell know each other's keys in classes of that scope.",
+        "Engines of one cell share the memory of keys in classes with the scope `cell`.",
     ),
     Directive::new(
         "orphans",
         &[ValueKind::Choice(&["stop", "finish"])],
         "stop",
-        "What becomes of a query whose connection ends.",
+        "Whether a query is stopped or finished after its connection has closed.",
     ),
 ];
 
 pub(super) const LOAD: &[Directive] = &[
-    Directive::new("gateway", &[ValueKind::Name], "each in turn", "The gateway that it asks."),
+    Directive::new("gateway", &[ValueKind::Name], "each in turn", "Gateway to which it sends requests."),
     Directive::new("class", &[ValueKind::Name], "report", "Class of its requests."),
-    Directive::new("tenant", &[ValueKind::Name], "acme", "Tenant."),
-    Directive::new("rate", &[ANY_RATE], "10/s", "Requests a second on average, at random times."),
-    Directive::new("begin", &[ANY_TIME], "0", "When it begins."),
-    Directive::new("end", &[ANY_TIME], "the scenario's", "When it ends."),
-    Directive::new("wait", &[ANY_TIME], "5s", "How long its clients wait."),
-    Directive::new("work", &[ANY_TIME], "80ms", "Median work on one core."),
-    Directive::new("memory", &[ANY_SIZE], "64MB", "Median memory."),
+    Directive::new("tenant", &[ValueKind::Name], "acme", "Tenant of its requests."),
+    Directive::new("rate", &[ANY_RATE], "10/s", "Average number of requests per second, at random times."),
+    Directive::new("begin", &[ANY_TIME], "0", "Time at which it begins."),
+    Directive::new("end", &[ANY_TIME], "the scenario's", "Time at which it ends."),
+    Directive::new("wait", &[ANY_TIME], "5s", "Timeout of its clients."),
+    Directive::new("work", &[ANY_TIME], "80ms", "Median work of a query on one core."),
+    Directive::new("memory", &[ANY_SIZE], "64MB", "Median memory of a query."),
     Directive::new(
         "spread",
         &[ValueKind::Count { least: 0, most: 300 }],
         "50",
-        "Spread of both: sigma of their logarithm, in hundredths.",
+        "Standard deviation of the logarithms of work and memory, in hundredths.",
     ),
-    Directive::new("rows", &[ValueKind::Count { least: 0, most: 2_000_000 }], "4", "Rows of a result."),
+    Directive::new("rows", &[ValueKind::Count { least: 0, most: 2_000_000 }], "4", "Number of rows of each result."),
     Directive::new(
         "connections",
         &[ValueKind::Count { least: 1, most: 4096 }],
         "2",
-        "Connections that it spreads over.",
+        "Number of connections over which requests are distributed.",
     ),
-    Directive::new("forgets", &[ValueKind::Share], "0%", "Part of its requests that it takes back soon after."),
-    Directive::new("from", &[ValueKind::Text], "127.0.0.1", "The address that it comes from."),
+    Directive::new("forgets", &[ValueKind::Share], "0%", "Share of its requests that are cancelled shortly after they are sent."),
+    Directive::new("from", &[ValueKind::Text], "127.0.0.1", "Local address of its connections, one of 127.0.0.0/8."),
     Directive::new(
         "retries",
         &[ValueKind::Count { least: 0, most: 10 }],
         "0",
-        "Tries more after a refusal, when its advice is over.",
+        "Maximum number of retries after rejections, at the advised time.",
     ),
     Directive::new(
         "returns",
         &[ValueKind::Count { least: 0, most: 10 }],
         "0",
-        "Tries more after a connection that ended or an answer that never came; none in unsafe classes.",
+        "Maximum number of retries after lost connections and missing answers; none in unsafe classes.",
     ),
-    Directive::new("back", &[ValueKind::Choice(&["any", "same", "other"])], "any", "The gateway that these go to."),
-    Directive::new("marked", &[ValueKind::Share], "100%", "Part of the tries more that say so (`r`)."),
-    Directive::new("hasty", &[ValueKind::Share], "0%", "Part of the tries more that come before the advice is over."),
-    Directive::new("late", &[ValueKind::Share], "0%", "Part of the tries more that come after the class's window."),
+    Directive::new("back", &[ValueKind::Choice(&["any", "same", "other"])], "any", "Gateway to which these retries are sent."),
+    Directive::new("marked", &[ValueKind::Share], "100%", "Share of the retries that are marked as such (field `r`)."),
+    Directive::new("hasty", &[ValueKind::Share], "0%", "Share of the retries that are sent before the advised time."),
+    Directive::new("late", &[ValueKind::Share], "0%", "Share of the retries that are sent after the class's window."),
     Directive::new(
         "keys",
         &[ValueKind::Count { least: 1, most: 1 << 20 }],
         "a new one each",
-        "Keys that it draws from.",
+        "Number of keys from which each request draws one.",
     ),
 ];
 
@@ -124,33 +134,43 @@
         "effect",
         &[ValueKind::Choice(&["safe", "keyed", "unsafe"])],
         "safe",
-        "What a repeat may do.",
+        "Whether a repeated request is harmless: always, with the same key, or never.",
     ),
     Directive::new(
         "aim",
         &[ANY_TIME],
         "1s",
-        "Answers within this earn the full worth.",
+        "Latency target: answers within this time have their full value.",
     ),
     Directive::new(
         "threads",
         &[ValueKind::Count { least: 1, most: 64 }],
         "1",
-        "Threads that a query runs on.",
+        "Number of threads of a query.",
+    ),
+    Directive::new(
+        "load",
+        &[],
+        "no",
+        "Its queries are loads, which lock their table group while they run.",
     ),
-    Directive::new("load", &[], "no", "It holds its table group while it runs."),
     Directive::new(
         "scope",
         &[ValueKind::Choice(&["all", "zone", "cell"])],
         "all",
-        "Engines that drop a key's repeats.",
+        "Engines that drop repeats of a key.",
+    ),
+    Directive::new(
+        "window",
+        &[ANY_TIME],
+        "15s",
+        "How long engines remember a key.",
     ),
-    Directive::new("window", &[ANY_TIME], "15s", "How long they remember it."),
     Directive::new(
         "ordered",
         &[],
         "no",
-        "Requests of one key run one at a time, in the order taken.",
+        "Requests with the same key run one at a time, in the order of their acceptance.",
     ),
 ];
 
@@ -159,7 +179,7 @@
         "memory",
         &[ANY_SIZE],
         "192MB",
-        "Limit on memory that it is told.",
+        "Memory limit in its configuration.",
     ),
     Directive::new(
         "sockets",
@@ -168,20 +188,20 @@
             most: 65_536,
         }],
         "1024",
-        "Limit on descriptors that it is told.",
+        "Limit on file descriptors in its configuration.",
     ),
-    Directive::new("start", &[ANY_TIME], "0", "When it starts."),
+    Directive::new("start", &[ANY_TIME], "0", "Time at which it starts."),
     Directive::new(
         "operator",
         &[ValueKind::Text],
         "none",
-        "A line of its operator's file; {directory} is its own.",
+        "A line of its operator's file; {directory} stands for its own directory.",
     )
     .repeatable(),
 ];
 
-/// The ends of links: `clients`, gateways, engines, the `bulletin`; `any` stands for all,
-/// `gateways` and `engines` for all of these.
+/// The two ends of a link: `clients`, the `bulletin`, or the name of a gateway or engine. `any`
+/// matches every end, `gateways` and `engines` match all ends of that type.
 pub(super) const LINK: &[ValueKind] = &[ValueKind::Name, ValueKind::Name];
 pub(super) const WAY: (&str, ValueKind) = ("way", ValueKind::Choice(&["both", "there", "back"]));
 
@@ -197,14 +217,14 @@
         "start",
         &[],
         "",
-        "Engines that were killed start again, cold, and the list says so.",
+        "Killed engines start again, cold, and are announced in the endpoint list.",
     )
     .rest(ValueKind::Name),
     Directive::new(
         "vanish",
         &[],
         "",
-        "Engines say nothing more, and connections stay open.",
+        "Engines stop responding, while connections stay open.",
     )
     .rest(ValueKind::Name)
     .options(&[FOR]),
@@ -212,10 +232,10 @@
         "reset",
         &[],
         "",
-        "Engines reset their connections and go on.",
+        "Engines reset all connections and continue.",
     )
     .rest(ValueKind::Name),
-    Directive::new("stall", &[], "", "Engines stand still for a while.")
+    Directive::new("stall", &[], "", "Engines are paused.")
         .rest(ValueKind::Name)
         .options(&[FOR]),
     Directive::new(
@@ -229,29 +249,47 @@
     Directive::new("busy", &[], "", "Engines answer all new queries busy.")
         .rest(ValueKind::Name)
         .options(&[FOR]),
-    Directive::new("drain", &[], "", "The list says that engines drain.").rest(ValueKind::Name),
-    Directive::new("remove", &[], "", "The list drops engines.").rest(ValueKind::Name),
-    Directive::new("list", &[], "", "The list says that engines are up.").rest(ValueKind::Name),
+    Directive::new(
+        "drain",
+        &[],
+        "",
+        "The endpoint list announces that engines are draining.",
+    )
+    .rest(ValueKind::Name),
+    Directive::new(
+        "remove",
+        &[],
+        "",
+        "Engines are removed from the endpoint list.",
+    )
+    .rest(ValueKind::Name),
+    Directive::new(
+        "list",
+        &[],
+        "",
+        "The endpoint list announces that engines are up.",
+    )
+    .rest(ValueKind::Name),
     Directive::new(
         "bulletin",
         &[ValueKind::Choice(&["up", "down", "silent"])],
         "",
-        "The bulletin answers, is out of reach, or says nothing.",
+        "The bulletin responds, is unreachable, or is silent.",
     ),
-    Directive::new("kill-gateway", &[], "", "Gateways are killed outright.").rest(ValueKind::Name),
+    Directive::new("kill-gateway", &[], "", "Gateways get SIGKILL.").rest(ValueKind::Name),
     Directive::new("stop-gateway", &[], "", "Gateways get SIGTERM.").rest(ValueKind::Name),
     Directive::new(
         "start-gateway",
         &[],
         "",
-        "Gateways start again under their names.",
+        "Gateways start again under the same names.",
     )
     .rest(ValueKind::Name),
     Directive::new(
         "pause-gateway",
         &[],
         "",
-        "Gateways stand still (SIGSTOP), then go on.",
+        "Gateways are paused (SIGSTOP), then continued.",
     )
     .rest(ValueKind::Name)
     .options(&[FOR]),
@@ -259,7 +297,7 @@
         "stall-disk",
         &[],
         "",
-        "The threads that write gateways' stores stand still, as on a disk that hangs.",
+        "The threads that write gateways' stores are paused, as if the disk hung.",
     )
     .rest(ValueKind::Name)
     .options(&[FOR]),
@@ -281,42 +319,47 @@
         "put-back-directory",
         &[],
         "",
-        "The copies take the place of gateways' directories.",
+        "Gateways' directories are replaced by the copies.",
     )
     .rest(ValueKind::Name),
     Directive::new(
         "link-cut",
         LINK,
         "",
-        "Nothing passes a link, and new connections never come up.",
+        "A link delivers nothing, and new connections can't be opened.",
     )
     .options(&[WAY, FOR]),
     Directive::new(
         "link-stall",
         LINK,
         "",
-        "Nothing passes a link, but new connections come up.",
+        "A link delivers nothing, but new connections can be opened.",
     )
     .options(&[WAY, FOR]),
     Directive::new(
         "link-swallow",
         LINK,
         "",
-        "A link takes bytes and delivers none; it resets when that is over.",
+        "A link accepts bytes and discards them; its connections are reset at the end.",
     )
     .options(&[WAY, FOR]),
-    Directive::new("link-delay", LINK, "", "What passes a link takes longer.")
+    Directive::new("link-delay", LINK, "", "A link delivers with a delay.")
         .options(&[BY, WAY, FOR]),
     Directive::new(
         "link-throttle",
         LINK,
         "",
-        "Bytes a second that pass a link.",
+        "A link delivers a limited number of bytes per second.",
     )
     .options(&[TO, WAY, FOR]),
-    Directive::new("link-flap", LINK, "", "A link is cut and whole in turn.")
+    Directive::new("link-flap", LINK, "", "A link is cut and restored in turn.")
         .options(&[EVERY, FOR]),
-    Directive::new("link-reset", LINK, "", "Connections of a link end now."),
+    Directive::new(
+        "link-reset",
+        LINK,
+        "",
+        "The connections of a link are reset.",
+    ),
     Directive::new(
         "power-loss",
         &[],
@@ -327,7 +370,7 @@
         "power-back",
         &[],
         "",
-        "They start again (`all`, or those named), in drawn order.",
+        "They start again (`all`, or those named), in random order.",
     )
     .rest(ValueKind::Name)
     .options(&[WITHIN]),
@@ -353,30 +396,35 @@
             most: u64::MAX,
         }],
         "1",
-        "What all random numbers come of.",
+        "Seed of all random numbers.",
     ),
     Directive::new(
         "time",
         &[ANY_TIME],
         "10s",
-        "How long the loads run; `0` goes on until it is ended.",
+        "How long the loads run; `0`: until the process is stopped.",
     ),
     Directive::new(
         "bulletin",
         &[ValueKind::Address],
         "a port of the system",
-        "Where the bulletin listens.",
+        "Address at which the bulletin listens.",
     ),
     Directive::new(
         "tenant",
         &[ValueKind::Name, ANY_RATE],
         "acme 1000/s",
-        "A tenant and its share over all gateways.",
+        "A tenant and its quota over all gateways.",
     )
     .repeatable(),
-    Directive::new("class", &[ValueKind::Name], "report, safe", "A class.")
-        .block(CLASS)
-        .repeatable(),
+    Directive::new(
+        "class",
+        &[ValueKind::Name],
+        "report, safe",
+        "A class of requests.",
+    )
+    .block(CLASS)
+    .repeatable(),
     Directive::new("engine", &[ValueKind::Name], "none", "An engine.")
         .block(ENGINE)
         .repeatable(),
@@ -390,7 +438,7 @@
             ValueKind::Name,
         ],
         "none",
-        "So many engines, named with their numbers from 1.",
+        "A number of engines; their names end with numbers from 1.",
     )
     .block(ENGINE)
     .repeatable(),
@@ -398,14 +446,24 @@
         "gateway",
         &[ValueKind::Name],
         "none",
-        "A gateway, where a program to start is given.",
+        "A gateway; only started if the run is given a program.",
     )
     .block(GATEWAY)
     .repeatable(),
-    Directive::new("load", &[ValueKind::Name], "none", "Clients.")
-        .block(LOAD)
-        .repeatable(),
-    Directive::new("at", &[ANY_TIME], "none", "What goes wrong, and when.")
-        .nested(ACTIONS)
-        .repeatable(),
+    Directive::new(
+        "load",
+        &[ValueKind::Name],
+        "none",
+        "Clients that send requests.",
+    )
+    .block(LOAD)
+    .repeatable(),
+    Directive::new(
+        "at",
+        &[ANY_TIME],
+        "none",
+        "An action at a time, such as a fault.",
+    )
+    .nested(ACTIONS)
+    .repeatable(),
 ];
--- a/crates/emulators/src/scenario/specs.rs
+++ b/crates/emulators/src/scenario/specs.rs
@@ -1,174 +1,179 @@
-//! What a scenario says, as it was read.
+//! The parts of a scenario as they were read. A field whose directive is missing has the default
+//! that the table of directives states.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// An engine.
+/// An engine of a scenario (`engine`, `engines`).
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Its name.
+    /// Its name, unique in the scenario.
     pub name: String,
-    /// Where it listens, if not at a port of the system's choice.
+    /// The address at which it listens; `None` for a port that the system chooses.
     pub listen: Option<SocketAddr>,
-    /// Cores that its queries share.
+    /// Number of cores, shared by its queries.
     pub cores: u64,
-    /// Memory that queries hold together.
+    /// Memory for all running queries together, in MB.
     pub memory_mb: f64,
-    /// Queries at once; more are answered busy.
+    /// Maximum number of queries at a time; more are answered with `BUSY`.
     pub sessions: usize,
-    /// Time from a start until it has all its cores.
+    /// Time from a start of its process until all cores are available; zero: at once.
     pub warm_up: Duration,
-    /// Machine kind.
+    /// The machine kind in the endpoint list.
     pub kind: String,
-    /// Its zone.
+    /// The zone in the endpoint list.
     pub zone: String,
-    /// Its cell: engines of one know each other's keys in classes of that scope.
+    /// The number of its cell: in classes with the scope `cell`, the engines of a cell share the
+    /// memory of idempotency keys.
     pub cell: u64,
-    /// A query whose connection ends runs on.
+    /// Whether a query is finished after its connection has closed (`orphans finish`).
     pub finishes_orphans: bool,
 }
 
-/// Engines that drop a key's repeats.
+/// The engines that share the memory of idempotency keys, and so drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All of them.
+    /// All engines.
     All,
-    /// Those of one zone.
+    /// The engines of one zone.
     Zone,
-    /// Those of one cell.
+    /// The engines of one cell.
     Cell,
 }
 
-/// The gateway that a client comes again to.
+/// The gateway to which a client sends a retry after a lost connection (`back`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryTarget {
-    /// Any of them.
+    /// A randomly chosen gateway.
     Any,
-    /// The same one.
+    /// The same gateway as before.
     Same,
-    /// Another one.
+    /// Another gateway if one can be reached.
     Other,
 }
 
-/// The directions of a link that a fault is in.
+/// The direction of a link in which a fault applies (`way`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDirection {
-    /// Both.
+    /// Both directions.
     Both,
-    /// From the first end to the second.
+    /// From the first end named in the step to the second (`there`).
     Forward,
-    /// From the second end to the first.
+    /// From the second end named in the step to the first (`back`).
     Reverse,
 }
 
-/// Clients that ask at a rate.
+/// Clients that send requests at a rate (`load`).
 #[derive(Clone, Debug)]
 pub struct LoadSpec {
-    /// Its name.
+    /// Its name, under which answers are counted.
     pub name: String,
-    /// The gateway that it asks; none: each in turn.
+    /// The gateway to which it sends requests; `None` for all gateways.
     pub gateway: Option<String>,
-    /// Class of its requests.
+    /// The class of its requests.
     pub class: String,
-    /// Its tenant.
+    /// The tenant of its requests.
     pub tenant: String,
-    /// Requests a second on average.
+    /// Average number of requests per second.
     pub rate: f64,
-    /// When it begins.
+    /// Time of the scenario at which it begins.
     pub begin: Duration,
-    /// When it ends, if not with the scenario.
+    /// Time of the scenario at which it ends; `None` for the end of the scenario.
     pub end: Option<Duration>,
-    /// How long its clients wait.
+    /// The clients' timeout.
     pub wait: Duration,
-    /// Median work on one core.
+    /// Median work of a query, as time on one core.
     pub work: Duration,
-    /// Median memory.
+    /// Median memory of a query, in MB.
     pub memory_mb: f64,
-    /// Sigma of the logarithm of both.
+    /// Standard deviation of the logarithms of work and memory.
     pub spread: f64,
-    /// Rows of a result.
+    /// Number of rows of each result.
     pub rows: u64,
-    /// Connections that it spreads over.
+    /// Number of connections over which the requests are distributed.
     pub connections: usize,
-    /// The address that it comes from.
+    /// The local address of its connections, one of 127.0.0.0/8.
     pub from: IpAddr,
-    /// Tries more after a refusal.
+    /// Maximum number of retries after rejections.
     pub retries: u64,
-    /// Part of its requests that it takes back soon after.
+    /// Fraction of the requests that are cancelled shortly after they are sent.
     pub forgets: f64,
-    /// Tries more after a connection that ended or an answer that never came.
+    /// Maximum number of retries after lost connections and missing answers.
     pub returns: u64,
-    /// The gateway that these go to.
+    /// The gateway to which these retries are sent.
     pub back: RetryTarget,
-    /// Part of the tries more that say so.
+    /// Fraction of the retries that are marked as such.
     pub marked: f64,
-    /// Part of the tries more that come before the advice is over.
+    /// Fraction of the retries after rejections that are sent before the advised time.
     pub hasty: f64,
-    /// Part of the tries more that come after the class's window.
+    /// Fraction of the retries that are sent after the class's window has passed.
     pub late: f64,
-    /// Keys that it draws from; none: a new one each.
+    /// Number of idempotency keys from which each request draws one; `None` for a new key per
+    /// request.
     pub keys: Option<u64>,
 }
 
-/// A class of requests.
+/// A class of requests (`class`).
 #[derive(Clone, Debug)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Its name, as requests and the gateways' settings use it.
     pub name: String,
-    /// What a repeat may do: `safe`, `keyed` or `unsafe`.
+    /// What a repeated request may cause: `safe` (nothing), `keyed` (nothing if it has the same
+    /// idempotency key) or `unsafe` (a second effect).
     pub effect: &'static str,
-    /// Answers within this earn the full worth.
+    /// The gateways' latency target: an answer within this time has its full value.
     pub aim: Duration,
-    /// Threads that a query runs on.
+    /// Number of threads of a query.
     pub threads: u64,
-    /// It holds its table group while it runs.
+    /// Whether its queries are loads, which lock their table group while they run.
     pub is_load: bool,
-    /// Engines that drop a key's repeats.
+    /// The engines that drop repeats of a key.
     pub scope: Scope,
-    /// How long they remember it.
+    /// How long engines remember a key.
     pub window: Duration,
-    /// Requests of one key run one at a time, in the order taken.
+    /// Whether requests with the same key run one at a time, in the order of their acceptance.
     pub ordered: bool,
 }
 
-/// A gateway.
+/// A gateway that is started (`gateway`).
 #[derive(Clone, Debug)]
 pub struct GatewaySpec {
-    /// Its name.
+    /// Its name, unique in the scenario.
     pub name: String,
-    /// Limit on memory that it is told.
+    /// The memory limit in its configuration, in MB.
     pub memory_mb: u64,
-    /// Limit on descriptors that it is told.
+    /// The limit on file descriptors in its configuration.
     pub sockets: u64,
-    /// When it starts.
+    /// Time of the scenario at which it starts.
     pub start: Duration,
-    /// Lines of its operator's file.
+    /// Lines of its operator's file; `{directory}` stands for its own directory.
     pub operator: Vec<String>,
 }
 
-/// What happens at a time.
+/// An action at a time of the scenario (`at`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When.
+    /// Time of the scenario.
     pub at: Duration,
-    /// What, by its name.
+    /// The name of the action's directive, such as `kill`.
     pub action: &'static str,
-    /// Of queries that it strikes.
+    /// Fraction of the queries that fail, for `errors`.
     pub share: f64,
-    /// Engines or gateways, or the bulletin's new state.
+    /// Names of engines, gateways or ends of links, or the bulletin's new state.
     pub names: Vec<String>,
-    /// For how long.
+    /// How long the fault lasts (`for`).
     pub lasts: Duration,
-    /// Which directions of a link.
+    /// The direction in which the fault of a link applies (`way`).
     pub way: LinkDirection,
-    /// By how much, how often, or within what time.
+    /// The delay (`by`), interval (`every`) or maximum duration (`within`) of the action.
     pub time: Duration,
-    /// Bytes a second.
+    /// Bytes per second, for `link-throttle`.
     pub bytes: u64,
 }
 
 impl Step {
-    /// One that strikes everything it names, both ways, for an hour.
+    /// Creates a step with the defaults of the other fields: all queries, one hour, both
+    /// directions.
     pub fn new(at: Duration, action: &'static str, names: Vec<String>) -> Self {
         let (share, lasts, way) = (1.0, Duration::from_secs(3600), LinkDirection::Both);
         Step {
@@ -184,25 +189,25 @@
     }
 }
 
-/// All that a scenario says.
+/// A scenario: the parts of a run and the faults that are caused in it.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// What all random numbers come of.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// How long it lasts.
+    /// How long the loads run; zero: until the process is stopped.
     pub time: Duration,
-    /// Where service discovery listens, if not at a port of the system's choice.
+    /// The address of service discovery; `None` for a port that the system chooses.
     pub bulletin: Option<SocketAddr>,
-    /// Tenants with their quotas, in requests a second.
+    /// Tenants and their quotas over all gateways, in requests per second.
     pub tenants: Vec<(String, f64)>,
-    /// Classes of requests.
+    /// Classes of requests; at least one.
     pub classes: Vec<ClassSpec>,
-    /// Engines.
+    /// Engines, in the order of the scenario.
     pub engines: Vec<EngineSpec>,
-    /// Gateways that are started.
+    /// Gateways, in the order of the scenario.
     pub gateways: Vec<GatewaySpec>,
-    /// Clients.
+    /// Loads of clients, in the order of the scenario.
     pub loads: Vec<LoadSpec>,
-    /// In the order of their times.
+    /// Actions, in the order of their times.
     pub steps: Vec<Step>,
 }
--- a/crates/emulators/src/scripted.rs
+++ b/crates/emulators/src/scripted.rs
@@ -1,5 +1,5 @@
-//! Single ends of connections, moved by hand: an engine's, the bulletin's, and a client's. Every
-//! wait ends after [`PATIENCE`], so that nothing hangs.
+//! An engine, a bulletin and a client whose connections a test controls step by step. Every wait
+//! ends after [`PATIENCE`], so that a failing test doesn't hang.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,24 +11,24 @@
 
 pub use client::{call, forget, parse_answer, Answer, Client};
 
-/// Every wait ends after this.
+/// Timeout of every read, and of accepting a connection.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// An address that nobody listens on.
+/// Returns an address on loopback at which nothing listens.
 pub fn unused_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener
         .local_addr()
         .expect("a listening socket has an address")
 }
 
-fn patient(stream: TcpStream) -> io::Result<TcpStream> {
+fn configure_stream(stream: TcpStream) -> io::Result<TcpStream> {
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     Ok(stream)
 }
 
-/// Whether a wait has ended by itself.
+/// Whether an error means that a read or an accept has timed out.
 pub fn is_timeout(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -36,48 +36,49 @@
     )
 }
 
-/// That a read failed since the gateway has closed the connection, not since nothing came.
+/// Asserts that a read failed because the gateway has closed the connection, not because it timed
+/// out.
 fn assert_closed(error: &io::Error) {
     assert!(
         !is_timeout(error),
-        "the gateway keeps the connection: {error}"
+        "the gateway should have closed the connection: {error}"
     );
 }
 
 // ---- Engines ----
 
-/// An engine that is moved by hand.
+/// An engine that a test controls.
 pub struct Engine {
-    /// What it listens with.
+    /// The listening socket. Accepting on it times out after [`PATIENCE`].
     pub listener: TcpListener,
 }
 
-/// One connection of a gateway to an engine.
+/// The engine's end of a connection that a gateway has opened.
 pub struct EngineConnection {
-    lines: BufReader<TcpStream>,
+    stream: BufReader<TcpStream>,
 }
 
-/// A command of a gateway to an engine.
+/// A command that a gateway has sent to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Command {
-    /// The words of its line.
+    /// The words of its first line, separated by spaces.
     pub words: Vec<String>,
-    /// What follows the line.
+    /// The bytes after the first line: the statement of a `serve`, empty otherwise.
     pub payload: Vec<u8>,
 }
 
 impl Command {
-    /// What it asks for.
+    /// The first word, such as `serve` or `cancel`.
     pub fn verb(&self) -> &str {
         &self.words[0]
     }
 
-    /// The attempt that it is about.
+    /// The id of the attempt.
     pub fn id(&self) -> &str {
         &self.words[1]
     }
 
-    /// A field of a `serve`.
+    /// The value of a field of a `serve`; `None` if it has no such field.
     pub fn field(&self, name: &str) -> Option<&str> {
         let pairs = self
             .words
@@ -86,52 +87,60 @@
             .filter_map(|pair| pair.split_once('='));
         pairs
             .into_iter()
-            .find(|(own, _)| *own == name)
+            .find(|(field_name, _)| *field_name == name)
             .map(|(_, value)| value)
     }
 }
 
 impl Engine {
     /// Listens at an address.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the address can't be bound.
     pub fn listen(address: &str) -> io::Result<Self> {
-        Self::over(TcpListener::bind(address)?)
+        Self::from_listener(TcpListener::bind(address)?)
     }
 
-    fn over(listener: TcpListener) -> io::Result<Self> {
-        // It holds for what is accepted, too.
+    fn from_listener(listener: TcpListener) -> io::Result<Self> {
+        // Accepted connections inherit the timeout.
         socket2::SockRef::from(&listener).set_read_timeout(Some(PATIENCE))?;
         Ok(Engine { listener })
     }
 
-    /// One whose queue of new connections is full: a dial to it comes up only after
+    /// Creates an engine whose queue of new connections is full: dials to it succeed only after
     /// [`FullQueueEngine::free_queue`].
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the socket can't be created or bound, or the queue can't be filled.
     pub fn with_full_queue() -> io::Result<FullQueueEngine> {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
-        // The system queues one connection more than it is told.
+        // The operating system queues one connection more than the given number.
         socket.listen(0)?;
-        let mut held = FullQueueEngine {
-            engine: Engine::over(socket.into())?,
-            filler: None,
+        let mut full_queue_engine = FullQueueEngine {
+            engine: Engine::from_listener(socket.into())?,
+            queue_filler: None,
         };
-        held.fill_queue()?;
-        Ok(held)
+        full_queue_engine.fill_queue()?;
+        Ok(full_queue_engine)
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.listener
             .local_addr()
             .expect("a listening socket has an address")
     }
 
-    /// Answers all that comes with so many pages of one kind, on threads of its own, until nobody
-    /// has dialled for [`PATIENCE`].
+    /// Answers all commands in background threads, until no connection has arrived for
+    /// [`PATIENCE`]. Each query's result has the given number of pages, which are all the same.
     pub fn answer_all(self, pages: usize, page: String) {
         self.answer_until(Arc::new(AtomicBool::new(true)), pages, page);
     }
 
-    /// The same, until nobody has dialled for [`PATIENCE`] and it has been told to stop.
+    /// The same, until no connection has arrived for [`PATIENCE`] and `stop` is set.
     pub fn answer_until(self, stop: Arc<AtomicBool>, pages: usize, page: String) {
         std::thread::spawn(move || loop {
             let mut end = match self.accept() {
@@ -144,42 +153,59 @@
         });
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if none arrives within [`PATIENCE`].
     pub fn accept(&self) -> io::Result<EngineConnection> {
         let (stream, _) = self.listener.accept()?;
         Ok(EngineConnection {
-            lines: BufReader::new(patient(stream)?),
+            stream: BufReader::new(configure_stream(stream)?),
         })
     }
 }
 
-/// An engine that holds back who dials it, and what fills its queue.
+/// An engine whose queue of new connections is full, so that dials to it wait.
 pub struct FullQueueEngine {
-    /// The engine.
+    /// The engine, which can accept connections once the queue is free.
     pub engine: Engine,
-    filler: Option<TcpStream>,
+    /// The connection that fills the queue; `None` while the queue is free.
+    queue_filler: Option<TcpStream>,
 }
 
 impl FullQueueEngine {
-    /// From here on dials wait.
+    /// Fills the queue: from now on dials wait.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection that fills it can't be opened.
     pub fn fill_queue(&mut self) -> io::Result<()> {
-        self.filler = Some(TcpStream::connect(self.engine.address())?);
+        self.queue_filler = Some(TcpStream::connect(self.engine.address())?);
         Ok(())
     }
 
-    /// The queue has room again.
+    /// Frees the queue: waiting dials succeed.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection that fills the queue can't be accepted.
     pub fn free_queue(&mut self) -> io::Result<()> {
-        self.filler = None;
+        self.queue_filler = None;
         self.engine.listener.accept().map(|_| ())
     }
 }
 
 impl EngineConnection {
-    /// The next command; an error of kind `UnexpectedEof` once the gateway has closed the
-    /// connection.
+    /// Reads the next command.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if none arrives within [`PATIENCE`] or it is malformed; an error of kind
+    /// `UnexpectedEof` means that the gateway has closed the connection.
     pub fn command(&mut self) -> io::Result<Command> {
         let mut line = String::new();
-        if self.lines.read_line(&mut line)? == 0 {
+        if self.stream.read_line(&mut line)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let words: Vec<String> = line.trim_end().split(' ').map(str::to_string).collect();
@@ -187,19 +213,23 @@
         if words[0] == "serve" {
             let length: usize = words[3].parse().map_err(io::Error::other)?;
             payload.resize(length + 2, 0);
-            self.lines.read_exact(&mut payload)?;
+            self.stream.read_exact(&mut payload)?;
             payload.truncate(length);
         }
         Ok(Command { words, payload })
     }
 
-    /// Answers an attempt.
+    /// Answers a command.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn answer(&mut self, id: &str, word: &str, fields: &str, payload: &str) -> io::Result<()> {
         let text = format!("{id} {word} {fields} {}\r\n{payload}\r\n", payload.len());
-        self.lines.get_mut().write_all(text.as_bytes())
+        self.stream.get_mut().write_all(text.as_bytes())
     }
 
-    /// Answers the next command, a query with so many pages.
+    /// Reads the next command and answers it. Results have the given number of pages.
     fn answer_next(&mut self, pages: usize, page: &str) -> io::Result<()> {
         let command = self.command()?;
         match command.verb() {
@@ -215,12 +245,20 @@
         }
     }
 
-    /// Writes bytes as they are.
+    /// Writes the given bytes unchanged.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn write_raw(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.lines.get_mut().write_all(bytes)
+        self.stream.get_mut().write_all(bytes)
     }
 
-    /// Passes over commands until the gateway has closed the connection.
+    /// Skips commands until the gateway closes the connection.
+    ///
+    /// # Panics
+    ///
+    /// If it doesn't within [`PATIENCE`] after a command.
     pub fn until_closed(&mut self) {
         loop {
             if let Err(e) = self.command() {
@@ -232,38 +270,46 @@
 
 // ---- The bulletin ----
 
-/// Service discovery that is moved by hand.
+/// Service discovery that a test controls.
 pub struct Bulletin {
-    /// What it listens with.
+    /// The listening socket. Accepting on it times out after [`PATIENCE`].
     pub listener: TcpListener,
 }
 
-/// One response that is being streamed.
+/// A streamed response to a gateway that watches the endpoint list.
 pub struct BulletinStream {
     stream: TcpStream,
-    /// The `Last-Event-ID` that the gateway sent.
+    /// The `Last-Event-ID` in the gateway's request; 0 if there was none.
     pub after: u64,
 }
 
 impl Bulletin {
     /// Listens at an address.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the address can't be bound.
     pub fn listen(address: &str) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         socket2::SockRef::from(&listener).set_read_timeout(Some(PATIENCE))?;
         Ok(Bulletin { listener })
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.listener
             .local_addr()
             .expect("a listening socket has an address")
     }
 
-    /// The next watch, once its request has been read and its answer has begun.
+    /// Accepts the next connection, reads its request and begins the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if none arrives within [`PATIENCE`] or the connection is broken.
     pub fn accept(&self) -> io::Result<BulletinStream> {
         let (stream, _) = self.listener.accept()?;
-        let mut lines = BufReader::new(patient(stream)?);
+        let mut lines = BufReader::new(configure_stream(stream)?);
         let mut after = 0;
         loop {
             let mut line = String::new();
@@ -282,23 +328,36 @@
 }
 
 impl BulletinStream {
-    /// Tells an event of the list.
+    /// Sends an event of the endpoint list.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn event(&mut self, number: u64, data: &str) -> io::Result<()> {
         self.stream
             .write_all(format!("id: {number}\ndata: {data}\n\n").as_bytes())
     }
 
-    /// Writes bytes as they are.
+    /// Writes the given bytes unchanged.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn write_raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// Writes a comment, which says that the watch lives.
+    /// Writes a comment, which keeps the stream alive.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn comment(&mut self) -> io::Result<()> {
         self.stream.write_all(b": still here\n\n")
     }
 
-    /// Waits until the gateway has ended the connection.
+    /// Waits until the gateway closes the connection. Returns false if it sends something or
+    /// doesn't close it within [`PATIENCE`].
     pub fn wait_for_close(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
--- a/crates/emulators/src/scripted/client.rs
+++ b/crates/emulators/src/scripted/client.rs
@@ -1,61 +1,69 @@
-//! A client that asks what it is told to, and the bytes of what it says and is answered.
+//! A client that a test controls, and the encoding of its requests and of the gateway's answers.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use super::{assert_closed, patient};
+use super::{assert_closed, configure_stream};
 
-/// A client's connection.
+/// A client's connection to a gateway.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
 
-/// An answer of a gateway.
+/// An answer from a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// A whole result.
+    /// A complete result.
     Result {
-        /// The number of its question.
+        /// The number of the call that it answers.
         id: u64,
-        /// What the statement gave.
+        /// The rows of the result.
         body: Vec<u8>,
     },
-    /// A part of a result, with fields that say how it goes on.
+    /// A part of a result, with fields that say how to get the rest.
     Part {
-        /// The number of its question.
+        /// The number of the call that it answers.
         id: u64,
-        /// What the statement gave.
+        /// The rows of the result.
         body: Vec<u8>,
-        /// Fields by name.
+        /// Fields, as name and value.
         fields: Vec<(String, String)>,
     },
-    /// An error, by its word.
+    /// An error instead of a result, such as a rejection.
     Error {
-        /// The number of its question.
+        /// The number of the call that it answers.
         id: u64,
-        /// The word.
+        /// The kind of error, such as `TryLater`.
         word: String,
-        /// Fields by name.
+        /// Fields, as name and value.
         fields: Vec<(String, String)>,
     },
-    /// Whether the gateway is well.
+    /// The answer to a health check.
     Health {
-        /// The number of its question.
+        /// The number of the call that it answers.
         id: u64,
-        /// Whether it is.
+        /// Whether the gateway is healthy.
         well: bool,
     },
 }
 
 impl Client {
     /// Connects to a gateway.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection can't be opened.
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
         Ok(Client {
-            stream: BufReader::new(patient(TcpStream::connect(address)?)?),
+            stream: BufReader::new(configure_stream(TcpStream::connect(address)?)?),
         })
     }
 
-    /// Asks for a statement's result.
+    /// Sends a query. `id` is the number of the call, `class` its class, `body` the statement.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn call(
         &mut self,
         id: u64,
@@ -66,12 +74,20 @@
         self.write_raw(&call(id, class, fields, body))
     }
 
-    /// Takes a request back.
+    /// Cancels a query.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn forget(&mut self, id: u64) -> io::Result<()> {
         self.write_raw(&forget(id))
     }
 
-    /// Reads what is answered, until the gateway has ended the connection.
+    /// Reads all answers until the gateway closes the connection.
+    ///
+    /// # Panics
+    ///
+    /// If it doesn't within [`PATIENCE`](super::PATIENCE) after an answer.
     pub fn until_closed(&mut self) -> Vec<Answer> {
         let mut answers = Vec::new();
         loop {
@@ -85,12 +101,20 @@
         }
     }
 
-    /// Asks whether the gateway is well.
+    /// Sends a health check.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn ask_health(&mut self, id: u64) -> io::Result<()> {
         self.ask(id, "isWell", &[])
     }
 
-    /// A question without a body.
+    /// Sends a call without a body.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn ask(&mut self, id: u64, method: &str, fields: &[(&str, &str)]) -> io::Result<()> {
         let mut out = vec![0x94, 0];
         rmp::encode::write_uint(&mut out, id).map_err(io::Error::other)?;
@@ -104,19 +128,32 @@
         self.write_raw(&out)
     }
 
-    /// Writes bytes as they are.
+    /// Writes the given bytes unchanged.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is broken.
     pub fn write_raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.get_mut().write_all(bytes)
     }
 
-    /// The next answer; an error of kind `UnexpectedEof` once the gateway has closed the
-    /// connection.
+    /// Reads the next answer.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if none arrives within [`PATIENCE`](super::PATIENCE) or it is malformed; an
+    /// error of kind `UnexpectedEof` means that the gateway has closed the connection.
     pub fn answer(&mut self) -> io::Result<Answer> {
         read_answer(&mut self.stream)
     }
 }
 
-/// The first answer in some bytes and its length, or nothing where it isn't whole.
+/// Parses the first answer in `bytes`. Returns it and its length in bytes, or `None` if it isn't
+/// complete yet.
+///
+/// # Errors
+///
+/// Returns an error if the bytes aren't a valid answer.
 pub fn parse_answer(bytes: &[u8]) -> io::Result<Option<(Answer, usize)>> {
     let mut rest = bytes;
     match read_answer(&mut rest) {
@@ -128,20 +165,20 @@
 }
 
 fn read_answer(input: &mut impl BufRead) -> io::Result<Answer> {
-    let wrong = |what: &str| io::Error::other(format!("no answer: {what}"));
+    let malformed = |what: &str| io::Error::other(format!("not a valid answer: {what}"));
     if input.fill_buf()?.is_empty() {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    fn array(input: &mut impl BufRead) -> io::Result<u32> {
+    fn read_array_len(input: &mut impl BufRead) -> io::Result<u32> {
         rmp::decode::read_array_len(input).map_err(|e| io::Error::other(e.to_string()))
     }
-    if array(input)? != 4 || rmp::decode::read_int::<u64, _>(input).ok() != Some(1) {
-        return Err(wrong("its head"));
+    if read_array_len(input)? != 4 || rmp::decode::read_int::<u64, _>(input).ok() != Some(1) {
+        return Err(malformed("wrong length or type of the message"));
     }
-    let id = rmp::decode::read_int(input).map_err(|e| wrong(&e.to_string()))?;
+    let id = rmp::decode::read_int(input).map_err(|e| malformed(&e.to_string()))?;
     if input.fill_buf()?.first() == Some(&0xc0) {
         input.consume(1);
-        array(input)?;
+        read_array_len(input)?;
         let marker = *input
             .fill_buf()?
             .first()
@@ -154,7 +191,7 @@
                 well: marker == 0xc3,
             });
         }
-        let length = rmp::decode::read_bin_len(input).map_err(|e| wrong(&e.to_string()))?;
+        let length = rmp::decode::read_bin_len(input).map_err(|e| malformed(&e.to_string()))?;
         let mut body = vec![0; length as usize];
         input.read_exact(&mut body)?;
         let fields = read_map(input)?;
@@ -164,14 +201,14 @@
             Answer::Part { id, body, fields }
         });
     }
-    array(input)?;
+    read_array_len(input)?;
     let word = read_text(input)?;
     let fields = read_map(input)?;
     input.read_exact(&mut [0])?;
     Ok(Answer::Error { id, word, fields })
 }
 
-/// The bytes of one request.
+/// Encodes a query: see [`Client::call`].
 pub fn call(id: u64, class: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = vec![0x94, 0];
     // Writing to a vector cannot fail.
@@ -187,7 +224,7 @@
     out
 }
 
-/// The bytes that take a request back.
+/// Encodes the cancellation of a query.
 pub fn forget(id: u64) -> Vec<u8> {
     let mut out = vec![0x93, 2];
     // Writing to a vector cannot fail.
--- a/crates/emulators/tests/scripted.rs
+++ b/crates/emulators/tests/scripted.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that are moved by hand: how long they last.
+//! Guards against scripted engines that end too early, or never.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,18 +8,18 @@
 
 use eideryard_emulators::scripted::Engine;
 
-/// In place of the patience of 20 s.
-const PATIENCE: Duration = Duration::from_millis(20);
+/// Replaces [`eideryard_emulators::scripted::PATIENCE`], which is 20 s.
+const SHORT_PATIENCE: Duration = Duration::from_millis(20);
 
-fn impatient() -> Engine {
-    let engine = Engine::listen("127.0.0.1:0").expect("a port");
+fn engine_with_short_patience() -> Engine {
+    let engine = Engine::listen("127.0.0.1:0").expect("a free port");
     socket2::SockRef::from(&engine.listener)
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(SHORT_PATIENCE))
         .expect("an open socket");
     engine
 }
 
-fn answers(address: SocketAddr) -> bool {
+fn is_answering(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(address) else {
         return false;
     };
@@ -29,26 +29,29 @@
         && line.starts_with("7 UP")
 }
 
-/// Whether one still answers after many times the patience without a connection.
-fn lasts(engine: Engine, stop: Option<Arc<AtomicBool>>) -> bool {
+/// Whether an engine still answers after ten times the patience without a connection.
+fn outlasts_patience(engine: Engine, stop: Option<Arc<AtomicBool>>) -> bool {
     let address = engine.address();
     match stop {
         Some(stop) => engine.answer_until(stop, 1, String::new()),
         None => engine.answer_all(1, String::new()),
     }
-    assert!(answers(address), "it answers at first");
-    std::thread::sleep(10 * PATIENCE);
-    answers(address)
+    assert!(is_answering(address), "the engine should answer at first");
+    std::thread::sleep(10 * SHORT_PATIENCE);
+    is_answering(address)
 }
 
 #[test]
-fn an_engine_that_answers_until_it_is_told_to_stop_outlasts_times_without_connections() {
+fn an_engine_with_a_stop_flag_outlasts_times_without_connections() {
     let stop = Arc::new(AtomicBool::new(false));
-    assert!(lasts(impatient(), Some(stop.clone())));
+    assert!(outlasts_patience(
+        engine_with_short_patience(),
+        Some(stop.clone())
+    ));
     stop.store(true, Ordering::Relaxed);
     assert!(
-        !lasts(impatient(), Some(stop)),
-        "it was told to before it began"
+        !outlasts_patience(engine_with_short_patience(), Some(stop)),
+        "the stop flag was set before the engine started"
     );
-    assert!(!lasts(impatient(), None));
+    assert!(!outlasts_patience(engine_with_short_patience(), None));
 }
--- a/examples/ask/main.rs
+++ b/examples/ask/main.rs
@@ -1,16 +1,16 @@
-//! Sends one query to a gateway and prints what it answers:
+//! Sends a query to a gateway and prints the answer:
 //! `cargo run --example ask -- 127.0.0.1:7000 report "SELECT * FROM sales_17.orders"`
 
 use eideryard_emulators::scripted::{Answer, Client};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let [gateway, class, statement] = &words[..] else {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [gateway, class, statement] = &arguments[..] else {
         return Err("usage: ask GATEWAY CLASS STATEMENT".into());
     };
     let mut client = Client::connect(gateway.parse()?)?;
-    // New with every request.
+    // The id must be new with every request.
     let id = format!(
         "{:016x}",
         SystemTime::now().duration_since(UNIX_EPOCH)?.as_nanos() as u64
