--- a/crates/cli/benches/cpu.rs
+++ b/crates/cli/benches/cpu.rs
@@ -50,7 +50,7 @@
         .expect("the gateway ends by itself");
     let served = counters["served"] as f64 / counters["taken"] as f64;
     assert!(
-        played.ledger.breaks == 0 && served > 0.95,
+        played.ledger.violation_count == 0 && served > 0.95,
         "a share of {served:.3} was served: {counters:?}"
     );
     ending.cpu.as_secs_f64() * 1e3 / counters["taken"] as f64
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -5,7 +5,7 @@
 pub use eideryard_emulators::scripted;
 
 use rustix::process::{kill_process, Pid, Signal};
-use scripted::{Bulletin, Client, Engine, EngineEnd, PATIENCE};
+use scripted::{Bulletin, Client, Engine, EngineConnection, PATIENCE};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -336,7 +336,7 @@
 }
 
 /// Waits for the next command with the given verb, and skips others.
-pub fn next_command(end: &mut EngineEnd, verb: &str) -> scripted::Command {
+pub fn next_command(end: &mut EngineConnection, verb: &str) -> scripted::Command {
     loop {
         let command = end
             .command()
@@ -356,7 +356,7 @@
 }
 
 /// Sends the client's first query, and returns the engine's connection and the command it received.
-pub fn send_query(client: &mut Client, engine: &Engine) -> (EngineEnd, scripted::Command) {
+pub fn send_query(client: &mut Client, engine: &Engine) -> (EngineConnection, scripted::Command) {
     client
         .call(1, "report", &fields("0000000000000001", "15000"), QUERY)
         .expect("the gateway reads");
--- a/crates/cli/tests/effects.rs
+++ b/crates/cli/tests/effects.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::scripted::{Answer, Bulletin, Client, Engine, EngineEnd};
+use common::scripted::{Answer, Bulletin, Client, Engine, EngineConnection};
 use common::{
     addresses, config, fields, host, next_command, start_emulators, GatewayProcess, QUERY,
 };
@@ -42,7 +42,7 @@
 }
 
 impl Stage {
-    fn accept_request(&mut self) -> EngineEnd {
+    fn accept_request(&mut self) -> EngineConnection {
         let mut end = self.engine.accept().unwrap();
         assert_eq!(next_command(&mut end, "serve").id(), ID);
         end
--- a/crates/cli/tests/first_byte.rs
+++ b/crates/cli/tests/first_byte.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::scripted::{Answer, Client, Engine, EngineEnd, Held};
+use common::scripted::{Answer, Client, Engine, EngineConnection, FullQueueEngine};
 use common::{
     addresses, config, fields, host, next_command, start_emulators, GatewayProcess, QUERY,
 };
@@ -21,12 +21,12 @@
     change: impl Fn(&mut Value),
 ) -> (
     common::scripted::Bulletin,
-    Held,
+    FullQueueEngine,
     Vec<Engine>,
     GatewayProcess,
 ) {
     let (bulletin, others) = start_emulators(more);
-    let held = Engine::held().unwrap();
+    let held = Engine::with_full_queue().unwrap();
     let all: Vec<SocketAddr> = std::iter::once(held.engine.address())
         .chain(addresses(&others))
         .collect();
@@ -35,7 +35,7 @@
     (bulletin, held, others, GatewayProcess::start(&configured))
 }
 
-fn answer_with_one_page(end: &mut EngineEnd, id: &str) {
+fn answer_with_one_page(end: &mut EngineConnection, id: &str) {
     end.answer(id, "OK", "count=1", "a\tb\tc\n").unwrap();
 }
 
@@ -67,7 +67,7 @@
             .call(2, "report", &fields(SECOND, "15000"), QUERY)
             .unwrap();
         gateway.wait_for_counter("sent", 2);
-        held.let_go().unwrap();
+        held.free_queue().unwrap();
         let mut end = held.engine.accept().unwrap();
         let serve = next_command(&mut end, "serve");
         assert_eq!(
@@ -111,7 +111,7 @@
         let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": hosts}});
         stream.event(2, &item.to_string()).unwrap();
         gateway.wait_for_counter("list_events", 1);
-        held.let_go().unwrap();
+        held.free_queue().unwrap();
         let closed = held
             .engine
             .accept()
@@ -142,14 +142,14 @@
     let mut keyed = fields(FIRST, "15000");
     keyed.push(("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
     client.call(1, "load", &keyed, QUERY).unwrap();
-    held.let_go().unwrap();
+    held.free_queue().unwrap();
     let mut end = held.engine.accept().unwrap();
     assert_eq!(next_command(&mut end, "serve").id(), FIRST);
-    held.fill().unwrap();
+    held.fill_queue().unwrap();
     drop(end);
     gateway.wait_for_counter("dials", 2);
     // The dial takes at least a second: the kernel doesn't retransmit a SYN earlier.
-    held.let_go().unwrap();
+    held.free_queue().unwrap();
     let mut end = held.engine.accept().unwrap();
     let closed = end.command().map(|command| command.words);
     assert!(closed.is_err(), "the engine received {closed:?}");
@@ -182,7 +182,7 @@
     let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": hosts}});
     stream.event(2, &item.to_string()).unwrap();
     gateway.wait_for_counter("list_events", 1);
-    held.let_go().unwrap();
+    held.free_queue().unwrap();
     let mut end = other.accept().unwrap();
     assert_eq!(next_command(&mut end, "serve").id(), FIRST);
     // The connection ends while the request runs.
--- a/crates/cli/tests/gateway.rs
+++ b/crates/cli/tests/gateway.rs
@@ -519,7 +519,7 @@
         "ID OK count=1 600\r\na\tb\tc\n",           // ends before its announced length
         "ID OK count=2 6\r\na\tb\tc\n\r\nID ROWS pos=7 6\r\nd\te\tf\n\r\n", // a page that doesn't exist
     ];
-    let mut end: Option<scripted::EngineEnd> = None;
+    let mut end: Option<scripted::EngineConnection> = None;
     for (number, bytes) in malformed.iter().enumerate() {
         let id = format!("{:016x}", number + 1);
         client
@@ -678,7 +678,7 @@
     }
     let mut end = new.accept().unwrap();
     assert_eq!(end.after, 2);
-    assert!(stream.has_ended());
+    assert!(stream.wait_for_close());
     let hosts = vec![
         host("s-new", engines[1].address(), "up"),
         host("s-0", engines[0].address(), "removed"),
--- a/crates/cli/tests/spool.rs
+++ b/crates/cli/tests/spool.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::scripted::{Answer, Client, Engine, EngineEnd};
+use common::scripted::{Answer, Client, Engine, EngineConnection};
 use common::*;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -68,7 +68,7 @@
 
 #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
 fn answer_commands(
-    mut end: EngineEnd,
+    mut end: EngineConnection,
     name: &str,
     pages: usize,
     pause: Duration,
--- a/crates/cli/tests/watch.rs
+++ b/crates/cli/tests/watch.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::scripted::{Answer, BulletinEnd, Engine};
+use common::scripted::{Answer, BulletinStream, Engine};
 use common::{addresses, config, host, send_query, start_emulators, GatewayProcess};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     let (half, rest) = drained.split_at(drained.len() / 2);
     old.write_raw(format!("id: 2\ndata: {half}").as_bytes())
         .unwrap();
-    let mut new: BulletinEnd = bulletin.accept().unwrap();
+    let mut new: BulletinStream = bulletin.accept().unwrap();
     assert_eq!(new.after, 1, "the incomplete event is requested again");
     let _ = old.write_raw(format!("{rest}\n\n").as_bytes());
     let moved = [
--- a/crates/emulators/src/history.rs
+++ b/crates/emulators/src/history.rs
@@ -1,190 +1,193 @@
-//! What happened on all sides, by time: clients, engines, the bulletin, gateways' processes, links.
-//! It is kept only where somebody holds it against rules afterwards.
+//! The history of a run: events of clients, engines, the bulletin, gateways' processes and links,
+//! in the order of time. It is recorded only if it is checked against rules afterwards.
 
 use std::rc::Rc;
 
-/// Microseconds.
+/// Microseconds, as a duration or as Unix time.
 pub type Micros = u64;
-/// A name that many events share.
-pub type Name = Rc<str>;
+/// A name of an engine, gateway, load or class, or an idempotency key. It is reference-counted,
+/// since many events contain the same one.
+pub type SharedName = Rc<str>;
 
-/// Entries that are kept; a run that needs more is too long to be checked and says so.
-pub const MOST: usize = 4_000_000;
+/// Maximum number of events that are recorded. A run with more is too long to be checked, which is
+/// reported; see [`Ledger::events_not_kept`](crate::ledger::Ledger::events_not_kept).
+pub const MAX_EVENTS: usize = 4_000_000;
 
-/// One event.
+/// An entry of the history.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Happened {
-    /// Unix microseconds.
+pub struct TimedEvent {
+    /// Unix time.
     pub at: Micros,
-    /// The event.
-    pub what: What,
+    /// What happened.
+    pub event: Event,
 }
 
 /// One try of a request, as its client sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Try {
-    /// Its load.
-    pub load: Name,
-    /// Its class.
-    pub class: Name,
-    /// Its own number.
+    /// The load that sent it.
+    pub load: SharedName,
+    /// The class of the request.
+    pub class: SharedName,
+    /// The request's id on the wire, new with every try.
     pub id: u64,
-    /// Its key, in classes that have one; else a number of its own that all its tries share.
-    pub key: Name,
-    /// The gateway that it was sent to.
-    pub gateway: Name,
-    /// From 0 on.
+    /// The idempotency key, the same for all tries of a request. In classes without keys it isn't
+    /// sent and only connects the tries.
+    pub key: SharedName,
+    /// The gateway to which it was sent.
+    pub gateway: SharedName,
+    /// Number of the try, from 0.
     pub number: u64,
-    /// It says that it is a retry.
+    /// Whether it is marked as a retry (field `r`).
     pub marked: bool,
-    /// How long its client waits.
+    /// The client's timeout.
     pub wait: Micros,
 }
 
 /// How a try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum How {
-    /// With its result.
+pub enum TryOutcome {
+    /// The result arrived.
     Served,
-    /// It was refused.
+    /// The gateway rejected it with `TryLater`.
     Refused,
-    /// It failed.
+    /// The gateway answered with another error.
     Failed,
-    /// Its client took it back.
+    /// The client cancelled it.
     Forgotten,
-    /// Its connection ended first.
-    Reset,
-    /// Nothing came until long after its time.
-    Silence,
+    /// The connection was lost before an answer arrived.
+    ConnectionLost,
+    /// No answer arrived until 2 s after the client's timeout.
+    Unanswered,
 }
 
-/// What becomes of a gateway's process.
+/// A change in the state of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Process {
-    /// It listens, for the n-th time under its name.
+pub enum ProcessChange {
+    /// It listens; contains the number of starts under its name so far, from 1.
     Started(usize),
-    /// It was killed.
+    /// It was ended with SIGKILL.
     Killed,
-    /// It was asked to end.
+    /// It was asked to stop, with SIGTERM.
     Stopping,
-    /// It ended by itself.
+    /// It exited.
     Ended,
-    /// It was made to stand still.
+    /// It was paused, with SIGSTOP.
     Paused,
-    /// It goes on.
+    /// It was continued, with SIGCONT.
     Continued,
 }
 
-/// What happened.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// A client asked.
-    Asked(Try),
-    /// A try ended.
-    Over {
-        /// The number of the try.
+pub enum Event {
+    /// A client sent a request.
+    TrySent(Try),
+    /// A client stopped waiting for a try, for one of the reasons in [`TryOutcome`].
+    TryEnded {
+        /// The id of the try.
         id: u64,
-        /// How.
-        how: How,
-        /// Milliseconds that a refusal says to stay away.
+        /// How it ended.
+        outcome: TryOutcome,
+        /// The advice in a rejection: milliseconds after which the client may retry.
         advice: Option<u64>,
     },
-    /// No gateway could be reached: the try was never sent.
-    NoDoor {
-        /// The load.
-        load: Name,
-        /// Its key.
-        key: Name,
+    /// No gateway could be reached, so that the try was never sent.
+    NoGatewayReachable {
+        /// The load whose client tried to connect.
+        load: SharedName,
+        /// The key of the request.
+        key: SharedName,
     },
-    /// An answer that nothing waited for, or a second one.
-    Surplus {
-        /// The load.
-        load: Name,
-        /// The gateway.
-        gateway: Name,
+    /// A client received an answer for which it has no open request, such as a second one.
+    UnexpectedAnswer {
+        /// The load whose client received it.
+        load: SharedName,
+        /// The gateway that sent it.
+        gateway: SharedName,
     },
-    /// A result that no engine made for it.
-    Garbled {
-        /// The number of the try.
+    /// A client received a result that differs from the one that engines produce for its request.
+    WrongResult {
+        /// The id of the try.
         id: u64,
     },
-    /// An engine began a query.
-    Began {
-        /// The engine.
-        engine: Name,
-        /// The number of the try.
+    /// An engine started a query.
+    QueryStarted {
+        /// The engine that runs the query.
+        engine: SharedName,
+        /// The id of the try.
         id: u64,
         /// The class of its request.
-        class: Name,
-        /// Its key.
-        key: Name,
-        /// Seconds on one core.
+        class: SharedName,
+        /// The key of the request, or the id if it was sent without a key.
+        key: SharedName,
+        /// Work in seconds on one core.
         work: f64,
     },
-    /// A query is no more: done, or ended with an error, cancelled or with its process.
-    Left {
-        /// The engine.
-        engine: Name,
-        /// The number of the try.
+    /// A query ended: it completed, failed, was cancelled, or its connection or process ended.
+    QueryEnded {
+        /// The engine that ran the query.
+        engine: SharedName,
+        /// The id of the try.
         id: u64,
-        /// Whether it was done.
-        done: bool,
+        /// Whether the query ran to its end without an error.
+        completed: bool,
     },
-    /// A write took effect.
+    /// A write took effect on an engine.
     Effect {
-        /// The engine.
-        engine: Name,
-        /// The number of the try.
+        /// The engine that ran the write.
+        engine: SharedName,
+        /// The id of the try.
         id: u64,
-        /// Its key.
-        key: Name,
+        /// The key of the request, or the id if it was sent without a key.
+        key: SharedName,
     },
-    /// A repeat that the engine dropped.
-    Repeat {
-        /// The engine.
-        engine: Name,
-        /// The number of the try.
+    /// An engine dropped a repeated write, because its key was remembered.
+    RepeatDropped {
+        /// The engine that received the repeat.
+        engine: SharedName,
+        /// The id of the try.
         id: u64,
-        /// Its key.
-        key: Name,
+        /// The key of the request, or the id if it was sent without a key.
+        key: SharedName,
     },
-    /// An engine's process began or ended.
+    /// An engine's process started or ended.
     Engine {
-        /// The engine.
-        engine: Name,
-        /// It began now, and is warm after so long; nothing: it ended.
+        /// The engine whose process it is.
+        engine: SharedName,
+        /// If it started, the time until it has all of its capacity; `None` if it ended.
         begins: Option<Micros>,
     },
-    /// The bulletin wrote to a gateway what has become of an engine.
-    Told {
-        /// The gateway.
-        gateway: Name,
-        /// The engine.
-        engine: Name,
-        /// What was told of it.
+    /// The bulletin sent the state of an engine to a gateway.
+    EngineAnnounced {
+        /// The gateway that watches the bulletin.
+        gateway: SharedName,
+        /// The engine in the event of the endpoint list.
+        engine: SharedName,
+        /// `up`, `draining` or `removed`.
         health: &'static str,
     },
-    /// A gateway's process changed.
+    /// The state of a gateway's process changed.
     Gateway {
-        /// The gateway.
-        gateway: Name,
-        /// How.
-        how: Process,
+        /// The gateway whose process it is.
+        gateway: SharedName,
+        /// What became of the process.
+        change: ProcessChange,
     },
-    /// A fault of a link begins or ends.
+    /// A fault of a link began or ended.
     Link {
-        /// The link's one end.
-        from: Name,
-        /// The link's other end.
-        to: Name,
-        /// The fault.
+        /// The end of the link that opens connections.
+        from: SharedName,
+        /// The end of the link that accepts connections.
+        to: SharedName,
+        /// The name of the fault, such as `cut` or `delay`.
         fault: &'static str,
-        /// Whether it begins.
+        /// Whether it began.
         begins: bool,
     },
-    /// Something else that the rig did, in words.
-    Did {
-        /// What it did.
-        what: String,
+    /// Another action of the fleet test.
+    Other {
+        /// A description of the action.
+        text: String,
     },
 }
--- a/crates/fleet-test/src/world/parts.rs
+++ b/crates/fleet-test/src/world/parts.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 use std::rc::Rc;
 
-use eideryard_emulators::bulletin::Mood;
+use eideryard_emulators::bulletin::Availability;
 use eideryard_emulators::engine::Engine;
-use eideryard_emulators::history::{Process, What};
+use eideryard_emulators::history::{Event, ProcessChange};
 use rustix::process::Signal;
 
 use super::{World, RECORD};
@@ -39,10 +39,10 @@
         Ok(())
     }
 
-    pub(super) async fn bulletin(&self, mood: Mood) -> io::Result<()> {
+    pub(super) async fn bulletin(&self, mood: Availability) -> io::Result<()> {
         for (gateway, bulletin) in &self.bulletins {
-            bulletin.set(mood).await?;
-            let address = Some(bulletin.address).filter(|_| mood != Mood::Down);
+            bulletin.set_availability(mood).await?;
+            let address = Some(bulletin.address).filter(|_| mood != Availability::Down);
             self.links
                 .iter()
                 .for_each(|links| links.lead(gateway, BULLETIN, address));
@@ -50,24 +50,24 @@
         Ok(())
     }
 
-    pub(super) fn note(&self, name: &str, how: Process) {
-        self.ledger.borrow_mut().happened(|| What::Gateway {
+    pub(super) fn note(&self, name: &str, change: ProcessChange) {
+        self.ledger.borrow_mut().record_event(|| Event::Gateway {
             gateway: name.into(),
-            how,
+            change,
         });
     }
 
     /// Sends a signal; one that ends it closes its door as well.
-    pub(super) fn signal(&mut self, name: &str, signal: Signal, how: Process) {
+    pub(super) fn signal(&mut self, name: &str, signal: Signal, change: ProcessChange) {
         if !self.processes.names().iter().any(|own| own == name) {
             return;
         }
         self.processes.signal(name, signal);
-        self.note(name, how);
-        if matches!(how, Process::Killed | Process::Stopping) {
+        self.note(name, change);
+        if matches!(change, ProcessChange::Killed | ProcessChange::Stopping) {
             self.doors.borrow_mut().remove(name);
         }
-        if how == Process::Killed {
+        if change == ProcessChange::Killed {
             self.links
                 .iter()
                 .for_each(|links| links.lead_to(name, None));
@@ -84,13 +84,13 @@
         if !self.processes.ended(name).await? {
             self.ledger
                 .borrow_mut()
-                .break_rule(format!("gateway {name} doesn't end"));
+                .record_violation(format!("gateway {name} doesn't end"));
             self.crashed.push(name.to_string());
         }
         self.links
             .iter()
             .for_each(|links| links.lead_to(name, None));
-        self.note(name, Process::Ended);
+        self.note(name, ProcessChange::Ended);
         Ok(())
     }
 
@@ -112,7 +112,7 @@
         let place = Place {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             bulletin: door.unwrap_or(bulletin.address),
-            known: bulletin.known(),
+            known: bulletin.snapshot(),
         };
         let config = config::config(&self.scenario, name, place);
         let more = match &self.links {
@@ -137,7 +137,7 @@
         self.links
             .iter()
             .for_each(|links| links.lead_peers(name, reached));
-        self.note(name, Process::Started(start));
+        self.note(name, ProcessChange::Started(start));
         for door in door.into_iter() {
             _ = self.doors.borrow_mut().insert(name.to_string(), door);
         }
--- a/crates/fleet-test/src/world/steps.rs
+++ b/crates/fleet-test/src/world/steps.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use eideryard_emulators::bulletin::Mood;
+use eideryard_emulators::bulletin::Availability;
 use eideryard_emulators::engine::Engine;
-use eideryard_emulators::history::{Process, What};
+use eideryard_emulators::history::{Event, ProcessChange};
 use eideryard_emulators::scenario::Step;
 use rustix::process::Signal;
 
@@ -37,8 +37,10 @@
         Ok(())
     }
 
-    pub(super) fn did(&self, what: String) {
-        self.ledger.borrow_mut().happened(|| What::Did { what });
+    pub(super) fn did(&self, text: String) {
+        self.ledger
+            .borrow_mut()
+            .record_event(|| Event::Other { text });
     }
 
     pub(super) fn engines_of(&self, names: &[String]) -> Vec<Rc<Engine>> {
@@ -73,16 +75,16 @@
             "list" => self.tell(&engines, "up", 0),
             "bulletin" => {
                 self.bulletin(match step.names[0].as_str() {
-                    "down" => Mood::Down,
-                    "silent" => Mood::Silent,
-                    _ => Mood::Up,
+                    "down" => Availability::Down,
+                    "silent" => Availability::Silent,
+                    _ => Availability::Up,
                 })
                 .await?;
             }
             "kill-gateway" => {
                 step.names
                     .iter()
-                    .for_each(|name| self.signal(name, Signal::KILL, Process::Killed));
+                    .for_each(|name| self.signal(name, Signal::KILL, ProcessChange::Killed));
                 for name in &step.names {
                     self.ended(name).await?;
                 }
@@ -90,7 +92,7 @@
             "stop-gateway" => step
                 .names
                 .iter()
-                .for_each(|name| self.signal(name, Signal::TERM, Process::Stopping)),
+                .for_each(|name| self.signal(name, Signal::TERM, ProcessChange::Stopping)),
             "start-gateway" => {
                 for name in step
                     .names
@@ -106,7 +108,7 @@
             "pause-gateway" => {
                 step.names
                     .iter()
-                    .for_each(|name| self.signal(name, Signal::STOP, Process::Paused));
+                    .for_each(|name| self.signal(name, Signal::STOP, ProcessChange::Paused));
                 let undo = |name: &String| (step.lasts, Next::Undo(Undo::Continue(name.clone())));
                 return Ok(step.names.iter().map(undo).collect());
             }
@@ -178,7 +180,7 @@
                 self.processes.let_go(&name);
                 self.did(format!("the disk of {name} goes on"));
             }
-            Undo::Continue(name) => self.signal(&name, Signal::CONT, Process::Continued),
+            Undo::Continue(name) => self.signal(&name, Signal::CONT, ProcessChange::Continued),
         }
     }
 
--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -8,8 +8,8 @@
 use eideryard::interface::Micros;
 use eideryard_background_scheduler::{Budget as WorkBudget, Scheduler, Timer, Wheel};
 use eideryard_operator_config::SpoolConfig;
-use eideryard_result_spool::returns::Returns;
-use eideryard_result_spool::segments::{Place, Segments};
+use eideryard_result_spool::run_registry::RunRegistry;
+use eideryard_result_spool::segments::{PagePosition, Segments};
 use eideryard_result_spool::size::Sizes;
 use eideryard_result_spool::token::Keys;
 use eideryard_result_spool::worker::{Directory, Worker};
@@ -138,15 +138,15 @@
 enum StoredPage {
     Memory(Vec<u8>),
     /// Being written to disk; still in memory until the write has succeeded.
-    Writing(Vec<u8>, Place),
-    Disk(Place),
+    Writing(Vec<u8>, PagePosition),
+    Disk(PagePosition),
 }
 
 impl StoredPage {
     fn length(&self) -> u64 {
         match self {
             StoredPage::Memory(rows) | StoredPage::Writing(rows, _) => rows.len() as u64,
-            StoredPage::Disk(place) => u64::from(place.length),
+            StoredPage::Disk(position) => u64::from(position.length),
         }
     }
 }
@@ -216,7 +216,7 @@
     /// How long the failure of a run is remembered for later queries, in microseconds.
     failure_retention: Micros,
     results: HashMap<ResultId, StoredResult>,
-    returns: Returns<Waiter, RunOutcome>,
+    run_registry: RunRegistry<Waiter, RunOutcome>,
     segments: Segments,
     /// `None` if the operator's file sets no directory: pages are then kept in memory only.
     worker: Option<Worker>,
@@ -227,8 +227,8 @@
 }
 
 impl ResultSpoolDriver {
-    /// Starts the spool. `wake` is called from the disk worker's thread when it has finished an
-    /// order.
+    /// Starts the spool. `wake` is called from the disk worker's thread when it has finished a
+    /// job.
     ///
     /// # Errors
     ///
@@ -249,9 +249,9 @@
         let budget = Budget {
             memory: config.memory,
             disk: if worker.is_some() { config.disk } else { 0 },
-            result: config.result,
-            unclaimed: config.unclaimed,
-            delivered: config.delivered,
+            max_result_bytes: config.result,
+            unclaimed_retention: config.unclaimed,
+            delivered_retention: config.delivered,
         };
         Ok(ResultSpoolDriver {
             spool: Spool::new(budget, epoch),
@@ -261,7 +261,7 @@
             max_result_bytes: config.result,
             failure_retention: config.unclaimed,
             results: HashMap::new(),
-            returns: Returns::new(),
+            run_registry: RunRegistry::new(),
             segments: Segments::new(SEGMENT_BYTES),
             worker,
             background: Scheduler::new(WORK_BUDGET, epoch),
--- a/crates/gateway/src/result_spool/maintenance.rs
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -1,16 +1,16 @@
 //! Background work and the expiry of results.
 
 use eideryard::interface::Micros;
-use eideryard_result_spool::worker::{Done, Order, Worker};
+use eideryard_result_spool::worker::{DiskJob, FinishedJob, Worker};
 
 use super::{Delivery, ResultId, ResultSpoolDriver, Work};
 
 impl ResultSpoolDriver {
-    /// Handles finished orders of the disk worker, starts background jobs within the work budget,
+    /// Handles finished jobs of the disk worker, starts background jobs within the work budget,
     /// and drops expired results. Returns messages for clients.
     pub fn poll(&mut self, now: Micros) -> Vec<Delivery> {
         let mut deliveries = Vec::new();
-        let done: Vec<Done> = self.worker.iter().flat_map(Worker::done).collect();
+        let done: Vec<FinishedJob> = self.worker.iter().flat_map(Worker::finished_jobs).collect();
         for done in done {
             self.handle_done(done, now, &mut deliveries);
         }
@@ -39,7 +39,7 @@
                     let Some(worker) = &self.worker else {
                         continue;
                     };
-                    if worker.order(Order::Remove { segment }).is_err() {
+                    if worker.submit(DiskJob::Remove { segment }).is_err() {
                         // The worker's queue is full: schedule the removal again for later.
                         self.remove_segment(segment, now);
                         break;
@@ -53,17 +53,17 @@
         if let Some(stored) = self.results.get_mut(&id) {
             stored.expiry_timer = None;
         }
-        match self.spool.expires(id) {
+        match self.spool.expiry(id) {
             Some(expires_at) if expires_at <= now => self.drop_result(id, now),
             Some(_) => self.schedule_expiry(id),
             // A remembered failure has expired.
-            None if !self.spool.holds(id) => self.drop_result(id, now),
+            None if !self.spool.contains(id) => self.drop_result(id, now),
             None => {}
         }
     }
 
     pub(super) fn schedule_expiry(&mut self, id: ResultId) {
-        let Some(expires_at) = self.spool.expires(id) else {
+        let Some(expires_at) = self.spool.expiry(id) else {
             return;
         };
         let Some(stored) = self.results.get_mut(&id) else {
@@ -77,7 +77,7 @@
 
     /// Drops a result and frees its pages, unless a part of it is being sent.
     pub(super) fn drop_result(&mut self, id: ResultId, now: Micros) {
-        if self.spool.holds(id) && !self.spool.drop(id, now) {
+        if self.spool.contains(id) && !self.spool.drop_result(id, now) {
             return;
         }
         let Some(stored) = self.results.remove(&id) else {
@@ -86,7 +86,7 @@
         if let Some(timer) = stored.expiry_timer {
             self.expiry_timers.cancel(timer);
         }
-        self.returns.drops(&stored.name);
+        self.run_registry.drop_answer(&stored.name);
         self.free_pages(stored.pages, now);
         self.counters.dropped += 1;
     }
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -1,9 +1,9 @@
 //! Answers clients' queries for results, in parts that fit into one message.
 
 use eideryard::interface::Micros;
-use eideryard_result_spool::returns::Arrival;
+use eideryard_result_spool::run_registry::Arrival;
 use eideryard_result_spool::token::{Token, TokenError};
-use eideryard_result_spool::worker::Order;
+use eideryard_result_spool::worker::DiskJob;
 use eideryard_result_spool::PageLocation;
 
 use super::{
@@ -22,17 +22,17 @@
 impl ResultSpoolDriver {
     /// Whether a run with this name is in progress or remembered; see `StoredResult::name`.
     pub fn is_known_run(&self, name: &str) -> bool {
-        self.returns.knows(name)
+        self.run_registry.contains(name)
     }
 
     /// Answers a client's repeated query for a run by its name. Returns `None` if the run is in
     /// progress: the client gets the result when the run ends.
     pub fn reattach(&mut self, name: &str, waiter: Waiter, now: Micros) -> Option<Delivery> {
-        let delivery = match self.returns.arrives(name, waiter) {
+        let delivery = match self.run_registry.register(name, waiter) {
             Arrival::First => {
-                // The run is unknown. `arrives` has registered it as new; since a query starts no
+                // The run is unknown. `register` has added it as new; since a query starts no
                 // run, that is undone.
-                self.returns.refused(name);
+                self.run_registry.withdraw(name);
                 self.counters.not_found += 1;
                 let reason = "nothing is known of this request";
                 return Some(Delivery::error(waiter, ErrorKind::Gone, reason));
@@ -41,7 +41,7 @@
                 self.counters.not_found += 1;
                 return Some(Delivery::expired(waiter));
             }
-            Arrival::Crowded => {
+            Arrival::TooManyWaiters => {
                 let reason = "too many wait for it";
                 return Some(Delivery::error(waiter, ErrorKind::TryLater, reason));
             }
@@ -82,8 +82,8 @@
     /// kept only as long as delivered ones are.
     pub fn release_result(&mut self, token: &str, name: &str, now: Micros) {
         if let Ok(token) = self.keys.read(token, name, self.epoch, now) {
-            self.spool.open(token.result, now);
-            self.spool.close(token.result, true, now);
+            self.spool.open_reader(token.result, now);
+            self.spool.close_reader(token.result, true, now);
             self.schedule_expiry(token.result);
         }
     }
@@ -102,18 +102,18 @@
         };
         let end = first_page + pending.rows.len();
         let is_empty = pending.rows.is_empty();
-        if is_empty && self.spool.read(id, first_page, now) != PageLocation::NoSuch {
+        if is_empty && self.spool.locate_page(id, first_page, now) != PageLocation::PastEnd {
             return Some(Delivery::expired(waiter));
         }
-        self.spool.open(id, now);
+        self.spool.open_reader(id, now);
         if !is_empty {
-            self.spool.read(id, end - 1, now);
+            self.spool.locate_page(id, end - 1, now);
         }
         if pending.is_complete() {
             return self.finish_part(pending, now);
         }
-        if self.pending_parts.len() >= MAX_PENDING_PARTS || !self.order_reads(&pending) {
-            self.spool.close(id, false, now);
+        if self.pending_parts.len() >= MAX_PENDING_PARTS || !self.submit_reads(&pending) {
+            self.spool.close_reader(id, false, now);
             let reason = "the spool's disk is busy";
             return Some(Delivery::error(waiter, ErrorKind::TryLater, reason));
         }
@@ -147,9 +147,9 @@
         })
     }
 
-    /// Orders reads of those pages of a part that are on disk. Returns false if the disk worker's
+    /// Submits reads of those pages of a part that are on disk. Returns false if the disk worker's
     /// queue is full.
-    fn order_reads(&self, pending: &PendingPart) -> bool {
+    fn submit_reads(&self, pending: &PendingPart) -> bool {
         let Some(worker) = &self.worker else {
             return false;
         };
@@ -158,18 +158,18 @@
         };
         for (offset, rows) in pending.rows.iter().enumerate() {
             let page = pending.first_page + offset;
-            let Some(StoredPage::Disk(place)) = stored.pages.get(page) else {
+            let Some(StoredPage::Disk(position)) = stored.pages.get(page) else {
                 continue;
             };
             if rows.is_some() {
                 continue;
             }
-            let order = Order::Read {
+            let job = DiskJob::Read {
                 result: pending.result,
                 page: page as u32,
-                place: *place,
+                position: *position,
             };
-            if worker.order(order).is_err() {
+            if worker.submit(job).is_err() {
                 return false;
             }
         }
@@ -187,7 +187,7 @@
             expires: now + TOKEN_LIFETIME,
         };
         let token = self.keys.write(&token, &name);
-        self.spool.close(part.result, !part.has_more, now);
+        self.spool.close_reader(part.result, !part.has_more, now);
         self.schedule_expiry(part.result);
         self.counters.parts_sent += 1;
         Some(Delivery::Part(ResultPart {
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -25,7 +25,7 @@
     /// Returns why the request is rejected, and when a retry may succeed.
     pub fn admit(&mut self, owner: ResultOwner, now: Micros) -> Result<(), SpoolRejection> {
         let mut expected = self.expected_bytes(owner.labels);
-        if expected > self.max_result_bytes && self.sizes.doubts() {
+        if expected > self.max_result_bytes && self.sizes.should_bypass_rejection() {
             expected = DEFAULT_RESULT_BYTES;
         }
         if self.results.len() >= MAX_NAMES {
@@ -35,14 +35,17 @@
             });
         }
         match self.spool.admit(owner.spool_owner(), expected, now) {
-            Admission::Yes { dropping } => {
-                for id in dropping {
+            Admission::Admitted { to_drop } => {
+                for id in to_drop {
                     self.drop_result(id, now);
                 }
                 Ok(())
             }
-            Admission::No { why, retry_after } => Err(SpoolRejection {
-                reason: why,
+            Admission::Rejected {
+                reason,
+                retry_after,
+            } => Err(SpoolRejection {
+                reason,
                 retry_after,
             }),
         }
@@ -71,7 +74,7 @@
             labels: owner.labels,
         };
         self.results.insert(id, stored);
-        self.returns.arrives(name, waiter);
+        self.run_registry.register(name, waiter);
         self.counters.begun += 1;
     }
 
@@ -82,7 +85,7 @@
 
     /// The number of bytes of pages that may be requested from the engine now.
     pub fn free_bytes(&self, id: ResultId) -> u64 {
-        self.spool.ahead(id)
+        self.spool.read_ahead_bytes(id)
     }
 
     /// Adds the next page of a result.
@@ -99,7 +102,7 @@
         let Some(stored) = self.results.get_mut(&id) else {
             return Ok(());
         };
-        if let Err(reason) = self.spool.page(id, rows.len() as u64, now) {
+        if let Err(reason) = self.spool.add_page(id, rows.len() as u64, now) {
             if reason == RejectReason::TooLarge {
                 // The actual size is unknown, so the least possible one is learned. Later requests
                 // of this class and tenant are then rejected before they are sent.
@@ -124,7 +127,7 @@
         }
         let pages = std::mem::take(&mut stored.pages);
         self.spool.end(id, false, now);
-        self.spool.drop(id, now);
+        self.spool.drop_result(id, now);
         self.free_pages(pages, now);
         let expected = self.expected_bytes(owner.labels);
         self.spool.begin(id, owner.spool_owner(), expected, now);
@@ -142,7 +145,7 @@
         self.spool.end(id, true, now);
         self.schedule_expiry(id);
         self.counters.completed += 1;
-        let waiters = self.returns.ends(&name, RunOutcome::Result(id));
+        let waiters = self.run_registry.finish(&name, RunOutcome::Result(id));
         waiters
             .into_iter()
             .filter_map(|waiter| self.prepare_part(waiter, id, 0, now))
@@ -163,12 +166,12 @@
         let name = stored.name.clone();
         self.spool.end(id, false, now);
         if is_rejected {
-            let waiters = self.returns.refused(&name);
+            let waiters = self.run_registry.withdraw(&name);
             self.drop_result(id, now);
             return waiters;
         }
         // No client has got a row of it, so only the failure is stored.
-        self.spool.drop(id, now);
+        self.spool.drop_result(id, now);
         let timer = self.expiry_timers.set(now + self.failure_retention, id);
         if let Some(stored) = self.results.get_mut(&id) {
             let previous_timer = stored.expiry_timer.replace(timer);
@@ -178,13 +181,13 @@
             }
             self.free_pages(pages, now);
         }
-        self.returns.ends(&name, RunOutcome::Failed)
+        self.run_registry.finish(&name, RunOutcome::Failed)
     }
 
     /// Removes a waiting client whose connection has closed. The run continues for later queries.
     pub fn detach_client(&mut self, id: ResultId, waiter: &Waiter) {
         if let Some(stored) = self.results.get(&id) {
-            self.returns.leaves(&stored.name, waiter);
+            self.run_registry.detach(&stored.name, waiter);
         }
     }
 }
