--- a/crates/event-log/src/text/mod.rs
+++ b/crates/event-log/src/text/mod.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Formats a variant with fields as `NAME { FIELD: VALUE, ... }`, with names that may differ in Rust.
+/// Formats a variant with fields as `NAME { FIELD: VALUE }`, with names that differ from Rust's.
 fn write_struct(f: &mut Formatter<'_>, name: &str, fields: &[(&str, &dyn Debug)]) -> fmt::Result {
     let mut text = f.debug_struct(name);
     for (field, value) in fields {
