--- a/crates/console/src/draw/tables.rs
+++ b/crates/console/src/draw/tables.rs
@@ -54,7 +54,7 @@
         format!("{rank_3}/{rank_2}/{rank_1}/{rank_0}"),
         sparkline(&row.answer_rates, options),
         format!("{:>7}", row.answered),
-        format!("{:>5}", row.bad),
+        format!("{:>5}", row.failed),
     ]
 }
 
--- a/crates/console/src/model/engine_rows.rs
+++ b/crates/console/src/model/engine_rows.rs
@@ -32,7 +32,7 @@
     /// Attempts that it answered.
     pub answered: u64,
     /// Attempts that ended badly.
-    pub bad: u64,
+    pub failed: u64,
 }
 
 impl EngineRow {
@@ -46,7 +46,7 @@
             in_flight_by_rank: [0; 4],
             answer_rates: answer_rates(view, engine),
             answered: 0,
-            bad: 0,
+            failed: 0,
         }
     }
 
@@ -67,7 +67,7 @@
         }
         let [answered, error, at_capacity, timed_out, no_connection, broken, ..] = engine.outcomes;
         self.answered += answered;
-        self.bad += error + at_capacity + timed_out + no_connection + broken;
+        self.failed += error + at_capacity + timed_out + no_connection + broken;
     }
 
     fn compare(&self, other: &EngineRow, sort: Sort) -> Ordering {
@@ -76,7 +76,7 @@
             Sort::InFlight => other.in_flight.cmp(&self.in_flight),
             Sort::Memory => other.granted_mb.total_cmp(&self.granted_mb),
             Sort::Rate => other.answer_rates.last().cmp(&self.answer_rates.last()),
-            Sort::Bad => other.bad.cmp(&self.bad),
+            Sort::Failed => other.failed.cmp(&self.failed),
         };
         order.then_with(|| self.name.cmp(&other.name))
     }
--- a/crates/console/src/model/mod.rs
+++ b/crates/console/src/model/mod.rs
@@ -63,7 +63,7 @@
     /// Most answers in the last second first.
     Rate,
     /// Most attempts that ended badly first.
-    Bad,
+    Failed,
 }
 
 impl Sort {
@@ -72,7 +72,7 @@
         Sort::InFlight,
         Sort::Memory,
         Sort::Rate,
-        Sort::Bad,
+        Sort::Failed,
     ];
 
     /// The order's name on the screen.
@@ -82,7 +82,7 @@
             Sort::InFlight => "in flight",
             Sort::Memory => "memory",
             Sort::Rate => "answers",
-            Sort::Bad => "ended badly",
+            Sort::Failed => "ended badly",
         }
     }
 
--- a/crates/event-analysis/src/series.rs
+++ b/crates/event-analysis/src/series.rs
@@ -59,7 +59,7 @@
     /// Attempts that it answered.
     pub answered: u32,
     /// Attempts that ended any other way, without those that were cancelled or not sent.
-    pub bad: u32,
+    pub failed: u32,
 }
 
 /// Sums of one stretch of time.
@@ -87,7 +87,7 @@
             let sums = self.engines.entry(engine).or_default();
             sums.sent += bucket.sent;
             sums.answered += bucket.answered;
-            sums.bad += bucket.bad;
+            sums.failed += bucket.failed;
         }
         for (tenant, received) in other.tenants {
             *self.tenants.entry(tenant).or_default() += received;
@@ -170,7 +170,7 @@
         match outcome {
             Outcome::Answered => sums.answered += 1,
             Outcome::Cancelled | Outcome::NotSent => {}
-            _ => sums.bad += 1,
+            _ => sums.failed += 1,
         }
     }
 }
--- a/crates/report/src/page/engines.rs
+++ b/crates/report/src/page/engines.rs
@@ -76,18 +76,18 @@
         let Some(sums) = bucket.engines.get(&engine) else {
             continue;
         };
-        if sums.answered + sums.bad > 0 {
+        if sums.answered + sums.failed > 0 {
             let from = view.series.start_of(index);
             bars.push(Bar {
                 from,
                 to: view.series.start_of(index + 1),
-                style: if sums.bad > 0 { "bad" } else { "served" },
+                style: if sums.failed > 0 { "bad" } else { "served" },
                 text: format!(
                     "{}: {} sent, {} answered, {} ended badly",
                     clock(from),
                     sums.sent,
                     sums.answered,
-                    sums.bad
+                    sums.failed
                 ),
                 opacity: opacity(sums, most_answers),
             });
@@ -97,7 +97,7 @@
 }
 
 fn opacity(sums: &EngineBucket, most_answers: u32) -> f64 {
-    if sums.bad > 0 {
+    if sums.failed > 0 {
         return 1.0;
     }
     MIN_OPACITY + (1.0 - MIN_OPACITY) * f64::from(sums.answered) / f64::from(most_answers)
