--- a/crates/console/src/draw/details.rs
+++ b/crates/console/src/draw/details.rs
@@ -33,7 +33,7 @@
     area: Rect,
     engine: EngineId,
 ) {
-    let title = format!("Engine {}", view.fleet.engine(engine));
+    let title = format!("Engine {}", view.fleet.engine_name(engine));
     let rates = sparkline(&answer_rates(view, engine), options);
     let mut lines = vec![
         Line::styled(title, bold()),
@@ -110,8 +110,8 @@
     format!(
         "{} at {gateway}: class {}, tenant {}: {}{} after {} and {}",
         clock_ms(request.at),
-        view.fleet.class(request.class),
-        view.fleet.tenant(request.tenant),
+        view.fleet.class_name(request.class),
+        view.fleet.tenant_name(request.tenant),
         request.kind.name(),
         if request.is_late { ", late," } else { "" },
         answered_after.unwrap_or_else(|| "a time not known".into()),
@@ -130,7 +130,7 @@
     format!(
         "  {} to {}: {end}",
         clock_ms(attempt.sent_at),
-        view.fleet.engine(attempt.engine)
+        view.fleet.engine_name(attempt.engine)
     )
 }
 
--- a/crates/console/src/draw/tables.rs
+++ b/crates/console/src/draw/tables.rs
@@ -84,8 +84,8 @@
 
     fn group_name(self, view: &View, index: usize) -> String {
         match self {
-            Grouping::Class => view.fleet.class(index),
-            Grouping::Tenant => view.fleet.tenant(index),
+            Grouping::Class => view.fleet.class_name(index),
+            Grouping::Tenant => view.fleet.tenant_name(index),
         }
     }
 
@@ -244,8 +244,8 @@
         clock_ms(request.at),
         id.unwrap_or_else(|| "-".into()),
         gateway.unwrap_or_default(),
-        view.fleet.class(request.class),
-        view.fleet.tenant(request.tenant),
+        view.fleet.class_name(request.class),
+        view.fleet.tenant_name(request.tenant),
         format!("{}{late}", request.kind.name()),
         request.attempt_count.to_string(),
     ]
--- a/crates/console/src/model/engine_rows.rs
+++ b/crates/console/src/model/engine_rows.rs
@@ -39,7 +39,7 @@
     fn new(view: &View, engine: EngineId) -> Self {
         EngineRow {
             engine,
-            name: view.fleet.engine(engine),
+            name: view.fleet.engine_name(engine),
             state: "up",
             in_flight: 0,
             granted_mb: 0.0,
--- a/crates/event-analysis/src/state/fleet.rs
+++ b/crates/event-analysis/src/state/fleet.rs
@@ -42,7 +42,7 @@
     }
 
     /// An engine's name as any of the gateways knows it: all of them number engines alike.
-    pub fn engine(&self, engine: EngineId) -> String {
+    pub fn engine_name(&self, engine: EngineId) -> String {
         let known = self.runs().filter_map(|(_, run)| run.engines.get(&engine));
         let mut names = known.map(|engine| &engine.name);
         match names.find(|name| !name.is_empty()) {
@@ -52,19 +52,19 @@
     }
 
     /// A class's name: gateways of one fleet have the same settings.
-    pub fn class(&self, class: usize) -> String {
+    pub fn class_name(&self, class: usize) -> String {
         let mut runs = self.runs();
         match runs.find(|(_, run)| class < run.names.classes.len()) {
-            Some((_, run)) => run.class(class),
+            Some((_, run)) => run.class_name(class),
             None => format!("class {class}"),
         }
     }
 
     /// A tenant's name.
-    pub fn tenant(&self, tenant: usize) -> String {
+    pub fn tenant_name(&self, tenant: usize) -> String {
         let mut runs = self.runs();
         match runs.find(|(_, run)| tenant < run.names.tenants.len()) {
-            Some((_, run)) => run.tenant(tenant),
+            Some((_, run)) => run.tenant_name(tenant),
             None => format!("tenant {tenant}"),
         }
     }
--- a/crates/event-analysis/src/state/run.rs
+++ b/crates/event-analysis/src/state/run.rs
@@ -118,19 +118,19 @@
     }
 
     /// A class's name.
-    pub fn class(&self, class: usize) -> String {
+    pub fn class_name(&self, class: usize) -> String {
         let name = self.names.classes.get(class).cloned();
         name.unwrap_or_else(|| format!("class {class}"))
     }
 
     /// A tenant's name.
-    pub fn tenant(&self, tenant: usize) -> String {
+    pub fn tenant_name(&self, tenant: usize) -> String {
         let name = self.names.tenants.get(tenant).cloned();
         name.unwrap_or_else(|| format!("tenant {tenant}"))
     }
 
     /// An engine's name.
-    pub fn engine(&self, engine: EngineId) -> String {
+    pub fn engine_name(&self, engine: EngineId) -> String {
         match self.engines.get(&engine) {
             Some(known) if !known.name.is_empty() => known.name.clone(),
             _ => format!("engine {engine:08x}"),
--- a/crates/report/src/page/engines.rs
+++ b/crates/report/src/page/engines.rs
@@ -37,7 +37,7 @@
     let runs = view.fleet.runs();
     let engines = runs.flat_map(|(_, run)| run.engines.keys().copied());
     let mut engines: Vec<EngineId> = engines.collect();
-    engines.sort_by_key(|engine| (view.fleet.engine(*engine), *engine));
+    engines.sort_by_key(|engine| (view.fleet.engine_name(*engine), *engine));
     engines.dedup();
     engines
 }
@@ -47,7 +47,7 @@
     let shown = engines.iter().take(MAX_ROWS);
     let rows: Vec<Row> = shown
         .map(|engine| Row {
-            name: view.fleet.engine(*engine),
+            name: view.fleet.engine_name(*engine),
             bars: bars(view, *engine, most_answers),
         })
         .collect();
@@ -131,7 +131,7 @@
     let sent: u64 = states.iter().map(|state| state.sent).sum();
     html! {
         tr {
-            th scope="row" { (view.fleet.engine(engine)) }
+            th scope="row" { (view.fleet.engine_name(engine)) }
             td { (last.map_or("", |state| state.address.as_str())) }
             td { (phase_word(phase)) }
             td class="n" { (sent) }
--- a/crates/report/src/page/requests.rs
+++ b/crates/report/src/page/requests.rs
@@ -106,8 +106,8 @@
             td { (clock_ms(row.at)) }
             td class="id" { (id.as_deref().unwrap_or(UNKNOWN)) }
             td { (run.map_or("", |run| run.name.as_str())) }
-            td { (view.fleet.class(row.class)) }
-            td { (view.fleet.tenant(row.tenant)) }
+            td { (view.fleet.class_name(row.class)) }
+            td { (view.fleet.tenant_name(row.tenant)) }
             td { (row.end) }
             td class="n" { (milliseconds.as_deref().unwrap_or(UNKNOWN)) }
             td class="n" { (row.attempt_count) }
--- a/crates/report/src/page/service.rs
+++ b/crates/report/src/page/service.rs
@@ -102,7 +102,7 @@
     let mut lines = Vec::new();
     for (number, class) in busiest(classes).into_iter().enumerate() {
         lines.push(Line {
-            name: view.fleet.class(class),
+            name: view.fleet.class_name(class),
             style: line_style(number),
             points: plot_points(view, |bucket| {
                 let sums = bucket.classes.get(&class)?;
@@ -122,7 +122,7 @@
     let mut lines = Vec::new();
     for (number, tenant) in busiest(tenants).into_iter().enumerate() {
         lines.push(Line {
-            name: view.fleet.tenant(tenant),
+            name: view.fleet.tenant_name(tenant),
             style: line_style(number),
             points: rates(view, |bucket| {
                 bucket.tenants.get(&tenant).copied().unwrap_or(0)
@@ -167,7 +167,7 @@
             tbody {
                 @for (class, values) in sums.present() {
                     tr {
-                        th scope="row" { (view.fleet.class(class)) }
+                        th scope="row" { (view.fleet.class_name(class)) }
                         @for value in values { td class="n" { (value) } }
                         @for quantile in LATENCY_QUANTILES {
                             td class="n" { (latency_cell(view, class, quantile)) }
@@ -191,7 +191,7 @@
             tbody {
                 @for (tenant, values) in sums.present() {
                     tr {
-                        th scope="row" { (view.fleet.tenant(tenant)) }
+                        th scope="row" { (view.fleet.tenant_name(tenant)) }
                         @for value in values { td class="n" { (value) } }
                     }
                 }
--- a/crates/report/src/summary/episodes.rs
+++ b/crates/report/src/summary/episodes.rs
@@ -11,20 +11,22 @@
 pub fn subject(view: &View, kind: &EpisodeKind) -> String {
     match kind {
         EpisodeKind::EnginesDown(engines) => {
-            let names = engines.iter().map(|engine| view.fleet.engine(*engine));
+            let names = engines.iter().map(|engine| view.fleet.engine_name(*engine));
             let mut names: Vec<String> = names.collect();
             names.sort();
             list(&names)
         }
-        EpisodeKind::Drain(engine) | EpisodeKind::Quarantine(engine) => view.fleet.engine(*engine),
+        EpisodeKind::Drain(engine) | EpisodeKind::Quarantine(engine) => {
+            view.fleet.engine_name(*engine)
+        }
         EpisodeKind::Refusals | EpisodeKind::Retries => "the fleet".into(),
-        EpisodeKind::Latency(class) => view.fleet.class(*class),
+        EpisodeKind::Latency(class) => view.fleet.class_name(*class),
         EpisodeKind::DiscoveryDown(sources) => {
             let names = sources.iter().map(|source| gateway_name(view, *source));
             let names: BTreeSet<String> = names.collect();
             list(&Vec::from_iter(names))
         }
-        EpisodeKind::TenantFlood(tenant) => view.fleet.tenant(*tenant),
+        EpisodeKind::TenantFlood(tenant) => view.fleet.tenant_name(*tenant),
         EpisodeKind::AddressFlood(address) => address.to_string(),
         EpisodeKind::LogGap(source) => gateway_name(view, *source),
     }
--- a/crates/report/src/summary/fleet.rs
+++ b/crates/report/src/summary/fleet.rs
@@ -54,7 +54,7 @@
 fn describe_leases(view: &View, run: &GatewayRun) -> String {
     let leases = run.leases.iter();
     let names: Vec<String> = leases
-        .map(|(engine, term)| format!("{} (term {term})", view.fleet.engine(*engine)))
+        .map(|(engine, term)| format!("{} (term {term})", view.fleet.engine_name(*engine)))
         .collect();
     names.join(" ")
 }
