--- a/crates/console/src/draw/details.rs
+++ b/crates/console/src/draw/details.rs
@@ -12,7 +12,7 @@
 use ratatui::Frame;
 
 use super::{bold, sparkline, DisplayOptions};
-use crate::model::answer_rates;
+use crate::model::answers_per_bucket;
 
 /// Outcomes as the page names them, in the order of their numbers.
 const OUTCOMES: [&str; 8] = [
@@ -34,7 +34,7 @@
     engine: EngineId,
 ) {
     let title = format!("Engine {}", view.fleet.engine_name(engine));
-    let rates = sparkline(&answer_rates(view, engine), options);
+    let rates = sparkline(&answers_per_bucket(view, engine), options);
     let mut lines = vec![
         Line::styled(title, bold()),
         Line::from(format!("answers, 20 s: {rates}")),
@@ -59,7 +59,7 @@
         clock(run.epoch),
         phase_name(engine.phase)
     );
-    let last_answer = engine.last_answer.map(clock_ms);
+    let last_answer = engine.last_answer_at.map(clock_ms);
     let totals = format!(
         "address {}, sent {}, last answer {}",
         engine.address,
@@ -73,7 +73,7 @@
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
     let recent: Vec<&str> = engine
-        .recent
+        .recent_outcomes
         .iter()
         .map(|outcome| outcome_name(*outcome))
         .collect();
--- a/crates/console/src/draw/tables.rs
+++ b/crates/console/src/draw/tables.rs
@@ -52,7 +52,7 @@
         format!("{:>4}", row.in_flight),
         format!("{:>6.0}", row.granted_mb),
         format!("{rank_3}/{rank_2}/{rank_1}/{rank_0}"),
-        sparkline(&row.answer_rates, options),
+        sparkline(&row.answers_per_bucket, options),
         format!("{:>7}", row.answered),
         format!("{:>5}", row.failed),
     ]
--- a/crates/console/src/model/engine_rows.rs
+++ b/crates/console/src/model/engine_rows.rs
@@ -28,7 +28,7 @@
     /// Attempts that run there, by rank.
     pub in_flight_by_rank: [u32; 4],
     /// Answers in each of the last buckets of time, the oldest first.
-    pub answer_rates: Vec<u64>,
+    pub answers_per_bucket: Vec<u64>,
     /// Attempts that it answered.
     pub answered: u64,
     /// Attempts that ended badly.
@@ -44,7 +44,7 @@
             in_flight: 0,
             granted_mb: 0.0,
             in_flight_by_rank: [0; 4],
-            answer_rates: answer_rates(view, engine),
+            answers_per_bucket: answers_per_bucket(view, engine),
             answered: 0,
             failed: 0,
         }
@@ -75,7 +75,10 @@
             Sort::Name => Ordering::Equal,
             Sort::InFlight => other.in_flight.cmp(&self.in_flight),
             Sort::Memory => other.granted_mb.total_cmp(&self.granted_mb),
-            Sort::Rate => other.answer_rates.last().cmp(&self.answer_rates.last()),
+            Sort::Rate => other
+                .answers_per_bucket
+                .last()
+                .cmp(&self.answers_per_bucket.last()),
             Sort::Failed => other.failed.cmp(&self.failed),
         };
         order.then_with(|| self.name.cmp(&other.name))
@@ -97,7 +100,7 @@
 }
 
 /// Answers of an engine in each of the last buckets of time, the oldest first.
-pub fn answer_rates(view: &View, engine: EngineId) -> Vec<u64> {
+pub fn answers_per_bucket(view: &View, engine: EngineId) -> Vec<u64> {
     let buckets = &view.series.buckets;
     let first = buckets.len().saturating_sub(SPARKLINE_BUCKETS);
     let mut rates = Vec::with_capacity(SPARKLINE_BUCKETS);
--- a/crates/console/src/model/mod.rs
+++ b/crates/console/src/model/mod.rs
@@ -6,7 +6,7 @@
 use eideryard_event_analysis::notable::NotableRequest;
 use eideryard_event_analysis::View;
 
-pub use engine_rows::{answer_rates, EngineRow, SPARKLINE_BUCKETS};
+pub use engine_rows::{answers_per_bucket, EngineRow, SPARKLINE_BUCKETS};
 
 /// How far one step goes.
 pub const STEP: Micros = 1_000_000;
--- a/crates/event-analysis/src/series.rs
+++ b/crates/event-analysis/src/series.rs
@@ -230,7 +230,7 @@
     }
 
     /// When the last bucket ends.
-    pub fn until(&self) -> Micros {
+    pub fn end(&self) -> Micros {
         self.start_of(self.buckets.len())
     }
 
--- a/crates/event-analysis/src/skew.rs
+++ b/crates/event-analysis/src/skew.rs
@@ -36,7 +36,7 @@
 
     /// By how many microseconds the clock of `source` is ahead of that of `other`, and the number
     /// of events that both applied. It is the median, so that single late events don't matter.
-    pub fn ahead(&self, source: usize, other: usize) -> Option<(i64, usize)> {
+    pub fn micros_ahead(&self, source: usize, other: usize) -> Option<(i64, usize)> {
         let mut differences = Vec::new();
         for times in self.events.values() {
             if let (Some(at), Some(other_at)) = (times.get(&source), times.get(&other)) {
--- a/crates/event-analysis/src/state/engine.rs
+++ b/crates/event-analysis/src/state/engine.rs
@@ -37,9 +37,9 @@
     /// Attempts sent.
     pub sent: u64,
     /// The last outcomes, the oldest first.
-    pub recent: VecDeque<Outcome>,
+    pub recent_outcomes: VecDeque<Outcome>,
     /// When it last answered an attempt.
-    pub last_answer: Option<Micros>,
+    pub last_answer_at: Option<Micros>,
 }
 
 /// What one running attempt takes of an engine.
@@ -75,12 +75,12 @@
 
     pub(super) fn add_outcome(&mut self, outcome: Outcome, at: Micros) {
         self.outcomes[outcome as usize] += 1;
-        self.recent.push_back(outcome);
-        if self.recent.len() > MAX_RECENT_OUTCOMES {
-            self.recent.pop_front();
+        self.recent_outcomes.push_back(outcome);
+        if self.recent_outcomes.len() > MAX_RECENT_OUTCOMES {
+            self.recent_outcomes.pop_front();
         }
         if outcome == Outcome::Answered {
-            self.last_answer = Some(at);
+            self.last_answer_at = Some(at);
         }
     }
 
--- a/crates/event-analysis/src/state/host_entries.rs
+++ b/crates/event-analysis/src/state/host_entries.rs
@@ -231,7 +231,7 @@
         let engine = self.engines.entry(listed.engine).or_default();
         if is_restarted {
             // It is another process: the outcomes of the one before say nothing about it.
-            engine.recent.clear();
+            engine.recent_outcomes.clear();
             engine.is_quarantined = false;
         }
         engine.name.clone_from(&listed.name);
--- a/crates/event-analysis/tests/folds.rs
+++ b/crates/event-analysis/tests/folds.rs
@@ -261,7 +261,7 @@
     let view = script.finish();
     let engine = &view.fleet.run(0).unwrap().engines[&1];
     assert_eq!(
-        (engine.address.as_str(), engine.recent.len()),
+        (engine.address.as_str(), engine.recent_outcomes.len()),
         ("127.0.0.1:9999", 0)
     );
     assert_eq!(
@@ -279,8 +279,8 @@
         script.host(1, number as f64 + 3.2, HostEvent::DiscoveryEvent { number });
     }
     let view = script.finish();
-    assert_eq!(view.skew.ahead(1, 0), Some((3_200_000, 5)));
-    assert_eq!(view.skew.ahead(0, 1), Some((-3_200_000, 5)));
+    assert_eq!(view.skew.micros_ahead(1, 0), Some((3_200_000, 5)));
+    assert_eq!(view.skew.micros_ahead(0, 1), Some((-3_200_000, 5)));
 }
 
 /// A segment's state, folded alone, is the state that the whole record gives.
--- a/crates/report/src/summary/caveats.rs
+++ b/crates/report/src/summary/caveats.rs
@@ -85,7 +85,7 @@
     for (index, (source, name)) in runs.iter().enumerate() {
         let mut others = runs[..index].iter().filter(|(_, other)| other != name);
         let compared = others.find_map(|(other_source, other)| {
-            let ahead = view.skew.ahead(*source, *other_source)?;
+            let ahead = view.skew.micros_ahead(*source, *other_source)?;
             Some((other, ahead))
         });
         let Some((other, (micros, events))) = compared else {
