--- a/crates/event-analysis/src/episodes/baseline.rs
+++ b/crates/event-analysis/src/episodes/baseline.rs
@@ -1,13 +1,15 @@
-//! What is usual for a value: a mean that forgets.
+//! The usual value of a measurement: an exponentially weighted moving average.
 
-/// Seconds after which older values count little.
+/// Time constant of the moving average in seconds, with one value a second.
 const MEAN_SECONDS: f64 = 60.0;
-/// Values that make a baseline.
+/// Minimum number of values for a baseline.
 const MIN_VALUES: u32 = 3;
-/// Seconds with traffic after which a source that was never seen has a baseline of zero, because it
-/// is new and not just part of the beginning.
+/// Number of seconds with traffic after which a tenant or address that sends its first request gets
+/// a baseline of zero. Before that, every sender is new because the log has just begun.
 const MIN_SECONDS_FOR_NEW: u32 = 5;
 
+/// A moving average of the values added so far.
+
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Baseline {
     mean: f64,
@@ -15,7 +17,7 @@
 }
 
 impl Baseline {
-    /// The baseline of a new source after so many seconds with traffic.
+    /// Creates the baseline of a new tenant or address after this number of seconds with traffic.
     pub fn of_new(traffic_seconds: u32) -> Self {
         let is_new = traffic_seconds >= MIN_SECONDS_FOR_NEW;
         Baseline {
@@ -29,7 +31,7 @@
         self.mean += (value - self.mean) / f64::from(self.values).min(MEAN_SECONDS);
     }
 
-    /// The mean, once there are enough values.
+    /// Returns the mean, or `None` until there are enough values.
     pub fn mean(&self) -> Option<f64> {
         (self.values >= MIN_VALUES).then_some(self.mean)
     }
--- a/crates/event-analysis/src/episodes/detector.rs
+++ b/crates/event-analysis/src/episodes/detector.rs
@@ -1,4 +1,4 @@
-//! Distributes facts and time to the parts that detect episodes.
+//! Passes facts and the progress of time to the modules that detect episodes.
 
 use eideryard::interface::{EngineId, Micros};
 
@@ -9,17 +9,18 @@
 use super::{Episode, EpisodeKind, Overlap, MAX_EPISODES, SECOND, WINDOW_SECONDS};
 use crate::state::{Fact, TimedFact};
 
-/// Seconds after the window in which even a quiet fleet is judged second by second.
+/// Number of seconds after the end of the window in which a fleet without requests is still
+/// evaluated every second. A longer quiet time is skipped at once.
 const QUIET_SECONDS: Micros = 10;
 
-/// A time of which a log says nothing.
+/// An interval in which a log has no entries although the gateway ran or may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogGap {
-    /// Index of the gateway's run.
+    /// Index of the source whose log has the gap.
     pub source: usize,
-    /// Time of the last entry before it.
+    /// Time of the last entry before the gap.
     pub from: Micros,
-    /// Time of the first entry after it.
+    /// Time of the first entry after the gap, or the time up to which it is known to last.
     pub to: Micros,
 }
 
@@ -37,32 +38,33 @@
 }
 
 impl Detector {
-    /// A detector that has no past.
+    /// Creates a detector without baselines and episodes.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The episodes found, after [`Detector::finish`] in the order of time.
+    /// Returns the episodes detected so far. They are sorted by time only after
+    /// [`Detector::finish`].
     pub fn episodes(&self) -> &[Episode] {
         self.episodes.as_slice()
     }
 
-    /// Whether an engine is down now.
+    /// Returns whether an engine is down at present.
     pub fn is_down(&self, engine: EngineId) -> bool {
         self.engines.is_down(engine)
     }
 
-    /// Times of which logs say nothing.
+    /// Returns the gaps of all logs.
     pub fn gaps(&self) -> &[LogGap] {
         &self.gaps
     }
 
-    /// The time of the last fact.
+    /// Returns the latest time of all facts added.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// All pairs of episodes that overlap in time.
+    /// Returns all pairs of episodes that overlap in time.
     pub fn overlaps(&self) -> Vec<Overlap> {
         let episodes = self.episodes();
         let mut overlaps = Vec::new();
@@ -85,7 +87,7 @@
         overlaps
     }
 
-    /// Adds a fact.
+    /// Adds a fact and evaluates the seconds that are complete at its time.
     pub fn add(&mut self, fact: &TimedFact) {
         self.advance(fact.at);
         match fact.fact {
@@ -145,9 +147,9 @@
         }
     }
 
-    /// Ends the detection: no more facts follow. Episodes that ended before `from` are dropped.
+    /// Ends the detection after the last fact and drops the episodes that ended before `from`.
     pub fn finish(&mut self, from: Micros) {
-        // The current second is judged too, although it is not over.
+        // Evaluates the current second too, although it is not complete.
         let now = self.now;
         self.advance(now + SECOND);
         self.now = now;
@@ -161,7 +163,7 @@
 
     // ---- Time ----
 
-    /// Judges each second that is over.
+    /// Evaluates each second that is complete at the time `at`.
     fn advance(&mut self, at: Micros) {
         self.now = self.now.max(at);
         let second_of_fact = at - at % SECOND;
@@ -171,23 +173,23 @@
         let quiet_after = (WINDOW_SECONDS as Micros + QUIET_SECONDS) * SECOND;
         while self.second_at + SECOND <= at {
             if at > self.second_at + quiet_after && self.traffic.is_quiet() {
-                // A long quiet time has nothing to judge.
+                // A long time without requests need not be evaluated second by second.
                 self.episodes.end_absent(at);
                 self.second_at = second_of_fact;
                 self.traffic.skip_second();
                 return;
             }
-            self.judge_second();
+            self.evaluate_second();
             self.second_at += SECOND;
         }
     }
 
-    fn judge_second(&mut self) {
+    fn evaluate_second(&mut self) {
         let window_end = self.second_at + SECOND;
         self.traffic.end_second();
-        self.engines.judge(window_end, &mut self.episodes);
-        self.discovery.judge(window_end, &mut self.episodes);
-        self.traffic.judge(window_end, &mut self.episodes);
+        self.engines.evaluate(window_end, &mut self.episodes);
+        self.discovery.evaluate(window_end, &mut self.episodes);
+        self.traffic.evaluate(window_end, &mut self.episodes);
         self.episodes.end_absent(window_end);
     }
 
--- a/crates/event-analysis/src/episodes/discovery.rs
+++ b/crates/event-analysis/src/episodes/discovery.rs
@@ -1,4 +1,4 @@
-//! Detects that gateways have no connection to the discovery service.
+//! Detects that gateways have lost their connection to the discovery service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,14 +7,15 @@
 use super::episode_list::EpisodeList;
 use super::{Episode, EpisodeKind};
 
-/// A shorter loss of the connection is only a reconnect.
+/// A connection that is re-established in less time than this is not an outage.
 const MIN_OUTAGE: Micros = 1_500_000;
 
+/// Tracks which gateways have no connection to the discovery service.
 #[derive(Default)]
 pub(super) struct DiscoveryOutage {
-    /// Since when gateways have no connection, by source.
+    /// Time at which each gateway without a connection lost it, by source.
     lost_since: BTreeMap<usize, Micros>,
-    /// The index of the episode that lasts.
+    /// Index of the episode while it lasts.
     episode: Option<usize>,
 }
 
@@ -23,7 +24,8 @@
         self.lost_since.entry(source).or_insert(at);
     }
 
-    /// A gateway is connected, or is no more and so misses no connection.
+    /// Must be called when a gateway is connected again, or when it ends and no longer needs a
+    /// connection.
     pub fn on_restored(&mut self, source: usize, at: Micros, episodes: &mut EpisodeList) {
         self.lost_since.remove(&source);
         if !self.lost_since.is_empty() {
@@ -34,8 +36,9 @@
         }
     }
 
-    /// Judges the time up to `now`.
-    pub fn judge(&mut self, now: Micros, episodes: &mut EpisodeList) {
+    /// Starts or extends the episode if a gateway is disconnected for long enough at the time
+    /// `now`.
+    pub fn evaluate(&mut self, now: Micros, episodes: &mut EpisodeList) {
         let mut lost = self.lost_since.clone();
         lost.retain(|_, at| *at + MIN_OUTAGE <= now);
         let Some(first) = lost.values().min().copied() else {
--- a/crates/event-analysis/src/episodes/engines.rs
+++ b/crates/event-analysis/src/episodes/engines.rs
@@ -1,4 +1,4 @@
-//! Detects that engines are down, drain or are in quarantine.
+//! Detects engines that are down, and ends their drains and quarantines with the endpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,16 +7,16 @@
 use super::episode_list::EpisodeList;
 use super::{Episode, EpisodeKind, MAX_ADDRESSES, SECOND};
 
-/// An engine whose connection broke is down if it answers nothing for this long.
+/// An engine is considered down if it answers nothing for this long after a connection broke.
 const DOWN_AFTER: Micros = SECOND;
-/// Engines that go down within this time of each other are one episode.
+/// Engines that go down within this time after the first one belong to the same episode.
 const GROUP_TIME: Micros = 3 * SECOND;
 
 /// An engine that lost a connection and has not answered since.
 #[derive(Clone, Copy, Debug)]
 struct Unreachable {
     since: Micros,
-    /// Whether it refused a connection, which proves that it is down.
+    /// Whether a connection to the engine could not be established, which proves that it is down.
     has_refused: bool,
 }
 
@@ -26,24 +26,26 @@
     }
 }
 
-/// Engines that went down together.
+/// Engines that went down within [`GROUP_TIME`].
 struct DownGroup {
-    /// The index of their episode.
+    /// Index of the group's episode.
     episode: usize,
-    /// Those that are still down.
+    /// Engines of the group that are still down.
     engines: BTreeSet<EngineId>,
 }
 
+/// Tracks which engines can be reached.
 #[derive(Default)]
 pub(super) struct EngineHealth {
     unreachable: BTreeMap<EngineId, Unreachable>,
-    /// The last phase of each engine.
+    /// Last listed phase of each engine.
     phases: BTreeMap<EngineId, Phase>,
+    /// The group whose episode lasts, if any.
     down: Option<DownGroup>,
 }
 
 impl EngineHealth {
-    /// Whether an engine is down now.
+    /// Returns whether an engine is down at present.
     pub fn is_down(&self, engine: EngineId) -> bool {
         let down = self.down.as_ref();
         down.is_some_and(|group| group.engines.contains(&engine))
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Judges the time up to `now`.
-    pub fn judge(&mut self, now: Micros, episodes: &mut EpisodeList) {
+    /// Starts or extends the episode of the engines that are down at the time `now`.
+    pub fn evaluate(&mut self, now: Micros, episodes: &mut EpisodeList) {
         let mut down = self.unreachable.clone();
         down.retain(|_, unreachable| unreachable.is_down(now));
         for (engine, unreachable) in down {
@@ -127,8 +129,8 @@
         }
     }
 
-    /// The group that an engine belongs to, which may be a new one; `None` if the list of episodes
-    /// is full.
+    /// Returns the group that an engine belongs to, starting a new one if necessary. Returns `None`
+    /// if the list of episodes is full.
     fn group_for(
         &mut self,
         engine: EngineId,
@@ -141,9 +143,9 @@
                 || matches!(&episode.kind, EpisodeKind::EnginesDown(set) if set.contains(&engine))
         });
         if !is_in_group {
-            // Another group: the one before ends here, although its engines are still down.
-            if let Some(before) = self.down.take() {
-                episodes.end_at(before.episode, since);
+            // A new group begins and ends the previous one, although its engines are still down.
+            if let Some(previous) = self.down.take() {
+                episodes.end_at(previous.episode, since);
             }
             let kind = EpisodeKind::EnginesDown(BTreeSet::from([engine]));
             let episode = episodes.push(Episode::new(kind, since, 1.0, 0.0))?;
--- a/crates/event-analysis/src/episodes/episode_list.rs
+++ b/crates/event-analysis/src/episodes/episode_list.rs
@@ -1,4 +1,4 @@
-//! The list of episodes, and which of them last.
+//! The list of episodes, including those that still last.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,24 @@
 
 use super::{Episode, EpisodeKind, MAX_EPISODES, SECOND, WINDOW_SECONDS};
 
-/// An episode whose symptom is absent for this long has ended; shorter pauses belong to it.
+/// An episode ends when its symptom has been absent for this long. Shorter pauses are part of the
+/// episode.
 const MAX_PAUSE: Micros = 3 * SECOND;
 
+/// All episodes detected so far, at most [`MAX_EPISODES`].
 #[derive(Default)]
 pub(super) struct EpisodeList {
     episodes: Vec<Episode>,
-    /// Episodes that last, by kind. Those that their owner ends are not here.
+    /// Episodes that still last, by kind, except those added with [`EpisodeList::push`], whose end
+    /// the caller sets.
     open: BTreeMap<EpisodeKind, OpenEpisode>,
 }
 
+/// An episode that still lasts.
 #[derive(Clone, Copy)]
 struct OpenEpisode {
     index: usize,
-    /// When its symptom was last seen; `None` for an episode that a fact ends.
+    /// End of the last window that showed the symptom; `None` if a fact ends the episode instead.
     last_seen: Option<Micros>,
 }
 
@@ -32,7 +36,7 @@
         &mut self.episodes[index]
     }
 
-    /// Adds an episode and returns its index; `None` if the list is full.
+    /// Adds an episode whose end the caller sets. Returns its index, or `None` if the list is full.
     pub fn push(&mut self, episode: Episode) -> Option<usize> {
         if self.episodes.len() >= MAX_EPISODES {
             return None;
@@ -41,7 +45,8 @@
         Some(self.episodes.len() - 1)
     }
 
-    /// Starts an episode that [`EpisodeList::end`] ends, unless one of this kind lasts.
+    /// Starts an episode that lasts until [`EpisodeList::end`] is called, unless an episode of this
+    /// kind already lasts.
     pub fn start(&mut self, kind: EpisodeKind, at: Micros) {
         if self.open.contains_key(&kind) {
             return;
@@ -68,8 +73,8 @@
         }
     }
 
-    /// Notes a symptom in the window that ends now: starts its episode or prolongs it. Returns the
-    /// episode's index; `None` if the list is full.
+    /// Adds a symptom found in the window that ends at `window_end`: starts an episode, or extends
+    /// the one that lasts. Returns the episode's index, or `None` if the list is full.
     pub fn add_symptom(
         &mut self,
         kind: EpisodeKind,
@@ -95,7 +100,8 @@
         Some(index)
     }
 
-    /// Ends the episodes whose symptoms are absent for [`MAX_PAUSE`], when they were last seen.
+    /// Ends the episodes whose symptoms have been absent for [`MAX_PAUSE`], with the time at which
+    /// they were last seen as the end.
     pub fn end_absent(&mut self, now: Micros) {
         let mut absent = Vec::new();
         self.open.retain(|_, open| match open.last_seen {
@@ -106,14 +112,15 @@
             _ => true,
         });
         for (index, last_seen) in absent {
-            // The window reaches back, so the symptom ended before the last window that showed it.
+            // A window covers several seconds, so the symptom ended before the end of the last
+            // window that showed it.
             let ended_at = last_seen.saturating_sub((WINDOW_SECONDS as Micros - 1) * SECOND);
             let started_at = self.episodes[index].started_at;
             self.end_at(index, ended_at.max(started_at + SECOND));
         }
     }
 
-    /// Marks the time of a gap as unknown in the episodes that it touches.
+    /// Marks the time of a gap as unknown in the episodes that overlap it.
     pub fn mark_unknown(&mut self, source: usize, from: Micros, to: Micros, now: Micros) {
         for episode in &mut self.episodes {
             let (start, end) = episode.span(now);
@@ -124,7 +131,7 @@
         }
     }
 
-    /// Drops what ended before a time and sorts the rest by time.
+    /// Drops the episodes that ended before `from` and sorts the others by their start.
     pub fn finish(&mut self, from: Micros) {
         self.episodes
             .retain(|episode| episode.ended_at.is_none_or(|end| end >= from));
@@ -134,7 +141,8 @@
     }
 }
 
-/// Adds a stretch of time to others that don't touch each other and are in order.
+/// Adds an interval to a list of sorted, disjoint intervals, and merges it with those that it
+/// touches.
 fn add_span(spans: &mut Vec<(Micros, Micros)>, mut from: Micros, mut to: Micros) {
     spans.retain(|(start, end)| {
         let is_apart = *end < from || to < *start;
--- a/crates/event-analysis/src/episodes/mod.rs
+++ b/crates/event-analysis/src/episodes/mod.rs
@@ -1,10 +1,11 @@
-//! Detects incidents by their symptoms: when each began, was worst and ended, and which overlap.
+//! Detects incidents by their symptoms: when each began, peaked and ended, and which of them
+//! overlap.
 //!
-//! [`Detector`] receives all facts. It hands what concerns engines to `engines`, the connection to
-//! the discovery service to `discovery` and requests to `traffic`, which judges each second over a
-//! window against a baseline of the fleet's own past. Each of them owns its state and reports to
-//! the `episode_list`. Seconds in which a log has a gap prove nothing: episodes that touch one say
-//! so.
+//! [`Detector`] receives all facts. It passes facts about engines to `engines`, facts about the
+//! connection to the discovery service to `discovery` and facts about requests to `traffic`, which
+//! compares a sliding window with a baseline of the fleet's own past once a second. Each of these
+//! modules owns its state and reports episodes to `episode_list`. Nothing can be concluded from the
+//! time in which a log has a gap, so episodes that overlap a gap mark that time as unknown.
 
 mod baseline;
 mod detector;
@@ -21,41 +22,43 @@
 
 pub use detector::{Detector, LogGap};
 
+/// One second in microseconds.
 const SECOND: Micros = 1_000_000;
-/// Symptoms of traffic are judged over this many seconds.
+/// Length in seconds of the sliding window in which symptoms of traffic are detected.
 const WINDOW_SECONDS: usize = 3;
-/// Most episodes, and most gaps, that are kept.
+/// Maximum number of episodes, and of gaps, that are kept.
 const MAX_EPISODES: usize = 4096;
-/// Most client addresses, and engines, that are told apart.
+/// Maximum number of client addresses, and of engines, that are tracked separately.
 const MAX_ADDRESSES: usize = 65_536;
 
-/// What happened. The order is that of episodes that began at the same time.
+/// What happened in an episode. Episodes that began at the same time are sorted in the order of
+/// these variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EpisodeKind {
-    /// Engines that ended or can't be reached.
+    /// These engines ended or could not be reached.
     EnginesDown(BTreeSet<EngineId>),
-    /// An engine drained.
+    /// This engine was draining.
     Drain(EngineId),
-    /// An engine was in quarantine.
+    /// This engine was in quarantine at a gateway.
     Quarantine(EngineId),
-    /// Many requests were refused.
+    /// An unusual share of requests was refused.
     Refusals,
-    /// Many attempts were retries.
+    /// An unusual share of attempts was retries.
     Retries,
-    /// A class was slower than usual.
+    /// The class with this index was slower than usual.
     Latency(usize),
-    /// Gateways had no connection to the discovery service, by source.
+    /// The gateways of these sources had no connection to the discovery service.
     DiscoveryDown(BTreeSet<usize>),
-    /// A tenant sent many more requests than usual.
+    /// The tenant with this index sent many more requests than usual.
     TenantFlood(usize),
-    /// A client address sent many more requests than usual.
+    /// This client address sent many more requests than usual.
     AddressFlood(IpAddr),
-    /// A log lacks entries or breaks off, by source.
+    /// The log of this source lacks entries or breaks off.
     LogGap(usize),
 }
 
 impl EpisodeKind {
-    /// The kind's name in tables and filters.
+    /// Returns the kind's name in tables.
     pub fn name(&self) -> &'static str {
         match self {
             EpisodeKind::EnginesDown(_) => "engines gone",
@@ -71,27 +74,27 @@
     }
 }
 
-/// An incident.
+/// An incident: a time with one kind of symptom.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Episode {
-    /// What happened.
+    /// What happened, and to which engine, class, tenant or gateway.
     pub kind: EpisodeKind,
-    /// When it began.
+    /// Start of the episode.
     pub started_at: Micros,
-    /// When it was worst.
+    /// Time of the peak.
     pub peak_at: Micros,
-    /// How bad it was then: by kind a number of engines or gateways, a rate per second, a share,
-    /// milliseconds, or seconds.
+    /// Greatest value during the episode. Depending on the kind, this is a number of engines or
+    /// gateways, a rate per second, a share, milliseconds or seconds.
     pub peak: f64,
-    /// When it ended; `None` while it lasts.
+    /// End of the episode; `None` while it lasts.
     pub ended_at: Option<Micros>,
-    /// What was usual before, in the unit of the peak.
+    /// Usual value before the episode, in the unit of the peak; 0 for kinds without a baseline.
     pub baseline: f64,
-    /// Times within it in which a log has a gap, so that nothing is known of them.
+    /// Intervals within the episode in which a log has a gap, so that nothing is known about them.
     pub unknown: Vec<(Micros, Micros)>,
-    /// How many entries a gap left out, where that is known.
+    /// Number of entries missing in a gap; `None` if it is not known or the episode is not a gap.
     pub missing_entries: Option<u64>,
-    /// The address that most of a tenant's flood came from.
+    /// Address that at least half of a tenant's flood came from; `None` if there is none.
     pub address: Option<IpAddr>,
 }
 
@@ -110,22 +113,22 @@
         }
     }
 
-    /// Its start and end; `now` stands for the end while it lasts.
+    /// Returns the start and the end of the episode. While the episode lasts, the end is `now`.
     pub fn span(&self, now: Micros) -> (Micros, Micros) {
         let end = self.ended_at.unwrap_or(now.max(self.started_at));
         (self.started_at, end)
     }
 }
 
-/// The time that two episodes have in common.
+/// The interval in which two episodes overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overlap {
-    /// Index of the earlier episode.
+    /// Index in [`Detector::episodes`] of the episode that comes first there.
     pub first: usize,
-    /// Index of the later episode.
+    /// Index in [`Detector::episodes`] of the other episode.
     pub second: usize,
-    /// Start of the common time.
+    /// Start of the overlap.
     pub from: Micros,
-    /// End of the common time.
+    /// End of the overlap.
     pub to: Micros,
 }
--- a/crates/event-analysis/src/episodes/traffic.rs
+++ b/crates/event-analysis/src/episodes/traffic.rs
@@ -1,4 +1,4 @@
-//! Detects refusals, retries, floods and latency that are far above what is usual.
+//! Detects refusals, retries, floods of requests and latencies that are far above the baseline.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
@@ -10,25 +10,27 @@
 use super::window::{SecondSums, Window, WindowSums};
 use super::{EpisodeKind, MAX_ADDRESSES};
 
-/// So many times the baseline is a symptom.
+/// Refusals, retries and request rates are a symptom above this multiple of the baseline.
 const MIN_MULTIPLE: f64 = 3.0;
-/// Fewer refusals or retries in a window are none.
+/// Minimum number of refusals or retries in a window for a symptom.
 const MIN_COUNT: u32 = 8;
-/// A smaller share of refusals or retries is none.
+/// Refusals or retries are a symptom only above this share of all answers or attempts.
 const MIN_SHARE: f64 = 0.05;
-/// Latency is a symptom above this multiple of the baseline and this much more.
+/// Latency is a symptom above this multiple of the baseline plus [`LATENCY_MARGIN_MS`].
 const LATENCY_MULTIPLE: f64 = 2.0;
+/// Margin that is added to the multiple of the baseline, so that small changes of a low latency are
+/// not a symptom.
 const LATENCY_MARGIN_MS: f64 = 100.0;
-/// The percentile of latency that is judged.
+/// Percentile of latency that is compared with the baseline.
 const LATENCY_PERCENTILE: f64 = 0.9;
-/// Fewer latencies in a window prove nothing.
+/// Minimum number of latencies in a window for a comparison.
 const MIN_LATENCIES: u32 = 10;
-/// A flood has at least this many requests a second.
+/// Minimum rate of a flood in requests a second.
 const MIN_FLOOD_RATE: f64 = 20.0;
-/// A flood is at least this share of all requests.
+/// Minimum share of a flood in all requests.
 const MIN_FLOOD_SHARE: f64 = 0.4;
 
-/// Judges the traffic of all gateways second by second.
+/// Compares the traffic of all gateways with its baselines, once a second.
 #[derive(Default)]
 pub(super) struct Traffic {
     second: SecondSums,
@@ -38,17 +40,17 @@
     tenants: BTreeMap<usize, Baseline>,
     addresses: HashMap<IpAddr, Baseline>,
     latency: BTreeMap<usize, Baseline>,
-    /// Seconds with requests that were judged.
-    busy_seconds: u32,
+    /// Number of evaluated windows in which requests were received.
+    seconds_with_traffic: u32,
 }
 
 impl Traffic {
-    /// The sums of the current second.
+    /// Returns the sums of the current second.
     pub fn second_mut(&mut self) -> &mut SecondSums {
         &mut self.second
     }
 
-    /// Whether no request was received or ended in the last window.
+    /// Returns whether no request was received or ended in the last window.
     pub fn is_quiet(&self) -> bool {
         self.window.is_quiet()
     }
@@ -63,10 +65,11 @@
         self.window.push(std::mem::take(&mut self.second));
     }
 
-    /// Judges the window that ends now.
-    pub fn judge(&mut self, window_end: Micros, episodes: &mut EpisodeList) {
+    /// Compares the window that ends at `window_end` with the baselines. Values that are not a
+    /// symptom are added to their baseline.
+    pub fn evaluate(&mut self, window_end: Micros, episodes: &mut EpisodeList) {
         let sums = self.window.sums();
-        judge_share(
+        evaluate_share(
             &mut self.refusals,
             EpisodeKind::Refusals,
             Share {
@@ -76,7 +79,7 @@
             window_end,
             episodes,
         );
-        judge_share(
+        evaluate_share(
             &mut self.retries,
             EpisodeKind::Retries,
             Share {
@@ -86,16 +89,16 @@
             window_end,
             episodes,
         );
-        let has_tenant_flood = self.judge_tenants(&sums, window_end, episodes);
-        self.judge_addresses(&sums, has_tenant_flood, window_end, episodes);
-        self.judge_latency(&sums, window_end, episodes);
+        let has_tenant_flood = self.evaluate_tenants(&sums, window_end, episodes);
+        self.evaluate_addresses(&sums, has_tenant_flood, window_end, episodes);
+        self.evaluate_latency(&sums, window_end, episodes);
         if sums.received > 0 {
-            self.busy_seconds = self.busy_seconds.saturating_add(1);
+            self.seconds_with_traffic = self.seconds_with_traffic.saturating_add(1);
         }
     }
 
-    /// Returns whether a tenant floods.
-    fn judge_tenants(
+    /// Detects floods by tenant. Returns whether there is one.
+    fn evaluate_tenants(
         &mut self,
         sums: &WindowSums,
         window_end: Micros,
@@ -107,9 +110,9 @@
         for tenant in tenants {
             let count = sums.tenants.get(&tenant).copied().unwrap_or(0);
             let rate = f64::from(count) / sums.seconds;
-            let new = Baseline::of_new(self.busy_seconds);
-            let baseline = self.tenants.entry(tenant).or_insert(new);
-            let Some(usual) = flooded_baseline(baseline, count, sums) else {
+            let new_baseline = Baseline::of_new(self.seconds_with_traffic);
+            let baseline = self.tenants.entry(tenant).or_insert(new_baseline);
+            let Some(usual) = baseline_if_flood(baseline, count, sums) else {
                 baseline.add(rate);
                 continue;
             };
@@ -124,8 +127,9 @@
         has_flood
     }
 
-    /// A flood that is one of a tenant is not also one of an address.
-    fn judge_addresses(
+    /// Detects floods by client address. None is reported while a tenant floods, so that the same
+    /// flood is not reported twice.
+    fn evaluate_addresses(
         &mut self,
         sums: &WindowSums,
         has_tenant_flood: bool,
@@ -137,9 +141,9 @@
                 continue;
             }
             let rate = f64::from(*count) / sums.seconds;
-            let new = Baseline::of_new(self.busy_seconds);
-            let baseline = self.addresses.entry(*address).or_insert(new);
-            match flooded_baseline(baseline, *count, sums) {
+            let new_baseline = Baseline::of_new(self.seconds_with_traffic);
+            let baseline = self.addresses.entry(*address).or_insert(new_baseline);
+            match baseline_if_flood(baseline, *count, sums) {
                 None => baseline.add(rate),
                 Some(_) if has_tenant_flood => {}
                 Some(usual) => {
@@ -150,7 +154,13 @@
         }
     }
 
-    fn judge_latency(&mut self, sums: &WindowSums, window_end: Micros, episodes: &mut EpisodeList) {
+    /// Detects classes that are slower than usual.
+    fn evaluate_latency(
+        &mut self,
+        sums: &WindowSums,
+        window_end: Micros,
+        episodes: &mut EpisodeList,
+    ) {
         for (class, sketch) in &sums.latency {
             if sketch.count() < MIN_LATENCIES {
                 continue;
@@ -171,14 +181,15 @@
     }
 }
 
-/// How many of a total.
+/// A count as a part of a total.
 #[derive(Clone, Copy)]
 struct Share {
     count: u32,
     total: u32,
 }
 
-fn judge_share(
+/// Adds a symptom if a share is far above its baseline, or else adds the share to the baseline.
+fn evaluate_share(
     baseline: &mut Baseline,
     kind: EpisodeKind,
     share: Share,
@@ -194,8 +205,8 @@
     }
 }
 
-/// The baseline of a source of requests, if the source floods compared with it.
-fn flooded_baseline(baseline: &Baseline, count: u32, sums: &WindowSums) -> Option<f64> {
+/// Returns the baseline of a tenant or address if its request rate is a flood compared with it.
+fn baseline_if_flood(baseline: &Baseline, count: u32, sums: &WindowSums) -> Option<f64> {
     let usual = baseline.mean()?;
     let rate = f64::from(count) / sums.seconds;
     let is_flood = rate >= MIN_FLOOD_RATE
--- a/crates/event-analysis/src/episodes/window.rs
+++ b/crates/event-analysis/src/episodes/window.rs
@@ -1,4 +1,4 @@
-//! Sums of single seconds, and of the window of the last few.
+//! Sums of single seconds, and of the sliding window of the last [`WINDOW_SECONDS`].
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::IpAddr;
@@ -9,7 +9,7 @@
 use super::{MAX_ADDRESSES, WINDOW_SECONDS};
 use crate::series::LatencySketch;
 
-/// Sums of one second.
+/// Sums of one second over all gateways.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SecondSums {
     received: u32,
@@ -19,7 +19,7 @@
     retries: u32,
     tenants: BTreeMap<usize, u32>,
     addresses: HashMap<IpAddr, u32>,
-    /// Requests by tenant and address.
+    /// Number of requests by tenant and client address.
     tenant_addresses: HashMap<(usize, IpAddr), u32>,
     latency: BTreeMap<usize, LatencySketch>,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// The sums of the last seconds.
+/// The sums of each of the last [`WINDOW_SECONDS`] seconds.
 #[derive(Default)]
 pub(super) struct Window {
     seconds: VecDeque<SecondSums>,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether no request was received or ended.
+    /// Returns whether no request was received or ended within the window.
     pub fn is_quiet(&self) -> bool {
         self.seconds
             .iter()
@@ -116,7 +116,7 @@
         sums
     }
 
-    /// The address that at least half of a tenant's `count` requests came from.
+    /// Returns the address that at least half of a tenant's `count` requests came from, if any.
     pub fn main_address(&self, tenant: usize, count: u32) -> Option<IpAddr> {
         let mut counts: BTreeMap<IpAddr, u32> = BTreeMap::new();
         for second in &self.seconds {
--- a/crates/event-analysis/src/lib.rs
+++ b/crates/event-analysis/src/lib.rs
@@ -1,12 +1,12 @@
-//! Analysis of event logs: what happened in a fleet of gateways, reconstructed from the entries
-//! that they logged.
+//! Analysis of event logs: reconstructs what happened in a fleet of gateways from the entries that
+//! they logged.
 //!
-//! [`state`] owns the state of each gateway at an instant and turns entries into [`Fact`]s. The
-//! other parts are folded from facts: [`series`] sums them in buckets of time, [`episodes`] detects
-//! incidents by their symptoms, [`notable`] keeps requests that were not simply served, and
-//! [`skew`] estimates how far the clocks of gateways are apart. [`View`] drives all of them; the
-//! report and the console read it. Nothing here does I/O, and memory is bounded whatever the length
-//! of a log.
+//! [`state`] owns the state of each gateway and turns entries into [`Fact`]s. The other modules
+//! process only facts: [`series`] sums them in time buckets, [`episodes`] detects incidents by
+//! their symptoms, [`notable`] keeps the requests that were not served in time at the first
+//! attempt, and [`skew`] estimates the differences between the gateways' clocks. [`View`] feeds all
+//! of them; the report and the console read it. Nothing in this crate does I/O, and the memory used
+//! is bounded regardless of the length of a log.
 //!
 //! # Example
 //!
@@ -46,19 +46,19 @@
 use eideryard_event_log::reader::ReadContent;
 use eideryard_event_log::Source;
 
-/// All parts of the analysis, fed with the same entries.
+/// The results of all parts of the analysis, which process the same entries.
 pub struct View {
-    /// The state of each gateway.
+    /// State of each gateway after the last entry added.
     pub fleet: Fleet,
-    /// Sums over time.
+    /// Sums per time bucket, from [`View::from`] on.
     pub series: Series,
-    /// Incidents.
+    /// Detects incidents and keeps them.
     pub detector: Detector,
-    /// Differences of the gateways' clocks.
+    /// Estimated differences between the gateways' clocks.
     pub skew: skew::ClockSkew,
-    /// Requests that were not simply served.
+    /// Requests that were not served in time at the first attempt, from [`View::from`] on.
     pub notables: notable::NotableRequests,
-    /// Entries before this time only provide the state and the baselines.
+    /// Start of the analysed time. Earlier entries only build the state and the baselines.
     pub from: Micros,
 }
 
@@ -69,12 +69,12 @@
 }
 
 impl View {
-    /// A view of everything that is added.
+    /// Creates a view that analyses every entry added.
     pub fn new() -> Self {
         Self::since(0)
     }
 
-    /// A view of what happens from a time on.
+    /// Creates a view that analyses the time from `from` on.
     pub fn since(from: Micros) -> Self {
         View {
             from,
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Adds what was read next: an entry, or damage, of the source with this index.
+    /// Adds the next content read from the source with this index: an entry or a damaged part of
+    /// its log.
     pub fn add(&mut self, sources: &[Source], source: usize, at: Micros, content: &ReadContent) {
         let View {
             fleet,
@@ -110,8 +111,9 @@
         });
     }
 
-    /// Ends the view after the last entry. `is_cut`: the logs go on, but the reader stopped at a
-    /// time; otherwise gateways whose logs end early count as broken off.
+    /// Ends the analysis after the last entry. `is_cut` is true if the reader stopped at a given
+    /// time although the logs continue. Otherwise, a gateway whose log ends before the others' and
+    /// without an orderly shutdown is marked as broken off.
     pub fn finish(&mut self, is_cut: bool) {
         if !is_cut {
             let (series, detector) = (&mut self.series, &mut self.detector);
--- a/crates/event-analysis/src/notable.rs
+++ b/crates/event-analysis/src/notable.rs
@@ -1,5 +1,4 @@
-//! Requests that an operator may ask about: those that were not served in time at the first
-//! attempt.
+//! Requests that an operator may look for: those that were not served in time at the first attempt.
 
 use std::collections::VecDeque;
 
@@ -8,52 +7,54 @@
 
 use crate::state::{Attempt, Fact, TimedFact, MAX_SHOWN_ATTEMPTS};
 
-/// The first and the last requests are kept; those between are counted.
+/// Number of requests kept from the start. Of all later ones, only the last [`MAX_LAST`] are kept
+/// and the others are counted.
 const MAX_FIRST: usize = 1500;
+/// Number of requests kept at the end, besides the [`MAX_FIRST`] first ones.
 const MAX_LAST: usize = 500;
 
-/// A request that was not simply served.
+/// A request that was not served in time at the first attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NotableRequest {
-    /// Index of its gateway's run.
+    /// Index of the source whose gateway answered the request.
     pub source: usize,
-    /// When it ended.
+    /// Time of the final answer, by the gateway's clock.
     pub at: Micros,
-    /// The id that its client gave it, if its start was logged.
+    /// Id that the client gave to the request; `None` if the log lacks the request's arrival.
     pub id: Option<u64>,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant.
     pub tenant: usize,
-    /// How it ended.
+    /// Kind of the final answer.
     pub kind: AnswerKind,
-    /// Whether that was after its deadline.
+    /// Whether the final answer came after the deadline.
     pub is_late: bool,
-    /// Time from its arrival to its end, if its start was logged.
+    /// Time from arrival to final answer; `None` if the log lacks the request's arrival.
     pub duration: Option<Micros>,
-    /// How many attempts were made.
+    /// Number of attempts made, which may exceed the number kept in [`NotableRequest::attempts`].
     pub attempt_count: usize,
     last_attempts: [Option<Attempt>; MAX_SHOWN_ATTEMPTS],
 }
 
 impl NotableRequest {
-    /// Its last attempts, as they were when it was answered.
+    /// Returns the last attempts, in their state at the time of the final answer.
     pub fn attempts(&self) -> impl Iterator<Item = &Attempt> {
         self.last_attempts.iter().flatten()
     }
 }
 
-/// The first and the last requests that were not simply served.
+/// The first and the last requests that were not served in time at the first attempt.
 #[derive(Default)]
 pub struct NotableRequests {
     first: Vec<NotableRequest>,
     last: VecDeque<NotableRequest>,
-    /// How many between them are not kept.
+    /// Number of requests between the first and the last ones that were dropped.
     pub left_out: u64,
 }
 
 impl NotableRequests {
-    /// Adds a fact.
+    /// Adds the request that a fact is about, if the fact is its end and the request is notable.
     pub fn add(&mut self, fact: &TimedFact) {
         let Some(notable) = notable_request(fact) else {
             return;
@@ -69,13 +70,14 @@
         }
     }
 
-    /// All that are kept, in the order of time.
+    /// Returns the requests kept, in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = &NotableRequest> {
         self.first.iter().chain(&self.last)
     }
 }
 
-/// The request that a fact is about, if that is its end and it was not simply served.
+/// Returns the request that a fact is about if the fact is its end and the request was not served
+/// in time at the first attempt.
 fn notable_request(fact: &TimedFact) -> Option<NotableRequest> {
     let Fact::RequestEnded {
         id,
--- a/crates/event-analysis/src/series.rs
+++ b/crates/event-analysis/src/series.rs
@@ -1,5 +1,5 @@
-//! Facts summed in buckets of time, for plots. Buckets widen as a log grows, so that their number
-//! is bounded.
+//! Sums of facts per time bucket, for plots. Buckets get wider as a log gets longer, which bounds
+//! their number.
 
 mod sketch;
 #[cfg(test)]
@@ -13,24 +13,26 @@
 use crate::state::{Fact, TimedFact};
 pub use sketch::LatencySketch;
 
-/// Most buckets; in a longer log each two become one.
+/// Maximum number of buckets. When a log needs more, pairs of neighbouring buckets are merged.
 pub const MAX_BUCKETS: usize = 720;
+/// Width of a bucket before any merge.
 const INITIAL_WIDTH: Micros = 1_000_000;
-/// Most classes, tenants and engines that have sums of their own.
+/// Maximum number of classes, of tenants and of engines that one bucket keeps sums for; facts about
+/// further ones are not counted in it.
 const MAX_GROUPS: usize = 256;
 
-/// Sums of one class.
+/// Sums of the requests of one class in one bucket.
 #[derive(Clone, Debug, Default)]
 pub struct ClassBucket {
-    /// Requests received.
+    /// Requests received, including those rejected before they reached the balancer.
     pub received: u32,
-    /// Requests ended, indexed by [`AnswerKind`].
+    /// Requests that ended, indexed by [`AnswerKind`].
     pub ended: [u32; AnswerKind::ALL.len()],
     /// Requests that ended after their deadline.
     pub late: u32,
-    /// Attempts that were not the first of their request.
+    /// Attempts sent that were not the first of their request.
     pub retries: u32,
-    /// Latency of served requests.
+    /// Latencies of served requests, from arrival to answer.
     pub latency: LatencySketch,
 }
 
@@ -45,36 +47,36 @@
         self.latency.merge(&other.latency);
     }
 
-    /// Requests that ended in this way.
+    /// Returns the number of requests that ended with this kind of answer.
     pub fn ended(&self, kind: AnswerKind) -> u32 {
         self.ended[kind as usize]
     }
 }
 
-/// Sums of one engine.
+/// Sums of all gateways' attempts at one engine in one bucket.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineBucket {
-    /// Attempts sent.
+    /// Attempts sent to the engine.
     pub sent: u32,
-    /// Attempts that it answered.
+    /// Attempts that the engine answered.
     pub answered: u32,
-    /// Attempts that ended any other way, without those that were cancelled or not sent.
+    /// Attempts that ended without an answer, except those that were cancelled or not sent.
     pub failed: u32,
 }
 
-/// Sums of one stretch of time.
+/// Sums over one interval of time.
 #[derive(Clone, Debug, Default)]
 pub struct Bucket {
-    /// By class.
+    /// Sums by index of the class.
     pub classes: BTreeMap<usize, ClassBucket>,
-    /// By engine.
+    /// Sums by engine.
     pub engines: BTreeMap<EngineId, EngineBucket>,
-    /// Requests received, by tenant.
+    /// Number of requests received, by index of the tenant.
     pub tenants: BTreeMap<usize, u32>,
 }
 
 impl Bucket {
-    /// The sum of a value over all classes.
+    /// Returns the sum of a value over all classes.
     pub fn total(&self, value: impl Fn(&ClassBucket) -> u32) -> u32 {
         self.classes.values().map(value).sum()
     }
@@ -175,7 +177,8 @@
     }
 }
 
-/// The sums of a group; `None` for a new one beyond [`MAX_GROUPS`].
+/// Returns the sums of a group, or `None` if the group is new and there are already
+/// [`MAX_GROUPS`] others.
 fn group_mut<K: Ord, V: Default>(groups: &mut BTreeMap<K, V>, key: K) -> Option<&mut V> {
     if groups.len() >= MAX_GROUPS && !groups.contains_key(&key) {
         return None;
@@ -183,13 +186,13 @@
     Some(groups.entry(key).or_default())
 }
 
-/// Sums over time.
+/// Sums over time, one bucket after the other.
 pub struct Series {
-    /// Time of one bucket.
+    /// Duration of each bucket. It doubles whenever buckets are merged.
     pub width: Micros,
-    /// When the first bucket starts.
+    /// Start of the first bucket; 0 while there is none.
     pub from: Micros,
-    /// The buckets, without pauses between them.
+    /// Consecutive buckets, including empty ones.
     pub buckets: Vec<Bucket>,
 }
 
@@ -200,7 +203,7 @@
 }
 
 impl Series {
-    /// An empty series.
+    /// Creates an empty series.
     pub fn new() -> Self {
         Series {
             width: INITIAL_WIDTH,
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Adds a fact to the bucket of its time.
+    /// Adds a fact about a request or an attempt to the bucket of its time; ignores other facts.
     pub fn add(&mut self, fact: &TimedFact) {
         let is_summed = matches!(
             fact.fact,
@@ -224,12 +227,12 @@
         }
     }
 
-    /// When a bucket starts.
+    /// Returns the start of the bucket with this index, which need not exist yet.
     pub fn start_of(&self, bucket: usize) -> Micros {
         self.from + self.width * bucket as Micros
     }
 
-    /// When the last bucket ends.
+    /// Returns the end of the last bucket.
     pub fn end(&self) -> Micros {
         self.start_of(self.buckets.len())
     }
@@ -239,7 +242,8 @@
             self.from = at - at % self.width;
             self.buckets.push(Bucket::default());
         }
-        // Where clocks differ, a fact may be older than the first bucket: it then counts there.
+        // If the gateways' clocks differ, a fact may be older than the first bucket. Such a fact is
+        // counted in the first bucket.
         let offset = at.saturating_sub(self.from);
         while (offset / self.width) as usize >= MAX_BUCKETS {
             self.double_width();
@@ -251,7 +255,7 @@
         &mut self.buckets[index]
     }
 
-    /// Merges each two buckets into one.
+    /// Merges each pair of neighbouring buckets into one.
     fn double_width(&mut self) {
         let mut merged: Vec<Bucket> = Vec::with_capacity(MAX_BUCKETS);
         for (index, bucket) in std::mem::take(&mut self.buckets).into_iter().enumerate() {
--- a/crates/event-analysis/src/series/sketch.rs
+++ b/crates/event-analysis/src/series/sketch.rs
@@ -1,20 +1,21 @@
-//! A small histogram of latencies.
+//! A latency histogram that is small enough to have one per class and bucket.
 
 use eideryard::interface::Micros;
 
+/// Number of steps; latencies beyond the last step are counted in it.
 const STEPS: usize = 32;
-/// Steps while the latency doubles.
+/// Number of steps in which the latency doubles.
 const STEPS_PER_DOUBLING: f64 = 2.0;
 
-/// Latencies in steps of the square root of two from 1 ms on, so that percentiles are exact to a
-/// fifth.
+/// Histogram of latencies from 1 ms on, where each step is wider than the one before by the square
+/// root of two. The error of percentiles is therefore less than a fifth.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LatencySketch {
     counts: [u32; STEPS],
 }
 
 impl LatencySketch {
-    /// Adds a latency.
+    /// Adds one latency.
     pub fn add(&mut self, latency: Micros) {
         let milliseconds = (latency as f64 / 1e3).max(1.0);
         let step = (milliseconds.log2() * STEPS_PER_DOUBLING) as usize;
@@ -28,22 +29,23 @@
         }
     }
 
-    /// How many latencies were added.
+    /// Returns the number of latencies added.
     pub fn count(&self) -> u32 {
         self.counts.iter().sum()
     }
 
-    /// The latency in milliseconds that a share of all don't exceed; `None` if there are none.
+    /// Returns the latency in milliseconds that a share (from 0 to 1) of all latencies doesn't
+    /// exceed, or `None` if none was added.
     pub fn percentile(&self, share: f64) -> Option<f64> {
         let total = self.count();
         if total == 0 {
             return None;
         }
-        let wanted = (f64::from(total) * share).ceil().max(1.0) as u32;
+        let target_count = (f64::from(total) * share).ceil().max(1.0) as u32;
         let mut counted = 0;
         for (step, count) in self.counts.iter().enumerate() {
             counted += count;
-            if counted >= wanted {
+            if counted >= target_count {
                 return Some(2f64.powf((step as f64 + 0.5) / STEPS_PER_DOUBLING));
             }
         }
--- a/crates/event-analysis/src/series/tests.rs
+++ b/crates/event-analysis/src/series/tests.rs
@@ -1,9 +1,9 @@
-//! Sums over long times and percentiles.
+//! The number of buckets of a long log, and the precision of percentiles.
 
 use super::*;
 
 #[test]
-fn sums_of_a_day_stay_within_the_limit_of_buckets() {
+fn buckets_of_a_whole_day_are_merged_to_stay_within_their_limit() {
     let mut series = Series::new();
     let fact = Fact::RequestReceived {
         class: 0,
@@ -29,14 +29,17 @@
 }
 
 #[test]
-fn percentiles_of_a_sketch_are_exact_to_a_fifth() {
+fn percentiles_of_a_sketch_have_an_error_below_a_fifth() {
     let mut sketch = LatencySketch::default();
     for ms in 1..=1000 {
         sketch.add(ms * 1000);
     }
     for share in [0.1, 0.5, 0.9, 0.99] {
-        let (told, true_ms) = (sketch.percentile(share).unwrap(), 1000.0 * share);
-        assert!((told / true_ms - 1.0).abs() < 0.2, "{share}: {told}");
+        let (estimated_ms, true_ms) = (sketch.percentile(share).unwrap(), 1000.0 * share);
+        assert!(
+            (estimated_ms / true_ms - 1.0).abs() < 0.2,
+            "{share}: {estimated_ms}"
+        );
     }
     assert_eq!(LatencySketch::default().percentile(0.5), None);
 }
--- a/crates/event-analysis/src/skew.rs
+++ b/crates/event-analysis/src/skew.rs
@@ -1,5 +1,6 @@
-//! Estimates how far the clocks of gateways are apart: all of them apply the same numbered events
-//! of the discovery service at about the same time.
+//! Estimates the differences between the gateways' clocks. All gateways apply the same numbered
+//! events of the discovery service at about the same time, so the difference between the times that
+//! two gateways logged for an event is about the difference between their clocks.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +8,23 @@
 
 use crate::state::{Fact, TimedFact};
 
-/// Events of the discovery service that are remembered.
+/// Maximum number of events of the discovery service that are kept; the oldest are dropped.
 const MAX_EVENTS: usize = 256;
-/// Smaller differences come from the network and the program, not from the clocks.
+/// Differences up to this are caused by delays of the network and the program rather than by the
+/// clocks.
 pub const MIN_SIGNIFICANT_SKEW: Micros = 100_000;
-/// Fewer common events than this allow no estimate.
+/// Minimum number of events that both gateways applied for an estimate.
 const MIN_EVENTS: usize = 3;
 
-/// When each source applied the latest events of the discovery service.
+/// The times at which each source applied the latest events of the discovery service.
 #[derive(Default)]
 pub struct ClockSkew {
-    /// By event number, then by source.
+    /// Times by number of the event, then by index of the source.
     events: BTreeMap<u64, BTreeMap<usize, Micros>>,
 }
 
 impl ClockSkew {
-    /// Adds a fact.
+    /// Adds a fact if it is an event of the discovery service; ignores other facts.
     pub fn add(&mut self, fact: &TimedFact) {
         let Fact::DiscoveryEvent { number } = fact.fact else {
             return;
@@ -34,8 +36,9 @@
         }
     }
 
-    /// By how many microseconds the clock of `source` is ahead of that of `other`, and the number
-    /// of events that both applied. It is the median, so that single late events don't matter.
+    /// Returns by how many microseconds the clock of `source` is ahead of the clock of `other`
+    /// (negative if it is behind), and the number of events that both applied. The result is the
+    /// median, so that single late events don't matter. `None` if there are too few common events.
     pub fn micros_ahead(&self, source: usize, other: usize) -> Option<(i64, usize)> {
         let mut differences = Vec::new();
         for times in self.events.values() {
--- a/crates/event-analysis/src/state/decision_entries.rs
+++ b/crates/event-analysis/src/state/balancer_entries.rs
@@ -1,6 +1,8 @@
-//! Entries of the decision module: events and actions.
+//! Applies the balancer's entries: its input events and its output actions.
 
-use eideryard::interface::{Action, AttemptEnded, EngineId, Event, Request as Arrived, RequestId};
+use eideryard::interface::{
+    Action, AttemptEnded, EngineId, Event, Request as ArrivedRequest, RequestId,
+};
 
 use super::fact::{Attempt, Fact};
 use super::run::GatewayRun;
@@ -30,7 +32,7 @@
         }
     }
 
-    fn on_arrived(&mut self, arrived: &Arrived, sink: &mut FactSink<'_>) {
+    fn on_arrived(&mut self, arrived: &ArrivedRequest, sink: &mut FactSink<'_>) {
         let request = self.open_requests.get_mut(&arrived.id);
         sink.emit(Fact::RequestReceived {
             class: arrived.class,
@@ -131,8 +133,9 @@
     is_quarantined: bool,
 }
 
-/// The decision module logs quarantines as text: `engine N quarantined: REASON`, `engine N is back
-/// from probation` and `engine N speaks again`.
+/// Parses a log line of the balancer, which reports quarantines only as text: `engine N
+/// quarantined: REASON`, `engine N is back from probation` and `engine N speaks again`. Returns
+/// `None` for any other line.
 fn parse_quarantine_notice(text: &str) -> Option<QuarantineNotice> {
     let mut words = text.split(' ');
     if words.next()? != "engine" {
--- a/crates/event-analysis/src/state/engine.rs
+++ b/crates/event-analysis/src/state/engine.rs
@@ -4,45 +4,47 @@
 
 use eideryard::interface::{Micros, Outcome, Phase};
 
-/// Outcomes of an engine that are kept.
+/// Maximum number of recent outcomes kept for each engine.
 pub const MAX_RECENT_OUTCOMES: usize = 12;
-/// Ranks of requests; higher ones count as the last.
+/// Number of ranks that are counted separately; higher ranks are counted as the highest of them.
 const RANKS: usize = 4;
 
-/// An engine, and what one gateway runs there.
+/// An engine and the attempts that one gateway runs on it.
 #[derive(Clone, Debug, Default)]
 pub struct Engine {
-    /// Its name in the discovery service.
+    /// Name that the discovery service lists; empty if the log has not stated it yet.
     pub name: String,
-    /// Host and port.
+    /// Host and port; empty if not known.
     pub address: String,
-    /// Whether it takes queries, drains or was removed.
+    /// Phase that the discovery service last listed: ready, draining or removed.
     pub phase: Phase,
-    /// When its process started.
+    /// Start time of the engine's process, as the discovery service lists it.
     pub booted_at: Micros,
-    /// Attempts of this gateway that run there.
+    /// Number of this gateway's attempts that run on the engine.
     pub in_flight: usize,
-    /// Memory granted to them.
+    /// Memory granted to the running attempts, in MB.
     pub granted_mb: f64,
-    /// Queries of all gateways that the engine's last report counted.
+    /// Number of running queries of all gateways in the engine's last load report; `None` before
+    /// the first report that states it.
     pub reported_in_flight: Option<f64>,
-    /// Threads of this gateway's attempts.
+    /// Number of threads that the running attempts use.
     pub threads: f64,
-    /// This gateway's attempts by rank.
+    /// Number of running attempts by rank.
     pub in_flight_by_rank: [u32; RANKS],
-    /// Whether the gateway holds it in quarantine.
+    /// Whether the gateway has the engine in quarantine.
     pub is_quarantined: bool,
-    /// Ended attempts, indexed by [`Outcome`].
+    /// Number of ended attempts, indexed by [`Outcome`].
     pub outcomes: [u64; 8],
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub sent: u64,
-    /// The last outcomes, the oldest first.
+    /// Last outcomes of the engine's current process, the oldest first; at most
+    /// [`MAX_RECENT_OUTCOMES`].
     pub recent_outcomes: VecDeque<Outcome>,
-    /// When it last answered an attempt.
+    /// Time of the last answer to an attempt; `None` before the first.
     pub last_answer_at: Option<Micros>,
 }
 
-/// What one running attempt takes of an engine.
+/// Resources of an engine that one running attempt uses.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptLoad {
     pub rank: u8,
--- a/crates/event-analysis/src/state/fact.rs
+++ b/crates/event-analysis/src/state/fact.rs
@@ -1,11 +1,12 @@
-//! What entries state, in a form that is complete without the state of the gateway.
+//! Facts: what entries state, completed from the gateway's state so that they can be processed
+//! without it.
 
 use std::net::IpAddr;
 
 use eideryard::interface::{EngineId, Micros, Outcome, Phase, RequestId};
 use eideryard_event_log::AnswerKind;
 
-/// Attempts of an ended request that are passed on.
+/// Maximum number of attempts that [`Fact::RequestEnded`] contains.
 pub const MAX_SHOWN_ATTEMPTS: usize = 3;
 
 /// Something that happened at a gateway.
@@ -13,49 +14,49 @@
 pub enum Fact {
     /// The gateway started.
     Started {
-        /// Index of the gateway's run before this one.
+        /// Index of the source of the same gateway's previous run; `None` if there is none.
         restart_of: Option<usize>,
     },
     /// A request was received.
     RequestReceived {
-        /// Index of its class.
+        /// Index of the request's class.
         class: usize,
-        /// Index of its tenant.
+        /// Index of the request's tenant.
         tenant: usize,
-        /// Address of its client, where that is known.
+        /// Address of the client; `None` if the log doesn't state it.
         address: Option<IpAddr>,
     },
-    /// A request got its final answer.
+    /// The client of a request got the final answer.
     RequestEnded {
-        /// The decision module's id.
+        /// Id that the balancer uses for the request.
         request: RequestId,
-        /// The id that its client gave it, if its start was logged.
+        /// Id that the client gave to the request; `None` if the log lacks the request's arrival.
         id: Option<u64>,
-        /// Index of its class.
+        /// Index of the request's class.
         class: usize,
-        /// Index of its tenant.
+        /// Index of the request's tenant.
         tenant: usize,
-        /// How it ended.
+        /// Kind of the final answer.
         kind: AnswerKind,
-        /// Whether that was after its deadline.
+        /// Whether the final answer came after the deadline.
         is_late: bool,
-        /// Time since its arrival, if that was logged.
+        /// Time since the arrival; `None` if the log lacks the request's arrival.
         duration: Option<Micros>,
-        /// How many attempts were made.
+        /// Number of attempts made.
         attempt_count: usize,
-        /// The last of them.
+        /// The last attempts, the oldest first.
         last_attempts: [Option<Attempt>; MAX_SHOWN_ATTEMPTS],
     },
-    /// A request was refused before the decision module saw it.
+    /// A request was refused before it reached the balancer.
     RequestRefused {
-        /// Index of its class, where that is known.
+        /// Index of the request's class; `None` if the log doesn't state it.
         class: Option<usize>,
-        /// Index of its tenant, where that is known.
+        /// Index of the request's tenant; `None` if the log doesn't state it.
         tenant: Option<usize>,
     },
     /// An attempt was sent to an engine.
     AttemptSent {
-        /// The engine.
+        /// Engine that the attempt was sent to.
         engine: EngineId,
         /// Index of the request's class.
         class: usize,
@@ -64,70 +65,70 @@
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The engine.
+        /// Engine that the attempt was sent to.
         engine: EngineId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
     },
     /// The discovery service added or changed an endpoint.
     EndpointChanged {
-        /// The engine.
+        /// Engine of the endpoint.
         engine: EngineId,
-        /// Its phase from now on.
+        /// New phase of the engine.
         phase: Phase,
-        /// Whether it is another process than before.
+        /// Whether the engine's process is a different one from before.
         is_restarted: bool,
     },
-    /// An engine's quarantine began or ended.
+    /// The quarantine of an engine began or ended.
     QuarantineChanged {
-        /// The engine.
+        /// Engine that the quarantine is for.
         engine: EngineId,
-        /// True: it began.
+        /// True if the quarantine began, false if it ended.
         is_quarantined: bool,
     },
     /// The connection to the discovery service was established or lost.
     DiscoveryLinkChanged {
-        /// True: it was established.
+        /// True if the connection was established, false if it was lost.
         is_up: bool,
     },
     /// A numbered event of the discovery service was applied.
     DiscoveryEvent {
-        /// The number that the service gave it.
+        /// Number that the discovery service gave to the event, the same for all gateways.
         number: u64,
     },
-    /// The gateway shuts down.
+    /// The gateway began to shut down.
     Stopping,
-    /// The gateway ended in order.
+    /// The gateway completed an orderly shutdown.
     Ended,
-    /// Entries are missing up to now.
+    /// Entries before this time are missing from the log.
     EntriesMissing {
-        /// Time of the last entry before them.
+        /// Time of the last entry before the missing ones.
         from: Micros,
-        /// How many, where that is known.
+        /// Number of missing entries; `None` if it is not known.
         entries: Option<u64>,
     },
-    /// The log ends here although the gateway did not.
+    /// The log ends here without an orderly shutdown of the gateway.
     BrokenOff,
 }
 
 /// A fact with its source and time.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedFact {
-    /// Index of the gateway's run.
+    /// Index of the source, which is one run of a gateway.
     pub source: usize,
-    /// When it happened, by the gateway's clock.
+    /// Time of the fact, by the gateway's clock.
     pub at: Micros,
-    /// What happened.
+    /// The fact itself.
     pub fact: Fact,
 }
 
 /// One attempt of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Attempt {
-    /// The engine that it was sent to.
+    /// Engine that the attempt was sent to.
     pub engine: EngineId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Micros,
-    /// How and when it ended; `None` while it runs.
+    /// Outcome and time of the end; `None` while the attempt runs.
     pub ended: Option<(Outcome, Micros)>,
 }
--- a/crates/event-analysis/src/state/fleet.rs
+++ b/crates/event-analysis/src/state/fleet.rs
@@ -11,19 +11,19 @@
 /// The runs of all gateways.
 #[derive(Default)]
 pub struct Fleet {
-    /// One for each source, in their order; `None` before the first entry.
+    /// One element for each source, in the order of the sources; `None` before its first entry.
     runs: Vec<Option<GatewayRun>>,
-    /// The latest time of any entry.
+    /// Latest time of all entries added; 0 before the first.
     pub now: Micros,
 }
 
 impl Fleet {
-    /// The run of a source, if it has an entry.
+    /// Returns the run of a source, or `None` before its first entry.
     pub fn run(&self, source: usize) -> Option<&GatewayRun> {
         self.runs.get(source).and_then(Option::as_ref)
     }
 
-    /// All runs that have an entry, with the index of their source.
+    /// Returns all runs that have an entry, with the indexes of their sources.
     pub fn runs(&self) -> impl Iterator<Item = (usize, &GatewayRun)> {
         self.runs
             .iter()
@@ -31,17 +31,18 @@
             .filter_map(|(source, run)| Some((source, run.as_ref()?)))
     }
 
-    /// The last run of each gateway.
+    /// Returns the last run of each gateway, with the index of its source.
     pub fn latest_runs(&self) -> impl Iterator<Item = (usize, &GatewayRun)> {
         self.runs().filter(|(_, run)| !self.is_superseded(run))
     }
 
-    /// The last run of each gateway that has not ended.
+    /// Returns the last run of each gateway that has not shut down, with the index of its source.
     pub fn active_runs(&self) -> impl Iterator<Item = (usize, &GatewayRun)> {
         self.latest_runs().filter(|(_, run)| !run.has_ended())
     }
 
-    /// An engine's name as any of the gateways knows it: all of them number engines alike.
+    /// Returns an engine's name from the first run that knows it, or its number if none does. The
+    /// ids of engines are the same in all gateways.
     pub fn engine_name(&self, engine: EngineId) -> String {
         let known = self.runs().filter_map(|(_, run)| run.engines.get(&engine));
         let mut names = known.map(|engine| &engine.name);
@@ -51,7 +52,8 @@
         }
     }
 
-    /// A class's name: gateways of one fleet have the same settings.
+    /// Returns a class's name from the first run that knows it, or its index if none does. All
+    /// gateways of a fleet have the same settings.
     pub fn class_name(&self, class: usize) -> String {
         let mut runs = self.runs();
         match runs.find(|(_, run)| class < run.names.classes.len()) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// A tenant's name.
+    /// Returns a tenant's name from the first run that knows it, or its index if none does.
     pub fn tenant_name(&self, tenant: usize) -> String {
         let mut runs = self.runs();
         match runs.find(|(_, run)| tenant < run.names.tenants.len()) {
@@ -76,14 +78,16 @@
 
     // ---- Changes ----
 
-    /// Makes what a source counted before `from` the past.
+    /// Excludes what a source counted up to now from its totals, once, if its run began before
+    /// `from`.
     pub(crate) fn set_baseline(&mut self, source: usize, from: Micros) {
         if let Some(Some(run)) = self.runs.get_mut(source) {
             run.set_baseline(from);
         }
     }
 
-    /// Applies what was read next and passes its facts to `receiver`.
+    /// Applies the next content read from the source with this index, and passes the facts that
+    /// result from it to `receiver`.
     pub fn add(
         &mut self,
         sources: &[Source],
@@ -115,8 +119,8 @@
         }
     }
 
-    /// Starts the run of a source. An earlier run of the same gateway that had not ended has broken
-    /// off.
+    /// Starts the run of a source. Marks earlier runs of the same gateway as broken off if they did
+    /// not shut down.
     fn start_run(
         &mut self,
         source: usize,
@@ -140,8 +144,8 @@
         });
     }
 
-    /// Ends the fleet after the last entry of all logs: runs that had been silent for a while
-    /// before that without having ended have broken off.
+    /// Must be called after the last entry of all logs. Marks the runs as broken off that did not
+    /// shut down and that logged nothing for a while before the end.
     pub fn finish(&mut self, receiver: &mut dyn FnMut(TimedFact)) {
         let now = self.now;
         for (source, run) in self.runs.iter_mut().enumerate() {
--- a/crates/event-analysis/src/state/host_entries.rs
+++ b/crates/event-analysis/src/state/host_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the gateway outside the decision module.
+//! Applies the entries that the gateway logs outside the balancer.
 
 use eideryard::interface::{Micros, RequestId};
 use eideryard_event_log::{
@@ -11,16 +11,16 @@
 use super::run::{GatewayRun, MAX_OPEN};
 use super::FactSink;
 
-/// Longest latency that histograms tell apart: an hour, in milliseconds. The shortest is 1 ms.
+/// Upper bound of the latency histograms in milliseconds: an hour. The lower bound is 1 ms.
 const MAX_LATENCY_MS: u64 = 3_600_000;
-/// Significant digits of latencies.
+/// Number of significant decimal digits in the latency histograms.
 const LATENCY_DIGITS: u8 = 2;
-/// Classes that have a histogram.
+/// Maximum number of classes that have a histogram.
 const MAX_CLASSES: usize = 256;
-/// Peers, rejected peers and leases of one gateway that are kept.
+/// Maximum number of peers, of rejected peers and of leases kept for one gateway.
 const MAX_PEERS: usize = 400;
 
-/// How a request ended, as its entry states it.
+/// The final answer of a request, as [`HostEvent::Answered`] states it.
 #[derive(Clone, Copy)]
 struct Answer {
     request: RequestId,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Events about the gateway as a whole.
+    /// Applies events about the gateway as a whole.
     fn on_status_event(&mut self, event: &HostEvent, is_in_state: bool, sink: &mut FactSink<'_>) {
         match event {
             HostEvent::DiscoveryLink { is_up } => self.on_discovery_link(*is_up, is_in_state, sink),
@@ -109,7 +109,7 @@
                 });
             }
             HostEvent::Fleet(event) => self.on_fleet_event(event),
-            // Nothing that the state or a fact holds.
+            // Other events change neither the state nor result in a fact.
             _ => {}
         }
     }
@@ -124,7 +124,8 @@
         }
     }
 
-    /// The state doesn't repeat answered requests whose attempts still run; they are kept.
+    /// Restores the answered requests whose attempts still run, because the state at the start of a
+    /// segment doesn't repeat them.
     fn on_state_complete(&mut self) {
         for (id, request) in std::mem::take(&mut self.previous_requests) {
             if !request.is_answered {
@@ -160,7 +161,7 @@
         self.add_open_request(id, request);
     }
 
-    /// Adds a request's running attempts to their engines.
+    /// Adds the load of a request's running attempts to their engines.
     fn add_load_of(&mut self, request: &Request) {
         let load = request.load(self.names.threads_of_class(request.class));
         for attempt in request.running_attempts() {
@@ -196,7 +197,7 @@
         }
         if let Some(request) = self.open_requests.get_mut(&answer.request) {
             request.is_answered = true;
-            // A request that ends at once is answered before the decision module's event.
+            // If a request ends at once, its answer is logged before its arrival at the balancer.
             if request.has_arrived {
                 self.close_request(answer.request);
             }
@@ -209,7 +210,7 @@
         }
         while self.latency.len() <= class {
             let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_MS, LATENCY_DIGITS);
-            // The bounds are constants that are valid.
+            // This can't fail because the bounds are valid constants.
             self.latency.extend(histogram.ok());
         }
         if let Some(duration) = duration {
@@ -230,7 +231,7 @@
             known.is_none_or(|engine| engine.phase != listed.phase || engine.name != listed.name);
         let engine = self.engines.entry(listed.engine).or_default();
         if is_restarted {
-            // It is another process: the outcomes of the one before say nothing about it.
+            // The outcomes of the previous process say nothing about the new one.
             engine.recent_outcomes.clear();
             engine.is_quarantined = false;
         }
--- a/crates/event-analysis/src/state/mod.rs
+++ b/crates/event-analysis/src/state/mod.rs
@@ -1,9 +1,10 @@
-//! The state of gateways at an instant, and the facts that their entries state.
+//! The state of gateways, and the facts that their entries state.
 //!
-//! [`Fleet`] owns a [`GatewayRun`] for each start of each gateway. Entries change the run and
-//! become [`Fact`]s, which the other parts of the analysis fold without knowing the state.
+//! [`Fleet`] owns a [`GatewayRun`] for each time that a gateway was started. Each entry updates the
+//! run and is turned into [`Fact`]s, which the other parts of the analysis process without access
+//! to the state.
 
-mod decision_entries;
+mod balancer_entries;
 mod engine;
 mod fact;
 mod fleet;
@@ -19,7 +20,7 @@
 
 use eideryard::interface::Micros;
 
-/// Passes the facts of one entry on, with the entry's source and time.
+/// Adds the source and time of an entry to its facts and passes them on.
 struct FactSink<'a> {
     source: usize,
     at: Micros,
--- a/crates/event-analysis/src/state/request.rs
+++ b/crates/event-analysis/src/state/request.rs
@@ -1,4 +1,4 @@
-//! An open request.
+//! The state of an open request.
 
 use std::net::IpAddr;
 
@@ -8,38 +8,38 @@
 use super::engine::AttemptLoad;
 use super::fact::{Attempt, MAX_SHOWN_ATTEMPTS};
 
-/// Attempts of one request that are kept.
+/// Maximum number of attempts kept for one request; the oldest are dropped.
 const MAX_ATTEMPTS: usize = 32;
 
-/// A request that is open, or answered with attempts that still run.
+/// A request without a final answer, or an answered one whose attempts still run.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The id that its client gave it.
+    /// Id that the client gave to the request.
     pub id: u64,
-    /// Index of its class.
+    /// Index of the request's class; 0 until the request reaches the balancer.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant; 0 until the request reaches the balancer.
     pub tenant: usize,
-    /// Address of its client, where that is known.
+    /// Address of the client; `None` if the log doesn't state it.
     pub address: Option<IpAddr>,
-    /// When it arrived.
+    /// Time of arrival at the gateway.
     pub arrived_at: Micros,
-    /// Memory granted to it.
+    /// Memory granted to the request, in MB; 0 before the grant.
     pub grant_mb: f64,
-    /// Its rank among requests at an engine.
+    /// Rank among the requests at an engine, set by the balancer with the grant.
     pub rank: u8,
-    /// Its attempts that are known, the oldest first.
+    /// The last attempts, the oldest first.
     pub attempts: Vec<Attempt>,
-    /// Earlier attempts of which only the number is known.
+    /// Number of attempts before those in `attempts`.
     pub earlier_attempts: usize,
-    /// Whether the decision module saw it, so that class and tenant are known.
+    /// Whether the request has reached the balancer, so that class and tenant are known.
     pub(super) has_arrived: bool,
-    /// Whether it got its final answer.
+    /// Whether the client got the final answer.
     pub(super) is_answered: bool,
 }
 
 impl Request {
-    /// A request that the decision module has not seen.
+    /// Creates a request that has not reached the balancer yet.
     pub(super) fn received(
         received: &ClientRequest,
         address: Option<IpAddr>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// How many attempts were made.
+    /// Returns the number of attempts made so far.
     pub fn attempt_count(&self) -> usize {
         self.earlier_attempts + self.attempts.len()
     }
@@ -75,7 +75,7 @@
         self.running_attempts().next().is_some()
     }
 
-    /// An attempt by its number since the request's arrival.
+    /// Returns an attempt by its number within the request, from 0; `None` if it is not kept.
     pub(super) fn attempt_mut(&mut self, number: usize) -> Option<&mut Attempt> {
         let index = number.checked_sub(self.earlier_attempts)?;
         self.attempts.get_mut(index)
@@ -89,7 +89,7 @@
         self.attempts.push(attempt);
     }
 
-    /// The last attempts, the oldest first.
+    /// Returns at most [`MAX_SHOWN_ATTEMPTS`] of the last attempts, the oldest first.
     pub(super) fn last_attempts(&self) -> [Option<Attempt>; MAX_SHOWN_ATTEMPTS] {
         let skipped = self.attempts.len().saturating_sub(MAX_SHOWN_ATTEMPTS);
         let mut last = [None; MAX_SHOWN_ATTEMPTS];
@@ -99,7 +99,7 @@
         last
     }
 
-    /// What one of its attempts takes of an engine.
+    /// Returns the resources that one attempt of this request uses on an engine.
     pub(super) fn load(&self, threads: f64) -> AttemptLoad {
         AttemptLoad {
             rank: self.rank,
@@ -109,5 +109,5 @@
     }
 }
 
-/// Requests by the decision module's id.
+/// Requests by the balancer's id.
 pub(super) type RequestTable = std::collections::HashMap<RequestId, Request>;
--- a/crates/event-analysis/src/state/run.rs
+++ b/crates/event-analysis/src/state/run.rs
@@ -1,4 +1,4 @@
-//! The state of one run of a gateway, from its start to its end.
+//! The state of one run of a gateway, from the start of the process to its end.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -14,66 +14,68 @@
 use super::request::{Request, RequestTable};
 use super::FactSink;
 
-/// Open requests and connections of one gateway that are kept; a gateway's own limits are far
-/// below.
+/// Maximum number of open requests, and of client connections, kept for one gateway. The gateway's
+/// own limits are far lower.
 pub(super) const MAX_OPEN: usize = 1 << 17;
-/// A run whose log is silent for longer than this has broken off: gateways write heartbeats three
-/// times as often.
+/// A run that did not shut down is marked as broken off if it logged nothing for longer than this.
+/// Gateways write heartbeats three times as often.
 const MAX_SILENCE: Micros = 3_000_000;
 
-/// One run of a gateway.
+/// One run of a gateway, which is also one source of entries.
 pub struct GatewayRun {
-    /// The gateway's name.
+    /// Name of the gateway, from its configuration.
     pub name: String,
-    /// When it started.
+    /// Start time of the run, by the gateway's clock.
     pub epoch: Micros,
-    /// Names of classes, tenants, zones and kinds.
+    /// Names of classes, tenants, zones and kinds of machines.
     pub names: Names,
-    /// Totals up to the last entry.
+    /// Totals since the start of the gateway, up to the last entry.
     pub running_tally: RunningTally,
-    /// Engines by number.
+    /// All engines that the log mentions, including removed ones.
     pub engines: BTreeMap<EngineId, Engine>,
-    /// Open requests, and answered ones with attempts that run.
+    /// Requests without a final answer, and answered ones whose attempts still run.
     pub open_requests: HashMap<RequestId, Request>,
-    /// While the state at the start of a segment is read: the requests that were open before it.
-    /// Those that the state doesn't repeat have ended without an entry.
+    /// While the state at the start of a segment is read, the requests that were open before it.
+    /// Requests that the state doesn't repeat have ended without an entry.
     pub(super) previous_requests: RequestTable,
+    /// Addresses of the connected clients, by connection.
     pub(super) connections: HashMap<u64, IpAddr>,
-    /// Latency of served requests by class, in milliseconds.
+    /// Latencies of served requests in milliseconds, by index of the class.
     pub latency: Vec<Histogram<u64>>,
-    /// Whether it is connected to the discovery service.
+    /// Whether the gateway is connected to the discovery service.
     pub is_discovery_up: bool,
-    /// The failure detector's state of its peers, by name.
+    /// States that the gateway's failure detector gives to its peers, by name of the peer.
     pub peers: BTreeMap<String, String>,
-    /// Whether it votes; `None` outside a fleet.
+    /// Whether the gateway is a voter at present; `None` outside a fleet.
     pub is_voter: Option<bool>,
-    /// Whether it reaches a majority of voters; `None` outside a fleet.
+    /// Whether the gateway reaches a majority of voters; `None` outside a fleet.
     pub has_majority: Option<bool>,
-    /// Peers whose handshake was rejected, with the reason.
+    /// Reasons why handshakes with peers were rejected, by name of the peer.
     pub rejected_peers: BTreeMap<String, String>,
-    /// Terms of the leases that it holds, by the engine that they are for.
+    /// Terms of the leases that the gateway has, by the engine that they are for.
     pub leases: BTreeMap<EngineId, u64>,
-    /// Work that it rejected because of a stale fencing token.
+    /// Number of messages with work that the gateway rejected because of a stale fencing token.
     pub rejected_work: u64,
-    /// Whether it shuts down.
+    /// Whether the gateway has begun to shut down.
     pub is_stopping: bool,
-    /// Its own counters when it ended; `None` before that.
+    /// The gateway's own counters at the end of an orderly shutdown; `None` before that.
     pub final_counters: Option<Vec<(String, u64)>>,
-    /// Time of its first entry.
+    /// Time of the first entry read.
     pub first_at: Micros,
-    /// Time of its last entry.
+    /// Time of the last entry read.
     pub last_at: Micros,
-    /// Whether the totals are exact: nothing was skipped since they were last logged.
+    /// Whether the totals are exact, that is no part of the log was unreadable since the totals
+    /// were last logged.
     pub are_totals_exact: bool,
-    /// Entries that the gateway could not write.
+    /// Number of entries that the gateway could not write.
     pub missing_entries: u64,
-    /// Entries read.
+    /// Number of entries read.
     pub entries: u64,
-    /// Time of the last entry before damage that was not reported yet.
+    /// Time of the last entry before damage that was not reported as a fact yet.
     pub(super) damaged_since: Option<Micros>,
-    /// Whether its log stopped although it had not ended.
+    /// Whether the log ends without an orderly shutdown.
     pub is_broken_off: bool,
-    /// The totals when the time that is looked at began.
+    /// Totals at the start of the analysed time; `None` if the run began later.
     baseline: Option<Tally>,
 }
 
@@ -109,7 +111,7 @@
         }
     }
 
-    /// The totals of the time that is looked at.
+    /// Returns the totals of the analysed time.
     pub fn tally(&self) -> Tally {
         match &self.baseline {
             Some(baseline) => self.running_tally.tally.since(baseline),
@@ -117,19 +119,19 @@
         }
     }
 
-    /// A class's name.
+    /// Returns a class's name, or its index if the log doesn't state the name.
     pub fn class_name(&self, class: usize) -> String {
         let name = self.names.classes.get(class).cloned();
         name.unwrap_or_else(|| format!("class {class}"))
     }
 
-    /// A tenant's name.
+    /// Returns a tenant's name, or its index if the log doesn't state the name.
     pub fn tenant_name(&self, tenant: usize) -> String {
         let name = self.names.tenants.get(tenant).cloned();
         name.unwrap_or_else(|| format!("tenant {tenant}"))
     }
 
-    /// An engine's name.
+    /// Returns an engine's name, or its number if the log doesn't state the name.
     pub fn engine_name(&self, engine: EngineId) -> String {
         match self.engines.get(&engine) {
             Some(known) if !known.name.is_empty() => known.name.clone(),
@@ -137,12 +139,12 @@
         }
     }
 
-    /// Whether it ended in order.
+    /// Returns whether the gateway completed an orderly shutdown.
     pub fn has_ended(&self) -> bool {
         self.final_counters.is_some()
     }
 
-    /// Requests that wait for their answer.
+    /// Returns the requests without a final answer.
     pub fn unanswered_requests(&self) -> impl Iterator<Item = &Request> {
         self.open_requests
             .values()
@@ -151,7 +153,8 @@
 
     // ---- Changes ----
 
-    /// Makes what was counted up to now the past, once, if the run began before `from`.
+    /// Excludes everything counted up to now from [`GatewayRun::tally`], once, if the run began
+    /// before `from`.
     pub(super) fn set_baseline(&mut self, from: Micros) {
         if self.baseline.is_none() && self.first_at < from {
             self.baseline = Some(self.running_tally.tally.clone());
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Notes that something could not be read here.
+    /// Records that a part of the log could not be read.
     pub(super) fn add_damage(&mut self) {
         self.are_totals_exact = false;
         self.damaged_since.get_or_insert(self.last_at);
@@ -184,8 +187,8 @@
         }
     }
 
-    /// Marks the run as broken off if it has not ended and emits that, with the entries missing
-    /// since then, up to `now`.
+    /// Marks the run as broken off unless it shut down, and emits this as a fact together with the
+    /// time up to `now` in which entries are missing.
     pub(super) fn break_off(
         &mut self,
         source: usize,
@@ -210,7 +213,7 @@
         });
     }
 
-    /// Whether the run's log is silent for longer than a running gateway's is.
+    /// Returns whether the run has logged nothing for longer than a running gateway can.
     pub(super) fn is_silent(&self, now: Micros) -> bool {
         self.last_at + MAX_SILENCE < now
     }
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Forgets an answered request, unless an attempt of it still runs.
+    /// Removes an answered request, unless one of its attempts still runs.
     pub(super) fn close_request(&mut self, id: RequestId) {
         let request = self.open_requests.get(&id);
         if request.is_some_and(|request| !request.is_running()) {
