--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -1,5 +1,5 @@
-//! Screens of the console on a test terminal, compared with stored ones. `UPDATE_SCREENS=1` stores
-//! them again.
+//! Compares screens of the console, drawn on a test terminal, with stored ones in `tests/screens`.
+//! With the environment variable `UPDATE_SCREENS=1`, the tests store them anew.
 
 #[path = "../../event-analysis/tests/common/mod.rs"]
 mod common;
@@ -20,32 +20,32 @@
 
 fn view() -> View {
     let mut script = Script::new(&["g1", "g2"]);
-    script.calm(0, 0, 10, 20);
+    script.add_steady_requests(0, 0, 10, 20);
     script.engines = vec![3, 4];
-    script.calm(0, 10, 30, 20);
-    script.calm(1, 0, 30, 10);
-    script.fails(0, 10.0, 1);
-    script.fails(0, 10.1, 2);
-    script.listed(0, 25.0, 4, Phase::Draining, 0);
-    script.host(1, 18.0, HostEvent::DiscoveryLink { is_up: false });
-    script.flood(1, 20, 24, 120, 2);
+    script.add_steady_requests(0, 10, 30, 20);
+    script.add_steady_requests(1, 0, 30, 10);
+    script.refuse_connection(0, 10.0, 1);
+    script.refuse_connection(0, 10.1, 2);
+    script.list_engine(0, 25.0, 4, Phase::Draining, 0);
+    script.add_host_event(1, 18.0, HostEvent::DiscoveryLink { is_up: false });
+    script.add_tenant_flood(1, 20, 24, 120, 2);
     for number in 0..5 {
         let seconds = 21.0 + number as f64 * 0.1;
-        script.request(
+        script.add_request(
             1,
             seconds,
             1,
             2,
             Ending {
-                how: AnswerKind::Refused,
+                kind: AnswerKind::Refused,
                 ..SERVED
             },
         );
     }
-    script.open(0, 29.5, 0, 0, 3);
-    let (told, sources) = script.told();
+    script.open_request(0, 29.5, 0, 0, 3);
+    let (entries, sources) = script.into_entries();
     let mut view = View::new();
-    for (source, at, entry) in told {
+    for (source, at, entry) in entries {
         view.add(
             &sources,
             source,
@@ -85,7 +85,7 @@
     let stored = std::fs::read_to_string(&path).unwrap_or_default();
     assert!(
         stored == screen,
-        "{name} is not as stored:\n{screen}\nstored:\n{stored}"
+        "the screen {name} differs from the stored one:\n{screen}\nstored:\n{stored}"
     );
 }
 
@@ -97,7 +97,11 @@
         assert_screen(name, &render(&model, &view, (80, 24), OPTIONS));
         model.on_key(Key::NextPage, &view);
     }
-    assert_eq!(model.page, Page::Engines, "round they go");
+    assert_eq!(
+        model.page,
+        Page::Engines,
+        "the first table follows the last"
+    );
     assert_screen("engines-wide", &render(&model, &view, (132, 24), OPTIONS));
     assert_screen(
         "engines-plain",
@@ -121,7 +125,7 @@
 }
 
 #[test]
-fn keys_move_in_time_and_stop_at_the_ends() {
+fn keys_move_in_time_and_the_cursor_stops_at_the_first_and_last_row() {
     let view = view();
     let mut model = Model::new();
     assert_eq!(
@@ -159,7 +163,7 @@
         model.on_key(Key::Open, &view),
         Command::ShowTime(first.peak_at.max(first.started_at) + 1_000_000)
     );
-    // Without rows and without a page before, keys do nothing.
+    // Keys do nothing if the table has no rows and no page was shown before.
     let empty = View::new();
     for page in [Page::Engines, Page::Episodes, Page::Requests] {
         let mut model = Model::new();
@@ -192,13 +196,17 @@
     };
     assert_eq!(order(&model), ["e-1", "e-2", "e-3", "e-4"]);
     model.on_key(Key::Sort, &view);
-    assert_eq!(order(&model)[0], "e-3", "what is out is there");
+    assert_eq!(
+        order(&model)[0],
+        "e-3",
+        "the only attempt in flight is on e-3"
+    );
     for _ in 0..3 {
         model.on_key(Key::Sort, &view);
     }
     assert_eq!(
         order(&model)[..2],
         ["e-3", "e-4"],
-        "those that turned requests away"
+        "the engines that were at capacity have most failed attempts"
     );
 }
--- a/crates/event-analysis/tests/common/mod.rs
+++ b/crates/event-analysis/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Records as scripts: what gateways tell, at times in seconds.
+//! Builds event logs from scripts: the entries that gateways log, at times in seconds after
+//! [`START`].
 #![allow(dead_code)]
 
 use eideryard::interface::{self as i, Action, Event, Micros, Outcome, Phase};
@@ -8,26 +9,29 @@
 use eideryard_event_log::*;
 use std::path::PathBuf;
 
-/// Entries of the state that a source begins with, where nothing is open.
-const STATE: usize = 11;
+/// Number of entries in the state at the start of a segment if no request is open.
+const STATE_ENTRIES: usize = 11;
 
+/// Time at which all scripts start, in microseconds since 1970: 05:00:00 UTC.
 pub const START: Micros = 1_796_187_600_000_000;
 
 pub fn at(seconds: f64) -> Micros {
     START + (seconds * 1e6).round() as Micros
 }
 
+/// How and when a request ends.
 #[derive(Clone, Copy)]
 pub struct Ending {
-    pub how: AnswerKind,
-    pub took: f64,
-    pub late: bool,
+    pub kind: AnswerKind,
+    /// Seconds from the arrival to the final answer.
+    pub after_seconds: f64,
+    pub is_late: bool,
 }
 
 pub const SERVED: Ending = Ending {
-    how: AnswerKind::Served,
-    took: 0.05,
-    late: false,
+    kind: AnswerKind::Served,
+    after_seconds: 0.05,
+    is_late: false,
 };
 
 pub fn gap(from: f64, to: f64, entries: u64) -> HostEvent {
@@ -41,34 +45,34 @@
 
 pub struct Script {
     names: Vec<String>,
-    told: Vec<(usize, Micros, Entry)>,
+    entries: Vec<(usize, Micros, Entry)>,
     requests: u64,
-    /// Those that requests go to, in turn.
+    /// Engines that requests are sent to in turn.
     pub engines: Vec<u32>,
-    /// Where requests come from, where that isn't by their tenant.
+    /// Connection that all requests come from; `None` if it depends on the tenant.
     pub connection: Option<u64>,
 }
 
 impl Script {
-    /// Sources by the names of their gateways; each has four engines, two classes and three
-    /// tenants.
+    /// Creates a script with one source for each name of a gateway. Each source has four engines,
+    /// two classes and three tenants.
     pub fn new(names: &[&str]) -> Self {
         let names = names.iter().map(|name| name.to_string()).collect();
         Script {
             names,
-            told: Vec::new(),
+            entries: Vec::new(),
             requests: 0,
             engines: vec![1, 2, 3, 4],
             connection: None,
         }
     }
 
-    pub fn tell(&mut self, source: usize, time: Micros, entry: Entry) {
-        self.told.push((source, time, entry));
+    pub fn add_entry(&mut self, source: usize, time: Micros, entry: Entry) {
+        self.entries.push((source, time, entry));
     }
 
-    pub fn host(&mut self, source: usize, seconds: f64, host: HostEvent) {
-        self.tell(source, at(seconds), Entry::Host(host));
+    pub fn add_host_event(&mut self, source: usize, seconds: f64, host: HostEvent) {
+        self.add_entry(source, at(seconds), Entry::Host(host));
     }
 
     fn engine(engine: u32, phase: Phase, booted_at: Micros, address: &str) -> HostEvent {
@@ -88,7 +92,7 @@
         format!("127.0.0.1:{}", 7000 + engine)
     }
 
-    pub fn listed(
+    pub fn list_engine(
         &mut self,
         source: usize,
         seconds: f64,
@@ -96,23 +100,23 @@
         phase: Phase,
         booted_at: Micros,
     ) {
-        self.host(
+        self.add_host_event(
             source,
             seconds,
             Self::engine(engine, phase, booted_at, &Self::address(engine)),
         );
     }
 
-    pub fn moved(&mut self, source: usize, seconds: f64, engine: u32, address: &str) {
-        self.host(
+    pub fn move_engine(&mut self, source: usize, seconds: f64, engine: u32, address: &str) {
+        self.add_host_event(
             source,
             seconds,
             Self::engine(engine, Phase::Ready, 0, address),
         );
     }
 
-    /// An open request: offered, arrived, sent to an engine.
-    pub fn open(
+    /// Adds a request that is received, granted memory and sent to an engine, and returns its id.
+    pub fn open_request(
         &mut self,
         source: usize,
         seconds: f64,
@@ -125,7 +129,7 @@
         let connection = self
             .connection
             .unwrap_or(if tenant == 2 { 2 << 32 } else { 1 << 32 });
-        self.tell(
+        self.add_entry(
             source,
             time,
             Entry::Host(HostEvent::RequestReceived(ClientRequest {
@@ -141,8 +145,8 @@
             deadline: time + 5_000_000,
             ..i::Request::default()
         };
-        self.tell(source, time, Entry::Event(Event::Arrived(arrived)));
-        self.tell(
+        self.add_entry(source, time, Entry::Event(Event::Arrived(arrived)));
+        self.add_entry(
             source,
             time,
             Entry::Action(Action::Grant {
@@ -151,7 +155,7 @@
                 rank: 1,
             }),
         );
-        self.tell(
+        self.add_entry(
             source,
             time,
             Entry::Action(Action::Send {
@@ -163,16 +167,16 @@
         request
     }
 
-    pub fn ends(&mut self, source: usize, seconds: f64, request: u64, end: Ending) {
-        let outcome = if end.how == AnswerKind::Served {
+    pub fn end_request(&mut self, source: usize, seconds: f64, request: u64, end: Ending) {
+        let outcome = if end.kind == AnswerKind::Served {
             Outcome::Answered
         } else {
             Outcome::AtCapacity
         };
-        self.ends_at(source, seconds, request, end, outcome);
+        self.end_request_with_outcome(source, seconds, request, end, outcome);
     }
 
-    fn ends_at(
+    fn end_request_with_outcome(
         &mut self,
         source: usize,
         seconds: f64,
@@ -180,9 +184,9 @@
         end: Ending,
         outcome: Outcome,
     ) {
-        let (time, Ending { how, late, .. }) = (at(seconds), end);
+        let (time, Ending { kind, is_late, .. }) = (at(seconds), end);
         let arrived = self
-            .told
+            .entries
             .iter()
             .rev()
             .find_map(|(_, _, entry)| match entry {
@@ -196,10 +200,10 @@
             request,
             class,
             tenant,
-            kind: how,
-            is_late: late,
+            kind,
+            is_late,
         };
-        self.tell(source, time, Entry::Host(answered));
+        self.add_entry(source, time, Entry::Host(answered));
         let ended = i::AttemptEnded {
             request,
             attempt: 0,
@@ -210,10 +214,10 @@
             usage: None,
             report: None,
         };
-        self.tell(source, time, Entry::Event(Event::AttemptEnded(ended)));
+        self.add_entry(source, time, Entry::Event(Event::AttemptEnded(ended)));
     }
 
-    pub fn request(
+    pub fn add_request(
         &mut self,
         source: usize,
         seconds: f64,
@@ -222,15 +226,15 @@
         end: Ending,
     ) {
         let engine = self.engines[self.requests as usize % self.engines.len()];
-        let request = self.open(source, seconds, class, tenant, engine);
-        self.ends(source, seconds + end.took, request, end);
+        let request = self.open_request(source, seconds, class, tenant, engine);
+        self.end_request(source, seconds + end.after_seconds, request, end);
     }
 
-    /// So many requests a second, all served at once, and the beat of the module.
-    pub fn calm(&mut self, source: usize, from: u64, to: u64, rate: u64) {
+    /// Adds `rate` requests a second, which are all served at the first attempt.
+    pub fn add_steady_requests(&mut self, source: usize, from: u64, to: u64, rate: u64) {
         for number in 0..(to - from) * rate {
             let seconds = from as f64 + number as f64 / rate as f64;
-            self.request(
+            self.add_request(
                 source,
                 seconds,
                 (number % 2) as usize,
@@ -240,38 +244,52 @@
         }
     }
 
-    pub fn flood(&mut self, source: usize, from: u64, to: u64, rate: u64, tenant: usize) {
+    pub fn add_tenant_flood(
+        &mut self,
+        source: usize,
+        from: u64,
+        to: u64,
+        rate: u64,
+        tenant: usize,
+    ) {
         for number in 0..(to - from) * rate {
             let seconds = from as f64 + number as f64 / rate as f64;
-            self.request(source, seconds, 0, tenant, SERVED);
+            self.add_request(source, seconds, 0, tenant, SERVED);
         }
     }
 
-    fn outcome(&mut self, source: usize, seconds: f64, engine: u32, outcome: Outcome) {
-        let request = self.open(source, seconds, 0, 0, engine);
-        let how = if outcome == Outcome::Answered {
+    fn add_attempt_with_outcome(
+        &mut self,
+        source: usize,
+        seconds: f64,
+        engine: u32,
+        outcome: Outcome,
+    ) {
+        let request = self.open_request(source, seconds, 0, 0, engine);
+        let kind = if outcome == Outcome::Answered {
             AnswerKind::Served
         } else {
             AnswerKind::Failed
         };
-        self.ends_at(source, seconds, request, Ending { how, ..SERVED }, outcome);
+        self.end_request_with_outcome(source, seconds, request, Ending { kind, ..SERVED }, outcome);
     }
 
-    pub fn fails(&mut self, source: usize, seconds: f64, engine: u32) {
-        self.outcome(source, seconds, engine, Outcome::NoConnection);
+    pub fn refuse_connection(&mut self, source: usize, seconds: f64, engine: u32) {
+        self.add_attempt_with_outcome(source, seconds, engine, Outcome::NoConnection);
     }
 
-    pub fn breaks(&mut self, source: usize, seconds: f64, engine: u32) {
-        self.outcome(source, seconds, engine, Outcome::Broken);
+    pub fn break_connection(&mut self, source: usize, seconds: f64, engine: u32) {
+        self.add_attempt_with_outcome(source, seconds, engine, Outcome::Broken);
     }
 
-    pub fn answers(&mut self, source: usize, seconds: f64, engine: u32) {
-        self.outcome(source, seconds, engine, Outcome::Answered);
+    pub fn answer_attempt(&mut self, source: usize, seconds: f64, engine: u32) {
+        self.add_attempt_with_outcome(source, seconds, engine, Outcome::Answered);
     }
 
-    /// Marks where a segment begins: its state is put there. Gives the place of its first entry.
-    pub fn segment(&mut self, source: usize, seconds: f64) -> usize {
-        self.tell(
+    /// Starts a segment, to which [`Script::into_entries`] adds the state. Returns the index of its
+    /// first entry there.
+    pub fn start_segment(&mut self, source: usize, seconds: f64) -> usize {
+        self.add_entry(
             source,
             at(seconds),
             Entry::Host(HostEvent::SegmentStarted {
@@ -281,40 +299,41 @@
             }),
         );
         self.sort();
-        self.told
+        self.entries
             .iter()
             .position(|(_, _, entry)| {
                 matches!(entry, Entry::Host(HostEvent::SegmentStarted { .. }))
             })
             .unwrap()
-            + STATE
+            + STATE_ENTRIES
     }
 
     fn sort(&mut self) {
-        self.told.sort_by_key(|(source, at, _)| (*at, *source));
+        self.entries.sort_by_key(|(source, at, _)| (*at, *source));
     }
 
-    /// All entries by time, each source and segment with its opening state, and the sources.
+    /// Returns all entries by time, including the state at the start of each source and segment,
+    /// and the sources.
     #[expect(
         clippy::too_many_lines,
-        reason = "one scenario, told from its beginning to its end"
+        reason = "one pass over all entries with the state that it needs"
     )]
-    pub fn told(mut self) -> (Vec<(usize, Micros, Entry)>, Vec<Source>) {
+    pub fn into_entries(mut self) -> (Vec<(usize, Micros, Entry)>, Vec<Source>) {
         self.sort();
-        let mut whole: Vec<(usize, Micros, Entry)> = Vec::new();
-        let mut first = vec![None; self.names.len()];
-        let mut counted: Vec<RunningTally> =
+        let mut entries: Vec<(usize, Micros, Entry)> = Vec::new();
+        let mut epochs = vec![None; self.names.len()];
+        let mut tallies: Vec<RunningTally> =
             self.names.iter().map(|_| RunningTally::default()).collect();
         let mut open: std::collections::BTreeMap<(usize, u64), OpenRequest> = Default::default();
-        for (source, time, entry) in std::mem::take(&mut self.told) {
-            let marks = matches!(entry, Entry::Host(HostEvent::SegmentStarted { .. }));
-            if first[source].is_none() || marks {
-                let epoch = *first[source].get_or_insert(time);
-                let segment = 1 + marks as u64;
-                let words = |list: &[&str]| list.iter().map(|word| word.to_string()).collect();
+        for (source, time, entry) in std::mem::take(&mut self.entries) {
+            let starts_segment = matches!(entry, Entry::Host(HostEvent::SegmentStarted { .. }));
+            if epochs[source].is_none() || starts_segment {
+                let epoch = *epochs[source].get_or_insert(time);
+                let segment = 1 + starts_segment as u64;
+                let strings = |list: &[&str]| list.iter().map(|name| name.to_string()).collect();
                 let names = Names {
-                    classes: words(&["report", "booking"]),
-                    tenants: words(&["acme", "harbor", "rival"]),
+                    classes: strings(&["report", "booking"]),
+                    tenants: strings(&["acme", "harbor", "rival"]),
                     ..Names::default()
                 };
                 let mut state = vec![
@@ -334,25 +353,27 @@
                     connection: number << 32,
                     address: [127, 0, 0, if number == 2 { 9 } else { 1 }].into(),
                 }));
-                let own = open.iter().filter(|((of, _), _)| *of == source);
-                state.extend(own.map(|(_, request)| HostEvent::OpenRequest(*request)));
+                let open_here = open
+                    .iter()
+                    .filter(|((request_source, _), _)| *request_source == source);
+                state.extend(open_here.map(|(_, request)| HostEvent::OpenRequest(*request)));
                 state.push(HostEvent::DiscoveryLink { is_up: true });
-                state.push(HostEvent::Tally(Box::new(counted[source].tally.clone())));
+                state.push(HostEvent::Tally(Box::new(tallies[source].tally.clone())));
                 state.push(HostEvent::StateComplete);
-                whole.extend(
+                entries.extend(
                     state
                         .into_iter()
                         .map(|host| (source, time, Entry::Host(host))),
                 );
             }
-            if marks {
+            if starts_segment {
                 continue;
             }
             match &entry {
                 Entry::Action(Action::Send {
                     request, engine, ..
                 }) => {
-                    let offer = ClientRequest {
+                    let client_request = ClientRequest {
                         request: *request,
                         id: request >> 32,
                         connection: 1 << 32,
@@ -361,8 +382,8 @@
                         engine: *engine,
                         sent_at: time,
                     };
-                    let own = OpenRequest {
-                        client_request: offer,
+                    let open_request = OpenRequest {
+                        client_request,
                         class: 0,
                         tenant: 2,
                         arrived_at: time,
@@ -370,30 +391,30 @@
                         attempts: 1,
                         running: Some(running),
                     };
-                    open.insert((source, *request), own);
+                    open.insert((source, *request), open_request);
                 }
                 Entry::Host(HostEvent::Answered { request, .. }) => {
                     open.remove(&(source, *request));
                 }
                 _ => {}
             }
-            counted[source].add(entry.as_ref());
-            whole.push((source, time, entry));
+            tallies[source].add(entry.as_ref());
+            entries.push((source, time, entry));
         }
         let source = |(number, name): (usize, &String)| Source {
             name: name.clone(),
-            epoch: first[number].unwrap_or(START) + number as u64,
+            epoch: epochs[number].unwrap_or(START) + number as u64,
             directory: PathBuf::new(),
             bytes: 0,
         };
         let sources = self.names.iter().enumerate().map(source).collect();
-        (whole, sources)
+        (entries, sources)
     }
 
     pub fn finish(self) -> View {
-        let (told, sources) = self.told();
+        let (entries, sources) = self.into_entries();
         let mut view = View::new();
-        for (source, time, entry) in told {
+        for (source, time, entry) in entries {
             view.add(&sources, source, time, &ReadContent::Entry(entry));
         }
         view.finish(false);
--- a/crates/event-analysis/tests/folds.rs
+++ b/crates/event-analysis/tests/folds.rs
@@ -1,4 +1,4 @@
-//! States and episodes of scripted logs.
+//! States and episodes that the analysis finds in scripted logs.
 
 mod common;
 
@@ -9,29 +9,29 @@
 use eideryard_event_log::reader::ReadContent;
 use eideryard_event_log::{AnswerKind, Entry, HostEvent};
 
-fn only<'a>(view: &'a View, word: &str) -> Vec<&'a Episode> {
+fn episodes_of_kind<'a>(view: &'a View, kind: &str) -> Vec<&'a Episode> {
     view.detector
         .episodes()
         .iter()
-        .filter(|episode| episode.kind.name() == word)
+        .filter(|episode| episode.kind.name() == kind)
         .collect()
 }
 
 #[test]
-fn calm_minute_has_no_episode_and_an_exact_state() {
+fn steady_traffic_has_no_episode_and_leaves_an_exact_state() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 60, 20);
+    script.add_steady_requests(0, 0, 60, 20);
     let view = script.finish();
     assert_eq!(view.detector.episodes(), [], "nothing happened");
-    let start = view.fleet.run(0).unwrap();
+    let run = view.fleet.run(0).unwrap();
     assert_eq!(
         (
-            start.running_tally.tally.totals.served,
-            start.unanswered_requests().count()
+            run.running_tally.tally.totals.served,
+            run.unanswered_requests().count()
         ),
         (1200, 0)
     );
-    assert!(start
+    assert!(run
         .engines
         .values()
         .all(|engine| engine.in_flight == 0 && engine.granted_mb == 0.0));
@@ -49,17 +49,20 @@
 #[test]
 fn flood_during_a_discovery_outage_is_two_episodes_that_overlap() {
     let mut script = Script::new(&["g1", "g2"]);
-    script.calm(0, 0, 40, 20);
-    script.calm(1, 0, 40, 20);
-    script.host(1, 18.5, HostEvent::DiscoveryLink { is_up: false });
-    script.host(0, 18.6, HostEvent::DiscoveryLink { is_up: false });
-    script.host(0, 25.0, HostEvent::DiscoveryLink { is_up: true });
-    script.host(1, 25.1, HostEvent::DiscoveryLink { is_up: true });
-    script.flood(1, 20, 24, 200, 2);
+    script.add_steady_requests(0, 0, 40, 20);
+    script.add_steady_requests(1, 0, 40, 20);
+    script.add_host_event(1, 18.5, HostEvent::DiscoveryLink { is_up: false });
+    script.add_host_event(0, 18.6, HostEvent::DiscoveryLink { is_up: false });
+    script.add_host_event(0, 25.0, HostEvent::DiscoveryLink { is_up: true });
+    script.add_host_event(1, 25.1, HostEvent::DiscoveryLink { is_up: true });
+    script.add_tenant_flood(1, 20, 24, 200, 2);
     let view = script.finish();
-    let (flood, roster) = (only(&view, "flood"), only(&view, "roster silent"));
+    let (flood, outage) = (
+        episodes_of_kind(&view, "flood"),
+        episodes_of_kind(&view, "roster silent"),
+    );
     assert_eq!(
-        (flood.len(), roster.len()),
+        (flood.len(), outage.len()),
         (1, 1),
         "{:?}",
         view.detector.episodes()
@@ -71,38 +74,39 @@
         "{}",
         flood[0].peak
     );
-    assert_eq!(roster[0].kind, EpisodeKind::DiscoveryDown([0, 1].into()));
+    assert_eq!(outage[0].kind, EpisodeKind::DiscoveryDown([0, 1].into()));
     assert_eq!(
-        (roster[0].started_at, roster[0].ended_at),
+        (outage[0].started_at, outage[0].ended_at),
         (at(18.5), Some(at(25.1)))
     );
-    let near = |told: u64, wanted: f64| told.abs_diff(at(wanted)) <= 1_500_000;
+    let is_near = |time: u64, expected: f64| time.abs_diff(at(expected)) <= 1_500_000;
     assert!(
-        near(flood[0].started_at, 20.0) && near(flood[0].ended_at.unwrap(), 24.0),
+        is_near(flood[0].started_at, 20.0) && is_near(flood[0].ended_at.unwrap(), 24.0),
         "{flood:?}"
     );
     let overlaps = view.detector.overlaps();
     let episodes = view.detector.episodes();
-    let both = |o: &&eideryard_event_analysis::Overlap| {
-        [&episodes[o.first], &episodes[o.second]]
+    let is_flood_in_outage = |overlap: &&eideryard_event_analysis::Overlap| {
+        [&episodes[overlap.first], &episodes[overlap.second]]
             .iter()
-            .all(|e| ["flood", "roster silent"].contains(&e.kind.name()))
+            .all(|episode| ["flood", "roster silent"].contains(&episode.kind.name()))
     };
-    let overlap: Vec<_> = overlaps.iter().filter(both).collect();
+    let overlap: Vec<_> = overlaps.iter().filter(is_flood_in_outage).collect();
     assert_eq!((overlap.len(), overlap[0].from), (1, flood[0].started_at));
 }
 
-/// Under many tenants' names no tenant floods, but the address does.
+/// A client that spreads its flood over several tenants exceeds no tenant's baseline, but that of
+/// its address.
 #[test]
 fn flood_from_one_address_under_many_tenants_is_detected() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 40, 20);
+    script.add_steady_requests(0, 0, 40, 20);
     script.connection = Some(2 << 32);
     for number in 0..600 {
-        script.request(0, 20.0 + number as f64 / 150.0, 0, number % 3, SERVED);
+        script.add_request(0, 20.0 + number as f64 / 150.0, 0, number % 3, SERVED);
     }
     let view = script.finish();
-    let floods: Vec<_> = only(&view, "flood")
+    let floods: Vec<_> = episodes_of_kind(&view, "flood")
         .into_iter()
         .map(|episode| episode.kind.clone())
         .collect();
@@ -115,14 +119,14 @@
 }
 
 #[test]
-fn engines_that_go_down_together_are_one_episode_until_the_last_is_back() {
+fn engines_that_go_down_together_are_one_episode_until_the_last_is_ready_again() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 10, 20);
+    script.add_steady_requests(0, 0, 10, 20);
     script.engines = vec![4];
-    script.calm(0, 10, 30, 20);
+    script.add_steady_requests(0, 10, 30, 20);
     for (number, engine) in [1, 2, 3].into_iter().enumerate() {
-        script.fails(0, 10.0 + 0.1 * number as f64, engine);
-        script.listed(
+        script.refuse_connection(0, 10.0 + 0.1 * number as f64, engine);
+        script.list_engine(
             0,
             15.0 + number as f64,
             engine,
@@ -130,15 +134,15 @@
             15_000_000 + number as u64,
         );
     }
-    // Another one resets a connection and goes on: nobody is gone.
-    script.breaks(0, 20.0, 4);
-    script.answers(0, 20.3, 4);
+    // Engine 4 breaks a connection but answers again within a second, so it is not down.
+    script.break_connection(0, 20.0, 4);
+    script.answer_attempt(0, 20.3, 4);
     let view = script.finish();
-    let gone = only(&view, "engines gone");
-    assert_eq!(gone.len(), 1, "{:?}", view.detector.episodes());
-    assert_eq!(gone[0].kind, EpisodeKind::EnginesDown([1, 2, 3].into()));
+    let down = episodes_of_kind(&view, "engines gone");
+    assert_eq!(down.len(), 1, "{:?}", view.detector.episodes());
+    assert_eq!(down[0].kind, EpisodeKind::EnginesDown([1, 2, 3].into()));
     assert_eq!(
-        (gone[0].started_at, gone[0].ended_at, gone[0].peak),
+        (down[0].started_at, down[0].ended_at, down[0].peak),
         (at(10.0), Some(at(17.0)), 3.0)
     );
 }
@@ -146,14 +150,14 @@
 #[test]
 fn drain_lasts_until_the_engine_is_removed() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 10, 10);
-    script.listed(0, 3.0, 2, Phase::Draining, 0);
-    script.listed(0, 6.0, 2, Phase::Removed, 0);
-    script.listed(0, 7.0, 3, Phase::Draining, 0);
+    script.add_steady_requests(0, 0, 10, 10);
+    script.list_engine(0, 3.0, 2, Phase::Draining, 0);
+    script.list_engine(0, 6.0, 2, Phase::Removed, 0);
+    script.list_engine(0, 7.0, 3, Phase::Draining, 0);
     let view = script.finish();
-    let drains: Vec<_> = only(&view, "drain")
+    let drains: Vec<_> = episodes_of_kind(&view, "drain")
         .into_iter()
-        .map(|e| (e.kind.clone(), e.started_at, e.ended_at))
+        .map(|episode| (episode.kind.clone(), episode.started_at, episode.ended_at))
         .collect();
     assert_eq!(
         drains,
@@ -167,11 +171,11 @@
 #[test]
 fn crash_is_a_gap_up_to_the_restart_without_other_episodes() {
     let mut script = Script::new(&["g1", "g1"]);
-    script.calm(0, 0, 10, 20);
-    // The new start of the same gateway tells from then on.
-    script.calm(1, 14, 30, 20);
+    script.add_steady_requests(0, 0, 10, 20);
+    // The same gateway starts again after 4 seconds, as a new source.
+    script.add_steady_requests(1, 14, 30, 20);
     let view = script.finish();
-    let gaps = only(&view, "gap");
+    let gaps = episodes_of_kind(&view, "gap");
     assert_eq!(
         (gaps.len(), &gaps[0].kind, gaps[0].ended_at),
         (1, &EpisodeKind::LogGap(0), Some(at(14.0))),
@@ -188,55 +192,55 @@
 }
 
 #[test]
-fn episode_that_touches_a_gap_marks_the_unknown_time() {
+fn episode_that_overlaps_a_gap_marks_the_unknown_time() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 30, 20);
-    script.listed(0, 10.0, 2, Phase::Draining, 0);
-    script.listed(0, 20.0, 2, Phase::Ready, 0);
-    script.host(0, 16.0, gap(12.0, 16.0, 100));
-    script.host(0, 16.1, gap(14.0, 16.0, 3));
+    script.add_steady_requests(0, 0, 30, 20);
+    script.list_engine(0, 10.0, 2, Phase::Draining, 0);
+    script.list_engine(0, 20.0, 2, Phase::Ready, 0);
+    script.add_host_event(0, 16.0, gap(12.0, 16.0, 100));
+    script.add_host_event(0, 16.1, gap(14.0, 16.0, 3));
     let view = script.finish();
-    let drain = only(&view, "drain");
+    let drain = episodes_of_kind(&view, "drain");
     assert_eq!(
         drain[0].unknown,
         [(at(12.0), at(16.1))],
-        "two gaps that touch are one stretch"
+        "two gaps that overlap are one interval"
     );
-    assert_eq!(only(&view, "gap")[0].missing_entries, Some(100));
+    assert_eq!(episodes_of_kind(&view, "gap")[0].missing_entries, Some(100));
 }
 
 #[test]
 fn refusals_and_latency_above_the_baseline_are_detected_with_their_end() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 20, 20);
+    script.add_steady_requests(0, 0, 20, 20);
     for number in 0..100 {
-        script.request(
+        script.add_request(
             0,
             20.0 + number as f64 * 0.03,
             0,
             1,
             Ending {
-                how: AnswerKind::Refused,
-                took: 1.0,
+                kind: AnswerKind::Refused,
+                after_seconds: 1.0,
                 ..SERVED
             },
         );
-        script.request(
+        script.add_request(
             0,
             20.01 + number as f64 * 0.03,
             0,
             1,
             Ending {
-                took: 2.5,
+                after_seconds: 2.5,
                 ..SERVED
             },
         );
     }
-    script.calm(0, 23, 40, 20);
+    script.add_steady_requests(0, 23, 40, 20);
     let view = script.finish();
-    for word in ["refusals", "latency"] {
-        let found = only(&view, word);
-        assert_eq!(found.len(), 1, "{word}: {:?}", view.detector.episodes());
+    for kind in ["refusals", "latency"] {
+        let found = episodes_of_kind(&view, kind);
+        assert_eq!(found.len(), 1, "{kind}: {:?}", view.detector.episodes());
         assert!(
             (at(20.0)..at(25.0)).contains(&found[0].started_at)
                 && found[0].ended_at.unwrap() <= at(30.0),
@@ -246,18 +250,18 @@
     assert_eq!(
         view.notables
             .iter()
-            .filter(|own| own.kind == AnswerKind::Refused)
+            .filter(|request| request.kind == AnswerKind::Refused)
             .count(),
         100
     );
 }
 
 #[test]
-fn engine_at_another_address_is_another_process() {
+fn engine_with_a_new_address_is_treated_as_a_new_process() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 5, 10);
-    script.fails(0, 5.0, 1);
-    script.moved(0, 6.0, 1, "127.0.0.1:9999");
+    script.add_steady_requests(0, 0, 5, 10);
+    script.refuse_connection(0, 5.0, 1);
+    script.move_engine(0, 6.0, 1, "127.0.0.1:9999");
     let view = script.finish();
     let engine = &view.fleet.run(0).unwrap().engines[&1];
     assert_eq!(
@@ -265,9 +269,9 @@
         ("127.0.0.1:9999", 0)
     );
     assert_eq!(
-        only(&view, "engines gone")[0].ended_at,
+        episodes_of_kind(&view, "engines gone")[0].ended_at,
         Some(at(6.0)),
-        "its predecessor is missed no more"
+        "the episode of the old process ends"
     );
 }
 
@@ -275,59 +279,60 @@
 fn clock_skew_is_estimated_from_common_discovery_events() {
     let mut script = Script::new(&["g1", "g2"]);
     for number in 1..=5 {
-        script.host(0, number as f64, HostEvent::DiscoveryEvent { number });
-        script.host(1, number as f64 + 3.2, HostEvent::DiscoveryEvent { number });
+        script.add_host_event(0, number as f64, HostEvent::DiscoveryEvent { number });
+        script.add_host_event(1, number as f64 + 3.2, HostEvent::DiscoveryEvent { number });
     }
     let view = script.finish();
     assert_eq!(view.skew.micros_ahead(1, 0), Some((3_200_000, 5)));
     assert_eq!(view.skew.micros_ahead(0, 1), Some((-3_200_000, 5)));
 }
 
-/// A segment's state, folded alone, is the state that the whole record gives.
+/// A reader may start at any segment. If the state there is applied wrongly, the analysis of a part
+/// of a log differs from that of the whole.
 #[test]
 fn state_at_the_start_of_a_segment_equals_that_of_the_whole_log() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 10, 20);
-    let left_open = script.open(0, 9.5, 0, 2, 3);
-    let from = script.segment(0, 10.0);
-    script.calm(0, 10, 20, 20);
-    script.ends(0, 12.0, left_open, SERVED);
-    let (told, sources) = script.told();
-    let fold = |told: &[(usize, u64, Entry)]| {
+    script.add_steady_requests(0, 0, 10, 20);
+    let left_open = script.open_request(0, 9.5, 0, 2, 3);
+    let from = script.start_segment(0, 10.0);
+    script.add_steady_requests(0, 10, 20, 20);
+    script.end_request(0, 12.0, left_open, SERVED);
+    let (entries, sources) = script.into_entries();
+    let fold = |entries: &[(usize, u64, Entry)]| {
         let mut view = View::new();
-        for (source, at, entry) in told.iter() {
+        for (source, at, entry) in entries.iter() {
             view.add(&sources, *source, *at, &ReadContent::Entry(entry.clone()));
         }
         view
     };
-    let (all, part) = (fold(&told), fold(&told[from..]));
+    let (all, part) = (fold(&entries), fold(&entries[from..]));
     let state = |view: &View| {
-        let start = view.fleet.run(0).unwrap();
-        let engines: Vec<_> = start
+        let run = view.fleet.run(0).unwrap();
+        let engines: Vec<_> = run
             .engines
             .iter()
-            .map(|(id, own)| (*id, own.in_flight, own.phase))
+            .map(|(id, engine)| (*id, engine.in_flight, engine.phase))
             .collect();
         (
-            start.running_tally.tally.clone(),
+            run.running_tally.tally.clone(),
             engines,
-            start.unanswered_requests().count(),
+            run.unanswered_requests().count(),
         )
     };
     assert_eq!(state(&all), state(&part));
-    let early = told[from..]
+    let first_second = entries[from..]
         .iter()
         .take_while(|(_, time, _)| *time < at(11.0))
         .count();
-    let mid = fold(&told[from..from + early]);
-    let mid = mid.fleet.run(0).unwrap();
-    let open = mid
+    let view = fold(&entries[from..from + first_second]);
+    let run = view.fleet.run(0).unwrap();
+    let open = run
         .open_requests
         .values()
-        .find(|own| own.arrived_at == at(9.5))
-        .expect("it is open");
+        .find(|request| request.arrived_at == at(9.5))
+        .expect("the request is open");
     assert!(
-        open.attempts[0].engine == 3 && mid.engines[&3].in_flight >= 1,
-        "the open one runs there"
+        open.attempts[0].engine == 3 && run.engines[&3].in_flight >= 1,
+        "the attempt of the open request runs on engine 3"
     );
 }
--- a/crates/report/tests/pages.rs
+++ b/crates/report/tests/pages.rs
@@ -1,4 +1,4 @@
-//! What the page says, that names can't break its markup, and that it is accessible.
+//! The texts of the report's page, the escaping of names in its markup, and its accessibility.
 
 #[path = "../../event-analysis/tests/common/mod.rs"]
 mod common;
@@ -9,9 +9,9 @@
 use eideryard_report::{format, page, summary};
 
 #[test]
-fn headline_names_the_worst_episode_or_says_that_there_is_none() {
+fn headline_describes_the_worst_episode_or_says_that_there_is_none() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 20, 20);
+    script.add_steady_requests(0, 0, 20, 20);
     let view = script.finish();
     assert_eq!(
         summary::headline(&view).split(';').next(),
@@ -19,12 +19,12 @@
     );
     assert!(page(&view).contains("No trouble was found by its symptoms"));
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 10, 20);
+    script.add_steady_requests(0, 0, 10, 20);
     script.engines = vec![3, 4];
-    script.calm(0, 10, 20, 20);
-    script.fails(0, 10.0, 1);
-    script.fails(0, 10.2, 2);
-    script.host(0, 12.0, HostEvent::DiscoveryLink { is_up: false });
+    script.add_steady_requests(0, 10, 20, 20);
+    script.refuse_connection(0, 10.0, 1);
+    script.refuse_connection(0, 10.2, 2);
+    script.add_host_event(0, 12.0, HostEvent::DiscoveryLink { is_up: false });
     let view = script.finish();
     let head = summary::headline(&view);
     assert!(
@@ -39,16 +39,17 @@
     );
 }
 
-/// Two gateways of one fleet are killed and restart.
+/// Two gateways of one fleet are killed and restarted. The gaps in their logs overlap many episodes
+/// and must not be repeated in each, and the requests of that time are in no log.
 #[test]
 fn gaps_are_listed_once_and_unknown_losses_are_stated() {
     let mut script = Script::new(&["g1", "g2", "g1", "g2"]);
     for source in [0, 1] {
-        script.calm(source, 0, 10, 20);
-        script.open(source, 10.0, 0, 0, 1);
-        script.calm(source + 2, 11, 20, 20);
+        script.add_steady_requests(source, 0, 10, 20);
+        script.open_request(source, 10.0, 0, 0, 1);
+        script.add_steady_requests(source + 2, 11, 20, 20);
     }
-    script.listed(2, 11.5, 2, Phase::Draining, 0);
+    script.list_engine(2, 11.5, 2, Phase::Draining, 0);
     let view = script.finish();
     let head = summary::headline(&view);
     assert!(
@@ -59,15 +60,15 @@
     assert_eq!(
         page.matches("not known from").count(),
         2,
-        "each gap once, and not again at every episode"
+        "each gap is listed once and not repeated in every episode"
     );
     assert_eq!(page.matches(summary::PARTLY_UNKNOWN).count(), 1);
 }
 
 #[test]
-fn names_are_escaped() {
+fn names_and_addresses_are_escaped_in_the_markup() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 5, 10);
+    script.add_steady_requests(0, 0, 5, 10);
     let name = "<script>alert(1)</script>\"'&".to_string();
     let (address, phase) = ("\"><svg onload=x>".to_string(), Phase::Draining);
     let listed = ListedEngine {
@@ -79,7 +80,7 @@
         phase,
         booted_at: 0,
     };
-    script.tell(0, at(2.0), Entry::Host(HostEvent::Engine(listed)));
+    script.add_entry(0, at(2.0), Entry::Host(HostEvent::Engine(listed)));
     let page = page(&script.finish());
     assert!(!page.contains("<script>alert") && !page.contains("<svg onload"));
     assert!(page.contains("&lt;script&gt;alert(1)"));
@@ -88,8 +89,8 @@
 #[test]
 fn plots_and_tables_have_titles_for_screen_readers() {
     let mut script = Script::new(&["g1"]);
-    script.calm(0, 0, 30, 20);
-    script.flood(0, 20, 24, 100, 2);
+    script.add_steady_requests(0, 0, 30, 20);
+    script.add_tenant_flood(0, 20, 24, 100, 2);
     let page = page(&script.finish());
     assert_eq!(
         page.matches("<svg viewBox").count(),
@@ -113,14 +114,14 @@
 #[test]
 fn times_and_counts_have_suitable_units() {
     assert_eq!(format::clock_ms(START + 1_234_000), "05:00:01.234");
-    let said = [
+    let expected_texts = [
         (5_000, "5 ms"),
         (1_500_000, "1.5 s"),
         (180_000_000, "3 min"),
         (9_000_000_000, "2.5 h"),
     ];
-    for (micros, words) in said.iter() {
-        assert_eq!(format::duration(*micros), *words);
+    for (micros, text) in expected_texts.iter() {
+        assert_eq!(format::duration(*micros), *text);
     }
     assert_eq!(
         (format::plural(1, "episode"), format::plural(2, "episode")),
