--- a/crates/cli/tests/incident.rs
+++ b/crates/cli/tests/incident.rs
@@ -44,7 +44,7 @@
 /// The cells of the report's table of gateways, by column, for each row.
 fn rows(page: &str) -> Vec<BTreeMap<String, String>> {
     let table = page
-        .split("What each start of each gateway counted")
+        .split("Totals of each run of each gateway")
         .nth(1)
         .expect("the table");
     let table = table.split("</table>").next().unwrap();
@@ -159,10 +159,10 @@
     );
     for words in [
         "rival flooded from 127.0.0.9",
-        "the bulletin was out of reach of g1 and g2",
+        "g1 and g2 had no connection to the bulletin",
         "the record of g1 has a gap",
         "e-6 drained",
-        "did not end by itself",
+        "ended without an orderly shutdown",
         "roster silent (g1 and g2) and flood (rival) overlap",
     ] {
         assert!(page.contains(words), "'{words}' is not told");
--- a/crates/console/src/draw/details.rs
+++ b/crates/console/src/draw/details.rs
@@ -1,4 +1,4 @@
-//! The pages of one engine and of one request.
+//! Draws the pages of one engine and of one request.
 
 use eideryard::interface::EngineId;
 use eideryard_event_analysis::notable::NotableRequest;
@@ -14,7 +14,7 @@
 use super::{bold, sparkline, DisplayOptions};
 use crate::model::answers_per_bucket;
 
-/// Outcomes as the page names them, in the order of their numbers.
+/// Names of outcomes on the page, in the order of the variants of `Outcome`.
 const OUTCOMES: [&str; 8] = [
     "answered",
     "error",
@@ -47,10 +47,10 @@
     draw_lines(frame, area, lines);
 }
 
-/// What one gateway knows of an engine.
+/// Returns the lines on one gateway's state of an engine.
 fn engine_lines(run: &GatewayRun, engine: &Engine) -> Vec<Line<'static>> {
     let load = format!(
-        "{} out, {:.0} threads, {:.0} MB granted",
+        "{} in flight, {:.0} threads, {:.0} MB granted",
         engine.in_flight, engine.threads, engine.granted_mb
     );
     let state = format!(
@@ -98,7 +98,7 @@
     }
     lines.push(Line::from(""));
     lines.push(Line::from(format!(
-        "Every entry of it: eideryard records find {id:016x} DIR..."
+        "All entries of this request: eideryard records find {id:016x} DIR..."
     )));
     draw_lines(frame, area, lines);
 }
@@ -114,14 +114,14 @@
         view.fleet.tenant_name(request.tenant),
         request.kind.name(),
         if request.is_late { ", late," } else { "" },
-        answered_after.unwrap_or_else(|| "a time not known".into()),
+        answered_after.unwrap_or_else(|| "an unknown time".into()),
         plural(request.attempt_count as u64, "attempt"),
     )
 }
 
 fn attempt_line(view: &View, attempt: &Attempt) -> String {
     let end = match attempt.ended {
-        None => "out when it was answered".into(),
+        None => "running when the request was answered".into(),
         Some((outcome, at)) => {
             let run_time = duration(at - attempt.sent_at);
             format!("{} after {run_time}", outcome_name(outcome))
--- a/crates/console/src/draw/header.rs
+++ b/crates/console/src/draw/header.rs
@@ -1,4 +1,4 @@
-//! The header: time, rates, and episodes that last.
+//! Draws the header: the time, the rates of requests, and the episodes that last.
 
 use eideryard::interface::Micros;
 use eideryard_event_analysis::series::Bucket;
@@ -15,8 +15,8 @@
 use super::{bold, DisplayOptions};
 use crate::model::Model;
 
-/// Logs without an entry for longer than this are shown as silent: a gateway writes at least a
-/// heartbeat a second.
+/// If the logs have no new entry for longer than this, the header says so. A gateway writes at
+/// least one heartbeat a second.
 const MAX_SILENCE: Micros = 5_000_000;
 
 pub(super) fn draw(
@@ -52,7 +52,7 @@
     let runs = view.fleet.active_runs();
     let mut gateways: Vec<&str> = runs.map(|(_, run)| run.name.as_str()).collect();
     if gateways.is_empty() {
-        gateways.push("none runs");
+        gateways.push("none running");
     }
     let now = view.fleet.now;
     format!(
@@ -66,9 +66,9 @@
 fn rate_line(view: &View) -> String {
     let runs = view.fleet.active_runs();
     let open: usize = runs.map(|(_, run)| run.unanswered_requests().count()).sum();
-    // The last bucket is not over.
-    let mut latest = view.series.buckets.iter().rev();
-    let bucket = latest.nth(1).or(view.series.buckets.last());
+    // The last bucket is not complete yet, so the rates are those of the one before it.
+    let mut newest_first = view.series.buckets.iter().rev();
+    let bucket = newest_first.nth(1).or(view.series.buckets.last());
     let rate = |value: &dyn Fn(&Bucket) -> u32| {
         bucket.map_or(0.0, |bucket| {
             f64::from(value(bucket)) * 1e6 / view.series.width as f64
@@ -76,7 +76,7 @@
     };
     let ended = |kind| rate(&|bucket| bucket.total(|class| class.ended(kind)));
     let refusal_reasons = summary::intent_refusals(&summary::totals(view))
-        .map(|reasons| format!("  for want: {reasons}"))
+        .map(|reasons| format!("  refusals: {reasons}"))
         .unwrap_or_default();
     format!(
         "requests/s {:.0}  served {:.0}  refused {:.0}  failed {:.0}  lost {:.0}  open {open}\
@@ -99,7 +99,7 @@
 
 fn episode_line(view: &View, lasting_episodes: &[String]) -> String {
     let mut line = if lasting_episodes.is_empty() {
-        "no trouble now".to_string()
+        "no incident now".to_string()
     } else {
         format!("NOW: {}", lasting_episodes.join(", "))
     };
--- a/crates/console/src/draw/mod.rs
+++ b/crates/console/src/draw/mod.rs
@@ -1,4 +1,5 @@
-//! Draws a model on a screen. Nothing depends on colour: states are words, rates are bars.
+//! Draws a model on a screen. No information depends on colour: states are shown as words and rates
+//! as bars.
 
 mod details;
 mod header;
@@ -14,9 +15,9 @@
 use crate::model::{Model, Page, SPARKLINE_BUCKETS};
 use tables::Grouping;
 
-/// Least width of the screen in characters.
+/// Minimum width of the screen in characters.
 pub const MIN_WIDTH: u16 = 80;
-/// Least height of the screen in lines.
+/// Minimum height of the screen in lines.
 pub const MIN_HEIGHT: u16 = 24;
 const HEADER_HEIGHT: u16 = 4;
 const FOOTER_HEIGHT: u16 = 2;
@@ -24,21 +25,21 @@
 const KEYS: &str = "Tab page  ↑↓ row  Enter open  Esc back  s sort  Space pause  ←→ 1 s  \
      PgUp/PgDn 10 s  l live  q quit";
 
-/// Marks of a sparkline, from nothing to the most.
+/// Characters of a sparkline, from zero to the greatest value.
 const BLOCK_MARKS: [char; 9] = [' ', '▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
-/// The same for terminals without block characters.
+/// Characters of a sparkline for terminals without block characters.
 const ASCII_MARKS: [char; 9] = [' ', '.', ':', '-', '=', '+', '*', '%', '#'];
 
 /// What the terminal can display.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DisplayOptions {
-    /// Colours.
+    /// Whether colours are used; false if the environment variable `NO_COLOR` is set.
     pub has_colours: bool,
-    /// Block characters and arrows.
+    /// Whether block characters and arrows are used; true if the locale's encoding is UTF-8.
     pub has_blocks: bool,
 }
 
-/// Draws a model of a view.
+/// Draws the header, the page of the model with data of the view, and the list of keys.
 pub fn draw(frame: &mut Frame<'_>, model: &Model, view: &View, options: DisplayOptions) {
     let area = frame.area();
     if area.width < MIN_WIDTH || area.height < MIN_HEIGHT {
@@ -66,7 +67,7 @@
 
 fn draw_too_small(frame: &mut Frame<'_>, area: Rect) {
     let text = format!(
-        "The console takes {MIN_WIDTH} by {MIN_HEIGHT} characters; this is {} by {}.",
+        "The console needs {MIN_WIDTH} by {MIN_HEIGHT} characters, but the terminal has {} by {}.",
         area.width, area.height
     );
     frame.render_widget(Paragraph::new(text).wrap(Wrap { trim: true }), area);
@@ -85,7 +86,7 @@
     Style::new().add_modifier(Modifier::BOLD)
 }
 
-/// A line of marks whose heights show values relative to the greatest.
+/// Returns a line of characters whose heights show values relative to the greatest one.
 fn sparkline(values: &[u64], options: DisplayOptions) -> String {
     let greatest = values.iter().copied().max().unwrap_or(0).max(1);
     let marks = if options.has_blocks {
@@ -94,7 +95,7 @@
         ASCII_MARKS
     };
     let steps = marks.len() as u64 - 1;
-    // Rounded up, so that little differs from nothing.
+    // Rounds up, so that small values differ from zero.
     let mark = |value: &u64| marks[(value * steps).div_ceil(greatest) as usize];
     let line: String = values.iter().map(mark).collect();
     format!("{line:>SPARKLINE_BUCKETS$}")
--- a/crates/console/src/draw/table.rs
+++ b/crates/console/src/draw/table.rs
@@ -1,4 +1,4 @@
-//! A table with a header and a cursor.
+//! Draws a table with a header and a cursor.
 
 use ratatui::layout::{Constraint, Rect};
 use ratatui::style::{Modifier, Style};
@@ -7,7 +7,7 @@
 
 use super::bold;
 
-/// Least width of a column that takes the rest.
+/// Minimum width of a column that takes the remaining width.
 const MIN_REST_WIDTH: u16 = 8;
 
 /// A column's title and width.
@@ -17,25 +17,25 @@
 }
 
 impl Column {
-    /// A column of a fixed width.
+    /// Creates a column with a fixed width in characters.
     pub fn fixed(title: &'static str, width: u16) -> Self {
         let width = Constraint::Length(width);
         Column { title, width }
     }
 
-    /// A column that takes the rest of the screen.
+    /// Creates a column that takes the remaining width of the screen.
     pub fn rest(title: &'static str) -> Self {
         let width = Constraint::Min(MIN_REST_WIDTH);
         Column { title, width }
     }
 }
 
-/// What a table shows.
+/// The content of a table.
 pub(super) struct Table {
     pub title: String,
     pub columns: Vec<Column>,
     pub rows: Vec<Vec<String>>,
-    /// The selected row.
+    /// Index of the selected row; `None` for a table without a cursor.
     pub cursor: Option<usize>,
 }
 
--- a/crates/console/src/draw/tables.rs
+++ b/crates/console/src/draw/tables.rs
@@ -1,4 +1,4 @@
-//! The pages that are tables.
+//! Draws the pages that are tables.
 
 use eideryard_event_analysis::notable::NotableRequest;
 use eideryard_event_analysis::series::Bucket;
@@ -60,7 +60,7 @@
 
 // ---- Classes and tenants ----
 
-/// What requests are grouped by.
+/// The property that requests are grouped by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Grouping {
     Class,
@@ -70,8 +70,8 @@
 impl Grouping {
     fn page_title(self) -> &'static str {
         match self {
-            Grouping::Class => "Classes, over all starts",
-            Grouping::Tenant => "Tenants, over all starts",
+            Grouping::Class => "Classes, sums of all runs",
+            Grouping::Tenant => "Tenants, sums of all runs",
         }
     }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Requests of a group that were received in a bucket of time.
+    /// Returns the number of requests of a group that were received in a time bucket.
     fn received(self, bucket: &Bucket, index: usize) -> u64 {
         let received = match self {
             Grouping::Class => bucket.classes.get(&index).map(|class| class.received),
@@ -98,7 +98,7 @@
         u64::from(received.unwrap_or(0))
     }
 
-    /// The totals of all groups, summed over all runs.
+    /// Returns the totals of all groups, summed over all runs.
     fn sums(self, view: &View) -> Vec<[u64; GROUP_VALUES]> {
         let mut sums = Vec::new();
         for (_, run) in view.fleet.runs() {
@@ -187,7 +187,7 @@
             Column::fixed("from", 8),
             Column::fixed("to", 8),
             Column::fixed("kind", 13),
-            Column::rest("what (Enter: go to its worst moment)"),
+            Column::rest("what (Enter: go to its peak)"),
         ],
         rows: episodes
             .map(|episode| episode_cells(view, episode))
@@ -217,7 +217,7 @@
 pub(super) fn draw_requests(frame: &mut Frame<'_>, model: &Model, view: &View, area: Rect) {
     let requests = model.requests(view);
     let table = Table {
-        title: "Requests that were not simply served, the latest first".into(),
+        title: "Requests not served in time at the first attempt, the latest first".into(),
         columns: vec![
             Column::fixed("ended", 12),
             Column::fixed("id", 16),
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,8 +1,9 @@
-//! A terminal console over event logs: the fleet now, or at any time that the logs hold.
+//! A terminal console for event logs: shows the fleet at present, or at any time that the logs
+//! cover.
 //!
-//! [`model`] owns what is shown and how keys change it, without a terminal. [`draw`] draws a model
-//! on a screen of at least 80 by 24 characters. [`run()`] connects both with a terminal and with
-//! the logs; the command line calls it.
+//! [`model`] owns the state of the console and handles keys, independently of a terminal. [`draw`]
+//! draws a model on a screen of at least 80 by 24 characters. [`run()`] connects both to a terminal
+//! and to the logs; the command line calls it.
 //!
 //! # Example
 //!
--- a/crates/console/src/model/engine_rows.rs
+++ b/crates/console/src/model/engine_rows.rs
@@ -9,29 +9,30 @@
 
 use super::Sort;
 
-/// Buckets of time of a sparkline.
+/// Number of time buckets that a sparkline shows.
 pub const SPARKLINE_BUCKETS: usize = 20;
 
-/// One row of the table of engines: the sums over the last run of each gateway.
+/// One row of the table of engines, with sums over the last run of each gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRow {
-    /// The engine.
+    /// Engine that the row shows.
     pub engine: EngineId,
-    /// Its name.
+    /// Name of the engine, or its number if no log states the name.
     pub name: String,
-    /// Its state in one word.
+    /// State as one word: `up`, `draining`, `removed`, `missed` (down) or `quarantine`.
     pub state: &'static str,
-    /// Attempts that run there.
+    /// Number of attempts that run on the engine.
     pub in_flight: usize,
-    /// Memory granted to them.
+    /// Memory granted to the running attempts, in MB.
     pub granted_mb: f64,
-    /// Attempts that run there, by rank.
+    /// Number of running attempts by rank.
     pub in_flight_by_rank: [u32; 4],
-    /// Answers in each of the last buckets of time, the oldest first.
+    /// Number of answers in each of the last time buckets, the oldest first.
     pub answers_per_bucket: Vec<u64>,
-    /// Attempts that it answered.
+    /// Number of attempts that the engine answered.
     pub answered: u64,
-    /// Attempts that ended badly.
+    /// Number of attempts that ended without an answer, except those that were cancelled or not
+    /// sent.
     pub failed: u64,
 }
 
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Adds what one gateway knows of the engine.
+    /// Adds one gateway's state of the engine.
     fn add(&mut self, engine: &Engine, is_down: bool) {
         self.state = match engine.phase {
             Phase::Draining => "draining",
@@ -85,7 +86,7 @@
     }
 }
 
-/// The rows of all engines in this order.
+/// Returns the rows of all engines in the given order.
 pub(super) fn engine_rows(view: &View, sort: Sort) -> Vec<EngineRow> {
     let mut rows: BTreeMap<EngineId, EngineRow> = BTreeMap::new();
     for (_, run) in view.fleet.latest_runs() {
@@ -99,7 +100,8 @@
     rows
 }
 
-/// Answers of an engine in each of the last buckets of time, the oldest first.
+/// Returns the number of an engine's answers in each of the last [`SPARKLINE_BUCKETS`] time
+/// buckets, the oldest first.
 pub fn answers_per_bucket(view: &View, engine: EngineId) -> Vec<u64> {
     let buckets = &view.series.buckets;
     let first = buckets.len().saturating_sub(SPARKLINE_BUCKETS);
--- a/crates/console/src/model/mod.rs
+++ b/crates/console/src/model/mod.rs
@@ -1,4 +1,5 @@
-//! What the console shows, and how keys change it: no terminal, no files, no clock.
+//! The state of the console and its changes by keys, without access to the terminal, to files or to
+//! the clock.
 
 mod engine_rows;
 
@@ -8,14 +9,14 @@
 
 pub use engine_rows::{answers_per_bucket, EngineRow, SPARKLINE_BUCKETS};
 
-/// How far one step goes.
+/// Time by which [`Key::StepBack`] and [`Key::StepForward`] move.
 pub const STEP: Micros = 1_000_000;
-/// How far one leap goes.
+/// Time by which [`Key::LeapBack`] and [`Key::LeapForward`] move.
 pub const LEAP: Micros = 10_000_000;
-/// Pages that [`Key::Back`] remembers.
-const MAX_PAGES_BEFORE: usize = 16;
+/// Maximum number of pages that [`Key::Back`] can return to.
+const MAX_PREVIOUS_PAGES: usize = 16;
 
-/// What is shown below the header.
+/// The page that is shown below the header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Page {
     /// The table of engines.
@@ -26,16 +27,16 @@
     Tenants,
     /// The table of episodes.
     Episodes,
-    /// The table of requests that were not simply served.
+    /// The table of requests that were not served in time at the first attempt.
     Requests,
-    /// One engine.
+    /// The details of one engine.
     Engine(EngineId),
-    /// One request, by the id that its client gave it.
+    /// The details of the request with this id, which its client chose.
     Request(u64),
 }
 
 impl Page {
-    /// The pages that [`Key::NextPage`] goes through.
+    /// The pages that [`Key::NextPage`] cycles through.
     const TABLES: [Page; 5] = [
         Page::Engines,
         Page::Classes,
@@ -44,25 +45,26 @@
         Page::Requests,
     ];
 
-    /// The table that is `distance` tables after this page.
+    /// Returns the table that is `distance` tables after this page. Other pages count as the first
+    /// table.
     fn table_after(self, distance: usize) -> Page {
         let index = Page::TABLES.iter().position(|page| *page == self);
         Page::TABLES[(index.unwrap_or(0) + distance) % Page::TABLES.len()]
     }
 }
 
-/// What the table of engines is sorted by.
+/// The order of the table of engines. Engines with equal values are sorted by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sort {
-    /// Name.
+    /// Alphabetically by the engine's name.
     Name,
     /// Most attempts in flight first.
     InFlight,
     /// Most granted memory first.
     Memory,
-    /// Most answers in the last second first.
+    /// Most answers in the last time bucket first.
     Rate,
-    /// Most attempts that ended badly first.
+    /// Most failed attempts first.
     Failed,
 }
 
@@ -75,14 +77,14 @@
         Sort::Failed,
     ];
 
-    /// The order's name on the screen.
+    /// Returns the name of the order on the screen.
     pub fn name(self) -> &'static str {
         match self {
             Sort::Name => "name",
             Sort::InFlight => "in flight",
             Sort::Memory => "memory",
             Sort::Rate => "answers",
-            Sort::Failed => "ended badly",
+            Sort::Failed => "failed attempts",
         }
     }
 
@@ -92,67 +94,67 @@
     }
 }
 
-/// What a key does.
+/// The function of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Key {
-    /// The next table.
+    /// Shows the next table.
     NextPage,
-    /// The previous table.
+    /// Shows the previous table.
     PreviousPage,
-    /// The row above.
+    /// Moves the cursor up by one row.
     Up,
-    /// The row below.
+    /// Moves the cursor down by one row.
     Down,
-    /// The page of the row, or for an episode its worst moment.
+    /// Opens the page of the selected row; for an episode, shows the time of its peak.
     Open,
-    /// The page before.
+    /// Returns to the page from which the current one was opened.
     Back,
-    /// The next order of the table of engines.
+    /// Sorts the table of engines by the next [`Sort`].
     Sort,
-    /// Stops at the time that is shown, or follows the logs again.
+    /// Pauses at the shown time, or follows the logs again.
     Pause,
-    /// One [`STEP`] back.
+    /// Goes back by one [`STEP`].
     StepBack,
-    /// One [`STEP`] forward.
+    /// Goes forward by one [`STEP`].
     StepForward,
-    /// One [`LEAP`] back.
+    /// Goes back by one [`LEAP`].
     LeapBack,
-    /// One [`LEAP`] forward.
+    /// Goes forward by one [`LEAP`].
     LeapForward,
     /// Follows the logs.
     Live,
     /// Ends the console.
     Quit,
-    /// The worst moment of the episode under the cursor.
+    /// Shows the time of the peak of the selected episode.
     JumpToPeak,
 }
 
-/// What the owner of the logs is to do after a key.
+/// What the caller of [`Model::on_key`] must do after a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Nothing.
+    /// Only draw the model again.
     Nothing,
     /// End the console.
     Quit,
-    /// Show the state as it was at this time.
+    /// Show the state at this time, which may require reading the logs again.
     ShowTime(Micros),
-    /// Follow the logs.
+    /// Show each new entry as it is logged.
     FollowLogs,
 }
 
-/// What the console shows.
+/// The state of the console.
 pub struct Model {
-    /// What is shown below the header.
+    /// Page that is shown below the header.
     pub page: Page,
-    /// Where [`Key::Back`] leads to, the last page at the end.
-    pages_before: Vec<Page>,
-    /// The selected row.
+    /// Pages that [`Key::Back`] returns to, the most recent one at the end.
+    previous_pages: Vec<Page>,
+    /// Index of the selected row.
     pub cursor: usize,
-    /// The order of the table of engines.
+    /// Order of the table of engines.
     pub sort: Sort,
-    /// The time that is shown; `None` while the logs are followed.
+    /// Shown time; `None` while the logs are followed.
     pub paused_at: Option<Micros>,
-    /// For how long the logs have had no entry.
+    /// Time since the last entry of all logs, by the local clock; set by the caller before drawing.
     pub silent_for: Micros,
 }
 
@@ -163,11 +165,11 @@
 }
 
 impl Model {
-    /// The table of engines, following the logs.
+    /// Creates a model that shows the table of engines and follows the logs.
     pub fn new() -> Self {
         Model {
             page: Page::Engines,
-            pages_before: Vec::new(),
+            previous_pages: Vec::new(),
             cursor: 0,
             sort: Sort::Name,
             paused_at: None,
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Handles a key.
+    /// Handles a key and returns what the caller must do.
     pub fn on_key(&mut self, key: Key, view: &View) -> Command {
         let now = self.paused_at.unwrap_or(view.fleet.now);
         match key {
@@ -199,7 +201,7 @@
         Command::Nothing
     }
 
-    /// How many rows the table of the page has.
+    /// Returns the number of rows that the cursor can select on the page; 0 if it has no cursor.
     pub fn row_count(&self, view: &View) -> usize {
         match self.page {
             Page::Engines => self.engines(view).len(),
@@ -209,12 +211,12 @@
         }
     }
 
-    /// The rows of the table of engines.
+    /// Returns the rows of the table of engines.
     pub fn engines(&self, view: &View) -> Vec<EngineRow> {
         engine_rows::engine_rows(view, self.sort)
     }
 
-    /// Requests that were not simply served, the latest first.
+    /// Returns the requests that were not served in time at the first attempt, the latest first.
     pub fn requests<'a>(&self, view: &'a View) -> Vec<&'a NotableRequest> {
         let mut requests: Vec<_> = view.notables.iter().collect();
         requests.reverse();
@@ -229,15 +231,15 @@
     }
 
     fn open(&mut self, page: Page) {
-        self.pages_before.push(self.page);
-        if self.pages_before.len() > MAX_PAGES_BEFORE {
-            self.pages_before.remove(0);
+        self.previous_pages.push(self.page);
+        if self.previous_pages.len() > MAX_PREVIOUS_PAGES {
+            self.previous_pages.remove(0);
         }
         self.show(page);
     }
 
     fn go_back(&mut self) {
-        if let Some(page) = self.pages_before.pop() {
+        if let Some(page) = self.previous_pages.pop() {
             self.show(page);
         }
     }
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -1,4 +1,4 @@
-//! Connects a model with a terminal and with event logs.
+//! Connects a model to a terminal and to event logs.
 
 use std::io;
 use std::path::PathBuf;
@@ -13,33 +13,33 @@
 use crate::draw::{draw, DisplayOptions};
 use crate::model::{Command, Key, Model};
 
-/// How often keys and logs are read.
+/// Interval at which keys and logs are read.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Entries that are added before keys are read again.
+/// Maximum number of entries that are added before keys are read again.
 const MAX_ENTRIES_PER_POLL: usize = 200_000;
-/// How much before the time that is shown the logs are read, for the state and the baselines.
+/// Time before the shown time from which the logs are read, to build the state and the baselines.
 const READ_BEFORE: Micros = 600_000_000;
 
-/// Why the console ended.
+/// Why the console can't start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsoleError {
     /// A log can't be read.
     #[error(transparent)]
     Log(#[from] ReadError),
-    /// There is no terminal.
-    #[error("no terminal: {0}")]
+    /// The program doesn't run in a terminal, or the terminal can't be set up.
+    #[error("the console needs a terminal, but it can't be set up: {0}")]
     NoTerminal(io::Error),
-    /// The terminal failed.
+    /// Reading from or writing to the terminal failed.
     #[error(transparent)]
     Terminal(#[from] io::Error),
 }
 
-/// Event logs, read up to a time.
+/// Reads event logs up to the shown time.
 struct LogPlayer {
     directories: Vec<PathBuf>,
     reader: MergedReader,
     view: View,
-    /// An entry that was read but is later than the time that is shown.
+    /// Entry that was read but is later than the shown time.
     pending: Option<ReadEntry>,
 }
 
@@ -57,7 +57,8 @@
         })
     }
 
-    /// Reads up to a time. Returns whether there may be more to read at once.
+    /// Reads entries up to a time, at most [`MAX_ENTRIES_PER_POLL`]. Returns whether there may be
+    /// more to read immediately.
     fn play_until(&mut self, until: Micros) -> Result<bool, ReadError> {
         for _ in 0..MAX_ENTRIES_PER_POLL {
             let next = match self.pending.take() {
@@ -76,18 +77,17 @@
         Ok(true)
     }
 
-    /// Goes back to a time before the one that is shown: reads the logs again from a while before
-    /// it.
+    /// Goes back to an earlier time: opens the logs again at [`READ_BEFORE`] before it.
     fn rewind(&mut self, time: Micros) -> Result<(), ReadError> {
         *self = LogPlayer::open(&self.directories, Some(time.saturating_sub(READ_BEFORE)))?;
         Ok(())
     }
 }
 
-/// Shows event logs until the user quits: live, or from the time `at` on.
+/// Shows event logs until the user quits. Follows them live, or starts paused at the time `at`.
 ///
 /// # Errors
-/// If there is no terminal, it fails, or a log can't be read.
+/// Returns an error if there is no terminal, if the terminal fails, or if a log can't be read.
 pub fn run(directories: &[PathBuf], at: Option<Micros>) -> Result<(), ConsoleError> {
     let from = at.map(|at| at.saturating_sub(READ_BEFORE));
     let mut player = LogPlayer::open(directories, from)?;
@@ -100,7 +100,7 @@
     result
 }
 
-/// What the environment says of the terminal.
+/// Determines from the environment what the terminal can display.
 fn display_options() -> DisplayOptions {
     let locale = ["LC_ALL", "LC_CTYPE", "LANG"]
         .iter()
@@ -144,7 +144,7 @@
     since_epoch.unwrap_or_default().as_micros() as Micros
 }
 
-/// The next key that has a meaning, if one is pressed before the timeout.
+/// Waits for a key that has a function, up to the timeout. Returns `None` if there is none.
 fn read_key(timeout: Duration) -> io::Result<Option<Key>> {
     if !event::poll(timeout)? {
         return Ok(None);
--- a/crates/event-analysis/src/episodes/mod.rs
+++ b/crates/event-analysis/src/episodes/mod.rs
@@ -37,7 +37,7 @@
 pub enum EpisodeKind {
     /// These engines ended or could not be reached.
     EnginesDown(BTreeSet<EngineId>),
-    /// This engine was draining.
+    /// The discovery service listed this engine as draining.
     Drain(EngineId),
     /// This engine was in quarantine at a gateway.
     Quarantine(EngineId),
--- a/crates/event-analysis/src/series/sketch.rs
+++ b/crates/event-analysis/src/series/sketch.rs
@@ -15,7 +15,7 @@
 }
 
 impl LatencySketch {
-    /// Adds one latency.
+    /// Counts one latency in microseconds; those below 1 ms count as 1 ms.
     pub fn add(&mut self, latency: Micros) {
         let milliseconds = (latency as f64 / 1e3).max(1.0);
         let step = (milliseconds.log2() * STEPS_PER_DOUBLING) as usize;
--- a/crates/event-analysis/src/state/balancer_entries.rs
+++ b/crates/event-analysis/src/state/balancer_entries.rs
@@ -61,11 +61,11 @@
         if request.is_answered && !request.is_running() {
             self.open_requests.remove(&ended.request);
         }
-        if let Some(known) = self.engines.get_mut(&engine) {
-            known.remove_load(load);
-            known.add_outcome(ended.outcome, sink.at);
+        if let Some(state) = self.engines.get_mut(&engine) {
+            state.remove_load(load);
+            state.add_outcome(ended.outcome, sink.at);
             let reported = ended.report.and_then(|report| report.in_flight);
-            known.reported_in_flight = reported.or(known.reported_in_flight);
+            state.reported_in_flight = reported.or(state.reported_in_flight);
         }
         sink.emit(Fact::AttemptEnded {
             engine,
@@ -91,12 +91,12 @@
     }
 
     fn on_send(&mut self, request: RequestId, engine: EngineId, sink: &mut FactSink<'_>) {
-        let known = self.engines.entry(engine).or_default();
-        known.sent += 1;
+        let state = self.engines.entry(engine).or_default();
+        state.sent += 1;
         let Some(request) = self.open_requests.get_mut(&request) else {
             return;
         };
-        known.add_load(request.load(self.names.threads_of_class(request.class)));
+        state.add_load(request.load(self.names.threads_of_class(request.class)));
         let is_retry = request.attempt_count() > 0;
         request.add_attempt(Attempt {
             engine,
@@ -118,8 +118,8 @@
             engine,
             is_quarantined,
         } = notice;
-        if let Some(known) = self.engines.get_mut(&engine) {
-            known.is_quarantined = is_quarantined;
+        if let Some(state) = self.engines.get_mut(&engine) {
+            state.is_quarantined = is_quarantined;
             sink.emit(Fact::QuarantineChanged {
                 engine,
                 is_quarantined,
--- a/crates/event-analysis/src/state/fact.rs
+++ b/crates/event-analysis/src/state/fact.rs
@@ -17,7 +17,7 @@
         /// Index of the source of the same gateway's previous run; `None` if there is none.
         restart_of: Option<usize>,
     },
-    /// A request was received.
+    /// A request reached the balancer, or a client's retry was attached to an open request.
     RequestReceived {
         /// Index of the request's class.
         class: usize,
@@ -63,7 +63,7 @@
         /// Whether the request had attempts before.
         is_retry: bool,
     },
-    /// An attempt ended.
+    /// An attempt ended at its engine, or was given up or cancelled by the gateway.
     AttemptEnded {
         /// Engine that the attempt was sent to.
         engine: EngineId,
--- a/crates/event-analysis/src/state/fleet.rs
+++ b/crates/event-analysis/src/state/fleet.rs
@@ -44,8 +44,8 @@
     /// Returns an engine's name from the first run that knows it, or its number if none does. The
     /// ids of engines are the same in all gateways.
     pub fn engine_name(&self, engine: EngineId) -> String {
-        let known = self.runs().filter_map(|(_, run)| run.engines.get(&engine));
-        let mut names = known.map(|engine| &engine.name);
+        let states = self.runs().filter_map(|(_, run)| run.engines.get(&engine));
+        let mut names = states.map(|state| &state.name);
         match names.find(|name| !name.is_empty()) {
             Some(name) => name.clone(),
             None => format!("engine {engine:08x}"),
--- a/crates/event-analysis/src/state/host_entries.rs
+++ b/crates/event-analysis/src/state/host_entries.rs
@@ -221,14 +221,14 @@
     // ---- Engines and discovery ----
 
     fn on_engine(&mut self, listed: &ListedEngine, is_in_state: bool, sink: &mut FactSink<'_>) {
-        let known = self.engines.get(&listed.engine);
+        let previous = self.engines.get(&listed.engine);
         let has_address = !listed.address.is_empty();
-        let is_restarted = known.is_some_and(|engine| {
+        let is_restarted = previous.is_some_and(|engine| {
             let has_moved = has_address && engine.address != listed.address;
             listed.booted_at > engine.booted_at || has_moved
         });
-        let is_changed =
-            known.is_none_or(|engine| engine.phase != listed.phase || engine.name != listed.name);
+        let is_changed = previous
+            .is_none_or(|engine| engine.phase != listed.phase || engine.name != listed.name);
         let engine = self.engines.entry(listed.engine).or_default();
         if is_restarted {
             // The outcomes of the previous process say nothing about the new one.
--- a/crates/event-analysis/src/state/run.rs
+++ b/crates/event-analysis/src/state/run.rs
@@ -134,7 +134,7 @@
     /// Returns an engine's name, or its number if the log doesn't state the name.
     pub fn engine_name(&self, engine: EngineId) -> String {
         match self.engines.get(&engine) {
-            Some(known) if !known.name.is_empty() => known.name.clone(),
+            Some(state) if !state.name.is_empty() => state.name.clone(),
             _ => format!("engine {engine:08x}"),
         }
     }
--- a/crates/report/src/format.rs
+++ b/crates/report/src/format.rs
@@ -1,4 +1,4 @@
-//! Times, durations, counts and lists as text.
+//! Formats times, durations, counts and lists as text.
 
 use eideryard::interface::Micros;
 use time::macros::format_description;
@@ -6,30 +6,31 @@
 
 const NANOSECONDS_PER_MICROSECOND: i128 = 1000;
 
+/// Converts microseconds since 1970; a time out of range becomes the start of 1970.
 fn utc(at: Micros) -> OffsetDateTime {
     let nanoseconds = i128::from(at) * NANOSECONDS_PER_MICROSECOND;
     OffsetDateTime::from_unix_timestamp_nanos(nanoseconds).unwrap_or(OffsetDateTime::UNIX_EPOCH)
 }
 
-/// A time of day in UTC, to the second.
+/// Formats the time of day in UTC with seconds, as `05:00:10`.
 pub fn clock(at: Micros) -> String {
     let format = format_description!("[hour]:[minute]:[second]");
     utc(at).format(format).unwrap_or_default()
 }
 
-/// A time of day in UTC, to the millisecond.
+/// Formats the time of day in UTC with milliseconds, as `05:00:10.250`.
 pub fn clock_ms(at: Micros) -> String {
     let format = format_description!("[hour]:[minute]:[second].[subsecond digits:3]");
     utc(at).format(format).unwrap_or_default()
 }
 
-/// A date in UTC.
+/// Formats the date in UTC, as `2026-12-02`.
 pub fn date(at: Micros) -> String {
     let format = format_description!("[year]-[month]-[day]");
     utc(at).format(format).unwrap_or_default()
 }
 
-/// A duration, in a unit that suits its length.
+/// Formats a duration in milliseconds, seconds, minutes or hours, depending on its length.
 pub fn duration(micros: Micros) -> String {
     match micros {
         0..1_000_000 => format!("{} ms", micros / 1000),
@@ -39,7 +40,7 @@
     }
 }
 
-/// A count with its noun.
+/// Formats a count with its noun, whose plural must be regular: `1 episode`, `2 episodes`.
 pub fn plural(count: u64, singular: &str) -> String {
     if count == 1 {
         format!("1 {singular}")
@@ -48,7 +49,7 @@
     }
 }
 
-/// Names in a sentence: `a, b and c`.
+/// Joins names for use in a sentence: `a, b and c`, or `none`.
 pub(crate) fn list(names: &[String]) -> String {
     match names {
         [] => "none".into(),
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,9 +1,10 @@
-//! The report of an incident: one HTML page that needs nothing from elsewhere.
+//! The report of an incident: one HTML page that loads no other files.
 //!
-//! [`summary`] states in sentences what the analysis found, [`plot`] draws, [`mod@page`] puts both
-//! together, and [`format`](mod@format) writes times and numbers. Totals come from the logs' own
-//! tallies, so that they equal the gateways' counters. The crate holds no state; the command line
-//! writes the page to a file, and the console shows parts of the summary.
+//! [`summary`] describes in sentences what the analysis found, [`plot`] draws SVG plots,
+//! [`mod@page`] builds the page from both, and [`format`](mod@format) formats times and numbers.
+//! Totals come from the tallies in the event logs, so that they equal the gateways' counters. The
+//! crate has no state; the command line writes the page to a file, and the console shows parts of
+//! the summary.
 //!
 //! # Example
 //!
@@ -11,7 +12,7 @@
 //! use eideryard_event_analysis::View;
 //!
 //! let page = eideryard_report::page(&View::new());
-//! assert!(page.contains("No trouble was found"));
+//! assert!(page.contains("No incident was found"));
 //! ```
 
 pub mod format;
--- a/crates/report/src/page/engines.rs
+++ b/crates/report/src/page/engines.rs
@@ -1,4 +1,4 @@
-//! Engines: a row of bars each, and a table.
+//! The section on engines: a plot with a row of bars for each engine, and a table.
 
 use eideryard::interface::{EngineId, Phase};
 use eideryard_event_analysis::series::EngineBucket;
@@ -10,7 +10,7 @@
 use crate::format::{clock, plural};
 use crate::plot::{self, Bar, Row, Span};
 
-/// Outcomes of attempts, in the order of their numbers.
+/// Column titles of the outcomes of attempts, in the order of the variants of `Outcome`.
 const OUTCOMES: [&str; 8] = [
     "answered",
     "error",
@@ -21,7 +21,7 @@
     "cancelled",
     "unsent",
 ];
-/// Opacity of a bar without an answer; the most answers have 1.
+/// Opacity of a bar without an answer. The bar with most answers has an opacity of 1.
 const MIN_OPACITY: f64 = 0.15;
 
 pub(super) fn section(view: &View, span: Span) -> Markup {
@@ -32,7 +32,7 @@
     }
 }
 
-/// All engines that any gateway knows, by name.
+/// Returns all engines that any gateway knows, sorted by name.
 fn all_engines(view: &View) -> Vec<EngineId> {
     let runs = view.fleet.runs();
     let engines = runs.flat_map(|(_, run)| run.engines.keys().copied());
@@ -54,14 +54,14 @@
     let hidden = engines.len().saturating_sub(MAX_ROWS);
     html! {
         (plot::rows(
-            "Answers by engine: the darker the more; marked where attempts ended badly",
-            "One row an engine; the table below holds the sums.", span, &rows
+            "Answers by engine: darker means more; times with failed attempts are marked",
+            "One row for each engine; the table below shows the sums.", span, &rows
         ))
-        @if hidden > 0 { p { (plural(hidden as u64, "further engine")) " in the table only." } }
+        @if hidden > 0 { p { "Only in the table: " (plural(hidden as u64, "further engine")) "." } }
     }
 }
 
-/// The most answers of any engine in any bucket, at least 1.
+/// Returns the greatest number of answers of any engine in any bucket, at least 1.
 fn most_answers(view: &View) -> u32 {
     let buckets = view.series.buckets.iter();
     let engines = buckets.flat_map(|bucket| bucket.engines.values());
@@ -69,7 +69,7 @@
     answers.max().unwrap_or(0).max(1)
 }
 
-/// A bar for each bucket in which attempts of an engine ended.
+/// Returns a bar for each bucket in which an engine answered attempts or attempts failed there.
 fn bars(view: &View, engine: EngineId, most_answers: u32) -> Vec<Bar> {
     let mut bars = Vec::new();
     for (index, bucket) in view.series.buckets.iter().enumerate() {
@@ -83,7 +83,7 @@
                 to: view.series.start_of(index + 1),
                 style: if sums.failed > 0 { "bad" } else { "served" },
                 text: format!(
-                    "{}: {} sent, {} answered, {} ended badly",
+                    "{}: {} sent, {} answered, {} failed",
                     clock(from),
                     sums.sent,
                     sums.answered,
@@ -106,7 +106,7 @@
 fn table(view: &View, engines: &[EngineId]) -> Markup {
     let mut number_columns = vec!["sent"];
     number_columns.extend(OUTCOMES);
-    let text_columns = ["engine", "address", "last listed"];
+    let text_columns = ["engine", "address", "last phase"];
     html! {
         table {
             caption { "Attempts by engine, over all gateways" }
@@ -116,7 +116,8 @@
             }
         }
         p class="small" {
-            "Attempts are counted as recorded; those in a gap are in the gateways' totals only."
+            "This table counts the attempts in the records. Attempts during a gap in a record are "
+            "counted only in the gateways' totals."
         }
     }
 }
@@ -133,7 +134,7 @@
         tr {
             th scope="row" { (view.fleet.engine_name(engine)) }
             td { (last.map_or("", |state| state.address.as_str())) }
-            td { (phase_word(phase)) }
+            td { (phase_name(phase)) }
             td class="n" { (sent) }
             @for outcome in 0..OUTCOMES.len() {
                 td class="n" { (states.iter().map(|state| state.outcomes[outcome]).sum::<u64>()) }
@@ -142,7 +143,7 @@
     }
 }
 
-fn phase_word(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Draining => "draining",
         Phase::Removed => "removed",
--- a/crates/report/src/page/episodes.rs
+++ b/crates/report/src/page/episodes.rs
@@ -1,4 +1,4 @@
-//! Episodes: a timeline and a table.
+//! The section on episodes: a timeline and a table.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     let overlaps = summary::overlaps(view);
     html! {
         @if view.detector.episodes().is_empty() {
-            p { "No trouble was found by its symptoms." }
+            p { "No symptoms of an incident were found." }
         } @else {
             (timeline(view, span))
             @if !overlaps.is_empty() { (sentences(&overlaps)) }
@@ -35,14 +35,14 @@
         .map(|((_, name), bars)| Row { name, bars })
         .collect();
     let text = format!(
-        "{} in {} rows; the table below says the same.",
+        "{} in {} rows; the table below contains the same data.",
         plural(view.detector.episodes().len() as u64, "episode"),
         rows.len()
     );
     plot::rows("Timeline of episodes", &text, span, &rows)
 }
 
-/// The position of an episode's row among others.
+/// Returns the sort key of an episode's row in the timeline.
 fn row_order(kind: &EpisodeKind) -> u8 {
     match kind {
         EpisodeKind::EnginesDown(_) => 0,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The class of an episode's bars in the style sheet.
+/// Returns the class of an episode's bars in the style sheet.
 fn bar_style(kind: &EpisodeKind) -> &'static str {
     match kind {
         EpisodeKind::EnginesDown(_) => "bad",
@@ -80,7 +80,8 @@
     }
 }
 
-/// The bar of an episode, and those of its unknown times.
+/// Returns the bar of an episode, followed by the bars of the intervals about which nothing is
+/// known.
 fn bars(view: &View, episode: &Episode) -> Vec<Bar> {
     let (from, to) = episode.span(view.detector.now());
     let description = summary::describe(view, episode);
@@ -109,7 +110,7 @@
     let columns = ["from", "to", "lasted", "kind", "what", "worst at"];
     html! {
         table id="episode-list" {
-            caption { "Each episode, by its beginning" }
+            caption { "Episodes by start time" }
             (super::table_head(&columns, &[]))
             tbody {
                 @for episode in episodes {
--- a/crates/report/src/page/gateways.rs
+++ b/crates/report/src/page/gateways.rs
@@ -8,7 +8,7 @@
 use crate::format::{clock, clock_ms};
 use crate::summary;
 
-/// The totals that are shown, by name.
+/// Column titles of the totals, which are also the names in [`Totals::pairs`].
 const TOTALS: [&str; 9] = [
     "taken",
     "served",
@@ -23,11 +23,11 @@
 
 pub(super) fn table(view: &View) -> Markup {
     let mut number_columns = TOTALS.to_vec();
-    number_columns.extend(["open", "left out"]);
-    let text_columns = ["gateway", "started", "last told", "end"];
+    number_columns.extend(["open", "missing entries"]);
+    let text_columns = ["gateway", "started", "last entry", "end"];
     html! {
         table {
-            caption { "What each start of each gateway counted" }
+            caption { "Totals of each run of each gateway" }
             (table_head(&text_columns, &number_columns))
             tbody {
                 @for (_, run) in view.fleet.runs() { (run_row(run)) }
--- a/crates/report/src/page/mod.rs
+++ b/crates/report/src/page/mod.rs
@@ -1,4 +1,4 @@
-//! The page itself.
+//! Builds the HTML page.
 
 mod engines;
 mod episodes;
@@ -14,16 +14,16 @@
 use crate::summary;
 
 const STYLE: &str = include_str!("page.css");
-/// Finds a request in the table; without it the browser's own search does.
+/// Filters the table of requests by id. If the browser runs no scripts, its text search remains.
 const SCRIPT: &str = include_str!("page.js");
-/// Least time that plots show.
+/// Minimum length of the time that plots show.
 const MIN_SPAN_MICROS: u64 = 1_000_000;
-/// Most lines of one plot.
+/// Maximum number of lines in one plot.
 const MAX_LINES: usize = 8;
-/// Most rows of one plot.
+/// Maximum number of rows in one plot.
 const MAX_ROWS: usize = 40;
 
-/// The report of a view as one HTML page.
+/// Returns the report of a view as one HTML page.
 pub fn page(view: &View) -> String {
     let span = span(view);
     let title = title(view, span);
@@ -41,8 +41,9 @@
                 (header(view, &title, span))
                 (main(view, span))
                 footer class="small" {
-                    "Made from the gateways' own records. Totals are their tallies; "
-                    "one request's whole life: " code { "eideryard records find ID DIR..." }
+                    "Generated from the gateways' records. Totals are the gateways' own tallies. "
+                    "To list all entries of one request: "
+                    code { "eideryard records find ID DIR..." }
                 }
                 script { (PreEscaped(SCRIPT)) }
             }
@@ -51,7 +52,7 @@
     markup.into_string()
 }
 
-/// The time that all plots show.
+/// Returns the time that all plots show.
 fn span(view: &View) -> Span {
     let first = view.fleet.runs().map(|(_, run)| run.first_at).min();
     let from = first.unwrap_or(0).max(view.from);
@@ -74,7 +75,7 @@
             h1 { (title) }
             p class="head" { (summary::headline(view)) "." }
             p class="small" {
-                "All times are UTC, as the gateways' clocks told them; " (date(span.from)) ", "
+                "All times are in UTC, by the gateways' own clocks; " (date(span.from)) ", "
                 (clock(span.from)) " to " (clock(span.to)) "."
             }
         }
@@ -90,13 +91,16 @@
                 (section("known", "What is not known", &sentences(&caveats)))
             }
             @if !fleet.is_empty() {
-                (section("fleet", "The gateways among themselves, at the end", &sentences(&fleet)))
+                (section("fleet", "State of the fleet at the end", &sentences(&fleet)))
             }
             (section("episodes", "Episodes", &episodes::section(view, span)))
             (section("gateways", "Gateways", &gateways::table(view)))
             (section("service", "Service", &service::section(view, span)))
             (section("engines", "Engines", &engines::section(view, span)))
-            (section("requests", "Requests that were not simply served", &requests::section(view)))
+            (section(
+                "requests", "Requests not served in time at the first attempt",
+                &requests::section(view)
+            ))
         }
     }
 }
@@ -116,7 +120,7 @@
     }
 }
 
-/// The head of a table; the columns of numbers are aligned to the right.
+/// Returns the head of a table. The columns of numbers are aligned to the right.
 fn table_head(text_columns: &[&str], number_columns: &[&str]) -> Markup {
     html! {
         thead { tr {
--- a/crates/report/src/page/requests.rs
+++ b/crates/report/src/page/requests.rs
@@ -1,4 +1,4 @@
-//! The table of requests that were not simply served.
+//! The table of requests that were not served in time at the first attempt.
 
 use eideryard::interface::Micros;
 use eideryard_event_analysis::notable::NotableRequest;
@@ -9,9 +9,9 @@
 use super::table_head;
 use crate::format::{clock_ms, plural};
 
-/// Most open requests of one gateway that broke off.
+/// Maximum number of open requests that are listed for one run that broke off.
 const MAX_OPEN: usize = 500;
-/// In place of a value that is not known.
+/// Shown in place of a value that is not known.
 const UNKNOWN: &str = "–";
 
 /// A row of the table.
@@ -27,7 +27,7 @@
 }
 
 impl RequestRow {
-    /// The row of a request that ended.
+    /// Creates the row of a request that ended.
     fn ended(request: &NotableRequest) -> Self {
         let late = if request.is_late { ", late" } else { "" };
         RequestRow {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The row of a request that was open when its gateway's log broke off.
+    /// Creates the row of a request that was open when its gateway's log broke off.
     fn open(request: &Request, source: usize, broken_off_at: Micros) -> Self {
         RequestRow {
             at: broken_off_at,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The rows by time.
+/// Returns the rows sorted by time.
 fn rows(view: &View) -> Vec<RequestRow> {
     let mut rows: Vec<RequestRow> = view.notables.iter().map(RequestRow::ended).collect();
     for (source, run) in view.fleet.runs() {
@@ -75,11 +75,12 @@
     let text_columns = ["ended", "id", "gateway", "class", "tenant", "end"];
     html! {
         p {
-            "Refused, failed, lost, taken back, late, served at a further attempt, or open when a gateway "
-            "broke off. "
-            "A request that is not here and lies in no gap was served at its first attempt in time."
+            "Requests that were refused, failed, lost, cancelled by the client, late, served by a "
+            "retry, or open when a gateway broke off. "
+            "A request that is not listed was served in time at its first attempt, unless it was "
+            "received during a gap."
             @if left_out > 0 {
-                " " (plural(left_out, "request")) " between the first and the last of these are left out."
+                " Not listed: " (plural(left_out, "request")) " between the first and the last of these."
             }
         }
         p class="find" {
@@ -88,7 +89,7 @@
             " " output id="found" for="find" {}
         }
         table id="asked" {
-            caption { "By the time of their end" }
+            caption { "Requests by end time" }
             (table_head(&text_columns, &["took ms", "attempts"]))
             tbody {
                 @for row in rows(view) { (table_row(view, &row)) }
--- a/crates/report/src/page/service.rs
+++ b/crates/report/src/page/service.rs
@@ -1,4 +1,4 @@
-//! Service: answers, latency, classes and tenants.
+//! The section on service: answers, latency, classes and tenants.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::plot::{self, Band, Line, Point, Span};
 use crate::summary;
 
-/// The values of [`GroupTotals`], in their order.
+/// Column titles of the values of [`GroupTotals`], in the order of [`GroupTotals::values`].
 const TOTALS: [&str; GROUP_VALUES] = [
     "taken",
     "served",
@@ -24,7 +24,7 @@
 ];
 const LATENCY_COLUMNS: [&str; 3] = ["median ms", "90% ms", "99% ms"];
 const LATENCY_QUANTILES: [f64; 3] = [0.5, 0.9, 0.99];
-/// The percentile of the plot of latency.
+/// Percentile that the plot of latency shows.
 const PLOTTED_PERCENTILE: f64 = 0.9;
 
 pub(super) fn section(view: &View, span: Span) -> Markup {
@@ -40,7 +40,7 @@
 
 // ---- Plots ----
 
-/// The episodes that are shown behind plots: all but symptoms.
+/// Returns the episodes that are highlighted in plots: all except symptoms of other episodes.
 fn bands(view: &View) -> Vec<Band> {
     let now = view.detector.now();
     let mut bands = Vec::new();
@@ -54,7 +54,7 @@
     bands
 }
 
-/// A value of each bucket as a rate per second.
+/// Returns a value of each bucket as a rate per second.
 fn rates(view: &View, value: impl Fn(&Bucket) -> u32) -> Vec<Point> {
     let seconds = view.series.width as f64 / 1e6;
     plot_points(view, |bucket| Some(f64::from(value(bucket)) / seconds))
@@ -83,7 +83,7 @@
     plot::stacked(title, "a second", span, bands, &areas, view.series.width)
 }
 
-/// The class of an area in the style sheet.
+/// Returns the class of an area in the style sheet.
 fn answer_style(kind: AnswerKind) -> &'static str {
     match kind {
         AnswerKind::Served => "served",
@@ -110,7 +110,7 @@
             }),
         });
     }
-    let title = "Nine in ten answers came within, by class";
+    let title = "90th percentile of latency by class";
     plot::lines(title, "ms", span, bands, &lines)
 }
 
@@ -136,7 +136,7 @@
     format!("s{number}")
 }
 
-/// The groups with most requests, most first.
+/// Returns the [`MAX_LINES`] groups with most requests, the busiest first.
 fn busiest(counts: impl Iterator<Item = (usize, u32)>) -> Vec<usize> {
     let mut sums: BTreeMap<usize, u64> = BTreeMap::new();
     for (group, count) in counts {
@@ -216,7 +216,7 @@
         }
     }
 
-    /// The groups that received requests, with their index.
+    /// Returns the groups that received requests, with their indexes.
     fn present(&self) -> impl Iterator<Item = (usize, &[u64; GROUP_VALUES])> {
         let groups = self.0.iter().enumerate();
         groups.filter(|(_, [received, ..])| *received > 0)
@@ -230,7 +230,8 @@
     }
 }
 
-/// A quantile of the latency of a class at all gateways; `None` if none was served.
+/// Returns a quantile of the latency of a class at all gateways, or `None` if no request of the
+/// class was served.
 fn latency_ms(view: &View, class: usize, quantile: f64) -> Option<u64> {
     let mut histograms = view
         .fleet
@@ -238,7 +239,7 @@
         .filter_map(|(_, run)| run.latency.get(class));
     let mut sum = histograms.next()?.clone();
     for histogram in histograms {
-        // It can't fail: all have the same bounds.
+        // This can't fail because all histograms have the same bounds.
         let _ = sum.add(histogram);
     }
     (!sum.is_empty()).then(|| sum.value_at_quantile(quantile))
--- a/crates/report/src/plot/bars.rs
+++ b/crates/report/src/plot/bars.rs
@@ -1,4 +1,4 @@
-//! Named rows of bars over time.
+//! Draws plots with a named row of bars over time for each object.
 
 use std::fmt::Write;
 
@@ -9,39 +9,39 @@
 use super::Span;
 
 const ROW_HEIGHT: f64 = 22.0;
-/// Room between the bars of two rows.
+/// Vertical space between the bars of two rows.
 const ROW_GAP: f64 = 6.0;
 const FIRST_ROW_TOP: f64 = 12.0;
-/// Room above and below all rows.
+/// Vertical space above and below all rows.
 const MARGINS: f64 = 16.0 + 28.0;
-/// Least width of a bar, so that it is seen.
+/// Minimum width of a bar, so that short ones remain visible.
 const MIN_BAR_WIDTH: f64 = 2.0;
-/// Longest name in characters; longer ones are cut.
+/// Maximum length of a name in characters; longer ones are shortened.
 const MAX_NAME: usize = 26;
 
 /// One bar of a row.
 pub struct Bar {
-    /// Its start.
+    /// Start of the time that the bar covers.
     pub from: Micros,
-    /// Its end.
+    /// End of the time that the bar covers.
     pub to: Micros,
-    /// Its class in the style sheet.
+    /// Class of the bar in the style sheet, which sets the colour.
     pub style: &'static str,
-    /// What it means.
+    /// Description of the bar, which browsers show as a tooltip.
     pub text: String,
-    /// 0 to 1.
+    /// Opacity from 0 to 1; other values are clamped.
     pub opacity: f64,
 }
 
 /// A named row of bars.
 pub struct Row {
-    /// Its name.
+    /// Label at the left of the row.
     pub name: String,
-    /// Its bars.
+    /// Bars of the row, in any order; they may overlap.
     pub bars: Vec<Bar>,
 }
 
-/// Rows of bars over time.
+/// Draws rows of bars over time. `text` is the description for screen readers.
 pub fn rows(title: &str, text: &str, span: Span, rows: &[Row]) -> Markup {
     let mut content = String::new();
     for (number, row) in rows.iter().enumerate() {
--- a/crates/report/src/plot/curves.rs
+++ b/crates/report/src/plot/curves.rs
@@ -1,4 +1,4 @@
-//! Lines and stacked areas over time.
+//! Draws lines and stacked areas over time.
 
 use std::fmt::Write;
 
@@ -11,7 +11,7 @@
 const LINES_HEIGHT: f64 = 200.0;
 const AREAS_HEIGHT: f64 = 220.0;
 
-/// Lines over time.
+/// Draws lines over time. `unit` follows the greatest value on the vertical axis.
 pub fn lines(title: &str, unit: &str, span: Span, bands: &[Band], lines: &[Line]) -> Markup {
     let points = lines.iter().flat_map(|line| &line.points);
     let highest = points.filter_map(|point| point.value).fold(0.0, f64::max);
@@ -37,7 +37,7 @@
     figure(&plot, lines)
 }
 
-/// The path of a line, which breaks where points have no value.
+/// Returns the SVG path of a line, which is interrupted at points without a value.
 fn line_path(line: &Line, span: Span, axis: &ValueAxis<'_>) -> String {
     let mut path = String::new();
     let mut is_drawing = false;
@@ -55,7 +55,8 @@
     path
 }
 
-/// Areas over time, one on top of the other. All have the same times, `width` apart.
+/// Draws areas over time, stacked on top of each other. The points of all areas have the same
+/// times, and each value applies to the time `width` after its point.
 pub fn stacked(
     title: &str,
     unit: &str,
@@ -96,7 +97,7 @@
     figure(&plot, areas)
 }
 
-/// The tops of an area on these bases.
+/// Returns the upper edge of an area that is stacked on `base`.
 fn stack(base: &[f64], area: &Line) -> Vec<f64> {
     let value = |index: usize| area.points.get(index).and_then(|point| point.value);
     let bases = base.iter().enumerate();
@@ -105,7 +106,7 @@
         .collect()
 }
 
-/// The path of an area: along its tops, and back along its bases.
+/// Returns the SVG path of an area: along its upper edge and back along its lower edge.
 fn area_path(
     area: &Line,
     span: Span,
--- a/crates/report/src/plot/frame.rs
+++ b/crates/report/src/plot/frame.rs
@@ -1,4 +1,4 @@
-//! What all plots have: the axes, the bands, and the texts for those who don't see them.
+//! The parts that all plots have: axes, bands, and descriptions for screen readers.
 
 use std::fmt::Write;
 
@@ -9,35 +9,35 @@
 use crate::format::clock;
 
 pub(super) const WIDTH: f64 = 960.0;
-/// Room for names at the left.
+/// Horizontal space for names and labels at the left.
 pub(super) const LEFT: f64 = 168.0;
 const RIGHT: f64 = 16.0;
-/// Room for the time axis below the plot.
+/// Vertical space for the time axis below the plot.
 const BOTTOM: f64 = 24.0;
-/// Where bands and grid lines start.
+/// Vertical position at which bands and grid lines start.
 const TOP: f64 = 8.0;
-/// Where the greatest value is drawn.
+/// Vertical position of the greatest value.
 const VALUE_TOP: f64 = 16.0;
-/// Most marks on the time axis.
+/// Maximum number of intervals between marks on the time axis.
 const MAX_TIME_MARKS: u64 = 8;
-/// Steps of the time axis in seconds.
+/// Possible intervals between marks on the time axis, in seconds.
 const TIME_STEPS: [u64; 14] = [
     1, 2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200, 21_600,
 ];
-/// The step for longer times.
+/// Interval between marks in seconds if all [`TIME_STEPS`] are too short: a day.
 const LONGEST_TIME_STEP: u64 = 86_400;
-/// Round numbers up to the next power of ten.
+/// Multiples of a power of ten that count as round numbers.
 const ROUND_STEPS: [f64; 9] = [1.0, 1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 8.0, 10.0];
 
 impl Span {
-    /// The horizontal position of a time.
+    /// Returns the horizontal position of a time; times outside the span are clamped to it.
     pub(super) fn x(&self, at: Micros) -> f64 {
         let offset = at.clamp(self.from, self.to) - self.from;
         let length = (self.to - self.from).max(1);
         LEFT + offset as f64 / length as f64 * (WIDTH - LEFT - RIGHT)
     }
 
-    /// The times that are marked on the axis.
+    /// Returns the times that are marked on the axis.
     fn marks(&self) -> Vec<Micros> {
         let seconds = (self.to - self.from) / 1_000_000;
         let fits = |step: &&u64| seconds / **step <= MAX_TIME_MARKS;
@@ -56,13 +56,13 @@
 #[derive(Clone, Copy)]
 pub(super) struct ValueAxis<'a> {
     pub height: f64,
-    /// The greatest value that it shows, a round number.
+    /// Value at the upper end of the axis, a round number.
     greatest: f64,
     unit: &'a str,
 }
 
 impl<'a> ValueAxis<'a> {
-    /// An axis for values up to this.
+    /// Creates an axis for values from 0 to at least `highest`.
     pub fn new(height: f64, highest: f64, unit: &'a str) -> Self {
         ValueAxis {
             height,
@@ -71,13 +71,13 @@
         }
     }
 
-    /// The vertical position of a value.
+    /// Returns the vertical position of a value.
     pub fn y(&self, value: f64) -> f64 {
         let bottom = self.height - BOTTOM;
         bottom - value / self.greatest * (bottom - VALUE_TOP)
     }
 
-    /// Lines and labels at zero, half and the greatest value.
+    /// Returns SVG lines and labels at zero, half the greatest value and the greatest value.
     pub fn grid(&self) -> String {
         let mut grid = String::new();
         let bottom = self.height - BOTTOM;
@@ -105,18 +105,18 @@
     }
 }
 
-/// The smallest round number that is no less.
+/// Returns the smallest round number that is at least `value`.
 fn round_up(value: f64) -> f64 {
     let power = 10f64.powf(value.max(1e-6).log10().floor());
     ROUND_STEPS
         .iter()
         .map(|step| step * power)
-        // A little less counts as equal.
+        // Tolerates a rounding error of up to 0.1 %.
         .find(|rounded| *rounded >= value * 0.999)
         .unwrap_or(value)
 }
 
-/// A number in few characters.
+/// Formats a number in few characters.
 pub(super) fn number(value: f64) -> String {
     if value >= 10_000.0 {
         format!("{:.0}k", value / 1000.0)
@@ -127,24 +127,25 @@
     }
 }
 
-/// A text with the characters escaped that SVG doesn't take.
+/// Escapes the characters that have a meaning in SVG.
 pub(super) fn escaped(text: &str) -> String {
     html! { (text) }.into_string()
 }
 
-/// What a plot shows and how it is described.
+/// The content and description of a plot.
 pub(super) struct Plot<'a> {
     pub title: &'a str,
+    /// Description for screen readers.
     pub text: &'a str,
     pub height: f64,
     pub span: Span,
     pub bands: &'a [Band],
-    /// SVG elements within the axes.
+    /// SVG elements that are drawn within the axes.
     pub content: &'a str,
 }
 
 impl Plot<'_> {
-    /// The SVG element.
+    /// Returns the plot as an SVG element.
     pub fn draw(&self) -> Markup {
         let mut background = String::new();
         self.write_bands(&mut background);
--- a/crates/report/src/plot/mod.rs
+++ b/crates/report/src/plot/mod.rs
@@ -1,5 +1,6 @@
-//! SVG plots over time. Colours come from the page's style sheet, so that they follow light and
-//! dark mode; each line also has a dash pattern and a name, so that none depends on its colour.
+//! SVG plots over time. Colours are defined in the page's style sheet, so that they adapt to light
+//! and dark mode. Each line also has a dash pattern and a name, so that readers need not
+//! distinguish the colours.
 
 mod bars;
 mod curves;
@@ -16,32 +17,32 @@
 /// The time that all plots of a page show.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
-    /// Its start.
+    /// Start of the horizontal axis.
     pub from: Micros,
-    /// Its end.
+    /// End of the horizontal axis, later than the start.
     pub to: Micros,
 }
 
 /// A value at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct Point {
-    /// The time.
+    /// Time of the value.
     pub at: Micros,
-    /// The value; a line breaks where there is none.
+    /// The value; without one, a line is interrupted and an area has a height of 0.
     pub value: Option<f64>,
 }
 
-/// A line or, where it is stacked, an area.
+/// A line, or the area below it in a stacked plot.
 pub struct Line {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Its class in the style sheet: `s0` to `s7`, or one that is named for its meaning.
+    /// Class in the style sheet: `s0` to `s7`, or a class named for its meaning such as `served`.
     pub style: String,
-    /// Its points, by time.
+    /// Points in the order of time.
     pub points: Vec<Point>,
 }
 
-/// A stretch of time behind a plot: what happened, or that a log has a gap.
+/// An interval that is highlighted in the background of a plot: an episode or a gap in a log.
 pub struct Band {
     from: Micros,
     to: Micros,
@@ -50,7 +51,7 @@
 }
 
 impl Band {
-    /// The band of an episode.
+    /// Creates the band of an episode.
     pub fn new(from: Micros, to: Micros, view: &View, kind: &EpisodeKind) -> Self {
         Band {
             from,
--- a/crates/report/src/summary/caveats.rs
+++ b/crates/report/src/summary/caveats.rs
@@ -1,4 +1,4 @@
-//! What is not known, in words.
+//! Describes what is not known because logs are incomplete or clocks differ.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,8 @@
 use super::gateway_name;
 use crate::format::{clock, clock_ms, duration, list, plural};
 
-/// What a reader has to know about the logs themselves.
+/// Returns sentences on the incomplete parts of logs and on differences between clocks, which a
+/// reader of the report must know.
 pub fn caveats(view: &View) -> Vec<String> {
     let mut caveats = Vec::new();
     for (_, run) in view.fleet.runs() {
@@ -18,15 +19,15 @@
         }
         if !run.are_totals_exact {
             caveats.push(format!(
-                "{}: a part of the record can't be read and no tally follows, so its figures are at least \
-                 those",
+                "{}: a part of the record can't be read and no totals were recorded after it, so the true \
+                 figures may be higher",
                 run.name
             ));
         }
     }
     for LogGap { source, from, to } in view.detector.gaps() {
         caveats.push(format!(
-            "{}: not known from {} to {}",
+            "{}: nothing is known from {} to {}",
             gateway_name(view, *source),
             clock_ms(*from),
             clock_ms(*to)
@@ -36,14 +37,16 @@
     caveats
 }
 
-/// Requests that were open where logs break off: their clients got no answer from that gateway.
+/// Returns the number of requests that were open when logs broke off. Their clients got no answer
+/// from that gateway.
 pub fn unanswered_at_break_off(view: &View) -> u64 {
     broken_off_runs(view)
         .map(|run| run.running_tally.tally.open_requests())
         .sum()
 }
 
-/// What clients may have lost that no log can show, where gateways broke off; `None` if none did.
+/// Describes the requests that may have been lost without a trace in any log because gateways broke
+/// off, or returns `None` if no gateway did.
 pub fn unknown_losses(view: &View) -> Option<String> {
     let names: BTreeSet<&str> = broken_off_runs(view).map(|run| run.name.as_str()).collect();
     if names.is_empty() {
@@ -51,8 +54,8 @@
     }
     let names = Vec::from_iter(names.into_iter().map(str::to_string));
     Some(format!(
-        "{} broke off with {} open, and what clients asked there after the last whole frame or \
-         while nobody listened is in no record: they have lost more than is counted here",
+        "{} broke off with {} open; requests received there after the last whole frame, or sent \
+         while the gateway was down, are in no record, so more may be lost than is counted here",
         list(&names),
         plural(unanswered_at_break_off(view), "request")
     ))
@@ -65,8 +68,8 @@
 
 fn describe_break_off(run: &GatewayRun) -> String {
     format!(
-        "{} (started {}) did not end by itself: its figures are those up to {}, its last whole \
-         frame; {} open then",
+        "{} (started {}) ended without an orderly shutdown: its figures are those up to {}, the \
+         time of the last whole frame in its record; {} open at that time",
         run.name,
         clock(run.epoch),
         clock_ms(run.last_at),
@@ -74,7 +77,8 @@
     )
 }
 
-/// For each gateway whose clock differs from that of an earlier one, by how much.
+/// Describes by how much clocks differ, for each gateway whose clock differs significantly from
+/// that of an earlier one in the list.
 fn clock_differences(view: &View) -> Vec<String> {
     let runs: Vec<(usize, &str)> = view
         .fleet
@@ -97,8 +101,8 @@
         }
         let direction = if micros > 0 { "ahead of" } else { "behind" };
         differences.push(format!(
-            "the clock of {name} is {} {direction} that of {other}, by {events} events of the bulletin; \
-             times are as each told them",
+            "the clock of {name} is {} {direction} that of {other}, according to {events} events of the \
+             bulletin; all times are shown as recorded",
             duration(difference)
         ));
     }
--- a/crates/report/src/summary/episodes.rs
+++ b/crates/report/src/summary/episodes.rs
@@ -1,4 +1,4 @@
-//! Episodes in words.
+//! Describes episodes in words.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use super::gateway_name;
 use crate::format::{clock, list, plural};
 
-/// Whom or what an episode is about.
+/// Returns the name of the engine, class, tenant, address or gateway that an episode is about.
 pub fn subject(view: &View, kind: &EpisodeKind) -> String {
     match kind {
         EpisodeKind::EnginesDown(engines) => {
@@ -32,12 +32,12 @@
     }
 }
 
-/// An episode's kind and subject.
+/// Returns an episode's kind and subject, as `drain (e-4)`.
 pub fn title(view: &View, kind: &EpisodeKind) -> String {
     format!("{} ({})", kind.name(), subject(view, kind))
 }
 
-/// What an episode was, in one clause.
+/// Describes an episode in one clause.
 pub fn describe(view: &View, episode: &Episode) -> String {
     let subject = subject(view, &episode.kind);
     let peak = episode.peak;
@@ -47,19 +47,19 @@
         EpisodeKind::Drain(_) => format!("{subject} drained"),
         EpisodeKind::Quarantine(_) => format!("{subject} was in quarantine"),
         EpisodeKind::Refusals => format!(
-            "{} of answers were refusals at the worst (usually {})",
+            "{} of answers were refusals at the peak (usually {})",
             percent(peak),
             percent(usual)
         ),
         EpisodeKind::Retries => format!(
-            "{} of attempts were further ones at the worst (usually {})",
+            "{} of attempts were retries at the peak (usually {})",
             percent(peak),
             percent(usual)
         ),
         EpisodeKind::Latency(_) => format!(
-            "nine in ten answers of {subject} took up to {peak:.0} ms (usually {usual:.0} ms)"
+            "the 90th percentile of latency of {subject} rose to {peak:.0} ms (usually {usual:.0} ms)"
         ),
-        EpisodeKind::DiscoveryDown(_) => format!("the bulletin was out of reach of {subject}"),
+        EpisodeKind::DiscoveryDown(_) => format!("{subject} had no connection to the bulletin"),
         EpisodeKind::TenantFlood(_) | EpisodeKind::AddressFlood(_) => {
             let address = episode.address.map(|address| format!(" from {address}"));
             format!(
@@ -72,17 +72,17 @@
 }
 
 fn describe_engines_down(view: &View, down: usize, subject: &str) -> String {
-    let known = view.fleet.runs().map(|(_, run)| run.engines.len());
-    let known = known.max().unwrap_or(0);
+    let engine_counts = view.fleet.runs().map(|(_, run)| run.engines.len());
+    let engine_count = engine_counts.max().unwrap_or(0);
     let together = if down > 1 { " together" } else { "" };
-    format!("{down} of {known} engines ended{together} ({subject})")
+    format!("{down} of {engine_count} engines ended{together} ({subject})")
 }
 
 fn describe_gap(subject: &str, missing_entries: Option<u64>) -> String {
     let missing = match missing_entries {
         None => String::new(),
-        Some(1) => ", which left out 1 entry".into(),
-        Some(count) => format!(", which left out {count} entries"),
+        Some(1) => " of 1 entry".into(),
+        Some(count) => format!(" of {count} entries"),
     };
     format!("the record of {subject} has a gap{missing}")
 }
@@ -91,7 +91,7 @@
     format!("{:.0}%", 100.0 * share)
 }
 
-/// A sentence for each two causes that overlap in time.
+/// Returns a sentence for each pair of episodes that overlap in time, except symptoms.
 pub fn overlaps(view: &View) -> Vec<String> {
     let episodes = view.detector.episodes();
     let mut sentences = Vec::new();
@@ -112,7 +112,7 @@
     sentences
 }
 
-/// Whether an episode only shows what another one caused.
+/// Returns whether episodes of this kind are only effects of other episodes.
 pub(crate) fn is_symptom(kind: &EpisodeKind) -> bool {
     matches!(
         kind,
@@ -123,7 +123,7 @@
     )
 }
 
-/// How many of a noun whose plural is regular, for the headline.
+/// Formats the number of episodes that the headline counts besides the worst ones.
 pub(super) fn other_episodes(count: u64) -> String {
-    plural(count, "other trouble")
+    plural(count, "other episode")
 }
--- a/crates/report/src/summary/fleet.rs
+++ b/crates/report/src/summary/fleet.rs
@@ -1,11 +1,11 @@
-//! The state of the group of gateways in words.
+//! Describes the state of the fleet: peers, votes and leases.
 
 use std::collections::BTreeMap;
 
 use eideryard_event_analysis::{GatewayRun, View};
 
-/// What each gateway last said about its peers, votes and leases: one line for each that said
-/// something.
+/// Describes the last state that each gateway logged of its peers, its vote and its leases. Returns
+/// one line for each gateway whose log states any of them.
 pub fn fleet(view: &View) -> Vec<String> {
     let mut lines = Vec::new();
     for (_, run) in view.fleet.latest_runs() {
@@ -21,17 +21,23 @@
 fn describe_run(view: &View, run: &GatewayRun) -> String {
     let mut parts = describe_peers(run);
     for (name, reason) in &run.rejected_peers {
-        parts.push(format!("{name} turned away ({reason})"));
+        parts.push(format!("handshake with {name} rejected ({reason})"));
     }
     if let Some(is_voter) = run.is_voter {
         let state = if is_voter { "votes" } else { "catches up" };
         parts.push(state.into());
     }
     if !run.leases.is_empty() {
-        parts.push(format!("probes for all {}", describe_leases(view, run)));
+        parts.push(format!(
+            "probes for the whole fleet: {}",
+            describe_leases(view, run)
+        ));
     }
     if run.rejected_work > 0 {
-        parts.push(format!("turned away {} of late owners", run.rejected_work));
+        parts.push(format!(
+            "messages of former lease owners rejected: {}",
+            run.rejected_work
+        ));
     }
     if run.has_majority == Some(false) {
         parts.push("NO MAJORITY".into());
@@ -39,7 +45,7 @@
     parts.join("; ")
 }
 
-/// The names of peers by their state.
+/// Lists the names of peers by their state.
 fn describe_peers(run: &GatewayRun) -> Vec<String> {
     let mut states: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for (name, state) in &run.peers {
--- a/crates/report/src/summary/headline.rs
+++ b/crates/report/src/summary/headline.rs
@@ -1,4 +1,4 @@
-//! The headline: when, the worst episodes, and what they meant for requests.
+//! The headline: the time of the incident, the worst episodes, and their effect on requests.
 
 use eideryard_event_analysis::{Episode, EpisodeKind, View};
 
@@ -6,20 +6,21 @@
 use super::{intent_refusals, totals, unknown_losses};
 use crate::format::clock;
 
-/// Most episodes that the headline describes.
+/// Maximum number of episodes that the headline describes.
 const MAX_DESCRIBED: usize = 2;
-/// Episodes above this weight are worth a headline.
+/// Minimum weight of episodes that the headline mentions and whose times it covers.
 const MIN_HEADLINE_WEIGHT: u8 = 2;
-/// Episodes from this weight on are counted besides the worst.
+/// Minimum weight of episodes that the headline counts in addition to the worst ones.
 const MIN_COUNTED_WEIGHT: u8 = 3;
 
-/// When, the worst episodes, and what they meant for requests.
+/// Returns the headline of the report: the time of the incident, the worst episodes, and their
+/// effect on requests.
 pub fn headline(view: &View) -> String {
     let counts = request_counts(view);
     let episodes = view.detector.episodes();
     let worst = episodes.iter().map(weight).max().unwrap_or(0);
     if worst < MIN_HEADLINE_WEIGHT {
-        return format!("No trouble was found; {counts}");
+        return format!("No incident was found; {counts}");
     }
     let now = view.detector.now();
     let mut start = u64::MAX;
@@ -41,7 +42,7 @@
     descriptions.truncate(MAX_DESCRIBED);
     let more = match others {
         0 => String::new(),
-        count => format!("; {} besides", other_episodes(count)),
+        count => format!("; {}", other_episodes(count)),
     };
     format!(
         "{} to {}: {}{more}; {counts}",
@@ -66,8 +67,8 @@
     )
 }
 
-/// How much an episode explains: engines come first, then floods, then the discovery service, then
-/// gaps, then symptoms.
+/// Returns how much of an incident an episode explains, from 1 to 6: engines that are down explain
+/// most, then floods, outages of the discovery service, gaps, and finally symptoms.
 fn weight(episode: &Episode) -> u8 {
     match episode.kind {
         EpisodeKind::EnginesDown(_) => 6,
--- a/crates/report/src/summary/mod.rs
+++ b/crates/report/src/summary/mod.rs
@@ -1,4 +1,4 @@
-//! What happened, in sentences.
+//! Describes in sentences what the analysis found.
 
 mod caveats;
 mod episodes;
@@ -17,13 +17,14 @@
 pub use fleet::fleet;
 pub use headline::headline;
 
-/// Marks an episode in whose time a log has a gap; [`PARTLY_UNKNOWN`] explains it.
+/// Marks an episode during which a log has a gap. [`PARTLY_UNKNOWN`] explains the mark.
 pub const PARTLY_UNKNOWN_MARK: &str = "\u{2020}";
-/// What [`PARTLY_UNKNOWN_MARK`] means.
+/// Explanation of [`PARTLY_UNKNOWN_MARK`] on the page.
 pub const PARTLY_UNKNOWN: &str =
-    "within this time a record has a gap, which is an episode of its own: nothing is concluded from it";
+    "a record has a gap within this time, which is listed as a separate episode; nothing is \
+     concluded from the gap";
 
-/// Totals over all runs of all gateways.
+/// Returns the sums of the totals of all runs of all gateways.
 pub fn totals(view: &View) -> Totals {
     let mut sums = Totals::default();
     for (_, run) in view.fleet.runs() {
@@ -35,7 +36,8 @@
     sums
 }
 
-/// Refusals for want of a durable intent, by reason; `None` if there are none.
+/// Describes the refusals by reason that happened because an intent could not be made durable, or
+/// returns `None` if there are none.
 pub fn intent_refusals(totals: &Totals) -> Option<String> {
     let reasons = [
         (totals.intent_log_full, RejectReason::IntentLogFull),
@@ -51,7 +53,7 @@
     (!counts.is_empty()).then(|| list(&counts))
 }
 
-/// The name of a source's gateway.
+/// Returns the name of a source's gateway.
 fn gateway_name(view: &View, source: usize) -> String {
     match view.fleet.run(source) {
         Some(run) => run.name.clone(),
--- a/crates/report/tests/pages.rs
+++ b/crates/report/tests/pages.rs
@@ -15,9 +15,9 @@
     let view = script.finish();
     assert_eq!(
         summary::headline(&view).split(';').next(),
-        Some("No trouble was found")
+        Some("No incident was found")
     );
-    assert!(page(&view).contains("No trouble was found by its symptoms"));
+    assert!(page(&view).contains("No symptoms of an incident were found"));
     let mut script = Script::new(&["g1"]);
     script.add_steady_requests(0, 0, 10, 20);
     script.engines = vec![3, 4];
@@ -29,7 +29,7 @@
     let head = summary::headline(&view);
     assert!(
         head.starts_with(
-            "05:00:10 to 05:00:20: 2 of 4 engines ended together (e-1 and e-2); 1 other trouble besides"
+            "05:00:10 to 05:00:20: 2 of 4 engines ended together (e-1 and e-2); 1 other episode"
         ),
         "{head}"
     );
@@ -58,7 +58,7 @@
     );
     let page = page(&view);
     assert_eq!(
-        page.matches("not known from").count(),
+        page.matches("nothing is known from").count(),
         2,
         "each gap is listed once and not repeated in every episode"
     );
