--- a/crates/report/src/page/requests.rs
+++ b/crates/report/src/page/requests.rs
@@ -78,7 +78,7 @@
             "Requests that were refused, failed, lost, cancelled by the client, late, served by a "
             "retry, or open when a gateway broke off. "
             "A request that is not listed was served in time at its first attempt, unless it was "
-            "received during a gap."
+            "open during a gap."
             @if left_out > 0 {
                 " Not listed: " (plural(left_out, "request")) " between the first and the last of these."
             }
