--- a/crates/console/src/model/engine_rows.rs
+++ b/crates/console/src/model/engine_rows.rs
@@ -31,7 +31,7 @@
     pub answers_per_bucket: Vec<u64>,
     /// Number of attempts that the engine answered.
     pub answered: u64,
-    /// Number of attempts that ended without an answer, except those that were cancelled or not
+    /// Number of attempts that failed: those with any outcome except answered, cancelled and not
     /// sent.
     pub failed: u64,
 }
--- a/crates/event-analysis/src/series.rs
+++ b/crates/event-analysis/src/series.rs
@@ -60,7 +60,7 @@
     pub sent: u32,
     /// Attempts that the engine answered.
     pub answered: u32,
-    /// Attempts that ended without an answer, except those that were cancelled or not sent.
+    /// Attempts that failed: those with any outcome except answered, cancelled and not sent.
     pub failed: u32,
 }
 
--- a/crates/event-analysis/tests/common/mod.rs
+++ b/crates/event-analysis/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! [`START`].
 #![allow(dead_code)]
 
-use eideryard::interface::{self as i, Action, Event, Micros, Outcome, Phase};
+use eideryard::interface::{self, Action, Event, Micros, Outcome, Phase};
 use eideryard_event_analysis::View;
 use eideryard_event_log::reader::ReadContent;
 use eideryard_event_log::tally::RunningTally;
@@ -28,12 +28,14 @@
     pub is_late: bool,
 }
 
+/// A request that is served after 50 ms, before its deadline.
 pub const SERVED: Ending = Ending {
     kind: AnswerKind::Served,
     after_seconds: 0.05,
     is_late: false,
 };
 
+/// Returns the event of a gap in which the log lost this number of entries.
 pub fn gap(from: f64, to: f64, entries: u64) -> HostEvent {
     HostEvent::Gap {
         from: at(from),
@@ -43,6 +45,7 @@
     }
 }
 
+/// The entries of several gateways' logs, added in any order.
 pub struct Script {
     names: Vec<String>,
     entries: Vec<(usize, Micros, Entry)>,
@@ -138,12 +141,12 @@
                 connection,
             })),
         );
-        let arrived = i::Request {
+        let arrived = interface::Request {
             id: request,
             class,
             tenant,
             deadline: time + 5_000_000,
-            ..i::Request::default()
+            ..interface::Request::default()
         };
         self.add_entry(source, time, Entry::Event(Event::Arrived(arrived)));
         self.add_entry(
@@ -204,7 +207,7 @@
             is_late,
         };
         self.add_entry(source, time, Entry::Host(answered));
-        let ended = i::AttemptEnded {
+        let ended = interface::AttemptEnded {
             request,
             attempt: 0,
             outcome,
--- a/crates/report/src/page/engines.rs
+++ b/crates/report/src/page/engines.rs
@@ -69,7 +69,7 @@
     answers.max().unwrap_or(0).max(1)
 }
 
-/// Returns a bar for each bucket in which an engine answered attempts or attempts failed there.
+/// Returns a bar for each bucket in which attempts at the engine were answered or failed.
 fn bars(view: &View, engine: EngineId, most_answers: u32) -> Vec<Bar> {
     let mut bars = Vec::new();
     for (index, bucket) in view.series.buckets.iter().enumerate() {
