--- a/crates/console/src/draw/details.rs
+++ b/crates/console/src/draw/details.rs
@@ -1,4 +1,4 @@
-//! The pages of one engine and of one request.
+//! Draws the pages of one engine and of one request.
 
 use eideryard::interface::EngineId;
 use eideryard_event_analysis::notable::NotableRequest;
@@ -12,9 +12,9 @@
 use ratatui::Frame;
 
 use super::{bold, sparkline, DisplayOptions};
-use crate::model::answer_rates;
+use crate::model::answers_per_bucket;
 
-/// Outcomes as the page names them, in the order of their numbers.
+/// Names of outcomes on the page, in the order of the variants of `Outcome`.
 const OUTCOMES: [&str; 8] = [
     "answered",
     "error",
@@ -33,8 +33,8 @@
     area: Rect,
     engine: EngineId,
 ) {
-    let title = format!("Engine {}", view.fleet.engine(engine));
-    let rates = sparkline(&answer_rates(view, engine), options);
+    let title = format!("Engine {}", view.fleet.engine_name(engine));
+    let rates = sparkline(&answers_per_bucket(view, engine), options);
     let mut lines = vec![
         Line::styled(title, bold()),
         Line::from(format!("answers, 20 s: {rates}")),
@@ -47,10 +47,10 @@
     draw_lines(frame, area, lines);
 }
 
-/// What one gateway knows of an engine.
+/// Returns the lines on one gateway's state of an engine.
 fn engine_lines(run: &GatewayRun, engine: &Engine) -> Vec<Line<'static>> {
     let load = format!(
-        "{} out, {:.0} threads, {:.0} MB granted",
+        "{} in flight, {:.0} threads, {:.0} MB granted",
         engine.in_flight, engine.threads, engine.granted_mb
     );
     let state = format!(
@@ -59,7 +59,7 @@
         clock(run.epoch),
         phase_name(engine.phase)
     );
-    let last_answer = engine.last_answer.map(clock_ms);
+    let last_answer = engine.last_answer_at.map(clock_ms);
     let totals = format!(
         "address {}, sent {}, last answer {}",
         engine.address,
@@ -73,7 +73,7 @@
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
     let recent: Vec<&str> = engine
-        .recent
+        .recent_outcomes
         .iter()
         .map(|outcome| outcome_name(*outcome))
         .collect();
@@ -98,7 +98,7 @@
     }
     lines.push(Line::from(""));
     lines.push(Line::from(format!(
-        "Every entry of it: eideryard records find {id:016x} DIR..."
+        "All entries of this request: eideryard records find {id:016x} DIR..."
     )));
     draw_lines(frame, area, lines);
 }
@@ -110,18 +110,18 @@
     format!(
         "{} at {gateway}: class {}, tenant {}: {}{} after {} and {}",
         clock_ms(request.at),
-        view.fleet.class(request.class),
-        view.fleet.tenant(request.tenant),
+        view.fleet.class_name(request.class),
+        view.fleet.tenant_name(request.tenant),
         request.kind.name(),
         if request.is_late { ", late," } else { "" },
-        answered_after.unwrap_or_else(|| "a time not known".into()),
+        answered_after.unwrap_or_else(|| "an unknown time".into()),
         plural(request.attempt_count as u64, "attempt"),
     )
 }
 
 fn attempt_line(view: &View, attempt: &Attempt) -> String {
     let end = match attempt.ended {
-        None => "out when it was answered".into(),
+        None => "running when the request was answered".into(),
         Some((outcome, at)) => {
             let run_time = duration(at - attempt.sent_at);
             format!("{} after {run_time}", outcome_name(outcome))
@@ -130,7 +130,7 @@
     format!(
         "  {} to {}: {end}",
         clock_ms(attempt.sent_at),
-        view.fleet.engine(attempt.engine)
+        view.fleet.engine_name(attempt.engine)
     )
 }
 
--- a/crates/console/src/model/engine_rows.rs
+++ b/crates/console/src/model/engine_rows.rs
@@ -9,48 +9,49 @@
 
 use super::Sort;
 
-/// Buckets of time of a sparkline.
+/// Number of time buckets that a sparkline shows.
 pub const SPARKLINE_BUCKETS: usize = 20;
 
-/// One row of the table of engines: the sums over the last run of each gateway.
+/// One row of the table of engines, with sums over the last run of each gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRow {
-    /// The engine.
+    /// Engine that the row shows.
     pub engine: EngineId,
-    /// Its name.
+    /// Name of the engine, or its number if no log states the name.
     pub name: String,
-    /// Its state in one word.
+    /// State as one word: `up`, `draining`, `removed`, `missed` (down) or `quarantine`.
     pub state: &'static str,
-    /// Attempts that run there.
+    /// Number of attempts that run on the engine.
     pub in_flight: usize,
-    /// Memory granted to them.
+    /// Memory granted to the running attempts, in MB.
     pub granted_mb: f64,
-    /// Attempts that run there, by rank.
+    /// Number of running attempts by rank.
     pub in_flight_by_rank: [u32; 4],
-    /// Answers in each of the last buckets of time, the oldest first.
-    pub answer_rates: Vec<u64>,
-    /// Attempts that it answered.
+    /// Number of answers in each of the last time buckets, the oldest first.
+    pub answers_per_bucket: Vec<u64>,
+    /// Number of attempts that the engine answered.
     pub answered: u64,
-    /// Attempts that ended badly.
-    pub bad: u64,
+    /// Number of attempts that failed: those with any outcome except answered, cancelled and not
+    /// sent.
+    pub failed: u64,
 }
 
 impl EngineRow {
     fn new(view: &View, engine: EngineId) -> Self {
         EngineRow {
             engine,
-            name: view.fleet.engine(engine),
+            name: view.fleet.engine_name(engine),
             state: "up",
             in_flight: 0,
             granted_mb: 0.0,
             in_flight_by_rank: [0; 4],
-            answer_rates: answer_rates(view, engine),
+            answers_per_bucket: answers_per_bucket(view, engine),
             answered: 0,
-            bad: 0,
+            failed: 0,
         }
     }
 
-    /// Adds what one gateway knows of the engine.
+    /// Adds one gateway's state of the engine.
     fn add(&mut self, engine: &Engine, is_down: bool) {
         self.state = match engine.phase {
             Phase::Draining => "draining",
@@ -67,7 +68,7 @@
         }
         let [answered, error, at_capacity, timed_out, no_connection, broken, ..] = engine.outcomes;
         self.answered += answered;
-        self.bad += error + at_capacity + timed_out + no_connection + broken;
+        self.failed += error + at_capacity + timed_out + no_connection + broken;
     }
 
     fn compare(&self, other: &EngineRow, sort: Sort) -> Ordering {
@@ -75,14 +76,17 @@
             Sort::Name => Ordering::Equal,
             Sort::InFlight => other.in_flight.cmp(&self.in_flight),
             Sort::Memory => other.granted_mb.total_cmp(&self.granted_mb),
-            Sort::Rate => other.answer_rates.last().cmp(&self.answer_rates.last()),
-            Sort::Bad => other.bad.cmp(&self.bad),
+            Sort::Rate => other
+                .answers_per_bucket
+                .last()
+                .cmp(&self.answers_per_bucket.last()),
+            Sort::Failed => other.failed.cmp(&self.failed),
         };
         order.then_with(|| self.name.cmp(&other.name))
     }
 }
 
-/// The rows of all engines in this order.
+/// Returns the rows of all engines in the given order.
 pub(super) fn engine_rows(view: &View, sort: Sort) -> Vec<EngineRow> {
     let mut rows: BTreeMap<EngineId, EngineRow> = BTreeMap::new();
     for (_, run) in view.fleet.latest_runs() {
@@ -96,8 +100,9 @@
     rows
 }
 
-/// Answers of an engine in each of the last buckets of time, the oldest first.
-pub fn answer_rates(view: &View, engine: EngineId) -> Vec<u64> {
+/// Returns the number of an engine's answers in each of the last [`SPARKLINE_BUCKETS`] time
+/// buckets, the oldest first.
+pub fn answers_per_bucket(view: &View, engine: EngineId) -> Vec<u64> {
     let buckets = &view.series.buckets;
     let first = buckets.len().saturating_sub(SPARKLINE_BUCKETS);
     let mut rates = Vec::with_capacity(SPARKLINE_BUCKETS);
