--- a/crates/peer-transport/src/handshake.rs
+++ b/crates/peer-transport/src/handshake.rs
@@ -44,9 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HandshakeError {
     /// The peer runs a different [`VERSION`].
-    #[error(
-        "the protocol versions differ, {theirs} and {ours}: run the same program on both gateways"
-    )]
+    #[error("one speaks version {theirs}, the other {ours}: run the same program on both")]
     Version {
         /// This gateway's version.
         ours: u32,
@@ -54,7 +52,7 @@
         theirs: u32,
     },
     /// The peer belongs to another fleet.
-    #[error("the fleet names differ, '{theirs}' and '{ours}': see 'fleet' in both operator files")]
+    #[error("one is of fleet '{theirs}', the other of '{ours}': see 'fleet' in both files")]
     Fleet {
         /// This gateway's fleet.
         ours: String,
@@ -62,10 +60,7 @@
         theirs: String,
     },
     /// A gateway other than the dialed voter answered.
-    #[error(
-        "gateway '{theirs}' answers at the address of keeper '{expected}': \
-         see the 'keeper' line of '{expected}'"
-    )]
+    #[error("'{theirs}' answers at the address of keeper '{expected}': see its 'keeper' line")]
     Name {
         /// Name of the voter that was dialed.
         expected: String,
@@ -73,11 +68,11 @@
         theirs: String,
     },
     /// The peer has the same name as this gateway.
-    #[error("both gateways are named '{0}': each gateway of a fleet needs a unique name")]
+    #[error("both call themselves '{0}': each gateway of a fleet needs a name of its own")]
     SameName(String),
     /// The operator's files list different voters.
     #[error(
-        "the files name different keepers, {} and {}: all operator files of a fleet must agree",
+        "the files name different keepers, {} and {}: they must be the same in all of a fleet's",
         theirs.join(" "),
         ours.join(" ")
     )]
@@ -88,12 +83,12 @@
         theirs: Vec<String>,
     },
     /// The fingerprints of the request classes differ.
-    #[error("the settings name different classes: all gateways of a fleet need the same settings")]
+    #[error("their settings name different classes: a fleet's gateways need the same settings")]
     Classes,
     /// A later start with the same store was accepted before.
     #[error(
-        "gateway '{name}' reports start {start_number}, but start {latest} was already accepted: \
-         an old copy of its store or a second process is running"
+        "'{name}' says that this is its start {start_number}, but start {latest} was heard: \
+         an old copy or a second process"
     )]
     OutdatedStart {
         /// Name of the peer.
--- a/crates/result-spool/src/token.rs
+++ b/crates/result-spool/src/token.rs
@@ -27,13 +27,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     /// Not a token, signed with another key, or issued to another client.
-    #[error("the token is invalid: it was not issued by this service, or it was issued to another client")]
+    #[error("the token can't be used: it is no token of this service, or of another client")]
     Forged,
     /// Past its time.
-    #[error("the token has expired")]
+    #[error("the token is too old")]
     Expired,
     /// Issued by an earlier start of the gateway, whose results are gone.
-    #[error("the token was issued before the gateway restarted; its result is gone")]
+    #[error("the token is from before a restart; its result is gone")]
     Gone,
 }
 
