--- a/crates/emulators/src/bulletin.rs
+++ b/crates/emulators/src/bulletin.rs
@@ -20,7 +20,7 @@
 /// How service discovery responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It responds.
+    /// Connections are accepted and events are sent.
     Up,
     /// Connections are refused, and open ones are closed.
     Down,
--- a/crates/emulators/src/engine.rs
+++ b/crates/emulators/src/engine.rs
@@ -89,7 +89,7 @@
     memory_mb: f64,
     /// Number of rows of its result.
     rows: u64,
-    /// It ends with an error.
+    /// Whether the query ends with an error.
     fails: bool,
 }
 
@@ -121,7 +121,7 @@
 
 /// An engine that runs queries on a given number of cores.
 pub struct Engine {
-    /// Its configuration in the scenario.
+    /// The engine's configuration in the scenario.
     pub spec: EngineSpec,
     /// The address at which it listens.
     pub address: SocketAddr,
--- a/crates/emulators/src/history.rs
+++ b/crates/emulators/src/history.rs
@@ -18,7 +18,7 @@
 pub struct TimedEvent {
     /// Unix time.
     pub at: Micros,
-    /// What happened.
+    /// The recorded event.
     pub event: Event,
 }
 
@@ -64,17 +64,17 @@
 /// A change in the state of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessChange {
-    /// It listens; contains the number of starts under its name so far, from 1.
+    /// The process listens; contains the number of starts under its name so far, from 1.
     Started(usize),
-    /// It was ended with SIGKILL.
+    /// The process was killed with SIGKILL.
     Killed,
-    /// It was asked to stop, with SIGTERM.
+    /// The process was asked to stop with SIGTERM.
     Stopping,
-    /// It exited.
+    /// The process exited.
     Ended,
-    /// It was paused, with SIGSTOP.
+    /// The process was paused with SIGSTOP.
     Paused,
-    /// It was continued, with SIGCONT.
+    /// The process was continued with SIGCONT.
     Continued,
 }
 
--- a/crates/emulators/src/scenario/specs.rs
+++ b/crates/emulators/src/scenario/specs.rs
@@ -7,7 +7,7 @@
 /// An engine of a scenario (`engine`, `engines`).
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Its name, unique in the scenario.
+    /// Name of the engine, unique in the scenario.
     pub name: String,
     /// The address at which it listens; `None` for a port that the system chooses.
     pub listen: Option<SocketAddr>,
@@ -66,7 +66,7 @@
 /// Clients that send requests at a rate (`load`).
 #[derive(Clone, Debug)]
 pub struct LoadSpec {
-    /// Its name, under which answers are counted.
+    /// Name of the load, under which answers are counted.
     pub name: String,
     /// The gateway to which it sends requests; `None` for all gateways.
     pub gateway: Option<String>,
@@ -116,7 +116,7 @@
 /// A class of requests (`class`).
 #[derive(Clone, Debug)]
 pub struct ClassSpec {
-    /// Its name, as requests and the gateways' settings use it.
+    /// Name of the class, as requests and the gateways' settings use it.
     pub name: String,
     /// What a repeated request may cause: `safe` (nothing), `keyed` (nothing if it has the same
     /// idempotency key) or `unsafe` (a second effect).
@@ -138,7 +138,7 @@
 /// A gateway that is started (`gateway`).
 #[derive(Clone, Debug)]
 pub struct GatewaySpec {
-    /// Its name, unique in the scenario.
+    /// Name of the gateway, unique in the scenario.
     pub name: String,
     /// The memory limit in its configuration, in MB.
     pub memory_mb: u64,
