--- a/crates/fleet-test/src/owned.rs
+++ b/crates/fleet-test/src/owned.rs
@@ -423,7 +423,7 @@
 /// Plays seeds one after the other: sums of what counts, the worst of what lasts.
 pub fn play(size: Size, seeds: std::ops::Range<u64>) -> (Figures, Vec<u64>) {
     let broken = |own: &Figures| own.stale_applied + own.two_owners > 0;
-    timeline::over(
+    timeline::play_seeds(
         seeds,
         |seed| Fleet::new(size, seed).run(),
         broken,
--- a/crates/fleet-test/src/simulated.rs
+++ b/crates/fleet-test/src/simulated.rs
@@ -381,7 +381,7 @@
 /// Plays seeds one after the other, and sums what counts and keeps the worst of what lasts.
 pub fn play(size: Size, seeds: std::ops::Range<u64>, without: Without) -> (Figures, Vec<u64>) {
     let broken = |own: &Figures| own.effects_twice + own.unanswered + own.differ > 0;
-    timeline::over(
+    timeline::play_seeds(
         seeds,
         |seed| Fleet::new(size, seed, without).run(),
         broken,
--- a/crates/fleet-test/src/timeline.rs
+++ b/crates/fleet-test/src/timeline.rs
@@ -57,7 +57,7 @@
 }
 
 /// Plays each seed: the sum of what they gave, and those that broke a rule.
-pub fn over<F: Default>(
+pub fn play_seeds<F: Default>(
     seeds: std::ops::Range<u64>,
     play: impl Fn(u64) -> F,
     broken: impl Fn(&F) -> bool,
