--- a/crates/fleet-test/src/config.rs
+++ b/crates/fleet-test/src/config.rs
@@ -48,19 +48,19 @@
 }
 
 /// Where a gateway listens, and what it finds at its bulletin.
-pub struct Place {
+pub struct GatewayInputs {
     /// Its own address.
     pub listen: SocketAddr,
     /// Where service discovery listens.
     pub bulletin: SocketAddr,
     /// What service discovery has told so far.
-    pub known: Value,
+    pub endpoint_list: Value,
 }
 
 /// The configuration of a scenario's gateway.
 #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-pub fn config(scenario: &Scenario, name: &str, place: Place) -> Value {
+pub fn config(scenario: &Scenario, name: &str, inputs: GatewayInputs) -> Value {
     let own = scenario
         .gateways
         .iter()
@@ -119,11 +119,11 @@
         .map(|(name, quota)| json!({"name": name, "quota-rps": quota}))
         .collect();
     json!({
-        "name": name, "listen": place.listen.to_string(), "seed": format!("{:016x}", scenario.seed),
+        "name": name, "listen": inputs.listen.to_string(), "seed": format!("{:016x}", scenario.seed),
         "limits": {"cores": 1.0, "memory_mb": own.map_or(192, |own| own.memory_mb),
                    "sockets": own.map_or(1024, |own| own.sockets)},
-        "bulletin": place.bulletin.to_string(),
-        "known": place.known,
+        "bulletin": inputs.bulletin.to_string(),
+        "known": inputs.endpoint_list,
         "settings": {
             "tick-us": 1000, "peers-total": scenario.gateways.len().max(1), "az": 0,
             "zones": zones, "kinds": kinds, "grades": grades, "orgs": orgs,
--- a/crates/fleet-test/src/scale/processes.rs
+++ b/crates/fleet-test/src/scale/processes.rs
@@ -21,7 +21,7 @@
 use super::discovery_server::{DiscoveryServer, FIRST_NUMBER};
 use super::measure::Size;
 use super::{decisions, discovery};
-use crate::config::{self, Place};
+use crate::config::{self, GatewayInputs};
 use crate::processes::{Ending, Processes, Programs};
 
 const SCENARIO: &str = "
@@ -195,16 +195,16 @@
     fn config(&self, name: &str, place: usize) -> io::Result<Value> {
         let scenario =
             Scenario::read("scale", SCENARIO).map_err(|e| io::Error::other(e.to_string()))?;
-        let known = json!({"no": FIRST_NUMBER, "items": [
+        let endpoint_list = json!({"no": FIRST_NUMBER, "items": [
             {"no": FIRST_NUMBER, "roster": {"seq": 1, "whole": true, "hosts": self.hosts}}]});
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut config = config::config(
             &scenario,
             "g1",
-            Place {
+            GatewayInputs {
                 listen,
                 bulletin: self.discovery.address,
-                known,
+                endpoint_list,
             },
         );
         config["name"] = json!(name);
--- a/crates/fleet-test/src/world/parts.rs
+++ b/crates/fleet-test/src/world/parts.rs
@@ -11,7 +11,7 @@
 use rustix::process::Signal;
 
 use super::{World, RECORD};
-use crate::config::{self, Place};
+use crate::config::{self, GatewayInputs};
 use crate::directories;
 use crate::links::{BULLETIN, CLIENTS};
 use crate::processes::Programs;
@@ -109,12 +109,12 @@
             .links
             .as_ref()
             .and_then(|links| links.door(name, BULLETIN));
-        let place = Place {
+        let inputs = GatewayInputs {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             bulletin: door.unwrap_or(bulletin.address),
-            known: bulletin.known(),
+            endpoint_list: bulletin.known(),
         };
-        let config = config::config(&self.scenario, name, place);
+        let config = config::config(&self.scenario, name, inputs);
         let more = match &self.links {
             Some(_) => vec!["--operator".to_string(), self.operator(&programs, name)?],
             None => Vec::new(),
