--- a/crates/fleet-test/examples/measure.rs
+++ b/crates/fleet-test/examples/measure.rs
@@ -66,7 +66,7 @@
 
 fn played(program: &Path, text: &str) -> Result<BTreeMap<String, u64>, String> {
     let directory = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let ran = run(program, &Plan::of_text(text), directory.path()).map_err(|e| e.to_string())?;
+    let ran = run(program, &Plan::from_text(text), directory.path()).map_err(|e| e.to_string())?;
     let mut figures = ran.verdict.figures.clone();
     let cpu: u128 = ran.endings.iter().map(|own| own.cpu.as_micros()).sum();
     let requests = figures.get("requests").copied().unwrap_or(1).max(1);
--- a/crates/fleet-test/src/check/answers.rs
+++ b/crates/fleet-test/src/check/answers.rs
@@ -4,7 +4,7 @@
 
 use eideryard_emulators::history::{Happened, How, Name, What};
 
-use super::{About, Break, History, Rule, Verdict};
+use super::{Break, History, Rule, Subject, Verdict};
 
 #[derive(Default)]
 struct Sums {
@@ -19,7 +19,7 @@
     let mut causes: BTreeMap<&'static str, u64> = BTreeMap::new();
     let (mut unanswered, mut no_door) = (0, 0);
     for Happened { at, what } in history.events {
-        let (rule, about, text) = match what {
+        let (rule, subject, text) = match what {
             What::Asked(tried) => {
                 loads.entry(tried.load.clone()).or_default().asked += 1;
                 continue;
@@ -30,11 +30,11 @@
             }
             What::Surplus { load, gateway } => {
                 let text = format!("{load}: an answer of {gateway} that nothing waits for");
-                (Rule::OneAnswer, About::Load(load.clone()), text)
+                (Rule::OneAnswer, Subject::Load(load.clone()), text)
             }
             What::Garbled { id } => (
                 Rule::OneAnswer,
-                About::Request(*id),
+                Subject::Request(*id),
                 "a result that no engine made for it".into(),
             ),
             What::Over { id, how, .. } => {
@@ -42,7 +42,7 @@
                     let text = "an end of a try that nobody made".to_string();
                     verdict.add(Break {
                         rule: Rule::Conservation,
-                        about: About::Request(*id),
+                        subject: Subject::Request(*id),
                         from: *at,
                         to: *at,
                         text,
@@ -71,7 +71,7 @@
                             "said nothing"
                         };
                         let text = format!("{} lived and {what}", tried.gateway);
-                        (Rule::OneAnswer, About::Request(*id), text)
+                        (Rule::OneAnswer, Subject::Request(*id), text)
                     }
                 }
             }
@@ -79,7 +79,7 @@
         };
         verdict.add(Break {
             rule,
-            about,
+            subject,
             from: *at,
             to: *at,
             text,
@@ -90,7 +90,7 @@
         let text = format!("it ended {} times", ends.len());
         verdict.add(Break {
             rule: Rule::OneAnswer,
-            about: About::Request(*id),
+            subject: Subject::Request(*id),
             from,
             to,
             text,
@@ -101,10 +101,10 @@
         let ended: u64 = sums.ends.values().sum();
         if sums.asked != ended {
             let text = format!("{load}: {} were asked and {ended} ended", sums.asked);
-            let about = About::Load(load.clone());
+            let subject = Subject::Load(load.clone());
             verdict.add(Break {
                 rule: Rule::Conservation,
-                about,
+                subject,
                 from: 0,
                 to: history.last,
                 text,
@@ -116,16 +116,16 @@
             .for_each(|(how, count)| *total.ends.entry(*how).or_default() += count);
     }
     let of = |how| total.ends.get(&how).copied().unwrap_or(0);
-    verdict.figure("requests", total.asked);
-    verdict.figure("served", of(How::Served));
-    verdict.figure("refused", of(How::Refused));
-    verdict.figure("failed", of(How::Failed));
-    verdict.figure("forgotten", of(How::Forgotten));
-    verdict.figure("lost", of(How::Reset) + of(How::Silence));
-    verdict.figure("no_door", no_door);
-    verdict.figure("unanswered", unanswered);
+    verdict.set_figure("requests", total.asked);
+    verdict.set_figure("served", of(How::Served));
+    verdict.set_figure("refused", of(How::Refused));
+    verdict.set_figure("failed", of(How::Failed));
+    verdict.set_figure("forgotten", of(How::Forgotten));
+    verdict.set_figure("lost", of(How::Reset) + of(How::Silence));
+    verdict.set_figure("no_door", no_door);
+    verdict.set_figure("unanswered", unanswered);
     for (cause, count) in causes {
-        verdict.figure(&format!("lost_{cause}"), count);
+        verdict.set_figure(&format!("lost_{cause}"), count);
     }
 }
 
--- a/crates/fleet-test/src/check/answers/tests.rs
+++ b/crates/fleet-test/src/check/answers/tests.rs
@@ -14,7 +14,7 @@
         over(50, 2, How::Reset),
     ];
     let verdict = checked(&kept);
-    assert!(verdict.kept(), "{:?}", verdict.breaks);
+    assert!(verdict.is_kept(), "{:?}", verdict.breaks);
     assert_eq!(
         (
             verdict.figures["lost_killed"],
@@ -74,12 +74,12 @@
             gateway(30, name, Process::Continued),
         ])
     };
-    assert!(checked(&paused("g1")).kept() && !checked(&paused("g2")).kept());
+    assert!(checked(&paused("g1")).is_kept() && !checked(&paused("g2")).is_kept());
     let cut = |to| {
         events(&[
             link(20, "clients", to, "cut", true),
             link(30, "clients", to, "cut", false),
         ])
     };
-    assert!(checked(&cut("g1")).kept() && !checked(&cut("g2")).kept());
+    assert!(checked(&cut("g1")).is_kept() && !checked(&cut("g2")).is_kept());
 }
--- a/crates/fleet-test/src/check/cold.rs
+++ b/crates/fleet-test/src/check/cold.rs
@@ -5,7 +5,7 @@
 
 use eideryard_emulators::history::{Happened, Micros, Name, What};
 
-use super::{About, Break, Facts, History, Rule, Verdict};
+use super::{Break, Facts, History, Rule, Subject, Verdict};
 
 struct Cold {
     since: Micros,
@@ -71,10 +71,10 @@
                         (*at - own.since) as f64 / 1e3
                     );
                     let from = own.since;
-                    let about = About::Engine(engine.clone());
+                    let subject = Subject::Engine(engine.clone());
                     verdict.add(Break {
                         rule: Rule::ColdEngines,
-                        about,
+                        subject,
                         from,
                         to: *at,
                         text,
@@ -84,9 +84,9 @@
             _ => {}
         }
     }
-    verdict.figure("cold_starts", starts);
-    verdict.figure("cold_over", over);
-    verdict.figure("cold_worst_percent", (100.0 * worst).round() as u64);
+    verdict.set_figure("cold_starts", starts);
+    verdict.set_figure("cold_over", over);
+    verdict.set_figure("cold_worst_percent", (100.0 * worst).round() as u64);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/copies.rs
+++ b/crates/fleet-test/src/check/copies.rs
@@ -3,7 +3,7 @@
 
 use eideryard_replication::compare::{compare, VoterReplicas};
 
-use super::{About, Break, Rule, Verdict};
+use super::{Break, Rule, Subject, Verdict};
 
 /// Compares the replicas of one group of keepers at a time in Unix milliseconds.
 pub fn check(keepers: &[(String, VoterReplicas)], now_ms: u64, verdict: &mut Verdict) {
@@ -23,7 +23,7 @@
         let text = format!("copies of {key} differ: {}", lacks.join("; "));
         verdict.add(Break {
             rule: Rule::Copies,
-            about: About::Gateway("keepers".into()),
+            subject: Subject::Gateway("keepers".into()),
             from: 0,
             to: 0,
             text,
--- a/crates/fleet-test/src/check/drains.rs
+++ b/crates/fleet-test/src/check/drains.rs
@@ -6,7 +6,7 @@
 
 use eideryard_emulators::history::{Happened, Micros, Name, Process, What};
 
-use super::{About, Break, Facts, History, Rule, Verdict, SLACK};
+use super::{Break, Facts, History, Rule, Subject, Verdict, SLACK};
 use crate::links::BULLETIN;
 
 /// What the bulletin has to tell counts as told so long after at the latest, whether or not it
@@ -67,10 +67,10 @@
                         tried.gateway,
                         (*at - heard) as f64 / 1e3
                     );
-                    let about = About::Engine(engine.clone());
+                    let subject = Subject::Engine(engine.clone());
                     verdict.add(Break {
                         rule: Rule::Drains,
-                        about,
+                        subject,
                         from: since,
                         to: *at,
                         text,
@@ -80,7 +80,7 @@
             _ => {}
         }
     }
-    verdict.figure("begun_after_drain", after);
+    verdict.set_figure("begun_after_drain", after);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/effects.rs
+++ b/crates/fleet-test/src/check/effects.rs
@@ -6,7 +6,7 @@
 
 use eideryard_emulators::history::{Happened, Micros, Name, What};
 
-use super::{About, Break, Facts, History, Rule, Verdict, SLACK};
+use super::{Break, Facts, History, Rule, Subject, Verdict, SLACK};
 
 struct Effect<'a> {
     at: Micros,
@@ -26,10 +26,10 @@
                 // By the key that all tries share; an engine knows only the id of an unsafe one.
                 let Some((_, tried)) = history.tries.get(id) else {
                     let text = format!("{engine} did what nobody asked for");
-                    let about = About::Request(*id);
+                    let subject = Subject::Request(*id);
                     verdict.add(Break {
                         rule: Rule::EffectOnce,
-                        about,
+                        subject,
                         from: *at,
                         to: *at,
                         text,
@@ -80,17 +80,17 @@
             let (from, to) = (pair[0].at, pair[1].at);
             verdict.add(Break {
                 rule: Rule::EffectOnce,
-                about: About::Key(key.clone()),
+                subject: Subject::Key(key.clone()),
                 from,
                 to,
                 text,
             });
         }
     }
-    verdict.figure("effects", all);
-    verdict.figure("effects_twice", twice);
-    verdict.figure("effects_after_window", late);
-    verdict.figure("repeats_dropped", repeats);
+    verdict.set_figure("effects", all);
+    verdict.set_figure("effects_twice", twice);
+    verdict.set_figure("effects_after_window", late);
+    verdict.set_figure("repeats_dropped", repeats);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/mod.rs
+++ b/crates/fleet-test/src/check/mod.rs
@@ -22,7 +22,7 @@
 use eideryard_emulators::history::{Happened, How, Micros, Name, Process, Try, What};
 use eideryard_emulators::scenario::{ClassSpec, EngineSpec, Scenario};
 
-pub use records::{of_records, Recorded};
+pub use records::{read_requests, Recorded};
 
 /// Breaks of one rule that are kept; all are counted.
 pub const MAX_BREAKS: usize = 100;
@@ -74,7 +74,7 @@
 
 /// What a break is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum About {
+pub enum Subject {
     /// A key.
     Key(Name),
     /// A try of a request.
@@ -87,14 +87,14 @@
     Gateway(Name),
 }
 
-impl fmt::Display for About {
+impl fmt::Display for Subject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            About::Key(key) => write!(f, "key {key}"),
-            About::Request(id) => write!(f, "request {id:016x}"),
-            About::Engine(name) => write!(f, "engine {name}"),
-            About::Load(name) => write!(f, "load {name}"),
-            About::Gateway(name) => write!(f, "gateway {name}"),
+            Subject::Key(key) => write!(f, "key {key}"),
+            Subject::Request(id) => write!(f, "request {id:016x}"),
+            Subject::Engine(name) => write!(f, "engine {name}"),
+            Subject::Load(name) => write!(f, "load {name}"),
+            Subject::Gateway(name) => write!(f, "gateway {name}"),
         }
     }
 }
@@ -105,7 +105,7 @@
     /// The rule.
     pub rule: Rule,
     /// What it was broken for.
-    pub about: About,
+    pub subject: Subject,
     /// From when to when it happened.
     pub from: Micros,
     /// The end of that time.
@@ -135,7 +135,7 @@
 
 impl Facts {
     /// Those of a scenario.
-    pub fn of(scenario: &Scenario) -> Self {
+    pub fn from_scenario(scenario: &Scenario) -> Self {
         Facts {
             classes: scenario.classes.clone(),
             engines: scenario.engines.clone(),
@@ -343,7 +343,7 @@
     }
 
     /// Sets a figure.
-    pub fn figure(&mut self, name: &str, value: u64) {
+    pub fn set_figure(&mut self, name: &str, value: u64) {
         self.figures.insert(name.to_string(), value);
     }
 
@@ -353,7 +353,7 @@
     }
 
     /// Whether no rule was broken.
-    pub fn kept(&self) -> bool {
+    pub fn is_kept(&self) -> bool {
         self.counts.is_empty()
     }
 }
@@ -375,11 +375,11 @@
     records::check(&history, records, &mut verdict);
     service::measure(facts, &history, &mut verdict);
     for name in crashed {
-        let about = About::Gateway(name.as_str().into());
+        let subject = Subject::Gateway(name.as_str().into());
         let text = format!("{name} ended though nobody told it to, or didn't when it was told");
         verdict.add(Break {
             rule: Rule::Crash,
-            about,
+            subject,
             from: history.last,
             to: history.last,
             text,
--- a/crates/fleet-test/src/check/order.rs
+++ b/crates/fleet-test/src/check/order.rs
@@ -6,7 +6,7 @@
 
 use eideryard_emulators::history::{Happened, Micros, Name, Process, What};
 
-use super::{About, Break, Facts, History, Rule, Verdict, SLACK};
+use super::{Break, Facts, History, Rule, Subject, Verdict, SLACK};
 use crate::config::ORDER_PAUSE;
 use crate::links::CLIENTS;
 
@@ -68,10 +68,10 @@
                         .any(|span| span.meets(asked, *at))
                 };
                 let mut broken = |from: Micros, text: String| {
-                    let about = About::Key(lane.3.clone());
+                    let subject = Subject::Key(lane.3.clone());
                     verdict.add(Break {
                         rule: Rule::Order,
-                        about,
+                        subject,
                         from,
                         to: *at,
                         text,
@@ -128,7 +128,7 @@
             _ => {}
         }
     }
-    verdict.figure("ordered_runs", runs);
+    verdict.set_figure("ordered_runs", runs);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/owners.rs
+++ b/crates/fleet-test/src/check/owners.rs
@@ -1,4 +1,4 @@
-//! One owner's work counts: at each fence tokens never fall, and a term has one owner.
+//! One owner's work is_accepted: at each fence tokens never fall, and a term has one owner.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -7,11 +7,11 @@
 use eideryard_event_log::reader::{MergedReader, ReadContent};
 use eideryard_event_log::{Entry, FleetEvent, HostEvent};
 
-use super::{About, Break, Rule, Verdict};
+use super::{Break, Rule, Subject, Verdict};
 
 /// An owner's work that came to a gateway.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Worked {
+pub struct ReceivedWork {
     /// The gateway whose fence met the work.
     pub gateway: Name,
     /// When it did.
@@ -21,11 +21,11 @@
     /// Term, and the owner's number.
     pub token: (u64, u64),
     /// Whether the fence admitted it.
-    pub counts: bool,
+    pub is_accepted: bool,
 }
 
 /// All that the records in a directory tell of owners' work, by time.
-pub fn of_records(directory: &Path) -> Vec<Worked> {
+pub fn read_owner_work(directory: &Path) -> Vec<ReceivedWork> {
     let mut worked = Vec::new();
     let Ok(mut merged) = MergedReader::open(&[directory.to_path_buf()]) else {
         return worked;
@@ -35,26 +35,26 @@
             task,
             term,
             owner,
-            is_accepted: counts,
+            is_accepted,
         }))) = &told.content
         else {
             continue;
         };
         let gateway = merged.sources()[told.source].name.as_str().into();
         let token = (*term, *owner);
-        worked.push(Worked {
+        worked.push(ReceivedWork {
             gateway,
             at: told.at,
             task: *task,
             token,
-            counts: *counts,
+            is_accepted: *is_accepted,
         });
     }
     worked
 }
 
-/// Of each task, one owner's work counts at a time.
-pub fn check(worked: &[Worked], verdict: &mut Verdict) {
+/// Of each task, one owner's work is_accepted at a time.
+pub fn check(worked: &[ReceivedWork], verdict: &mut Verdict) {
     if worked.is_empty() {
         return;
     }
@@ -64,25 +64,25 @@
     let (mut stale, mut two, mut fenced) = (0, 0, 0);
     let mut last: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut gap = 0;
-    let mut by_time: Vec<&Worked> = worked.iter().collect();
+    let mut by_time: Vec<&ReceivedWork> = worked.iter().collect();
     by_time.sort_by_key(|own| own.at);
-    for Worked {
+    for ReceivedWork {
         gateway,
         at,
         task,
         token,
-        counts,
+        is_accepted,
     } in by_time
     {
-        if !counts {
+        if !is_accepted {
             fenced += 1;
             continue;
         }
         let mut broken = |text: String| {
-            let about = About::Gateway(gateway.clone());
+            let subject = Subject::Gateway(gateway.clone());
             verdict.add(Break {
                 rule: Rule::Owners,
-                about,
+                subject,
                 from: *at,
                 to: *at,
                 text,
@@ -104,11 +104,11 @@
         let before = last.insert(*task, *at).unwrap_or(*at);
         gap = gap.max(at.saturating_sub(before));
     }
-    verdict.figure("stale_applied", stale);
-    verdict.figure("two_owners", two);
-    verdict.figure("fenced", fenced);
-    verdict.figure("owners_work", worked.len() as u64);
-    verdict.figure("longest_gap_ms", gap / 1000);
+    verdict.set_figure("stale_applied", stale);
+    verdict.set_figure("two_owners", two);
+    verdict.set_figure("fenced", fenced);
+    verdict.set_figure("owners_work", worked.len() as u64);
+    verdict.set_figure("longest_gap_ms", gap / 1000);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/owners/tests.rs
+++ b/crates/fleet-test/src/check/owners/tests.rs
@@ -4,14 +4,14 @@
 
 #[test]
 fn stale_work_and_a_second_owner_of_a_term_are_caught() {
-    let work = |gateway: &str, at, token, counts| Worked {
+    let work = |gateway: &str, at, token, is_accepted| ReceivedWork {
         gateway: gateway.into(),
         at,
         task: 7,
         token,
-        counts,
+        is_accepted,
     };
-    let figures = |worked: &[Worked]| {
+    let figures = |worked: &[ReceivedWork]| {
         let mut verdict = Verdict::default();
         check(worked, &mut verdict);
         (
--- a/crates/fleet-test/src/check/records.rs
+++ b/crates/fleet-test/src/check/records.rs
@@ -9,7 +9,7 @@
 use eideryard_event_log::reader::{MergedReader, ReadContent};
 use eideryard_event_log::{AnswerKind, Entry, HostEvent};
 
-use super::{About, Break, History, Rule, Verdict};
+use super::{Break, History, Rule, Subject, Verdict};
 
 /// Entries of a gateway's record that tell of a request.
 #[derive(Clone, Debug, PartialEq)]
@@ -21,12 +21,12 @@
     /// The id that its client gave it.
     pub id: u64,
     /// What it says.
-    pub what: Said,
+    pub what: RequestEvent,
 }
 
 /// What a record says of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum RequestEvent {
     /// The gateway took it.
     Taken,
     /// An attempt went to an engine.
@@ -39,7 +39,7 @@
 
 /// All that the records in a directory tell of requests, by time. A directory without one tells
 /// nothing.
-pub fn of_records(directory: &Path) -> Vec<Recorded> {
+pub fn read_requests(directory: &Path) -> Vec<Recorded> {
     let mut recorded = Vec::new();
     let Ok(mut merged) = MergedReader::open(&[directory.to_path_buf()]) else {
         return recorded;
@@ -61,20 +61,20 @@
         let what = match entry {
             Entry::Host(HostEvent::RequestReceived(offer)) => {
                 ids.insert(place, offer.id);
-                Said::Taken
+                RequestEvent::Taken
             }
             Entry::Host(HostEvent::OpenRequest(open)) => {
                 ids.insert(place, open.client_request.id);
                 continue;
             }
-            Entry::Action(Action::Send { engine, .. }) => Said::Sent(
+            Entry::Action(Action::Send { engine, .. }) => RequestEvent::Sent(
                 engines
                     .get(&(told.source, *engine))
                     .cloned()
                     .unwrap_or_else(|| "an engine".into()),
             ),
-            Entry::Event(Event::AttemptEnded(ended)) => Said::Ended(ended.outcome),
-            Entry::Host(HostEvent::Answered { kind: how, .. }) => Said::Answered(*how),
+            Entry::Event(Event::AttemptEnded(ended)) => RequestEvent::Ended(ended.outcome),
+            Entry::Host(HostEvent::Answered { kind: how, .. }) => RequestEvent::Answered(*how),
             _ => continue,
         };
         let Some(id) = ids.get(&place).copied() else {
@@ -102,13 +102,15 @@
         what,
     } in records
     {
-        let Said::Answered(kind) = what else { continue };
+        let RequestEvent::Answered(kind) = what else {
+            continue;
+        };
         let mut broken = |text: String| {
             differ += 1;
-            let about = About::Request(*id);
+            let subject = Subject::Request(*id);
             verdict.add(Break {
                 rule: Rule::Records,
-                about,
+                subject,
                 from: *at,
                 to: *at,
                 text,
@@ -144,8 +146,8 @@
             ));
         }
     }
-    verdict.figure("recorded_ends", agree);
-    verdict.figure("records_differ", differ);
+    verdict.set_figure("recorded_ends", agree);
+    verdict.set_figure("records_differ", differ);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/records/tests.rs
+++ b/crates/fleet-test/src/check/records/tests.rs
@@ -11,7 +11,7 @@
         gateway: "g1".into(),
         at: 15,
         id: 1,
-        what: Said::Answered(kind),
+        what: RequestEvent::Answered(kind),
     };
     let count = |records: &[Recorded]| {
         let verdict = check(&facts(), &events, records, &[]);
--- a/crates/fleet-test/src/check/service.rs
+++ b/crates/fleet-test/src/check/service.rs
@@ -68,13 +68,13 @@
     }
     took.sort_unstable();
     let part = |share: usize| took.get(took.len() * share / 100).copied().unwrap_or(0) / 1000;
-    verdict.figure("restart30_asked", asked);
-    verdict.figure(
+    verdict.set_figure("restart30_asked", asked);
+    verdict.set_figure(
         "restart30_served_permille",
         took.len() as u64 * 1000 / asked.max(1),
     );
-    verdict.figure("restart30_median_ms", part(50));
-    verdict.figure("restart30_p99_ms", part(99));
+    verdict.set_figure("restart30_median_ms", part(50));
+    verdict.set_figure("restart30_p99_ms", part(99));
 }
 
 /// How long first tries that were served took, by class.
@@ -97,12 +97,12 @@
         took.sort_unstable();
         let part = |share: usize| took.get(took.len() * share / 100).copied().unwrap_or(0);
         let of = asked.get(class).copied().unwrap_or(0).max(1);
-        verdict.figure(
+        verdict.set_figure(
             &format!("served_permille_{class}"),
             took.len() as u64 * 1000 / of,
         );
-        verdict.figure(&format!("median_us_{class}"), part(50));
-        verdict.figure(&format!("p99_us_{class}"), part(99));
+        verdict.set_figure(&format!("median_us_{class}"), part(50));
+        verdict.set_figure(&format!("p99_us_{class}"), part(99));
     }
 }
 
@@ -162,7 +162,7 @@
         .min()
         .filter(|_| gateways.len() == facts.gateways)
         .unwrap_or(0);
-    verdict.figure(
+    verdict.set_figure(
         "least_gateway_percent",
         least * facts.gateways as u64 * 100 / asked.max(1),
     );
@@ -173,13 +173,13 @@
         let Some(before) = share(firsts, 0, loss) else {
             continue;
         };
-        verdict.figure(
+        verdict.set_figure(
             &format!("service_before_percent_{class}"),
             (100.0 * before) as u64,
         );
         // Without a figure service did not come back within the run.
         if let Some(time) = back(firsts, before, from, history.last) {
-            verdict.figure(&format!("service95_ms_{class}"), time / 1000);
+            verdict.set_figure(&format!("service95_ms_{class}"), time / 1000);
         }
     }
 }
--- a/crates/fleet-test/src/check/story.rs
+++ b/crates/fleet-test/src/check/story.rs
@@ -5,8 +5,8 @@
 
 use eideryard_emulators::history::{Happened, How, Micros, Name, Process, What};
 
-use super::records::{Recorded, Said};
-use super::{About, Break, History};
+use super::records::{Recorded, RequestEvent};
+use super::{Break, History, Subject};
 
 /// Lines of one story.
 const MAX_LINES: usize = 60;
@@ -16,9 +16,9 @@
 /// The events of all sides that led to a break, by time.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn story(history: &History<'_>, records: &[Recorded], found: &Break) -> Vec<String> {
-    let key = match &found.about {
-        About::Key(key) => Some(key.clone()),
-        About::Request(id) => history.tries.get(id).map(|(_, tried)| tried.key.clone()),
+    let key = match &found.subject {
+        Subject::Key(key) => Some(key.clone()),
+        Subject::Request(id) => history.tries.get(id).map(|(_, tried)| tried.key.clone()),
         _ => None,
     };
     // All tries of the key up to the break, and who took part.
@@ -38,7 +38,7 @@
             }
         }
     }
-    if let About::Engine(name) | About::Gateway(name) = &found.about {
+    if let Subject::Engine(name) | Subject::Gateway(name) = &found.subject {
         parts.insert(name.clone());
     }
     for Happened { what, .. } in history.events {
@@ -145,10 +145,16 @@
             continue;
         }
         let line = match what {
-            Said::Taken => format!("{gateway} records that it took {id:016x}"),
-            Said::Sent(engine) => format!("{gateway} records that it sends {id:016x} to {engine}"),
-            Said::Ended(outcome) => format!("{gateway} records the attempt's end: {outcome:?}"),
-            Said::Answered(kind) => format!("{gateway} records the answer: {}", kind.name()),
+            RequestEvent::Taken => format!("{gateway} records that it took {id:016x}"),
+            RequestEvent::Sent(engine) => {
+                format!("{gateway} records that it sends {id:016x} to {engine}")
+            }
+            RequestEvent::Ended(outcome) => {
+                format!("{gateway} records the attempt's end: {outcome:?}")
+            }
+            RequestEvent::Answered(kind) => {
+                format!("{gateway} records the answer: {}", kind.name())
+            }
         };
         lines.push((*at, line));
     }
--- a/crates/fleet-test/src/check/story/tests.rs
+++ b/crates/fleet-test/src/check/story/tests.rs
@@ -27,7 +27,7 @@
         gateway: "g1".into(),
         at: 14,
         id: 1,
-        what: Said::Sent("e1".into()),
+        what: RequestEvent::Sent("e1".into()),
     };
     let text = story(&History::new(&events), &[sent], found).join("\n");
     for (place, words) in [
--- a/crates/fleet-test/src/check/tests.rs
+++ b/crates/fleet-test/src/check/tests.rs
@@ -6,7 +6,7 @@
     let text =
         "class booking {\n effect keyed\n scope cell\n window 1s\n}\nclass ledger {\n ordered\n}\n\
                 engines 2 e {\n cores 4\n}\n";
-    let mut facts = Facts::of(&Scenario::read("facts", text).expect("it can be read"));
+    let mut facts = Facts::from_scenario(&Scenario::read("facts", text).expect("it can be read"));
     facts.engines[0].name = "e1".into();
     facts.engines[1].name = "e2".into();
     facts
--- a/crates/fleet-test/src/links.rs
+++ b/crates/fleet-test/src/links.rs
@@ -26,7 +26,7 @@
 }
 
 /// A fault that lasts, on all links that it was put on.
-pub struct Lasting {
+pub struct ActiveFault {
     number: u64,
     fault: Fault,
     on: Vec<(Name, Name)>,
@@ -69,27 +69,27 @@
     }
 
     /// Where one end of all links that lead to it is now, if anybody is there.
-    pub fn lead_to(&self, to: &str, target: Option<SocketAddr>) {
+    pub fn set_all_targets(&self, to: &str, target: Option<SocketAddr>) {
         self.links
             .iter()
             .filter(|((_, own), _)| **own == *to)
-            .for_each(|(_, relay)| relay.lead_to(target));
+            .for_each(|(_, relay)| relay.set_target(target));
     }
 
     /// Where gateways reach another one of them.
-    pub fn lead_peers(&self, to: &str, target: Option<SocketAddr>) {
+    pub fn set_peer_targets(&self, to: &str, target: Option<SocketAddr>) {
         let of_peers = |(from, own): &(Name, Name)| **own == *to && self.gateways.contains(from);
         self.links
             .iter()
             .filter(|(ends, _)| of_peers(ends))
-            .for_each(|(_, relay)| relay.lead_to(target));
+            .for_each(|(_, relay)| relay.set_target(target));
     }
 
     /// Leads one link to an address, or to nobody.
-    pub fn lead(&self, from: &str, to: &str, target: Option<SocketAddr>) {
+    pub fn set_target(&self, from: &str, to: &str, target: Option<SocketAddr>) {
         self.link(from, to)
             .into_iter()
-            .for_each(|relay| relay.lead_to(target));
+            .for_each(|relay| relay.set_target(target));
     }
 
     fn is(&self, name: &str, end: &Name) -> bool {
@@ -114,7 +114,7 @@
     }
 
     /// Begins a fault on the links that a step names.
-    pub fn begin(&mut self, step: &Step, fault: Fault) -> Lasting {
+    pub fn begin(&mut self, step: &Step, fault: Fault) -> ActiveFault {
         self.next += 1;
         let number = self.next;
         let mut on = Vec::new();
@@ -130,17 +130,17 @@
                 on.push((from, to));
             }
         }
-        Lasting { number, fault, on }
+        ActiveFault { number, fault, on }
     }
 
     /// Ends such a fault.
-    pub fn end(&self, lasting: &Lasting) {
-        for (from, to) in &lasting.on {
+    pub fn end(&self, active: &ActiveFault) {
+        for (from, to) in &active.on {
             if self
                 .link(from, to)
-                .is_some_and(|relay| relay.end(lasting.number))
+                .is_some_and(|relay| relay.end(active.number))
             {
-                self.note(from, to, lasting.fault.name(), false);
+                self.note(from, to, active.fault.name(), false);
             }
         }
     }
--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -7,7 +7,7 @@
 use eideryard_fleet_test::check::Rule;
 use eideryard_fleet_test::minimize::minimize;
 use eideryard_fleet_test::plan::{self, Case, Plan};
-use eideryard_fleet_test::run::{self, Ran};
+use eideryard_fleet_test::run::{self, RunOutcome};
 use eideryard_fleet_test::scale::run::Run;
 use eideryard_fleet_test::scale::sizes::{Machine, Sizes};
 use eideryard_fleet_test::scale::{plots, report};
@@ -138,7 +138,7 @@
         (Some(path), _) => {
             let text =
                 std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-            let plan = Plan::of_text(&text);
+            let plan = Plan::from_text(&text);
             plan.scenario(&path.display().to_string())?;
             plan
         }
@@ -169,7 +169,7 @@
         println!(
             "\nbroken: {}: {}: {}",
             found.rule.name(),
-            found.about,
+            found.subject,
             found.text
         );
         for line in story.iter() {
@@ -188,7 +188,7 @@
             rule.name()
         );
     }
-    let kept = ran.verdict.kept();
+    let kept = ran.verdict.is_kept();
     let seed = plan
         .scenario("plan")
         .map_or(arguments.seed, |scenario| scenario.seed);
@@ -206,7 +206,7 @@
     Ok(kept)
 }
 
-fn once(program: &Path, plan: &Plan, directory: &Path) -> Result<Ran, String> {
+fn once(program: &Path, plan: &Plan, directory: &Path) -> Result<RunOutcome, String> {
     run::run(program, plan, directory).map_err(|e| e.to_string())
 }
 
--- a/crates/fleet-test/src/plan.rs
+++ b/crates/fleet-test/src/plan.rs
@@ -65,7 +65,7 @@
 
 impl Plan {
     /// Of a scenario's text.
-    pub fn of_text(text: &str) -> Self {
+    pub fn from_text(text: &str) -> Self {
         let is_fault = |line: &&str| line.starts_with("at ");
         let head = text
             .lines()
--- a/crates/fleet-test/src/plan/tests.rs
+++ b/crates/fleet-test/src/plan/tests.rs
@@ -21,7 +21,7 @@
                 .unwrap_or_else(|e| panic!("{e}\n{plan}"));
             assert!(!plan.faults.is_empty(), "seed {seed}");
             assert_eq!(*plan, draw(case, seed as u64, 3 + seed % 10, 20, true));
-            assert_eq!(Plan::of_text(&plan.to_string()), *plan);
+            assert_eq!(Plan::from_text(&plan.to_string()), *plan);
         }
         assert!(plans.windows(2).all(|pair| pair[0] != pair[1]));
     }
--- a/crates/fleet-test/src/processes.rs
+++ b/crates/fleet-test/src/processes.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use crate::stall::Held;
+use crate::stall::StalledThread;
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::time::{sleep, Instant};
 
@@ -51,7 +51,7 @@
     /// It was told to end, or killed.
     wanted: bool,
     /// A thread of it that stands still.
-    held: Option<Held>,
+    stalled: Option<StalledThread>,
 }
 
 /// All gateways that run, and how earlier starts ended.
@@ -101,7 +101,7 @@
                 log: log.clone(),
                 start,
                 wanted: false,
-                held: None,
+                stalled: None,
             },
         );
         let until = Instant::now() + PATIENCE;
@@ -139,26 +139,30 @@
     }
 
     /// Where the gateways of its fleet reach one, as its log says.
-    pub fn peers_reach(&self, name: &str) -> Option<SocketAddr> {
+    pub fn peer_address(&self, name: &str) -> Option<SocketAddr> {
         let log = &self.running.get(name)?.log;
         find(log, "peers reach this gateway at ").and_then(|line| address(&line))
     }
 
     /// Holds one thread of a process until it is let go or ends.
-    pub fn hold(&mut self, name: &str, thread: &str) -> io::Result<()> {
-        if let Some(running) = self.running.get_mut(name).filter(|own| own.held.is_none()) {
-            running.held = Held::hold(running.child.id(), thread)?;
+    pub fn stall_thread(&mut self, name: &str, thread: &str) -> io::Result<()> {
+        if let Some(running) = self
+            .running
+            .get_mut(name)
+            .filter(|own| own.stalled.is_none())
+        {
+            running.stalled = StalledThread::stall(running.child.id(), thread)?;
         }
         Ok(())
     }
 
-    /// Lets a held thread go on.
-    pub fn let_go(&mut self, name: &str) {
-        let held = self
+    /// Lets a stalled thread go on.
+    pub fn resume_thread(&mut self, name: &str) {
+        let stalled = self
             .running
             .get_mut(name)
-            .and_then(|running| running.held.take());
-        held.into_iter().for_each(Held::let_go);
+            .and_then(|running| running.stalled.take());
+        stalled.into_iter().for_each(StalledThread::resume);
     }
 
     /// Sends a signal to one that runs.
@@ -209,10 +213,10 @@
         };
         let until = Instant::now() + PATIENCE;
         let (mut cpu, mut by_itself) = (Duration::ZERO, true);
-        // What is held ends with a kill, and else goes on, so that it can end by itself.
-        match running.held.take() {
-            Some(held) if running.wanted => held.let_go_or_ended(),
-            held => held.into_iter().for_each(Held::let_go),
+        // What is stalled ends with a kill, and else goes on, so that it can end by itself.
+        match running.stalled.take() {
+            Some(stalled) if running.wanted => stalled.resume_or_reap(),
+            stalled => stalled.into_iter().for_each(StalledThread::resume),
         }
         while running.child.try_wait()?.is_none() {
             cpu = processor_time(running.child.id()).unwrap_or(cpu).max(cpu);
@@ -242,10 +246,10 @@
             // Those that have ended are waited for all the same.
             let _ = running.child.kill();
             running
-                .held
+                .stalled
                 .take()
                 .into_iter()
-                .for_each(Held::let_go_or_ended);
+                .for_each(StalledThread::resume_or_reap);
             let _ = running.child.wait();
         }
     }
--- a/crates/fleet-test/src/relay.rs
+++ b/crates/fleet-test/src/relay.rs
@@ -79,7 +79,7 @@
     resets: u64,
 }
 
-fn folded(faults: &[(u64, Fault, Way)], vacant: bool, resets: u64) -> State {
+fn combine_faults(faults: &[(u64, Fault, Way)], vacant: bool, resets: u64) -> State {
     let mut state = State {
         vacant,
         resets,
@@ -138,7 +138,7 @@
     }
 
     /// Where the other end is now, if anybody is there.
-    pub fn lead_to(&self, target: Option<SocketAddr>) {
+    pub fn set_target(&self, target: Option<SocketAddr>) {
         self.target.set(target);
         self.state
             .send_modify(|state| state.vacant = target.is_none());
@@ -147,21 +147,21 @@
     /// Begins a fault under a number of its own.
     pub fn begin(&self, number: u64, fault: Fault, way: Way) {
         self.faults.borrow_mut().push((number, fault, way));
-        self.refold();
+        self.update_state();
     }
 
     /// False: it had ended already.
     pub fn end(&self, number: u64) -> bool {
         let before = self.faults.borrow().len();
         self.faults.borrow_mut().retain(|(own, ..)| *own != number);
-        self.refold();
+        self.update_state();
         self.faults.borrow().len() < before
     }
 
-    fn refold(&self) {
+    fn update_state(&self) {
         let faults = self.faults.borrow();
         self.state
-            .send_modify(|state| *state = folded(&faults, state.vacant, state.resets));
+            .send_modify(|state| *state = combine_faults(&faults, state.vacant, state.resets));
     }
 
     /// Ends all connections now.
@@ -189,7 +189,7 @@
                 continue;
             };
             if state.silent && fillers.is_empty() {
-                fillers = fill(own, self.address);
+                fillers = fill_queue(own, self.address);
                 passed_over = fillers
                     .iter()
                     .filter_map(|own| own.local_addr().ok()?.as_socket())
@@ -257,7 +257,7 @@
 
 /// Keeps a listener's queue full, so that no connection comes up: sockets that hold the places in
 /// it.
-fn fill(listener: &TcpListener, address: SocketAddr) -> Vec<Socket> {
+fn fill_queue(listener: &TcpListener, address: SocketAddr) -> Vec<Socket> {
     // One place is left, and what comes beyond it is dropped by the system.
     let _ = SockRef::from(listener).listen(0);
     let filler = || {
--- a/crates/fleet-test/src/relay/tests.rs
+++ b/crates/fleet-test/src/relay/tests.rs
@@ -25,7 +25,7 @@
         let connect = || TcpStream::connect(relay.address);
         tokio::task::yield_now().await;
         assert!(connect().await.is_err(), "nobody is at the other end");
-        relay.lead_to(Some(target));
+        relay.set_target(Some(target));
         tokio::task::yield_now().await;
         let mut stream = connect().await.unwrap();
         let mut bytes = [0; 4];
@@ -64,7 +64,7 @@
         assert!(second.read_exact(&mut bytes).await.is_err());
         relay.reset();
         assert!(stream.read_exact(&mut bytes).await.is_err());
-        relay.lead_to(None);
+        relay.set_target(None);
         tokio::task::yield_now().await;
         assert!(connect().await.is_err());
     });
@@ -80,11 +80,11 @@
         (4, Fault::Delay(by), Way::Back),
         (5, Fault::Throttle(50), Way::Back),
     ];
-    let state = folded(&all, false, 0);
+    let state = combine_faults(&all, false, 0);
     assert!(state.there.holds && !state.back.holds && state.silent);
     assert_eq!(
         (state.there.delay, state.back.delay, state.back.rate),
         (by, 2 * by, Some(50))
     );
-    assert!(!folded(&all[2..], false, 0).silent);
+    assert!(!combine_faults(&all[2..], false, 0).silent);
 }
--- a/crates/fleet-test/src/run.rs
+++ b/crates/fleet-test/src/run.rs
@@ -5,7 +5,7 @@
 
 use eideryard_emulators::scenario::GatewaySpec;
 
-use crate::check::{self, story, About, Break, Facts, History, Recorded, Rule, Verdict};
+use crate::check::{self, story, Break, Facts, History, Recorded, Rule, Subject, Verdict};
 use crate::directories;
 use crate::plan::Plan;
 use crate::processes::{Ending, Programs};
@@ -17,7 +17,7 @@
 
 /// Why a run has no verdict.
 #[derive(Debug, thiserror::Error)]
-pub enum Trouble {
+pub enum RunError {
     /// The plan is no scenario.
     #[error("the plan can't be read: {0}")]
     Plan(String),
@@ -27,7 +27,7 @@
 }
 
 /// What came of a run.
-pub struct Ran {
+pub struct RunOutcome {
     /// The verdict.
     pub verdict: Verdict,
     /// Of the first breaks, each with its shortest history.
@@ -54,10 +54,10 @@
         let ended: u64 = ends.iter().map(|name| of(name)).sum();
         if of("taken") != ended {
             let text = format!("{} took {} and ended {ended}", ending.name, of("taken"));
-            let about = About::Gateway(ending.name.as_str().into());
+            let subject = Subject::Gateway(ending.name.as_str().into());
             verdict.add(Break {
                 rule: Rule::Conservation,
-                about,
+                subject,
                 from: 0,
                 to: 0,
                 text,
@@ -79,7 +79,7 @@
     }
     if !groups.is_empty() {
         for time in agreed.into_iter() {
-            verdict.figure("agree_ms", time);
+            verdict.set_figure("agree_ms", time);
         }
     }
     Ok(())
@@ -114,9 +114,9 @@
 }
 
 /// Plays a plan in a directory, which keeps all that the gateways leave behind.
-pub fn run(program: &Path, plan: &Plan, directory: &Path) -> Result<Ran, Trouble> {
-    let scenario = plan.scenario("plan").map_err(Trouble::Plan)?;
-    let facts = Facts::of(&scenario);
+pub fn run(program: &Path, plan: &Plan, directory: &Path) -> Result<RunOutcome, RunError> {
+    let scenario = plan.scenario("plan").map_err(RunError::Plan)?;
+    let facts = Facts::from_scenario(&scenario);
     let specs = scenario.gateways.clone();
     let gateways: Vec<String> = specs.iter().map(|own| own.name.clone()).collect();
     std::fs::create_dir_all(directory)?;
@@ -132,27 +132,28 @@
             "{} events found no room in the history",
             played.ledger.left_out
         );
-        return Err(Trouble::Io(io::Error::other(what)));
+        return Err(RunError::Io(io::Error::other(what)));
     }
-    let of_records =
-        |name: &String| check::of_records(&directories::of(directory, name).join(RECORD));
-    let records: Vec<Recorded> = gateways.iter().flat_map(of_records).collect();
+    let read_requests =
+        |name: &String| check::read_requests(&directories::of(directory, name).join(RECORD));
+    let records: Vec<Recorded> = gateways.iter().flat_map(read_requests).collect();
     let mut verdict = check::check(&facts, &events, &records, &played.crashed);
     counted(&played.endings, &mut verdict);
     compare(directory, &specs, played.agreed, &mut verdict)?;
-    let work =
-        |name: &String| check::owners::of_records(&directories::of(directory, name).join(RECORD));
+    let work = |name: &String| {
+        check::owners::read_owner_work(&directories::of(directory, name).join(RECORD))
+    };
     check::owners::check(
         &gateways.iter().flat_map(work).collect::<Vec<_>>(),
         &mut verdict,
     );
-    verdict.figure("faults", plan.faults.len() as u64);
+    verdict.set_figure("faults", plan.faults.len() as u64);
     let history = History::new(&events);
     let stories = verdict.breaks.iter().take(MAX_STORIES);
     let stories = stories
         .map(|found| (found.clone(), story::story(&history, &records, found)))
         .collect();
-    Ok(Ran {
+    Ok(RunOutcome {
         verdict,
         stories,
         endings: played.endings,
--- a/crates/fleet-test/src/simulated/links.rs
+++ b/crates/fleet-test/src/simulated/links.rs
@@ -26,12 +26,12 @@
     }
 
     pub(super) fn send(&mut self, link: (usize, usize), to_keeper: bool, message: Message) {
-        let about = self.traced.map(key_of).is_some_and(|key| match &message {
+        let is_traced = self.traced.map(key_of).is_some_and(|key| match &message {
             Message::Claim { key: own, .. } | Message::Update { key: own, .. } => *own == key,
             Message::StatePart { entries, .. } => entries.iter().any(|entry| entry.key == key),
             _ => false,
         });
-        if about {
+        if is_traced {
             self.tell(None, || {
                 format!("{link:?} to keeper {to_keeper}: {message:?}")
                     .chars()
--- a/crates/fleet-test/src/world.rs
+++ b/crates/fleet-test/src/world.rs
@@ -20,7 +20,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use crate::config::ListedEngine;
-use crate::links::{Lasting, Links, BULLETIN};
+use crate::links::{ActiveFault, Links, BULLETIN};
 use crate::processes::{Ending, Processes, Programs};
 
 /// The record of a gateway, in its directory.
@@ -47,7 +47,7 @@
 
 /// What ends by itself after a time.
 enum Undo {
-    Link(Lasting),
+    Link(ActiveFault),
     Continue(String),
     Disk(String),
 }
@@ -153,13 +153,13 @@
             world
                 .engines
                 .iter()
-                .for_each(|engine| links.lead_to(&engine.spec.name, Some(engine.address)));
+                .for_each(|engine| links.set_all_targets(&engine.spec.name, Some(engine.address)));
         }
         for (gateway, bulletin) in &world.bulletins {
             world
                 .links
                 .iter()
-                .for_each(|links| links.lead(gateway, BULLETIN, Some(bulletin.address)));
+                .for_each(|links| links.set_target(gateway, BULLETIN, Some(bulletin.address)));
             bulletin.tell(true, world.listed(gateway, &world.engines, "up", 0));
         }
         Ok(world)
--- a/crates/fleet-test/src/world/parts.rs
+++ b/crates/fleet-test/src/world/parts.rs
@@ -24,7 +24,7 @@
         engine.kill();
         self.links
             .iter()
-            .for_each(|links| links.lead_to(&engine.spec.name, None));
+            .for_each(|links| links.set_all_targets(&engine.spec.name, None));
     }
 
     pub(super) async fn start_engines(&mut self, engines: &[Rc<Engine>]) -> io::Result<()> {
@@ -33,7 +33,7 @@
             let address = Some(engine.address);
             self.links
                 .iter()
-                .for_each(|links| links.lead_to(&engine.spec.name, address));
+                .for_each(|links| links.set_all_targets(&engine.spec.name, address));
         }
         self.tell(engines, "up", self.ledger.borrow().now() / 1000);
         Ok(())
@@ -45,7 +45,7 @@
             let address = Some(bulletin.address).filter(|_| mood != Mood::Down);
             self.links
                 .iter()
-                .for_each(|links| links.lead(gateway, BULLETIN, address));
+                .for_each(|links| links.set_target(gateway, BULLETIN, address));
         }
         Ok(())
     }
@@ -70,7 +70,7 @@
         if how == Process::Killed {
             self.links
                 .iter()
-                .for_each(|links| links.lead_to(name, None));
+                .for_each(|links| links.set_all_targets(name, None));
         }
     }
 
@@ -89,7 +89,7 @@
         }
         self.links
             .iter()
-            .for_each(|links| links.lead_to(name, None));
+            .for_each(|links| links.set_all_targets(name, None));
         self.note(name, Process::Ended);
         Ok(())
     }
@@ -125,18 +125,18 @@
             .await?;
         self.links
             .iter()
-            .for_each(|links| links.lead_to(name, None));
+            .for_each(|links| links.set_all_targets(name, None));
         let door = match &self.links {
             Some(links) => {
-                links.lead(CLIENTS, name, Some(address));
+                links.set_target(CLIENTS, name, Some(address));
                 links.door(CLIENTS, name)
             }
             None => Some(address),
         };
-        let reached = self.processes.peers_reach(name);
+        let reached = self.processes.peer_address(name);
         self.links
             .iter()
-            .for_each(|links| links.lead_peers(name, reached));
+            .for_each(|links| links.set_peer_targets(name, reached));
         self.note(name, Process::Started(start));
         for door in door.into_iter() {
             _ = self.doors.borrow_mut().insert(name.to_string(), door);
--- a/crates/fleet-test/src/world/steps.rs
+++ b/crates/fleet-test/src/world/steps.rs
@@ -112,7 +112,7 @@
             }
             "stall-disk" => {
                 for name in &step.names {
-                    self.processes.hold(name, "store")?;
+                    self.processes.stall_thread(name, "store")?;
                 }
                 self.did(format!("stall-disk {}", step.names.join(" ")));
                 let undo = |name: &String| (step.lasts, Next::Undo(Undo::Disk(name.clone())));
@@ -173,9 +173,9 @@
 
     pub(super) fn undo(&mut self, undo: Undo) {
         match undo {
-            Undo::Link(lasting) => self.links.iter().for_each(|links| links.end(&lasting)),
+            Undo::Link(active) => self.links.iter().for_each(|links| links.end(&active)),
             Undo::Disk(name) => {
-                self.processes.let_go(&name);
+                self.processes.resume_thread(&name);
                 self.did(format!("the disk of {name} goes on"));
             }
             Undo::Continue(name) => self.signal(&name, Signal::CONT, Process::Continued),
--- a/crates/fleet-test/tests/fleet.rs
+++ b/crates/fleet-test/tests/fleet.rs
@@ -4,21 +4,21 @@
 
 use eideryard_fleet_test::check::Rule;
 use eideryard_fleet_test::plan::{draw, Case, Plan};
-use eideryard_fleet_test::run::{program, run, Ran};
+use eideryard_fleet_test::run::{program, run, RunOutcome};
 
 fn built() -> PathBuf {
     program().expect("build the program first: cargo build, or cargo test --workspace")
 }
 
-fn played(plan: &Plan, directory: &Path) -> Ran {
+fn played(plan: &Plan, directory: &Path) -> RunOutcome {
     run(&built(), plan, directory).expect("it can be played")
 }
 
-fn figure(ran: &Ran, name: &str) -> u64 {
+fn figure(ran: &RunOutcome, name: &str) -> u64 {
     ran.verdict.figures.get(name).copied().unwrap_or(0)
 }
 
-fn stories(ran: &Ran) -> String {
+fn stories(ran: &RunOutcome) -> String {
     let told = ran
         .stories
         .iter()
@@ -95,15 +95,15 @@
         );
     }
     let directories = [tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap()];
-    let alone = played(&Plan::of_text(&text), directories[0].path());
+    let alone = played(&Plan::from_text(&text), directories[0].path());
     assert!(
         alone.verdict.count(Rule::EffectOnce) > 0,
         "{:?}",
         alone.verdict.figures
     );
-    let ran = played(&Plan::of_text(&shared), directories[1].path());
+    let ran = played(&Plan::from_text(&shared), directories[1].path());
     assert!(
-        ran.verdict.kept(),
+        ran.verdict.is_kept(),
         "{:?}\n{}",
         ran.verdict.counts,
         stories(&ran)
@@ -128,7 +128,7 @@
     let directory = tempfile::tempdir().unwrap();
     let ran = played(&draw(Case::Copies, 3, 5, 14, true), directory.path());
     assert!(
-        ran.verdict.kept(),
+        ran.verdict.is_kept(),
         "{:?}\n{}",
         ran.verdict.counts,
         stories(&ran)
@@ -180,11 +180,11 @@
     let odd = gateway("g4", &["g1", "g2", "g4"]);
     let all: String = KEEPERS.iter().map(|name| gateway(name, &KEEPERS)).collect();
     let ran = played(
-        &Plan::of_text(&format!("{PARTS}{all}{odd}")),
+        &Plan::from_text(&format!("{PARTS}{all}{odd}")),
         directory.path(),
     );
     assert!(
-        ran.verdict.kept(),
+        ran.verdict.is_kept(),
         "{:?}\n{}",
         ran.verdict.counts,
         stories(&ran)
@@ -218,9 +218,9 @@
         own("g1"),
         own("g2")
     );
-    let ran = played(&Plan::of_text(&plan), directory.path());
+    let ran = played(&Plan::from_text(&plan), directory.path());
     assert!(
-        ran.verdict.kept(),
+        ran.verdict.is_kept(),
         "{:?}\n{}",
         ran.verdict.counts,
         stories(&ran)
@@ -254,9 +254,9 @@
     let cuts = "at 1s link-cut g2 gateways for 2s\nat 1s link-cut g4 g3 way there for 2s\n\
                 at 1s link-cut g1 g3 way back for 2s\nat 4500ms pause-gateway g3 for 400ms\n";
     let text = format!("{PARTS}{all}{cuts}").replace("time 5s", "time 9s");
-    let ran = played(&Plan::of_text(&text), directory.path());
+    let ran = played(&Plan::from_text(&text), directory.path());
     assert!(
-        ran.verdict.kept(),
+        ran.verdict.is_kept(),
         "{:?}\n{}",
         ran.verdict.counts,
         stories(&ran)
@@ -295,9 +295,9 @@
         .replace("{peer g8}", "127.0.0.1:9")
         .replace("{peer g9}", "127.0.0.1:10");
     let text = format!("{PARTS}{own}").replace("time 5s", "time 3s");
-    let ran = played(&Plan::of_text(&text), directory.path());
+    let ran = played(&Plan::from_text(&text), directory.path());
     assert!(
-        ran.verdict.kept(),
+        ran.verdict.is_kept(),
         "{:?}\n{}",
         ran.verdict.counts,
         stories(&ran)
@@ -320,9 +320,9 @@
     let faults = "at 500ms link-cut g2 bulletin for 4s\nat 1500ms drain e-1\nat 3s list e-1\n\
                   at 6500ms kill-gateway g3\nat 6700ms wipe-directory g3\nat 7s start-gateway g3\n";
     let text = format!("{PARTS}{all}{faults}").replace("time 5s", "time 9s");
-    let ran = played(&Plan::of_text(&text), directory.path());
+    let ran = played(&Plan::from_text(&text), directory.path());
     assert!(
-        ran.verdict.kept(),
+        ran.verdict.is_kept(),
         "{:?}\n{}",
         ran.verdict.counts,
         stories(&ran)
--- a/crates/fleet-test/tests/processes.rs
+++ b/crates/fleet-test/tests/processes.rs
@@ -7,7 +7,7 @@
 use eideryard_fleet_test::check::Rule;
 use eideryard_fleet_test::minimize::minimize;
 use eideryard_fleet_test::plan::Plan;
-use eideryard_fleet_test::run::{program, run, Ran};
+use eideryard_fleet_test::run::{program, run, RunOutcome};
 use eideryard_fleet_test::world::play;
 
 /// The tests of the whole workspace build the program; one package's tests alone don't.
@@ -15,7 +15,7 @@
     program().expect("build the program first: cargo build, or cargo test --workspace")
 }
 
-fn played(plan: &Plan) -> Ran {
+fn played(plan: &Plan) -> RunOutcome {
     let directory = tempfile::tempdir().expect("a directory");
     run(&built(), plan, directory.path()).expect("it can be played")
 }
@@ -87,7 +87,7 @@
 /// for all keys, so that no retry elsewhere can take effect twice and every rule has to hold.
 #[test]
 fn rules_hold_through_faults_of_every_part_and_the_history_explains_each_loss() {
-    let plan = Plan::of_text(&format!(
+    let plan = Plan::from_text(&format!(
         "{PARTS}at 500ms save-directory g2\nat 700ms drain e-4\nat 800ms pause-gateway g3 for 600ms\n\
          at 900ms link-cut g1 e-1 way there for 500ms\nat 1s link-flap clients g2 every 60ms for 600ms\n\
          at 1100ms link-swallow g1 e-2 for 300ms\nat 1300ms link-reset g3 engines\n\
@@ -104,7 +104,7 @@
         .map(|(found, story)| format!("{found:?}\n{}", story.join("\n")))
         .collect();
     assert!(
-        ran.verdict.kept(),
+        ran.verdict.is_kept(),
         "{:?}\n{}",
         ran.verdict.counts,
         stories.join("\n")
@@ -131,7 +131,7 @@
         env!("CARGO_MANIFEST_DIR"),
         "/../../examples/double-effect.scenario"
     );
-    let plan = Plan::of_text(&std::fs::read_to_string(path).unwrap());
+    let plan = Plan::from_text(&std::fs::read_to_string(path).unwrap());
     let ran = played(&plan);
     assert!(
         ran.verdict.count(Rule::EffectOnce) > 0,
