--- a/crates/fleet-test/src/check/answers.rs
+++ b/crates/fleet-test/src/check/answers.rs
@@ -1,4 +1,5 @@
-//! Exactly one answer from a living gateway; all that was asked has an end, and each loss a cause.
+//! Rules on answers: a running gateway answers each try exactly once, every try has an end, and
+//! every lost answer has a fault that explains it.
 
 use std::collections::BTreeMap;
 
@@ -7,39 +8,39 @@
 use super::{Break, History, Rule, Subject, Verdict};
 
 #[derive(Default)]
-struct Sums {
-    asked: u64,
+struct Counts {
+    sent: u64,
     ends: BTreeMap<How, u64>,
 }
 
-/// Every try has exactly one final answer, or a cause for none.
+/// Checks that every try has exactly one final answer or a fault that explains its loss.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn check(history: &History<'_>, verdict: &mut Verdict) {
-    let mut loads: BTreeMap<Name, Sums> = BTreeMap::new();
+    let mut loads: BTreeMap<Name, Counts> = BTreeMap::new();
     let mut causes: BTreeMap<&'static str, u64> = BTreeMap::new();
-    let (mut unanswered, mut no_door) = (0, 0);
+    let (mut unanswered, mut unreachable) = (0, 0);
     for Happened { at, what } in history.events {
         let (rule, subject, text) = match what {
             What::Asked(tried) => {
-                loads.entry(tried.load.clone()).or_default().asked += 1;
+                loads.entry(tried.load.clone()).or_default().sent += 1;
                 continue;
             }
             What::NoDoor { .. } => {
-                no_door += 1;
+                unreachable += 1;
                 continue;
             }
             What::Surplus { load, gateway } => {
-                let text = format!("{load}: an answer of {gateway} that nothing waits for");
+                let text = format!("{load}: {gateway} sent an answer that no try waits for");
                 (Rule::OneAnswer, Subject::Load(load.clone()), text)
             }
             What::Garbled { id } => (
                 Rule::OneAnswer,
                 Subject::Request(*id),
-                "a result that no engine made for it".into(),
+                "its result is not one that an engine made for it".into(),
             ),
             What::Over { id, how, .. } => {
-                let Some((asked, tried)) = history.tries.get(id) else {
-                    let text = "an end of a try that nobody made".to_string();
+                let Some((sent_at, tried)) = history.tries.get(id) else {
+                    let text = "an end of a try that no client sent".to_string();
                     verdict.add(Break {
                         rule: Rule::Conservation,
                         subject: Subject::Request(*id),
@@ -58,7 +59,7 @@
                 if !matches!(how, How::Reset | How::Silence) {
                     continue;
                 }
-                match history.cause(&tried.gateway, *asked, *at) {
+                match history.find_cause(&tried.gateway, *sent_at, *at) {
                     Some(cause) => {
                         *causes.entry(cause).or_default() += 1;
                         continue;
@@ -66,11 +67,11 @@
                     None => {
                         unanswered += 1;
                         let what = if *how == How::Reset {
-                            "ended its connection"
+                            "closed the connection without an answer"
                         } else {
-                            "said nothing"
+                            "didn't answer"
                         };
-                        let text = format!("{} lived and {what}", tried.gateway);
+                        let text = format!("{} had no fault and {what}", tried.gateway);
                         (Rule::OneAnswer, Subject::Request(*id), text)
                     }
                 }
@@ -87,7 +88,7 @@
     }
     for (id, ends) in history.ends.iter().filter(|(_, ends)| ends.len() > 1) {
         let (from, to) = (ends[0].0, ends[ends.len() - 1].0);
-        let text = format!("it ended {} times", ends.len());
+        let text = format!("the try ended {} times", ends.len());
         verdict.add(Break {
             rule: Rule::OneAnswer,
             subject: Subject::Request(*id),
@@ -96,11 +97,11 @@
             text,
         });
     }
-    let mut total = Sums::default();
-    for (load, sums) in &loads {
-        let ended: u64 = sums.ends.values().sum();
-        if sums.asked != ended {
-            let text = format!("{load}: {} were asked and {ended} ended", sums.asked);
+    let mut total = Counts::default();
+    for (load, counts) in &loads {
+        let ended: u64 = counts.ends.values().sum();
+        if counts.sent != ended {
+            let text = format!("{load}: {} tries were sent and {ended} ended", counts.sent);
             let subject = Subject::Load(load.clone());
             verdict.add(Break {
                 rule: Rule::Conservation,
@@ -110,19 +111,20 @@
                 text,
             });
         }
-        total.asked += sums.asked;
-        sums.ends
+        total.sent += counts.sent;
+        counts
+            .ends
             .iter()
             .for_each(|(how, count)| *total.ends.entry(*how).or_default() += count);
     }
-    let of = |how| total.ends.get(&how).copied().unwrap_or(0);
-    verdict.set_figure("requests", total.asked);
-    verdict.set_figure("served", of(How::Served));
-    verdict.set_figure("refused", of(How::Refused));
-    verdict.set_figure("failed", of(How::Failed));
-    verdict.set_figure("forgotten", of(How::Forgotten));
-    verdict.set_figure("lost", of(How::Reset) + of(How::Silence));
-    verdict.set_figure("no_door", no_door);
+    let ended_as = |how| total.ends.get(&how).copied().unwrap_or(0);
+    verdict.set_figure("requests", total.sent);
+    verdict.set_figure("served", ended_as(How::Served));
+    verdict.set_figure("refused", ended_as(How::Refused));
+    verdict.set_figure("failed", ended_as(How::Failed));
+    verdict.set_figure("forgotten", ended_as(How::Forgotten));
+    verdict.set_figure("lost", ended_as(How::Reset) + ended_as(How::Silence));
+    verdict.set_figure("no_door", unreachable);
     verdict.set_figure("unanswered", unanswered);
     for (cause, count) in causes {
         verdict.set_figure(&format!("lost_{cause}"), count);
--- a/crates/fleet-test/src/check/answers/tests.rs
+++ b/crates/fleet-test/src/check/answers/tests.rs
@@ -1,19 +1,19 @@
-//! Tests of this module, on small inputs.
+//! Tests of the rules on answers.
 
 use super::super::tests::*;
 use super::*;
 use eideryard_emulators::history::Process;
 
 #[test]
-fn a_loss_needs_a_cause_and_every_try_one_end() {
-    let kept = vec![
+fn every_try_needs_one_end_and_a_lost_answer_a_fault() {
+    let sound = vec![
         asked(10, 1, "a", "g1", 0),
         over(20, 1, How::Served),
         asked(30, 2, "b", "g1", 0),
         gateway(40, "g1", Process::Killed),
         over(50, 2, How::Reset),
     ];
-    let verdict = checked(&kept);
+    let verdict = checked(&sound);
     assert!(verdict.is_kept(), "{:?}", verdict.breaks);
     assert_eq!(
         (
@@ -22,46 +22,46 @@
         ),
         (1, 0)
     );
-    // The same without the kill, with a second end, without an end, with an end of nothing,
-    // with an answer too many.
-    let mut planted = [
-        kept.clone(),
-        kept.clone(),
-        kept.clone(),
-        kept.clone(),
-        kept.clone(),
+    // The same history without the kill, with a second end, without an end, with an end of an
+    // unknown try, and with a surplus answer.
+    let mut faulty = [
+        sound.clone(),
+        sound.clone(),
+        sound.clone(),
+        sound.clone(),
+        sound.clone(),
     ];
-    planted[0].remove(3);
-    planted[1].insert(2, over(25, 1, How::Failed));
-    planted[2].remove(1);
-    planted[3].push(over(60, 9, How::Served));
+    faulty[0].remove(3);
+    faulty[1].insert(2, over(25, 1, How::Failed));
+    faulty[2].remove(1);
+    faulty[3].push(over(60, 9, How::Served));
     let surplus = What::Surplus {
         load: "all".into(),
         gateway: "g1".into(),
     };
-    planted[4].push(Happened {
+    faulty[4].push(Happened {
         at: 60,
         what: surplus,
     });
-    let found: Vec<Vec<Rule>> = planted
+    let found: Vec<Vec<Rule>> = faulty
         .iter()
         .map(|events| checked(events).counts.into_keys().collect())
         .collect();
-    let (one, sums) = (Rule::OneAnswer, Rule::Conservation);
+    let (one_answer, conservation) = (Rule::OneAnswer, Rule::Conservation);
     assert_eq!(
         found,
         [
-            vec![one],
-            vec![one, sums],
-            vec![sums],
-            vec![sums],
-            vec![one]
+            vec![one_answer],
+            vec![one_answer, conservation],
+            vec![conservation],
+            vec![conservation],
+            vec![one_answer]
         ]
     );
 }
 
 #[test]
-fn a_pause_and_a_cut_link_excuse_a_silence_and_another_gateways_do_not() {
+fn a_pause_or_a_cut_of_the_same_gateway_explains_a_missing_answer() {
     let events = |fault: &[Happened]| {
         let mut events = vec![asked(10, 1, "a", "g1", 0)];
         events.extend_from_slice(fault);
--- a/crates/fleet-test/src/check/cold.rs
+++ b/crates/fleet-test/src/check/cold.rs
@@ -1,5 +1,6 @@
-//! No cold engine pushed over: what all gateways together send to one that has just started, in any
-//! window of the rule's length, is at most the rule's multiple of what it can do at that moment.
+//! The rule on slow start: the work that all gateways together send to an engine in slow start,
+//! within any window of the configured length, is at most the configured multiple of its capacity
+//! at that time.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,70 +8,70 @@
 
 use super::{Break, Facts, History, Rule, Subject, Verdict};
 
-struct Cold {
+struct SlowStart {
     since: Micros,
-    warm_within: Micros,
-    /// Work sent in the window, in seconds on one core.
+    duration: Micros,
+    /// Work sent within the last window: time and seconds on one core.
     sent: VecDeque<(Micros, f64)>,
-    over: bool,
+    is_exceeded: bool,
 }
 
-/// No engine in slow start is sent more than it bears by all gateways together.
+/// Checks that no engine in slow start is sent more work than the limit by all gateways together.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn check(facts: &Facts, history: &History<'_>, verdict: &mut Verdict) {
     let window = facts.fall_window.as_micros() as Micros;
-    let mut cold: BTreeMap<Name, Cold> = BTreeMap::new();
-    let (mut over, mut starts, mut worst) = (0, 0, 0.0f64);
+    let mut cold: BTreeMap<Name, SlowStart> = BTreeMap::new();
+    let (mut exceeded, mut starts, mut highest_ratio) = (0, 0, 0.0f64);
     for Happened { at, what } in history.events {
         match what {
             What::Engine { engine, begins } => {
                 cold.remove(engine);
-                if let Some(warm_within) = begins.filter(|warm| *warm > 0) {
+                if let Some(duration) = begins.filter(|duration| *duration > 0) {
                     starts += 1;
                     let sent = VecDeque::new();
                     cold.insert(
                         engine.clone(),
-                        Cold {
+                        SlowStart {
                             since: *at,
-                            warm_within,
+                            duration,
                             sent,
-                            over: false,
+                            is_exceeded: false,
                         },
                     );
                 }
             }
             What::Began { engine, work, .. } => {
-                let Some(own) = cold.get_mut(engine) else {
+                let Some(slow_start) = cold.get_mut(engine) else {
                     continue;
                 };
-                let age = (*at - own.since) as f64 / own.warm_within as f64;
+                let age = (*at - slow_start.since) as f64 / slow_start.duration as f64;
                 if age >= 1.0 {
                     continue;
                 }
                 let cores = facts.engines.iter().find(|spec| *spec.name == **engine);
                 let cores = cores.map_or(1.0, |spec| spec.cores as f64);
-                let share = facts.start_capacity + (1.0 - facts.start_capacity) * age;
-                own.sent.push_back((*at, *work));
-                while own
+                let capacity_part = facts.start_capacity + (1.0 - facts.start_capacity) * age;
+                slow_start.sent.push_back((*at, *work));
+                while slow_start
                     .sent
                     .front()
                     .is_some_and(|(sent, _)| sent + window <= *at)
                 {
-                    own.sent.pop_front();
+                    slow_start.sent.pop_front();
                 }
-                let sent: f64 = own.sent.iter().map(|(_, work)| work).sum();
-                let most = facts.fall_multiple * cores * share * window as f64 / 1e6;
-                worst = worst.max(sent / most);
-                if sent > most && !std::mem::replace(&mut own.over, true) {
-                    over += 1;
+                let sent: f64 = slow_start.sent.iter().map(|(_, work)| work).sum();
+                let limit = facts.fall_multiple * cores * capacity_part * window as f64 / 1e6;
+                highest_ratio = highest_ratio.max(sent / limit);
+                if sent > limit && !std::mem::replace(&mut slow_start.is_exceeded, true) {
+                    exceeded += 1;
                     let text = format!(
                         "{engine} was sent {sent:.1} s of work within {:.1} s, {:.0} ms after its cold \
                         start; \
-                         {most:.1} s are the most",
+                         the limit is {limit:.1} s",
                         window as f64 / 1e6,
-                        (*at - own.since) as f64 / 1e3
+                        (*at - slow_start.since) as f64 / 1e3
                     );
-                    let from = own.since;
+                    let from = slow_start.since;
                     let subject = Subject::Engine(engine.clone());
                     verdict.add(Break {
                         rule: Rule::ColdEngines,
@@ -85,8 +86,8 @@
         }
     }
     verdict.set_figure("cold_starts", starts);
-    verdict.set_figure("cold_over", over);
-    verdict.set_figure("cold_worst_percent", (100.0 * worst).round() as u64);
+    verdict.set_figure("cold_over", exceeded);
+    verdict.set_figure("cold_worst_percent", (100.0 * highest_ratio).round() as u64);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/cold/tests.rs
+++ b/crates/fleet-test/src/check/cold/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of this module, on small inputs.
+//! Tests of the rule on slow start.
 
 use super::super::tests::*;
 use super::*;
 
 #[test]
-fn what_all_gateways_send_together_to_a_cold_engine_is_summed_over_the_window() {
+fn work_from_all_gateways_to_a_cold_engine_is_summed_over_the_window() {
     let start = Happened {
         at: 0,
         what: What::Engine {
@@ -12,21 +12,28 @@
             begins: Some(10_000_000),
         },
     };
-    // Four cores, 40% of them at first: 4.8 s of work a second and a little more are the most.
-    let sends = |work: f64, apart: Micros| {
+    // Four cores at 40% capacity, times 3: the limit is 4.8 s of work per second at first and
+    // rises.
+    let sends = |work: f64, interval: Micros| {
         let mut events = vec![start.clone()];
         for number in 0..4 {
             let name = if number % 2 == 0 { "g1" } else { "g2" };
-            events.push(asked(number * apart, number, &number.to_string(), name, 0));
-            events.push(began(number * apart + 1, "e1", number, work));
+            events.push(asked(
+                number * interval,
+                number,
+                &number.to_string(),
+                name,
+                0,
+            ));
+            events.push(began(number * interval + 1, "e1", number, work));
         }
         checked(&events)
     };
-    let over = sends(1.5, 100);
+    let too_much = sends(1.5, 100);
     assert_eq!(
         (
-            over.count(Rule::ColdEngines),
-            over.figures["cold_worst_percent"]
+            too_much.count(Rule::ColdEngines),
+            too_much.figures["cold_worst_percent"]
         ),
         (1, 125)
     );
@@ -34,11 +41,11 @@
     assert_eq!(
         sends(1.5, 500_000).count(Rule::ColdEngines),
         0,
-        "half of them lie in any window"
+        "any window contains half of them"
     );
     assert_eq!(
         sends(9.0, 4_000_000).count(Rule::ColdEngines),
         1,
-        "one alone is over while it is cold"
+        "a single request exceeds the limit while the engine is cold"
     );
 }
--- a/crates/fleet-test/src/check/copies/tests.rs
+++ b/crates/fleet-test/src/check/copies/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of this module, on small inputs.
+//! Tests of the rule on replicas.
 
 use super::*;
 use eideryard_replication::{Origin, Phase, Record};
 
 #[test]
-fn a_keeper_that_lacks_a_record_breaks_the_rule() {
+fn a_voter_without_a_record_breaks_the_rule() {
     let record = Record {
         version: 1,
         phase: Phase::InFlight,
@@ -13,7 +13,7 @@
         until: 2,
         origin_expiry_ms: 20_000,
     };
-    let held: VoterReplicas = [(
+    let complete: VoterReplicas = [(
         b"key".to_vec(),
         [(
             Origin {
@@ -28,14 +28,14 @@
     let count = |other: VoterReplicas| {
         let mut verdict = Verdict::default();
         check(
-            &[("g1".into(), held.clone()), ("g2".into(), other)],
+            &[("g1".into(), complete.clone()), ("g2".into(), other)],
             10_000,
             &mut verdict,
         );
         (verdict.count(Rule::Copies), verdict.figures["differ"])
     };
     assert_eq!(
-        (count(held.clone()), count(VoterReplicas::new())),
+        (count(complete.clone()), count(VoterReplicas::new())),
         ((0, 0), (1, 1))
     );
 }
--- a/crates/fleet-test/src/check/drains.rs
+++ b/crates/fleet-test/src/check/drains.rs
@@ -1,6 +1,6 @@
-//! Drains are kept, across restarts too: nothing new reaches an engine later than the grace after
-//! its gateway was told that it drains or is gone. What was under way on a faulty link is not held
-//! against a gateway.
+//! The rule on drains: no new request begins at an engine later than the grace time after its
+//! gateway was notified that the engine drains or was removed, also across restarts of the gateway.
+//! Requests that a faulty link or a pause of the gateway delayed don't count.
 
 use std::collections::HashMap;
 
@@ -9,17 +9,17 @@
 use super::{Break, Facts, History, Rule, Subject, Verdict, SLACK};
 use crate::links::BULLETIN;
 
-/// What the bulletin has to tell counts as told so long after at the latest, whether or not it
-/// arrived.
-const TOLD_WITHIN: Micros = 7_000_000;
+/// After this time a gateway counts as notified even if its link to the bulletin was faulty all the
+/// time, in microseconds.
+const NOTIFIED_WITHIN: Micros = 7_000_000;
 
-/// No attempt begins at an engine after the grace of its drain.
+/// Checks that no attempt begins at an engine later than the grace time after its drain.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn check(facts: &Facts, history: &History<'_>, verdict: &mut Verdict) {
     let grace = facts.drain_grace.as_micros() as Micros + SLACK;
-    // Since when a gateway knows that it must not send to an engine.
-    let mut told: HashMap<(Name, Name), Micros> = HashMap::new();
-    let mut after = 0;
+    // When each gateway was notified that it must not send to an engine.
+    let mut unavailable: HashMap<(Name, Name), Micros> = HashMap::new();
+    let mut begun_after_drain = 0;
     for Happened { at, what } in history.events {
         match what {
             What::Told {
@@ -27,45 +27,46 @@
                 engine,
                 health,
             } => {
-                let place = (gateway.clone(), engine.clone());
+                let pair = (gateway.clone(), engine.clone());
                 if *health == "up" {
-                    told.remove(&place);
+                    unavailable.remove(&pair);
                 } else {
-                    told.entry(place).or_insert(*at);
+                    unavailable.entry(pair).or_insert(*at);
                 }
             }
-            // A process that starts knows what it is started with, from then on.
+            // A new process has the endpoint list of its configuration from its start on.
             What::Gateway {
                 gateway,
                 how: Process::Started(_),
             } => {
-                told.iter_mut()
-                    .filter(|((own, _), _)| own == gateway)
+                unavailable
+                    .iter_mut()
+                    .filter(|((notified, _), _)| notified == gateway)
                     .for_each(|(_, since)| *since = *at);
             }
             What::Began { engine, id, .. } => {
                 let Some((_, tried)) = history.tries.get(id) else {
                     continue;
                 };
-                let Some(&since) = told.get(&(tried.gateway.clone(), engine.clone())) else {
+                let Some(&since) = unavailable.get(&(tried.gateway.clone(), engine.clone())) else {
                     continue;
                 };
-                after += 1;
-                let link = history.of_link(&tried.gateway, BULLETIN);
-                let heard = link
+                begun_after_drain += 1;
+                let link = history.link_faults(&tried.gateway, BULLETIN);
+                let link_repaired = link
                     .iter()
-                    .filter(|span| span.meets(since, since))
+                    .filter(|span| span.overlaps(since, since))
                     .map(|span| span.to)
                     .max();
-                let heard = heard.map_or(since, |end| end.min(since + TOLD_WITHIN));
-                let way = history.of_link(&tried.gateway, engine);
-                let excused = way.iter().any(|span| span.meets(heard, *at))
-                    || history.paused_within(&tried.gateway, since, *at);
-                if *at > heard + grace && !excused {
+                let notified = link_repaired.map_or(since, |end| end.min(since + NOTIFIED_WITHIN));
+                let engine_link = history.link_faults(&tried.gateway, engine);
+                let is_excused = engine_link.iter().any(|span| span.overlaps(notified, *at))
+                    || history.was_paused(&tried.gateway, since, *at);
+                if *at > notified + grace && !is_excused {
                     let text = format!(
-                        "{} sent {id:016x} to {engine} {:.1} ms after it was told that it drains",
+                        "{} sent {id:016x} to {engine} {:.1} ms after it was notified of the drain",
                         tried.gateway,
-                        (*at - heard) as f64 / 1e3
+                        (*at - notified) as f64 / 1e3
                     );
                     let subject = Subject::Engine(engine.clone());
                     verdict.add(Break {
@@ -80,7 +81,7 @@
             _ => {}
         }
     }
-    verdict.set_figure("begun_after_drain", after);
+    verdict.set_figure("begun_after_drain", begun_after_drain);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/drains/tests.rs
+++ b/crates/fleet-test/src/check/drains/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of this module, on small inputs.
+//! Tests of the rule on drains.
 
 use super::super::tests::*;
 use super::*;
 
 #[test]
-fn new_work_after_the_grace_is_caught_unless_a_fault_explains_it() {
-    let told = |at, health| {
+fn a_request_after_the_grace_time_is_caught_unless_a_fault_explains_it() {
+    let notified = |at, health| {
         let (gateway, engine) = ("g1".into(), "e1".into());
         Happened {
             at,
@@ -17,16 +17,16 @@
         }
     };
     let late = 10 + 500_000 + SLACK + 1;
-    let sent = |at, faults: &[Happened]| {
-        let mut events = vec![told(10, "draining"), asked(20, 1, "a", "g1", 0)];
+    let breaks = |at, faults: &[Happened]| {
+        let mut events = vec![notified(10, "draining"), asked(20, 1, "a", "g1", 0)];
         events.extend_from_slice(faults);
         events.push(began(at, "e1", 1, 0.01));
         checked(&events).count(Rule::Drains)
     };
-    assert_eq!((sent(late, &[]), sent(late - 1, &[])), (1, 0));
-    assert_eq!(sent(late, &[told(30, "up")]), 0);
+    assert_eq!((breaks(late, &[]), breaks(late - 1, &[])), (1, 0));
+    assert_eq!(breaks(late, &[notified(30, "up")]), 0);
     assert_eq!(
-        sent(
+        breaks(
             late,
             &[
                 gateway(30, "g1", Process::Paused),
@@ -41,14 +41,14 @@
             link(40, "g1", to, "cut", false),
         ]
     };
-    assert_eq!((sent(late, &cut("e1")), sent(late, &cut("e2"))), (0, 1));
-    // A restart begins the grace anew, but doesn't make it forget.
+    assert_eq!((breaks(late, &cut("e1")), breaks(late, &cut("e2"))), (0, 1));
+    // A restart of the gateway restarts the grace time, but doesn't end the drain.
     let restart = [
         gateway(30, "g1", Process::Killed),
         gateway(300_000, "g1", Process::Started(2)),
     ];
     assert_eq!(
-        (sent(late, &restart), sent(late + 300_000, &restart)),
+        (breaks(late, &restart), breaks(late + 300_000, &restart)),
         (0, 1)
     );
 }
--- a/crates/fleet-test/src/check/effects.rs
+++ b/crates/fleet-test/src/check/effects.rs
@@ -1,6 +1,6 @@
-//! No effect twice: a request's writes take effect once, whichever gateways its tries went through.
-//! A client that comes again after the window has asked for a new effect: the engines have
-//! forgotten it by then.
+//! The rule on effects: the writes of a request take effect once, whichever gateways its tries went
+//! through. A retry after the window counts as a new request, because the engines have forgotten
+//! its key by then.
 
 use std::collections::HashMap;
 
@@ -14,18 +14,20 @@
     id: u64,
 }
 
-/// No key of a class that may not repeat takes effect twice within its window.
+/// Checks that no key takes effect twice within the window of its class, and that every effect
+/// belongs to a try.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn check(facts: &Facts, history: &History<'_>, verdict: &mut Verdict) {
     let mut effects: HashMap<(&Name, &Name), Vec<Effect<'_>>> = HashMap::new();
-    let (mut all, mut twice, mut late, mut repeats) = (0, 0, 0, 0);
+    let (mut effect_count, mut twice, mut after_window, mut repeats) = (0, 0, 0, 0);
     for Happened { at, what } in history.events {
         match what {
             What::Effect { engine, id, .. } => {
-                all += 1;
-                // By the key that all tries share; an engine knows only the id of an unsafe one.
+                effect_count += 1;
+                // Grouped by the key that all tries of a request share. An engine gets no key for
+                // an unsafe request, only the id of its try.
                 let Some((_, tried)) = history.tries.get(id) else {
-                    let text = format!("{engine} did what nobody asked for");
+                    let text = format!("{engine} reported an effect of a try that no client sent");
                     let subject = Subject::Request(*id);
                     verdict.add(Break {
                         rule: Rule::EffectOnce,
@@ -36,8 +38,8 @@
                     });
                     continue;
                 };
-                let of = effects.entry((&tried.load, &tried.key)).or_default();
-                of.push(Effect {
+                let same_key = effects.entry((&tried.load, &tried.key)).or_default();
+                same_key.push(Effect {
                     at: *at,
                     engine,
                     id: *id,
@@ -47,32 +49,33 @@
             _ => {}
         }
     }
-    let mut found: Vec<_> = effects
+    let mut repeated: Vec<_> = effects
         .into_iter()
         .filter(|(_, effects)| effects.len() > 1)
         .collect();
-    found.sort_by_key(|(_, effects)| effects[0].at);
-    for ((_, key), effects) in found {
+    repeated.sort_by_key(|(_, effects)| effects[0].at);
+    for ((_, key), effects) in repeated {
         let tried = |id| history.tries.get(&id);
         let window = |id| {
             let class = tried(id).and_then(|(_, tried)| facts.class(&tried.class));
             class.map_or(0, |class| class.window.as_micros() as Micros)
         };
-        // A keyed effect is known by its key for the window; an unsafe one has none, and no retry.
-        let asked_again_late = |before: &Effect<'_>, after: &Effect<'_>| {
+        // Engines remember the key of a keyed effect for the window. An unsafe request has no key
+        // and must never run again.
+        let is_sent_after_window = |before: &Effect<'_>, after: &Effect<'_>| {
             let keyed = tried(before.id).and_then(|(_, tried)| facts.class(&tried.class));
-            let asked = tried(after.id).map_or(0, |(asked, _)| *asked);
+            let sent = tried(after.id).map_or(0, |(sent, _)| *sent);
             keyed.is_some_and(|class| class.effect == "keyed")
-                && asked + SLACK >= before.at + window(before.id)
+                && sent + SLACK >= before.at + window(before.id)
         };
         for pair in effects.windows(2) {
-            if asked_again_late(&pair[0], &pair[1]) {
-                late += 1;
+            if is_sent_after_window(&pair[0], &pair[1]) {
+                after_window += 1;
                 continue;
             }
             twice += 1;
             let text = format!(
-                "took effect at {} and {:.1} ms later again at {}",
+                "took effect at {} and again {:.1} ms later at {}",
                 pair[0].engine,
                 (pair[1].at - pair[0].at) as f64 / 1e3,
                 pair[1].engine
@@ -87,9 +90,9 @@
             });
         }
     }
-    verdict.set_figure("effects", all);
+    verdict.set_figure("effects", effect_count);
     verdict.set_figure("effects_twice", twice);
-    verdict.set_figure("effects_after_window", late);
+    verdict.set_figure("effects_after_window", after_window);
     verdict.set_figure("repeats_dropped", repeats);
 }
 
--- a/crates/fleet-test/src/check/effects/tests.rs
+++ b/crates/fleet-test/src/check/effects/tests.rs
@@ -1,17 +1,17 @@
-//! Tests of this module, on small inputs.
+//! Tests of the rule on effects.
 
 use super::super::tests::*;
 use super::*;
 
 #[test]
-fn a_second_effect_within_the_window_is_caught_and_one_asked_for_after_it_is_not() {
+fn a_second_effect_is_caught_unless_its_try_was_sent_after_the_window() {
     let window = 1_000_000;
-    let twice = |again: Micros| {
+    let twice = |sent_again: Micros| {
         vec![
             asked(10, 1, "a", "g1", 0),
             effect(20, "e1", 1),
-            asked(again, 2, "a", "g2", 1),
-            effect(again + 10, "e2", 2),
+            asked(sent_again, 2, "a", "g2", 1),
+            effect(sent_again + 10, "e2", 2),
         ]
     };
     assert_eq!(checked(&twice(30)).count(Rule::EffectOnce), 1);
@@ -19,21 +19,21 @@
         checked(&twice(20 + window - SLACK - 1)).count(Rule::EffectOnce),
         1
     );
-    let late = checked(&twice(20 + window));
+    let after_window = checked(&twice(20 + window));
     assert_eq!(
         (
-            late.count(Rule::EffectOnce),
-            late.figures["effects_after_window"]
+            after_window.count(Rule::EffectOnce),
+            after_window.figures["effects_after_window"]
         ),
         (0, 1)
     );
-    // Other requests' effects are none of this one's, and an effect needs a request.
-    let other = vec![
+    // Effects of different requests are independent, and an effect without a request is a break.
+    let two_requests = vec![
         asked(10, 1, "a", "g1", 0),
         effect(20, "e1", 1),
         asked(30, 2, "b", "g2", 0),
         effect(40, "e2", 2),
     ];
-    assert_eq!(checked(&other).count(Rule::EffectOnce), 0);
+    assert_eq!(checked(&two_requests).count(Rule::EffectOnce), 0);
     assert_eq!(checked(&[effect(5, "e1", 7)]).count(Rule::EffectOnce), 1);
 }
--- a/crates/fleet-test/src/check/mod.rs
+++ b/crates/fleet-test/src/check/mod.rs
@@ -1,8 +1,8 @@
-//! Holds a whole history against the rules. Pure: what happened in, breaks and figures out.
+//! Checks the history of a run against the rules. No I/O: takes the events, returns the breaks of
+//! rules and the figures of the run.
 //!
-//! Each rule has a file; [`History`] is what they all look things up in. A rule that was broken
-//! names the key or the engine it was broken for, and [`story`] tells from all sides what led to
-//! it.
+//! Each rule has a file; [`History`] indexes the events for all of them. A break names the key, the
+//! engine or another subject, and [`story`] lists the events of all parts that led to it.
 
 mod answers;
 mod cold;
@@ -24,38 +24,39 @@
 
 pub use records::{read_requests, Recorded};
 
-/// Breaks of one rule that are kept; all are counted.
+/// Breaks of one rule that a verdict lists; further ones are only counted.
 pub const MAX_BREAKS: usize = 100;
-/// What the machine and the wire may add to any time: as the protocol page grants.
+/// Tolerance for delays of the test machine and the network when times are compared, in
+/// microseconds, as the protocol page allows.
 pub const SLACK: Micros = 50_000;
 
-/// What every run has to keep.
+/// A rule that every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Exactly one answer from a living gateway.
+    /// A running gateway answers each request exactly once.
     OneAnswer,
-    /// No effect twice.
+    /// No request takes effect twice within the window of its class.
     EffectOnce,
-    /// No new work at an engine that drains.
+    /// No request begins at a draining or removed engine after the grace time.
     Drains,
-    /// No engine in slow start gets more than it bears.
+    /// No engine in slow start is sent more work than its capacity at that time allows.
     ColdEngines,
-    /// Requests of one key in the order taken.
+    /// Requests of an ordered class with one key run one at a time, in the order of arrival.
     Order,
-    /// All that was asked has an end, and each loss a cause.
+    /// Every request has an end, and every lost answer a fault that explains it.
     Conservation,
-    /// What records say is what clients saw.
+    /// The event logs of gateways agree with what clients saw.
     Records,
-    /// What keepers hold of a key is the same once nothing new comes.
+    /// All voters hold equal replicas of a key once no new requests arrive.
     Copies,
-    /// Of each task one owner's work counts at a time.
+    /// At each receiver, the fencing tokens of accepted work never fall, and a term has one owner.
     Owners,
-    /// A gateway ended though nobody told it to.
+    /// A gateway process ended without being stopped, or didn't end when it was.
     Crash,
 }
 
 impl Rule {
-    /// Its name in reports.
+    /// The name in the program's output.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAnswer => "one answer",
@@ -72,18 +73,18 @@
     }
 }
 
-/// What a break is about.
+/// The object for which a rule was broken.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// A key.
+    /// All tries of the request with this key.
     Key(Name),
-    /// A try of a request.
+    /// One try of a request, by its id.
     Request(u64),
-    /// An engine.
+    /// An engine, by its name in the scenario.
     Engine(Name),
-    /// The clients of a load.
+    /// All clients of a load.
     Load(Name),
-    /// A gateway.
+    /// A gateway by its name, or `keepers` for all voters of a group.
     Gateway(Name),
 }
 
@@ -102,39 +103,40 @@
 /// One break of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Break {
-    /// The rule.
+    /// The broken rule.
     pub rule: Rule,
-    /// What it was broken for.
+    /// The object for which it was broken; selects the events of its story.
     pub subject: Subject,
-    /// From when to when it happened.
+    /// Begin of the time in which it was broken, in Unix microseconds; 0 if it has no time.
     pub from: Micros,
-    /// The end of that time.
+    /// End of that time, in Unix microseconds.
     pub to: Micros,
-    /// What happened, in words.
+    /// Description for the report, without rule and subject.
     pub text: String,
 }
 
-/// What the rules need to know of a scenario.
+/// The settings of a scenario that the rules depend on.
 #[derive(Clone, Debug)]
 pub struct Facts {
-    /// Classes of requests.
+    /// Request classes of the scenario.
     pub classes: Vec<ClassSpec>,
-    /// Engines, as the scenario names them.
+    /// Engines under the names that events use.
     pub engines: Vec<EngineSpec>,
-    /// How many gateways there are.
+    /// Number of gateways in the scenario.
     pub gateways: usize,
-    /// Work may begin at an engine for so long after its drain.
+    /// Requests may still begin at an engine for this time after its drain was announced.
     pub drain_grace: Duration,
-    /// Part of its capacity that a cold engine has.
+    /// Capacity of an engine at its start, as a part of its full capacity (0 to 1).
     pub start_capacity: f64,
-    /// Multiple of its capacity of the time that a cold engine bears.
+    /// Work per [`Self::fall_window`] that an engine in slow start may be sent, as a multiple of
+    /// its capacity at that time.
     pub fall_multiple: f64,
-    /// The time over which that is counted.
+    /// The time over which the work sent to an engine in slow start is summed.
     pub fall_window: Duration,
 }
 
 impl Facts {
-    /// Those of a scenario.
+    /// Takes the engines and classes from a scenario and the rest from [`crate::config`].
     pub fn from_scenario(scenario: &Scenario) -> Self {
         Facts {
             classes: scenario.classes.clone(),
@@ -147,48 +149,48 @@
         }
     }
 
-    /// The class of a name, if there is one.
+    /// Finds a class by name.
     pub fn class(&self, name: &str) -> Option<&ClassSpec> {
         self.classes.iter().find(|class| class.name == name)
     }
 }
 
-/// A stretch of time in which something was wrong.
+/// The duration of a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Span {
-    /// Its beginning.
+    /// Begin, in Unix microseconds.
     pub from: Micros,
-    /// Its end.
+    /// End, in Unix microseconds; that of the last event if the fault outlasts the history.
     pub to: Micros,
-    /// What was wrong.
+    /// The kind of fault: `killed`, `stopped`, `ended`, `paused`, or the name of a link fault.
     pub what: &'static str,
 }
 
 impl Span {
-    /// Whether it shares a moment with a time.
-    pub fn meets(&self, from: Micros, to: Micros) -> bool {
+    /// Whether this span overlaps the time between `from` and `to`, ends included.
+    pub fn overlaps(&self, from: Micros, to: Micros) -> bool {
         self.from <= to && from <= self.to
     }
 }
 
-/// A history with what the rules look up in it.
+/// The events of a run with indexes for the rules.
 pub struct History<'a> {
-    /// All that happened, by time.
+    /// All events, sorted by time.
     pub events: &'a [Happened],
-    /// Tries by id, with when they were asked.
+    /// Tries by id, with the times at which clients sent them.
     pub tries: HashMap<u64, (Micros, &'a Try)>,
-    /// Ends of tries by id.
+    /// Ends of tries by id, in order; more than one breaks [`Rule::OneAnswer`].
     pub ends: HashMap<u64, Vec<(Micros, How)>>,
-    /// When gateways were not there or stood still, by name.
+    /// Times in which a gateway was down or paused, by its name.
     pub gateways: BTreeMap<Name, Vec<Span>>,
-    /// Faults of links, by their ends.
+    /// Link faults by the ends of the link.
     pub links: BTreeMap<(Name, Name), Vec<Span>>,
-    /// When the last event happened.
+    /// The time of the last event, in Unix microseconds.
     pub last: Micros,
 }
 
 impl<'a> History<'a> {
-    /// Looks through a history once.
+    /// Indexes events, which must be sorted by time.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
     pub fn new(events: &'a [Happened]) -> Self {
         let last = events.last().map_or(0, |last| last.at);
@@ -202,7 +204,7 @@
         };
         let mut absent: BTreeMap<Name, (Micros, &'static str)> = BTreeMap::new();
         let mut paused: BTreeMap<Name, Micros> = BTreeMap::new();
-        // Several faults of one kind may lie on a link at once.
+        // A link can have several faults of one kind at once.
         let mut faulty: BTreeMap<(Name, Name, &'static str), Vec<Micros>> = BTreeMap::new();
         for Happened { at, what } in events {
             match what {
@@ -287,48 +289,48 @@
         history
     }
 
-    /// When a gateway was not there or stood still.
-    pub fn of_gateway(&self, gateway: &str) -> &[Span] {
+    /// Times in which a gateway was down or paused.
+    pub fn gateway_faults(&self, gateway: &str) -> &[Span] {
         self.gateways.get(gateway).map_or(&[], Vec::as_slice)
     }
 
-    /// Faults of the link between two ends.
-    pub fn of_link(&self, from: &str, to: &str) -> &[Span] {
+    /// Faults of the link that `from` dials to reach `to`.
+    pub fn link_faults(&self, from: &str, to: &str) -> &[Span] {
         self.links
             .get(&(from.into(), to.into()))
             .map_or(&[], Vec::as_slice)
     }
 
-    /// What was wrong between a client and a gateway in a time, if anything was.
-    pub fn cause(&self, gateway: &str, from: Micros, to: Micros) -> Option<&'static str> {
-        let link = self.of_link(crate::links::CLIENTS, gateway);
-        let mut spans = self.of_gateway(gateway).iter().chain(link);
+    /// The kind of the first fault of a gateway or of its client link between `from` and `to`.
+    pub fn find_cause(&self, gateway: &str, from: Micros, to: Micros) -> Option<&'static str> {
+        let link = self.link_faults(crate::links::CLIENTS, gateway);
+        let mut spans = self.gateway_faults(gateway).iter().chain(link);
         spans
-            .find(|span| span.meets(from, to))
+            .find(|span| span.overlaps(from, to))
             .map(|span| span.what)
     }
 
-    /// A gateway stood still somewhere in a time.
-    pub fn paused_within(&self, gateway: &str, from: Micros, to: Micros) -> bool {
-        self.of_gateway(gateway)
+    /// Whether a gateway was paused at any time between `from` and `to`.
+    pub fn was_paused(&self, gateway: &str, from: Micros, to: Micros) -> bool {
+        self.gateway_faults(gateway)
             .iter()
-            .any(|span| span.what == "paused" && span.meets(from, to))
+            .any(|span| span.what == "paused" && span.overlaps(from, to))
     }
 }
 
-/// Breaks and figures of a run.
+/// The result of checking a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// The first breaks of each rule, [`MAX_BREAKS`] at the most.
+    /// The first [`MAX_BREAKS`] breaks of each rule.
     pub breaks: Vec<Break>,
-    /// All breaks, counted.
+    /// The number of all breaks by rule; rules that were kept are absent.
     pub counts: BTreeMap<Rule, u64>,
-    /// Figures by name.
+    /// Figures by the names under which they are printed.
     pub figures: BTreeMap<String, u64>,
 }
 
 impl Verdict {
-    /// Counts a break, and keeps it while there is room.
+    /// Counts a break, and lists it unless [`MAX_BREAKS`] of its rule are listed already.
     pub fn add(&mut self, found: Break) {
         let count = self.counts.entry(found.rule).or_default();
         *count += 1;
@@ -337,17 +339,17 @@
         }
     }
 
-    /// Breaks of a rule.
+    /// The number of breaks of a rule.
     pub fn count(&self, rule: Rule) -> u64 {
         self.counts.get(&rule).copied().unwrap_or(0)
     }
 
-    /// Sets a figure.
+    /// Sets a figure, in place of an earlier value.
     pub fn set_figure(&mut self, name: &str, value: u64) {
         self.figures.insert(name.to_string(), value);
     }
 
-    /// Adds to a figure, which begins at nothing.
+    /// Adds to a figure, starting from 0.
     pub fn add_to_figure(&mut self, name: &str, value: u64) {
         *self.figures.entry(name.to_string()).or_default() += value;
     }
@@ -358,7 +360,8 @@
     }
 }
 
-/// The verdict on a history, with what the records of its gateways say.
+/// Checks the events of a run and what its gateways recorded against all rules that need no
+/// further input. `crashed`: gateways that ended unasked or not at all.
 pub fn check(
     facts: &Facts,
     events: &[Happened],
@@ -376,7 +379,7 @@
     service::measure(facts, &history, &mut verdict);
     for name in crashed {
         let subject = Subject::Gateway(name.as_str().into());
-        let text = format!("{name} ended though nobody told it to, or didn't when it was told");
+        let text = format!("{name} ended without a stop request, or didn't end after one");
         verdict.add(Break {
             rule: Rule::Crash,
             subject,
--- a/crates/fleet-test/src/check/order.rs
+++ b/crates/fleet-test/src/check/order.rs
@@ -1,6 +1,6 @@
-//! A key's order: where a class asks for it, requests of one key that one gateway took run one at a
-//! time, in the order taken. Nothing is sent for one while an earlier one runs and is not over, nor
-//! within the pause after its end.
+//! The rule on order: requests of an ordered class with the same key run one at a time at each
+//! gateway, in the order in which it received them. No request is sent while an earlier one runs
+//! and has no final answer, nor within the pause after the end of one that may still run.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -10,10 +10,10 @@
 use crate::config::ORDER_PAUSE;
 use crate::links::CLIENTS;
 
-/// One start of a gateway and a key of a class: what has an order of its own.
+/// Requests that are ordered among each other: gateway, number of its start, class and key.
 type Lane = (Name, usize, Name, Name);
 
-/// Requests of one key of an ordered class run one at a time and in turn.
+/// Checks that requests of an ordered class with one key run one at a time and in order.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn check(facts: &Facts, history: &History<'_>, verdict: &mut Verdict) {
     let ordered: HashSet<&str> = facts
@@ -25,7 +25,7 @@
     let pause = ORDER_PAUSE.as_micros() as Micros;
     let mut starts: BTreeMap<Name, usize> = BTreeMap::new();
     let mut lanes: HashMap<u64, Lane> = HashMap::new();
-    // What runs, by lane: id, engine, since.
+    // Running attempts by lane: id of the try, engine, begin.
     let mut running: HashMap<Lane, Vec<(u64, Name, Micros)>> = HashMap::new();
     let mut waiting: HashMap<Lane, Vec<(Micros, u64)>> = HashMap::new();
     let mut runs = 0;
@@ -53,21 +53,21 @@
                 waiting
                     .entry(lane.clone())
                     .or_default()
-                    .retain(|(_, own)| own != id);
+                    .retain(|(_, waiting)| waiting != id);
             }
             What::Began { engine, id, .. } => {
                 let Some(lane) = lanes.get(id) else { continue };
                 runs += 1;
-                let excused = |asked: Micros, to: &Name| {
+                let is_excused = |since: Micros, to: &Name| {
                     let gateway = &lane.0;
                     let link = history
-                        .of_link(gateway, to)
+                        .link_faults(gateway, to)
                         .iter()
-                        .chain(history.of_link(CLIENTS, gateway));
-                    link.chain(history.of_gateway(gateway))
-                        .any(|span| span.meets(asked, *at))
+                        .chain(history.link_faults(CLIENTS, gateway));
+                    link.chain(history.gateway_faults(gateway))
+                        .any(|span| span.overlaps(since, *at))
                 };
-                let mut broken = |from: Micros, text: String| {
+                let mut add_break = |from: Micros, text: String| {
                     let subject = Subject::Key(lane.3.clone());
                     verdict.add(Break {
                         rule: Rule::Order,
@@ -83,29 +83,30 @@
                         .get(other)
                         .and_then(|ends| ends.first())
                         .map(|(at, _)| *at);
-                    let rested = ended.is_some_and(|ended| *at + SLACK >= ended + pause);
-                    if other != id && !rested && !excused(*since, on) {
-                        broken(
+                    let is_past_pause = ended.is_some_and(|ended| *at + SLACK >= ended + pause);
+                    if other != id && !is_past_pause && !is_excused(*since, on) {
+                        add_break(
                             *since,
                             format!("{id:016x} ran at {engine} while {other:016x} ran at {on}"),
                         );
                     }
                 }
-                let own = history.tries.get(id).map_or(0, |(asked, _)| *asked);
+                let sent = history.tries.get(id).map_or(0, |(sent, _)| *sent);
                 let earlier = waiting.get(lane).into_iter().flatten();
-                // Its end may be on its way to the client.
+                // The answer may still be on its way to the client: hence the slack.
                 let is_over = |other: &u64| {
                     let ends = history.ends.get(other).and_then(|ends| ends.first());
                     ends.is_some_and(|(ended, _)| *ended <= *at + SLACK)
                 };
-                let earlier =
-                    earlier.filter(|(asked, other)| asked + SLACK < own && !is_over(other));
-                for (asked, other) in earlier {
-                    let runs = running[lane].iter().any(|(running, ..)| running == other);
-                    if !runs && !excused(*asked, engine) {
-                        broken(
-                            *asked,
-                            format!("{id:016x} ran before {other:016x}, which was taken earlier"),
+                let earlier = earlier.filter(|(at, other)| at + SLACK < sent && !is_over(other));
+                for (since, other) in earlier {
+                    let is_running = running[lane].iter().any(|(running, ..)| running == other);
+                    if !is_running && !is_excused(*since, engine) {
+                        add_break(
+                            *since,
+                            format!(
+                                "{id:016x} ran before {other:016x}, which was received earlier"
+                            ),
                         );
                     }
                 }
@@ -120,10 +121,10 @@
                     waiting
                         .entry(lane.clone())
                         .or_default()
-                        .retain(|(_, own)| own != id);
+                        .retain(|(_, waiting)| waiting != id);
                 }
-                let of = running.entry(lane.clone()).or_default();
-                of.retain(|(own, on, _)| own != id || on != engine);
+                let attempts = running.entry(lane.clone()).or_default();
+                attempts.retain(|(other, on, _)| other != id || on != engine);
             }
             _ => {}
         }
--- a/crates/fleet-test/src/check/owners.rs
+++ b/crates/fleet-test/src/check/owners.rs
@@ -1,4 +1,5 @@
-//! One owner's work is_accepted: at each fence tokens never fall, and a term has one owner.
+//! The rule on owners of tasks: at each gateway the fencing tokens of accepted work never fall, and
+//! a term has one owner.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,63 +10,63 @@
 
 use super::{Break, Rule, Subject, Verdict};
 
-/// An owner's work that came to a gateway.
+/// Work on a task that a gateway received from the task's owner, as its event log says.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedWork {
-    /// The gateway whose fence met the work.
+    /// The gateway that received the work and checked its fencing token.
     pub gateway: Name,
-    /// When it did.
+    /// When it received the work, in Unix microseconds.
     pub at: Micros,
     /// The number of the task.
     pub task: u32,
-    /// Term, and the owner's number.
+    /// The fencing token: term and owner number.
     pub token: (u64, u64),
-    /// Whether the fence admitted it.
+    /// Whether the gateway accepted the work; false if its token was stale.
     pub is_accepted: bool,
 }
 
-/// All that the records in a directory tell of owners' work, by time.
+/// Reads the work on tasks from the event log in a directory, by time. Empty if there is no log.
 pub fn read_owner_work(directory: &Path) -> Vec<ReceivedWork> {
-    let mut worked = Vec::new();
+    let mut received = Vec::new();
     let Ok(mut merged) = MergedReader::open(&[directory.to_path_buf()]) else {
-        return worked;
+        return received;
     };
-    while let Ok(Some(told)) = merged.next_entry() {
+    while let Ok(Some(next)) = merged.next_entry() {
         let ReadContent::Entry(Entry::Host(HostEvent::Fleet(FleetEvent::WorkReceived {
             task,
             term,
             owner,
             is_accepted,
-        }))) = &told.content
+        }))) = &next.content
         else {
             continue;
         };
-        let gateway = merged.sources()[told.source].name.as_str().into();
+        let gateway = merged.sources()[next.source].name.as_str().into();
         let token = (*term, *owner);
-        worked.push(ReceivedWork {
+        received.push(ReceivedWork {
             gateway,
-            at: told.at,
+            at: next.at,
             task: *task,
             token,
             is_accepted: *is_accepted,
         });
     }
-    worked
+    received
 }
 
-/// Of each task, one owner's work is_accepted at a time.
-pub fn check(worked: &[ReceivedWork], verdict: &mut Verdict) {
-    if worked.is_empty() {
+/// Checks that the tokens of accepted work never fall at a gateway and that a term has one owner.
+pub fn check(received: &[ReceivedWork], verdict: &mut Verdict) {
+    if received.is_empty() {
         return;
     }
-    // By fence and task: the greatest token that counted, and the owner of each term.
+    // The greatest accepted token by gateway and task, and the owner by gateway, task and term.
     let mut greatest: BTreeMap<(&Name, u32), (u64, u64)> = BTreeMap::new();
     let mut owners: BTreeMap<(&Name, u32, u64), u64> = BTreeMap::new();
-    let (mut stale, mut two, mut fenced) = (0, 0, 0);
-    let mut last: BTreeMap<u32, Micros> = BTreeMap::new();
-    let mut gap = 0;
-    let mut by_time: Vec<&ReceivedWork> = worked.iter().collect();
-    by_time.sort_by_key(|own| own.at);
+    let (mut stale_accepted, mut second_owners, mut rejected) = (0, 0, 0);
+    let mut last_accepted: BTreeMap<u32, Micros> = BTreeMap::new();
+    let mut longest_gap = 0;
+    let mut by_time: Vec<&ReceivedWork> = received.iter().collect();
+    by_time.sort_by_key(|work| work.at);
     for ReceivedWork {
         gateway,
         at,
@@ -75,10 +76,10 @@
     } in by_time
     {
         if !is_accepted {
-            fenced += 1;
+            rejected += 1;
             continue;
         }
-        let mut broken = |text: String| {
+        let mut add_break = |text: String| {
             let subject = Subject::Gateway(gateway.clone());
             verdict.add(Break {
                 rule: Rule::Owners,
@@ -88,27 +89,27 @@
                 text,
             });
         };
-        let known = greatest.entry((gateway, *task)).or_default();
-        if token < known {
-            stale += 1;
-            broken(format!(
-                "work for {task} counted under {token:?} after that under {known:?}"
+        let highest = greatest.entry((gateway, *task)).or_default();
+        if token < highest {
+            stale_accepted += 1;
+            add_break(format!(
+                "work on task {task} was accepted with token {token:?} after token {highest:?}"
             ));
         }
-        *known = (*token).max(*known);
+        *highest = (*token).max(*highest);
         let owner = owners.entry((gateway, *task, token.0)).or_insert(token.1);
         if *owner != token.1 {
-            two += 1;
-            broken(format!("term {} of {task} has two owners", token.0));
+            second_owners += 1;
+            add_break(format!("term {} of task {task} has two owners", token.0));
         }
-        let before = last.insert(*task, *at).unwrap_or(*at);
-        gap = gap.max(at.saturating_sub(before));
+        let previous = last_accepted.insert(*task, *at).unwrap_or(*at);
+        longest_gap = longest_gap.max(at.saturating_sub(previous));
     }
-    verdict.set_figure("stale_applied", stale);
-    verdict.set_figure("two_owners", two);
-    verdict.set_figure("fenced", fenced);
-    verdict.set_figure("owners_work", worked.len() as u64);
-    verdict.set_figure("longest_gap_ms", gap / 1000);
+    verdict.set_figure("stale_applied", stale_accepted);
+    verdict.set_figure("two_owners", second_owners);
+    verdict.set_figure("fenced", rejected);
+    verdict.set_figure("owners_work", received.len() as u64);
+    verdict.set_figure("longest_gap_ms", longest_gap / 1000);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/records.rs
+++ b/crates/fleet-test/src/check/records.rs
@@ -1,5 +1,5 @@
-//! What gateways recorded is held against what clients saw: the same request has the same end on
-//! both sides.
+//! The rule on event logs: the end of a request in the event log of its gateway is the one that its
+//! client saw.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -11,79 +11,80 @@
 
 use super::{Break, History, Rule, Subject, Verdict};
 
-/// Entries of a gateway's record that tell of a request.
+/// An entry on a request in the event log of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recorded {
-    /// The gateway that wrote it.
+    /// The gateway that wrote the log.
     pub gateway: Name,
-    /// When it happened.
+    /// The time of the entry, in Unix microseconds.
     pub at: Micros,
-    /// The id that its client gave it.
+    /// The id of the request's try, which its client chose.
     pub id: u64,
-    /// What it says.
+    /// The event.
     pub what: RequestEvent,
 }
 
-/// What a record says of a request.
+/// An event in the life of a request, reduced to what the checks need.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestEvent {
-    /// The gateway took it.
+    /// The gateway received the request.
     Taken,
-    /// An attempt went to an engine.
+    /// An attempt was sent to the engine of this name.
     Sent(Name),
-    /// An attempt ended.
+    /// An attempt ended with this outcome.
     Ended(Outcome),
-    /// It got its final answer.
+    /// The final answer was sent to the client.
     Answered(AnswerKind),
 }
 
-/// All that the records in a directory tell of requests, by time. A directory without one tells
-/// nothing.
+/// Reads the events of requests from the event log in a directory, by time. Empty if there is no
+/// log.
 pub fn read_requests(directory: &Path) -> Vec<Recorded> {
     let mut recorded = Vec::new();
     let Ok(mut merged) = MergedReader::open(&[directory.to_path_buf()]) else {
         return recorded;
     };
-    // The client's id of each request that is open, and engines' names, by source.
+    // Clients' ids of requests, and names of engines; both by source, as numbers repeat between
+    // sources.
     let mut ids: HashMap<(usize, u64), u64> = HashMap::new();
     let mut engines: HashMap<(usize, u32), Name> = HashMap::new();
-    while let Ok(Some(told)) = merged.next_entry() {
-        let ReadContent::Entry(entry) = &told.content else {
+    while let Ok(Some(next)) = merged.next_entry() {
+        let ReadContent::Entry(entry) = &next.content else {
             continue;
         };
         if let Entry::Host(HostEvent::Engine(listed)) = entry {
-            engines.insert((told.source, listed.engine), listed.name.as_str().into());
+            engines.insert((next.source, listed.engine), listed.name.as_str().into());
         }
         let Some(request) = entry.request() else {
             continue;
         };
-        let place = (told.source, request);
+        let source_request = (next.source, request);
         let what = match entry {
             Entry::Host(HostEvent::RequestReceived(offer)) => {
-                ids.insert(place, offer.id);
+                ids.insert(source_request, offer.id);
                 RequestEvent::Taken
             }
             Entry::Host(HostEvent::OpenRequest(open)) => {
-                ids.insert(place, open.client_request.id);
+                ids.insert(source_request, open.client_request.id);
                 continue;
             }
             Entry::Action(Action::Send { engine, .. }) => RequestEvent::Sent(
                 engines
-                    .get(&(told.source, *engine))
+                    .get(&(next.source, *engine))
                     .cloned()
                     .unwrap_or_else(|| "an engine".into()),
             ),
-            Entry::Event(Event::AttemptEnded(ended)) => RequestEvent::Ended(ended.outcome),
+            Entry::Event(Event::AttemptEnded(answered)) => RequestEvent::Ended(answered.outcome),
             Entry::Host(HostEvent::Answered { kind: how, .. }) => RequestEvent::Answered(*how),
             _ => continue,
         };
-        let Some(id) = ids.get(&place).copied() else {
+        let Some(id) = ids.get(&source_request).copied() else {
             continue;
         };
-        let gateway = merged.sources()[told.source].name.as_str().into();
+        let gateway = merged.sources()[next.source].name.as_str().into();
         recorded.push(Recorded {
             gateway,
-            at: told.at,
+            at: next.at,
             id,
             what,
         });
@@ -91,10 +92,10 @@
     recorded
 }
 
-/// What records say of ends is what clients were answered.
+/// Checks that each recorded answer is the one that its client saw, and recorded once.
 pub fn check(history: &History<'_>, records: &[Recorded], verdict: &mut Verdict) {
-    let mut ended: HashMap<(&Name, u64), AnswerKind> = HashMap::new();
-    let (mut agree, mut differ) = (0, 0);
+    let mut answered: HashMap<(&Name, u64), AnswerKind> = HashMap::new();
+    let (mut equal_ends, mut breaks) = (0, 0);
     for Recorded {
         gateway,
         at,
@@ -105,8 +106,8 @@
         let RequestEvent::Answered(kind) = what else {
             continue;
         };
-        let mut broken = |text: String| {
-            differ += 1;
+        let mut add_break = |text: String| {
+            breaks += 1;
             let subject = Subject::Request(*id);
             verdict.add(Break {
                 rule: Rule::Records,
@@ -116,8 +117,8 @@
                 text,
             });
         };
-        if ended.insert((gateway, *id), *kind).is_some() {
-            broken(format!("{gateway} recorded two ends of it"));
+        if answered.insert((gateway, *id), *kind).is_some() {
+            add_break(format!("{gateway} recorded two answers to it"));
             continue;
         }
         let seen = history
@@ -125,29 +126,30 @@
             .get(id)
             .and_then(|ends| ends.first())
             .map(|(_, how)| *how);
-        let same = match (seen, kind) {
+        let is_equal = match (seen, kind) {
             (Some(How::Served), kind) => *kind == AnswerKind::Served,
             (Some(How::Refused), kind) => *kind == AnswerKind::Refused,
             (Some(How::Failed), kind) => *kind == AnswerKind::Failed,
-            // A client that has gone sees nothing, whatever the gateway says of it.
+            // A client that cancelled, timed out or lost its connection sees no answer, whatever
+            // the gateway recorded.
             (Some(How::Forgotten | How::Reset | How::Silence) | None, _) => true,
         };
-        if same {
-            agree += 1;
+        if is_equal {
+            equal_ends += 1;
         } else {
             let seen = seen.map_or("nothing", |how| match how {
                 How::Served => "a result",
                 How::Refused => "a refusal",
                 _ => "a failure",
             });
-            broken(format!(
-                "{gateway} recorded that it was {}, its client saw {seen}",
+            add_break(format!(
+                "{gateway} recorded the answer {}, its client saw {seen}",
                 kind.name()
             ));
         }
     }
-    verdict.set_figure("recorded_ends", agree);
-    verdict.set_figure("records_differ", differ);
+    verdict.set_figure("recorded_ends", equal_ends);
+    verdict.set_figure("records_differ", breaks);
 }
 
 #[cfg(test)]
--- a/crates/fleet-test/src/check/records/tests.rs
+++ b/crates/fleet-test/src/check/records/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of this module, on small inputs.
+//! Tests of the rules on event logs and crashes.
 
 use super::super::check;
 use super::super::tests::*;
 use super::*;
 
 #[test]
-fn a_record_that_says_other_than_its_client_saw_is_caught() {
+fn a_recorded_answer_that_differs_from_the_clients_or_repeats_is_caught() {
     let events = [asked(10, 1, "a", "g1", 0), over(20, 1, How::Served)];
-    let said = |kind| Recorded {
+    let answered = |kind| Recorded {
         gateway: "g1".into(),
         at: 15,
         id: 1,
@@ -17,10 +17,10 @@
         let verdict = check(&facts(), &events, records, &[]);
         verdict.count(Rule::Records)
     };
-    assert_eq!(count(&[said(AnswerKind::Served)]), 0);
-    assert_eq!(count(&[said(AnswerKind::Refused)]), 1);
+    assert_eq!(count(&[answered(AnswerKind::Served)]), 0);
+    assert_eq!(count(&[answered(AnswerKind::Refused)]), 1);
     assert_eq!(
-        count(&[said(AnswerKind::Served), said(AnswerKind::Served)]),
+        count(&[answered(AnswerKind::Served), answered(AnswerKind::Served)]),
         1
     );
     let crashed = check(&facts(), &events, &[], &["g1".to_string()]);
--- a/crates/fleet-test/src/check/story.rs
+++ b/crates/fleet-test/src/check/story.rs
@@ -1,5 +1,5 @@
-//! The shortest history of a break: what clients, gateways' records and engines did for one key or
-//! at one engine, with the faults of those that took part, by time.
+//! The story of a break: the events of clients, engines and gateways' event logs on one key or one
+//! engine, with the faults of the parts involved, sorted by time.
 
 use std::collections::BTreeSet;
 
@@ -8,12 +8,12 @@
 use super::records::{Recorded, RequestEvent};
 use super::{Break, History, Subject};
 
-/// Lines of one story.
+/// Most lines of one story; the latest are kept.
 const MAX_LINES: usize = 60;
-/// How long before the first try faults are told.
+/// A story begins this time before the first try, so that earlier faults are in it; microseconds.
 const BEFORE: Micros = 500_000;
 
-/// The events of all sides that led to a break, by time.
+/// Lists the events of all parts that led to a break, sorted by time, as lines of text.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn story(history: &History<'_>, records: &[Recorded], found: &Break) -> Vec<String> {
     let key = match &found.subject {
@@ -21,9 +21,9 @@
         Subject::Request(id) => history.tries.get(id).map(|(_, tried)| tried.key.clone()),
         _ => None,
     };
-    // All tries of the key up to the break, and who took part.
+    // All tries of the key up to the break, and the gateways and engines involved.
     let mut ids: BTreeSet<u64> = BTreeSet::new();
-    let mut parts: BTreeSet<Name> = BTreeSet::new();
+    let mut involved: BTreeSet<Name> = BTreeSet::new();
     let mut from = found.from;
     if let Some(key) = &key {
         for (id, (at, tried)) in history
@@ -33,22 +33,22 @@
         {
             if *at <= found.to {
                 ids.insert(*id);
-                parts.insert(tried.gateway.clone());
+                involved.insert(tried.gateway.clone());
                 from = from.min(*at);
             }
         }
     }
     if let Subject::Engine(name) | Subject::Gateway(name) = &found.subject {
-        parts.insert(name.clone());
+        involved.insert(name.clone());
     }
     for Happened { what, .. } in history.events {
         if let What::Began { engine, id, .. } = what {
             if ids.contains(id) {
-                parts.insert(engine.clone());
+                involved.insert(engine.clone());
             }
         }
     }
-    let of_engine = |name: &Name| key.is_none() && parts.contains(name);
+    let is_subject = |name: &Name| key.is_none() && involved.contains(name);
     let mut lines: Vec<(Micros, String)> = Vec::new();
     for Happened { at, what } in history.events {
         if *at + BEFORE < from || *at > found.to + 1 {
@@ -67,18 +67,17 @@
                 let how = match how {
                     How::Served => "is served",
                     How::Refused => "is refused",
-                    How::Failed => "is told that it failed",
-                    How::Forgotten => "takes it back",
-                    How::Reset => "loses the connection",
-                    How::Silence => "has waited in vain",
+                    How::Failed => "gets a failure",
+                    How::Forgotten => "cancels it",
+                    How::Reset => "loses its connection",
+                    How::Silence => "gets no answer",
                 };
-                let advice =
-                    advice.map_or(String::new(), |ms| format!(", to come back after {ms} ms"));
+                let advice = advice.map_or(String::new(), |ms| format!(", retry after {ms} ms"));
                 format!("client {how}{advice} (id {id:016x})")
             }
             What::Began {
                 engine, id, work, ..
-            } if ids.contains(id) || of_engine(engine) => {
+            } if ids.contains(id) || is_subject(engine) => {
                 format!("{engine} begins {id:016x}, {:.0} ms of work", work * 1e3)
             }
             What::Left {
@@ -86,15 +85,15 @@
                 id,
                 done: false,
             } if ids.contains(id) => {
-                format!("{engine} gives {id:016x} up")
+                format!("{engine} ends {id:016x} without a result")
             }
             What::Effect { engine, id, .. } if ids.contains(id) => {
                 format!("{engine}: {id:016x} takes effect")
             }
             What::Repeat { engine, id, .. } if ids.contains(id) => {
-                format!("{engine}: {id:016x} is a repeat and dropped")
+                format!("{engine}: {id:016x} is dropped as a repeat")
             }
-            What::Engine { engine, begins } if parts.contains(engine) => match begins {
+            What::Engine { engine, begins } if involved.contains(engine) => match begins {
                 Some(_) => format!("{engine} starts"),
                 None => format!("{engine} ends"),
             },
@@ -102,26 +101,27 @@
                 gateway,
                 engine,
                 health,
-            } if of_engine(engine) => {
-                format!("the bulletin tells {gateway} that {engine} is {health}")
+            } if is_subject(engine) => {
+                format!("the bulletin notifies {gateway} that {engine} is {health}")
             }
-            What::Gateway { gateway, how } if parts.contains(gateway) => match how {
+            What::Gateway { gateway, how } if involved.contains(gateway) => match how {
                 Process::Started(start) => format!("{gateway} listens, start {start}"),
                 Process::Killed => format!("{gateway} is killed"),
-                Process::Stopping => format!("{gateway} is told to end"),
+                Process::Stopping => format!("{gateway} is asked to stop"),
                 Process::Ended => format!("{gateway} has ended"),
                 Process::Paused => format!("{gateway} is paused"),
-                Process::Continued => format!("{gateway} goes on"),
+                Process::Continued => format!("{gateway} is resumed"),
             },
             What::Link {
                 from,
                 to,
                 fault,
                 begins,
-            } if parts.contains(from) || parts.contains(to) => {
-                // Links to engines that took no part say nothing.
-                let near = |end: &Name| parts.contains(end) || **end == *crate::links::CLIENTS;
-                if !near(from) || !near(to) {
+            } if involved.contains(from) || involved.contains(to) => {
+                // Links to parts that are not involved are left out.
+                let is_involved =
+                    |end: &Name| involved.contains(end) || **end == *crate::links::CLIENTS;
+                if !is_involved(from) || !is_involved(to) {
                     continue;
                 }
                 format!(
@@ -139,18 +139,18 @@
         at,
         id,
         what,
-    } in records.iter().filter(|said| ids.contains(&said.id))
+    } in records.iter().filter(|entry| ids.contains(&entry.id))
     {
         if *at > found.to + 1 {
             continue;
         }
         let line = match what {
-            RequestEvent::Taken => format!("{gateway} records that it took {id:016x}"),
+            RequestEvent::Taken => format!("{gateway} records that it received {id:016x}"),
             RequestEvent::Sent(engine) => {
                 format!("{gateway} records that it sends {id:016x} to {engine}")
             }
             RequestEvent::Ended(outcome) => {
-                format!("{gateway} records the attempt's end: {outcome:?}")
+                format!("{gateway} records the end of the attempt: {outcome:?}")
             }
             RequestEvent::Answered(kind) => {
                 format!("{gateway} records the answer: {}", kind.name())
@@ -161,8 +161,8 @@
     lines.sort();
     let begin = lines.first().map_or(0, |(at, _)| *at);
     let left_out = lines.len().saturating_sub(MAX_LINES);
-    let told = lines.iter().skip(left_out);
-    let mut text: Vec<String> = told
+    let last_lines = lines.iter().skip(left_out);
+    let mut text: Vec<String> = last_lines
         .map(|(at, line)| format!("{:>10.1} ms  {line}", (at - begin) as f64 / 1e3))
         .collect();
     if left_out > 0 {
--- a/crates/fleet-test/src/check/story/tests.rs
+++ b/crates/fleet-test/src/check/story/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of this module, on small inputs.
+//! Tests of the stories of breaks.
 
 use super::super::tests::*;
 use super::*;
 
 #[test]
-fn a_story_holds_one_keys_tries_and_the_faults_of_who_took_part_by_time() {
+fn a_story_lists_the_tries_of_one_key_and_the_faults_of_parts_involved_by_time() {
     let events = [
         asked(10, 1, "a", "g1", 0),
         asked(11, 9, "other", "g3", 0),
@@ -30,7 +30,7 @@
         what: RequestEvent::Sent("e1".into()),
     };
     let text = story(&History::new(&events), &[sent], found).join("\n");
-    for (place, words) in [
+    for (line, words) in [
         "asks g1 (try 1",
         "records that it sends",
         "e1 begins",
@@ -38,9 +38,9 @@
     ]
     .into_iter()
     .zip([0, 1, 2, 3])
-    .map(|(words, place)| (place, words))
+    .map(|(words, line)| (line, words))
     {
-        assert!(text.lines().nth(place).unwrap().contains(words), "{text}");
+        assert!(text.lines().nth(line).unwrap().contains(words), "{text}");
     }
     assert!(!text.contains("g3") && !text.contains("served"), "{text}");
     assert_eq!(
--- a/crates/fleet-test/src/check/tests.rs
+++ b/crates/fleet-test/src/check/tests.rs
@@ -1,4 +1,4 @@
-//! Small histories for the tests of the rules.
+//! Builders of small histories for the tests of the rules.
 
 use super::*;
 
--- a/crates/fleet-test/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -1,16 +1,17 @@
-//! Starts several processes of the program, puts faults between them, and holds all that happened
-//! against the rules. No part of the program.
+//! Starts several gateway processes, injects faults into them and the links between them, and
+//! checks the recorded history against a set of rules. A test tool: gateways don't link it.
 //!
-//! [`plan`] draws faults from a seed, or takes a scenario's; [`world`] plays them: gateways as
-//! [`processes`] in [`directories`] of their own, every connection through a [`relay`] of
-//! [`links`]. [`voters`] tells which gateways vote together, [`check`] judges the history of all
-//! sides, and [`minimize`] drops the faults that a break does not need; all are pure, as [`plan`]
-//! is. [`run`] joins them. [`simulated`] is a fleet of hundreds in virtual time, with the program's
-//! own cores, [`owned`] the same for tasks and their owners, both on one [`timeline`]. [`scale`]
-//! measures how costs grow with a fleet's size.
+//! [`plan`] draws faults from a seed or reads them from a scenario. [`world`] plays them: each
+//! gateway is a process ([`processes`]) with its own directory ([`directories`]), and every
+//! connection passes a [`relay`] that [`links`] controls. [`voters`] groups the gateways that vote
+//! together, [`check`] checks the history of all parts, and [`minimize`] removes the faults that
+//! are not needed to break a rule. These three and [`plan`] do no I/O. [`run`] combines them.
+//! [`simulated`] runs the program's replication core for hundreds of gateways in virtual time, and
+//! [`owned`] its lease core with tasks and owners; both use one [`timeline`]. [`scale`] measures
+//! how costs grow with the size of the fleet.
 //!
-//! Bounds: 12 gateways by default are the most that are started, the history is bounded in
-//! `eideryard_emulators::history`, and what a link holds in [`relay`].
+//! Bounds: the command line starts at most 12 gateways, `eideryard_emulators::history` limits the
+//! length of the history, and [`relay`] the bytes in flight on a link.
 
 pub mod check;
 pub mod classes;
--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -1,4 +1,5 @@
-//! The rig's command line: `cargo run --release -p eideryard-fleet-test -- CASE --seed N`.
+//! The command line of the fleet test:
+//! `cargo run --release -p eideryard-fleet-test -- CASE --seed N`.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -12,61 +13,63 @@
 use eideryard_fleet_test::scale::sizes::{Machine, Sizes};
 use eideryard_fleet_test::scale::{plots, report};
 
-/// A plan of which a run kept the rules is played once more before a fault of it is held to be
-/// needed.
-const TRIES: usize = 2;
+/// Runs of a reduced plan that must all keep the rules before the removed faults count as needed:
+/// two runs of one plan don't always break the same rules.
+const RUNS_PER_REDUCED_PLAN: usize = 2;
 
 #[derive(Parser)]
-#[command(about = "Several gateways with faults between them, and a verdict on all that happened")]
+#[command(about = "Runs several gateways with injected faults and checks that the rules were kept")]
 #[command(args_conflicts_with_subcommands = true, subcommand_negates_reqs = true)]
 struct Arguments {
     #[command(subcommand)]
-    measured: Option<Measured>,
-    /// What is drawn; left out where --scenario says what is played.
+    measurement: Option<Measurement>,
+    /// The kind of plan to draw; omit it with --scenario
     #[arg(value_enum, required_unless_present = "scenario")]
     case: Option<Case>,
-    /// What the plan and all other random numbers come of.
+    /// Seed of the plan and of all other random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
+    /// Gateways of a drawn plan
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=12))]
     gateways: u64,
+    /// Length of a drawn plan, in seconds
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(5..=3600))]
     seconds: u64,
-    /// Plays this scenario instead of a drawn plan.
+    /// Play this scenario instead of a drawn plan
     #[arg(long, conflicts_with = "case")]
     scenario: Option<PathBuf>,
-    /// Leaves configurations, logs, records and directories there.
+    /// Keep configurations, logs, event logs and store directories in this directory
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// The program that is tried; without it the one of this checkout, which is built first.
+    /// The gateway program to test; without it, the program of this checkout is built and tested
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Where a rule is broken, drops faults one by one and prints the smallest plan that still
-    /// breaks it.
+    /// If a rule is broken, remove faults and print the smallest plan that still breaks it
     #[arg(long)]
     minimize: bool,
-    /// Plays the same plan without what the case is for, as a baseline.
+    /// Baseline: play the same faults and loads without the feature that the case tests (store,
+    /// fleet or task)
     #[arg(long)]
     off: bool,
-    /// Prints the plan and plays nothing.
+    /// Print the plan without playing it
     #[arg(long)]
     plan: bool,
 }
 
-/// What is measured, in place of a case that is played.
+/// Measurements that run instead of a case.
 #[derive(Subcommand)]
-enum Measured {
-    /// How costs grow with the size of the fleet, with slopes and predictions
+enum Measurement {
+    /// Measure how costs grow with the size of the fleet, with slopes and predictions
     Scale(Sizes),
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let ended = match &arguments.measured {
-        Some(Measured::Scale(sizes)) => scale(sizes),
+    let result = match &arguments.measurement {
+        Some(Measurement::Scale(sizes)) => measure_scale(sizes),
         None => play(&arguments),
     };
-    match ended {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(message) => {
@@ -76,9 +79,9 @@
     }
 }
 
-/// Under cargo the program is built first, as it is in this checkout: the rig alone would bring an
-/// old one.
-fn built() -> Result<PathBuf, String> {
+/// Finds the gateway program beside this one. Under cargo the program is built first, because
+/// cargo builds only the fleet test and an outdated program may lie beside it.
+fn build_program() -> Result<PathBuf, String> {
     if let Some(cargo) = std::env::var_os("CARGO") {
         let profile = if cfg!(debug_assertions) {
             &[][..]
@@ -90,29 +93,33 @@
             .args(profile)
             .status();
         if !status.is_ok_and(|status| status.success()) {
-            return Err("the program can't be built; see above, or name one with --program".into());
+            return Err(
+                "cargo build failed, see its messages above; or give a program with --program"
+                    .into(),
+            );
         }
     }
     run::program().map_err(|e| {
-        format!("{e}; build it with 'cargo build --release', or name one with --program")
+        format!("{e}; build it with 'cargo build --release', or give a program with --program")
     })
 }
 
-fn scale(sizes: &Sizes) -> Result<bool, String> {
-    let machine = Machine::own().map_err(|e| format!("the machine's limits can't be read: {e}"))?;
+fn measure_scale(sizes: &Sizes) -> Result<bool, String> {
+    let machine =
+        Machine::own().map_err(|e| format!("can't read the limits of the machine: {e}"))?;
     sizes.check(machine).map_err(|e| e.to_string())?;
     let program = match &sizes.program {
         _ if sizes.real == 0 => None,
         Some(program) => Some(program.clone()),
-        None => Some(built()?),
+        None => Some(build_program()?),
     };
-    let mut predicted = |name: &str, axis, at: f64, value: f64| {
+    let mut print_prediction = |name: &str, axis, at: f64, value: f64| {
         println!(
-            "predicted before it is measured: {name} by {axis:?} at {at}: {}",
+            "prediction before the measurement: {name} by {axis:?} at {at}: {}",
             report::short(value)
         );
     };
-    let outcome = Run::new(sizes, program.as_deref(), &mut predicted)
+    let outcome = Run::new(sizes, program.as_deref(), &mut print_prediction)
         .play()
         .map_err(|e| e.to_string())?;
     for line in report::lines(&outcome).iter() {
@@ -120,9 +127,9 @@
     }
     println!("\n{}", report::table(&outcome));
     if let Some(directory) = &sizes.plots {
-        let drawn = plots::draw(&outcome, directory)
+        let files = plots::draw(&outcome, directory)
             .map_err(|e| format!("{}: {e}", directory.display()))?;
-        println!("drawn: {}", drawn.join(", "));
+        println!("plots written: {}", files.join(", "));
     }
     outcome
         .broken
@@ -149,7 +156,7 @@
             arguments.seconds,
             !arguments.off,
         ),
-        (None, None) => return Err("name a case or a scenario".into()),
+        (None, None) => return Err("expected a case or --scenario FILE".into()),
     };
     let case = arguments.case.map_or("scenario", Case::name);
     if arguments.plan {
@@ -160,12 +167,12 @@
     plan.faults.iter().for_each(|fault| println!("    {fault}"));
     let program = match &arguments.program {
         Some(program) => program.clone(),
-        None => built()?,
+        None => build_program()?,
     };
-    let own = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let directory = arguments.keep.as_deref().unwrap_or(own.path());
-    let ran = once(&program, &plan, directory)?;
-    for (found, story) in &ran.stories {
+    let temporary = tempfile::tempdir().map_err(|e| e.to_string())?;
+    let directory = arguments.keep.as_deref().unwrap_or(temporary.path());
+    let outcome = run_once(&program, &plan, directory)?;
+    for (found, story) in &outcome.stories {
         println!(
             "\nbroken: {}: {}: {}",
             found.rule.name(),
@@ -177,48 +184,48 @@
         }
     }
     println!();
-    for (rule, count) in &ran.verdict.counts {
+    for (rule, count) in &outcome.verdict.counts {
         println!("{}: broken {count} times", rule.name());
     }
-    let first = ran.verdict.breaks.first().map(|found| found.rule);
+    let first = outcome.verdict.breaks.first().map(|found| found.rule);
     if let Some(rule) = first.filter(|_| arguments.minimize) {
-        let small = smallest(&program, &plan, rule)?;
+        let small = minimize_plan(&program, &plan, rule)?;
         println!(
-            "\nthe smallest plan that still breaks '{}', as a scenario:\n\n{small}",
+            "\nsmallest plan that still breaks '{}', as a scenario:\n\n{small}",
             rule.name()
         );
     }
-    let kept = ran.verdict.is_kept();
+    let is_kept = outcome.verdict.is_kept();
     let seed = plan
         .scenario("plan")
         .map_or(arguments.seed, |scenario| scenario.seed);
-    let figures: Vec<String> = ran
+    let figures: Vec<String> = outcome
         .verdict
         .figures
         .iter()
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
-    let word = if kept { "kept" } else { "broken" };
+    let word = if is_kept { "kept" } else { "broken" };
     println!(
         "verdict={word} seed={seed} case={case} {}",
         figures.join(" ")
     );
-    Ok(kept)
+    Ok(is_kept)
 }
 
-fn once(program: &Path, plan: &Plan, directory: &Path) -> Result<RunOutcome, String> {
+fn run_once(program: &Path, plan: &Plan, directory: &Path) -> Result<RunOutcome, String> {
     run::run(program, plan, directory).map_err(|e| e.to_string())
 }
 
-fn smallest(program: &Path, plan: &Plan, rule: Rule) -> Result<Plan, String> {
-    let mut trouble = None;
+fn minimize_plan(program: &Path, plan: &Plan, rule: Rule) -> Result<Plan, String> {
+    let mut first_error = None;
     let small = minimize(plan, |fewer| {
-        let broken = (0..TRIES).any(|_| {
-            let ran = tempfile::tempdir().map_err(|e| e.to_string());
-            match ran.and_then(|own| once(program, fewer, own.path())) {
-                Ok(ran) => ran.verdict.count(rule) > 0,
+        let is_broken = (0..RUNS_PER_REDUCED_PLAN).any(|_| {
+            let temporary = tempfile::tempdir().map_err(|e| e.to_string());
+            match temporary.and_then(|directory| run_once(program, fewer, directory.path())) {
+                Ok(outcome) => outcome.verdict.count(rule) > 0,
                 Err(e) => {
-                    trouble.get_or_insert(e);
+                    first_error.get_or_insert(e);
                     false
                 }
             }
@@ -226,9 +233,9 @@
         eprintln!(
             "{} faults: {}",
             fewer.faults.len(),
-            if broken { "broken" } else { "kept" }
+            if is_broken { "broken" } else { "kept" }
         );
-        broken
+        is_broken
     });
-    trouble.map_or(Ok(small), Err)
+    first_error.map_or(Ok(small), Err)
 }
--- a/crates/fleet-test/src/plan.rs
+++ b/crates/fleet-test/src/plan.rs
@@ -1,6 +1,6 @@
-//! Plans of faults: drawn from a seed for a case, or read from a scenario. Pure. A plan is the text
-//! of a scenario: its parts and loads, and one line for each fault, which can be dropped one by
-//! one.
+//! Fault plans: drawn from a seed for a case, or read from a scenario. No I/O. A plan is the text
+//! of a scenario: first the gateways, engines and loads, then one line for each fault, so that
+//! faults can be removed one by one.
 
 use std::fmt;
 use std::ops::Range;
@@ -12,28 +12,30 @@
 
 mod draw;
 
-/// Faults are drawn from so long after the beginning, in milliseconds, so that there is a past to
-/// hold service against, and up to so long before the end, so that retries find an end.
+/// Milliseconds without faults at the beginning of a plan: the undisturbed service there is the
+/// baseline for the service after faults.
 const QUIET_BEGIN: u64 = 2_000;
+/// Milliseconds without new faults at the end of a plan, so that retries can finish.
 const QUIET_END: u64 = 4_000;
 
-/// What a drawn plan is for.
+/// The kind of a drawn plan: which features of the gateways it tests, with which faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Case {
-    /// Kills of gateways; clients come again to the same one.
+    /// The store: gateways are killed, and clients retry at the same gateway.
     Store,
-    /// Kills, pauses, cuts, wiped and old directories; clients come again elsewhere.
+    /// Replicas of intents: kills, pauses, link cuts, wiped and outdated directories; clients retry
+    /// at another gateway.
     Copies,
-    /// Pauses of 0.5 to 20 s, cuts and kills.
+    /// Ownership of a task: pauses of 0.5 to 20 s, link cuts and kills.
     Owner,
-    /// All parts end at once and return in drawn order.
+    /// Power loss: all parts stop at once and return in random order.
     Power,
-    /// Everything.
+    /// Process, link, engine and discovery faults mixed, without a store or a fleet.
     Mix,
 }
 
 impl Case {
-    /// Its name on the command line.
+    /// The name on the command line and in the line of the verdict.
     pub fn name(self) -> &'static str {
         match self {
             Case::Store => "store",
@@ -45,12 +47,12 @@
     }
 }
 
-/// A scenario and the faults that are played in it.
+/// A scenario, split into its faults and the rest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// All that is no fault.
+    /// All lines of the scenario that are not faults.
     pub head: String,
-    /// Lines that begin with `at`, in the order of their times.
+    /// Lines that begin with `at`; a drawn plan has them sorted by time.
     pub faults: Vec<String>,
 }
 
@@ -64,7 +66,7 @@
 }
 
 impl Plan {
-    /// Of a scenario's text.
+    /// Splits the text of a scenario. Syntax is checked by [`Plan::scenario`] only.
     pub fn from_text(text: &str) -> Self {
         let is_fault = |line: &&str| line.starts_with("at ");
         let head = text
@@ -78,12 +80,12 @@
         }
     }
 
-    /// The scenario with its faults, read under a name.
+    /// Parses the plan as a scenario; errors name it by `name`.
     pub fn scenario(&self, name: &str) -> Result<Scenario, String> {
         Scenario::read(name, &self.to_string()).map_err(|e| e.to_string())
     }
 
-    /// The same scenario with other faults.
+    /// Copies this plan with other faults.
     pub fn with(&self, faults: &[String]) -> Self {
         Plan {
             head: self.head.clone(),
@@ -96,20 +98,21 @@
     rng: StdRng,
     gateways: Vec<String>,
     engines: Vec<String>,
-    /// From when to when each gateway and engine has a fault of its process, in milliseconds, and
-    /// how far others keep away.
-    busy: Vec<(String, u64, u64)>,
-    apart: u64,
-    /// Links between gateways have faults too.
-    peers: bool,
+    /// Process faults drawn so far: the gateway or engine, begin and end in milliseconds.
+    process_faults: Vec<(String, u64, u64)>,
+    /// Least milliseconds between two process faults of one gateway or engine.
+    min_gap: u64,
+    /// Whether links between gateways have faults too.
+    has_peer_faults: bool,
+    /// Faults begin between `from` and `until`, in milliseconds.
     from: u64,
     until: u64,
     faults: Vec<(u64, String)>,
 }
 
-/// The plan of a case for a seed: always the same. `on`: with what the case is for; without it the
-/// faults and loads are the same.
-pub fn draw(case: Case, seed: u64, gateways: usize, seconds: u64, on: bool) -> Plan {
+/// Draws the plan of a case; equal arguments give an equal plan. `is_enabled` switches the feature
+/// that the case tests (store, fleet or task); faults and loads don't depend on it.
+pub fn draw(case: Case, seed: u64, gateways: usize, seconds: u64, is_enabled: bool) -> Plan {
     let gateway_names: Vec<String> = (1..=gateways).map(|number| format!("g{number}")).collect();
     let mut draw = Draw {
         rng: StdRng::seed_from_u64(seed.wrapping_mul(0x9e37_79b9) ^ case as u64),
@@ -118,9 +121,9 @@
             .flat_map(|cell| [1, 2].map(|n| format!("{cell}-{n}")))
             .collect(),
         gateways: gateway_names,
-        busy: Vec::new(),
-        apart: if case == Case::Store { 400 } else { 2_500 },
-        peers: matches!(case, Case::Copies | Case::Owner),
+        process_faults: Vec::new(),
+        min_gap: if case == Case::Store { 400 } else { 2_500 },
+        has_peer_faults: matches!(case, Case::Copies | Case::Owner),
         from: QUIET_BEGIN.min(seconds * 200),
         until: (seconds * 1000)
             .saturating_sub(QUIET_END)
@@ -129,11 +132,11 @@
     };
     let count = (draw.until - draw.from) as usize / 1000;
     match case {
-        Case::Store => (0..8 * count).for_each(|_| draw.kill_gateway("kept")),
-        Case::Copies => (0..count).for_each(|_| draw.of_copies()),
-        Case::Owner => (0..count.div_ceil(2)).for_each(|_| draw.of_owner()),
-        Case::Power => draw.power(),
-        Case::Mix => (0..count).for_each(|_| draw.of_all()),
+        Case::Store => (0..8 * count).for_each(|_| draw.add_kill_gateway("kept")),
+        Case::Copies => (0..count).for_each(|_| draw.add_copies_fault()),
+        Case::Owner => (0..count.div_ceil(2)).for_each(|_| draw.add_owner_fault()),
+        Case::Power => draw.add_power_losses(),
+        Case::Mix => (0..count).for_each(|_| draw.add_mixed_fault()),
     }
     draw.faults.sort();
     let faults = draw
@@ -142,22 +145,23 @@
         .map(|(at, fault)| format!("at {at}ms {fault}"))
         .collect();
     Plan {
-        head: head(case, seed, &draw.gateways, seconds, on),
+        head: head(case, seed, &draw.gateways, seconds, is_enabled),
         faults,
     }
 }
 
-/// Keepers of a fleet of so many gateways.
-pub fn keepers(gateways: usize) -> usize {
+/// The number of voters in a fleet with this number of gateways.
+pub fn voter_count(gateways: usize) -> usize {
     match gateways {
         ..7 => 3,
         _ => 5,
     }
 }
 
-/// Six engines in three cells that each know their own keys; clients of safe, keyed, unsafe and
-/// ordered classes that take a little under half of the cores.
-fn head(case: Case, seed: u64, gateways: &[String], seconds: u64, on: bool) -> String {
+/// The part of a plan before its faults: six engines in three cells, each of which deduplicates
+/// keys on its own, and loads of a safe, a keyed, an unsafe and an ordered class that use a little
+/// under half of the cores.
+fn head(case: Case, seed: u64, gateways: &[String], seconds: u64, is_enabled: bool) -> String {
     let back = if case == Case::Store { "same" } else { "other" };
     let mut head = format!(
         "# Case {}, seed {seed}.\nseed {seed}\ntime {seconds}s\n",
@@ -175,13 +179,13 @@
     }
     for name in gateways {
         let mut lines = Vec::new();
-        if on && matches!(case, Case::Store | Case::Copies | Case::Owner) {
+        if is_enabled && matches!(case, Case::Store | Case::Copies | Case::Owner) {
             lines.push("store-dir {directory}/store".to_string());
         }
-        if on && matches!(case, Case::Copies | Case::Owner) {
+        if is_enabled && matches!(case, Case::Copies | Case::Owner) {
             lines.extend(["fleet rig {".into(), "listen 127.0.0.1:0".into()]);
-            let keepers = gateways.iter().take(keepers(gateways.len()));
-            lines.extend(keepers.map(|keeper| format!("keeper {keeper} {{peer {keeper}}}")));
+            let voters = gateways.iter().take(voter_count(gateways.len()));
+            lines.extend(voters.map(|voter| format!("keeper {voter} {{peer {voter}}}")));
             lines.extend((case == Case::Owner).then(|| "task probe".into()));
             lines.push("}".into());
         }
--- a/crates/fleet-test/src/plan/tests.rs
+++ b/crates/fleet-test/src/plan/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module, on small inputs.
+//! Tests of drawn plans.
 
 use super::*;
 
@@ -11,7 +11,7 @@
 ];
 
 #[test]
-fn every_plan_can_be_read_and_comes_of_its_seed_alone() {
+fn every_plan_parses_and_depends_only_on_its_arguments() {
     for case in CASES {
         let plans: Vec<Plan> = (0..200)
             .map(|seed| draw(case, seed, 3 + seed as usize % 10, 20, true))
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn mixed_plans_hold_every_kind_of_fault() {
-    let all: String = (0..60)
+fn mixed_plans_contain_every_kind_of_fault() {
+    let faults: String = (0..60)
         .map(|seed| draw(Case::Mix, seed, 5, 20, true).faults.join("\n"))
         .collect();
     for fault in [
@@ -49,17 +49,17 @@
         "drain",
         "bulletin down",
     ] {
-        assert!(all.contains(fault), "no {fault}");
+        assert!(faults.contains(fault), "no {fault}");
     }
     let power: String = (0..60)
         .map(|seed| draw(Case::Power, seed, 5, 20, true).faults.join("\n"))
         .collect();
-    let twice = |seed| {
+    let loses_power_twice = |seed| {
         draw(Case::Power, seed, 5, 20, true)
             .to_string()
             .matches("power-loss")
             .count()
             == 2
     };
-    assert!(power.contains("put-back-directory") && (0..60).any(twice));
+    assert!(power.contains("put-back-directory") && (0..60).any(loses_power_twice));
 }
