--- a/crates/fleet-test/src/processes.rs
+++ b/crates/fleet-test/src/processes.rs
@@ -41,7 +41,7 @@
     /// Its last counters, unless it was killed.
     pub counters: Option<BTreeMap<String, u64>>,
     /// It was told to end, or killed.
-    pub wanted: bool,
+    pub was_requested: bool,
 }
 
 struct Running {
@@ -207,7 +207,7 @@
     }
 
     /// Waits until one has ended, if it runs, and notes how. False: it had to be killed.
-    pub async fn ended(&mut self, name: &str) -> io::Result<bool> {
+    pub async fn wait_for_end(&mut self, name: &str) -> io::Result<bool> {
         let Some(mut running) = self.running.remove(name) else {
             return Ok(true);
         };
@@ -233,7 +233,7 @@
             log: running.log,
             cpu,
             counters,
-            wanted: running.wanted,
+            was_requested: running.wanted,
         });
         Ok(by_itself)
     }
--- a/crates/fleet-test/src/run/tests.rs
+++ b/crates/fleet-test/src/run/tests.rs
@@ -13,7 +13,7 @@
                 .map(|(n, v)| (n.into(), v))
                 .into(),
         ),
-        wanted: true,
+        was_requested: true,
     };
     let count = |taken| {
         let mut verdict = Verdict::default();
--- a/crates/fleet-test/src/world/parts.rs
+++ b/crates/fleet-test/src/world/parts.rs
@@ -81,7 +81,7 @@
         self.doors.borrow_mut().remove(name);
         // One that stands still doesn't hear that it is to end.
         self.processes.signal(name, Signal::CONT);
-        if !self.processes.ended(name).await? {
+        if !self.processes.wait_for_end(name).await? {
             self.ledger
                 .borrow_mut()
                 .break_rule(format!("gateway {name} doesn't end"));
--- a/crates/fleet-test/tests/scale.rs
+++ b/crates/fleet-test/tests/scale.rs
@@ -373,7 +373,7 @@
             log,
             cpu: Duration::ZERO,
             counters,
-            wanted: !crashed,
+            was_requested: !crashed,
         };
         Ended {
             crashed: crashed.then(|| name.into()).into_iter().collect(),
