--- a/crates/fleet-test/src/classes.rs
+++ b/crates/fleet-test/src/classes.rs
@@ -1,8 +1,9 @@
-//! Classes of the simulated fleets.
+//! Request classes of the simulated fleets.
 
 use eideryard::interface::{Class, Effect, Micros, Scope};
 
-/// A class of requests that are safe to repeat and may run anywhere.
+/// A class whose requests are safe to repeat and may run on any engine. `aim`: latency objective in
+/// microseconds; `threads`: cores that one request uses.
 pub fn safe_class(aim: Micros, threads: f64) -> Class {
     Class {
         latency_objective: aim,
--- a/crates/fleet-test/src/config.rs
+++ b/crates/fleet-test/src/config.rs
@@ -1,5 +1,5 @@
-//! What the platform would tell a gateway: the configuration of a scenario's gateways, and the
-//! figures of the rules in it, which the checkers use too.
+//! The configuration of a scenario's gateways, as the platform would provide it, and the limits in
+//! it that the checks use too.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,65 +8,67 @@
 use eideryard_emulators::scenario::{EngineSpec, Scenario, Scope};
 use serde_json::{json, Value};
 
-/// A cold engine's part of its capacity, and what it may be sent: so many times its present
-/// capacity for so long.
+/// Capacity of an engine at the begin of its slow start, as a part of its full capacity.
 pub const START_CAPACITY: f64 = 0.4;
-/// Multiple of its present capacity that a cold engine may be sent.
+/// Work that an engine in slow start may be sent per [`FALL_WINDOW`], as a multiple of its present
+/// capacity.
 pub const FALL_MULTIPLE: f64 = 3.0;
-/// The time over which that is counted.
+/// The time over which the work sent to an engine in slow start is summed.
 pub const FALL_WINDOW: Duration = Duration::from_secs(1);
-/// Nothing new goes to an engine so long after its drain was told.
+/// No new request goes to an engine later than this after its drain was announced.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// After a time-out, reset or cancel a key of an ordered class rests for so long.
+/// No request of an ordered class goes out for this time after a timeout, reset or cancellation of
+/// an earlier one with the same key.
 pub const ORDER_PAUSE: Duration = Duration::from_millis(500);
 
-/// An engine as service discovery lists it.
+/// An item of the endpoint list: an engine as service discovery announces it.
 pub struct ListedEngine<'a> {
-    /// Its name.
+    /// Unique name of the engine, `host` in the list.
     pub name: &'a str,
-    /// Where a gateway dials it.
+    /// Address that gateways dial, as `IP:PORT`.
     pub address: &'a str,
-    /// Its zone.
+    /// Name of its availability zone, `site` in the list.
     pub zone: &'a str,
-    /// Its machine kind.
+    /// Name of its machine kind, `class` in the list.
     pub kind: &'a str,
-    /// Its cell.
+    /// Number of its cell, `block` in the list: engines of a cell share the memory of keys.
     pub cell: u64,
-    /// What becomes of it: `up`, `draining` or `removed`.
+    /// `up`, `draining` or `removed`.
     pub health: &'a str,
-    /// When it started, in Unix milliseconds; 0: long ago.
+    /// When it started, in Unix milliseconds; 0 for long ago: it is warm.
     pub born_ms: u64,
 }
 
 impl ListedEngine<'_> {
-    /// The item of the list.
+    /// Encodes the item as service discovery sends it.
     pub fn item(&self) -> Value {
         json!({"host": self.name, "dial": self.address, "site": self.zone, "class": self.kind,
                "block": self.cell, "health": self.health, "share": 1, "born_ms": self.born_ms})
     }
 }
 
-/// Where a gateway listens, and what it finds at its bulletin.
+/// Addresses and the initial endpoint list for a gateway's configuration.
 pub struct GatewayInputs {
-    /// Its own address.
+    /// The address on which the gateway listens for clients.
     pub listen: SocketAddr,
-    /// Where service discovery listens.
+    /// The address at which the gateway reaches service discovery.
     pub bulletin: SocketAddr,
-    /// What service discovery has told so far.
+    /// The endpoint list at the start of the gateway, in service discovery's format.
     pub endpoint_list: Value,
 }
 
-/// The configuration of a scenario's gateway.
+/// Builds the configuration of the gateway `name`. A gateway that the scenario doesn't contain gets
+/// default limits.
 #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn config(scenario: &Scenario, name: &str, inputs: GatewayInputs) -> Value {
-    let own = scenario
+    let gateway_spec = scenario
         .gateways
         .iter()
         .find(|gateway| gateway.name == name);
     let classes = &scenario.classes;
-    let longest = scenario
+    let longest_wait = scenario
         .loads
         .iter()
         .map(|load| load.wait)
@@ -86,25 +88,28 @@
         .iter()
         .map(|class| {
             json!({"name": class.name, "aim-us": class.aim.as_micros() as u64, "aim-stretch": 2.0,
-                   "deadline-us": longest.as_micros() as u64, "value": 1.0,
+                   "deadline-us": longest_wait.as_micros() as u64, "value": 1.0,
                    "repeat": repeat(class.effect), "sequential": class.ordered,
                    "group": group(class.scope), "window-us": class.window.as_micros() as u64})
         })
         .collect();
-    let set = |of: fn(&EngineSpec) -> &String| {
-        let names: BTreeSet<_> = scenario.engines.iter().map(of).collect();
+    let distinct = |field: fn(&EngineSpec) -> &String| {
+        let names: BTreeSet<_> = scenario.engines.iter().map(field).collect();
         names.into_iter().cloned().collect::<Vec<_>>()
     };
-    let (kinds, zones) = (set(|engine| &engine.kind), set(|engine| &engine.zone));
-    let of_kind = |kind: &String| scenario.engines.iter().find(|engine| engine.kind == *kind);
+    let (kinds, zones) = (
+        distinct(|engine| &engine.kind),
+        distinct(|engine| &engine.zone),
+    );
+    let first_of_kind = |kind: &String| scenario.engines.iter().find(|engine| engine.kind == *kind);
     let cores: Vec<u64> = kinds
         .iter()
-        .filter_map(of_kind)
+        .filter_map(first_of_kind)
         .map(|engine| engine.cores)
         .collect();
     let memory: Vec<f64> = kinds
         .iter()
-        .filter_map(of_kind)
+        .filter_map(first_of_kind)
         .map(|engine| engine.memory_mb)
         .collect();
     let warm = scenario
@@ -120,8 +125,8 @@
         .collect();
     json!({
         "name": name, "listen": inputs.listen.to_string(), "seed": format!("{:016x}", scenario.seed),
-        "limits": {"cores": 1.0, "memory_mb": own.map_or(192, |own| own.memory_mb),
-                   "sockets": own.map_or(1024, |own| own.sockets)},
+        "limits": {"cores": 1.0, "memory_mb": gateway_spec.map_or(192, |gateway_spec| gateway_spec.memory_mb),
+                   "sockets": gateway_spec.map_or(1024, |gateway_spec| gateway_spec.sockets)},
         "bulletin": inputs.bulletin.to_string(),
         "known": inputs.endpoint_list,
         "settings": {
--- a/crates/fleet-test/src/links.rs
+++ b/crates/fleet-test/src/links.rs
@@ -1,4 +1,5 @@
-//! All links between the parts of a run, by the names of their ends, and what is wrong with each.
+//! The links between the parts of a run, each with its relay, by the names of their ends; begins
+//! and ends faults on them.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,18 +23,21 @@
     gateways: Vec<Name>,
     engines: Vec<Name>,
     ledger: ledger::Shared,
-    next: u64,
+    last_fault: u64,
 }
 
-/// A fault that lasts, on all links that it was put on.
+/// A fault that has begun and lasts until [`Links::end`].
 pub struct ActiveFault {
     number: u64,
     fault: Fault,
-    on: Vec<(Name, Name)>,
+    /// The links that have it.
+    links: Vec<(Name, Name)>,
 }
 
 impl Links {
-    /// Opens a door for each link of these gateways and engines.
+    /// Starts a relay for each link: from clients to gateways, and from each gateway to its
+    /// bulletin, the engines and the other gateways. Relays refuse connections until they have a
+    /// target.
     pub fn start(
         gateways: Vec<Name>,
         engines: Vec<Name>,
@@ -55,7 +59,7 @@
             gateways,
             engines,
             ledger,
-            next: 0,
+            last_fault: 0,
         })
     }
 
@@ -63,36 +67,38 @@
         self.links.get(&(from.into(), to.into()))
     }
 
-    /// The address at which one end finds the other.
-    pub fn door(&self, from: &str, to: &str) -> Option<SocketAddr> {
+    /// The address that `from` dials to reach `to`; `None` if there is no such link.
+    pub fn address(&self, from: &str, to: &str) -> Option<SocketAddr> {
         self.link(from, to).map(|relay| relay.address)
     }
 
-    /// Where one end of all links that lead to it is now, if anybody is there.
+    /// Sets the target of all links to a part, also those from clients; `None` if it is down.
     pub fn set_all_targets(&self, to: &str, target: Option<SocketAddr>) {
         self.links
             .iter()
-            .filter(|((_, own), _)| **own == *to)
+            .filter(|((_, far), _)| **far == *to)
             .for_each(|(_, relay)| relay.set_target(target));
     }
 
-    /// Where gateways reach another one of them.
+    /// Sets the target of all links from other gateways to a gateway; `None` if it has no peer
+    /// address.
     pub fn set_peer_targets(&self, to: &str, target: Option<SocketAddr>) {
-        let of_peers = |(from, own): &(Name, Name)| **own == *to && self.gateways.contains(from);
+        let is_peer_link =
+            |(from, far): &(Name, Name)| **far == *to && self.gateways.contains(from);
         self.links
             .iter()
-            .filter(|(ends, _)| of_peers(ends))
+            .filter(|(ends, _)| is_peer_link(ends))
             .for_each(|(_, relay)| relay.set_target(target));
     }
 
-    /// Leads one link to an address, or to nobody.
+    /// Sets the target of one link; with `None` the relay refuses connections.
     pub fn set_target(&self, from: &str, to: &str, target: Option<SocketAddr>) {
         self.link(from, to)
             .into_iter()
             .for_each(|relay| relay.set_target(target));
     }
 
-    fn is(&self, name: &str, end: &Name) -> bool {
+    fn matches(&self, name: &str, end: &Name) -> bool {
         match name {
             "any" => true,
             "gateways" => self.gateways.contains(end),
@@ -101,46 +107,51 @@
         }
     }
 
-    /// Links between two ends as a step names them, and whether they are named from their far end.
+    /// The links between two ends as a step names them; true for those whose direction is the
+    /// reverse of the step's.
     fn between(&self, a: &str, b: &str) -> Vec<((Name, Name), bool)> {
-        let along = |from: &Name, to: &Name| self.is(a, from) && self.is(b, to);
-        let against = |from: &Name, to: &Name| self.is(b, from) && self.is(a, to);
+        let is_forward = |from: &Name, to: &Name| self.matches(a, from) && self.matches(b, to);
+        let is_reverse = |from: &Name, to: &Name| self.matches(b, from) && self.matches(a, to);
         let all = self
             .links
             .keys()
-            .filter(|(from, to)| along(from, to) || against(from, to));
-        all.map(|(from, to)| ((from.clone(), to.clone()), !along(from, to)))
+            .filter(|(from, to)| is_forward(from, to) || is_reverse(from, to));
+        all.map(|(from, to)| ((from.clone(), to.clone()), !is_forward(from, to)))
             .collect()
     }
 
-    /// Begins a fault on the links that a step names.
+    /// Begins a fault on the links between the two ends that a step names.
     pub fn begin(&mut self, step: &Step, fault: Fault) -> ActiveFault {
-        self.next += 1;
-        let number = self.next;
-        let mut on = Vec::new();
-        for ((from, to), turned) in self.between(&step.names[0], &step.names[1]) {
-            let way = match (step.way, turned) {
+        self.last_fault += 1;
+        let number = self.last_fault;
+        let mut links = Vec::new();
+        for ((from, to), is_reversed) in self.between(&step.names[0], &step.names[1]) {
+            let way = match (step.way, is_reversed) {
                 (Way::There, true) => Way::Back,
                 (Way::Back, true) => Way::There,
                 (way, _) => way,
             };
             if let Some(relay) = self.link(&from, &to) {
                 relay.begin(number, fault, way);
-                self.note(&from, &to, fault.name(), true);
-                on.push((from, to));
+                self.record_fault(&from, &to, fault.name(), true);
+                links.push((from, to));
             }
         }
-        ActiveFault { number, fault, on }
+        ActiveFault {
+            number,
+            fault,
+            links,
+        }
     }
 
-    /// Ends such a fault.
+    /// Ends a fault on all links that have it.
     pub fn end(&self, active: &ActiveFault) {
-        for (from, to) in &active.on {
+        for (from, to) in &active.links {
             if self
                 .link(from, to)
                 .is_some_and(|relay| relay.end(active.number))
             {
-                self.note(from, to, active.fault.name(), false);
+                self.record_fault(from, to, active.fault.name(), false);
             }
         }
     }
@@ -151,12 +162,13 @@
             self.link(&from, &to)
                 .into_iter()
                 .for_each(|relay| relay.reset());
-            self.note(&from, &to, "reset", true);
-            self.note(&from, &to, "reset", false);
+            self.record_fault(&from, &to, "reset", true);
+            self.record_fault(&from, &to, "reset", false);
         }
     }
 
-    fn note(&self, from: &Name, to: &Name, fault: &'static str, begins: bool) {
+    /// Records the begin or the end of a fault in the history.
+    fn record_fault(&self, from: &Name, to: &Name, fault: &'static str, begins: bool) {
         let (from, to) = (from.clone(), to.clone());
         self.ledger.borrow_mut().happened(|| What::Link {
             from,
--- a/crates/fleet-test/src/minimize.rs
+++ b/crates/fleet-test/src/minimize.rs
@@ -1,26 +1,28 @@
-//! Makes a plan that breaks a rule smaller: drops faults, first many at a time, then one by one,
-//! for as long as it still breaks. Pure; whether a plan breaks is asked of the caller.
+//! Reduces a plan that breaks a rule: removes faults, first many at a time, then one by one, as
+//! long as the plan still breaks the rule. No I/O: the caller plays the plans.
 
 use crate::plan::Plan;
 
-/// The smallest plan found of which no fault can be dropped.
+/// Reduces a plan until none of its faults can be removed. `breaks` tells whether a plan still
+/// breaks the rule.
 pub fn minimize(plan: &Plan, mut breaks: impl FnMut(&Plan) -> bool) -> Plan {
     let mut faults = plan.faults.clone();
     let mut size = faults.len().div_ceil(2).max(1);
     loop {
         let before = faults.len();
-        let mut at = 0;
-        while at < faults.len() {
+        let mut start = 0;
+        while start < faults.len() {
             let mut fewer = faults.clone();
-            fewer.drain(at..(at + size).min(fewer.len()));
+            fewer.drain(start..(start + size).min(fewer.len()));
             if breaks(&plan.with(&fewer)) {
                 faults = fewer;
             } else {
-                at += size;
+                start += size;
             }
         }
         match size {
-            // What was needed may be needed no more once others are gone.
+            // Removing one fault may make another one unnecessary, so single faults are tried until
+            // none can be removed.
             1 if faults.len() == before => return plan.with(&faults),
             1 => {}
             _ => size = size.div_ceil(2),
--- a/crates/fleet-test/src/processes.rs
+++ b/crates/fleet-test/src/processes.rs
@@ -1,4 +1,4 @@
-//! Gateways as processes: started, told to end, killed, paused; what each start left behind.
+//! Gateway processes: starts and signals them, and collects the log and counters of each start.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -12,35 +12,35 @@
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::time::{sleep, Instant};
 
-/// How long a gateway may take to listen, and to end.
-const PATIENCE: Duration = Duration::from_secs(20);
-const LOOKS_EVERY: Duration = Duration::from_millis(5);
+/// How long a gateway may take to listen after its start, and to end after the signal.
+const TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Gateways that a scenario starts: the program, and what more it is told.
+/// The program that gateways run, with arguments and environment common to all of them.
 #[derive(Clone, Debug, Default)]
 pub struct Programs {
-    /// The program.
+    /// Path of the gateway program.
     pub program: PathBuf,
-    /// What it is told on its command line.
+    /// Arguments on its command line.
     pub arguments: Vec<String>,
-    /// Environment variables beside the configuration's.
+    /// Environment variables in addition to `EDGE_CONFIG`.
     pub variables: Vec<(String, String)>,
-    /// Configurations and logs go there.
+    /// Where configurations and logs are written.
     pub directory: PathBuf,
 }
 
 /// How one start of a gateway ended.
 #[derive(Clone, Debug)]
 pub struct Ending {
-    /// The gateway's name and the number of its start.
+    /// The gateway's name and the number of its start, as `g1#2`.
     pub name: String,
-    /// What it logged.
+    /// The log file of this start.
     pub log: PathBuf,
-    /// Processor time of all its threads.
+    /// CPU time of all its threads, as last measured before its end.
     pub cpu: Duration,
-    /// Its last counters, unless it was killed.
+    /// The counters that it last logged, by name; `None` if it logged none.
     pub counters: Option<BTreeMap<String, u64>>,
-    /// It was told to end, or killed.
+    /// Whether the test stopped or killed it.
     pub was_requested: bool,
 }
 
@@ -48,44 +48,45 @@
     child: Child,
     log: PathBuf,
     start: usize,
-    /// It was told to end, or killed.
-    wanted: bool,
-    /// A thread of it that stands still.
+    /// Whether it was asked to stop, or killed.
+    is_end_requested: bool,
+    /// A thread of it that is stopped to emulate a hanging disk.
     stalled: Option<StalledThread>,
 }
 
-/// All gateways that run, and how earlier starts ended.
+/// All running gateway processes, and how earlier ones ended.
 #[derive(Default)]
 pub struct Processes {
     running: BTreeMap<String, Running>,
     starts: BTreeMap<String, usize>,
-    /// How starts ended, in that order.
+    /// Ended processes, in the order of their ends.
     pub endings: Vec<Ending>,
 }
 
 impl Processes {
-    /// Those that run.
+    /// The names of running gateways, sorted.
     pub fn names(&self) -> Vec<String> {
         self.running.keys().cloned().collect()
     }
 
-    /// Starts one and waits until it listens; gives its address and the number of this start.
+    /// Starts a gateway and waits until it listens. Returns its address and the number of this
+    /// start, from 1 on.
     pub async fn start(
         &mut self,
         programs: &Programs,
         name: &str,
         config: &serde_json::Value,
-        more: &[String],
+        extra_arguments: &[String],
     ) -> io::Result<(SocketAddr, usize)> {
         let start = self.starts.entry(name.to_string()).or_default();
         *start += 1;
         let start = *start;
-        let path = configuration(programs, name, start);
+        let path = config_path(programs, name, start);
         std::fs::write(&path, serde_json::to_string_pretty(config)?)?;
         let log = programs.directory.join(format!("{name}-{start}.log"));
         let child = Command::new(&programs.program)
             .args(&programs.arguments)
-            .args(more)
+            .args(extra_arguments)
             .env("EDGE_CONFIG", &path)
             .envs(programs.variables.iter().map(|(name, value)| (name, value)))
             .stdout(Stdio::null())
@@ -100,13 +101,15 @@
                 child,
                 log: log.clone(),
                 start,
-                wanted: false,
+                is_end_requested: false,
                 stalled: None,
             },
         );
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
-            if let Some(address) = find(&log, "listens on ").and_then(|line| address(&line)) {
+            if let Some(address) =
+                last_line_with(&log, "listens on ").and_then(|line| parse_address(&line))
+            {
                 return Ok((address, start));
             }
             let ended = match self.running.get_mut(name) {
@@ -115,16 +118,16 @@
             };
             if ended || Instant::now() > until {
                 return Err(io::Error::other(format!(
-                    "gateway {name} doesn't listen; see {}",
+                    "gateway {name} doesn't listen after its start; see its log {}",
                     log.display()
                 )));
             }
-            sleep(LOOKS_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Puts another configuration in the place of the one that a gateway started with. It takes it
-    /// up when it is told to.
+    /// Replaces the configuration file of a gateway. The gateway reads it when it gets the signal
+    /// to reload.
     pub fn configure(
         &self,
         programs: &Programs,
@@ -132,31 +135,32 @@
         config: &serde_json::Value,
     ) -> io::Result<()> {
         let start = self.running.get(name).map_or(0, |running| running.start);
-        let path = configuration(programs, name, start);
+        let path = config_path(programs, name, start);
         let new = path.with_extension("new");
         std::fs::write(&new, serde_json::to_string_pretty(config)?)?;
         std::fs::rename(new, path)
     }
 
-    /// Where the gateways of its fleet reach one, as its log says.
+    /// The address on which a gateway listens for its peers, as it logged it; `None` if it did not.
     pub fn peer_address(&self, name: &str) -> Option<SocketAddr> {
         let log = &self.running.get(name)?.log;
-        find(log, "peers reach this gateway at ").and_then(|line| address(&line))
+        last_line_with(log, "peers reach this gateway at ").and_then(|line| parse_address(&line))
     }
 
-    /// Holds one thread of a process until it is let go or ends.
+    /// Stops one thread of a gateway until [`Self::resume_thread`] or the end of the process. Does
+    /// nothing if a thread of it is stopped already.
     pub fn stall_thread(&mut self, name: &str, thread: &str) -> io::Result<()> {
         if let Some(running) = self
             .running
             .get_mut(name)
-            .filter(|own| own.stalled.is_none())
+            .filter(|running| running.stalled.is_none())
         {
             running.stalled = StalledThread::stall(running.child.id(), thread)?;
         }
         Ok(())
     }
 
-    /// Lets a stalled thread go on.
+    /// Resumes the stopped thread of a gateway, if there is one.
     pub fn resume_thread(&mut self, name: &str) {
         let stalled = self
             .running
@@ -165,37 +169,37 @@
         stalled.into_iter().for_each(StalledThread::resume);
     }
 
-    /// Sends a signal to one that runs.
+    /// Sends a signal to a running gateway.
     pub fn signal(&mut self, name: &str, signal: Signal) {
         if let Some(running) = self.running.get_mut(name) {
-            running.wanted |= signal == Signal::TERM || signal == Signal::KILL;
-            // One that has ended already needs none.
+            running.is_end_requested |= signal == Signal::TERM || signal == Signal::KILL;
+            // Fails if the process has ended already, which is harmless.
             let _ = kill_process(Pid::from_child(&running.child), signal);
         }
     }
 
-    /// It runs, and nobody told it to end.
+    /// Whether a gateway runs and was not asked to stop.
     pub fn is_running(&self, name: &str) -> bool {
         self.running
             .get(name)
-            .is_some_and(|running| !running.wanted)
+            .is_some_and(|running| !running.is_end_requested)
     }
 
-    /// Those that ended though nobody told them to.
+    /// Gateways that ended without being asked to stop.
     pub fn crashed(&mut self) -> Vec<String> {
-        let ended = |running: &mut Running| matches!(running.child.try_wait(), Ok(Some(_)));
-        let of = |(name, running): (&String, &mut Running)| {
-            (!running.wanted && ended(running)).then(|| name.clone())
+        let has_ended = |running: &mut Running| matches!(running.child.try_wait(), Ok(Some(_)));
+        let crashed = |(name, running): (&String, &mut Running)| {
+            (!running.is_end_requested && has_ended(running)).then(|| name.clone())
         };
-        self.running.iter_mut().filter_map(of).collect()
+        self.running.iter_mut().filter_map(crashed).collect()
     }
 
-    /// Processor time of all threads of one that runs, by the system's own account.
+    /// CPU time of all threads of a running gateway, from `/proc`.
     pub fn processor_time(&self, name: &str) -> Option<Duration> {
         processor_time(self.running.get(name)?.child.id())
     }
 
-    /// Memory that one holds, by the system's own account.
+    /// Resident memory of a running gateway, from `/proc`.
     pub fn resident_bytes(&self, name: &str) -> Option<u64> {
         let process = self.running.get(name)?.child.id();
         let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
@@ -206,44 +210,46 @@
         Some(kilobytes << 10)
     }
 
-    /// Waits until one has ended, if it runs, and notes how. False: it had to be killed.
+    /// Waits until a gateway has ended, if it runs, and adds it to [`Self::endings`]. Returns false
+    /// if it had to be killed after the timeout.
     pub async fn wait_for_end(&mut self, name: &str) -> io::Result<bool> {
         let Some(mut running) = self.running.remove(name) else {
             return Ok(true);
         };
-        let until = Instant::now() + PATIENCE;
-        let (mut cpu, mut by_itself) = (Duration::ZERO, true);
-        // What is stalled ends with a kill, and else goes on, so that it can end by itself.
+        let until = Instant::now() + TIMEOUT;
+        let (mut cpu, mut ended_in_time) = (Duration::ZERO, true);
+        // A process with a stopped thread can't end by itself, so the thread is resumed. A killed
+        // process may be gone already.
         match running.stalled.take() {
-            Some(stalled) if running.wanted => stalled.resume_or_reap(),
+            Some(stalled) if running.is_end_requested => stalled.resume_or_reap(),
             stalled => stalled.into_iter().for_each(StalledThread::resume),
         }
         while running.child.try_wait()?.is_none() {
             cpu = processor_time(running.child.id()).unwrap_or(cpu).max(cpu);
             if Instant::now() > until {
                 running.child.kill()?;
-                by_itself = false;
+                ended_in_time = false;
             }
-            sleep(LOOKS_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
-        let counters = find(&running.log, "counters:").map(|line| counters(&line));
+        let counters = last_line_with(&running.log, "counters:").map(|line| counters(&line));
         let name = format!("{name}#{}", running.start);
         self.endings.push(Ending {
             name,
             log: running.log,
             cpu,
             counters,
-            was_requested: running.wanted,
+            was_requested: running.is_end_requested,
         });
-        Ok(by_itself)
+        Ok(ended_in_time)
     }
 }
 
-/// Whatever ends a run early leaves no process behind.
+/// Kills all processes, so that a run that ends early leaves none behind.
 impl Drop for Processes {
     fn drop(&mut self) {
         for running in self.running.values_mut() {
-            // Those that have ended are waited for all the same.
+            // Fails if the process has ended; it is still waited for, to free its entry.
             let _ = running.child.kill();
             running
                 .stalled
@@ -255,36 +261,37 @@
     }
 }
 
-/// The file that one start of a gateway takes its configuration from.
-fn configuration(programs: &Programs, name: &str, start: usize) -> PathBuf {
+/// The configuration file of one start of a gateway.
+fn config_path(programs: &Programs, name: &str, start: usize) -> PathBuf {
     programs.directory.join(format!("{name}-{start}.json"))
 }
 
-/// Of a process that still runs, by the system's own account.
+/// CPU time of a process from `/proc`; `None` once it has ended.
 fn processor_time(process: u32) -> Option<Duration> {
     let mut sum = 0;
     for task in std::fs::read_dir(format!("/proc/{process}/task")).ok()? {
-        let told = std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok()?;
-        sum += told.split(' ').next()?.parse::<u64>().ok()?;
+        let schedstat = std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok()?;
+        sum += schedstat.split(' ').next()?.parse::<u64>().ok()?;
     }
     Some(Duration::from_nanos(sum))
 }
 
-/// The last line of a log that holds a text.
-fn find(log: &Path, text: &str) -> Option<String> {
+/// The last line of a log that contains a text.
+fn last_line_with(log: &Path, text: &str) -> Option<String> {
     let lines = BufReader::new(File::open(log).ok()?)
         .lines()
         .map_while(Result::ok);
     lines.filter(|line| line.contains(text)).last()
 }
 
-fn address(line: &str) -> Option<SocketAddr> {
+/// The last address in a line.
+fn parse_address(line: &str) -> Option<SocketAddr> {
     line.split(' ')
         .filter_map(|word| word.trim_matches('"').parse().ok())
         .next_back()
 }
 
-/// The counters of a line that tells them, by name.
+/// Parses the `name=value` pairs of a log line; other words are ignored.
 pub fn counters(line: &str) -> BTreeMap<String, u64> {
     let pairs = line
         .split([' ', ';'])
--- a/crates/fleet-test/src/relay.rs
+++ b/crates/fleet-test/src/relay.rs
@@ -1,9 +1,9 @@
-//! One link between two ends: a relay on loopback that passes bytes on, late, slowly, one way or
-//! not at all.
+//! One link between two ends: a relay on loopback that forwards bytes, optionally late, slowly, in
+//! one direction only or not at all.
 //!
-//! A cut is as a cable that is pulled: what was sent waits, connections stay open and silent, and
-//! new ones never come up, since the listener's queue is kept full while nobody accepts. What
-//! waited arrives when the cut is over, as a transport that sends again would have it.
+//! A cut behaves like a pulled cable: bytes in flight wait, connections stay open and silent, and
+//! new ones are never established, because the listener's queue is kept full and nothing is
+//! accepted. When the cut ends the bytes arrive, as they would by a transport's retransmission.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -21,32 +21,32 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Pieces that wait on one connection in one direction, and the bytes of each at most: what a link
-/// holds.
-const MAX_PIECES: usize = 64;
-const PIECE: usize = 16 << 10;
-/// Connections that may wait to be accepted while the link is whole.
+/// Most chunks that wait on one connection in one direction.
+const MAX_CHUNKS: usize = 64;
+/// Most bytes of a chunk.
+const CHUNK: usize = 16 << 10;
+/// Queue of connections that wait to be accepted, while no cut keeps it full.
 const BACKLOG: i32 = 1024;
-/// The other end has answered a new connection by then, or it is refused.
+/// Timeout for dialing the other end; after it the new connection is reset.
 const CONNECTS_WITHIN: Duration = Duration::from_secs(2);
 
-/// What goes wrong on a link.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing passes, and new connections never come up.
+    /// No bytes are forwarded, and new connections are never established.
     Cut,
-    /// Nothing passes, but new connections come up.
+    /// No bytes are forwarded, but new connections are established.
     Stall,
-    /// Bytes are taken and none delivered.
+    /// Bytes are accepted and dropped.
     Swallow,
-    /// What passes takes longer by so much.
+    /// Bytes arrive later by this time.
     Delay(Duration),
-    /// Bytes a second.
+    /// At most this many bytes per second are forwarded.
     Throttle(u64),
 }
 
 impl Fault {
-    /// Its name in histories.
+    /// The name in histories.
     pub fn name(self) -> &'static str {
         match self {
             Fault::Cut => "cut",
@@ -58,78 +58,79 @@
     }
 }
 
-/// What holds in one direction.
+/// The effect of all faults on one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Lane {
-    holds: bool,
-    swallows: bool,
+struct Direction {
+    is_held: bool,
+    drops_bytes: bool,
     delay: Duration,
+    /// Bytes per second; `None` for unlimited.
     rate: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct State {
-    there: Lane,
-    back: Lane,
-    /// Nobody is at the other end: new connections are refused.
-    vacant: bool,
-    /// New connections never come up.
-    silent: bool,
-    /// Counts orders to end all connections.
+    there: Direction,
+    back: Direction,
+    /// The link has no target: new connections are refused.
+    is_closed: bool,
+    /// New connections are never established.
+    is_silent: bool,
+    /// Number of calls of [`Relay::reset`]; connections end when it changes.
     resets: u64,
 }
 
-fn combine_faults(faults: &[(u64, Fault, Way)], vacant: bool, resets: u64) -> State {
+fn combine_faults(faults: &[(u64, Fault, Way)], is_closed: bool, resets: u64) -> State {
     let mut state = State {
-        vacant,
+        is_closed,
         resets,
         ..State::default()
     };
     for (_, fault, way) in faults {
-        let mut lanes: Vec<&mut Lane> = Vec::new();
+        let mut directions: Vec<&mut Direction> = Vec::new();
         if *way != Way::Back {
-            lanes.push(&mut state.there);
+            directions.push(&mut state.there);
         }
         if *way != Way::There {
-            lanes.push(&mut state.back);
+            directions.push(&mut state.back);
         }
-        for lane in lanes {
+        for direction in directions {
             match fault {
-                Fault::Cut | Fault::Stall => lane.holds = true,
-                Fault::Swallow => lane.swallows = true,
-                Fault::Delay(by) => lane.delay += *by,
+                Fault::Cut | Fault::Stall => direction.is_held = true,
+                Fault::Swallow => direction.drops_bytes = true,
+                Fault::Delay(by) => direction.delay += *by,
                 Fault::Throttle(rate) => {
-                    lane.rate = Some(lane.rate.map_or(*rate, |own| own.min(*rate)));
+                    direction.rate = Some(direction.rate.map_or(*rate, |limit| limit.min(*rate)));
                 }
             }
         }
-        // No connection comes up over a way that delivers one direction only.
-        state.silent |= *fault == Fault::Cut;
+        // A handshake needs both directions, so a cut of one prevents new connections.
+        state.is_silent |= *fault == Fault::Cut;
     }
     state
 }
 
-/// One link that is led through the rig.
+/// One link between two parts of a run.
 pub struct Relay {
-    /// Where the link's one end finds the other.
+    /// The address that the near end dials.
     pub address: SocketAddr,
-    place: Place,
+    port: Place,
     target: Cell<Option<SocketAddr>>,
     faults: RefCell<Vec<(u64, Fault, Way)>>,
     state: watch::Sender<State>,
 }
 
 impl Relay {
-    /// Refuses until it has a target.
+    /// Starts the relay, which refuses connections until it has a target.
     pub fn start() -> io::Result<Rc<Self>> {
-        let place = Place::reserve(None)?;
+        let port = Place::reserve(None)?;
         let relay = Rc::new(Relay {
-            address: place.address,
-            place,
+            address: port.address,
+            port,
             target: Cell::new(None),
             faults: RefCell::default(),
             state: watch::Sender::new(State {
-                vacant: true,
+                is_closed: true,
                 ..State::default()
             }),
         });
@@ -137,23 +138,25 @@
         Ok(relay)
     }
 
-    /// Where the other end is now, if anybody is there.
+    /// Sets the address of the far end; with `None`, new connections are refused.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.target.set(target);
         self.state
-            .send_modify(|state| state.vacant = target.is_none());
+            .send_modify(|state| state.is_closed = target.is_none());
     }
 
-    /// Begins a fault under a number of its own.
+    /// Begins a fault. `number` must be unique among the link's faults.
     pub fn begin(&self, number: u64, fault: Fault, way: Way) {
         self.faults.borrow_mut().push((number, fault, way));
         self.update_state();
     }
 
-    /// False: it had ended already.
+    /// Ends a fault. Returns false if there was none with this number.
     pub fn end(&self, number: u64) -> bool {
         let before = self.faults.borrow().len();
-        self.faults.borrow_mut().retain(|(own, ..)| *own != number);
+        self.faults
+            .borrow_mut()
+            .retain(|(active, ..)| *active != number);
         self.update_state();
         self.faults.borrow().len() < before
     }
@@ -161,10 +164,10 @@
     fn update_state(&self) {
         let faults = self.faults.borrow();
         self.state
-            .send_modify(|state| *state = combine_faults(&faults, state.vacant, state.resets));
+            .send_modify(|state| *state = combine_faults(&faults, state.is_closed, state.resets));
     }
 
-    /// Ends all connections now.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.state.send_modify(|state| state.resets += 1);
     }
@@ -172,43 +175,43 @@
     async fn serve(self: Rc<Self>) {
         let mut changes = self.state.subscribe();
         let (mut listener, mut fillers): (Option<TcpListener>, Vec<Socket>) = (None, Vec::new());
-        let mut passed_over: Vec<SocketAddr> = Vec::new();
+        let mut filler_addresses: Vec<SocketAddr> = Vec::new();
         loop {
             let state = *changes.borrow_and_update();
-            if state.vacant {
+            if state.is_closed {
                 (listener, fillers) = (None, Vec::new());
             } else if listener.is_none() {
-                // The port is held, so it can only fail for want of descriptors: the next change
-                // tries again.
-                listener = self.place.listen().ok();
+                // The port is reserved, so this fails only if descriptors run out; the next change
+                // of the state tries again.
+                listener = self.port.listen().ok();
             }
-            let Some(own) = listener.as_ref().filter(|_| !state.vacant) else {
+            let Some(listening) = listener.as_ref().filter(|_| !state.is_closed) else {
                 if changes.changed().await.is_err() {
                     return;
                 }
                 continue;
             };
-            if state.silent && fillers.is_empty() {
-                fillers = fill_queue(own, self.address);
-                passed_over = fillers
+            if state.is_silent && fillers.is_empty() {
+                fillers = fill_queue(listening, self.address);
+                filler_addresses = fillers
                     .iter()
-                    .filter_map(|own| own.local_addr().ok()?.as_socket())
+                    .filter_map(|filler| filler.local_addr().ok()?.as_socket())
                     .collect();
-            } else if !state.silent && !fillers.is_empty() {
+            } else if !state.is_silent && !fillers.is_empty() {
                 fillers.clear();
                 // The listener is open, so this can't fail.
-                let _ = SockRef::from(own).listen(BACKLOG);
+                let _ = SockRef::from(listening).listen(BACKLOG);
             }
-            if state.silent {
+            if state.is_silent {
                 if changes.changed().await.is_err() {
                     return;
                 }
                 continue;
             }
             tokio::select! {
-                accepted = own.accept() => {
+                accepted = listening.accept() => {
                     if let Ok((stream, from)) = accepted {
-                        if !passed_over.contains(&from) {
+                        if !filler_addresses.contains(&from) {
                             spawn_local(self.clone().connection(stream));
                         }
                     }
@@ -219,11 +222,11 @@
     }
 
     async fn connection(self: Rc<Self>, mut near: TcpStream) {
-        // Whatever ends it, ends it with a reset unless it was closed in order.
-        let linger = |stream: &TcpStream, resets: bool| {
+        // Connections end with a reset unless both directions were closed in order.
+        let set_reset = |stream: &TcpStream, resets: bool| {
             let _ = SockRef::from(stream).set_linger(resets.then_some(Duration::ZERO));
         };
-        linger(&near, true);
+        set_reset(&near, true);
         let _ = near.set_nodelay(true);
         let mut state = self.state.subscribe();
         let resets = state.borrow().resets;
@@ -233,14 +236,14 @@
         let Ok(Ok(mut far)) = timeout(CONNECTS_WITHIN, TcpStream::connect(target)).await else {
             return;
         };
-        linger(&far, true);
+        set_reset(&far, true);
         let _ = far.set_nodelay(true);
-        let in_order = {
+        let is_in_order = {
             let ((near_read, near_write), (far_read, far_write)) = (near.split(), far.split());
-            let there = pass(near_read, far_write, self.state.subscribe(), |state| {
+            let there = forward(near_read, far_write, self.state.subscribe(), |state| {
                 state.there
             });
-            let back = pass(far_read, near_write, self.state.subscribe(), |state| {
+            let back = forward(far_read, near_write, self.state.subscribe(), |state| {
                 state.back
             });
             tokio::select! {
@@ -248,17 +251,17 @@
                 _ = state.wait_for(|state| state.resets != resets) => false,
             }
         };
-        if in_order {
-            linger(&near, false);
-            linger(&far, false);
+        if is_in_order {
+            set_reset(&near, false);
+            set_reset(&far, false);
         }
     }
 }
 
-/// Keeps a listener's queue full, so that no connection comes up: sockets that hold the places in
-/// it.
+/// Fills a listener's queue, so that no connection is established while the returned sockets are
+/// open.
 fn fill_queue(listener: &TcpListener, address: SocketAddr) -> Vec<Socket> {
-    // One place is left, and what comes beyond it is dropped by the system.
+    // A backlog of 0 admits one connection; the system drops the handshakes of further ones.
     let _ = SockRef::from(listener).listen(0);
     let filler = || {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
@@ -273,55 +276,55 @@
     (0..2).filter_map(|_| filler().ok()).collect()
 }
 
-/// One direction of a connection, until it ends in order; an error ends both.
-async fn pass(
+/// Forwards one direction of a connection until its end. An error ends both directions.
+async fn forward(
     mut read: ReadHalf<'_>,
     mut write: WriteHalf<'_>,
     mut state: watch::Receiver<State>,
-    lane: fn(&State) -> Lane,
+    direction: fn(&State) -> Direction,
 ) -> io::Result<()> {
-    let (sender, mut pieces) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_PIECES);
+    let (sender, mut chunks) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_CHUNKS);
     let delays = state.clone();
     let reading = async move {
-        let mut chunk = vec![0; PIECE];
+        let mut buffer = vec![0; CHUNK];
         loop {
-            let count = read.read(&mut chunk).await?;
-            let due = Instant::now() + lane(&delays.borrow()).delay;
-            // The writing side has ended where it takes no more.
-            if sender.send((due, chunk[..count].to_vec())).await.is_err() || count == 0 {
+            let count = read.read(&mut buffer).await?;
+            let due = Instant::now() + direction(&delays.borrow()).delay;
+            // Sending fails if the writing side has ended.
+            if sender.send((due, buffer[..count].to_vec())).await.is_err() || count == 0 {
                 return io::Result::Ok(());
             }
         }
     };
     let writing = async move {
-        while let Some((due, piece)) = pieces.recv().await {
+        while let Some((due, chunk)) = chunks.recv().await {
             sleep_until(due).await;
-            let now = lane(
+            let current = direction(
                 &*state
-                    .wait_for(|state| !lane(state).holds)
+                    .wait_for(|state| !direction(state).is_held)
                     .await
                     .map_err(io::Error::other)?,
             );
-            if now.swallows && !piece.is_empty() {
-                // What is lost can't be made good: the connection ends with the fault.
+            if current.drops_bytes && !chunk.is_empty() {
+                // Dropped bytes can't be recovered, so the connection is reset when the fault ends.
                 state
-                    .wait_for(|state| !lane(state).swallows)
+                    .wait_for(|state| !direction(state).drops_bytes)
                     .await
                     .map_err(io::Error::other)?;
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
-            if piece.is_empty() {
+            if chunk.is_empty() {
                 return write.shutdown().await;
             }
-            write.write_all(&piece).await?;
-            if let Some(rate) = now.rate {
-                let pause = piece.len() as f64 / rate.max(1) as f64;
+            write.write_all(&chunk).await?;
+            if let Some(rate) = current.rate {
+                let pause = chunk.len() as f64 / rate.max(1) as f64;
                 sleep_until(Instant::now() + Duration::from_secs_f64(pause)).await;
             }
         }
         Ok(())
     };
-    // Both, since what was read last still goes out.
+    // The writing side must still send what was read last, so both are awaited.
     tokio::try_join!(reading, writing).map(|_| ())
 }
 
--- a/crates/fleet-test/src/relay/tests.rs
+++ b/crates/fleet-test/src/relay/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of this module, on small inputs.
+//! Tests of the relay.
 
 use super::*;
 use tokio::task::LocalSet;
 
-/// Each fault against an end that sends back what it gets.
+/// Tests each fault with a server that echoes what it receives.
 #[test]
-fn a_link_passes_holds_swallows_refuses_and_never_comes_up() {
+fn a_link_forwards_holds_drops_resets_and_refuses() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -24,7 +24,7 @@
         let relay = Relay::start().unwrap();
         let connect = || TcpStream::connect(relay.address);
         tokio::task::yield_now().await;
-        assert!(connect().await.is_err(), "nobody is at the other end");
+        assert!(connect().await.is_err(), "the link has no target");
         relay.set_target(Some(target));
         tokio::task::yield_now().await;
         let mut stream = connect().await.unwrap();
@@ -35,29 +35,26 @@
         }
         echo(&mut stream, &mut bytes).await.unwrap();
         let short = Duration::from_millis(150);
-        // A cut one way: what goes there arrives, what comes back waits; no new connection
-        // comes up.
+        // A cut of one direction: bytes there arrive, bytes back wait, and no new connection is
+        // established.
         relay.begin(1, Fault::Cut, Way::Back);
         assert!(timeout(short, echo(&mut stream, &mut bytes)).await.is_err());
         tokio::task::yield_now().await;
         assert!(
             timeout(short, connect()).await.is_err(),
-            "a new connection comes up over a cut link"
+            "a new connection was established over a cut link"
         );
         assert!(relay.end(1) && !relay.end(1));
         stream.read_exact(&mut bytes).await.unwrap();
-        assert_eq!(
-            &bytes, b"okra",
-            "what was held arrives when the cut is over"
-        );
-        // A stall lets connections come up.
+        assert_eq!(&bytes, b"okra", "held bytes arrive when the cut ends");
+        // A stall lets connections be established.
         relay.begin(2, Fault::Stall, Way::Both);
         tokio::task::yield_now().await;
         let mut second = connect().await.unwrap();
         assert!(timeout(short, echo(&mut second, &mut bytes)).await.is_err());
         relay.end(2);
         second.read_exact(&mut bytes).await.unwrap();
-        // What is swallowed never arrives, and the connection ends with the fault.
+        // Swallowed bytes never arrive, and the connection is reset when the fault ends.
         relay.begin(3, Fault::Swallow, Way::There);
         assert!(timeout(short, echo(&mut second, &mut bytes)).await.is_err());
         relay.end(3);
@@ -71,7 +68,7 @@
 }
 
 #[test]
-fn faults_on_one_link_add_up_and_each_ends_alone() {
+fn faults_of_one_link_are_combined() {
     let by = Duration::from_millis(5);
     let all = [
         (1, Fault::Delay(by), Way::Both),
@@ -81,10 +78,10 @@
         (5, Fault::Throttle(50), Way::Back),
     ];
     let state = combine_faults(&all, false, 0);
-    assert!(state.there.holds && !state.back.holds && state.silent);
+    assert!(state.there.is_held && !state.back.is_held && state.is_silent);
     assert_eq!(
         (state.there.delay, state.back.delay, state.back.rate),
         (by, 2 * by, Some(50))
     );
-    assert!(!combine_faults(&all[2..], false, 0).silent);
+    assert!(!combine_faults(&all[2..], false, 0).is_silent);
 }
--- a/crates/fleet-test/src/run.rs
+++ b/crates/fleet-test/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a plan played with real processes, its history and records held against the rules.
+//! One run: plays a plan with real processes and checks its history and event logs.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -12,37 +12,37 @@
 use crate::voters::{self, VoterGroup};
 use crate::world::{self, RECORD};
 
-/// Stories that are told of one run.
+/// Breaks of one run for which a story is written.
 const MAX_STORIES: usize = 3;
 
-/// Why a run has no verdict.
+/// Why a run ended without a verdict.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The plan is no scenario.
-    #[error("the plan can't be read: {0}")]
+    /// The plan is not a valid scenario; with the parser's message.
+    #[error("the plan is not a valid scenario: {0}")]
     Plan(String),
-    /// A process, a file or a socket failed.
-    #[error("the run can't be played: {0}")]
+    /// A gateway didn't start, a file or socket operation failed, or the history grew too long.
+    #[error("the run was aborted: {0}")]
     Io(#[from] io::Error),
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct RunOutcome {
-    /// The verdict.
+    /// Breaks of rules and figures.
     pub verdict: Verdict,
-    /// Of the first breaks, each with its shortest history.
+    /// The first breaks, each with the events that led to it as lines of text.
     pub stories: Vec<(Break, Vec<String>)>,
-    /// How each start of a gateway ended.
+    /// How each start of a gateway ended, in the order of the ends.
     pub endings: Vec<Ending>,
 }
 
-/// What a gateway counted itself: all that it took has an end.
-fn counted(endings: &[Ending], verdict: &mut Verdict) {
+/// Checks the counters of gateways: every request that was received has an end.
+fn check_counters(endings: &[Ending], verdict: &mut Verdict) {
     for ending in endings {
         let Some(counters) = &ending.counters else {
             continue;
         };
-        let of = |name: &str| counters.get(name).copied().unwrap_or(0);
+        let value = |name: &str| counters.get(name).copied().unwrap_or(0);
         let ends = [
             "served",
             "refused",
@@ -51,9 +51,13 @@
             "forgotten",
             "lost",
         ];
-        let ended: u64 = ends.iter().map(|name| of(name)).sum();
-        if of("taken") != ended {
-            let text = format!("{} took {} and ended {ended}", ending.name, of("taken"));
+        let ended: u64 = ends.iter().map(|name| value(name)).sum();
+        if value("taken") != ended {
+            let text = format!(
+                "{} counted {} received requests and {ended} ends",
+                ending.name,
+                value("taken")
+            );
             let subject = Subject::Gateway(ending.name.as_str().into());
             verdict.add(Break {
                 rule: Rule::Conservation,
@@ -66,8 +70,8 @@
     }
 }
 
-/// Holds the replicas of each group of keepers against each other, where there are any.
-fn compare(
+/// Compares the replicas within each group of voters.
+fn compare_replicas(
     directory: &Path,
     gateways: &[GatewaySpec],
     agreed: Option<u64>,
@@ -85,6 +89,8 @@
     Ok(())
 }
 
+/// Reads the replicas of one group from the store directories, compares them, and adds the
+/// replication counters of the status files to the figures.
 fn compare_group(directory: &Path, group: &VoterGroup, verdict: &mut Verdict) -> io::Result<()> {
     let (mut replicas, mut last) = (Vec::new(), 0);
     for name in &group.members {
@@ -93,9 +99,9 @@
         };
         last = last.max(status["at_ms"].as_u64().unwrap_or(0));
         let store = directories::of(directory, name).join(directories::STORE);
-        let found =
+        let recovered =
             eideryard_store::inspect(&store).map_err(|e| io::Error::other(e.to_string()))?;
-        let keys = found
+        let keys = recovered
             .keys
             .iter()
             .map(|(key, value)| (&key[..], &value.bytes[..]));
@@ -113,12 +119,13 @@
     Ok(())
 }
 
-/// Plays a plan in a directory, which keeps all that the gateways leave behind.
+/// Plays a plan and checks it against all rules. Configurations, logs and stores of the gateways
+/// stay in the directory.
 pub fn run(program: &Path, plan: &Plan, directory: &Path) -> Result<RunOutcome, RunError> {
     let scenario = plan.scenario("plan").map_err(RunError::Plan)?;
     let facts = Facts::from_scenario(&scenario);
     let specs = scenario.gateways.clone();
-    let gateways: Vec<String> = specs.iter().map(|own| own.name.clone()).collect();
+    let gateways: Vec<String> = specs.iter().map(|gateway| gateway.name.clone()).collect();
     std::fs::create_dir_all(directory)?;
     let programs = Programs {
         program: program.to_path_buf(),
@@ -129,7 +136,7 @@
     let events = played.ledger.history.take().unwrap_or_default();
     if played.ledger.left_out > 0 {
         let what = format!(
-            "{} events found no room in the history",
+            "the history is incomplete: {} events exceeded its limit; use a shorter plan",
             played.ledger.left_out
         );
         return Err(RunError::Io(io::Error::other(what)));
@@ -138,13 +145,13 @@
         |name: &String| check::read_requests(&directories::of(directory, name).join(RECORD));
     let records: Vec<Recorded> = gateways.iter().flat_map(read_requests).collect();
     let mut verdict = check::check(&facts, &events, &records, &played.crashed);
-    counted(&played.endings, &mut verdict);
-    compare(directory, &specs, played.agreed, &mut verdict)?;
-    let work = |name: &String| {
+    check_counters(&played.endings, &mut verdict);
+    compare_replicas(directory, &specs, played.agreed, &mut verdict)?;
+    let read_work = |name: &String| {
         check::owners::read_owner_work(&directories::of(directory, name).join(RECORD))
     };
     check::owners::check(
-        &gateways.iter().flat_map(work).collect::<Vec<_>>(),
+        &gateways.iter().flat_map(read_work).collect::<Vec<_>>(),
         &mut verdict,
     );
     verdict.set_figure("faults", plan.faults.len() as u64);
@@ -160,23 +167,23 @@
     })
 }
 
-/// The program that is tried: built beside this one, as a call of `cargo run` has it.
+/// Finds the gateway program in the directory of this executable, where cargo builds it.
 pub fn program() -> io::Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let mut directory = own.parent();
-    // Tests and examples lie a folder deeper.
-    while let Some(at) = directory {
-        let program = at.join("eideryard");
+    let executable = std::env::current_exe()?;
+    let mut directory = executable.parent();
+    // Tests and examples are one directory deeper.
+    while let Some(candidate) = directory {
+        let program = candidate.join("eideryard");
         if program.is_file() {
             return Ok(program);
         }
-        directory = at
+        directory = candidate
             .parent()
-            .filter(|_| at.ends_with("deps") || at.ends_with("examples"));
+            .filter(|_| candidate.ends_with("deps") || candidate.ends_with("examples"));
     }
     Err(io::Error::new(
         io::ErrorKind::NotFound,
-        "no program 'eideryard' is built beside this one",
+        "no program 'eideryard' in the directory of this executable",
     ))
 }
 
--- a/crates/fleet-test/src/run/tests.rs
+++ b/crates/fleet-test/src/run/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of this module, on small inputs.
+//! Tests of the check on counters.
 
 use super::*;
 
 #[test]
-fn a_gateway_that_lost_count_of_a_request_is_caught() {
+fn a_gateway_that_counts_fewer_ends_than_requests_is_caught() {
     let ending = |taken| Ending {
         name: "g1#1".into(),
         log: PathBuf::new(),
@@ -17,7 +17,7 @@
     };
     let count = |taken| {
         let mut verdict = Verdict::default();
-        counted(&[ending(taken)], &mut verdict);
+        check_counters(&[ending(taken)], &mut verdict);
         verdict.count(Rule::Conservation)
     };
     assert_eq!((count(4), count(5)), (0, 1));
--- a/crates/fleet-test/src/scale/processes.rs
+++ b/crates/fleet-test/src/scale/processes.rs
@@ -335,7 +335,10 @@
             self.processes.signal(&node.name, Signal::TERM);
         }
         for node in &self.nodes {
-            if !self.runtime.block_on(self.processes.wait_for_end(&node.name))? {
+            if !self
+                .runtime
+                .block_on(self.processes.wait_for_end(&node.name))?
+            {
                 crashed.push(node.name.clone());
             }
         }
--- a/crates/fleet-test/src/stall.rs
+++ b/crates/fleet-test/src/stall.rs
@@ -1,6 +1,6 @@
-//! Holds one thread of a process, as a call into a disk that hangs holds it: the others go on. By
-//! the system's own means for that, tracing; the traced thread is never looked into. All calls come
-//! from one thread.
+//! Stops one thread of a process while the others go on, as a system call on a hanging disk does.
+//! Uses ptrace only to stop the thread; its state is never read. All calls for one thread must come
+//! from the same thread of the tracer, as ptrace requires.
 
 use std::io;
 
@@ -8,13 +8,13 @@
 use nix::sys::wait::{waitpid, WaitPidFlag};
 use nix::unistd::Pid;
 
-/// A thread that is held until it is let go.
+/// A thread of another process that is stopped until it is resumed.
 #[derive(Debug)]
 pub struct StalledThread {
     thread: Pid,
 }
 
-/// The thread of a process that has a name.
+/// Finds the thread of a process by its name.
 fn find_thread(process: u32, name: &str) -> io::Result<Option<Pid>> {
     for task in std::fs::read_dir(format!("/proc/{process}/task"))? {
         let path = task?.path();
@@ -31,7 +31,8 @@
 }
 
 impl StalledThread {
-    /// Nothing: the process has no such thread.
+    /// Stops the thread with this name and waits until it has stopped. `None` if the process has no
+    /// such thread.
     pub fn stall(process: u32, name: &str) -> io::Result<Option<StalledThread>> {
         let Some(thread) = find_thread(process, name)? else {
             return Ok(None);
@@ -42,13 +43,13 @@
         Ok(Some(StalledThread { thread }))
     }
 
-    /// It goes on, unless its process has ended.
+    /// Resumes the thread; does nothing if its process has ended.
     pub fn resume(self) {
         let _ = ptrace::detach(self.thread, None);
     }
 
-    /// The same where its process may have been killed: the system tells the end of that only once
-    /// the end of the held thread was heard of.
+    /// Like [`Self::resume`], also if the process may have been killed: the system reports the end of
+    /// a process only after the tracer has waited for the end of its traced thread.
     pub fn resume_or_reap(self) {
         if ptrace::detach(self.thread, None).is_err() {
             let _ = waitpid(self.thread, Some(WaitPidFlag::__WALL));
--- a/crates/fleet-test/src/timeline.rs
+++ b/crates/fleet-test/src/timeline.rs
@@ -1,5 +1,5 @@
-//! Virtual time of the simulated fleets: events by their times, those of one time in the order in
-//! which they were put there, and links on which no message overtakes another. Pure.
+//! Virtual time of the simulated fleets: a queue of events by time (events of the same time in the
+//! order of their insertion), and links that deliver messages in order. No I/O.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -8,46 +8,49 @@
 /// Microseconds of virtual time.
 pub type Micros = u64;
 
-/// Events in virtual time, and links that deliver in order.
+/// A queue of events `E` in virtual time, with links `L` that deliver in order.
 pub struct Timeline<E, L> {
-    /// The time of the last event.
+    /// The present virtual time: that of the last event taken.
     pub now: Micros,
     order: BinaryHeap<Reverse<(Micros, u64)>>,
     events: HashMap<u64, E>,
-    numbers: u64,
-    /// When the last message of a link's direction arrives.
-    arrives: HashMap<L, Micros>,
+    last_number: u64,
+    /// When the last message of each link arrives.
+    last_arrivals: HashMap<L, Micros>,
 }
 
 impl<E, L: Eq + Hash> Timeline<E, L> {
-    /// One that begins at a time.
+    /// Creates an empty queue whose present time is `now`.
     pub fn new(now: Micros) -> Self {
-        let (order, events, arrives) = Default::default();
+        let (order, events, last_arrivals) = Default::default();
         Timeline {
             now,
             order,
             events,
-            numbers: 0,
-            arrives,
+            last_number: 0,
+            last_arrivals,
         }
     }
 
-    /// Puts an event behind so much time from now.
+    /// Queues an event for `after` microseconds from now.
     pub fn at(&mut self, after: Micros, event: E) {
-        self.numbers += 1;
-        self.order.push(Reverse((self.now + after, self.numbers)));
-        self.events.insert(self.numbers, event);
+        self.last_number += 1;
+        self.order
+            .push(Reverse((self.now + after, self.last_number)));
+        self.events.insert(self.last_number, event);
     }
 
-    /// A message on a link, behind all that are under way there.
+    /// Queues the arrival of a message after `delay`, or with the last message of the link if that
+    /// arrives later.
     pub fn send(&mut self, link: L, delay: Micros, event: E) {
-        let last = self.arrives.entry(link).or_default();
+        let last = self.last_arrivals.entry(link).or_default();
         *last = (self.now + delay).max(*last);
         let after = *last - self.now;
         self.at(after, event);
     }
 
-    /// The next event up to a time, which it is then.
+    /// Takes the next event and moves the present time to it. `None` if there is no event up to
+    /// `until`.
     pub fn next(&mut self, until: Micros) -> Option<E> {
         self.order.peek().filter(|Reverse((at, _))| *at <= until)?;
         let Reverse((at, number)) = self.order.pop()?;
@@ -56,18 +59,18 @@
     }
 }
 
-/// Plays each seed: the sum of what they gave, and those that broke a rule.
+/// Plays each seed; returns the sum of the results and the seeds that broke a rule.
 pub fn play_seeds<F: Default>(
     seeds: std::ops::Range<u64>,
     play: impl Fn(u64) -> F,
-    broken: impl Fn(&F) -> bool,
+    is_broken: impl Fn(&F) -> bool,
     add: impl Fn(&mut F, &F),
 ) -> (F, Vec<u64>) {
-    let (mut sum, mut found) = (F::default(), Vec::new());
+    let (mut sum, mut broken_seeds) = (F::default(), Vec::new());
     for seed in seeds {
-        let own = play(seed);
-        found.extend(broken(&own).then_some(seed));
-        add(&mut sum, &own);
+        let result = play(seed);
+        broken_seeds.extend(is_broken(&result).then_some(seed));
+        add(&mut sum, &result);
     }
-    (sum, found)
+    (sum, broken_seeds)
 }
--- a/crates/fleet-test/src/voters.rs
+++ b/crates/fleet-test/src/voters.rs
@@ -1,33 +1,34 @@
-//! Which gateways vote together: those whose operator's files name the same keepers. Pure.
+//! Groups the gateways that vote together: those whose operator files name the same voters (called
+//! keepers there). No I/O.
 //!
-//! Replicas are compared within a group alone: a gateway whose file names other keepers is turned
-//! away by them, so it holds none of their entries and they hold none of its.
+//! Replicas are compared only within a group: voters reject the connections of a gateway whose file
+//! names other voters, so no entries pass between them.
 
 use std::collections::BTreeMap;
 
 use eideryard_emulators::scenario::GatewaySpec;
 
-/// How a line of an operator's file that names a keeper begins.
+/// The begin of a line of the operator file that names a voter.
 const KEEPER: &str = "keeper ";
 
-/// Gateways that are keepers by their own files, all of which name the same keepers.
+/// Gateways that are voters by their own operator files, all of which name the same voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterGroup {
-    /// The keepers that the files name, whether or not these run.
+    /// The voters that the files name, sorted; also those that the scenario doesn't contain.
     pub named: Vec<String>,
-    /// Those of them whose own files agree.
+    /// Those of them whose own files name the same voters.
     pub members: Vec<String>,
 }
 
 impl VoterGroup {
-    /// Whether so many members can ever be a majority.
+    /// Whether the members are a majority of the voters that the files name.
     pub fn can_have_majority(&self) -> bool {
         self.members.len() * 2 > self.named.len()
     }
 }
 
-/// The keepers that a gateway's operator's file names.
-fn keepers_named(gateway: &GatewaySpec) -> Vec<String> {
+/// The voters that the operator file of a gateway names, sorted.
+fn named_voters(gateway: &GatewaySpec) -> Vec<String> {
     let named = gateway
         .operator
         .iter()
@@ -40,11 +41,11 @@
     names
 }
 
-/// The groups of all keepers of a scenario.
+/// Groups the voters of a scenario. A gateway whose own file doesn't name it is in no group.
 pub fn groups(gateways: &[GatewaySpec]) -> Vec<VoterGroup> {
     let mut members: BTreeMap<Vec<String>, Vec<String>> = BTreeMap::new();
     for gateway in gateways {
-        let named = keepers_named(gateway);
+        let named = named_voters(gateway);
         if named.contains(&gateway.name) {
             members.entry(named).or_default().push(gateway.name.clone());
         }
--- a/crates/fleet-test/src/world.rs
+++ b/crates/fleet-test/src/world.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario: starts what it names, does what it says at its times, and tells what came of
-//! it.
+//! Plays a scenario: starts its engines, gateways and clients, performs its steps at their times,
+//! and returns what happened.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -23,7 +23,7 @@
 use crate::links::{ActiveFault, Links, BULLETIN};
 use crate::processes::{Ending, Processes, Programs};
 
-/// The record of a gateway, in its directory.
+/// Subdirectory of a gateway's directory for its event log.
 pub const RECORD: &str = "record";
 
 mod agreement;
@@ -31,28 +31,28 @@
 mod power;
 mod steps;
 
-/// What came of a scenario.
+/// The result of playing a scenario.
 #[derive(Debug)]
 pub struct Played {
-    /// What the stand-ins counted, and the history.
+    /// Counts of the emulated clients and engines, and the history of events if it was recorded.
     pub ledger: Ledger,
-    /// How each start of a gateway ended.
+    /// How each start of a gateway ended, in the order of the ends.
     pub endings: Vec<Ending>,
-    /// Gateways that ended though nobody told them to, or didn't end when they were.
+    /// Gateways that ended without being stopped, or didn't end when they were.
     pub crashed: Vec<String>,
-    /// How long copies took to agree once nothing new came, in milliseconds; nothing where they
-    /// didn't, or there is no fleet.
+    /// How long the voters' replicas took to become equal after the last request, in milliseconds;
+    /// `None` if they didn't, or if there is no fleet.
     pub agreed: Option<u64>,
 }
 
-/// What ends by itself after a time.
+/// A step that is undone after its duration, as queued for that time.
 enum Undo {
-    Link(ActiveFault),
-    Continue(String),
-    Disk(String),
+    EndLinkFault(ActiveFault),
+    ContinueGateway(String),
+    ResumeDisk(String),
 }
 
-enum Next {
+enum Action {
     Step(Step),
     Undo(Undo),
 }
@@ -62,8 +62,8 @@
     programs: Option<Programs>,
     ledger: Shared,
     doors: Doors,
-    /// One for each gateway where all links are the rig's own, since each finds engines at other
-    /// doors.
+    /// Service discovery by gateway, or one under [`BULLETIN`] for all if connections pass no
+    /// relays. With relays each gateway has its own, as it reaches engines at its own addresses.
     bulletins: BTreeMap<String, Rc<Bulletin>>,
     engines: Vec<Rc<Engine>>,
     links: Option<Links>,
@@ -72,13 +72,14 @@
     rng: StdRng,
 }
 
-/// Plays it on this thread, until its time is over and all clients have their answers.
+/// Plays a scenario on this thread until its time is over and all clients have finished. Without
+/// `programs` no gateways are started.
 pub fn play(scenario: Scenario, programs: Option<Programs>) -> io::Result<Played> {
     on_this_thread(scenario, programs, false)
 }
 
-/// The same with all links between the parts led through the rig, each gateway in a directory of
-/// its own, and the history of all sides kept.
+/// Like [`play`], with relays for all connections between the parts, a directory for each gateway,
+/// and a recorded history of events.
 pub fn play_linked(scenario: Scenario, programs: Programs) -> io::Result<Played> {
     on_this_thread(scenario, Some(programs), true)
 }
@@ -117,14 +118,14 @@
         let names: Vec<Name> = scenario
             .gateways
             .iter()
-            .map(|own| own.name.as_str().into())
+            .map(|gateway| gateway.name.as_str().into())
             .collect();
-        let of_engines = engines
+        let engine_names = engines
             .iter()
             .map(|engine| engine.spec.name.as_str().into())
             .collect();
         let links = if linked {
-            Some(Links::start(names.clone(), of_engines, ledger.clone())?)
+            Some(Links::start(names.clone(), engine_names, ledger.clone())?)
         } else {
             None
         };
@@ -160,13 +161,13 @@
                 .links
                 .iter()
                 .for_each(|links| links.set_target(gateway, BULLETIN, Some(bulletin.address)));
-            bulletin.tell(true, world.listed(gateway, &world.engines, "up", 0));
+            bulletin.tell(true, world.list_items(gateway, &world.engines, "up", 0));
         }
         Ok(world)
     }
 
-    /// Engines as the list tells of them to a gateway.
-    fn listed(
+    /// The items of the endpoint list of a gateway for these engines.
+    fn list_items(
         &self,
         gateway: &str,
         engines: &[Rc<Engine>],
@@ -175,11 +176,11 @@
     ) -> Vec<Value> {
         let entry = |engine: &Rc<Engine>| {
             let spec = &engine.spec;
-            let door = self
+            let relay_address = self
                 .links
                 .as_ref()
-                .and_then(|links| links.door(gateway, &spec.name));
-            let address = door.unwrap_or(engine.address).to_string();
+                .and_then(|links| links.address(gateway, &spec.name));
+            let address = relay_address.unwrap_or(engine.address).to_string();
             let (name, zone, kind) = (&spec.name, &spec.zone, &spec.kind);
             ListedEngine {
                 name,
@@ -195,9 +196,10 @@
         engines.iter().map(entry).collect()
     }
 
-    fn tell(&self, engines: &[Rc<Engine>], health: &str, born_ms: u64) {
+    /// Announces the health of engines to all gateways.
+    fn announce(&self, engines: &[Rc<Engine>], health: &str, born_ms: u64) {
         for (gateway, bulletin) in &self.bulletins {
-            bulletin.tell(false, self.listed(gateway, engines, health, born_ms));
+            bulletin.tell(false, self.list_items(gateway, engines, health, born_ms));
         }
     }
 
@@ -225,17 +227,17 @@
             ));
         }
         steps.sort_by_key(|step| step.at);
-        let mut queue: VecDeque<(Duration, Next)> = steps
+        let mut queue: VecDeque<(Duration, Action)> = steps
             .into_iter()
-            .map(|step| (step.at, Next::Step(step)))
+            .map(|step| (step.at, Action::Step(step)))
             .collect();
         while queue.front().is_some_and(|(at, _)| at.is_zero()) {
-            self.next(&mut queue, Duration::ZERO).await?;
+            self.run_next(&mut queue, Duration::ZERO).await?;
         }
-        self.keepers_vote().await?;
+        self.wait_for_votes().await?;
         let began = Instant::now();
-        let endless = self.scenario.time.is_zero();
-        let until = if endless {
+        let is_endless = self.scenario.time.is_zero();
+        let until = if is_endless {
             Duration::from_secs(86_400)
         } else {
             self.scenario.time
@@ -262,20 +264,20 @@
         while let Some((at, _)) = queue.front() {
             let at = *at;
             sleep_until(began + at).await;
-            self.next(&mut queue, at).await?;
-            self.look_for_crashes().await?;
+            self.run_next(&mut queue, at).await?;
+            self.collect_crashes().await?;
         }
         sleep_until(began + until).await;
         for load in loads {
             load.await.map_err(io::Error::other)?;
         }
-        self.look_for_crashes().await?;
-        let agreed = self.copies_agree().await?;
+        self.collect_crashes().await?;
+        let agreed = self.wait_for_equal_replicas().await?;
         for name in self.processes.names() {
             self.signal(&name, Signal::TERM, Process::Stopping);
         }
         for name in self.processes.names() {
-            self.ended(&name).await?;
+            self.finish_gateway(&name).await?;
         }
         let ledger = std::mem::take(&mut *self.ledger.borrow_mut());
         let endings = std::mem::take(&mut self.processes.endings);
@@ -287,10 +289,10 @@
         })
     }
 
-    async fn look_for_crashes(&mut self) -> io::Result<()> {
+    async fn collect_crashes(&mut self) -> io::Result<()> {
         for name in self.processes.crashed() {
             self.crashed.push(name.clone());
-            self.ended(&name).await?;
+            self.finish_gateway(&name).await?;
         }
         Ok(())
     }
--- a/crates/fleet-test/src/world/agreement.rs
+++ b/crates/fleet-test/src/world/agreement.rs
@@ -1,5 +1,5 @@
-//! Waits for keepers, by their status files: that they vote at first, and that their replicas agree
-//! at last.
+//! Waits for voters, by their status files: until they vote at the beginning of a run, and until
+//! their replicas are equal at its end.
 
 use std::io;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,9 +11,9 @@
 use crate::directories;
 use crate::voters::{self, VoterGroup};
 
-/// Keepers have so long to vote at first, and replicas to agree at last.
+/// Timeout of both waits.
 const AGREE_WITHIN: Duration = Duration::from_secs(30);
-const LOOKS_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn millis_since_epoch() -> u64 {
     SystemTime::now()
@@ -25,13 +25,14 @@
     status["at_ms"].as_u64()
 }
 
-fn may_send(status: &Value) -> bool {
+fn is_voting(status: &Value) -> bool {
     status["votes"] == true && status["majority"] == true
 }
 
-/// Whether the keepers of one group sum up the same entries, as of the same second.
-fn same_entries(statuses: &[Value]) -> bool {
-    let summed = |status: &Value| {
+/// Whether the status files of one group have equal fingerprints of entries, as of the same second:
+/// entries expire, so fingerprints of different seconds differ.
+fn are_replicas_equal(statuses: &[Value]) -> bool {
+    let fingerprint = |status: &Value| {
         (
             status["print"].clone(),
             written_at(status).map(|at| at / 1000),
@@ -39,23 +40,23 @@
     };
     statuses
         .windows(2)
-        .all(|pair| summed(&pair[0]) == summed(&pair[1]))
+        .all(|pair| fingerprint(&pair[0]) == fingerprint(&pair[1]))
 }
 
 impl World {
-    /// What the members of each group say of themselves, of those that run.
+    /// The status files of the running members of each group.
     fn statuses(&self, groups: &[VoterGroup]) -> Vec<Vec<Value>> {
         let Some(programs) = &self.programs else {
             return Vec::new();
         };
         let running = self.processes.names();
-        let of_group = |group: &VoterGroup| {
+        let read_group = |group: &VoterGroup| {
             let members = group.members.iter().filter(|name| running.contains(name));
             members
                 .filter_map(|name| directories::status(&programs.directory, name))
                 .collect()
         };
-        groups.iter().map(of_group).collect()
+        groups.iter().map(read_group).collect()
     }
 
     fn voter_groups(&self) -> Vec<VoterGroup> {
@@ -65,36 +66,38 @@
         }
     }
 
-    /// A fleet that begins for the first time takes keyed requests once its keepers vote; loads
-    /// begin then. Nobody waits for a group that can't have a majority.
-    pub(super) async fn keepers_vote(&mut self) -> io::Result<()> {
+    /// Waits until all voters vote: a new fleet serves keyed requests only then, and loads begin
+    /// after this. Groups that can't have a majority are not waited for.
+    pub(super) async fn wait_for_votes(&mut self) -> io::Result<()> {
         let mut groups = self.voter_groups();
         groups.retain(VoterGroup::can_have_majority);
         let until = Instant::now() + AGREE_WITHIN;
         while !groups.is_empty() && Instant::now() < until {
             let statuses = self.statuses(&groups).concat();
-            if !statuses.is_empty() && statuses.iter().all(may_send) {
+            if !statuses.is_empty() && statuses.iter().all(is_voting) {
                 break;
             }
-            sleep(LOOKS_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
-        self.look_for_crashes().await
+        self.collect_crashes().await
     }
 
-    /// Waits until the keepers of each group sum up the same entries.
-    pub(super) async fn copies_agree(&mut self) -> io::Result<Option<u64>> {
+    /// Waits until the replicas of each group of voters are equal; returns the time this took in
+    /// milliseconds.
+    pub(super) async fn wait_for_equal_replicas(&mut self) -> io::Result<Option<u64>> {
         let groups = self.voter_groups();
         let (began, from) = (Instant::now(), millis_since_epoch());
-        // What was written before says nothing of now.
+        // Status files from before the wait may be outdated.
         let is_new = |status: &Value| written_at(status) >= Some(from);
         while !groups.is_empty() && began.elapsed() < AGREE_WITHIN {
             let statuses = self.statuses(&groups);
-            let some = statuses.iter().any(|group| !group.is_empty());
-            let agree = |group: &Vec<Value>| group.iter().all(is_new) && same_entries(group);
-            if some && statuses.iter().all(agree) {
+            let has_status = statuses.iter().any(|group| !group.is_empty());
+            let is_equal =
+                |group: &Vec<Value>| group.iter().all(is_new) && are_replicas_equal(group);
+            if has_status && statuses.iter().all(is_equal) {
                 return Ok(Some(began.elapsed().as_millis() as u64));
             }
-            sleep(LOOKS_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(None)
     }
--- a/crates/fleet-test/src/world/parts.rs
+++ b/crates/fleet-test/src/world/parts.rs
@@ -1,4 +1,5 @@
-//! Engines, service discovery and gateways: started, ended, and led to each other.
+//! Starts and ends engines, service discovery and gateways, and sets the targets of the links
+//! between them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,7 +17,7 @@
 use crate::links::{BULLETIN, CLIENTS};
 use crate::processes::Programs;
 
-/// The operator's file of a gateway, beside its directory.
+/// Extension of a gateway's operator file, which is beside its directory.
 const OPERATOR: &str = "operator.conf";
 
 impl World {
@@ -35,11 +36,11 @@
                 .iter()
                 .for_each(|links| links.set_all_targets(&engine.spec.name, address));
         }
-        self.tell(engines, "up", self.ledger.borrow().now() / 1000);
+        self.announce(engines, "up", self.ledger.borrow().now() / 1000);
         Ok(())
     }
 
-    pub(super) async fn bulletin(&self, mood: Mood) -> io::Result<()> {
+    pub(super) async fn set_bulletin(&self, mood: Mood) -> io::Result<()> {
         for (gateway, bulletin) in &self.bulletins {
             bulletin.set(mood).await?;
             let address = Some(bulletin.address).filter(|_| mood != Mood::Down);
@@ -50,20 +51,22 @@
         Ok(())
     }
 
-    pub(super) fn note(&self, name: &str, how: Process) {
+    /// Records a change of a gateway process in the history.
+    pub(super) fn record_process(&self, name: &str, how: Process) {
         self.ledger.borrow_mut().happened(|| What::Gateway {
             gateway: name.into(),
             how,
         });
     }
 
-    /// Sends a signal; one that ends it closes its door as well.
+    /// Sends a signal to a running gateway and records it. Clients no longer dial a gateway that is
+    /// to end.
     pub(super) fn signal(&mut self, name: &str, signal: Signal, how: Process) {
-        if !self.processes.names().iter().any(|own| own == name) {
+        if !self.processes.names().iter().any(|running| running == name) {
             return;
         }
         self.processes.signal(name, signal);
-        self.note(name, how);
+        self.record_process(name, how);
         if matches!(how, Process::Killed | Process::Stopping) {
             self.doors.borrow_mut().remove(name);
         }
@@ -74,26 +77,29 @@
         }
     }
 
-    pub(super) async fn ended(&mut self, name: &str) -> io::Result<()> {
-        if !self.processes.names().iter().any(|own| own == name) {
+    /// Waits until a running gateway has ended and removes it. A gateway that must be killed for
+    /// this counts as crashed.
+    pub(super) async fn finish_gateway(&mut self, name: &str) -> io::Result<()> {
+        if !self.processes.names().iter().any(|running| running == name) {
             return Ok(());
         }
         self.doors.borrow_mut().remove(name);
-        // One that stands still doesn't hear that it is to end.
+        // A paused process doesn't handle the signal to stop.
         self.processes.signal(name, Signal::CONT);
         if !self.processes.wait_for_end(name).await? {
             self.ledger
                 .borrow_mut()
-                .break_rule(format!("gateway {name} doesn't end"));
+                .break_rule(format!("gateway {name} didn't end in time and was killed"));
             self.crashed.push(name.to_string());
         }
         self.links
             .iter()
             .for_each(|links| links.set_all_targets(name, None));
-        self.note(name, Process::Ended);
+        self.record_process(name, Process::Ended);
         Ok(())
     }
 
+    /// Starts a gateway, and points its links and the clients to it once it listens.
     pub(super) async fn start_gateway(&mut self, name: &str) -> io::Result<()> {
         let Some(programs) = self.programs.clone() else {
             return Ok(());
@@ -105,75 +111,83 @@
         let Some(bulletin) = bulletin.cloned() else {
             return Ok(());
         };
-        let door = self
+        let bulletin_address = self
             .links
             .as_ref()
-            .and_then(|links| links.door(name, BULLETIN));
+            .and_then(|links| links.address(name, BULLETIN));
         let inputs = GatewayInputs {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            bulletin: door.unwrap_or(bulletin.address),
+            bulletin: bulletin_address.unwrap_or(bulletin.address),
             endpoint_list: bulletin.known(),
         };
         let config = config::config(&self.scenario, name, inputs);
-        let more = match &self.links {
-            Some(_) => vec!["--operator".to_string(), self.operator(&programs, name)?],
+        let arguments = match &self.links {
+            Some(_) => vec![
+                "--operator".to_string(),
+                self.write_operator_file(&programs, name)?,
+            ],
             None => Vec::new(),
         };
         let (address, start) = self
             .processes
-            .start(&programs, name, &config, &more)
+            .start(&programs, name, &config, &arguments)
             .await?;
         self.links
             .iter()
             .for_each(|links| links.set_all_targets(name, None));
-        let door = match &self.links {
+        let client_address = match &self.links {
             Some(links) => {
                 links.set_target(CLIENTS, name, Some(address));
-                links.door(CLIENTS, name)
+                links.address(CLIENTS, name)
             }
             None => Some(address),
         };
-        let reached = self.processes.peer_address(name);
+        let peer_address = self.processes.peer_address(name);
         self.links
             .iter()
-            .for_each(|links| links.set_peer_targets(name, reached));
-        self.note(name, Process::Started(start));
-        for door in door.into_iter() {
-            _ = self.doors.borrow_mut().insert(name.to_string(), door);
+            .for_each(|links| links.set_peer_targets(name, peer_address));
+        self.record_process(name, Process::Started(start));
+        for address in client_address.into_iter() {
+            _ = self.doors.borrow_mut().insert(name.to_string(), address);
         }
         Ok(())
     }
 
-    /// A line of a gateway's operator's file with its directory and the doors to its peers.
-    pub(super) fn filled(&self, name: &str, line: &str, directory: &Path) -> String {
+    /// Replaces `{directory}` and `{peer NAME}` in a line of a gateway's operator file.
+    pub(super) fn fill_placeholders(&self, name: &str, line: &str, directory: &Path) -> String {
         let mut line = line.replace("{directory}", &directory.display().to_string());
         for gateway in &self.scenario.gateways {
-            let door = self
+            let address = self
                 .links
                 .as_ref()
-                .and_then(|links| links.door(name, &gateway.name));
-            // Its own address nobody calls.
-            let door = door.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 9)));
-            line = line.replace(&format!("{{peer {}}}", gateway.name), &door.to_string());
+                .and_then(|links| links.address(name, &gateway.name));
+            // There is no link from a gateway to itself, and no gateway dials itself.
+            let address = address.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 9)));
+            line = line.replace(&format!("{{peer {}}}", gateway.name), &address.to_string());
         }
         line
     }
 
-    /// Writes a gateway's operator's file: its record, and what the scenario says.
-    pub(super) fn operator(&self, programs: &Programs, name: &str) -> io::Result<String> {
-        let own = directories::of(&programs.directory, name);
-        std::fs::create_dir_all(&own)?;
-        let mut text = format!("record-dir \"{}\"\n", own.join(RECORD).display());
+    /// Writes the operator file of a gateway: the directory of its event log and the scenario's
+    /// lines. Returns its path.
+    pub(super) fn write_operator_file(
+        &self,
+        programs: &Programs,
+        name: &str,
+    ) -> io::Result<String> {
+        let directory = directories::of(&programs.directory, name);
+        std::fs::create_dir_all(&directory)?;
+        let mut text = format!("record-dir \"{}\"\n", directory.join(RECORD).display());
         let spec = self
             .scenario
             .gateways
             .iter()
             .find(|gateway| gateway.name == name);
         for line in spec.into_iter().flat_map(|spec| &spec.operator) {
-            text += &self.filled(name, line, &own);
+            text += &self.fill_placeholders(name, line, &directory);
             text += "\n";
         }
-        // Beside the directory: what is wiped is state, not the operator's own file.
+        // Beside the directory, so that wiping the gateway's state keeps the file.
         let path = programs.directory.join(format!("{name}.{OPERATOR}"));
         std::fs::write(&path, text)?;
         Ok(path.display().to_string())
--- a/crates/fleet-test/src/world/power.rs
+++ b/crates/fleet-test/src/world/power.rs
@@ -1,4 +1,4 @@
-//! Power loss: every part at once, with what nobody flushed; and how the parts come back.
+//! Power loss: stops all parts at once, with loss of unflushed data, and starts them again.
 
 use std::io;
 use std::time::Duration;
@@ -9,12 +9,13 @@
 use rand::Rng;
 use rustix::process::Signal;
 
-use super::{Next, World};
+use super::{Action, World};
 use crate::directories;
 use crate::links::BULLETIN;
 
 impl World {
-    /// All at once: first every process gets its signal, then comes what takes time.
+    /// Kills all gateways first, so that they stop at the same time, then stops the other parts and
+    /// truncates unflushed files.
     pub(super) async fn power_loss(&mut self) -> io::Result<()> {
         let names = self.processes.names();
         for name in names.iter() {
@@ -23,34 +24,40 @@
         self.engines
             .iter()
             .for_each(|engine| self.kill_engine(engine));
-        self.bulletin(Mood::Down).await?;
+        self.set_bulletin(Mood::Down).await?;
         for name in &names {
-            self.ended(name).await?;
+            self.finish_gateway(name).await?;
         }
         let Some(programs) = self.programs.as_ref().filter(|_| self.links.is_some()) else {
             return Ok(());
         };
         for name in &names {
-            let torn =
-                directories::tear(&directories::of(&programs.directory, name), &mut self.rng)?;
+            let truncated = directories::truncate_unflushed(
+                &directories::of(&programs.directory, name),
+                &mut self.rng,
+            )?;
             self.ledger.borrow_mut().happened(|| What::Did {
-                what: format!("{name}: {torn} files torn"),
+                what: format!("{name}: {truncated} unflushed files truncated"),
             });
         }
         Ok(())
     }
 
-    /// Each part comes back at a time of its own within the one that is told.
-    pub(super) fn power_back(&mut self, step: &Step) -> Vec<(Duration, Next)> {
-        let wanted = |name: &str| step.names.iter().any(|own| own == "all" || own == name);
+    /// Returns the start of each part that the step names, at a random time within its duration.
+    pub(super) fn power_back(&mut self, step: &Step) -> Vec<(Duration, Action)> {
+        let is_named = |name: &str| {
+            step.names
+                .iter()
+                .any(|named| named == "all" || named == name)
+        };
         let mut parts: Vec<(&'static str, String)> = Vec::new();
-        if wanted(BULLETIN) {
+        if is_named(BULLETIN) {
             parts.push(("bulletin", "up".into()));
         }
         for engine in self
             .engines
             .iter()
-            .filter(|engine| wanted(&engine.spec.name))
+            .filter(|engine| is_named(&engine.spec.name))
         {
             parts.push(("start", engine.spec.name.clone()));
         }
@@ -58,16 +65,16 @@
             .scenario
             .gateways
             .iter()
-            .filter(|gateway| wanted(&gateway.name))
+            .filter(|gateway| is_named(&gateway.name))
         {
             parts.push(("start-gateway", gateway.name.clone()));
         }
-        self.did(format!("power-back {}", step.names.join(" ")));
-        let mut drawn = Vec::new();
+        self.record_step(format!("power-back {}", step.names.join(" ")));
+        let mut starts = Vec::new();
         for (action, name) in parts {
             let after = step.time.mul_f64(self.rng.random::<f64>());
-            drawn.push((after, Next::Step(Step::new(after, action, vec![name]))));
+            starts.push((after, Action::Step(Step::new(after, action, vec![name]))));
         }
-        drawn
+        starts
     }
 }
--- a/crates/fleet-test/src/world/steps.rs
+++ b/crates/fleet-test/src/world/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of a scenario: faults that begin, and those that end by themselves.
+//! Performs the steps of a scenario, and undoes those that last for a time.
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,37 +11,38 @@
 use eideryard_emulators::scenario::Step;
 use rustix::process::Signal;
 
-use super::{Next, Undo, World};
+use super::{Action, Undo, World};
 use crate::directories;
 use crate::relay::Fault;
 
 impl World {
-    pub(super) async fn next(
+    /// Performs the first action of the queue, and queues the actions that follow from it.
+    pub(super) async fn run_next(
         &mut self,
-        queue: &mut VecDeque<(Duration, Next)>,
+        queue: &mut VecDeque<(Duration, Action)>,
         now: Duration,
     ) -> io::Result<()> {
-        let more = match queue.pop_front() {
-            Some((_, Next::Step(step))) => self.step(&step).await?,
-            Some((_, Next::Undo(undo))) => {
+        let following = match queue.pop_front() {
+            Some((_, Action::Step(step))) => self.perform_step(&step).await?,
+            Some((_, Action::Undo(undo))) => {
                 self.undo(undo);
                 Vec::new()
             }
             None => Vec::new(),
         };
-        for (after, next) in more {
+        for (after, next) in following {
             let at = now + after;
-            let place = queue.partition_point(|(own, _)| *own <= at);
-            queue.insert(place, (at, next));
+            let index = queue.partition_point(|(queued, _)| *queued <= at);
+            queue.insert(index, (at, next));
         }
         Ok(())
     }
 
-    pub(super) fn did(&self, what: String) {
+    pub(super) fn record_step(&self, what: String) {
         self.ledger.borrow_mut().happened(|| What::Did { what });
     }
 
-    pub(super) fn engines_of(&self, names: &[String]) -> Vec<Rc<Engine>> {
+    pub(super) fn find_engines(&self, names: &[String]) -> Vec<Rc<Engine>> {
         self.engines
             .iter()
             .filter(|engine| names.contains(&engine.spec.name))
@@ -49,12 +50,15 @@
             .collect()
     }
 
-    /// Does a step; gives what follows it, and after how long.
+    /// Performs a step. Returns the actions that follow from it, each with the time until it runs.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub(super) async fn step(&mut self, step: &Step) -> io::Result<Vec<(Duration, Next)>> {
-        let engines = self.engines_of(&step.names);
+    pub(super) async fn perform_step(
+        &mut self,
+        step: &Step,
+    ) -> io::Result<Vec<(Duration, Action)>> {
+        let engines = self.find_engines(&step.names);
         if step.action.starts_with("link-") {
-            return Ok(self.link_step(step));
+            return Ok(self.perform_link_step(step));
         }
         match step.action {
             "kill" => engines.iter().for_each(|engine| self.kill_engine(engine)),
@@ -68,11 +72,11 @@
             "busy" => engines
                 .iter()
                 .for_each(|engine| engine.turn_away(step.lasts)),
-            "drain" => self.tell(&engines, "draining", 0),
-            "remove" => self.tell(&engines, "removed", 0),
-            "list" => self.tell(&engines, "up", 0),
+            "drain" => self.announce(&engines, "draining", 0),
+            "remove" => self.announce(&engines, "removed", 0),
+            "list" => self.announce(&engines, "up", 0),
             "bulletin" => {
-                self.bulletin(match step.names[0].as_str() {
+                self.set_bulletin(match step.names[0].as_str() {
                     "down" => Mood::Down,
                     "silent" => Mood::Silent,
                     _ => Mood::Up,
@@ -84,7 +88,7 @@
                     .iter()
                     .for_each(|name| self.signal(name, Signal::KILL, Process::Killed));
                 for name in &step.names {
-                    self.ended(name).await?;
+                    self.finish_gateway(name).await?;
                 }
             }
             "stop-gateway" => step
@@ -99,7 +103,7 @@
                     .cloned()
                     .collect::<Vec<_>>()
                 {
-                    self.ended(&name).await?;
+                    self.finish_gateway(&name).await?;
                     self.start_gateway(&name).await?;
                 }
             }
@@ -107,18 +111,26 @@
                 step.names
                     .iter()
                     .for_each(|name| self.signal(name, Signal::STOP, Process::Paused));
-                let undo = |name: &String| (step.lasts, Next::Undo(Undo::Continue(name.clone())));
+                let undo = |name: &String| {
+                    (
+                        step.lasts,
+                        Action::Undo(Undo::ContinueGateway(name.clone())),
+                    )
+                };
                 return Ok(step.names.iter().map(undo).collect());
             }
             "stall-disk" => {
                 for name in &step.names {
                     self.processes.stall_thread(name, "store")?;
                 }
-                self.did(format!("stall-disk {}", step.names.join(" ")));
-                let undo = |name: &String| (step.lasts, Next::Undo(Undo::Disk(name.clone())));
+                self.record_step(format!("stall-disk {}", step.names.join(" ")));
+                let undo =
+                    |name: &String| (step.lasts, Action::Undo(Undo::ResumeDisk(name.clone())));
                 return Ok(step.names.iter().map(undo).collect());
             }
-            "save-directory" | "wipe-directory" | "put-back-directory" => self.directories(step)?,
+            "save-directory" | "wipe-directory" | "put-back-directory" => {
+                self.change_directories(step)?
+            }
             "power-loss" => self.power_loss().await?,
             "power-back" => return Ok(self.power_back(step)),
             _ => {}
@@ -127,7 +139,7 @@
             step.action,
             "start-gateway" | "kill-gateway" | "stop-gateway"
         ) {
-            self.did(
+            self.record_step(
                 format!("{} {}", step.action, step.names.join(" "))
                     .trim_end()
                     .to_string(),
@@ -136,7 +148,7 @@
         Ok(Vec::new())
     }
 
-    pub(super) fn link_step(&mut self, step: &Step) -> Vec<(Duration, Next)> {
+    pub(super) fn perform_link_step(&mut self, step: &Step) -> Vec<(Duration, Action)> {
         let Some(links) = &mut self.links else {
             return Vec::new();
         };
@@ -146,7 +158,7 @@
                 return Vec::new();
             }
             "link-flap" => {
-                // Cut for one period, whole for the next.
+                // The link is cut for one period and works in the next.
                 let lasts = step.lasts.min(self.scenario.time);
                 let cut = |at: Duration| {
                     let cut = Step {
@@ -155,7 +167,7 @@
                         lasts: step.time,
                         ..step.clone()
                     };
-                    (at, Next::Step(cut))
+                    (at, Action::Step(cut))
                 };
                 let periods = lasts.as_micros().div_ceil(2 * step.time.as_micros().max(1)) as u32;
                 return (0..periods)
@@ -168,21 +180,24 @@
             "link-throttle" => Fault::Throttle(step.bytes),
             _ => Fault::Cut,
         };
-        vec![(step.lasts, Next::Undo(Undo::Link(links.begin(step, fault))))]
+        vec![(
+            step.lasts,
+            Action::Undo(Undo::EndLinkFault(links.begin(step, fault))),
+        )]
     }
 
     pub(super) fn undo(&mut self, undo: Undo) {
         match undo {
-            Undo::Link(active) => self.links.iter().for_each(|links| links.end(&active)),
-            Undo::Disk(name) => {
+            Undo::EndLinkFault(active) => self.links.iter().for_each(|links| links.end(&active)),
+            Undo::ResumeDisk(name) => {
                 self.processes.resume_thread(&name);
-                self.did(format!("the disk of {name} goes on"));
+                self.record_step(format!("the disk of {name} works again"));
             }
-            Undo::Continue(name) => self.signal(&name, Signal::CONT, Process::Continued),
+            Undo::ContinueGateway(name) => self.signal(&name, Signal::CONT, Process::Continued),
         }
     }
 
-    pub(super) fn directories(&mut self, step: &Step) -> io::Result<()> {
+    pub(super) fn change_directories(&mut self, step: &Step) -> io::Result<()> {
         let Some(programs) = self.programs.as_ref().filter(|_| self.links.is_some()) else {
             return Ok(());
         };
