--- a/crates/fleet-test/examples/measure.rs
+++ b/crates/fleet-test/examples/measure.rs
@@ -1,4 +1,5 @@
-//! Measures with the rig, each beside its plain counterpart in one run:
+//! Measures restarts with and without kept directories, and the cost of store and fleet, each next
+//! to its baseline:
 //! `cargo run --release -p eideryard-fleet-test --example measure -- restart|cost [ROUNDS]`.
 
 use std::collections::BTreeMap;
@@ -11,22 +12,24 @@
                        class booking {\n    effect keyed\n    scope cell\n    window 3s\n}\n";
 const NAMES: [&str; 5] = ["g1", "g2", "g3", "g4", "g5"];
 
-/// Gateways with lines of an operator's file, where `{peer NAME}` is a peer's address.
+/// The scenario's lines for all gateways, with these lines in their operator files.
 fn gateways(lines: &[String]) -> String {
-    let of = |name: &&str| {
+    let gateway = |name: &&str| {
         let lines: String = lines
             .iter()
             .map(|line| format!("    operator \"{line}\"\n"))
             .collect();
         format!("gateway {name} {{\n    memory 64MB\n{lines}}}\n")
     };
-    NAMES.iter().map(of).collect()
+    NAMES.iter().map(gateway).collect()
 }
 
+/// Lines of an operator file that enable the store.
 fn store() -> Vec<String> {
     vec!["store-dir {directory}/store".into()]
 }
 
+/// Lines of an operator file that enable store and fleet.
 fn fleet() -> Vec<String> {
     let keepers = NAMES
         .iter()
@@ -38,9 +41,10 @@
     head.chain(keepers).chain(["}".into()]).collect()
 }
 
-/// A fleet near the limit of its engines, of which one is slow and one is small, killed all at once
-/// and started again 300 ms later, with its directories or without.
-fn restart(seed: u64, kept: bool) -> String {
+/// A scenario with a fleet near the limit of its engines, two of which are smaller than the other
+/// four. All gateways are killed at once and started again 300 ms later, with kept or wiped
+/// directories.
+fn restart(seed: u64, is_kept: bool) -> String {
     let mut text = format!("seed {seed}\ntime 46s\n{CLASSES}");
     text += "engines 4 e {\n    cores 4\n    memory 2GB\n}\nengines 2 s {\n    cores 1\n    memory 1GB\n}\n";
     text += &gateways(&store());
@@ -50,12 +54,13 @@
     text += "load scans {\n    class scan\n    rate 5/s\n    work 800ms\n    memory 512MB\n    wait 6s\n    \
              connections 4\n}\n";
     text += "at 15s kill-gateway g1 g2 g3 g4 g5\n";
-    if !kept {
+    if !is_kept {
         text += "at 15100ms wipe-directory g1 g2 g3 g4 g5\n";
     }
     text + "at 15300ms start-gateway g1 g2 g3 g4 g5\n"
 }
 
+/// A scenario with a steady load well below the engines' limit.
 fn cost(seed: u64, lines: &[String]) -> String {
     let mut text = format!("seed {seed}\ntime 20s\n{CLASSES}");
     text += "engines 4 e {\n    cores 8\n}\n";
@@ -64,11 +69,17 @@
     text + "load bookings {\n    class booking\n    rate 100/s\n    work 20ms\n    wait 3s\n    connections 8\n}\n"
 }
 
-fn played(program: &Path, text: &str) -> Result<BTreeMap<String, u64>, String> {
+/// Plays a scenario; returns its figures and the gateways' CPU time per request.
+fn play(program: &Path, text: &str) -> Result<BTreeMap<String, u64>, String> {
     let directory = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let ran = run(program, &Plan::from_text(text), directory.path()).map_err(|e| e.to_string())?;
-    let mut figures = ran.verdict.figures.clone();
-    let cpu: u128 = ran.endings.iter().map(|own| own.cpu.as_micros()).sum();
+    let outcome =
+        run(program, &Plan::from_text(text), directory.path()).map_err(|e| e.to_string())?;
+    let mut figures = outcome.verdict.figures.clone();
+    let cpu: u128 = outcome
+        .endings
+        .iter()
+        .map(|ending| ending.cpu.as_micros())
+        .sum();
     let requests = figures.get("requests").copied().unwrap_or(1).max(1);
     figures.insert("cpu_us_a_request".into(), cpu as u64 / requests);
     Ok(figures)
@@ -76,16 +87,16 @@
 
 fn main() -> Result<(), String> {
     let mut arguments = std::env::args().skip(1);
-    let (what, rounds) = (arguments.next().unwrap_or_default(), arguments.next());
+    let (scenario, rounds) = (arguments.next().unwrap_or_default(), arguments.next());
     let rounds: u64 = rounds.and_then(|rounds| rounds.parse().ok()).unwrap_or(3);
     let program: PathBuf = program().map_err(|e| e.to_string())?;
-    let (names, wanted): (Vec<&str>, &[&str]) = match what.as_str() {
+    let (names, prefixes): (Vec<&str>, &[&str]) = match scenario.as_str() {
         "restart" => (vec!["wiped", "kept"], &["restart30_"]),
         "cost" => (
             vec!["plain", "store", "fleet"],
             &["median_us_", "p99_us_", "cpu_us_"],
         ),
-        _ => return Err("say what: restart or cost".into()),
+        _ => return Err("expected restart or cost as the first argument".into()),
     };
     for seed in 1..=rounds {
         for name in &names {
@@ -96,11 +107,13 @@
                 "store" => cost(seed, &store()),
                 _ => cost(seed, &fleet()),
             };
-            let figures = played(&program, &text)?;
+            let figures = play(&program, &text)?;
             let shown = figures
                 .iter()
-                .filter(|(own, _)| wanted.iter().any(|want| own.starts_with(want)));
-            let shown: Vec<String> = shown.map(|(own, value)| format!("{own}={value}")).collect();
+                .filter(|(figure, _)| prefixes.iter().any(|prefix| figure.starts_with(prefix)));
+            let shown: Vec<String> = shown
+                .map(|(figure, value)| format!("{figure}={value}"))
+                .collect();
             println!("seed={seed} {name:<6} {}", shown.join(" "));
         }
     }
--- a/crates/fleet-test/src/classes.rs
+++ b/crates/fleet-test/src/classes.rs
@@ -3,7 +3,7 @@
 use eideryard::interface::{Class, Effect, Micros, Scope};
 
 /// A class whose requests are safe to repeat and may run on any engine. `aim`: latency objective in
-/// microseconds; `threads`: cores that one request uses.
+/// microseconds; `threads`: threads that one query runs on.
 pub fn safe_class(aim: Micros, threads: f64) -> Class {
     Class {
         latency_objective: aim,
--- a/crates/fleet-test/src/simulated.rs
+++ b/crates/fleet-test/src/simulated.rs
@@ -1,11 +1,11 @@
-//! A simulated fleet with the cores that ship: virtual time, links, disks and engines, hundreds of
-//! gateways in one thread. Everything comes of a seed. Figures from here are of simulated servers
-//! and called so.
+//! A simulated fleet of hundreds of gateways in one thread, with the replication core of the
+//! program and simulated time, links, disks and engines. All random numbers derive from one seed.
+//! Figures of this module are of simulated servers and must be labelled so.
 //!
-//! Clients ask keyed requests at any gateway and come again elsewhere when they hear nothing;
-//! gateways die, keepers are killed, wiped and paused, links break; engines of three cells drop
-//! repeats of the keys that their own cell has seen. What the module would decide is reduced to its
-//! rule on effects.
+//! Clients send keyed requests to random gateways and retry at others if no answer comes. Gateways
+//! and voters are killed, wiped and paused, and links break. The engines of each of three cells
+//! drop repeats of keys that their own cell has seen. Of the balancer, only its rule on effects is
+//! simulated.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -30,38 +30,42 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
+/// Engines drop repeats of a key for this time.
 const WINDOW: Micros = 5 * S;
+/// Time beyond window and wait for which entries are kept.
 const SLACK: Micros = 2 * S;
+/// Clients wait for an answer for this time.
 const WAIT: Micros = 2 * S;
-const LONGEST: Micros = WAIT + WINDOW + SLACK;
+const MAX_RETENTION: Micros = WAIT + WINDOW + SLACK;
 const CELLS: u32 = 3;
-/// Gateways look at what time brings this often.
-const LOOK: Micros = 250 * MS;
-/// Clients ask within this time; then the fleet comes to rest.
+/// Interval at which gateways poll their core for timers.
+const POLL_INTERVAL: Micros = 250 * MS;
+/// Clients send requests up to this time after the begin of virtual time; faults begin in it, too.
 pub const ASKS: Micros = 20 * S;
+/// Time without new requests at the end, so that retries finish and replicas become equal.
 const RESTS: Micros = 14 * S;
 
-/// What is played.
+/// The size of a simulated fleet and its load.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Gateways, keepers among them.
+    /// Number of gateways, including the voters.
     pub gateways: usize,
-    /// Keepers that vote.
+    /// Number of voters: the gateways with the lowest numbers.
     pub keepers: usize,
-    /// Keyed requests.
+    /// Number of keyed requests, each with its own key.
     pub requests: usize,
-    /// Kills, pauses, cuts and wiped directories.
+    /// Number of faults: kills with and without loss of the disk, pauses and link cuts.
     pub faults: usize,
 }
 
-/// What is taken out, to show that the checks bite.
+/// A protection that is disabled, to show that the checks detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Without {
-    /// All of it is there.
+    /// All protections are active.
     Nothing,
-    /// Gateways send with no word from keepers.
+    /// Gateways send requests without a claim at the voters.
     Claims,
-    /// A keeper that lost its disk votes at once.
+    /// A voter that lost its disk votes before it has caught up.
     CatchUp,
 }
 
@@ -69,20 +73,20 @@
     Deliver {
         link: (usize, usize),
         epoch: u64,
-        to_keeper: bool,
+        to_voter: bool,
         message: Message,
     },
     Link {
         link: (usize, usize),
         up: bool,
     },
-    Look(usize),
+    Poll(usize),
     Flush {
-        keeper: usize,
+        voter: usize,
         start: u64,
     },
     Ask(usize),
-    /// A client has waited for long enough.
+    /// A client's wait for an answer is over.
     GiveUp {
         request: usize,
         gateway: usize,
@@ -92,8 +96,8 @@
         key: usize,
         cell: u32,
     },
-    /// An attempt ends at its gateway.
-    Over {
+    /// The end of an attempt reaches its gateway.
+    AttemptEnded {
         gateway: usize,
         start: u64,
         key: usize,
@@ -117,58 +121,66 @@
 
 struct Gateway {
     core: Core,
-    up: bool,
+    is_up: bool,
     paused_until: Micros,
     start: u64,
     identity: u64,
     disk: BTreeMap<Vec<u8>, ReplicaRecord>,
-    voted: bool,
-    /// Written and not durable, with what follows.
+    /// Whether its disk has the state of a voter; false after the loss of the disk until it votes
+    /// again.
+    has_voted: bool,
+    /// Writes that are not durable yet: key, new value or removal, and the outputs to perform once
+    /// the write is durable.
     unflushed: Vec<(Vec<u8>, Option<ReplicaRecord>, Vec<Output>)>,
-    flushing: bool,
-    /// Keys that the store holds as sent or about to be, as the ledger has them.
-    local: HashMap<usize, Local>,
-    /// Claims under way: the request, its cell, when it was asked, what is known.
+    is_flushing: bool,
+    /// The gateway's own intents by key: keys that it has sent or is about to send.
+    local: HashMap<usize, LocalIntent>,
+    /// Pending claims by number: request, cell, time of the claim, and prior runs known then.
     claims: HashMap<u64, (usize, u32, Micros, PriorRuns)>,
-    numbers: u64,
-    voted_at: Option<Micros>,
+    last_claim: u64,
+    /// When the gateway started after the loss of its disk; `Some(0)` once it votes again.
+    catch_up_began: Option<Micros>,
 }
 
-/// A key in a gateway's ledger: where and since when it may run, attempts without an end, and
-/// whether one that ended may have run.
+/// The intent of a gateway for a key.
 #[derive(Clone, Copy)]
-struct Local {
+struct LocalIntent {
     cell: u32,
+    /// Since when the key may run.
     since: Micros,
-    out: u32,
-    ran: bool,
+    /// Attempts without an end.
+    in_flight: u32,
+    /// Whether an ended attempt may have run.
+    may_have_run: bool,
 }
 
 #[derive(Clone, Copy, Default)]
 struct Request {
     tries: u32,
-    done: bool,
-    first: Micros,
-    at: usize,
+    is_done: bool,
+    first_sent: Micros,
+    /// The gateway of the present try; `usize::MAX` between tries.
+    gateway: usize,
 }
 
-/// A simulated fleet that shares its intents.
+/// A simulated fleet that replicates its intents.
 pub struct Fleet {
     size: Size,
     without: Without,
     rng: StdRng,
     time: Timeline<Event, ((usize, usize), bool)>,
     gateways: Vec<Gateway>,
-    /// Which links are up, how often each has been made, and until when it is cut.
+    /// For each link: whether it is up, how often it was established, and until when it is cut.
     links: BTreeMap<(usize, usize), (bool, u64, Micros)>,
     requests: Vec<Request>,
-    /// When each cell first saw a key.
+    /// When a key last took effect in a cell.
     seen: HashMap<(usize, u32), Micros>,
+    /// Number of effects by key.
     effects: HashMap<usize, u64>,
     figures: Figures,
-    /// What happens to this key is told, and to keepers.
+    /// If set, events on this key and events without a key are written to the story.
     traced: Option<usize>,
-    /// What happened, where it is kept.
+    /// The traced events, as lines of text.
     pub story: Vec<String>,
 }
 
@@ -177,7 +189,7 @@
 }
 
 impl Fleet {
-    /// One that comes of a seed.
+    /// Creates a fleet; its events and random numbers depend only on the arguments.
     pub fn new(size: Size, seed: u64, without: Without) -> Self {
         let mut fleet = Fleet {
             size,
@@ -197,32 +209,32 @@
             let identity = fleet.rng.random();
             let mut gateway = Gateway {
                 core: fleet.core(at, identity, 1, true, &BTreeMap::new()),
-                up: true,
+                is_up: true,
                 paused_until: 0,
                 start: 1,
                 identity,
                 disk: BTreeMap::new(),
-                voted: true,
+                has_voted: true,
                 unflushed: Vec::new(),
-                flushing: false,
+                is_flushing: false,
                 local: HashMap::new(),
                 claims: HashMap::new(),
-                numbers: 0,
-                voted_at: None,
+                last_claim: 0,
+                catch_up_began: None,
             };
-            gateway.voted_at = Some(0);
+            gateway.catch_up_began = Some(0);
             fleet.gateways.push(gateway);
-            let first = fleet.rng.random_range(0..LOOK);
-            fleet.at(first, Event::Look(at));
+            let first = fleet.rng.random_range(0..POLL_INTERVAL);
+            fleet.at(first, Event::Poll(at));
         }
         for gateway in 0..size.gateways {
-            for keeper in (0..size.keepers).filter(|keeper| *keeper != gateway) {
-                fleet.links.insert((gateway, keeper), (false, 0, 0));
+            for voter in (0..size.keepers).filter(|voter| *voter != gateway) {
+                fleet.links.insert((gateway, voter), (false, 0, 0));
                 let after = fleet.rng.random_range(0..100 * MS);
                 fleet.at(
                     after,
                     Event::Link {
-                        link: (gateway, keeper),
+                        link: (gateway, voter),
                         up: true,
                     },
                 );
@@ -233,7 +245,7 @@
             fleet.at(after, Event::Ask(request));
         }
         for _ in 0..size.faults {
-            fleet.fault();
+            fleet.add_fault();
         }
         fleet
     }
@@ -243,22 +255,22 @@
         at: usize,
         identity: u64,
         start: u64,
-        whole: bool,
+        has_state: bool,
         disk: &BTreeMap<Vec<u8>, ReplicaRecord>,
     ) -> Core {
-        let plan = Config {
+        let config = Config {
             voters: self.size.keepers,
             voter_index: (at < self.size.keepers).then_some(at),
-            max_retention: LONGEST,
+            max_retention: MAX_RETENTION,
             limits: Limits { max_keys: 100_000 },
             transfer_bytes_per_s: 1 << 20,
             send_without_majority: false,
         };
-        let whole = whole || self.without == Without::CatchUp;
+        let has_state = has_state || self.without == Without::CatchUp;
         Core::start(
-            plan,
+            config,
             Origin { identity, start },
-            whole,
+            has_state,
             disk.clone().into_iter(),
             self.time.now,
         )
@@ -268,8 +280,9 @@
         self.time.at(after, event);
     }
 
-    /// One fault at a drawn time; half of those of processes are of keepers.
-    fn fault(&mut self) {
+    /// Queues a fault at a random time. The gateway of a fault is a voter in at least half of the
+    /// cases.
+    fn add_fault(&mut self) {
         let after = self.rng.random_range(2 * S..ASKS);
         let any = if self.rng.random_bool(0.5) {
             self.rng.random_range(0..self.size.keepers)
@@ -293,14 +306,14 @@
                 until: self.time.now + after + lasts,
             },
             _ => {
-                let keeper = self.rng.random_range(0..self.size.keepers);
-                let gateway = if any == keeper {
+                let voter = self.rng.random_range(0..self.size.keepers);
+                let gateway = if any == voter {
                     (any + 1) % self.size.gateways
                 } else {
                     any
                 };
                 Event::Cut {
-                    link: (gateway, keeper),
+                    link: (gateway, voter),
                     until: self.time.now + after + lasts,
                 }
             }
@@ -308,15 +321,16 @@
         self.at(after, event);
     }
 
-    /// A line of the story, where this key is told of, or all keys.
-    fn tell(&mut self, key: Option<usize>, what: impl FnOnce() -> String) {
+    /// Adds a line to the story if a key is traced and `key` is that key or `None`.
+    fn trace(&mut self, key: Option<usize>, what: impl FnOnce() -> String) {
         if self.traced.is_some() && (key.is_none() || key == self.traced) {
             self.story
                 .push(format!("{:>9.3} s {}", self.time.now as f64 / 1e6, what()));
         }
     }
 
-    /// What led to the first second effect of a seed, step by step.
+    /// Plays a seed twice: first to find the lowest key that took effect twice, then to trace it.
+    /// Returns the story, empty if no key took effect twice.
     pub fn story_of(size: Size, seed: u64, without: Without) -> Vec<String> {
         let mut first = Fleet::new(size, seed, without);
         first.play();
@@ -333,44 +347,48 @@
         again.story
     }
 
-    /// Plays it to its end.
+    /// Plays the fleet to its end and returns the figures.
     pub fn run(mut self) -> Figures {
         self.play();
-        self.sum()
+        self.into_figures()
     }
 
     fn play(&mut self) {
         let until = self.time.now + ASKS + RESTS;
         while let Some(event) = self.time.next(until) {
-            self.happens(event);
+            self.handle(event);
         }
     }
 
-    fn sum(mut self) -> Figures {
+    fn into_figures(mut self) -> Figures {
         self.figures.requests = self.requests.len() as u64;
         self.figures.effects = self.effects.values().sum();
         self.figures.effects_twice =
             self.effects.values().filter(|count| **count > 1).count() as u64;
-        self.figures.unanswered = self.requests.iter().filter(|own| !own.done).count() as u64;
-        let keepers = &self.gateways[..self.size.keepers];
-        let keys: BTreeSet<&Vec<u8>> = keepers.iter().flat_map(|own| own.disk.keys()).collect();
-        let print = |own: &Gateway, key: &[u8]| {
-            own.core.replicas().get(key).map_or(0, |copy| {
+        self.figures.unanswered = self
+            .requests
+            .iter()
+            .filter(|request| !request.is_done)
+            .count() as u64;
+        let voters = &self.gateways[..self.size.keepers];
+        let keys: BTreeSet<&Vec<u8>> = voters.iter().flat_map(|voter| voter.disk.keys()).collect();
+        let fingerprint = |voter: &Gateway, key: &[u8]| {
+            voter.core.replicas().get(key).map_or(0, |copy| {
                 eideryard_replication::replica_set::fingerprint_of(key, copy, self.time.now)
             })
         };
         let differs = |key: &&&Vec<u8>| {
-            keepers
+            voters
                 .iter()
-                .any(|own| print(own, key) != print(&keepers[0], key))
+                .any(|voter| fingerprint(voter, key) != fingerprint(&voters[0], key))
         };
         self.figures.differ = keys.iter().filter(differs).count() as u64;
-        for own in &self.gateways {
+        for gateway in &self.gateways {
             let Counters {
                 transferred_bytes,
                 repaired,
                 ..
-            } = own.core.counters();
+            } = gateway.core.counters();
             self.figures.caught_up_bytes += transferred_bytes;
             self.figures.mended += repaired;
         }
@@ -378,13 +396,15 @@
     }
 }
 
-/// Plays seeds one after the other, and sums what counts and keeps the worst of what lasts.
+/// Plays seeds one after the other. Returns the combined figures (see [`Figures::add`]) and the
+/// seeds that broke a rule.
 pub fn play(size: Size, seeds: std::ops::Range<u64>, without: Without) -> (Figures, Vec<u64>) {
-    let broken = |own: &Figures| own.effects_twice + own.unanswered + own.differ > 0;
+    let is_broken =
+        |figures: &Figures| figures.effects_twice + figures.unanswered + figures.differ > 0;
     timeline::play_seeds(
         seeds,
         |seed| Fleet::new(size, seed, without).run(),
-        broken,
+        is_broken,
         Figures::add,
     )
 }
--- a/crates/fleet-test/src/simulated/events.rs
+++ b/crates/fleet-test/src/simulated/events.rs
@@ -1,12 +1,12 @@
-//! What happens in a simulated fleet, event by event.
+//! Handles the events of a simulated fleet.
 
 use super::*;
 
 impl Fleet {
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub(super) fn happens(&mut self, event: Event) {
-        // One that stands still does all of it when it goes on.
-        let paused = |gateway: usize, fleet: &Self| {
+    pub(super) fn handle(&mut self, event: Event) {
+        // Events of a paused gateway are deferred to the end of its pause.
+        let pause_left = |gateway: usize, fleet: &Self| {
             fleet.gateways[gateway]
                 .paused_until
                 .saturating_sub(fleet.time.now)
@@ -15,28 +15,28 @@
             Event::Deliver {
                 link,
                 epoch,
-                to_keeper,
+                to_voter,
                 message,
             } => {
-                let to = if to_keeper { link.1 } else { link.0 };
-                let wait = paused(to, self);
-                let stands = self
+                let to = if to_voter { link.1 } else { link.0 };
+                let wait = pause_left(to, self);
+                let is_same_connection = self
                     .links
                     .get(&link)
-                    .is_some_and(|(up, own, _)| *up && *own == epoch);
+                    .is_some_and(|(up, current, _)| *up && *current == epoch);
                 if wait > 0 {
                     return self.at(
                         wait,
                         Event::Deliver {
                             link,
                             epoch,
-                            to_keeper,
+                            to_voter,
                             message,
                         },
                     );
                 }
-                if stands {
-                    let from = if to_keeper {
+                if is_same_connection {
+                    let from = if to_voter {
                         Peer::Requester(link.0 as u64)
                     } else {
                         Peer::Voter(link.1)
@@ -47,54 +47,57 @@
                     self.perform(to, outputs);
                 }
             }
-            Event::Link { link, up } => self.link(link, up),
-            Event::Look(at) => {
-                let wait = paused(at, self);
+            Event::Link { link, up } => self.set_link(link, up),
+            Event::Poll(at) => {
+                let wait = pause_left(at, self);
                 if wait > 0 {
-                    return self.at(wait, Event::Look(at));
+                    return self.at(wait, Event::Poll(at));
                 }
-                if self.gateways[at].up {
+                if self.gateways[at].is_up {
                     let outputs = self.gateways[at].core.poll(self.time.now);
                     self.perform(at, outputs);
                 }
-                self.at(LOOK, Event::Look(at));
+                self.at(POLL_INTERVAL, Event::Poll(at));
             }
-            Event::Flush { keeper, start } => self.flush(keeper, start),
-            Event::Ask(request) => self.ask(request),
+            Event::Flush { voter, start } => self.flush(voter, start),
+            Event::Ask(request) => self.send_request(request),
             Event::GiveUp {
                 request,
                 gateway,
                 start,
             } => {
-                let own = &mut self.requests[request];
-                if own.done || own.at != gateway || self.gateways[gateway].start != start {
+                let current = &mut self.requests[request];
+                if current.is_done
+                    || current.gateway != gateway
+                    || self.gateways[gateway].start != start
+                {
                     return;
                 }
-                self.again(request);
+                self.retry(request);
             }
             Event::Run { key, cell } => {
-                // Dropped as a repeat where this cell has seen the key within the window.
-                self.tell(Some(key), || format!("runs in cell {cell}"));
-                let known = self
+                // A repeat of a key that this cell has seen within the window is dropped.
+                self.trace(Some(key), || format!("runs in cell {cell}"));
+                let is_repeat = self
                     .seen
                     .get(&(key, cell))
                     .is_some_and(|at| self.time.now < at + WINDOW);
-                if !known {
+                if !is_repeat {
                     self.seen.insert((key, cell), self.time.now);
                     *self.effects.entry(key).or_default() += 1;
                 }
             }
-            Event::Over {
+            Event::AttemptEnded {
                 gateway,
                 start,
                 key,
                 cell,
             } => {
-                let wait = paused(gateway, self);
+                let wait = pause_left(gateway, self);
                 if wait > 0 {
                     return self.at(
                         wait,
-                        Event::Over {
+                        Event::AttemptEnded {
                             gateway,
                             start,
                             key,
@@ -102,13 +105,13 @@
                         },
                     );
                 }
-                if !self.gateways[gateway].up || self.gateways[gateway].start != start {
-                    // Its answer finds nobody: the client comes again.
+                if !self.gateways[gateway].is_up || self.gateways[gateway].start != start {
+                    // The gateway that sent the attempt is gone; the client retries.
                     return;
                 }
-                self.ended(gateway, key, cell, true);
-                if self.requests[key].at == gateway {
-                    self.requests[key].done = true;
+                self.end_attempt(gateway, key, cell, true);
+                if self.requests[key].gateway == gateway {
+                    self.requests[key].is_done = true;
                 }
             }
             Event::Kill {
@@ -118,15 +121,15 @@
             } => self.kill(gateway, wiped, down),
             Event::Start(gateway) => self.start(gateway),
             Event::Pause { gateway, until } => {
-                self.tell(None, || format!("pause {gateway} until {until}"));
-                let own = &mut self.gateways[gateway];
-                own.paused_until = own.paused_until.max(until);
+                self.trace(None, || format!("pause {gateway} until {until}"));
+                let paused = &mut self.gateways[gateway];
+                paused.paused_until = paused.paused_until.max(until);
             }
             Event::Cut { link, until } => {
                 if self.links.contains_key(&link) {
-                    self.link(link, false);
-                    if let Some(own) = self.links.get_mut(&link) {
-                        own.2 = own.2.max(until);
+                    self.set_link(link, false);
+                    if let Some(state) = self.links.get_mut(&link) {
+                        state.2 = state.2.max(until);
                     }
                     let wait = until.saturating_sub(self.time.now);
                     self.at(wait, Event::Link { link, up: true });
--- a/crates/fleet-test/src/simulated/figures.rs
+++ b/crates/fleet-test/src/simulated/figures.rs
@@ -1,38 +1,39 @@
-//! What a simulated fleet counts.
+//! Figures of a simulated fleet.
 
-/// What was counted.
+/// Figures of one seed, or combined over several.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// Keyed requests.
+    /// Number of keyed requests.
     pub requests: u64,
-    /// Runs at engines.
+    /// Runs at engines that were not dropped as repeats.
     pub effects: u64,
-    /// Keys that took effect twice within their window.
+    /// Keys that took effect more than once. Breaks a rule.
     pub effects_twice: u64,
-    /// Requests without an end.
+    /// Requests that were neither answered nor given up. Breaks a rule.
     pub unanswered: u64,
-    /// Requests that were refused.
+    /// Tries that were refused because no claim was granted.
     pub refused: u64,
-    /// Keys whose copies differ between keepers at the end.
+    /// Keys whose replicas differ between voters at the end. Breaks a rule.
     pub differ: u64,
-    /// Messages of all gateways.
+    /// Replication messages sent by all gateways.
     pub messages: u64,
-    /// Their bytes.
+    /// Encoded size of these messages with frame headers, in bytes.
     pub bytes: u64,
-    /// Bytes of state transfer.
+    /// Bytes of state transfers to voters that catch up.
     pub caught_up_bytes: u64,
-    /// Records that anti-entropy brought.
+    /// Records that anti-entropy repaired.
     pub mended: u64,
-    /// Entries at the keeper that held most.
+    /// Most entries that one voter stored at a time.
     pub most_held: u64,
-    /// The longest that a keeper took to vote again, in milliseconds.
+    /// Longest time that a voter took to vote again after the loss of its disk, in milliseconds.
     pub longest_catch_up_ms: u64,
-    /// From the first claim to its verdict, at the worst where it was granted.
+    /// Longest time from a claim to its grant, in milliseconds.
     pub longest_claim_ms: u64,
 }
 
 impl Figures {
-    /// Adds what another seed counted.
+    /// Adds the figures of another seed: sums counts, takes the maximum of `most_held` and of the
+    /// longest times.
     pub fn add(&mut self, other: &Figures) {
         self.requests += other.requests;
         self.effects += other.effects;
--- a/crates/fleet-test/src/simulated/requests.rs
+++ b/crates/fleet-test/src/simulated/requests.rs
@@ -1,34 +1,36 @@
-//! Keyed requests: asked, claimed, sent, ended, asked again.
+//! Keyed requests: sends, claims, dispatches, ends and retries them.
 
 use eideryard_replication::core::{ClaimRequest, EndedAttempts};
 
 use super::*;
 
 impl Fleet {
-    pub(super) fn again(&mut self, request: usize) {
-        let own = &mut self.requests[request];
-        own.at = usize::MAX;
-        if own.tries >= 4 {
-            // Its client has had enough: an answer all the same, of its own making.
-            own.done = true;
+    /// Retries a request after a random time; the client gives up after four tries.
+    pub(super) fn retry(&mut self, request: usize) {
+        let current = &mut self.requests[request];
+        current.gateway = usize::MAX;
+        if current.tries >= 4 {
+            // Giving up counts as an end of the request.
+            current.is_done = true;
             return;
         }
         let after = self.rng.random_range(MS..500 * MS);
         self.at(after, Event::Ask(request));
     }
 
-    pub(super) fn ask(&mut self, request: usize) {
+    /// Sends a request to a random gateway.
+    pub(super) fn send_request(&mut self, request: usize) {
         let gateway = self.rng.random_range(0..self.size.gateways);
-        let own = &mut self.requests[request];
-        own.tries += 1;
-        if own.tries == 1 {
-            own.first = self.time.now;
+        let current = &mut self.requests[request];
+        current.tries += 1;
+        if current.tries == 1 {
+            current.first_sent = self.time.now;
         }
-        if !self.gateways[gateway].up {
-            return self.again(request);
+        if !self.gateways[gateway].is_up {
+            return self.retry(request);
         }
-        self.requests[request].at = gateway;
-        self.tell(Some(request), || format!("asked at {gateway}"));
+        self.requests[request].gateway = gateway;
+        self.trace(Some(request), || format!("sent to {gateway}"));
         let start = self.gateways[gateway].start;
         self.at(
             WAIT,
@@ -38,89 +40,94 @@
                 start,
             },
         );
-        let known = match self.gateways[gateway].local.get(&request) {
-            Some(own) => vec![PriorRun {
+        let known_runs = match self.gateways[gateway].local.get(&request) {
+            Some(intent) => vec![PriorRun {
                 location: Some(Location {
                     zone: 0,
-                    cell: own.cell,
+                    cell: intent.cell,
                 }),
-                since: own.since,
+                since: intent.since,
             }],
             None => PriorRuns::new(),
         };
-        self.decide(request, gateway, known);
+        self.choose_cell(request, gateway, known_runs);
     }
 
-    /// The module's rule on effects: within the one cell that may have run it, and within its
-    /// window.
-    pub(super) fn decide(&mut self, request: usize, gateway: usize, known: PriorRuns) {
-        let mut cells: Vec<_> = known
+    /// Applies the balancer's rule on effects: a request that may have run is sent only to the cell
+    /// where it may have run, and only within the window of the first run.
+    pub(super) fn choose_cell(&mut self, request: usize, gateway: usize, known_runs: PriorRuns) {
+        let mut cells: Vec<_> = known_runs
             .iter()
             .map(|run| run.location.map(|location| location.cell))
             .collect();
         cells.sort();
         cells.dedup();
-        let since = known.iter().map(|run| run.since).min();
-        // What an engine would get after the window of the first is not sent.
-        let in_time = since.is_none_or(|since| self.time.now + 50 * MS < since + WINDOW);
+        let since = known_runs.iter().map(|run| run.since).min();
+        // An attempt that would reach its engine after the window of the first run is not sent.
+        let is_in_time = since.is_none_or(|since| self.time.now + 50 * MS < since + WINDOW);
         let cell = match &cells[..] {
             [] => Some(self.rng.random_range(0..CELLS)),
-            [one] if in_time => *one,
+            [one] if is_in_time => *one,
             _ => None,
         };
         let Some(cell) = cell else {
-            self.requests[request].done = true;
+            self.requests[request].is_done = true;
             return;
         };
         if self.without == Without::Claims {
             return self.dispatch(request, gateway, cell, since);
         }
-        let own = &mut self.gateways[gateway];
-        // As the ledger: it is there before anything goes out.
-        let fresh = Local {
+        let claiming = &mut self.gateways[gateway];
+        // As in the intent log, the intent is stored before the request is sent.
+        let new_intent = LocalIntent {
             cell,
             since: since.unwrap_or(self.time.now),
-            out: 0,
-            ran: false,
+            in_flight: 0,
+            may_have_run: false,
         };
-        own.local.entry(request).or_insert(fresh).out += 1;
-        own.numbers += 1;
-        let number = own.numbers;
-        own.claims
-            .insert(number, (request, cell, self.time.now, known.clone()));
-        let (location, keep) = (Some(Location { zone: 0, cell }), WAIT + WINDOW + SLACK);
+        claiming
+            .local
+            .entry(request)
+            .or_insert(new_intent)
+            .in_flight += 1;
+        claiming.last_claim += 1;
+        let number = claiming.last_claim;
+        claiming
+            .claims
+            .insert(number, (request, cell, self.time.now, known_runs.clone()));
+        let (location, retention) = (Some(Location { zone: 0, cell }), WAIT + WINDOW + SLACK);
         let since = since.unwrap_or(self.time.now);
         let claim = ClaimRequest {
             number,
             key: &key_of(request),
             location,
             since,
-            retention: keep,
-            known_runs: known,
+            retention,
+            known_runs,
         };
-        let outputs = own.core.claim(self.time.now, claim);
+        let outputs = claiming.core.claim(self.time.now, claim);
         self.perform(gateway, outputs);
     }
 
-    /// An attempt has its end: keepers hear of a key once none of its attempts is out.
-    pub(super) fn ended(&mut self, gateway: usize, key: usize, cell: u32, ran: bool) {
-        let Some(own) = self.gateways[gateway].local.get_mut(&key) else {
+    /// Ends an attempt. The voters are notified once no attempt of the key is in flight.
+    pub(super) fn end_attempt(&mut self, gateway: usize, key: usize, cell: u32, ran: bool) {
+        let Some(intent) = self.gateways[gateway].local.get_mut(&key) else {
             return;
         };
-        own.out = own.out.saturating_sub(1);
-        own.ran |= ran;
-        let (out, ran) = (own.out, own.ran);
-        if out > 0 {
+        intent.in_flight = intent.in_flight.saturating_sub(1);
+        intent.may_have_run |= ran;
+        let (in_flight, may_have_run) = (intent.in_flight, intent.may_have_run);
+        if in_flight > 0 {
             return;
         }
-        if !ran {
+        if !may_have_run {
             self.gateways[gateway].local.remove(&key);
         }
         let location = Some(Location { zone: 0, cell });
         let ended = EndedAttempts {
             key: &key_of(key),
             location,
-            may_have_run: ran,
+            may_have_run,
             retention: WINDOW + SLACK,
         };
         let outputs = self.gateways[gateway]
@@ -129,32 +136,36 @@
         self.perform(gateway, outputs);
     }
 
-    pub(super) fn decided(&mut self, gateway: usize, number: u64, verdict: Verdict) {
-        let Some((request, cell, asked, mut known)) = self.gateways[gateway].claims.remove(&number)
+    /// Handles the voters' verdict on a claim: sends the request, chooses a cell again with the
+    /// prior runs that voters reported, or refuses the request.
+    pub(super) fn on_verdict(&mut self, gateway: usize, number: u64, verdict: Verdict) {
+        let Some((request, cell, claimed_at, mut known_runs)) =
+            self.gateways[gateway].claims.remove(&number)
         else {
             return;
         };
-        let waits = self.requests[request].at == gateway && !self.requests[request].done;
-        self.tell(Some(request), || {
-            format!("{gateway} claim {number} of cell {cell}: {verdict:?}, waits {waits}")
+        let is_waiting =
+            self.requests[request].gateway == gateway && !self.requests[request].is_done;
+        self.trace(Some(request), || {
+            format!("{gateway} claim {number} of cell {cell}: {verdict:?}, waits {is_waiting}")
         });
         match verdict {
-            Verdict::Granted if waits => {
-                let took = (self.time.now - asked) / MS;
+            Verdict::Granted if is_waiting => {
+                let took = (self.time.now - claimed_at) / MS;
                 self.figures.longest_claim_ms = self.figures.longest_claim_ms.max(took);
-                let since = known.iter().map(|run| run.since).min();
+                let since = known_runs.iter().map(|run| run.since).min();
                 self.dispatch(request, gateway, cell, since);
             }
             verdict => {
-                self.ended(gateway, request, cell, false);
+                self.end_attempt(gateway, request, cell, false);
                 match verdict {
-                    Verdict::PriorRunsFound(told) if waits => {
-                        known.extend(told);
-                        self.decide(request, gateway, known);
+                    Verdict::PriorRunsFound(reported) if is_waiting => {
+                        known_runs.extend(reported);
+                        self.choose_cell(request, gateway, known_runs);
                     }
-                    _ if waits => {
+                    _ if is_waiting => {
                         self.figures.refused += 1;
-                        self.again(request);
+                        self.retry(request);
                     }
                     _ => {}
                 }
@@ -162,6 +173,7 @@
         }
     }
 
+    /// Sends a request to an engine of a cell unless the window of its first run is over.
     pub(super) fn dispatch(
         &mut self,
         request: usize,
@@ -170,30 +182,30 @@
         since: Option<Micros>,
     ) {
         if since.is_some_and(|since| self.time.now + 50 * MS >= since + WINDOW) {
-            // Time has passed since it was decided.
-            self.ended(gateway, request, cell, false);
-            self.requests[request].done = true;
+            // The window ended while the claim was pending.
+            self.end_attempt(gateway, request, cell, false);
+            self.requests[request].is_done = true;
             return;
         }
-        let own = &mut self.gateways[gateway];
+        let sending = &mut self.gateways[gateway];
         if self.without == Without::Claims {
-            let fresh = Local {
+            let new_intent = LocalIntent {
                 cell,
                 since: since.unwrap_or(self.time.now),
-                out: 0,
-                ran: false,
+                in_flight: 0,
+                may_have_run: false,
             };
-            own.local.entry(request).or_insert(fresh).out += 1;
+            sending.local.entry(request).or_insert(new_intent).in_flight += 1;
         }
-        let start = own.start;
-        let (way, takes) = (
+        let start = sending.start;
+        let (delay, duration) = (
             self.rng.random_range(200..2 * MS),
             self.rng.random_range(5 * MS..900 * MS),
         );
-        self.at(way, Event::Run { key: request, cell });
+        self.at(delay, Event::Run { key: request, cell });
         self.at(
-            way + takes,
-            Event::Over {
+            delay + duration,
+            Event::AttemptEnded {
                 gateway,
                 start,
                 key: request,
--- a/crates/fleet-test/src/simulated/tests.rs
+++ b/crates/fleet-test/src/simulated/tests.rs
@@ -1,4 +1,4 @@
-//! Rules and agreement on seeds, and that the checks bite.
+//! Simulated fleets keep the rules over many seeds, and break them without a protection.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     faults: 14,
 };
 
-/// More faults than a fleet should ever see.
+/// More faults per gateway than in any real fleet.
 const HARD: Size = Size {
     gateways: 12,
     keepers: 3,
@@ -24,7 +24,7 @@
 };
 
 #[test]
-fn some_hundred_seeds_keep_the_rules_and_agree() {
+fn all_seeds_keep_the_rules_and_end_with_equal_replicas() {
     for (size, seeds) in [(SMALL, 0..200), (HARD, 0..100), (LARGE, 0..3)] {
         let (sum, broken) = play(size, seeds, Without::Nothing);
         assert!(broken.is_empty(), "{size:?}: {broken:?} {sum:?}");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_seed_plays_the_same_fleet() {
+fn a_seed_gives_the_same_figures_again() {
     let play = |_| format!("{:?}", Fleet::new(SMALL, 7, Without::Nothing).run());
     assert_eq!(play(0), play(1));
 }
--- a/crates/fleet-test/src/stall.rs
+++ b/crates/fleet-test/src/stall.rs
@@ -48,8 +48,8 @@
         let _ = ptrace::detach(self.thread, None);
     }
 
-    /// Like [`Self::resume`], also if the process may have been killed: the system reports the end of
-    /// a process only after the tracer has waited for the end of its traced thread.
+    /// Like [`Self::resume`], also if the process may have been killed: the system reports the end
+    /// of a process only after the tracer has waited for the end of its traced thread.
     pub fn resume_or_reap(self) {
         if ptrace::detach(self.thread, None).is_err() {
             let _ = waitpid(self.thread, Some(WaitPidFlag::__WALL));
--- a/crates/fleet-test/tests/fleet.rs
+++ b/crates/fleet-test/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program that share their intents, with faults between them.
+//! Fleets of gateway processes that replicate their intents, under injected faults.
 
 use std::path::{Path, PathBuf};
 
@@ -6,42 +6,42 @@
 use eideryard_fleet_test::plan::{draw, Case, Plan};
 use eideryard_fleet_test::run::{program, run, RunOutcome};
 
-fn built() -> PathBuf {
+fn gateway_program() -> PathBuf {
     program().expect("build the program first: cargo build, or cargo test --workspace")
 }
 
-fn played(plan: &Plan, directory: &Path) -> RunOutcome {
-    run(&built(), plan, directory).expect("it can be played")
+fn play(plan: &Plan, directory: &Path) -> RunOutcome {
+    run(&gateway_program(), plan, directory).expect("the plan is played")
 }
 
-fn figure(ran: &RunOutcome, name: &str) -> u64 {
-    ran.verdict.figures.get(name).copied().unwrap_or(0)
+fn figure(outcome: &RunOutcome, name: &str) -> u64 {
+    outcome.verdict.figures.get(name).copied().unwrap_or(0)
 }
 
-fn stories(ran: &RunOutcome) -> String {
-    let told = ran
+fn stories(outcome: &RunOutcome) -> String {
+    let lines = outcome
         .stories
         .iter()
         .map(|(found, story)| format!("{found:?}\n{}", story.join("\n")));
-    told.collect::<Vec<_>>().join("\n")
+    lines.collect::<Vec<_>>().join("\n")
 }
 
-/// All that the gateways logged.
+/// The logs of all gateways, concatenated.
 fn logs(directory: &Path) -> String {
     let files = std::fs::read_dir(directory)
         .unwrap()
         .map(|file| file.unwrap().path());
-    let logs = files.filter(|path| path.extension().is_some_and(|own| own == "log"));
+    let logs = files.filter(|path| path.extension().is_some_and(|extension| extension == "log"));
     logs.map(|path| std::fs::read_to_string(path).unwrap())
         .collect()
 }
 
-/// What a gateway counted under a name, over all that ended by themselves.
-fn counted(directory: &Path, name: &str) -> u64 {
+/// The sum of a counter over the last log lines of all gateways that were not killed.
+fn logged_counter(directory: &Path, name: &str) -> u64 {
     let lines = logs(directory);
-    let mark = format!("{name}: ");
-    let told = lines.split(&mark).skip(1);
-    let numbers = told.filter_map(|rest| {
+    let label = format!("{name}: ");
+    let after_label = lines.split(&label).skip(1);
+    let numbers = after_label.filter_map(|rest| {
         rest.split(|c: char| !c.is_ascii_digit())
             .next()?
             .parse::<u64>()
@@ -50,11 +50,11 @@
     numbers.sum()
 }
 
-/// The lines of a gateway of a fleet with these keepers.
-fn gateway(name: &str, keepers: &[&str]) -> String {
+/// The scenario's lines for a gateway whose operator file names these voters.
+fn fleet_gateway(name: &str, keepers: &[&str]) -> String {
     let keepers = keepers
         .iter()
-        .map(|own| format!("keeper {own} {{peer {own}}}"));
+        .map(|keeper| format!("keeper {keeper} {{peer {keeper}}}"));
     let head = [
         "store-dir {directory}/store",
         "fleet rig {",
@@ -75,10 +75,10 @@
 
 const KEEPERS: [&str; 3] = ["g1", "g2", "g3"];
 
-/// Clients of a gateway that was killed come again at another one: without a fleet their loads take
-/// effect twice, with one none does.
+/// Guards against a second effect when clients of a killed gateway retry at another one. Without a
+/// fleet this must happen, which shows that the plan provokes it.
 #[test]
-fn a_retry_at_another_gateway_takes_no_second_effect() {
+fn a_retry_at_another_gateway_has_no_second_effect() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../examples/double-effect.scenario"
@@ -91,57 +91,58 @@
     for name in KEEPERS {
         shared = shared.replace(
             &format!("gateway {name} {{\n}}\n"),
-            &gateway(name, &KEEPERS),
+            &fleet_gateway(name, &KEEPERS),
         );
     }
     let directories = [tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap()];
-    let alone = played(&Plan::from_text(&text), directories[0].path());
+    let alone = play(&Plan::from_text(&text), directories[0].path());
     assert!(
         alone.verdict.count(Rule::EffectOnce) > 0,
         "{:?}",
         alone.verdict.figures
     );
-    let ran = played(&Plan::from_text(&shared), directories[1].path());
+    let outcome = play(&Plan::from_text(&shared), directories[1].path());
     assert!(
-        ran.verdict.is_kept(),
+        outcome.verdict.is_kept(),
         "{:?}\n{}",
-        ran.verdict.counts,
-        stories(&ran)
+        outcome.verdict.counts,
+        stories(&outcome)
     );
     assert!(
-        figure(&ran, "effects") > 10 && figure(&ran, "copies") > 10,
+        figure(&outcome, "effects") > 10 && figure(&outcome, "copies") > 10,
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
-    assert_eq!(figure(&ran, "differ"), 0);
-    // The defence was met: keepers told of runs before.
+    assert_eq!(figure(&outcome, "differ"), 0);
+    // Voters reported prior runs, so the protection was needed.
     assert!(
-        counted(directories[1].path(), "earlier") > 0,
+        logged_counter(directories[1].path(), "earlier") > 0,
         "{}",
         logs(directories[1].path())
     );
 }
 
-/// A drawn plan: kills, pauses, cuts, stalled disks, wiped and old directories.
+/// Guards against second effects and unequal replicas under a drawn plan of kills, pauses, link
+/// cuts, stalled disks, and wiped and outdated directories.
 #[test]
-fn a_drawn_plan_keeps_effects_single_and_copies_equal() {
+fn a_drawn_plan_causes_no_second_effects_and_ends_with_equal_replicas() {
     let directory = tempfile::tempdir().unwrap();
-    let ran = played(&draw(Case::Copies, 3, 5, 14, true), directory.path());
+    let outcome = play(&draw(Case::Copies, 3, 5, 14, true), directory.path());
     assert!(
-        ran.verdict.is_kept(),
+        outcome.verdict.is_kept(),
         "{:?}\n{}",
-        ran.verdict.counts,
-        stories(&ran)
+        outcome.verdict.counts,
+        stories(&outcome)
     );
     assert!(
-        ran.verdict.figures.contains_key("agree_ms"),
+        outcome.verdict.figures.contains_key("agree_ms"),
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
     assert!(
-        figure(&ran, "effects") > 50 && figure(&ran, "differ") == 0,
+        figure(&outcome, "effects") > 50 && figure(&outcome, "differ") == 0,
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
 }
 
@@ -172,22 +173,26 @@
 }
 ";
 
-/// One whose file names other keepers is turned away in words by both, and refuses what it can't
-/// share; safe classes are served there as ever.
+/// Guards against a fleet with different voters: a gateway whose file names other voters must be
+/// rejected with the reason in the logs of both sides; it refuses keyed requests and serves safe
+/// ones.
 #[test]
-fn a_file_that_names_other_keepers_is_turned_away_in_words() {
+fn a_gateway_whose_file_names_other_voters_is_rejected_with_a_reason() {
     let directory = tempfile::tempdir().unwrap();
-    let odd = gateway("g4", &["g1", "g2", "g4"]);
-    let all: String = KEEPERS.iter().map(|name| gateway(name, &KEEPERS)).collect();
-    let ran = played(
-        &Plan::from_text(&format!("{PARTS}{all}{odd}")),
+    let other_voters = fleet_gateway("g4", &["g1", "g2", "g4"]);
+    let all: String = KEEPERS
+        .iter()
+        .map(|name| fleet_gateway(name, &KEEPERS))
+        .collect();
+    let outcome = play(
+        &Plan::from_text(&format!("{PARTS}{all}{other_voters}")),
         directory.path(),
     );
     assert!(
-        ran.verdict.is_kept(),
+        outcome.verdict.is_kept(),
         "{:?}\n{}",
-        ran.verdict.counts,
-        stories(&ran)
+        outcome.verdict.counts,
+        stories(&outcome)
     );
     let logs = logs(directory.path());
     assert!(
@@ -195,71 +200,74 @@
         "{logs}"
     );
     assert!(
-        counted(directory.path(), "refused_no_majority") > 0,
+        logged_counter(directory.path(), "refused_no_majority") > 0,
         "{logs}"
     );
-    assert!(figure(&ran, "served") > 200, "{:?}", ran.verdict.figures);
-    // The three that vote together are held against each other while their entries last, and not
-    // against g4.
-    let (copies, differ) = (figure(&ran, "copies"), figure(&ran, "differ"));
-    assert!(copies > 10 && differ == 0, "{:?}", ran.verdict.figures);
+    assert!(
+        figure(&outcome, "served") > 200,
+        "{:?}",
+        outcome.verdict.figures
+    );
+    // The replicas of the three that vote together were compared before their entries expired, and
+    // not with those of g4.
+    let (copies, differ) = (figure(&outcome, "copies"), figure(&outcome, "differ"));
+    assert!(copies > 10 && differ == 0, "{:?}", outcome.verdict.figures);
 }
 
-/// The disk of one gateway hangs for a while, seen by the whole process: its keyed requests wait to
-/// their bound and are refused with advice, and safe classes never notice.
+/// Guards against a hanging disk that blocks a whole gateway: keyed requests wait up to their limit
+/// and are refused with a retry time, and safe classes are not affected.
 #[test]
-fn a_disk_that_hangs_under_a_process_costs_keyed_work_there_and_nothing_else() {
+fn a_hanging_disk_stops_keyed_requests_at_its_gateway_and_nothing_else() {
     let directory = tempfile::tempdir().unwrap();
-    let own = |name: &str| {
+    let lines_of = |name: &str| {
         format!("gateway {name} {{\n    operator \"store-dir {{directory}}/store\"\n}}\n")
     };
     let plan = format!(
         "{PARTS}{}{}at 1s stall-disk g1 for 2500ms\n",
-        own("g1"),
-        own("g2")
+        lines_of("g1"),
+        lines_of("g2")
     );
-    let ran = played(&Plan::from_text(&plan), directory.path());
+    let outcome = play(&Plan::from_text(&plan), directory.path());
     assert!(
-        ran.verdict.is_kept(),
+        outcome.verdict.is_kept(),
         "{:?}\n{}",
-        ran.verdict.counts,
-        stories(&ran)
+        outcome.verdict.counts,
+        stories(&outcome)
     );
     assert!(
-        counted(directory.path(), "refused_stalled") > 3,
+        logged_counter(directory.path(), "refused_stalled") > 3,
         "{}",
         logs(directory.path())
     );
-    // Bookings of one gateway are refused for two seconds of five; of reports one in fifty may be
-    // too large for its client's wait, as without a store.
+    // Bookings of one of the two gateways are refused for two of five seconds. One report in fifty
+    // may need more time than its client waits, also without a store.
     let served =
-        ["report", "booking"].map(|class| figure(&ran, &format!("served_permille_{class}")));
+        ["report", "booking"].map(|class| figure(&outcome, &format!("served_permille_{class}")));
     assert!(
         served[0] >= 980 && (400..980).contains(&served[1]),
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
 }
 
-/// A majority of keepers is out of reach of all others for a while in the middle of a burst: keyed
-/// work is refused with advice, safe work goes on, and after it all is as before. One of the cuts
-/// is one way only.
+/// Guards against lasting effects of a lost majority: link cuts, some in one direction only,
+/// isolate voters for 2 s. Keyed requests are refused, safe ones served, and all recover after it.
 #[test]
-fn a_lost_majority_costs_keyed_work_while_it_lasts_and_nothing_else() {
+fn a_lost_majority_stops_keyed_requests_while_it_lasts_and_nothing_else() {
     let directory = tempfile::tempdir().unwrap();
     let all: String = ["g1", "g2", "g3", "g4"]
         .iter()
-        .map(|name| gateway(name, &KEEPERS))
+        .map(|name| fleet_gateway(name, &KEEPERS))
         .collect();
     let cuts = "at 1s link-cut g2 gateways for 2s\nat 1s link-cut g4 g3 way there for 2s\n\
                 at 1s link-cut g1 g3 way back for 2s\nat 4500ms pause-gateway g3 for 400ms\n";
     let text = format!("{PARTS}{all}{cuts}").replace("time 5s", "time 9s");
-    let ran = played(&Plan::from_text(&text), directory.path());
+    let outcome = play(&Plan::from_text(&text), directory.path());
     assert!(
-        ran.verdict.is_kept(),
+        outcome.verdict.is_kept(),
         "{:?}\n{}",
-        ran.verdict.counts,
-        stories(&ran)
+        outcome.verdict.counts,
+        stories(&outcome)
     );
     let logs = logs(directory.path());
     assert!(
@@ -268,74 +276,84 @@
     );
     assert!(
         logs.matches("a majority of keepers is reachable").count() >= 5,
-        "it came back: {logs}"
+        "the majority didn't return: {logs}"
     );
     let served =
-        ["report", "booking"].map(|class| figure(&ran, &format!("served_permille_{class}")));
+        ["report", "booking"].map(|class| figure(&outcome, &format!("served_permille_{class}")));
     assert!(
         served[0] >= 980 && (300..990).contains(&served[1]),
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
     assert!(
-        counted(directory.path(), "refused_no_majority") > 0 && figure(&ran, "differ") == 0,
+        logged_counter(directory.path(), "refused_no_majority") > 0
+            && figure(&outcome, "differ") == 0,
         "{logs}"
     );
 }
 
-/// Where the operator chose `send`, keyed work goes on without a majority, and each such send is
-/// counted.
+/// Guards the setting `without-majority send`: keyed requests are served without a majority, and
+/// each one sent so is counted.
 #[test]
-fn without_a_majority_send_sends_and_counts_it() {
+fn without_majority_send_serves_keyed_requests_and_counts_them() {
     let directory = tempfile::tempdir().unwrap();
-    // Two of three keepers never start.
-    let own = gateway("g1", &["g1", "g8", "g9"])
+    // Two of the three voters don't exist.
+    let lines = fleet_gateway("g1", &["g1", "g8", "g9"])
         .replace("\"}\"", "\"without-majority send\"\n    operator \"}\"");
-    let own = own
+    let lines = lines
         .replace("{peer g8}", "127.0.0.1:9")
         .replace("{peer g9}", "127.0.0.1:10");
-    let text = format!("{PARTS}{own}").replace("time 5s", "time 3s");
-    let ran = played(&Plan::from_text(&text), directory.path());
+    let text = format!("{PARTS}{lines}").replace("time 5s", "time 3s");
+    let outcome = play(&Plan::from_text(&text), directory.path());
     assert!(
-        ran.verdict.is_kept(),
+        outcome.verdict.is_kept(),
         "{:?}\n{}",
-        ran.verdict.counts,
-        stories(&ran)
+        outcome.verdict.counts,
+        stories(&outcome)
     );
     let logs = logs(directory.path());
-    assert!(counted(directory.path(), "sent_without") > 10, "{logs}");
     assert!(
-        figure(&ran, "served_permille_booking") > 800,
+        logged_counter(directory.path(), "sent_without") > 10,
+        "{logs}"
+    );
+    assert!(
+        figure(&outcome, "served_permille_booking") > 800,
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
 }
 
-/// A drain that one gateway can't hear of reaches it through its peers; one that begins without its
-/// directory takes a peer's learned figures for hints.
+/// Guards the exchange between peers: a gateway without discovery learns of a drain from its peers,
+/// and one that starts with an empty directory uses a peer's learned estimates as hints.
 #[test]
-fn drains_and_learned_figures_come_through_peers() {
+fn drains_and_learned_estimates_are_received_from_peers() {
     let directory = tempfile::tempdir().unwrap();
-    let all: String = KEEPERS.iter().map(|name| gateway(name, &KEEPERS)).collect();
+    let all: String = KEEPERS
+        .iter()
+        .map(|name| fleet_gateway(name, &KEEPERS))
+        .collect();
     let faults = "at 500ms link-cut g2 bulletin for 4s\nat 1500ms drain e-1\nat 3s list e-1\n\
                   at 6500ms kill-gateway g3\nat 6700ms wipe-directory g3\nat 7s start-gateway g3\n";
     let text = format!("{PARTS}{all}{faults}").replace("time 5s", "time 9s");
-    let ran = played(&Plan::from_text(&text), directory.path());
+    let outcome = play(&Plan::from_text(&text), directory.path());
     assert!(
-        ran.verdict.is_kept(),
+        outcome.verdict.is_kept(),
         "{:?}\n{}",
-        ran.verdict.counts,
-        stories(&ran)
+        outcome.verdict.counts,
+        stories(&outcome)
     );
     let logs = logs(directory.path());
-    assert!(counted(directory.path(), "drains_heard") > 0, "{logs}");
+    assert!(
+        logged_counter(directory.path(), "drains_heard") > 0,
+        "{logs}"
+    );
     assert!(
         logs.contains("learned estimates of a peer are used as hints"),
         "{logs}"
     );
     assert!(
-        figure(&ran, "served_permille_report") >= 970,
+        figure(&outcome, "served_permille_report") >= 970,
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
 }
--- a/crates/fleet-test/tests/golden.rs
+++ b/crates/fleet-test/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Stored data, frames between gateways and messages on the wires, as an earlier version wrote
-//! them.
+//! Golden tests: stored data, frames between gateways and messages of the wire protocols have the
+//! bytes that an earlier version wrote.
 
 use std::path::Path;
 
@@ -70,7 +70,7 @@
     ])
 }
 
-/// Every kind of key that a gateway of a fleet keeps.
+/// One entry for every kind of key in the store of a gateway in a fleet.
 fn stored() -> Vec<(Vec<u8>, Vec<u8>)> {
     let checkpoint = std::fs::read(golden::path("checkpoint.bin")).expect("the golden checkpoint");
     let copied = copies::stored_key(&intents::stored_key(1, KEY)[1..]);
@@ -91,7 +91,7 @@
     ]
 }
 
-fn copied(from: &Path, to: &Path) {
+fn copy_files(from: &Path, to: &Path) {
     for file in std::fs::read_dir(from).expect("a directory") {
         let file = file.expect("a file");
         std::fs::copy(file.path(), to.join(file.file_name())).expect("a copy");
@@ -122,7 +122,7 @@
                 .into_string()
                 .expect("a name")
         })
-        // These tell a directory from its copies and processes from each other.
+        // These files identify the directory and the process, so their content differs in each run.
         .filter(|name| name != "IDENTITY" && name != "LOCK")
         .collect();
     assert_eq!(names.len(), 1, "{names:?}");
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_golden_store_is_taken_whole() {
+fn a_golden_store_is_recovered_without_loss() {
     let recovered = inspect(&golden::path("store")).expect("a store");
     assert_eq!((recovered.damage, recovered.torn_bytes), (None, 0));
     let found: Vec<(Vec<u8>, Vec<u8>)> = recovered
@@ -144,7 +144,7 @@
     assert_eq!(copies::from_bytes(&found[0].1), Some(copy()));
     assert_eq!(postcard::from_bytes::<FencingToken>(&found[4].1), Ok(TOKEN));
     let directory = tempfile::tempdir().expect("a directory");
-    copied(&golden::path("store"), directory.path());
+    copy_files(&golden::path("store"), directory.path());
     let files = Box::new(Directory::new(directory.path()));
     let (store, found) = Store::open(files, Config { budget: 1 << 24 }, AT_MS, 1).expect("a store");
     assert_eq!(
@@ -153,7 +153,7 @@
     );
 }
 
-fn travelling() -> WireRecord {
+fn wire_record() -> WireRecord {
     WireRecord {
         version: 300,
         phase: Phase::MayHaveRun,
@@ -164,13 +164,13 @@
     }
 }
 
-/// Every message about replicas, leases included.
+/// Every kind of message between gateways, on replicas and on leases.
 #[expect(
     clippy::too_many_lines,
     reason = "one scenario, told from its beginning to its end"
 )]
 fn messages() -> Vec<PeerMessage> {
-    let (key, origin, record) = (b"key".to_vec(), ORIGIN, travelling());
+    let (key, origin, record) = (b"key".to_vec(), ORIGIN, wire_record());
     let seen = vec![
         ReportedRun {
             location: Some(LOCATION),
@@ -299,27 +299,28 @@
         identity: 0xfeed,
         start_number: 3,
     };
-    let mut carried: Vec<Frame<PeerMessage>> = vec![
+    let mut frames: Vec<Frame<PeerMessage>> = vec![
         Frame::Handshake(handshake),
         Frame::Rejected("another fleet".into()),
         Frame::Heartbeat(7),
         Frame::HeartbeatReply(8),
     ];
-    carried.extend(messages().into_iter().map(Frame::Message));
+    frames.extend(messages().into_iter().map(Frame::Message));
     let mut bytes = Vec::new();
-    for one in &carried {
-        frame::write(&mut bytes, one).expect("written");
+    for item in &frames {
+        frame::write(&mut bytes, item).expect("written");
     }
     golden::check("peer-frames.bin", &bytes);
-    let (mut at, mut again) = (0, Vec::new());
+    let (mut at, mut rewritten) = (0, Vec::new());
     while let Some(read) = frame::read::<PeerMessage>(&bytes[at..]).expect("sound") {
-        frame::write(&mut again, &read.frame).expect("written");
+        frame::write(&mut rewritten, &read.frame).expect("written");
         at += read.length;
     }
-    assert_eq!(again, bytes);
+    assert_eq!(rewritten, bytes);
 }
 
-/// The classes of the configuration that tests of the program use.
+/// The classes of the configuration that the program's tests use; the fingerprint in handshakes
+/// derives from them.
 fn classes() -> Vec<eideryard::interface::Class> {
     let class =
         |repeat| serde_json::json!({"repeat": repeat, "group": "all", "window-us": 15_000_000});
@@ -342,23 +343,23 @@
         identity: 7,
         start_number: 1,
     };
-    let written = |handshake: Handshake| {
+    let encode = |handshake: Handshake| {
         let mut bytes = Vec::new();
         let frame = Frame::<PeerMessage>::Handshake(handshake);
         frame::write(&mut bytes, &frame).expect("written");
         bytes
     };
-    golden::check("handshake-g2.bin", &written(handshake.clone()));
+    golden::check("handshake-g2.bin", &encode(handshake.clone()));
     let other = Handshake {
         name: "g3".into(),
         classes_fingerprint: handshake.classes_fingerprint ^ 1,
         ..handshake
     };
-    golden::check("handshake-other-classes.bin", &written(other));
+    golden::check("handshake-other-classes.bin", &encode(other));
 }
 
 #[test]
-fn messages_on_the_wires_are_as_before() {
+fn messages_to_engines_and_clients_are_as_before() {
     let mut bytes = Vec::new();
     let serve = engine_line::Serve {
         id: "7f",
--- a/crates/fleet-test/tests/processes.rs
+++ b/crates/fleet-test/tests/processes.rs
@@ -1,5 +1,5 @@
-//! The rig with real processes of the program: what it does to them, that its verdict holds on what
-//! they did, and that a break is found and made small.
+//! The fleet test with real gateway processes: its faults take place, the rules are checked, and a
+//! break is found and its plan minimized.
 
 use std::path::PathBuf;
 
@@ -10,14 +10,15 @@
 use eideryard_fleet_test::run::{program, run, RunOutcome};
 use eideryard_fleet_test::world::play;
 
-/// The tests of the whole workspace build the program; one package's tests alone don't.
-fn built() -> PathBuf {
+/// Finds the gateway program. Tests of the whole workspace build it; tests of this package alone
+/// don't.
+fn gateway_program() -> PathBuf {
     program().expect("build the program first: cargo build, or cargo test --workspace")
 }
 
-fn played(plan: &Plan) -> RunOutcome {
+fn play_plan(plan: &Plan) -> RunOutcome {
     let directory = tempfile::tempdir().expect("a directory");
-    run(&built(), plan, directory.path()).expect("it can be played")
+    run(&gateway_program(), plan, directory.path()).expect("the plan is played")
 }
 
 const PARTS: &str = "
@@ -83,10 +84,10 @@
 }
 ";
 
-/// Faults of links, processes, engines, the bulletin and directories, two power losses; one scope
-/// for all keys, so that no retry elsewhere can take effect twice and every rule has to hold.
+/// Guards all rules under faults of links, processes, engines, the bulletin and directories and two
+/// power losses. All engines share one scope of keys, so no retry may take effect twice.
 #[test]
-fn rules_hold_through_faults_of_every_part_and_the_history_explains_each_loss() {
+fn rules_are_kept_under_faults_of_every_part_and_each_lost_answer_is_explained() {
     let plan = Plan::from_text(&format!(
         "{PARTS}at 500ms save-directory g2\nat 700ms drain e-4\nat 800ms pause-gateway g3 for 600ms\n\
          at 900ms link-cut g1 e-1 way there for 500ms\nat 1s link-flap clients g2 every 60ms for 600ms\n\
@@ -97,48 +98,49 @@
          at 3200ms power-back all within 400ms\nat 4s power-loss\n\
          at 4200ms power-back bulletin e-1 e-2 e-3 e-4 g1 g2 within 300ms\nat 4800ms start-gateway g3\n"
     ));
-    let ran = played(&plan);
-    let stories: Vec<String> = ran
+    let outcome = play_plan(&plan);
+    let stories: Vec<String> = outcome
         .stories
         .iter()
         .map(|(found, story)| format!("{found:?}\n{}", story.join("\n")))
         .collect();
     assert!(
-        ran.verdict.is_kept(),
+        outcome.verdict.is_kept(),
         "{:?}\n{}",
-        ran.verdict.counts,
+        outcome.verdict.counts,
         stories.join("\n")
     );
-    let figure = |name: &str| ran.verdict.figures.get(name).copied().unwrap_or(0);
+    let figure = |name: &str| outcome.verdict.figures.get(name).copied().unwrap_or(0);
     assert!(
         figure("served") > 50 && figure("lost") > 0 && figure("effects") > 0,
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
     assert!(
         figure("cold_starts") >= 8 && figure("recorded_ends") > 50,
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
-    // Each start of each gateway was noted: 3, 1, 3 after each loss.
-    assert_eq!(ran.endings.len(), 10, "{:?}", ran.endings);
+    // Each start is listed: 3 at first, g2 after its kill, and 3 after each power loss.
+    assert_eq!(outcome.endings.len(), 10, "{:?}", outcome.endings);
 }
 
-/// The example is found, told from all sides, and one fault is all that it needs.
+/// Guards the detection of a second effect across gateways: its story has the events of all parts,
+/// and the minimized plan keeps the kill that causes it.
 #[test]
-fn the_double_effect_across_gateways_is_found_told_and_made_small() {
+fn a_double_effect_across_gateways_is_found_explained_and_minimized() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../examples/double-effect.scenario"
     );
     let plan = Plan::from_text(&std::fs::read_to_string(path).unwrap());
-    let ran = played(&plan);
+    let outcome = play_plan(&plan);
     assert!(
-        ran.verdict.count(Rule::EffectOnce) > 0,
+        outcome.verdict.count(Rule::EffectOnce) > 0,
         "{:?}",
-        ran.verdict.figures
+        outcome.verdict.figures
     );
-    let (_, story) = ran
+    let (_, story) = outcome
         .stories
         .iter()
         .find(|(found, _)| found.rule == Rule::EffectOnce)
@@ -154,7 +156,7 @@
     }
     assert_eq!(story.matches("takes effect").count(), 2, "{story}");
     let small = minimize(&plan, |fewer| {
-        played(fewer).verdict.count(Rule::EffectOnce) > 0
+        play_plan(fewer).verdict.count(Rule::EffectOnce) > 0
     });
     assert!(
         small.faults.len() <= 3 && small.faults.iter().any(|f| f.contains("kill-gateway g1")),
@@ -162,7 +164,7 @@
     );
 }
 
-/// What each engine did in a scenario without gateways is nothing, and it ends at its time.
+/// Guards scenarios without gateways: all steps are performed, and the run ends at its time.
 #[test]
 fn a_scenario_without_gateways_plays_its_steps_and_ends() {
     let text = "time 300ms\nengines 2 e {\n}\nat 50ms kill e-1\nat 100ms start e-1\nat 120ms bulletin down\n\
