--- a/crates/fleet-test/src/links.rs
+++ b/crates/fleet-test/src/links.rs
@@ -30,7 +30,6 @@
 pub struct ActiveFault {
     number: u64,
     fault: Fault,
-    /// The links that have it.
     links: Vec<(Name, Name)>,
 }
 
--- a/crates/fleet-test/src/simulated/processes.rs
+++ b/crates/fleet-test/src/simulated/processes.rs
@@ -25,7 +25,7 @@
         // Attempts in flight may still run at their engines.
         killed.local.values_mut().for_each(|intent| {
             (intent.may_have_run, intent.in_flight) =
-                (intent.may_have_run || intent.in_flight > 0, 0)
+                (intent.may_have_run || intent.in_flight > 0, 0);
         });
         if wiped {
             killed.disk.clear();
--- a/crates/fleet-test/src/stall.rs
+++ b/crates/fleet-test/src/stall.rs
@@ -14,7 +14,7 @@
     thread: Pid,
 }
 
-/// Finds the thread of a process by its name.
+/// Finds the first thread with this name, as the kernel shows it: at most 15 bytes.
 fn find_thread(process: u32, name: &str) -> io::Result<Option<Pid>> {
     for task in std::fs::read_dir(format!("/proc/{process}/task"))? {
         let path = task?.path();
--- a/crates/fleet-test/src/world/steps.rs
+++ b/crates/fleet-test/src/world/steps.rs
@@ -129,7 +129,7 @@
                 return Ok(step.names.iter().map(undo).collect());
             }
             "save-directory" | "wipe-directory" | "put-back-directory" => {
-                self.change_directories(step)?
+                self.change_directories(step)?;
             }
             "power-loss" => self.power_loss().await?,
             "power-back" => return Ok(self.power_back(step)),
