--- a/crates/fleet-test/src/check/answers/tests.rs
+++ b/crates/fleet-test/src/check/answers/tests.rs
@@ -7,11 +7,11 @@
 #[test]
 fn every_try_needs_one_end_and_a_lost_answer_a_fault() {
     let sound = vec![
-        asked(10, 1, "a", "g1", 0),
-        over(20, 1, How::Served),
-        asked(30, 2, "b", "g1", 0),
+        try_sent(10, 1, "a", "g1", 0),
+        try_ended(20, 1, How::Served),
+        try_sent(30, 2, "b", "g1", 0),
         gateway(40, "g1", Process::Killed),
-        over(50, 2, How::Reset),
+        try_ended(50, 2, How::Reset),
     ];
     let verdict = checked(&sound);
     assert!(verdict.is_kept(), "{:?}", verdict.breaks);
@@ -32,9 +32,9 @@
         sound.clone(),
     ];
     faulty[0].remove(3);
-    faulty[1].insert(2, over(25, 1, How::Failed));
+    faulty[1].insert(2, try_ended(25, 1, How::Failed));
     faulty[2].remove(1);
-    faulty[3].push(over(60, 9, How::Served));
+    faulty[3].push(try_ended(60, 9, How::Served));
     let surplus = What::Surplus {
         load: "all".into(),
         gateway: "g1".into(),
@@ -63,9 +63,9 @@
 #[test]
 fn a_pause_or_a_cut_of_the_same_gateway_explains_a_missing_answer() {
     let events = |fault: &[Happened]| {
-        let mut events = vec![asked(10, 1, "a", "g1", 0)];
+        let mut events = vec![try_sent(10, 1, "a", "g1", 0)];
         events.extend_from_slice(fault);
-        events.push(over(90, 1, How::Silence));
+        events.push(try_ended(90, 1, How::Silence));
         events
     };
     let paused = |name| {
--- a/crates/fleet-test/src/check/cold/tests.rs
+++ b/crates/fleet-test/src/check/cold/tests.rs
@@ -18,14 +18,14 @@
         let mut events = vec![start.clone()];
         for number in 0..4 {
             let name = if number % 2 == 0 { "g1" } else { "g2" };
-            events.push(asked(
+            events.push(try_sent(
                 number * interval,
                 number,
                 &number.to_string(),
                 name,
                 0,
             ));
-            events.push(began(number * interval + 1, "e1", number, work));
+            events.push(query_began(number * interval + 1, "e1", number, work));
         }
         checked(&events)
     };
--- a/crates/fleet-test/src/check/drains/tests.rs
+++ b/crates/fleet-test/src/check/drains/tests.rs
@@ -18,9 +18,9 @@
     };
     let late = 10 + 500_000 + SLACK + 1;
     let breaks = |at, faults: &[Happened]| {
-        let mut events = vec![notified(10, "draining"), asked(20, 1, "a", "g1", 0)];
+        let mut events = vec![notified(10, "draining"), try_sent(20, 1, "a", "g1", 0)];
         events.extend_from_slice(faults);
-        events.push(began(at, "e1", 1, 0.01));
+        events.push(query_began(at, "e1", 1, 0.01));
         checked(&events).count(Rule::Drains)
     };
     assert_eq!((breaks(late, &[]), breaks(late - 1, &[])), (1, 0));
--- a/crates/fleet-test/src/check/effects/tests.rs
+++ b/crates/fleet-test/src/check/effects/tests.rs
@@ -8,9 +8,9 @@
     let window = 1_000_000;
     let twice = |sent_again: Micros| {
         vec![
-            asked(10, 1, "a", "g1", 0),
+            try_sent(10, 1, "a", "g1", 0),
             effect(20, "e1", 1),
-            asked(sent_again, 2, "a", "g2", 1),
+            try_sent(sent_again, 2, "a", "g2", 1),
             effect(sent_again + 10, "e2", 2),
         ]
     };
@@ -29,9 +29,9 @@
     );
     // Effects of different requests are independent, and an effect without a request is a break.
     let two_requests = vec![
-        asked(10, 1, "a", "g1", 0),
+        try_sent(10, 1, "a", "g1", 0),
         effect(20, "e1", 1),
-        asked(30, 2, "b", "g2", 0),
+        try_sent(30, 2, "b", "g2", 0),
         effect(40, "e2", 2),
     ];
     assert_eq!(checked(&two_requests).count(Rule::EffectOnce), 0);
--- a/crates/fleet-test/src/check/records/tests.rs
+++ b/crates/fleet-test/src/check/records/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_recorded_answer_that_differs_from_the_clients_or_repeats_is_caught() {
-    let events = [asked(10, 1, "a", "g1", 0), over(20, 1, How::Served)];
+    let events = [try_sent(10, 1, "a", "g1", 0), try_ended(20, 1, How::Served)];
     let answered = |kind| Recorded {
         gateway: "g1".into(),
         at: 15,
--- a/crates/fleet-test/src/check/story/tests.rs
+++ b/crates/fleet-test/src/check/story/tests.rs
@@ -6,16 +6,16 @@
 #[test]
 fn a_story_lists_the_tries_of_one_key_and_the_faults_of_parts_involved_by_time() {
     let events = [
-        asked(10, 1, "a", "g1", 0),
-        asked(11, 9, "other", "g3", 0),
-        began(15, "e1", 1, 0.01),
+        try_sent(10, 1, "a", "g1", 0),
+        try_sent(11, 9, "other", "g3", 0),
+        query_began(15, "e1", 1, 0.01),
         gateway(16, "g1", Process::Killed),
         gateway(16, "g3", Process::Killed),
-        over(17, 1, How::Reset),
+        try_ended(17, 1, How::Reset),
         effect(20, "e1", 1),
-        asked(30, 2, "a", "g2", 1),
+        try_sent(30, 2, "a", "g2", 1),
         effect(40, "e2", 2),
-        over(50, 2, How::Served),
+        try_ended(50, 2, How::Served),
     ];
     let verdict = checked(&events);
     let found = verdict
--- a/crates/fleet-test/src/check/tests.rs
+++ b/crates/fleet-test/src/check/tests.rs
@@ -31,21 +31,21 @@
     }
 }
 
-pub fn asked(at: Micros, id: u64, key: &str, gateway: &str, number: u64) -> Happened {
+pub fn try_sent(at: Micros, id: u64, key: &str, gateway: &str, number: u64) -> Happened {
     Happened {
         at,
         what: What::Asked(tried("booking", id, key, gateway, number)),
     }
 }
 
-pub fn in_order(at: Micros, id: u64, key: &str) -> Happened {
+pub fn ordered_try_sent(at: Micros, id: u64, key: &str) -> Happened {
     Happened {
         at,
         what: What::Asked(tried("ledger", id, key, "g1", 0)),
     }
 }
 
-pub fn over(at: Micros, id: u64, how: How) -> Happened {
+pub fn try_ended(at: Micros, id: u64, how: How) -> Happened {
     Happened {
         at,
         what: What::Over {
@@ -67,7 +67,7 @@
     }
 }
 
-pub fn began(at: Micros, engine: &str, id: u64, work: f64) -> Happened {
+pub fn query_began(at: Micros, engine: &str, id: u64, work: f64) -> Happened {
     let (engine, class, key) = (engine.into(), "booking".into(), "".into());
     Happened {
         at,
--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -205,9 +205,9 @@
         .iter()
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
-    let word = if is_kept { "kept" } else { "broken" };
+    let result = if is_kept { "kept" } else { "broken" };
     println!(
-        "verdict={word} seed={seed} case={case} {}",
+        "verdict={result} seed={seed} case={case} {}",
         figures.join(" ")
     );
     Ok(is_kept)
