--- a/crates/fleet-test/src/check/answers.rs
+++ b/crates/fleet-test/src/check/answers.rs
@@ -1,48 +1,49 @@
-//! Exactly one answer from a living gateway; all that was asked has an end, and each loss a cause.
+//! Rules on answers: a running gateway answers each try exactly once, every try has an end, and
+//! every lost answer has a fault that explains it.
 
 use std::collections::BTreeMap;
 
 use eideryard_emulators::history::{Event, SharedName, TimedEvent, TryOutcome};
 
-use super::{About, Break, History, Rule, Verdict};
+use super::{Break, History, Rule, Subject, Verdict};
 
 #[derive(Default)]
-struct Sums {
-    asked: u64,
+struct Counts {
+    sent: u64,
     ends: BTreeMap<TryOutcome, u64>,
 }
 
-/// Every try has exactly one final answer, or a cause for none.
+/// Checks that every try has exactly one final answer or a fault that explains its loss.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn check(history: &History<'_>, verdict: &mut Verdict) {
-    let mut loads: BTreeMap<SharedName, Sums> = BTreeMap::new();
+    let mut loads: BTreeMap<SharedName, Counts> = BTreeMap::new();
     let mut causes: BTreeMap<&'static str, u64> = BTreeMap::new();
-    let (mut unanswered, mut no_door) = (0, 0);
+    let (mut unanswered, mut unreachable) = (0, 0);
     for TimedEvent { at, event } in history.events {
-        let (rule, about, text) = match event {
+        let (rule, subject, text) = match event {
             Event::TrySent(tried) => {
-                loads.entry(tried.load.clone()).or_default().asked += 1;
+                loads.entry(tried.load.clone()).or_default().sent += 1;
                 continue;
             }
             Event::NoGatewayReachable { .. } => {
-                no_door += 1;
+                unreachable += 1;
                 continue;
             }
             Event::UnexpectedAnswer { load, gateway } => {
-                let text = format!("{load}: an answer of {gateway} that nothing waits for");
-                (Rule::OneAnswer, About::Load(load.clone()), text)
+                let text = format!("{load}: {gateway} sent an answer that no try waits for");
+                (Rule::OneAnswer, Subject::Load(load.clone()), text)
             }
             Event::WrongResult { id } => (
                 Rule::OneAnswer,
-                About::Request(*id),
-                "a result that no engine made for it".into(),
+                Subject::Request(*id),
+                "its result is not one that an engine made for it".into(),
             ),
             Event::TryEnded { id, outcome, .. } => {
-                let Some((asked, tried)) = history.tries.get(id) else {
-                    let text = "an end of a try that nobody made".to_string();
+                let Some((sent_at, tried)) = history.tries.get(id) else {
+                    let text = "an end of a try that no client sent".to_string();
                     verdict.add(Break {
                         rule: Rule::Conservation,
-                        about: About::Request(*id),
+                        subject: Subject::Request(*id),
                         from: *at,
                         to: *at,
                         text,
@@ -58,7 +59,7 @@
                 if !matches!(outcome, TryOutcome::ConnectionLost | TryOutcome::Unanswered) {
                     continue;
                 }
-                match history.cause(&tried.gateway, *asked, *at) {
+                match history.find_cause(&tried.gateway, *sent_at, *at) {
                     Some(cause) => {
                         *causes.entry(cause).or_default() += 1;
                         continue;
@@ -66,12 +67,12 @@
                     None => {
                         unanswered += 1;
                         let what = if *outcome == TryOutcome::ConnectionLost {
-                            "ended its connection"
+                            "closed the connection without an answer"
                         } else {
-                            "said nothing"
+                            "didn't answer"
                         };
-                        let text = format!("{} lived and {what}", tried.gateway);
-                        (Rule::OneAnswer, About::Request(*id), text)
+                        let text = format!("{} had no fault and {what}", tried.gateway);
+                        (Rule::OneAnswer, Subject::Request(*id), text)
                     }
                 }
             }
@@ -79,7 +80,7 @@
         };
         verdict.add(Break {
             rule,
-            about,
+            subject,
             from: *at,
             to: *at,
             text,
@@ -87,48 +88,49 @@
     }
     for (id, ends) in history.ends.iter().filter(|(_, ends)| ends.len() > 1) {
         let (from, to) = (ends[0].0, ends[ends.len() - 1].0);
-        let text = format!("it ended {} times", ends.len());
+        let text = format!("the try ended {} times", ends.len());
         verdict.add(Break {
             rule: Rule::OneAnswer,
-            about: About::Request(*id),
+            subject: Subject::Request(*id),
             from,
             to,
             text,
         });
     }
-    let mut total = Sums::default();
-    for (load, sums) in &loads {
-        let ended: u64 = sums.ends.values().sum();
-        if sums.asked != ended {
-            let text = format!("{load}: {} were asked and {ended} ended", sums.asked);
-            let about = About::Load(load.clone());
+    let mut total = Counts::default();
+    for (load, counts) in &loads {
+        let ended: u64 = counts.ends.values().sum();
+        if counts.sent != ended {
+            let text = format!("{load}: {} tries were sent and {ended} ended", counts.sent);
+            let subject = Subject::Load(load.clone());
             verdict.add(Break {
                 rule: Rule::Conservation,
-                about,
+                subject,
                 from: 0,
                 to: history.last,
                 text,
             });
         }
-        total.asked += sums.asked;
-        sums.ends
+        total.sent += counts.sent;
+        counts
+            .ends
             .iter()
             .for_each(|(outcome, count)| *total.ends.entry(*outcome).or_default() += count);
     }
-    let of = |outcome| total.ends.get(&outcome).copied().unwrap_or(0);
-    verdict.figure("requests", total.asked);
-    verdict.figure("served", of(TryOutcome::Served));
-    verdict.figure("refused", of(TryOutcome::Refused));
-    verdict.figure("failed", of(TryOutcome::Failed));
-    verdict.figure("forgotten", of(TryOutcome::Forgotten));
-    verdict.figure(
+    let ended_as = |how| total.ends.get(&how).copied().unwrap_or(0);
+    verdict.set_figure("requests", total.sent);
+    verdict.set_figure("served", ended_as(TryOutcome::Served));
+    verdict.set_figure("refused", ended_as(TryOutcome::Refused));
+    verdict.set_figure("failed", ended_as(TryOutcome::Failed));
+    verdict.set_figure("forgotten", ended_as(TryOutcome::Forgotten));
+    verdict.set_figure(
         "lost",
-        of(TryOutcome::ConnectionLost) + of(TryOutcome::Unanswered),
+        ended_as(TryOutcome::ConnectionLost) + ended_as(TryOutcome::Unanswered),
     );
-    verdict.figure("no_door", no_door);
-    verdict.figure("unanswered", unanswered);
+    verdict.set_figure("no_door", unreachable);
+    verdict.set_figure("unanswered", unanswered);
     for (cause, count) in causes {
-        verdict.figure(&format!("lost_{cause}"), count);
+        verdict.set_figure(&format!("lost_{cause}"), count);
     }
 }
 
--- a/crates/fleet-test/src/check/answers/tests.rs
+++ b/crates/fleet-test/src/check/answers/tests.rs
@@ -1,20 +1,20 @@
-//! Tests of this module, on small inputs.
+//! Tests of the rules on answers.
 
 use super::super::tests::*;
 use super::*;
 use eideryard_emulators::history::ProcessChange;
 
 #[test]
-fn a_loss_needs_a_cause_and_every_try_one_end() {
-    let kept = vec![
-        asked(10, 1, "a", "g1", 0),
-        over(20, 1, TryOutcome::Served),
-        asked(30, 2, "b", "g1", 0),
+fn every_try_needs_one_end_and_a_lost_answer_a_fault() {
+    let sound = vec![
+        try_sent(10, 1, "a", "g1", 0),
+        try_ended(20, 1, TryOutcome::Served),
+        try_sent(30, 2, "b", "g1", 0),
         gateway(40, "g1", ProcessChange::Killed),
-        over(50, 2, TryOutcome::ConnectionLost),
+        try_ended(50, 2, TryOutcome::ConnectionLost),
     ];
-    let verdict = checked(&kept);
-    assert!(verdict.kept(), "{:?}", verdict.breaks);
+    let verdict = checked(&sound);
+    assert!(verdict.is_kept(), "{:?}", verdict.breaks);
     assert_eq!(
         (
             verdict.figures["lost_killed"],
@@ -22,50 +22,50 @@
         ),
         (1, 0)
     );
-    // The same without the kill, with a second end, without an end, with an end of nothing,
-    // with an answer too many.
-    let mut planted = [
-        kept.clone(),
-        kept.clone(),
-        kept.clone(),
-        kept.clone(),
-        kept.clone(),
+    // The same history without the kill, with a second end, without an end, with an end of an
+    // unknown try, and with a surplus answer.
+    let mut faulty = [
+        sound.clone(),
+        sound.clone(),
+        sound.clone(),
+        sound.clone(),
+        sound.clone(),
     ];
-    planted[0].remove(3);
-    planted[1].insert(2, over(25, 1, TryOutcome::Failed));
-    planted[2].remove(1);
-    planted[3].push(over(60, 9, TryOutcome::Served));
+    faulty[0].remove(3);
+    faulty[1].insert(2, try_ended(25, 1, TryOutcome::Failed));
+    faulty[2].remove(1);
+    faulty[3].push(try_ended(60, 9, TryOutcome::Served));
     let surplus = Event::UnexpectedAnswer {
         load: "all".into(),
         gateway: "g1".into(),
     };
-    planted[4].push(TimedEvent {
+    faulty[4].push(TimedEvent {
         at: 60,
         event: surplus,
     });
-    let found: Vec<Vec<Rule>> = planted
+    let found: Vec<Vec<Rule>> = faulty
         .iter()
         .map(|events| checked(events).counts.into_keys().collect())
         .collect();
-    let (one, sums) = (Rule::OneAnswer, Rule::Conservation);
+    let (one_answer, conservation) = (Rule::OneAnswer, Rule::Conservation);
     assert_eq!(
         found,
         [
-            vec![one],
-            vec![one, sums],
-            vec![sums],
-            vec![sums],
-            vec![one]
+            vec![one_answer],
+            vec![one_answer, conservation],
+            vec![conservation],
+            vec![conservation],
+            vec![one_answer]
         ]
     );
 }
 
 #[test]
-fn a_pause_and_a_cut_link_excuse_a_silence_and_another_gateways_do_not() {
+fn a_pause_or_a_cut_of_the_same_gateway_explains_a_missing_answer() {
     let events = |fault: &[TimedEvent]| {
-        let mut events = vec![asked(10, 1, "a", "g1", 0)];
+        let mut events = vec![try_sent(10, 1, "a", "g1", 0)];
         events.extend_from_slice(fault);
-        events.push(over(90, 1, TryOutcome::Unanswered));
+        events.push(try_ended(90, 1, TryOutcome::Unanswered));
         events
     };
     let paused = |name| {
@@ -74,12 +74,12 @@
             gateway(30, name, ProcessChange::Continued),
         ])
     };
-    assert!(checked(&paused("g1")).kept() && !checked(&paused("g2")).kept());
+    assert!(checked(&paused("g1")).is_kept() && !checked(&paused("g2")).is_kept());
     let cut = |to| {
         events(&[
             link(20, "clients", to, "cut", true),
             link(30, "clients", to, "cut", false),
         ])
     };
-    assert!(checked(&cut("g1")).kept() && !checked(&cut("g2")).kept());
+    assert!(checked(&cut("g1")).is_kept() && !checked(&cut("g2")).is_kept());
 }
--- a/crates/fleet-test/src/check/order/tests.rs
+++ b/crates/fleet-test/src/check/order/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of this module, on small inputs.
+//! Tests of the rule on order.
 
 use super::super::tests::*;
 use super::*;
 use eideryard_emulators::history::TryOutcome;
 
 #[test]
-fn two_of_one_key_at_a_time_or_out_of_turn_are_caught() {
-    let left = |at, id| TimedEvent {
+fn overlapping_and_reordered_requests_of_one_key_are_caught() {
+    let query_ended = |at, id| TimedEvent {
         at,
         event: Event::QueryEnded {
             engine: "e1".into(),
@@ -15,29 +15,37 @@
         },
     };
     let count = |events: &[TimedEvent]| checked(events).count(Rule::Order);
-    let two = |second: &str| vec![in_order(10, 1, "k"), in_order(200_000, 2, second)];
-    let (apart, same) = (two("l"), two("k"));
-    let overlap = [began(300_000, "e1", 1, 0.1), began(300_100, "e2", 2, 0.1)];
+    let two_requests = |second: &str| {
+        vec![
+            ordered_try_sent(10, 1, "k"),
+            ordered_try_sent(200_000, 2, second),
+        ]
+    };
+    let (other_keys, same_key) = (two_requests("l"), two_requests("k"));
+    let overlap = [
+        query_began(300_000, "e1", 1, 0.1),
+        query_began(300_100, "e2", 2, 0.1),
+    ];
     let ends = [
-        over(400_000, 1, TryOutcome::Served),
-        over(400_001, 2, TryOutcome::Served),
+        try_ended(400_000, 1, TryOutcome::Served),
+        try_ended(400_001, 2, TryOutcome::Served),
     ];
-    assert_eq!(count(&[&apart[..], &overlap, &ends].concat()), 0);
-    assert_eq!(count(&[&same[..], &overlap, &ends].concat()), 1);
-    let turned = [
-        began(300_000, "e1", 2, 0.1),
-        left(300_050, 2),
-        began(300_100, "e1", 1, 0.1),
+    assert_eq!(count(&[&other_keys[..], &overlap, &ends].concat()), 0);
+    assert_eq!(count(&[&same_key[..], &overlap, &ends].concat()), 1);
+    let reordered = [
+        query_began(300_000, "e1", 2, 0.1),
+        query_ended(300_050, 2),
+        query_began(300_100, "e1", 1, 0.1),
     ];
     assert_eq!(
-        count(&[&same[..], &turned, &ends].concat()),
+        count(&[&same_key[..], &reordered, &ends].concat()),
         1,
         "the later one ran first"
     );
-    let good = [
-        began(300_000, "e1", 1, 0.1),
-        left(300_050, 1),
-        began(300_100, "e1", 2, 0.1),
+    let in_turn = [
+        query_began(300_000, "e1", 1, 0.1),
+        query_ended(300_050, 1),
+        query_began(300_100, "e1", 2, 0.1),
     ];
-    assert_eq!(count(&[&same[..], &good, &ends].concat()), 0);
+    assert_eq!(count(&[&same_key[..], &in_turn, &ends].concat()), 0);
 }
--- a/crates/fleet-test/src/check/story.rs
+++ b/crates/fleet-test/src/check/story.rs
@@ -1,5 +1,5 @@
-//! The shortest history of a break: what clients, gateways' records and engines did for one key or
-//! at one engine, with the faults of those that took part, by time.
+//! The story of a break: the events of clients, engines and gateways' event logs on one key or one
+//! engine, with the faults of the parts involved, sorted by time.
 
 use std::collections::BTreeSet;
 
@@ -7,25 +7,25 @@
     Event, Micros, ProcessChange, SharedName, TimedEvent, TryOutcome,
 };
 
-use super::records::{Recorded, Said};
-use super::{About, Break, History};
+use super::records::{Recorded, RequestEvent};
+use super::{Break, History, Subject};
 
-/// Lines of one story.
+/// Most lines of one story; the latest are kept.
 const MAX_LINES: usize = 60;
-/// How long before the first try faults are told.
+/// A story begins this time before the first try, so that earlier faults are in it; microseconds.
 const BEFORE: Micros = 500_000;
 
-/// The events of all sides that led to a break, by time.
+/// Lists the events of all parts that led to a break, sorted by time, as lines of text.
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
 pub fn story(history: &History<'_>, records: &[Recorded], found: &Break) -> Vec<String> {
-    let key = match &found.about {
-        About::Key(key) => Some(key.clone()),
-        About::Request(id) => history.tries.get(id).map(|(_, tried)| tried.key.clone()),
+    let key = match &found.subject {
+        Subject::Key(key) => Some(key.clone()),
+        Subject::Request(id) => history.tries.get(id).map(|(_, tried)| tried.key.clone()),
         _ => None,
     };
-    // All tries of the key up to the break, and who took part.
+    // All tries of the key up to the break, and the gateways and engines involved.
     let mut ids: BTreeSet<u64> = BTreeSet::new();
-    let mut parts: BTreeSet<SharedName> = BTreeSet::new();
+    let mut involved: BTreeSet<SharedName> = BTreeSet::new();
     let mut from = found.from;
     if let Some(key) = &key {
         for (id, (at, tried)) in history
@@ -35,22 +35,22 @@
         {
             if *at <= found.to {
                 ids.insert(*id);
-                parts.insert(tried.gateway.clone());
+                involved.insert(tried.gateway.clone());
                 from = from.min(*at);
             }
         }
     }
-    if let About::Engine(name) | About::Gateway(name) = &found.about {
-        parts.insert(name.clone());
+    if let Subject::Engine(name) | Subject::Gateway(name) = &found.subject {
+        involved.insert(name.clone());
     }
     for TimedEvent { event, .. } in history.events {
         if let Event::QueryStarted { engine, id, .. } = event {
             if ids.contains(id) {
-                parts.insert(engine.clone());
+                involved.insert(engine.clone());
             }
         }
     }
-    let of_engine = |name: &SharedName| key.is_none() && parts.contains(name);
+    let is_subject = |name: &SharedName| key.is_none() && involved.contains(name);
     let mut lines: Vec<(Micros, String)> = Vec::new();
     for TimedEvent { at, event } in history.events {
         if *at + BEFORE < from || *at > found.to + 1 {
@@ -70,21 +70,20 @@
                 outcome,
                 advice,
             } if ids.contains(id) => {
-                let outcome = match outcome {
+                let end = match outcome {
                     TryOutcome::Served => "is served",
                     TryOutcome::Refused => "is refused",
-                    TryOutcome::Failed => "is told that it failed",
-                    TryOutcome::Forgotten => "takes it back",
-                    TryOutcome::ConnectionLost => "loses the connection",
-                    TryOutcome::Unanswered => "has waited in vain",
+                    TryOutcome::Failed => "gets a failure",
+                    TryOutcome::Forgotten => "cancels it",
+                    TryOutcome::ConnectionLost => "loses its connection",
+                    TryOutcome::Unanswered => "gets no answer",
                 };
-                let advice =
-                    advice.map_or(String::new(), |ms| format!(", to come back after {ms} ms"));
-                format!("client {outcome}{advice} (id {id:016x})")
+                let advice = advice.map_or(String::new(), |ms| format!(", retry after {ms} ms"));
+                format!("client {end}{advice} (id {id:016x})")
             }
             Event::QueryStarted {
                 engine, id, work, ..
-            } if ids.contains(id) || of_engine(engine) => {
+            } if ids.contains(id) || is_subject(engine) => {
                 format!("{engine} begins {id:016x}, {:.0} ms of work", work * 1e3)
             }
             Event::QueryEnded {
@@ -92,15 +91,15 @@
                 id,
                 completed: false,
             } if ids.contains(id) => {
-                format!("{engine} gives {id:016x} up")
+                format!("{engine} ends {id:016x} without a result")
             }
             Event::Effect { engine, id, .. } if ids.contains(id) => {
                 format!("{engine}: {id:016x} takes effect")
             }
             Event::RepeatDropped { engine, id, .. } if ids.contains(id) => {
-                format!("{engine}: {id:016x} is a repeat and dropped")
+                format!("{engine}: {id:016x} is dropped as a repeat")
             }
-            Event::Engine { engine, begins } if parts.contains(engine) => match begins {
+            Event::Engine { engine, begins } if involved.contains(engine) => match begins {
                 Some(_) => format!("{engine} starts"),
                 None => format!("{engine} ends"),
             },
@@ -108,27 +107,27 @@
                 gateway,
                 engine,
                 health,
-            } if of_engine(engine) => {
-                format!("the bulletin tells {gateway} that {engine} is {health}")
+            } if is_subject(engine) => {
+                format!("the bulletin notifies {gateway} that {engine} is {health}")
             }
-            Event::Gateway { gateway, change } if parts.contains(gateway) => match change {
+            Event::Gateway { gateway, change } if involved.contains(gateway) => match change {
                 ProcessChange::Started(start) => format!("{gateway} listens, start {start}"),
                 ProcessChange::Killed => format!("{gateway} is killed"),
-                ProcessChange::Stopping => format!("{gateway} is told to end"),
+                ProcessChange::Stopping => format!("{gateway} is asked to stop"),
                 ProcessChange::Ended => format!("{gateway} has ended"),
                 ProcessChange::Paused => format!("{gateway} is paused"),
-                ProcessChange::Continued => format!("{gateway} goes on"),
+                ProcessChange::Continued => format!("{gateway} is resumed"),
             },
             Event::Link {
                 from,
                 to,
                 fault,
                 begins,
-            } if parts.contains(from) || parts.contains(to) => {
-                // Links to engines that took no part say nothing.
-                let near =
-                    |end: &SharedName| parts.contains(end) || **end == *crate::links::CLIENTS;
-                if !near(from) || !near(to) {
+            } if involved.contains(from) || involved.contains(to) => {
+                // Links to parts that are not involved are left out.
+                let is_involved =
+                    |end: &SharedName| involved.contains(end) || **end == *crate::links::CLIENTS;
+                if !is_involved(from) || !is_involved(to) {
                     continue;
                 }
                 format!(
@@ -146,24 +145,30 @@
         at,
         id,
         what,
-    } in records.iter().filter(|said| ids.contains(&said.id))
+    } in records.iter().filter(|entry| ids.contains(&entry.id))
     {
         if *at > found.to + 1 {
             continue;
         }
         let line = match what {
-            Said::Taken => format!("{gateway} records that it took {id:016x}"),
-            Said::Sent(engine) => format!("{gateway} records that it sends {id:016x} to {engine}"),
-            Said::Ended(outcome) => format!("{gateway} records the attempt's end: {outcome:?}"),
-            Said::Answered(kind) => format!("{gateway} records the answer: {}", kind.name()),
+            RequestEvent::Taken => format!("{gateway} records that it received {id:016x}"),
+            RequestEvent::Sent(engine) => {
+                format!("{gateway} records that it sends {id:016x} to {engine}")
+            }
+            RequestEvent::Ended(outcome) => {
+                format!("{gateway} records the end of the attempt: {outcome:?}")
+            }
+            RequestEvent::Answered(kind) => {
+                format!("{gateway} records the answer: {}", kind.name())
+            }
         };
         lines.push((*at, line));
     }
     lines.sort();
     let begin = lines.first().map_or(0, |(at, _)| *at);
     let left_out = lines.len().saturating_sub(MAX_LINES);
-    let told = lines.iter().skip(left_out);
-    let mut text: Vec<String> = told
+    let last_lines = lines.iter().skip(left_out);
+    let mut text: Vec<String> = last_lines
         .map(|(at, line)| format!("{:>10.1} ms  {line}", (at - begin) as f64 / 1e3))
         .collect();
     if left_out > 0 {
--- a/crates/fleet-test/src/check/tests.rs
+++ b/crates/fleet-test/src/check/tests.rs
@@ -1,4 +1,4 @@
-//! Small histories for the tests of the rules.
+//! Builders of small histories for the tests of the rules.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     let text =
         "class booking {\n effect keyed\n scope cell\n window 1s\n}\nclass ledger {\n ordered\n}\n\
                 engines 2 e {\n cores 4\n}\n";
-    let mut facts = Facts::of(&Scenario::read("facts", text).expect("it can be read"));
+    let mut facts = Facts::from_scenario(&Scenario::read("facts", text).expect("it can be read"));
     facts.engines[0].name = "e1".into();
     facts.engines[1].name = "e2".into();
     facts
@@ -31,21 +31,21 @@
     }
 }
 
-pub fn asked(at: Micros, id: u64, key: &str, gateway: &str, number: u64) -> TimedEvent {
+pub fn try_sent(at: Micros, id: u64, key: &str, gateway: &str, number: u64) -> TimedEvent {
     TimedEvent {
         at,
         event: Event::TrySent(tried("booking", id, key, gateway, number)),
     }
 }
 
-pub fn in_order(at: Micros, id: u64, key: &str) -> TimedEvent {
+pub fn ordered_try_sent(at: Micros, id: u64, key: &str) -> TimedEvent {
     TimedEvent {
         at,
         event: Event::TrySent(tried("ledger", id, key, "g1", 0)),
     }
 }
 
-pub fn over(at: Micros, id: u64, outcome: TryOutcome) -> TimedEvent {
+pub fn try_ended(at: Micros, id: u64, outcome: TryOutcome) -> TimedEvent {
     TimedEvent {
         at,
         event: Event::TryEnded {
@@ -67,7 +67,7 @@
     }
 }
 
-pub fn began(at: Micros, engine: &str, id: u64, work: f64) -> TimedEvent {
+pub fn query_began(at: Micros, engine: &str, id: u64, work: f64) -> TimedEvent {
     let (engine, class, key) = (engine.into(), "booking".into(), "".into());
     TimedEvent {
         at,
--- a/crates/fleet-test/src/stall.rs
+++ b/crates/fleet-test/src/stall.rs
@@ -1,6 +1,6 @@
-//! Holds one thread of a process, as a call into a disk that hangs holds it: the others go on. By
-//! the system's own means for that, tracing; the traced thread is never looked into. All calls come
-//! from one thread.
+//! Stops one thread of a process while the others go on, as a system call on a hanging disk does.
+//! Uses ptrace only to stop the thread; its state is never read. All calls for one thread must come
+//! from the same thread of the tracer, as ptrace requires.
 
 use std::io;
 
@@ -8,48 +8,49 @@
 use nix::sys::wait::{waitpid, WaitPidFlag};
 use nix::unistd::Pid;
 
-/// A thread that is held until it is let go.
+/// A thread of another process that is stopped until it is resumed.
 #[derive(Debug)]
-pub struct Held {
+pub struct StalledThread {
     thread: Pid,
 }
 
-/// The thread of a process that has a name.
-fn thread(process: u32, name: &str) -> io::Result<Option<Pid>> {
+/// Finds the first thread with this name, as the kernel shows it: at most 15 bytes.
+fn find_thread(process: u32, name: &str) -> io::Result<Option<Pid>> {
     for task in std::fs::read_dir(format!("/proc/{process}/task"))? {
         let path = task?.path();
-        let own = std::fs::read_to_string(path.join("comm")).unwrap_or_default();
-        let number = path
+        let comm = std::fs::read_to_string(path.join("comm")).unwrap_or_default();
+        let thread_id = path
             .file_name()
             .and_then(|name| name.to_str())
             .and_then(|name| name.parse().ok());
-        if own.trim_end() == name {
-            return Ok(number.map(Pid::from_raw));
+        if comm.trim_end() == name {
+            return Ok(thread_id.map(Pid::from_raw));
         }
     }
     Ok(None)
 }
 
-impl Held {
-    /// Nothing: the process has no such thread.
-    pub fn hold(process: u32, name: &str) -> io::Result<Option<Held>> {
-        let Some(thread) = thread(process, name)? else {
+impl StalledThread {
+    /// Stops the thread with this name and waits until it has stopped. `None` if the process has no
+    /// such thread.
+    pub fn stall(process: u32, name: &str) -> io::Result<Option<StalledThread>> {
+        let Some(thread) = find_thread(process, name)? else {
             return Ok(None);
         };
         ptrace::seize(thread, ptrace::Options::empty())?;
         ptrace::interrupt(thread)?;
         waitpid(thread, Some(WaitPidFlag::__WALL))?;
-        Ok(Some(Held { thread }))
+        Ok(Some(StalledThread { thread }))
     }
 
-    /// It goes on, unless its process has ended.
-    pub fn let_go(self) {
+    /// Resumes the thread; does nothing if its process has ended.
+    pub fn resume(self) {
         let _ = ptrace::detach(self.thread, None);
     }
 
-    /// The same where its process may have been killed: the system tells the end of that only once
-    /// the end of the held thread was heard of.
-    pub fn let_go_or_ended(self) {
+    /// Like [`Self::resume`], also if the process may have been killed: the system reports the end
+    /// of a process only after the tracer has waited for the end of its traced thread.
+    pub fn resume_or_reap(self) {
         if ptrace::detach(self.thread, None).is_err() {
             let _ = waitpid(self.thread, Some(WaitPidFlag::__WALL));
         }
--- a/crates/fleet-test/src/world/steps.rs
+++ b/crates/fleet-test/src/world/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of a scenario: faults that begin, and those that end by themselves.
+//! Performs the steps of a scenario, and undoes those that last for a time.
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,39 +11,40 @@
 use eideryard_emulators::scenario::Step;
 use rustix::process::Signal;
 
-use super::{Next, Undo, World};
+use super::{Action, Undo, World};
 use crate::directories;
 use crate::relay::Fault;
 
 impl World {
-    pub(super) async fn next(
+    /// Performs the first action of the queue, and queues the actions that follow from it.
+    pub(super) async fn run_next(
         &mut self,
-        queue: &mut VecDeque<(Duration, Next)>,
+        queue: &mut VecDeque<(Duration, Action)>,
         now: Duration,
     ) -> io::Result<()> {
-        let more = match queue.pop_front() {
-            Some((_, Next::Step(step))) => self.step(&step).await?,
-            Some((_, Next::Undo(undo))) => {
+        let following = match queue.pop_front() {
+            Some((_, Action::Step(step))) => self.perform_step(&step).await?,
+            Some((_, Action::Undo(undo))) => {
                 self.undo(undo);
                 Vec::new()
             }
             None => Vec::new(),
         };
-        for (after, next) in more {
+        for (after, next) in following {
             let at = now + after;
-            let place = queue.partition_point(|(own, _)| *own <= at);
-            queue.insert(place, (at, next));
+            let index = queue.partition_point(|(queued, _)| *queued <= at);
+            queue.insert(index, (at, next));
         }
         Ok(())
     }
 
-    pub(super) fn did(&self, text: String) {
+    pub(super) fn record_step(&self, text: String) {
         self.ledger
             .borrow_mut()
             .record_event(|| Event::Other { text });
     }
 
-    pub(super) fn engines_of(&self, names: &[String]) -> Vec<Rc<Engine>> {
+    pub(super) fn find_engines(&self, names: &[String]) -> Vec<Rc<Engine>> {
         self.engines
             .iter()
             .filter(|engine| names.contains(&engine.spec.name))
@@ -51,12 +52,15 @@
             .collect()
     }
 
-    /// Does a step; gives what follows it, and after how long.
+    /// Performs a step. Returns the actions that follow from it, each with the time until it runs.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    pub(super) async fn step(&mut self, step: &Step) -> io::Result<Vec<(Duration, Next)>> {
-        let engines = self.engines_of(&step.names);
+    pub(super) async fn perform_step(
+        &mut self,
+        step: &Step,
+    ) -> io::Result<Vec<(Duration, Action)>> {
+        let engines = self.find_engines(&step.names);
         if step.action.starts_with("link-") {
-            return Ok(self.link_step(step));
+            return Ok(self.perform_link_step(step));
         }
         match step.action {
             "kill" => engines.iter().for_each(|engine| self.kill_engine(engine)),
@@ -70,11 +74,11 @@
             "busy" => engines
                 .iter()
                 .for_each(|engine| engine.turn_away(step.lasts)),
-            "drain" => self.tell(&engines, "draining", 0),
-            "remove" => self.tell(&engines, "removed", 0),
-            "list" => self.tell(&engines, "up", 0),
+            "drain" => self.announce(&engines, "draining", 0),
+            "remove" => self.announce(&engines, "removed", 0),
+            "list" => self.announce(&engines, "up", 0),
             "bulletin" => {
-                self.bulletin(match step.names[0].as_str() {
+                self.set_bulletin(match step.names[0].as_str() {
                     "down" => Availability::Down,
                     "silent" => Availability::Silent,
                     _ => Availability::Up,
@@ -86,7 +90,7 @@
                     .iter()
                     .for_each(|name| self.signal(name, Signal::KILL, ProcessChange::Killed));
                 for name in &step.names {
-                    self.ended(name).await?;
+                    self.finish_gateway(name).await?;
                 }
             }
             "stop-gateway" => step
@@ -101,7 +105,7 @@
                     .cloned()
                     .collect::<Vec<_>>()
                 {
-                    self.ended(&name).await?;
+                    self.finish_gateway(&name).await?;
                     self.start_gateway(&name).await?;
                 }
             }
@@ -109,18 +113,26 @@
                 step.names
                     .iter()
                     .for_each(|name| self.signal(name, Signal::STOP, ProcessChange::Paused));
-                let undo = |name: &String| (step.lasts, Next::Undo(Undo::Continue(name.clone())));
+                let undo = |name: &String| {
+                    (
+                        step.lasts,
+                        Action::Undo(Undo::ContinueGateway(name.clone())),
+                    )
+                };
                 return Ok(step.names.iter().map(undo).collect());
             }
             "stall-disk" => {
                 for name in &step.names {
-                    self.processes.hold(name, "store")?;
+                    self.processes.stall_thread(name, "store")?;
                 }
-                self.did(format!("stall-disk {}", step.names.join(" ")));
-                let undo = |name: &String| (step.lasts, Next::Undo(Undo::Disk(name.clone())));
+                self.record_step(format!("stall-disk {}", step.names.join(" ")));
+                let undo =
+                    |name: &String| (step.lasts, Action::Undo(Undo::ResumeDisk(name.clone())));
                 return Ok(step.names.iter().map(undo).collect());
             }
-            "save-directory" | "wipe-directory" | "put-back-directory" => self.directories(step)?,
+            "save-directory" | "wipe-directory" | "put-back-directory" => {
+                self.change_directories(step)?;
+            }
             "power-loss" => self.power_loss().await?,
             "power-back" => return Ok(self.power_back(step)),
             _ => {}
@@ -129,7 +141,7 @@
             step.action,
             "start-gateway" | "kill-gateway" | "stop-gateway"
         ) {
-            self.did(
+            self.record_step(
                 format!("{} {}", step.action, step.names.join(" "))
                     .trim_end()
                     .to_string(),
@@ -138,7 +150,7 @@
         Ok(Vec::new())
     }
 
-    pub(super) fn link_step(&mut self, step: &Step) -> Vec<(Duration, Next)> {
+    pub(super) fn perform_link_step(&mut self, step: &Step) -> Vec<(Duration, Action)> {
         let Some(links) = &mut self.links else {
             return Vec::new();
         };
@@ -148,7 +160,7 @@
                 return Vec::new();
             }
             "link-flap" => {
-                // Cut for one period, whole for the next.
+                // The link is cut for one period and works in the next.
                 let lasts = step.lasts.min(self.scenario.time);
                 let cut = |at: Duration| {
                     let cut = Step {
@@ -157,7 +169,7 @@
                         lasts: step.time,
                         ..step.clone()
                     };
-                    (at, Next::Step(cut))
+                    (at, Action::Step(cut))
                 };
                 let periods = lasts.as_micros().div_ceil(2 * step.time.as_micros().max(1)) as u32;
                 return (0..periods)
@@ -170,21 +182,26 @@
             "link-throttle" => Fault::Throttle(step.bytes),
             _ => Fault::Cut,
         };
-        vec![(step.lasts, Next::Undo(Undo::Link(links.begin(step, fault))))]
+        vec![(
+            step.lasts,
+            Action::Undo(Undo::EndLinkFault(links.begin(step, fault))),
+        )]
     }
 
     pub(super) fn undo(&mut self, undo: Undo) {
         match undo {
-            Undo::Link(lasting) => self.links.iter().for_each(|links| links.end(&lasting)),
-            Undo::Disk(name) => {
-                self.processes.let_go(&name);
-                self.did(format!("the disk of {name} goes on"));
+            Undo::EndLinkFault(active) => self.links.iter().for_each(|links| links.end(&active)),
+            Undo::ResumeDisk(name) => {
+                self.processes.resume_thread(&name);
+                self.record_step(format!("the disk of {name} works again"));
+            }
+            Undo::ContinueGateway(name) => {
+                self.signal(&name, Signal::CONT, ProcessChange::Continued)
             }
-            Undo::Continue(name) => self.signal(&name, Signal::CONT, ProcessChange::Continued),
         }
     }
 
-    pub(super) fn directories(&mut self, step: &Step) -> io::Result<()> {
+    pub(super) fn change_directories(&mut self, step: &Step) -> io::Result<()> {
         let Some(programs) = self.programs.as_ref().filter(|_| self.links.is_some()) else {
             return Ok(());
         };
