--- a/crates/fleet-test/src/cold_sum.rs
+++ b/crates/fleet-test/src/cold_sum.rs
@@ -1,10 +1,11 @@
-//! What all gateways together send to an engine that has just started: the real decision module,
-//! many times, in virtual time, without any word among them. Engines are simple queues; what is
-//! judged is the sum of calls at the cold ones, beside what the settings allow, and the worth
-//! served.
+//! Simulates the total load that all gateways of a fleet send to engines that have just started.
+//! Each gateway is an instance of the real balancer, in virtual time, and gateways don't
+//! communicate. Engines are simple queues. The result compares the calls at each cold engine with
+//! the limits of the settings, and reports the value of the requests answered in time.
 //!
-//! Drawn for each seed: sizes, the rule's figures, unequal traffic, a burst, a list that each
-//! gateway sees at its own time, restarts while the engine is cold, dials that come up late.
+//! Each seed draws the fleet's size, the slow-start settings, unequal traffic per gateway, a burst,
+//! the time at which each gateway receives the endpoint list, gateway restarts while the engines
+//! are cold, and dials that take long to connect.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -17,282 +18,308 @@
 
 mod settings;
 
-use settings::{settings, warmth};
+use settings::{draw_settings, warmth};
 
+/// One second in virtual time.
 const S: Micros = 1_000_000;
-/// When the cold engines start, and how long they are watched.
-const BORN: Micros = 1_000 * S;
-const BEFORE: Micros = 2 * S;
-const WATCHED: Micros = 7 * S;
-/// Worths and shares of the two classes: look-ups, and reports on two threads.
-const REPORTS: f64 = 0.15;
-const WORTH: [f64; 2] = [1.0, 8.0];
-const THREADS: [f64; 2] = [1.0, 2.0];
+/// When the cold engines start. The simulation begins [`LEAD_TIME`] before that and ends
+/// [`OBSERVED_FOR`] after it.
+const STARTED_AT: Micros = 1_000 * S;
+const LEAD_TIME: Micros = 2 * S;
+const OBSERVED_FOR: Micros = 7 * S;
+/// Share of requests that are reports; the others are look-ups. [`REQUEST_VALUE`] and
+/// [`REQUEST_THREADS`] are indexed by class: 0 is look-ups, 1 is reports.
+const REPORT_SHARE: f64 = 0.15;
+const REQUEST_VALUE: [f64; 2] = [1.0, 8.0];
+const REQUEST_THREADS: [f64; 2] = [1.0, 2.0];
 
-/// What is left out, to show what it is for.
+/// Parts of the mechanism that are switched off, to show that the check fails without them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Without {
-    /// Nobody asks the module before a first byte.
-    pub asking: bool,
-    /// Every dial comes up at once.
-    pub late_dials: bool,
-    /// The list doesn't tell when engines started.
-    pub cold: bool,
+pub struct Disabled {
+    /// Gateways send on a connection without first asking the balancer whether the attempt may
+    /// begin.
+    pub start_checks: bool,
+    /// Every dial connects immediately.
+    pub slow_dials: bool,
+    /// The endpoint list omits the engines' start times, so gateways treat cold engines as warm.
+    pub start_times: bool,
 }
 
-/// One seed's figures.
+/// What the simulation of one seed measured.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sum {
-    /// Requests of mean work in the worst window at a cold engine, over N + 2 root N + 2; above 1
-    /// it falls.
-    pub over_bound: f64,
-    /// The same over N alone.
-    pub over_budget: f64,
-    /// Worth served in time, as a part of all.
-    pub served: f64,
-    /// Calls within the window.
+pub struct SeedResult {
+    /// Highest load of a cold engine in any window, in requests of mean work, divided by
+    /// N + 2 root N + 2, where N is the number that the settings allow. Above 1 the engine is
+    /// overloaded.
+    pub load_over_bound: f64,
+    /// The same load divided by N alone.
+    pub load_over_budget: f64,
+    /// Value of the requests answered within their latency objective, as a fraction (0 to 1) of
+    /// the value of all.
+    pub served_share: f64,
+    /// Calls that reached cold engines over the whole simulation.
     pub calls: usize,
-    /// A hash of every action of every gateway, with its time: equal decisions give equal hashes.
+    /// Hash of every action of every gateway, with its time: equal decisions give equal hashes.
     pub decisions: u64,
 }
 
 #[derive(Clone, Debug)]
-enum What {
-    Arrives(usize),
-    Ends {
+enum SimEvent {
+    RequestArrives(usize),
+    CallEnds {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         request: RequestId,
         attempt: usize,
         engine: EngineId,
     },
     Timer {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         tag: u64,
     },
-    Told {
+    ListUpdated {
         gateway: usize,
     },
-    Restarts(usize),
-    DialUp {
+    GatewayRestarts(usize),
+    DialConnects {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         engine: EngineId,
     },
 }
 
-struct Own {
-    module: Balancer,
-    life: u32,
+struct Gateway {
+    balancer: Balancer,
+    incarnation: u32,
     weight: f64,
-    told: bool,
+    is_list_current: bool,
     sequence: u64,
-    /// What waits for a dial, by engine; nothing waits once it is up.
+    /// Attempts that wait for the connection to an engine. The list stays empty once connected.
     dials: HashMap<EngineId, Vec<(RequestId, usize)>>,
-    requests: HashMap<RequestId, Asked>,
+    requests: HashMap<RequestId, OpenRequest>,
 }
 
-struct Asked {
+struct OpenRequest {
     class: usize,
     work: f64,
-    due: Micros,
+    objective_at: Micros,
     attempts: usize,
-    over: bool,
+    has_ended: bool,
     sent_at: Micros,
 }
 
 #[derive(Default)]
 struct Engine {
     cores: f64,
-    born: Option<Micros>,
+    started_at: Option<Micros>,
     threads: f64,
-    /// When each call began here, and its work.
+    /// Start time and work of each call.
     calls: Vec<(Micros, f64)>,
 }
 
-struct World {
+struct Simulation {
     rng: StdRng,
-    set: Settings,
+    settings: Settings,
     seed: u64,
-    without: Without,
+    disabled: Disabled,
     now: Micros,
-    heap: BinaryHeap<Reverse<(Micros, u64)>>,
-    happens: HashMap<u64, What>,
-    counted: u64,
-    gateways: Vec<Own>,
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    events: HashMap<u64, SimEvent>,
+    event_count: u64,
+    gateways: Vec<Gateway>,
     engines: Vec<Engine>,
-    /// The first so many are cold.
+    /// Number of cold engines; they are the first of `engines`.
     cold: usize,
     rate: f64,
+    /// How long the burst lasts, and the factor by which it raises the request rate.
     burst: (Micros, f64),
+    /// Mean work of a request, by class.
     means: [f64; 2],
-    worth: (f64, f64),
+    /// Value of the requests answered in time, and of all requests.
+    value: (f64, f64),
+    /// Total work of all requests, and their number.
     work: (f64, f64),
     decisions: DefaultHasher,
 }
 
-/// Plays one seed with so many gateways.
-pub fn play(seed: u64, gateways: usize, without: Without) -> Sum {
-    let mut world = World::new(seed, gateways, without);
-    world.run();
-    world.sum()
+/// Simulates one seed with a fleet of `gateways` gateways.
+pub fn play(seed: u64, gateways: usize, disabled: Disabled) -> SeedResult {
+    let mut simulation = Simulation::new(seed, gateways, disabled);
+    simulation.run();
+    simulation.result()
 }
 
-impl World {
+impl Simulation {
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
-    fn new(seed: u64, gateways: usize, without: Without) -> Self {
+    fn new(seed: u64, gateways: usize, disabled: Disabled) -> Self {
         let mut rng = StdRng::seed_from_u64(seed ^ (gateways as u64) << 40);
         let engines = rng.random_range(6..=6 + gateways / 4);
         let cold = 1 + engines / 8;
         let cores = [8.0, 12.0, 16.0][rng.random_range(0..3)];
-        let set = settings(&mut rng, gateways, cores);
+        let settings = draw_settings(&mut rng, gateways, cores);
         let means = [
             rng.random_range(0.1..0.26) * 1e6,
             rng.random_range(1.7..5.0) * 1e6,
         ];
-        let usual = (1.0 - REPORTS) * means[0] + REPORTS * means[1];
-        let capacity = (engines - cold) as f64 * cores / usual;
+        let mean_work = (1.0 - REPORT_SHARE) * means[0] + REPORT_SHARE * means[1];
+        let capacity = (engines - cold) as f64 * cores / mean_work;
         let burst = (rng.random_range(2..6) * S, rng.random_range(1.0..2.4));
-        let mut world = World {
+        let mut simulation = Simulation {
             rate: capacity * rng.random_range(0.5..0.9),
             rng,
-            set,
+            settings,
             seed,
-            without,
-            now: BORN - BEFORE,
-            heap: BinaryHeap::new(),
-            happens: HashMap::new(),
-            counted: 0,
+            disabled,
+            now: STARTED_AT - LEAD_TIME,
+            queue: BinaryHeap::new(),
+            events: HashMap::new(),
+            event_count: 0,
             gateways: Vec::new(),
             engines: Vec::new(),
             cold,
             burst,
             means,
-            worth: (0.0, 0.0),
+            value: (0.0, 0.0),
             work: (0.0, 0.0),
             decisions: DefaultHasher::new(),
         };
         for number in 0..engines {
-            let born = (number < cold).then_some(BORN);
-            world.engines.push(Engine {
+            let started_at = (number < cold).then_some(STARTED_AT);
+            simulation.engines.push(Engine {
                 cores,
-                born,
+                started_at,
                 ..Engine::default()
             });
         }
         for index in 0..gateways {
-            let weight = if world.rng.random_bool(0.2) {
+            let weight = if simulation.rng.random_bool(0.2) {
                 4.0
             } else {
-                world.rng.random_range(0.3..1.3)
+                simulation.rng.random_range(0.3..1.3)
             };
-            let module = world.module(index, 0);
+            let balancer = simulation.new_balancer(index, 0);
             let (dials, requests) = Default::default();
-            world.gateways.push(Own {
-                module,
-                life: 0,
+            simulation.gateways.push(Gateway {
+                balancer,
+                incarnation: 0,
                 weight,
-                told: false,
+                is_list_current: false,
                 sequence: 0,
                 dials,
                 requests,
             });
-            world.tell_list(index);
-            world.arrival(index);
-            // Most hear within seconds, some only when their list comes back.
-            let late = if world.rng.random_bool(0.1) { 5 * S } else { 0 };
-            let at = BORN + 400_000 + late + world.rng.random_range(0..2 * S);
-            world.at(at, What::Told { gateway: index });
-            if world.rng.random_bool(0.3) {
-                let at = BORN + world.rng.random_range(0..4 * S);
-                world.at(at, What::Restarts(index));
+            simulation.send_endpoint_list(index);
+            simulation.schedule_arrival(index);
+            // Most gateways receive the new list within 2.4 s; one in ten is 5 s later, as if its
+            // discovery stream had to reconnect.
+            let delay = if simulation.rng.random_bool(0.1) {
+                5 * S
+            } else {
+                0
+            };
+            let at = STARTED_AT + 400_000 + delay + simulation.rng.random_range(0..2 * S);
+            simulation.schedule(at, SimEvent::ListUpdated { gateway: index });
+            if simulation.rng.random_bool(0.3) {
+                let at = STARTED_AT + simulation.rng.random_range(0..4 * S);
+                simulation.schedule(at, SimEvent::GatewayRestarts(index));
             }
         }
-        world
+        simulation
     }
 
-    /// Settings tell each its number on every other seed.
-    fn module(&mut self, index: usize, life: u32) -> Balancer {
-        let told = self.seed.is_multiple_of(2);
-        let set = Settings {
-            gateway_index: told.then_some(index as f64),
-            ..self.set.clone()
+    /// Creates a gateway's balancer. Its settings contain the gateway's index on even seeds only.
+    fn new_balancer(&mut self, index: usize, incarnation: u32) -> Balancer {
+        let knows_index = self.seed.is_multiple_of(2);
+        let settings = Settings {
+            gateway_index: knows_index.then_some(index as f64),
+            ..self.settings.clone()
         };
-        Balancer::new(set, self.rng.random::<u64>() ^ u64::from(life), self.now)
+        Balancer::new(
+            settings,
+            self.rng.random::<u64>() ^ u64::from(incarnation),
+            self.now,
+        )
     }
 
-    fn at(&mut self, at: Micros, what: What) {
-        self.counted += 1;
-        self.happens.insert(self.counted, what);
-        self.heap.push(Reverse((at, self.counted)));
+    fn schedule(&mut self, at: Micros, event: SimEvent) {
+        self.event_count += 1;
+        self.events.insert(self.event_count, event);
+        self.queue.push(Reverse((at, self.event_count)));
     }
 
-    fn arrival(&mut self, gateway: usize) {
-        let all: f64 = if self.gateways.len() == 1 {
+    fn schedule_arrival(&mut self, gateway: usize) {
+        let gateway_count: f64 = if self.gateways.len() == 1 {
             1.0
         } else {
             self.gateways.len() as f64
         };
-        let (length, times) = self.burst;
-        let in_burst = (BORN + S..BORN + S + length).contains(&self.now);
-        let rate =
-            self.rate * self.gateways[gateway].weight / all * if in_burst { times } else { 1.0 };
+        let (length, factor) = self.burst;
+        let in_burst = (STARTED_AT + S..STARTED_AT + S + length).contains(&self.now);
+        let rate = self.rate * self.gateways[gateway].weight / gateway_count
+            * if in_burst { factor } else { 1.0 };
         let wait = -(1.0 - self.rng.random::<f64>()).ln() / rate;
-        self.at(self.now + wait as Micros + 1, What::Arrives(gateway));
+        self.schedule(
+            self.now + wait as Micros + 1,
+            SimEvent::RequestArrives(gateway),
+        );
     }
 
     fn run(&mut self) {
-        while let Some(Reverse((at, number))) = self.heap.pop() {
-            if at > BORN + WATCHED {
+        while let Some(Reverse((at, number))) = self.queue.pop() {
+            if at > STARTED_AT + OBSERVED_FOR {
                 return;
             }
             self.now = at;
-            let Some(what) = self.happens.remove(&number) else {
+            let Some(event) = self.events.remove(&number) else {
                 continue;
             };
-            self.happened(what);
+            self.on_event(event);
         }
     }
 
     #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
-    fn happened(&mut self, what: What) {
-        match what {
-            What::Arrives(gateway) => {
-                self.arrival(gateway);
-                self.arrives(gateway);
+    fn on_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::RequestArrives(gateway) => {
+                self.schedule_arrival(gateway);
+                self.on_arrival(gateway);
             }
-            What::Told { gateway } => {
-                self.gateways[gateway].told = true;
-                self.tell_list(gateway);
+            SimEvent::ListUpdated { gateway } => {
+                self.gateways[gateway].is_list_current = true;
+                self.send_endpoint_list(gateway);
             }
-            What::Restarts(gateway) => {
-                let life = self.gateways[gateway].life + 1;
-                let module = self.module(gateway, life);
-                let own = &mut self.gateways[gateway];
-                (own.module, own.life, own.sequence) = (module, life, 0);
-                (own.dials, own.requests) = Default::default();
-                self.tell_list(gateway);
+            SimEvent::GatewayRestarts(gateway) => {
+                let incarnation = self.gateways[gateway].incarnation + 1;
+                let balancer = self.new_balancer(gateway, incarnation);
+                let state = &mut self.gateways[gateway];
+                (state.balancer, state.incarnation, state.sequence) = (balancer, incarnation, 0);
+                (state.dials, state.requests) = Default::default();
+                self.send_endpoint_list(gateway);
             }
-            What::Timer { gateway, life, tag } if life == self.gateways[gateway].life => {
-                self.tell(gateway, Event::Timer { tag });
+            SimEvent::Timer {
+                gateway,
+                incarnation,
+                tag,
+            } if incarnation == self.gateways[gateway].incarnation => {
+                self.handle(gateway, Event::Timer { tag });
             }
-            What::DialUp {
+            SimEvent::DialConnects {
                 gateway,
-                life,
+                incarnation,
                 engine,
-            } if life == self.gateways[gateway].life => {
+            } if incarnation == self.gateways[gateway].incarnation => {
                 let waiting = self.gateways[gateway]
                     .dials
                     .insert(engine, Vec::new())
                     .unwrap_or_default();
                 for (request, attempt) in waiting {
-                    self.begins(gateway, request, attempt, engine);
+                    self.begin_call(gateway, request, attempt, engine);
                 }
             }
-            What::Ends {
+            SimEvent::CallEnds {
                 gateway,
-                life,
+                incarnation,
                 request,
                 attempt,
                 engine,
@@ -300,57 +327,61 @@
                 let class = self.gateways[gateway]
                     .requests
                     .get(&request)
-                    .map(|asked| asked.class);
-                self.engines[engine as usize].threads -= THREADS[class.unwrap_or(0)];
-                if life == self.gateways[gateway].life {
-                    self.ended(gateway, request, attempt, engine);
+                    .map(|open| open.class);
+                self.engines[engine as usize].threads -= REQUEST_THREADS[class.unwrap_or(0)];
+                if incarnation == self.gateways[gateway].incarnation {
+                    self.on_call_end(gateway, request, attempt, engine);
                 }
             }
-            What::Timer { .. } | What::DialUp { .. } => {}
+            SimEvent::Timer { .. } | SimEvent::DialConnects { .. } => {}
         }
     }
 
-    fn tell_list(&mut self, gateway: usize) {
-        let told = self.gateways[gateway].told;
+    fn send_endpoint_list(&mut self, gateway: usize) {
+        let is_list_current = self.gateways[gateway].is_list_current;
         let entry = |(number, engine): (usize, &Engine)| Endpoint {
             engine: number as EngineId,
-            phase: if engine.born.is_none() || told {
+            phase: if engine.started_at.is_none() || is_list_current {
                 Phase::Ready
             } else {
                 Phase::Removed
             },
-            booted_at: engine.born.filter(|_| !self.without.cold).unwrap_or(0),
+            booted_at: engine
+                .started_at
+                .filter(|_| !self.disabled.start_times)
+                .unwrap_or(0),
             ..Endpoint::default()
         };
         let list = self.engines.iter().enumerate().map(entry).collect();
-        self.tell(gateway, Event::EndpointSnapshot(list));
+        self.handle(gateway, Event::EndpointSnapshot(list));
     }
 
-    fn arrives(&mut self, gateway: usize) {
-        let class = self.rng.random_bool(REPORTS) as usize;
-        // Log-normal, with a spread as wide as its mean.
+    fn on_arrival(&mut self, gateway: usize) {
+        let class = self.rng.random_bool(REPORT_SHARE) as usize;
+        // Log-normal, with a standard deviation equal to the mean.
         let (a, b): (f64, f64) = (1.0 - self.rng.random::<f64>(), self.rng.random());
         let spread = (2f64).ln().sqrt();
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
         let work = self.means[class] * (spread * normal - spread * spread / 2.0).exp();
-        let set = &self.set.classes[class];
-        let due = self.now
-            + set.latency_objective
-            + (set.latency_objective_per_work * work / THREADS[class]) as Micros;
-        let own = &mut self.gateways[gateway];
-        own.sequence += 1;
-        // As the gateway numbers them: generation and slot, alike in every process.
-        let id = own.sequence << 32;
-        let asked = Asked {
+        let class_settings = &self.settings.classes[class];
+        let objective_at = self.now
+            + class_settings.latency_objective
+            + (class_settings.latency_objective_per_work * work / REQUEST_THREADS[class]) as Micros;
+        let state = &mut self.gateways[gateway];
+        state.sequence += 1;
+        // The same form as a gateway's request ids: generation and slot, which repeat across
+        // processes.
+        let id = state.sequence << 32;
+        let open_request = OpenRequest {
             class,
             work,
-            due,
+            objective_at,
             attempts: 0,
-            over: false,
+            has_ended: false,
             sent_at: 0,
         };
-        own.requests.insert(id, asked);
-        self.worth.1 += WORTH[class];
+        state.requests.insert(id, open_request);
+        self.value.1 += REQUEST_VALUE[class];
         self.work = (self.work.0 + work, self.work.1 + 1.0);
         let request = Request {
             id,
@@ -361,110 +392,123 @@
             group: self.rng.random_range(0..20),
             ..Request::default()
         };
-        self.tell(gateway, Event::Arrived(request));
+        self.handle(gateway, Event::Arrived(request));
     }
 
-    fn tell(&mut self, gateway: usize, event: Event) {
+    fn handle(&mut self, gateway: usize, event: Event) {
         let mut actions = Vec::new();
-        let own = &mut self.gateways[gateway];
-        own.module.handle(self.now, event, &mut actions);
+        let state = &mut self.gateways[gateway];
+        state.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             (self.now, gateway, format!("{action:?}")).hash(&mut self.decisions);
-            let life = self.gateways[gateway].life;
+            let incarnation = self.gateways[gateway].incarnation;
             match action {
                 Action::Send {
                     request, engine, ..
-                } => self.sends(gateway, request, engine),
+                } => self.start_attempt(gateway, request, engine),
                 Action::SetTimer { after, tag } => {
-                    self.at(self.now + after.max(1), What::Timer { gateway, life, tag });
+                    self.schedule(
+                        self.now + after.max(1),
+                        SimEvent::Timer {
+                            gateway,
+                            incarnation,
+                            tag,
+                        },
+                    );
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
-                    let asked = self.gateways[gateway].requests.get_mut(&request);
-                    for asked in asked.into_iter() {
-                        asked.over = true;
+                    let open_request = self.gateways[gateway].requests.get_mut(&request);
+                    for open_request in open_request.into_iter() {
+                        open_request.has_ended = true;
                     }
                 }
                 Action::Probe { engine } => {
-                    let report = self.report(engine);
+                    let report = self.load_report(engine);
                     let probed = ProbeEnded {
                         engine,
                         outcome: Outcome::Answered,
                         report,
                     };
-                    self.tell(gateway, Event::ProbeEnded(probed));
+                    self.handle(gateway, Event::ProbeEnded(probed));
                 }
                 _ => {}
             }
         }
     }
 
-    fn report(&self, engine: EngineId) -> Option<LoadReport> {
-        let own = &self.engines[engine as usize];
+    fn load_report(&self, engine: EngineId) -> Option<LoadReport> {
+        let engine = &self.engines[engine as usize];
         Some(LoadReport {
-            in_flight: Some(own.threads / 1.15),
+            in_flight: Some(engine.threads / 1.15),
             ..LoadReport::default()
         })
     }
 
-    /// The first attempt at an engine dials; a third of the dials come up late.
-    fn sends(&mut self, gateway: usize, request: RequestId, engine: EngineId) {
-        let late = !self.without.late_dials && self.rng.random_bool(1.0 / 3.0);
-        let own = &mut self.gateways[gateway];
-        let Some(asked) = own.requests.get_mut(&request) else {
+    /// Sends an attempt. The first one to an engine dials it; a third of the dials take 0.1 to
+    /// 1.5 s to connect, and attempts wait until then.
+    fn start_attempt(&mut self, gateway: usize, request: RequestId, engine: EngineId) {
+        let is_slow = !self.disabled.slow_dials && self.rng.random_bool(1.0 / 3.0);
+        let state = &mut self.gateways[gateway];
+        let Some(open_request) = state.requests.get_mut(&request) else {
             return;
         };
-        let attempt = asked.attempts;
-        (asked.attempts, asked.sent_at) = (attempt + 1, self.now);
-        let dialled = own.dials.contains_key(&engine);
-        let waits = own
+        let attempt = open_request.attempts;
+        (open_request.attempts, open_request.sent_at) = (attempt + 1, self.now);
+        let has_dialled = state.dials.contains_key(&engine);
+        let is_dialling = state
             .dials
             .get(&engine)
             .is_some_and(|waiting| !waiting.is_empty());
-        if waits || late && !dialled {
-            own.dials
+        if is_dialling || is_slow && !has_dialled {
+            state
+                .dials
                 .entry(engine)
                 .or_default()
                 .push((request, attempt));
-            if !dialled {
-                let (life, up) = (
-                    own.life,
+            if !has_dialled {
+                let (incarnation, up) = (
+                    state.incarnation,
                     self.now + self.rng.random_range(100_000..1_500_000),
                 );
-                self.at(
+                self.schedule(
                     up,
-                    What::DialUp {
+                    SimEvent::DialConnects {
                         gateway,
-                        life,
+                        incarnation,
                         engine,
                     },
                 );
             }
             return;
         }
-        own.dials.entry(engine).or_default();
-        self.begins(gateway, request, attempt, engine);
+        state.dials.entry(engine).or_default();
+        self.begin_call(gateway, request, attempt, engine);
     }
 
-    fn begins(&mut self, gateway: usize, request: RequestId, attempt: usize, engine: EngineId) {
-        let own = &mut self.gateways[gateway];
-        if !self.without.asking && !own.module.may_begin(self.now, request, attempt) {
-            return self.told_end(gateway, request, attempt, Outcome::NotSent);
+    fn begin_call(&mut self, gateway: usize, request: RequestId, attempt: usize, engine: EngineId) {
+        let state = &mut self.gateways[gateway];
+        if !self.disabled.start_checks && !state.balancer.may_begin(self.now, request, attempt) {
+            return self.report_attempt_end(gateway, request, attempt, Outcome::NotSent);
         }
-        let Some(asked) = own.requests.get(&request) else {
+        let Some(open_request) = state.requests.get(&request) else {
             return;
         };
-        let (threads, work, life) = (THREADS[asked.class], asked.work, own.life);
-        let at = &mut self.engines[engine as usize];
-        at.calls.push((self.now, work));
-        at.threads += threads;
-        let warm = warmth(&self.set, at.born, self.now);
-        let crowd = (at.threads / (at.cores * warm)).max(1.0);
-        let until = self.now + (work / threads * crowd) as Micros + 1;
-        self.at(
+        let (threads, work, incarnation) = (
+            REQUEST_THREADS[open_request.class],
+            open_request.work,
+            state.incarnation,
+        );
+        let target = &mut self.engines[engine as usize];
+        target.calls.push((self.now, work));
+        target.threads += threads;
+        let warm = warmth(&self.settings, target.started_at, self.now);
+        let slowdown = (target.threads / (target.cores * warm)).max(1.0);
+        let until = self.now + (work / threads * slowdown) as Micros + 1;
+        self.schedule(
             until,
-            What::Ends {
+            SimEvent::CallEnds {
                 gateway,
-                life,
+                incarnation,
                 request,
                 attempt,
                 engine,
@@ -472,28 +516,40 @@
         );
     }
 
-    fn ended(&mut self, gateway: usize, request: RequestId, attempt: usize, engine: EngineId) {
-        let Some(asked) = self.gateways[gateway].requests.get_mut(&request) else {
+    fn on_call_end(
+        &mut self,
+        gateway: usize,
+        request: RequestId,
+        attempt: usize,
+        engine: EngineId,
+    ) {
+        let Some(open_request) = self.gateways[gateway].requests.get_mut(&request) else {
             return;
         };
-        if !asked.over && self.now <= asked.due {
-            self.worth.0 += WORTH[asked.class];
+        if !open_request.has_ended && self.now <= open_request.objective_at {
+            self.value.0 += REQUEST_VALUE[open_request.class];
         }
-        asked.over = true;
+        open_request.has_ended = true;
         let _ = engine;
-        self.told_end(gateway, request, attempt, Outcome::Answered);
+        self.report_attempt_end(gateway, request, attempt, Outcome::Answered);
     }
 
-    fn told_end(&mut self, gateway: usize, request: RequestId, attempt: usize, outcome: Outcome) {
-        let Some(asked) = self.gateways[gateway].requests.get(&request) else {
+    fn report_attempt_end(
+        &mut self,
+        gateway: usize,
+        request: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+    ) {
+        let Some(open_request) = self.gateways[gateway].requests.get(&request) else {
             return;
         };
-        let bill = (outcome == Outcome::Answered).then_some(ResourceUsage {
-            work: asked.work,
+        let usage = (outcome == Outcome::Answered).then_some(ResourceUsage {
+            work: open_request.work,
             memory_mb: 50.0,
         });
-        let spent = self.now.saturating_sub(asked.sent_at);
-        let is_request_complete = asked.over;
+        let spent = self.now.saturating_sub(open_request.sent_at);
+        let is_request_complete = open_request.has_ended;
         let ended = AttemptEnded {
             request,
             attempt,
@@ -501,41 +557,43 @@
             spent,
             is_request_complete,
             is_already_reported: false,
-            usage: bill,
+            usage,
             report: None,
         };
-        self.tell(gateway, Event::AttemptEnded(ended));
+        self.handle(gateway, Event::AttemptEnded(ended));
     }
 
-    fn sum(&self) -> Sum {
+    fn result(&self) -> SeedResult {
         let mean = self.work.0 / self.work.1.max(1.0);
-        let served = self.worth.0 / self.worth.1.max(1.0);
-        let mut sum = Sum {
-            served,
+        let served_share = self.value.0 / self.value.1.max(1.0);
+        let mut result = SeedResult {
+            served_share,
             decisions: self.decisions.finish(),
-            ..Sum::default()
+            ..SeedResult::default()
         };
         for engine in &self.engines[..self.cold] {
-            sum.calls += engine.calls.len();
+            result.calls += engine.calls.len();
             let (mut from, mut work) = (0, 0.0);
-            for &(at, own) in &engine.calls {
-                work += own;
-                while engine.calls[from].0 + self.set.overload_window <= at {
+            for &(at, call_work) in &engine.calls {
+                work += call_work;
+                while engine.calls[from].0 + self.settings.overload_window <= at {
                     work -= engine.calls[from].1;
                     from += 1;
                 }
-                // What it can do in the window, by how warm it was at the window's start.
-                let start = at.saturating_sub(self.set.overload_window);
-                let able = engine.cores * warmth(&self.set, engine.born, start);
-                let allowed =
-                    self.set.overload_multiple * able * self.set.overload_window as f64 / mean;
+                // The limit follows from the engine's capacity at the start of the window.
+                let start = at.saturating_sub(self.settings.overload_window);
+                let capacity = engine.cores * warmth(&self.settings, engine.started_at, start);
+                let allowed = self.settings.overload_multiple
+                    * capacity
+                    * self.settings.overload_window as f64
+                    / mean;
                 let sent = work / mean;
-                sum.over_budget = sum.over_budget.max(sent / allowed);
-                sum.over_bound = sum
-                    .over_bound
+                result.load_over_budget = result.load_over_budget.max(sent / allowed);
+                result.load_over_bound = result
+                    .load_over_bound
                     .max(sent / (allowed + 2.0 * allowed.sqrt() + 2.0));
             }
         }
-        sum
+        result
     }
 }
--- a/crates/fleet-test/src/cold_sum/settings.rs
+++ b/crates/fleet-test/src/cold_sum/settings.rs
@@ -1,13 +1,13 @@
-//! Settings of a drawn fleet.
+//! Settings of the simulated fleet, drawn from the seed.
 
 use super::*;
 use crate::classes::safe_class;
 
-pub(super) fn settings(rng: &mut StdRng, gateways: usize, cores: f64) -> Settings {
+pub(super) fn draw_settings(rng: &mut StdRng, gateways: usize, cores: f64) -> Settings {
     Settings {
         classes: vec![
-            safe_class(800_000, THREADS[0]),
-            safe_class(3 * S, THREADS[1]),
+            safe_class(800_000, REQUEST_THREADS[0]),
+            safe_class(3 * S, REQUEST_THREADS[1]),
         ],
         tenants: Vec::new(),
         kinds: vec![MachineKind {
@@ -41,9 +41,12 @@
     }
 }
 
-/// The part of its capacity that an engine has by now.
-pub(super) fn warmth(set: &Settings, born: Option<Micros>, now: Micros) -> f64 {
-    let Some(born) = born else { return 1.0 };
-    let age = now.saturating_sub(born) as f64 / set.warm_up_duration as f64;
-    set.start_capacity + (1.0 - set.start_capacity) * age.min(1.0)
+/// Fraction of its full capacity that an engine has at `now`; an engine without a start time is
+/// warm.
+pub(super) fn warmth(settings: &Settings, started_at: Option<Micros>, now: Micros) -> f64 {
+    let Some(started_at) = started_at else {
+        return 1.0;
+    };
+    let age = now.saturating_sub(started_at) as f64 / settings.warm_up_duration as f64;
+    settings.start_capacity + (1.0 - settings.start_capacity) * age.min(1.0)
 }
