--- a/crates/fleet-test/src/bin/simulate.rs
+++ b/crates/fleet-test/src/bin/simulate.rs
@@ -1,4 +1,4 @@
-//! Plays the simulated fleet over many seeds, on all cores.
+//! Runs the simulated fleet with many seeds, on all cores.
 
 use std::process::ExitCode;
 
@@ -8,120 +8,135 @@
 
 #[derive(Parser)]
 #[command(
-    about = "A simulated fleet with the cores that ship, over many seeds; figures of simulated servers"
+    about = "Simulates a fleet with the production protocol code, over many seeds; figures are of simulated servers"
 )]
 struct Arguments {
+    /// Number of gateways, voters included.
     #[arg(long, default_value_t = 300)]
     gateways: usize,
+    /// Number of voters.
     #[arg(long, default_value_t = 5)]
     keepers: usize,
-    /// Keyed requests a seed.
+    /// Keyed requests per seed.
     #[arg(long, default_value_t = 200)]
     requests: usize,
-    /// Faults a seed: kills, wipes, pauses, cuts.
+    /// Faults per seed: kills, lost stores, pauses, cut links.
     #[arg(long, default_value_t = 60)]
     faults: usize,
+    /// Number of seeds, counted from 0.
     #[arg(long, default_value_t = 1000)]
     seeds: u64,
-    /// Plays tasks and their owners instead: so many tasks, of which a third of the gateways goes
-    /// half way.
+    /// Simulates task ownership instead, with this number of tasks. A third of the gateways that
+    /// aren't voters is lost half way.
     #[arg(long)]
     tasks: Option<u32>,
-    /// Tells what led to the first second effect of this seed, and plays no other.
+    /// Runs this seed only, and prints the events that led to the first effect applied twice.
     #[arg(long)]
     story: Option<u64>,
-    /// Takes something out, to show that the checks bite.
+    /// Switches off a part of the protocol, to show that the checks fail without it.
     #[arg(long, value_parser = ["nothing", "claims", "catch-up"], default_value = "nothing")]
     without: String,
 }
 
-/// Seeds over all cores; gives what each part gave.
-fn parts<T: Send + 'static>(
+/// Divides the seeds over all cores and returns the result of each part.
+fn run_in_parallel<T: Send + 'static>(
     seeds: u64,
     play: impl Fn(std::ops::Range<u64>) -> T + Copy + Send + 'static,
 ) -> Vec<T> {
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get() as u64);
-    let each = seeds.div_ceil(threads);
-    let parts: Vec<_> = (0..threads)
-        .map(|at| (at * each).min(seeds)..((at + 1) * each).min(seeds))
+    let seeds_per_thread = seeds.div_ceil(threads);
+    let workers: Vec<_> = (0..threads)
+        .map(|at| (at * seeds_per_thread).min(seeds)..((at + 1) * seeds_per_thread).min(seeds))
         .map(|seeds| std::thread::spawn(move || play(seeds)))
         .collect();
-    // One that panicked says nothing of its seeds: neither does the whole.
-    parts
+    // A part that panicked has no result for its seeds, so the whole run panics too.
+    workers
         .into_iter()
-        .map(|part| {
-            part.join()
+        .map(|worker| {
+            worker
+                .join()
                 .unwrap_or_else(|panic| std::panic::resume_unwind(panic))
         })
         .collect()
 }
 
-fn owners(own: &Arguments, tasks: u32) -> ExitCode {
-    let (gateways, keepers, faults) = (own.gateways, own.keepers, own.faults);
+fn simulate_owners(arguments: &Arguments, tasks: u32) -> ExitCode {
+    let (gateways, keepers, faults) = (arguments.gateways, arguments.keepers, arguments.faults);
     let size = owned::Size {
         gateways,
-        keepers,
+        voters: keepers,
         tasks,
         faults,
-        goes: 3,
+        lost_one_in: 3,
     };
-    let (mut sum, mut broken) = (owned::Figures::default(), Vec::new());
-    for (figures, seeds) in parts(own.seeds, move |seeds| owned::play(size, seeds)) {
+    let (mut sum, mut broken_seeds) = (owned::Figures::default(), Vec::new());
+    for (figures, seeds) in run_in_parallel(arguments.seeds, move |seeds| owned::play(size, seeds))
+    {
         sum.add(&figures);
-        broken.extend(seeds);
+        broken_seeds.extend(seeds);
     }
     println!("{sum:?}");
-    let word = if broken.is_empty() { "kept" } else { "broken" };
+    let verdict = if broken_seeds.is_empty() {
+        "kept"
+    } else {
+        "broken"
+    };
     println!(
-        "verdict={word} seeds={} gateways={gateways} stale_applied={} two_owners={} fenced={} {broken:?}",
-        own.seeds, sum.stale_applied, sum.two_owners, sum.fenced
+        "verdict={verdict} seeds={} gateways={gateways} stale_applied={} two_owners={} fenced={} {broken_seeds:?}",
+        arguments.seeds, sum.stale_applied, sum.two_owners, sum.fenced
     );
-    ExitCode::from(u8::from(!broken.is_empty()))
+    ExitCode::from(u8::from(!broken_seeds.is_empty()))
 }
 
 fn main() -> ExitCode {
-    let own = Arguments::parse();
+    let arguments = Arguments::parse();
     let size = Size {
-        gateways: own.gateways,
-        keepers: own.keepers,
-        requests: own.requests,
-        faults: own.faults,
+        gateways: arguments.gateways,
+        keepers: arguments.keepers,
+        requests: arguments.requests,
+        faults: arguments.faults,
     };
-    let without = match own.without.as_str() {
+    let without = match arguments.without.as_str() {
         "claims" => Without::Claims,
         "catch-up" => Without::CatchUp,
         _ => Without::Nothing,
     };
-    if let Some(tasks) = own.tasks {
-        return owners(&own, tasks);
+    if let Some(tasks) = arguments.tasks {
+        return simulate_owners(&arguments, tasks);
     }
-    if let Some(seed) = own.story {
+    if let Some(seed) = arguments.story {
         for line in Fleet::story_of(size, seed, without).iter() {
             println!("{line}");
         }
         return ExitCode::SUCCESS;
     }
-    let (mut sum, mut broken) = (Figures::default(), Vec::new());
-    for (figures, seeds) in parts(own.seeds, move |seeds| play(size, seeds, without)) {
+    let (mut sum, mut broken_seeds) = (Figures::default(), Vec::new());
+    for (figures, seeds) in
+        run_in_parallel(arguments.seeds, move |seeds| play(size, seeds, without))
+    {
         sum.add(&figures);
-        broken.extend(seeds);
+        broken_seeds.extend(seeds);
     }
-    let each = |total: u64| total as f64 / sum.requests.max(1) as f64;
+    let per_request = |total: u64| total as f64 / sum.requests.max(1) as f64;
     println!("{sum:?}");
     println!(
         "a keyed request: {:.1} messages, {:.0} bytes",
-        each(sum.messages),
-        each(sum.bytes)
+        per_request(sum.messages),
+        per_request(sum.bytes)
     );
     println!(
         "seeds that break a rule: {} {:?}",
-        broken.len(),
-        &broken[..broken.len().min(10)]
+        broken_seeds.len(),
+        &broken_seeds[..broken_seeds.len().min(10)]
     );
-    let word = if broken.is_empty() { "kept" } else { "broken" };
+    let verdict = if broken_seeds.is_empty() {
+        "kept"
+    } else {
+        "broken"
+    };
     println!(
-        "verdict={word} seeds={} gateways={} effects_twice={} unanswered={} differ={}",
-        own.seeds, own.gateways, sum.effects_twice, sum.unanswered, sum.differ
+        "verdict={verdict} seeds={} gateways={} effects_twice={} unanswered={} differ={}",
+        arguments.seeds, arguments.gateways, sum.effects_twice, sum.unanswered, sum.differ
     );
-    ExitCode::from(u8::from(!broken.is_empty()))
+    ExitCode::from(u8::from(!broken_seeds.is_empty()))
 }
--- a/crates/fleet-test/src/owned/figures.rs
+++ b/crates/fleet-test/src/owned/figures.rs
@@ -1,51 +1,51 @@
-//! What a simulated fleet with tasks counted.
+//! Figures of a simulated fleet with tasks.
 
-/// What was counted.
+/// Counts and times of one seed, or of several together. Field names are printed by `simulate`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// Times an owner worked.
+    /// Units of work that owners submitted.
     pub worked: u64,
-    /// Work that counted, at each fence.
+    /// Units of work applied, counted at each voter.
     pub applied: u64,
-    /// Work that fences turned away.
+    /// Units of work rejected because of an outdated fencing token.
     pub fenced: u64,
-    /// Work that counted at a fence after that of a greater token.
+    /// Units of work applied at a voter after work with a greater token; must be 0.
     pub stale_applied: u64,
-    /// Terms that had two owners at one fence.
+    /// Terms in which one voter applied work of two owners; must be 0.
     pub two_owners: u64,
-    /// Messages of all gateways.
+    /// Messages sent by all gateways.
     pub messages: u64,
-    /// Until all tasks had an owner, from the beginning and from when some went, in milliseconds.
+    /// Milliseconds from the start until all tasks had an owner; 0 if that didn't happen.
     pub owned_after_ms: u64,
-    /// The same from when some went.
+    /// Milliseconds from the loss of gateways until all tasks had an owner again; 0 if that didn't
+    /// happen.
     pub again_after_ms: u64,
-    /// Tasks whose owner went, those of them that needed more than one vote for another owner, and
-    /// those that had none after [`super::NEW_OWNER_WITHIN`].
+    /// Tasks whose owner was lost.
     pub tasks_lost: u64,
-    /// Until work on the last of them counted again, and below the longest of each of its parts:
-    /// until the later owner asked for votes, until it had them, and until its work counted; in
-    /// milliseconds.
+    /// Milliseconds from the loss until work was applied again for the last of these tasks. The next
+    /// three fields are the maxima of its three phases over all tasks.
     pub lost_for_ms: u64,
-    /// The first part.
+    /// First phase: milliseconds from the loss until the new owner asked for votes.
     pub noticed_ms: u64,
-    /// The second.
+    /// Second phase: milliseconds from its request until it had a majority.
     pub vote_ms: u64,
-    /// The third.
+    /// Third phase: milliseconds from the majority until its first work was applied.
     pub first_work_ms: u64,
-    /// Owners that lost their lease though they ran and nothing was cut.
+    /// Leases that owners lost while they ran.
     pub lapsed: u64,
-    /// Lost tasks that needed more than one vote for another owner.
+    /// Lost tasks that needed more than one vote to get a new owner.
     pub voted_again: u64,
-    /// Those on which no work counted within [`super::NEW_OWNER_WITHIN`].
+    /// Lost tasks for which no work was applied within [`super::NEW_OWNER_WITHIN`].
     pub owned_late: u64,
-    /// Tasks that changed hands since, beyond those whose owner went, in percent of all.
+    /// Tasks that changed owner after the loss although their owner still ran, in percent of all.
     pub moved_percent: u64,
-    /// Tasks of the gateway that owns most.
+    /// Number of tasks of the gateway that owns most.
     pub most_owned: u64,
 }
 
 impl Figures {
-    /// Adds what another seed counted.
+    /// Adds the figures of another seed: counts are summed; for times, `moved_percent` and
+    /// `most_owned` the maximum is kept.
     pub fn add(&mut self, other: &Figures) {
         self.worked += other.worked;
         self.applied += other.applied;
--- a/crates/fleet-test/src/owned/handover.rs
+++ b/crates/fleet-test/src/owned/handover.rs
@@ -1,4 +1,5 @@
-//! How tasks whose owner went come to another one: noticed, voted for, and worked on again.
+//! Measures how lost tasks get a new owner, in three phases: a gateway notices the loss and asks
+//! for votes, gets a majority, and its first work is applied.
 
 use std::collections::BTreeMap;
 
@@ -6,66 +7,74 @@
 
 use super::{Figures, Micros, FIRST_VOTE_BY, MS, NEW_OWNER_WITHIN};
 
-/// A task whose owner went.
+/// A task whose owner was lost.
 #[derive(Default)]
-struct Lost {
-    /// When each gateway last asked for votes.
-    asked: BTreeMap<usize, Micros>,
-    /// When the one that won had asked, and when it won.
-    won: Option<(Micros, Micros)>,
+struct LostTask {
+    /// When each gateway last asked for votes, by gateway.
+    vote_requested_at: BTreeMap<usize, Micros>,
+    /// When the new owner asked for votes, and when it had a majority.
+    acquired: Option<(Micros, Micros)>,
 }
 
-/// All tasks whose owner went and on which nobody works again yet.
+/// Lost tasks for which no work of a new owner has been applied yet.
 #[derive(Default)]
 pub struct Handovers {
-    began: Micros,
-    lost: BTreeMap<Task, Lost>,
+    lost_at: Micros,
+    lost: BTreeMap<Task, LostTask>,
 }
 
 impl Handovers {
-    /// The owners of these tasks have gone now.
+    /// Starts the measurement for `tasks`, whose owners are lost at `now`.
     pub fn begin(now: Micros, tasks: impl Iterator<Item = Task>, figures: &mut Figures) -> Self {
-        let lost: BTreeMap<Task, Lost> = tasks.map(|task| (task, Lost::default())).collect();
-        figures.tasks_lost = lost.len() as u64;
-        Handovers { began: now, lost }
+        let lost_tasks: BTreeMap<Task, LostTask> =
+            tasks.map(|task| (task, LostTask::default())).collect();
+        figures.tasks_lost = lost_tasks.len() as u64;
+        Handovers {
+            lost_at: now,
+            lost: lost_tasks,
+        }
     }
 
-    /// A gateway asks for votes.
-    pub fn asks(&mut self, now: Micros, task: Task, gateway: usize) {
+    /// Records that a gateway asked for votes.
+    pub fn record_vote_request(&mut self, now: Micros, task: Task, gateway: usize) {
         if let Some(lost) = self.lost.get_mut(&task) {
-            lost.asked.insert(gateway, now);
+            lost.vote_requested_at.insert(gateway, now);
         }
     }
 
-    /// A gateway has a majority.
-    pub fn won(&mut self, now: Micros, task: Task, gateway: usize) {
+    /// Records that a gateway acquired the lease with a majority.
+    pub fn record_acquired(&mut self, now: Micros, task: Task, gateway: usize) {
         if let Some(lost) = self.lost.get_mut(&task) {
-            lost.won = lost.asked.get(&gateway).map(|asked| (*asked, now));
+            lost.acquired = lost
+                .vote_requested_at
+                .get(&gateway)
+                .map(|requested_at| (*requested_at, now));
         }
     }
 
-    /// Work counts at a fence: the first after a new owner ends the hand-over.
-    pub fn applied(&mut self, now: Micros, task: Task, figures: &mut Figures) {
-        let Some((asked, won)) = self.lost.get(&task).and_then(|lost| lost.won) else {
+    /// Records that a voter applied work. The first work of a new owner ends the task's hand-over.
+    pub fn record_applied(&mut self, now: Micros, task: Task, figures: &mut Figures) {
+        let Some((requested_at, acquired_at)) = self.lost.get(&task).and_then(|lost| lost.acquired)
+        else {
             return;
         };
         self.lost.remove(&task);
-        let most = |figure: &mut u64, time: Micros| *figure = (*figure).max(time / MS);
-        most(&mut figures.noticed_ms, asked - self.began);
-        most(&mut figures.vote_ms, won - asked);
-        most(&mut figures.first_work_ms, now - won);
-        most(&mut figures.lost_for_ms, now - self.began);
-        figures.voted_again += u64::from(won - self.began > FIRST_VOTE_BY);
-        figures.owned_late += u64::from(now - self.began > NEW_OWNER_WITHIN);
+        let keep_max = |figure: &mut u64, time: Micros| *figure = (*figure).max(time / MS);
+        keep_max(&mut figures.noticed_ms, requested_at - self.lost_at);
+        keep_max(&mut figures.vote_ms, acquired_at - requested_at);
+        keep_max(&mut figures.first_work_ms, now - acquired_at);
+        keep_max(&mut figures.lost_for_ms, now - self.lost_at);
+        figures.voted_again += u64::from(acquired_at - self.lost_at > FIRST_VOTE_BY);
+        figures.owned_late += u64::from(now - self.lost_at > NEW_OWNER_WITHIN);
     }
 
-    /// Nothing more comes: what is still lost is late.
-    pub fn end(&self, now: Micros, figures: &mut Figures) {
-        let never = self.lost.len() as u64;
-        figures.voted_again += never;
-        figures.owned_late += never;
-        if never > 0 {
-            figures.lost_for_ms = (now - self.began) / MS;
+    /// Ends the measurement: counts the tasks that are still lost as late.
+    pub fn finish(&self, now: Micros, figures: &mut Figures) {
+        let unowned = self.lost.len() as u64;
+        figures.voted_again += unowned;
+        figures.owned_late += unowned;
+        if unowned > 0 {
+            figures.lost_for_ms = (now - self.lost_at) / MS;
         }
     }
 }
--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -155,21 +155,23 @@
     let figures = owned::Fleet::new(
         owned::Size {
             gateways,
-            keepers,
+            voters: keepers,
             tasks,
             faults: 0,
-            goes,
+            lost_one_in: goes,
         },
         seed,
     )
     .run();
     Leases {
-        messages_a_second: figures.messages as f64 / (owned::LASTS as f64 / 1e6),
+        messages_a_second: figures.messages as f64 / (owned::DURATION as f64 / 1e6),
         lost_for_ms: figures.lost_for_ms,
         noticed_ms: figures.noticed_ms,
         vote_ms: figures.vote_ms,
         first_work_ms: figures.first_work_ms,
-        lapsed_rate: figures.lapsed as f64 * 100.0 / f64::from(tasks) / (owned::LASTS as f64 / 1e6),
+        lapsed_rate: figures.lapsed as f64 * 100.0
+            / f64::from(tasks)
+            / (owned::DURATION as f64 / 1e6),
         voted_again_share: figures.voted_again as f64 / figures.tasks_lost.max(1) as f64,
         owned_late: figures.owned_late,
         stale_applied: figures.stale_applied,
--- a/crates/fleet-test/tests/voters.rs
+++ b/crates/fleet-test/tests/voters.rs
@@ -1,14 +1,16 @@
-//! Groups of gateways that vote together.
+//! Voter groups, as the gateways' configurations name them.
 
 use eideryard_emulators::scenario::Scenario;
 use eideryard_fleet_test::voters::{groups, VoterGroup};
 
+/// Replicas are compared within a voter group. Guards against a comparison across gateways whose
+/// files name different voters: these share no entries.
 #[test]
-fn keepers_are_grouped_by_the_keepers_that_their_files_name() {
-    let gateway = |name: &str, keepers: &[&str]| {
-        let lines: String = keepers
+fn voters_are_grouped_by_the_voters_that_their_files_name() {
+    let gateway = |name: &str, voters: &[&str]| {
+        let lines: String = voters
             .iter()
-            .map(|own| format!("operator \"keeper {own} {{peer {own}}}\"\n"))
+            .map(|voter| format!("operator \"keeper {voter} {{peer {voter}}}\"\n"))
             .collect();
         format!("gateway {name} {{\n{lines}}}\n")
     };
@@ -18,7 +20,7 @@
         + &gateway("g4", &["g1", "g2", "g4"])
         + &gateway("g5", &["g1", "g2", "g3"])
         + &gateway("g6", &[]);
-    let scenario = Scenario::read("groups", &text).expect("it can be read");
+    let scenario = Scenario::read("groups", &text).expect("the scenario must be readable");
     let groups = groups(&scenario.gateways);
     let members: Vec<Vec<&str>> = groups
         .iter()
@@ -27,7 +29,7 @@
     assert_eq!(
         members,
         [vec!["g1", "g2", "g3"], vec!["g4"]],
-        "g5 only asks, g6 knows no fleet"
+        "g5 isn't one of the voters that it names, g6 names none"
     );
     assert_eq!(
         groups
