--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -32,7 +32,7 @@
     let outcome = Run::new(&sizes, Some(program), &mut |_, _, _, _| ())
         .play()
         .expect("processes start and end");
-    assert_eq!(outcome.broken, []);
+    assert_eq!(outcome.violations, []);
     let count = |name, axis| {
         outcome
             .collected
--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -125,11 +125,11 @@
         println!("drawn: {}", drawn.join(", "));
     }
     outcome
-        .broken
+        .violations
         .iter()
-        .for_each(|broken| println!("broken: {}: {}", broken.rule, broken.what));
+        .for_each(|violation| println!("broken: {}: {}", violation.rule, violation.what));
     println!("{}", report::verdict(&outcome, sizes.seed));
-    Ok(outcome.broken.is_empty())
+    Ok(outcome.violations.is_empty())
 }
 
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
--- a/crates/fleet-test/src/scale/checks.rs
+++ b/crates/fleet-test/src/scale/checks.rs
@@ -5,7 +5,7 @@
 use super::control::Reloads;
 use super::measure::{Axis, Series};
 use super::processes::Ended;
-use super::run::{Broken, Outcome};
+use super::run::{Outcome, Violation};
 use super::together;
 
 /// Growth of a count that has to stay flat, over a whole sweep, as a part of its least value.
@@ -21,8 +21,8 @@
 ];
 
 impl Outcome {
-    pub(super) fn broken(&mut self, rule: &'static str, what: String) {
-        self.broken.push(Broken { rule, what });
+    pub(super) fn add_violation(&mut self, rule: &'static str, what: String) {
+        self.violations.push(Violation { rule, what });
     }
 }
 
@@ -31,14 +31,14 @@
     outcome.requests += answers.asked;
     outcome.unanswered += answers.lost;
     if answers.refused > 0 {
-        outcome.broken("served", format!("{answers:?}"));
+        outcome.add_violation("served", format!("{answers:?}"));
     }
 }
 
 /// Processes end when they are told to, and each has counted what all of them were sent.
 pub fn ended(outcome: &mut Outcome, ended: &Ended, wanted: &[(&str, u64)]) {
     for name in &ended.crashed {
-        outcome.broken(
+        outcome.add_violation(
             "no crash",
             format!("gateway {name} ended by itself or had to be killed"),
         );
@@ -46,7 +46,7 @@
     for (name, wanted) in wanted {
         let counted = ended.counted(name);
         if counted.iter().any(|own| *own != Some(*wanted)) {
-            outcome.broken(
+            outcome.add_violation(
                 "list and settings in force",
                 format!("{name}: {counted:?}, {wanted} wanted"),
             );
@@ -58,7 +58,7 @@
 pub fn reloads(outcome: &mut Outcome, reloads: &Reloads) {
     if reloads.missed > 0 {
         let count = reloads.missed + reloads.in_force_after.len();
-        outcome.broken(
+        outcome.add_violation(
             "in force in time",
             format!("{} of {count} changes were not", reloads.missed),
         );
@@ -75,7 +75,7 @@
         let (events, wrong) = (counted.list_events, counted.wrong_lists);
         let what =
             format!("{events} of {list_events} x {gateways} events, {wrong} lists are wrong");
-        outcome.broken("one list", what);
+        outcome.add_violation("one list", what);
     }
 }
 
@@ -84,12 +84,12 @@
     for (name, axis) in FLAT {
         let grown = outcome.collected.find(name, axis).and_then(grown);
         for what in grown.into_iter() {
-            outcome.broken("flat", what);
+            outcome.add_violation("flat", what);
         }
     }
     let (requests, unanswered) = (outcome.requests, outcome.unanswered);
     if unanswered > 0 || requests == 0 {
-        outcome.broken(
+        outcome.add_violation(
             "one final answer",
             format!("{unanswered} of {requests} requests had none"),
         );
--- a/crates/fleet-test/src/scale/report.rs
+++ b/crates/fleet-test/src/scale/report.rs
@@ -154,7 +154,7 @@
 
 /// The last line: the verdict, and figures as `name=value`.
 pub fn verdict(outcome: &Outcome, seed: u64) -> String {
-    let word = if outcome.broken.is_empty() {
+    let word = if outcome.violations.is_empty() {
         "kept"
     } else {
         "broken"
--- a/crates/fleet-test/src/scale/run.rs
+++ b/crates/fleet-test/src/scale/run.rs
@@ -14,7 +14,7 @@
 
 /// Something that was counted and must not be.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Broken {
+pub struct Violation {
     /// The rule.
     pub rule: &'static str,
     /// What was counted.
@@ -41,7 +41,7 @@
     /// Predictions, each made before its point was measured.
     pub predictions: Vec<Predicted>,
     /// What must not be.
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     /// Requests of all gateways.
     pub requests: u64,
     /// Those without an end.
--- a/crates/fleet-test/src/scale/shared_sweeps.rs
+++ b/crates/fleet-test/src/scale/shared_sweeps.rs
@@ -95,7 +95,7 @@
                 self.add(figure, axis, place, value);
             }
             if transfer.entries != place.0 as u64 {
-                self.outcome.broken(
+                self.outcome.add_violation(
                     "replicas agree",
                     format!("{transfer:?} of {} entries", place.0),
                 );
@@ -213,7 +213,7 @@
             }
             if leases.stale_applied + leases.two_owners > 0 {
                 self.outcome
-                    .broken("one owner", format!("{leases:?} with {gateways} gateways"));
+                    .add_violation("one owner", format!("{leases:?} with {gateways} gateways"));
             }
         }
         Ok(())
@@ -262,7 +262,7 @@
                 self.add(figure, axis, place, value);
             }
             if claims.effects_twice + claims.differ + claims.unanswered > 0 {
-                self.outcome.broken(
+                self.outcome.add_violation(
                     "replicas agree",
                     format!("{claims:?} with {gateways} gateways"),
                 );
--- a/crates/fleet-test/tests/scale.rs
+++ b/crates/fleet-test/tests/scale.rs
@@ -265,7 +265,7 @@
     let outcome = Run::new(&sizes, None, &mut predicted)
         .play()
         .expect("hollow gateways need no machine");
-    assert_eq!(outcome.broken, [], "{}", report::table(&outcome));
+    assert_eq!(outcome.violations, [], "{}", report::table(&outcome));
     assert!(outcome.requests > 1_000 && outcome.unanswered == 0);
     assert_eq!(
         outcome.predictions.len(),
@@ -350,10 +350,10 @@
         let mut outcome = Outcome::default();
         checks::beside(&mut outcome, &counted, 3);
         assert_eq!(
-            outcome.broken.len(),
+            outcome.violations.len(),
             usize::from(published < 3),
             "{:?}",
-            outcome.broken
+            outcome.violations
         );
     }
 }
@@ -436,10 +436,10 @@
         check(&mut outcome);
         checks::counts(&mut outcome);
         assert_eq!(
-            outcome.broken.len(),
+            outcome.violations.len(),
             broken,
             "case {number}: {:?}",
-            outcome.broken
+            outcome.violations
         );
     }
 }
