--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -99,7 +99,8 @@
 }
 
 fn scale(sizes: &Sizes) -> Result<bool, String> {
-    let machine = Machine::own().map_err(|e| format!("the machine's limits can't be read: {e}"))?;
+    let machine =
+        Machine::read_limits().map_err(|e| format!("the machine's limits can't be read: {e}"))?;
     sizes.check(machine).map_err(|e| e.to_string())?;
     let program = match &sizes.program {
         _ if sizes.real == 0 => None,
--- a/crates/fleet-test/src/scale/clients.rs
+++ b/crates/fleet-test/src/scale/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of real gateways: each asks at a rate and waits for every answer.
+//! Clients of real gateways: each sends requests at a rate and waits for every answer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,66 +10,67 @@
 use eideryard_emulators::scripted::{Answer, Client};
 
 const QUERY: &[u8] = b"SELECT * FROM sales_17.orders";
-/// Clients that ask one gateway: an answer takes some milliseconds, and each client waits for it.
+/// Number of clients of one gateway. An answer takes some milliseconds, for which a client waits.
 pub const CLIENTS_A_GATEWAY: usize = 5;
-/// Requests of one client are numbered in so many bits below the client's own number, so that no
-/// two requests of a run have one name or key.
+/// Bits of a request number that count the requests of one client; the client's number is above
+/// them. No two requests of a run have the same id or key.
 const REQUEST_BITS: u32 = 32;
 static NEXT_CLIENT: AtomicU64 = AtomicU64::new(1);
 
-/// What requests ask for.
+/// Kind of the requests that a client sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asks {
+pub enum RequestKind {
     /// A report, which may be repeated.
     Safe,
-    /// A booking with a key of its own.
+    /// A booking, each with its own idempotency key.
     Keyed,
 }
 
-impl Asks {
+impl RequestKind {
     fn class(self) -> &'static str {
         match self {
-            Asks::Safe => "report",
-            Asks::Keyed => "booking",
+            RequestKind::Safe => "report",
+            RequestKind::Keyed => "booking",
         }
     }
 }
 
-/// One client that asks at a rate and waits for each answer.
+/// One client that sends requests at a rate and waits for each answer.
 pub struct Driver {
     client: Client,
-    asks: Asks,
-    next: u64,
-    /// What it was answered so far.
+    kind: RequestKind,
+    next_number: u64,
+    /// Answers received so far, counted by kind.
     pub answers: Answers,
 }
 
 impl Driver {
-    /// Connects the clients of one gateway.
-    pub fn connect(address: SocketAddr, asks: Asks) -> io::Result<Vec<Self>> {
-        let one = |_| {
-            let next = NEXT_CLIENT.fetch_add(1, Ordering::Relaxed) << REQUEST_BITS;
+    /// Connects [`CLIENTS_A_GATEWAY`] clients to one gateway.
+    pub fn connect(address: SocketAddr, kind: RequestKind) -> io::Result<Vec<Self>> {
+        let connect = |_| {
+            let next_number = NEXT_CLIENT.fetch_add(1, Ordering::Relaxed) << REQUEST_BITS;
             Ok(Driver {
                 client: Client::connect(address)?,
-                asks,
-                next,
+                kind,
+                next_number,
                 answers: Answers::default(),
             })
         };
-        (0..CLIENTS_A_GATEWAY).map(one).collect()
+        (0..CLIENTS_A_GATEWAY).map(connect).collect()
     }
 
-    /// Each client asks so often, all of a gateway together at the rate.
+    /// Lets each client send `count` requests, all clients of a gateway together at `rate` requests
+    /// per second.
     pub fn drive(drivers: Vec<Driver>, count: usize, rate: f64) -> io::Result<Vec<Driver>> {
-        let own_rate = rate / CLIENTS_A_GATEWAY as f64;
-        let start = |driver: Driver| std::thread::spawn(move || driver.run(count, own_rate));
+        let client_rate = rate / CLIENTS_A_GATEWAY as f64;
+        let start = |driver: Driver| std::thread::spawn(move || driver.run(count, client_rate));
         let threads: Vec<JoinHandle<Driver>> = drivers.into_iter().map(start).collect();
-        let ended = |thread: JoinHandle<Driver>| {
+        let join = |thread: JoinHandle<Driver>| {
             thread
                 .join()
                 .map_err(|_| io::Error::other("a client panicked"))
         };
-        threads.into_iter().map(ended).collect()
+        threads.into_iter().map(join).collect()
     }
 
     fn run(mut self, count: usize, rate: f64) -> Self {
@@ -78,7 +79,7 @@
             at += Duration::from_secs_f64(1.0 / rate);
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             self.answers.asked += 1;
-            match self.ask() {
+            match self.send_request() {
                 Ok(Answer::Result { .. } | Answer::Part { .. }) => self.answers.served += 1,
                 Ok(_) => self.answers.refused += 1,
                 Err(_) => self.answers.lost += 1,
@@ -87,10 +88,10 @@
         self
     }
 
-    fn ask(&mut self) -> io::Result<Answer> {
-        self.next += 1;
-        let id = format!("{:016x}", self.next);
-        let key = format!("{:032x}", self.next);
+    fn send_request(&mut self) -> io::Result<Answer> {
+        self.next_number += 1;
+        let id = format!("{:016x}", self.next_number);
+        let key = format!("{:032x}", self.next_number);
         let mut fields = vec![
             ("i", id.as_str()),
             ("d", "4000"),
@@ -98,12 +99,12 @@
             ("h", "1.0"),
             ("ram", "1"),
         ];
-        if self.asks == Asks::Keyed {
+        if self.kind == RequestKind::Keyed {
             fields.push(("k", key.as_str()));
         }
         self.client.call(
-            self.next & u64::from(u32::MAX),
-            self.asks.class(),
+            self.next_number & u64::from(u32::MAX),
+            self.kind.class(),
             &fields,
             QUERY,
         )?;
--- a/crates/fleet-test/src/scale/control.rs
+++ b/crates/fleet-test/src/scale/control.rs
@@ -1,4 +1,4 @@
-//! What real gateways take beside requests: idle, list events, and changes of their configuration.
+//! Cost of real gateways apart from requests: idle time, list events, and configuration changes.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -10,71 +10,77 @@
 use super::discovery_server::DiscoveryServer;
 use super::processes::Fleet;
 
-/// How long a list event may take to be handled, before processor time is read.
-const SETTLES: Duration = Duration::from_millis(150);
-/// A change of configuration has to be in force everywhere within this.
+/// Wait after list events, until gateways have handled them and processor time is read.
+const SETTLE_TIME: Duration = Duration::from_millis(150);
+/// Time within which all gateways must have applied a configuration change.
 pub const IN_FORCE_WITHIN: Duration = Duration::from_secs(13);
-const LOOKS_EVERY: Duration = Duration::from_micros(500);
+const POLL_INTERVAL: Duration = Duration::from_micros(500);
 
-/// What one gateway took while nothing was asked, and for list events.
+/// Cost of one gateway without requests: its start, its idle time and list events. Times are
+/// processor time in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Control {
-    /// Part of a core without any request.
+pub struct ControlCost {
+    /// Fraction of one core (0 to 1) that the idle process takes.
     pub idle_share: f64,
-    /// Processor time for a change of one engine.
-    pub micros_a_change: f64,
-    /// Processor time for a whole list.
-    pub micros_a_whole_list: f64,
-    /// Processor time for one event that takes a zone's engines away.
-    pub micros_for_a_zone_gone: f64,
-    /// Processor time for one that brings them back.
-    pub micros_for_a_zone_back: f64,
-    /// Processor time from the start of the process until it listened.
+    /// Time per list event that changes one engine.
+    pub micros_per_change: f64,
+    /// Time for an event with the whole list.
+    pub micros_per_whole_list: f64,
+    /// Time for an event that removes the engines of one zone.
+    pub micros_per_zone_removed: f64,
+    /// Time for an event that adds them again.
+    pub micros_per_zone_added: f64,
+    /// Time from the start of the process until it listened.
     pub micros_to_start: f64,
 }
 
-/// What changes of the configuration took.
+/// Cost of configuration changes.
 #[derive(Clone, Debug, Default)]
 pub struct Reloads {
-    /// Processor time of each gateway for a change, its new watch included.
-    pub micros_a_reload: Vec<f64>,
-    /// Of each change, from the signals until the last gateway watches where the new configuration
-    /// says.
+    /// Processor time of each gateway per change, including its new connection to service discovery,
+    /// in microseconds.
+    pub micros_per_reload: Vec<f64>,
+    /// For each change, the time from the signals until the last gateway was connected to the
+    /// service discovery that the new configuration names.
     pub in_force_after: Vec<Duration>,
-    /// Changes that were not in force everywhere in time.
+    /// Number of changes that some gateway didn't apply in time.
     pub missed: usize,
 }
 
 impl Fleet {
-    /// What the gateways take without requests, for changes of one engine each, and for a whole
-    /// list.
-    pub fn control(&mut self, changes: usize, lasts: Duration) -> io::Result<Vec<Control>> {
-        std::thread::sleep(SETTLES);
+    /// Measures the gateways without requests: while idle, and for list events with `changes`
+    /// changes of one engine each, a zone that disappears and returns, and a whole list.
+    pub fn measure_control(
+        &mut self,
+        changes: usize,
+        duration: Duration,
+    ) -> io::Result<Vec<ControlCost>> {
+        std::thread::sleep(SETTLE_TIME);
         let before = self.processor_times()?;
-        std::thread::sleep(lasts);
+        std::thread::sleep(duration);
         let idle = self.processor_times()?;
         self.change_list(changes);
-        std::thread::sleep(SETTLES);
+        std::thread::sleep(SETTLE_TIME);
         let changed = self.processor_times()?;
-        let gone = self.publish_and_settle(false, &self.zone("removed"))?;
-        let back = self.publish_and_settle(false, &self.zone("up"))?;
+        let removed = self.publish_and_settle(false, &self.zone("removed"))?;
+        let added = self.publish_and_settle(false, &self.zone("up"))?;
         let listed = self.publish_and_settle(true, &self.hosts.clone())?;
         let control = |at: usize| {
-            let idle_share = (idle[at] - before[at]).as_secs_f64() / lasts.as_secs_f64();
-            let own = |spent: Duration| beyond_idle(spent, idle_share, SETTLES);
-            Control {
+            let idle_share = (idle[at] - before[at]).as_secs_f64() / duration.as_secs_f64();
+            let micros = |spent: Duration| beyond_idle(spent, idle_share, SETTLE_TIME);
+            ControlCost {
                 idle_share,
-                micros_a_change: own(changed[at] - idle[at]) / changes.max(1) as f64,
-                micros_a_whole_list: own(listed[at] - back[at]),
-                micros_for_a_zone_gone: own(gone[at] - changed[at]),
-                micros_for_a_zone_back: own(back[at] - gone[at]),
-                micros_to_start: self.nodes[at].started.as_secs_f64() * 1e6,
+                micros_per_change: micros(changed[at] - idle[at]) / changes.max(1) as f64,
+                micros_per_whole_list: micros(listed[at] - added[at]),
+                micros_per_zone_removed: micros(removed[at] - changed[at]),
+                micros_per_zone_added: micros(added[at] - removed[at]),
+                micros_to_start: self.nodes[at].start_cpu_time.as_secs_f64() * 1e6,
             }
         };
         Ok((0..self.nodes.len()).map(control).collect())
     }
 
-    /// The engines of one zone, and what becomes of them.
+    /// The engines of one zone, with `health` as their new state.
     fn zone(&self, health: &str) -> Vec<Value> {
         let of_zone = self.hosts.iter().step_by(decisions::ZONES as usize);
         let changed = |host: &Value| {
@@ -85,14 +91,15 @@
         of_zone.map(changed).collect()
     }
 
-    /// Processor times once all gateways have taken an event of the list.
-    fn publish_and_settle(&mut self, whole: bool, hosts: &[Value]) -> io::Result<Vec<Duration>> {
-        self.discovery.publish(whole, hosts);
-        std::thread::sleep(SETTLES);
+    /// Publishes a list event, waits until the gateways have handled it and returns their processor
+    /// times.
+    fn publish_and_settle(&mut self, is_whole: bool, hosts: &[Value]) -> io::Result<Vec<Duration>> {
+        self.discovery.publish(is_whole, hosts);
+        std::thread::sleep(SETTLE_TIME);
         self.processor_times()
     }
 
-    /// Publishes so many changes, each of one engine that begins or ends a drain.
+    /// Publishes `changes` list events, in each of which one engine starts or stops draining.
     pub fn change_list(&mut self, changes: usize) {
         for change in 0..changes {
             let mut host = self.hosts[change / 2 % self.hosts.len()].clone();
@@ -101,17 +108,17 @@
         }
     }
 
-    /// Changes the configuration of all gateways so often: each time service discovery moves, and
-    /// every gateway has to watch it there within a time.
+    /// Changes the configuration of all gateways `reloads` times. Each time service discovery moves
+    /// to another address, to which every gateway must connect `within` this time.
     pub fn reload(
         &mut self,
         reloads: usize,
-        lasts: Duration,
+        duration: Duration,
         within: Duration,
     ) -> io::Result<Reloads> {
-        std::thread::sleep(SETTLES);
+        std::thread::sleep(SETTLE_TIME);
         let before = self.processor_times()?;
-        std::thread::sleep(lasts);
+        std::thread::sleep(duration);
         let idle = self.processor_times()?;
         let mut other = DiscoveryServer::start()?;
         let mut outcome = Reloads::default();
@@ -125,23 +132,23 @@
             }
             other.close_watches();
         }
-        std::thread::sleep(SETTLES);
+        std::thread::sleep(SETTLE_TIME);
         let (took, after) = (began.elapsed(), self.processor_times()?);
         let micros = |at: usize| {
-            let idle_share = (idle[at] - before[at]).as_secs_f64() / lasts.as_secs_f64();
+            let idle_share = (idle[at] - before[at]).as_secs_f64() / duration.as_secs_f64();
             beyond_idle(after[at] - idle[at], idle_share, took) / reloads.max(1) as f64
         };
-        outcome.micros_a_reload = (0..self.nodes.len()).map(micros).collect();
+        outcome.micros_per_reload = (0..self.nodes.len()).map(micros).collect();
         Ok(outcome)
     }
 
-    /// Sends one gateway a signal.
+    /// Sends a signal to one gateway.
     pub fn signal(&mut self, gateway: usize, signal: Signal) {
         self.processes.signal(&self.nodes[gateway].name, signal);
     }
 
-    /// Sends all gateways to where service discovery is now; how long it took, if it was within the
-    /// bound.
+    /// Configures all gateways with the current address of service discovery. Returns how long it
+    /// took until all were connected, or `None` if that wasn't `within` the permitted time.
     fn reload_once(&mut self, within: Duration) -> io::Result<Option<Duration>> {
         for node in &mut self.nodes {
             node.config["bulletin"] = json!(self.discovery.address.to_string());
@@ -156,13 +163,13 @@
             if began.elapsed() > within {
                 return Ok(None);
             }
-            std::thread::sleep(LOOKS_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(Some(began.elapsed()))
     }
 }
 
-/// What the process does anyway in a time is no part of what it did for others' sake.
+/// Subtracts the processor time that an idle process takes in `time`; in microseconds, at least 0.
 fn beyond_idle(spent: Duration, idle_share: f64, time: Duration) -> f64 {
     (spent.as_secs_f64() - idle_share * time.as_secs_f64()).max(0.0) * 1e6
 }
--- a/crates/fleet-test/src/scale/decisions.rs
+++ b/crates/fleet-test/src/scale/decisions.rs
@@ -1,8 +1,9 @@
-//! Hollow gateways: the decision module under drawn traffic in virtual time, with what each
-//! decision costs.
+//! Measures the cost of decisions: the balancers of hollow gateways, with random requests in virtual
+//! time.
 //!
-//! Engines answer after the work that a request names, however many run there: what is measured is
-//! the gateway's own cost. Left out: sockets, buffers, codecs; the real gateways have them.
+//! Engines answer after a request's work, however many requests they run, since only the gateway's
+//! own cost is measured. Sockets, buffers and codecs are left out; they are part of the measurements
+//! of real gateways.
 
 use std::time::Duration;
 
@@ -13,101 +14,103 @@
 use crate::classes::safe_class;
 
 pub(super) const SECOND: Micros = 1_000_000;
-/// Virtual time that is played before anything is counted, and while it is.
+/// Virtual time before counting starts, and for which requests are counted.
 const WARM_UP: Micros = 2 * SECOND;
-const COUNTED: Micros = 4 * SECOND;
-/// Cores of an engine, and threads of the widest class: what decides how many engines a subset has.
+const MEASURED_TIME: Micros = 4 * SECOND;
+/// Cores of an engine, and threads per query of the class with the most. They determine how many
+/// engines a subset has.
 pub const CORES: f64 = 16.0;
 const WIDEST: f64 = 2.0;
-/// Two threads a core of an engine over the widest class's: up to so many gateways use all engines
-/// each.
+/// Largest number of gateways that each use all engines instead of a subset: two threads per core of
+/// an engine, divided by the threads of a query.
 pub const MAX_WITHOUT_SUBSETS: usize = (2.0 * CORES / WIDEST) as usize;
-/// Zones of the target.
+/// Number of zones in the target fleet.
 pub const ZONES: u32 = 7;
-/// Engines start so long before the run: all are warm.
+/// Virtual time at which a run starts. Engines start at 0, so that all are warm.
 pub(super) const STARTED: Micros = 1_000 * SECOND;
 
-/// What a fleet of hollow gateways is made of.
+/// Size and load of a fleet of hollow gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
-    /// Gateways in all.
+    /// Number of gateways in the fleet, simulated or not.
     pub gateways: usize,
-    /// Engines that the list names.
+    /// Number of engines in the endpoint list.
     pub engines: usize,
-    /// Of the gateways, how many are played.
+    /// Number of gateways that are simulated.
     pub hollow: usize,
-    /// Requests a second of one gateway.
+    /// Requests per second of one gateway.
     pub rate: f64,
-    /// Engines take so long that requests are held and refused.
+    /// Whether requests need so much work that some wait and some are refused.
     pub overloaded: bool,
-    /// Only probes tell how many queries an engine holds, so each gateway looks at all engines.
+    /// Whether the load of engines is known from probes only, in which case each decision examines
+    /// all engines.
     pub probed: bool,
-    /// What all random numbers come of.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// What the decisions of all hollow gateways took.
+/// Cost of the decisions of all hollow gateways.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
-    /// Requests that were counted.
+    /// Number of requests counted.
     pub requests: u64,
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub sent: u64,
-    /// Requests that ended without an attempt.
+    /// Number of requests that ended without an attempt.
     pub refused: u64,
-    /// Requests without an end.
+    /// Number of requests without a final answer.
     pub unanswered: u64,
-    /// Engines looked at.
+    /// Number of engines that the balancers examined for these requests.
     pub visits: u64,
-    /// Processor time of the module.
+    /// Time that the balancers took for these requests.
     pub time: Duration,
-    /// Memory that the gateways and their lists take.
+    /// Memory that the balancers and their endpoint lists take.
     pub bytes: u64,
-    /// Gateways that were played.
+    /// Number of gateways simulated.
     pub gateways: u64,
 }
 
 impl Cost {
-    /// Engines looked at for a request.
-    pub fn visits_a_request(&self) -> f64 {
+    /// Mean number of engines that the balancer examined per request.
+    pub fn visits_per_request(&self) -> f64 {
         self.visits as f64 / self.requests.max(1) as f64
     }
 
-    /// Processor time of the module for a request.
-    pub fn micros_a_request(&self) -> f64 {
+    /// Mean time of the balancer per request, in microseconds.
+    pub fn micros_per_request(&self) -> f64 {
         self.time.as_secs_f64() * 1e6 / self.requests.max(1) as f64
     }
 
-    /// Memory of one gateway's module.
-    pub fn bytes_a_gateway(&self) -> f64 {
+    /// Mean memory of one gateway's balancer, in bytes.
+    pub fn bytes_per_gateway(&self) -> f64 {
         self.bytes as f64 / self.gateways.max(1) as f64
     }
 }
 
-/// Plays a fleet's hollow gateways one after the other.
+/// Simulates a fleet's hollow gateways one after the other.
 pub fn play(fleet: Fleet) -> Cost {
-    let list = list(fleet.engines);
+    let list = endpoint_list(fleet.engines);
     let mut cost = Cost {
         gateways: fleet.hollow as u64,
         ..Cost::default()
     };
     for index in 0..fleet.hollow {
-        let mut node = Node::new(fleet, place_of(&fleet, index), &list);
-        play_one(&mut node, &mut cost);
+        let mut node = Node::new(fleet, index_in_fleet(&fleet, index), &list);
+        measure_node(&mut node, &mut cost);
     }
     cost
 }
 
-/// Every hollow gateway has another place among all of the fleet.
-fn place_of(fleet: &Fleet, index: usize) -> usize {
+/// Index in the fleet of a hollow gateway; they are evenly spaced.
+fn index_in_fleet(fleet: &Fleet, index: usize) -> usize {
     index * fleet.gateways / fleet.hollow
 }
 
-fn play_one(node: &mut Node, cost: &mut Cost) {
-    node.asks_until(STARTED + WARM_UP + COUNTED);
+fn measure_node(node: &mut Node, cost: &mut Cost) {
+    node.send_requests_until(STARTED + WARM_UP + MEASURED_TIME);
     node.play_until(STARTED + WARM_UP);
     let before = node.counted();
-    node.play_until(STARTED + WARM_UP + COUNTED);
+    node.play_until(STARTED + WARM_UP + MEASURED_TIME);
     let after = node.counted();
     cost.requests += after.requests - before.requests;
     cost.visits += after.visits - before.visits;
@@ -118,12 +121,12 @@
     cost.unanswered += node.unanswered();
 }
 
-/// The fleet's hollow gateways side by side, with their lists and nothing to do.
-pub fn idle(fleet: Fleet) -> Cost {
-    let list = list(fleet.engines);
+/// Measures the memory of the fleet's hollow gateways, with their endpoint lists and no requests.
+pub fn measure_memory(fleet: Fleet) -> Cost {
+    let list = endpoint_list(fleet.engines);
     let before = allocated_bytes();
     let nodes: Vec<Node> = (0..fleet.hollow)
-        .map(|index| Node::new(fleet, place_of(&fleet, index), &list))
+        .map(|index| Node::new(fleet, index_in_fleet(&fleet, index), &list))
         .collect();
     let bytes = allocated_bytes().saturating_sub(before);
     Cost {
@@ -133,35 +136,35 @@
     }
 }
 
-/// The entries of so many warm engines, spread over the zones.
-pub fn list(engines: usize) -> Vec<Endpoint> {
-    (0..engines).map(entry).collect()
+/// The endpoint list of `engines` warm engines, distributed over the zones.
+pub fn endpoint_list(engines: usize) -> Vec<Endpoint> {
+    (0..engines).map(endpoint).collect()
 }
 
-/// One of them.
-pub fn entry(engine: usize) -> Endpoint {
+/// The entry of one engine in that list.
+pub fn endpoint(engine: usize) -> Endpoint {
     Endpoint {
-        engine: number(engine),
+        engine: engine_id(engine),
         zone: engine as u32 % ZONES,
         ..Endpoint::default()
     }
 }
 
-/// Numbers of engines look drawn, as those that come of names do.
-pub fn number(engine: usize) -> EngineId {
+/// Id of an engine. Ids are scattered over the whole range, like those derived from names.
+pub fn engine_id(engine: usize) -> EngineId {
     (engine as u32).wrapping_mul(0x9e37_79b1)
 }
 
-/// One gateway of the fleet that knows no engine yet.
-pub fn module(fleet: &Fleet) -> Balancer {
+/// Creates the balancer of the fleet's first gateway, without any engine.
+pub fn new_balancer(fleet: &Fleet) -> Balancer {
     Balancer::new(settings(fleet, 0), fleet.seed, STARTED)
 }
 
-/// Memory that this process has allocated, by the allocator's own account.
+/// Memory that this process has allocated, as the allocator counts it.
 fn allocated_bytes() -> u64 {
     // SAFETY: the call only reads the allocator's counters.
-    let counted = unsafe { libc::mallinfo2() };
-    (counted.uordblks + counted.hblkhd) as u64
+    let allocated = unsafe { libc::mallinfo2() };
+    (allocated.uordblks + allocated.hblkhd) as u64
 }
 
 pub(super) fn settings(fleet: &Fleet, index: usize) -> Settings {
--- a/crates/fleet-test/src/scale/discovery.rs
+++ b/crates/fleet-test/src/scale/discovery.rs
@@ -1,8 +1,8 @@
-//! Hollow watches: what the list of engines costs a gateway, whole and by changes, in bytes and
-//! time.
+//! Cost of the endpoint list for a hollow gateway, in bytes and time: for the whole list and for
+//! changes.
 //!
-//! The codec of the watch and the decision module are those that ship. Left out: the socket, and
-//! the names of engines that the process keeps; the real gateways have them.
+//! The codec and the balancer are the production ones. The socket and the process's table of engine
+//! names are left out; they are part of the measurements of real gateways.
 
 use std::time::{Duration, Instant};
 
@@ -14,25 +14,25 @@
 use super::decisions::{self, Fleet};
 use crate::config::ListedEngine;
 
-/// When the list is handled: nothing of it depends on this.
+/// Virtual time at which list events are handled. Its value doesn't affect the result.
 const NOW: Micros = 1_000_000_000;
-/// Of usual length.
+/// An engine address of typical length.
 const ADDRESS: &str = "10.11.12.13:45678";
-/// Changes in a row are of engines so far apart in the list.
+/// Distance in the list between the engines of consecutive changes.
 const STRIDE: usize = 7_919;
 
-/// What one list event took.
+/// Cost of one list event.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
-    /// Bytes on the watch.
+    /// Bytes of the event on the stream from service discovery.
     pub bytes: u64,
-    /// To read the event from the stream.
+    /// Time to decode the event.
     pub read: Duration,
-    /// To bring the module's table and index up to date.
+    /// Time for the balancer to update its table and index of engines.
     pub handled: Duration,
 }
 
-/// An engine as service discovery lists it, with names and addresses of usual length.
+/// Encodes an engine as service discovery lists it, with a name and zone of typical length.
 pub fn host(number: usize, address: &str, health: &str) -> Value {
     let (name, zone) = (
         format!("engine-{number:05}"),
@@ -51,24 +51,24 @@
     .item()
 }
 
-/// An event of the list as it goes over a watch.
-pub fn event(number: u64, whole: bool, hosts: &[Value]) -> String {
-    let item = json!({"no": number, "roster": {"seq": number, "whole": whole, "hosts": hosts}});
+/// Encodes a list event as service discovery sends it.
+pub fn event(number: u64, is_whole: bool, hosts: &[Value]) -> String {
+    let item = json!({"no": number, "roster": {"seq": number, "whole": is_whole, "hosts": hosts}});
     format!("id: {number}\ndata: {item}\n\n")
 }
 
-/// Engines that an event of the list names, as the module takes them.
+/// A decoded list event, in the form that the balancer handles.
 pub struct ListUpdate {
-    /// Whether these are all engines there are.
-    pub whole: bool,
-    /// The engines.
+    /// Whether the entries are the whole list; otherwise they are changes.
+    pub is_whole: bool,
+    /// The engines that the event names.
     pub entries: Vec<Endpoint>,
 }
 
 impl ListUpdate {
-    /// What the module is handed of it.
+    /// Converts it into the event for the balancer.
     pub fn event(self) -> Event {
-        if self.whole {
+        if self.is_whole {
             Event::EndpointSnapshot(self.entries)
         } else {
             Event::EndpointChanges(self.entries)
@@ -76,46 +76,47 @@
     }
 }
 
-/// A watch without a socket: reads events as the program's own does.
+/// A stream from service discovery without a socket. Decodes events with the production codec.
 pub struct Watch {
     reader: Reader,
 }
 
 impl Watch {
-    /// One whose answer has begun.
-    pub fn begun() -> Self {
+    /// Creates a stream that has received the head of the HTTP response.
+    pub fn connected() -> Self {
         let mut reader = Reader::default();
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
         reader
             .read(head.as_bytes(), &mut Vec::new())
-            .expect("a good head");
+            .expect("the response head must be valid");
         Watch { reader }
     }
 
-    /// What so many bytes of the stream say.
-    pub fn take(&mut self, text: &str) -> Vec<ListUpdate> {
-        let mut heard = Vec::new();
+    /// Decodes the list events in `text`, the next part of the stream.
+    pub fn read(&mut self, text: &str) -> Vec<ListUpdate> {
+        let mut stream_events = Vec::new();
         self.reader
-            .read(text.as_bytes(), &mut heard)
-            .expect("a good event");
-        let items = heard.iter().filter_map(item);
+            .read(text.as_bytes(), &mut stream_events)
+            .expect("the list event must be valid");
+        let items = stream_events.iter().filter_map(item);
         items
             .filter_map(|item| item.roster.as_ref().map(update))
             .collect()
     }
 }
 
-/// The whole list of so many engines, and then the mean of so many changes of one engine each.
-pub fn play(fleet: Fleet, changes: usize) -> (Cost, Cost) {
+/// Measures the event with the whole list of a fleet's engines, and then `changes` events with one
+/// changed engine each. Returns the cost of the first, and the mean cost of the others.
+pub fn measure(fleet: Fleet, changes: usize) -> (Cost, Cost) {
     let hosts = hosts(fleet.engines);
-    let (mut module, mut watch) = (decisions::module(&fleet), Watch::begun());
-    let whole = handle(&mut module, &mut watch, &event(1, true, &hosts));
+    let (mut balancer, mut watch) = (decisions::new_balancer(&fleet), Watch::connected());
+    let whole = handle(&mut balancer, &mut watch, &event(1, true, &hosts));
     let mut sum = Cost::default();
     for change in 0..changes {
         let health = if change % 2 == 0 { "draining" } else { "up" };
         let engine = host(change / 2 * STRIDE % fleet.engines, ADDRESS, health);
         let cost = handle(
-            &mut module,
+            &mut balancer,
             &mut watch,
             &event(change as u64 + 2, false, &[engine]),
         );
@@ -132,20 +133,20 @@
     (whole, change)
 }
 
-/// All engines of a fleet as service discovery lists them.
+/// Encodes all engines of a fleet as service discovery lists them.
 pub fn hosts(engines: usize) -> Vec<Value> {
     (0..engines)
         .map(|number| host(number, ADDRESS, "up"))
         .collect()
 }
 
-fn handle(module: &mut Balancer, watch: &mut Watch, text: &str) -> Cost {
+fn handle(balancer: &mut Balancer, watch: &mut Watch, text: &str) -> Cost {
     let began = Instant::now();
-    let updates = watch.take(text);
+    let updates = watch.read(text);
     let read = began.elapsed();
     let began = Instant::now();
     for update in updates {
-        module.handle(NOW, update.event(), &mut Vec::new());
+        balancer.handle(NOW, update.event(), &mut Vec::new());
     }
     Cost {
         bytes: text.len() as u64,
@@ -154,8 +155,8 @@
     }
 }
 
-fn item(heard: &StreamEvent) -> Option<Item> {
-    match heard {
+fn item(event: &StreamEvent) -> Option<Item> {
+    match event {
         StreamEvent::Event { data, .. } => Item::read(data).ok(),
         _ => None,
     }
@@ -163,14 +164,14 @@
 
 fn update(roster: &Roster) -> ListUpdate {
     ListUpdate {
-        whole: roster.whole,
-        entries: roster.hosts.iter().map(entry).collect(),
+        is_whole: roster.whole,
+        entries: roster.hosts.iter().map(endpoint).collect(),
     }
 }
 
-/// Zones are those of [`decisions::list`]: a hollow gateway has one order of engines whoever listed
-/// them.
-fn entry(listed: &DiscoveredEngine) -> Endpoint {
+/// Uses the engine ids and zones of [`decisions::endpoint_list`], so that a hollow gateway has the
+/// same order of engines whichever of the two sources listed them.
+fn endpoint(listed: &DiscoveredEngine) -> Endpoint {
     let number = listed
         .host
         .rsplit('-')
@@ -184,6 +185,6 @@
     };
     Endpoint {
         phase,
-        ..decisions::entry(number)
+        ..decisions::endpoint(number)
     }
 }
--- a/crates/fleet-test/src/scale/discovery_server.rs
+++ b/crates/fleet-test/src/scale/discovery_server.rs
@@ -1,5 +1,5 @@
-//! A stand-in for service discovery: publishes the same events to all watches, those of real
-//! gateways over sockets and those of hollow ones over channels.
+//! Emulator of service discovery. Sends the same events to all gateways: to real ones over sockets,
+//! to hollow ones over channels.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,20 +13,20 @@
 
 use super::discovery;
 
-/// A comment on each watch says that it lives.
+/// Interval of comments on each stream, which show the gateway that the stream is alive.
 const COMMENT_EVERY: Duration = Duration::from_millis(500);
-/// Events that a hollow watch has not taken yet; one that lags by more is left behind, which its
-/// count shows.
+/// Maximum number of events that a hollow gateway hasn't read. One that lags further is disconnected
+/// and then misses events, which the check of its event count detects.
 const MAX_UNREAD: usize = 4_096;
 
-/// The number of the list that gateways start with.
+/// Sequence number of the list that gateways have at their start.
 pub const FIRST_NUMBER: u64 = 1;
 
 type Watches = Arc<Mutex<Vec<BulletinEnd>>>;
 
-/// Service discovery at one address.
+/// Service discovery at one address, with its connected gateways.
 pub struct DiscoveryServer {
-    /// Where gateways watch it.
+    /// Address to which real gateways connect.
     pub address: SocketAddr,
     watches: Watches,
     hollow: Vec<SyncSender<Arc<str>>>,
@@ -34,12 +34,12 @@
     number: u64,
 }
 
-fn locked(watches: &Watches) -> MutexGuard<'_, Vec<BulletinEnd>> {
+fn lock(watches: &Watches) -> MutexGuard<'_, Vec<BulletinEnd>> {
     watches.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl DiscoveryServer {
-    /// Listens at an address of the system's choice.
+    /// Starts to listen on a loopback port that the system chooses.
     pub fn start() -> io::Result<Self> {
         let listener = Bulletin::listen("127.0.0.1:0")?;
         let server = DiscoveryServer {
@@ -53,7 +53,7 @@
         std::thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
                 match listener.accept() {
-                    Ok(end) => locked(&watches).push(end),
+                    Ok(end) => lock(&watches).push(end),
                     Err(e) if is_timeout(&e) => {}
                     Err(_) => return,
                 }
@@ -62,43 +62,43 @@
         let (watches, stop) = (server.watches.clone(), server.stop.clone());
         std::thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
-                locked(&watches).retain_mut(|watch| watch.comment().is_ok());
+                lock(&watches).retain_mut(|watch| watch.comment().is_ok());
                 std::thread::sleep(COMMENT_EVERY);
             }
         });
         Ok(server)
     }
 
-    /// A watch without a socket, which gets the events that all others get.
+    /// Connects a hollow gateway: returns a channel that receives the same events as all streams.
     pub fn watch(&mut self) -> Receiver<Arc<str>> {
         let (sender, receiver) = sync_channel(MAX_UNREAD);
         self.hollow.push(sender);
         receiver
     }
 
-    /// Publishes these engines to all watches: as all there are, or as those that have changed.
-    pub fn publish(&mut self, whole: bool, hosts: &[Value]) {
+    /// Sends an event with these engines to all gateways: the whole list, or the changed engines.
+    pub fn publish(&mut self, is_whole: bool, hosts: &[Value]) {
         self.number += 1;
-        let event: Arc<str> = discovery::event(self.number, whole, hosts).into();
-        locked(&self.watches).retain_mut(|watch| watch.write_raw(event.as_bytes()).is_ok());
+        let event: Arc<str> = discovery::event(self.number, is_whole, hosts).into();
+        lock(&self.watches).retain_mut(|watch| watch.write_raw(event.as_bytes()).is_ok());
         self.hollow
             .retain(|hollow| hollow.try_send(event.clone()).is_ok());
     }
 
-    /// Real watches that stand.
+    /// Number of connected real gateways.
     pub fn watch_count(&self) -> usize {
-        locked(&self.watches).len()
+        lock(&self.watches).len()
     }
 
-    /// Takes over from another address: events go on behind its last number.
+    /// Takes over from another server: continues its sequence numbers, and serves its hollow gateways.
     pub fn take_over(&mut self, other: &mut DiscoveryServer) {
         self.number = other.number;
         self.hollow = std::mem::take(&mut other.hollow);
     }
 
-    /// Forgets the watches of gateways that have moved elsewhere.
+    /// Closes the streams of all real gateways, which have moved to another server.
     pub fn close_watches(&self) {
-        locked(&self.watches).clear();
+        lock(&self.watches).clear();
     }
 }
 
--- a/crates/fleet-test/src/scale/hollow_sweeps.rs
+++ b/crates/fleet-test/src/scale/hollow_sweeps.rs
@@ -1,14 +1,14 @@
-//! Sweeps over hollow gateways: decisions, memory, and the list.
+//! Sweeps that measure hollow gateways: decisions, memory and the endpoint list.
 
 use std::io;
 
 use super::decisions::{self, Cost};
 use super::discovery;
 use super::measure::{Axis, Figure, Size, Source};
-use super::run::{Place, Run};
+use super::run::{Run, SweepPoint};
 
-/// Probed decisions are dear: one in so many hollow gateways plays them.
-const PROBED_PART: usize = 4;
+/// Decisions with probed load are expensive, so only one in so many hollow gateways measures them.
+const PROBED_ONE_IN: usize = 4;
 
 const fn figure(name: &'static str, unit: &'static str) -> Figure {
     Figure {
@@ -19,7 +19,7 @@
 }
 
 impl Run<'_> {
-    pub(super) fn fleet(&self, size: Size, seed: u64) -> decisions::Fleet {
+    pub(super) fn hollow_fleet(&self, size: Size, seed: u64) -> decisions::Fleet {
         let hollow = self.sizes.hollow.min(size.gateways);
         let Size {
             gateways,
@@ -38,92 +38,104 @@
         }
     }
 
-    /// Gateways share the same requests, however many there are.
-    pub(super) fn hollow_by_gateways(&mut self, axis: Axis, place: Place) -> io::Result<()> {
+    /// Measures decisions while the number of gateways varies and the total rate of requests stays the
+    /// same, except that no gateway has more than the usual rate.
+    pub(super) fn measure_hollow_by_gateways(
+        &mut self,
+        axis: Axis,
+        point: SweepPoint,
+    ) -> io::Result<()> {
         let middle = self.middle();
-        let rate = middle.rate * middle.gateways as f64 / place.1.gateways as f64;
-        self.hollow(
+        let rate = middle.rate * middle.gateways as f64 / point.1.gateways as f64;
+        self.measure_hollow(
             axis,
             (
-                place.0,
+                point.0,
                 Size {
                     rate: rate.min(middle.rate),
-                    ..place.1
+                    ..point.1
                 },
             ),
         )
     }
 
-    pub(super) fn hollow(&mut self, axis: Axis, place: Place) -> io::Result<()> {
+    pub(super) fn measure_hollow(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
         for seed in self.seeds() {
-            let cost = self.decisions(self.fleet(place.1, seed));
-            self.add_decisions(["decision.visits", "decision.time"], axis, place, cost);
+            let cost = self.measure_decisions(self.hollow_fleet(point.1, seed));
+            self.add_decisions(["decision.visits", "decision.time"], axis, point, cost);
         }
         Ok(())
     }
 
-    /// Fleets without subsets are no part of the others' slopes.
+    /// Adds the figures of decisions. Fleets in which each gateway uses all engines are left out,
+    /// since they would distort the slopes of those with subsets.
     pub(super) fn add_decisions(
         &mut self,
         [visits, time]: [&'static str; 2],
         axis: Axis,
-        place: Place,
+        point: SweepPoint,
         cost: Cost,
     ) {
-        if place.1.gateways <= decisions::MAX_WITHOUT_SUBSETS {
+        if point.1.gateways <= decisions::MAX_WITHOUT_SUBSETS {
             return;
         }
-        let visited = figure(visits, "engines a request");
-        self.add(visited, axis, place, cost.visits_a_request());
+        let visits_figure = figure(visits, "engines a request");
+        self.add(visits_figure, axis, point, cost.visits_per_request());
         self.add(
             figure(time, "us a request"),
             axis,
-            place,
-            cost.micros_a_request(),
+            point,
+            cost.micros_per_request(),
         );
     }
 
-    pub(super) fn decisions(&mut self, fleet: decisions::Fleet) -> Cost {
+    pub(super) fn measure_decisions(&mut self, fleet: decisions::Fleet) -> Cost {
         let cost = decisions::play(fleet);
         self.outcome.requests += cost.requests;
         self.outcome.unanswered += cost.unanswered;
         cost
     }
 
-    /// Decisions of fleets in the target's proportions, by what holds them.
-    pub(super) fn hollow_in_proportion(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        self.hollow(axis, place)?;
+    /// Measures memory and decisions of fleets with the target's proportions: with idle engines, with
+    /// overloaded ones, and with load known from probes only.
+    pub(super) fn measure_hollow_in_proportion(
+        &mut self,
+        axis: Axis,
+        point: SweepPoint,
+    ) -> io::Result<()> {
+        self.measure_hollow(axis, point)?;
         for seed in self.seeds() {
-            let fleet = self.fleet(place.1, seed);
+            let fleet = self.hollow_fleet(point.1, seed);
             let memory = figure("module.memory", "bytes a gateway");
             self.add(
                 memory,
                 axis,
-                place,
-                decisions::idle(fleet).bytes_a_gateway(),
+                point,
+                decisions::measure_memory(fleet).bytes_per_gateway(),
             );
-            if place.1.gateways <= decisions::MAX_WITHOUT_SUBSETS {
+            if point.1.gateways <= decisions::MAX_WITHOUT_SUBSETS {
                 continue;
             }
-            let held = self.decisions(decisions::Fleet {
+            let overloaded = self.measure_decisions(decisions::Fleet {
                 overloaded: true,
                 ..fleet
             });
-            self.add_decisions(["held.visits", "held.time"], axis, place, held);
-            let hollow = (fleet.hollow / PROBED_PART).max(1);
-            let probed = self.decisions(decisions::Fleet {
+            self.add_decisions(["held.visits", "held.time"], axis, point, overloaded);
+            let hollow = (fleet.hollow / PROBED_ONE_IN).max(1);
+            let probed = self.measure_decisions(decisions::Fleet {
                 probed: true,
                 hollow,
                 ..fleet
             });
-            self.add_decisions(["probed.visits", "probed.time"], axis, place, probed);
+            self.add_decisions(["probed.visits", "probed.time"], axis, point, probed);
         }
         Ok(())
     }
 
-    pub(super) fn lists(&mut self, axis: Axis, place: Place) -> io::Result<()> {
+    pub(super) fn measure_lists(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
         for seed in self.seeds() {
-            let (whole, change) = discovery::play(self.fleet(place.1, seed), self.sizes.changes);
+            let (whole, change) =
+                discovery::measure(self.hollow_fleet(point.1, seed), self.sizes.changes);
             let micros = |cost: discovery::Cost| (cost.read + cost.handled).as_secs_f64() * 1e6;
             for (figure, value) in [
                 (figure("list.whole.bytes", "bytes"), whole.bytes as f64),
@@ -131,7 +143,7 @@
                 (figure("list.change.bytes", "bytes"), change.bytes as f64),
                 (figure("list.change.time", "us"), micros(change)),
             ] {
-                self.add(figure, axis, place, value);
+                self.add(figure, axis, point, value);
             }
         }
         Ok(())
--- a/crates/fleet-test/src/scale/measure.rs
+++ b/crates/fleet-test/src/scale/measure.rs
@@ -1,88 +1,88 @@
-//! What was measured, at which size of the fleet.
+//! Measured values, with the size of the fleet at which they were measured.
 
 use serde::Serialize;
 
-/// The size at which something was measured.
+/// The size of a fleet at which a value was measured. The fields are written as JSON.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Size {
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet, hollow and real.
     pub gateways: usize,
-    /// Engines of the fleet.
+    /// Number of engines in the fleet.
     pub engines: usize,
-    /// Idle clients of one gateway.
+    /// Number of idle clients of one gateway.
     pub clients: usize,
-    /// Requests a second of one gateway.
+    /// Requests per second of one gateway.
     pub rate: f64,
 }
 
-/// What varies from one measurement of a series to the next.
+/// The quantity that varies over the points of a series. Variant names are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Axis {
-    /// Engines, with gateways in proportion.
+    /// Number of engines, with a proportional number of gateways.
     Engines,
-    /// Gateways alone.
+    /// Number of gateways, with a constant number of engines.
     Gateways,
-    /// Idle clients of a gateway.
+    /// Number of idle clients of a gateway.
     Clients,
-    /// Requests a second of a gateway.
+    /// Requests per second of a gateway.
     Rate,
-    /// Keepers that vote.
+    /// Number of voters.
     Keepers,
-    /// Tasks of a fleet, each with one owner.
+    /// Number of tasks of a fleet, each with one owner.
     Tasks,
-    /// Keyed requests of a simulated fleet.
+    /// Number of keyed requests of a simulated fleet.
     Keyed,
-    /// Keyed requests a second of a real fleet.
+    /// Keyed requests per second of a real fleet.
     Claims,
-    /// Entries that a keeper holds.
+    /// Number of entries that a voter stores.
     Held,
-    /// Links of other gateways to a real keeper.
+    /// Number of hollow gateways linked to each real voter.
     Links,
-    /// Changes of the configuration, one after the other.
+    /// Number of consecutive configuration changes.
     Reloads,
 }
 
-/// How a figure was come by.
+/// How a figure was measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
-    /// Cores that ship, in this process.
+    /// With the production libraries in this process, without sockets.
     Hollow,
-    /// Processes of the program.
+    /// With processes of the program.
     Real,
-    /// A simulated fleet of the cores that ship.
+    /// In a simulated fleet that runs the production protocol code.
     Simulated,
 }
 
-/// A figure at several sizes, of which one quantity varies.
+/// Values of one figure along one axis.
 #[derive(Clone, Debug, Serialize)]
 pub struct Series {
-    /// Name of the figure.
+    /// Name of the figure, such as `process.request`.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the values, as the report prints it.
     pub unit: &'static str,
-    /// How it was come by.
+    /// How the values were measured.
     pub source: Source,
-    /// What varies.
+    /// The quantity that varies.
     pub axis: Axis,
-    /// Measurements, from the least size to the greatest.
+    /// Points in the order of measurement, from the smallest size to the largest.
     pub points: Vec<Point>,
 }
 
-/// The repeats of one measurement.
+/// The repeated measurements at one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
-    /// The size on the axis.
+    /// Position on the axis.
     pub at: f64,
-    /// The whole size.
+    /// Size of the fleet there.
     pub size: Size,
-    /// A value for each repeat.
+    /// One value per repeat.
     pub values: Vec<f64>,
 }
 
 impl Point {
-    /// The middle value, or the mean of the two in the middle.
+    /// Median of the values; NaN if there are none.
     pub fn median(&self) -> f64 {
         let mut sorted = self.values.clone();
         sorted.sort_unstable_by(f64::total_cmp);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Greatest less least value.
+    /// Difference of the largest and the smallest value.
     pub fn spread(&self) -> f64 {
         let greatest = self
             .values
@@ -106,32 +106,32 @@
     }
 }
 
-/// Collects the points of several figures that are measured together.
+/// Collection of all measured figures.
 #[derive(Default)]
 pub struct Collected {
-    /// Figures by name and axis.
+    /// One series per name and axis, in the order of their first value.
     pub series: Vec<Series>,
 }
 
-/// What identifies a figure.
+/// A figure to which values are added.
 #[derive(Clone, Copy, Debug)]
 pub struct Figure {
-    /// Its name.
+    /// Name of the figure, such as `process.request`.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the values, as the report prints it.
     pub unit: &'static str,
-    /// How it is come by.
+    /// How the values are measured.
     pub source: Source,
 }
 
 impl Collected {
-    /// Adds one value of a figure; values of one size are its repeats.
+    /// Adds one value of a figure at a size. Several values at one size are its repeats.
     pub fn add(&mut self, figure: Figure, axis: Axis, (at, size): (f64, Size), value: f64) {
-        let known = self
+        let found = self
             .series
             .iter()
-            .position(|own| (own.name, own.axis) == (figure.name, axis));
-        let place = known.unwrap_or_else(|| {
+            .position(|series| (series.name, series.axis) == (figure.name, axis));
+        let index = found.unwrap_or_else(|| {
             let Figure { name, unit, source } = figure;
             self.series.push(Series {
                 name,
@@ -142,7 +142,7 @@
             });
             self.series.len() - 1
         });
-        let points = &mut self.series[place].points;
+        let points = &mut self.series[index].points;
         match points.iter_mut().find(|point| point.at == at) {
             Some(point) => point.values.push(value),
             None => points.push(Point {
@@ -153,10 +153,10 @@
         }
     }
 
-    /// A figure along an axis, if it was measured.
+    /// The series of a figure along an axis, if it was measured.
     pub fn find(&self, name: &str, axis: Axis) -> Option<&Series> {
         self.series
             .iter()
-            .find(|own| own.name == name && own.axis == axis)
+            .find(|series| series.name == name && series.axis == axis)
     }
 }
--- a/crates/fleet-test/src/scale/node.rs
+++ b/crates/fleet-test/src/scale/node.rs
@@ -1,4 +1,4 @@
-//! One hollow gateway: the decision module with drawn requests, in virtual time of its own.
+//! One hollow gateway: a balancer with random requests, in its own virtual time.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,153 +11,154 @@
 use super::decisions::{self, Fleet, SECOND, STARTED};
 use crate::timeline::Timeline;
 
-/// Work of a request where engines keep up, and where they don't.
+/// Work of a request: the first value lets engines keep up, the second overloads them.
 const LIGHT_WORK: f64 = 20_000.0;
 const HEAVY_WORK: f64 = 2_500_000.0;
-const WAIT: Micros = 4 * SECOND;
+const CLIENT_TIMEOUT: Micros = 4 * SECOND;
 const GROUPS: u64 = 200;
 
-enum Happens {
-    Arrives,
+enum NodeEvent {
+    RequestArrives,
     Timer(u64),
-    Ends { request: RequestId, attempt: usize },
+    CallEnds { request: RequestId, attempt: usize },
 }
 
-/// A request without an end.
+/// A request that has not ended.
 #[derive(Default)]
-struct Open {
+struct OpenRequest {
     attempts: usize,
     sent_at: Micros,
 }
 
-/// What a hollow gateway counted.
+/// What one hollow gateway counted since its start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counted {
+pub struct NodeCounts {
     /// Requests that arrived.
     pub requests: u64,
-    /// Engines looked at for these.
+    /// Engines that the balancer examined for requests.
     pub visits: u64,
-    /// Time of the module for these.
+    /// Time that the balancer took for requests.
     pub spent: Duration,
 }
 
-/// A hollow gateway.
+/// A hollow gateway, with its balancer and its open requests.
 pub struct Node {
     fleet: Fleet,
-    module: Balancer,
-    time: Timeline<Happens, ()>,
+    balancer: Balancer,
+    time: Timeline<NodeEvent, ()>,
     rng: StdRng,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, OpenRequest>,
     sent: u64,
     refused: u64,
-    asks_until: Micros,
-    next: RequestId,
+    requests_until: Micros,
+    last_id: RequestId,
     list_visits: u64,
     spent: Duration,
 }
 
 impl Node {
-    /// The gateway at a place among all of the fleet.
-    pub fn new(fleet: Fleet, place: usize, list: &[Endpoint]) -> Self {
-        let set = decisions::settings(&fleet, place % fleet.gateways);
-        let seed = fleet.seed.wrapping_add(place as u64);
+    /// Creates the gateway with the number `position`, modulo the size of the fleet, and gives it
+    /// the endpoint list.
+    pub fn new(fleet: Fleet, position: usize, list: &[Endpoint]) -> Self {
+        let settings = decisions::settings(&fleet, position % fleet.gateways);
+        let seed = fleet.seed.wrapping_add(position as u64);
         let mut node = Node {
             fleet,
-            module: Balancer::new(set, seed, STARTED),
+            balancer: Balancer::new(settings, seed, STARTED),
             time: Timeline::new(STARTED),
             rng: StdRng::seed_from_u64(seed),
             open: HashMap::new(),
             sent: 0,
             refused: 0,
-            asks_until: 0,
-            next: 0,
+            requests_until: 0,
+            last_id: 0,
             list_visits: 0,
             spent: Duration::ZERO,
         };
-        node.listed(Event::EndpointSnapshot(list.to_vec()));
+        node.handle_list_event(Event::EndpointSnapshot(list.to_vec()));
         node
     }
 
-    /// From now on requests arrive, until a time.
-    pub fn asks_until(&mut self, until: Micros) {
-        self.asks_until = until;
-        self.arrival();
+    /// Lets requests arrive from now until the virtual time `until`.
+    pub fn send_requests_until(&mut self, until: Micros) {
+        self.requests_until = until;
+        self.schedule_arrival();
     }
 
-    /// What was counted so far.
-    pub fn counted(&self) -> Counted {
-        Counted {
-            requests: self.next,
-            visits: self.module.engine_visits() - self.list_visits,
+    /// The counts so far.
+    pub fn counted(&self) -> NodeCounts {
+        NodeCounts {
+            requests: self.last_id,
+            visits: self.balancer.engine_visits() - self.list_visits,
             spent: self.spent,
         }
     }
 
-    /// Requests that ended without an attempt.
+    /// Number of requests that ended without an attempt.
     pub fn refused(&self) -> u64 {
         self.refused
     }
 
-    /// Attempts that were sent.
+    /// Number of attempts sent.
     pub fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// Requests without an end.
+    /// Number of requests that have not ended.
     pub fn unanswered(&self) -> u64 {
         self.open.len() as u64
     }
 
-    /// Lets what is still open have its time.
+    /// Stops new requests, and simulates until the deadline of every open request has passed.
     pub fn finish(&mut self) {
-        self.asks_until = self.time.now;
-        self.play_until(self.time.now + WAIT + SECOND);
+        self.requests_until = self.time.now;
+        self.play_until(self.time.now + CLIENT_TIMEOUT + SECOND);
     }
 
-    /// Takes what the list says. What that costs is no part of what is counted for requests.
-    pub fn listed(&mut self, event: Event) {
+    /// Hands an event of the endpoint list to the balancer. Its cost isn't counted for requests.
+    pub fn handle_list_event(&mut self, event: Event) {
         let before = self.counted();
         self.handle(event);
         self.list_visits += self.counted().visits - before.visits;
         self.spent = before.spent;
     }
 
-    /// Engines that the list names.
+    /// Number of engines that the balancer knows from the list.
     pub fn listed_engines(&self) -> usize {
-        self.module.listed_engine_count()
+        self.balancer.listed_engine_count()
     }
 
-    /// Plays until a time.
+    /// Simulates until the virtual time `until`.
     pub fn play_until(&mut self, until: Micros) {
-        while let Some(happens) = self.time.next(until) {
-            match happens {
-                Happens::Arrives => self.arrives(),
-                Happens::Timer(tag) => self.handle(Event::Timer { tag }),
-                Happens::Ends { request, attempt } => self.ends(request, attempt),
+        while let Some(event) = self.time.next(until) {
+            match event {
+                NodeEvent::RequestArrives => self.on_arrival(),
+                NodeEvent::Timer(tag) => self.handle(Event::Timer { tag }),
+                NodeEvent::CallEnds { request, attempt } => self.on_call_end(request, attempt),
             }
         }
     }
 
-    fn arrival(&mut self) {
+    fn schedule_arrival(&mut self) {
         let wait = -(1.0 - self.rng.random::<f64>()).ln() / self.fleet.rate * SECOND as f64;
-        if self.time.now < self.asks_until {
-            self.time.at(wait as Micros + 1, Happens::Arrives);
+        if self.time.now < self.requests_until {
+            self.time.at(wait as Micros + 1, NodeEvent::RequestArrives);
         }
     }
 
-    fn arrives(&mut self) {
-        self.arrival();
-        self.next += 1;
-        self.open.insert(self.next, Open::default());
+    fn on_arrival(&mut self) {
+        self.schedule_arrival();
+        self.last_id += 1;
+        self.open.insert(self.last_id, OpenRequest::default());
         let work = if self.fleet.overloaded {
             HEAVY_WORK
         } else {
             LIGHT_WORK
         };
         let request = Request {
-            id: self.next,
+            id: self.last_id,
             class: self.rng.random_range(0..2),
-            deadline: self.time.now + WAIT,
+            deadline: self.time.now + CLIENT_TIMEOUT,
             work: Some(work),
             memory_mb: Some(40.0),
             group: self.rng.random_range(0..GROUPS),
@@ -166,24 +167,24 @@
         self.handle(Event::Arrived(request));
     }
 
-    fn ends(&mut self, request: RequestId, attempt: usize) {
+    fn on_call_end(&mut self, request: RequestId, attempt: usize) {
         let Some(open) = self.open.remove(&request) else {
             return;
         };
         let spent = self.time.now - open.sent_at;
-        let bill = Some(ResourceUsage {
+        let usage = Some(ResourceUsage {
             work: spent as f64,
             memory_mb: 40.0,
         });
-        let (outcome, is_request_complete, told) = (Outcome::Answered, true, false);
+        let (outcome, is_request_complete, is_already_reported) = (Outcome::Answered, true, false);
         let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
             is_request_complete,
-            is_already_reported: told,
-            usage: bill,
+            is_already_reported,
+            usage,
             report: None,
         };
         self.handle(Event::AttemptEnded(ended));
@@ -192,12 +193,14 @@
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         let began = Instant::now();
-        self.module.handle(self.time.now, event, &mut actions);
+        self.balancer.handle(self.time.now, event, &mut actions);
         self.spent += began.elapsed();
         for action in actions {
             match action {
-                Action::Send { request, .. } => self.sends(request),
-                Action::SetTimer { after, tag } => self.time.at(after.max(1), Happens::Timer(tag)),
+                Action::Send { request, .. } => self.send_attempt(request),
+                Action::SetTimer { after, tag } => {
+                    self.time.at(after.max(1), NodeEvent::Timer(tag))
+                }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     let open = self.open.remove(&request);
                     self.refused += u64::from(open.is_some_and(|open| open.attempts == 0));
@@ -219,7 +222,7 @@
         }
     }
 
-    fn sends(&mut self, request: RequestId) {
+    fn send_attempt(&mut self, request: RequestId) {
         let now = self.time.now;
         let Some(open) = self.open.get_mut(&request) else {
             return;
@@ -228,24 +231,27 @@
         (open.attempts, open.sent_at) = (attempt + 1, now);
         self.sent += 1;
         let began = Instant::now();
-        let begins = self.module.may_begin(now, request, attempt);
+        let may_begin = self.balancer.may_begin(now, request, attempt);
         self.spent += began.elapsed();
-        let takes = if self.fleet.overloaded {
+        let call_duration = if self.fleet.overloaded {
             HEAVY_WORK
         } else {
             LIGHT_WORK
         } as Micros;
-        if begins {
-            return self.time.at(takes, Happens::Ends { request, attempt });
+        if may_begin {
+            return self
+                .time
+                .at(call_duration, NodeEvent::CallEnds { request, attempt });
         }
-        let (outcome, spent, is_request_complete, told) = (Outcome::NotSent, 0, false, false);
+        let (outcome, spent, is_request_complete, is_already_reported) =
+            (Outcome::NotSent, 0, false, false);
         let ended = AttemptEnded {
             request,
             attempt,
             outcome,
             spent,
             is_request_complete,
-            is_already_reported: told,
+            is_already_reported,
             usage: None,
             report: None,
         };
--- a/crates/fleet-test/src/scale/plots.rs
+++ b/crates/fleet-test/src/scale/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of the figures that decide how large a fleet may grow, as SVG.
+//! SVG plots of the figures that limit the size of a fleet.
 
 use std::path::Path;
 
@@ -12,17 +12,17 @@
 const HEIGHT: u32 = 420;
 const MARGIN: u32 = 12;
 const LABELS: u32 = 64;
-/// Room over the greatest value.
+/// Length of an axis as a multiple of the greatest value on it.
 const HEADROOM: f64 = 1.15;
 
-/// Figures that are drawn, and under which name.
+/// Figures that are drawn, their axis, and the file name without extension.
 const DRAWN: [(&str, Axis, &str); 3] = [
     ("process.request", Axis::Engines, "request-by-engines"),
     ("process.memory", Axis::Clients, "memory-by-clients"),
     ("keeper.links.time", Axis::Links, "keeper-by-links"),
 ];
 
-/// Draws what was measured of them into a directory; gives the names of the files.
+/// Draws those figures that were measured into `directory`, and returns the file names.
 pub fn draw(
     outcome: &Outcome,
     directory: &Path,
@@ -34,13 +34,13 @@
             continue;
         };
         let file = format!("{file}.svg");
-        one(series, &directory.join(&file))?;
+        draw_series(series, &directory.join(&file))?;
         drawn.push(file);
     }
     Ok(drawn)
 }
 
-fn one(series: &Series, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
+fn draw_series(series: &Series, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let greatest = |values: &mut dyn Iterator<Item = f64>| values.fold(0.0, f64::max);
     let right = greatest(&mut series.points.iter().map(|point| point.at)).max(1.0);
     let values = series
@@ -66,16 +66,16 @@
         .x_desc(axis)
         .y_desc(series.unit)
         .draw()?;
-    let each = series
+    let values = series
         .points
         .iter()
         .flat_map(|point| point.values.iter().map(|value| (point.at, *value)));
-    chart.draw_series(each.map(|place| Circle::new(place, 3, BLUE.filled())))?;
+    chart.draw_series(values.map(|point| Circle::new(point, 3, BLUE.filled())))?;
     if let Some(slope) = fit::slope(&series.points) {
         const STEPS: usize = 100;
-        let places = (0..=STEPS).map(|step| right * step as f64 / STEPS as f64);
+        let positions = (0..=STEPS).map(|step| right * step as f64 / STEPS as f64);
         chart.draw_series(LineSeries::new(
-            places.map(|at| (at, slope.value(at))),
+            positions.map(|at| (at, slope.value(at))),
             &RED,
         ))?;
     }
--- a/crates/fleet-test/src/scale/processes.rs
+++ b/crates/fleet-test/src/scale/processes.rs
@@ -1,5 +1,5 @@
-//! Real gateways: processes of the program on loopback before a stand-in for all engines and one
-//! for service discovery, with what they take by the system's own account.
+//! Real gateways: processes of the program on loopback, with one emulator for all engines and one
+//! for service discovery. Processor time and memory are those that the operating system reports.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
-use super::clients::{Asks, Driver, CLIENTS_A_GATEWAY};
+use super::clients::{Driver, RequestKind, CLIENTS_A_GATEWAY};
 use super::discovery_server::{DiscoveryServer, FIRST_NUMBER};
 use super::measure::Size;
 use super::{decisions, discovery};
@@ -48,38 +48,40 @@
     wait 4s
 }
 ";
-/// Requests before anything is counted, and their rate: connections to engines are made then.
+/// Requests per gateway before a measurement, and their rate. They establish the connections to
+/// engines.
 const WARM_UP_REQUESTS: usize = 100;
 const WARM_UP_RATE: f64 = 500.0;
 
-/// One gateway's part of a measurement.
+/// Measurement of one gateway.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sample {
-    /// Processor time for a request.
-    pub micros_a_request: f64,
-    /// Memory that the process held.
+    /// Processor time per request, in microseconds.
+    pub micros_per_request: f64,
+    /// Resident memory of the process.
     pub resident_bytes: f64,
-    /// What its clients were answered.
+    /// Answers that its clients received.
     pub answers: Answers,
 }
 
-/// Clients that rest at gateways, and what their coming took.
-pub struct Resting {
-    /// The clients, as long as they are to rest.
+/// Idle clients of gateways, and the cost of connecting them.
+pub struct IdleClients {
+    /// The clients; dropping them closes their connections.
     pub clients: Vec<Client>,
-    /// Processor time of each gateway for one client: its connection and its first question.
-    pub micros_a_client: Vec<f64>,
+    /// Processor time of each gateway per client, for its connection and first request, in
+    /// microseconds.
+    pub micros_per_client: Vec<f64>,
 }
 
 pub(super) struct Node {
     pub name: String,
     pub address: SocketAddr,
-    /// Processor time until it listened.
-    pub started: Duration,
+    /// Processor time from the start of the process until it listened.
+    pub start_cpu_time: Duration,
     pub config: Value,
 }
 
-/// So many gateways that know the same list.
+/// Gateway processes that share one endpoint list.
 pub struct Fleet {
     runtime: tokio::runtime::Runtime,
     pub(super) programs: Programs,
@@ -88,39 +90,40 @@
     pub(super) discovery: DiscoveryServer,
     pub(super) hosts: Vec<Value>,
     size: Size,
-    /// The lines of each gateway's operator's file, if they have one.
+    /// Text of each gateway's operator's file; empty for a gateway without one.
     operator: Vec<String>,
-    _engines: StopsEngines,
+    _engines: StopEnginesOnDrop,
     _directory: tempfile::TempDir,
 }
 
-/// Ends the stand-in for all engines with its fleet.
+/// Stops the emulator of the engines when the fleet is dropped.
 #[derive(Default)]
-struct StopsEngines(Arc<AtomicBool>);
+struct StopEnginesOnDrop(Arc<AtomicBool>);
 
-impl Drop for StopsEngines {
+impl Drop for StopEnginesOnDrop {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
-/// What gateways counted themselves, once they have ended.
+/// How the processes of a fleet ended, and their final counters.
 #[derive(Debug, Default)]
-pub struct Ended {
-    /// Those that ended by themselves, or had to be killed.
+pub struct FleetExit {
+    /// Names of the gateways that ended by themselves or had to be killed.
     pub crashed: Vec<String>,
-    /// Each one's counters.
+    /// The end of each process, with its counters.
     pub endings: Vec<Ending>,
 }
 
 impl Fleet {
-    /// Starts so many processes of the fleet's gateways, with equal distances between their places
-    /// among all.
+    /// Starts `processes` gateways of a fleet of `size`. Their indexes in the fleet are evenly
+    /// spaced.
     pub fn start(program: &Path, processes: usize, size: Size) -> io::Result<Self> {
         Self::start_with(program, processes, size, &|_, _| Vec::new())
     }
 
-    /// The same, each with an operator's file of these lines, by its number and its directory.
+    /// Starts gateways like [`Fleet::start`], each with an operator's file. `operator` returns its
+    /// lines, given the gateway's number and the directory of the fleet.
     pub fn start_with(
         program: &Path,
         processes: usize,
@@ -129,7 +132,7 @@
     ) -> io::Result<Self> {
         let engine = Engine::listen("127.0.0.1:0")?;
         let address = engine.address().to_string();
-        let stop = StopsEngines::default();
+        let stop = StopEnginesOnDrop::default();
         engine.answer_until(stop.0.clone(), 1, "a\tb\tc\n".into());
         let hosts: Vec<Value> = (0..size.engines)
             .map(|number| discovery::host(number, &address, "up"))
@@ -158,25 +161,25 @@
             _directory: directory,
         };
         for number in 0..processes {
-            fleet.start_one(number, number * size.gateways.max(processes) / processes)?;
+            fleet.start_gateway(number, number * size.gateways.max(processes) / processes)?;
         }
         Ok(fleet)
     }
 
-    /// Starts the gateway of this number at a place among all gateways of the fleet.
-    fn start_one(&mut self, number: usize, place: usize) -> io::Result<()> {
+    /// Starts the gateway `g{number}` with an index in the fleet.
+    fn start_gateway(&mut self, number: usize, index: usize) -> io::Result<()> {
         let name = format!("g{number}");
-        let config = self.config(&name, place)?;
+        let config = self.gateway_config(&name, index)?;
         let arguments = self.operator_file(number, &name)?;
         let started = self
             .processes
             .start(&self.programs, &name, &config, &arguments);
         let (address, _) = self.runtime.block_on(started)?;
-        let started = self.processor_time(&name)?;
+        let start_cpu_time = self.processor_time(&name)?;
         self.nodes.push(Node {
             name,
             address,
-            started,
+            start_cpu_time,
             config,
         });
         Ok(())
@@ -192,7 +195,7 @@
         Ok(vec!["--operator".into(), path.display().to_string()])
     }
 
-    fn config(&self, name: &str, place: usize) -> io::Result<Value> {
+    fn gateway_config(&self, name: &str, index: usize) -> io::Result<Value> {
         let scenario =
             Scenario::read("scale", SCENARIO).map_err(|e| io::Error::other(e.to_string()))?;
         let known = json!({"no": FIRST_NUMBER, "items": [
@@ -209,7 +212,7 @@
         );
         config["name"] = json!(name);
         config["settings"]["peers-total"] = json!(self.size.gateways);
-        config["settings"]["self-index"] = json!(place);
+        config["settings"]["self-index"] = json!(index);
         let zones: Vec<String> = (0..decisions::ZONES)
             .map(|zone| format!("zone-{zone}"))
             .collect();
@@ -218,8 +221,8 @@
     }
 
     fn processor_time(&self, name: &str) -> io::Result<Duration> {
-        let gone = || io::Error::other(format!("gateway {name} has ended"));
-        self.processes.processor_time(name).ok_or_else(gone)
+        let has_ended = || io::Error::other(format!("gateway {name} has ended"));
+        self.processes.processor_time(name).ok_or_else(has_ended)
     }
 
     pub(super) fn processor_times(&self) -> io::Result<Vec<Duration>> {
@@ -230,22 +233,28 @@
     }
 
     pub(super) fn resident_bytes(&self) -> Vec<f64> {
-        let of = |node: &Node| self.processes.resident_bytes(&node.name).unwrap_or(0) as f64;
-        self.nodes.iter().map(of).collect()
+        let memory = |node: &Node| self.processes.resident_bytes(&node.name).unwrap_or(0) as f64;
+        self.nodes.iter().map(memory).collect()
     }
 
-    /// Lets clients that have asked once rest at each of some gateways, as long as what is given
-    /// back.
-    pub fn rest(&self, gateways: Range<usize>, clients: usize) -> io::Result<Resting> {
+    /// Connects `clients` clients to each of some gateways, and lets each send one request. They
+    /// stay connected until the result is dropped.
+    pub fn connect_idle_clients(
+        &self,
+        gateways: Range<usize>,
+        clients: usize,
+    ) -> io::Result<IdleClients> {
         let before = self.processor_times()?;
         let addresses = self.nodes[gateways.clone()].iter().map(|node| node.address);
-        let each = addresses.flat_map(|address| std::iter::repeat_n(address, clients));
-        let mut resting: Vec<Client> = each.map(Client::connect).collect::<io::Result<_>>()?;
-        // One that never asked would be ended after a while.
-        resting
+        let all_addresses = addresses.flat_map(|address| std::iter::repeat_n(address, clients));
+        let mut idle_clients: Vec<Client> = all_addresses
+            .map(Client::connect)
+            .collect::<io::Result<_>>()?;
+        // Gateways close connections that never send a request.
+        idle_clients
             .iter_mut()
             .try_for_each(|client| client.ask_health(1))?;
-        for client in &mut resting {
+        for client in &mut idle_clients {
             client.answer()?;
         }
         let after = self.processor_times()?;
@@ -254,55 +263,57 @@
             .zip(&after)
             .skip(gateways.start)
             .take(gateways.len());
-        let of_client = |(before, after): (&Duration, &Duration)| {
+        let micros = |(before, after): (&Duration, &Duration)| {
             (*after - *before).as_secs_f64() * 1e6 / clients.max(1) as f64
         };
-        Ok(Resting {
-            clients: resting,
-            micros_a_client: spent.map(of_client).collect(),
+        Ok(IdleClients {
+            clients: idle_clients,
+            micros_per_client: spent.map(micros).collect(),
         })
     }
 
-    /// Asks each gateway at a rate for some time, from clients of its own.
-    pub fn ask(&self, rate: f64, lasts: Duration) -> io::Result<Vec<Sample>> {
-        let drivers = self.warm_up(0, Asks::Safe)?;
-        self.measure(0, drivers, rate, lasts)
+    /// Connects new clients to each gateway, warms it up and measures requests at `rate` per second.
+    pub fn send_requests(&self, rate: f64, duration: Duration) -> io::Result<Vec<Sample>> {
+        let drivers = self.warm_up(0, RequestKind::Safe)?;
+        self.measure(0, drivers, rate, duration)
     }
 
-    /// Clients of the gateways from a number on, in the order of these.
-    pub fn connect(&self, first: usize, asks: Asks) -> io::Result<Vec<Driver>> {
+    /// Connects clients to the gateways from number `first` on, in their order.
+    pub fn connect(&self, first: usize, kind: RequestKind) -> io::Result<Vec<Driver>> {
         let mut drivers = Vec::new();
         for node in &self.nodes[first..] {
-            drivers.extend(Driver::connect(node.address, asks)?);
+            drivers.extend(Driver::connect(node.address, kind)?);
         }
         Ok(drivers)
     }
 
-    /// Lets such clients ask so often that their gateways have connections to engines.
-    pub fn warm_up(&self, first: usize, asks: Asks) -> io::Result<Vec<Driver>> {
-        let drivers = self.connect(first, asks)?;
+    /// Connects such clients and lets them send [`WARM_UP_REQUESTS`] requests per gateway, so that
+    /// the gateways connect to engines.
+    pub fn warm_up(&self, first: usize, kind: RequestKind) -> io::Result<Vec<Driver>> {
+        let drivers = self.connect(first, kind)?;
         Driver::drive(drivers, WARM_UP_REQUESTS / CLIENTS_A_GATEWAY, WARM_UP_RATE)
     }
 
-    /// Lets the clients of the gateways from a number on ask at a rate for some time.
+    /// Measures the gateways from number `first` on while their clients send `rate` requests per
+    /// second to each.
     pub fn measure(
         &self,
         first: usize,
         drivers: Vec<Driver>,
         rate: f64,
-        lasts: Duration,
+        duration: Duration,
     ) -> io::Result<Vec<Sample>> {
-        let count = (rate * lasts.as_secs_f64() / CLIENTS_A_GATEWAY as f64).ceil() as usize;
+        let count = (rate * duration.as_secs_f64() / CLIENTS_A_GATEWAY as f64).ceil() as usize;
         let before = self.processor_times()?;
         let drivers = Driver::drive(drivers, count, rate)?;
         let after = self.processor_times()?;
         let resident = self.resident_bytes();
-        let sample = |(at, own): (usize, &[Driver])| {
-            let answers = own.iter().map(|driver| driver.answers).sum();
+        let sample = |(at, gateway_drivers): (usize, &[Driver])| {
+            let answers = gateway_drivers.iter().map(|driver| driver.answers).sum();
             let spent = (after[first + at] - before[first + at]).as_secs_f64() * 1e6;
-            let micros_a_request = spent / (count * CLIENTS_A_GATEWAY) as f64;
+            let micros_per_request = spent / (count * CLIENTS_A_GATEWAY) as f64;
             Sample {
-                micros_a_request,
+                micros_per_request,
                 resident_bytes: resident[first + at],
                 answers,
             }
@@ -314,22 +325,22 @@
             .collect())
     }
 
-    /// Asks one gateway for one keyed request; whether it was served.
+    /// Sends one keyed request to a gateway and returns whether it was served.
     pub fn serves_keyed(&self, gateway: usize) -> io::Result<bool> {
-        let mut drivers = Driver::connect(self.nodes[gateway].address, Asks::Keyed)?;
+        let mut drivers = Driver::connect(self.nodes[gateway].address, RequestKind::Keyed)?;
         drivers.truncate(1);
         let drivers = Driver::drive(drivers, 1, WARM_UP_RATE)?;
         Ok(drivers[0].answers.served > 0)
     }
 
-    /// The settings that all gateways of the fleet share.
+    /// The settings of the first gateway. All gateways have the same ones, except for their index.
     pub fn settings(&self) -> io::Result<Settings> {
         let tree = SettingsTree::from_json(&self.nodes[0].config["settings"]);
         eideryard_settings::read_settings(&tree).map_err(|e| io::Error::other(e.to_string()))
     }
 
-    /// Ends all gateways.
-    pub fn end(mut self) -> io::Result<Ended> {
+    /// Stops all gateways with SIGTERM and waits until they have ended.
+    pub fn end(mut self) -> io::Result<FleetExit> {
         let mut crashed = self.processes.crashed();
         for node in &self.nodes {
             self.processes.signal(&node.name, Signal::TERM);
@@ -339,22 +350,22 @@
                 crashed.push(node.name.clone());
             }
         }
-        Ok(Ended {
+        Ok(FleetExit {
             crashed,
             endings: std::mem::take(&mut self.processes.endings),
         })
     }
 }
 
-impl Ended {
-    /// What each gateway counted under a name, if it left counters.
+impl FleetExit {
+    /// The final value of a counter at each gateway; `None` for a gateway without it.
     pub fn counted(&self, name: &str) -> Vec<Option<u64>> {
-        let of = |ending: &Ending| {
+        let counter = |ending: &Ending| {
             ending
                 .counters
                 .as_ref()
-                .and_then(|own| own.get(name).copied())
+                .and_then(|counters| counters.get(name).copied())
         };
-        self.endings.iter().map(of).collect()
+        self.endings.iter().map(counter).collect()
     }
 }
--- a/crates/fleet-test/src/scale/real_sweeps.rs
+++ b/crates/fleet-test/src/scale/real_sweeps.rs
@@ -1,23 +1,23 @@
-//! Sweeps over real gateways: requests, clients, lists, changes of the configuration, and beside
-//! hollow ones.
+//! Sweeps that measure real gateways: requests, clients, list events, configuration changes, and
+//! real gateways together with hollow ones.
 
 use std::io;
 use std::time::Duration;
 
 use super::control::IN_FORCE_WITHIN;
 use super::measure::{Axis, Figure, Size, Source};
+use super::mixed::{self, HollowCounts, HollowGateways};
 use super::processes::{Fleet, Sample};
-use super::run::{Place, Run};
+use super::run::{Run, SweepPoint};
 use super::sizes::Machine;
-use super::together::{self, Counted, Together};
 use super::{checks, decisions};
 
-/// Events of the list beside single changes: a zone gone and back, and the whole list.
-const LIST_EVENTS_BESIDE: usize = 3;
-/// Changes of the configuration at each point of a sweep over engines.
+/// List events in addition to single changes: a zone removed, the zone added, and the whole list.
+const OTHER_LIST_EVENTS: usize = 3;
+/// Configuration changes at each point of the sweep over engines.
 const RELOADS: usize = 10;
 
-const fn real(name: &'static str, unit: &'static str) -> Figure {
+const fn real_figure(name: &'static str, unit: &'static str) -> Figure {
     Figure {
         name,
         unit,
@@ -25,7 +25,7 @@
     }
 }
 
-const fn hollow(name: &'static str, unit: &'static str) -> Figure {
+const fn hollow_figure(name: &'static str, unit: &'static str) -> Figure {
     Figure {
         name,
         unit,
@@ -34,199 +34,248 @@
 }
 
 impl Run<'_> {
-    fn start(&mut self, size: Size) -> io::Result<Option<Fleet>> {
+    fn start_fleet(&mut self, size: Size) -> io::Result<Option<Fleet>> {
         let Some(program) = self.program else {
             return Ok(None);
         };
         Fleet::start(program, self.sizes.real.min(size.gateways).max(1), size).map(Some)
     }
 
-    pub(super) fn lasts(&self) -> Duration {
+    pub(super) fn point_duration(&self) -> Duration {
         Duration::from_secs_f64(self.sizes.seconds)
     }
 
-    fn samples(&mut self, axis: Axis, place: Place, samples: &[Sample]) {
+    fn add_samples(&mut self, axis: Axis, point: SweepPoint, samples: &[Sample]) {
         for sample in samples {
             self.add(
-                real("process.request", "us a request"),
+                real_figure("process.request", "us a request"),
                 axis,
-                place,
-                sample.micros_a_request,
+                point,
+                sample.micros_per_request,
             );
             self.add(
-                real("process.memory", "bytes"),
+                real_figure("process.memory", "bytes"),
                 axis,
-                place,
+                point,
                 sample.resident_bytes,
             );
-            checks::answers(&mut self.outcome, sample.answers);
+            checks::count_answers(&mut self.outcome, sample.answers);
         }
     }
 
-    /// Ends a fleet that got so many list events and changes of its configuration.
-    fn end(&mut self, fleet: Fleet, list_events: usize, reloads: usize) -> io::Result<()> {
-        let wanted = [
+    /// Stops a fleet and checks that each gateway counted these list events and configuration changes.
+    fn end_fleet(&mut self, fleet: Fleet, list_events: usize, reloads: usize) -> io::Result<()> {
+        let expected = [
             ("list_events", list_events as u64),
             ("reloads", reloads as u64),
             ("reloads_failed", 0),
         ];
-        checks::ended(&mut self.outcome, &fleet.end()?, &wanted);
+        checks::check_exit(&mut self.outcome, &fleet.end()?, &expected);
         Ok(())
     }
 
-    pub(super) fn real_requests(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        let Some(fleet) = self.start(place.1)? else {
+    pub(super) fn measure_real_requests(
+        &mut self,
+        axis: Axis,
+        point: SweepPoint,
+    ) -> io::Result<()> {
+        let Some(fleet) = self.start_fleet(point.1)? else {
             return Ok(());
         };
-        let samples = fleet.ask(place.1.rate, self.lasts())?;
-        self.samples(axis, place, &samples);
-        self.end(fleet, 0, 0)
+        let samples = fleet.send_requests(point.1.rate, self.point_duration())?;
+        self.add_samples(axis, point, &samples);
+        self.end_fleet(fleet, 0, 0)
     }
 
-    pub(super) fn real_clients(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        let Some(fleet) = self.start(place.1)? else {
+    pub(super) fn measure_real_clients(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
+        let Some(fleet) = self.start_fleet(point.1)? else {
             return Ok(());
         };
         let gateways = self.sizes.gateways_with_clients();
-        let at_once = self.sizes.resting_at_once(Machine::own()?, place.1.clients);
+        let at_once = self
+            .sizes
+            .gateways_with_clients_at_once(Machine::read_limits()?, point.1.clients);
         for first in (0..gateways).step_by(at_once) {
             let round = first..gateways.min(first + at_once);
-            let resting = fleet.rest(round.clone(), place.1.clients)?;
-            for &micros in resting
-                .micros_a_client
+            let idle_clients = fleet.connect_idle_clients(round.clone(), point.1.clients)?;
+            for &micros in idle_clients
+                .micros_per_client
                 .iter()
-                .filter(|_| place.1.clients > 0)
+                .filter(|_| point.1.clients > 0)
             {
-                self.add(real("process.client", "us a client"), axis, place, micros);
+                self.add(
+                    real_figure("process.client", "us a client"),
+                    axis,
+                    point,
+                    micros,
+                );
             }
-            let samples = fleet.ask(place.1.rate, self.lasts())?;
-            self.samples(axis, place, &samples[round]);
+            let samples = fleet.send_requests(point.1.rate, self.point_duration())?;
+            self.add_samples(axis, point, &samples[round]);
         }
-        self.end(fleet, 0, 0)
+        self.end_fleet(fleet, 0, 0)
     }
 
-    pub(super) fn real_lists(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        let Some(mut fleet) = self.start(place.1)? else {
+    pub(super) fn measure_real_lists(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
+        let Some(mut fleet) = self.start_fleet(point.1)? else {
             return Ok(());
         };
-        let samples = fleet.ask(place.1.rate, self.lasts())?;
-        self.samples(axis, place, &samples);
+        let samples = fleet.send_requests(point.1.rate, self.point_duration())?;
+        self.add_samples(axis, point, &samples);
         let changes = self.sizes.changes;
-        for control in fleet.control(changes, self.lasts())? {
+        for control in fleet.measure_control(changes, self.point_duration())? {
             for (figure, value) in [
-                (real("process.idle", "part of a core"), control.idle_share),
-                (real("process.change", "us"), control.micros_a_change),
-                (real("process.list", "us"), control.micros_a_whole_list),
                 (
-                    real("process.zone.gone", "us"),
-                    control.micros_for_a_zone_gone,
+                    real_figure("process.idle", "part of a core"),
+                    control.idle_share,
+                ),
+                (
+                    real_figure("process.change", "us"),
+                    control.micros_per_change,
+                ),
+                (
+                    real_figure("process.list", "us"),
+                    control.micros_per_whole_list,
+                ),
+                (
+                    real_figure("process.zone.gone", "us"),
+                    control.micros_per_zone_removed,
                 ),
                 (
-                    real("process.zone.back", "us"),
-                    control.micros_for_a_zone_back,
+                    real_figure("process.zone.back", "us"),
+                    control.micros_per_zone_added,
                 ),
-                (real("process.start", "us"), control.micros_to_start),
+                (real_figure("process.start", "us"), control.micros_to_start),
             ] {
-                self.add(figure, axis, place, value);
+                self.add(figure, axis, point, value);
             }
         }
-        self.reload(&mut fleet, RELOADS, axis, place)?;
-        self.end(fleet, changes + LIST_EVENTS_BESIDE, RELOADS)
+        self.measure_reloads(&mut fleet, RELOADS, axis, point)?;
+        self.end_fleet(fleet, changes + OTHER_LIST_EVENTS, RELOADS)
     }
 
-    pub(super) fn real_reloads(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        let Some(mut fleet) = self.start(place.1)? else {
+    pub(super) fn measure_real_reloads(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
+        let Some(mut fleet) = self.start_fleet(point.1)? else {
             return Ok(());
         };
-        let reloads = place.0 as usize;
-        self.reload(&mut fleet, reloads, axis, place)?;
-        self.end(fleet, 0, reloads)
+        let reloads = point.0 as usize;
+        self.measure_reloads(&mut fleet, reloads, axis, point)?;
+        self.end_fleet(fleet, 0, reloads)
     }
 
-    fn reload(
+    fn measure_reloads(
         &mut self,
         fleet: &mut Fleet,
         reloads: usize,
         axis: Axis,
-        place: Place,
+        point: SweepPoint,
     ) -> io::Result<()> {
-        let outcome = fleet.reload(reloads, self.lasts(), IN_FORCE_WITHIN)?;
-        checks::reloads(&mut self.outcome, &outcome);
-        for micros in outcome.micros_a_reload {
-            self.add(real("process.reload", "us a change"), axis, place, micros);
+        let outcome = fleet.reload(reloads, self.point_duration(), IN_FORCE_WITHIN)?;
+        checks::check_reloads(&mut self.outcome, &outcome);
+        for micros in outcome.micros_per_reload {
+            self.add(
+                real_figure("process.reload", "us a change"),
+                axis,
+                point,
+                micros,
+            );
         }
         for after in outcome.in_force_after {
             self.add(
-                real("reload.in_force", "ms"),
+                real_figure("reload.in_force", "ms"),
                 axis,
-                place,
+                point,
                 after.as_secs_f64() * 1e3,
             );
         }
         Ok(())
     }
 
-    /// Real gateways with hollow ones beside them, all before one list that changes.
-    pub(super) fn together(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        let size = place.1;
-        let places = together::places(
+    /// Measures real and hollow gateways at the same time, while their common endpoint list changes.
+    pub(super) fn measure_real_and_hollow(
+        &mut self,
+        axis: Axis,
+        point: SweepPoint,
+    ) -> io::Result<()> {
+        let size = point.1;
+        let indexes = mixed::free_indexes(
             size.gateways,
             self.sizes.real.min(size.gateways),
             self.sizes.beside,
         );
-        if places.is_empty() {
+        if indexes.is_empty() {
             return Ok(());
         }
-        let Some(mut fleet) = self.start(size)? else {
+        let Some(mut fleet) = self.start_fleet(size)? else {
             return Ok(());
         };
         let events = fleet.discovery.watch();
         let hollow_fleet = decisions::Fleet {
-            hollow: places.len(),
-            ..self.fleet(size, self.sizes.seed)
+            hollow: indexes.len(),
+            ..self.hollow_fleet(size, self.sizes.seed)
         };
-        let beside = Together::start(hollow_fleet, places, events)?;
-        let samples = fleet.ask(size.rate, self.lasts())?;
+        let hollow_gateways = HollowGateways::start(hollow_fleet, indexes, events)?;
+        let samples = fleet.send_requests(size.rate, self.point_duration())?;
         for sample in &samples {
             self.add(
-                real("together.request", "us a request"),
+                real_figure("together.request", "us a request"),
                 axis,
-                place,
-                sample.micros_a_request,
+                point,
+                sample.micros_per_request,
             );
-            checks::answers(&mut self.outcome, sample.answers);
+            checks::count_answers(&mut self.outcome, sample.answers);
         }
         let changes = self.sizes.changes;
-        for control in fleet.control(changes, self.lasts())? {
+        for control in fleet.measure_control(changes, self.point_duration())? {
             self.add(
-                real("together.change", "us"),
+                real_figure("together.change", "us"),
                 axis,
-                place,
-                control.micros_a_change,
+                point,
+                control.micros_per_change,
             );
         }
-        let counted = beside.end()?;
-        let list_events = changes + LIST_EVENTS_BESIDE;
-        self.add_beside(axis, place, counted, list_events as u64);
-        self.end(fleet, list_events, 0)
+        let counted = hollow_gateways.end()?;
+        let list_events = changes + OTHER_LIST_EVENTS;
+        self.add_hollow_counts(axis, point, counted, list_events as u64);
+        self.end_fleet(fleet, list_events, 0)
     }
 
-    fn add_beside(&mut self, axis: Axis, place: Place, counted: Counted, list_events: u64) {
-        checks::beside(&mut self.outcome, &counted, list_events);
-        let has_subsets = place.1.gateways > decisions::MAX_WITHOUT_SUBSETS;
-        for visits in counted.visits_a_request.into_iter().filter(|_| has_subsets) {
+    fn add_hollow_counts(
+        &mut self,
+        axis: Axis,
+        point: SweepPoint,
+        counted: HollowCounts,
+        list_events: u64,
+    ) {
+        checks::check_hollow_gateways(&mut self.outcome, &counted, list_events);
+        let has_subsets = point.1.gateways > decisions::MAX_WITHOUT_SUBSETS;
+        for visits in counted
+            .visits_per_request
+            .into_iter()
+            .filter(|_| has_subsets)
+        {
             self.add(
-                hollow("together.visits", "engines a request"),
+                hollow_figure("together.visits", "engines a request"),
                 axis,
-                place,
+                point,
                 visits,
             );
         }
-        for micros in counted.micros_a_change {
-            self.add(hollow("together.list.change", "us"), axis, place, micros);
+        for micros in counted.micros_per_change {
+            self.add(
+                hollow_figure("together.list.change", "us"),
+                axis,
+                point,
+                micros,
+            );
         }
-        for micros in counted.micros_a_whole_list {
-            self.add(hollow("together.list.whole", "us"), axis, place, micros);
+        for micros in counted.micros_per_whole_list {
+            self.add(
+                hollow_figure("together.list.whole", "us"),
+                axis,
+                point,
+                micros,
+            );
         }
     }
 }
--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -1,5 +1,6 @@
-//! Shared state among gateways: what claims of keyed requests, leases of tasks and heartbeats cost,
-//! in the simulated fleets of the cores that ship.
+//! Cost of the state that gateways share: claims of keyed requests, leases of tasks, heartbeats and
+//! state transfers, measured with the production protocol code in simulated fleets or on a single
+//! instance.
 
 use std::time::Duration;
 
@@ -16,27 +17,28 @@
 
 use crate::{owned, simulated};
 
-/// Bytes that TCP and IPv4 add to a segment without options.
+/// Bytes of the TCP and IPv4 headers of a segment without options.
 pub const HEADERS: u64 = 40;
 
-/// What the keyed requests of a fleet cost its keepers.
+/// Cost of a fleet's keyed requests. The field names are printed with a violation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Claims {
-    /// Messages for a keyed request, in all directions.
+    /// Messages per keyed request, in all directions.
     pub messages_a_request: f64,
-    /// Bytes for a keyed request, in all directions.
+    /// Bytes per keyed request, in all directions.
     pub bytes_a_request: f64,
-    /// Entries at the keeper that held most, for each request a second.
+    /// Entries at the voter with the most, divided by the rate of keyed requests per second.
     pub held_a_rate: f64,
-    /// Requests without an end.
+    /// Requests without a final answer.
     pub unanswered: u64,
-    /// Keys that took effect twice.
+    /// Keys whose effect was applied twice.
     pub effects_twice: u64,
-    /// Keys whose replicas differ at the end.
+    /// Keys whose replicas differ at the end of the simulation.
     pub differ: u64,
 }
 
-/// So many keyed requests within [`simulated::ASKS`], beside what the fleet sends without any.
+/// Simulates `requests` keyed requests within [`simulated::ASKS`] and returns their cost, without
+/// the messages that the same fleet sends when it has no requests.
 pub fn claims(gateways: usize, keepers: usize, requests: usize, seed: u64) -> Claims {
     let fleet = |requests| {
         let size = simulated::Size {
@@ -48,11 +50,12 @@
         simulated::Fleet::new(size, seed, simulated::Without::Nothing).run()
     };
     let (idle, busy) = (fleet(0), fleet(requests));
-    let each = |busy: u64, idle: u64| busy.saturating_sub(idle) as f64 / requests.max(1) as f64;
+    let per_request =
+        |busy: u64, idle: u64| busy.saturating_sub(idle) as f64 / requests.max(1) as f64;
     let rate = requests as f64 / (simulated::ASKS as f64 / 1e6);
     Claims {
-        messages_a_request: each(busy.messages, idle.messages),
-        bytes_a_request: each(busy.bytes, idle.bytes),
+        messages_a_request: per_request(busy.messages, idle.messages),
+        bytes_a_request: per_request(busy.bytes, idle.bytes),
         held_a_rate: busy.most_held as f64 / rate,
         unanswered: busy.unanswered,
         effects_twice: busy.effects_twice,
@@ -60,21 +63,21 @@
     }
 }
 
-/// Claims that are timed at a keeper's core.
+/// Number of claims over which a voter's processor time is measured.
 const TIMED_CLAIMS: u64 = 2_000;
-/// How long the timed core keeps entries, and its catch-up in bytes a second: nothing runs out
-/// meanwhile.
-const KEPT: Micros = 60_000_000;
+/// How long the measured voter keeps entries: longer than a measurement, so none expires.
+const RETENTION: Micros = 60_000_000;
+/// Budget of the measured voter for state transfers, in bytes per second.
 const CATCH_UP: u64 = 2 << 20;
 
-/// Processor time of a keeper's core, its frames included, for a claim of another gateway, with so
-/// many entries held.
-pub fn micros_a_vote(entries: u64) -> f64 {
+/// Measures a voter's processor time for a claim of another gateway, in microseconds, with
+/// `entries` entries stored. Encoding and decoding of frames is included.
+pub fn micros_per_vote(entries: u64) -> f64 {
     let mut core = voter_core(0, true, entries);
-    let asker = Peer::Requester(1);
-    core.on_link(0, asker, true);
+    let requester = Peer::Requester(1);
+    core.on_link(0, requester, true);
     for number in 0..entries {
-        core.on_message(number, asker, claim(number));
+        core.on_message(number, requester, claim(number));
     }
     let before = thread_time();
     for number in entries..entries + TIMED_CLAIMS {
@@ -87,7 +90,7 @@
         else {
             continue;
         };
-        for answer in sent(core.on_message(number, asker, message)) {
+        for answer in messages_of(core.on_message(number, requester, message)) {
             frame::write(&mut frame, &Frame::Message(answer)).expect("short enough for a frame");
         }
     }
@@ -100,10 +103,10 @@
         phase: Phase::InFlight,
         location: None,
         age: 0,
-        remaining: KEPT,
-        origin_expiry_ms: KEPT / 1_000,
+        remaining: RETENTION,
+        origin_expiry_ms: RETENTION / 1_000,
     };
-    // Keys as the ledger makes them, of an even spread.
+    // Evenly distributed keys, like those of the ledger.
     let key = number
         .wrapping_mul(0x9e37_79b9_7f4a_7c15)
         .to_be_bytes()
@@ -119,46 +122,53 @@
     }
 }
 
-/// Processor time of this thread.
+/// Processor time that this thread has used.
 pub fn thread_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// What the leases of a fleet's tasks cost, and how long tasks go without an owner.
+/// Cost of the leases of a fleet's tasks, and how long tasks have no owner. The field names are
+/// printed with a violation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Leases {
-    /// Messages of the whole fleet.
+    /// Messages per second of the whole fleet.
     pub messages_a_second: f64,
-    /// From the loss of owners until work on the last of their tasks counted again.
+    /// Milliseconds from the loss of owners until work was applied again for the last of their tasks.
     pub lost_for_ms: u64,
-    /// Of that until its later owner asked for votes, at the longest.
+    /// First phase, the maximum over the tasks: milliseconds until the new owner asked for votes.
     pub noticed_ms: u64,
-    /// Until it had them.
+    /// Second phase: milliseconds until it had a majority.
     pub vote_ms: u64,
-    /// Until its work counted.
+    /// Third phase: milliseconds until its first work was applied.
     pub first_work_ms: u64,
-    /// Leases that lapsed though their owners ran, of a hundred tasks in a second.
+    /// Leases that owners lost while they ran, per hundred tasks and second.
     pub lapsed_rate: f64,
-    /// Part of the lost tasks that needed more than one vote.
+    /// Fraction (0 to 1) of the lost tasks that needed more than one vote.
     pub voted_again_share: f64,
-    /// Lost tasks without a new owner within [`owned::NEW_OWNER_WITHIN`].
+    /// Lost tasks for which no work was applied within [`owned::NEW_OWNER_WITHIN`].
     pub owned_late: u64,
-    /// Work of a late owner that counted.
+    /// Units of work of a former owner that were applied; must be 0.
     pub stale_applied: u64,
-    /// Terms with two owners.
+    /// Terms with two owners; must be 0.
     pub two_owners: u64,
 }
 
-/// One of `goes` gateways is lost half way.
-pub fn leases(gateways: usize, keepers: usize, tasks: u32, goes: usize, seed: u64) -> Leases {
+/// Simulates the leases of a fleet in which one in `lost_one_in` gateways is lost half way.
+pub fn leases(
+    gateways: usize,
+    keepers: usize,
+    tasks: u32,
+    lost_one_in: usize,
+    seed: u64,
+) -> Leases {
     let figures = owned::Fleet::new(
         owned::Size {
             gateways,
             voters: keepers,
             tasks,
             faults: 0,
-            lost_one_in: goes,
+            lost_one_in: lost_one_in,
         },
         seed,
     )
@@ -179,21 +189,22 @@
     }
 }
 
-/// Votes and iterations that are timed at a core of leases.
+/// Number of renewals and of timer calls over which processor time is measured.
 const TIMED: u32 = 2_000;
 
-/// What a gateway's core of leases takes.
+/// Processor time that a gateway takes for leases.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LeaseCore {
-    /// Processor time of a voter for a renewal, its frames included.
-    pub micros_a_renewal: f64,
-    /// Processor time of a look at all tasks of which none is due: once an iteration of the
-    /// gateway's loop.
-    pub micros_a_look: f64,
+pub struct LeaseCoreCost {
+    /// Processor time of a voter for a renewal, including encoding and decoding of frames, in
+    /// microseconds.
+    pub micros_per_renewal: f64,
+    /// Processor time of a timer call for which no task is due, in microseconds. The gateway makes
+    /// one in each iteration of its event loop.
+    pub micros_per_timer_call: f64,
 }
 
-/// The core of a voter that may own so many tasks, all of which another gateway owns.
-pub fn lease_core(tasks: u32) -> LeaseCore {
+/// Measures a voter that is a candidate for `tasks` tasks, all of which another gateway owns.
+pub fn measure_lease_core(tasks: u32) -> LeaseCoreCost {
     let config = lease_protocol::Config {
         voter_count: 3,
         voter_index: Some(0),
@@ -235,74 +246,82 @@
             }
         }
     }
-    let renewed = thread_time();
+    let after_renewals = thread_time();
     let outputs: usize = (0..TIMED)
         .map(|_| core.on_timer(1, 0, VoterReadiness::Ready).len())
         .sum();
-    let looked = thread_time();
-    assert_eq!(outputs, 0, "nothing is due");
-    let each = |spent: Duration| spent.as_secs_f64() * 1e6 / f64::from(TIMED);
-    LeaseCore {
-        micros_a_renewal: each(renewed - before),
-        micros_a_look: each(looked - renewed),
+    let after_timer_calls = thread_time();
+    assert_eq!(
+        outputs, 0,
+        "no task is due, so the timer must have no outputs"
+    );
+    let micros_each = |spent: Duration| spent.as_secs_f64() * 1e6 / f64::from(TIMED);
+    LeaseCoreCost {
+        micros_per_renewal: micros_each(after_renewals - before),
+        micros_per_timer_call: micros_each(after_timer_calls - after_renewals),
     }
 }
 
-/// What one that lost its entries takes to get them from another.
+/// Cost of the transfer of all entries to a voter that lost them. The field names are printed with
+/// a violation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Transfer {
     /// Bytes of all frames.
     pub bytes: u64,
-    /// Virtual time, which the budget of bytes a second decides.
+    /// Virtual time of the transfer, in microseconds. The budget in bytes per second determines it.
     pub lasts: Micros,
-    /// Processor time of both ends.
+    /// Processor time of both voters.
     pub time: Duration,
     /// Entries that arrived.
     pub entries: u64,
 }
 
-/// Time between two looks of either end, and the time after which a transfer counts as hung.
-const TRANSFER_LOOK: Micros = 10_000;
-const TRANSFER_HANGS: Micros = KEPT / 2;
+/// Interval at which each voter is polled, and the virtual time after which a transfer is given up.
+const TRANSFER_POLL_INTERVAL: Micros = 10_000;
+const TRANSFER_TIMEOUT: Micros = RETENTION / 2;
 
-/// A voter whose store is empty gets so many entries from one that has them.
+/// Transfers `entries` entries from a voter that has them to one whose store is empty.
 pub fn transfer(entries: u64) -> Transfer {
-    let mut giver = voter_core(0, true, entries);
-    let mut taker = voter_core(1, false, entries);
-    giver.on_link(0, Peer::Requester(1), true);
+    let mut source = voter_core(0, true, entries);
+    let mut target = voter_core(1, false, entries);
+    source.on_link(0, Peer::Requester(1), true);
     for number in 0..entries {
-        giver.on_message(0, Peer::Requester(1), claim(number));
+        source.on_message(0, Peer::Requester(1), claim(number));
     }
-    let (mut now, mut bytes, mut over) = (0, 0, false);
+    let (mut now, mut bytes, mut is_complete) = (0, 0, false);
     let before = thread_time();
-    taker.on_link(now, Peer::Voter(0), true);
-    while !over && now < TRANSFER_HANGS {
-        now += TRANSFER_LOOK;
-        let mut to_giver = sent(taker.poll(now));
-        let mut to_taker = sent(giver.poll(now));
-        while let Some(message) = to_giver.pop() {
+    target.on_link(now, Peer::Voter(0), true);
+    while !is_complete && now < TRANSFER_TIMEOUT {
+        now += TRANSFER_POLL_INTERVAL;
+        let mut to_source = messages_of(target.poll(now));
+        let mut to_target = messages_of(source.poll(now));
+        while let Some(message) = to_source.pop() {
             bytes += frame_bytes(&message);
-            to_taker.extend(sent(giver.on_message(now, Peer::Requester(1), message)));
+            to_target.extend(messages_of(source.on_message(
+                now,
+                Peer::Requester(1),
+                message,
+            )));
         }
-        for message in to_taker {
+        for message in to_target {
             bytes += frame_bytes(&message);
-            over |= matches!(message, Message::StatePart { is_last: true, .. });
-            taker.on_message(now, Peer::Voter(0), message);
+            is_complete |= matches!(message, Message::StatePart { is_last: true, .. });
+            target.on_message(now, Peer::Voter(0), message);
         }
     }
     Transfer {
         bytes,
         lasts: now,
         time: thread_time() - before,
-        entries: taker.replicas().len() as u64,
+        entries: target.replicas().len() as u64,
     }
 }
 
-fn voter_core(own: usize, whole: bool, entries: u64) -> Core {
-    let plan = Config {
+fn voter_core(index: usize, has_state: bool, entries: u64) -> Core {
+    let config = Config {
         voters: 3,
-        voter_index: Some(own),
-        max_retention: KEPT,
+        voter_index: Some(index),
+        max_retention: RETENTION,
         limits: Limits {
             max_keys: (entries + TIMED_CLAIMS) as usize,
         },
@@ -310,25 +329,25 @@
         send_without_majority: false,
     };
     Core::start(
-        plan,
+        config,
         Origin {
-            identity: own as u64 + 1,
+            identity: index as u64 + 1,
             start: 1,
         },
-        whole,
+        has_state,
         std::iter::empty(),
         0,
     )
 }
 
-/// Messages among outputs, also those that wait for an entry to be durable, which takes no time
-/// here.
-fn sent(outputs: Vec<Output>) -> Vec<Message> {
+/// Extracts the messages from `outputs`, also those that wait until an entry is durable: storing
+/// takes no time here.
+fn messages_of(outputs: Vec<Output>) -> Vec<Message> {
     let mut messages = Vec::new();
     for output in outputs {
         match output {
             Output::Send(_, message) => messages.push(message),
-            Output::Store { after_durable, .. } => messages.extend(sent(after_durable)),
+            Output::Store { after_durable, .. } => messages.extend(messages_of(after_durable)),
             _ => {}
         }
     }
@@ -341,18 +360,18 @@
     bytes.len() as u64
 }
 
-/// What heartbeats of one link cost one of its ends.
+/// Cost of the heartbeats of one link at one of its ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Heartbeats {
-    /// Sent by this end, headers included.
-    pub bytes_a_second: f64,
-    /// Sent by this end.
-    pub messages_a_second: f64,
-    /// Processor time of the detector and the frames for a second of one link.
-    pub time_a_second: Duration,
+    /// Bytes per second that this end sends, TCP and IPv4 headers included.
+    pub bytes_per_second: f64,
+    /// Messages per second that this end sends.
+    pub messages_per_second: f64,
+    /// Processor time per second of the failure detector and the frames.
+    pub time_per_second: Duration,
 }
 
-/// So many links for so many heartbeats of each.
+/// Measures `links` links for `beats` heartbeat intervals each.
 pub fn heartbeats(links: usize, beats: u64) -> Heartbeats {
     let mut detectors = vec![FailureDetector::new(0); links];
     let (mut bytes, mut messages) = (0u64, 0u64);
@@ -363,13 +382,13 @@
             let Some(heartbeat) = detector.take_due_heartbeat(now) else {
                 continue;
             };
-            // Its own heartbeat, and the answer to that of the other end.
-            for carried in [
+            // This end's heartbeat, and its reply to the heartbeat of the other end.
+            for sent in [
                 Frame::<u32>::Heartbeat(heartbeat),
                 Frame::HeartbeatReply(heartbeat),
             ] {
                 let mut out = Vec::new();
-                frame::write(&mut out, &carried).expect("short enough for a frame");
+                frame::write(&mut out, &sent).expect("short enough for a frame");
                 let read = frame::read::<u32>(&out);
                 messages += u64::from(matches!(read, Ok(Some(_))));
                 bytes += out.len() as u64 + HEADERS;
@@ -381,8 +400,8 @@
     }
     let seconds = (beats * HEARTBEAT_INTERVAL) as f64 / 1e6 * links as f64;
     Heartbeats {
-        bytes_a_second: bytes as f64 / seconds,
-        messages_a_second: messages as f64 / seconds,
-        time_a_second: (thread_time() - before).div_f64(seconds),
+        bytes_per_second: bytes as f64 / seconds,
+        messages_per_second: messages as f64 / seconds,
+        time_per_second: (thread_time() - before).div_f64(seconds),
     }
 }
--- a/crates/fleet-test/src/scale/report.rs
+++ b/crates/fleet-test/src/scale/report.rs
@@ -1,4 +1,5 @@
-//! What a scale run prints: a line of JSON for each series, slope and prediction, then a table.
+//! Output of a scale run: a line of JSON for each series, slope and prediction, a table, and the
+//! verdict.
 
 use std::fmt::Write;
 
@@ -8,13 +9,13 @@
 use super::measure::{Axis, Series};
 use super::run::{Outcome, Predicted};
 
-/// The fleet ahead that slopes are taken to.
+/// Number of gateways of the target fleet, for which slopes are extrapolated.
 pub const TARGET_GATEWAYS: f64 = 1_700.0;
-/// Engines there.
+/// Number of engines of the target fleet.
 pub const TARGET_ENGINES: f64 = 4_100.0;
-/// Idle clients of a gateway there.
+/// Idle clients per gateway of the target fleet.
 pub const TARGET_CLIENTS: f64 = 4_120.0;
-/// Requests a second of a gateway there.
+/// Requests per second and gateway of the target fleet.
 pub const TARGET_RATE: f64 = 447.0;
 
 #[derive(Serialize)]
@@ -35,7 +36,7 @@
     serde_json::to_string(line).unwrap_or_else(|e| format!("{{\"error\":\"{e}\"}}"))
 }
 
-/// Where the target lies on an axis, if it names a size there.
+/// Position of the target fleet on an axis, if it defines one.
 pub fn target(axis: Axis) -> Option<f64> {
     match axis {
         Axis::Engines => Some(TARGET_ENGINES),
@@ -48,7 +49,7 @@
     }
 }
 
-/// All lines of JSON.
+/// The lines of JSON: each series, followed by its slope, then all predictions.
 pub fn lines(outcome: &Outcome) -> Vec<String> {
     let mut lines = Vec::new();
     for series in &outcome.collected.series {
@@ -72,7 +73,7 @@
     lines
 }
 
-fn name(axis: Axis) -> &'static str {
+fn axis_name(axis: Axis) -> &'static str {
     match axis {
         Axis::Engines => "engines",
         Axis::Gateways => "gateways",
@@ -88,18 +89,18 @@
     }
 }
 
-/// A figure with three digits that tell.
+/// Formats a value with at least three significant digits.
 pub fn short(value: f64) -> String {
     match value.abs() {
         0.0 => "0".into(),
-        size if size >= 1e5 => format!("{value:.0}"),
-        size if size >= 100.0 => format!("{value:.1}"),
-        size if size >= 1.0 => format!("{value:.2}"),
+        magnitude if magnitude >= 1e5 => format!("{value:.0}"),
+        magnitude if magnitude >= 100.0 => format!("{value:.1}"),
+        magnitude if magnitude >= 1.0 => format!("{value:.2}"),
         _ => format!("{value:.5}"),
     }
 }
 
-fn law(slope: &Slope) -> &'static str {
+fn law_name(slope: &Slope) -> &'static str {
     match slope.law {
         Law::Flat => "flat",
         Law::Linear => "linear",
@@ -109,7 +110,8 @@
     }
 }
 
-/// One row for each series: its figures, its slope, and what was predicted of its greatest point.
+/// Formats a table with one row per series: its medians, its slope, and the prediction of its
+/// largest point.
 pub fn table(outcome: &Outcome) -> String {
     let mut text = String::from(
         "figure | axis | unit | medians by size | law | slope | intercept | scatter | predicted, measured\n",
@@ -122,25 +124,31 @@
             .collect();
         let slope = fit::slope(&series.points).map_or("- | - | - | -".into(), |slope| {
             let figures = [slope.slope, slope.intercept, slope.scatter].map(short);
-            format!("{} | {}", law(&slope), figures.join(" | "))
+            format!("{} | {}", law_name(&slope), figures.join(" | "))
         });
-        let own = |other: &&Predicted| (other.name, other.axis) == (series.name, series.axis);
-        let predicted = outcome
-            .predictions
-            .iter()
-            .find(own)
-            .map_or("-".into(), |own| {
-                let of = &own.prediction;
-                let mark = if of.holds() { "" } else { ", no basis" };
-                format!(
-                    "{}, {}, {:.0}%{mark}",
-                    short(of.predicted),
-                    short(of.measured),
-                    of.error * 100.0
-                )
-            });
-        let axis = name(series.axis);
-        // Writing to a text cannot fail.
+        let is_of_series =
+            |predicted: &&Predicted| (predicted.name, predicted.axis) == (series.name, series.axis);
+        let predicted =
+            outcome
+                .predictions
+                .iter()
+                .find(is_of_series)
+                .map_or("-".into(), |predicted| {
+                    let prediction = &predicted.prediction;
+                    let reliability = if prediction.is_reliable() {
+                        ""
+                    } else {
+                        ", no basis"
+                    };
+                    format!(
+                        "{}, {}, {:.0}%{reliability}",
+                        short(prediction.predicted),
+                        short(prediction.measured),
+                        prediction.error * 100.0
+                    )
+                });
+        let axis = axis_name(series.axis);
+        // Writing to a string can't fail.
         let _ = writeln!(
             text,
             "{} | {axis} | {} | {} | {slope} | {predicted}",
@@ -152,9 +160,9 @@
     text
 }
 
-/// The last line: the verdict, and figures as `name=value`.
+/// Formats the last line: the verdict, and figures as `name=value`.
 pub fn verdict(outcome: &Outcome, seed: u64) -> String {
-    let word = if outcome.violations.is_empty() {
+    let verdict = if outcome.violations.is_empty() {
         "kept"
     } else {
         "broken"
@@ -165,14 +173,14 @@
             .and_then(|series| series.points.last())
             .map_or("-".into(), |point| short(point.median()))
     };
-    let off = outcome
+    let predictions_off = outcome
         .predictions
         .iter()
-        .filter(|own| !own.prediction.holds())
+        .filter(|predicted| !predicted.prediction.is_reliable())
         .count();
     format!(
-        "verdict={word} seed={seed} case=scale requests={} unanswered={} visits={} decision_us={} \
-         request_us={} predictions={} predictions_off={off}",
+        "verdict={verdict} seed={seed} case=scale requests={} unanswered={} visits={} decision_us={} \
+         request_us={} predictions={} predictions_off={predictions_off}",
         outcome.requests,
         outcome.unanswered,
         median("decision.visits", Axis::Engines),
--- a/crates/fleet-test/src/scale/run.rs
+++ b/crates/fleet-test/src/scale/run.rs
@@ -1,5 +1,5 @@
-//! A scale run: sweeps over one quantity at a time, then over engines and gateways in proportion,
-//! each with the greatest point predicted before it is measured.
+//! A scale run: sweeps over one quantity at a time, and over engines with a proportional number of
+//! gateways. The largest point of each sweep is predicted before it is measured.
 
 use std::io;
 use std::path::Path;
@@ -12,59 +12,59 @@
 use super::sizes::{Sizes, ENGINES_A_GATEWAY};
 use super::voters::VoterFleet;
 
-/// Something that was counted and must not be.
+/// A count that breaks a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// Name of the rule, as it is printed.
     pub rule: &'static str,
-    /// What was counted.
+    /// Description of what was counted.
     pub what: String,
 }
 
-/// A prediction of one figure.
+/// Prediction of one figure's largest point.
 #[derive(Clone, Debug, Serialize)]
 pub struct Predicted {
-    /// The figure.
+    /// Name of the figure.
     pub name: &'static str,
-    /// What varies.
+    /// The quantity that varies.
     pub axis: Axis,
-    /// The prediction and what came of it.
+    /// The predicted and the measured value.
     #[serde(flatten)]
     pub prediction: Prediction,
 }
 
-/// All that a run measured.
+/// Result of a run.
 #[derive(Default)]
 pub struct Outcome {
-    /// Figures.
+    /// All measured figures.
     pub collected: Collected,
-    /// Predictions, each made before its point was measured.
+    /// Predictions, each with the value measured afterwards.
     pub predictions: Vec<Predicted>,
-    /// What must not be.
+    /// Rules that were broken.
     pub violations: Vec<Violation>,
-    /// Requests of all gateways.
+    /// Number of requests of all gateways, hollow and real.
     pub requests: u64,
-    /// Those without an end.
+    /// Number of these requests without a final answer.
     pub unanswered: u64,
 }
 
-/// A size on the axis of a sweep, with the whole size there.
-pub(super) type Place = (f64, Size);
+/// A position on the axis of a sweep, and the size of the fleet there.
+pub(super) type SweepPoint = (f64, Size);
 
-/// What measures one place of a sweep.
-type Measure<'a> = fn(&mut Run<'a>, Axis, Place) -> io::Result<()>;
+/// Function that measures one point of a sweep.
+type Measure<'a> = fn(&mut Run<'a>, Axis, SweepPoint) -> io::Result<()>;
 
-/// Plays everything; `predicted` is handed each prediction before its point is measured.
+/// A scale run in progress.
 pub struct Run<'a> {
-    /// What is played.
+    /// Sizes to measure, and other options.
     pub sizes: &'a Sizes,
-    /// The program for real gateways; without it there are none.
+    /// Program to start as real gateways; `None` measures hollow gateways only.
     pub program: Option<&'a Path>,
-    /// Is handed name, axis, size and value of a prediction.
+    /// Called with name, axis, size and value of each prediction, before its point is measured.
     pub predicted: &'a mut dyn FnMut(&str, Axis, f64, f64),
-    /// What was measured so far.
+    /// Results so far.
     pub outcome: Outcome,
-    /// Voters start slowly, so several sweeps share them.
+    /// Voters wait before they first vote, so several sweeps share them.
     pub(super) voters: Option<VoterFleet>,
 }
 
@@ -75,19 +75,19 @@
     sorted
 }
 
-pub(super) fn places(counts: &[usize], size: impl Fn(usize) -> Size) -> Vec<Place> {
+pub(super) fn sweep_points(counts: &[usize], size: impl Fn(usize) -> Size) -> Vec<SweepPoint> {
     ascending(counts)
         .into_iter()
         .map(|count| (count as f64, size(count)))
         .collect()
 }
 
-fn in_proportion(engines: usize) -> usize {
+fn proportional_gateways(engines: usize) -> usize {
     ((engines as f64 / ENGINES_A_GATEWAY).round() as usize).max(1)
 }
 
 impl<'a> Run<'a> {
-    /// One that has measured nothing yet.
+    /// Creates a run without results.
     pub fn new(
         sizes: &'a Sizes,
         program: Option<&'a Path>,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Plays all sweeps and checks the counts.
+    /// Runs all sweeps and checks the counts.
     pub fn play(mut self) -> io::Result<Outcome> {
         self.start_voters()?;
         self.hollow_sweeps()?;
@@ -111,7 +111,7 @@
         if self.program.is_some() {
             self.real_sweeps()?;
         }
-        checks::counts(&mut self.outcome);
+        checks::check_counts(&mut self.outcome);
         Ok(self.outcome)
     }
 
@@ -119,44 +119,48 @@
         self.sweep(
             Axis::Gateways,
             &self.by_gateways(),
-            Self::hollow_by_gateways,
+            Self::measure_hollow_by_gateways,
         )?;
-        self.sweep(Axis::Rate, &self.by_rate(), Self::hollow)?;
-        self.sweep(Axis::Engines, &self.by_engines(), Self::lists)?;
+        self.sweep(Axis::Rate, &self.by_rate(), Self::measure_hollow)?;
+        self.sweep(Axis::Engines, &self.by_engines(), Self::measure_lists)?;
         self.sweep(
             Axis::Engines,
             &self.by_engines(),
-            Self::hollow_in_proportion,
+            Self::measure_hollow_in_proportion,
         )
     }
 
     fn real_sweeps(&mut self) -> io::Result<()> {
         let middle = self.middle();
-        let clients = places(&self.sizes.clients, |clients| Size { clients, ..middle });
-        let reloads = places(&self.sizes.reloads(), |_| middle);
-        self.sweep(Axis::Rate, &self.by_rate(), Self::real_requests)?;
-        self.sweep(Axis::Clients, &clients, Self::real_clients)?;
-        self.sweep(Axis::Engines, &self.by_engines(), Self::real_lists)?;
-        self.sweep(Axis::Reloads, &reloads, Self::real_reloads)?;
-        self.sweep(Axis::Engines, &self.by_engines(), Self::together)
+        let clients = sweep_points(&self.sizes.clients, |clients| Size { clients, ..middle });
+        let reloads = sweep_points(&self.sizes.reloads(), |_| middle);
+        self.sweep(Axis::Rate, &self.by_rate(), Self::measure_real_requests)?;
+        self.sweep(Axis::Clients, &clients, Self::measure_real_clients)?;
+        self.sweep(Axis::Engines, &self.by_engines(), Self::measure_real_lists)?;
+        self.sweep(Axis::Reloads, &reloads, Self::measure_real_reloads)?;
+        self.sweep(
+            Axis::Engines,
+            &self.by_engines(),
+            Self::measure_real_and_hollow,
+        )
     }
 
-    fn by_engines(&self) -> Vec<Place> {
+    fn by_engines(&self) -> Vec<SweepPoint> {
         let middle = self.middle();
         let size = |engines| Size {
             engines,
-            gateways: in_proportion(engines),
+            gateways: proportional_gateways(engines),
             ..middle
         };
-        places(&self.sizes.engines, size)
+        sweep_points(&self.sizes.engines, size)
     }
 
-    fn by_gateways(&self) -> Vec<Place> {
+    fn by_gateways(&self) -> Vec<SweepPoint> {
         let middle = self.middle();
-        places(&self.sizes.gateways, |gateways| Size { gateways, ..middle })
+        sweep_points(&self.sizes.gateways, |gateways| Size { gateways, ..middle })
     }
 
-    fn by_rate(&self) -> Vec<Place> {
+    fn by_rate(&self) -> Vec<SweepPoint> {
         let middle = self.middle();
         ascending(&self.sizes.rate)
             .into_iter()
@@ -164,51 +168,52 @@
             .collect()
     }
 
-    /// The size from which one quantity at a time is varied.
+    /// The size of the fleet while one other quantity varies.
     pub(super) fn middle(&self) -> Size {
         let engines = ascending(&self.sizes.engines);
         let engines = engines[engines.len() / 2];
         let rate = self.sizes.rate.iter().copied().fold(0.0, f64::max);
         Size {
-            gateways: in_proportion(engines),
+            gateways: proportional_gateways(engines),
             engines,
             clients: 0,
             rate,
         }
     }
 
-    /// Measures places from the least to the greatest, and predicts the last from the others first.
+    /// Measures the points of a sweep in ascending order. Before the last one, predicts its values
+    /// from the others.
     pub(super) fn sweep(
         &mut self,
         axis: Axis,
-        places: &[Place],
+        points: &[SweepPoint],
         measure: Measure<'a>,
     ) -> io::Result<()> {
-        let Some((last, first)) = places.split_last() else {
+        let Some((last, smaller)) = points.split_last() else {
             return Ok(());
         };
-        for place in first {
-            measure(self, axis, *place)?;
+        for point in smaller {
+            measure(self, axis, *point)?;
         }
-        let before_last = first.last().map(|place| place.0);
-        let ended_there = |own: &&Series| {
-            own.axis == axis && own.points.last().map(|point| point.at) == before_last
+        let before_last = smaller.last().map(|point| point.0);
+        let has_all_points = |series: &&Series| {
+            series.axis == axis && series.points.last().map(|point| point.at) == before_last
         };
         let series: Vec<Series> = self
             .outcome
             .collected
             .series
             .iter()
-            .filter(ended_there)
+            .filter(has_all_points)
             .cloned()
             .collect();
-        for own in series.iter().filter(|own| own.points.len() > 1) {
-            if let Some(slope) = fit::slope(&own.points) {
-                (self.predicted)(own.name, axis, last.0, slope.value(last.0));
+        for series in series.iter().filter(|series| series.points.len() > 1) {
+            if let Some(slope) = fit::slope(&series.points) {
+                (self.predicted)(series.name, axis, last.0, slope.value(last.0));
             }
         }
         measure(self, axis, *last)?;
-        let names: Vec<&'static str> = series.iter().map(|own| own.name).collect();
+        let names: Vec<&'static str> = series.iter().map(|series| series.name).collect();
         for name in names {
             let series = self.outcome.collected.find(name, axis);
             let prediction = series.and_then(fit::prediction);
@@ -223,8 +228,8 @@
         Ok(())
     }
 
-    pub(super) fn add(&mut self, figure: Figure, axis: Axis, place: Place, value: f64) {
-        self.outcome.collected.add(figure, axis, place, value);
+    pub(super) fn add(&mut self, figure: Figure, axis: Axis, point: SweepPoint, value: f64) {
+        self.outcome.collected.add(figure, axis, point, value);
     }
 
     pub(super) fn seeds(&self) -> impl Iterator<Item = u64> {
--- a/crates/fleet-test/src/scale/shared_sweeps.rs
+++ b/crates/fleet-test/src/scale/shared_sweeps.rs
@@ -1,5 +1,5 @@
-//! Sweeps over what gateways share: claims, heartbeats and leases, in simulated fleets of the
-//! shipped cores.
+//! Sweeps over the state that gateways share: claims, heartbeats and leases, measured with the
+//! production protocol code in simulated fleets.
 
 use std::io;
 use std::panic::resume_unwind;
@@ -9,29 +9,32 @@
 
 use super::measure::{Axis, Figure, Size, Source};
 use super::replication;
-use super::run::{places, Place, Run};
+use super::run::{sweep_points, Run, SweepPoint};
 use super::sizes::ENGINES_A_GATEWAY;
 
+/// Numbers of voters.
 const KEEPERS: [usize; 3] = [3, 5, 7];
-/// Keyed requests of the simulated fleet within its 20 s.
+/// Numbers of keyed requests of the simulated fleet, sent within 20 s.
 const KEYED: [usize; 3] = [200, 400, 800];
-/// Tasks of the simulated fleets with leases, as many as the target has engines for so many
-/// gateways. They look at every task every few milliseconds, so the time they take grows with the
-/// square of their size.
+/// Numbers of tasks of the simulated fleets with leases: one per engine, with the target's ratio of
+/// engines to gateways. Each gateway checks every task every few milliseconds, so the run time grows
+/// with the square of the fleet's size.
 const TASKS: [u32; 5] = [24, 48, 96, 192, 384];
-/// So many tasks are played in any run, more only where its fleet has so many times as many
-/// gateways.
+/// Every run measures up to [`TASKS_ALWAYS`] tasks. It measures more only up to the largest number
+/// of its gateways divided by [`TASKS_PART`].
 const TASKS_ALWAYS: u32 = 96;
 const TASKS_PART: f64 = 4.0;
-/// Tasks where the gateways of a fleet with leases vary.
+/// Number of tasks while the number of gateways varies.
 const FEW_TASKS: u32 = 64;
-/// Tasks at the core of one gateway; the last are all that it may know.
+/// Numbers of tasks of a single voter; the last is the maximum.
 const CORE_TASKS: [u32; 4] = [64, 512, 2_048, MAX_TASKS as u32];
-/// One of so many gateways is lost in the simulated fleet with leases.
+/// One in so many gateways is lost in the simulated fleet with leases.
 const LOST_ONE_OF: usize = 7;
+/// Heartbeat intervals per measurement.
 const HEARTBEATS: u64 = 20;
-/// Entries that a voter holds; the last are those of 1% keyed requests at the target, and are
-/// played where the run's fleet is near to it in size.
+/// Numbers of entries that a voter stores. The last is that of the target with 1% keyed requests. A
+/// run measures more than [`HELD_ALWAYS`] only if its largest fleet has at least [`NEAR_TARGET`]
+/// gateways.
 const HELD: [usize; 4] = [1_000, 10_000, 40_000, 84_000];
 const HELD_ALWAYS: usize = 40_000;
 const NEAR_TARGET: usize = 1_000;
@@ -41,23 +44,31 @@
 }
 
 impl Run<'_> {
-    /// All of them.
+    /// Runs all sweeps over shared state.
     pub(super) fn shared_sweeps(&mut self) -> io::Result<()> {
         let middle = self.middle();
-        let by_gateways = places(&self.sizes.gateways, |gateways| Size { gateways, ..middle });
-        let most = by_gateways.last().map_or(0, |place| place.1.gateways);
-        let most_tasks = TASKS_ALWAYS.max((most as f64 / TASKS_PART) as u32);
-        let by_tasks = |tasks: &[u32]| -> Vec<Place> {
+        let by_gateways =
+            sweep_points(&self.sizes.gateways, |gateways| Size { gateways, ..middle });
+        let most_gateways = by_gateways.last().map_or(0, |point| point.1.gateways);
+        let most_tasks = TASKS_ALWAYS.max((most_gateways as f64 / TASKS_PART) as u32);
+        let by_tasks = |tasks: &[u32]| -> Vec<SweepPoint> {
             tasks
                 .iter()
                 .map(|&tasks| (f64::from(tasks), middle))
                 .collect()
         };
-        let leased: Vec<u32> = TASKS.into_iter().filter(|own| *own <= most_tasks).collect();
-        self.sweep(Axis::Gateways, &by_gateways, Self::shared)?;
+        let lease_tasks: Vec<u32> = TASKS
+            .into_iter()
+            .filter(|tasks| *tasks <= most_tasks)
+            .collect();
+        self.sweep(Axis::Gateways, &by_gateways, Self::measure_shared)?;
         self.sweep(Axis::Gateways, &by_gateways, Self::leases_by_gateways)?;
-        self.sweep(Axis::Tasks, &by_tasks(&leased), Self::leases_by_tasks)?;
-        self.sweep(Axis::Tasks, &by_tasks(&CORE_TASKS), Self::lease_core)?;
+        self.sweep(Axis::Tasks, &by_tasks(&lease_tasks), Self::leases_by_tasks)?;
+        self.sweep(
+            Axis::Tasks,
+            &by_tasks(&CORE_TASKS),
+            Self::measure_lease_core,
+        )?;
         self.sweep(
             Axis::Keepers,
             &KEEPERS.map(|keepers| (keepers as f64, middle)),
@@ -68,16 +79,16 @@
             &KEYED.map(|keyed| (keyed as f64, middle)),
             Self::claims_by_requests,
         )?;
-        let played = |held: &usize| *held <= HELD_ALWAYS || most >= NEAR_TARGET;
-        let held: Vec<usize> = HELD.into_iter().filter(played).collect();
-        let held = places(&held, |_| middle);
-        self.sweep(Axis::Held, &held, Self::votes)?;
-        self.sweep(Axis::Held, &held, Self::transfers)
+        let is_measured = |held: &usize| *held <= HELD_ALWAYS || most_gateways >= NEAR_TARGET;
+        let held: Vec<usize> = HELD.into_iter().filter(is_measured).collect();
+        let held = sweep_points(&held, |_| middle);
+        self.sweep(Axis::Held, &held, Self::measure_votes)?;
+        self.sweep(Axis::Held, &held, Self::measure_transfers)
     }
 
-    fn transfers(&mut self, axis: Axis, place: Place) -> io::Result<()> {
+    fn measure_transfers(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
         for _ in self.seeds() {
-            let transfer = replication::transfer(place.0 as u64);
+            let transfer = replication::transfer(point.0 as u64);
             for (figure, value) in [
                 (
                     figure(Source::Hollow, "transfer.bytes", "bytes"),
@@ -92,105 +103,105 @@
                     transfer.time.as_secs_f64() * 1e3,
                 ),
             ] {
-                self.add(figure, axis, place, value);
+                self.add(figure, axis, point, value);
             }
-            if transfer.entries != place.0 as u64 {
+            if transfer.entries != point.0 as u64 {
                 self.outcome.add_violation(
                     "replicas agree",
-                    format!("{transfer:?} of {} entries", place.0),
+                    format!("{transfer:?}, expected {} entries", point.0),
                 );
             }
         }
         Ok(())
     }
 
-    fn lease_core(&mut self, axis: Axis, place: Place) -> io::Result<()> {
+    fn measure_lease_core(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
         for _ in self.seeds() {
-            let core = replication::lease_core(place.0 as u32);
+            let core = replication::measure_lease_core(point.0 as u32);
             let renewal = figure(Source::Hollow, "lease.renewal.time", "us");
-            self.add(renewal, axis, place, core.micros_a_renewal);
+            self.add(renewal, axis, point, core.micros_per_renewal);
             self.add(
                 figure(Source::Hollow, "lease.look.time", "us"),
                 axis,
-                place,
-                core.micros_a_look,
+                point,
+                core.micros_per_timer_call,
             );
         }
         Ok(())
     }
 
-    fn leases_by_gateways(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        self.leases(axis, place, (place.1.gateways, FEW_TASKS))
+    fn leases_by_gateways(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
+        self.measure_leases(axis, point, (point.1.gateways, FEW_TASKS))
     }
 
-    fn leases_by_tasks(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        let gateways = (place.0 / ENGINES_A_GATEWAY).round() as usize;
-        self.leases(axis, place, (gateways, place.0 as u32))
+    fn leases_by_tasks(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
+        let gateways = (point.0 / ENGINES_A_GATEWAY).round() as usize;
+        self.measure_leases(axis, point, (gateways, point.0 as u32))
     }
 
-    fn votes(&mut self, axis: Axis, place: Place) -> io::Result<()> {
+    fn measure_votes(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
         for _ in self.seeds() {
-            let micros = replication::micros_a_vote(place.0 as u64);
+            let micros = replication::micros_per_vote(point.0 as u64);
             self.add(
                 figure(Source::Hollow, "keeper.vote.time", "us a claim"),
                 axis,
-                place,
+                point,
                 micros,
             );
         }
         Ok(())
     }
 
-    fn shared(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        let gateways = place.1.gateways;
-        self.claims(axis, place, (gateways, KEEPERS[0], KEYED[0]));
+    fn measure_shared(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
+        let gateways = point.1.gateways;
+        self.measure_claims(axis, point, (gateways, KEEPERS[0], KEYED[0]));
         for _ in self.seeds() {
             let beats = replication::heartbeats(gateways, HEARTBEATS);
             let links = gateways as f64;
             for (figure, value) in [
                 (
                     figure(Source::Hollow, "keeper.heartbeat.bytes", "bytes/s"),
-                    links * beats.bytes_a_second,
+                    links * beats.bytes_per_second,
                 ),
                 (
                     figure(Source::Hollow, "keeper.heartbeat.messages", "1/s"),
-                    links * beats.messages_a_second,
+                    links * beats.messages_per_second,
                 ),
                 (
                     figure(Source::Hollow, "keeper.heartbeat.time", "us/s"),
-                    links * beats.time_a_second.as_secs_f64() * 1e6,
+                    links * beats.time_per_second.as_secs_f64() * 1e6,
                 ),
             ] {
-                self.add(figure, axis, place, value);
+                self.add(figure, axis, point, value);
             }
         }
         Ok(())
     }
 
-    /// Counts of simulated fleets come of their seeds alone, so the repeats are played side by
-    /// side.
-    fn side_by_side<T: Send>(&self, play: impl Fn(u64) -> T + Sync) -> Vec<T> {
+    /// Runs the repeats in parallel. Each depends on its seed only, so the results are the same as
+    /// one after the other.
+    fn run_in_parallel<T: Send>(&self, simulate: impl Fn(u64) -> T + Sync) -> Vec<T> {
         std::thread::scope(|scope| {
-            let play = &play;
+            let simulate = &simulate;
             let threads: Vec<_> = self
                 .seeds()
-                .map(|seed| scope.spawn(move || play(seed)))
+                .map(|seed| scope.spawn(move || simulate(seed)))
                 .collect();
-            let joined = |thread: ScopedJoinHandle<'_, T>| {
+            let join = |thread: ScopedJoinHandle<'_, T>| {
                 thread.join().unwrap_or_else(|panic| resume_unwind(panic))
             };
-            threads.into_iter().map(joined).collect()
+            threads.into_iter().map(join).collect()
         })
     }
 
-    fn leases(
+    fn measure_leases(
         &mut self,
         axis: Axis,
-        place: Place,
+        point: SweepPoint,
         (gateways, tasks): (usize, u32),
     ) -> io::Result<()> {
-        let play = |seed| replication::leases(gateways, KEEPERS[0], tasks, LOST_ONE_OF, seed);
-        for leases in self.side_by_side(play) {
+        let simulate = |seed| replication::leases(gateways, KEEPERS[0], tasks, LOST_ONE_OF, seed);
+        for leases in self.run_in_parallel(simulate) {
             for (name, unit, value) in [
                 ("lease.messages", "1/s", leases.messages_a_second),
                 ("lease.lost_for", "ms", leases.lost_for_ms as f64),
@@ -209,7 +220,7 @@
                 ),
                 ("lease.late", "tasks over 6 s", leases.owned_late as f64),
             ] {
-                self.add(figure(Source::Simulated, name, unit), axis, place, value);
+                self.add(figure(Source::Simulated, name, unit), axis, point, value);
             }
             if leases.stale_applied + leases.two_owners > 0 {
                 self.outcome
@@ -219,32 +230,32 @@
         Ok(())
     }
 
-    fn claims_by_keepers(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        let size = (self.gateways_of_claims(), place.0 as usize, KEYED[0]);
-        self.claims(axis, place, size);
+    fn claims_by_keepers(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
+        let size = (self.gateways_of_claims(), point.0 as usize, KEYED[0]);
+        self.measure_claims(axis, point, size);
         Ok(())
     }
 
-    fn claims_by_requests(&mut self, axis: Axis, place: Place) -> io::Result<()> {
-        let size = (self.gateways_of_claims(), KEEPERS[0], place.0 as usize);
-        self.claims(axis, place, size);
+    fn claims_by_requests(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
+        let size = (self.gateways_of_claims(), KEEPERS[0], point.0 as usize);
+        self.measure_claims(axis, point, size);
         Ok(())
     }
 
-    /// Enough to hold more than the keepers, whatever sizes are asked for.
+    /// Number of gateways for sweeps over claims: more than the voters, whatever sizes are given.
     fn gateways_of_claims(&self) -> usize {
         self.sizes.gateways[0].max(KEEPERS[KEEPERS.len() - 1] + 1)
     }
 
-    fn claims(
+    fn measure_claims(
         &mut self,
         axis: Axis,
-        place: Place,
+        point: SweepPoint,
         (gateways, keepers, keyed): (usize, usize, usize),
     ) {
         let gateways = gateways.max(keepers + 1);
-        let play = |seed| replication::claims(gateways, keepers, keyed, seed);
-        for claims in self.side_by_side(play) {
+        let simulate = |seed| replication::claims(gateways, keepers, keyed, seed);
+        for claims in self.run_in_parallel(simulate) {
             for (figure, value) in [
                 (
                     figure(Source::Simulated, "claim.messages", "a request"),
@@ -259,7 +270,7 @@
                     claims.held_a_rate,
                 ),
             ] {
-                self.add(figure, axis, place, value);
+                self.add(figure, axis, point, value);
             }
             if claims.effects_twice + claims.differ + claims.unanswered > 0 {
                 self.outcome.add_violation(
--- a/crates/fleet-test/src/scale/sizes.rs
+++ b/crates/fleet-test/src/scale/sizes.rs
@@ -1,167 +1,170 @@
-//! Sizes of a scale run, and what of them the machine can't carry.
+//! Sizes of a scale run, and the check that they fit the machine.
 
 use clap::Args;
 use eideryard_peer_transport::limits::MAX_LINKS;
 use thiserror::Error;
 
-/// Processes of a run in all: the real gateways, at the most.
+/// Maximum number of real gateways, which are the processes of a run.
 pub const MAX_PROCESSES: usize = 300;
-/// Part of the machine's memory that a run may take.
-const MEMORY_PART: f64 = 0.5;
-/// Bytes of a hollow gateway for each engine, and of a real one beside its clients: above what was
-/// measured.
+/// Fraction of the machine's memory that a run may take.
+const MEMORY_SHARE: f64 = 0.5;
+/// Upper estimates of the memory of a hollow gateway per engine, and of a real one without clients,
+/// in bytes.
 const HOLLOW_BYTES_AN_ENGINE: u64 = 2_000;
 const REAL_BYTES: u64 = 24 << 20;
-/// Bytes of a real gateway for each idle client, above what was measured.
+/// Upper estimate of the memory of a real gateway per idle client, in bytes.
 const BYTES_A_CLIENT: u64 = 24_000;
-/// Descriptors that this process needs beside one for each client and its connections to gateways.
+/// Descriptors that this process needs in addition to those of clients and engine connections.
 const SPARE_DESCRIPTORS: u64 = 512;
-/// Engines of a size whose connections end in this process, for each real gateway.
+/// Upper estimate of the engine connections of a real gateway. They end in this process, which
+/// emulates the engines.
 const CONNECTIONS_A_GATEWAY: u64 = 128;
 
-/// Descriptors of a hollow gateway that holds links: one for each keeper and two of its thread.
+/// Descriptors of a hollow gateway with links: one per voter, of which there are 3, and two of its
+/// thread.
 const DESCRIPTORS_A_LINK: u64 = 5;
-/// Engines for each gateway, as the target has them.
+/// Engines per gateway in the target fleet.
 pub const ENGINES_A_GATEWAY: f64 = 2.4;
-/// Parts of the list's changes as which the configuration changes.
-const RELOAD_PARTS: [usize; 3] = [8, 4, 2];
+/// Divisors of the number of list changes that give the numbers of configuration changes, by point
+/// of their sweep.
+const RELOAD_DIVISORS: [usize; 3] = [8, 4, 2];
 
-/// Seconds for which a point is measured, at the most: the large form has some hundred of them.
+/// Maximum seconds per point: a large run has some hundred points.
 const MAX_SECONDS: f64 = 10.0;
 
-/// What a run is asked to play.
+/// Options of a scale run.
 #[derive(Args, Clone, Debug)]
 pub struct Sizes {
-    /// Gateways of the fleet, at the middle number of engines.
+    /// Numbers of gateways in the fleet, each measured with the middle number of engines.
     #[arg(long, value_delimiter = ',', default_values_t = [17, 100, 200])]
     pub gateways: Vec<usize>,
-    /// Engines of the fleet, with gateways in proportion.
+    /// Numbers of engines in the fleet, each measured with a proportional number of gateways.
     #[arg(long, value_delimiter = ',', default_values_t = [8, 80, 400])]
     pub engines: Vec<usize>,
-    /// Idle clients of one gateway.
+    /// Numbers of idle clients of one gateway.
     #[arg(long, value_delimiter = ',', default_values_t = [0, 500])]
     pub clients: Vec<usize>,
-    /// Requests a second of one gateway.
+    /// Rates of requests of one gateway, per second.
     #[arg(long, value_delimiter = ',', default_values_t = [50.0, 450.0])]
     pub rate: Vec<f64>,
-    /// Changes of the list of engines, each an event of its own.
+    /// Number of changes of the endpoint list, each in its read_limits event.
     #[arg(long, default_value_t = 20)]
     pub changes: usize,
-    /// What all random numbers come of.
+    /// Seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Measurements of each point.
+    /// Number of measurements of each point; at least 2.
     #[arg(long, default_value_t = 5)]
     pub repeats: usize,
-    /// Real gateways at each point; each is a repeat. 0: none are started.
+    /// Number of real gateways at each point, each of which gives one repeat; 0 starts none.
     #[arg(long, default_value_t = 5)]
     pub real: usize,
-    /// Hollow gateways in this process at each point.
+    /// Number of hollow gateways in this process at each point.
     #[arg(long, default_value_t = 6)]
     pub hollow: usize,
-    /// Hollow gateways that stand side by side beside the real ones.
+    /// Number of hollow gateways that run at the same time as the real ones.
     #[arg(long, default_value_t = 20)]
     pub beside: usize,
-    /// Seconds for which a real point is measured.
+    /// Seconds for which each point with real gateways is measured.
     #[arg(long, default_value_t = 0.3)]
     pub seconds: f64,
-    /// Where plots go; without it none are drawn.
+    /// Directory for plots; without it none are drawn.
     #[arg(long)]
     pub plots: Option<std::path::PathBuf>,
-    /// The program that is measured; without it the one of this checkout, which is built first.
+    /// The program to measure; by default that of this checkout, which is built first.
     #[arg(long)]
     pub program: Option<std::path::PathBuf>,
 }
 
-/// What the machine gives.
+/// Resources of the machine that limit a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
-    /// Memory in all.
+    /// Total memory of the machine.
     pub memory_bytes: u64,
-    /// Descriptors that this process may have.
+    /// Maximum number of open descriptors of this process.
     pub descriptors: u64,
 }
 
-/// Why sizes can't be played.
+/// Why sizes are rejected.
 #[derive(Debug, Error, PartialEq)]
 pub enum SizeError {
     /// A list of sizes is empty.
-    #[error("--{0} names no size; give at least one")]
+    #[error("--{0} is empty; give at least one size")]
     Empty(&'static str),
-    /// A size is nothing.
-    #[error("--{flag} has {value}, which must be over 0; take it out")]
+    /// A size is 0 or negative.
+    #[error("--{flag} contains {value}, but sizes must be over 0; remove it")]
     NotPositive {
-        /// The flag.
+        /// Name of the option, without dashes.
         flag: &'static str,
-        /// Its value.
+        /// The rejected value.
         value: f64,
     },
-    /// Nobody uses the engines.
+    /// There are engines but no gateways.
     #[error(
-        "--engines {engines} has no gateways: --gateways is 0 there; give at least one gateway"
+        "--engines {engines} has no gateways, because --gateways contains 0; give at least one gateway"
     )]
     WithoutGateways {
-        /// Engines that were asked for.
+        /// First number of engines given.
         engines: usize,
     },
-    /// A point lasts no time, or too long.
-    #[error("--seconds {0} is out of bounds; ask for more than 0 and {MAX_SECONDS} at the most")]
+    /// The time per point isn't positive or is too long.
+    #[error("--seconds {0} is out of range; give more than 0 and at most {MAX_SECONDS}")]
     Seconds(f64),
-    /// Too few for a spread.
-    #[error("--repeats {0} is too few for a spread; ask for at least 2")]
+    /// Too few repeats to measure a spread.
+    #[error("--repeats {0} is too few to measure a spread; give at least 2")]
     Repeats(usize),
     /// Too many processes.
-    #[error("--real {asked} processes are over the limit of {limit}; ask for --real {limit} at the most")]
+    #[error("--real {asked} processes exceed the limit of {limit}; give at most --real {limit}")]
     Processes {
-        /// Processes that were asked for.
+        /// Number of processes given.
         asked: usize,
-        /// The most there may be.
+        /// Maximum number of processes.
         limit: usize,
     },
-    /// More memory than a run may take.
+    /// The sizes need more memory than a run may take.
     #[error(
-        "the sizes take about {asked_mb} MB, over the limit of {limit_mb} MB, half of the machine's memory; \
-         ask for {hollow} or fewer as --hollow and --beside, or for fewer --clients or --real"
+        "the sizes need about {needed_mb} MB, over the limit of {limit_mb} MB, half of the machine's memory; \
+         give at most {hollow} for --hollow and --beside, or fewer --clients or --real"
     )]
     Memory {
-        /// Memory that the sizes take.
-        asked_mb: u64,
-        /// The most that they may.
+        /// Memory that the sizes need.
+        needed_mb: u64,
+        /// The limit of memory.
         limit_mb: u64,
-        /// Hollow gateways that fit.
+        /// Number of hollow gateways that fit.
         hollow: usize,
     },
-    /// Links to voters take more descriptors than this process may have.
+    /// Links to voters need more descriptors than this process may have.
     #[error(
-        "the links of --gateways take about {asked} descriptors, over the limit of {limit}; ask for \
-         --gateways {gateways} or fewer, or raise the limit (ulimit -n)"
+        "the links of --gateways need about {needed} descriptors, over the limit of {limit}; give at most \
+         --gateways {gateways}, or raise the limit (ulimit -n)"
     )]
     LinkDescriptors {
-        /// Descriptors that the sizes take.
-        asked: u64,
-        /// The most that they may.
+        /// Number of descriptors that the sizes need.
+        needed: u64,
+        /// Number of descriptors that this process may have.
         limit: u64,
-        /// Gateways that fit.
+        /// Number of gateways that fit.
         gateways: u64,
     },
-    /// More descriptors than this process may have.
+    /// Idle clients need more descriptors than this process may have.
     #[error(
-        "the sizes take about {asked} descriptors, over the limit of {limit}; ask for --clients {clients} or \
-         fewer, or raise the limit (ulimit -n)"
+        "the sizes need about {needed} descriptors, over the limit of {limit}; give at most --clients \
+         {clients}, or raise the limit (ulimit -n)"
     )]
     Descriptors {
-        /// Descriptors that the sizes take.
-        asked: u64,
-        /// The most that they may.
+        /// Number of descriptors that the sizes need.
+        needed: u64,
+        /// Number of descriptors that this process may have.
         limit: u64,
-        /// Idle clients that fit.
+        /// Number of idle clients that fit.
         clients: u64,
     },
 }
 
 impl Machine {
-    /// This machine, by the system's own account.
-    pub fn own() -> std::io::Result<Self> {
+    /// Reads the limits of this machine from the operating system.
+    pub fn read_limits() -> std::io::Result<Self> {
         let text = std::fs::read_to_string("/proc/meminfo")?;
         let line = text
             .lines()
@@ -181,29 +184,30 @@
 }
 
 impl Sizes {
-    /// Real gateways that clients rest at, each a repeat.
+    /// Number of real gateways that get idle clients; each gives one repeat.
     pub fn gateways_with_clients(&self) -> usize {
         self.real.min(self.repeats)
     }
 
-    /// At how many of these so many clients rest at one time, as the descriptors allow.
-    pub fn resting_at_once(&self, machine: Machine, clients: usize) -> usize {
+    /// Number of these gateways that can have `clients` idle clients at the same time, within the
+    /// limit of descriptors; at least 1.
+    pub fn gateways_with_clients_at_once(&self, machine: Machine, clients: usize) -> usize {
         let free = machine.descriptors.saturating_sub(self.fixed_descriptors());
         let at_once = free.checked_div(clients as u64).unwrap_or(u64::MAX);
         at_once.clamp(1, self.gateways_with_clients().max(1) as u64) as usize
     }
 
-    /// Descriptors that real gateways take in this process whatever is measured.
+    /// Descriptors that this process needs for real gateways, whatever is measured.
     fn fixed_descriptors(&self) -> u64 {
         SPARE_DESCRIPTORS + (self.real as u64).max(1) * CONNECTIONS_A_GATEWAY
     }
 
-    /// Changes of the configuration, by point of their sweep.
+    /// Numbers of configuration changes, one per point of their sweep.
     pub fn reloads(&self) -> [usize; 3] {
-        RELOAD_PARTS.map(|part| (self.changes / part).max(1))
+        RELOAD_DIVISORS.map(|divisor| (self.changes / divisor).max(1))
     }
 
-    /// Turns away what can't be played, before anything starts.
+    /// Rejects sizes that don't fit the machine, before anything starts.
     pub fn check(&self, machine: Machine) -> Result<(), SizeError> {
         self.check_numbers()?;
         if self.real > MAX_PROCESSES {
@@ -212,19 +216,20 @@
                 limit: MAX_PROCESSES,
             });
         }
-        let most = |sizes: &[usize]| sizes.iter().copied().max().unwrap_or(0) as u64;
-        let (engines, clients) = (most(&self.engines), most(&self.clients));
-        let resting = clients * self.resting_at_once(machine, clients as usize) as u64;
+        let greatest = |sizes: &[usize]| sizes.iter().copied().max().unwrap_or(0) as u64;
+        let (engines, clients) = (greatest(&self.engines), greatest(&self.clients));
+        let idle_clients =
+            clients * self.gateways_with_clients_at_once(machine, clients as usize) as u64;
         let real = self.real as u64 * (REAL_BYTES + engines * HOLLOW_BYTES_AN_ENGINE);
-        let fixed = real + 2 * resting * BYTES_A_CLIENT;
+        let fixed = real + 2 * idle_clients * BYTES_A_CLIENT;
         let hollow = self.hollow.max(self.beside) as u64;
-        let asked = fixed + hollow * engines * HOLLOW_BYTES_AN_ENGINE;
-        let limit = (machine.memory_bytes as f64 * MEMORY_PART) as u64;
-        if asked > limit {
+        let needed = fixed + hollow * engines * HOLLOW_BYTES_AN_ENGINE;
+        let limit = (machine.memory_bytes as f64 * MEMORY_SHARE) as u64;
+        if needed > limit {
             let each = (engines * HOLLOW_BYTES_AN_ENGINE).max(1);
             let hollow = (limit.saturating_sub(fixed) / each) as usize;
             return Err(SizeError::Memory {
-                asked_mb: asked >> 20,
+                needed_mb: needed >> 20,
                 limit_mb: limit >> 20,
                 hollow,
             });
@@ -234,19 +239,19 @@
             machine.descriptors,
             machine.descriptors.saturating_sub(fixed),
         );
-        let links = most(&self.gateways).min(MAX_LINKS as u64) * DESCRIPTORS_A_LINK;
-        // Links to voters have ended before clients rest.
+        let links = greatest(&self.gateways).min(MAX_LINKS as u64) * DESCRIPTORS_A_LINK;
+        // Links to voters are closed before idle clients connect, so each is checked alone.
         if links > free && self.real > 0 {
             let gateways = free / DESCRIPTORS_A_LINK;
             return Err(SizeError::LinkDescriptors {
-                asked: fixed + links,
+                needed: fixed + links,
                 limit,
                 gateways,
             });
         }
-        if resting > free {
+        if idle_clients > free {
             return Err(SizeError::Descriptors {
-                asked: fixed + resting,
+                needed: fixed + idle_clients,
                 limit,
                 clients: free,
             });
--- a/crates/fleet-test/src/scale/voters.rs
+++ b/crates/fleet-test/src/scale/voters.rs
@@ -1,8 +1,8 @@
-//! Real voters (`keeper` in an operator's file): processes of the program that share their intents,
-//! under links of hollow gateways and under keyed requests of real ones.
+//! Real voters (`keeper` in an operator's file): processes of the program that replicate intents,
+//! measured under links of hollow gateways and under keyed requests of real ones.
 //!
-//! A hollow gateway here is the links' own thread with nothing behind it: it sends heartbeats,
-//! answers them, and claims nothing.
+//! A hollow gateway here is only the thread of the peer transport: it sends and answers heartbeats
+//! and claims nothing.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,43 +14,44 @@
 use eideryard_gateway::links::{classes_fingerprint, PeerMessage};
 use eideryard_peer_transport::{Config, Handshake, Hub, PeerEvent, VoterAddress};
 
-use super::clients::Asks;
+use super::clients::RequestKind;
 use super::measure::Size;
-use super::processes::{Ended, Fleet};
+use super::processes::{Fleet, FleetExit};
 
-/// Voters of the fleet, and gateways beside them that clients ask.
+/// Number of voters of the fleet.
 pub const VOTERS: usize = 3;
-const ASKED: usize = 2;
-/// Links that others than hollow gateways make to a voter, and some to spare.
+/// Number of gateways that aren't voters and serve clients.
+const CLIENT_GATEWAYS: usize = 2;
+/// Links of a voter that are reserved for real gateways, with some to spare.
 pub const SPARE_LINKS: usize = 10;
 const FLEET: &str = "scale";
-/// Voters that start for the first time vote after the longest time that they may have forgotten
-/// something.
-const VOTES_WITHIN: Duration = Duration::from_secs(20);
-const LINKS_WITHIN: Duration = Duration::from_secs(10);
-const LOOKS_EVERY: Duration = Duration::from_millis(20);
+/// Timeout for the first served keyed request. A voter with a new store can't know what it has
+/// forgotten, so it votes only once any entry it may have had has expired.
+const FIRST_VOTE_TIMEOUT: Duration = Duration::from_secs(20);
+const LINK_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What voters took while nobody asked for anything.
+/// Cost of the voters without requests.
 #[derive(Clone, Debug, Default)]
-pub struct Idle {
-    /// Processor time of each voter in a second.
-    pub micros_a_second: Vec<f64>,
-    /// Memory that each held.
+pub struct IdleCost {
+    /// Processor time of each voter per second, in microseconds.
+    pub micros_per_second: Vec<f64>,
+    /// Resident memory of each voter.
     pub resident_bytes: Vec<f64>,
 }
 
-/// What keyed requests took.
+/// Cost of keyed requests.
 #[derive(Clone, Debug, Default)]
-pub struct Claimed {
-    /// Processor time of each voter for a keyed request of another gateway.
-    pub micros_a_claim: Vec<f64>,
-    /// Processor time of each asked gateway for a keyed request.
-    pub micros_a_request: Vec<f64>,
-    /// What their clients were answered.
+pub struct ClaimCost {
+    /// Processor time of each voter per keyed request of another gateway, in microseconds.
+    pub micros_per_claim: Vec<f64>,
+    /// Processor time of each gateway that serves clients per keyed request, in microseconds.
+    pub micros_per_request: Vec<f64>,
+    /// Answers that the clients received.
     pub answers: Answers,
 }
 
-/// Three voters, two gateways that are asked, and links of hollow ones.
+/// Three voters, two gateways that serve clients, and links of hollow gateways.
 pub struct VoterFleet {
     fleet: Fleet,
     addresses: Vec<SocketAddr>,
@@ -78,13 +79,13 @@
 }
 
 impl VoterFleet {
-    /// Starts the processes. They serve no keyed request yet: voters that start for the first time
-    /// wait.
+    /// Starts the processes. Voters with new stores wait before they vote, so keyed requests aren't
+    /// served yet.
     pub fn start(program: &Path, size: Size) -> io::Result<Self> {
         let addresses: Vec<SocketAddr> = (0..VOTERS).map(|_| unused_address()).collect();
         let operator =
             |number: usize, directory: &Path| operator_lines(number, directory, &addresses);
-        let fleet = Fleet::start_with(program, VOTERS + ASKED, size, &operator)?;
+        let fleet = Fleet::start_with(program, VOTERS + CLIENT_GATEWAYS, size, &operator)?;
         Ok(VoterFleet {
             fleet,
             addresses,
@@ -92,49 +93,50 @@
         })
     }
 
-    /// Waits until keyed requests are served, and lets some be.
-    pub fn until_served(&self) -> io::Result<()> {
-        let until = Instant::now() + VOTES_WITHIN;
-        while Instant::now() < until {
+    /// Waits until keyed requests are served, and warms up the gateways with some.
+    pub fn wait_until_served(&self) -> io::Result<()> {
+        let deadline = Instant::now() + FIRST_VOTE_TIMEOUT;
+        while Instant::now() < deadline {
             if self.fleet.serves_keyed(VOTERS)? {
-                return self.fleet.warm_up(VOTERS, Asks::Keyed).map(|_| ());
+                return self.fleet.warm_up(VOTERS, RequestKind::Keyed).map(|_| ());
             }
-            std::thread::sleep(LOOKS_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Err(io::Error::other(format!(
-            "no keyed request was served within {VOTES_WITHIN:?}"
+            "the voters served no keyed request within {FIRST_VOTE_TIMEOUT:?}"
         )))
     }
 
-    /// Adds links of hollow gateways until there are so many, each to all voters.
-    pub fn link(&mut self, links: usize) -> io::Result<()> {
+    /// Starts hollow gateways until there are `links` of them, each linked to all voters.
+    pub fn open_links(&mut self, links: usize) -> io::Result<()> {
         let before = self.links.len();
         for number in before..links {
-            self.links.push(self.hollow(number)?);
+            self.links.push(self.start_hollow_gateway(number)?);
         }
-        let until = Instant::now() + LINKS_WITHIN;
+        let deadline = Instant::now() + LINK_TIMEOUT;
         let mut up = 0;
-        while up < (self.links.len() - before) * VOTERS && Instant::now() < until {
-            std::thread::sleep(LOOKS_EVERY);
+        while up < (self.links.len() - before) * VOTERS && Instant::now() < deadline {
+            std::thread::sleep(POLL_INTERVAL);
             up += self.links[before..]
                 .iter_mut()
-                .map(links_that_came_up)
+                .map(drain_and_count_connected)
                 .sum::<usize>();
         }
-        let wanted = (self.links.len() - before) * VOTERS;
-        if up < wanted {
-            let what = format!("{up} of {wanted} links to voters came up within {LINKS_WITHIN:?}");
+        let expected = (self.links.len() - before) * VOTERS;
+        if up < expected {
+            let what =
+                format!("only {up} of {expected} links to voters came up within {LINK_TIMEOUT:?}");
             return Err(io::Error::other(what));
         }
         Ok(())
     }
 
-    /// Ends all links of hollow gateways.
-    pub fn unlink(&mut self) {
+    /// Closes all links of hollow gateways.
+    pub fn close_links(&mut self) {
         self.links.clear();
     }
 
-    fn hollow(&self, number: usize) -> io::Result<Hub<PeerMessage>> {
+    fn start_hollow_gateway(&self, number: usize) -> io::Result<Hub<PeerMessage>> {
         let settings = self.fleet.settings()?;
         let handshake = Handshake {
             version: eideryard_peer_transport::VERSION,
@@ -166,49 +168,54 @@
         )
     }
 
-    /// What voters take while clients ask for nothing.
-    pub fn idle(&mut self, lasts: Duration) -> io::Result<Idle> {
+    /// Measures the voters for `duration` while clients send nothing.
+    pub fn measure_idle(&mut self, duration: Duration) -> io::Result<IdleCost> {
         let (before, began) = (self.fleet.processor_times()?, Instant::now());
-        std::thread::sleep(lasts);
-        let micros_a_second = self.micros_since(&before, began.elapsed())?;
+        std::thread::sleep(duration);
+        let micros_per_second = self.micros_since(&before, began.elapsed())?;
         self.drain_links();
-        Ok(Idle {
-            micros_a_second,
+        Ok(IdleCost {
+            micros_per_second,
             resident_bytes: self.fleet.resident_bytes()[..VOTERS].to_vec(),
         })
     }
 
-    /// What voters and asked gateways take for keyed requests, so many a second in all, beyond what
-    /// the voters take anyway.
-    pub fn claims(&mut self, idle: &Idle, rate: f64, lasts: Duration) -> io::Result<Claimed> {
-        let drivers = self.fleet.connect(VOTERS, Asks::Keyed)?;
+    /// Measures voters and gateways while clients send `rate` keyed requests per second in total.
+    /// The idle cost of the voters is subtracted.
+    pub fn measure_claims(
+        &mut self,
+        idle: &IdleCost,
+        rate: f64,
+        duration: Duration,
+    ) -> io::Result<ClaimCost> {
+        let drivers = self.fleet.connect(VOTERS, RequestKind::Keyed)?;
         let (before, began) = (self.fleet.processor_times()?, Instant::now());
-        let samples = self
-            .fleet
-            .measure(VOTERS, drivers, rate / ASKED as f64, lasts)?;
-        let taken = self.micros_since(&before, began.elapsed())?;
+        let samples =
+            self.fleet
+                .measure(VOTERS, drivers, rate / CLIENT_GATEWAYS as f64, duration)?;
+        let spent = self.micros_since(&before, began.elapsed())?;
         let seconds = began.elapsed().as_secs_f64();
         let answers: Answers = samples.iter().map(|sample| sample.answers).sum();
-        let of_claim = |(taken, idle): (&f64, &f64)| {
-            (taken - idle).max(0.0) * seconds / answers.asked.max(1) as f64
+        let micros_per_claim = |(spent, idle): (&f64, &f64)| {
+            (spent - idle).max(0.0) * seconds / answers.asked.max(1) as f64
         };
-        let claimed = Claimed {
-            micros_a_claim: taken
+        let cost = ClaimCost {
+            micros_per_claim: spent
                 .iter()
-                .zip(&idle.micros_a_second)
-                .map(of_claim)
+                .zip(&idle.micros_per_second)
+                .map(micros_per_claim)
                 .collect(),
-            micros_a_request: samples
+            micros_per_request: samples
                 .iter()
-                .map(|sample| sample.micros_a_request)
+                .map(|sample| sample.micros_per_request)
                 .collect(),
             answers,
         };
         self.drain_links();
-        Ok(claimed)
+        Ok(cost)
     }
 
-    /// Processor time of each voter in a second, since earlier times of all processes.
+    /// Processor time of each voter per second, in microseconds, since the processor times `before`.
     fn micros_since(&self, before: &[Duration], lasted: Duration) -> io::Result<Vec<f64>> {
         let after = self.fleet.processor_times()?;
         let spent = before.iter().zip(&after).take(VOTERS);
@@ -218,22 +225,22 @@
         Ok(spent.map(micros).collect())
     }
 
-    /// Hollow gateways take what voters sent them, so that no link is full.
+    /// Discards the messages that hollow gateways received, so that no link's queue fills up.
     fn drain_links(&mut self) {
         self.links
             .iter_mut()
-            .for_each(|link| _ = links_that_came_up(link));
+            .for_each(|link| _ = drain_and_count_connected(link));
     }
 
-    /// Ends all processes.
-    pub fn end(self) -> io::Result<Ended> {
+    /// Closes the links and stops all processes.
+    pub fn end(self) -> io::Result<FleetExit> {
         drop(self.links);
         self.fleet.end()
     }
 }
 
-/// Takes all that a hollow gateway received; how many of its links came up.
-fn links_that_came_up(hub: &mut Hub<PeerMessage>) -> usize {
+/// Discards all events of a hollow gateway and returns how many of its links came up.
+fn drain_and_count_connected(hub: &mut Hub<PeerMessage>) -> usize {
     std::iter::from_fn(|| hub.try_recv())
         .filter(|event| matches!(event, PeerEvent::Connected { .. }))
         .count()
--- a/crates/fleet-test/tests/scale.rs
+++ b/crates/fleet-test/tests/scale.rs
@@ -1,19 +1,19 @@
-//! Scale runs: sizes that don't fit, slopes and predictions, and counts that must not grow.
+//! Tests of the scale run: rejected sizes, slopes and predictions, and counts that must not grow.
 
 use std::sync::mpsc::sync_channel;
 use std::time::Duration;
 
 use eideryard_emulators::ledger::Answers;
 use eideryard_fleet_test::processes::Ending;
-use eideryard_fleet_test::scale::checks::{self, grown};
+use eideryard_fleet_test::scale::checks::{self, describe_growth};
 use eideryard_fleet_test::scale::control::Reloads;
 use eideryard_fleet_test::scale::decisions::{self, Fleet};
 use eideryard_fleet_test::scale::fit::{prediction, slope, Law};
 use eideryard_fleet_test::scale::measure::{Axis, Collected, Figure, Point, Series, Size, Source};
-use eideryard_fleet_test::scale::processes::Ended;
+use eideryard_fleet_test::scale::mixed::{self, HollowGateways};
+use eideryard_fleet_test::scale::processes::FleetExit;
 use eideryard_fleet_test::scale::run::{Outcome, Run};
 use eideryard_fleet_test::scale::sizes::{Machine, SizeError, Sizes};
-use eideryard_fleet_test::scale::together::{self, Together};
 use eideryard_fleet_test::scale::{discovery, replication, report};
 use eideryard_fleet_test::timeline::Timeline;
 
@@ -40,14 +40,16 @@
     }
 }
 
+/// A run with sizes that don't fit the machine would exhaust it or fail late. Guards against errors
+/// that don't name the option, the limit and the remedy.
 #[test]
 #[expect(
     clippy::too_many_lines,
     reason = "one scenario, told from its beginning to its end"
 )]
-fn sizes_that_do_not_fit_are_turned_away_with_limit_figure_and_remedy() {
+fn sizes_that_do_not_fit_are_rejected_with_limit_figure_and_remedy() {
     assert_eq!(sizes().check(MACHINE), Ok(()));
-    let wrong: [(Sizes, &[&str]); 10] = [
+    let rejected: [(Sizes, &[&str]); 10] = [
         (
             Sizes {
                 seconds: -1.0,
@@ -121,57 +123,59 @@
             &["descriptors", "limit of 20000", "--clients "],
         ),
     ];
-    for (sizes, said) in wrong {
+    for (sizes, expected) in rejected {
         let error = sizes
             .check(MACHINE)
-            .expect_err("it doesn't fit")
+            .expect_err("sizes that don't fit must be rejected")
             .to_string();
         assert!(
-            said.iter().all(|part| error.contains(part)),
-            "{error}: {said:?}"
+            expected.iter().all(|part| error.contains(part)),
+            "{error}: {expected:?}"
         );
     }
 }
 
+/// Guards against errors whose suggested sizes are rejected too, and against idle clients at more
+/// gateways at once than there are descriptors for.
 #[test]
-fn what_an_error_asks_for_fits_and_clients_come_in_rounds_that_do() {
+fn suggested_sizes_fit_and_clients_are_limited_by_descriptors() {
     let few = Machine {
         descriptors: 2_000,
         ..MACHINE
     };
-    let crowded = Sizes {
+    let too_many_clients = Sizes {
         real: 1,
         clients: vec![4_120],
         ..sizes()
     };
-    let Err(SizeError::Descriptors { clients, .. }) = crowded.check(few) else {
-        panic!("too many clients")
+    let Err(SizeError::Descriptors { clients, .. }) = too_many_clients.check(few) else {
+        panic!("too many clients must be rejected")
     };
     assert_eq!(
         Sizes {
             clients: vec![clients as usize],
-            ..crowded
+            ..too_many_clients
         }
         .check(few),
         Ok(())
     );
-    let linked = Sizes {
+    let too_many_links = Sizes {
         real: 1,
         gateways: vec![1_700],
         ..sizes()
     };
-    let Err(SizeError::LinkDescriptors { gateways, .. }) = linked.check(few) else {
-        panic!("too many links")
+    let Err(SizeError::LinkDescriptors { gateways, .. }) = too_many_links.check(few) else {
+        panic!("too many links must be rejected")
     };
     assert_eq!(
         Sizes {
             gateways: vec![gateways as usize],
-            ..linked
+            ..too_many_links
         }
         .check(few),
         Ok(())
     );
-    // Five gateways with the target's clients are more than the descriptors of one moment.
+    // Five gateways with the target's clients need more descriptors than there are, four don't.
     let target = Sizes {
         real: 10,
         repeats: 5,
@@ -181,8 +185,8 @@
     assert_eq!(target.check(MACHINE), Ok(()));
     assert_eq!(
         (
-            target.resting_at_once(MACHINE, 4_120),
-            target.resting_at_once(MACHINE, 0)
+            target.gateways_with_clients_at_once(MACHINE, 4_120),
+            target.gateways_with_clients_at_once(MACHINE, 0)
         ),
         (4, 5)
     );
@@ -196,20 +200,21 @@
         source: Source::Hollow,
     };
     for &at in at {
-        for off in [-0.01, 0.0, 0.01] {
+        for offset in [-0.01, 0.0, 0.01] {
             collected.add(
                 figure,
                 Axis::Gateways,
                 (at, Size::default()),
-                value(at) + off,
+                value(at) + offset,
             );
         }
     }
     collected.series.remove(0)
 }
 
+/// Guards against a timeline that drops an event when it is asked for events up to an earlier time.
 #[test]
-fn a_timeline_that_stops_keeps_what_comes_later() {
+fn a_timeline_keeps_events_after_the_requested_time() {
     let mut time: Timeline<&str, ()> = Timeline::new(0);
     time.at(10, "early");
     time.at(30, "late");
@@ -219,8 +224,10 @@
     );
 }
 
+/// Guards against a fit with the wrong law, and against predictions that count as reliable although
+/// no law fits.
 #[test]
-fn slopes_name_their_law_and_predict_the_greatest_point() {
+fn slopes_name_their_law_and_predict_the_largest_point() {
     let at = [8.0, 80.0, 400.0, 1_600.0];
     let linear = series(&at, |at| 5.0 + 0.5 * at);
     let fitted = slope(&linear.points).expect("a line");
@@ -232,7 +239,7 @@
     assert!((fitted.reaches(105.0).expect("it grows") - 200.0).abs() < 1.0);
     let logarithmic = series(&at, |at| 5.0 + 3.0 * at.ln());
     assert_eq!(
-        slope(&logarithmic.points).map(|own| own.law),
+        slope(&logarithmic.points).map(|slope| slope.law),
         Some(Law::Logarithmic)
     );
     let square = slope(&series(&at, |at| at * at).points).expect("a line");
@@ -240,42 +247,50 @@
         square.law == Law::Quadratic && (square.reaches(250_000.0).unwrap() - 500.0).abs() < 1.0
     );
     assert_eq!(
-        slope(&series(&at, |at| 900.0 / at).points).map(|own| own.law),
+        slope(&series(&at, |at| 900.0 / at).points).map(|slope| slope.law),
         Some(Law::Inverse)
     );
     let flat = slope(&series(&at, |_| 7.0).points).expect("a line");
     assert_eq!((flat.law, flat.reaches(1e9)), (Law::Flat, None));
-    let right = prediction(&linear).expect("three smaller points");
-    assert!(right.holds() && right.error < 0.01, "{right:?}");
+    let reliable = prediction(&linear).expect("three smaller points");
+    assert!(
+        reliable.is_reliable() && reliable.error < 0.01,
+        "{reliable:?}"
+    );
     let cubes = prediction(&series(&at, |at| at * at * at)).expect("three smaller points");
-    assert!(!cubes.holds(), "no law is a basis for cubes: {cubes:?}");
-    let gone = prediction(&series(&at, |at| (400.0 - at).max(0.0))).expect("three smaller points");
     assert!(
-        gone.error >= 1.0 && gone.error.is_finite(),
-        "what came to nothing: {gone:?}"
+        !cubes.is_reliable(),
+        "no law fits cubes, so the prediction must be unreliable: {cubes:?}"
+    );
+    let zero = prediction(&series(&at, |at| (400.0 - at).max(0.0))).expect("three smaller points");
+    assert!(
+        zero.error >= 1.0 && zero.error.is_finite(),
+        "a measured 0 that was predicted otherwise must count as an error of 100%: {zero:?}"
     );
 }
 
+/// Guards against costs of a decision or a claim that grow with the fleet, and against a run that
+/// measures a point before its prediction.
 #[test]
 fn a_small_run_keeps_its_counts_and_prints_slopes_and_predictions() {
     let sizes = sizes();
-    let mut before = Vec::new();
-    let mut predicted =
-        |name: &str, axis: Axis, _: f64, _: f64| before.push(format!("{name} {axis:?}"));
-    let outcome = Run::new(&sizes, None, &mut predicted)
+    let mut reported = Vec::new();
+    let mut on_prediction =
+        |name: &str, axis: Axis, _: f64, _: f64| reported.push(format!("{name} {axis:?}"));
+    let outcome = Run::new(&sizes, None, &mut on_prediction)
         .play()
-        .expect("hollow gateways need no machine");
+        .expect("a run with hollow gateways only must succeed");
     assert_eq!(outcome.violations, [], "{}", report::table(&outcome));
     assert!(outcome.requests > 1_000 && outcome.unanswered == 0);
     assert_eq!(
         outcome.predictions.len(),
-        before.len(),
-        "each was predicted before it was measured"
+        reported.len(),
+        "each prediction must have been reported before its point was measured"
     );
     let messages = outcome
         .collected
         .find("claim.messages", Axis::Keyed)
-        .expect("keyed requests were claimed");
+        .expect("the run must measure claims of keyed requests");
     assert!(
         messages.points.iter().all(|point| point.median() > 2.0),
         "{messages:?}"
@@ -283,7 +298,7 @@
     let held = outcome
         .collected
         .find("claim.held", Axis::Keepers)
-        .expect("claims were held");
+        .expect("the run must measure stored claims");
     assert!(
         held.points.iter().all(|point| point.median() > 1.0),
         "{held:?}"
@@ -298,22 +313,28 @@
         );
     }
     assert!(report::verdict(&outcome, 3).starts_with("verdict=kept seed=3 case=scale requests="));
-    // Without subsets each decision looks at all engines: the same check finds that.
+    // With probed load each decision examines all engines: the check of growth must detect that.
     let probed = outcome
         .collected
         .find("probed.visits", Axis::Engines)
-        .expect("probed decisions");
-    assert!(grown(probed).is_some(), "{probed:?}");
+        .expect("the run must measure decisions with probed load");
+    assert!(describe_growth(probed).is_some(), "{probed:?}");
 }
 
+/// Guards against hollow gateways that miss list events unnoticed: figures of a fleet with several
+/// different lists would be worthless.
 #[test]
-fn hollow_gateways_side_by_side_follow_the_list_of_the_real_ones() {
+fn hollow_gateways_follow_the_list_of_the_real_ones() {
     assert_eq!(
-        together::places(10, 2, 3),
+        mixed::free_indexes(10, 2, 3),
         [1, 3, 7],
-        "real ones are at 0 and 5"
+        "the real gateways have the indexes 0 and 5"
+    );
+    assert_eq!(
+        mixed::free_indexes(3, 3, 5),
+        [0; 0],
+        "all indexes belong to real gateways"
     );
-    assert_eq!(together::places(3, 3, 5), [0; 0], "no place is left");
     let fleet = Fleet {
         gateways: 34,
         engines: 80,
@@ -323,10 +344,11 @@
         probed: false,
         seed: 5,
     };
-    // In the second round nothing says that the engine that joined has left again.
+    // In the second round the last event is missing, so the gateways keep an engine too many.
     for (published, wrong_lists) in [(3, 0), (2, 3)] {
         let (events, watch) = sync_channel(8);
-        let beside = Together::start(fleet, together::places(34, 10, 3), watch).expect("a thread");
+        let hollow_gateways = HollowGateways::start(fleet, mixed::free_indexes(34, 10, 3), watch)
+            .expect("hollow gateways must start");
         let change =
             |health| discovery::event(2, false, &[discovery::host(7, "127.0.0.1:1", health)]);
         let joined = discovery::event(3, true, &discovery::hosts(81));
@@ -335,20 +357,22 @@
             .into_iter()
             .take(published)
         {
-            events.send(event.into()).expect("somebody watches");
+            events
+                .send(event.into())
+                .expect("hollow gateways must read events");
         }
-        let counted = beside.end().expect("it ends");
+        let counted = hollow_gateways.end().expect("hollow gateways must end");
         assert_eq!(
             (counted.cost.gateways, counted.list_events),
             (3, 3 * published as u64)
         );
         assert_eq!(
-            (counted.wrong_lists, counted.cost.unanswered),
+            (counted.gateways_with_wrong_list, counted.cost.unanswered),
             (wrong_lists, 0),
             "{counted:?}"
         );
         let mut outcome = Outcome::default();
-        checks::beside(&mut outcome, &counted, 3);
+        checks::check_hollow_gateways(&mut outcome, &counted, 3);
         assert_eq!(
             outcome.violations.len(),
             usize::from(published < 3),
@@ -358,14 +382,14 @@
     }
 }
 
-/// Each check is shown what it has to catch, and the same without it.
+/// Guards against checks that never fail: each gets a result with the violation and one without.
 #[test]
 #[expect(
     clippy::too_many_lines,
     reason = "one scenario, told from its beginning to its end"
 )]
-fn checks_catch_what_processes_missed_refused_or_left_out() {
-    let ended = |name: &str, counted: Option<u64>, crashed: bool| {
+fn checks_detect_crashes_refusals_lost_answers_and_missed_events() {
+    let exit = |name: &str, counted: Option<u64>, crashed: bool| {
         let counters = counted.map(|count| [("list_events".to_string(), count)].into());
         let log = std::path::PathBuf::new();
         let ending = Ending {
@@ -375,77 +399,79 @@
             counters,
             wanted: !crashed,
         };
-        Ended {
+        FleetExit {
             crashed: crashed.then(|| name.into()).into_iter().collect(),
             endings: vec![ending],
         }
     };
-    let answered = |refused, lost| Answers {
+    let answers = |refused, lost| Answers {
         asked: 9,
         served: 9 - refused - lost,
         refused,
         lost,
         ..Answers::default()
     };
-    let reloaded = |missed| Reloads {
+    let reloads = |missed| Reloads {
         in_force_after: vec![Duration::ZERO],
         missed,
         ..Reloads::default()
     };
     type Check<'a> = Box<dyn Fn(&mut Outcome) + 'a>;
-    let of_ended = |counted, crashed| -> Check<'_> {
+    let exit_check = |counted, crashed| -> Check<'_> {
         Box::new(move |outcome| {
-            checks::ended(
+            checks::check_exit(
                 outcome,
-                &ended("g1", counted, crashed),
+                &exit("g1", counted, crashed),
                 &[("list_events", 3)],
             );
         })
     };
     let cases: [(Check<'_>, usize); 9] = [
-        (of_ended(Some(3), false), 0),
-        (of_ended(Some(2), false), 1),
-        (of_ended(None, false), 1),
-        (of_ended(Some(3), true), 1),
+        (exit_check(Some(3), false), 0),
+        (exit_check(Some(2), false), 1),
+        (exit_check(None, false), 1),
+        (exit_check(Some(3), true), 1),
         (
-            Box::new(|outcome| checks::answers(outcome, answered(0, 0))),
+            Box::new(|outcome| checks::count_answers(outcome, answers(0, 0))),
             0,
         ),
         (
-            Box::new(|outcome| checks::answers(outcome, answered(1, 0))),
+            Box::new(|outcome| checks::count_answers(outcome, answers(1, 0))),
             1,
         ),
         (
-            Box::new(|outcome| checks::answers(outcome, answered(0, 1))),
+            Box::new(|outcome| checks::count_answers(outcome, answers(0, 1))),
             1,
         ),
         (
-            Box::new(|outcome| checks::reloads(outcome, &reloaded(0))),
+            Box::new(|outcome| checks::check_reloads(outcome, &reloads(0))),
             0,
         ),
         (
-            Box::new(|outcome| checks::reloads(outcome, &reloaded(1))),
+            Box::new(|outcome| checks::check_reloads(outcome, &reloads(1))),
             1,
         ),
     ];
-    for (number, (check, broken)) in cases.into_iter().enumerate() {
+    for (number, (check, expected)) in cases.into_iter().enumerate() {
         let mut outcome = Outcome {
             requests: 1,
             ..Outcome::default()
         };
         check(&mut outcome);
-        checks::counts(&mut outcome);
+        checks::check_counts(&mut outcome);
         assert_eq!(
             outcome.violations.len(),
-            broken,
+            expected,
             "case {number}: {:?}",
             outcome.violations
         );
     }
 }
 
+/// Guards against measurements that leave out a part of the protocol: the counts must be those that
+/// follow from it.
 #[test]
-fn counts_of_one_decision_list_and_claim_are_those_of_the_protocols() {
+fn counts_of_decisions_lists_and_claims_match_the_protocols() {
     let fleet = Fleet {
         gateways: 34,
         engines: 80,
@@ -459,42 +485,45 @@
     assert_eq!(
         (cost.requests, cost.visits),
         (again.requests, again.visits),
-        "a seed plays the same again"
+        "the same seed must give the same counts"
     );
     assert!(
         cost.requests > 300 && cost.refused == 0 && cost.sent >= cost.requests,
         "{cost:?}"
     );
-    let held = decisions::play(Fleet {
+    let overloaded = decisions::play(Fleet {
         overloaded: true,
         rate: 450.0,
         ..fleet
     });
-    assert!(held.refused > 0 && held.unanswered == 0, "{held:?}");
-    let (whole, change) = discovery::play(fleet, 6);
+    assert!(
+        overloaded.refused > 0 && overloaded.unanswered == 0,
+        "{overloaded:?}"
+    );
+    let (whole, change) = discovery::measure(fleet, 6);
     assert!(
         whole.bytes > 79 * 120 && (150..400).contains(&change.bytes),
         "{whole:?} {change:?}"
     );
-    // A claim goes to both other keepers of three at least, and each answers.
+    // A claim goes to at least both other voters of three, and each answers.
     let claims = replication::claims(8, 3, 60, 1);
     assert!(
         claims.messages_a_request >= 4.0 && claims.differ == 0,
         "{claims:?}"
     );
-    // What one lost comes whole from another, in parts within the budget of 2 MB a second.
+    // All entries are transferred, in parts within the budget of 2 MB per second.
     let transfer = replication::transfer(30_000);
     assert_eq!(transfer.entries, 30_000, "{transfer:?}");
     assert!(
         (transfer.bytes >> 21) as f64 <= transfer.lasts as f64 / 1e6 + 1.0,
         "{transfer:?}"
     );
-    // At a core with tasks of which none is due nothing comes of a look, however many they are.
-    assert!(replication::lease_core(300).micros_a_look > 0.0);
-    let beats = replication::heartbeats(10, 20);
+    // Asserts inside that a timer call without a due task has no outputs.
+    assert!(replication::measure_lease_core(300).micros_per_timer_call > 0.0);
+    let heartbeats = replication::heartbeats(10, 20);
     assert!(
-        (beats.messages_a_second - 2.0 / 0.3).abs() < 1e-6,
-        "one and an answer in 300 ms: {beats:?}"
+        (heartbeats.messages_per_second - 2.0 / 0.3).abs() < 1e-6,
+        "one heartbeat and one reply per 300 ms: {heartbeats:?}"
     );
     let points = [Point {
         at: 1.0,
