--- a/crates/fleet-test/src/scale/checks.rs
+++ b/crates/fleet-test/src/scale/checks.rs
@@ -84,8 +84,10 @@
     let gateways = counted.cost.gateways;
     if counted.list_events != list_events * gateways || counted.gateways_with_wrong_list > 0 {
         let (events, wrong) = (counted.list_events, counted.gateways_with_wrong_list);
-        let what =
-            format!("hollow gateways read {events} of {list_events} x {gateways} list events; {wrong} of them have wrong lists");
+        let what = format!(
+            "hollow gateways read {events} of {list_events} x {gateways} list events; \
+                 {wrong} of them have wrong lists"
+        );
         outcome.add_violation("one list", what);
     }
 }
--- a/crates/fleet-test/src/scale/decisions.rs
+++ b/crates/fleet-test/src/scale/decisions.rs
@@ -88,7 +88,7 @@
 }
 
 /// Simulates a fleet's hollow gateways one after the other.
-pub fn play(fleet: Fleet) -> Cost {
+pub fn measure(fleet: Fleet) -> Cost {
     let list = endpoint_list(fleet.engines);
     let mut cost = Cost {
         gateways: fleet.hollow as u64,
@@ -108,9 +108,9 @@
 
 fn measure_node(node: &mut Node, cost: &mut Cost) {
     node.send_requests_until(STARTED + WARM_UP + MEASURED_TIME);
-    node.play_until(STARTED + WARM_UP);
+    node.run_until(STARTED + WARM_UP);
     let before = node.counted();
-    node.play_until(STARTED + WARM_UP + MEASURED_TIME);
+    node.run_until(STARTED + WARM_UP + MEASURED_TIME);
     let after = node.counted();
     cost.requests += after.requests - before.requests;
     cost.visits += after.visits - before.visits;
--- a/crates/fleet-test/src/scale/hollow_sweeps.rs
+++ b/crates/fleet-test/src/scale/hollow_sweeps.rs
@@ -90,7 +90,7 @@
     }
 
     pub(super) fn measure_decisions(&mut self, fleet: decisions::Fleet) -> Cost {
-        let cost = decisions::play(fleet);
+        let cost = decisions::measure(fleet);
         self.outcome.requests += cost.requests;
         self.outcome.unanswered += cost.unanswered;
         cost
--- a/crates/fleet-test/src/scale/mixed.rs
+++ b/crates/fleet-test/src/scale/mixed.rs
@@ -141,7 +141,7 @@
             }
             self.nodes
                 .iter_mut()
-                .for_each(|(node, _)| node.play_until(now));
+                .for_each(|(node, _)| node.run_until(now));
         }
     }
 
--- a/crates/fleet-test/src/scale/node.rs
+++ b/crates/fleet-test/src/scale/node.rs
@@ -112,7 +112,7 @@
     /// Stops new requests, and simulates until the deadline of every open request has passed.
     pub fn finish(&mut self) {
         self.requests_until = self.time.now;
-        self.play_until(self.time.now + CLIENT_TIMEOUT + SECOND);
+        self.run_until(self.time.now + CLIENT_TIMEOUT + SECOND);
     }
 
     /// Hands an event of the endpoint list to the balancer. Its cost isn't counted for requests.
@@ -129,7 +129,7 @@
     }
 
     /// Simulates until the virtual time `until`.
-    pub fn play_until(&mut self, until: Micros) {
+    pub fn run_until(&mut self, until: Micros) {
         while let Some(event) = self.time.next(until) {
             match event {
                 NodeEvent::RequestArrives => self.on_arrival(),
@@ -199,7 +199,7 @@
             match action {
                 Action::Send { request, .. } => self.send_attempt(request),
                 Action::SetTimer { after, tag } => {
-                    self.time.at(after.max(1), NodeEvent::Timer(tag))
+                    self.time.at(after.max(1), NodeEvent::Timer(tag));
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     let open = self.open.remove(&request);
--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -155,20 +155,14 @@
 }
 
 /// Simulates the leases of a fleet in which one in `lost_one_in` gateways is lost half way.
-pub fn leases(
-    gateways: usize,
-    keepers: usize,
-    tasks: u32,
-    lost_one_in: usize,
-    seed: u64,
-) -> Leases {
+pub fn leases(gateways: usize, voters: usize, tasks: u32, lost_one_in: usize, seed: u64) -> Leases {
     let figures = owned::Fleet::new(
         owned::Size {
             gateways,
-            voters: keepers,
+            voters,
             tasks,
             faults: 0,
-            lost_one_in: lost_one_in,
+            lost_one_in,
         },
         seed,
     )
--- a/crates/fleet-test/src/scale/shared_sweeps.rs
+++ b/crates/fleet-test/src/scale/shared_sweeps.rs
@@ -13,7 +13,7 @@
 use super::sizes::ENGINES_A_GATEWAY;
 
 /// Numbers of voters.
-const KEEPERS: [usize; 3] = [3, 5, 7];
+const VOTER_COUNTS: [usize; 3] = [3, 5, 7];
 /// Numbers of keyed requests of the simulated fleet, sent within 20 s.
 const KEYED: [usize; 3] = [200, 400, 800];
 /// Numbers of tasks of the simulated fleets with leases: one per engine, with the target's ratio of
@@ -33,10 +33,10 @@
 /// Heartbeat intervals per measurement.
 const HEARTBEATS: u64 = 20;
 /// Numbers of entries that a voter stores. The last is that of the target with 1% keyed requests. A
-/// run measures more than [`HELD_ALWAYS`] only if its largest fleet has at least [`NEAR_TARGET`]
+/// run measures more than [`ENTRIES_ALWAYS`] only if its largest fleet has at least [`NEAR_TARGET`]
 /// gateways.
-const HELD: [usize; 4] = [1_000, 10_000, 40_000, 84_000];
-const HELD_ALWAYS: usize = 40_000;
+const ENTRY_COUNTS: [usize; 4] = [1_000, 10_000, 40_000, 84_000];
+const ENTRIES_ALWAYS: usize = 40_000;
 const NEAR_TARGET: usize = 1_000;
 
 const fn figure(source: Source, name: &'static str, unit: &'static str) -> Figure {
@@ -71,19 +71,20 @@
         )?;
         self.sweep(
             Axis::Keepers,
-            &KEEPERS.map(|keepers| (keepers as f64, middle)),
-            Self::claims_by_keepers,
+            &VOTER_COUNTS.map(|voters| (voters as f64, middle)),
+            Self::claims_by_voters,
         )?;
         self.sweep(
             Axis::Keyed,
             &KEYED.map(|keyed| (keyed as f64, middle)),
             Self::claims_by_requests,
         )?;
-        let is_measured = |held: &usize| *held <= HELD_ALWAYS || most_gateways >= NEAR_TARGET;
-        let held: Vec<usize> = HELD.into_iter().filter(is_measured).collect();
-        let held = sweep_points(&held, |_| middle);
-        self.sweep(Axis::Held, &held, Self::measure_votes)?;
-        self.sweep(Axis::Held, &held, Self::measure_transfers)
+        let is_measured =
+            |entries: &usize| *entries <= ENTRIES_ALWAYS || most_gateways >= NEAR_TARGET;
+        let entry_counts: Vec<usize> = ENTRY_COUNTS.into_iter().filter(is_measured).collect();
+        let entry_counts = sweep_points(&entry_counts, |_| middle);
+        self.sweep(Axis::Held, &entry_counts, Self::measure_votes)?;
+        self.sweep(Axis::Held, &entry_counts, Self::measure_transfers)
     }
 
     fn measure_transfers(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
@@ -154,7 +155,7 @@
 
     fn measure_shared(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
         let gateways = point.1.gateways;
-        self.measure_claims(axis, point, (gateways, KEEPERS[0], KEYED[0]));
+        self.measure_claims(axis, point, (gateways, VOTER_COUNTS[0], KEYED[0]));
         for _ in self.seeds() {
             let beats = replication::heartbeats(gateways, HEARTBEATS);
             let links = gateways as f64;
@@ -200,7 +201,8 @@
         point: SweepPoint,
         (gateways, tasks): (usize, u32),
     ) -> io::Result<()> {
-        let simulate = |seed| replication::leases(gateways, KEEPERS[0], tasks, LOST_ONE_OF, seed);
+        let simulate =
+            |seed| replication::leases(gateways, VOTER_COUNTS[0], tasks, LOST_ONE_OF, seed);
         for leases in self.run_in_parallel(simulate) {
             for (name, unit, value) in [
                 ("lease.messages", "1/s", leases.messages_a_second),
@@ -230,31 +232,31 @@
         Ok(())
     }
 
-    fn claims_by_keepers(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
+    fn claims_by_voters(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
         let size = (self.gateways_of_claims(), point.0 as usize, KEYED[0]);
         self.measure_claims(axis, point, size);
         Ok(())
     }
 
     fn claims_by_requests(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
-        let size = (self.gateways_of_claims(), KEEPERS[0], point.0 as usize);
+        let size = (self.gateways_of_claims(), VOTER_COUNTS[0], point.0 as usize);
         self.measure_claims(axis, point, size);
         Ok(())
     }
 
     /// Number of gateways for sweeps over claims: more than the voters, whatever sizes are given.
     fn gateways_of_claims(&self) -> usize {
-        self.sizes.gateways[0].max(KEEPERS[KEEPERS.len() - 1] + 1)
+        self.sizes.gateways[0].max(VOTER_COUNTS[VOTER_COUNTS.len() - 1] + 1)
     }
 
     fn measure_claims(
         &mut self,
         axis: Axis,
         point: SweepPoint,
-        (gateways, keepers, keyed): (usize, usize, usize),
+        (gateways, voters, keyed): (usize, usize, usize),
     ) {
-        let gateways = gateways.max(keepers + 1);
-        let simulate = |seed| replication::claims(gateways, keepers, keyed, seed);
+        let gateways = gateways.max(voters + 1);
+        let simulate = |seed| replication::claims(gateways, voters, keyed, seed);
         for claims in self.run_in_parallel(simulate) {
             for (figure, value) in [
                 (
--- a/crates/fleet-test/tests/scale.rs
+++ b/crates/fleet-test/tests/scale.rs
@@ -212,7 +212,7 @@
     collected.series.remove(0)
 }
 
-/// Guards against a timeline that drops an event when it is asked for events up to an earlier time.
+/// Guards against a timeline that drops its next event if that is later than the requested time.
 #[test]
 fn a_timeline_keeps_events_after_the_requested_time() {
     let mut time: Timeline<&str, ()> = Timeline::new(0);
@@ -481,7 +481,7 @@
         probed: false,
         seed: 5,
     };
-    let (cost, again) = (decisions::play(fleet), decisions::play(fleet));
+    let (cost, again) = (decisions::measure(fleet), decisions::measure(fleet));
     assert_eq!(
         (cost.requests, cost.visits),
         (again.requests, again.visits),
@@ -491,7 +491,7 @@
         cost.requests > 300 && cost.refused == 0 && cost.sent >= cost.requests,
         "{cost:?}"
     );
-    let overloaded = decisions::play(Fleet {
+    let overloaded = decisions::measure(Fleet {
         overloaded: true,
         rate: 450.0,
         ..fleet
