--- a/crates/fleet-test/src/owned/figures.rs
+++ b/crates/fleet-test/src/owned/figures.rs
@@ -22,8 +22,8 @@
     pub again_after_ms: u64,
     /// Tasks whose owner was lost.
     pub tasks_lost: u64,
-    /// Milliseconds from the loss until work was applied again for the last of these tasks. The next
-    /// three fields are the maxima of its three phases over all tasks.
+    /// Milliseconds from the loss until work was applied again for the last of these tasks. The
+    /// next three fields are the maxima of its three phases over all tasks.
     pub lost_for_ms: u64,
     /// First phase: milliseconds from the loss until the new owner asked for votes.
     pub noticed_ms: u64,
--- a/crates/fleet-test/src/scale/control.rs
+++ b/crates/fleet-test/src/scale/control.rs
@@ -37,8 +37,8 @@
 /// Cost of configuration changes.
 #[derive(Clone, Debug, Default)]
 pub struct Reloads {
-    /// Processor time of each gateway per change, including its new connection to service discovery,
-    /// in microseconds.
+    /// Processor time of each gateway per change, in microseconds, including its new connection to
+    /// service discovery.
     pub micros_per_reload: Vec<f64>,
     /// For each change, the time from the signals until the last gateway was connected to the
     /// service discovery that the new configuration names.
--- a/crates/fleet-test/src/scale/decisions.rs
+++ b/crates/fleet-test/src/scale/decisions.rs
@@ -1,9 +1,9 @@
-//! Measures the cost of decisions: the balancers of hollow gateways, with random requests in virtual
-//! time.
+//! Measures the cost of decisions: the balancers of hollow gateways, with random requests in
+//! virtual time.
 //!
 //! Engines answer after a request's work, however many requests they run, since only the gateway's
-//! own cost is measured. Sockets, buffers and codecs are left out; they are part of the measurements
-//! of real gateways.
+//! own cost is measured. Sockets, buffers and codecs are left out; they are part of the
+//! measurements of real gateways.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
 /// engines a subset has.
 pub const CORES: f64 = 16.0;
 const WIDEST: f64 = 2.0;
-/// Largest number of gateways that each use all engines instead of a subset: two threads per core of
-/// an engine, divided by the threads of a query.
+/// Largest number of gateways that each use all engines instead of a subset: two threads per core
+/// of an engine, divided by the threads of a query.
 pub const MAX_WITHOUT_SUBSETS: usize = (2.0 * CORES / WIDEST) as usize;
 /// Number of zones in the target fleet.
 pub const ZONES: u32 = 7;
--- a/crates/fleet-test/src/scale/discovery_server.rs
+++ b/crates/fleet-test/src/scale/discovery_server.rs
@@ -15,8 +15,8 @@
 
 /// Interval of comments on each stream, which show the gateway that the stream is alive.
 const COMMENT_EVERY: Duration = Duration::from_millis(500);
-/// Maximum number of events that a hollow gateway hasn't read. One that lags further is disconnected
-/// and then misses events, which the check of its event count detects.
+/// Maximum number of events that a hollow gateway hasn't read. One that lags further is
+/// disconnected and then misses events, which the check of its event count detects.
 const MAX_UNREAD: usize = 4_096;
 
 /// Sequence number of the list that gateways have at their start.
@@ -90,7 +90,8 @@
         lock(&self.watches).len()
     }
 
-    /// Takes over from another server: continues its sequence numbers, and serves its hollow gateways.
+    /// Takes over from another server: continues its sequence numbers, and serves its hollow
+    /// gateways.
     pub fn take_over(&mut self, other: &mut DiscoveryServer) {
         self.number = other.number;
         self.hollow = std::mem::take(&mut other.hollow);
--- a/crates/fleet-test/src/scale/hollow_sweeps.rs
+++ b/crates/fleet-test/src/scale/hollow_sweeps.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Measures decisions while the number of gateways varies and the total rate of requests stays the
-    /// same, except that no gateway has more than the usual rate.
+    /// Measures decisions while the number of gateways varies and the total rate of requests stays
+    /// the same, except that no gateway has more than the usual rate.
     pub(super) fn measure_hollow_by_gateways(
         &mut self,
         axis: Axis,
@@ -96,8 +96,8 @@
         cost
     }
 
-    /// Measures memory and decisions of fleets with the target's proportions: with idle engines, with
-    /// overloaded ones, and with load known from probes only.
+    /// Measures memory and decisions of fleets with the target's proportions: with engines that keep
+    /// up, with overloaded ones, and with load known from probes only.
     pub(super) fn measure_hollow_in_proportion(
         &mut self,
         axis: Axis,
--- a/crates/fleet-test/src/scale/processes.rs
+++ b/crates/fleet-test/src/scale/processes.rs
@@ -272,7 +272,8 @@
         })
     }
 
-    /// Connects new clients to each gateway, warms it up and measures requests at `rate` per second.
+    /// Connects new clients to each gateway, warms it up and measures it at `rate` requests per
+    /// second.
     pub fn send_requests(&self, rate: f64, duration: Duration) -> io::Result<Vec<Sample>> {
         let drivers = self.warm_up(0, RequestKind::Safe)?;
         self.measure(0, drivers, rate, duration)
--- a/crates/fleet-test/src/scale/real_sweeps.rs
+++ b/crates/fleet-test/src/scale/real_sweeps.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Stops a fleet and checks that each gateway counted these list events and configuration changes.
+    /// Stops a fleet and checks that each gateway counted these list events and configuration
+    /// changes.
     fn end_fleet(&mut self, fleet: Fleet, list_events: usize, reloads: usize) -> io::Result<()> {
         let expected = [
             ("list_events", list_events as u64),
@@ -191,7 +192,8 @@
         Ok(())
     }
 
-    /// Measures real and hollow gateways at the same time, while their common endpoint list changes.
+    /// Measures real and hollow gateways at the same time, while their common endpoint list
+    /// changes.
     pub(super) fn measure_real_and_hollow(
         &mut self,
         axis: Axis,
--- a/crates/fleet-test/src/scale/replication.rs
+++ b/crates/fleet-test/src/scale/replication.rs
@@ -134,7 +134,8 @@
 pub struct Leases {
     /// Messages per second of the whole fleet.
     pub messages_a_second: f64,
-    /// Milliseconds from the loss of owners until work was applied again for the last of their tasks.
+    /// Milliseconds from the loss of owners until work was applied again for the last of their
+    /// tasks.
     pub lost_for_ms: u64,
     /// First phase, the maximum over the tasks: milliseconds until the new owner asked for votes.
     pub noticed_ms: u64,
--- a/crates/fleet-test/src/scale/shared_sweeps.rs
+++ b/crates/fleet-test/src/scale/shared_sweeps.rs
@@ -17,8 +17,8 @@
 /// Numbers of keyed requests of the simulated fleet, sent within 20 s.
 const KEYED: [usize; 3] = [200, 400, 800];
 /// Numbers of tasks of the simulated fleets with leases: one per engine, with the target's ratio of
-/// engines to gateways. Each gateway checks every task every few milliseconds, so the run time grows
-/// with the square of the fleet's size.
+/// engines to gateways. Each gateway checks every task every few milliseconds, so the run time
+/// grows with the square of the fleet's size.
 const TASKS: [u32; 5] = [24, 48, 96, 192, 384];
 /// Every run measures up to [`TASKS_ALWAYS`] tasks. It measures more only up to the largest number
 /// of its gateways divided by [`TASKS_PART`].
--- a/crates/fleet-test/src/scale/sizes.rs
+++ b/crates/fleet-test/src/scale/sizes.rs
@@ -47,7 +47,7 @@
     /// Rates of requests of one gateway, per second.
     #[arg(long, value_delimiter = ',', default_values_t = [50.0, 450.0])]
     pub rate: Vec<f64>,
-    /// Number of changes of the endpoint list, each in its read_limits event.
+    /// Number of changes of the endpoint list, each in its own event.
     #[arg(long, default_value_t = 20)]
     pub changes: usize,
     /// Seed of all random numbers.
--- a/crates/fleet-test/src/scale/voter_sweeps.rs
+++ b/crates/fleet-test/src/scale/voter_sweeps.rs
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Number of interval_count to measure. Each interval gives one repeat per voter.
+    /// Number of intervals to measure. Each interval gives one repeat per voter.
     fn interval_count(&self) -> usize {
         self.sizes.repeats.div_ceil(VOTERS)
     }
@@ -101,7 +101,7 @@
     }
 
     fn measure_voter_claims(&mut self, axis: Axis, point: SweepPoint) -> io::Result<()> {
-        // The work of a voter per flush varies, so more interval_count are measured than the number of
+        // The work of a voter per flush varies, so more intervals are measured than the number of
         // repeats requires.
         let (interval_count, duration) = (self.sizes.repeats.div_ceil(2), self.point_duration());
         let Some(mut voters) = self.voters.take() else {
--- a/crates/fleet-test/src/scale/voters.rs
+++ b/crates/fleet-test/src/scale/voters.rs
@@ -215,7 +215,8 @@
         Ok(cost)
     }
 
-    /// Processor time of each voter per second, in microseconds, since the processor times `before`.
+    /// Processor time of each voter per second since the processor times `before`, in
+    /// microseconds.
     fn micros_since(&self, before: &[Duration], lasted: Duration) -> io::Result<Vec<f64>> {
         let after = self.fleet.processor_times()?;
         let spent = before.iter().zip(&after).take(VOTERS);
