--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -106,7 +106,7 @@
 
 fn measure_scale(sizes: &Sizes) -> Result<bool, String> {
     let machine =
-        Machine::own().map_err(|e| format!("can't read the limits of the machine: {e}"))?;
+        Machine::read_limits().map_err(|e| format!("can't read the limits of the machine: {e}"))?;
     sizes.check(machine).map_err(|e| e.to_string())?;
     let program = match &sizes.program {
         _ if sizes.real == 0 => None,
@@ -132,11 +132,11 @@
         println!("plots written: {}", files.join(", "));
     }
     outcome
-        .broken
+        .violations
         .iter()
-        .for_each(|broken| println!("broken: {}: {}", broken.rule, broken.what));
+        .for_each(|violation| println!("broken: {}: {}", violation.rule, violation.what));
     println!("{}", report::verdict(&outcome, sizes.seed));
-    Ok(outcome.broken.is_empty())
+    Ok(outcome.violations.is_empty())
 }
 
 #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
