--- a/crates/event-log/benches/record.rs
+++ b/crates/event-log/benches/record.rs
@@ -17,7 +17,7 @@
 use std::cell::Cell;
 use std::io::Write;
 
-/// Counts the allocations of each thread.
+/// Counts the allocations by each thread.
 struct Counting;
 
 thread_local!(static ALLOCATIONS: Cell<u64> = const { Cell::new(0) });
--- a/crates/event-log/src/codec/attempt.rs
+++ b/crates/event-log/src/codec/attempt.rs
@@ -8,7 +8,7 @@
 use super::primitives::{value_at, Decoder, Encoder};
 use super::{kind, DecodeError, Decoded};
 
-/// The outcomes. The index of each is the number that the log stores.
+/// All outcomes. The log stores an outcome as its index in this array.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Answered,
     Outcome::Error,
@@ -26,7 +26,7 @@
 const ALREADY_REPORTED_FLAG: u8 = 1 << 5;
 const USAGE_FLAG: u8 = 1 << 6;
 
-/// The byte that precedes a progress report.
+/// Values of the byte that precedes a progress report and states its kind.
 const PROGRESS_SHARE: u8 = 0;
 const PROGRESS_SPILLING: u8 = 1;
 const PROGRESS_WAITS_FOR_MEMORY: u8 = 2;
--- a/crates/event-log/src/codec/event.rs
+++ b/crates/event-log/src/codec/event.rs
@@ -9,11 +9,11 @@
 use super::{kind, DecodeError, Decoded, MAX_ITEMS};
 use crate::totals::MAX_GROUPS;
 
-/// Most engines in a restored checkpoint.
+/// Maximum number of engines in a restored checkpoint.
 const MAX_LEARNED_ENGINES: usize = 4096;
-/// Most prior attempts in one entry.
+/// Maximum number of prior attempts in one entry.
 const MAX_PRIOR_ATTEMPTS: usize = 64;
-/// The phases. The index of each is the number that the log stores.
+/// All phases. The log stores a phase as its index in this array.
 const PHASES: [Phase; 3] = [Phase::Ready, Phase::Draining, Phase::Removed];
 
 /// Appends an event's content and returns its kind.
--- a/crates/event-log/src/codec/host.rs
+++ b/crates/event-log/src/codec/host.rs
@@ -8,7 +8,7 @@
 use super::{fleet, kind, DecodeError, Decoded};
 use crate::entry::{AnswerKind, ClientRequest, CloseReason, HostEvent, RejectReason};
 
-/// The byte that precedes an IP address.
+/// Values of the byte that precedes an IP address and states its version.
 const IP_VERSION_4: u8 = 4;
 const IP_VERSION_6: u8 = 6;
 /// The byte of an answer consists of its kind in the low four bits and, above them, a flag that is
--- a/crates/event-log/src/codec/mod.rs
+++ b/crates/event-log/src/codec/mod.rs
@@ -1,7 +1,7 @@
 //! Encodes log entries as bytes and decodes them, without I/O. The recorder encodes with
 //! [`Context::encode`], the reader decodes with [`Decoder`].
 //!
-//! The time of an entry is encoded as the difference from the entry before it. The id of a request
+//! The time of an entry is encoded as the difference from the entry before it. The ID of a request
 //! is encoded as the difference of its generation from that of the last encoded request. Both
 //! differences start from known values in each frame, so that a frame can be decoded without the
 //! frames before it.
@@ -27,11 +27,11 @@
 use primitives::Encoder;
 pub use primitives::{Decoder, DecoderPosition};
 
-/// Longest name or text in bytes. Longer texts are truncated by the encoder and rejected by the
-/// decoder.
+/// Maximum length of a name or text in bytes. Longer texts are truncated by the encoder and
+/// rejected by the decoder.
 pub const MAX_TEXT: usize = 1024;
-/// Most items in one list. The decoder rejects longer lists; the encoder doesn't check, so that a
-/// longer list of endpoints has to be split into several entries before it is encoded.
+/// Maximum number of items in one list. The decoder rejects longer lists; the encoder doesn't
+/// check, so a longer list of endpoints has to be split into several entries before it is encoded.
 pub const MAX_ITEMS: usize = 65_536;
 
 /// Why bytes can't be decoded as an entry.
@@ -58,12 +58,12 @@
 pub struct Context {
     /// Time of the previous entry, or of the start of the frame.
     at: Micros,
-    /// The generation of the last encoded request, which is the upper half of its id.
+    /// The generation of the last encoded request, which is the upper half of its ID.
     generation: u32,
 }
 
 impl Context {
-    /// The context at the start of a frame that starts at this time.
+    /// Returns the context at the start of a frame that starts at this time.
     pub fn new(at: Micros) -> Self {
         Context { at, generation: 0 }
     }
--- a/crates/event-log/src/codec/primitives.rs
+++ b/crates/event-log/src/codec/primitives.rs
@@ -1,16 +1,16 @@
-//! Encodes the numbers, texts, times and ids that entries consist of. [`Encoder`] appends them to a
+//! Encodes the numbers, texts, times and IDs that entries consist of. [`Encoder`] appends them to a
 //! buffer, [`Decoder`] reads them from the payload of one frame.
 
 use eideryard::interface::{EngineId, Micros, RequestId};
 
 use super::{Context, DecodeError, Decoded, MAX_ITEMS, MAX_TEXT};
 
-/// Masks the slot in the id of a request or connection. The upper half is the slot's generation.
+/// Masks the slot in the ID of a request or connection. The upper half is the slot's generation.
 const SLOT_MASK: u64 = 0xffff_ffff;
 /// Length in bytes of the longest variable-length integer.
 const MAX_VARINT_BYTES: usize = 10;
-/// The two lowest bits of a float's first byte state its encoding: an integer, an integer number of
-/// thousandths, or the raw bits.
+/// Values of the two lowest bits of a float's first byte, which state its encoding: an integer, an
+/// integer number of thousandths, or the raw bits.
 const FLOAT_INTEGER: u64 = 0;
 const FLOAT_THOUSANDTHS: u64 = 1;
 const FLOAT_RAW_BITS: u8 = 2;
@@ -27,7 +27,7 @@
     pub(super) context: Context,
 }
 
-/// The position of a [`Decoder`], with which another one can continue.
+/// The position of a [`Decoder`], from which another decoder can continue.
 #[derive(Clone, Copy, Debug)]
 pub struct DecoderPosition {
     /// Number of bytes at the end of the payload that aren't decoded yet.
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The number of remaining bytes and the context of the next entry.
+    /// Returns the number of remaining bytes and the context of the next entry.
     pub fn position(&self) -> DecoderPosition {
         DecoderPosition {
             remaining: self.rest.len(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Reads a byte that is the index of one of these values.
+    /// Reads a byte that is an index into `values`, and returns the value at this index.
     pub(super) fn read_one_of<T: Copy>(&mut self, values: &[T]) -> Decoded<T> {
         let index = self.read_byte()?;
         value_at(values, index)
@@ -227,7 +227,8 @@
         }
     }
 
-    /// Appends a byte with one bit for each value, set if it is present, then the present values.
+    /// Appends a byte with one bit for each value, set if the value is present, then the present
+    /// values.
     pub fn put_optional_floats(&mut self, values: &[Option<f64>]) {
         let mut present = 0u8;
         for (position, value) in values.iter().enumerate() {
@@ -240,7 +241,7 @@
     }
 }
 
-/// The value as a number of thousandths, if that represents it exactly.
+/// Returns the value as a number of thousandths, if that represents it exactly.
 fn thousandths(value: f64) -> Option<u64> {
     let scaled = value * 1e3;
     if !(0.0..1e15).contains(&scaled) {
--- a/crates/event-log/src/config.rs
+++ b/crates/event-log/src/config.rs
@@ -20,11 +20,11 @@
     pub max_segment_bytes: u64,
     /// Age in microseconds at which the next segment starts, whatever the size of this one.
     pub max_segment_age: Micros,
-    /// Time to wait after a file error before writing is tried again.
+    /// Time to wait after a file error before the writer retries.
     pub retry_delay: Duration,
-    /// Number of classes that have totals of their own.
+    /// Number of classes for which separate totals are counted.
     pub class_count: usize,
-    /// Number of tenants that have totals of their own.
+    /// Number of tenants for which separate totals are counted.
     pub tenant_count: usize,
 }
 
@@ -33,7 +33,7 @@
     pub bytes: Vec<u8>,
     pub first_at: Micros,
     pub last_at: Micros,
-    /// Whether this is the first batch of a segment.
+    /// Set by the recorder on the first batch of a segment; the writer then creates a new file.
     pub starts_segment: bool,
     /// The totals before the batch's first entry.
     pub before: Tally,
--- a/crates/event-log/src/disk.rs
+++ b/crates/event-log/src/disk.rs
@@ -8,7 +8,7 @@
 pub trait Disk: Send {
     /// Lists the names and sizes in bytes of all files in the directory.
     fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
-    /// Creates a file; fails if it exists already.
+    /// Creates a file; fails if a file with this name exists.
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>>;
     /// Removes the file with this name.
     fn remove(&mut self, name: &str) -> io::Result<()>;
--- a/crates/event-log/src/entry/fleet.rs
+++ b/crates/event-log/src/entry/fleet.rs
@@ -29,20 +29,20 @@
     },
     /// This gateway acquired or lost a lease.
     LeaseChanged {
-        /// The number of the engine that the leased task is for.
+        /// The ID of the engine that the leased task is for.
         task: u32,
         /// The term of the lease, part of the fencing token.
         term: u64,
         /// True if this gateway holds the lease from now on.
         is_held: bool,
     },
-    /// Work of a lease holder arrived and was checked against the fencing token.
+    /// Work from a lease holder arrived and was checked against the fencing token.
     WorkReceived {
-        /// The number of the engine that the leased task is for.
+        /// The ID of the engine that the leased task is for.
         task: u32,
         /// The term of the lease under which the work was sent.
         term: u64,
-        /// The id of the gateway that sent the work.
+        /// The ID of the gateway that sent the work.
         owner: u64,
         /// False if the token was stale and the work is ignored.
         is_accepted: bool,
--- a/crates/event-log/src/entry/host.rs
+++ b/crates/event-log/src/entry/host.rs
@@ -23,7 +23,8 @@
 }
 
 impl Names {
-    /// Number of threads that a query of a class runs on; 1 if the log doesn't state it.
+    /// Returns the number of threads that a query of a class runs on; 1 if the log doesn't state
+    /// it.
     pub fn threads_of_class(&self, class: usize) -> f64 {
         self.threads.get(class).copied().unwrap_or(1.0)
     }
@@ -32,7 +33,7 @@
 /// An engine as the discovery service lists it, with its name and address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEngine {
-    /// The engine's number in entries of the decision module.
+    /// The engine's ID in entries of the decision module.
     pub engine: EngineId,
     /// The engine's name in the discovery service.
     pub name: String,
@@ -48,14 +49,14 @@
     pub booted_at: Micros,
 }
 
-/// Connects the decision module's id of a request with the client's id and connection.
+/// Connects the decision module's ID of a request with the client's ID and connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientRequest {
-    /// The id that the decision module uses.
+    /// The ID that the decision module uses.
     pub request: RequestId,
-    /// The id that the client gave the request.
+    /// The ID that the client gave the request.
     pub id: u64,
-    /// The number of the connection that it arrived on, see [`HostEvent::Connected`].
+    /// The ID of the connection on which the request arrived, see [`HostEvent::Connected`].
     pub connection: u64,
 }
 
@@ -71,7 +72,7 @@
 /// A request that was open when a segment began.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OpenRequest {
-    /// The ids of the request and its connection.
+    /// The IDs of the request and its connection.
     pub client_request: ClientRequest,
     /// Index of the request's class in [`Names::classes`].
     pub class: usize,
@@ -113,27 +114,28 @@
     StateComplete,
     /// A client connected.
     Connected {
-        /// The number that this gateway gave the connection.
+        /// The ID that this gateway gave the connection.
         connection: u64,
         /// The client's IP address.
         address: IpAddr,
     },
     /// The gateway closes a connection; [`HostEvent::Disconnected`] follows once it is closed.
     ConnectionClosing {
-        /// The number of the connection.
+        /// The ID of the connection.
         connection: u64,
         /// Why the gateway closes it.
         reason: CloseReason,
     },
     /// A connection is closed.
     Disconnected {
-        /// The number of the connection.
+        /// The ID of the connection.
         connection: u64,
     },
-    /// A request arrived and got an id for the decision module.
+    /// A request arrived and got an ID for the decision module.
     RequestReceived(ClientRequest),
-    /// A client sent a request again, and the retry waits for the answer to the request that is
-    /// already open. The retry ends with a [`HostEvent::Answered`] of request 0.
+    /// A client resent a request that is still open, and the retry waits for the answer to the open
+    /// request. The retry has no ID in the decision module, so it ends with a
+    /// [`HostEvent::Answered`] whose request ID is 0.
     RetryAttached {
         /// Index of the retry's class.
         class: usize,
@@ -151,7 +153,7 @@
     },
     /// A request ended: it was answered, or its client cancelled it or disconnected.
     Answered {
-        /// The id that the decision module uses, or 0 for an attached retry.
+        /// The ID that the decision module uses, or 0 for an attached retry.
         request: RequestId,
         /// Index of the request's class.
         class: usize,
@@ -169,12 +171,12 @@
     },
     /// A numbered event of the discovery service was applied.
     DiscoveryEvent {
-        /// The number that the service gave the event.
+        /// The sequence number that the service gave the event.
         number: u64,
     },
     /// The reason why an accepted request is refused: its intent could not be made durable.
     RefusalExplained {
-        /// The id that the decision module uses.
+        /// The ID that the decision module uses.
         request: RequestId,
         /// Why the intent is not durable.
         reason: RejectReason,
--- a/crates/event-log/src/entry/mod.rs
+++ b/crates/event-log/src/entry/mod.rs
@@ -36,7 +36,7 @@
 }
 
 impl Entry {
-    /// The id of the request that the entry is about, if any.
+    /// Returns the ID of the request that the entry is about, if any.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             Entry::Event(event) => request_of_event(event),
@@ -91,7 +91,7 @@
     }
 }
 
-/// The request whose deadline timer has this tag; `None` for the tags of other timers.
+/// Returns the request whose deadline timer has this tag; `None` for the tags of other timers.
 pub(crate) fn request_of_timer(tag: u64) -> Option<RequestId> {
     tag.checked_sub(request_timer_tag(0))
         .filter(|request| request >> 32 != 0)
--- a/crates/event-log/src/entry/reasons.rs
+++ b/crates/event-log/src/entry/reasons.rs
@@ -19,7 +19,7 @@
 }
 
 impl RejectReason {
-    /// All reasons. The index of each is the byte that the log stores.
+    /// All reasons. The log stores a reason as its index in this array.
     pub const ALL: [RejectReason; 6] = [
         RejectReason::Invalid,
         RejectReason::StatementMemoryFull,
@@ -29,7 +29,7 @@
         RejectReason::NoMajority,
     ];
 
-    /// The name of the reason in answers to clients, in logs and on report pages.
+    /// Returns the name of the reason in answers to clients, in logs and on report pages.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::Invalid => "invalid",
@@ -59,7 +59,7 @@
 }
 
 impl CloseReason {
-    /// All reasons. The index of each is the byte that the log stores.
+    /// All reasons. The log stores a reason as its index in this array.
     pub const ALL: [CloseReason; 5] = [
         CloseReason::Malformed,
         CloseReason::IdleTimeout,
--- a/crates/event-log/src/file_name.rs
+++ b/crates/event-log/src/file_name.rs
@@ -24,7 +24,7 @@
     format!("{gateway}.{epoch:016x}.{segment:08}.{EXTENSION}")
 }
 
-/// The part before the first dot that all file names of a gateway share.
+/// Returns the part of a gateway's file names before the first dot, equal in all of them.
 pub(crate) fn file_name_prefix(gateway: &str) -> String {
     let replace = |character: char| {
         if character.is_ascii_alphanumeric() || character == '_' || character == '-' {
--- a/crates/event-log/src/frame.rs
+++ b/crates/event-log/src/frame.rs
@@ -14,7 +14,7 @@
 pub const FILE_HEADER_BYTES: usize = 16;
 /// Length of a frame's header in bytes.
 pub const FRAME_HEADER_BYTES: usize = 36;
-/// Longest payload in bytes. Bounds the memory that a damaged length field can claim.
+/// Maximum length of a payload in bytes. Bounds the memory that a damaged length field can claim.
 pub const MAX_PAYLOAD: usize = 1 << 20;
 
 const FRAME_MARKER: [u8; 4] = [0xe1, 0xde, 0x12, 0xc4];
@@ -36,7 +36,7 @@
 pub struct FrameHeader {
     /// When the gateway that wrote the frame started, in microseconds since the Unix epoch.
     pub epoch: Micros,
-    /// The frame's number within one run of the gateway, from 1, counted across its segments.
+    /// The frame's sequence number, from 1, counted across all segments of one run of the gateway.
     pub number: u64,
     /// Time of the frame's first entry, in microseconds since the Unix epoch.
     pub first_at: Micros,
@@ -45,7 +45,7 @@
 }
 
 impl FrameHeader {
-    /// The context that the frame's first entry was encoded with.
+    /// Returns the context that the frame's first entry was encoded with.
     pub fn context(&self) -> Context {
         Context::new(self.first_at)
     }
@@ -88,8 +88,8 @@
     header
 }
 
-/// The time of a frame's first entry, without verifying the checksum. Precise enough to choose the
-/// segment at which reading starts.
+/// Returns the time of a frame's first entry, without verifying the checksum. This is precise
+/// enough to choose the segment at which reading starts.
 pub fn frame_first_at(bytes: &[u8]) -> Option<Micros> {
     let has_header = bytes.len() >= FRAME_HEADER_BYTES && bytes.starts_with(&FRAME_MARKER);
     has_header.then(|| u64_at(bytes, FIRST_AT_OFFSET))
@@ -138,13 +138,14 @@
     })
 }
 
-/// Whether `bytes` start with the marker, or end within a marker that starts at their beginning.
+/// Returns whether `bytes` start with the marker, or end within a marker that starts at their
+/// beginning.
 fn starts_like_marker(bytes: &[u8]) -> bool {
     let length = bytes.len().min(FRAME_MARKER.len());
     FRAME_MARKER.starts_with(&bytes[..length])
 }
 
-/// Offset of the next position after the first byte at which a marker may start.
+/// Returns the offset of the next position after the first byte at which a marker may start.
 fn next_marker(bytes: &[u8]) -> usize {
     (1..bytes.len())
         .find(|position| starts_like_marker(&bytes[*position..]))
@@ -158,14 +159,14 @@
     hasher.finalize()
 }
 
-/// The number at an offset, 0 beyond the end.
+/// Returns the number at an offset, 0 beyond the end.
 fn u32_at(bytes: &[u8], offset: usize) -> u32 {
     bytes[offset..]
         .first_chunk()
         .map_or(0, |bytes| u32::from_le_bytes(*bytes))
 }
 
-/// The number at an offset, 0 beyond the end.
+/// Returns the number at an offset, 0 beyond the end.
 fn u64_at(bytes: &[u8], offset: usize) -> u64 {
     bytes[offset..]
         .first_chunk()
--- a/crates/event-log/src/reader/merged.rs
+++ b/crates/event-log/src/reader/merged.rs
@@ -16,7 +16,8 @@
     directories: Vec<PathBuf>,
     /// Whether the logs may still grow.
     is_following: bool,
-    /// Of each log, segments before the last one that starts no later than this are not read.
+    /// Time from which entries are needed, in microseconds since the Unix epoch. Of each log, the
+    /// segments before the last one that starts no later than this time are not read.
     from: Micros,
     sources: Vec<Source>,
     /// One stream for each source, in the order of `sources`.
@@ -86,12 +87,12 @@
         Ok(reader)
     }
 
-    /// The runs of gateways found so far.
+    /// Returns the runs of gateways found so far.
     pub fn sources(&self) -> &[Source] {
         &self.sources
     }
 
-    /// The parts skipped so far, each with the index of its source.
+    /// Returns the parts skipped so far, each with the index of its source.
     pub fn problems(&self) -> impl Iterator<Item = (usize, &Problem)> {
         self.heads.iter().enumerate().flat_map(|(source, head)| {
             let problems = head.stream.problems();
@@ -99,7 +100,7 @@
         })
     }
 
-    /// The time of the last frame of all logs, without reading the entries before it.
+    /// Returns the time of the last frame of all logs, without reading the entries before it.
     ///
     /// # Errors
     /// If a file can't be read.
@@ -114,7 +115,7 @@
         Ok(last)
     }
 
-    /// Returns the next entry of all logs. `None` is the end, or for logs that are still being
+    /// Returns the next entry of all logs. `None` means the end or, for logs that are still being
     /// written, that there is no further entry yet.
     ///
     /// # Errors
@@ -215,7 +216,7 @@
     files.iter().map(|file| file.size).sum()
 }
 
-/// The time of a file's last frame; 0 if the file contains none.
+/// Returns the time of a file's last frame; 0 if the file contains none.
 fn last_frame_at(path: &Path) -> Result<Micros, ReadError> {
     let bytes = std::fs::read(path).map_err(io_error(path))?;
     let mut rest = &bytes[..];
--- a/crates/event-log/src/reader/mod.rs
+++ b/crates/event-log/src/reader/mod.rs
@@ -80,10 +80,11 @@
     /// The file ends within a frame.
     #[error("the file ends within a frame")]
     IncompleteFrame,
-    /// The frame's number was read before, or the frame belongs to another run of the gateway.
+    /// A frame with this sequence number was already read, or the frame belongs to another run of
+    /// the gateway.
     #[error("a frame that was already read, or that belongs to another run of the gateway")]
     DuplicateFrame,
-    /// The number of the frame at this position is higher than the next one expected.
+    /// The sequence number of the frame at this position is higher than expected.
     #[error("frames are missing before this position")]
     MissingFrames,
     /// The frame is intact, but an entry can't be decoded.
--- a/crates/event-log/src/reader/segments.rs
+++ b/crates/event-log/src/reader/segments.rs
@@ -11,8 +11,7 @@
 use crate::file_name::parse_file_name;
 use crate::frame::{frame_first_at, FILE_HEADER_BYTES, FRAME_HEADER_BYTES};
 
-/// Identifies one run of one gateway in one directory. Sources are added in the order of their
-/// keys.
+/// Identifies one run of one gateway in one directory. Sources are added sorted by key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceKey {
     pub epoch: Micros,
@@ -67,7 +66,7 @@
     files.drain(..count.saturating_sub(1));
 }
 
-/// The time of a segment's first frame; `None` if it can't be read.
+/// Returns the time of a segment's first frame; `None` if it can't be read.
 fn first_at(path: &Path) -> Option<Micros> {
     let mut header = Vec::new();
     let file = File::open(path).ok()?;
--- a/crates/event-log/src/reader/stream.rs
+++ b/crates/event-log/src/reader/stream.rs
@@ -15,7 +15,7 @@
     FRAME_HEADER_BYTES, MAX_PAYLOAD, VERSION,
 };
 
-/// Most bytes that one call reads from a file.
+/// Maximum number of bytes that one call reads from a file.
 const CHUNK_BYTES: usize = 256 << 10;
 
 /// Reads the entries of one run of one gateway. It owns the open file and one buffer.
@@ -77,12 +77,12 @@
         }
     }
 
-    /// The parts skipped so far.
+    /// Returns the parts skipped so far.
     pub fn problems(&self) -> &[Problem] {
         &self.problems
     }
 
-    /// The last known file that isn't read to its end yet.
+    /// Returns the last known file that isn't read to its end yet.
     pub fn last_file(&self) -> Option<&Path> {
         let open = self.open.as_ref().map(|open| &open.path);
         self.files.back().or(open).map(PathBuf::as_path)
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -26,7 +26,7 @@
 pub const BATCH_BYTES: usize = 64 << 10;
 /// Extra capacity in bytes of each buffer for its last entry. Only lists of endpoints are longer.
 const MAX_ENTRY_BYTES: usize = 4 << 10;
-/// Longest time in microseconds that an entry stays in memory before it is sent to the writer.
+/// Maximum time in microseconds that an entry stays in memory before it is sent to the writer.
 const MAX_BATCH_AGE: Micros = 200_000;
 /// Interval in microseconds of the heartbeats that an idle gateway records, so that a reader can
 /// tell an idle gateway from one that has ended.
@@ -36,9 +36,9 @@
 const TALLY_INTERVAL: Micros = 5_000_000;
 /// The [`Config::retry_delay`] that gateways use.
 pub const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How long dropping the recorder waits for the writer.
+/// Maximum time for which dropping the recorder waits for the writer.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often dropping the recorder checks whether the writer thread has ended.
+/// Interval at which dropping the recorder checks whether the writer thread has ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Records the entries of one gateway. Dropping it sends the remaining entries to the writer and
@@ -59,7 +59,7 @@
     segment_number: u64,
     segment_bytes: u64,
     segment_started_at: Micros,
-    /// Entries are dropped until a segment starts with the state.
+    /// Whether entries are dropped until a new segment starts with the current state.
     needs_state: bool,
 }
 
@@ -67,7 +67,7 @@
     /// Starts the writer thread.
     ///
     /// # Errors
-    /// If the thread can't be started. Disk errors are logged, and writing is tried again later.
+    /// If the thread can't be started. Disk errors are logged, and writing is retried later.
     pub fn start(config: Config, disk: Box<dyn Disk>) -> std::io::Result<Self> {
         let (filled_batches, batches_to_write) = sync_channel(BATCH_COUNT);
         let (written_batches, free_batches) = sync_channel(BATCH_COUNT);
@@ -99,13 +99,14 @@
         })
     }
 
-    /// The totals since the start of the gateway, dropped entries included.
+    /// Returns the totals since the start of the gateway, dropped entries included.
     pub fn tally(&self) -> &Tally {
         &self.tally
     }
 
-    /// Whether a new segment should start. If so, the caller calls [`Recorder::start_segment`],
-    /// records the state with [`Recorder::record_state`] and calls [`Recorder::finish_state`].
+    /// Returns whether a new segment should start. If so, the caller calls
+    /// [`Recorder::start_segment`], records the state with [`Recorder::record_state`] and calls
+    /// [`Recorder::finish_state`].
     pub fn needs_segment(&self, now: Micros) -> bool {
         let age = now.saturating_sub(self.segment_started_at);
         self.needs_state
@@ -114,7 +115,7 @@
             || self.has_lost_entries.load(Ordering::Relaxed)
     }
 
-    /// Starts a segment. Returns false if no buffer is free; the caller then tries again later.
+    /// Starts a segment. Returns false if no buffer is free; the caller then retries later.
     pub fn start_segment(&mut self, now: Micros) -> bool {
         self.send_batch();
         if !self.ensure_batch(now) {
@@ -162,8 +163,8 @@
         }
     }
 
-    /// When [`Recorder::flush`] should be called next if no entry is recorded before; `None` if a
-    /// segment has to start first.
+    /// Returns the time at which [`Recorder::flush`] should be called next unless an entry is
+    /// recorded first; `None` if a segment has to start first.
     pub fn next_flush_at(&self) -> Option<Micros> {
         if let Some(batch) = &self.batch {
             return Some(batch.first_at + MAX_BATCH_AGE);
--- a/crates/event-log/src/tally.rs
+++ b/crates/event-log/src/tally.rs
@@ -16,7 +16,7 @@
 }
 
 impl RunningTally {
-    /// Whether the next entry belongs to the state at the start of a segment.
+    /// Returns whether the next entry belongs to the state at the start of a segment.
     pub fn is_in_state(&self) -> bool {
         self.is_in_state
     }
--- a/crates/event-log/src/text/names.rs
+++ b/crates/event-log/src/text/names.rs
@@ -4,7 +4,7 @@
 
 use crate::entry::{AnswerKind, CloseReason, RejectReason};
 
-/// The name of an outcome in the text of entries.
+/// Returns the name of an outcome in the text of entries.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Answered => "Answered",
@@ -18,7 +18,7 @@
     }
 }
 
-/// The name of a phase in the text of entries.
+/// Returns the name of a phase in the text of entries.
 pub fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Ready => "Ready",
--- a/crates/event-log/src/totals.rs
+++ b/crates/event-log/src/totals.rs
@@ -23,12 +23,12 @@
             /// The names of all totals, in the order in which the log stores them.
             pub const NAMES: &'static [&'static str] = &[$($name),*];
 
-            /// All totals with their names, in the order of [`Totals::NAMES`].
+            /// Returns all totals with their names, in the order of [`Totals::NAMES`].
             pub fn pairs(&self) -> impl Iterator<Item = (&'static str, u64)> {
                 [$(($name, self.$field)),*].into_iter()
             }
 
-            /// Mutable references to all totals, in the order of [`Totals::NAMES`].
+            /// Returns mutable references to all totals, in the order of [`Totals::NAMES`].
             pub fn values_mut(&mut self) -> impl Iterator<Item = &mut u64> {
                 [$(&mut self.$field),*].into_iter()
             }
@@ -41,11 +41,11 @@
     received = "taken",
     /// Requests answered with a result.
     served = "served",
-    /// Requests refused; the client may try again later.
+    /// Requests refused; the client may retry later.
     refused = "refused",
     /// Requests answered with an error.
     failed = "failed",
-    /// Messages of clients that are not valid requests.
+    /// Messages from clients that are not valid requests.
     invalid = "invalid",
     /// Requests that their clients cancelled.
     abandoned = "forgotten",
@@ -116,7 +116,7 @@
 pub enum AnswerKind {
     /// The client got a result.
     Served,
-    /// The gateway refused the request; the client may try again later.
+    /// The gateway refused the request; the client may retry later.
     Refused,
     /// The client got an error.
     Failed,
@@ -127,7 +127,7 @@
 }
 
 impl AnswerKind {
-    /// All kinds. The index of each is the number that the log stores.
+    /// All kinds. The log stores a kind as its index in this array.
     pub const ALL: [AnswerKind; 5] = [
         AnswerKind::Served,
         AnswerKind::Refused,
@@ -136,7 +136,7 @@
         AnswerKind::Undelivered,
     ];
 
-    /// The name of the kind in logs and on report pages.
+    /// Returns the name of the kind in logs and on report pages.
     pub fn name(self) -> &'static str {
         match self {
             AnswerKind::Served => "served",
@@ -160,13 +160,13 @@
 }
 
 impl GroupTotals {
-    /// Requests that ended with this kind of answer.
+    /// Returns the number of requests that ended with this kind of answer.
     pub fn ended(&self, kind: AnswerKind) -> u64 {
         self.ended[kind as usize]
     }
 
-    /// All values in the order in which the log stores them: received, ended by [`AnswerKind`],
-    /// late.
+    /// Returns all values in the order in which the log stores them: received, ended by
+    /// [`AnswerKind`], late.
     pub fn values(&self) -> [u64; GROUP_VALUES] {
         let [served, refused, failed, abandoned, undelivered] = self.ended;
         [
@@ -252,7 +252,8 @@
 }
 
 impl Tally {
-    /// Zero totals for this number of classes and tenants, so that counting allocates nothing.
+    /// Returns totals of zero for this number of classes and tenants, so that counting allocates
+    /// nothing.
     pub fn with_groups(classes: usize, tenants: usize) -> Self {
         let zeros = |count: usize| vec![GroupTotals::default(); count.min(MAX_GROUPS)];
         Tally {
@@ -262,7 +263,7 @@
         }
     }
 
-    /// The difference between these totals and earlier ones.
+    /// Returns the difference between these totals and earlier ones.
     pub fn since(&self, before: &Tally) -> Tally {
         let mut totals = self.totals;
         for (value, (_, earlier)) in totals.values_mut().zip(before.totals.pairs()) {
@@ -276,7 +277,7 @@
         }
     }
 
-    /// Number of requests that were received and have not ended.
+    /// Returns the number of requests that were received and have not ended.
     pub fn open_requests(&self) -> u64 {
         let totals = &self.totals;
         let ended = totals.served
@@ -298,7 +299,7 @@
     differences
 }
 
-/// The totals of the class or tenant with this index, added if missing; `None` from
+/// Returns the totals of the class or tenant with this index, added if missing; `None` from
 /// [`MAX_GROUPS`] on.
 pub(crate) fn group_mut(groups: &mut Vec<GroupTotals>, index: usize) -> Option<&mut GroupTotals> {
     if index >= groups.len() && index < MAX_GROUPS {
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -19,8 +19,8 @@
 use crate::frame::{encode_file_header, encode_frame_header};
 use crate::totals::Tally;
 
-/// Most segment files of one gateway, whatever their size. A disk that fails repeatedly would leave
-/// many small ones.
+/// Maximum number of segment files of one gateway, whatever their size. Without this limit, a disk
+/// that fails repeatedly would leave many small ones.
 const MAX_SEGMENTS: usize = 4096;
 
 /// The state of the writer thread. It owns the segment files.
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Whether a batch can be written: it starts a segment and no retry delay is running, or it
-    /// directly follows the last written batch.
+    /// Returns whether a batch can be written: either it starts a segment and no retry delay is
+    /// running, or it directly follows the last written batch.
     fn can_write(&self, batch: &Batch) -> bool {
         if batch.starts_segment {
             return self.retry_at.is_none_or(|at| Instant::now() >= at);
@@ -135,7 +135,7 @@
         let missing = batch.before.entries - self.written_tally.entries;
         self.append_frame(batch.first_at, &batch.bytes)?;
         if missing > 0 && batch.starts_segment {
-            // The gap entry follows the state, whose totals include the missing entries already.
+            // The gap entry follows the state, whose totals already include the missing entries.
             self.append_gap(batch, missing)?;
         }
         Ok(())
--- a/crates/event-log/tests/common/served_request.rs
+++ b/crates/event-log/tests/common/served_request.rs
@@ -7,8 +7,8 @@
 
 use super::START;
 
-/// The entries that a gateway records for one request that is served by its first attempt, with two
-/// timer events of the decision module.
+/// Returns the entries that a gateway records for one request that is served by its first attempt,
+/// with two timer events of the decision module.
 #[expect(clippy::too_many_lines, reason = "one sequence of entries")]
 pub fn served_request_entries(number: u64) -> Vec<(Micros, Entry)> {
     let (id, started_at) = ((number << 32) | (number % 300), START + number * 2000);
--- a/crates/event-log/tests/golden.rs
+++ b/crates/event-log/tests/golden.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Kinds of entries that the random entries of the other tests don't include.
+/// Returns entries of the kinds that the random entries of the other tests don't include.
 fn fixed_entries() -> Vec<Entry> {
     let open_request = open_request();
     let listed_engine = ListedEngine {
--- a/crates/intent-log/src/entry.rs
+++ b/crates/intent-log/src/entry.rs
@@ -11,13 +11,13 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Location {
-    /// Number of the engine's zone in the endpoint list.
+    /// ID of the engine's zone in the endpoint list.
     pub zone: u32,
-    /// Number of the engine's cell in the endpoint list.
+    /// ID of the engine's cell in the endpoint list.
     pub cell: u32,
 }
 
-/// What the gateway remembers of the attempts of one idempotency key in one class.
+/// What the gateway stores about the attempts with one idempotency key in one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Intent {
     /// Start of the first attempt that may have run, in Unix microseconds. 0 if the start is not
@@ -39,13 +39,13 @@
 /// An idempotency key of this many hexadecimal digits is stored as a 128-bit number.
 const HEX_KEY_LENGTH: usize = 32;
 
-/// Prefix that the store keys of all intents begin with.
+/// Returns the prefix that the store keys of all intents begin with.
 pub fn prefix() -> &'static [u8] {
     PREFIX
 }
 
-/// Store key of an intent: the prefix, the index of the class in big endian, and the client's
-/// idempotency key. An idempotency key of 32 hexadecimal digits takes 16 bytes.
+/// Returns the store key of an intent: the prefix, the index of the class in big endian, and the
+/// client's idempotency key. An idempotency key of 32 hexadecimal digits takes 16 bytes.
 pub fn stored_key(class: usize, key: &str) -> Vec<u8> {
     let mut bytes = PREFIX.to_vec();
     bytes.extend_from_slice(&(class as u16).to_be_bytes());
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -2,8 +2,8 @@
 //! engine, to which zone and cell, and since when. It survives restarts of the gateway.
 //!
 //! The gateway makes an intent durable before it sends the first byte of the request to an engine.
-//! When a request arrives, the gateway looks up which attempts of the same key may have run before
-//! and passes them to the balancer, which decides where the request may still be sent.
+//! When a request arrives, the gateway looks up which earlier attempts with the same key may have
+//! run and passes them to the balancer, which decides where the request may still be sent.
 //!
 //! The package does no I/O: it takes the time and the requests as arguments and returns decisions
 //! and the writes that the store has to make durable.
--- a/crates/intent-log/src/state.rs
+++ b/crates/intent-log/src/state.rs
@@ -1,6 +1,6 @@
-//! The intents in memory and the decisions made on them: which attempts of an arriving request may
-//! have run before, and whether an attempt may be sent at once, must wait until its intent is
-//! durable, or must go back to the balancer.
+//! The intents in memory and the decisions made on them: which earlier attempts with the key of an
+//! arriving request may have run, and whether an attempt may be sent at once, must wait until its
+//! intent is durable, or must go back to the balancer.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,11 +11,10 @@
 /// Time in microseconds for which an intent is retained beyond the window of its class. It covers
 /// clock differences and work that an engine still does after its last answer.
 pub const RETENTION_MARGIN: Micros = 2_000_000;
-/// A send that has waited this long for its write is refused. No request with an idempotency key is
-/// accepted from then on until the store writes again. In microseconds.
+/// Time in microseconds after which a send that is still waiting for its write is refused. From
+/// then on, no request with an idempotency key is accepted until the store writes again.
 pub const STALL_TIMEOUT: Micros = 1_000_000;
-/// Delay in microseconds before which a client should not retry a request that was refused because
-/// of the store.
+/// Retry-after hint in microseconds for a request that was refused because of the store.
 pub const RETRY_AFTER: Micros = 500_000;
 
 /// Stands for a prior attempt with unknown start and location; `since` 0 means unknown.
@@ -28,7 +27,7 @@
 /// Bounds on the memory of an [`IntentLog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest number of keys in the log. Requests with further keys are rejected.
+    /// Maximum number of keys in the log. Requests with further keys are rejected.
     pub entries: usize,
 }
 
@@ -51,11 +50,11 @@
     pub intent: Option<Intent>,
 }
 
-/// Why a request with an idempotency key is not accepted now. The texts are those of the reasons
-/// that clients receive, so they must not change.
+/// Why a request with an idempotency key is not accepted now. The texts are sent to clients as the
+/// reason, so they must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IntentError {
-    /// The log contains [`Limits::entries`] keys already, none of them that of the request.
+    /// The log contains [`Limits::entries`] keys, and the key of the request is not among them.
     #[error("ledger full")]
     Full,
     /// The store has not written for [`STALL_TIMEOUT`], or its writes fail.
@@ -66,12 +65,13 @@
 /// What has to happen before an attempt may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendDecision {
-    /// Nothing: it may be sent now. Requests of its class are not tracked.
+    /// Nothing: the attempt may be sent now. Requests of its class are not tracked.
     Immediate,
     /// The store has to make this write durable.
     AfterWrite(IntentWrite),
-    /// An attempt that the balancer does not know of may have run, for example one of another
-    /// request with the same key. The balancer has to decide again with this attempt in view.
+    /// An attempt that the balancer does not know of may have run, for example one for another
+    /// request with the same key. The balancer has to decide again, taking this attempt into
+    /// account.
     PriorAttemptFound(PriorAttempt),
 }
 
@@ -97,12 +97,12 @@
     pub key: Option<&'a str>,
     /// Location of the engine to which the attempt is to be sent.
     pub location: Location,
-    /// Earlier attempts of the key that the balancer already knows of, including those of the same
+    /// Earlier attempts with the key that the balancer knows of, including those for the same
     /// request.
     pub known_attempts: &'a [PriorAttempt],
 }
 
-/// An attempt that has been answered, has failed or was given up.
+/// An attempt that was answered, has failed or was given up.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt<'a> {
     /// Index of the request's class in the settings.
@@ -123,13 +123,13 @@
     uncertain_window: UncertainWindow,
 }
 
-/// Whether attempts of a class are recorded as intents. Idempotent requests may be repeated without
-/// harm, so theirs are not.
+/// Returns whether attempts in a class are recorded as intents. Idempotent requests may be repeated
+/// without harm, so their attempts are not recorded.
 pub fn is_tracked(class: &Class) -> bool {
     class.effect != Effect::Idempotent
 }
 
-/// The longest time for which any tracked class retains an intent.
+/// Returns the longest time for which any tracked class retains an intent.
 fn longest_retention(classes: &[Class]) -> Micros {
     let longest_window = classes
         .iter()
@@ -139,7 +139,7 @@
     longest_window.unwrap_or(0) + RETENTION_MARGIN
 }
 
-/// Whether engines at `location` drop repeats of requests that ran at `other`.
+/// Returns whether engines at `location` drop repeats of requests that ran at `other`.
 fn is_same_scope(scope: Scope, location: Location, other: Location) -> bool {
     match scope {
         Scope::All => true,
@@ -206,17 +206,18 @@
         log
     }
 
-    /// Number of keys in the log.
+    /// Returns the number of keys in the log.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether the log contains no key.
+    /// Returns whether the log contains no key.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether attempts of this class are recorded as intents; `false` for an unknown class.
+    /// Returns whether attempts of this class are recorded as intents; `false` for an unknown
+    /// class.
     pub fn is_tracked_class(&self, class: usize) -> bool {
         self.tracked_class(class).is_some()
     }
@@ -225,13 +226,13 @@
         self.classes.get(class).filter(|class| is_tracked(class))
     }
 
-    /// The time span from which intents may be missing.
+    /// Returns the time span from which intents may be missing.
     pub fn uncertain_window(&self) -> UncertainWindow {
         self.uncertain_window
     }
 
-    /// Returns the attempts with the key of an arriving request that may have run before, for the
-    /// balancer.
+    /// Returns, for the balancer, the earlier attempts with the key of an arriving request that may
+    /// have run.
     ///
     /// # Errors
     ///
@@ -263,7 +264,7 @@
         Ok(Vec::new())
     }
 
-    /// Whether an intent of this class may be missing although its window has not ended.
+    /// Returns whether an intent of this class may be missing although its window has not ended.
     fn may_be_missing(&self, now: Micros, class: &Class) -> bool {
         match self.uncertain_window {
             UncertainWindow::Before(time) => now < time + class.window + RETENTION_MARGIN,
@@ -274,8 +275,8 @@
     /// Decides what has to happen before an attempt may be sent. If the decision is
     /// [`SendDecision::AfterWrite`], the attempt counts as in flight from now on.
     ///
-    /// An attempt waits for a write even if an intent of its key is durable already: it may take
-    /// effect later than the first attempt, so the intent has to be retained for longer.
+    /// An attempt waits for a write even if an intent for its key is already durable: this attempt
+    /// may take effect later than the first one, so the intent must be retained longer.
     pub fn on_send(&mut self, now: Micros, attempt: NextAttempt<'_>) -> SendDecision {
         let (Some(class), Some(key)) = (self.tracked_class(attempt.class), attempt.key) else {
             return SendDecision::Immediate;
@@ -319,8 +320,8 @@
         }
     }
 
-    /// Records that an attempt has ended, and removes the intent if no attempt of its key can have
-    /// run. Nothing has to wait for the returned write.
+    /// Records that an attempt has ended, and removes the intent if no attempt with its key can
+    /// have run. Nothing has to wait for the returned write.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -373,15 +374,15 @@
         removals
     }
 
-    /// Unix time in microseconds at which [`IntentLog::expire`] should be called next; `None` if
-    /// the log is empty.
+    /// Returns the Unix time in microseconds at which [`IntentLog::expire`] should be called next;
+    /// `None` if the log is empty.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.expiry.first().map(|(until, _)| *until)
     }
 }
 
-/// Start of the earliest attempt of a key, or 0 if its attempts go to locations that don't drop
-/// each other's repeats.
+/// Returns the start of the earliest attempt with a key, or 0 if the attempts go to locations that
+/// don't drop each other's repeats.
 fn earliest_start(scope: Scope, intent: &Intent, attempt: NextAttempt<'_>) -> Micros {
     let may_run_in_other_scope = attempt.known_attempts.iter().any(|known| {
         known.since == 0 || !is_same_scope(scope, attempt.location, location_of(known))
--- a/crates/intent-log/src/waiting.rs
+++ b/crates/intent-log/src/waiting.rs
@@ -8,20 +8,20 @@
 
 use crate::state::STALL_TIMEOUT;
 
-/// The store counts as slow once the oldest send has waited for it this long, in microseconds.
-/// [`MAX_SLOW_SENDS`] applies then.
+/// Time in microseconds for which the oldest send has to be waiting for the store before the store
+/// counts as slow. [`MAX_SLOW_SENDS`] applies then.
 const SLOW_STORE_THRESHOLD: Micros = 100_000;
-/// Number of sends that may wait for a slow store. Each occupies capacity of an engine that other
-/// requests could use.
+/// Maximum number of sends that may be waiting for a slow store. Each occupies capacity of an
+/// engine that other requests could use.
 const MAX_SLOW_SENDS: usize = 4;
-/// A send that has waited must leave at least this long before the window of a prior attempt ends,
-/// because it takes time to reach its engine. In microseconds.
+/// Minimum time in microseconds from the end of a send's wait to the end of the window of a prior
+/// attempt. The send needs this time to reach its engine.
 const DELIVERY_MARGIN: Micros = 100_000;
 
-/// A send that waits for its write or its claim.
+/// A send that is waiting for its write or its claim.
 struct PendingSend<T> {
     queued_at: Micros,
-    /// Number of the claim that has to be granted; `None` if there is none or it was granted.
+    /// ID of the claim that has to be granted; `None` if there is none or it was granted.
     claim: Option<u64>,
     payload: T,
 }
@@ -35,7 +35,7 @@
     Claim,
 }
 
-/// The sends that no longer wait.
+/// The sends that are no longer waiting.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PollResult<T> {
     /// Payloads of the sends that may be sent now.
@@ -47,9 +47,10 @@
 /// All waiting sends, ordered by the tickets of their writes. Tickets increase with time.
 pub struct PendingSends<T> {
     sends: BTreeMap<u64, PendingSend<T>>,
-    /// Tickets of the sends that wait for a claim, by the number of the claim.
+    /// Tickets of the sends that are waiting for a claim, by claim ID.
     ticket_by_claim: BTreeMap<u64, u64>,
-    /// Highest ticket for which a send has timed out. No request is accepted until it is durable.
+    /// Highest ticket for which a send has timed out. No request is accepted until this ticket is
+    /// durable.
     stalled_ticket: Option<u64>,
 }
 
@@ -64,7 +65,8 @@
 }
 
 impl<T> PendingSends<T> {
-    /// Adds a send that waits for the write with this ticket and for `claim`, if it has one.
+    /// Adds a send that waits for the write with this ticket and, unless `claim` is `None`, for the
+    /// claim with this ID.
     pub fn push(&mut self, now: Micros, ticket: u64, claim: Option<u64>, payload: T) {
         if let Some(claim) = claim {
             self.ticket_by_claim.insert(claim, ticket);
@@ -77,17 +79,17 @@
         self.sends.insert(ticket, send);
     }
 
-    /// Number of waiting sends.
+    /// Returns the number of waiting sends.
     pub fn len(&self) -> usize {
         self.sends.len()
     }
 
-    /// Whether no send waits.
+    /// Returns whether no send is waiting.
     pub fn is_empty(&self) -> bool {
         self.sends.is_empty()
     }
 
-    /// Records that a claim was granted. Its send waits only for the store from now on.
+    /// Records that a claim was granted. From now on, its send waits only for the store.
     pub fn on_claim_granted(&mut self, claim: u64) {
         let Some(ticket) = self.ticket_by_claim.remove(&claim) else {
             return;
@@ -97,18 +99,19 @@
         }
     }
 
-    /// Removes and returns the send of a claim that was denied; `None` if no send waits for it.
+    /// Removes and returns the send of a claim that was denied; `None` if no send is waiting for
+    /// that claim.
     pub fn take_by_claim(&mut self, claim: u64) -> Option<T> {
         let ticket = self.ticket_by_claim.remove(&claim)?;
         self.sends.remove(&ticket).map(|send| send.payload)
     }
 
-    /// Removes and returns the sends that are durable and granted, and those that have timed out.
-    /// `durable` is the last ticket that is durable.
+    /// Removes and returns the sends whose writes are durable and whose claims are granted, and
+    /// those that have timed out. `durable` is the last ticket that is durable.
     ///
-    /// A send past its timeout is refused even if it is durable and granted by now. If this process
-    /// was stopped for a while, other gateways may have been informed in the meantime that the
-    /// attempt will never be sent.
+    /// A send past its timeout is refused even if its write is durable and its claim is granted by
+    /// now. If this process was stopped for a while, other gateways may have been informed in the
+    /// meantime that the attempt will never be sent.
     pub fn poll(&mut self, now: Micros, durable: u64) -> PollResult<T> {
         self.stalled_ticket.take_if(|ticket| *ticket <= durable);
         PollResult {
@@ -155,9 +158,9 @@
             .collect()
     }
 
-    /// Whether further requests have to be rejected: the store has not written for
-    /// [`STALL_TIMEOUT`], or it is slow and enough sends wait for it already. `durable` is the last
-    /// ticket that is durable.
+    /// Returns whether further requests have to be rejected: the store has not written for
+    /// [`STALL_TIMEOUT`], or the store is slow and more than `MAX_SLOW_SENDS` sends are waiting for
+    /// it. `durable` is the last ticket that is durable.
     pub fn should_reject_requests(&self, now: Micros, durable: u64) -> bool {
         let mut not_durable = self.sends.range(durable + 1..);
         let Some((_, oldest)) = not_durable.next() else {
@@ -173,8 +176,8 @@
         self.stalled_ticket.is_some_and(|ticket| ticket > durable)
     }
 
-    /// Time at which [`PendingSends::poll`] should be called if no write or claim completes before;
-    /// `None` if no send waits.
+    /// Returns the time at which [`PendingSends::poll`] must be called unless a write or claim
+    /// completes first; `None` if no send is waiting.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.sends
             .values()
@@ -183,8 +186,8 @@
     }
 }
 
-/// Whether a send that has waited will still reach its engine within the window of every known
-/// prior attempt.
+/// Returns whether a send that has waited will still reach its engine within the window of every
+/// known prior attempt.
 pub fn is_within_window(now: Micros, window: Micros, known: &[PriorAttempt]) -> bool {
     known
         .iter()
--- a/crates/intent-log/tests/intents.rs
+++ b/crates/intent-log/tests/intents.rs
@@ -46,7 +46,7 @@
     IntentLog::restore(limits, vec![class()], stored, complete_since, NOW)
 }
 
-/// Start of the first prior attempt that is reported for a retry of a key.
+/// Returns the start of the first prior attempt that is reported for a retry with a key.
 fn prior_start(log: &mut IntentLog, key: &str) -> Result<Option<u64>, IntentError> {
     let request = IncomingRequest {
         class: 0,
--- a/crates/intent-log/tests/model.rs
+++ b/crates/intent-log/tests/model.rs
@@ -1,6 +1,6 @@
 //! Model check of intents, sends, crashes, restarts and retries, to a depth of [`DEPTH`] steps.
 //! With the production intent log, no key takes effect twice. With an injected bug, in which a send
-//! does not wait for the disk, the check must find a key that does.
+//! does not wait for the disk, the check must find a key that takes effect twice.
 //!
 //! The model has one gateway with its store, two engines in different cells that each drop repeats
 //! of a key, and one client that retries its key. All orders of their steps are explored.
@@ -67,7 +67,7 @@
     waiting_cell: Option<u32>,
     /// Cells of the commands in flight.
     commands: Vec<u32>,
-    /// Cells whose engine has run a command of the key.
+    /// Cells whose engine has run a command with the key.
     ran_cells: Vec<u32>,
     effects: u8,
     tries: u8,
@@ -105,8 +105,8 @@
         )
     }
 
-    /// The balancer's rule for a retry: only to the scope in which prior attempts may have run, and
-    /// only within their window.
+    /// Applies the balancer's rule for a retry: only to the scope in which prior attempts may have
+    /// run, and only within their window.
     fn may_send(&self, state: &State, cell: u32) -> bool {
         let Some(prior) = &state.request else {
             return false;
--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -6,10 +6,10 @@
 use crate::fencing_token::{candidate_weight, FencingToken, Task};
 use crate::{Micros, LEASE_DURATION, LEASE_MARGIN, RENEW_INTERVAL};
 
-/// A candidate of the smallest weight requests votes this much later than one of the greatest
-/// weight, so that candidates rarely compete.
+/// Delay of the vote request of a candidate with the lowest weight, compared with one that has the
+/// highest weight. Because of the delay, candidates rarely compete.
 const MAX_REQUEST_DELAY: Micros = 1_500_000;
-/// A candidate withdraws its request if no majority has voted for it after this time.
+/// Time after which a candidate withdraws its request if no majority has voted for it.
 const VOTE_TIMEOUT: Micros = 400_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -24,7 +24,7 @@
     },
     Owning {
         token: FencingToken,
-        /// The owner stops acting at this time unless the lease is renewed.
+        /// Time at which the owner stops acting unless the lease is renewed.
         until: Micros,
         renewal: Option<Renewal>,
         /// Time at which the lease or its last renewal was requested.
@@ -61,7 +61,7 @@
     /// The lease was acquired under this token.
     Acquired(FencingToken),
     /// The lease under this token was lost: it expired before it was renewed, or another gateway
-    /// has a greater token.
+    /// has a higher token.
     Lost(FencingToken),
     /// The request for this token is withdrawn, because no majority was reached. The voters that
     /// granted it may vote for other candidates at once.
@@ -73,15 +73,15 @@
 pub struct Denial {
     /// The token for which the vote was requested.
     pub token: FencingToken,
-    /// The greatest token that the voter knows.
+    /// The highest token that the voter knows.
     pub greatest: FencingToken,
     /// Time until the lease of that token's owner expires, by the voter's clock.
     pub remaining: Micros,
 }
 
 impl Candidate {
-    /// Creates a candidate that waits before it requests votes. `greatest` is the greatest known
-    /// token of the task, and `majority` the number of votes that it needs.
+    /// Creates a candidate that waits before it requests votes. `greatest` is the highest known
+    /// token of the task, and `majority` the number of votes that the candidate needs.
     pub fn new(
         task: Task,
         owner: u64,
@@ -100,17 +100,17 @@
         }
     }
 
-    /// Waits until a lease that remains for `remaining` has expired, and then for the delay of this
-    /// candidate.
+    /// Schedules the next vote request: once a lease that remains valid for `remaining` has expired
+    /// and this candidate's delay has passed.
     fn wait(&mut self, now: Micros, remaining: Micros) {
         self.stage = Stage::Waiting {
             until: now + remaining + request_delay(self.task, self.owner),
         };
     }
 
-    /// The token under which this gateway owns the task according to its clock, or `None`. Work
-    /// that is sent with it may arrive after the lease has expired; the fences of its receivers
-    /// reject it if there is a new owner.
+    /// Returns the token under which this gateway owns the task according to its clock, or `None`
+    /// if it does not own the task. Work that is sent with the token may arrive after the lease has
+    /// expired; the fences of its receivers reject the work if there is a new owner.
     pub fn held_token(&self, now: Micros) -> Option<FencingToken> {
         match self.stage {
             Stage::Owning { token, until, .. } if now < until => Some(token),
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Time at which [`Candidate::on_timer`] has something to do. The caller must not round it:
-    /// among hundreds of candidates some request votes shortly after each other, and if two do so
-    /// at once, the votes may be split between them.
+    /// Returns the time at which [`Candidate::on_timer`] should be called next. The caller must not
+    /// round the time: among hundreds of candidates some request votes shortly after each other,
+    /// and if two do so at once, the votes may be split between them.
     pub fn deadline(&self) -> Micros {
         match &self.stage {
             Stage::Waiting { until } => *until,
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Performs what is due at `now`. `unix_ms` keeps terms increasing even if every voter has lost
-    /// its store; no guarantee depends on it.
+    /// Performs the actions that are due at `now`. `unix_ms`, the Unix time, keeps terms increasing
+    /// even if every voter has lost its store; no guarantee depends on the Unix time.
     pub fn on_timer(&mut self, now: Micros, unix_ms: u64) -> Transition {
         match &mut self.stage {
             Stage::Waiting { until } if now >= *until => self.request_votes(now, unix_ms),
@@ -147,7 +147,7 @@
                 Transition::Withdrew(token)
             }
             Stage::Owning { token, until, .. } if now >= *until => {
-                // The process was paused, or no majority renewed the lease.
+                // The process was paused, or no majority renewed the lease in time.
                 let token = *token;
                 self.wait(now, 0);
                 Transition::Lost(token)
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Handles the denial of a vote: the voter has granted a lease or a greater token to another
+    /// Handles the denial of a vote: the voter has granted a lease or a higher token to another
     /// gateway.
     pub fn on_vote_denied(&mut self, now: Micros, voter: usize, denial: Denial) -> Transition {
         self.greatest_term = self.greatest_term.max(denial.greatest.term);
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Handles a token of the task that was received. If it is greater than this gateway's token,
-    /// another gateway owns the task.
+    /// Handles a received token of the task. If it is higher than this gateway's token, another
+    /// gateway owns the task.
     pub fn on_token_seen(&mut self, now: Micros, seen: FencingToken) -> Transition {
         self.greatest_term = self.greatest_term.max(seen.term);
         match self.stage {
@@ -283,7 +283,7 @@
     }
 }
 
-/// Time by which a candidate delays its vote request, from its weight.
+/// Returns how long a candidate delays its vote request, depending on its weight.
 fn request_delay(task: Task, owner: u64) -> Micros {
     ((1.0 - candidate_weight(task, owner)) * MAX_REQUEST_DELAY as f64) as Micros
 }
--- a/crates/leases/src/fencing_token.rs
+++ b/crates/leases/src/fencing_token.rs
@@ -9,24 +9,24 @@
 pub struct Task {
     /// Kind of the task; today only [`crate::probe::PROBE_TASK_KIND`].
     pub kind: u8,
-    /// Object of the task; the number of the engine if the task is to probe it.
+    /// ID of the object of the task: the engine's ID if the task is to probe an engine.
     pub number: u32,
 }
 
 /// Identifies one ownership of a task. Two owners of a task never have the same token, and a later
-/// owner has a greater token.
+/// owner has a higher token.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct FencingToken {
     /// Increases with each owner of the task.
     pub term: u64,
-    /// Number of the incarnation of the gateway that requested the token.
+    /// ID of the incarnation of the gateway that requested the token.
     pub owner: u64,
 }
 
-/// Weight of a gateway among the candidates for a task, from 0 up to but not including 1. The
-/// candidate with the greatest weight requests votes first.
+/// Returns the weight of a gateway among the candidates for a task, from 0 up to but not including
+/// 1. The candidate with the highest weight requests votes first.
 ///
 /// The weight is a hash of the task and the gateway, as in rendezvous hashing: no gateway needs a
 /// list of the others, and if a gateway leaves, only its own tasks move.
--- a/crates/leases/src/lease_core.rs
+++ b/crates/leases/src/lease_core.rs
@@ -15,12 +15,12 @@
 
 pub use messages::{Message, Output};
 
-/// Number of tasks that a gateway remembers. Beyond that, the tasks with the oldest tokens are
-/// removed.
+/// Maximum number of tasks whose tokens a gateway stores. When it is exceeded, the tasks with the
+/// oldest tokens are removed.
 pub const MAX_TASKS: usize = 4096;
-/// Shortest interval between two checks of all timers.
+/// Minimum interval between two checks of all timers.
 const POLL_INTERVAL: Micros = 2_000;
-/// A recovering voter checks its timers again after this time and the [`POLL_INTERVAL`].
+/// Additional delay, after the [`POLL_INTERVAL`], until a recovering voter checks its timers again.
 const RECOVERING_POLL_DELAY: Micros = 100_000;
 
 /// The role of one gateway in its fleet.
@@ -30,7 +30,7 @@
     pub voter_count: usize,
     /// Index of this gateway among the voters; `None` if it is not a voter.
     pub voter_index: Option<usize>,
-    /// Number of this gateway's current incarnation, which its tokens contain.
+    /// ID of this gateway's current incarnation, which its tokens contain.
     pub owner: u64,
 }
 
@@ -48,7 +48,7 @@
 pub struct Counters {
     /// Leases that this gateway acquired.
     pub acquired: u64,
-    /// Leases of this gateway that expired or were taken over by another one.
+    /// Leases of this gateway that expired or were taken over by another gateway.
     pub lost: u64,
     /// Pieces of work that this gateway's fence admitted.
     pub applied: u64,
@@ -70,7 +70,7 @@
 }
 
 impl LeaseCore {
-    /// Creates the state at a start of the gateway, with the tokens in its store.
+    /// Creates the state when the gateway starts, with the tokens in the gateway's store.
     pub fn new(
         config: Config,
         stored: impl Iterator<Item = (Task, FencingToken)>,
@@ -92,8 +92,8 @@
         self.config.voter_count / 2 + 1
     }
 
-    /// Makes this gateway a candidate for a task. Does nothing if it is one already, or for
-    /// [`MAX_TASKS`] tasks.
+    /// Makes this gateway a candidate for a task. Does nothing if it is already a candidate for
+    /// this task or for [`MAX_TASKS`] tasks.
     pub fn add_candidate(&mut self, now: Micros, task: Task) {
         if self.candidates.len() >= MAX_TASKS {
             return;
@@ -111,7 +111,8 @@
         self.candidates.retain(|task, _| !is_removed(*task));
     }
 
-    /// The token under which this gateway owns a task according to its clock, or `None`.
+    /// Returns the token under which this gateway owns a task according to its clock, or `None` if
+    /// it does not own the task.
     pub fn held_token(&self, now: Micros, task: Task) -> Option<FencingToken> {
         self.candidates.get(&task)?.held_token(now)
     }
@@ -123,18 +124,18 @@
             .filter_map(move |(task, candidate)| Some((*task, candidate.held_token(now)?)))
     }
 
-    /// The fence of this gateway, with the greatest known token of each task.
+    /// Returns the fence of this gateway, with the highest known token of each task.
     pub fn fences(&self) -> &Fences {
         &self.fences
     }
 
-    /// Counters since the start of the gateway.
+    /// Returns the counters since the start of the gateway.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Records that the token of an [`Output::StoreToken`] is durable. The caller performs the
-    /// `then` of that output afterwards.
+    /// Records that the token of an [`Output::StoreToken`] is durable. Afterwards the caller
+    /// performs the outputs in `then`.
     pub fn mark_durable(&mut self, task: Task, token: FencingToken) {
         self.fences.mark_durable(task, token);
     }
@@ -146,8 +147,8 @@
         (!tokens.is_empty()).then_some(Message::Tokens { tokens })
     }
 
-    /// Performs what is due at `now`. `unix_ms` keeps terms increasing even if every voter has lost
-    /// its store.
+    /// Performs the actions that are due at `now`. `unix_ms`, the Unix time, keeps terms increasing
+    /// even if every voter has lost its store.
     pub fn on_timer(
         &mut self,
         now: Micros,
@@ -182,15 +183,16 @@
         removed.into_iter().map(Output::RemoveToken).collect()
     }
 
-    /// Time at which [`LeaseCore::on_timer`] should be called next. Successive deadlines are at
-    /// least `POLL_INTERVAL` apart.
+    /// Returns the time at which [`LeaseCore::on_timer`] should be called next. Successive
+    /// deadlines are at least `POLL_INTERVAL` apart.
     pub fn deadline(&self) -> Micros {
         let next = self.candidates.values().map(Candidate::deadline).min();
         next.unwrap_or(Micros::MAX)
             .max(self.polled_at + POLL_INTERVAL)
     }
 
-    /// Gives up all tasks when the gateway shuts down, so that others may own them at once.
+    /// Gives up all tasks when the gateway shuts down, so that other gateways can acquire them at
+    /// once.
     pub fn stop(&mut self) -> Vec<Output> {
         let mut released = Vec::new();
         for (task, candidate) in &mut self.candidates {
@@ -206,7 +208,7 @@
         outputs
     }
 
-    /// Indexes of all voters except this gateway.
+    /// Returns the indexes of all voters except this gateway.
     fn other_voters(&self) -> impl Iterator<Item = usize> {
         let voter_index = self.config.voter_index;
         (0..self.config.voter_count).filter(move |voter| Some(*voter) != voter_index)
--- a/crates/leases/src/lease_core/messages.rs
+++ b/crates/leases/src/lease_core/messages.rs
@@ -18,27 +18,27 @@
     },
     /// A voter has granted its vote.
     VoteGranted {
-        /// Task of the request.
+        /// Task in the [`Message::VoteRequest`].
         task: Task,
-        /// Token of the request.
+        /// Token in the [`Message::VoteRequest`].
         token: FencingToken,
     },
     /// A voter has denied its vote.
     VoteDenied {
-        /// Task of the request.
+        /// Task in the [`Message::VoteRequest`].
         task: Task,
-        /// Token of the request.
+        /// Token in the [`Message::VoteRequest`].
         token: FencingToken,
-        /// Greatest token of the task that the voter knows.
+        /// Highest token of the task that the voter knows.
         greatest: FencingToken,
         /// Time until the lease of that token's owner expires, by the voter's clock.
         remaining: Micros,
     },
     /// An owner gives up its lease, or a candidate withdraws its vote request.
     Release {
-        /// Task of the lease or the request.
+        /// Task whose lease is given up or whose vote request is withdrawn.
         task: Task,
-        /// Token of the lease or the request.
+        /// Token of that lease or vote request.
         token: FencingToken,
     },
     /// Work of an owner. Voters forward the work that their fences admit.
@@ -52,16 +52,16 @@
     },
     /// A fence has rejected work.
     StaleToken {
-        /// Task of the work.
+        /// Task that the rejected work belongs to.
         task: Task,
-        /// Token of the work.
+        /// Token that the rejected work carried.
         token: FencingToken,
-        /// Greatest token of the task that the fence knows.
+        /// Highest token of the task that the fence knows.
         greatest: FencingToken,
     },
     /// All tokens that the sender knows.
     Tokens {
-        /// Each task with its greatest known token.
+        /// Each task with its highest known token.
         tokens: Vec<(Task, FencingToken)>,
     },
 }
@@ -78,23 +78,24 @@
     },
     /// Send a message to a gateway that has connected to this one.
     ToRequester {
-        /// Number of the link from that gateway.
+        /// ID of the link that the gateway opened.
         requester: u64,
         /// Message to send.
         message: Message,
     },
     /// Send a message to all gateways that have connected to this one.
     ToAllRequesters {
-        /// Number of a link on which not to send.
+        /// ID of a link on which not to send, because the message arrived there; `None` to send on
+        /// all links.
         except: Option<u64>,
         /// Message to send.
         message: Message,
     },
-    /// Make the greatest token of a task durable, and only afterwards perform `then`.
+    /// Make the highest token of a task durable, and only afterwards perform `then`.
     StoreToken {
-        /// Task of the token.
+        /// Task that the token belongs to.
         task: Task,
-        /// Token to store.
+        /// Token to store, the highest known one of the task.
         token: FencingToken,
         /// Actions that have to wait until the token is durable.
         then: Vec<Output>,
@@ -103,41 +104,41 @@
     RemoveToken(Task),
     /// Call [`super::LeaseCore::on_own_vote`], because this voter votes for itself.
     VoteForSelf {
-        /// Task of the vote.
+        /// Task whose lease this voter requests for itself.
         task: Task,
-        /// Token of the vote.
+        /// Token for which this voter votes.
         token: FencingToken,
     },
     /// Apply work that the fence has admitted.
     Apply {
-        /// Task of the work.
+        /// Task that the work belongs to.
         task: Task,
-        /// Token of the work.
+        /// Token that the work carried.
         token: FencingToken,
         /// The work itself.
         payload: Vec<u8>,
     },
-    /// Note that this gateway's fence has rejected work.
+    /// Record that this gateway's fence has rejected work.
     Fenced {
-        /// Task of the work.
+        /// Task that the work belongs to.
         task: Task,
-        /// Token of the work.
+        /// Token that the work carried.
         token: FencingToken,
-        /// Greatest token of the task that the fence knows.
+        /// Highest token of the task that the fence knows.
         greatest: FencingToken,
     },
-    /// Note that this gateway owns a task from now on.
+    /// Record that this gateway owns a task from now on.
     LeaseAcquired {
-        /// Task of the lease.
+        /// Task that this gateway owns from now on.
         task: Task,
         /// Token under which the task is owned.
         token: FencingToken,
     },
-    /// Note that this gateway no longer owns a task.
+    /// Record that this gateway no longer owns a task.
     LeaseLost {
-        /// Task of the lease.
+        /// Task that this gateway owned until now.
         task: Task,
-        /// Token under which the task was owned.
+        /// Token under which it owned the task.
         token: FencingToken,
     },
 }
--- a/crates/leases/src/lease_core/requester_side.rs
+++ b/crates/leases/src/lease_core/requester_side.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Counts this voter's vote for itself, whose token is durable now.
+    /// Counts this voter's vote for itself, once the token of the vote is durable.
     pub fn on_own_vote(&mut self, now: Micros, task: Task, token: FencingToken) -> Vec<Output> {
         match self.config.voter_index {
             Some(voter) => self.on_vote_granted(now, voter, task, token),
--- a/crates/leases/src/lease_core/voter_side.rs
+++ b/crates/leases/src/lease_core/voter_side.rs
@@ -8,8 +8,8 @@
 use crate::Micros;
 
 impl LeaseCore {
-    /// Handles a message from a gateway that has connected to this one; `requester` is the number
-    /// of the link.
+    /// Handles a message from a gateway that has connected to this one; `requester` is the ID of
+    /// the link.
     pub fn on_requester_message(
         &mut self,
         now: Micros,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Passes work through the fence. `requester` is the link on which the owner sent it; `None` if
-    /// the work is this gateway's own or was forwarded by a voter.
+    /// Passes work through the fence. `requester` is the ID of the link on which the owner sent the
+    /// work; `None` if the work is this gateway's own or was forwarded by a voter.
     pub(super) fn admit_work(
         &mut self,
         requester: Option<u64>,
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -5,14 +5,14 @@
 //! gateway's lease driver) performs. [`LeaseCore`] combines all state of one gateway. Modules:
 //!
 //! - [`fencing_token`]: the token that all work of an owner carries;
-//! - [`fence`]: remembers the greatest token of each task and rejects work with a smaller one;
-//! - [`voter`]: grants votes; with each vote, the voter promises to reject smaller tokens;
+//! - [`fence`]: stores the highest token of each task and rejects work with a lower one;
+//! - [`voter`]: grants votes; with each vote, the voter promises to reject lower tokens;
 //! - [`candidate`]: requests votes for one task, renews the lease and stops before it expires;
 //! - [`probe`]: the only kind of task in use, which probes an engine for all gateways.
 //!
 //! Safety depends on fencing tokens and on votes that are durable before they are sent, and never
 //! on clocks. Clocks only determine when to request votes, when to renew a lease and when to stop
-//! acting before it expires. A gateway remembers at most [`MAX_TASKS`] tasks.
+//! acting before it expires. A gateway stores the tokens of at most [`MAX_TASKS`] tasks.
 //!
 //! # Example
 //!
@@ -54,7 +54,7 @@
 /// Duration of a lease. The voter counts it from the time at which it grants the vote, and the
 /// owner from the time at which it requests the vote, each by its own clock.
 pub const LEASE_DURATION: Micros = 2_000_000;
-/// An owner stops acting under its lease this long before the lease expires.
+/// Time before the expiry of a lease at which its owner stops acting under it.
 pub const LEASE_MARGIN: Micros = 300_000;
 /// Interval at which an owner requests the renewal of its lease.
 pub const RENEW_INTERVAL: Micros = 500_000;
--- a/crates/leases/src/probe.rs
+++ b/crates/leases/src/probe.rs
@@ -10,11 +10,11 @@
 #[cfg(test)]
 mod tests;
 
-/// [`Task::kind`] of the tasks to probe an engine. [`Task::number`] is the engine's number.
+/// [`Task::kind`] of the tasks to probe an engine. [`Task::number`] is the engine's ID.
 pub const PROBE_TASK_KIND: u8 = 1;
 /// Interval at which an owner probes each of its engines.
 pub const PROBE_INTERVAL: Micros = 1_000_000;
-/// A report younger than this makes a gateway's own probe of the engine unnecessary.
+/// Age below which a report makes a gateway's own probe of the engine unnecessary.
 pub const MAX_REPORT_AGE: Micros = 300_000;
 
 /// Returns the task to probe an engine.
@@ -41,7 +41,7 @@
 /// Whether a received report counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// This report or a later one was received before.
+    /// This report or a later one had already been received.
     Duplicate,
     /// The report counts and is recent.
     Fresh,
@@ -61,9 +61,9 @@
 /// `R` is the type of an engine's answer.
 #[derive(Clone, Debug)]
 pub struct Reports<R> {
-    /// Last report by number of the engine.
+    /// Last report of each engine, by engine ID.
     last_reports: BTreeMap<u32, LastReport<R>>,
-    /// Time of this gateway's last probe by number of the engine.
+    /// Time of this gateway's last probe of each engine, by engine ID.
     probed_at: BTreeMap<u32, Micros>,
 }
 
@@ -77,8 +77,8 @@
 }
 
 impl<R: Copy> Reports<R> {
-    /// Records a report that was received. Every voter forwards each report, so several copies
-    /// arrive. Only the first copy counts, because sequence numbers only increase under one token.
+    /// Records a received report. Every voter forwards each report, so several copies arrive. Only
+    /// the first copy counts, because sequence numbers only increase under one token.
     pub fn on_report(
         &mut self,
         now: Micros,
@@ -93,7 +93,8 @@
         } = received;
         let last = self.last_reports.get(&engine);
         let is_known = last.is_some_and(|last| (last.token, last.number) >= (token, number));
-        // With the fence disabled, reports of former owners must count, so that tests detect it.
+        // With the fence disabled, reports from former owners must count, so that tests detect the
+        // missing fence.
         if is_known && !cfg!(feature = "unfenced") {
             return ReportOutcome::Duplicate;
         }
@@ -117,7 +118,7 @@
         (now < last.made_at + MAX_REPORT_AGE).then_some(last.report)
     }
 
-    /// Returns the engines among the owned tasks that have to be probed now, and records them as
+    /// Returns the engines for which an owned task requires a probe now, and records them as
     /// probed.
     pub fn take_due_probes(&mut self, now: Micros, owned: impl Iterator<Item = Task>) -> Vec<u32> {
         let mut engines = Vec::new();
@@ -133,8 +134,8 @@
         engines
     }
 
-    /// Time at which [`Reports::take_due_probes`] next returns an engine; `None` if no task is
-    /// owned.
+    /// Returns the time at which [`Reports::take_due_probes`] will return an engine next; `None` if
+    /// no task is owned.
     pub fn next_probe_at(&self, now: Micros, owned: impl Iterator<Item = Task>) -> Option<Micros> {
         let due_at = |task: Task| match self.probed_at.get(&task.number) {
             Some(probed_at) => probed_at + PROBE_INTERVAL,
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -1,4 +1,4 @@
-//! The votes that a voter grants. With a vote, the voter promises to reject smaller tokens. The
+//! The votes that a voter grants. With a vote, the voter promises to reject lower tokens. The
 //! promise is durable before the vote is sent.
 
 use std::collections::BTreeMap;
@@ -14,17 +14,17 @@
     lease_expiry: BTreeMap<Task, Micros>,
 }
 
-/// Answer of a voter to a vote request.
+/// A voter's answer to a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteDecision {
     /// The vote is granted, but the new token must be durable before the vote is sent.
     GrantedOnceDurable,
-    /// The vote is granted for a token that was granted before, as in a renewal.
+    /// The vote is granted for a token that the voter has granted before, as in a renewal.
     Granted,
-    /// The vote is denied, because the term is not greater than the greatest known one, or because
+    /// The vote is denied, because the term is not higher than the highest known one, or because
     /// the lease of another gateway has not expired.
     Denied {
-        /// Greatest known token of the task.
+        /// Highest known token of the task.
         greatest: FencingToken,
         /// Time until the lease of that token's owner expires.
         remaining: Micros,
@@ -32,8 +32,8 @@
 }
 
 impl Voter {
-    /// Restores a voter at a start. It is not known which leases have expired, so all are treated
-    /// as if they had just been granted.
+    /// Restores a voter when its gateway starts. It is not known which leases have expired, so all
+    /// are treated as if they had just been granted.
     pub fn restore(fences: &Fences, now: Micros) -> Self {
         let expiry = now + LEASE_DURATION;
         Voter {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Decides on a vote request. If the vote is granted, its token becomes the greatest known one
+    /// Decides on a vote request. If the vote is granted, its token becomes the highest known one
     /// of the task.
     pub fn on_vote_request(
         &mut self,
@@ -56,7 +56,7 @@
         // The last owner itself may get a new term at once, because no other gateway holds the
         // lease.
         let is_held_by_other = remaining > 0 && token.owner != greatest.owner;
-        // A term has only one owner: the second candidate for a term has to request a greater one.
+        // A term has only one owner: the second candidate for a term has to request a higher one.
         let is_outdated = token.term <= greatest.term && token != greatest;
         if is_outdated || (token > greatest && is_held_by_other) {
             return VoteDecision::Denied {
@@ -77,8 +77,8 @@
         self.lease_expiry.remove(&task);
     }
 
-    /// Ends a lease that its owner has given up, so that the next owner need not wait until it
-    /// expires.
+    /// Ends a lease that its owner has given up, so that the next owner need not wait until the
+    /// lease expires.
     pub fn release(&mut self, fences: &Fences, task: Task, token: FencingToken) {
         if fences.greatest(task) == token {
             self.lease_expiry.remove(&task);
--- a/crates/leases/tests/model/state.rs
+++ b/crates/leases/tests/model/state.rs
@@ -30,7 +30,7 @@
     pub disk: BTreeMap<Task, FencingToken>,
     pub written: BTreeMap<Task, FencingToken>,
     pub unflushed: Vec<UnflushedToken>,
-    /// The greatest token whose work was ever applied at this voter, even if the voter itself has
+    /// The highest token whose work was ever applied at this voter, even if the voter itself has
     /// lost it in a kill.
     pub greatest_applied: FencingToken,
 }
@@ -72,14 +72,14 @@
     pub in_flight: Vec<InFlight>,
     pub kills: u8,
     pub clock_jumps: u8,
-    /// Whether a voter has applied work with a smaller token after work with a greater one.
+    /// Whether a voter has applied work with a lower token after work with a higher one.
     pub has_stale_work: bool,
     /// Whether a fence has rejected work.
     pub has_rejected_work: bool,
     pub leases_acquired: u8,
-    /// The greatest token under which a lease was acquired.
+    /// The highest token under which a lease was acquired.
     pub greatest_acquired: FencingToken,
-    /// For each voter, whether it applied work with a token smaller than `greatest_acquired`.
+    /// For each voter, whether it applied work with a token lower than `greatest_acquired`.
     pub has_applied_late_work: [bool; VOTERS],
 }
 
--- a/crates/leases/tests/model/world.rs
+++ b/crates/leases/tests/model/world.rs
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Delivers a voter's message to an owner. In the model it arrives as soon as it is sent.
+    /// Delivers a voter's message to an owner. In the model, such a message arrives as soon as it
+    /// is sent.
     pub fn send_to_owner(&self, state: &mut State, voter: usize, owner: usize, message: Message) {
         let receiver = &mut state.owners[owner];
         let outputs = receiver.core.on_voter_message(receiver.now, voter, message);
--- a/crates/peer-transport/src/failure_detector.rs
+++ b/crates/peer-transport/src/failure_detector.rs
@@ -12,11 +12,11 @@
 
 /// Tolerance for scheduling delays on a machine under high system load, added to each limit.
 const SCHEDULING_MARGIN: Micros = 60_000;
-/// Deviations above the mean interval at which a peer is slow.
+/// Number of deviations above the mean interval at which a peer counts as slow.
 const SLOW_DEVIATIONS: f64 = 4.0;
-/// Deviations above the mean interval at which a peer is silent.
+/// Number of deviations above the mean interval at which a peer counts as silent.
 const SILENT_DEVIATIONS: f64 = 10.0;
-/// A round trip longer than this multiple of the mean, plus [`SCHEDULING_MARGIN`], is slow.
+/// Multiple of the mean round trip time above which, plus [`SCHEDULING_MARGIN`], a reply is slow.
 const SLOW_ROUND_TRIP_FACTOR: f64 = 4.0;
 /// Weight of a new observation in the mean; TCP uses the same for its round trip estimate.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
@@ -26,9 +26,9 @@
 /// Health of a peer, from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerState {
-    /// Frames and replies of the peer arrive in the usual time.
+    /// Frames and replies from the peer arrive in the usual time.
     Up,
-    /// Frames of the peer are late, or its replies to heartbeats are slow.
+    /// Frames from the peer are late, or its replies to heartbeats are slow.
     Slow,
     /// No frame has arrived for much longer than usual, or for half of [`DISCONNECT_TIMEOUT`].
     Silent,
@@ -37,7 +37,7 @@
 }
 
 impl PeerState {
-    /// The name of the state in log lines, the event log and the status file.
+    /// Returns the name of the state in log lines, the event log and the status file.
     pub fn name(self) -> &'static str {
         match self {
             PeerState::Up => "up",
@@ -113,15 +113,15 @@
         self.last_received_at = now;
     }
 
-    /// Returns the number of the heartbeat to send now, or `None` if none is due yet.
+    /// Returns the sequence number of the heartbeat to send now, or `None` if none is due yet.
     pub fn take_due_heartbeat(&mut self, now: Micros) -> Option<u64> {
         if now < self.next_heartbeat_at() {
             return None;
         }
         self.last_heartbeat_at = now;
         self.last_heartbeat_number += 1;
-        // Only the oldest heartbeat without a reply is kept: its age is the least time that replies
-        // take now.
+        // Only the oldest heartbeat without a reply is stored: its age is the minimum time that
+        // replies take now.
         self.unanswered.get_or_insert(SentHeartbeat {
             number: self.last_heartbeat_number,
             sent_at: now,
@@ -129,7 +129,7 @@
         Some(self.last_heartbeat_number)
     }
 
-    /// Updates the round trip time with the reply to heartbeat `number`.
+    /// Updates the round trip time with the reply to the heartbeat with sequence number `number`.
     pub fn on_heartbeat_reply(&mut self, now: Micros, number: u64) {
         let Some(sent) = self.unanswered.take_if(|sent| sent.number <= number) else {
             return;
@@ -142,7 +142,8 @@
         self.round_trips.add(round_trip.min(limit));
     }
 
-    /// Weighted mean of the round trip times, in microseconds; 0 before the first reply.
+    /// Returns the weighted mean of the round trip times, in microseconds; 0 before the first
+    /// reply.
     pub fn round_trip(&self) -> Micros {
         self.round_trips.mean as Micros
     }
@@ -152,7 +153,8 @@
         interval as Micros + SCHEDULING_MARGIN
     }
 
-    /// Judges the peer by the frames and replies that have arrived until `now`.
+    /// Returns the state of the peer, derived from the frames and replies that have arrived until
+    /// `now`.
     pub fn state(&self, now: Micros) -> PeerState {
         let silence = now.saturating_sub(self.last_received_at);
         let reply_delay = self
@@ -171,8 +173,8 @@
         }
     }
 
-    /// Time of the next heartbeat. The state has to be checked at this time too, since it changes
-    /// if no frame arrives.
+    /// Returns the time of the next heartbeat. The peer's state has to be checked at this time too,
+    /// since the state changes if no frame arrives.
     pub fn next_heartbeat_at(&self) -> Micros {
         self.last_heartbeat_at + HEARTBEAT_INTERVAL
     }
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -26,7 +26,7 @@
     Heartbeat(u64),
     /// Replies to the heartbeat with this number.
     HeartbeatReply(u64),
-    /// A message of the host, which the links carry without interpreting it.
+    /// A message from the host, which the links carry without interpreting it.
     Message(M),
 }
 
--- a/crates/peer-transport/src/handshake.rs
+++ b/crates/peer-transport/src/handshake.rs
@@ -22,7 +22,7 @@
     /// Names of all voters in the sender's operator's file, sorted.
     pub voters: Vec<String>,
     /// Fingerprint of the sender's request classes. Both ends must agree on it because replicas
-    /// refer to a class by its number.
+    /// refer to a class by its index.
     pub classes_fingerprint: u64,
     /// Identity of the sender's store; a new, damaged or copied store gets a new random one.
     pub identity: u64,
@@ -30,12 +30,12 @@
     pub start_number: u64,
 }
 
-/// Store identity and start number in the last accepted handshake of a gateway name.
+/// Store identity and start number in the last accepted handshake of a gateway with a given name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownStart {
     /// Identity of the peer's store.
     pub identity: u64,
-    /// Number of the peer's start with that store.
+    /// Number of times that the peer was started with that store, as stated in the handshake.
     pub start_number: u64,
 }
 
@@ -90,7 +90,7 @@
     /// The fingerprints of the request classes differ.
     #[error("the settings name different classes: all gateways of a fleet need the same settings")]
     Classes,
-    /// A later start with the same store was accepted before.
+    /// A handshake with a higher start number for the same store has already been accepted.
     #[error(
         "gateway '{name}' reports start {start_number}, but start {latest} was already accepted: \
          an old copy of its store or a second process is running"
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 ///
-/// The first difference because of which the peer is rejected.
+/// Returns the first difference because of which the peer is rejected.
 pub fn check_handshake(
     ours: &Handshake,
     theirs: &Handshake,
--- a/crates/peer-transport/src/hub.rs
+++ b/crates/peer-transport/src/hub.rs
@@ -2,7 +2,7 @@
 //!
 //! The host never blocks on the thread. Messages sent while the queue to the thread is full are
 //! dropped; the host's protocols tolerate lost messages. The thread is named `peers`. Dropping the
-//! [`Hub`] closes the queue, upon which the thread ends, and joins the thread.
+//! [`Hub`] closes the queue, which makes the thread end, and joins the thread.
 
 use std::io;
 use std::net::SocketAddr;
@@ -35,8 +35,7 @@
 pub enum Peer {
     /// A voter that this gateway dialed, by the voter's index in the fleet's list of voters.
     Voter(usize),
-    /// A gateway that opened a link to this one, by the number of the link. Numbers are never
-    /// reused.
+    /// A gateway that opened a link to this one, by the ID of the link. IDs are never reused.
     Requester(u64),
 }
 
@@ -105,7 +104,7 @@
     message: M,
 }
 
-/// Handle of the host to all links. Dropping it closes them.
+/// The host's handle to all links. Dropping the handle closes the links.
 pub struct Hub<M> {
     /// `None` while the hub is being dropped; the closed queue makes the thread end.
     outgoing: Option<SyncSender<OutgoingMessage<M>>>,
@@ -143,8 +142,8 @@
         })
     }
 
-    /// Address on which this gateway listens, with the port that the system has chosen if the
-    /// configured port was 0; `None` if it does not listen.
+    /// Returns the address on which this gateway listens, with the port that the system has chosen
+    /// if the configured port was 0; `None` if it does not listen.
     pub fn local_address(&self) -> Option<SocketAddr> {
         self.local_address
     }
@@ -189,7 +188,7 @@
             }
             std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
-        // A panic of the thread has already been reported by the panic hook.
+        // If the thread panicked, the panic hook has already reported it.
         let _ = thread.join();
     }
 }
--- a/crates/peer-transport/src/hub/dialer.rs
+++ b/crates/peer-transport/src/hub/dialer.rs
@@ -47,8 +47,8 @@
         self.dials.len()
     }
 
-    /// Positions of the voters to dial at `now`. A position is an index into the list passed to
-    /// [`Dialer::new`], unlike [`VoterAddress::index`].
+    /// Returns the positions of the voters to dial at `now`. A position is an index into the list
+    /// passed to [`Dialer::new`], unlike [`VoterAddress::index`].
     pub(super) fn due_positions(&self, now: Micros) -> Vec<usize> {
         let is_due = |dial: &VoterDial| match dial.state {
             DialState::Waiting { retry_at } => retry_at <= now,
@@ -59,7 +59,8 @@
             .collect()
     }
 
-    /// Time of the next attempt to dial a voter; `None` if there is a link to each.
+    /// Returns the time of the next attempt to dial a voter; `None` if there is a link to every
+    /// voter.
     pub(super) fn next_retry_at(&self) -> Option<Micros> {
         let retry_at = |dial: &VoterDial| match dial.state {
             DialState::Waiting { retry_at } => Some(retry_at),
@@ -76,7 +77,7 @@
         self.voter(position).address
     }
 
-    /// The link to a voter, by [`VoterAddress::index`].
+    /// Returns the link to a voter, by [`VoterAddress::index`].
     pub(super) fn link_to_voter(&self, voter_index: usize) -> Option<Token> {
         let dial = self
             .dials
--- a/crates/peer-transport/src/hub/event_loop.rs
+++ b/crates/peer-transport/src/hub/event_loop.rs
@@ -1,4 +1,4 @@
-//! Event loop of the thread that owns all links. It dials voters, accepts connections of other
+//! Event loop of the thread that owns all links. It dials voters, accepts connections from other
 //! gateways, sends heartbeats and drops failed links. It does not interpret the host's messages.
 
 use std::collections::BTreeMap;
@@ -121,7 +121,7 @@
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Timeout of the next poll.
+    /// Returns the timeout of the next poll.
     fn poll_timeout(&self) -> Duration {
         if self.events.has_backlog() {
             return FULL_QUEUE_POLL_TIMEOUT;
@@ -177,7 +177,7 @@
         let _ = self.links.add_requester(registry, stream, now);
     }
 
-    /// Queues the messages of the host on their links.
+    /// Queues each message from the host on the link to its receiver.
     fn send_outgoing(&mut self) -> Result<(), HostDisconnected> {
         loop {
             match self.outgoing.try_recv() {
--- a/crates/peer-transport/src/hub/event_loop/incoming.rs
+++ b/crates/peer-transport/src/hub/event_loop/incoming.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Sends the reason of the rejection to a peer; the link is dropped once the frame is sent.
+    /// Sends the reason for the rejection to a peer; the link is dropped once the frame is sent.
     fn reject(&mut self, token: Token, name: String, error: &HandshakeError) {
         let reason = error.to_string();
         self.queue_frame(token, &Frame::Rejected(reason.clone()));
--- a/crates/peer-transport/src/hub/link_table.rs
+++ b/crates/peer-transport/src/hub/link_table.rs
@@ -57,7 +57,8 @@
         self.peer_name.is_some()
     }
 
-    /// Whether this gateway opened the link. The end that opened a link sends the heartbeats.
+    /// Returns whether this gateway opened the link. The end that opened a link sends the
+    /// heartbeats.
     pub(super) fn is_dialed(&self) -> bool {
         matches!(self.peer, Peer::Voter(_))
     }
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether to refuse another link from a gateway. Links to voters have room reserved.
+    /// Returns whether to refuse another link from a gateway. Links to voters have room reserved.
     pub(super) fn is_full(&self, voter_count: usize) -> bool {
         self.links.len() >= MAX_LINKS + voter_count
     }
@@ -158,7 +159,7 @@
         self.links.values().any(|entry| entry.is_readable)
     }
 
-    /// Time of the next heartbeat on any link; `None` if this gateway has opened none.
+    /// Returns the time of the next heartbeat on any link; `None` if this gateway has opened none.
     pub(super) fn next_heartbeat_at(&self) -> Option<Micros> {
         self.links
             .values()
@@ -167,7 +168,7 @@
             .min()
     }
 
-    /// The accepted link that a gateway with this name opened, if there is one.
+    /// Returns the accepted link that a gateway with this name opened, if there is one.
     pub(super) fn requester_link(&self, name: &str) -> Option<Token> {
         let is_requester =
             |entry: &LinkEntry| !entry.is_dialed() && entry.peer_name.as_deref() == Some(name);
--- a/crates/peer-transport/src/limits.rs
+++ b/crates/peer-transport/src/limits.rs
@@ -10,22 +10,22 @@
 pub const MAX_QUEUED_MESSAGES: usize = 8192;
 /// Maximum size of the content of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 256 << 10;
-/// Maximum size of the send buffer of a link, in bytes. If a peer reads so slowly that it is
-/// exceeded, the link is dropped and opened again.
+/// Maximum size of the send buffer of a link, in bytes. If a peer reads so slowly that the maximum
+/// is exceeded, the link is dropped and opened again.
 pub const MAX_UNSENT_BYTES: usize = 1 << 20;
 /// Bytes that are read from one link per turn, so that no link starves the others.
 pub(crate) const MAX_READ_BYTES: usize = 64 << 10;
 
 /// Interval between heartbeats on a link.
 pub const HEARTBEAT_INTERVAL: Micros = 300_000;
-/// A link on which nothing arrives for this long is dropped.
+/// Time without received data after which a link is dropped.
 pub const DISCONNECT_TIMEOUT: Micros = 4_000_000;
-/// A link without an accepted handshake is dropped after this time.
+/// Time after which a link without an accepted handshake is dropped.
 pub(crate) const HANDSHAKE_TIMEOUT: Micros = 2_000_000;
 /// Initial upper bound of the random delay before a voter is dialed again. The bound doubles with
 /// each failure.
 pub(crate) const MIN_RETRY_DELAY: Micros = 100_000;
-/// Largest upper bound of the random delay before a voter is dialed again.
+/// Value at which the upper bound of the random delay before a voter is dialed again stops growing.
 pub(crate) const MAX_RETRY_DELAY: Micros = 2_000_000;
 /// Minimum timeout of a poll, so that the thread does not spin on imminent deadlines.
 pub(crate) const MIN_POLL_TIMEOUT: Micros = 1_000;
--- a/crates/peer-transport/src/link.rs
+++ b/crates/peer-transport/src/link.rs
@@ -19,12 +19,12 @@
     pub stream: TcpStream,
     /// Received bytes that are not decoded yet.
     unread: Vec<u8>,
-    /// Encoded frames, of which the first `sent` bytes are already sent.
+    /// Encoded frames, of which the first `sent` bytes have been sent.
     unsent: Vec<u8>,
     sent: usize,
 }
 
-/// More than [`MAX_UNSENT_BYTES`] wait to be sent; the owner has to drop the link.
+/// Error: more than [`MAX_UNSENT_BYTES`] are waiting to be sent. The owner has to drop the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the send buffer is full: the peer has left more than {MAX_UNSENT_BYTES} bytes unread")]
 pub struct SendBufferFull;
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    /// Whether all queued frames are sent.
+    /// Returns whether all queued frames are sent.
     pub fn is_flushed(&self) -> bool {
         self.unsent.is_empty()
     }
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Reads from the socket into the receive buffer. Returns whether it stopped at a limit, so
-    /// that the socket may have more data.
+    /// Reads from the socket into the receive buffer. Returns whether reading stopped at a limit;
+    /// if it did, the socket may have more data.
     fn read_socket(&mut self) -> io::Result<bool> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         let mut total = 0;
--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -12,7 +12,7 @@
 
 use crate::Micros;
 
-/// A state request is repeated if no part of the reply has arrived for this long.
+/// Time without any part of the reply after which a state request is repeated.
 pub const TRANSFER_TIMEOUT: Micros = 1_000_000;
 /// Interval between scrubs. Each scrub compares this voter's records with one other voter's.
 pub const SCRUB_INTERVAL: Micros = 3_000_000;
@@ -20,34 +20,34 @@
 /// Whether this gateway votes, or what it waits for before it does.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReplicationProgress {
-    /// Not a voter; keeps no replica records of other gateways.
+    /// Not a voter; stores no replica records of other gateways.
     Requester,
     /// A voter that has all records that it ever acknowledged.
     Voting,
     /// A voter that may have lost records and does not vote yet.
     CatchingUp {
-        /// Time at which everything that it may have lost has expired.
+        /// Time at which everything that this voter may have lost has expired.
         until: Micros,
-        /// Voting voters that have sent all their records since this start.
+        /// Voting voters that have sent all their records since this gateway started.
         complete_from: BTreeSet<usize>,
     },
 }
 
-/// Number of other voters that must send all their records before a voter that may have lost some
-/// votes again, in a fleet of `voters` voters.
+/// Returns the number of other voters that must send all their records before a voter that may have
+/// lost records votes again, in a fleet of `voters` voters.
 pub fn required_transfers(voters: usize) -> usize {
     voters / 2 + 1
 }
 
 impl ReplicationProgress {
-    /// Whether this gateway votes.
+    /// Returns whether this gateway votes.
     pub fn is_voting(&self) -> bool {
         *self == ReplicationProgress::Voting
     }
 
-    /// Notes that `voter` has sent all its records; they count only if `is_voting` says that it
-    /// votes itself. `voters` is the number of voters of the fleet. Returns whether this gateway
-    /// starts to vote.
+    /// Records that `voter` has sent all its records. They count only if `is_voting`, which says
+    /// whether `voter` itself votes. `voters` is the number of voters in the fleet. Returns whether
+    /// this gateway starts to vote.
     pub fn on_transfer_complete(&mut self, voter: usize, is_voting: bool, voters: usize) -> bool {
         let ReplicationProgress::CatchingUp { complete_from, .. } = self else {
             return false;
@@ -62,8 +62,8 @@
         is_done
     }
 
-    /// Ends the catch-up if everything that may be lost has expired. Returns whether this gateway
-    /// starts to vote.
+    /// Ends the catch-up if everything that may have been lost has expired. Returns whether this
+    /// gateway starts to vote.
     pub fn poll(&mut self, now: Micros) -> bool {
         let has_expired =
             matches!(self, ReplicationProgress::CatchingUp { until, .. } if *until <= now);
@@ -85,7 +85,7 @@
 /// The capacity of the bucket is a second's budget divided by this.
 const BURSTS_PER_S: u64 = 4;
 
-/// Returned if no bytes may be sent now.
+/// Error that is returned if no bytes may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetExhausted {
     /// Delay after which the bucket is full again, in milliseconds.
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Refills the bucket and returns the bytes that may be sent now.
+    /// Refills the bucket and returns the number of bytes that may be sent now.
     ///
     /// # Errors
     ///
--- a/crates/replication/src/claims.rs
+++ b/crates/replication/src/claims.rs
@@ -24,7 +24,7 @@
 /// it lacks some.
 pub const MAX_RESENT_UPDATES: usize = 64;
 
-/// A run of a key at an engine that may have happened before.
+/// A possible earlier run, at an engine, of a request with a given key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PriorRun {
     /// Location of the run; `None` if it may have run at several.
@@ -33,7 +33,7 @@
     pub since: Micros,
 }
 
-/// Runs of one key that may have happened before.
+/// Possible earlier runs of the requests with one key.
 pub type PriorRuns = Vec<PriorRun>;
 
 /// Outcome of a claim.
@@ -41,8 +41,8 @@
 pub enum Verdict {
     /// The request may be sent.
     Granted,
-    /// The claim is refused because of these runs, of which the balancer does not know all. It may
-    /// decide again with them.
+    /// The claim is refused because of these runs, not all of which the balancer knows of. The
+    /// balancer may decide again, taking them into account.
     PriorRunsFound(PriorRuns),
     /// No majority of the voters has accepted the claim. Contains the runs that a minority
     /// reported, unless the balancer knows all of them.
@@ -91,7 +91,7 @@
     }
 }
 
-/// A record that this gateway has written. It is kept until all voters have its last version.
+/// A record that this gateway has written. It is retained until all voters have its last version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LocalRecord {
     record: Record,
@@ -103,8 +103,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Claims {
     voters: usize,
-    /// Last version that this incarnation gave to a record of any key. It counts over all keys
-    /// because a key that was forgotten and is claimed again must not get an earlier version.
+    /// Last version that this incarnation gave to a record of any key. Versions are counted across
+    /// all keys, because a key whose record was dropped and that is claimed again must not get an
+    /// earlier version.
     last_version: u32,
     pending: BTreeMap<u64, PendingClaim>,
     records: BTreeMap<Vec<u8>, LocalRecord>,
@@ -123,22 +124,23 @@
         }
     }
 
-    /// Number of voters that form a majority.
+    /// Returns the number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters / 2 + 1
     }
 
-    /// Number of claims without a verdict.
+    /// Returns the number of claims without a verdict.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Number of records that this gateway has written and still keeps.
+    /// Returns the number of records that this gateway has written and still retains.
     pub fn records(&self) -> usize {
         self.records.len()
     }
 
-    /// Number of keys whose last version a voter lacks, for the voter that lacks the most.
+    /// Returns the number of keys whose last version a voter lacks, for the voter that lacks the
+    /// most.
     pub fn replication_lag(&self) -> usize {
         self.missing_keys
             .values()
@@ -170,13 +172,13 @@
         record
     }
 
-    /// The record that this gateway has written for a key.
+    /// Returns the record that this gateway has written for a key.
     pub fn get(&self, key: &[u8]) -> Option<&Record> {
         self.records.get(key).map(|local| &local.record)
     }
 
-    /// Notes that a voter has durably stored a version of a record. A record that all voters have
-    /// and that is not in flight is forgotten.
+    /// Handles the confirmation of a voter that it has durably stored a version of a record. The
+    /// record is dropped once all voters have it and no attempt is in flight.
     pub fn on_acknowledged(&mut self, voter: usize, key: &[u8], version: u32) {
         let Some(local) = self.records.get_mut(key) else {
             return;
@@ -208,8 +210,8 @@
         }
     }
 
-    /// Records that a voter lacks and that were written at `written_until` or earlier, at most
-    /// [`MAX_RESENT_UPDATES`].
+    /// Returns records that a voter lacks and that were written at `written_until` or earlier, at
+    /// most [`MAX_RESENT_UPDATES`].
     pub fn missing_records(&self, voter: usize, written_until: Micros) -> Vec<(Vec<u8>, Record)> {
         self.missing_keys
             .get(&voter)
@@ -244,7 +246,7 @@
         self.pending.insert(number, claim);
     }
 
-    /// Key and version of a claim without a verdict.
+    /// Returns the key and the version of a claim without a verdict.
     pub fn pending_version(&self, number: u64) -> Option<(Vec<u8>, u32)> {
         let claim = self.pending.get(&number)?;
         Some((claim.key.clone(), claim.version))
@@ -264,7 +266,7 @@
         let majority = self.majority();
         let claim = self.pending.get_mut(&number)?;
         claim.accepted_by.insert(voter);
-        // The voter measured the age after the claim was sent. Subtracting it from the time of
+        // The voter measured the age after the claim was sent. Subtracting the age from the time of
         // sending can make the run appear older than it is, but never younger.
         let requested_at = claim.requested_at;
         claim
@@ -328,7 +330,7 @@
         self.pending.remove(&number);
     }
 
-    /// Forgets expired records; the voters drop theirs too.
+    /// Drops expired records; the voters drop their copies too.
     pub fn expire(&mut self, now: Micros) {
         while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
             let Some((_, key)) = self.expiry.pop_first() else {
@@ -338,8 +340,8 @@
         }
     }
 
-    /// Time at which [`Claims::time_out`] or [`Claims::expire`] has to be called next; `None` if
-    /// there is nothing to wait for.
+    /// Returns the time at which [`Claims::time_out`] or [`Claims::expire`] has to be called next;
+    /// `None` if there is nothing to wait for.
     pub fn next_deadline(&self) -> Option<Micros> {
         let timeout = self
             .pending
--- a/crates/replication/src/compare.rs
+++ b/crates/replication/src/compare.rs
@@ -14,8 +14,9 @@
 pub struct Difference {
     /// The key in the intent log, without a prefix.
     pub key: Vec<u8>,
-    /// For each voter, in the order of the arguments: the origins whose newest record it lacks,
-    /// each with the version that it has instead, or `None` if it has none.
+    /// For each voter, in the order of the arguments to [`compare`]: the origins whose newest
+    /// record the voter lacks, each with the version that the voter has instead, or `None` if it
+    /// has none.
     pub missing: Vec<Vec<(Origin, Option<u32>)>>,
 }
 
@@ -24,11 +25,11 @@
 pub struct Comparison {
     /// Number of keys with at least one record that is not about to expire.
     pub compared: u64,
-    /// Keys whose records differ, in the order of the keys.
+    /// Keys whose records differ, sorted by key.
     pub differences: Vec<Difference>,
 }
 
-/// Version and fingerprint of a record. The greater revision is the newer one.
+/// Version and fingerprint of a record. The higher revision is the newer one.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Revision {
     version: u32,
@@ -47,8 +48,8 @@
 }
 
 /// Compares the replica records of several voters. `now_ms` is the current time in Unix
-/// milliseconds: records that are about to expire are skipped, since some voters may have dropped
-/// them already.
+/// milliseconds: records that are about to expire are skipped, since some voters may already have
+/// dropped them.
 pub fn compare(voters: &[VoterReplicas], now_ms: u64) -> Comparison {
     let keys: BTreeSet<&Vec<u8>> = voters.iter().flat_map(|voter| voter.keys()).collect();
     let mut compared = 0;
--- a/crates/replication/src/core.rs
+++ b/crates/replication/src/core.rs
@@ -1,6 +1,6 @@
 //! One gateway's part of the replication protocol, without I/O. Its inputs are messages, the time
-//! and notices of durable writes. The caller, the gateway or the simulated fleet, performs the
-//! outputs.
+//! and notifications of durable writes. The caller, the gateway or the simulated fleet, performs
+//! the outputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,7 +29,7 @@
 pub enum Peer {
     /// A voter, by its index, on the link that this gateway opened.
     Voter(usize),
-    /// A gateway that opened a link to this one, by the number of the link.
+    /// A gateway that opened a link to this one, by the ID of the link.
     Requester(u64),
 }
 
@@ -55,17 +55,17 @@
 /// Why a gateway accepts no requests that need a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimError {
-    /// [`Limits::max_keys`] of its own records are in flight or not acknowledged by all voters.
-    /// None of them may be forgotten early.
+    /// [`Limits::max_keys`] records of this gateway are in flight or not acknowledged by all
+    /// voters. None of these records may be dropped early.
     Full,
     /// No majority of voters that vote can be reached.
     NoMajority,
 }
 
-/// A claim of a key, before its request is sent.
+/// A claim on a key, made before the request with that key is sent.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest<'a> {
-    /// Number of the claim, chosen by the caller; [`Output::Verdict`] refers to it.
+    /// ID of the claim, chosen by the caller; [`Output::Verdict`] refers to it.
     pub number: u64,
     /// Key of the request, without the intent log's prefix.
     pub key: &'a [u8],
@@ -79,7 +79,7 @@
     pub known_runs: PriorRuns,
 }
 
-/// Describes a key of which all attempts have ended.
+/// A key whose attempts have all ended.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempts<'a> {
     /// Key of the request, without the intent log's prefix.
@@ -95,7 +95,7 @@
 /// An action that the caller has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message over the link to this peer. The protocol tolerates that it gets lost.
+    /// Send a message over the link to this peer. The protocol tolerates the loss of messages.
     Send(Peer, Message),
     /// Write a replica record to the store.
     Store {
@@ -108,17 +108,17 @@
     },
     /// Call [`Core::on_local_vote`]: this gateway, a voter, votes on its own claim.
     LocalVote {
-        /// Number from the [`ClaimRequest`].
+        /// ID from the [`ClaimRequest`].
         number: u64,
-        /// Runs of the key by other gateways that may have happened.
+        /// Possible earlier runs of the key by other gateways.
         reported_runs: Vec<ReportedRun>,
     },
-    /// The outcome of the claim with this number.
+    /// The outcome of the claim with this ID.
     Verdict(u64, Verdict),
-    /// Stop new requests to an engine that is drained or removed in an endpoint list, this
-    /// gateway's own or that of another.
+    /// Stop sending new requests to an engine that was drained or removed in the endpoint list of
+    /// this gateway or of another one.
     EngineDrained(Drain),
-    /// Use the figures that another gateway has learned of the engines as a hint.
+    /// Use what another gateway has learned about the engines as a hint.
     Hints {
         /// Encoded checkpoint of the other gateway's balancer.
         checkpoint: Vec<u8>,
@@ -144,9 +144,9 @@
     /// Claims without a majority whose requests were sent nevertheless; included in
     /// `without_majority`.
     pub sent_without_majority: u64,
-    /// Claims of other gateways for which this voter voted.
+    /// Claims by other gateways for which this voter voted.
     pub accepted: u64,
-    /// Claims of other gateways for which this voter did not vote.
+    /// Claims by other gateways for which this voter did not vote.
     pub rejected: u64,
     /// Records that state transfers added or changed.
     pub repaired: u64,
@@ -166,9 +166,9 @@
     claims: Claims,
     /// Links to the voters, by the index of the voter.
     voters: Vec<VoterLink>,
-    /// State transfers to other voters, by the link on which they were requested.
+    /// State transfers to other voters, by the ID of the link on which they were requested.
     outgoing_transfers: BTreeMap<u64, OutgoingTransfer>,
-    /// Open links of other gateways to this one.
+    /// IDs of the open links from other gateways to this one.
     requesters: BTreeSet<u64>,
     drains: Drains,
     /// Last checkpoint of this gateway's balancer, and when it was taken.
@@ -182,9 +182,9 @@
 }
 
 impl Core {
-    /// Creates the state at the start of a gateway. `has_all_records` says that this voter voted
-    /// with this store and that the store has all records that it ever acknowledged. `stored` are
-    /// the replica records in the store.
+    /// Creates the state at the start of a gateway. `has_all_records` says that this voter has
+    /// voted with this store before and that the store has all records that the voter ever
+    /// acknowledged. `stored` are the replica records in the store.
     pub fn start(
         config: Config,
         origin: Origin,
@@ -224,27 +224,27 @@
         }
     }
 
-    /// Incarnation of this gateway, which its records name as their origin.
+    /// Returns the incarnation of this gateway, which its records name as their origin.
     pub fn origin(&self) -> Origin {
         self.origin
     }
 
-    /// Whether this gateway is a voter that currently votes.
+    /// Returns whether this gateway is a voter that currently votes.
     pub fn is_voting(&self) -> bool {
         self.progress.is_voting()
     }
 
-    /// Replica records that this gateway keeps as a voter.
+    /// Returns the replica records that this gateway stores as a voter.
     pub fn replicas(&self) -> &ReplicaSet {
         &self.replicas
     }
 
-    /// Claims of this gateway and the records that it has written.
+    /// Returns the claims of this gateway and the records that it has written.
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
@@ -282,7 +282,7 @@
         outputs
     }
 
-    /// Handles that the peer on an open link has stopped responding or responds again.
+    /// Handles a peer on an open link that has stopped responding or responds again.
     pub fn on_reachability(&mut self, now: Micros, peer: Peer, is_reachable: bool) -> Vec<Output> {
         let Peer::Voter(voter) = peer else {
             return Vec::new();
@@ -297,15 +297,15 @@
         self.resend_updates(now, voter, now)
     }
 
-    /// Indices of the voters whose link is up.
+    /// Returns the indexes of the voters whose link is up.
     fn reachable_voters(&self) -> Vec<usize> {
         (0..self.voters.len())
             .filter(|voter| self.voters[*voter].is_up)
             .collect()
     }
 
-    /// Messages with the updates that a voter lacks and that were written at `written_until` or
-    /// earlier.
+    /// Returns messages with the updates that a voter lacks and that were written at
+    /// `written_until` or earlier.
     fn resend_updates(&mut self, now: Micros, voter: usize, written_until: Micros) -> Vec<Output> {
         let missing = self.claims.missing_records(voter, written_until);
         self.counters.resent += missing.len() as u64;
@@ -324,8 +324,8 @@
         Output::Send(Peer::Voter(voter), message)
     }
 
-    /// Output that writes the replica record of a key, with the outputs to perform once it is
-    /// durable.
+    /// Returns the output that writes the replica record of a key, with the outputs to perform once
+    /// the record is durable.
     fn store_output(&self, key: &[u8], after_durable: Vec<Output>) -> Output {
         Output::Store {
             key: key.to_vec(),
@@ -364,7 +364,7 @@
         outputs
     }
 
-    /// Time at which [`Core::poll`] has to be called next.
+    /// Returns the time at which [`Core::poll`] has to be called next.
     pub fn next_deadline(&self) -> Micros {
         let resend_at = self.last_resend_at + RESEND_INTERVAL;
         self.replicas
--- a/crates/replication/src/core/hints.rs
+++ b/crates/replication/src/core/hints.rs
@@ -7,8 +7,8 @@
 use crate::Micros;
 
 impl Core {
-    /// Messages to a gateway that has opened a link to this one: whether this one votes, the known
-    /// drains and the learned figures.
+    /// Returns the first messages to a gateway that has opened a link to this one: whether this
+    /// gateway votes, the known drains and the learned figures.
     pub(super) fn initial_messages(&self, now: Micros, peer: Peer) -> Vec<Output> {
         let status = Message::VoterStatus {
             is_voting: self.is_voting(),
@@ -25,14 +25,14 @@
         outputs
     }
 
-    /// Message with all known drains; `None` if there are none.
+    /// Returns a message with all known drains; `None` if there are none.
     pub(super) fn send_known_drains(&self, peer: Peer) -> Option<Output> {
         let drains: Vec<Drain> = self.drains.iter().collect();
         (!drains.is_empty()).then_some(Output::Send(peer, Message::Drains { drains }))
     }
 
     /// Sets the checkpoint of this gateway's learned figures. It is sent to gateways that connect,
-    /// as a hint at their start.
+    /// as a hint for their start.
     pub fn set_hints(&mut self, now: Micros, checkpoint: Vec<u8>) {
         self.hints = Some((checkpoint, now));
     }
@@ -66,7 +66,7 @@
         outputs
     }
 
-    /// The drain that overrides this gateway's own endpoint list; see
+    /// Returns the drain that overrides this gateway's own endpoint list; see
     /// [`Drains::overriding`](crate::drains::Drains::overriding).
     pub fn overriding_drain(
         &self,
--- a/crates/replication/src/core/state_transfer.rs
+++ b/crates/replication/src/core/state_transfer.rs
@@ -1,5 +1,5 @@
 //! State transfer between voters: requests the replica records that this voter may lack, merges the
-//! replies, and serves the requests of other voters.
+//! replies, and serves the requests from other voters.
 
 use super::{Core, Output, Peer};
 use crate::anti_entropy::{BudgetExhausted, SCRUB_INTERVAL, TRANSFER_TIMEOUT};
@@ -15,7 +15,7 @@
 pub(super) struct VoterLink {
     /// Whether the link is open and the voter responds.
     pub is_up: bool,
-    /// Whether the voter has said that it votes.
+    /// Whether the voter has reported that it votes.
     pub is_voting: bool,
     /// The requested state transfer that has not ended yet.
     pub transfer: Option<IncomingTransfer>,
@@ -46,7 +46,7 @@
     last_part_at: Micros,
 }
 
-/// A state transfer that another voter has requested from this one.
+/// A state transfer that another voter has requested from this voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct OutgoingTransfer {
     number: u64,
@@ -83,7 +83,7 @@
 }
 
 impl Core {
-    /// Messages with one part of each requested transfer, as far as the budget allows.
+    /// Returns messages with one part of each requested transfer, as far as the budget allows.
     pub(super) fn serve_transfers(&mut self, now: Micros) -> Vec<Output> {
         let links: Vec<u64> = self.outgoing_transfers.keys().copied().collect();
         links
@@ -100,8 +100,8 @@
         let number = transfer.number;
         let max_bytes = match self.transfer_budget.available(now) {
             Ok(available) => available.min(MAX_PART_BYTES),
-            // A transfer that has begun continues when there is budget again. Others have to be
-            // requested again.
+            // A transfer that has begun continues when there is budget again. Other transfers have
+            // to be requested again.
             Err(_) if transfer.last_key.is_some() => return None,
             Err(BudgetExhausted { retry_after_ms }) => {
                 self.outgoing_transfers.remove(&link);
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -1,4 +1,4 @@
-//! Claims: makes those of this gateway, and replies to those of others if this gateway is a voter.
+//! Makes the claims of this gateway and, if it is a voter, replies to the claims of other gateways.
 
 use super::{ClaimError, ClaimRequest, Core, EndedAttempts, Output, Peer};
 use crate::claims::{PriorRuns, Verdict, CLAIM_TIMEOUT};
@@ -7,7 +7,7 @@
 use crate::replica_set::MergeResult;
 use crate::Micros;
 
-/// A claim of another gateway, with the times of its record by this voter's clock.
+/// A claim from another gateway, with the times of its record by this voter's clock.
 #[derive(Clone, Copy)]
 pub(super) struct RemoteClaim<'a> {
     pub number: u64,
@@ -17,7 +17,7 @@
 }
 
 impl Core {
-    /// The reason why requests that need a claim can't be accepted now; `None` if they can.
+    /// Returns the reason why requests that need a claim can't be accepted now; `None` if they can.
     pub fn claim_error(&self) -> Option<ClaimError> {
         if self.claims.records() >= self.config.limits.max_keys {
             return Some(ClaimError::Full);
@@ -28,7 +28,8 @@
         None
     }
 
-    /// Whether a majority of the voters votes and can be reached, as far as this gateway knows.
+    /// Returns whether a majority of the voters votes and can be reached, as far as this gateway
+    /// knows.
     pub fn has_majority(&self) -> bool {
         let remote_votes = self
             .voters
@@ -119,7 +120,7 @@
         })
     }
 
-    /// Replies to the claim of another gateway.
+    /// Replies to a claim from another gateway.
     pub(super) fn on_claim(
         &mut self,
         now: Micros,
@@ -140,7 +141,7 @@
             return vec![reply(Message::ClaimRejected { number, reason })];
         }
         if !self.is_voting() {
-            // The record is stored, but a voter that may lack records of others must not vote.
+            // The record is stored, but a voter that may lack other records must not vote.
             self.counters.rejected += 1;
             let reason = ClaimRejection::CatchingUp;
             let rejection = reply(Message::ClaimRejected { number, reason });
--- a/crates/replication/src/drains.rs
+++ b/crates/replication/src/drains.rs
@@ -1,24 +1,24 @@
 //! Drains and removals of engines that any gateway has learned from its endpoint list.
 //!
 //! Drains stop new requests to an engine at all linked gateways and never permit any. They are
-//! ordered by the number of the discovery event that reported them. A gateway whose own endpoint
-//! list is at least as new follows its own list.
+//! ordered by the sequence number of the discovery event that reported them. A gateway whose own
+//! endpoint list is at least as new follows its own list.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of engines whose drain is remembered. Beyond it the drain with the lowest event
-/// number is dropped.
+/// Maximum number of engines whose drains are stored. When it is exceeded, the drain with the
+/// lowest event number is dropped.
 pub const MAX_DRAINS: usize = 4096;
 
 /// A drain or removal of an engine process that an endpoint list reported. Ordered by the event
 /// number first. The order of the fields is also the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Drain {
-    /// Number of the discovery event with the endpoint list that reported this.
+    /// Sequence number of the discovery event with the endpoint list that reported this drain.
     pub list_event_number: u64,
-    /// Number of the engine in the endpoint lists of all gateways.
+    /// ID of the engine in the endpoint lists of all gateways.
     pub engine: u32,
     /// Start time of the engine's process. A later process of the same engine is not affected.
     pub booted_at: u64,
@@ -53,25 +53,25 @@
         }
     }
 
-    /// The drain that overrides a gateway's own endpoint list with number `list_event_number`, in
-    /// which the engine process that started at `booted_at` is ready.
+    /// Returns the drain that overrides a gateway's own endpoint list with number
+    /// `list_event_number`, in which the engine process that started at `booted_at` is ready.
     pub fn overriding(&self, engine: u32, booted_at: u64, list_event_number: u64) -> Option<Drain> {
         let drain = self.latest.get(&engine)?;
         (drain.list_event_number > list_event_number && drain.booted_at >= booted_at)
             .then_some(*drain)
     }
 
-    /// All remembered drains, in the order of the engines.
+    /// Iterates over all stored drains, sorted by engine ID.
     pub fn iter(&self) -> impl Iterator<Item = Drain> + '_ {
         self.latest.values().copied()
     }
 
-    /// Number of remembered drains, one per engine.
+    /// Returns the number of stored drains, one per engine.
     pub fn len(&self) -> usize {
         self.latest.len()
     }
 
-    /// Returns `true` if no drain is remembered.
+    /// Returns whether no drain is stored.
     pub fn is_empty(&self) -> bool {
         self.latest.is_empty()
     }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,7 +1,7 @@
 //! Replica records: their content, merging and encoding.
 //!
 //! A key has one record for each incarnation of a gateway that claimed it. Only that incarnation
-//! writes the record, and it increases the version with each write, so the greater version is the
+//! writes the record, and it increases the version with each write, so the higher version is the
 //! later one. Times are local to each replica: a merge keeps the earliest time at which the request
 //! may have run and the latest time until which the record is retained. Merges are therefore
 //! commutative, associative and idempotent, and messages may arrive in any order.
@@ -21,11 +21,11 @@
 pub struct Origin {
     /// Identity of the gateway's store. A new or damaged store gets a new one.
     pub identity: u64,
-    /// Number of the start of the gateway with that store.
+    /// Sequence number of this start among the gateway's starts with that store.
     pub start: u64,
 }
 
-/// What the writer of a record knows of its attempts. Later phases are greater.
+/// What the writer of a record knows about its attempts. Later phases compare as greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
     /// An attempt may be in flight.
@@ -36,12 +36,13 @@
     MayHaveRun,
 }
 
-/// What one incarnation did with a key, with times by the clock of the gateway that keeps it.
+/// What one incarnation did with a key, with times by the clock of the gateway that stores the
+/// record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Version of the record; increases with each write of the origin.
+    /// Version of the record; increases with each write by the origin.
     pub version: u32,
-    /// What the origin knows of its attempts.
+    /// What the origin knows about its attempts.
     pub phase: Phase,
     /// Location at which the request may have run. `None` if there are several, in which case no
     /// engine can be relied on to drop a duplicate.
@@ -123,9 +124,9 @@
 }
 
 impl WireRecord {
-    /// Converts the record to the clock of its receiver. `requested_at` is the earliest time at
-    /// which the message may have been sent, if it is a reply to a request. Otherwise the age is
-    /// taken to be correct at `now`, the time of arrival.
+    /// Converts the record to the clock of the receiving gateway. `requested_at` is the earliest
+    /// time at which the message may have been sent, if it is a reply to a request. Otherwise the
+    /// age is taken to be correct at `now`, the time of arrival.
     pub fn to_record(&self, now: Micros, requested_at: Option<Micros>) -> Record {
         Record {
             version: self.version,
@@ -138,8 +139,8 @@
     }
 }
 
-/// Merges the record of an origin into a replica record. Returns whether its [`fingerprint`] has
-/// changed, which is compared between voters.
+/// Merges the record of an origin into a replica record. Returns whether the [`fingerprint`] of
+/// that origin's record, which voters compare, has changed.
 pub fn merge(replica: &mut ReplicaRecord, origin: Origin, record: Record) -> bool {
     match replica.entry(origin) {
         btree_map::Entry::Vacant(vacant) => {
@@ -155,7 +156,7 @@
     }
 }
 
-/// The runs by origins other than `requester` that may have happened, with their ages at `now`.
+/// Returns the possible runs by origins other than `requester`, with their ages as of `now`.
 pub fn runs_of_others(replica: &ReplicaRecord, requester: Origin, now: Micros) -> Vec<ReportedRun> {
     replica
         .iter()
@@ -167,13 +168,14 @@
         .collect()
 }
 
-/// Fingerprint of the parts of a record on which all voters should agree: version, phase and
-/// location, but not the times, which are local to each voter.
+/// Returns the fingerprint of the parts of a record on which all voters should agree: version,
+/// phase and location, but not the times, which are local to each voter.
 pub fn fingerprint(origin: &Origin, record: &Record) -> u64 {
     fingerprint_with_key(&[], origin, record)
 }
 
-/// Like [`fingerprint`], with the key, for the combined fingerprint of many keys.
+/// Returns a fingerprint like [`fingerprint`] that also covers the key, for the combined
+/// fingerprint of many keys.
 pub fn fingerprint_with_key(key: &[u8], origin: &Origin, record: &Record) -> u64 {
     let compared = (key, origin, record.version, record.phase, record.location);
     let bytes = postcard::to_stdvec(&compared).unwrap_or_default();
@@ -186,8 +188,8 @@
 /// Prefix of replica records among the keys of a voter's store.
 pub const PREFIX: &[u8] = b"c";
 
-/// Key of a replica record in a voter's store. `key` is the key in the intent log without its
-/// prefix.
+/// Returns the key of a replica record in a voter's store. `key` is the key in the intent log
+/// without the intent log's prefix.
 pub fn stored_key(key: &[u8]) -> Vec<u8> {
     [PREFIX, key].concat()
 }
@@ -198,7 +200,7 @@
     postcard::to_stdvec(replica).unwrap_or_default()
 }
 
-/// Decodes a replica record from the store. Returns `None` if the bytes are not exactly one.
+/// Decodes a replica record from the store. Returns `None` if the bytes are not exactly one record.
 pub fn from_bytes(bytes: &[u8]) -> Option<ReplicaRecord> {
     postcard::take_from_bytes(bytes)
         .ok()
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,9 +1,9 @@
 //! Replication of intents between the gateways of a fleet. A few gateways, the voters, keep records
-//! of which gateway may have sent which keyed request, so that a retry at another gateway does not
-//! run the request a second time.
+//! of which gateway may have sent which request with an idempotency key, so that a retry at another
+//! gateway does not run the request a second time.
 //!
-//! The package does no I/O. Its inputs are messages, the time and notices of durable writes; its
-//! outputs are messages, writes and verdicts ([`Output`]). The gateway runs a [`Core`] with its
+//! The package does no I/O. Its inputs are messages, the time and notifications of durable writes;
+//! its outputs are messages, writes and verdicts ([`Output`]). The gateway runs a [`Core`] with its
 //! links and its store; the simulated fleet of `eideryard-fleet-test` and the model check run the
 //! same code.
 //!
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -23,57 +23,57 @@
     /// The sender is about to send a request with this key to an engine. It asks the voter to store
     /// its record and to report earlier runs.
     Claim {
-        /// Number of the claim, chosen by its sender.
+        /// ID of the claim, chosen by its sender.
         number: u64,
         /// The claimed key, without the intent log's prefix.
         key: Vec<u8>,
         /// Incarnation of the sender.
         origin: Origin,
-        /// The sender's record of the key.
+        /// The sender's record for the key.
         record: WireRecord,
     },
     /// The voter has stored the claim durably and votes for it.
     ClaimAccepted {
-        /// Number from the [`Message::Claim`].
+        /// ID from the [`Message::Claim`].
         number: u64,
-        /// Runs of the key by other gateways that may have happened.
+        /// Possible earlier runs of the key by other gateways.
         reported_runs: Vec<ReportedRun>,
     },
     /// The voter does not vote for the claim.
     ClaimRejected {
-        /// Number from the [`Message::Claim`].
+        /// ID from the [`Message::Claim`].
         number: u64,
         /// Why the voter does not vote.
         reason: ClaimRejection,
     },
     /// A new version of the sender's record, which needs no vote.
     Update {
-        /// Key of the record.
+        /// Key of the record, without the intent log's prefix.
         key: Vec<u8>,
         /// Incarnation of the sender.
         origin: Origin,
-        /// The sender's record of the key.
+        /// The new version of the sender's record.
         record: WireRecord,
     },
     /// The voter has stored an update durably.
     UpdateAcknowledged {
-        /// Key of the record.
+        /// Key of the record, without the intent log's prefix.
         key: Vec<u8>,
         /// Version of the record that is durable at the voter.
         version: u32,
     },
     /// A voter requests all entries in the key ranges whose fingerprints differ at the receiver.
     StateRequest {
-        /// Number of the request, chosen by its sender.
+        /// ID of the request, chosen by its sender.
         number: u64,
         /// The sender's fingerprint of each of the [`RANGES`](crate::replica_set::RANGES).
         fingerprints: Vec<u64>,
     },
     /// A part of the reply to a [`Message::StateRequest`].
     StatePart {
-        /// Number from the request.
+        /// ID from the [`Message::StateRequest`].
         number: u64,
-        /// Entries in the order of their keys; keys are greater than in the part before.
+        /// Entries sorted by key. All keys are greater than those in the part before.
         entries: Vec<Entry>,
         /// Whether this is the last part.
         is_last: bool,
@@ -82,7 +82,7 @@
     },
     /// Rejects a [`Message::StateRequest`] because the budget of state transfers is exhausted.
     RetryLater {
-        /// Number from the request.
+        /// ID from the [`Message::StateRequest`].
         number: u64,
         /// Delay before the next request, in milliseconds.
         delay_ms: u64,
@@ -92,8 +92,8 @@
         /// All known drains when a link comes up, afterwards only new ones.
         drains: Vec<Drain>,
     },
-    /// What the sender has learned of the engines, as a hint for a gateway that starts without any
-    /// such figures.
+    /// What the sender has learned about the engines, as a hint for a gateway that starts without
+    /// any such figures.
     Hints {
         /// Encoded checkpoint of the sender's balancer.
         checkpoint: Vec<u8>,
@@ -112,6 +112,6 @@
 pub struct Entry {
     /// The key, without the intent log's prefix.
     pub key: Vec<u8>,
-    /// One record for each origin, in the order of the origins.
+    /// One record for each origin, sorted by origin.
     pub records: Vec<(Origin, WireRecord)>,
 }
--- a/crates/replication/src/replica_set.rs
+++ b/crates/replication/src/replica_set.rs
@@ -11,7 +11,7 @@
 /// Number of key ranges. Two voters compare one fingerprint per range.
 pub const RANGES: usize = 64;
 /// Records that expire at their origin within this time are not compared, because another voter may
-/// have dropped them already.
+/// already have dropped them.
 pub const EXPIRY_MARGIN: Micros = 1_000_000;
 /// Maximum number of records of one key. Each incarnation that claims the key has one; further ones
 /// are rejected.
@@ -25,7 +25,7 @@
 /// Bounds of a [`ReplicaSet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Maximum number of keys, of the whole fleet, that a voter keeps.
+    /// Maximum number of keys, across the whole fleet, that a voter stores.
     pub max_keys: usize,
 }
 
@@ -37,8 +37,8 @@
     /// All keys, by the time at which they expire.
     expiry: BTreeSet<(Micros, Vec<u8>)>,
     /// Fingerprints of all ranges, by the second in which the records expire at their origin. They
-    /// are updated with each change, so that [`ReplicaSet::range_fingerprints`] costs the same for
-    /// any number of records.
+    /// are updated with each change, so that the cost of [`ReplicaSet::range_fingerprints`] does
+    /// not depend on the number of records.
     fingerprints: BTreeMap<u64, Vec<u64>>,
 }
 
@@ -67,23 +67,24 @@
 /// A part of the entries in the table, as selected by a [`PageRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
-    /// Entries in the order of their keys.
+    /// Entries sorted by key.
     pub entries: Vec<Entry>,
     /// Whether more selected entries follow.
     pub has_more: bool,
 }
 
-/// The index of the range that contains a key, less than [`RANGES`]. Keys are assigned by hash.
+/// Returns the index of the range that contains a key, less than [`RANGES`]. Keys are assigned by
+/// hash.
 pub fn range_of(key: &[u8]) -> usize {
     usize::from(blake3::hash(key).as_bytes()[0]) % RANGES
 }
 
-/// Estimated size of an entry on the wire, in bytes.
+/// Returns the estimated size of an entry on the wire, in bytes.
 pub fn wire_bytes(entry: &Entry) -> usize {
     entry.key.len() + ENTRY_WIRE_BYTES + entry.records.len() * RECORD_WIRE_BYTES
 }
 
-/// Fingerprint of those records of a key on which all voters should agree at `now`.
+/// Returns the fingerprint of those records of a key on which all voters should agree at `now`.
 pub fn fingerprint_of(key: &[u8], replica: &ReplicaRecord, now: Micros) -> u64 {
     replica
         .iter()
@@ -104,17 +105,17 @@
         }
     }
 
-    /// Number of keys in the table.
+    /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Whether the table has no keys.
+    /// Returns whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
 
-    /// All records of a key; `None` if the table does not contain it.
+    /// Returns all records of a key; `None` if the table does not contain the key.
     pub fn get(&self, key: &[u8]) -> Option<&ReplicaRecord> {
         self.replicas.get(key)
     }
@@ -193,12 +194,12 @@
         expired
     }
 
-    /// Time at which the next replica record expires; `None` if the table is empty.
+    /// Returns the time at which the next replica record expires; `None` if the table is empty.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.expiry.first().map(|(until, _)| *until)
     }
 
-    /// One fingerprint for each range, over the records that are not about to expire.
+    /// Returns one fingerprint for each range, over the records that are not about to expire.
     pub fn range_fingerprints(&self, now: Micros) -> Vec<u64> {
         let mut sums = vec![0u64; RANGES];
         for (_, second_fingerprints) in self.fingerprints.range(first_compared_second(now)..) {
@@ -209,7 +210,7 @@
         sums
     }
 
-    /// Adds or removes the fingerprint of a record; both are an exclusive or.
+    /// Adds or removes the fingerprint of a record; both operations are an exclusive or.
     fn toggle_fingerprint(&mut self, key: &[u8], origin: &Origin, record: &Record) {
         let second = expiry_second(*record);
         let second_fingerprints = self
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Returns the next entries that a request selects, with ages at `now`.
+    /// Returns the page of entries that `request` asks for, with each entry's age as of `now`.
     pub fn page(&self, request: PageRequest<'_>, now: Micros) -> Page {
         let mut page = Page {
             entries: Vec::new(),
@@ -271,12 +272,12 @@
         .unwrap_or(0)
 }
 
-/// The second in which a record expires at its origin.
+/// Returns the second in which a record expires at its origin.
 fn expiry_second(record: Record) -> u64 {
     record.origin_expiry_ms / 1000
 }
 
-/// The first second whose expiring records are compared at `now`.
+/// Returns the first second whose expiring records are compared at `now`.
 fn first_compared_second(now: Micros) -> u64 {
     (now + EXPIRY_MARGIN) / 1_000_000 + 1
 }
--- a/crates/replication/tests/compare.rs
+++ b/crates/replication/tests/compare.rs
@@ -1,5 +1,6 @@
-//! The comparison of voters' stores must report a record that one voter lost or holds in an older
-//! version, but not one that expires soon, which some voters may have dropped already.
+//! The comparison of voters' stores must report a record that one voter lost or has only in an
+//! older version. It must not report one that expires soon, because some voters may already have
+//! dropped it.
 
 use eideryard_replication::compare::{compare, Comparison, VoterReplicas};
 use eideryard_replication::{Origin, Phase, Record};
--- a/crates/replication/tests/merge.rs
+++ b/crates/replication/tests/merge.rs
@@ -11,8 +11,8 @@
     (0..3u64, 1..3u64).prop_map(|(identity, start)| Origin { identity, start })
 }
 
-/// A record with its origin. Only the origin writes its records, so each of its versions has one
-/// content, which is derived from origin and version.
+/// Generates a record with its origin. Only the origin writes its records, so each of its versions
+/// has one content, which is derived from origin and version.
 fn record_of_origin() -> impl Strategy<Value = (Origin, Record)> {
     (origin(), 1..5u32, 0..1000u64, 0..1000u64).prop_map(|(origin, version, since, until)| {
         let content = origin.identity * 31 + origin.start * 7 + u64::from(version);
@@ -104,7 +104,7 @@
         prop_assert_eq!(replicas.range_fingerprints(now * 1_000_000), expected);
     }
 
-    /// Holds for any difference between the clocks of sender and receiver.
+    /// This is true for any difference between the clocks of sender and receiver.
     #[test]
     fn a_transferred_record_never_starts_later_or_expires_sooner(
         (_, record) in record_of_origin(),
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -13,7 +13,7 @@
 const VOTERS: usize = 3;
 const SENDERS: usize = 2;
 const KEY: &[u8] = b"\0\0key";
-/// Time does not advance, so no claim times out and no record expires.
+/// Time of all steps. It does not advance, so no claim times out and no record expires.
 const NOW: u64 = 1_000_000_000;
 const MAX_RETENTION: u64 = 20_000_000;
 
@@ -42,7 +42,7 @@
     disk: BTreeMap<Vec<u8>, ReplicaRecord>,
     /// Written replica records, flushed or not.
     written: BTreeMap<Vec<u8>, ReplicaRecord>,
-    /// Replies that wait for the flush, with the gateway that receives them.
+    /// Replies that are waiting for the flush, with the gateway that receives them.
     waiting_for_flush: Vec<(usize, Message)>,
     start_count: u64,
 }
@@ -78,14 +78,14 @@
 enum Step {
     /// The client sends its request to a gateway.
     Request(usize),
-    /// The first message of a link arrives.
+    /// The first message on a link arrives.
     Deliver(Link),
     Flush(usize),
     /// The process of a voter is killed and restarts with its disk.
     Kill(usize),
     /// The process of a voter is killed and restarts without its disk.
     Wipe(usize),
-    /// A gateway that has sent the request stops for good.
+    /// A gateway that has sent the request stops permanently.
     Stop(usize),
 }
 
@@ -147,7 +147,7 @@
         }
         state.senders[sender].stage = match verdict {
             Verdict::Granted => {
-                // An engine runs the request. Each gateway sends to another cell, so no engine
+                // An engine runs the request. Each gateway sends to a different cell, so no engine
                 // drops the second request as a duplicate.
                 state.effects += 1;
                 Stage::Sent
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,8 +1,8 @@
-//! Measures the store: commits per second and their 99th percentile by group size, recovery time by
-//! number of keys, bytes per key, and the effect of rewriting on commits. Each is compared in the
-//! same run with a baseline that appends to one file, flushes, and rewrites the whole file when it
-//! is long. `cargo bench -p eideryard-store` takes about a minute. The figures depend on the
-//! machine's disk.
+//! Measures the store: commits per second and the 99th percentile of commit times by group size,
+//! recovery time by number of keys, bytes per key, and the effect of rewriting on commits. Each
+//! figure is compared in the same run with a baseline that appends to one file, flushes, and
+//! rewrites the whole file when it is long. `cargo bench -p eideryard-store` takes about a minute.
+//! The figures depend on the machine's disk.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -44,8 +44,8 @@
     (times[times.len() / 2], times[times.len() * 99 / 100])
 }
 
-/// Commits groups of writes for [`RUN_TIME`]. Returns writes per second and the median and 99th
-/// percentile of the time of a commit.
+/// Commits groups of writes for [`RUN_TIME`]. Returns the writes per second, and the median and the
+/// 99th percentile of the commit times.
 fn measure_commits(group: u64, mut commit: impl FnMut(u64, u64)) -> (f64, Duration, Duration) {
     let (started_at, mut times, mut number) = (Instant::now(), Vec::new(), 0);
     while started_at.elapsed() < RUN_TIME {
@@ -59,7 +59,7 @@
     (rate, median, p99)
 }
 
-/// The baseline: one file, with a flush for each commit.
+/// The baseline: one file that is flushed at each commit.
 struct Baseline(File);
 
 fn baseline_path(path: &Path) -> std::path::PathBuf {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Resident memory of this process in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status
@@ -177,7 +177,7 @@
         store.flush().expect("the batches are flushed");
     };
     let (_, median, p99) = measure_commits(8, |_, _| commit(&mut store));
-    // Rewrite as the worker does: in slices of 16 KB between commits, at 8 MB per second. The next
+    // Rewrites as the worker does: in slices of 16 KB between commits, at 8 MB per second. The next
     // commit may have to wait for a slice.
     let mut last_slice_at = Instant::now();
     let (_, rewrite_median, rewrite_p99) = measure_commits(8, |_, _| {
--- a/crates/store/src/faulty.rs
+++ b/crates/store/src/faulty.rs
@@ -30,9 +30,9 @@
     removed: BTreeMap<String, FileState>,
     /// Number of calls so far that change or flush something.
     calls: u64,
-    /// Number of the call within which the process ends.
+    /// Value of `calls` at the call within which the process ends; `None` if no crash is planned.
     crash_at: Option<u64>,
-    /// Number of the call that fails.
+    /// Value of `calls` at the call that fails; `None` if no failure is planned.
     fail_at: Option<u64>,
     free_bytes: Option<usize>,
     is_crashed: bool,
@@ -56,13 +56,14 @@
         self.state().calls
     }
 
-    /// Ends the process within the n-th call from now on: that call and all later ones fail.
+    /// Ends the process within the `calls`-th call from now on: that call and all later ones fail.
     pub fn crash_at(&self, calls: u64) {
         let mut state = self.state();
         state.crash_at = Some(state.calls + calls);
     }
 
-    /// Makes the n-th call from now on fail once. If it is a flush, the bytes to flush are lost.
+    /// Makes the `calls`-th call from now on fail once. If it is a flush, the bytes to flush are
+    /// lost.
     pub fn fail_at(&self, calls: u64) {
         let mut state = self.state();
         state.fail_at = Some(state.calls + calls);
@@ -141,7 +142,8 @@
             .collect()
     }
 
-    /// Replaces all files by those of a backup. As copies, they get new creation IDs.
+    /// Replaces all files with those of a backup. The restored files are copies, so they get new
+    /// creation IDs.
     pub fn restore(&self, backup: &BTreeMap<String, Vec<u8>>) {
         let mut state = self.state();
         state.files.clear();
@@ -189,7 +191,7 @@
             return Err(io::Error::other("the process ends within this call"));
         }
         if self.fail_at.take_if(|call| *call <= self.calls).is_some() {
-            // EIO.
+            // Error number 5 is EIO, an I/O error.
             return Err(io::Error::from_raw_os_error(5));
         }
         Ok(())
@@ -286,7 +288,7 @@
 impl AppendFile for FaultyLog {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.disk.state();
-        // A failed write may have written a part of the bytes.
+        // A failed write may have written some of the bytes.
         let call_result = state.count_call();
         let fitting = state
             .free_bytes
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -25,8 +25,8 @@
     /// Locks the directory against other processes until this value is dropped. Returns `false` if
     /// another process has locked it.
     fn lock(&mut self) -> io::Result<bool>;
-    /// Returns a number made from a file's creation time and inode, which differs for each copy of
-    /// the file; `None` if the system does not report the creation time.
+    /// Returns a number derived from the creation time and the inode of a file, so each copy of the
+    /// file has a different one; `None` if the system does not report the creation time.
     fn creation_id(&mut self, name: &str) -> io::Result<Option<u64>>;
 }
 
@@ -48,7 +48,7 @@
 const LOCK_FILE: &str = "LOCK";
 
 impl Directory {
-    /// Uses the directory at a path, which is created with the first file.
+    /// Uses the directory at `path`. The directory is created together with its first file.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Directory {
             path: path.into(),
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -7,7 +7,7 @@
 
 /// Version of the format. Segments of any other version are rejected.
 pub const FORMAT_VERSION: u32 = 1;
-/// Largest length of an encoded frame in bytes. A greater length in a file means damage.
+/// Maximum length of an encoded frame in bytes. A higher length in a file means that it is damaged.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
 /// First bytes of every segment file.
 const MAGIC: [u8; 8] = *b"eyrstore";
@@ -26,16 +26,17 @@
 pub struct SegmentHeader {
     /// Random number that was drawn when the store was created; equal in all its segments.
     pub identity: u64,
-    /// Number of the segment. Later segments have greater numbers.
+    /// Sequence number of the segment. Later segments have higher numbers.
     pub number: u64,
-    /// How often the store had been opened when the segment was created, from 1.
+    /// Number of times that the store had been opened when the segment was created, at least 1.
     pub start_number: u64,
     /// Whether the segment is a snapshot of all keys as of `after_batch`, or else a log of the
     /// batches after it.
     pub is_snapshot: bool,
-    /// Number of the last batch before the segment.
+    /// Sequence number of the last batch before the segment.
     pub after_batch: u64,
-    /// Number of the last batch that had been reported durable when the segment was created.
+    /// Sequence number of the last batch that had been reported durable when the segment was
+    /// created.
     pub last_durable_batch: u64,
     /// Time at which the segment was created, in Unix milliseconds.
     pub at_ms: u64,
@@ -51,7 +52,7 @@
 /// A new value for one key, or its removal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// The key that is written.
+    /// The key whose value is written or removed.
     pub key: Vec<u8>,
     /// The new value; `None` removes the key.
     pub value: Option<Vec<u8>>,
@@ -85,15 +86,16 @@
 pub enum Frame {
     /// A batch of a log.
     Batch {
-        /// Number of the batch. Numbers increase by 1 across all logs, without gaps.
+        /// Sequence number of the batch. It increases by 1 from batch to batch across all logs,
+        /// without gaps.
         number: u64,
         /// Difference between this batch's number and that of the last batch that was durable when
         /// this one was written.
         batches_since_durable: u64,
-        /// The writes of the batch.
+        /// The writes, which become durable together.
         batch: Batch,
     },
-    /// Some of the keys of a snapshot, in sorted order across all its parts.
+    /// Some of the keys of a snapshot. The keys are sorted across all parts of the snapshot.
     SnapshotPart(Batch),
     /// The end of a snapshot, with the total number of writes in its parts.
     SnapshotEnd(u64),
--- a/crates/store/src/identity.rs
+++ b/crates/store/src/identity.rs
@@ -7,10 +7,11 @@
 
 /// Name of the identity file in the store's directory.
 const IDENTITY_FILE: &str = "IDENTITY";
-/// Number of bytes that the checksum covers: incarnation, begin and creation ID.
+/// Number of bytes that the checksum covers: incarnation, time of its beginning, and creation ID.
 const CHECKED_BYTES: usize = 24;
 
-/// Identifies an incarnation of a store. A new one begins when earlier writes may be missing.
+/// Identifies an incarnation of a store. A new incarnation begins when writes of the previous one
+/// may be missing.
 #[derive(Clone, Copy)]
 pub(crate) struct Identity {
     /// Random number that was drawn when the incarnation began.
@@ -52,7 +53,7 @@
     }
 }
 
-/// Replaces the identity file, if there is one, by a new one and makes it durable.
+/// Replaces the identity file, if there is one, with a new one and makes the new one durable.
 pub(crate) fn write(files: &mut dyn Files, names: &[String], identity: Identity) -> io::Result<()> {
     if names.iter().any(|name| name == IDENTITY_FILE) {
         files.remove(IDENTITY_FILE)?;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! docs/store.md lists the guarantees. An encoded batch is at most [`frame::MAX_FRAME_BYTES`] long,
 //! the directory takes at most [`store::Config::budget`] bytes, and at most
-//! [`worker::MAX_QUEUED_BATCHES`] batches wait for the thread.
+//! [`worker::MAX_QUEUED_BATCHES`] batches are waiting for the thread at a time.
 //!
 //! ```
 //! use eideryard_store::faulty::FaultyDisk;
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -33,7 +33,7 @@
     New,
     /// Every batch that was ever reported durable is present.
     Whole,
-    /// The directory is a copy of the one that was written to, so later batches may be missing.
+    /// The directory is a copy, so batches that were later written to the original may be missing.
     Copy,
     /// Batches after a certain position are missing.
     Damaged {
@@ -52,7 +52,7 @@
     /// Random number that identifies the store's incarnation.
     pub identity: u64,
     /// Time at which the incarnation began, in Unix milliseconds: when the store was created or was
-    /// last found to be incomplete. Earlier writes may be missing.
+    /// last found to be incomplete. Writes from before that time may be missing.
     pub complete_since_ms: u64,
     /// How often the store has been opened, including this time.
     pub start_number: u64,
@@ -88,7 +88,7 @@
     MissingFirstBatches {
         /// File name of the first log that is present.
         segment: String,
-        /// Number of the last batch before that log.
+        /// Sequence number of the last batch before that log.
         after_batch: u64,
     },
     /// The directory contains segments of several stores.
@@ -105,7 +105,7 @@
     Io(#[from] std::io::Error),
 }
 
-/// Advice for the operator on a segment whose header can't be read.
+/// Returns advice for the operator on a segment whose header can't be read.
 fn remedy(error: &HeaderError) -> &'static str {
     match error {
         HeaderError::Version(_) => {
@@ -169,7 +169,7 @@
 pub struct Damage {
     /// File name of the segment that is damaged or follows the missing batches.
     pub segment: String,
-    /// Offset of the first unreadable frame in bytes; 0 if the batches before the segment are
+    /// Offset in bytes of the first unreadable frame; 0 if the batches before the segment are
     /// missing.
     pub offset: u64,
 }
@@ -179,7 +179,7 @@
 pub struct Recovered {
     /// The live keys after the last recovered batch.
     pub keys: LiveKeys,
-    /// Number of the last recovered batch; 0 if there is none.
+    /// Sequence number of the last recovered batch; 0 if there is none.
     pub last_batch: u64,
     /// Header of the newest segment; `None` if there are no segments.
     pub newest_header: Option<SegmentHeader>,
@@ -201,8 +201,8 @@
 }
 
 impl Segment<'_> {
-    /// Passes frames to `accept` until it returns `false` or a frame can't be read. Returns the
-    /// offset of that frame.
+    /// Passes frames to `accept` until `accept` returns `false` or a frame can't be read. Returns
+    /// the offset of the frame at which it stopped.
     fn read_frames(&self, mut accept: impl FnMut(Frame) -> bool) -> usize {
         let mut offset = self.first_frame;
         while let Some((frame, length)) = frame::read(&self.bytes[offset..]) {
@@ -233,8 +233,8 @@
         is_complete.then_some(writes)
     }
 
-    /// Whether any frame after `offset` was written when a batch later than `last_batch` was
-    /// already durable.
+    /// Returns whether any frame after `offset` was written when a batch later than `last_batch`
+    /// was already durable.
     fn has_later_durable_batch(&self, offset: usize, last_batch: u64) -> bool {
         (offset + 1..self.bytes.len()).any(|start| match frame::read(&self.bytes[start..]) {
             Some((
@@ -355,8 +355,8 @@
             *last_batch = number;
             true
         }
-        // An earlier segment contains the batch too, because its write had failed there and was
-        // repeated in this one.
+        // An earlier segment contains this batch too: writing it there had failed, so it was
+        // written again to this segment.
         Frame::Batch { number, .. } => number <= *last_batch,
         _ => false,
     });
@@ -377,7 +377,7 @@
 
 impl Recovered {
     /// Records that batches before a segment are missing. Fails if the first batches of the store
-    /// are missing, so that there is no state to return.
+    /// are missing, because then there is no state to return.
     fn record_missing_batches(
         &mut self,
         segment: &Segment<'_>,
--- a/crates/store/src/recovery/writes.rs
+++ b/crates/store/src/recovery/writes.rs
@@ -3,7 +3,7 @@
 use super::{LiveKeys, Value};
 use crate::frame::Batch;
 
-/// A write with the first bytes of its key as a number, so that most comparisons compare numbers.
+/// A write, with the first bytes of its key as a number, because numbers are faster to compare.
 struct SortedWrite {
     key_start: u128,
     key: Box<[u8]>,
@@ -19,7 +19,7 @@
 }
 
 /// Writes in order; the last one to each key counts. They are sorted once at the end, which is
-/// faster than an insert into a map for each.
+/// faster than inserting each of them into a map.
 #[derive(Default)]
 pub(super) struct Writes(Vec<SortedWrite>);
 
@@ -42,7 +42,8 @@
     /// Returns the live keys after all writes.
     pub fn into_keys(self) -> LiveKeys {
         let mut writes = self.0;
-        // The sort is stable, so the last write to a key stays behind earlier ones to it.
+        // The sort is stable, so the last write to a key stays behind the earlier writes to that
+        // key.
         writes.sort_by(|a, b| {
             let starts = a.key_start.cmp(&b.key_start);
             starts.then_with(|| a.key.cmp(&b.key))
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,8 +1,8 @@
 //! The store: opens a directory, appends batches to a log and flushes them.
 //!
 //! After a write error or a failed flush, the current log is not used again: its content can't be
-//! relied on, even if the system returns it on a read. [`Store::rebuild`] then writes all keys to
-//! new files.
+//! relied on, even if the system returns that content on a read. [`Store::rebuild`] then writes all
+//! keys to new files.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -27,7 +27,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// Number of bytes that all files together should not exceed, including a snapshot that is
-    /// being written. [`Store::is_full`] reports when they would; writes are not rejected.
+    /// being written. [`Store::is_full`] reports whether more data would exceed it; writes are not
+    /// rejected.
     pub budget: u64,
 }
 
@@ -35,16 +36,16 @@
 pub struct Store {
     files: Box<dyn Files>,
     config: Config,
-    /// Header of the newest segment, from which that of the next one is derived.
+    /// Header of the newest segment. The header of the next segment is derived from it.
     header: SegmentHeader,
     keys: LiveKeys,
     /// Number of bytes that all live keys take on disk.
     live_bytes: u64,
-    /// Number of the last batch that was written, durable or not.
+    /// Sequence number of the last batch that was written, durable or not.
     last_batch: u64,
-    /// Number of the last batch that is durable.
+    /// Sequence number of the last batch that is durable.
     durable_batch: u64,
-    /// Encoded frames that were not flushed yet.
+    /// Encoded frames that have not been flushed yet.
     pending_frames: Vec<u8>,
     /// The segment to which batches are appended; `None` after a write to it has failed.
     log: Option<Box<dyn AppendFile>>,
@@ -86,7 +87,7 @@
     Ok(segments)
 }
 
-/// Number of bytes that a key and its value take on disk.
+/// Returns the number of bytes that a key and its value take on disk.
 fn disk_bytes(key: &[u8], value: &[u8]) -> u64 {
     key.len() as u64 + value.len() as u64 + KEY_OVERHEAD_BYTES
 }
@@ -227,41 +228,42 @@
             .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// Number of live keys.
+    /// Returns the number of live keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there are no live keys.
+    /// Returns whether there are no live keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Number of the last batch that is durable; 0 if there is none.
+    /// Returns the sequence number of the last batch that is durable; 0 if there is none.
     pub fn durable_batch(&self) -> u64 {
         self.durable_batch
     }
 
-    /// Total size of the segments in bytes, including frames that were not flushed yet.
+    /// Returns the total size of the segments in bytes, including frames that have not been flushed
+    /// yet.
     pub fn bytes(&self) -> u64 {
         self.segment_bytes.values().sum::<u64>() + self.pending_frames.len() as u64
     }
 
-    /// Whether `additional_bytes` more would exceed the budget. The budget must leave room for a
-    /// second copy of all live keys, which a rewrite needs.
+    /// Returns whether writing `additional_bytes` more bytes would exceed the budget. The budget
+    /// must leave room for a second copy of all live keys, which a rewrite needs.
     pub fn is_full(&self, additional_bytes: u64) -> bool {
         let live_bytes = self.live_bytes + additional_bytes;
         live_bytes > self.config.budget / 3 || self.bytes() + live_bytes > self.config.budget
     }
 
-    /// Whether a write or a flush has failed. Nothing can be flushed until [`Store::rebuild`]
-    /// succeeds.
+    /// Returns whether a write or a flush has failed. Nothing can be flushed until
+    /// [`Store::rebuild`] succeeds.
     pub fn is_broken(&self) -> bool {
         self.log.is_none()
     }
 
-    /// Applies a batch to the live keys and returns its number. The batch is durable once
-    /// [`Store::flush`] has returned this number or a greater one. Returns `None` and applies
+    /// Applies a batch to the live keys and returns its sequence number. The batch is durable once
+    /// [`Store::flush`] has returned this number or a higher one. Returns `None` and applies
     /// nothing if the encoded batch is longer than [`frame::MAX_FRAME_BYTES`].
     pub fn write(&mut self, batch: Batch) -> Option<u64> {
         let number = self.last_batch + 1;
@@ -290,11 +292,11 @@
         recovery::apply(&mut self.keys, write);
     }
 
-    /// Makes all written batches durable and returns the number of the last one.
+    /// Makes all written batches durable and returns the sequence number of the last one.
     ///
     /// # Errors
     ///
-    /// If the log is broken, or if the write or the flush fails, which breaks it.
+    /// If the log is broken, or if the write or the flush fails. Such a failure breaks the log.
     pub fn flush(&mut self) -> io::Result<u64> {
         let Some(log) = &mut self.log else {
             return Err(io::Error::other(
--- a/crates/store/src/store/rewrite.rs
+++ b/crates/store/src/store/rewrite.rs
@@ -21,7 +21,7 @@
     bytes: u64,
     /// The last key that was written; the next part continues after it.
     last_key: Option<Box<[u8]>>,
-    /// Number of keys that were written.
+    /// Number of keys that have been written so far.
     key_count: u64,
     /// Segments that the snapshot replaces.
     old_segments: Vec<String>,
@@ -50,7 +50,7 @@
 }
 
 impl Store {
-    /// Creates a segment that continues after a batch, with a durable header.
+    /// Creates a segment for what follows `after_batch`, and makes the segment's header durable.
     fn create_segment(
         &mut self,
         kind: SegmentKind,
@@ -99,8 +99,8 @@
         })
     }
 
-    /// Whether [`Store::rewrite`] should be called: a rewrite has begun, the log has grown long
-    /// compared with the live keys, or segments of an earlier process are in use.
+    /// Returns whether [`Store::rewrite`] should be called: a rewrite has begun, the log has grown
+    /// long compared with the live keys, or segments of an earlier process are in use.
     pub fn should_rewrite(&self) -> bool {
         let is_long = self.log_bytes > MIN_LOG_BYTES.min(self.config.budget / 8)
             && self.log_bytes > 2 * self.live_bytes;
@@ -132,8 +132,9 @@
         while remaining > 0 {
             let part = self.next_part(&mut rewrite, now_ms);
             if part.writes.is_empty() {
-                // The snapshot may contain only a part of a batch that was written meanwhile. The
-                // log after it contains the whole batch and has to be durable first.
+                // The snapshot may contain only a part of a batch that was written while the
+                // snapshot was in progress. The log after it contains the whole batch and has to be
+                // durable first.
                 self.flush()?;
                 self.finish_rewrite(rewrite)?;
                 return Ok(true);
@@ -182,7 +183,8 @@
         self.files.sync_directory()?;
         self.segment_bytes.insert(rewrite.name, rewrite.bytes);
         self.has_old_segments = false;
-        // The segments that the snapshot replaces may be removed only now that it is durable.
+        // The segments that the snapshot replaces may be removed only now that the snapshot is
+        // durable.
         for name in rewrite.old_segments {
             self.files.remove(&name)?;
             self.segment_bytes.remove(&name);
@@ -190,8 +192,8 @@
         self.files.sync_directory()
     }
 
-    /// Replaces a broken or damaged log: writes all live keys to new segments. Batches that were
-    /// not durable before are durable afterwards. Returns the number of the last one.
+    /// Replaces a broken or damaged log: writes all live keys to new segments. Afterwards all
+    /// written batches are durable. Returns the sequence number of the last one.
     ///
     /// # Errors
     ///
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -1,6 +1,6 @@
 //! The store's thread. It receives batches from the gateway's event loop, makes all waiting batches
 //! durable with one flush, and rewrites the log in slices between flushes. The event loop never
-//! waits for the thread; it polls which batches are durable and whether the disk fails.
+//! waits for the thread; it polls which batches are durable and whether the disk is failing.
 //!
 //! When its [`Worker`] is dropped, the thread flushes the batches that it has received and ends.
 //! The drop joins the thread, unless the disk takes longer than [`SHUTDOWN_TIMEOUT`].
@@ -16,9 +16,9 @@
 use crate::frame::Batch;
 use crate::store::Store;
 
-/// Shown by the system's tools, for example `top -H`.
+/// Name of the thread as shown by system tools, for example `top -H`.
 const THREAD_NAME: &str = "store";
-/// Number of batches that may wait for the thread. Further ones are rejected.
+/// Maximum number of batches that may be waiting for the thread. Further ones are rejected.
 pub const MAX_QUEUED_BATCHES: usize = 4096;
 /// Number of bytes that one slice of a rewrite writes.
 const REWRITE_SLICE_BYTES: u64 = 16 << 10;
@@ -26,9 +26,9 @@
 const REWRITE_BYTES_PER_S: f64 = 8.0 * (1 << 20) as f64;
 /// Delay between a failed write and the next attempt to rebuild the log.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Longest time for which the thread waits for a batch.
+/// Maximum time for which the thread waits for a batch.
 const MAX_IDLE: Duration = Duration::from_millis(200);
-/// Longest time for which dropping the worker waits for the last flush.
+/// Maximum time for which dropping the worker waits for the last flush.
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which dropping the worker checks whether the thread has ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -36,13 +36,13 @@
 /// What the thread reports to the event loop.
 #[derive(Default)]
 struct WorkerStatus {
-    /// The last ticket that is durable.
+    /// Ticket of the last batch that is durable.
     durable_ticket: AtomicU64,
     is_failing: AtomicBool,
     is_full: AtomicBool,
 }
 
-/// The event loop's handle of the store's thread.
+/// The event loop's handle to the store's thread.
 pub struct Worker {
     sender: Option<SyncSender<Batch>>,
     status: Arc<WorkerStatus>,
@@ -51,7 +51,8 @@
 }
 
 impl Worker {
-    /// Starts the thread. It calls `wake` whenever more batches become durable or the disk fails.
+    /// Starts the thread. The thread calls `wake` whenever more batches become durable or the disk
+    /// fails.
     ///
     /// # Errors
     ///
@@ -71,19 +72,21 @@
     }
 
     /// Sends a batch to the thread and returns its ticket. Tickets count from 1. Returns `None` if
-    /// [`MAX_QUEUED_BATCHES`] wait already.
+    /// [`MAX_QUEUED_BATCHES`] batches are already waiting.
     pub fn write(&mut self, batch: Batch) -> Option<u64> {
         self.sender.as_ref()?.try_send(batch).ok()?;
         self.last_ticket += 1;
         Some(self.last_ticket)
     }
 
-    /// The last ticket that is durable; 0 if there is none. Earlier tickets are durable too.
+    /// Returns the ticket of the last batch that is durable; 0 if there is none. Batches with lower
+    /// tickets are durable too.
     pub fn durable_ticket(&self) -> u64 {
         self.status.durable_ticket.load(Ordering::Acquire)
     }
 
-    /// Whether the disk fails or the store is full, so that batches may wait for a long time.
+    /// Returns whether the disk is failing or the store is full. In both cases batches may be
+    /// waiting for a long time.
     pub fn is_failing(&self) -> bool {
         self.status.is_failing.load(Ordering::Relaxed)
             || self.status.is_full.load(Ordering::Relaxed)
@@ -102,7 +105,7 @@
             std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
         if thread.is_finished() {
-            // The panic hook has reported a panic of the thread already.
+            // If the thread panicked, the panic hook has already reported it.
             let _ = thread.join();
         }
     }
@@ -153,7 +156,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => break,
             }
-            // One flush makes all batches durable that wait by now.
+            // One flush makes all batches durable that are waiting at this time.
             for batch in batches.try_iter().take(MAX_QUEUED_BATCHES) {
                 self.write_batch(batch);
             }
@@ -172,7 +175,7 @@
         self.started_at.elapsed().as_micros() as u64
     }
 
-    /// How long to wait for a batch until there is something else to do.
+    /// Returns how long to wait for a batch before there is something else to do.
     fn next_wait(&mut self) -> Duration {
         if !self.store.should_rewrite() {
             return MAX_IDLE;
@@ -184,7 +187,7 @@
 
     fn write_batch(&mut self, batch: Batch) {
         self.last_ticket += 1;
-        // No intent is that long, so no send waits for such a batch.
+        // No intent is so long that its batch is rejected, so no send is waiting for this batch.
         if self.store.write(batch).is_none() {
             log::error!("a batch is longer than the store allows and is not written");
         }
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -28,7 +28,7 @@
         .collect()
 }
 
-/// A small batch over few keys, so that most keys are overwritten or removed later.
+/// Returns a small batch for few keys, so that most keys are overwritten or removed later.
 fn random_batch(rng: &mut Rng) -> Batch {
     let mut batch = Batch::default();
     for _ in 0..rng.usize(1..4) {
@@ -149,8 +149,8 @@
     }
 }
 
-/// Checks that the test above can fail, with an injected bug: a disk that reports flushes without
-/// doing them.
+/// Checks that the test above can fail. The injected bug is a disk that reports flushes as
+/// successful without performing them.
 #[test]
 #[should_panic(expected = "acknowledged write is lost")]
 fn a_disk_that_reports_flushes_without_doing_them_is_detected() {
@@ -229,7 +229,7 @@
     }
 }
 
-/// The disk of a store after several rewrites, and its state after each batch.
+/// Returns the disk of a store after several rewrites, and its state after each batch.
 fn written_store(seed: u64) -> (FaultyDisk, Vec<Map>) {
     let mut rng = Rng::with_seed(seed);
     let disk = FaultyDisk::default();
@@ -410,7 +410,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
-    /// Compares a store with a map through flushes, rewrites and clean restarts.
+    /// Compares a store with a map across flushes, rewrites and clean restarts.
     #[test]
     fn a_store_has_the_same_keys_and_values_as_a_map(operations in operations()) {
         let disk = FaultyDisk::default();
@@ -450,7 +450,8 @@
     disk.stall();
     let mut batch = Batch::default();
     batch.put(b"key".to_vec(), b"value".to_vec(), 0);
-    // The thread may have received as many batches as the queue takes, in addition to the queue.
+    // The thread may have received as many batches as the queue takes, in addition to those in the
+    // queue.
     let accepted = std::iter::from_fn(|| worker.write(batch.clone()))
         .take(3 * MAX_QUEUED_BATCHES)
         .last()
