--- a/crates/event-log/src/codec/mod.rs
+++ b/crates/event-log/src/codec/mod.rs
@@ -1,10 +1,10 @@
 //! Encodes log entries as bytes and decodes them, without I/O. The recorder encodes with
 //! [`Context::encode`], the reader decodes with [`Decoder`].
 //!
-//! The time of an entry is encoded as the difference from the entry before it. The ID of a request
-//! is encoded as the difference of its generation from that of the last encoded request. Both
-//! differences start from known values in each frame, so that a frame can be decoded without the
-//! frames before it.
+//! The time of an entry is encoded as the difference from the time of the entry before it. The
+//! generation in the ID of a request is encoded as the difference from the generation of the last
+//! encoded request. Both differences start from known values in each frame, so that a frame can be
+//! decoded without the frames before it.
 //!
 //! `event` (with `attempt`) and `action` encode the inputs and outputs of the decision module,
 //! `host`, `segment` and `fleet` the gateway's own events, `totals` the totals, and `primitives`
--- a/crates/event-log/src/entry/host.rs
+++ b/crates/event-log/src/entry/host.rs
@@ -190,7 +190,7 @@
     },
     /// Nothing else was logged for [`crate::recorder::HEARTBEAT_INTERVAL`].
     Heartbeat,
-    /// The gateway shuts down and accepts no more requests.
+    /// The gateway is shutting down and accepts no more requests.
     Stopping,
     /// The gateway ended after a regular shutdown.
     Ended {
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -1,5 +1,5 @@
-//! The intent log of a gateway: which requests with an idempotency key it may have sent to an
-//! engine, to which zone and cell, and since when. It survives restarts of the gateway.
+//! The intent log of a gateway: which requests with an idempotency key the gateway may have sent to
+//! an engine, to which zone and cell, and since when. The log survives restarts of the gateway.
 //!
 //! The gateway makes an intent durable before it sends the first byte of the request to an engine.
 //! When a request arrives, the gateway looks up which earlier attempts with the same key may have
@@ -11,7 +11,8 @@
 //! Modules:
 //!
 //! - [`state`]: [`IntentLog`] keeps the intents in memory and decides what may be sent;
-//! - [`waiting`]: [`waiting::PendingSends`] keeps the sends that wait for a write or a claim;
+//! - [`waiting`]: [`waiting::PendingSends`] contains the sends that are waiting for a write or
+//!   a claim;
 //! - [`entry`]: the stored form of an intent.
 //!
 //! Memory is bounded by [`Limits::entries`] keys. Each is retained for the window of its class plus
--- a/crates/intent-log/src/waiting.rs
+++ b/crates/intent-log/src/waiting.rs
@@ -1,5 +1,5 @@
-//! Sends that wait until their intent is durable and, if the gateway shares its intents with a
-//! fleet, until their claim is granted. Decides which sends are ready, which have timed out, and
+//! Sends that are waiting until their intent is durable and, if the gateway shares its intents with
+//! a fleet, until their claim is granted. Decides which sends are ready, which have timed out, and
 //! whether further requests have to be rejected.
 
 use std::collections::BTreeMap;
@@ -11,8 +11,9 @@
 /// Time in microseconds for which the oldest send has to be waiting for the store before the store
 /// counts as slow. [`MAX_SLOW_SENDS`] applies then.
 const SLOW_STORE_THRESHOLD: Micros = 100_000;
-/// Maximum number of sends that may be waiting for a slow store. Each occupies capacity of an
-/// engine that other requests could use.
+/// Maximum number of sends, besides the oldest one, that may be waiting for a slow store before
+/// further requests are rejected. Each send occupies capacity of an engine that other requests
+/// could use.
 const MAX_SLOW_SENDS: usize = 4;
 /// Minimum time in microseconds from the end of a send's wait to the end of the window of a prior
 /// attempt. The send needs this time to reach its engine.
@@ -26,7 +27,7 @@
     payload: T,
 }
 
-/// What a send waited for when it timed out.
+/// What a send was waiting for when it timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeoutReason {
     /// The store has not written the intent in time, or this process was stopped for too long.
--- a/crates/intent-log/src/waiting/tests.rs
+++ b/crates/intent-log/src/waiting/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of sends that wait for the store and for claims.
+//! Tests of sends that are waiting for the store or for claims.
 
 use super::*;
 
--- a/crates/intent-log/tests/model.rs
+++ b/crates/intent-log/tests/model.rs
@@ -63,7 +63,7 @@
     request: Option<Vec<PriorRun>>,
     /// Cells to which the request at the gateway was sent.
     sent_cells: Vec<u32>,
-    /// Cell of the send that waits until its intent is durable.
+    /// Cell of the send that is waiting until its intent is durable.
     waiting_cell: Option<u32>,
     /// Cells of the commands in flight.
     commands: Vec<u32>,
--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -30,7 +30,7 @@
         /// Time at which the lease or its last renewal was requested.
         renewed_at: Micros,
     },
-    /// The gateway shuts down.
+    /// The gateway is shutting down.
     Stopped,
 }
 
--- a/crates/leases/src/lease_core/requester_side.rs
+++ b/crates/leases/src/lease_core/requester_side.rs
@@ -1,5 +1,5 @@
-//! The side of a gateway that is a candidate for tasks or owns them: it requests votes, counts them
-//! and sends its work to the voters.
+//! The part of a gateway that is a candidate for tasks or owns them: it requests and counts votes,
+//! and sends the gateway's work to the voters.
 
 use super::{LeaseCore, Message, Output};
 use crate::candidate::{Denial, Transition};
--- a/crates/leases/src/lease_core/voter_side.rs
+++ b/crates/leases/src/lease_core/voter_side.rs
@@ -1,5 +1,5 @@
-//! The side of a gateway that serves others: it votes if it is a voter, and passes their work
-//! through its fence.
+//! The part of a gateway that serves other gateways: it votes if this gateway is a voter, and
+//! passes the work of other gateways through the fence.
 
 use super::{LeaseCore, Message, Output, VoterReadiness, MAX_TASKS};
 use crate::fence::Admission;
--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -2,7 +2,7 @@
 //!
 //! A voter that has all records that it ever acknowledged votes immediately. A voter that may have
 //! lost some, because its store is new, wiped, damaged or restored, first fetches the records of
-//! other voters, or waits until everything that it may have lost has expired.
+//! other voters, or waits until everything that this voter may have lost has expired.
 //!
 //! A write is acknowledged by a majority, M of N voters. A voter that lost such a write has it
 //! again once M other voting voters have sent all their records: at least M - 1 of the N - 1 others
@@ -17,7 +17,7 @@
 /// Interval between scrubs. Each scrub compares this voter's records with one other voter's.
 pub const SCRUB_INTERVAL: Micros = 3_000_000;
 
-/// Whether this gateway votes, or what it waits for before it does.
+/// Whether this gateway votes, or what it is waiting for before it votes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReplicationProgress {
     /// Not a voter; stores no replica records of other gateways.
--- a/crates/replication/src/core.rs
+++ b/crates/replication/src/core.rs
@@ -47,8 +47,8 @@
     pub limits: Limits,
     /// Budget of outgoing state transfers in bytes per second, shared by all receivers.
     pub transfer_bytes_per_s: u64,
-    /// Whether requests may be sent if no majority of the voters accepts the claim. Otherwise they
-    /// are refused.
+    /// Whether requests may be sent if no majority of the voters accepts the claim. If not, such
+    /// requests are refused.
     pub send_without_majority: bool,
 }
 
@@ -164,7 +164,7 @@
     progress: ReplicationProgress,
     replicas: ReplicaSet,
     claims: Claims,
-    /// Links to the voters, by the index of the voter.
+    /// Links to the voters, by voter index.
     voters: Vec<VoterLink>,
     /// State transfers to other voters, by the ID of the link on which they were requested.
     outgoing_transfers: BTreeMap<u64, OutgoingTransfer>,
--- a/crates/replication/src/core/voting.rs
+++ b/crates/replication/src/core/voting.rs
@@ -1,4 +1,4 @@
-//! Makes the claims of this gateway and, if it is a voter, replies to the claims of other gateways.
+//! Makes this gateway's claims and, if it is a voter, replies to claims from other gateways.
 
 use super::{ClaimError, ClaimRequest, Core, EndedAttempts, Output, Peer};
 use crate::claims::{PriorRuns, Verdict, CLAIM_TIMEOUT};
@@ -86,7 +86,7 @@
             .collect()
     }
 
-    /// Makes this voter store and vote on a claim of its own gateway.
+    /// Makes this voter store its own gateway's claim and vote on it.
     fn claim_locally(
         &mut self,
         now: Micros,
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -19,7 +19,7 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Origin {
-    /// Identity of the gateway's store. A new or damaged store gets a new one.
+    /// Identity of the gateway's store. A new or damaged store gets a new identity.
     pub identity: u64,
     /// Sequence number of this start among the gateway's starts with that store.
     pub start: u64,
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -28,7 +28,7 @@
     WipedVotes,
 }
 
-/// The link of a gateway to a voter.
+/// The link from a gateway to a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Link {
     sender: usize,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Delivers the reply of a voter to a gateway.
+    /// Delivers a voter's reply to a gateway.
     fn on_reply(&self, state: &mut State, voter: usize, sender: usize, message: Message) {
         if !state.senders[sender].is_up {
             return;
