--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -103,7 +103,8 @@
         }
     }
 
-    /// The address on which the gateway listens; an error after [`Clients::stop_listening`].
+    /// Returns the address on which the gateway listens; an error after
+    /// [`Clients::stop_listening`].
     pub fn address(&self) -> io::Result<SocketAddr> {
         match &self.listener {
             Some(listener) => listener.file.local_addr(),
@@ -176,14 +177,14 @@
         }
     }
 
-    /// Whether a connection still accepts requests; `None` if it has ended.
+    /// Returns whether a connection still accepts requests; `None` if it has ended.
     pub fn accepts_requests(&self, key: Key) -> Option<bool> {
         let client = self.table.get(key)?;
         Some(client.state == ConnectionState::Open)
     }
 
-    /// The client's address as a number, by which the result spool shares its space fairly among
-    /// addresses; 0 if the connection has ended.
+    /// Returns the client's address as a number, by which the result spool shares its space fairly
+    /// among addresses; 0 if the connection has ended.
     pub fn address_of(&self, key: Key) -> u64 {
         match self.table.get(key).map(|client| client.address) {
             Some(IpAddr::V4(address)) => u64::from(u32::from(address)),
@@ -193,12 +194,12 @@
         }
     }
 
-    /// All connections and the clients' addresses.
+    /// Returns all connections and the clients' addresses.
     pub fn addresses(&self) -> impl Iterator<Item = (Key, IpAddr)> + '_ {
         self.table.iter().map(|(key, client)| (key, client.address))
     }
 
-    /// The number of connections, including half-closed ones.
+    /// Returns the number of connections, including half-closed ones.
     pub fn len(&self) -> usize {
         self.table.len()
     }
--- a/crates/gateway/src/clients/client.rs
+++ b/crates/gateway/src/clients/client.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Whether the connection is open but has no open request and no buffered bytes in either
-    /// direction.
+    /// Returns whether the connection is open but has no open request and no buffered bytes in
+    /// either direction.
     pub(super) fn is_idle(&self) -> bool {
         let has_no_bytes = self.connection.input.is_empty() && self.connection.output.is_empty();
         self.state == ConnectionState::Open && self.open_requests.is_empty() && has_no_bytes
--- a/crates/gateway/src/clients/decoding.rs
+++ b/crates/gateway/src/clients/decoding.rs
@@ -154,8 +154,8 @@
     }
 }
 
-/// The query that a method and its fields express; `None` for an unknown method. A missing field is
-/// read as empty.
+/// Returns the query that a method and its fields express; `None` for an unknown method. A missing
+/// field is read as empty.
 fn result_query(method: &str, fields: &[(&str, &str)]) -> Option<ResultQuery> {
     let field = |wanted: &str| {
         let found = fields.iter().find(|(name, _)| *name == wanted);
--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -80,8 +80,8 @@
         self.unflushed.push(key);
     }
 
-    /// Why the connection must be closed; `None` if it may stay open. `undecoded`: the bytes of an
-    /// incomplete message in its input.
+    /// Returns why the connection must be closed; `None` if it may stay open. `undecoded`: the
+    /// bytes of an incomplete message in its input.
     fn rejection_reason(&self, is_malformed: bool, undecoded: usize) -> Option<CloseReason> {
         if is_malformed {
             return Some(CloseReason::Malformed);
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The current time, in microseconds since the Unix epoch.
+    /// Returns the current time, in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
         self.started_at + self.started.elapsed().as_micros() as Micros
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -160,7 +160,8 @@
         .map_err(|_| ConfigTextError::NotAddress { key, text })
 }
 
-/// A limit of the platform, or `default` if the file contains none. A fraction is rounded down.
+/// Returns a limit of the platform, or `default` if the file contains none. A fraction is rounded
+/// down.
 fn read_limit(root: &Value, key: &'static str, default: u64) -> Result<u64, ConfigTextError> {
     let Some(value) = root.get("limits").and_then(|limits| limits.get(key)) else {
         return Ok(default);
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -159,7 +159,8 @@
         })
     }
 
-    /// Whether the connection was established at the last [`Connection::check_established`].
+    /// Returns whether the connection was established at the last
+    /// [`Connection::check_established`].
     pub fn is_established(&self) -> bool {
         !self.is_connecting
     }
@@ -221,15 +222,15 @@
         let _ = self.socket.file.shutdown(std::net::Shutdown::Write);
     }
 
-    /// The end of the buffered output, as an offset in the sequence of all bytes that are ever
-    /// written to the connection.
+    /// Returns the end of the buffered output, as an offset in the sequence of all bytes that are
+    /// ever written to the connection.
     pub fn output_end(&self) -> u64 {
         self.written + self.output.len() as u64
     }
 }
 
-/// Whether an error means that this host lacks descriptors, ports or memory. Such an error says
-/// nothing about the peer.
+/// Returns whether an error means that this host lacks descriptors, ports or memory. Such an error
+/// says nothing about the peer.
 pub fn is_resource_shortage(error: &io::Error) -> bool {
     use rustix::io::Errno;
     let shortage_errors = [
--- a/crates/gateway/src/connection/buffer.rs
+++ b/crates/gateway/src/connection/buffer.rs
@@ -16,17 +16,17 @@
 }
 
 impl Buffer {
-    /// The bytes that were not consumed yet.
+    /// Returns the bytes that were not consumed yet.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// The number of bytes that were not consumed yet.
+    /// Returns the number of bytes that were not consumed yet.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.start
     }
 
-    /// Whether all bytes have been consumed.
+    /// Returns whether all bytes have been consumed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -36,7 +36,7 @@
         self.consume(self.len());
     }
 
-    /// The vector to which bytes are appended; bytes that are already in it must stay.
+    /// Returns the vector to which bytes are appended; bytes that are already in it must stay.
     pub fn tail(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -13,7 +13,8 @@
     format!("{name} {{ {} }}", pairs.join(", "))
 }
 
-/// The counters of the intent durability and, in a fleet, of the replication and the leases.
+/// Returns the counters of the intent durability and, in a fleet, of the replication and the
+/// leases.
 pub fn format_intent_durability(durability: &IntentDurability) -> String {
     let mut text = format!("; {}", format_intents(&durability.counters));
     let Some(driver) = durability.replication() else {
@@ -30,7 +31,8 @@
     text
 }
 
-/// Group `Counted`: intents and requests that were refused for lack of a durable intent.
+/// Formats the group `Counted`: intents and requests that were refused for lack of a durable
+/// intent.
 pub fn format_intents(counters: &IntentCounters) -> String {
     format_group(
         "Counted",
@@ -47,7 +49,7 @@
     )
 }
 
-/// Group `Spooled`: results in the result spool and disk errors.
+/// Formats the group `Spooled`: results in the result spool and disk errors.
 pub fn format_result_spool(counters: &ResultSpoolCounters) -> String {
     format_group(
         "Spooled",
@@ -63,7 +65,8 @@
     )
 }
 
-/// Group `Counted` of the replication: claims, their answers, and transfers between replicas.
+/// Formats the group `Counted` of the replication: claims, their answers, and transfers between
+/// replicas.
 pub fn format_replication(counters: &eideryard_replication::core::Counters) -> String {
     format_group(
         "Counted",
@@ -82,7 +85,8 @@
     )
 }
 
-/// Group `Counted` of the leases: leases won and lost, and messages by their fencing tokens.
+/// Formats the group `Counted` of the leases: leases won and lost, and messages by their fencing
+/// tokens.
 pub fn format_leases(counters: &eideryard_leases::Counters) -> String {
     format_group(
         "Counted",
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -108,7 +108,7 @@
 }
 
 impl Counters {
-    /// The number of received requests that have not ended.
+    /// Returns the number of received requests that have not ended.
     pub fn open_requests(&self) -> u64 {
         let ended_requests = self.served
             + self.refused
@@ -204,7 +204,7 @@
 ];
 
 impl Counters {
-    /// All counters with their names in the log.
+    /// Returns all counters with their names in the log.
     pub fn named_values(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         GROUPS
             .iter()
--- a/crates/gateway/src/deadlines.rs
+++ b/crates/gateway/src/deadlines.rs
@@ -77,12 +77,12 @@
         }
     }
 
-    /// The number of pending deadlines.
+    /// Returns the number of pending deadlines.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// The time of the earliest deadline; `None` if there is none.
+    /// Returns the time of the earliest deadline; `None` if there is none.
     pub fn next(&self) -> Option<Micros> {
         let (key, _) = self.pending.first_key_value()?;
         Some(key.at)
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -95,17 +95,17 @@
         }
     }
 
-    /// The number of the last event that was passed on.
+    /// Returns the number of the last event that was passed on.
     pub fn last_event(&self) -> u64 {
         self.last_event
     }
 
-    /// Whether there is a connection, which may not be established yet.
+    /// Returns whether there is a connection, which may not be established yet.
     pub fn has_connection(&self) -> bool {
         self.stream.is_some()
     }
 
-    /// Whether anything was received on the current connection.
+    /// Returns whether anything was received on the current connection.
     pub fn is_receiving(&self) -> bool {
         self.has_received
     }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -120,17 +120,17 @@
         }
     }
 
-    /// All engines that service discovery lists, or to which a connection is still open.
+    /// Returns all engines that service discovery lists, or to which a connection is still open.
     pub fn ids(&self) -> Vec<EngineId> {
         self.engines.keys().copied().collect()
     }
 
-    /// Whether service discovery lists an engine, or a connection to it is still open.
+    /// Returns whether service discovery lists an engine, or a connection to it is still open.
     pub fn contains(&self, engine: EngineId) -> bool {
         self.engines.contains_key(&engine)
     }
 
-    /// The number of engines and the number of connections to them.
+    /// Returns the number of engines and the number of connections to them.
     pub fn sizes(&self) -> (usize, usize) {
         (self.engines.len(), self.table.len())
     }
--- a/crates/gateway/src/engines/answer_fields.rs
+++ b/crates/gateway/src/engines/answer_fields.rs
@@ -17,21 +17,21 @@
 /// data. With any other level it waits for memory.
 const HELD_BY_LOAD: f64 = 2.0;
 
-/// The number of pages that a successful answer states; `None` if it is missing or outside 1 to
-/// [`MAX_PAGES`].
+/// Returns the number of pages that a successful answer states; `None` if it is missing or outside
+/// 1 to [`MAX_PAGES`].
 pub(super) fn page_count(answer: &Answer<'_>) -> Option<usize> {
     let count = answer.fields.number("count")?;
     (1..=MAX_PAGES).contains(&count).then_some(count)
 }
 
-/// The number of pages that a successful answer with a spooled result states; `None` if it is
-/// missing or outside 1 to [`MAX_SPOOLED_PAGES`].
+/// Returns the number of pages that a successful answer with a spooled result states; `None` if it
+/// is missing or outside 1 to [`MAX_SPOOLED_PAGES`].
 pub(super) fn spooled_page_count(answer: &Answer<'_>) -> Option<usize> {
     let count = answer.fields.number("count")?;
     (1..=MAX_SPOOLED_PAGES).contains(&count).then_some(count)
 }
 
-/// The index in the result of the page that an answer contains, from 0.
+/// Returns the index in the result of the page that an answer contains, from 0.
 pub(super) fn page_index(answer: &Answer<'_>) -> Option<usize> {
     answer.fields.number("pos")
 }
@@ -51,8 +51,8 @@
     }
 }
 
-/// The resources that a successful attempt has used: `ticks` is work in milliseconds, `footprint`
-/// is memory in MB.
+/// Returns the resources that a successful attempt has used: `ticks` is work in milliseconds,
+/// `footprint` is memory in MB.
 pub(super) fn resource_usage(fields: &Fields<'_>) -> Option<ResourceUsage> {
     let work_ms: f64 = fields.number("ticks").filter(|work| *work > 0.0)?;
     Some(ResourceUsage {
@@ -61,7 +61,7 @@
     })
 }
 
-/// The progress of a running attempt that an engine reports; `None` for an unknown kind.
+/// Returns the progress of a running attempt that an engine reports; `None` for an unknown kind.
 pub(super) fn progress(fields: &Fields<'_>) -> Option<Progress> {
     let level: f64 = fields.number("reading").unwrap_or(0.0);
     match fields.get("remark")? {
--- a/crates/gateway/src/engines/answers.rs
+++ b/crates/gateway/src/engines/answers.rs
@@ -72,14 +72,14 @@
     }
 }
 
-/// The event of an attempt that ended without a result.
+/// Returns the event of an attempt that ended without a result.
 fn attempt_ended(attempt: &OpenAttempt, answer: &Answer<'_>, outcome: Outcome) -> EngineEvent {
     let mut end = AttemptEnd::new(attempt.request, attempt.index, outcome);
     end.report = load_report(&answer.fields);
     EngineEvent::AttemptEnded(end)
 }
 
-/// The end of an attempt with a result.
+/// Returns the end of an attempt with a result.
 fn succeeded(attempt: &OpenAttempt, end: ReportedEnd) -> AttemptEnd {
     AttemptEnd {
         usage: end.usage,
--- a/crates/gateway/src/engines/engine_connection.rs
+++ b/crates/gateway/src/engines/engine_connection.rs
@@ -126,12 +126,12 @@
         }
     }
 
-    /// Whether no attempt and no probe is open.
+    /// Returns whether no attempt and no probe is open.
     pub(super) fn is_idle(&self) -> bool {
         self.open_attempts.is_empty() && self.probes.is_empty()
     }
 
-    /// Whether one more attempt or probe fits beside the open ones.
+    /// Returns whether one more attempt or probe fits beside the open ones.
     pub(super) fn has_free_stream(&self, max_streams: usize) -> bool {
         self.open_attempts.len() + self.probes.len() < max_streams
     }
--- a/crates/gateway/src/engines/events.rs
+++ b/crates/gateway/src/engines/events.rs
@@ -45,7 +45,8 @@
 }
 
 impl AttemptEnd {
-    /// The end of an attempt for which the engine has reported neither usage nor system load.
+    /// Returns the end of an attempt for which the engine has reported neither usage nor system
+    /// load.
     pub fn new(request: Key, attempt: usize, outcome: Outcome) -> Self {
         AttemptEnd {
             request,
--- a/crates/gateway/src/engines/reading.rs
+++ b/crates/gateway/src/engines/reading.rs
@@ -47,7 +47,7 @@
         true
     }
 
-    /// Whether the connection is established; closes it if establishing it has failed.
+    /// Returns whether the connection is established; closes it if establishing it has failed.
     fn check_established(&mut self, key: Key, context: &mut EngineContext<'_>) -> bool {
         let Some(connection) = self.table.get_mut(key) else {
             return false;
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -213,7 +213,7 @@
     }
 }
 
-/// The id of a probe on the wire.
+/// Returns the id of a probe on the wire.
 fn probe_tag(number: u64) -> String {
     format!("probe-{number}")
 }
--- a/crates/gateway/src/error_reply.rs
+++ b/crates/gateway/src/error_reply.rs
@@ -25,7 +25,7 @@
 }
 
 impl ErrorKind {
-    /// The word for the kind on the wire.
+    /// Returns the word for the kind on the wire.
     fn wire_word(self) -> &'static str {
         match self {
             ErrorKind::TryLater => "TryLater",
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Whether an event log is written; false if none is configured or it could not be started.
+    /// Returns whether an event log is written; false if none is configured or it could not be
+    /// started.
     pub fn is_enabled(&self) -> bool {
         self.active.is_some()
     }
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether it is time for [`EventRecorder::start_segment`].
+    /// Returns whether it is time for [`EventRecorder::start_segment`].
     pub fn needs_segment(&self, now: Micros) -> bool {
         match &self.active {
             Some(active) => active.recorder.needs_segment(now),
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -19,7 +19,7 @@
 /// The byte that is hashed after the text.
 const END_OF_TEXT: u8 = 0xff;
 
-/// The fingerprint of all settings, for the checkpoint: SipHash-1-3 with a key of zeros.
+/// Returns the fingerprint of all settings, for the checkpoint: SipHash-1-3 with a key of zeros.
 pub fn settings_fingerprint(settings: &Settings) -> u64 {
     let text = format!("{:?}", SettingsText(settings));
     let mut hasher = SipHasher13::new();
@@ -28,8 +28,8 @@
     hasher.finish()
 }
 
-/// The fingerprint of the classes that need intents, for the handshake: the first 8 bytes of a
-/// BLAKE3 hash of their indices, effects, scopes and windows.
+/// Returns the fingerprint of the classes that need intents, for the handshake: the first 8 bytes
+/// of a BLAKE3 hash of their indices, effects, scopes and windows.
 pub fn classes_fingerprint(classes: &[Class]) -> u64 {
     let mut lines = Vec::new();
     for (index, class) in classes.iter().enumerate() {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -84,8 +84,8 @@
 }
 
 impl Gateway {
-    /// The longest time that the event loop may wait for sockets and signals; `None` if there is no
-    /// limit.
+    /// Returns the longest time that the event loop may wait for sockets and signals; `None` if
+    /// there is no limit.
     pub fn next_wait(&self, pending: &[WakeReason]) -> Option<Duration> {
         if !pending.is_empty() {
             return Some(Duration::ZERO);
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -199,8 +199,8 @@
         tracing::info!("counters: {counters}; tables {tables}{result_spool}{intents}");
     }
 
-    /// The size of each table whose length depends on the traffic, by the name that is logged. A
-    /// size that keeps growing through a long day is a leak.
+    /// Returns the size of each table whose length depends on the traffic, by the name that is
+    /// logged. A size that keeps growing through a long day is a leak.
     fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         let (engines, connections) = self.engines.sizes();
         let (requests, ids) = self.requests.sizes();
@@ -223,7 +223,8 @@
     }
 }
 
-/// The properties of a request that the event log records in addition to the balancer's event.
+/// Returns the properties of a request that the event log records in addition to the balancer's
+/// event.
 fn client_request(key: Key, request: &Request) -> ClientRequest {
     let id = u64::from_str_radix(&request.id, 16).unwrap_or_default();
     ClientRequest {
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -72,7 +72,7 @@
         self.run_balancer();
     }
 
-    /// Whether the shutdown is complete, so that the process can exit.
+    /// Returns whether the shutdown is complete, so that the process can exit.
     pub fn is_done(&self) -> bool {
         self.shutdown.phase() == Phase::Finished
     }
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -95,7 +95,7 @@
         (durability, recovery.recovered_state)
     }
 
-    /// The number of replicas of the whole fleet's intents that fit into a voter's share of
+    /// Returns the number of replicas of the whole fleet's intents that fit into a voter's share of
     /// `memory_mb`.
     pub fn max_replicas(memory_mb: u64) -> usize {
         ((memory_mb << 20) / REPLICAS_MEMORY_DIVISOR / INTENT_MEMORY_BYTES) as usize
@@ -136,12 +136,13 @@
         self.engine_locations.retain(|engine, _| exists(*engine));
     }
 
-    /// The retry window of a class in microseconds; 0 if the class is unknown.
+    /// Returns the retry window of a class in microseconds; 0 if the class is unknown.
     fn retry_window(&self, class: usize) -> Micros {
         self.retry_windows.get(class).copied().unwrap_or(0)
     }
 
-    /// The next time at which [`IntentDurability::poll`] must be called even if nothing arrives.
+    /// Returns the next time at which [`IntentDurability::poll`] must be called even if nothing
+    /// arrives.
     pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
         let replication = self.replication.as_ref();
         let deadlines = [
@@ -152,7 +153,7 @@
         deadlines.into_iter().flatten().min()
     }
 
-    /// The sizes of all tables, by the names under which they are logged.
+    /// Returns the sizes of all tables, by the names under which they are logged.
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         let mut sizes = vec![
             ("intents", self.intent_log.len()),
@@ -165,7 +166,7 @@
     }
 }
 
-/// The maximum number of intents, by the memory limit and by the store's disk budget.
+/// Returns the maximum number of intents, by the memory limit and by the store's disk budget.
 fn intent_limits(config: &StoreConfig, memory_mb: u64) -> Limits {
     let by_memory = (memory_mb << 20) / INTENTS_MEMORY_DIVISOR / INTENT_MEMORY_BYTES;
     let by_disk = config.budget / LIVE_DISK_DIVISOR / INTENT_DISK_BYTES;
--- a/crates/gateway/src/intent_durability/fleet.rs
+++ b/crates/gateway/src/intent_durability/fleet.rs
@@ -18,7 +18,7 @@
 }
 
 impl IntentDurability {
-    /// The replication driver; `None` without a fleet or without a usable store.
+    /// Returns the replication driver; `None` without a fleet or without a usable store.
     pub fn replication(&self) -> Option<&ReplicationDriver> {
         self.replication.as_deref()
     }
@@ -113,8 +113,8 @@
         }
     }
 
-    /// The current state of the fleet as events, recorded at the beginning of a segment of the
-    /// event log.
+    /// Returns the current state of the fleet as events, recorded at the beginning of a segment of
+    /// the event log.
     pub fn fleet_state(&self) -> Vec<FleetEvent> {
         match &self.replication {
             Some(replication) => replication.state_events(),
--- a/crates/gateway/src/intent_durability/learned_state.rs
+++ b/crates/gateway/src/intent_durability/learned_state.rs
@@ -40,7 +40,7 @@
         self.checkpoints.restored.take()
     }
 
-    /// Whether it is time to save a checkpoint. Never true without a usable store.
+    /// Returns whether it is time to save a checkpoint. Never true without a usable store.
     pub fn is_checkpoint_due(&self, now: Micros) -> bool {
         self.worker.is_some() && now >= self.checkpoints.saved_at + checkpoint::INTERVAL
     }
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -94,7 +94,7 @@
 }
 
 impl SendResults {
-    /// Whether there is no result.
+    /// Returns whether there is no result.
     pub fn is_empty(&self) -> bool {
         self.ready.is_empty() && self.refused.is_empty() && self.with_prior_runs.is_empty()
     }
@@ -163,7 +163,7 @@
         Ok(prior)
     }
 
-    /// The ticket of the last durable write; 0 if there is none.
+    /// Returns the ticket of the last durable write; 0 if there is none.
     fn durable_ticket(&self) -> u64 {
         self.worker.as_ref().map_or(0, Worker::durable_ticket)
     }
@@ -232,7 +232,8 @@
         Some(replication.claim(now, &claim, worker))
     }
 
-    /// Whether a send that has waited is still within the retry window of all prior attempts.
+    /// Returns whether a send that has waited is still within the retry window of all prior
+    /// attempts.
     pub fn is_within_window(
         &self,
         now: Micros,
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -57,8 +57,8 @@
     pub known: Vec<(EngineId, FencingToken)>,
 }
 
-/// The identifier of this incarnation of the gateway in fencing tokens. It differs between starts,
-/// so that no two incarnations share a token.
+/// Returns the identifier of this incarnation of the gateway in fencing tokens. It differs between
+/// starts, so that no two incarnations share a token.
 pub fn lease_owner(origin: Origin) -> u64 {
     origin.identity ^ origin.start.rotate_left(40)
 }
@@ -300,8 +300,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// A message with all tokens known here, for a peer that catches up; `None` if there are no
-    /// tokens.
+    /// Returns a message with all tokens known here, for a peer that catches up; `None` if there
+    /// are no tokens.
     pub fn tokens_message(&self) -> Option<Message> {
         self.core.tokens_message()
     }
@@ -312,8 +312,8 @@
         self.perform_outputs(now, outputs, worker)
     }
 
-    /// The next time at which [`LeaseDriver::on_timer`] or [`LeaseDriver::take_due_probes`] must be
-    /// called.
+    /// Returns the next time at which [`LeaseDriver::on_timer`] or [`LeaseDriver::take_due_probes`]
+    /// must be called.
     pub fn next_deadline(&self, now: Micros) -> Micros {
         let owned = self.core.held_tokens(now).map(|(task, _)| task);
         let next_timer = self.core.deadline();
@@ -323,17 +323,18 @@
         }
     }
 
-    /// Counters since the start of the process.
+    /// Returns the counters since the start of the process.
     pub fn counters(&self) -> Counters {
         self.core.counters()
     }
 
-    /// The number of probes since the start that a recent report of another gateway replaced.
+    /// Returns the number of probes since the start that a recent report of another gateway
+    /// replaced.
     pub fn probes_spared(&self) -> u64 {
         self.probes_spared
     }
 
-    /// The leases held here and the known tokens, for the status file.
+    /// Returns the leases held here and the known tokens, for the status file.
     pub fn status(&self, now: Micros) -> LeaseStatus {
         let held = self.core.held_tokens(now);
         let known = self.core.fences().tokens();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -96,9 +96,9 @@
     Ok(())
 }
 
-/// Whether the next poll has to wait for the interval of [`TICKS_BETWEEN_POLLS`]. A poll that only
-/// the threads of the store or of the peers have caused doesn't count, so that a message that a
-/// client or an engine sends right after it is not delayed.
+/// Returns whether the next poll has to wait for the interval of [`TICKS_BETWEEN_POLLS`]. A poll
+/// that only the threads of the store or of the peers have caused doesn't count, so that a message
+/// that a client or an engine sends right after it is not delayed.
 fn is_socket_poll(wakes: &[WakeReason]) -> bool {
     let is_from_thread = |wake: &WakeReason| matches!(wake, WakeReason::IntentDurability);
     wakes.is_empty() || !wakes.iter().all(is_from_thread)
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -93,7 +93,7 @@
 }
 
 impl ReplicationDriver {
-    /// The reason why no claim can be made now; `None` if claims can be made.
+    /// Returns the reason why no claim can be made now; `None` if claims can be made.
     pub fn claim_rejection(&self) -> Option<RejectReason> {
         let reason = match self.core.claim_error()? {
             ClaimError::Full => RejectReason::IntentLogFull,
@@ -220,7 +220,8 @@
         self.hub.flush();
     }
 
-    /// The next time at which [`ReplicationDriver::poll`] must be called even if nothing arrives.
+    /// Returns the next time at which [`ReplicationDriver::poll`] must be called even if nothing
+    /// arrives.
     pub fn next_deadline(&self, now: Micros) -> Micros {
         let leases = self.leases.as_ref();
         let lease_deadline = leases.map_or(Micros::MAX, |leases| leases.next_deadline(now));
@@ -231,7 +232,7 @@
     }
 }
 
-/// The form of a key that voters use: without the prefix byte of this gateway's store.
+/// Returns the form of a key that voters use: without the prefix byte of this gateway's store.
 fn replicated_key(stored_key: &[u8]) -> &[u8] {
     &stored_key[1..]
 }
--- a/crates/gateway/src/replication/lease_messages.rs
+++ b/crates/gateway/src/replication/lease_messages.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl ReplicationDriver {
-    /// Whether this voter still has everything that it ever promised, so that it may vote on
-    /// leases.
+    /// Returns whether this voter still has everything that it ever promised, so that it may vote
+    /// on leases.
     pub(super) fn voter_readiness(&self) -> VoterReadiness {
         if self.core.is_voting() {
             VoterReadiness::Ready
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The lease driver; `None` unless the operator's file contains `task`.
+    /// Returns the lease driver; `None` unless the operator's file contains `task`.
     pub fn leases_mut(&mut self) -> Option<&mut LeaseDriver> {
         self.leases.as_mut()
     }
--- a/crates/gateway/src/replication/peers.rs
+++ b/crates/gateway/src/replication/peers.rs
@@ -40,7 +40,7 @@
         self.voter_names.iter().any(|voter| voter == name)
     }
 
-    /// The name of the peer at the other end of a link, if the link exists.
+    /// Returns the name of the peer at the other end of a link, if the link exists.
     pub(super) fn name_of(&self, peer: TransportPeer) -> Option<&String> {
         match peer {
             TransportPeer::Voter(index) => self.voter_names.get(index),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The numbers of the links that other gateways have opened to this one.
+    /// Returns the numbers of the links that other gateways have opened to this one.
     pub(super) fn requester_links(&self) -> impl Iterator<Item = u64> + '_ {
         self.requesters.keys().copied()
     }
--- a/crates/gateway/src/replication/startup.rs
+++ b/crates/gateway/src/replication/startup.rs
@@ -129,8 +129,8 @@
     }
 }
 
-/// Whether the store contains everything that this gateway ever promised as a voter, so that it may
-/// vote without catching up first.
+/// Returns whether the store contains everything that this gateway ever promised as a voter, so
+/// that it may vote without catching up first.
 fn may_vote_at_once(recovered: &RecoveredState) -> bool {
     let identity = recovered.origin.identity.to_be_bytes();
     recovered.is_complete && recovered.voter_identity.as_deref() == Some(&identity[..])
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -23,13 +23,13 @@
         events
     }
 
-    /// The lease driver; `None` unless the operator's file contains `task`.
+    /// Returns the lease driver; `None` unless the operator's file contains `task`.
     pub fn leases(&self) -> Option<&LeaseDriver> {
         self.leases.as_ref()
     }
 
-    /// The current state of the fleet as events, recorded at the beginning of a segment of the
-    /// event log.
+    /// Returns the current state of the fleet as events, recorded at the beginning of a segment of
+    /// the event log.
     pub fn state_events(&self) -> Vec<FleetEvent> {
         let mut events = Vec::new();
         for (name, health) in self.peers.voter_health() {
@@ -49,12 +49,12 @@
         events
     }
 
-    /// Counters since the start of the process.
+    /// Returns the counters since the start of the process.
     pub fn counters(&self) -> eideryard_replication::core::Counters {
         self.core.counters()
     }
 
-    /// The sizes of all tables, by the names under which they are logged.
+    /// Returns the sizes of all tables, by the names under which they are logged.
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         [
             ("copies", self.core.replicas().len()),
@@ -64,7 +64,7 @@
         ]
     }
 
-    /// The content of the status file; `None` if it is not yet time to write it again.
+    /// Returns the content of the status file; `None` if it is not yet time to write it again.
     pub fn status(&mut self, now: Micros) -> Option<Value> {
         if now < self.next_status_at {
             return None;
@@ -121,7 +121,8 @@
     }
 }
 
-/// The known fencing tokens in the form of the status file: arrays of engine, term and owner.
+/// Returns the known fencing tokens in the form of the status file: arrays of engine, term and
+/// owner.
 fn known_terms(status: &LeaseStatus) -> Vec<Value> {
     let mut terms = Vec::new();
     for (engine, token) in &status.known {
--- a/crates/gateway/src/replication/translation.rs
+++ b/crates/gateway/src/replication/translation.rs
@@ -58,7 +58,7 @@
         .collect()
 }
 
-/// The zone and cell in which an intent's attempt runs; `None` if they are unknown.
+/// Returns the zone and cell in which an intent's attempt runs; `None` if they are unknown.
 pub(super) fn known_location(intent: &Intent) -> Option<Location> {
     (intent.since > 0).then_some(intent.location)
 }
--- a/crates/gateway/src/requests.rs
+++ b/crates/gateway/src/requests.rs
@@ -75,7 +75,7 @@
 }
 
 impl Request {
-    /// The class and tenant, for the event log and the result spool.
+    /// Returns the class and tenant, for the event log and the result spool.
     pub fn labels(&self) -> RequestLabels {
         RequestLabels {
             class: self.class,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Whether the request is answered and none of its attempts is in flight or waits for its
-    /// intent.
+    /// Returns whether the request is answered and none of its attempts is in flight or waits for
+    /// its intent.
     fn is_finished(&self) -> bool {
         let has_ended =
             |attempt: &Attempt| attempt.connection.is_none() && !attempt.awaits_durability;
@@ -165,29 +165,29 @@
         }))
     }
 
-    /// The request with this key; `None` if its slot was freed.
+    /// Returns the request with this key; `None` if its slot was freed.
     pub fn get(&self, key: Key) -> Option<&Request> {
         self.table.get(key)
     }
 
-    /// Mutable access to the request with this key; `None` if its slot was freed.
+    /// Returns mutable access to the request with this key; `None` if its slot was freed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut Request> {
         self.table.get_mut(key)
     }
 
-    /// The number of requests in the table and the number of remembered ids.
+    /// Returns the number of requests in the table and the number of remembered ids.
     pub fn sizes(&self) -> (usize, usize) {
         (self.table.len(), self.ids.len())
     }
 
-    /// The requests without a final answer, with their keys.
+    /// Returns the requests without a final answer, with their keys.
     pub fn open(&self) -> impl Iterator<Item = (Key, &Request)> {
         self.table
             .iter()
             .filter(|(_, request)| !request.is_answered)
     }
 
-    /// The keys of the requests without a final answer.
+    /// Returns the keys of the requests without a final answer.
     pub fn open_keys(&self) -> Vec<Key> {
         self.open().map(|(key, _)| key).collect()
     }
--- a/crates/gateway/src/requests/call.rs
+++ b/crates/gateway/src/requests/call.rs
@@ -38,8 +38,8 @@
 }
 
 impl CallError {
-    /// The text in the error reply: the wire name of the invalid field, or a phrase for other
-    /// errors.
+    /// Returns the text in the error reply: the wire name of the invalid field, or a phrase for
+    /// other errors.
     pub fn wire_word(self) -> &'static str {
         match self {
             CallError::Class => "class",
@@ -85,7 +85,7 @@
 }
 
 impl Call {
-    /// The class and tenant, for the event log and the result spool.
+    /// Returns the class and tenant, for the event log and the result spool.
     pub fn labels(&self) -> RequestLabels {
         RequestLabels {
             class: self.class,
@@ -145,7 +145,7 @@
         found.map(|(_, value)| *value)
     }
 
-    /// Whether the message contains one of [`FIELD_NAMES`] more than once.
+    /// Returns whether the message contains one of [`FIELD_NAMES`] more than once.
     fn has_duplicates(&self) -> bool {
         FIELD_NAMES.iter().any(|wanted| {
             let count = self.0.iter().filter(|(name, _)| name == wanted).count();
@@ -153,7 +153,7 @@
         })
     }
 
-    /// The index of the tenant; 0 for all requests if the settings contain no tenants.
+    /// Returns the index of the tenant; 0 for all requests if the settings contain no tenants.
     fn tenant(&self, names: &Names) -> Result<usize, CallError> {
         if names.tenants.is_empty() {
             return Ok(0);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The ordering key; an empty one counts as none.
+    /// Returns the ordering key; an empty one counts as none.
     fn order_key(&self) -> Result<Option<&'a str>, CallError> {
         let Some(key) = self.get("o") else {
             return Ok(None);
@@ -190,7 +190,7 @@
         Ok(Some(key).filter(|key| !key.is_empty()))
     }
 
-    /// An estimate of at most `max`; 0 counts as none.
+    /// Returns an estimate of at most `max`; 0 counts as none.
     fn estimate(&self, name: &str, max: f64, error: CallError) -> Result<Option<f64>, CallError> {
         let Some(text) = self.get(name) else {
             return Ok(None);
--- a/crates/gateway/src/requests/names.rs
+++ b/crates/gateway/src/requests/names.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The names as the event log stores them.
+    /// Returns the names as the event log stores them.
     pub fn for_event_log(&self) -> eideryard_event_log::Names {
         eideryard_event_log::Names {
             classes: self.classes.clone(),
@@ -68,7 +68,7 @@
     }
 }
 
-/// A setting, or `default` if the setting is not a positive finite number.
+/// Returns a setting, or `default` if the setting is not a positive finite number.
 fn positive_or(value: f64, default: f64) -> f64 {
     if value > 0.0 && value.is_finite() {
         value
@@ -77,7 +77,7 @@
     }
 }
 
-/// The index of a name in a list; `None` if the list doesn't contain it.
+/// Returns the index of a name in a list; `None` if the list doesn't contain it.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|other| other == name)
 }
--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -51,7 +51,7 @@
 }
 
 impl Waiter {
-    /// The call of the request that began the run.
+    /// Returns the call of the request that began the run.
     pub fn of_request(request: &Request) -> Self {
         Waiter {
             client: request.client,
@@ -112,7 +112,7 @@
 }
 
 impl Delivery {
-    /// The call that the message answers.
+    /// Returns the call that the message answers.
     pub fn waiter(&self) -> Waiter {
         match self {
             Delivery::Part(part) => part.waiter,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The error for a result that has expired or was dropped.
+    /// Returns the error for a result that has expired or was dropped.
     fn expired(waiter: Waiter) -> Self {
         Delivery::error(waiter, ErrorKind::Gone, "its result is kept no longer")
     }
@@ -271,8 +271,8 @@
         })
     }
 
-    /// Bytes in memory, on disk and claimed, and the number of results, by the names under which
-    /// they are logged.
+    /// Returns the bytes in memory, on disk and claimed, and the number of results, by the names
+    /// under which they are logged.
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         let (memory, disk, claims) = self.spool.used();
         [
--- a/crates/gateway/src/result_spool/maintenance.rs
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -21,7 +21,8 @@
         deliveries
     }
 
-    /// The next time at which [`ResultSpoolDriver::poll`] must be called even if nothing arrives.
+    /// Returns the next time at which [`ResultSpoolDriver::poll`] must be called even if nothing
+    /// arrives.
     pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
         let deadlines = [
             self.expiry_timers.next_expiry(),
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -20,7 +20,7 @@
 const MAX_PENDING_PARTS: usize = 4096;
 
 impl ResultSpoolDriver {
-    /// Whether a run with this name is in progress or remembered; see `StoredResult::name`.
+    /// Returns whether a run with this name is in progress or remembered; see `StoredResult::name`.
     pub fn is_known_run(&self, name: &str) -> bool {
         self.run_registry.contains(name)
     }
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -78,12 +78,12 @@
         self.counters.begun += 1;
     }
 
-    /// Whether a request's result is spooled.
+    /// Returns whether a request's result is spooled.
     pub fn is_spooled(&self, id: ResultId) -> bool {
         self.results.contains_key(&id)
     }
 
-    /// The number of bytes of pages that may be requested from the engine now.
+    /// Returns the number of bytes of pages that may be requested from the engine now.
     pub fn free_bytes(&self, id: ResultId) -> u64 {
         self.spool.read_ahead_bytes(id)
     }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -83,7 +83,8 @@
         true
     }
 
-    /// The current phase; it changes in [`Shutdown::begin`] and [`Shutdown::next_step`] only.
+    /// Returns the current phase; it changes in [`Shutdown::begin`] and [`Shutdown::next_step`]
+    /// only.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -94,7 +95,8 @@
         (self.phase != Phase::Serving).then_some(self.phase_starts[1])
     }
 
-    /// The times at which [`Shutdown::next_step`] must be called even if nothing else happens.
+    /// Returns the times at which [`Shutdown::next_step`] must be called even if nothing else
+    /// happens.
     pub fn phase_starts(&self) -> [Micros; 3] {
         self.phase_starts
     }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -14,7 +14,7 @@
 pub struct Key(u64);
 
 impl Key {
-    /// The key as the number that identifies the entry to the balancer.
+    /// Returns the key as the number that identifies the entry to the balancer.
     pub fn number(self) -> u64 {
         self.0
     }
@@ -56,7 +56,7 @@
         Self::default()
     }
 
-    /// The key that the next [`Table::insert`] will return.
+    /// Returns the key that the next [`Table::insert`] will return.
     pub fn next_key(&self) -> Key {
         let generation = self.generation.wrapping_add(1).max(1);
         let slot = self.slots.vacant_key() as u64;
@@ -71,13 +71,13 @@
         key
     }
 
-    /// The entry of a key; `None` if it was removed.
+    /// Returns the entry of a key; `None` if it was removed.
     pub fn get(&self, key: Key) -> Option<&T> {
         let entry = self.slots.get(key.slot())?;
         (entry.key == key).then_some(&entry.value)
     }
 
-    /// Mutable access to the entry of a key; `None` if it was removed.
+    /// Returns mutable access to the entry of a key; `None` if it was removed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         let entry = self.slots.get_mut(key.slot())?;
         (entry.key == key).then_some(&mut entry.value)
@@ -90,12 +90,12 @@
         Some(entry.value)
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// All entries with their keys, ordered by slot.
+    /// Returns all entries with their keys, ordered by slot.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
         self.slots
             .iter()
--- a/crates/gateway/tests/log_lines.rs
+++ b/crates/gateway/tests/log_lines.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// The content of the first string literal in `code`, with escaped line breaks removed as the
-/// compiler does.
+/// Returns the content of the first string literal in `code`, with escaped line breaks removed as
+/// the compiler does.
 fn first_string(code: &str) -> String {
     let mut text = String::new();
     let mut chars = code.chars().skip_while(|c| *c != '"').skip(1).peekable();
@@ -59,7 +59,8 @@
     text
 }
 
-/// The literal parts of a format string between its placeholders, without those of one character.
+/// Returns the literal parts of a format string between its placeholders, without those of one
+/// character.
 fn literal_parts(format: &str) -> Vec<String> {
     let mut parts = vec![String::new()];
     let mut depth = 0;
@@ -78,7 +79,7 @@
     parts.filter(|part| part.len() > 1).collect()
 }
 
-/// Whether a line of the page contains all parts in their order.
+/// Returns whether a line of the page contains all parts in their order.
 fn contains_in_order(line: &str, parts: &[String]) -> bool {
     let mut rest = line;
     for part in parts {
--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether engines report the number of queries in flight in answers to probes only.
+/// Returns whether engines report the number of queries in flight in answers to probes only.
 fn counts_by_probe(tree: &SettingsTree) -> bool {
     tree.text("report.source") == Some("on_probe")
         && tree.list("report.fields").contains(&"concurrent")
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -19,7 +19,7 @@
 /// Unit of the memory in `stats`, in megabytes.
 const USAGE_MEMORY_UNIT_MB: f64 = 4.0;
 
-/// Whether lines with this verb report an event to one gateway.
+/// Returns whether lines with this verb report an event to one gateway.
 pub fn is_event(verb: &str) -> bool {
     matches!(
         verb,
--- a/crates/simulator-adapter/src/lists.rs
+++ b/crates/simulator-adapter/src/lists.rs
@@ -21,7 +21,7 @@
 }
 
 impl EndpointLists {
-    /// Whether entries of the last list are still missing.
+    /// Returns whether entries of the last list are still missing.
     pub fn is_open(&self) -> bool {
         self.open.is_some()
     }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,4 +1,4 @@
-//! All decisions of one gateway: admission, placement, priority, retries and health of engines.
+//! All decisions of one gateway: admission, placement, priority, retries and engine health.
 //!
 //! A host passes events to [`Balancer`] and carries out the actions that it returns. A request
 //! passes through `arrival`, `sampling`, `admission`, `engine_selection`, `constraints`,
@@ -55,12 +55,12 @@
 /// Tag of the maintenance timer. The timer that ends a request has the tag
 /// `request_timer_tag(request)`, which is never 0.
 const MAINTENANCE_TAG: u64 = 0;
-/// After service discovery failed, the next subscription follows after `Settings::poll_interval`
-/// divided by this.
+/// After service discovery failed, the next attempt to subscribe follows after
+/// `Settings::poll_interval` divided by this.
 const RESUBSCRIBE_DIVISOR: u64 = 8;
 
-/// The decision logic of one gateway. It does no I/O and reads no clock: its state depends only on
-/// the settings, the seed, the times and the events that the host passes in.
+/// The decision logic of one gateway. The balancer does no I/O and reads no clock: its state
+/// depends only on the settings, the seed, the times and the events that the host passes in.
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Sets the maintenance timer while any request is known or a subscription is due, so that an
-    /// idle gateway has no timer.
+    /// Sets the maintenance timer while any request is known or a subscription is due. An idle
+    /// gateway thus has no timer.
     fn schedule_maintenance(&mut self) {
         let is_needed = !self.requests.is_empty() || self.resubscribe_at.is_some();
         if is_needed && !self.is_maintenance_scheduled {
@@ -239,13 +239,14 @@
         });
     }
 
-    /// How often the state of an engine has been accessed so far: a measure of the cost of
-    /// decisions that doesn't depend on the machine's speed.
+    /// Returns the number of accesses to engine states so far. It measures the cost of decisions
+    /// independently of the machine's speed.
     pub fn engine_visits(&self) -> u64 {
         self.engines.visits()
     }
 
-    /// Number of engines on the endpoint list that aren't removed, draining ones included.
+    /// Returns the number of engines on the endpoint list that aren't removed, draining ones
+    /// included.
     pub fn listed_engine_count(&self) -> usize {
         self.engines.listed_count()
     }
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -19,25 +19,25 @@
 const PRESSURE_THREADS_PER_CORE: f64 = 1.6;
 /// Bound on threads per core for reports and loads where shares are below one query.
 const SMALL_SHARE_THREADS_PER_CORE: f64 = 1.2;
-/// Threads that a gateway may have in flight on all engines together, per core of its share of
-/// them.
+/// Threads that a gateway may have in flight across all engines, per core of its share of the
+/// engines.
 const QUOTA_THREADS_PER_CORE: f64 = 3.0;
-/// Memory that a query without a memory estimate counts as, as a fraction of the memory bound.
+/// Memory charged for a query without a memory estimate, as a fraction of the memory bound.
 const UNKNOWN_MEMORY_FRACTION: f64 = 0.125;
 /// A class whose mean work is below this fraction of the mean over all requests is a class of
 /// dashboards.
 const DASHBOARD_WORK_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    /// Whether the queries of a class are dashboards: they are short and run ahead of reports and
-    /// loads. Classes of loads never are.
+    /// Returns whether the queries of a class are dashboards, which are short and run ahead of
+    /// reports and loads. A class of loads is never a dashboard class.
     pub(super) fn is_dashboard(&self, class: usize) -> bool {
         let max_work = DASHBOARD_WORK_FRACTION * self.traffic.mean_work;
         !self.settings.classes[class].is_load && self.class_estimates.mean_work(class) < max_work
     }
 
-    /// For each class, whether no engine has room even for its smallest possible query, so that its
-    /// queued requests need not be checked one by one.
+    /// Returns, for each class, whether no engine has room even for its smallest possible query, in
+    /// which case its queued requests need not be checked one by one.
     pub(super) fn full_classes(&self) -> Vec<bool> {
         (0..self.settings.classes.len())
             .map(|class| self.is_class_full(class))
@@ -62,8 +62,8 @@
             .any(|(_, id)| self.has_room(&lightest_request, &self.engines[&id]))
     }
 
-    /// Whether an engine is available to a request and, if it is under pressure, within the bounds
-    /// on threads and memory.
+    /// Returns whether an engine is available to a request and, if it is under pressure, within the
+    /// bounds on threads and memory.
     pub(super) fn has_room(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         if !self.is_available(pending, engine) {
             return false;
@@ -83,8 +83,8 @@
         let has_pressure = is_share_below_one_query
             || engine.is_under_pressure(self.now)
             || threads > PRESSURE_THREADS_PER_CORE * cores;
-        // An engine on which this gateway has nothing in flight is exempt from the bounds. Where
-        // shares are below one query that holds for most engines, so there is no exemption.
+        // An engine on which this gateway has nothing in flight is exempt from the bounds. If
+        // shares are below one query, most engines would be exempt, so there is no exemption then.
         if !has_pressure || engine.in_flight.is_empty() && !is_share_below_one_query {
             return true;
         }
@@ -93,8 +93,8 @@
         threads_ahead < max_threads && self.has_memory(pending, engine, foreign_threads)
     }
 
-    /// Bound on threads in flight per core for queries of a class, before `bound_factor` reduces
-    /// it.
+    /// Returns the bound on threads in flight per core for queries of a class, before
+    /// `bound_factor` reduces it.
     fn threads_per_core(&self, class: usize) -> f64 {
         if !self.subsetting.is_share_below_one_query() {
             START_THREADS_PER_CORE
@@ -105,11 +105,11 @@
         }
     }
 
-    /// Threads in flight that count against the thread bound for a query of a class. Dashboards run
-    /// ahead of reports and loads, so for a dashboard only other dashboards count, unless the
-    /// engine is saturated or shares are below one query.
+    /// Returns the threads in flight that count against the thread bound for a query of a class.
+    /// Dashboards run ahead of reports and loads, so for a dashboard only other dashboards count,
+    /// unless the engine is saturated or shares are below one query.
     fn threads_ahead(&self, class: usize, engine: &EngineState) -> f64 {
-        // Where attempts can't be cancelled, saturation lasts long, so any pressure counts as
+        // If attempts can't be cancelled, saturation lasts long, so any pressure counts as
         // saturation.
         let is_saturated = if self.settings.may_cancel {
             engine.is_saturated(self.now)
@@ -127,8 +127,9 @@
             .sum()
     }
 
-    /// Whether the request's memory fits the memory bound of an engine. Dashboards always fit, and
-    /// a request larger than the bound fits an engine on which this gateway has nothing in flight.
+    /// Returns whether the request's memory fits the memory bound of an engine. Dashboards always
+    /// fit, and a request larger than the bound fits an engine on which this gateway has nothing in
+    /// flight.
     fn has_memory(
         &self,
         pending: &PendingRequest,
@@ -145,10 +146,10 @@
             || engine.in_flight.is_empty() && charge > bound
     }
 
-    /// Whether what this gateway has in flight on all engines together leaves room for the request
-    /// within its share of their capacity. This is checked where shares are below one query: when
-    /// engines are saturated no attempt ends, so the quota stays used up and the gateway adds
-    /// nothing to the overload.
+    /// Returns whether the gateway's attempts in flight across all engines leave room for the
+    /// request within the gateway's share of total capacity. This is checked only if shares are
+    /// below one query. When engines are saturated, no attempt ends, so the quota stays used up and
+    /// the gateway adds nothing to the overload.
     pub(super) fn has_in_flight_quota(&self, pending: &PendingRequest) -> bool {
         let quota = self
             .engines
@@ -167,14 +168,14 @@
         threads == 0.0 || threads < quota.threads && is_memory_within_quota
     }
 
-    /// Memory that this gateway may reserve on an engine, in megabytes.
+    /// Returns the memory that this gateway may reserve on an engine, in megabytes.
     fn memory_bound(&self, engine: &EngineState) -> f64 {
         let memory_mb = self.kind(engine).memory_mb;
         START_MEMORY_MULTIPLE * engine.bound_factor * memory_mb * self.subsetting.engine_share()
     }
 
-    /// Memory that a request counts as on an engine, in megabytes: its corrected estimate, or a
-    /// fraction of the memory bound if none is known.
+    /// Returns the memory that is charged for a request on an engine, in megabytes: its corrected
+    /// estimate, or a fraction of the memory bound if none is known.
     pub(super) fn charged_memory(&self, pending: &PendingRequest, engine: &EngineState) -> f64 {
         if pending.memory_mb > 0.0 {
             pending.memory_mb
@@ -187,12 +188,13 @@
         &self.settings.kinds[self.engines.kind_index(engine)]
     }
 
-    /// Cores of an engine, times the fraction of its capacity that it has reached while warming up.
+    /// Returns the number of cores of an engine, times the fraction of its capacity that the engine
+    /// has reached while warming up.
     pub(super) fn warm_cores(&self, engine: &EngineState) -> f64 {
         self.kind(engine).cores * self.slow_start.capacity_fraction(engine, self.now)
     }
 
-    /// Estimated threads of other gateways' queries on an engine.
+    /// Returns the estimated threads of other gateways' queries on an engine.
     pub(super) fn foreign_threads(&self, engine: &EngineState) -> f64 {
         let is_share_below_one_query = self.subsetting.is_share_below_one_query();
         let cores = self.kind(engine).cores;
--- a/src/balancer/affinity.rs
+++ b/src/balancer/affinity.rs
@@ -11,31 +11,32 @@
 pub(super) const GROUP_DECAY_REQUESTS: f64 = 100.0;
 /// A group without a request for this multiple of `GROUP_DECAY_REQUESTS` arrivals is removed.
 pub(super) const GROUP_EXPIRY: f64 = 5.0;
-/// Requests of other groups that are assumed before the first arrival, as a fraction of
+/// Number of requests for other groups that is assumed before the first arrival, as a fraction of
 /// `GROUP_DECAY_REQUESTS`.
 const GROUP_PRIOR: f64 = 0.2;
-/// Engines of a hot group, as a multiple of the engines that its fraction of all requests
-/// corresponds to.
+/// Number of engines that a hot group has an affinity to, as a multiple of the number that
+/// corresponds to the group's share of all requests.
 const HOT_GROUP_SPREAD: f64 = 2.0;
 
 /// Engines ordered by their affinity to a group.
 pub(super) struct AffinityOrder {
-    /// Ordered by a hash of group and engine, highest first.
+    /// Engines that the request may be placed on, ordered by a hash of group and engine, highest
+    /// first.
     pub(super) engines: Vec<EngineId>,
-    /// The group has an affinity to this many of the engines, counted from the first.
+    /// Number of engines, counted from the first, that the group has an affinity to.
     pub(super) affinity_count: usize,
 }
 
 impl AffinityOrder {
-    /// The engines that the group has an affinity to.
+    /// Returns the engines that the group has an affinity to.
     pub(super) fn affinity_engines(&self) -> &[EngineId] {
         &self.engines[..self.affinity_count]
     }
 }
 
 impl Balancer {
-    /// The engines that the request's class may be placed on, ordered by affinity to its group. All
-    /// gateways compute the same order without exchanging messages.
+    /// Returns the engines that the request's class may be placed on, ordered by affinity to its
+    /// group. All gateways compute the same order without exchanging messages.
     pub(super) fn affinity_order(&self, pending: &PendingRequest) -> AffinityOrder {
         let group = pending.request.group;
         let mut order: Vec<(u64, EngineId)> = self
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Number of engines that a group has an affinity to, out of `engine_count`. Where shares are
-    /// below one query, a hot group has more than `MIN_SUBSET`.
+    /// Returns the number of engines that a group has an affinity to, out of `engine_count`. Where
+    /// shares are below one query, a hot group has more than `MIN_SUBSET`.
     fn affinity_count(&self, group: u64, engine_count: usize) -> usize {
         let arrivals = self.traffic.arrivals;
         let total_count =
@@ -66,8 +67,8 @@
         (hot_engines as usize).max(MIN_SUBSET).min(engine_count)
     }
 
-    /// Whether requests of a class should avoid the engines that their group has an affinity to:
-    /// there a load would block the queries that read the group.
+    /// Returns whether requests of a class should avoid the engines that their group has an
+    /// affinity to: a load there would block the queries that read the group.
     pub(super) fn should_avoid_affinity(&self, class: usize) -> bool {
         let classes = &self.settings.classes;
         classes[class].is_load
--- a/src/balancer/arrival.rs
+++ b/src/balancer/arrival.rs
@@ -1,5 +1,5 @@
-//! Arrival of a request: corrects its estimates, computes its deadlines and updates the traffic
-//! statistics.
+//! Handles the arrival of a request: corrects its estimates, computes its deadlines and updates the
+//! traffic statistics.
 
 use super::affinity::GROUP_DECAY_REQUESTS;
 use super::class_estimates::LEARNING_RATE;
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Whether the request would miss its end deadline even on an idle engine. Running it would
-    /// only occupy threads and memory that others need.
+    /// Returns whether the request would miss its end deadline even on an idle engine. Running it
+    /// would only occupy threads and memory that others need.
     fn is_deadline_too_close(&self, pending: &PendingRequest) -> bool {
         self.now as f64 + pending.ideal_duration > pending.end_deadline as f64
     }
@@ -74,16 +74,17 @@
         }
     }
 
-    /// The time at which a request has to be ended so that the answer reaches its client before the
-    /// client's deadline: 2 ticks and `ANSWER_MARGIN` of the wait before it.
+    /// Returns the time at which a request has to be ended so that the answer reaches its client
+    /// before the client's deadline: 2 ticks plus `ANSWER_MARGIN` times the remaining wait before
+    /// that deadline.
     fn end_deadline(&self, request: &Request) -> Micros {
         let client_wait = request.deadline.saturating_sub(self.now) as f64;
         let margin = 2 * self.settings.tick + (ANSWER_MARGIN * client_wait) as Micros;
         request.deadline.saturating_sub(margin).max(self.now)
     }
 
-    /// Adds a request to the queue, to the order of its key and to the retry budget, and sets the
-    /// timer that ends it.
+    /// Adds a request to the queue, to the requests with its key and to the retry budget, and sets
+    /// the timer that ends it.
     fn register_request(&mut self, pending: &PendingRequest) {
         let request = &pending.request;
         let is_ordered = self.settings.classes[request.class].is_ordered;
--- a/src/balancer/checkpoint.rs
+++ b/src/balancer/checkpoint.rs
@@ -11,8 +11,8 @@
 const MIN_CHECKPOINT_WEIGHT: f64 = 0.05;
 
 impl Balancer {
-    /// Exports the learned estimates, for `Event::CheckpointRestored` of a later process of this
-    /// gateway.
+    /// Exports the learned estimates. A later process of this gateway passes them to its balancer
+    /// in `Event::CheckpointRestored`.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
             classes: self.class_estimates.to_checkpoint(),
@@ -22,8 +22,8 @@
     }
 
     /// Restores estimates that were stored `age` ago. Their weight against the defaults decays with
-    /// age. Estimates of another process of an engine, and those of classes and engines that have
-    /// new observations already, are ignored.
+    /// age. Ignored are estimates for another process of an engine, and estimates for classes and
+    /// engines that have been observed since this process started.
     pub(super) fn restore_checkpoint(&mut self, stored: &LearnedState, age: Micros) {
         let warm_up_duration = self.settings.warm_up_duration.max(1) as f64;
         let weight = (-(age as f64) / (CHECKPOINT_DECAY_WARM_UPS * warm_up_duration)).exp();
--- a/src/balancer/class_estimates.rs
+++ b/src/balancer/class_estimates.rs
@@ -6,7 +6,7 @@
 /// Weight of a new observation in an exponential moving average.
 pub(super) const LEARNING_RATE: f64 = 0.05;
 /// An observation is clamped to within this factor of the estimate, so that an outlier doesn't
-/// distort a mean.
+/// distort the mean.
 pub(super) const MAX_DEVIATION: f64 = 3.0;
 
 #[derive(Clone)]
@@ -36,7 +36,7 @@
     }
 }
 
-/// Estimates of all classes, indexed by class number.
+/// Estimates of all classes, indexed by class ID.
 pub(super) struct ClassEstimator {
     classes: Vec<ClassEstimate>,
 }
@@ -54,14 +54,14 @@
         }
     }
 
-    /// Mean corrected work of a class, as time on one thread in microseconds; 0 before its first
-    /// request.
+    /// Returns the mean corrected work of a class, as time on one thread in microseconds; 0 before
+    /// its first request.
     pub(super) fn mean_work(&self, class: usize) -> f64 {
         self.classes[class].mean_work
     }
 
-    /// Corrected work of a request: the client's estimate times the class's ratio, else the mean of
-    /// the class, else `fallback`.
+    /// Returns the corrected work of a request: the client's estimate times the class's ratio, else
+    /// the mean of the class, else `fallback`.
     pub(super) fn estimate_work(&self, request: &Request, fallback: f64) -> f64 {
         let class = &self.classes[request.class];
         match request.work {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Corrected memory of a request in megabytes: the client's estimate times the class's ratio,
-    /// else the mean of the class, else 0.
+    /// Returns the corrected memory of a request in megabytes: the client's estimate times the
+    /// class's ratio, else the mean of the class, else 0.
     pub(super) fn estimate_memory(&self, request: &Request) -> f64 {
         let class = &self.classes[request.class];
         match request.memory_mb {
@@ -133,7 +133,8 @@
     }
 }
 
-/// Returns `ratio` after one observation, which is clamped to within a factor of `MAX_DEVIATION`.
+/// Returns `ratio` updated with one observation, which is clamped to within a factor of
+/// `MAX_DEVIATION`.
 fn blend_ratio(ratio: f64, observed: f64) -> f64 {
     let bounded = observed.clamp(ratio / MAX_DEVIATION, ratio * MAX_DEVIATION);
     ratio + LEARNING_RATE * (bounded - ratio)
--- a/src/balancer/completion.rs
+++ b/src/balancer/completion.rs
@@ -5,8 +5,8 @@
 use crate::request_state::{AttemptState, PendingRequest};
 
 impl Balancer {
-    /// Refuses a request if that is allowed, else fails it. Does nothing once its answer has begun
-    /// or it has ended. No other function sends `Action::Refuse` or `Action::Fail`.
+    /// Refuses a request if that is allowed, else fails it. Does nothing if the request has ended
+    /// or its answer has begun. No other function sends `Action::Refuse` or `Action::Fail`.
     pub(super) fn end_request(&mut self, id: RequestId, retry_after: Micros) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
@@ -27,8 +27,8 @@
         self.close_request(id);
     }
 
-    /// Whether a request may be refused: a refusal promises the client that sending the request
-    /// again is safe.
+    /// Returns whether a request may be refused: a refusal promises the client that resending the
+    /// request is safe.
     fn may_refuse(&self, id: RequestId) -> bool {
         let pending = &self.requests[&id];
         let class = &self.settings.classes[pending.request.class];
@@ -38,7 +38,8 @@
         !may_have_run || class.effect == Effect::Idempotent || is_deduplicated_everywhere
     }
 
-    /// Limits a time until a client's retry to what the settings allow; 0: none is sent.
+    /// Limits a retry-after hint to what the settings allow. Returns 0 if the refusal must not
+    /// contain a hint.
     fn bounded_retry_after(&self, retry_after: Micros) -> Micros {
         if self.settings.may_send_retry_after {
             retry_after.min(self.settings.max_retry_after)
--- a/src/balancer/constraints.rs
+++ b/src/balancer/constraints.rs
@@ -1,5 +1,5 @@
-//! Constraints that are checked before every send: placement, safety of repeats, order of a key,
-//! retry budget and slow start.
+//! Constraints that are checked before every send: placement, safety of repeats, order among
+//! requests with the same key, retry budget and slow start.
 
 use super::slow_start::ColdCandidate;
 use super::Balancer;
@@ -8,10 +8,10 @@
 use crate::request_state::PendingRequest;
 
 impl Balancer {
-    /// Whether all constraints allow an attempt of the request on the engine now.
+    /// Returns whether all constraints allow an attempt of the request on the engine now.
     pub(super) fn is_send_allowed(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         let class = &self.settings.classes[pending.request.class];
-        // A draining engine isn't open: it gets no work from the moment the drain is known.
+        // A draining engine isn't open: it gets no new work once the drain is known.
         engine.is_open()
             && may_place(class, &engine.endpoint)
             && !pending.has_ended
@@ -23,8 +23,8 @@
             && self.is_allowed_by_slow_start(pending, engine)
     }
 
-    /// Whether the request may be attempted again on at least some engine, given the effect of its
-    /// class. The window of a keyed class ends 2 ticks early.
+    /// Returns whether the request may be attempted again on at least one engine, given the effect
+    /// of its class. The window of a keyed class ends 2 ticks early.
     pub(super) fn may_repeat(&self, pending: &PendingRequest) -> bool {
         let class = &self.settings.classes[pending.request.class];
         let first_run = pending.possible_runs().map(|run| run.since).min();
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Whether the earlier attempts allow another one on this engine: a keyed request may only be
-    /// repeated in the scope that recognises its key, and without hedging only one attempt may be
-    /// in flight.
+    /// Returns whether the earlier attempts allow another one on this engine: a keyed request may
+    /// only be repeated in the scope that recognises its key, and without hedging only one attempt
+    /// may be in flight.
     fn is_allowed_by_effect(
         &self,
         pending: &PendingRequest,
@@ -59,8 +59,9 @@
             && (!is_keyed || pending.possible_runs().all(is_in_scope))
     }
 
-    /// Whether the order of the request's key allows a send. In an ordered class only the first
-    /// request of a key may be sent, and its first attempt only after the key's pause.
+    /// Returns whether the order among requests with the same key allows a send. In an ordered
+    /// class only the first request of a key may be sent, and its first attempt only after the
+    /// key's pause.
     fn is_allowed_by_order(&self, pending: &PendingRequest, class: &Class) -> bool {
         let Some(key) = &pending.request.key else {
             return true;
@@ -72,7 +73,7 @@
         self.key_ordering.is_first(key, pending.request.id) && may_start
     }
 
-    /// Whether the engine is warm or its slow-start budget has room for the request.
+    /// Returns whether the engine is warm or its slow-start budget has room for the request.
     fn is_allowed_by_slow_start(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         if self.now >= engine.cold_until {
             return true;
@@ -94,7 +95,7 @@
     }
 }
 
-/// Whether the settings allow a class on an engine's zone and machine kind.
+/// Returns whether the settings allow a class on an engine's zone and machine kind.
 pub(super) fn may_place(class: &Class, endpoint: &Endpoint) -> bool {
     let is_zone_allowed = match &class.zones_only {
         Some(zones) => zones.contains(&endpoint.zone),
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -55,7 +55,7 @@
 
     /// Checks the constraints again when the host is about to write the first byte of an attempt:
     /// they may have changed since `Action::Send`. If this returns false, the host must not send
-    /// the attempt and reports it as `Outcome::NotSent`.
+    /// the attempt, and must report `Outcome::NotSent` for it.
     pub fn may_begin(&mut self, now: Micros, id: RequestId, attempt: usize) -> bool {
         self.now = now;
         let Some(pending) = self.requests.get_mut(&id) else {
@@ -74,8 +74,8 @@
         may_begin
     }
 
-    /// Whether the engine still runs the process that the attempt was meant for and the constraints
-    /// still allow it.
+    /// Returns whether the engine still runs the process that the attempt was meant for and the
+    /// constraints still allow it.
     fn may_still_send(&self, id: RequestId, attempt: &Attempt) -> bool {
         let pending = &self.requests[&id];
         let Some(engine) = self.engines.get(&attempt.endpoint.engine) else {
@@ -85,7 +85,7 @@
             && self.is_send_allowed(pending, engine)
     }
 
-    /// Adds an attempt to its request and to the retry and slow-start budgets, as sent at
+    /// Adds an attempt to its request, and charges it to the retry and slow-start budgets at
     /// `attempt.sent_at`.
     fn record_attempt(&mut self, id: RequestId, attempt: Attempt) {
         let Some(pending) = self.requests.get_mut(&id) else {
@@ -136,8 +136,9 @@
         }
     }
 
-    /// Memory that a request is granted, in megabytes: `GRANT_MARGIN` times its corrected estimate
-    /// or the client's, whichever is larger, up to the largest grant on the engine.
+    /// Returns the memory that a request is granted, in megabytes: `GRANT_MARGIN` times its
+    /// corrected estimate or the client's, whichever is larger, up to the largest grant on the
+    /// engine.
     fn memory_grant(&self, pending: &PendingRequest, engine: &EngineState) -> f64 {
         let client_estimate = pending.request.memory_mb.unwrap_or(0.0);
         let estimate = pending.memory_mb.max(client_estimate);
--- a/src/balancer/engine_selection.rs
+++ b/src/balancer/engine_selection.rs
@@ -11,10 +11,10 @@
 const AFFINITY_GAIN: f64 = 0.25;
 /// Increase of the cost on an engine in another zone, as a multiple of `cross_zone_tariff`.
 const ZONE_CROSSING_COST: f64 = 10.0;
-/// Added to the estimated threads per core when a cost is computed: the expected crowding of an
-/// engine that runs only this request.
+/// Value that is added to the estimated threads per core when a cost is computed: the expected
+/// contention on an engine that runs only this request.
 const BASE_THREADS_PER_CORE: f64 = 0.5;
-/// Lower limit on the share of good outcomes that a cost is divided by.
+/// Lower limit on the divisor of a cost, which is the share of good outcomes.
 const MIN_GOOD_SHARE: f64 = 0.05;
 
 impl Balancer {
@@ -49,21 +49,21 @@
             .map(|(_, id)| id)
     }
 
-    /// Whether the request may be sent to an engine now: no probe of it is pending, the constraints
-    /// allow it and there is room.
+    /// Returns whether the request may be sent to an engine now: no probe of the engine is pending,
+    /// the constraints allow it and there is room.
     fn may_send(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         engine.probe_sent_at == 0
             && self.is_send_allowed(pending, engine)
             && self.has_room(pending, engine)
     }
 
-    /// The open engines that requests of a class may be placed on, in the order of the ring.
+    /// Returns the open engines that requests of a class may be placed on, in ring order.
     pub(super) fn subset(&self, class: usize) -> impl Iterator<Item = RingEntry> + '_ {
         self.subsetting.engines(&self.engines, class, self.now)
     }
 
-    /// Expected cost of the request on an engine: its estimated duration there, in microseconds,
-    /// with factors for affinity, zone and health.
+    /// Returns the expected cost of the request on an engine: its estimated duration there, in
+    /// microseconds, with factors for affinity, zone and health.
     fn expected_cost(
         &self,
         pending: &PendingRequest,
@@ -91,8 +91,8 @@
         cost * health_cost_factor(engine)
     }
 
-    /// Whether an engine is available to the request: it isn't quarantined and no load blocks the
-    /// request there. An engine on probation gets one idempotent request at a time.
+    /// Returns whether an engine is available to the request: it isn't quarantined and no load
+    /// blocks the request there. An engine on probation gets one idempotent request at a time.
     pub(super) fn is_available(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         let class = &self.settings.classes[pending.request.class];
         let is_idempotent = class.effect == Effect::Idempotent;
@@ -103,8 +103,9 @@
             && !self.is_blocked_on(pending, engine)
     }
 
-    /// Whether a load holds the request's table group on an engine, according to this gateway's
-    /// attempts or to recent progress notes. The request would wait there and occupy memory.
+    /// Returns whether a load holds the request's table group on an engine, according to this
+    /// gateway's attempts or to recent progress reports. The request would wait there and occupy
+    /// memory.
     fn is_blocked_on(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         if !self.is_blocked_by_loads(pending.request.class) {
             return false;
@@ -117,15 +118,17 @@
                 .any(|other| other.group == group && self.settings.classes[other.class].is_load)
     }
 
-    /// Whether requests of a class have to wait on an engine where a load holds their table group.
+    /// Returns whether requests of a class have to wait on an engine where a load holds their table
+    /// group.
     pub(super) fn is_blocked_by_loads(&self, class: usize) -> bool {
         let class = &self.settings.classes[class];
         class.is_load || class.waits_for_load
     }
 }
 
-/// Factor on the cost of an engine, which grows with its share of bad outcomes. It is 0 for an
-/// engine on probation, so that it is tried first: only a request can show that it is healthy.
+/// Returns the factor on the cost of an engine, which grows with the engine's share of bad
+/// outcomes. The factor is 0 for an engine on probation, so that the engine is chosen first: only a
+/// request can show that the engine is healthy.
 fn health_cost_factor(engine: &EngineState) -> f64 {
     if engine.probation_left > 0 {
         return 0.0;
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -1,5 +1,5 @@
 //! Engine health: passes responses, outcomes, load reports and probe results to outlier detection
-//! and load estimates.
+//! and to the load estimates.
 
 use super::load_estimate::ReportContext;
 use super::outlier_detection::{QuarantineReason, SHORT_PAUSE};
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Updates the load estimates with a load report of an engine.
+    /// Updates the load estimates with a load report from an engine.
     pub(super) fn on_load_report(&mut self, id: EngineId, report: &LoadReport) {
         let cores = self
             .engines
@@ -93,11 +93,11 @@
         }
     }
 
-    /// How long an engine is excluded after it was at capacity or a probe of it failed.
+    /// Returns how long an engine is excluded after it was at capacity or a probe of it failed.
     pub(super) fn engine_pause(&self) -> Micros {
         let latency_time_constant = self.load_estimates.latency_time_constant();
-        // Where shares are below one query, a gateway rarely learns that an engine is at capacity,
-        // so the pause is longer.
+        // If shares are below one query, a gateway rarely learns that an engine is at capacity, so
+        // the pause is longer.
         let fraction = if self.subsetting.is_share_below_one_query() {
             1.0
         } else {
--- a/src/balancer/key_ordering.rs
+++ b/src/balancer/key_ordering.rs
@@ -4,16 +4,17 @@
 use crate::interface::{Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests with one key.
+/// The requests that share one ordering key.
 #[derive(Default)]
 struct KeyQueue {
-    /// In order of arrival, until their state is removed.
+    /// Requests in order of arrival. A request stays here until its state is removed.
     requests: VecDeque<RequestId>,
-    /// Until then, an attempt that has ended for this gateway may still run on its engine.
+    /// Until this time no request with the key may be sent, because an attempt that this gateway no
+    /// longer tracks may still be running on its engine.
     paused_until: Micros,
 }
 
-/// The requests of each key of ordered classes.
+/// The requests of ordered classes, by key.
 #[derive(Default)]
 pub(super) struct KeyOrdering {
     queues: BTreeMap<String, KeyQueue>,
@@ -31,14 +32,15 @@
         }
     }
 
-    /// Delays the next request of a key, since an attempt of the previous one may still run.
+    /// Delays the next request with a key, since an attempt of the previous one may still be
+    /// running.
     pub(super) fn pause(&mut self, key: &str, until: Micros) {
         if let Some(queue) = self.queues.get_mut(key) {
             queue.paused_until = until;
         }
     }
 
-    /// Whether a request is the earliest of its key.
+    /// Returns whether a request is the earliest one with its key.
     pub(super) fn is_first(&self, key: &str, request: RequestId) -> bool {
         self.queues
             .get(key)
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -12,34 +12,35 @@
 const PRESSURE_SLOWDOWN: f64 = 1.2;
 /// An engine is saturated above this multiple of its best slowdown.
 const SATURATION_SLOWDOWN: f64 = 3.0;
-/// A report of a larger share of busy cores, busy disks or granted memory means pressure.
+/// A load report in which a larger share of the cores or disks is busy, or of the memory is
+/// granted, indicates pressure.
 const PRESSURE_BUSY_SHARE: f64 = 0.95;
 /// Threads per core that other gateways are assumed to use until a report arrives.
 const ASSUMED_FOREIGN_LOAD: f64 = 1.0;
-/// Lower limit on the factor on an engine's bounds, so that it always gets some work.
+/// Lower limit on the factor on an engine's bounds, so that the engine always gets some work.
 const MIN_BOUND_FACTOR: f64 = 0.7;
-/// Relative increase of the bounds by an outcome without pressure.
+/// Relative increase of the bounds after an outcome without pressure.
 const BOUND_STEP: f64 = 0.01;
-/// Decrease of the bounds by an outcome under pressure, as a multiple of `BOUND_STEP`.
+/// Decrease of the bounds after an outcome under pressure, as a multiple of `BOUND_STEP`.
 const BOUND_CUT_STEPS: f64 = 4.0;
 
 impl EngineState {
-    /// Whether the engine is under pressure: by a recent report or rejection, or by a slowdown well
-    /// above its best. Its bounds apply only then.
+    /// Returns whether the engine is under pressure: according to a recent report or rejection, or
+    /// because its slowdown is well above its best. The engine's bounds apply only then.
     pub(super) fn is_under_pressure(&self, now: Micros) -> bool {
         let is_slow = self.slowdown > PRESSURE_SLOWDOWN * self.best_slowdown;
         now < self.pressure_until || now >= self.latency_ignored_until && is_slow
     }
 
-    /// Whether the engine recently reported that it is busy or rejected an attempt, or is far
-    /// slower than at its best.
+    /// Returns whether the engine recently reported that it is busy or rejected an attempt, or is
+    /// far slower than at its best.
     pub(super) fn is_saturated(&self, now: Micros) -> bool {
         now < self.pressure_until || self.slowdown > SATURATION_SLOWDOWN * self.best_slowdown
     }
 
     /// Updates the slowdown: time spent divided by ideal time, over recently ended attempts and
     /// those in flight. Attempts in flight count because on a saturated engine few attempts end.
-    /// Without progress notes an attempt is assumed to have run at its ideal speed so far.
+    /// Without progress reports an attempt is assumed to have run at its ideal speed so far.
     /// `time_constant` is in microseconds.
     pub(super) fn update_slowdown(
         &mut self,
@@ -67,8 +68,8 @@
             spent += elapsed.min(MAX_DEVIATION * done * self.slowdown);
             ideal += done;
         }
-        // Without observations the slowdown decays to the best one, so that a high value doesn't
-        // outlast its cause.
+        // Without observations the slowdown decays to the best slowdown, so that a high value
+        // doesn't outlast its cause.
         self.slowdown = if ideal > 1.0 {
             spent / ideal
         } else {
@@ -105,13 +106,13 @@
     pub(super) ideal: f64,
 }
 
-/// Values that a load report is interpreted with.
+/// Values that are needed to interpret a load report.
 pub(super) struct ReportContext {
     /// Cores of the engine.
     pub(super) cores: f64,
     /// Mean number of threads of a query.
     pub(super) threads_per_query: f64,
-    /// For how long a busy report counts as pressure.
+    /// How long a report of a busy engine counts as pressure.
     pub(super) pressure_duration: Micros,
     pub(super) now: Micros,
 }
@@ -124,7 +125,7 @@
     baseline_load: f64,
     /// Whether any report has contained the number of queries in flight.
     has_query_counts: bool,
-    /// Whether any report has shown the load of an engine.
+    /// Whether any report has contained figures from which an engine's load can be estimated.
     has_reports: bool,
 }
 
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Time constant with which observed latency decays, in microseconds.
+    /// Returns the time constant with which observed latency decays, in microseconds.
     pub(super) fn latency_time_constant(&self) -> f64 {
         self.latency_time_constant
     }
@@ -147,7 +148,7 @@
         self.has_reports
     }
 
-    /// Threads per core of other gateways, averaged over engines.
+    /// Returns the threads per core of other gateways, averaged over engines.
     pub(super) fn baseline_load(&self) -> f64 {
         self.baseline_load
     }
@@ -156,8 +157,8 @@
         self.baseline_load = load;
     }
 
-    /// Sets the load assumed before the first request or report: where shares are below one query
-    /// there are many other gateways, so engines are unlikely to be idle.
+    /// Sets the load that is assumed before the first request or report. If shares are below one
+    /// query, there are many other gateways, so engines are unlikely to be idle.
     pub(super) fn assume_start_load(&mut self, is_share_below_one_query: bool) {
         self.baseline_load = if is_share_below_one_query {
             ASSUMED_FOREIGN_LOAD
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Estimated threads of other gateways on an engine. The value of its last report decays to the
-    /// mean over engines.
+    /// Returns the estimated threads of other gateways on an engine. The value from the engine's
+    /// last report decays to the mean over all engines.
     pub(super) fn foreign_threads(
         &self,
         engine: &EngineState,
@@ -191,7 +192,7 @@
             PRESSURE_SLOWDOWN
         };
         let is_saturated = engine.slowdown > saturation_slowdown * engine.best_slowdown;
-        // An engine that is saturated by disks or memory has idle cores. Where shares are below one
+        // An engine that is saturated by disks or memory has idle cores. If shares are below one
         // query, a report without a query count therefore can't lower the estimate below the mean,
         // and a slowdown far above the best gives a lower limit on the number of threads.
         let min_threads = if !is_share_below_one_query || !is_saturated && self.has_query_counts {
--- a/src/balancer/load_shedding.rs
+++ b/src/balancer/load_shedding.rs
@@ -1,6 +1,6 @@
 //! Load shedding: if a queued request would miss its latency objective, the requests with the
-//! lowest weight per work are refused until the others are in time (a weighted form of the
-//! Moore-Hodgson algorithm).
+//! lowest weight per work are refused until the others are expected to be in time (a weighted form
+//! of the Moore-Hodgson algorithm).
 
 use super::Balancer;
 use crate::engine_state::EngineState;
@@ -8,16 +8,17 @@
 use crate::request_state::PendingRequest;
 use std::collections::BTreeMap;
 
-/// Tolerated lateness before a request is shed, as a fraction of the time left until its objective.
+/// Expected lateness above which a request is shed, as a fraction of the time left until its
+/// objective.
 const LATENESS_MARGIN: f64 = 0.1;
 /// Lower limit on the service rate, in threads.
 const MIN_SERVICE_RATE: f64 = 0.05;
-/// Shortest time until a retry that a refusal advises, as a fraction of the longest. The time is
-/// drawn at random between the two.
+/// Shortest retry-after hint in a refusal, as a fraction of the longest. The hint is drawn at
+/// random between the two.
 const MIN_RETRY_AFTER: f64 = 0.5;
 
 /// Selects the requests to refuse so that the others of a queue meet their objectives. `queue` is
-/// in order of objectives; `service_rate` is the work done per microsecond.
+/// ordered by objective; `service_rate` is the work done per microsecond.
 fn select_victims<'a>(
     queue: impl Iterator<Item = &'a PendingRequest>,
     service_rate: f64,
@@ -25,7 +26,7 @@
 ) -> Vec<RequestId> {
     let mut victims = Vec::new();
     let mut work_ahead = 0.0;
-    // Ordered by weight per work. It is positive, and the bits of positive floats sort like their
+    // Ordered by weight per work, which is positive: the bits of positive floats sort like their
     // values.
     let mut remaining: BTreeMap<(u64, RequestId), f64> = BTreeMap::new();
     for pending in queue {
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Work per microsecond that this gateway's share of the engines performs, those in quarantine
-    /// excluded.
+    /// Returns the work per microsecond that this gateway's share of the engines performs, not
+    /// counting engines in quarantine.
     fn service_rate(&self) -> f64 {
         let peers = self.settings.peers;
         let is_quarantined =
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -7,14 +7,14 @@
 use crate::interface::{AttemptEnded, EngineId, Micros, Outcome, RequestId, ResourceUsage};
 use crate::request_state::{AttemptState, PendingRequest};
 
-/// Above this share of bad outcomes on all engines, attempts per request are limited to the inverse
-/// of the share.
+/// If the share of bad outcomes across all engines is higher than this, attempts per request are
+/// limited to the inverse of the share.
 const MAX_HEALTHY_BAD_SHARE: f64 = 0.3;
 /// After its pause, an engine that was at capacity counts as under pressure for the latency time
 /// constant divided by this.
 const CAPACITY_PRESSURE_DIVISOR: Micros = 3;
 
-/// Whether an attempt with this outcome may have run, or may still run, on its engine.
+/// Returns whether an attempt with this outcome may have run, or may still run, on its engine.
 fn execution_state_after(outcome: Outcome) -> AttemptState {
     match outcome {
         Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent => AttemptState::NeverRan,
@@ -70,8 +70,8 @@
     }
 
     /// Removes and returns the attempt's reservation. An engine at capacity is also excluded for a
-    /// while: it rejects at once, which frees its reservations, and would otherwise attract the
-    /// whole queue.
+    /// while. Because it rejects attempts at once, their reservations are freed, and it would
+    /// otherwise attract the whole queue.
     fn release_reservation(
         &mut self,
         engine: EngineId,
@@ -95,8 +95,8 @@
         Some(reservation)
     }
 
-    /// Updates an engine's slowdown and bounds with an answered attempt. The time of one that
-    /// waited for memory or a load doesn't count.
+    /// Updates an engine's slowdown and bounds with an answered attempt. The duration of an attempt
+    /// that waited for memory or a load doesn't count.
     fn learn_slowdown(
         &mut self,
         engine: EngineId,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Delays the next request of the same key if the attempt may still run on its engine.
+    /// Delays the next request with the same key if the attempt may still be running on its engine.
     fn pause_key_after_uncertain_end(&mut self, ended: &AttemptEnded) {
         let may_still_run = matches!(
             ended.outcome,
@@ -143,7 +143,7 @@
         } else if pending.has_errors_on_several_engines() {
             self.end_request(id, self.settings.max_retry_after);
         } else if pending.has_attempt_in_flight() {
-            // The end of that attempt decides.
+            // Another attempt is in flight; the request is decided when that one ends.
         } else if self.may_retry(pending) {
             self.queue.insert(pending);
         } else {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Whether limits, deadline and the health of all engines allow another attempt.
+    /// Returns whether limits, deadline and the health of all engines allow another attempt.
     fn may_retry(&self, pending: &PendingRequest) -> bool {
         // The higher the share of bad outcomes, the fewer attempts, so that retries don't add to an
         // overload. Attempts that this gateway cancelled don't count.
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,20 +1,20 @@
 //! Outlier detection: engines that fail or stop responding are quarantined, then put on probation.
 //!
-//! Two signs lead to quarantine, whatever their cause: a high share of bad outcomes, and silence, a
-//! lack of any response while attempts are in flight. `crates/event-analysis` parses the texts that
-//! are logged here.
+//! Two signs lead to quarantine, whatever their cause: a high share of bad outcomes, and silence,
+//! which is the lack of any response while attempts are in flight. `crates/event-analysis` parses
+//! the texts that are logged here.
 
 use super::class_estimates::LEARNING_RATE;
 use crate::engine_state::EngineState;
 use crate::engine_table::EngineTable;
 use crate::interface::{Action, EngineId, Micros, Outcome, Settings};
 
-/// Weight of an outcome in an engine's share of bad outcomes: with it, five bad ones in a row lead
-/// to quarantine.
+/// Weight of an outcome in an engine's share of bad outcomes. With this weight, five bad outcomes
+/// in a row lead to quarantine.
 pub(super) const BAD_OUTCOME_WEIGHT: f64 = 0.15;
 /// An engine with a larger share of bad outcomes is quarantined.
 pub(super) const MAX_BAD_SHARE: f64 = 0.5;
-/// Number of good outcomes that end the probation after a quarantine; a bad one starts a new
+/// Number of good outcomes that end the probation after a quarantine; a bad outcome starts a new
 /// quarantine.
 const PROBATION_OUTCOMES: u32 = 6;
 /// Duration of the first quarantine, as a fraction of the warm-up duration; each relapse doubles
@@ -26,7 +26,7 @@
 const SILENCE_MULTIPLE: f64 = 3.0;
 /// If a larger share of engines would be quarantined, a common cause outside them is assumed.
 const MAX_QUARANTINED_SHARE: f64 = 0.5;
-/// Pause of an engine that was at capacity, failed a probe or fails nearly everything, as a
+/// Pause of an engine that was at capacity, failed a probe or fails nearly all attempts, as a
 /// fraction of the latency time constant.
 pub(super) const SHORT_PAUSE: f64 = 0.1;
 
@@ -67,11 +67,11 @@
 /// Detects unhealthy engines and quarantines them.
 pub(super) struct OutlierDetection {
     warm_up_duration: Micros,
-    /// Interval of progress notes; 0 if engines send none.
+    /// Interval of progress reports; 0 if engines send none.
     progress_interval: Micros,
     /// Time constant with which observed latency decays, in microseconds.
     latency_time_constant: f64,
-    /// Moving average of the share of bad outcomes on all engines.
+    /// Moving average of the share of bad outcomes across all engines.
     fleet_bad_share: f64,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Moving average of the share of bad outcomes on all engines.
+    /// Returns the moving average of the share of bad outcomes across all engines.
     pub(super) fn fleet_bad_share(&self) -> f64 {
         self.fleet_bad_share
     }
@@ -195,8 +195,9 @@
         }
     }
 
-    /// Pause of an engine that isn't quarantined because of a shared cause. One that fails nearly
-    /// everything is paused, so that failing fast doesn't attract the whole queue.
+    /// Returns the pause of an engine that isn't quarantined because a cause outside the engines is
+    /// assumed. An engine that fails nearly all attempts is paused, because an engine that fails
+    /// fast would otherwise attract the whole queue.
     fn shared_cause_pause(&self, engine: &EngineState) -> Micros {
         if engine.bad_share > (1.0 + MAX_BAD_SHARE) / 2.0 {
             (SHORT_PAUSE * self.latency_time_constant) as Micros
@@ -205,8 +206,8 @@
         }
     }
 
-    /// Engines with attempts in flight that have stopped responding, while at least half of the
-    /// busy engines respond.
+    /// Returns the engines that have stopped responding while they have attempts in flight. Returns
+    /// none unless at least half of the busy engines respond.
     pub(super) fn silent_engines(&self, engines: &EngineTable, now: Micros) -> Vec<EngineId> {
         let busy_engines = engines
             .active()
@@ -221,8 +222,8 @@
         silent_engines.map(EngineState::id).collect()
     }
 
-    /// Whether the last response of a busy engine is too long ago. Without progress notes responses
-    /// are expected at the rate of its longest attempt in flight.
+    /// Returns whether the last response of a busy engine is too long ago. Without progress reports
+    /// responses are expected at the rate of its longest attempt in flight.
     fn is_silent(&self, engine: &EngineState, now: Micros) -> bool {
         let expected_interval = if self.progress_interval > 0 {
             self.progress_interval as f64
@@ -236,8 +237,8 @@
     }
 }
 
-/// Whether one more quarantine would exclude most engines at once. Then a common cause is assumed,
-/// and quarantines would leave too few engines.
+/// Returns whether one more quarantine would exclude most engines at once. Then a common cause is
+/// assumed, and quarantines would leave too few engines.
 fn has_shared_cause(engines: &EngineTable) -> bool {
     let on_probation = engines
         .active()
--- a/src/balancer/pending_queue.rs
+++ b/src/balancer/pending_queue.rs
@@ -4,8 +4,7 @@
 use crate::request_state::PendingRequest;
 use std::collections::BTreeMap;
 
-/// Waiting requests and their classes, ordered by the end of their latency objective, then by
-/// number.
+/// Waiting requests and their classes, ordered by the end of their latency objective, then by ID.
 #[derive(Default)]
 pub(super) struct PendingQueue {
     classes: BTreeMap<(Micros, RequestId), usize>,
@@ -23,12 +22,12 @@
         self.classes.remove(&position);
     }
 
-    /// Numbers of the requests, earliest objective first.
+    /// Returns the IDs of the requests, earliest objective first.
     pub(super) fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.classes.keys().map(|&(_, id)| id)
     }
 
-    /// Numbers and classes of the requests, earliest objective first.
+    /// Returns the IDs and classes of the requests, earliest objective first.
     pub(super) fn ids_and_classes(&self) -> impl Iterator<Item = (RequestId, usize)> + '_ {
         self.classes.iter().map(|(&(_, id), &class)| (id, class))
     }
--- a/src/balancer/progress.rs
+++ b/src/balancer/progress.rs
@@ -1,5 +1,5 @@
-//! Progress notes of attempts in flight: an attempt with a bad query plan, or one that waits for a
-//! load, is cancelled so that the request can be retried on another engine.
+//! Handles progress reports from attempts in flight. An attempt that has a bad query plan or is
+//! waiting for a load is cancelled, so that the request can be retried on another engine.
 
 use super::Balancer;
 use crate::engine_state::ProgressMark;
@@ -8,14 +8,14 @@
 /// An attempt has a bad plan if its remaining time exceeds this multiple of the duration of a new
 /// attempt.
 const BAD_PLAN_MULTIPLE: f64 = 3.0;
-/// Lower limit on the share done when the remaining time is computed.
+/// Lower limit on the completed share of the work when the remaining time is computed.
 const MIN_SHARE_DONE: f64 = 1e-6;
-/// An attempt that waits for a load is cancelled only if its request then has at least this many
-/// attempts left, in case of other failures.
+/// An attempt that is waiting for a load is cancelled only if its request then has at least this
+/// many attempts left, as a reserve for other failures.
 const RESERVED_ATTEMPTS: usize = 2;
 
 impl Balancer {
-    /// Processes a progress note of an attempt in flight.
+    /// Processes a progress report of an attempt in flight.
     pub(super) fn on_progress(&mut self, id: RequestId, attempt: usize, progress: Progress) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Records the share of the work that is done, and returns whether the attempt has a bad plan:
-    /// it is far slower than expected on its engine, and a new attempt would still end in time.
+    /// Records the completed share of the work, and returns whether the attempt has a bad plan: the
+    /// attempt is far slower than expected on its engine, and a new attempt would still end in
+    /// time.
     fn detect_bad_plan(
         &mut self,
         engine: EngineId,
--- a/src/balancer/queue_release.rs
+++ b/src/balancer/queue_release.rs
@@ -9,8 +9,8 @@
 type RoomKey = (usize, u64);
 
 impl Balancer {
-    /// Sends queued requests, earliest objective first. One that can't be sent doesn't block those
-    /// behind it.
+    /// Sends queued requests, earliest objective first. A request that can't be sent doesn't block
+    /// the requests behind it.
     pub(super) fn release_queue(&mut self) {
         // The smallest memory for which no engine had room; larger requests are skipped.
         let mut unplaced_memory: BTreeMap<RoomKey, f64> = BTreeMap::new();
@@ -34,7 +34,7 @@
             if is_full[class] || is_known_not_to_fit || !self.is_ready_to_place(pending) {
                 continue;
             }
-            // For retries and ordered requests there may be other reasons than a lack of room.
+            // A retry or an ordered request may be held back for reasons other than a lack of room.
             let is_limited_by_room_only =
                 pending.attempts.is_empty() && !self.settings.classes[class].is_ordered;
             if let Some(engine) = self.choose_engine(id) {
--- a/src/balancer/retry_budget.rs
+++ b/src/balancer/retry_budget.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Micros, RetryBudgetSettings};
 use std::collections::VecDeque;
 
-/// Arrivals and retries within the time over which the budget counts them.
+/// Arrivals and retries within the budget's sliding window.
 pub(super) struct RetryBudget {
     /// `None`: retries are not limited.
     limit: Option<RetryBudgetSettings>,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether the budget allows one more retry now.
+    /// Returns whether the budget allows one more retry now.
     pub(super) fn has_room_for_retry(&self, now: Micros) -> bool {
         let Some(limit) = self.limit else {
             return true;
@@ -51,7 +51,7 @@
         retries + 1.0 <= limit.spare + limit.ratio * requests
     }
 
-    /// Removes arrivals and retries that are too old for the budget to count.
+    /// Removes arrivals and retries that are older than the budget's window.
     pub(super) fn remove_expired(&mut self, now: Micros) {
         let span = self.limit.map_or(0, |limit| limit.span);
         let window_start = now.saturating_sub(span);
--- a/src/balancer/sampling.rs
+++ b/src/balancer/sampling.rs
@@ -1,22 +1,22 @@
-//! Random sampling of a few candidate engines for a request where shares are below one query, and
-//! the probes for their load reports.
+//! Random sampling of a few candidate engines for a request if shares are below one query, and the
+//! probes that request their load reports.
 //!
-//! Load reports are delayed: if every gateway chose the best of all engines by them, all gateways
-//! would choose the same one at once. A choice among a few random candidates limits that.
+//! Load reports are delayed: if every gateway chose the engine with the best report, all gateways
+//! would choose the same engine at once. Choosing among a few random candidates limits this effect.
 
 use super::{Balancer, MAINTENANCE_TICKS};
 use crate::engine_state::EngineState;
 use crate::interface::{Action, EngineId, RequestId};
 use crate::request_state::PendingRequest;
 
-/// Engines drawn for a request: a choice between two spreads requests well even with delayed
-/// reports.
+/// Number of engines drawn for a request. A choice between two spreads requests well even if
+/// reports are delayed.
 const CANDIDATES: usize = 2;
-/// Upper limit on the cost of probes, as a fraction of the value of all requests.
+/// Upper limit on the cost of probes, as a fraction of the total priority weight of all requests.
 const MAX_PROBE_COST: f64 = 0.02;
 /// Redraws of candidates of queued requests that each arrival adds to the budget.
 const REDRAWS_PER_ARRIVAL: f64 = 1.0;
-/// Upper limit on the redraws and on the probes that the budget saves up.
+/// Capacity of the token bucket for redraws and of the one for probes.
 const MAX_TOKENS: f64 = 6.0;
 /// Age up to which a load report counts as fresh, as a fraction of the latency time constant.
 const FRESH_REPORT_AGE: f64 = 0.1;
@@ -29,7 +29,8 @@
 }
 
 impl SamplingBudget {
-    /// `probe_tariff`: cost of one probe per request, as a fraction of the value of all requests.
+    /// Creates the buckets. `probe_tariff` is the cost of sending one probe per request, as a
+    /// fraction of the total priority weight of all requests.
     pub(super) fn new(probe_tariff: f64) -> Self {
         SamplingBudget {
             probe_tokens: 0.0,
@@ -90,8 +91,8 @@
         let is_first_draw = pending.sampled_at == 0;
         let mut candidates = Vec::new();
         for (index, draw) in draws.iter().enumerate().take(engines.len()) {
-            // From the second draw on, the last candidate may be any engine, since the engines with
-            // affinity had no room.
+            // From the second draw on, the last candidate may be any engine, since the engines that
+            // the group has an affinity to had no room.
             let should_prefer_affinity =
                 !should_avoid_affinity && (is_first_draw || index + 1 < CANDIDATES);
             let eligible = if should_prefer_affinity {
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Whether a probe of one of the request's candidates is pending, until a timeout after the
-    /// draw.
+    /// Returns whether a probe of one of the request's candidates is pending, until a timeout after
+    /// the draw.
     fn is_waiting_for_probes(&self, pending: &PendingRequest) -> bool {
         let timeout = MAINTENANCE_TICKS * self.settings.tick;
         let is_probed = |engine: &EngineState| engine.probe_sent_at > 0;
@@ -150,8 +151,8 @@
                 .any(|id| self.engines.get(id).is_some_and(is_probed))
     }
 
-    /// Whether a request may be placed now: where shares are below one query, its candidates must
-    /// have been drawn and their probes must have ended.
+    /// Returns whether a request may be placed now: where shares are below one query, its
+    /// candidates must have been drawn and their probes must have ended.
     pub(super) fn is_ready_to_place(&self, pending: &PendingRequest) -> bool {
         !self.subsetting.is_share_below_one_query()
             || !pending.candidates.is_empty() && !self.is_waiting_for_probes(pending)
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -10,10 +10,11 @@
 use crate::interface::{Micros, RequestId, Settings};
 use crate::traffic::Traffic;
 
-/// Fraction of the budget that is used, since estimates scatter and other gateways round up as
-/// well.
+/// Fraction of the budget that is used. The rest is a margin, since estimates scatter and other
+/// gateways round up as well.
 const BUDGET_MARGIN: f64 = 0.6;
-/// Standard deviations by which randomly admitted work may exceed its mean within the budget.
+/// Number of standard deviations by which randomly admitted work may exceed its mean and still stay
+/// within the budget.
 const CHANCE_DEVIATIONS: f64 = 3.0;
 /// Share of busy cores that counts as an engine's full capacity.
 const CAPACITY_BUSY_SHARE: f64 = 0.85;
@@ -30,7 +31,7 @@
 /// A request that may be sent to a cold engine.
 pub(super) struct ColdCandidate<'a> {
     pub(super) request: RequestId,
-    /// Mean work of the request's class.
+    /// Mean work of the request's class, as time on one thread in microseconds.
     pub(super) mean_work: f64,
     pub(super) engine: &'a EngineState,
     /// Number of cores of the engine.
@@ -48,12 +49,12 @@
         }
     }
 
-    /// The time at which an engine that started at `booted_at` is warm.
+    /// Returns the time at which an engine that started at `booted_at` is warm.
     pub(super) fn warm_up_end(&self, booted_at: Micros) -> Micros {
         booted_at + self.warm_up_duration
     }
 
-    /// The fraction of its full capacity that an engine has now. It grows linearly from
+    /// Returns the fraction of its full capacity that an engine has now. It grows linearly from
     /// `start_capacity` to 1 while the engine warms up.
     pub(super) fn capacity_fraction(&self, engine: &EngineState, now: Micros) -> f64 {
         let remaining_cold_time = engine.cold_until.saturating_sub(now) as f64;
@@ -61,18 +62,18 @@
         1.0 - (1.0 - self.start_capacity) * cold_fraction.min(1.0)
     }
 
-    /// The start of the overload window that ends at `now`; earlier sends don't count.
+    /// Returns the start of the overload window that ends at `now`; earlier sends don't count.
     pub(super) fn window_start(&self, now: Micros) -> Micros {
         now.saturating_sub(self.overload_window)
     }
 
-    /// Work that all gateways together may send to a cold engine within the window.
+    /// Returns the work that all gateways together may send to a cold engine within the window.
     fn budget(&self, cores: f64) -> f64 {
         let capacity = self.start_capacity * CAPACITY_BUSY_SHARE * cores;
         self.overload_multiple * capacity * self.overload_window as f64
     }
 
-    /// Whether a send stays within this gateway's share of the engine's budget.
+    /// Returns whether a send stays within this gateway's share of the engine's budget.
     pub(super) fn is_within_share(
         &self,
         candidate: &ColdCandidate<'_>,
@@ -91,8 +92,8 @@
         sent + candidate.mean_work <= budget
     }
 
-    /// Whether a send is admitted at random. The random number is a hash of request and engine, so
-    /// that repeated calls for the same send don't raise its chance.
+    /// Returns whether a send is admitted at random. The random number is a hash of request and
+    /// engine, so that repeated calls for the same send don't raise its probability.
     pub(super) fn is_admitted_by_hash(
         &self,
         candidate: &ColdCandidate<'_>,
--- a/src/balancer/subsetting.rs
+++ b/src/balancer/subsetting.rs
@@ -2,14 +2,14 @@
 //!
 //! With many gateways, a gateway's share of an engine may be too small for a single query. If
 //! possible, each gateway then uses only a few engines, chosen on a ring that all gateways compute
-//! alike. Otherwise the mode is called "shares are below one query": each gateway may use all
-//! engines, and the load of all gateways on an engine is estimated from its load reports.
+//! alike. Otherwise "shares are below one query", as comments call this mode: each gateway may use
+//! all engines, and the load of all gateways on an engine is estimated from its load reports.
 
 use super::admission::START_THREADS_PER_CORE;
 use crate::engine_table::{EngineTable, RingEntry};
 use crate::interface::{EngineId, Micros, Settings};
 
-/// Number of engines in the smallest subset, and the least that a table group has an affinity to.
+/// Minimum number of engines in a subset, and minimum number that a table group has an affinity to.
 pub(super) const MIN_SUBSET: usize = 2;
 /// Subsets are used if a gateway's share of each engine in a subset of `MIN_SUBSET` is at least
 /// this many queries of the class with the most threads.
@@ -19,12 +19,13 @@
 pub(super) struct Subsetting {
     /// Number of gateways in this tier, this one included.
     peers: f64,
-    /// Start of the subset on a ring of engines, as a fraction of its length.
+    /// Where the subset starts on the ring of engines, as a fraction of the ring's length.
     ring_position: f64,
-    /// Queries of the class with the most threads that the engine with the most cores runs at its
-    /// thread bound.
+    /// Number of queries that the engine with the most cores runs at its thread bound, if all are
+    /// of the class with the most threads.
     queries_per_engine: f64,
-    /// Only probes report how many queries an engine has in flight; subsets aren't used then.
+    /// Whether only answers to probes report how many queries an engine has in flight. If so,
+    /// subsets aren't used.
     counts_by_probe: bool,
     is_subset_used: bool,
     is_share_below_one_query: bool,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Selects the mode and the share of an engine for a number of open engines.
+    /// Selects the mode, and the share of each engine, for the given number of open engines.
     pub(super) fn update(&mut self, open_engines: usize) {
         let open_count = open_engines as f64;
         let is_share_too_small = self.peers > self.queries_per_engine;
@@ -75,21 +76,22 @@
         };
     }
 
-    /// Whether this gateway's share of an engine is less than one query and no subset is used, so
-    /// that the load of all gateways on an engine counts, as estimated from its reports.
+    /// Returns whether this gateway's share of an engine is less than one query and no subset is
+    /// used. If so, decisions use the load of all gateways on an engine, as estimated from the
+    /// engine's reports.
     pub(super) fn is_share_below_one_query(&self) -> bool {
         self.is_share_below_one_query
     }
 
-    /// The fraction of an engine's capacity that this gateway's bounds are computed from; 1 where
-    /// shares are below one query.
+    /// Returns the fraction of an engine's capacity that this gateway's bounds are computed from; 1
+    /// where shares are below one query.
     pub(super) fn engine_share(&self) -> f64 {
         self.engine_share
     }
 
-    /// The open engines that requests of a class may be placed on, in the order of the ring: all of
-    /// them, or this gateway's subset, in which a quarantined engine is replaced by the next on the
-    /// ring.
+    /// Returns the open engines that requests of a class may be placed on, in ring order: all of
+    /// them, or this gateway's subset. In the subset, a quarantined engine is replaced by the next
+    /// engine on the ring.
     pub(super) fn engines<'a>(
         &'a self,
         table: &'a EngineTable,
@@ -113,7 +115,8 @@
             .take(size)
     }
 
-    /// Index of the subset's first engine on a ring of this length, and the size of the subset.
+    /// Returns the index of the subset's first engine on a ring of the given length, and the size
+    /// of the subset.
     fn subset_bounds(&self, ring_length: usize) -> (usize, usize) {
         let length = ring_length as f64;
         let size = (length / self.peers / self.engine_share).round() as usize;
--- a/src/balancer/tenant_quotas.rs
+++ b/src/balancer/tenant_quotas.rs
@@ -1,4 +1,5 @@
-//! Tenant quotas: a token bucket per tenant on this gateway, which holds the tokens of one second.
+//! Tenant quotas: this gateway has a token bucket for each tenant, whose capacity is the tokens of
+//! one second.
 
 use crate::interface::{Micros, Settings};
 
@@ -11,7 +12,7 @@
     refilled_at: Micros,
 }
 
-/// Token buckets of all tenants, indexed by tenant number.
+/// Token buckets of all tenants, indexed by tenant ID.
 pub(super) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
 }
--- a/src/engine_state.rs
+++ b/src/engine_state.rs
@@ -1,14 +1,14 @@
 //! State of one engine: its endpoint, the attempts that this gateway has in flight on it, and the
-//! statistics of earlier ones.
+//! statistics of attempts that have ended.
 //!
 //! [`crate::engine_table::EngineTable`] owns these states. This module contains no policy.
 
 use crate::interface::{Endpoint, EngineEstimates, EngineId, Micros, Phase, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Largest difference at which the slowdown counts as equal to the best slowdown.
+/// Maximum difference at which the slowdown counts as equal to the best slowdown.
 const SLOWDOWN_TOLERANCE: f64 = 1e-9;
-/// Lowest slowdown that capacity is computed from, so that an engine never counts as more than
+/// Lower limit on the slowdown from which capacity is computed: an engine never counts as more than
 /// twice its cores.
 const MIN_SLOWDOWN: f64 = 0.5;
 
@@ -17,11 +17,11 @@
 pub(crate) struct ProgressMark {
     /// Time from sending the attempt to the report, in microseconds.
     pub(crate) elapsed: f64,
-    /// Part of the attempt's ideal duration that was done by then, in microseconds.
+    /// Ideal duration of the work that was done at the time of the report, in microseconds.
     pub(crate) done: f64,
 }
 
-/// Resources that an attempt in flight occupies on its engine, by its estimates.
+/// Resources that an attempt in flight occupies on its engine, as estimated.
 pub(crate) struct Reservation {
     pub(crate) class: usize,
     pub(crate) group: u64,
@@ -29,8 +29,8 @@
     pub(crate) threads: f64,
     pub(crate) ideal_duration: f64,
     pub(crate) sent_at: Micros,
-    /// Whether it has waited on the engine for memory or for a load: its duration then doesn't show
-    /// how fast the engine runs queries.
+    /// Whether the attempt has waited on the engine for memory or for a load. If so, its duration
+    /// doesn't show how fast the engine runs queries.
     pub(crate) has_waited: bool,
     pub(crate) progress: Option<ProgressMark>,
 }
@@ -42,21 +42,21 @@
     pub(crate) request: RequestId,
 }
 
-/// A request and the number of one of its attempts, from 0.
+/// A request and the index of one of its attempts, from 0.
 pub(crate) type AttemptKey = (RequestId, usize);
 
-/// All that this gateway knows about one engine.
+/// Everything that this gateway knows about one engine.
 #[derive(Default)]
 pub(crate) struct EngineState {
     pub(crate) endpoint: Endpoint,
     pub(crate) is_listed: bool,
-    /// End of its warm-up; the engine is cold before.
+    /// End of the engine's warm-up; until this time the engine is cold.
     pub(crate) cold_until: Micros,
     pub(crate) cold_sends: VecDeque<ColdSend>,
     pub(crate) in_flight: BTreeMap<AttemptKey, Reservation>,
-    /// Threads of all attempts in flight.
+    /// Sum of the threads of this gateway's attempts in flight.
     pub(crate) threads: f64,
-    /// Memory of all attempts in flight, in megabytes.
+    /// Sum of the memory of this gateway's attempts in flight, in megabytes.
     pub(crate) memory_mb: f64,
     /// Factor on the initial bounds of memory and threads, at most 1.
     pub(crate) bound_factor: f64,
@@ -64,36 +64,36 @@
     pub(crate) spent_sum: f64,
     /// Decaying sum of the ideal durations of the same attempts, in microseconds.
     pub(crate) ideal_sum: f64,
-    /// When the decay of these sums was last applied.
+    /// When the decay of `spent_sum` and `ideal_sum` was last applied.
     pub(crate) observed_at: Micros,
     /// Duration of attempts divided by their ideal duration, over those that ended recently and
     /// those in flight.
     pub(crate) slowdown: f64,
     pub(crate) best_slowdown: f64,
     pub(crate) pressure_until: Micros,
-    /// Until then high latency doesn't count as pressure, because the last load report counted few
-    /// threads.
+    /// Until this time high latency doesn't count as pressure, because the last load report counted
+    /// few threads.
     pub(crate) latency_ignored_until: Micros,
-    /// Threads of other gateways' queries, from the last load report.
+    /// Number of threads of other gateways' queries, from the last load report.
     pub(crate) foreign_load: f64,
     pub(crate) reported_at: Micros,
     /// When the probe in flight was sent; 0: no probe is in flight.
     pub(crate) probe_sent_at: Micros,
     /// Decaying share of bad outcomes, from 0 to 1.
     pub(crate) bad_share: f64,
-    /// Errors of requests that have not ended, so that it is open whether the engine or the request
-    /// is at fault.
+    /// Number of errors of requests that have not ended. Until they end, it is unknown whether the
+    /// engine or the request is at fault.
     pub(crate) unattributed_errors: i32,
     pub(crate) quarantined_until: Micros,
-    /// Quarantines since the engine was last healthy.
+    /// Number of quarantines since the engine was last healthy.
     pub(crate) quarantine_count: i32,
-    /// Good outcomes still needed to leave probation; 0: the engine is not on probation.
+    /// Number of good outcomes still needed to leave probation; 0: the engine is not on probation.
     pub(crate) probation_left: u32,
     pub(crate) is_silent: bool,
     pub(crate) has_lost_connection: bool,
     /// Table groups that a load locks on this engine, each with the time of the last report of it.
     pub(crate) active_loads: BTreeMap<u64, Micros>,
-    /// Time of the last sign of life, or of the first send to an idle engine if that is later.
+    /// Time of the last response, or of the first send to an idle engine if that is later.
     pub(crate) last_activity: Micros,
 }
 
@@ -131,7 +131,7 @@
             .retain(|send| (send.sent_at, send.request) != (sent_at, request));
     }
 
-    /// Whether the endpoint list allows sending work to this engine.
+    /// Returns whether the endpoint list allows sending work to this engine.
     pub(crate) fn is_open(&self) -> bool {
         self.is_listed && self.endpoint.phase == Phase::Ready
     }
@@ -141,8 +141,8 @@
         self.slowdown.max(MIN_SLOWDOWN)
     }
 
-    /// Whether the passing of time doesn't change the state: the engine is idle, warm and healthy,
-    /// and its slowdown equals its best slowdown.
+    /// Returns whether the passing of time doesn't change the state: the engine is idle, warm and
+    /// healthy, and its slowdown equals its best slowdown.
     pub(crate) fn is_at_rest(&self, now: Micros) -> bool {
         let is_idle =
             self.in_flight.is_empty() && self.cold_sends.is_empty() && self.active_loads.is_empty();
--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -6,7 +6,7 @@
 //!   rules allow, ordered by hash.
 //! * The *active* engines: those whose state may change just because time passes. Every change
 //!   makes an engine active; it is removed from this index once it is at rest.
-//! * Sums over the engines at rest, so that these needn't be visited.
+//! * Sums over the engines at rest, which spare decisions a visit to each of them.
 
 use crate::engine_state::EngineState;
 use crate::hash::mix;
@@ -17,13 +17,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Units per core in which the capacity of engines at rest is summed, as an integer: additions and
-/// subtractions are then exact.
+/// Number of units per core in which the capacity of engines at rest is summed. The sum is an
+/// integer, so additions and subtractions are exact.
 const CAPACITY_STEPS_PER_CORE: f64 = (1u64 << 20) as f64;
 /// A ring is rebuilt if more than 1 / `REBUILD_FRACTION` of its engines have changed.
 const REBUILD_FRACTION: usize = 16;
 
-/// Position of an engine on a ring: its hash, then its number.
+/// Position of an engine on a ring: its hash, then its ID.
 pub(crate) type RingEntry = (u64, EngineId);
 
 /// Open engines that one set of placement rules allows, ordered by a hash that all gateways share.
@@ -62,12 +62,12 @@
     pub(crate) memory_mb: f64,
 }
 
-/// All engines that are listed or have attempts of this gateway in flight.
+/// All engines that are on the endpoint list or run attempts of this gateway.
 pub(crate) struct EngineTable {
     engines: BTreeMap<EngineId, EngineState>,
     active: BTreeSet<EngineId>,
     rings: Vec<Ring>,
-    /// For each ring, the first class with its placement rules.
+    /// For each ring, the first class that has the ring's placement rules.
     first_class_of_ring: Vec<usize>,
     /// For each class, the index of its ring.
     ring_of_class: Vec<usize>,
@@ -81,7 +81,7 @@
     resting_steps: u64,
     /// Engines whose list entries have changed since the rings were last updated.
     changed: Vec<EngineId>,
-    /// Number of accesses to engines so far.
+    /// Number of accesses to engine states so far.
     visits: Cell<u64>,
 }
 
@@ -171,7 +171,8 @@
     }
 
     /// Returns the sum of `capacity_of` over the open engines, each divided by `divisor` first. The
-    /// result is cached until the list changes, so both arguments may depend on the list only.
+    /// result is cached until the endpoint list changes, so both arguments must depend on that list
+    /// only.
     pub(crate) fn open_capacity(
         &self,
         divisor: f64,
@@ -233,8 +234,8 @@
         self.active.insert(endpoint.engine);
     }
 
-    /// Updates the rings after changes of the list; `may_place` returns whether a class may use an
-    /// engine.
+    /// Updates the rings after changes of the endpoint list; `may_place` returns whether a class
+    /// may use an engine.
     pub(crate) fn update_rings(&mut self, may_place: impl Fn(usize, &Endpoint) -> bool) {
         let changed = std::mem::take(&mut self.changed);
         for (ring, &class) in self.rings.iter_mut().zip(&self.first_class_of_ring) {
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,5 +1,5 @@
-//! Hash functions with the same result on every gateway, so that gateways order engines alike
-//! without communicating.
+//! Hash functions with the same result on every gateway, so that all gateways order engines in the
+//! same way without communicating.
 
 /// Mixes the bits of `value`: the finalizer of SplitMix64.
 pub(crate) fn mix(value: u64) -> u64 {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -26,5 +26,5 @@
 /// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// Number of an engine; all gateways use the same number for the same engine.
+/// ID of an engine; all gateways use the same ID for the same engine.
 pub type EngineId = u32;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -20,7 +20,7 @@
         request: RequestId,
         /// Engine that the attempt goes to.
         engine: EngineId,
-        /// Point in time at which the host has to give the attempt up.
+        /// Point in time at which the host has to abandon the attempt.
         attempt_deadline: Micros,
     },
     /// Request a load report from an engine.
@@ -32,10 +32,10 @@
     Cancel {
         /// Request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt within the request, from 0.
+        /// Index of the attempt within the request, from 0.
         attempt: usize,
     },
-    /// Answer the client that its request was refused and is safe to send again.
+    /// Answer the client that its request was refused and is safe to resend.
     Refuse {
         /// Request that ends with this answer.
         request: RequestId,
@@ -54,7 +54,7 @@
         /// Tag to return with [`Event::Timer`](super::Event::Timer).
         tag: u64,
     },
-    /// Subscribe to changes of the endpoint list, or do so again after a failure.
+    /// Subscribe to changes of the endpoint list, for the first time or after a failure.
     Subscribe,
     /// Write one line to the log of the host.
     Log(String),
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -8,7 +8,7 @@
     /// The engine accepts new work.
     #[default]
     Ready,
-    /// The engine finishes the work in flight and is sent nothing new.
+    /// The engine finishes the work in flight and is sent no new work.
     Draining,
     /// The engine no longer exists.
     Removed,
@@ -17,12 +17,12 @@
 /// An engine as service discovery reports it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// Number under which the balancer knows the engine.
+    /// ID of the engine, which all gateways share.
     pub engine: EngineId,
     /// Availability zone that the engine runs in.
     pub zone: u32,
-    /// Index of its machine kind in [`Settings::kinds`](super::Settings::kinds); an index past the
-    /// end counts as the last kind.
+    /// Index of the engine's machine kind in [`Settings::kinds`](super::Settings::kinds); an index
+    /// past the end counts as the last kind.
     pub kind: u32,
     /// Group of engines that may share idempotency keys; see [`Scope::Cell`](super::Scope::Cell).
     pub cell: u32,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -19,17 +19,17 @@
     EndpointSnapshot(Vec<Endpoint>),
     /// Entries of the endpoint list that are new or have changed.
     EndpointChanges(Vec<Endpoint>),
-    /// Service discovery is unreachable; the list stays as it is, and the balancer subscribes again
-    /// later.
+    /// Service discovery is unreachable; the endpoint list stays as it is, and the balancer
+    /// resubscribes later.
     DiscoveryFailed,
     /// A client has sent a request.
     Arrived(Request),
-    /// Other gateways may have run an accepted request; replicas reported this before any attempt
-    /// of it was sent.
+    /// Other gateways may have run an accepted request; replicas reported this before this gateway
+    /// sent any attempt of that request.
     PriorAttempts {
         /// Request that the attempts belong to.
         request: RequestId,
-        /// Attempts that may have run, in addition to those already known.
+        /// Attempts that may have run, in addition to those that the balancer already knows.
         prior_attempts: Vec<PriorAttempt>,
     },
     /// The first part of an answer was sent to the client. From then on the balancer neither ends
@@ -42,7 +42,7 @@
     ProgressReported {
         /// Request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt within the request, from 0.
+        /// Index of the attempt within the request, from 0.
         attempt: usize,
         /// Progress as the engine reported it.
         progress: Progress,
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -33,12 +33,12 @@
     pub foreign_load: f64,
 }
 
-/// Everything that a gateway has learned; a checkpoint passes it to its next process.
+/// Everything that a gateway has learned; a checkpoint passes it to the gateway's next process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Estimates of the request classes, indexed by class number.
+    /// Estimates of the request classes, indexed by class ID.
     pub classes: Vec<ClassEstimates>,
-    /// Estimates of the engines that were listed at that time.
+    /// Estimates of the engines that were on the endpoint list when the state was exported.
     pub engines: Vec<EngineEstimates>,
     /// Threads per core that queries of other gateways occupy on the average engine.
     pub baseline_load: f64,
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -1,4 +1,5 @@
-//! Outcomes of attempts and probes, and the reports of engines on their load and on progress.
+//! Outcomes of attempts and probes, and engines' reports on their load and on the progress of
+//! attempts.
 
 use super::{EngineId, Micros, RequestId};
 
@@ -39,9 +40,9 @@
     Share(f64),
     /// The query spills to disk; the value is the memory it lacks, in megabytes.
     Spilling(f64),
-    /// The query waits for memory on its engine.
+    /// The query is waiting for memory on its engine.
     WaitsForMemory,
-    /// The query waits on its engine for a load of its table group to end.
+    /// The query is waiting on its engine for a load of its table group to end.
     WaitsForLoad,
 }
 
@@ -50,7 +51,7 @@
 pub struct LoadReport {
     /// Queries in flight on the engine, from all gateways.
     pub in_flight: Option<f64>,
-    /// Queries that wait for memory on the engine.
+    /// Queries that are waiting for memory on the engine.
     pub waiting_for_memory: Option<f64>,
     /// Share of its cores that are busy, from 0 to 1.
     pub cores_busy: Option<f64>,
@@ -60,12 +61,12 @@
     pub disks_busy: Option<f64>,
 }
 
-/// The end of an attempt, with all that the host knows of it.
+/// The end of an attempt, with everything that the host knows about it.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded {
     /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Number of the attempt within the request, from 0.
+    /// Index of the attempt within the request, from 0.
     pub attempt: usize,
     /// Outcome, which also says whether the query may have run.
     pub outcome: Outcome,
@@ -73,8 +74,8 @@
     pub spent: Micros,
     /// Whether the client has received its final answer, so that the request has ended.
     pub is_request_complete: bool,
-    /// Whether this failure has the same cause as one already reported: a lost connection that
-    /// takes several attempts along counts once.
+    /// Whether this failure has the same cause as a failure that was already reported. A lost
+    /// connection that ends several attempts counts once.
     pub is_already_reported: bool,
     /// Resources that the query used, if the answer reports them.
     pub usage: Option<ResourceUsage>,
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -1,8 +1,8 @@
-//! Requests of clients, and attempts that other processes may have made of them.
+//! Client requests, and attempts that other processes may have made to run them.
 
 use super::Micros;
 
-/// Number that the host gives a request; it is never reused.
+/// ID that the host assigns to a request; it is never reused.
 pub type RequestId = u64;
 
 /// Returns the tag of the timer at which a request ends if it is still unanswered. Tag 0 belongs to
@@ -12,7 +12,7 @@
 }
 
 /// An attempt that an earlier process of this gateway, or another gateway, may have made for a
-/// request. If `since` is 0, neither its time nor its zone and cell are known.
+/// request. If `since` is 0, neither the time nor the zone and cell of the attempt are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PriorAttempt {
     /// Zone of the engine that may have run the request.
@@ -26,7 +26,7 @@
 /// A request as a client sent it.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Number that the host gave the request.
+    /// ID that the host assigned to the request.
     pub id: RequestId,
     /// Index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
@@ -43,7 +43,7 @@
     pub work: Option<f64>,
     /// Memory that the client estimates, in megabytes; `None`: the client gave no estimate.
     pub memory_mb: Option<f64>,
-    /// Number of the table group that the request reads or loads.
+    /// ID of the table group that the request reads or loads.
     pub group: u64,
     /// Attempts that other processes may have made before this gateway received the request.
     pub prior_attempts: Vec<PriorAttempt>,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -7,7 +7,7 @@
 pub enum Effect {
     /// May be repeated on any engine at any time.
     Idempotent,
-    /// Carries an idempotency key: the engines of [`Class::scope`] drop a repeat within
+    /// Carries an idempotency key: the engines in [`Class::scope`] drop a repeat within
     /// [`Class::window`].
     IdempotentWithKey,
     /// Repeated only if every earlier attempt is known not to have run.
@@ -37,8 +37,8 @@
 /// A class of requests, with its latency objective and the rules for its requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer meets its objective within this time plus `latency_objective_per_work` times the
-    /// actual work per thread.
+    /// An answer meets its latency objective if it arrives within this time plus
+    /// `latency_objective_per_work` times the actual work per thread.
     pub latency_objective: Micros,
     /// Factor on the work per thread, which is added to `latency_objective`.
     pub latency_objective_per_work: f64,
@@ -49,7 +49,7 @@
     pub effect: Effect,
     /// The engines that drop a repeat of a request with an idempotency key.
     pub scope: Scope,
-    /// How long engines of the scope remember an idempotency key.
+    /// How long the engines in the scope store an idempotency key.
     pub window: Micros,
     /// Whether requests with the same key run one at a time, in the order of their arrival.
     pub is_ordered: bool,
@@ -68,8 +68,8 @@
 /// A tenant, on whose behalf clients send requests.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests per second, summed over all gateways, that are within the tenant's quota. Requests
-    /// beyond it lose weight; see [`Settings::over_quota_weight`].
+    /// The tenant's quota in requests per second, summed over all gateways. Requests beyond the
+    /// quota lose weight; see [`Settings::over_quota_weight`].
     pub quota_per_s: f64,
 }
 
@@ -82,8 +82,8 @@
     pub memory_mb: f64,
 }
 
-/// Limit on the retries of a gateway: within any `span` at most `spare` retries plus `ratio` times
-/// the requests received.
+/// Limit on the retries of a gateway: within any `span`, the gateway makes at most `spare` retries
+/// plus `ratio` times the requests received.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudgetSettings {
     /// Length of the sliding window in which requests and retries are counted.
@@ -97,29 +97,29 @@
 /// Settings of a gateway, which stay fixed while it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Request classes; a class number is an index into this list.
+    /// Request classes; a class ID is an index into this list.
     pub classes: Vec<Class>,
-    /// Tenants; a tenant number is an index into this list.
+    /// Tenants; a tenant ID is an index into this list.
     pub tenants: Vec<Tenant>,
-    /// Machine kinds; a kind number is an index into this list.
+    /// Machine kinds; a kind ID is an index into this list.
     pub kinds: Vec<MachineKind>,
     /// Number of gateways in front of the engines, including this one.
     pub peers: f64,
-    /// Index of this gateway among `peers`, from 0; `None`: unknown, so its subset of the engines
-    /// starts at a random position.
+    /// Index of this gateway among `peers`, from 0; `None`: unknown, so this gateway's subset of
+    /// the engines starts at a random position.
     pub gateway_index: Option<f64>,
     /// Zone that this gateway runs in.
     pub zone: u32,
-    /// Resolution of the timers of the platform; margins and the maintenance interval are multiples
-    /// of it.
+    /// Resolution of the platform's timers; margins and the maintenance interval are multiples of
+    /// this value.
     pub tick: Micros,
     /// How the gateway receives the endpoint list.
     pub discovery: Discovery,
     /// Interval at which engines report the progress of an attempt; 0: they report none.
     pub progress_interval: Micros,
-    /// Largest share of an engine's memory that one query may be granted, from 0 to 1.
+    /// Maximum share of an engine's memory that one query may be granted, from 0 to 1.
     pub largest_share: f64,
-    /// Largest number of attempts of one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: usize,
     /// Whether the gateway may cancel attempts in flight.
     pub may_cancel: bool,
@@ -138,7 +138,7 @@
     pub overload_multiple: f64,
     /// Length of the window in which work sent to a cold engine is counted.
     pub overload_window: Micros,
-    /// Capacity of an engine at its start, as a part of its full capacity.
+    /// Capacity of an engine at its start, as a fraction of its full capacity.
     pub start_capacity: f64,
     /// Time from the start of an engine until it is warm and has its full capacity.
     pub warm_up_duration: Micros,
@@ -146,13 +146,14 @@
     pub ordering_delay: Micros,
     /// Limit on retries; `None`: retries are not limited.
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Interval of subscriptions to service discovery; a failed one is repeated after a fraction of
-    /// it.
+    /// Interval between subscriptions to service discovery; a failed subscription is repeated after
+    /// a fraction of this interval.
     pub poll_interval: Micros,
     /// Factor on the priority weight of a request beyond its tenant's quota, from 0 to 1.
     pub over_quota_weight: f64,
-    /// Cost of sending requests to engines of other zones, as a part of the total priority weight.
+    /// Cost of sending a request to an engine in another zone, as a fraction of the total priority
+    /// weight.
     pub cross_zone_tariff: f64,
-    /// Cost of one probe per request, as a part of the total priority weight.
+    /// Cost of sending one probe per request, as a fraction of the total priority weight.
     pub probe_tariff: f64,
 }
--- a/src/request_state.rs
+++ b/src/request_state.rs
@@ -1,5 +1,5 @@
-//! State of a request and its attempts, kept until the request has ended and none of its attempts
-//! is in flight.
+//! State of a request and its attempts, retained until the request has ended and none of its
+//! attempts is in flight.
 //!
 //! [`crate::balancer::Balancer`] owns these states. This module contains no policy.
 
@@ -18,8 +18,8 @@
 pub(crate) struct Attempt {
     /// List entry of the engine when the attempt was sent.
     pub(crate) endpoint: Endpoint,
-    /// When the first byte was sent, if the host announces that; else when the balancer decided to
-    /// send the attempt.
+    /// When the first byte was sent, if the host calls `Balancer::may_begin` before; else when the
+    /// balancer decided to send the attempt.
     pub(crate) sent_at: Micros,
     pub(crate) state: AttemptState,
     pub(crate) is_cancelled: bool,
@@ -30,13 +30,14 @@
 #[derive(Default)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
-    /// Corrected estimate of its work, in microseconds of thread time summed over all threads.
+    /// Corrected estimate of the request's work, in microseconds of thread time summed over all
+    /// threads.
     pub(crate) work: f64,
-    /// Corrected estimate of its duration on an idle engine, in microseconds.
+    /// Corrected estimate of the request's duration on an idle engine, in microseconds.
     pub(crate) ideal_duration: f64,
-    /// Corrected estimate of its memory in megabytes; 0: unknown.
+    /// Corrected estimate of the request's memory in megabytes; 0: unknown.
     pub(crate) memory_mb: f64,
-    /// Latest time of an answer that meets the latency objective; the queue is sorted by it.
+    /// Latest time of an answer that meets the latency objective; the queue is sorted by this time.
     pub(crate) objective_deadline: Micros,
     /// The request has to end before this time so that the client receives the answer in time.
     pub(crate) end_deadline: Micros,
@@ -55,7 +56,8 @@
 }
 
 impl PendingRequest {
-    /// Iterates over the engines of the attempts that ended in an error, in the order of attempts.
+    /// Iterates over the engines of the attempts that ended in an error, in the order of the
+    /// attempts.
     pub(crate) fn engines_with_errors(&self) -> impl Iterator<Item = EngineId> + use<'_> {
         self.attempts
             .iter()
@@ -79,8 +81,8 @@
             .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Iterates over the attempts that may have run: those of this gateway and those that other
-    /// processes made.
+    /// Iterates over the attempts that may have run: attempts of this gateway and attempts that
+    /// other processes made.
     pub(crate) fn possible_runs(&self) -> impl Iterator<Item = PriorAttempt> + use<'_> {
         let own_attempts = self
             .attempts
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -1,7 +1,7 @@
 //! Decaying statistics of the accepted requests.
 //!
-//! [`crate::balancer::Balancer`] owns them and updates them at each arrival. This module contains
-//! no policy.
+//! [`crate::balancer::Balancer`] owns these statistics and updates them at each arrival. This
+//! module contains no policy.
 
 use crate::interface::Micros;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 /// Decaying means over the accepted requests.
 #[derive(Default)]
 pub(crate) struct Traffic {
-    /// Requests accepted so far.
+    /// Number of requests accepted so far.
     pub(crate) arrivals: f64,
     pub(crate) last_arrival: Micros,
     /// Mean time between arrivals, in microseconds.
--- a/tests/common/small_shares.rs
+++ b/tests/common/small_shares.rs
@@ -29,7 +29,7 @@
     actions.iter().filter_map(probed_engine).collect()
 }
 
-/// The engine of each send, in order.
+/// Returns the engine of each send, in order.
 pub fn target_engines(actions: &[Action]) -> Vec<EngineId> {
     sent_attempts(actions)
         .into_iter()
--- a/tests/constraints.rs
+++ b/tests/constraints.rs
@@ -163,7 +163,7 @@
     }
 }
 
-/// Work in thread seconds that a gateway sends to a cold engine within 400 ms.
+/// Returns the work in thread seconds that a gateway sends to a cold engine within 400 ms.
 fn work_sent_to_cold_engine(settings: Settings) -> f64 {
     let now = 1_000 * SECOND;
     let mut gateway = TestGateway::new(
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -5,8 +5,8 @@
 use common::*;
 use eideryard::interface::*;
 
-/// Largest work in thread seconds that all gateways together send to a cold engine within one of
-/// several windows.
+/// Returns the largest work in thread seconds that all gateways together send to a cold engine
+/// within one of several windows.
 fn max_work_sent_to_cold_engine(settings: &Settings) -> f64 {
     let start = 1_000 * SECOND;
     let cold = Endpoint {
--- a/tests/subsetting.rs
+++ b/tests/subsetting.rs
@@ -28,7 +28,7 @@
     (1..=ENGINES).map(ready_endpoint).collect()
 }
 
-/// The engines that a gateway sends 40 simultaneous lookups to.
+/// Returns the engines that a gateway sends 40 simultaneous lookups to.
 fn used_engines(settings: Settings, engines: &[Endpoint]) -> BTreeSet<EngineId> {
     let mut gateway = TestGateway::new(settings, engines);
     let mut used = BTreeSet::new();
--- a/tests/visits.rs
+++ b/tests/visits.rs
@@ -23,8 +23,8 @@
     TestGateway::new(settings, &all)
 }
 
-/// Visits per request while engines answer, and while none answers, so that requests wait and are
-/// shed.
+/// Returns the visits per request while engines answer, and while none answers, so that requests
+/// wait and are shed.
 fn visits_per_request(engines: u32, peers: f64) -> [f64; 2] {
     let mut gateway = new_gateway(engines, peers);
     let mut count = |answered: bool| {
