--- a/crates/gateway/src/checkpoint.rs
+++ b/crates/gateway/src/checkpoint.rs
@@ -1,6 +1,6 @@
-//! Checkpoints of the balancer's learned estimates: their encoding in the store, with the time at
-//! which and the settings under which they were saved. The balancer decides how much weight
-//! restored estimates get.
+//! Checkpoints of the balancer's learned estimates, and their encoding in the store. A checkpoint
+//! contains the time at which it was saved and a fingerprint of the settings at that time. The
+//! balancer decides how much weight restored estimates get.
 
 use eideryard::interface::{ClassEstimates, EngineEstimates, LearnedState, Micros};
 use serde::{Deserialize, Serialize};
@@ -9,14 +9,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Minimum interval between periodic checkpoints, in microseconds. It is checked whenever the main
-/// loop wakes, so an idle gateway writes none.
+/// Minimum interval between periodic checkpoints, in microseconds. The interval is checked only
+/// when the main loop wakes, so an idle gateway writes no checkpoints.
 pub const INTERVAL: Micros = 5_000_000;
 /// The store's key under which the checkpoint is saved.
 pub const STORE_KEY: &[u8] = b"l";
 
-/// A checkpoint as the store holds it. The order of the fields of this type and of the following
-/// ones defines the stored format (postcard).
+/// A checkpoint as it is stored. The order of the fields in this type and in the types below
+/// defines the stored format (postcard).
 #[derive(Serialize, Deserialize)]
 struct Checkpoint {
     saved_at: Micros,
@@ -131,12 +131,13 @@
     /// The checkpoint was saved under other settings.
     #[error("the settings differ from those under which it was saved")]
     DifferentSettings,
-    /// The checkpoint was saved at a time later than now: the clock stepped back.
+    /// The checkpoint was saved at a time later than now, because the clock stepped back.
     #[error("it was saved at a time later than now: the clock stepped back")]
     SavedInFuture,
 }
 
-/// Encodes a checkpoint. `saved_at` is the time from which [`from_bytes`] computes its age.
+/// Encodes a checkpoint. `saved_at` is the time from which [`from_bytes`] computes the checkpoint's
+/// age.
 pub fn to_bytes(learned: &LearnedState, saved_at: Micros, settings_fingerprint: u64) -> Vec<u8> {
     let checkpoint = Checkpoint {
         saved_at,
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -35,25 +35,26 @@
     event_loop: EventLoopHandle,
     listener: Option<WatchedFd<TcpListener>>,
     table: Table<Client>,
-    /// Connections that [`Clients::flush`] has to look at.
+    /// Connections that the next [`Clients::flush`] has to process.
     unflushed: Vec<Key>,
-    /// Connections that may have more input, to be read after the others; the main loop empties it.
+    /// Connections that may have more input, to be read after the others. The main loop empties the
+    /// list.
     pub unfinished_reads: Vec<Key>,
     max_connections: usize,
-    /// Bytes of answers that are not written yet, on all connections.
+    /// Bytes of unwritten answers, summed over all connections.
     unsent_bytes: usize,
     /// Above this total, connections with more than their equal share are closed.
     max_unsent_bytes: usize,
-    /// Bytes of incomplete messages, on all connections.
+    /// Bytes of incomplete messages, summed over all connections.
     unread_bytes: usize,
     /// Above this total, connections with more than their equal share are closed.
     max_unread_bytes: usize,
     /// The answer to health checks; the main loop keeps it up to date.
     pub is_healthy: bool,
-    /// False: queries for spooled results get an error, as this gateway spools no results.
+    /// Whether this gateway spools results. If not, queries for spooled results get an error.
     pub accepts_result_queries: bool,
     /// Opened and closed connections, for the event log; empty if no event log is written. The main
-    /// loop empties it.
+    /// loop empties the list.
     pub changes: Vec<(Key, ConnectionChange)>,
     records_changes: bool,
 }
@@ -65,8 +66,8 @@
     /// File descriptors that the platform grants to the process; client connections get at most
     /// half of them.
     pub max_descriptors: usize,
-    /// Memory in MB that the platform grants to the process; the limits on buffered bytes are parts
-    /// of it.
+    /// Memory in MB that the platform grants to the process; the limits on buffered bytes are
+    /// fractions of it.
     pub memory_mb: u64,
     /// Whether changes of connections are collected for the event log.
     pub records_changes: bool,
@@ -75,7 +76,8 @@
 }
 
 impl Clients {
-    /// Starts to listen; an error if the address can't be bound or registered.
+    /// Starts to listen. Returns an error if the address can't be bound or the socket can't be
+    /// registered with the event loop.
     pub fn new(event_loop: &EventLoopHandle, config: &ClientsConfig) -> io::Result<Self> {
         Ok(Clients {
             event_loop: event_loop.clone(),
@@ -84,7 +86,7 @@
             unflushed: Vec::new(),
             unfinished_reads: Vec::new(),
             // The operators guarantee that clients use at most a third of the descriptors; the
-            // difference to the half is room for a burst.
+            // difference between a third and the half used here is room for a burst.
             max_connections: (config.max_descriptors / 2).max(1),
             unsent_bytes: 0,
             max_unsent_bytes: (config.memory_mb as usize) << 18,
@@ -116,8 +118,8 @@
     /// descriptor for them and no connection is idle.
     pub fn accept(&mut self, context: &mut ClientContext<'_>) -> bool {
         while self.listener.is_some() {
-            // There is one connection more than allowed: an idle one is closed, or else accepting
-            // pauses.
+            // There is one connection more than allowed. An idle connection is closed; if there is
+            // none, accepting pauses.
             let is_full = self.table.len() > self.max_connections;
             if is_full && !self.evict_longest_idle(context) {
                 return false;
@@ -161,13 +163,13 @@
         }
     }
 
-    /// Closes the listener: no more connections are accepted.
+    /// Closes the listener, so that no more connections are accepted.
     pub fn stop_listening(&mut self) {
         self.listener = None;
     }
 
-    /// Notes the key of the slot that the request with the message id `id` has got in the table of
-    /// requests.
+    /// Stores the key of the slot in the table of requests that was assigned to the request with
+    /// the message ID `id`.
     pub fn assign_request(&mut self, key: Key, id: u32, request: Key) {
         let Some(client) = self.table.get_mut(key) else {
             return;
@@ -183,18 +185,19 @@
         Some(client.state == ConnectionState::Open)
     }
 
-    /// Returns the client's address as a number, by which the result spool shares its space fairly
-    /// among addresses; 0 if the connection has ended.
+    /// Returns the client's address as a number, or 0 if the connection has ended. The result spool
+    /// uses this number to share its space fairly among addresses.
     pub fn address_of(&self, key: Key) -> u64 {
         match self.table.get(key).map(|client| client.address) {
             Some(IpAddr::V4(address)) => u64::from(u32::from(address)),
-            // Only the network part: one site usually has many addresses in the other 64 bits.
+            // Only the network part of the address, since one site usually uses many addresses that
+            // differ in the other 64 bits.
             Some(IpAddr::V6(address)) => (u128::from(address) >> 64) as u64,
             None => 0,
         }
     }
 
-    /// Returns all connections and the clients' addresses.
+    /// Iterates over all connections, as keys, and the clients' addresses.
     pub fn addresses(&self) -> impl Iterator<Item = (Key, IpAddr)> + '_ {
         self.table.iter().map(|(key, client)| (key, client.address))
     }
--- a/crates/gateway/src/clients/answering.rs
+++ b/crates/gateway/src/clients/answering.rs
@@ -1,4 +1,5 @@
-//! Answers to clients: appended to a connection's output, which is written once per poll.
+//! Answers to clients, which are appended to a connection's output; the output is written once per
+//! poll.
 
 use eideryard_event_log::CloseReason;
 
@@ -6,7 +7,7 @@
 use crate::table::Key;
 
 impl Clients {
-    /// Appends the answer to the request with the message id `id`. Returns false if the connection
+    /// Appends the answer to the request with the message ID `id`. Returns false if the connection
     /// has ended or gets no more answers.
     pub fn answer(&mut self, key: Key, id: u32, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let Some(client) = self.table.get_mut(key) else {
--- a/crates/gateway/src/clients/client.rs
+++ b/crates/gateway/src/clients/client.rs
@@ -22,9 +22,9 @@
 
 /// A request on this connection that has no answer yet.
 pub(super) struct OpenRequest {
-    /// The message id that the client has chosen.
+    /// The message ID that the client has chosen.
     pub(super) id: u32,
-    /// Key of the slot in the table of requests; `None` until [`Clients::assign_request`].
+    /// Key of the slot in the table of requests; `None` until [`Clients::assign_request`] sets it.
     ///
     /// [`Clients::assign_request`]: super::Clients::assign_request
     pub(super) key: Option<Key>,
@@ -35,20 +35,20 @@
     pub(super) connection: Connection,
     pub(super) address: IpAddr,
     pub(super) open_requests: Vec<OpenRequest>,
-    /// The client has sent at least one message that requires an answer.
+    /// Whether the client has sent at least one message that requires an answer.
     pub(super) has_requested: bool,
     /// The number of reads that completed at least one message.
     pub(super) message_reads: u64,
     pub(super) state: ConnectionState,
     /// The last time that something was received or written.
     pub(super) last_used_at: Micros,
-    /// When the connection is closed unless a request has arrived, the message in its input is
-    /// complete or the client has closed it.
+    /// When the connection is closed, unless by then the first request has arrived, the message in
+    /// the input is complete or, for a lingering connection, the client has closed it.
     pub(super) deadline: Option<DeadlineKey>,
 }
 
 impl Client {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub(super) fn new(
         connection: Connection,
         address: IpAddr,
--- a/crates/gateway/src/clients/closing.rs
+++ b/crates/gateway/src/clients/closing.rs
@@ -14,21 +14,22 @@
 
 /// How long the input of a connection that gets no more answers is read and discarded.
 const LINGER_TIMEOUT: Micros = 500_000;
-/// How many idle connections are tried in one eviction: each may turn out to have unread input.
+/// Maximum number of idle connections that one eviction checks, since each may turn out to have
+/// unread input.
 const MAX_EVICTION_ATTEMPTS: usize = 16;
 /// Clients usually send their first request within this time after connecting.
 const FIRST_REQUEST_INTERVAL: Micros = 200_000;
 
 impl Clients {
     /// Makes room for another connection by closing the one that has been idle for the longest
-    /// time. Connections that never sent a request although they had the time are closed first,
-    /// lingering ones next. Returns false if none is idle.
+    /// time. Connections on which no request arrived within [`FIRST_REQUEST_INTERVAL`] are closed
+    /// first, lingering connections next. Returns false if none is idle.
     pub(super) fn evict_longest_idle(&mut self, context: &mut ClientContext<'_>) -> bool {
         for _ in 0..MAX_EVICTION_ATTEMPTS {
             let Some(key) = self.longest_idle(context.now) else {
                 return false;
             };
-            // A connection with input that was not read yet is not idle.
+            // A connection that has unread input is not idle.
             let bytes_before = context.counters.bytes_in;
             self.read(key, context);
             if self.table.get(key).is_none() {
@@ -58,8 +59,8 @@
         longest_idle.map(|(key, _)| key)
     }
 
-    /// Handles the deadline of a connection: a lingering connection is closed; an open one is
-    /// rejected unless a complete message has arrived in the meantime.
+    /// Handles the deadline of a connection: a lingering connection is closed; an open connection
+    /// is rejected unless a complete message has arrived.
     pub fn handle_deadline(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
@@ -68,7 +69,7 @@
         if client.state != ConnectionState::Open {
             return self.close(key, context);
         }
-        // Input that has arrived but was not read yet is in time.
+        // Input that has arrived but has not been read yet is in time.
         let message_reads = client.message_reads;
         let mut bytes_before = None;
         while bytes_before != Some(context.counters.bytes_in) {
@@ -105,8 +106,8 @@
         self.unflushed.push(key);
     }
 
-    /// Gives up on a client that doesn't read: drops its unwritten answers and ends its output. No
-    /// answer may follow one that was written in part.
+    /// Gives up on a client that doesn't read: drops its unwritten answers and ends its output,
+    /// because no answer may follow a partly written one.
     pub(super) fn stop_writing(&mut self, key: Key, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
--- a/crates/gateway/src/clients/decoding.rs
+++ b/crates/gateway/src/clients/decoding.rs
@@ -1,5 +1,5 @@
 //! Turns the complete messages in a connection's input into events. Health checks are answered here
-//! at once.
+//! immediately.
 
 use eideryard_msgpack_rpc::{decode, write_health, Message};
 
@@ -8,14 +8,14 @@
 use crate::requests::{Call, CallError};
 use crate::table::Key;
 
-/// The protocol's limit on open requests of one connection.
+/// The protocol's limit on the number of open requests on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
 
 /// The RPC method of a health check of this gateway.
 const HEALTH_METHOD: &str = "isWell";
 
-/// The input can't be decoded, or two open requests have the same message id, so that the client
-/// could not tell their answers apart.
+/// The input can't be decoded, or two open requests have the same message ID, so the client could
+/// not tell their answers apart.
 #[derive(Debug)]
 pub(super) struct MalformedInput;
 
@@ -148,14 +148,15 @@
         let events = &mut self.context.events;
         match self.client.open_requests.swap_remove(index).key {
             Some(request) => events.push(ClientEvent::RequestCancelled(request)),
-            // The request arrived in the same read, so its event is not handled yet and is removed.
+            // The request arrived in the same read, so its event has not been handled yet and is
+            // removed.
             None => events.retain(|event| !event.is_call(self.key, id)),
         }
     }
 }
 
 /// Returns the query that a method and its fields express; `None` for an unknown method. A missing
-/// field is read as empty.
+/// field counts as empty.
 fn result_query(method: &str, fields: &[(&str, &str)]) -> Option<ResultQuery> {
     let field = |wanted: &str| {
         let found = fields.iter().find(|(name, _)| *name == wanted);
--- a/crates/gateway/src/clients/events.rs
+++ b/crates/gateway/src/clients/events.rs
@@ -1,5 +1,4 @@
-//! The events that client connections report to the main loop, and the state of the main loop that
-//! handling a connection needs.
+//! Events that client connections report to the main loop, and the main-loop state that they need.
 
 use std::net::IpAddr;
 
@@ -11,13 +10,13 @@
 use crate::requests::{Call, CallError, Names};
 use crate::table::Key;
 
-/// The parts of the main loop that handling a connection uses, borrowed for one call.
+/// The main-loop state that handling a connection needs, borrowed for one call.
 pub struct ClientContext<'a> {
     /// The time of the call, by the clock of the main loop.
     pub now: Micros,
     /// The names of classes and tenants to which requests refer, and the limits on their fields.
     pub names: &'a Names,
-    /// All deadlines of the main loop; those of the connections are set here.
+    /// All deadlines of the main loop, including those of client connections.
     pub deadlines: &'a mut Deadlines,
     /// The counters of the main loop, for connections and bytes.
     pub counters: &'a mut Counters,
@@ -25,10 +24,11 @@
     pub events: &'a mut Vec<ClientEvent>,
 }
 
-/// An event of a client connection. The keys are those of connections (`client`) and of requests.
+/// An event on a client connection. A field `client` is the key of a connection; the other keys are
+/// those of requests.
 pub enum ClientEvent {
-    /// A request was received; `id` is its message id on the connection. An error is answered with
-    /// the name of the invalid field.
+    /// A request was received; `id` is its message ID on the connection. If the request is invalid,
+    /// the error reply contains the name of the invalid field.
     Call {
         client: Key,
         id: u32,
@@ -50,7 +50,7 @@
 }
 
 impl ClientEvent {
-    /// True only for [`ClientEvent::Call`], if both the connection and the message id match.
+    /// Returns whether this is a [`ClientEvent::Call`] with this connection and message ID.
     pub(super) fn is_call(&self, connection: Key, message_id: u32) -> bool {
         match self {
             ClientEvent::Call { client, id, .. } => *client == connection && *id == message_id,
@@ -61,11 +61,12 @@
 
 /// A query for a spooled result; only gateways that spool results answer them.
 pub enum ResultQuery {
-    /// Requests the pages from the one that the page token identifies; `id` is the request's id.
+    /// Requests the pages of a result, starting with the page that the page token identifies; `id`
+    /// is the request's ID.
     Page { token: String, id: String },
-    /// Requests the result of an earlier request by the request's id.
+    /// Requests the result of an earlier request by that request's ID.
     Reattach { id: String },
-    /// Frees the result: the client no longer needs it.
+    /// Releases the result, which the client no longer needs.
     Release { token: String, id: String },
 }
 
--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -1,4 +1,4 @@
-//! Reads the input of client connections and applies the limits on the time and the bytes of
+//! Reads the input of client connections and applies the limits on the duration and size of
 //! incomplete messages.
 
 use eideryard_event_log::CloseReason;
@@ -11,8 +11,8 @@
 
 impl Clients {
     /// Reads the available input. If there may be more after [`MAX_READS_PER_TURN`] reads, the
-    /// connection is added to [`Clients::unfinished_reads`], so that other connections are read
-    /// first.
+    /// connection is added to [`Clients::unfinished_reads`], which makes the main loop read other
+    /// connections first.
     pub fn read(&mut self, key: Key, context: &mut ClientContext<'_>) {
         for _ in 0..MAX_READS_PER_TURN {
             let Some(client) = self.table.get_mut(key) else {
@@ -39,8 +39,8 @@
         self.unfinished_reads.push(key);
     }
 
-    /// Decodes the input of an open connection; `length_before` bytes of it were there before this
-    /// read.
+    /// Decodes the input of an open connection; the input contained `length_before` bytes before
+    /// this read.
     fn handle_input(&mut self, key: Key, length_before: usize, context: &mut ClientContext<'_>) {
         let Some(client) = self.table.get_mut(key) else {
             return;
@@ -57,8 +57,8 @@
         let is_malformed = decoder.decode_all().is_err();
         let remaining = client.connection.input.len();
         let has_message = remaining < received;
-        // The deadline of a message starts with its first byte, that of the first request when the
-        // connection is accepted.
+        // The time limit for a message starts with its first byte; the time limit for the first
+        // request starts when the connection is accepted.
         client.message_reads += u64::from(has_message);
         if client.has_requested && has_message {
             context.deadlines.cancel(client.deadline.take());
@@ -80,8 +80,8 @@
         self.unflushed.push(key);
     }
 
-    /// Returns why the connection must be closed; `None` if it may stay open. `undecoded`: the
-    /// bytes of an incomplete message in its input.
+    /// Returns why the connection must be closed; `None` if it may stay open. `undecoded` is the
+    /// number of bytes of an incomplete message in the connection's input.
     fn rejection_reason(&self, is_malformed: bool, undecoded: usize) -> Option<CloseReason> {
         if is_malformed {
             return Some(CloseReason::Malformed);
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,11 +1,11 @@
-//! The clock of the balancer and of the main loop: microseconds since the Unix epoch. It is set
-//! from the system's clock once at the start and is monotonic from then on. Unix times in messages
-//! are compared with it without a conversion.
+//! The clock of the balancer and of the main loop: microseconds since the Unix epoch. The clock is
+//! set from the system's clock once at startup and is monotonic from then on. Unix times in
+//! messages can be compared with its time without a conversion.
 
 use eideryard::interface::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The clock of the process. All copies show the same time.
+/// The clock of the process. All copies return the same time.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -12,9 +12,11 @@
 
 /// The environment variable with the path of the file.
 const PATH_VARIABLE: &str = "EDGE_CONFIG";
-/// The memory if the platform sets no limit: the minimum that the operators guarantee.
+/// The assumed memory limit in MB if the platform sets none: the minimum that the operators
+/// guarantee.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// The descriptors if the platform sets no limit: the minimum that the operators guarantee.
+/// The assumed limit on file descriptors if the platform sets none: the minimum that the operators
+/// guarantee.
 const DEFAULT_SOCKETS: u64 = 1024;
 
 /// The configuration of one gateway.
@@ -23,7 +25,7 @@
     pub name: String,
     /// The address on which the gateway listens for clients (key `listen`).
     pub listen_address: SocketAddr,
-    /// The seed of all random numbers of the gateway; hexadecimal in the file.
+    /// The seed from which the gateway's random numbers are derived; hexadecimal in the file.
     pub seed: u64,
     /// Memory in MB that the platform grants to the process (key `limits.memory_mb`).
     pub memory_mb: u64,
@@ -31,12 +33,12 @@
     pub max_descriptors: usize,
     /// The address of service discovery (key `bulletin`).
     pub discovery_address: SocketAddr,
-    /// The endpoints that service discovery had reported when the file was written, with the number
-    /// of the last event among them (key `known`).
+    /// The endpoints that service discovery had reported when the file was written, and the
+    /// sequence number of the last of these events (key `known`).
     pub initial_endpoints: InitialEvents,
     /// The settings of the balancer, from the key `settings`.
     pub settings: Settings,
-    /// The settings of the gateway process around the balancer, from the key `settings` too.
+    /// The settings of the gateway process around the balancer, also from the key `settings`.
     pub host: HostSettings,
 }
 
@@ -64,8 +66,8 @@
     },
 }
 
-/// Why the text of a configuration is invalid. The messages name the member in quotes, by which
-/// `eideryard check` finds its line.
+/// Why the text of a configuration is invalid. The messages name the member in quotes; `eideryard
+/// check` uses this name to find the line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigTextError {
     /// The text is not valid JSON.
@@ -160,8 +162,8 @@
         .map_err(|_| ConfigTextError::NotAddress { key, text })
 }
 
-/// Returns a limit of the platform, or `default` if the file contains none. A fraction is rounded
-/// down.
+/// Returns a limit that the platform sets, or `default` if the file doesn't contain it. A limit
+/// with a fractional part is rounded down.
 fn read_limit(root: &Value, key: &'static str, default: u64) -> Result<u64, ConfigTextError> {
     let Some(value) = root.get("limits").and_then(|limits| limits.get(key)) else {
         return Ok(default);
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,6 +1,6 @@
 //! A TCP connection: a socket that stays registered with the event loop until it is dropped, and a
-//! buffer for each direction. When the event loop wakes, it appends the reasons to a list that the
-//! main loop handles after the wait.
+//! buffer for each direction. When the event loop wakes, it appends the reasons to a list, which
+//! the main loop handles after the wait.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -18,7 +18,7 @@
 /// Why the event loop woke.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WakeReason {
-    /// The listener has pending connections of clients.
+    /// The listener has pending client connections.
     Listener,
     /// A client connection can be read or written.
     Client(Key),
@@ -28,22 +28,22 @@
     Discovery,
     /// The disk worker of the result spool has completed work.
     ResultSpool,
-    /// The store's thread has made intents durable, or messages of peers have arrived.
+    /// The store's thread has made intents durable, or messages from peers have arrived.
     IntentDurability,
     /// SIGTERM or SIGINT: shut down gracefully.
     Stop,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
     /// SIGUSR1: log all counters.
     LogCounters,
 }
 
-/// The shared data of the event loop: the reasons of wakes that were not handled yet.
+/// The shared data of the event loop: the reasons for wakes that have not been handled yet.
 pub type PendingWakes = Vec<WakeReason>;
 /// The handle with which sockets and pings are registered with the event loop.
 pub type EventLoopHandle = LoopHandle<'static, PendingWakes>;
 
-/// How many times one connection is read in a row before other connections are read.
+/// Maximum number of consecutive reads on one connection before other connections are read.
 pub const MAX_READS_PER_TURN: usize = 16;
 
 /// A file descriptor that is registered with the event loop until this value is dropped.
@@ -89,9 +89,9 @@
 /// A non-blocking TCP connection.
 pub struct Connection {
     socket: WatchedFd<TcpStream>,
-    /// Received bytes that were not decoded yet.
+    /// Received bytes that have not been decoded yet.
     pub input: Buffer,
-    /// Bytes to be written.
+    /// Bytes that have not been written to the socket yet.
     pub output: Buffer,
     /// The number of bytes written to the socket since it was opened.
     pub written: u64,
@@ -121,8 +121,8 @@
         Self::new(event_loop, stream, wake, false)
     }
 
-    /// Begins to connect. After a wake, [`Connection::check_established`] returns whether that has
-    /// succeeded.
+    /// Begins to connect. After a wake, [`Connection::check_established`] returns whether the
+    /// connection is established.
     pub fn dial(
         event_loop: &EventLoopHandle,
         address: SocketAddr,
@@ -159,13 +159,13 @@
         })
     }
 
-    /// Returns whether the connection was established at the last
+    /// Returns whether the connection was established as of the last call to
     /// [`Connection::check_established`].
     pub fn is_established(&self) -> bool {
         !self.is_connecting
     }
 
-    /// Checks whether the connection is established; an error if connecting has failed.
+    /// Checks whether the connection is established. Returns an error if connecting has failed.
     pub fn check_established(&mut self) -> io::Result<bool> {
         if self.is_connecting {
             if let Some(error) = self.socket.file.take_error()? {
@@ -222,8 +222,8 @@
         let _ = self.socket.file.shutdown(std::net::Shutdown::Write);
     }
 
-    /// Returns the end of the buffered output, as an offset in the sequence of all bytes that are
-    /// ever written to the connection.
+    /// Returns the end of the buffered output, as an offset in the stream of all bytes written to
+    /// the connection.
     pub fn output_end(&self) -> u64 {
         self.written + self.output.len() as u64
     }
@@ -245,7 +245,7 @@
         .any(|errno| error.raw_os_error() == Some(errno.raw_os_error()))
 }
 
-/// Listens with the longest accept queue that the system grants, since every client whose
+/// Listens with the longest accept queue that the system allows, since every client whose
 /// connection the system has accepted must get an answer.
 pub fn listen(
     event_loop: &EventLoopHandle,
--- a/crates/gateway/src/connection/buffer.rs
+++ b/crates/gateway/src/connection/buffer.rs
@@ -3,11 +3,12 @@
 #[cfg(test)]
 mod tests;
 
-/// The maximum number of bytes of one read, and the capacity that an emptied buffer keeps.
+/// The maximum number of bytes in one read, and the capacity that a buffer retains when it is
+/// emptied.
 pub(super) const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// A byte queue: received bytes that were not decoded yet, or bytes to be sent. It is one
-/// allocation that is compacted in place.
+/// A byte queue: received bytes that have not been decoded yet, or bytes to be sent. The queue is a
+/// single allocation that is compacted in place.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -16,12 +17,12 @@
 }
 
 impl Buffer {
-    /// Returns the bytes that were not consumed yet.
+    /// Returns the bytes that have not been consumed yet.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// Returns the number of bytes that were not consumed yet.
+    /// Returns the number of bytes that have not been consumed yet.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.start
     }
@@ -36,17 +37,18 @@
         self.consume(self.len());
     }
 
-    /// Returns the vector to which bytes are appended; bytes that are already in it must stay.
+    /// Returns the vector to which bytes are appended; the caller must not change or remove the
+    /// bytes that the vector already contains.
     pub fn tail(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Removes the bytes `from..to`, counted from the first byte that was not consumed yet.
+    /// Removes the bytes `from..to`, counted from the first byte that has not been consumed yet.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.bytes.drain(self.start + from..self.start + to);
     }
 
-    /// Removes the first `count` bytes that were not consumed yet.
+    /// Removes the first `count` bytes that have not been consumed yet.
     pub fn consume(&mut self, count: usize) {
         self.start += count;
         if self.start == self.bytes.len() {
--- a/crates/gateway/src/connection/buffer/tests.rs
+++ b/crates/gateway/src/connection/buffer/tests.rs
@@ -1,5 +1,5 @@
-//! A buffer must not grow with the bytes that pass through it: it is compacted, and gives memory
-//! back when it is emptied.
+//! A buffer must not grow with the bytes that pass through it: it is compacted, and releases memory
+//! when it is emptied.
 
 use super::*;
 
--- a/crates/gateway/src/counter_text.rs
+++ b/crates/gateway/src/counter_text.rs
@@ -13,8 +13,7 @@
     format!("{name} {{ {} }}", pairs.join(", "))
 }
 
-/// Returns the counters of the intent durability and, in a fleet, of the replication and the
-/// leases.
+/// Formats the counters of intent durability and, in a fleet, of replication and leases.
 pub fn format_intent_durability(durability: &IntentDurability) -> String {
     let mut text = format!("; {}", format_intents(&durability.counters));
     let Some(driver) = durability.replication() else {
@@ -31,8 +30,8 @@
     text
 }
 
-/// Formats the group `Counted`: intents and requests that were refused for lack of a durable
-/// intent.
+/// Formats the group `Counted`: intents, and requests that were refused because their intents could
+/// not be made durable.
 pub fn format_intents(counters: &IntentCounters) -> String {
     format_group(
         "Counted",
@@ -65,7 +64,7 @@
     )
 }
 
-/// Formats the group `Counted` of the replication: claims, their answers, and transfers between
+/// Formats the group `Counted` for replication: claims, their answers, and transfers between
 /// replicas.
 pub fn format_replication(counters: &eideryard_replication::core::Counters) -> String {
     format_group(
@@ -85,8 +84,8 @@
     )
 }
 
-/// Formats the group `Counted` of the leases: leases won and lost, and messages by their fencing
-/// tokens.
+/// Formats the group `Counted` for leases: leases won and lost, and messages counted by the
+/// validity of their fencing tokens.
 pub fn format_leases(counters: &eideryard_leases::Counters) -> String {
     format_group(
         "Counted",
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -15,16 +15,16 @@
     /// Health checks by clients that were answered.
     pub health_checks: u64,
     pub closed: ClosedConnections,
-    /// Requests that were received. Each one is open or has ended as `served`, `refused`, `failed`,
-    /// `invalid`, `abandoned` or `undelivered`.
+    /// Requests that were received. Each of them is open or has ended as `served`, `refused`,
+    /// `failed`, `invalid`, `abandoned` or `undelivered`.
     pub received: u64,
     /// Requests that were answered with a result.
     pub served: u64,
-    /// Requests that were rejected without being run; the client may try again.
+    /// Requests that were rejected without being run; the client may retry.
     pub refused: u64,
-    /// Requests that were answered with an error because they have failed.
+    /// Requests that were answered with an error because they failed.
     pub failed: u64,
-    /// Requests with an invalid field, or on a connection that accepts no more.
+    /// Requests with an invalid field, or on a connection that no longer accepts requests.
     pub invalid: u64,
     /// The part of `refused` for which there was no memory for the statement.
     pub statement_memory_full: u64,
@@ -32,12 +32,13 @@
     pub abandoned: u64,
     /// Requests whose connection ended before the answer could be sent.
     pub undelivered: u64,
-    /// Answers that were sent after the deadline of the request; also counted above.
+    /// Answers that were sent after the request's deadline. They are also counted as `served`,
+    /// `refused` or `failed`.
     pub answered_late: u64,
-    /// Attempts that were sent to engines. Each one is in flight or has ended with an outcome.
+    /// Attempts that were sent to engines. Each of them is in flight or has ended with an outcome.
     pub attempts_sent: u64,
     pub attempts: AttemptOutcomes,
-    /// Pages of results that engines sent, without first pages.
+    /// Result pages that engines sent, not counting the first page of each result.
     pub result_pages: u64,
     /// Progress reports that engines sent.
     pub progress_reports: u64,
@@ -47,7 +48,7 @@
     pub probes: u64,
     /// Attempts to open a connection to an engine.
     pub dials: u64,
-    /// The part of `dials` that failed for a reason other than a lack of resources here.
+    /// The part of `dials` that failed for a reason other than a lack of resources on this host.
     pub dials_failed: u64,
     /// The part of `dials` for which the gateway lacked descriptors or memory.
     pub dials_out_of_resources: u64,
@@ -65,9 +66,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClosedConnections {
     /// The client sent a message that can't be decoded, or two open requests with the same message
-    /// id.
+    /// ID.
     pub malformed: u64,
-    /// The client sent no request, or only a part of a message, within the time limit.
+    /// The client sent no request, or only part of a message, within the time limit.
     pub idle_timeout: u64,
     /// The client's incomplete message took more than its share of the memory for unread bytes.
     pub too_much_unread: u64,
@@ -122,11 +123,11 @@
 
 /// The name of a counter in the log and a function that reads its value.
 type Counter = (&'static str, fn(&Counters) -> u64);
-/// The word before a group of counters in the log, and the counters of the group.
+/// The prefix of a group of counters in the log, and the counters in the group.
 type Group = (&'static str, &'static [Counter]);
 
-/// All counters in the order of the log line. Scripts match the names, which therefore stay even if
-/// a field is renamed.
+/// All counters in the order of the log line. Scripts match the names, so a name in the log must
+/// not change even if a field is renamed.
 const GROUPS: &[Group] = &[
     (
         "requests ",
@@ -204,7 +205,7 @@
 ];
 
 impl Counters {
-    /// Returns all counters with their names in the log.
+    /// Iterates over all counters, as the name in the log and the value.
     pub fn named_values(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         GROUPS
             .iter()
--- a/crates/gateway/src/deadlines.rs
+++ b/crates/gateway/src/deadlines.rs
@@ -1,5 +1,5 @@
-//! All deadlines of the main loop, ordered by time. Setting a deadline returns a key with which it
-//! can be cancelled. Deadlines with the same time expire in the order in which they were set.
+//! All deadlines of the main loop, ordered by time. Setting a deadline returns a key for cancelling
+//! it. Deadlines with the same time expire in the order in which they were set.
 
 use eideryard::interface::Micros;
 use std::collections::BTreeMap;
@@ -14,18 +14,18 @@
 pub enum Deadline {
     /// The balancer's timer with this tag fires.
     BalancerTimer(u64),
-    /// The attempt with this index of a request must have ended.
+    /// The attempt with this index among the request's attempts must have ended.
     Attempt(Key, usize),
-    /// The client must have sent a complete message, or closed its lingering connection.
+    /// The client must have sent a complete message, or have closed its lingering connection.
     ClientConnection(Key),
-    /// A connection to an engine must be established or have received the rest of an answer, or it
-    /// has reached the idle timeout.
+    /// A connection to an engine must have been established, or must have received the rest of an
+    /// answer, or has reached the idle timeout.
     EngineConnection(Key),
     /// The probe with this number on a connection must have been answered.
     Probe(Key, u64),
-    /// Service discovery must have sent a byte, or the delay before the next connection is over.
+    /// Service discovery must have sent a byte, or the delay before reconnecting is over.
     Discovery,
-    /// Accepting is tried again after descriptors ran out.
+    /// Accepting connections is attempted again after descriptors ran out.
     AcceptRetry,
     /// The next phase of the shutdown begins.
     Shutdown,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Adds a deadline that expires at the time `at`; the key is for [`Deadlines::cancel`].
+    /// Adds a deadline that expires at the time `at`; returns the key for [`Deadlines::cancel`].
     pub fn set(&mut self, at: Micros, deadline: Deadline) -> DeadlineKey {
         self.last_sequence += 1;
         let key = DeadlineKey {
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -1,5 +1,5 @@
 //! The watch on service discovery: keeps one connection open that streams the engines as numbered
-//! events, passes each event on once and in order, and reconnects when the stream ends, skips an
+//! events, passes on each event once and in order, and reconnects when the stream ends, skips an
 //! event or is silent for too long. The gateway's main loop owns one [`DiscoveryWatch`].
 
 use std::io;
@@ -19,12 +19,12 @@
 
 /// Service discovery sends a comment each second, so a stream that has missed two is dead. The
 /// operators require that an event is known after at most 4 s of silence, and reconnecting takes
-/// a part of that time.
+/// part of that time.
 const SILENCE_TIMEOUT: Micros = 2_200_000;
-/// The delay before the second attempt to reconnect, if the connection before it brought no event;
+/// The delay before the second attempt to reconnect, if the previous connection delivered no event;
 /// the first attempt follows at once.
 const MIN_RETRY_DELAY: Micros = 100_000;
-/// The operators require that an event is known within 2 s after a connection broke.
+/// The operators require that an event is known within 2 s after a connection has broken.
 const MAX_RETRY_DELAY: Micros = 500_000;
 
 /// Why a connection to service discovery ended.
@@ -61,20 +61,20 @@
     stream: Option<DiscoveryStream>,
     /// Whether anything was received on the current connection.
     has_received: bool,
-    /// The number of the last event that was passed on.
+    /// The sequence number of the last event that was passed on.
     last_event: u64,
     /// How long a connection may take to be established.
     dial_timeout: Micros,
     /// The delay before the next reconnect, without jitter.
     retry_delay: Micros,
-    /// While there is a connection: when it must have received something. Otherwise: the time of
-    /// the next reconnect.
+    /// While there is a connection: when it must have received something. Otherwise: when the watch
+    /// reconnects.
     deadline: Option<DeadlineKey>,
     rng: fastrand::Rng,
 }
 
 impl DiscoveryWatch {
-    /// Creates a watch without a connection that has all events up to `last_event`.
+    /// Creates a watch that has no connection yet and already knows all events up to `last_event`.
     pub fn new(
         event_loop: &EventLoopHandle,
         address: SocketAddr,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the number of the last event that was passed on.
+    /// Returns the sequence number of the last event that was passed on.
     pub fn last_event(&self) -> u64 {
         self.last_event
     }
@@ -130,7 +130,7 @@
     }
 
     /// Applies the address of a reloaded configuration. If it has changed, the current stream ends,
-    /// since events are now reported at the new address.
+    /// since service discovery now serves events at the new address.
     pub fn change_address(&mut self, address: SocketAddr, now: Micros, deadlines: &mut Deadlines) {
         if self.address != address {
             self.address = address;
@@ -156,9 +156,9 @@
         }
     }
 
-    /// Ends the connection; no other code does. If it brought an event, the watch reconnects at
-    /// once, otherwise after a growing delay, so that it doesn't reconnect in a tight loop to a
-    /// server that accepts connections and closes them.
+    /// Ends the connection; no other code does. If the connection delivered an event, the watch
+    /// reconnects at once, otherwise after a growing delay. The delay prevents a tight loop of
+    /// reconnects to a server that accepts connections and closes them.
     fn disconnect(&mut self, reason: &DisconnectReason, now: Micros, deadlines: &mut Deadlines) {
         let last_event = self.last_event;
         tracing::info!(
@@ -239,8 +239,8 @@
         Ok(true)
     }
 
-    /// Appends the item of an event that is newer than the last one. Skipped numbers are an error,
-    /// unless the event contains the whole list of engines.
+    /// Appends the item of an event that is newer than the last event that was passed on. Skipped
+    /// sequence numbers are an error, unless the event contains the whole list of engines.
     fn handle_event(
         &mut self,
         data: &str,
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,7 +1,8 @@
-//! Connections to engines. The gateway's main loop owns one [`Engines`], which dials an engine when
-//! there is something to send, multiplexes many attempts over each connection, and reports in
-//! [`EngineEvent`]s how each attempt ended. Each connection occupies a slot of a [`Table`]; only
-//! [`Engines::close`] frees a slot and ends the attempts and probes that were open on it.
+//! Connections to engines. The gateway's main loop owns one [`Engines`], which connects to an
+//! engine when there is something to send, multiplexes many attempts over each connection, and
+//! reports how each attempt ended in [`EngineEvent`]s. Each connection occupies a slot of a
+//! [`Table`]; only [`Engines::close`] frees a slot and ends the attempts and probes that were open
+//! on it.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -29,12 +30,13 @@
 mod writing;
 
 /// The fraction of the engines' idle timeout after which the gateway closes an idle connection, so
-/// that no request is sent just as the engine closes it.
+/// that no request is sent at the moment at which the engine closes the connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
-/// After this many attempts that ended without a result, a connection accepts no new ones.
+/// Maximum number of attempts that may end without a result on one connection. After that, the
+/// connection accepts no new attempts.
 const MAX_ENDED_IDS: usize = 1024;
 /// If an attempt is cancelled on a connection that has received nothing for this many progress
-/// intervals and a dial timeout, the connection is considered dead.
+/// intervals plus a dial timeout, the connection is considered dead.
 const MAX_SILENT_PROGRESS_INTERVALS: Micros = 2;
 
 /// An engine that service discovery lists, or to which a connection is still open.
@@ -46,15 +48,16 @@
 
 /// Limits on the connections to engines, from the settings.
 pub struct Limits {
-    /// How long a connection may take to be established, and an engine to answer a probe.
+    /// How long establishing a connection may take, and how long an engine may take to answer a
+    /// probe.
     pub dial_timeout: Micros,
     /// How long engines keep an idle connection open; 0: forever.
     pub idle_timeout: Micros,
     /// How often engines report the progress of a running attempt.
     pub progress_interval: Micros,
-    /// Attempts and probes that one connection carries at a time.
+    /// Maximum number of attempts and probes that one connection carries at a time.
     pub max_streams: usize,
-    /// Connections to all engines together.
+    /// Maximum number of connections, summed over all engines.
     pub max_connections: usize,
 }
 
@@ -64,13 +67,13 @@
     limits: Limits,
     engines: BTreeMap<EngineId, Engine>,
     table: Table<EngineConnection>,
-    /// Connections that [`Engines::flush`] has to look at.
+    /// Connections that the next [`Engines::flush`] has to process.
     unflushed: Vec<Key>,
     probes_sent: u64,
 }
 
 impl Engines {
-    /// Creates the state without any engine; [`Engines::update_endpoint`] adds them.
+    /// Creates the state without any engine; [`Engines::update_endpoint`] adds engines.
     pub fn new(event_loop: &EventLoopHandle, limits: Limits) -> Self {
         Engines {
             event_loop: event_loop.clone(),
@@ -82,10 +85,10 @@
         }
     }
 
-    /// Applies what service discovery reports of an engine. Connections that were opened before the
-    /// engine's process started (`started_at`) are closed, since their attempts ended with the
-    /// earlier process. Connections to another address than `address` are retired: they carry no
-    /// new attempts.
+    /// Applies what service discovery reports about an engine. Connections that were opened before
+    /// the engine's process started (`started_at`) are closed, since their attempts ended with the
+    /// previous process. Connections to an address other than `address` are retired, which means
+    /// that they carry no new attempts.
     pub fn update_endpoint(
         &mut self,
         engine: EngineId,
@@ -113,7 +116,8 @@
         self.remove_if_unused(engine);
     }
 
-    /// Removes an engine: no new attempts are sent there, those in flight may still end.
+    /// Removes an engine. No new attempts are sent to it; attempts in flight may still end
+    /// normally.
     pub fn remove_endpoint(&mut self, engine: EngineId, context: &mut EngineContext<'_>) {
         if self.engines.contains_key(&engine) {
             self.update_endpoint(engine, None, 0, context);
@@ -142,9 +146,9 @@
         }
     }
 
-    /// Cancels an attempt. Bytes of it that are not written yet are never sent, since nothing may
-    /// be sent for a request after its answer. Returns true if the engine may have received the
-    /// attempt and a cancel command was queued; the engine may still finish the attempt.
+    /// Cancels an attempt. Unwritten bytes of the attempt are never sent, since nothing may be sent
+    /// for a request after its answer. Returns true if the engine may have received the attempt and
+    /// a cancel command was queued; the engine may still finish the attempt.
     pub fn cancel_attempt(&mut self, key: Key, id: &str, context: &mut EngineContext<'_>) -> bool {
         let Some(connection) = self.table.get_mut(key) else {
             return false;
@@ -157,8 +161,8 @@
             return false;
         };
         if connection.stream.written < attempt.output.end {
-            // The engine has received a part of the request and doesn't read. Only closing the
-            // connection keeps the rest from it.
+            // The engine has received part of the request and doesn't read. Only closing the
+            // connection prevents the rest from being sent.
             self.close(key, Outcome::Broken, context);
             return false;
         }
@@ -169,9 +173,9 @@
                 engine_protocol::write_release(output, id);
             }
         }
-        // Retires a connection on which nothing has arrived for too long, so that the engine gets
-        // new attempts on another one. This guards against connections that stay established but
-        // transfer nothing.
+        // Retires a connection on which nothing has arrived for too long, so that new attempts use
+        // another connection to the engine. This guards against connections that stay established
+        // but transfer nothing.
         let max_silence = MAX_SILENT_PROGRESS_INTERVALS * self.limits.progress_interval
             + self.limits.dial_timeout;
         let last_activity = connection.last_received_at.max(attempt.sent_at);
@@ -182,8 +186,8 @@
         true
     }
 
-    /// Closes a connection without open attempts and probes: at once if it accepts no more
-    /// attempts, else after the idle timeout.
+    /// Closes a connection without open attempts and probes: at once if the connection accepts no
+    /// more attempts, else after the idle timeout.
     fn close_if_idle(&mut self, key: Key, context: &mut EngineContext<'_>) {
         let idle_timeout = (self.limits.idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         let Some(connection) = self.table.get_mut(key) else {
@@ -203,14 +207,14 @@
     }
 
     /// Closes a connection that was not established in time, has been idle for so long that the
-    /// engine might close it, or has received only a part of an answer in time.
+    /// engine might close it, or has received only part of an answer in time.
     pub fn handle_connection_deadline(&mut self, key: Key, context: &mut EngineContext<'_>) {
         self.close(key, Outcome::Broken, context);
     }
 
     /// Closes a connection and reports the end of its attempts and probes; no other code frees the
     /// slot of a connection. An attempt whose request was not written completely ends with
-    /// [`Outcome::NoConnection`], as it never reached the engine.
+    /// [`Outcome::NoConnection`], because the request did not reach the engine as a whole.
     fn close(&mut self, key: Key, outcome: Outcome, context: &mut EngineContext<'_>) {
         let Some(connection) = self.table.remove(key) else {
             return;
@@ -232,7 +236,8 @@
             end.is_already_reported = is_already_reported;
             context.events.push(EngineEvent::AttemptEnded(end));
             // Only one attempt reports the loss of an established connection. If the connection was
-            // never established, every attempt reports it, as that says more about the engine.
+            // never established, every attempt reports the failure, because it says more about the
+            // engine.
             is_already_reported = connection.stream.is_established();
         }
         for deadline in connection.probes.into_values() {
--- a/crates/gateway/src/engines/answer_fields.rs
+++ b/crates/gateway/src/engines/answer_fields.rs
@@ -5,33 +5,33 @@
 
 use super::answers::AnswerError;
 
-/// The maximum number of pages of a result that is sent to the client as a whole.
+/// The maximum number of pages in a result that is sent to the client as a whole.
 const MAX_PAGES: usize = 256;
-/// The maximum number of pages of a spooled result. The spool's limit on the bytes of one result is
-/// reached before.
+/// The maximum number of pages in a spooled result. The spool's limit on the bytes of one result is
+/// reached first.
 const MAX_SPOOLED_PAGES: usize = 1 << 20;
-/// Column separators per row: results have three columns.
+/// Number of column separators in a row: results have three columns.
 const TABS_PER_ROW: usize = 2;
 const MICROS_PER_MS: f64 = 1e3;
-/// The level of the progress report `held` that means: the attempt waits for the end of a load of
-/// data. With any other level it waits for memory.
+/// The level of the progress report `held` that means that the attempt is waiting for a load of
+/// data to end. With any other level, the attempt is waiting for memory.
 const HELD_BY_LOAD: f64 = 2.0;
 
-/// Returns the number of pages that a successful answer states; `None` if it is missing or outside
-/// 1 to [`MAX_PAGES`].
+/// Returns the number of pages that a successful answer states; `None` if that number is missing or
+/// outside 1 to [`MAX_PAGES`].
 pub(super) fn page_count(answer: &Answer<'_>) -> Option<usize> {
     let count = answer.fields.number("count")?;
     (1..=MAX_PAGES).contains(&count).then_some(count)
 }
 
-/// Returns the number of pages that a successful answer with a spooled result states; `None` if it
-/// is missing or outside 1 to [`MAX_SPOOLED_PAGES`].
+/// Returns the number of pages that a successful answer with a spooled result states; `None` if
+/// that number is missing or outside 1 to [`MAX_SPOOLED_PAGES`].
 pub(super) fn spooled_page_count(answer: &Answer<'_>) -> Option<usize> {
     let count = answer.fields.number("count")?;
     (1..=MAX_SPOOLED_PAGES).contains(&count).then_some(count)
 }
 
-/// Returns the index in the result of the page that an answer contains, from 0.
+/// Returns the index, from 0, of the page that an answer contains within its result.
 pub(super) fn page_index(answer: &Answer<'_>) -> Option<usize> {
     answer.fields.number("pos")
 }
@@ -73,8 +73,8 @@
     }
 }
 
-/// A report of the engine's system load. Its values have the names of the settings or those of the
-/// engine protocol.
+/// Returns the report of the engine's system load. The values in the answer have the names from the
+/// settings or the names of the engine protocol.
 pub(super) fn load_report(fields: &Fields<'_>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for (name, value) in fields.report()? {
--- a/crates/gateway/src/engines/answers.rs
+++ b/crates/gateway/src/engines/answers.rs
@@ -16,7 +16,7 @@
 /// The protocol's limit on the bytes of a result that is sent to the client as a whole.
 const MAX_RESULT_BYTES: usize = 48_000;
 
-/// Why an engine's answer is invalid; the connection is closed for it.
+/// Why an engine's answer is invalid. An invalid answer closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AnswerError {
     #[error("the engine sent bytes that are not a valid answer")]
@@ -72,7 +72,7 @@
     }
 }
 
-/// Returns the event of an attempt that ended without a result.
+/// Returns the event for an attempt that ended without a result.
 fn attempt_ended(attempt: &OpenAttempt, answer: &Answer<'_>, outcome: Outcome) -> EngineEvent {
     let mut end = AttemptEnd::new(attempt.request, attempt.index, outcome);
     end.report = load_report(&answer.fields);
@@ -95,7 +95,8 @@
     }
 }
 
-/// Handles the first page of a result that is sent to the client as a whole; requests all others.
+/// Handles the first page of a result that is sent to the client as a whole; requests all other
+/// pages.
 fn start_reading(
     attempt: &mut OpenAttempt,
     answer: &Answer<'_>,
--- a/crates/gateway/src/engines/engine_connection.rs
+++ b/crates/gateway/src/engines/engine_connection.rs
@@ -11,7 +11,8 @@
 use crate::deadlines::{DeadlineKey, Deadlines};
 use crate::table::Key;
 
-/// Usage and load report of a successful attempt, kept while its further pages are read.
+/// Usage and load report of a successful attempt, retained while the remaining pages of its result
+/// are read.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ReportedEnd {
     pub(super) usage: Option<ResourceUsage>,
@@ -20,32 +21,32 @@
 
 /// A result that is sent to the client once all its pages are read.
 pub(super) struct ResultReader {
-    /// By index; `None` for a page that has not arrived.
+    /// The pages by index; `None` for a page that has not arrived.
     pub(super) pages: Vec<Option<Vec<u8>>>,
     /// Bytes of the pages that have arrived.
     pub(super) bytes: usize,
     pub(super) end: ReportedEnd,
 }
 
-/// A result for the result spool: its pages are passed on in order, and requested as the spool has
-/// space for them.
+/// A result for the result spool: its pages are passed on in order, and are requested as space in
+/// the spool becomes available.
 pub(super) struct SpooledResultReader {
-    /// The number of pages of the whole result.
+    /// The number of pages in the whole result.
     pub(super) count: usize,
     /// The index of the next page to pass on.
     pub(super) next: usize,
     /// The index of the next page to request.
     pub(super) next_requested: usize,
-    /// Pages by index that arrived before an earlier page.
+    /// Pages, by index, that arrived while a page with a lower index was still missing.
     pub(super) early: BTreeMap<usize, Vec<u8>>,
-    /// Bytes passed on, for the average size of a page.
+    /// Bytes passed on so far, from which the average size of a page is computed.
     pub(super) bytes: usize,
     pub(super) end: ReportedEnd,
 }
 
-/// What an attempt waits for.
+/// What an attempt is waiting for.
 pub(super) enum AttemptStage {
-    /// Its first answer: the engine runs it or has it queued.
+    /// The first answer: the engine is running the attempt or has queued it.
     Running,
     /// Further pages of a result that is sent to the client as a whole.
     ReadingPages(ResultReader),
@@ -53,8 +54,7 @@
     SpoolingPages(SpooledResultReader),
 }
 
-/// The bytes of one request, as offsets in the sequence of all bytes that are ever written to the
-/// connection.
+/// The bytes of one request, as offsets in the stream of all bytes written to the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct OutputRange {
     pub(super) begin: u64,
@@ -67,12 +67,12 @@
     /// The index among the attempts of the request.
     pub(super) index: usize,
     pub(super) stage: AttemptStage,
-    /// The result goes to the result spool.
+    /// Whether the result goes to the result spool.
     pub(super) is_spooled: bool,
     pub(super) sent_at: Micros,
     pub(super) output: OutputRange,
-    /// A new rank, to be sent once the request is written; before that the engine doesn't know the
-    /// id.
+    /// A new rank, to be sent once the request is written; before that, the engine doesn't know the
+    /// ID.
     pub(super) deferred_rank: Option<u8>,
 }
 
@@ -89,16 +89,18 @@
     pub(super) engine: EngineId,
     pub(super) stream: Connection,
     pub(super) open_attempts: BTreeMap<Box<str>, OpenAttempt>,
-    /// Ids of requests whose attempts ended on this connection without a result. An answer to them
-    /// may still arrive, so none of these ids is used on this connection again.
+    /// IDs of requests whose attempts ended on this connection without a result. An answer to such
+    /// an attempt may still arrive, so none of these IDs is reused on this connection.
     pub(super) ended_ids: BTreeSet<Box<str>>,
-    /// Probes that were not answered yet, by their tag.
+    /// Probes that have not been answered yet, by tag.
     pub(super) probes: BTreeMap<Box<str>, DeadlineKey>,
-    /// The connection carries no new attempts and is closed when its open ones have ended.
+    /// Whether the connection is retired: it carries no new attempts, and is closed when its open
+    /// attempts have ended.
     pub(super) is_retired: bool,
     pub(super) opened_at: Micros,
     pub(super) last_received_at: Micros,
-    /// Until the connection is established: the dial timeout. Later: when it is closed as idle.
+    /// Until the connection is established: when the dial timeout expires. Later: when the
+    /// connection is closed as idle.
     pub(super) deadline: Option<DeadlineKey>,
     /// When the rest of a partly received answer must have arrived.
     pub(super) message_deadline: Option<DeadlineKey>,
@@ -131,12 +133,13 @@
         self.open_attempts.is_empty() && self.probes.is_empty()
     }
 
-    /// Returns whether one more attempt or probe fits beside the open ones.
+    /// Returns whether the connection can carry one more attempt or probe.
     pub(super) fn has_free_stream(&self, max_streams: usize) -> bool {
         self.open_attempts.len() + self.probes.len() < max_streams
     }
 
-    /// Cancels the idle deadline. A connection that is not established yet keeps its dial timeout.
+    /// Cancels the idle deadline. If the connection is not established yet, the dial timeout
+    /// remains in effect.
     pub(super) fn mark_in_use(&mut self, deadlines: &mut Deadlines) {
         if self.stream.is_established() {
             deadlines.cancel(self.deadline.take());
@@ -177,7 +180,7 @@
     }
 
     /// Cancels an attempt of which no byte has been written, and removes its bytes from the output.
-    /// Returns false if the attempt isn't open or a part of it has been written.
+    /// Returns false if the attempt isn't open or part of it has been written.
     pub(super) fn cancel_unsent(&mut self, id: &str) -> bool {
         let written = self.stream.written;
         let Some(attempt) = self.open_attempts.get(id) else {
--- a/crates/gateway/src/engines/events.rs
+++ b/crates/gateway/src/engines/events.rs
@@ -1,5 +1,4 @@
-//! The events that connections to engines report to the main loop, and the state of the main loop
-//! that handling a connection needs.
+//! Events that engine connections report to the main loop, and the main-loop state that they need.
 
 use eideryard::interface::{EngineId, LoadReport, Micros, Outcome, Progress, ResourceUsage};
 
@@ -7,13 +6,13 @@
 use crate::deadlines::Deadlines;
 use crate::table::Key;
 
-/// The parts of the main loop that handling a connection uses, borrowed for one call.
+/// The main-loop state that handling a connection needs, borrowed for one call.
 pub struct EngineContext<'a> {
     /// The time of the call, by the clock of the main loop.
     pub now: Micros,
-    /// All deadlines of the main loop; those of the connections are set here.
+    /// All deadlines of the main loop, including those of engine connections.
     pub deadlines: &'a mut Deadlines,
-    /// The counters of the main loop, for dials, probes and pages.
+    /// The counters of the main loop, for connection attempts, probes and pages.
     pub counters: &'a mut Counters,
     /// Events are appended here in the order in which they happened.
     pub events: &'a mut Vec<EngineEvent>,
@@ -25,7 +24,7 @@
     pub request: Key,
     /// The index among the attempts of the request.
     pub attempt: usize,
-    /// The result goes to the result spool.
+    /// Whether the result goes to the result spool.
     pub is_spooled: bool,
 }
 
@@ -36,7 +35,8 @@
     /// The index among the attempts of the request.
     pub attempt: usize,
     pub outcome: Outcome,
-    /// The connection was lost, and the end of another attempt has already reported this loss.
+    /// Whether the connection was lost and the end of another attempt has already reported this
+    /// loss.
     pub is_already_reported: bool,
     /// The resources that a successful attempt used, if the engine stated them.
     pub usage: Option<ResourceUsage>,
@@ -59,7 +59,7 @@
     }
 }
 
-/// An event of a connection to an engine.
+/// An event on a connection to an engine.
 pub enum EngineEvent {
     /// An attempt ended without a result.
     AttemptEnded(AttemptEnd),
@@ -70,7 +70,8 @@
     },
     /// The next page of a result for the result spool arrived.
     ResultPage { request: Key, rows: Vec<u8> },
-    /// An attempt ended with a result for the result spool; all its pages were reported before.
+    /// An attempt ended with a result for the result spool; all its pages have been reported in
+    /// earlier events.
     SpooledResultComplete(AttemptEnd),
     /// An engine reported the progress of an attempt.
     Progress {
--- a/crates/gateway/src/engines/reading.rs
+++ b/crates/gateway/src/engines/reading.rs
@@ -47,7 +47,8 @@
         true
     }
 
-    /// Returns whether the connection is established; closes it if establishing it has failed.
+    /// Returns whether the connection is established. Closes the connection if establishing it has
+    /// failed.
     fn check_established(&mut self, key: Key, context: &mut EngineContext<'_>) -> bool {
         let Some(connection) = self.table.get_mut(key) else {
             return false;
@@ -69,8 +70,8 @@
     }
 
     /// Sets a deadline for the rest of a partly received answer. The engine has no more work to do
-    /// for it, so it gets as long as a dial. This guards against answers that stop short, arrive in
-    /// drips, or are shorter than stated.
+    /// for that answer, so the time limit is the dial timeout. The deadline guards against answers
+    /// that stop short, arrive in small pieces, or are shorter than stated.
     fn update_message_deadline(&mut self, key: Key, context: &mut EngineContext<'_>) {
         let Some(connection) = self.table.get_mut(key) else {
             return;
@@ -123,8 +124,8 @@
     let output = connection.stream.output.tail();
     let Some(attempt) = connection.open_attempts.get_mut(answer.id) else {
         // The answer belongs to a cancelled attempt, is a duplicate, or matches no request; all of
-        // these are harmless. If a success crossed the cancel, the engine may still keep pages of
-        // the result, so they are released.
+        // these are harmless. If a success was sent before the cancel arrived, the engine may still
+        // store pages of the result, so they are released.
         let has_pages = answer.kind == AnswerKind::Ok && page_count(answer) > Some(1);
         if has_pages && connection.ended_ids.contains(answer.id) {
             engine_protocol::write_release(output, answer.id);
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -10,13 +10,13 @@
 use crate::deadlines::Deadline;
 use crate::table::Key;
 
-/// The maximum number of requested pages of one result that have not been passed on, however much
-/// space the spool has. Pages may arrive in any order, so this many may have to be buffered.
+/// The maximum number of pages of one result that are requested but not passed on yet, regardless
+/// of the space in the spool. Pages may arrive in any order, so this many may have to be buffered.
 const MAX_REQUESTED_PAGES: usize = 64;
 
 impl Engines {
-    /// Queues an attempt and returns the connection that carries it. An error is the outcome of the
-    /// attempt, which was not queued.
+    /// Queues an attempt and returns the connection that carries it. On error, returns the outcome
+    /// of the attempt, which was not queued.
     pub fn send(
         &mut self,
         engine: EngineId,
@@ -52,8 +52,8 @@
         Ok(key)
     }
 
-    /// Returns the first usable connection to the engine for which `accepts` is true, or else dials
-    /// a new one.
+    /// Returns the first usable connection to the engine for which `accepts` is true, or else opens
+    /// a new connection.
     fn find_or_dial(
         &mut self,
         engine: EngineId,
@@ -119,8 +119,8 @@
         true
     }
 
-    /// Queues a probe, which asks an engine for its system load. An error is the outcome of the
-    /// probe, which was not queued.
+    /// Queues a probe, which asks an engine for its system load. On error, returns the outcome of
+    /// the probe, which was not queued.
     pub fn probe(
         &mut self,
         engine: EngineId,
@@ -134,7 +134,8 @@
         context.counters.probes += 1;
         let tag = probe_tag(self.probes_sent);
         engine_protocol::write_load_probe(connection.stream.output.tail(), &tag);
-        // The engine answers a probe without running a query, so it gets as long as a dial.
+        // The engine answers a probe without running a query, so the time limit is the dial
+        // timeout.
         let timeout_at = context.now + self.limits.dial_timeout;
         let deadline = Deadline::Probe(key, self.probes_sent);
         let deadline = context.deadlines.set(timeout_at, deadline);
@@ -144,7 +145,7 @@
         Ok(())
     }
 
-    /// Ends a probe that was not answered in time; its connection stays open.
+    /// Ends a probe that was not answered in time; the connection stays open.
     pub fn handle_probe_deadline(
         &mut self,
         key: Key,
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Queues a new rank for a running attempt. Returns false if the engine has already run it, so
-    /// that the rank no longer matters.
+    /// Queues a new rank for a running attempt. Returns false if the attempt is no longer running,
+    /// so the rank has no effect.
     pub fn update_rank(&mut self, key: Key, id: &str, rank: u8) -> bool {
         let Some(connection) = self.table.get_mut(key) else {
             return false;
@@ -185,8 +186,8 @@
         is_running
     }
 
-    /// Requests more pages of a result for the result spool: as many of average size as fit into
-    /// `free_bytes`, the free space of the spool.
+    /// Requests more pages of a result for the result spool: as many pages of average size as fit
+    /// into `free_bytes`, the free space in the spool.
     pub fn request_pages(&mut self, key: Key, id: &str, free_bytes: u64) {
         let Some(connection) = self.table.get_mut(key) else {
             return;
@@ -213,7 +214,7 @@
     }
 }
 
-/// Returns the id of a probe on the wire.
+/// Returns the ID of a probe on the wire.
 fn probe_tag(number: u64) -> String {
     format!("probe-{number}")
 }
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -23,8 +23,9 @@
     }
 }
 
-/// Three requests wait to be written and the second is cancelled. Guards against sending its bytes
-/// or its deferred rank, and against wrong offsets of the request behind it.
+/// Three requests are waiting to be written and the second is cancelled. Guards against sending the
+/// bytes or the deferred rank of the cancelled one, and against wrong offsets for the request after
+/// it.
 #[test]
 fn cancelled_unwritten_attempt_leaves_no_bytes_and_no_rank() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/gateway/src/engines/writing.rs
+++ b/crates/gateway/src/engines/writing.rs
@@ -5,13 +5,14 @@
 use super::{AttemptEnd, EngineContext, EngineEvent, Engines};
 use crate::table::Key;
 
-/// Decides for an attempt, given by its request and its index, whether it may still be sent.
+/// A function that decides whether an attempt may still be sent. The arguments are the request's
+/// key and the attempt's index.
 pub type StartPermission<'a> = &'a mut dyn FnMut(Key, usize) -> bool;
 
 impl Engines {
     /// Writes what was queued since the last call. An attempt of which no byte has been written is
-    /// cancelled if `may_begin` denies it. Without `may_begin`, connections with such attempts are
-    /// left for a later call.
+    /// cancelled if `may_begin` denies it. If `may_begin` is `None`, connections with such attempts
+    /// are left for a later call.
     pub fn flush(
         &mut self,
         mut may_begin: Option<StartPermission<'_>>,
@@ -45,7 +46,7 @@
         }
         let mut has_cancelled = false;
         for attempt in unsent {
-            // A retired connection may lead to an address that the engine has left.
+            // A retired connection may lead to an address that the engine no longer uses.
             let is_allowed = !connection.is_retired
                 && may_begin
                     .as_mut()
--- a/crates/gateway/src/error_reply.rs
+++ b/crates/gateway/src/error_reply.rs
@@ -1,5 +1,5 @@
-//! Error replies, which clients get in place of a result. No other module knows their words and
-//! fields on the wire.
+//! Error replies, which clients get in place of a result. No other module knows their error codes
+//! and field names on the wire.
 
 use eideryard::interface::Micros;
 use eideryard_msgpack_rpc::write_error;
@@ -12,7 +12,7 @@
 /// What an error means for the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// The request was not run; it may be sent again.
+    /// The request was not run; the client may resend it.
     TryLater,
     /// The request has failed.
     Failed,
@@ -25,7 +25,7 @@
 }
 
 impl ErrorKind {
-    /// Returns the word for the kind on the wire.
+    /// Returns the error code on the wire.
     fn wire_word(self) -> &'static str {
         match self {
             ErrorKind::TryLater => "TryLater",
@@ -45,7 +45,7 @@
     pub field: Option<&'a str>,
     /// Why the request was rejected or has failed, as a word or phrase.
     pub reason: Option<&'a str>,
-    /// The advised delay before the client tries again; sent in milliseconds.
+    /// The retry-after hint; sent in milliseconds. `None`: the reply contains no hint.
     pub retry_after: Option<Micros>,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Appends the reply to the request with the message id `call_id`.
+    /// Appends the reply to the request with the message ID `call_id`.
     pub fn write(&self, output: &mut Vec<u8>, call_id: u32) {
         let retry_after_ms = self
             .retry_after
--- a/crates/gateway/src/error_reply/tests.rs
+++ b/crates/gateway/src/error_reply/tests.rs
@@ -1,4 +1,5 @@
-//! Clients match the words and fields of errors, so neither may change with the names in the code.
+//! Clients match the error codes and field names of errors, so neither may change when names in the
+//! code change.
 
 use eideryard_msgpack_rpc::write_error;
 
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -8,7 +8,7 @@
 use eideryard_event_log::{Config, HostEvent, Names, Recorder};
 use eideryard_operator_config::EventLogConfig;
 
-/// The recorder, with the names that are written at the start of each segment.
+/// The recorder, and the names that are written at the start of each segment.
 struct ActiveRecorder {
     recorder: Recorder,
     names: Names,
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Starts a segment with the names and the current state, so that it can be read on its own.
+    /// Starts a segment with the names and the current state, so that the segment can be read
+    /// without earlier ones.
     pub fn start_segment(&mut self, now: Micros, state: impl Iterator<Item = HostEvent>) {
         let Some(active) = &mut self.active else {
             return;
@@ -105,7 +106,8 @@
         recorder.finish_state(now);
     }
 
-    /// When [`EventRecorder::flush`] must be called at the latest; `None` if it has nothing to do.
+    /// Returns the latest time at which [`EventRecorder::flush`] must be called; `None` if there is
+    /// nothing to flush.
     pub fn next_deadline(&self) -> Option<Micros> {
         let active = self.active.as_ref()?;
         active.recorder.next_flush_at()
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -1,9 +1,9 @@
-//! Fingerprints of settings, by which a gateway recognizes data from a process with the same
+//! Fingerprints of settings, with which a gateway recognizes data from a process that has the same
 //! settings.
 //!
-//! They are part of two formats that other processes read: the checkpoint in the store and the
-//! handshake between gateways. Each is a hash of a text, so the names in this text are fixed here,
-//! independently of the names of types and fields.
+//! The fingerprints are part of two formats that other processes read: the checkpoint in the store
+//! and the handshake between gateways. Each is a hash of a text, so the names in that text are
+//! fixed here, independently of the names of types and fields.
 
 use std::fmt::{self, Debug, Formatter};
 use std::hash::Hasher;
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -1,5 +1,6 @@
 //! Fingerprints, checkpoints and logged counters must stay as earlier versions wrote them, or else
-//! stored checkpoints are discarded, gateways of two versions refuse each other, and scripts break.
+//! stored checkpoints are discarded, gateways of different versions reject each other, and scripts
+//! break.
 
 use super::*;
 use crate::checkpoint::{from_bytes, to_bytes};
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -51,7 +51,8 @@
     }
 
     /// Adapts the mode of subsetting to the number of open engines, and, as long as neither a
-    /// request nor a load report has arrived, the assumed load of other gateways.
+    /// request nor a load report has arrived, the assumed load of other gateways and the number of
+    /// available probes.
     pub(super) fn update_subsetting(&mut self) {
         self.subsetting.update(self.engines.open_count());
         let is_load_known = self.traffic.arrivals > 0.0 || self.load_estimates.has_reports();
@@ -65,8 +66,8 @@
     }
 }
 
-/// Resets the state of an engine that has restarted: what was observed of its previous process no
-/// longer applies. Attempts in flight stay recorded until they end.
+/// Resets the state of an engine that has restarted: observations of its previous process no longer
+/// apply. Attempts in flight stay recorded until they end.
 fn reset_after_restart(engine: &mut EngineState, endpoint: Endpoint) {
     *engine = EngineState {
         in_flight: std::mem::take(&mut engine.in_flight),
--- a/src/balancer/engine_selection.rs
+++ b/src/balancer/engine_selection.rs
@@ -104,8 +104,8 @@
     }
 
     /// Returns whether a load holds the request's table group on an engine, according to this
-    /// gateway's attempts or to recent progress reports. The request would wait there and occupy
-    /// memory.
+    /// gateway's attempts or to recent progress reports. If so, the request would wait on that
+    /// engine and occupy memory.
     fn is_blocked_on(&self, pending: &PendingRequest, engine: &EngineState) -> bool {
         if !self.is_blocked_by_loads(pending.request.class) {
             return false;
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -225,7 +225,7 @@
             .in_flight
             .map(|queries| queries * context.threads_per_query);
         // Latency also depends on which tables are cached, so a report of few threads overrides
-        // pressure shown by latency.
+        // pressure that latency indicates.
         engine.latency_ignored_until =
             if reported_threads.is_some_and(|threads| threads <= max_threads) {
                 now + self.latency_time_constant as Micros
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns whether limits, deadline and the health of all engines allow another attempt.
+    /// Returns whether limits, deadline and overall engine health allow another attempt.
     fn may_retry(&self, pending: &PendingRequest) -> bool {
         // The higher the share of bad outcomes, the fewer attempts, so that retries don't add to an
         // overload. Attempts that this gateway cancelled don't count.
--- a/src/balancer/tenant_quotas.rs
+++ b/src/balancer/tenant_quotas.rs
@@ -1,5 +1,5 @@
-//! Tenant quotas: this gateway has a token bucket for each tenant, whose capacity is the tokens of
-//! one second.
+//! Tenant quotas: this gateway has a token bucket for each tenant, which holds at most the tokens
+//! of one second, and at least one token.
 
 use crate::interface::{Micros, Settings};
 
