--- a/crates/gateway/src/clients/closing.rs
+++ b/crates/gateway/src/clients/closing.rs
@@ -23,7 +23,7 @@
 impl Clients {
     /// Makes room for another connection by closing the one that has been idle for the longest
     /// time. Connections on which no request arrived within [`FIRST_REQUEST_INTERVAL`] are closed
-    /// first, lingering connections next. Returns false if none is idle.
+    /// first, lingering connections next. Returns false if no connection is idle.
     pub(super) fn evict_longest_idle(&mut self, context: &mut ClientContext<'_>) -> bool {
         for _ in 0..MAX_EVICTION_ATTEMPTS {
             let Some(key) = self.longest_idle(context.now) else {
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -32,8 +32,8 @@
     pub abandoned: u64,
     /// Requests whose connection ended before the answer could be sent.
     pub undelivered: u64,
-    /// Answers that were sent after the request's deadline. They are also counted as `served`,
-    /// `refused` or `failed`.
+    /// Answers that were sent after the request's deadline. They are also counted by one of the
+    /// counters above.
     pub answered_late: u64,
     /// Attempts that were sent to engines. Each of them is in flight or has ended with an outcome.
     pub attempts_sent: u64,
--- a/crates/gateway/src/engines/sending.rs
+++ b/crates/gateway/src/engines/sending.rs
@@ -105,7 +105,7 @@
     }
 
     /// Makes room for another connection by closing the one that has been idle for the longest
-    /// time. Returns false if none is idle.
+    /// time. Returns false if no connection is idle.
     fn close_longest_idle(&mut self, context: &mut EngineContext<'_>) -> bool {
         let idle = self
             .table
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,10 +1,10 @@
 //! The gateway's main loop. It turns input from sockets, deadlines and service discovery into
-//! events for the balancer, and carries out the balancer's actions in the order in which it returns
-//! them. All scheduling decisions are made by the balancer, none here.
+//! events for the balancer, and carries out the balancer's actions in the order in which the
+//! balancer returns them. The balancer makes all scheduling decisions.
 //!
-//! [`Gateway`] owns all components; each submodule implements one path through them. A request
-//! passes through `request_intake` (received from a client), `actions` (sent to an engine),
-//! `attempt_outcomes` and `result_delivery` (answered). Changes of the endpoint list pass through
+//! [`Gateway`] owns all components; each submodule implements one path through them. A request is
+//! received from a client in `request_intake`, sent to an engine in `actions`, and answered in
+//! `attempt_outcomes` or `result_delivery`. Changes of the endpoint list pass through
 //! `endpoint_updates`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -39,12 +39,11 @@
 mod shutdown_steps;
 mod startup;
 
-/// Delay before the next attempt to accept connections, in microseconds, after no file descriptor
-/// was free. Connecting clients wait in the listen queue meanwhile.
+/// Delay before the next attempt to accept connections, in microseconds, if no file descriptor was
+/// free. Connecting clients wait in the listen queue meanwhile.
 const ACCEPT_RETRY_DELAY: Micros = 20_000;
 
-/// The state of one gateway process: its components, and the events and actions that pass between
-/// them.
+/// The state of one gateway process: its components, and the queued events and actions.
 pub struct Gateway {
     balancer: Balancer,
     clock: Clock,
@@ -66,10 +65,11 @@
     may_send_retry_after: bool,
     longest_wait: Micros,
     engine_names: BTreeMap<EngineId, String>,
-    /// The last report of service discovery on each engine, in the form that the event log stores.
+    /// What service discovery last reported about each engine, in the form that the event log
+    /// stores.
     last_listed: BTreeMap<EngineId, ListedEngine>,
-    /// The endpoints as last passed to the balancer, including drains that peers reported. Empty
-    /// without `intent_durability`.
+    /// The endpoints as last passed to the balancer, including drains that peers reported. The map
+    /// is empty if `intent_durability` is `None`.
     last_endpoints: BTreeMap<EngineId, Endpoint>,
     client_events: Vec<ClientEvent>,
     engine_events: Vec<EngineEvent>,
@@ -104,8 +104,8 @@
     }
 
     /// Handles everything that has become ready since the last call. Sockets are read before
-    /// deadlines are checked, so that an answer that has arrived in time does not count as late
-    /// only because this process was delayed.
+    /// deadlines are checked, so that an answer that arrived in time doesn't count as late only
+    /// because this process was delayed.
     pub fn poll(&mut self, wakes: &mut PendingWakes) {
         let mut unfinished = PendingWakes::new();
         for wake in wakes.drain(..) {
@@ -152,7 +152,7 @@
                     unfinished.push(wake);
                 }
             }
-            // Both are polled at the end of each poll, whatever woke the main loop.
+            // Both are polled at the end of each [`Gateway::poll`], whatever woke the main loop.
             WakeReason::ResultSpool | WakeReason::IntentDurability => {}
             WakeReason::Stop => self.begin_shutdown(),
             WakeReason::Reload => self.reload(),
@@ -230,7 +230,8 @@
     }
 
     /// Writes queued output to clients and engines. No attempt is started while events for the
-    /// balancer are queued: one of them may report that a client left or that an engine drains.
+    /// balancer are queued: one of these events may report that a client has left or that an engine
+    /// is draining.
     fn flush(&mut self) {
         self.with_clients(Clients::flush);
         self.handle_client_events();
@@ -282,9 +283,9 @@
         function(&mut self.engines, &mut context)
     }
 
-    /// Handles SIGHUP: reads the configuration again, and connects to service discovery at the
-    /// address in it. All other changes apply from the next start on. An invalid file changes
-    /// nothing.
+    /// Handles SIGHUP: reloads the configuration, and connects to service discovery at the address
+    /// that the configuration contains. All other changes take effect at the next start. An invalid
+    /// file changes nothing.
     fn reload(&mut self) {
         let now = self.clock.now();
         match Config::from_environment() {
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -7,8 +7,8 @@
 mod durability_results;
 mod sends;
 
-/// The shortest delay that clients are advised to wait before a retry, in microseconds: the wire
-/// format has whole milliseconds. Refusals with a shorter delay carry no advice.
+/// The shortest retry-after hint, in microseconds, because the hint is sent in whole milliseconds.
+/// Refusals with a shorter delay contain no hint.
 const MIN_RETRY_AFTER: Micros = 1000;
 
 impl Gateway {
@@ -38,8 +38,8 @@
             } => self.refuse_request(Key::from_number(request), retry_after),
             Action::Fail { request } => self.fail_request(Key::from_number(request)),
             Action::SetTimer { after, tag } => self.set_timer(now, after, tag),
-            // A connected discovery service sends changes without a subscription, so an empty list
-            // of changes confirms it at once.
+            // While connected, service discovery sends changes without a subscription, so an empty
+            // list of changes confirms the subscription at once.
             Action::Subscribe if self.discovery.has_connection() => {
                 self.events.push_back(Event::EndpointChanges(Vec::new()));
             }
@@ -49,7 +49,7 @@
     }
 
     /// Sets the memory grant and the rank of a request, and sends a changed rank to the engines
-    /// that run it.
+    /// that run the request.
     pub(super) fn apply_grant(&mut self, key: Key, grant_mb: f64, rank: u8) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -111,8 +111,8 @@
         let timer = self
             .deadlines
             .set(now + after, Deadline::BalancerTimer(tag));
-        // Remembered so that the timer of a request is cancelled with the request. Timers that
-        // belong to no request always fire.
+        // The timer's key is stored in its request, so that the timer is cancelled when the request
+        // ends. Timers that belong to no request always fire.
         let Some(number) = tag.checked_sub(request_timer_tag(0)) else {
             return;
         };
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Replaces engine numbers in a log line of the balancer by the names that operators know.
+    /// Replaces engine IDs in a log line of the balancer with the names that operators know.
     fn with_engine_names(&self, text: &str) -> String {
         let mut words = Vec::new();
         for word in text.split(' ') {
--- a/crates/gateway/src/gateway/actions/durability_results.rs
+++ b/crates/gateway/src/gateway/actions/durability_results.rs
@@ -1,5 +1,5 @@
-//! Handles the results of [`IntentDurability`] and of the fleet: sends whose intents are durable,
-//! refused sends, shared probes, drains of engines and hints from peers.
+//! Handles the results from [`IntentDurability`] and from the fleet: sends whose intents are
+//! durable, refused sends, shared probes, engine drains and hints from peers.
 
 use eideryard_event_log::RejectReason;
 use eideryard_intent_log::state::RETRY_AFTER;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Sends an attempt whose intent is durable now, if the retry window is still open.
+    /// Sends an attempt whose intent has become durable, if the retry window is still open.
     fn dispatch_durable_send(&mut self, now: Micros, send: PendingSend) {
         let key = send.request;
         let Some(request) = self.requests.get_mut(key) else {
@@ -81,7 +81,7 @@
         let Some(attempt) = request.attempts.get_mut(send.attempt) else {
             return;
         };
-        // An attempt that was cancelled meanwhile no longer waits and is not sent.
+        // An attempt that was cancelled while it waited is not sent.
         if !std::mem::take(&mut attempt.awaits_durability) {
             return;
         }
@@ -96,7 +96,8 @@
     }
 
     /// Ends a send because other gateways may have run its request. The prior runs are reported to
-    /// the balancer before the outcome of the attempt, so that it considers them for the next one.
+    /// the balancer before the outcome of the attempt, so that the balancer considers them for the
+    /// next attempt.
     fn end_with_prior_runs(&mut self, found: SendWithPriorRuns) {
         let PendingSend {
             request, attempt, ..
@@ -108,7 +109,8 @@
         self.cancel_attempt(request, attempt, Outcome::NotSent);
     }
 
-    /// Ends a send that waited too long. Its request is refused if it has no other attempt.
+    /// Ends a send that waited too long or got no majority for its claim. The request is refused if
+    /// it has no other attempt.
     fn refuse_send(&mut self, now: Micros, refused: &RefusedSend) {
         let PendingSend {
             request, attempt, ..
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Refuses a request with a reason, and with a retry delay if the settings allow that.
+    /// Refuses a request with a reason, and with a retry-after hint if the settings allow one.
     fn refuse_with_reason(&mut self, now: Micros, request: Key, reason: RejectReason) {
         let event = HostEvent::RefusalExplained {
             request: request.number(),
--- a/crates/gateway/src/gateway/actions/sends.rs
+++ b/crates/gateway/src/gateway/actions/sends.rs
@@ -22,8 +22,8 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        // Recorded here and not with the other actions, since nothing is sent for a request that
-        // has ended.
+        // A send is recorded here and not with the other actions, because nothing is sent for a
+        // request that has ended.
         let action = Action::Send {
             request: key.number(),
             engine,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Drops the pages that an earlier, incomplete attempt has spooled.
+    /// Drops the pages that a previous, incomplete attempt has spooled.
     fn restart_spooling(&mut self, now: Micros, key: Key) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -153,8 +153,8 @@
         self.end_attempt(AttemptEnd::new(key, attempt, Outcome::NotSent));
     }
 
-    /// Queues an attempt on a connection to its engine, or ends it if its deadline has come or the
-    /// engine can't take it.
+    /// Queues an attempt on a connection to its engine, or ends the attempt if its deadline has
+    /// passed or the engine can't accept it.
     pub(super) fn dispatch(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/gateway/attempt_outcomes.rs
+++ b/crates/gateway/src/gateway/attempt_outcomes.rs
@@ -1,4 +1,4 @@
-//! Handles answers of engines: sends results to clients and reports the outcomes of attempts to the
+//! Handles engines' answers: sends results to clients and reports the outcomes of attempts to the
 //! balancer.
 
 use eideryard::interface::{AttemptEnded, Event, Outcome, ProbeEnded};
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends a result to the client, unless the request has been answered already.
+    /// Sends a result to the client, unless the request already has a final answer.
     fn answer_result(&mut self, key: Key, pages: &[Vec<u8>]) {
         let pages = pages.iter().map(Vec::as_slice);
         let is_sent = self.answer(key, AnswerKind::Served, |output, call_id| {
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Sends a request's final answer, unless it has been answered or its client has left. Returns
-    /// whether the answer is queued for the client.
+    /// Sends a request's final answer, unless the request already has one or its client has left.
+    /// Returns whether the answer is queued for the client.
     fn answer(
         &mut self,
         key: Key,
@@ -159,8 +159,8 @@
         self.requests.release(end.request, &mut self.deadlines);
     }
 
-    /// Cancels an attempt. It ends with `outcome`, or as not sent if no byte of it can have reached
-    /// the engine.
+    /// Cancels an attempt. The attempt ends with `outcome`, or with [`Outcome::NotSent`] if no byte
+    /// of it can have reached the engine.
     pub(super) fn cancel_attempt(&mut self, key: Key, attempt: usize, outcome: Outcome) {
         let Some(request) = self.requests.get(key) else {
             return;
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -14,7 +14,7 @@
 use crate::shutdown::Phase as ShutdownPhase;
 
 const MICROS_PER_MS: Micros = 1000;
-/// Constants of the 32-bit FNV-1a hash, from which engine numbers are derived.
+/// Constants of the 32-bit FNV-1a hash, from which engine IDs are derived.
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
@@ -37,7 +37,7 @@
         may_have_more
     }
 
-    /// Applies an item of service discovery: a list of changed engines, or of all engines.
+    /// Applies an item from service discovery: a list of changed engines, or of all engines.
     pub(super) fn handle_discovery_item(&mut self, item: DiscoveryEvent) {
         let Some(roster) = item.update else { return };
         let mut endpoints: Vec<Endpoint> = roster
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Drops what is stored about engines that neither exist nor have a connection. Engines get new
-    /// names all day, so these tables would grow without limit. Only updates that remove an engine
-    /// call this; other updates need no scan of all names.
+    /// Drops what is stored about engines that no longer exist and have no connection. Engines with
+    /// new names appear all day, so these tables would otherwise grow without limit. Only updates
+    /// that remove an engine call this; other updates need no scan of all names.
     fn forget_removed_engines(&mut self) {
         let engines = &self.engines;
         self.engine_names
@@ -117,8 +117,9 @@
         }
     }
 
-    /// Reports engines that are not ready to peers, and marks those as draining that a peer with a
-    /// newer endpoint list has reported so. `number` is the discovery event number of this list.
+    /// Reports engines that are not ready to peers. Marks engines as draining if a peer with a
+    /// newer endpoint list has reported that they drain. `number` is the sequence number of the
+    /// discovery event that contained this list.
     fn exchange_drains(&mut self, number: u64, endpoints: &mut [Endpoint]) {
         let now = self.clock.now();
         let Some(intent_durability) = &mut self.intent_durability else {
@@ -147,7 +148,7 @@
     }
 
     /// Marks engines as draining that are ready in this gateway's own endpoint list but draining in
-    /// the newer list of a peer. They get no new attempts.
+    /// a peer's newer list. Such engines get no new attempts.
     pub(super) fn handle_peer_drains(&mut self, drains: Vec<Drain>) {
         let number = self.discovery.last_event();
         let Some(intent_durability) = &mut self.intent_durability else {
@@ -220,9 +221,9 @@
         }
     }
 
-    /// Returns the number of an engine, and assigns one to a new name. It is a hash of the name,
+    /// Returns the ID of an engine, and assigns an ID to a new name. The ID is a hash of the name,
     /// and thus the same at every gateway and after every restart. If two names have the same hash,
-    /// the later one gets the next free number.
+    /// the name that appears later gets the next free ID.
     fn assign_engine_number(&mut self, name: &str) -> EngineId {
         let mut number = name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
             (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -1,4 +1,5 @@
-//! Writes to the event log and to the program's log, and the last checkpoint at the end.
+//! Writes to the event log and to the program's log, and saves the last checkpoint at the end of
+//! the process.
 
 use eideryard::interface::EngineId;
 use eideryard_discovery::DiscoveryEvent;
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Records changes of the connection to service discovery since `before`, and the numbers of
-    /// the items that were received.
+    /// Records changes of the connection to service discovery since `before`, and the sequence
+    /// numbers of the received items.
     pub(super) fn record_discovery_changes(
         &mut self,
         before: &DiscoveryState,
@@ -157,7 +158,8 @@
             .record_host_event(self.clock.now(), &rejected);
     }
 
-    /// Saves the last checkpoint, and writes the last entries of the event log and of the log.
+    /// Saves the last checkpoint, and writes the last entries of the event log and of the program's
+    /// log.
     pub fn finish(&mut self) {
         let now = self.clock.now();
         if let Some(intent_durability) = &mut self.intent_durability {
@@ -199,8 +201,8 @@
         tracing::info!("counters: {counters}; tables {tables}{result_spool}{intents}");
     }
 
-    /// Returns the size of each table whose length depends on the traffic, by the name that is
-    /// logged. A size that keeps growing through a long day is a leak.
+    /// Returns the size of each table whose length depends on the traffic, with the name under
+    /// which the size is logged. A size that keeps growing through a long day indicates a leak.
     fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         let (engines, connections) = self.engines.sizes();
         let (requests, ids) = self.requests.sizes();
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -1,4 +1,4 @@
-//! Handles calls of clients: a request gets a slot in the request table, or an immediate answer.
+//! Handles client calls: a request gets a slot in the request table, or an immediate answer.
 
 use eideryard::interface::{Event, PriorAttempt, Request};
 use eideryard_event_log::{AnswerKind, HostEvent, RejectReason};
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Accepts a request, unless it is invalid, attaches to an earlier run of the same key, or is
-    /// rejected because memory is full or its intent can't be made durable.
+    /// Accepts a request, unless it is invalid, is attached to an earlier run with the same key, or
+    /// is rejected because memory is full or its intent can't be made durable.
     fn handle_call(&mut self, client: Key, id: u32, call: Result<Call, CallError>) {
         self.counters.received += 1;
         let call_id = CallId { client, id };
@@ -74,8 +74,9 @@
         }
     }
 
-    /// Attaches a call to the earlier run of its key, if there is one, to get that run's result
-    /// without a slot or an attempt of its own. Returns whether there is such a run.
+    /// Attaches a call to an earlier run with the same key, if there is one. The call then gets
+    /// that run's result and needs neither a slot nor an attempt. Returns whether there is such a
+    /// run.
     fn attach_to_run(&mut self, call_id: CallId, call: &Call) -> bool {
         let (Some(key), Some(result_spool)) = (&call.key, &mut self.result_spool) else {
             return false;
@@ -152,8 +153,8 @@
             Some(answer_deadline) => deadline.min(answer_deadline),
             None => deadline,
         };
-        // The balancer orders requests that have the same ordering key; without one, the
-        // idempotency key takes its place.
+        // The balancer orders requests that have the same ordering key; if a request has no
+        // ordering key, its idempotency key is used instead.
         let order_key = call.order_key.as_deref().or(call.key.as_deref());
         let mut arrived = Request {
             id: 0,
@@ -190,7 +191,7 @@
         self.events.push_back(Event::Arrived(arrived));
     }
 
-    /// Registers a request's run with the result spool.
+    /// Registers the run of a request with the result spool.
     fn begin_spooling(&mut self, key: Key) {
         let now = self.clock.now();
         let Some(request) = self.requests.get_mut(key) else {
--- a/crates/gateway/src/gateway/result_delivery.rs
+++ b/crates/gateway/src/gateway/result_delivery.rs
@@ -1,5 +1,5 @@
-//! Handles spooled results: receives pages from engines and sends them to the clients that query
-//! them.
+//! Handles spooled results: receives pages from engines and sends these pages to the clients that
+//! query them.
 
 use eideryard::interface::Event;
 use eideryard_event_log::{AnswerKind, HostEvent};
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Ends a spooled run that has no result. All clients attached to it get the same kind of error
-    /// (`TryLater` or `Failed`) as the client whose request started it; the caller answers that
-    /// one.
+    /// Ends a spooled run that has no result. All attached clients get the same kind of error
+    /// (`TryLater` or `Failed`) as the client whose request started the run. The caller answers
+    /// that client.
     pub(super) fn end_spooled_run(&mut self, key: Key, error: ErrorKind) {
         self.incoming_results.remove(&key);
         let now = self.clock.now();
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Handles a client's query for a spooled result, or the release of one.
+    /// Handles a client's query for a spooled result, or its release of a result.
     pub(super) fn handle_result_query(&mut self, client: Key, call_id: u32, query: ResultQuery) {
         let now = self.clock.now();
         let waiter = Waiter {
@@ -129,7 +129,7 @@
     }
 
     /// Sends a part of a result, or an error, to a waiting client. If the connection has closed,
-    /// the message is dropped: the client has to send its query again.
+    /// the message is dropped: the client has to resend its query.
     pub(super) fn deliver(&mut self, delivery: &Delivery) {
         let waiter = delivery.waiter();
         let (is_sent, kind) = match delivery {
@@ -171,7 +171,7 @@
         })
     }
 
-    /// Counts and records an answer, if the waiting call counts as a request of its own.
+    /// Counts and records an answer if the waiting call counts as a separate request.
     fn count_delivery(&mut self, waiter: &Waiter, kind: AnswerKind) {
         let Some(labels) = waiter.counted_as else {
             return;
@@ -193,7 +193,8 @@
             .record_host_event(self.clock.now(), &answered);
     }
 
-    /// Polls the result spool, and requests more pages from engines for which it has room now.
+    /// Polls the result spool, and requests more pages from engines if the spool has room for them
+    /// now.
     pub(super) fn poll_result_spool(&mut self) {
         let now = self.clock.now();
         let Some(result_spool) = &mut self.result_spool else {
--- a/crates/gateway/src/gateway/shutdown_steps.rs
+++ b/crates/gateway/src/gateway/shutdown_steps.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown of the gateway, in the phases of [`Shutdown`](crate::shutdown::Shutdown).
+//! Graceful shutdown of the gateway, in the phases that [`Shutdown`](crate::shutdown::Shutdown)
+//! defines.
 
 use eideryard::interface::{request_timer_tag, Event};
 use eideryard_event_log::HostEvent;
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Runs the shutdown steps that are due. Called at the end of each poll.
+    /// Runs the shutdown steps whose time has come. Called at the end of each poll.
     pub(super) fn poll_shutdown(&mut self) {
         while self.shutdown.phase() != Phase::Serving {
             if self.shutdown.phase() >= Phase::Closing {
@@ -63,7 +64,7 @@
     }
 
     fn close_idle_connections(&mut self) {
-        // Connections in the listen queue are accepted and answered before listening stops.
+        // Listening stops only after all connections in the listen queue have been accepted.
         if self.accept_connections() {
             self.clients.stop_listening();
         }
--- a/crates/gateway/src/gateway/startup.rs
+++ b/crates/gateway/src/gateway/startup.rs
@@ -28,7 +28,7 @@
 /// discovery, event loop, signals, standard streams.
 const OTHER_DESCRIPTORS: usize = 24;
 
-/// Wakes the main loop from another thread.
+/// A function that wakes the main loop from another thread.
 type Waker = Box<dyn Fn() + Send>;
 
 impl Gateway {
@@ -102,12 +102,13 @@
         self.discovery
             .connect(now, &mut self.deadlines, &mut self.counters);
         self.run_balancer();
-        // After the endpoints, because the balancer matches the checkpoint with existing engines.
+        // The checkpoint follows the endpoints, because the balancer matches it with existing
+        // engines.
         self.restore_checkpoint();
         self.run_balancer();
     }
 
-    /// Passes the estimates that were saved before the last restart to the balancer.
+    /// Passes the estimates that this gateway's previous process saved to the balancer.
     fn restore_checkpoint(&mut self) {
         let Some(intent_durability) = &mut self.intent_durability else {
             return;
@@ -153,8 +154,8 @@
     let Some(store_config) = &operator.store else {
         return Ok(None);
     };
-    // Must differ between gateways and between starts; the configured seed alone stays the same
-    // after a restart.
+    // The seed must differ between gateways and between starts. The configured seed alone is the
+    // same after a restart.
     let seed = config.seed ^ now.rotate_left(23) ^ u64::from(std::process::id());
     let store_waker = waker(event_loop, WakeReason::IntentDurability)?;
     let (mut intent_durability, recovered) = IntentDurability::start(
@@ -186,7 +187,7 @@
     Ok(Some(Box::new(intent_durability)))
 }
 
-/// Creates a function with which another thread wakes the main loop; `reason` is reported to
+/// Creates a function with which another thread can wake the main loop; `reason` is reported to
 /// [`Gateway::poll`].
 fn waker(event_loop: &EventLoopHandle, reason: WakeReason) -> io::Result<Waker> {
     let (ping, source) = calloop::ping::make_ping()?;
--- a/crates/gateway/src/intent_durability.rs
+++ b/crates/gateway/src/intent_durability.rs
@@ -1,8 +1,8 @@
 //! Connects the intent log (`eideryard_intent_log`, which makes the decisions) to the store: writes
-//! intents before requests are sent, holds back sends until their intents are durable, and restores
-//! intents at the start. [`IntentDurability`] owns the store's writer thread and, in a fleet, the
-//! replication driver; the gateway's main loop calls it. It exists only if the operator's file
-//! contains `store-dir`.
+//! intents before requests are sent, delays sends until their intents are durable, and restores
+//! intents at startup. [`IntentDurability`] owns the store's writer thread and, in a fleet, the
+//! replication driver; the gateway's main loop calls its methods. [`IntentDurability`] exists only
+//! if the operator's file contains `store-dir`.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -41,8 +41,8 @@
 /// Live intents may use the store's disk budget divided by this number.
 const LIVE_DISK_DIVISOR: u64 = 3;
 
-/// The intents of one gateway, the sends that wait for them, and, in a fleet, the replication of
-/// the intents.
+/// The intents of one gateway, the sends that are waiting for them, and, in a fleet, the
+/// replication of the intents.
 pub struct IntentDurability {
     intent_log: IntentLog,
     /// `None` if the store can't be used; requests that need an intent are refused then.
@@ -125,13 +125,13 @@
         Ok(())
     }
 
-    /// Sets the zone and cell of an engine, as listed in the endpoint list.
+    /// Sets the zone and cell of an engine, as given in the endpoint list.
     pub fn set_location(&mut self, engine: EngineId, zone: u32, cell: u32) {
         self.engine_locations
             .insert(engine, Location { zone, cell });
     }
 
-    /// Forgets engines that no longer exist.
+    /// Drops the zone and cell of engines that no longer exist.
     pub fn retain_engines(&mut self, exists: impl Fn(EngineId) -> bool) {
         self.engine_locations.retain(|engine, _| exists(*engine));
     }
@@ -153,7 +153,7 @@
         deadlines.into_iter().flatten().min()
     }
 
-    /// Returns the sizes of all tables, by the names under which they are logged.
+    /// Returns the sizes of all tables, with the names under which they are logged.
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         let mut sizes = vec![
             ("intents", self.intent_log.len()),
@@ -166,7 +166,8 @@
     }
 }
 
-/// Returns the maximum number of intents, by the memory limit and by the store's disk budget.
+/// Returns the limits on the number of intents that follow from the memory limit and the store's
+/// disk budget.
 fn intent_limits(config: &StoreConfig, memory_mb: u64) -> Limits {
     let by_memory = (memory_mb << 20) / INTENTS_MEMORY_DIVISOR / INTENT_MEMORY_BYTES;
     let by_disk = config.budget / LIVE_DISK_DIVISOR / INTENT_DISK_BYTES;
--- a/crates/gateway/src/intent_durability/counters.rs
+++ b/crates/gateway/src/intent_durability/counters.rs
@@ -10,9 +10,9 @@
     pub intents: u64,
     /// Sends that waited until their intent was durable.
     pub waited: u64,
-    /// Arriving requests that may have run before at a known zone and cell.
+    /// Arriving requests that may already have run in a known zone and cell.
     pub known_prior_location: u64,
-    /// Arriving requests that may have run before at an unknown zone and cell.
+    /// Arriving requests that may already have run in an unknown zone and cell.
     pub unknown_prior_location: u64,
     /// Requests refused because the intent log is full.
     pub refused_full: u64,
@@ -20,8 +20,8 @@
     pub refused_stalled: u64,
     /// Requests refused because no majority of voters answers.
     pub refused_no_majority: u64,
-    /// Engines that got no new attempts because a peer's endpoint list has them as draining or
-    /// removed.
+    /// Engines that got no new attempts because they are draining or removed in a peer's endpoint
+    /// list.
     pub drains_from_peers: u64,
 }
 
--- a/crates/gateway/src/intent_durability/fleet.rs
+++ b/crates/gateway/src/intent_durability/fleet.rs
@@ -8,7 +8,7 @@
 use super::IntentDurability;
 use crate::replication::ReplicationDriver;
 
-/// Work that shared probing creates for the gateway.
+/// Work for this gateway that results from shared probing.
 #[derive(Default)]
 pub struct ProbeWork {
     /// Engines that this gateway has to probe now on behalf of the whole fleet.
@@ -41,8 +41,9 @@
         }
     }
 
-    /// Returns the drain of an engine by a peer's endpoint list that is newer than this gateway's
-    /// own list, whose number is `list_number`; `None` if there is no such drain.
+    /// Returns the drain of an engine that a peer has reported from an endpoint list newer than
+    /// this gateway's own list, whose sequence number is `list_number`; `None` if there is no such
+    /// drain.
     pub fn overriding_drain(
         &self,
         engine: EngineId,
@@ -53,8 +54,8 @@
         replication.overriding_drain(engine, booted_at, list_number)
     }
 
-    /// Takes the probes that are due here, and the reports of other gateways' probes since the last
-    /// call.
+    /// Takes the probes that this gateway has to send now, and the reports from other gateways'
+    /// probes since the last call.
     pub fn take_probe_work(&mut self, now: Micros) -> ProbeWork {
         let replication = self.replication.as_mut();
         let Some(leases) = replication.and_then(|replication| replication.leases_mut()) else {
@@ -66,15 +67,15 @@
         }
     }
 
-    /// Returns a peer's load report of an engine that is recent enough to replace a probe by this
+    /// Returns a peer's load report on an engine that is recent enough to replace a probe by this
     /// gateway.
     pub fn recent_report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
         let leases = self.replication.as_mut()?.leases_mut()?;
         leases.recent_report(now, engine)
     }
 
-    /// Publishes the answer of an engine to a probe of this gateway, if it holds the lease for
-    /// probing that engine.
+    /// Publishes an engine's answer to a probe from this gateway, if this gateway holds the lease
+    /// for probing that engine.
     pub fn publish_report(&mut self, now: Micros, engine: EngineId, report: &LoadReport) {
         if let (Some(replication), Some(worker)) = (&mut self.replication, &mut self.worker) {
             replication.run_leases(|leases| leases.publish_report(now, engine, report, worker));
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Sends the messages to peers that have been queued.
+    /// Sends the queued messages to peers.
     pub fn flush(&mut self) {
         if let Some(replication) = &mut self.replication {
             replication.flush();
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Returns the current state of the fleet as events, recorded at the beginning of a segment of
-    /// the event log.
+    /// Returns the current state of the fleet as events, which are recorded at the beginning of
+    /// each segment of the event log.
     pub fn fleet_state(&self) -> Vec<FleetEvent> {
         match &self.replication {
             Some(replication) => replication.state_events(),
--- a/crates/gateway/src/intent_durability/learned_state.rs
+++ b/crates/gateway/src/intent_durability/learned_state.rs
@@ -1,4 +1,4 @@
-//! Checkpoints of the balancer's learned estimates: saved to the store, restored at the start, and
+//! Checkpoints of the balancer's learned estimates: saved to the store, restored at startup, and
 //! exchanged with peers as hints.
 
 use eideryard::interface::{LearnedState, Micros};
@@ -9,12 +9,13 @@
 
 /// When a checkpoint was last saved, and what was restored.
 pub(super) struct Checkpoints {
-    /// Fingerprint of the current settings; checkpoints of other settings are not restored.
+    /// Fingerprint of the current settings; checkpoints that were saved under other settings are
+    /// not restored.
     settings_fingerprint: u64,
     saved_at: Micros,
     /// The checkpoint found at the start and its age in microseconds, until it is taken.
     restored: Option<(LearnedState, Micros)>,
-    /// Whether a checkpoint or a peer's hint has been restored. Later hints are ignored.
+    /// Whether a checkpoint or a peer's hint has been restored. If so, further hints are ignored.
     has_restored: bool,
 }
 
@@ -50,7 +51,8 @@
         self.checkpoints.saved_at = now;
         let fingerprint = self.checkpoints.settings_fingerprint;
         if let Some(replication) = &mut self.replication {
-            // Saved at time 0, since the message that carries a hint has its age in another field.
+            // The hint is encoded with time 0, because the message that carries it contains its age
+            // in another field.
             let hint = checkpoint::to_bytes(learned, 0, fingerprint);
             replication.set_learned_state(now, hint);
         }
@@ -63,8 +65,8 @@
         }
     }
 
-    /// Takes the learned estimates of a peer and their age in microseconds. Returns them at most
-    /// once, and only if this gateway started without a checkpoint.
+    /// Takes the learned estimates from a peer and their age in microseconds. Returns estimates at
+    /// most once, and only if this gateway started without a checkpoint.
     pub fn take_peer_hint(&mut self) -> Option<(LearnedState, Micros)> {
         let (bytes, age) = self.replication.as_mut()?.take_peer_hint()?;
         if self.checkpoints.has_restored {
--- a/crates/gateway/src/intent_durability/recovery.rs
+++ b/crates/gateway/src/intent_durability/recovery.rs
@@ -1,4 +1,4 @@
-//! Opens the store at the start, restores the intent log and the checkpoint from it, and logs the
+//! Opens the store at startup, restores the intent log and the checkpoint from it, and logs the
 //! result.
 
 use eideryard::interface::{Class, LearnedState, Micros};
@@ -16,7 +16,7 @@
     pub(super) classes: &'a [Class],
     pub(super) settings_fingerprint: u64,
     pub(super) now: Micros,
-    /// A random number that differs between starts.
+    /// A random number, which must differ between starts.
     pub(super) seed: u64,
 }
 
@@ -30,7 +30,7 @@
     pub(super) recovered_state: Option<RecoveredState>,
 }
 
-/// Opens the store and recovers the state in it. If the store can't be opened, intents are kept in
+/// Opens the store and recovers the state in it. If the store can't be opened, intents are held in
 /// memory only, and requests that need a durable intent are refused.
 pub(super) fn recover(
     config: &StoreConfig,
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -24,7 +24,7 @@
     pub key: Option<&'a str>,
     /// Engine that the balancer has chosen.
     pub engine: EngineId,
-    /// Time at which the attempt is cancelled if it has not ended.
+    /// Time at which the attempt is cancelled if it has not ended by then.
     pub attempt_deadline: Micros,
     /// Prior attempts of the request that the balancer already knows.
     pub prior_attempts: &'a [PriorAttempt],
@@ -40,16 +40,16 @@
         ticket: u64,
         /// Number of the claim that must be granted as well; `None` without a fleet.
         claim: Option<u64>,
-        /// This attempt, in the form in which later attempts see it.
+        /// This attempt as a prior attempt, for later decisions on the request.
         prior_attempt: PriorAttempt,
     },
     /// Don't send: the store rejects writes because too many are queued.
     StoreFull,
-    /// Don't send: first the balancer must take this other attempt into account.
+    /// Don't send: the balancer must first consider this prior attempt.
     PriorAttemptFound(PriorAttempt),
 }
 
-/// An attempt that waits until its intent is durable.
+/// An attempt that is waiting until its intent is durable.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingSend {
     /// Number of the write, assigned by the store's worker in increasing order.
@@ -62,7 +62,7 @@
     pub attempt: usize,
     /// Engine that the attempt is sent to.
     pub engine: EngineId,
-    /// Time at which the attempt is cancelled if it has not ended.
+    /// Time at which the attempt is cancelled if it has not ended by then.
     pub attempt_deadline: Micros,
 }
 
@@ -70,11 +70,11 @@
 pub struct RefusedSend {
     /// The send that waited.
     pub send: PendingSend,
-    /// The reason, which the client gets if its request is refused.
+    /// The reason for the refusal, which is sent to the client if its request is refused.
     pub reason: RejectReason,
 }
 
-/// A send whose request other gateways may have run already.
+/// A send whose request other gateways may already have run.
 pub struct SendWithPriorRuns {
     /// The send that waited.
     pub send: PendingSend,
@@ -82,14 +82,15 @@
     pub prior_attempts: Vec<PriorAttempt>,
 }
 
-/// The results of waiting sends, in one poll.
+/// The results for waiting sends from one poll.
 #[derive(Default)]
 pub struct SendResults {
     /// Sends to carry out now.
     pub ready: Vec<PendingSend>,
-    /// Sends not to carry out. A request is refused if this is its only attempt.
+    /// Sends that must not be carried out. A request is refused if this is its only attempt.
     pub refused: Vec<RefusedSend>,
-    /// Sends not to carry out now: the balancer decides again with knowledge of the prior runs.
+    /// Sends that must not be carried out now: the balancer is notified of the prior runs and
+    /// decides again.
     pub with_prior_runs: Vec<SendWithPriorRuns>,
 }
 
@@ -106,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason for which the request must be refused.
+    /// Returns the reason why the request must be refused.
     pub fn admit_request(
         &mut self,
         now: Micros,
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Claims the key of a send from the voters. Returns the number of the claim, or `None` without
-    /// a fleet.
+    /// Claims the key of a send at the voters. Returns the ID of the claim, or `None` without a
+    /// fleet.
     fn claim(
         &mut self,
         now: Micros,
@@ -243,7 +244,7 @@
         is_within_window(now, self.retry_window(class), prior_attempts)
     }
 
-    /// Holds back a send until its intent is durable.
+    /// Delays a send until its intent is durable.
     pub fn add_pending_send(&mut self, now: Micros, send: PendingSend) {
         self.counters.waited += 1;
         self.pending_sends.push(now, send.ticket, send.claim, send);
@@ -266,7 +267,7 @@
         let Some(write) = self.intent_log.on_attempt_ended(now, attempt) else {
             return;
         };
-        // If the store rejects this write, the only effect is that the intent is kept for longer.
+        // If the store rejects this write, the only effect is that the intent is retained longer.
         self.write_intent(&write);
         let intent = write.intent.as_ref();
         if intent.is_some_and(|intent| intent.in_flight > 0) {
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Handles durable writes, messages of peers and expired deadlines. Returns the results of
+    /// Handles durable writes, messages of peers and expired deadlines. Returns the results for
     /// waiting sends.
     pub fn poll(&mut self, now: Micros) -> SendResults {
         for write in self.intent_log.expire(now) {
@@ -302,7 +303,7 @@
         results
     }
 
-    /// Applies the voters' verdicts on claims to the sends that wait for them.
+    /// Applies the voters' verdicts on claims to the sends that are waiting for them.
     fn apply_verdicts(&mut self, now: Micros, results: &mut SendResults) {
         let (Some(replication), Some(worker)) = (&mut self.replication, &mut self.worker) else {
             return;
@@ -338,7 +339,7 @@
     }
 }
 
-/// Converts an attempt to the form in which later attempts of the same key see it.
+/// Converts an attempt to the prior attempt that it is for later requests with the same key.
 fn as_prior_attempt(now: Micros, location: Location, intent: Option<&Intent>) -> PriorAttempt {
     PriorAttempt {
         zone: location.zone,
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -1,6 +1,6 @@
-//! Connects the lease state (`eideryard_leases`, which makes the decisions) to the store and, by
-//! means of [`LeaseAction`]s that the replication driver carries out, to the links between
-//! gateways.
+//! Connects the lease state (`eideryard_leases`, which makes the decisions) to the store and to the
+//! links between gateways. The replication driver carries out the [`LeaseAction`]s that concern
+//! these links.
 //!
 //! There is one kind of task: probing an engine and sending its load report to all gateways. The
 //! driver exists only if the operator's file contains `task`.
@@ -40,7 +40,7 @@
 
 /// A fencing token that was written to the store but is not durable yet.
 pub struct PendingToken {
-    /// Number of the write, assigned by the store's worker in increasing order.
+    /// Ticket of the write, assigned by the store's worker in increasing order.
     pub ticket: u64,
     pub task: Task,
     pub token: FencingToken,
@@ -51,14 +51,14 @@
 /// The state of the probing leases, for the status file.
 #[derive(Default)]
 pub struct LeaseStatus {
-    /// Engines whose probing lease this gateway holds, each with the term of the lease.
+    /// Engines whose probing leases this gateway holds, each with the term of the lease.
     pub owned: Vec<(EngineId, u64)>,
-    /// The greatest known fencing token of each engine.
+    /// The highest known fencing token for each engine.
     pub known: Vec<(EngineId, FencingToken)>,
 }
 
 /// Returns the identifier of this incarnation of the gateway in fencing tokens. It differs between
-/// starts, so that no two incarnations share a token.
+/// starts, so no two incarnations share a token.
 pub fn lease_owner(origin: Origin) -> u64 {
     origin.identity ^ origin.start.rotate_left(40)
 }
@@ -68,7 +68,7 @@
     core: LeaseCore,
     last_report_number: u64,
     reports: Reports<LoadReport>,
-    /// Reports of other gateways that have not been passed to the balancer yet.
+    /// Reports from other gateways that have not been passed to the balancer yet.
     fresh_reports: Vec<(EngineId, LoadReport)>,
     events: Vec<FleetEvent>,
     probes_spared: u64,
@@ -76,7 +76,7 @@
 
 impl LeaseDriver {
     /// Creates a driver with the tokens recovered from the store. `voter_index` is the index of
-    /// this gateway among the voters; `None` if it is no voter.
+    /// this gateway among the voters; `None` if it isn't a voter.
     pub fn new(
         voter_count: usize,
         voter_index: Option<usize>,
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Handles a message of a gateway that has opened a link to this one.
+    /// Handles a message from a gateway that has opened a link to this one.
     pub fn on_requester_message(
         &mut self,
         now: Micros,
@@ -208,7 +208,7 @@
         self.perform_outputs(now, outputs, worker)
     }
 
-    /// Handles a message of a voter that this gateway has opened a link to.
+    /// Handles a message from a voter that this gateway has opened a link to.
     pub fn on_voter_message(
         &mut self,
         now: Micros,
@@ -220,7 +220,7 @@
         self.perform_outputs(now, outputs, worker)
     }
 
-    /// Handles a token that has become durable: carries out the outputs that waited for it.
+    /// Handles a token that has become durable: carries out the outputs that were waiting for it.
     pub fn on_token_durable(
         &mut self,
         now: Micros,
@@ -231,21 +231,21 @@
         self.perform_outputs(now, pending.then, worker)
     }
 
-    /// Handles expired timers: renews, requests and gives up leases.
+    /// Handles expired timers: renews, requests and releases leases.
     pub fn on_timer(
         &mut self,
         now: Micros,
         readiness: VoterReadiness,
         worker: &mut Worker,
     ) -> Vec<LeaseAction> {
-        // The gateway's clock counts from the Unix epoch.
+        // The gateway's clock counts microseconds from the Unix epoch.
         let unix_ms = now / 1000;
         let outputs = self.core.on_timer(now, unix_ms, readiness);
         self.perform_outputs(now, outputs, worker)
     }
 
-    /// Sets the engines that exist. For each, this gateway becomes a candidate for the probing
-    /// lease.
+    /// Sets the engines that exist. This gateway becomes a candidate for the probing lease of each
+    /// of these engines.
     pub fn set_engines(&mut self, now: Micros, engines: impl Iterator<Item = EngineId>) {
         let engines: BTreeSet<EngineId> = engines.collect();
         for engine in &engines {
@@ -263,7 +263,7 @@
         self.reports.take_due_probes(now, owned)
     }
 
-    /// Sends an engine's answer to a probe of this gateway to all gateways, if this gateway holds
+    /// Sends an engine's answer to a probe from this gateway to all gateways, if this gateway holds
     /// the probing lease of the engine.
     pub fn publish_report(
         &mut self,
@@ -276,13 +276,13 @@
         let payload = ProbeReport::new(self.last_report_number, report).to_bytes();
         let outputs = self.core.submit_work(now, probe_task(engine), payload);
         let actions = self.perform_outputs(now, outputs, worker);
-        // The balancer has this report already.
+        // The balancer already has this report.
         self.fresh_reports
             .retain(|(reported, _)| *reported != engine);
         actions
     }
 
-    /// Returns another gateway's report of an engine that is recent enough to replace a probe by
+    /// Returns another gateway's report on an engine if it is recent enough to replace a probe by
     /// this gateway, and counts the probe as spared.
     pub fn recent_report(&mut self, now: Micros, engine: EngineId) -> Option<LoadReport> {
         let report = self.reports.recent_report(now, engine);
@@ -300,8 +300,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Returns a message with all tokens known here, for a peer that catches up; `None` if there
-    /// are no tokens.
+    /// Returns a message with all tokens that this gateway knows, for a peer that is catching up;
+    /// `None` if there are no tokens.
     pub fn tokens_message(&self) -> Option<Message> {
         self.core.tokens_message()
     }
@@ -328,13 +328,14 @@
         self.core.counters()
     }
 
-    /// Returns the number of probes since the start that a recent report of another gateway
-    /// replaced.
+    /// Returns the number of probes, since the start of the process, that a recent report from
+    /// another gateway replaced.
     pub fn probes_spared(&self) -> u64 {
         self.probes_spared
     }
 
-    /// Returns the leases held here and the known tokens, for the status file.
+    /// Returns the leases that this gateway holds and the tokens that it knows, for the status
+    /// file.
     pub fn status(&self, now: Micros) -> LeaseStatus {
         let held = self.core.held_tokens(now);
         let known = self.core.fences().tokens();
--- a/crates/gateway/src/leases/probe_report.rs
+++ b/crates/gateway/src/leases/probe_report.rs
@@ -7,8 +7,8 @@
 /// The payload of a lease holder's work message. The order of fields is the format on the wire.
 #[derive(Serialize, Deserialize)]
 pub(super) struct ProbeReport {
-    /// Increases with each report under one token. Each voter forwards the report, and receivers
-    /// drop further copies by this number.
+    /// Sequence number, which increases with each report under one token. Since each voter forwards
+    /// the report, receivers use this number to drop further copies.
     pub(super) number: u64,
     /// Microseconds between the engine's answer and the sending of the report.
     pub(super) age: Micros,
@@ -48,7 +48,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Returns `None` if the bytes can't be decoded.
+    /// Decodes a report; `None` if the bytes can't be decoded.
     pub(super) fn from_bytes(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/gateway/src/leases/stored_tokens.rs
+++ b/crates/gateway/src/leases/stored_tokens.rs
@@ -4,7 +4,7 @@
 use eideryard_store::Batch;
 
 /// Prefix of the store's keys for tokens. The task's kind (one byte) and number (four bytes,
-/// big-endian) follow.
+/// big-endian) follow the prefix.
 pub const TOKEN_KEY_PREFIX: &[u8] = b"t";
 
 fn token_key(task: Task) -> Vec<u8> {
@@ -14,7 +14,7 @@
     key
 }
 
-/// Decodes a key and value of the store; `None` if they are no token.
+/// Decodes a key and value of the store; `None` if they don't represent a token.
 pub fn decode_token(key: &[u8], value: &[u8]) -> Option<(Task, FencingToken)> {
     let key = key.strip_prefix(TOKEN_KEY_PREFIX)?;
     let (kind, number) = key.split_first()?;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -44,11 +44,11 @@
 use gateway::Gateway;
 
 /// The shortest time between two polls of the sockets, in ticks of the settings. Messages that
-/// arrive in between are read, decided and written as one batch, which saves work at both ends of
+/// arrive in between are read, processed and written as one batch, which saves work at both ends of
 /// each connection. A message that arrives after a longer pause is not delayed.
 const TICKS_BETWEEN_POLLS: u64 = 4;
 
-/// Serves until SIGTERM or SIGINT and then until the requests that are still open have ended.
+/// Serves until SIGTERM or SIGINT, and then until the open requests have ended.
 ///
 /// # Errors
 ///
@@ -97,8 +97,8 @@
 }
 
 /// Returns whether the next poll has to wait for the interval of [`TICKS_BETWEEN_POLLS`]. A poll
-/// that only the threads of the store or of the peers have caused doesn't count, so that a message
-/// that a client or an engine sends right after it is not delayed.
+/// that was caused only by the threads of the store or of the peer transport doesn't count.
+/// Otherwise, a message that a client or an engine sends right after such a poll would be delayed.
 fn is_socket_poll(wakes: &[WakeReason]) -> bool {
     let is_from_thread = |wake: &WakeReason| matches!(wake, WakeReason::IntentDurability);
     wakes.is_empty() || !wakes.iter().all(is_from_thread)
--- a/crates/gateway/src/recovered_state.rs
+++ b/crates/gateway/src/recovered_state.rs
@@ -1,5 +1,5 @@
-//! The part of the store that replication needs. It is read at the start by `intent_durability`,
-//! which owns the store, and passed to the replication driver.
+//! The part of the store that replication needs. `intent_durability`, which owns the store, reads
+//! it at startup and passes it to the replication driver.
 
 use eideryard_leases::{FencingToken, Task};
 use eideryard_replication::{entry, Origin, ReplicaRecord};
@@ -7,23 +7,23 @@
 
 use crate::leases::{decode_token, TOKEN_KEY_PREFIX};
 
-/// The store's key under which a voter saves the identity that it votes with.
+/// The store's key under which a voter saves the identity under which it votes.
 pub const VOTER_IDENTITY_KEY: &[u8] = b"v";
 
-/// The key of a replica, without the store's prefix, and the replica.
+/// A replica, preceded by its key without the store's prefix.
 pub type StoredReplica = (Vec<u8>, ReplicaRecord);
 
 /// Replication state that was recovered from the store.
 pub struct RecoveredState {
     /// The identity of the store, and the number of this start of the gateway.
     pub origin: Origin,
-    /// Whether the store still has all writes that it ever acknowledged as durable.
+    /// Whether the store still contains all writes that it ever acknowledged as durable.
     pub is_complete: bool,
-    /// The identity that this gateway last voted with; `None` if it has never voted.
+    /// The identity under which this gateway last voted; `None` if it has never voted.
     pub voter_identity: Option<Vec<u8>>,
     /// Replicas of the intents of the whole fleet.
     pub replicas: Vec<StoredReplica>,
-    /// The greatest fencing token of each task that was promised or seen.
+    /// The highest fencing token of each task that this gateway has promised or seen.
     pub tokens: Vec<(Task, FencingToken)>,
 }
 
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -1,7 +1,8 @@
 //! Connects the replication core (`eideryard_replication`, which makes the decisions) to the links
 //! between gateways and to the store: passes messages, makes replicas durable before they are
-//! acknowledged, and returns the verdicts on claims. `intent_durability` owns the driver and calls
-//! it from the gateway's main loop. The driver exists only if the operator's file contains `fleet`.
+//! acknowledged, and returns the verdicts on claims. `intent_durability` owns [`ReplicationDriver`]
+//! and calls it from the gateway's main loop. The driver exists only if the operator's file
+//! contains `fleet`.
 
 use std::collections::VecDeque;
 
@@ -37,7 +38,7 @@
 /// and engines.
 const MAX_PEER_EVENTS: usize = 512;
 
-/// A message on a link between gateways. The order of variants is the format on the wire.
+/// A message on a link between gateways. The order of the variants defines the wire format.
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A message about claims, replicas of intents, drains or hints.
@@ -46,9 +47,9 @@
     Leases(eideryard_leases::Message),
 }
 
-/// Outputs of the core that are carried out once a write to the store is durable.
+/// Outputs of the replication core that are carried out once a write to the store is durable.
 struct PendingOutputs {
-    /// Number of the write, assigned by the store's worker in increasing order.
+    /// Ticket of the write, assigned by the store's worker in increasing order.
     ticket: u64,
     outputs: Vec<Output>,
 }
@@ -59,7 +60,7 @@
     pub stored_key: &'a [u8],
     /// The intent that was written for the send.
     pub intent: &'a Intent,
-    /// How long voters keep the record of the claim, in microseconds.
+    /// How long voters store the claim, in microseconds.
     pub retention: Micros,
     /// Prior attempts of the request that the balancer already knows.
     pub prior_attempts: &'a [PriorAttempt],
@@ -73,16 +74,16 @@
     leases: Option<LeaseDriver>,
     /// Fencing tokens that were written but are not durable yet, in the order of their tickets.
     pending_tokens: VecDeque<PendingToken>,
-    /// Outputs that wait for writes, in the order of their tickets.
+    /// Outputs that are waiting for writes, in the order of their tickets.
     pending_outputs: VecDeque<PendingOutputs>,
-    /// Verdicts since the last poll, with the numbers of their claims.
+    /// Verdicts since the last poll, each with the ID of its claim.
     verdicts: Vec<(u64, Verdict)>,
     last_claim_number: u64,
     peers: PeerTable,
-    /// Drains of engines that peers have reported, until they are taken.
+    /// Drains of engines that peers have reported, until [`Self::take_drains`] returns them.
     drains: Vec<Drain>,
-    /// The checkpoint of a peer that arrived first, and its age in microseconds. Its bytes are
-    /// empty once it was taken.
+    /// The first checkpoint that a peer sent, and its age in microseconds. The bytes are empty once
+    /// [`Self::take_peer_hint`] has returned them.
     peer_hint: Option<(Vec<u8>, Micros)>,
     /// Events for the event log, until they are taken.
     events: Vec<FleetEvent>,
@@ -102,8 +103,8 @@
         Some(reason)
     }
 
-    /// Claims a key before its request is sent. Returns the number under which [`Self::poll`]
-    /// returns the verdict.
+    /// Claims a key before its request is sent. Returns the ID under which [`Self::poll`] returns
+    /// the verdict.
     pub fn claim(&mut self, now: Micros, claim: &Claim<'_>, worker: &mut Worker) -> u64 {
         self.last_claim_number += 1;
         let number = self.last_claim_number;
@@ -122,7 +123,7 @@
         number
     }
 
-    /// Reports to the voters that all attempts of a key have ended. `intent` is the remaining
+    /// Reports to the voters that all attempts with a key have ended. `intent` is the remaining
     /// intent; `None` if no attempt ran.
     pub fn on_attempts_ended(
         &mut self,
@@ -142,8 +143,8 @@
         self.perform_outputs(now, outputs, worker);
     }
 
-    /// Handles messages of peers, durable writes and expired deadlines. Returns the verdicts on
-    /// claims, with the numbers of the claims.
+    /// Handles messages from peers, durable writes and expired deadlines. Returns the verdicts on
+    /// claims, with the IDs of the claims.
     pub fn poll(&mut self, now: Micros, worker: &mut Worker) -> Vec<(u64, Verdict)> {
         for _ in 0..MAX_PEER_EVENTS {
             let Some(event) = self.hub.try_recv() else {
@@ -190,12 +191,13 @@
     pub fn publish_drains(&mut self, now: Micros, drains: Vec<Drain>, worker: &mut Worker) {
         let outputs = self.core.on_local_drains(drains);
         self.perform_outputs(now, outputs, worker);
-        // The core also outputs this gateway's own drains, which need not be handled again.
+        // The core also outputs the drains that this gateway reports itself, which need not be
+        // handled again.
         self.drains.clear();
     }
 
-    /// Returns the drain of an engine by a peer's endpoint list that is newer than `list_number`,
-    /// if there is one.
+    /// Returns the drain of an engine that a peer has reported from an endpoint list newer than
+    /// `list_number`, if there is one.
     pub fn overriding_drain(&self, engine: u32, booted_at: u64, list_number: u64) -> Option<Drain> {
         self.core.overriding_drain(engine, booted_at, list_number)
     }
@@ -205,13 +207,14 @@
         self.core.set_hints(now, checkpoint);
     }
 
-    /// Takes the checkpoint of a peer and its age in microseconds. Returns one checkpoint at most.
+    /// Takes the checkpoint from a peer and its age in microseconds. Returns a checkpoint at most
+    /// once.
     pub fn take_peer_hint(&mut self) -> Option<(Vec<u8>, Micros)> {
         let (checkpoint, age) = self.peer_hint.as_mut()?;
         if checkpoint.is_empty() {
             return None;
         }
-        // Empty bytes stay in `peer_hint`, so that no later hint is stored.
+        // Empty bytes remain in `peer_hint`, so that no further hint is stored.
         Some((std::mem::take(checkpoint), *age))
     }
 
@@ -232,7 +235,8 @@
     }
 }
 
-/// Returns the form of a key that voters use: without the prefix byte of this gateway's store.
+/// Returns a key in the form that voters use, which is without the prefix byte of this gateway's
+/// store.
 fn replicated_key(stored_key: &[u8]) -> &[u8] {
     &stored_key[1..]
 }
--- a/crates/gateway/src/replication/lease_messages.rs
+++ b/crates/gateway/src/replication/lease_messages.rs
@@ -1,10 +1,11 @@
-//! Carries out the actions of the lease driver, and passes lease messages between it and the links.
+//! Carries out the actions of the lease driver, and passes lease messages between the driver and
+//! the links.
 
 use super::*;
 
 impl ReplicationDriver {
-    /// Returns whether this voter still has everything that it ever promised, so that it may vote
-    /// on leases.
+    /// Returns whether this voter may vote on leases, which requires that it still has everything
+    /// that it ever promised.
     pub(super) fn voter_readiness(&self) -> VoterReadiness {
         if self.core.is_voting() {
             VoterReadiness::Ready
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Queues a message to a peer. A message that a full queue drops is requested again, or the
-    /// lease that it is about expires.
+    /// Queues a message to a peer. If the queue is full, the message is dropped: it is requested
+    /// again later, or the lease that it concerns expires.
     pub(super) fn send_lease_message(
         &mut self,
         peer: TransportPeer,
--- a/crates/gateway/src/replication/outputs.rs
+++ b/crates/gateway/src/replication/outputs.rs
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Queues a message to a peer. A message that a full queue drops is sent again by the core, or
-    /// given up.
+    /// Queues a message to a peer. If the queue is full, the message is dropped: the core resends
+    /// it or gives it up.
     fn send(&mut self, peer: Peer, message: Message) {
         let peer = transport_peer(peer);
-        // A peer that catches up must get all fencing tokens before the message that completes its
-        // replicas, because it votes from then on.
+        // A peer that is catching up must get all fencing tokens before the message that completes
+        // its replicas, because it votes from that message on.
         if matches!(
             message,
             Message::StatePart { is_last: true, .. } | Message::VoterStatus { .. }
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Handles that this voter has caught up: saves its identity, and announces to all requesters
-    /// that it votes once that is durable.
+    /// Handles that this voter has caught up: saves its identity. Once the identity is durable,
+    /// announces to all requesters that this voter votes.
     fn begin_voting(&mut self, worker: &mut Worker) {
         tracing::info!(
             "fleet {}: this keeper has caught up and votes from now on",
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Carries out the outputs that waited for writes that are durable now.
+    /// Carries out the outputs that were waiting for writes that are durable now.
     pub(super) fn perform_durable_outputs(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/replication/peer_events.rs
+++ b/crates/gateway/src/replication/peer_events.rs
@@ -1,4 +1,4 @@
-//! Handles events of the links: messages, and peers that connect, change their state or are
+//! Handles events on the links: messages, and peers that connect, change their state or are
 //! rejected.
 
 use super::peers::VoterHealth;
--- a/crates/gateway/src/replication/peers.rs
+++ b/crates/gateway/src/replication/peers.rs
@@ -5,10 +5,10 @@
 use eideryard::interface::Micros;
 use eideryard_peer_transport::{Peer as TransportPeer, PeerState};
 
-/// Maximum number of rejected peers that are remembered with the reason.
+/// Maximum number of rejected peers that are stored with the reason.
 const MAX_REJECTED_PEERS: usize = 400;
 
-/// The health of a voter, as measured by the link to it.
+/// The health of a voter, as measured on the link to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct VoterHealth {
     pub(super) state: PeerState,
@@ -19,7 +19,7 @@
 /// The peers by name, with their links, health and rejections.
 pub(super) struct PeerTable {
     voter_names: Vec<String>,
-    /// Names of the gateways that have opened links to this one, by link number.
+    /// Names of the gateways that have opened links to this one, by link ID.
     requesters: BTreeMap<u64, String>,
     voter_health: BTreeMap<String, VoterHealth>,
     /// The reason for the last rejection of each peer, by peer name.
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns the numbers of the links that other gateways have opened to this one.
+    /// Returns the IDs of the links that other gateways have opened to this one.
     pub(super) fn requester_links(&self) -> impl Iterator<Item = u64> + '_ {
         self.requesters.keys().copied()
     }
@@ -75,13 +75,13 @@
         &self.voter_health
     }
 
-    /// Forgets the last rejection of a peer. Called when the peer is accepted.
+    /// Drops the stored rejection of a peer. Called when the peer is accepted.
     pub(super) fn clear_rejection(&mut self, name: &str) {
         self.rejected.remove(name);
     }
 
-    /// Stores the reason for which a peer was rejected. Returns false if the reason is the same as
-    /// last time or the table is full.
+    /// Stores the reason why a peer was rejected. Returns false if the reason is the same as for
+    /// the peer's previous rejection or the table is full.
     pub(super) fn set_rejection(&mut self, name: &str, reason: &str) -> bool {
         let previous = self.rejected.get(name);
         let has_room = previous.is_some() || self.rejected.len() < MAX_REJECTED_PEERS;
--- a/crates/gateway/src/replication/startup.rs
+++ b/crates/gateway/src/replication/startup.rs
@@ -15,8 +15,8 @@
 use crate::fingerprints::classes_fingerprint;
 use crate::recovered_state::RecoveredState;
 
-/// Maximum rate at which a voter sends replicas to all peers that catch up together, in bytes per
-/// second.
+/// Maximum rate at which a voter sends replicas to peers that are catching up, in bytes per second,
+/// summed over all these peers.
 const CATCH_UP_BYTES_PER_SECOND: u64 = 2 << 20;
 
 /// The parameters of the gateway that the driver belongs to.
@@ -29,24 +29,24 @@
     pub settings: &'a Settings,
     /// The longest time that a request may wait, in microseconds.
     pub longest_wait: Micros,
-    /// The number of replicas that fit into a voter's memory.
+    /// Maximum number of replicas, as limited by a voter's memory.
     pub max_replicas: usize,
     /// Time of the start, in microseconds since the Unix epoch.
     pub now: Micros,
-    /// A random number that differs between starts.
+    /// A random number, which must differ between starts.
     pub seed: u64,
 }
 
 /// Why the driver can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The gateway is a voter but has no address to listen on, so that peers can't reach it.
+    /// The gateway is a voter but has no address to listen on, so peers can't reach it.
     #[error("fleet: '{name}' is a keeper but the operator's file has no 'listen' line; add one")]
     NoListenAddress {
         /// Name of the gateway in the platform's configuration.
         name: String,
     },
-    /// The thread of the links can't be started, or its address can't be listened on.
+    /// The thread that serves the links can't be started, or its listen address can't be bound.
     #[error("fleet: can't start links to peers: {0}; check 'listen' in the operator's file")]
     Links(io::Error),
 }
@@ -62,7 +62,8 @@
 }
 
 impl ReplicationDriver {
-    /// Starts the driver and the thread of its links, which calls `wake` when there are events.
+    /// Starts the driver and the thread that serves its links. The thread calls `wake` when there
+    /// are events.
     ///
     /// # Errors
     ///
@@ -129,8 +130,8 @@
     }
 }
 
-/// Returns whether the store contains everything that this gateway ever promised as a voter, so
-/// that it may vote without catching up first.
+/// Returns whether this gateway may vote without catching up first. It may if its store contains
+/// everything that it ever promised as a voter.
 fn may_vote_at_once(recovered: &RecoveredState) -> bool {
     let identity = recovered.origin.identity.to_be_bytes();
     recovered.is_complete && recovered.voter_identity.as_deref() == Some(&identity[..])
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -9,8 +9,8 @@
 
 /// Interval at which the status file is written, in microseconds.
 const STATUS_INTERVAL: Micros = 250_000;
-/// Fingerprints of replicas are computed as of multiples of this time in microseconds, so that the
-/// fingerprints in status files that two voters write within the same second can be compared.
+/// Fingerprints of replicas are computed as of multiples of this interval, in microseconds.
+/// Fingerprints in status files that two voters write within the same second can thus be compared.
 const FINGERPRINT_INTERVAL: Micros = 1_000_000;
 
 impl ReplicationDriver {
@@ -28,8 +28,8 @@
         self.leases.as_ref()
     }
 
-    /// Returns the current state of the fleet as events, recorded at the beginning of a segment of
-    /// the event log.
+    /// Returns the current state of the fleet as events, which are recorded at the beginning of
+    /// each segment of the event log.
     pub fn state_events(&self) -> Vec<FleetEvent> {
         let mut events = Vec::new();
         for (name, health) in self.peers.voter_health() {
@@ -54,7 +54,7 @@
         self.core.counters()
     }
 
-    /// Returns the sizes of all tables, by the names under which they are logged.
+    /// Returns the sizes of all tables, with the names under which they are logged.
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         [
             ("copies", self.core.replicas().len()),
@@ -64,7 +64,8 @@
         ]
     }
 
-    /// Returns the content of the status file; `None` if it is not yet time to write it again.
+    /// Returns the content of the status file; `None` until [`STATUS_INTERVAL`] has passed since it
+    /// was last written.
     pub fn status(&mut self, now: Micros) -> Option<Value> {
         if now < self.next_status_at {
             return None;
--- a/crates/gateway/src/replication/translation.rs
+++ b/crates/gateway/src/replication/translation.rs
@@ -1,12 +1,12 @@
-//! Converts peers, locations and prior attempts between the types of the links, of the replication
-//! core and of the balancer.
+//! Converts peers, locations and prior attempts between the types that the links, the replication
+//! core and the balancer use.
 
 use eideryard::interface::{Micros, PriorAttempt};
 use eideryard_intent_log::{Intent, Location};
 use eideryard_peer_transport::Peer as TransportPeer;
 use eideryard_replication::{Peer, PriorRun, PriorRuns};
 
-/// Lower limit of known times in microseconds, since the balancer takes time 0 for "unknown".
+/// Lower limit on known times in microseconds, because time 0 means "unknown" to the balancer.
 const MIN_KNOWN_TIME: Micros = 1;
 
 pub(super) fn replication_peer(peer: TransportPeer) -> Peer {
@@ -23,8 +23,8 @@
     }
 }
 
-/// Converts prior runs to the balancer's type. A run that may have been at several locations gets
-/// an unknown location and time.
+/// Converts prior runs to the balancer's type. A run without a location, which may have been at any
+/// of several locations, gets an unknown location and time.
 pub fn prior_attempts(runs: &PriorRuns) -> Vec<PriorAttempt> {
     let prior_attempt = |run: &PriorRun| match run.location {
         Some(location) => PriorAttempt {
@@ -58,7 +58,8 @@
         .collect()
 }
 
-/// Returns the zone and cell in which an intent's attempt runs; `None` if they are unknown.
+/// Returns the zone and cell of the engine that runs an intent's attempt; `None` if they are
+/// unknown.
 pub(super) fn known_location(intent: &Intent) -> Option<Location> {
     (intent.since > 0).then_some(intent.location)
 }
--- a/crates/gateway/src/requests.rs
+++ b/crates/gateway/src/requests.rs
@@ -1,6 +1,6 @@
-//! Client requests. The main loop owns one table of them, in which each request keeps its slot
-//! until it has its final answer and none of its attempts is in flight. Only [`Requests::release`]
-//! frees a slot.
+//! Client requests. The main loop owns one [`Requests`] table, in which each request occupies a
+//! slot until it has its final answer and none of its attempts is in flight. Only
+//! [`Requests::release`] frees a slot.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -17,7 +17,8 @@
 #[cfg(test)]
 mod tests;
 
-/// How many ids of finished requests are remembered, to reject a later request with the same id.
+/// Maximum number of IDs of finished requests that are stored in order to reject a new request with
+/// the same ID.
 const MAX_FINISHED_IDS: usize = 4096;
 
 /// The class and tenant of a request, as indices in the settings.
@@ -34,9 +35,11 @@
     pub connection: Option<Key>,
     pub sent_at: Micros,
     pub deadline: Option<DeadlineKey>,
-    /// The attempt waits until its intent is durable, and no byte of it was sent.
+    /// Whether the attempt is waiting until its intent is durable. No byte of it has been sent
+    /// then.
     pub awaits_durability: bool,
-    /// The intent log contains an intent for the attempt and must be notified of its end.
+    /// Whether the intent log contains an intent for the attempt and must be notified when the
+    /// attempt ends.
     pub has_intent: bool,
 }
 
@@ -44,33 +47,34 @@
 pub struct Request {
     /// The client's connection.
     pub client: Key,
-    /// The message id that the client has chosen on its connection.
+    /// The message ID that the client has chosen, unique among its connection's open requests.
     pub call_id: u32,
-    /// The id from the request, 16 hex digits; unique among open and recently finished requests.
+    /// The ID from the request, 16 hex digits; unique among open and recently finished requests.
     pub id: Box<str>,
     /// Index of the class in the settings.
     pub class: usize,
     /// Index of the tenant in the settings.
     pub tenant: usize,
     pub received_at: Micros,
-    /// The idempotency key.
+    /// The idempotency key; `None` if the client sent none.
     pub key: Option<Box<str>>,
     pub statement: Box<[u8]>,
-    /// The result goes to the result spool.
+    /// Whether the result goes to the result spool.
     pub is_spooled: bool,
     /// The memory grant that the balancer has set, in MB; 0 until then.
     pub grant_mb: u64,
     /// The rank that the balancer has set; `None` until then.
     pub rank: Option<u8>,
-    /// The client has received its final answer, or no longer waits for one.
+    /// Whether the client has received its final answer or no longer waits for one.
     pub is_answered: bool,
     /// When the client stops waiting.
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
-    /// Attempts from before this request was received that may have run, as reported to the
+    /// Prior attempts that may have run before this request was received, as reported to the
     /// balancer.
     pub prior_attempts: Vec<PriorAttempt>,
-    /// The balancer's timer for the request.
+    /// The deadline of the balancer's timer that ends the request; `None` until the balancer sets
+    /// it.
     pub timer: Option<DeadlineKey>,
 }
 
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Returns whether the request is answered and none of its attempts is in flight or waits for
+    /// Returns whether the request is answered and none of its attempts is in flight or waiting for
     /// its intent.
     fn is_finished(&self) -> bool {
         let has_ended =
@@ -92,13 +96,14 @@
     }
 }
 
-/// Why a valid request gets no slot.
+/// Why a valid request is not added to the table.
 #[derive(Debug, PartialEq)]
 pub enum InsertError {
-    /// An open or recently finished request has the same id, so engines could not distinguish them.
+    /// An open or recently finished request has the same ID, so engines could not distinguish the
+    /// two.
     DuplicateId,
-    /// The statements would take more than an eighth of the memory; each is copied once more for
-    /// its engine.
+    /// All statements together would occupy more than an eighth of the memory. The limit is this
+    /// low because each statement is copied once more for its engine.
     StatementMemoryFull,
 }
 
@@ -108,15 +113,16 @@
     /// Bytes of the statements of all requests in the table.
     statement_bytes: usize,
     max_statement_bytes: usize,
-    /// Ids of all requests in the table and of those in `finished_ids`.
+    /// IDs of all requests in the table, and the IDs in `finished_ids`.
     ids: BTreeSet<Box<str>>,
-    /// Ids of the last [`MAX_FINISHED_IDS`] requests that have left the table, oldest first.
+    /// IDs of the last [`MAX_FINISHED_IDS`] requests that were removed from the table, oldest
+    /// first.
     finished_ids: VecDeque<Box<str>>,
 }
 
 impl Requests {
     /// Creates an empty table. `memory_mb` is the memory that the platform grants to the process;
-    /// all statements together may take an eighth of it.
+    /// all statements together may occupy an eighth of it.
     pub fn new(memory_mb: u64) -> Self {
         let max_statement_bytes = (memory_mb as usize) << 17;
         Requests {
@@ -128,7 +134,8 @@
         }
     }
 
-    /// Adds a request and returns the key of its slot. Its grant and rank are set later.
+    /// Adds a request and returns the key of its slot. The balancer sets the request's grant and
+    /// rank later.
     pub fn insert(
         &mut self,
         client: Key,
@@ -175,7 +182,7 @@
         self.table.get_mut(key)
     }
 
-    /// Returns the number of requests in the table and the number of remembered ids.
+    /// Returns the number of requests in the table and the number of stored IDs.
     pub fn sizes(&self) -> (usize, usize) {
         (self.table.len(), self.ids.len())
     }
--- a/crates/gateway/src/requests/call.rs
+++ b/crates/gateway/src/requests/call.rs
@@ -6,7 +6,7 @@
 use super::names::{index_of, Names};
 use super::RequestLabels;
 
-/// The length of a request's id in hex digits.
+/// The length of a request ID in hex digits.
 const ID_DIGITS: usize = 16;
 /// The length of an idempotency key in hex digits.
 const KEY_DIGITS: usize = 32;
@@ -16,7 +16,7 @@
 /// The names of all fields of a request on the wire; other fields are ignored.
 const FIELD_NAMES: [&str; 9] = ["i", "d", "t", "r", "k", "o", "h", "ram", "p"];
 
-/// Why a call is invalid: mostly the field that is missing or has an invalid value.
+/// Why a call is invalid. Most variants name the field that is missing or has an invalid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
     Class,
@@ -29,11 +29,11 @@
     Memory,
     Statement,
     DuplicateField,
-    /// The method or the structure of the message's parameters.
+    /// The method, or the structure of the message's parameters, is invalid.
     Parameters,
-    /// The connection has the maximum number of open requests.
+    /// The connection already has the maximum number of open requests.
     TooManyOpen,
-    /// The call arrived after a message because of which the connection accepts no more requests.
+    /// The connection no longer accepts requests because of a previous message.
     ConnectionClosing,
 }
 
@@ -65,22 +65,24 @@
     pub id: Box<str>,
     pub class: usize,
     pub tenant: usize,
-    /// The idempotency key.
+    /// The idempotency key; `None` if the client sent none.
     pub key: Option<Box<str>>,
-    /// Requests with the same ordering key run one after another, in classes that are ordered.
+    /// The ordering key. In ordered classes, requests with the same ordering key run one after
+    /// another.
     pub order_key: Option<Box<str>>,
-    /// The client has marked the request as a retry.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
     /// How long the client waits for the answer.
     pub wait: Micros,
-    /// The client's estimate of the work, in microseconds.
+    /// The client's estimate of the work, in microseconds of thread time summed over all threads;
+    /// `None` if it gave none.
     pub work: Option<f64>,
-    /// The client's estimate of the memory, in MB.
+    /// The client's estimate of the memory, in MB; `None` if it gave none.
     pub memory_mb: Option<f64>,
-    /// Identifies the tables that the statement reads; `None` if it names none.
+    /// Identifies the tables that the statement reads; `None` if the client names none.
     pub group: Option<u64>,
     pub statement: Box<[u8]>,
-    /// The client accepts its result in pages from the result spool.
+    /// Whether the client accepts its result in pages from the result spool.
     pub wants_pages: bool,
 }
 
@@ -153,7 +155,8 @@
         })
     }
 
-    /// Returns the index of the tenant; 0 for all requests if the settings contain no tenants.
+    /// Returns the index of the tenant in the settings; 0 for all requests if the settings contain
+    /// no tenants.
     fn tenant(&self, names: &Names) -> Result<usize, CallError> {
         if names.tenants.is_empty() {
             return Ok(0);
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Returns the ordering key; an empty one counts as none.
+    /// Returns the ordering key; an empty key counts as none.
     fn order_key(&self) -> Result<Option<&'a str>, CallError> {
         let Some(key) = self.get("o") else {
             return Ok(None);
@@ -190,7 +193,7 @@
         Ok(Some(key).filter(|key| !key.is_empty()))
     }
 
-    /// Returns an estimate of at most `max`; 0 counts as none.
+    /// Returns the value of an estimate, which must be at most `max`; 0 counts as no estimate.
     fn estimate(&self, name: &str, max: f64, error: CallError) -> Result<Option<f64>, CallError> {
         let Some(text) = self.get(name) else {
             return Ok(None);
--- a/crates/gateway/src/requests/names.rs
+++ b/crates/gateway/src/requests/names.rs
@@ -4,10 +4,12 @@
 use eideryard::interface::{Effect, MachineKind, Settings};
 use eideryard_settings::HostSettings;
 
-/// A request is rejected if its estimate of work or memory exceeds by this factor what the largest
-/// engine can do in the longest wait, or its memory.
+/// A request is rejected if its work estimate exceeds the work that the largest engine can do in
+/// the longest wait by more than this factor, or its memory estimate exceeds that engine's memory
+/// by more than this factor.
 const MAX_ESTIMATE_FACTOR: f64 = 100.0;
-/// A request is rejected if its wait exceeds by this factor the longest wait in the settings.
+/// A request is rejected if its wait exceeds the longest wait in the settings by more than this
+/// factor.
 const MAX_WAIT_FACTOR: f64 = 2.0;
 /// The longest wait, in microseconds, if the settings contain none: a day.
 const DEFAULT_WAIT_US: f64 = 86_400e6;
@@ -24,18 +26,18 @@
     pub zones: Vec<String>,
     /// Machine kinds of engines.
     pub kinds: Vec<String>,
-    /// The number of threads on which a query runs, by the class's index.
+    /// The number of threads that a query runs on, by the class's index.
     pub(super) threads: Vec<f64>,
     /// The maximum wait of a request, in microseconds.
     pub(super) max_wait: f64,
-    /// The maximum work estimate of a request, in core microseconds.
+    /// The maximum work estimate of a request, in core-microseconds.
     pub(super) max_work: f64,
     /// The maximum memory estimate of a request, in MB.
     pub(super) max_memory_mb: f64,
 }
 
 impl Names {
-    /// Collects the names from the settings of the balancer and of the process around it.
+    /// Collects the names from the settings of the balancer and of the gateway process.
     pub fn new(settings: &Settings, host: &HostSettings) -> Self {
         let largest =
             |of: fn(&MachineKind) -> f64| settings.kinds.iter().map(of).fold(1.0, f64::max);
--- a/crates/gateway/src/requests/tests.rs
+++ b/crates/gateway/src/requests/tests.rs
@@ -1,5 +1,5 @@
-//! Guards against requests with invalid fields or duplicate ids reaching engines, and against
-//! unbounded memory for ids and statements.
+//! Guards against requests with invalid fields or duplicate IDs that reach engines, and against
+//! unbounded memory for IDs and statements.
 
 use super::*;
 use crate::deadlines::Deadline;
--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -1,6 +1,6 @@
 //! Spooled results: connects the decisions of the `eideryard-result-spool` package to its disk
 //! worker. The gateway's main loop owns one [`ResultSpoolDriver`], which stores pages in memory,
-//! tracks those on disk, and finds the result of a request when a client queries it again.
+//! tracks those on disk, and finds the stored result when a client queries it later.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -26,27 +26,27 @@
 
 /// Size at which a segment file is full, in bytes.
 const SEGMENT_BYTES: u64 = 4 << 20;
-/// Limit of background work: 500 µs in each poll, since passing a page to the disk worker takes
+/// Limit on background work: 500 µs in each poll, since passing a page to the disk worker takes
 /// microseconds, and 64 MB per second, which even a slow disk can write.
 const WORK_BUDGET: WorkBudget = WorkBudget {
     round_time: 500,
     bytes_per_s: 64e6,
 };
-/// Delay before pages are written to disk again after a failed write, in microseconds.
+/// Delay before the next write of a page to disk after a failed write, in microseconds.
 const DISK_RETRY_DELAY: Micros = 500_000;
 
-/// The number of a result, equal to the number of the request whose run produces it.
+/// The ID of a result, which equals the ID of the request whose run produces the result.
 pub type ResultId = u64;
 
-/// A call that waits for an answer: the client's connection, and the number that the client chose
-/// for the call.
+/// A call that is waiting for an answer: the client's connection, and the message ID that the
+/// client chose for the call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Waiter {
     pub client: Key,
     pub call_id: u32,
     /// Class and tenant under which the answer is counted, if the call is a request that was
-    /// attached to an earlier run; `None` for queries, and for the request that began the run,
-    /// which is counted elsewhere.
+    /// attached to an earlier run. `None` for queries, and for the request that began the run,
+    /// whose answer is counted elsewhere.
     pub counted_as: Option<RequestLabels>,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// The owner of a result, by whom the spool's space is divided into fair shares.
+/// The owner of a result. The spool's space is divided fairly among owners.
 #[derive(Clone, Copy, Debug)]
 pub struct ResultOwner {
     pub labels: RequestLabels,
@@ -85,7 +85,7 @@
     pub retry_after: Option<Micros>,
 }
 
-/// How a run ended, kept for clients that query it later.
+/// How a run ended, stored for clients that query its result later.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RunOutcome {
     Result(ResultId),
@@ -134,10 +134,10 @@
     }
 }
 
-/// The rows of one page of a result, or their position on disk.
+/// The rows of one page of a result, or the page's position on disk.
 enum StoredPage {
     Memory(Vec<u8>),
-    /// Being written to disk; still in memory until the write has succeeded.
+    /// The page is being written to disk; its rows stay in memory until the write has succeeded.
     Writing(Vec<u8>, PagePosition),
     Disk(PagePosition),
 }
@@ -151,9 +151,10 @@
     }
 }
 
-/// A result, or the remembered failure of a run, which has no pages.
+/// A result, or the stored failure of a run, which has no pages.
 struct StoredResult {
-    /// The name by which clients query the result: the request's idempotency key or else its id.
+    /// The name by which clients query the result: the request's idempotency key, or its ID if it
+    /// has no key.
     name: Box<str>,
     pages: Vec<StoredPage>,
     expiry_timer: Option<Timer>,
@@ -165,7 +166,7 @@
     waiter: Waiter,
     result: ResultId,
     first_page: usize,
-    /// The rows of each page from `first_page` on; `None` until the page was read.
+    /// The rows of each page from `first_page` on; `None` until the page has been read.
     rows: Vec<Option<Vec<u8>>>,
     has_more: bool,
 }
@@ -191,11 +192,11 @@
     pub begun: u64,
     /// Results received completely.
     pub completed: u64,
-    /// Results and remembered failures dropped, after expiry or to make room.
+    /// Results and stored failures dropped after expiry or to make room.
     pub dropped: u64,
     /// Parts of results passed on for sending.
     pub parts_sent: u64,
-    /// Calls for a known run that were answered or attached to it.
+    /// Calls for a known run that were answered or attached to that run.
     pub reattached: u64,
     /// Calls for a run that is unknown or whose result was dropped.
     pub not_found: u64,
@@ -208,17 +209,17 @@
     spool: Spool,
     sizes: Sizes,
     keys: Keys,
-    /// Time at which the gateway started. It is part of page tokens, so that tokens of earlier
+    /// Time at which the gateway started. Page tokens contain this time, so tokens from earlier
     /// starts are recognized.
     epoch: Micros,
     /// Maximum size of a single result in bytes.
     max_result_bytes: u64,
-    /// How long the failure of a run is remembered for later queries, in microseconds.
+    /// How long the failure of a run is stored for later queries, in microseconds.
     failure_retention: Micros,
     results: HashMap<ResultId, StoredResult>,
     run_registry: RunRegistry<Waiter, RunOutcome>,
     segments: Segments,
-    /// `None` if the operator's file sets no directory: pages are then kept in memory only.
+    /// `None` if the operator's file sets no directory: pages are then stored in memory only.
     worker: Option<Worker>,
     background: Scheduler<Work>,
     expiry_timers: Wheel<ResultId>,
@@ -227,8 +228,7 @@
 }
 
 impl ResultSpoolDriver {
-    /// Starts the spool. `wake` is called from the disk worker's thread when it has finished a
-    /// job.
+    /// Starts the spool. The disk worker's thread calls `wake` when it has finished a job.
     ///
     /// # Errors
     ///
@@ -271,7 +271,7 @@
         })
     }
 
-    /// Returns the bytes in memory, on disk and claimed, and the number of results, by the names
+    /// Returns the bytes in memory, on disk and claimed, and the number of results, with the names
     /// under which they are logged.
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         let (memory, disk, claims) = self.spool.used();
--- a/crates/gateway/src/result_spool/disk.rs
+++ b/crates/gateway/src/result_spool/disk.rs
@@ -12,7 +12,7 @@
 use crate::error_reply::ErrorKind;
 
 impl ResultSpoolDriver {
-    /// Schedules writes of pages to disk if memory runs short.
+    /// Schedules writes of pages to disk if memory is short.
     pub(super) fn schedule_page_writes(&mut self, now: Micros) {
         if self.worker.is_none() {
             return;
@@ -41,8 +41,8 @@
 
     /// Passes a page to the disk worker.
     pub(super) fn write_page(&mut self, result: ResultId, page: usize, now: Micros) {
-        // The run may have been restarted since the write was scheduled, so that the page is
-        // another one.
+        // If the run was restarted after the write was scheduled, this index denotes a different
+        // page.
         if !self.spool.is_moving(result, page) {
             return;
         }
@@ -116,7 +116,7 @@
             .results
             .get_mut(&result)
             .and_then(|stored| stored.pages.get_mut(page));
-        // The space of a page that was dropped meanwhile has been freed already.
+        // If the page was dropped during the write, its space has already been freed.
         let Some(stored_page) = stored_page else {
             return;
         };
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Adds a page that was read from disk to all parts that wait for it. If the read failed, these
-    /// parts fail.
+    /// Adds a page that was read from disk to all parts that are waiting for it. If the read
+    /// failed, these parts fail.
     fn handle_read(
         &mut self,
         result: ResultId,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Stops appending to the current segment after a failed write, since data after that write
+    /// Stops appending to the current segment after a failed write, since data written after it
     /// can't be relied on.
     fn abandon_segment(&mut self, position: PagePosition, now: Micros) {
         let freed = [self.segments.free(position), self.segments.abandon()];
--- a/crates/gateway/src/result_spool/maintenance.rs
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -57,7 +57,7 @@
         match self.spool.expiry(id) {
             Some(expires_at) if expires_at <= now => self.drop_result(id, now),
             Some(_) => self.schedule_expiry(id),
-            // A remembered failure has expired.
+            // A stored failure has expired.
             None if !self.spool.contains(id) => self.drop_result(id, now),
             None => {}
         }
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -11,27 +11,28 @@
 };
 use crate::error_reply::ErrorKind;
 
-/// Maximum bytes of rows in one message, the same as for results that aren't spooled. A larger
-/// single page is sent alone.
+/// Maximum bytes of rows in one message, the same as for results that aren't spooled. A single page
+/// that is larger is sent alone.
 const MAX_MESSAGE_BYTES: usize = 48_000;
-/// How long a page token is valid, in microseconds: at least as long as its result is kept.
+/// How long a page token is valid, in microseconds: at least as long as its result is stored.
 const TOKEN_LIFETIME: Micros = 600_000_000;
-/// Maximum number of parts that wait for reads from disk; further queries get `TryLater`.
+/// Maximum number of parts that are waiting for reads from disk; further queries get `TryLater`.
 const MAX_PENDING_PARTS: usize = 4096;
 
 impl ResultSpoolDriver {
-    /// Returns whether a run with this name is in progress or remembered; see `StoredResult::name`.
+    /// Returns whether a run with this name is in progress or its outcome is still stored; see
+    /// `StoredResult::name`.
     pub fn is_known_run(&self, name: &str) -> bool {
         self.run_registry.contains(name)
     }
 
-    /// Answers a client's repeated query for a run by its name. Returns `None` if the run is in
-    /// progress: the client gets the result when the run ends.
+    /// Answers a client's repeated query for a run, which is identified by its name. Returns `None`
+    /// if the run is in progress: the client gets the result when the run ends.
     pub fn reattach(&mut self, name: &str, waiter: Waiter, now: Micros) -> Option<Delivery> {
         let delivery = match self.run_registry.register(name, waiter) {
             Arrival::First => {
-                // The run is unknown. `register` has added it as new; since a query starts no
-                // run, that is undone.
+                // The run is unknown. `register` has added it as new; a query starts no run, so the
+                // addition is undone.
                 self.run_registry.withdraw(name);
                 self.counters.not_found += 1;
                 let reason = "nothing is known of this request";
@@ -56,9 +57,9 @@
         delivery
     }
 
-    /// Answers a query for the page named by a token. `name` is the id of the client's request,
-    /// which authenticates the client, since only that client knows it. Returns `None` if the page
-    /// is being read from disk.
+    /// Answers a query for the page that a token identifies. `name` is the ID of the client's
+    /// request. It authenticates the client, since only that client knows it. Returns `None` if the
+    /// page is being read from disk.
     pub fn page_by_token(
         &mut self,
         token: &str,
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Handles a client's message that it no longer needs the result: from now on the result is
-    /// kept only as long as delivered ones are.
+    /// Handles a client's message that it no longer needs the result. From then on the result is
+    /// stored only as long as delivered results are.
     pub fn release_result(&mut self, token: &str, name: &str, now: Micros) {
         if let Ok(token) = self.keys.read(token, name, self.epoch, now) {
             self.spool.open_reader(token.result, now);
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Prepares a message with the pages from `first_page` on that fit. Returns `None` if pages
-    /// must be read from disk first; [`Self::poll`] returns the message later.
+    /// Prepares a message with as many pages as fit into it, starting with `first_page`. Returns
+    /// `None` if pages must be read from disk first; [`Self::poll`] returns the message later.
     pub(super) fn prepare_part(
         &mut self,
         waiter: Waiter,
@@ -121,7 +122,7 @@
         None
     }
 
-    /// Collects the pages of a part. Those on disk are `None` until they are read.
+    /// Collects the pages of a part. Pages on disk are `None` until they are read.
     fn collect_part(&self, waiter: Waiter, id: ResultId, first_page: usize) -> Option<PendingPart> {
         let stored = self.results.get(&id)?;
         let mut bytes = 0;
@@ -177,7 +178,7 @@
     }
 
     /// Creates the message for a part whose pages are all in memory. Returns `None` if the result
-    /// was dropped meanwhile.
+    /// has been dropped.
     pub(super) fn finish_part(&mut self, part: PendingPart, now: Micros) -> Option<Delivery> {
         let name = self.results.get(&part.result)?.name.clone();
         let token = Token {
--- a/crates/gateway/src/result_spool/runs.rs
+++ b/crates/gateway/src/result_spool/runs.rs
@@ -12,8 +12,7 @@
 
 /// Expected size of a result in bytes, until sizes for its class have been learned.
 const DEFAULT_RESULT_BYTES: u64 = 48_000;
-/// Maximum number of runs that are stored: room for the maximum number of results, and for as many
-/// failures.
+/// Maximum number of stored runs: the maximum number of results plus the same number of failures.
 const MAX_NAMES: usize = 2 * MAX_RESULTS;
 
 impl ResultSpoolDriver {
@@ -22,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the request is rejected, and when a retry may succeed.
+    /// Returns the reason why the request is rejected, and when a retry may succeed.
     pub fn admit(&mut self, owner: ResultOwner, now: Micros) -> Result<(), SpoolRejection> {
         let mut expected = self.expected_bytes(owner.labels);
         if expected > self.max_result_bytes && self.sizes.should_bypass_rejection() {
@@ -104,8 +103,8 @@
         };
         if let Err(reason) = self.spool.add_page(id, rows.len() as u64, now) {
             if reason == RejectReason::TooLarge {
-                // The actual size is unknown, so the least possible one is learned. Later requests
-                // of this class and tenant are then rejected before they are sent.
+                // The actual size is unknown, so its lower limit is learned. Later requests of this
+                // class and tenant are then rejected before they are sent.
                 let RequestLabels { class, tenant } = stored.labels;
                 self.sizes.learn(class, tenant, self.max_result_bytes + 1);
             }
@@ -116,8 +115,8 @@
         Ok(())
     }
 
-    /// Drops the pages of a run that is attempted again, so that rows of two attempts are never
-    /// mixed.
+    /// Drops the pages of a run for which a new attempt starts, so that rows of two attempts are
+    /// never mixed.
     pub fn restart_run(&mut self, id: ResultId, owner: ResultOwner, now: Micros) {
         let Some(stored) = self.results.get_mut(&id) else {
             return;
@@ -152,8 +151,8 @@
             .collect()
     }
 
-    /// Ends a run that has no result: it was rejected before anything ran (`is_rejected`), so that
-    /// the name can be used again, or it failed finally. Returns the waiting clients.
+    /// Ends a run that has no result: either it was rejected before anything ran (`is_rejected`),
+    /// in which case its name can be reused, or it failed permanently. Returns the waiting clients.
     pub fn end_run_without_result(
         &mut self,
         id: ResultId,
@@ -170,7 +169,7 @@
             self.drop_result(id, now);
             return waiters;
         }
-        // No client has got a row of it, so only the failure is stored.
+        // No client has received a row of the result, so only the failure is stored.
         self.spool.drop_result(id, now);
         let timer = self.expiry_timers.set(now + self.failure_retention, id);
         if let Some(stored) = self.results.get_mut(&id) {
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -2,7 +2,8 @@
 //! time and the number of open requests and connections, and takes the steps that it returns.
 //!
 //! - *serving*: until the signal;
-//! - *draining*: requests and connections are still accepted, as clients go on sending for a while;
+//! - *draining*: requests and connections are still accepted, because clients continue to send for
+//!   a while;
 //! - *closing*: no new connections are accepted, and each idle connection is half-closed and read
 //!   until the client has closed it;
 //! - *ending*: open requests get their final answers;
@@ -11,13 +12,13 @@
 use eideryard::interface::Micros;
 
 /// The duration of draining. Clients open connections for at most 0.4 s after the signal and send
-/// requests on open connections for 0.2 s more, so nothing new arrives after this time.
+/// requests on open connections for another 0.2 s, so no request arrives after this time.
 const LAST_CLIENT_TIMEOUT: Micros = 700_000;
-/// The process may be killed after [`LAST_CLIENT_TIMEOUT`] plus the longest wait of a client. This
-/// is the maximum of the second term.
+/// Upper limit on the longest wait of a client in the computation of the kill time: the process may
+/// be killed after [`LAST_CLIENT_TIMEOUT`] plus that wait.
 const MAX_STOP_TIME: Micros = 3_000_000;
 /// How long before the kill open requests get their final answers. The process exits half this time
-/// before the kill, since a client that has not received its answer by then doesn't read.
+/// before the kill, since a client that has not received its answer by then isn't reading.
 const STOP_MARGIN: Micros = 200_000;
 
 /// A phase of the shutdown.
@@ -61,7 +62,8 @@
 #[derive(Debug, Default)]
 pub struct Shutdown {
     phase: Phase,
-    /// The latest times at which closing, ending and finished start; zeros before the signal.
+    /// The latest times at which the phases closing, ending and finished start; zeros before the
+    /// signal.
     phase_starts: [Micros; 3],
 }
 
@@ -89,8 +91,8 @@
         self.phase
     }
 
-    /// When requests must be answered at the latest; `None` before the signal, when only their own
-    /// deadlines apply.
+    /// Returns the latest time at which requests must be answered; `None` before the signal, when
+    /// only the requests' own deadlines apply.
     pub fn answer_deadline(&self) -> Option<Micros> {
         (self.phase != Phase::Serving).then_some(self.phase_starts[1])
     }
@@ -101,7 +103,8 @@
         self.phase_starts
     }
 
-    /// Returns the next step if its time has come. The caller repeats this until there is none.
+    /// Returns the next step if its time has come. The caller repeats the call until it returns
+    /// `None`.
     pub fn next_step(&mut self, now: Micros, remaining: Remaining) -> Option<ShutdownStep> {
         let [closing_at, ending_at, finished_at] = self.phase_starts;
         let is_drained = remaining == Remaining::default();
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,5 +1,5 @@
 //! The status file of a gateway that belongs to a fleet. A separate thread replaces the file, so
-//! that the main loop never waits for the disk.
+//! the main loop never waits for the disk.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,8 +11,8 @@
 const TEMPORARY_FILE_NAME: &str = "STATUS.next";
 const THREAD_NAME: &str = "status";
 
-/// Handle of the writing thread. The thread ends after this handle is dropped. It is not joined, so
-/// that a hanging disk doesn't delay the shutdown.
+/// Handle of the writing thread. The thread ends after this handle is dropped. The thread is not
+/// joined, so that a hanging disk doesn't delay the shutdown.
 pub struct StatusWriter {
     contents: SyncSender<String>,
 }
@@ -33,7 +33,7 @@
         Ok(StatusWriter { contents })
     }
 
-    /// Queues new content. It is discarded if other content is already queued.
+    /// Queues new content. The new content is discarded if other content is already queued.
     pub fn write(&self, content: String) {
         let _ = self.contents.try_send(content);
     }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -9,12 +9,12 @@
 /// The low bits of a key that are the slot's index; the bits above are the generation.
 const SLOT_BITS: u32 = 32;
 
-/// The slot and generation of an entry. As a number it is never 0.
+/// The slot and generation of an entry. The key's value as a number is never 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(u64);
 
 impl Key {
-    /// Returns the key as the number that identifies the entry to the balancer.
+    /// Returns the key as a number, which is the entry's ID in the interface to the balancer.
     pub fn number(self) -> u64 {
         self.0
     }
@@ -34,10 +34,10 @@
     value: T,
 }
 
-/// A table of entries that are found by their keys.
+/// A table whose entries are found by their keys. Slots of removed entries are reused.
 pub struct Table<T> {
     slots: Slab<Entry<T>>,
-    /// The generation of the last key; it wraps around and skips 0.
+    /// The generation of the last key; the generation wraps around and skips 0.
     generation: u32,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl<T> Table<T> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
@@ -71,19 +71,19 @@
         key
     }
 
-    /// Returns the entry of a key; `None` if it was removed.
+    /// Returns the entry with this key; `None` if it was removed.
     pub fn get(&self, key: Key) -> Option<&T> {
         let entry = self.slots.get(key.slot())?;
         (entry.key == key).then_some(&entry.value)
     }
 
-    /// Returns mutable access to the entry of a key; `None` if it was removed.
+    /// Returns mutable access to the entry with this key; `None` if it was removed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         let entry = self.slots.get_mut(key.slot())?;
         (entry.key == key).then_some(&mut entry.value)
     }
 
-    /// Removes the entry of a key and returns it.
+    /// Removes the entry with this key and returns it; `None` if it was already removed.
     pub fn remove(&mut self, key: Key) -> Option<T> {
         self.get(key)?;
         let entry = self.slots.try_remove(key.slot())?;
--- a/crates/gateway/src/table/tests.rs
+++ b/crates/gateway/src/table/tests.rs
@@ -1,4 +1,4 @@
-//! A key must never find the entry that reuses its slot, and must never be 0.
+//! A key must never find the entry that reuses its slot, and its value must never be 0.
 
 use super::*;
 
--- a/crates/gateway/tests/log_lines.rs
+++ b/crates/gateway/tests/log_lines.rs
@@ -59,7 +59,7 @@
     text
 }
 
-/// Returns the literal parts of a format string between its placeholders, without those of one
+/// Returns the literal parts of a format string between its placeholders, omitting parts of one
 /// character.
 fn literal_parts(format: &str) -> Vec<String> {
     let mut parts = vec![String::new()];
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -6,12 +6,12 @@
 
 const START: u64 = 50_000_000;
 
-/// Collects steps until there is none, as the main loop does.
+/// Collects steps until no step is returned, as the main loop does.
 fn take_steps(shutdown: &mut Shutdown, now: u64, remaining: Remaining) -> Vec<ShutdownStep> {
     std::iter::from_fn(|| shutdown.next_step(now, remaining)).collect()
 }
 
-/// An event in any order: a signal, microseconds that pass, or new numbers of open requests and
+/// An event, in random order: a signal, elapsed microseconds, or new counts of open requests and
 /// connections.
 #[derive(Clone, Copy)]
 enum Event {
@@ -140,7 +140,7 @@
 }
 
 /// Clients send requests until 0.6 s after the signal. Closing connections before that loses
-/// requests, so closing starts earlier only if the process is killed earlier.
+/// requests, so closing may start earlier only if the process is killed earlier.
 #[test]
 fn closing_starts_after_the_last_clients_and_finishes_once_all_connections_end() {
     let mut shutdown = Shutdown::default();
--- a/crates/settings/src/balancer_settings.rs
+++ b/crates/settings/src/balancer_settings.rs
@@ -6,8 +6,8 @@
 
 use crate::{SettingsError, SettingsTree};
 
-/// Reads the balancer's settings. A missing key turns the feature it configures off, or removes the
-/// limit it sets.
+/// Reads the balancer's settings. A missing key disables the feature that it configures, or removes
+/// the limit that it sets.
 ///
 /// # Errors
 ///
@@ -52,7 +52,7 @@
     }
 }
 
-/// Returns whether engines report the number of queries in flight in answers to probes only.
+/// Returns whether engines report the number of queries in flight only in answers to probes.
 fn counts_by_probe(tree: &SettingsTree) -> bool {
     tree.text("report.source") == Some("on_probe")
         && tree.list("report.fields").contains(&"concurrent")
@@ -119,7 +119,7 @@
     (0..count).map(read_tenant).collect()
 }
 
-/// Reads the machine kinds. If the settings name none, there is one with one core and unlimited
+/// Reads the machine kinds. If the settings name none, returns one kind with one core and unlimited
 /// memory.
 fn read_kinds(tree: &SettingsTree) -> Result<Vec<MachineKind>, SettingsError> {
     let count = tree.list("kinds").len().max(1);
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -11,12 +11,12 @@
         /// Dotted path of the setting.
         key: String,
     },
-    /// The value of a setting has the wrong type, or names nothing that the settings define.
+    /// The value of a setting has the wrong type, or is a name that the settings don't define.
     #[error("setting '{key}' has the value '{value}', which is not valid")]
     Invalid {
         /// Dotted path of the setting.
         key: String,
-        /// The value as written.
+        /// The value as it appears in the settings.
         value: String,
     },
 }
--- a/crates/settings/src/host_settings.rs
+++ b/crates/settings/src/host_settings.rs
@@ -4,28 +4,28 @@
 
 use crate::{SettingsError, SettingsTree};
 
-/// Path of the time limit on establishing a connection.
+/// Dotted path of the time limit on establishing a connection.
 const DIAL_TIMEOUT_PATH: &str = "limits.dial-timeout-us";
 
-/// Names that requests and endpoint lists use, in the order in which the balancer numbers them, and
-/// limits on connections to engines.
+/// Names that requests and endpoint lists use, at the indices by which the balancer refers to them,
+/// and limits on connections to engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostSettings {
-    /// Names of the request classes, by class number.
+    /// Names of the request classes, indexed by class ID.
     pub classes: Vec<String>,
-    /// Names of the tenants, by tenant number.
+    /// Names of the tenants, indexed by tenant ID.
     pub tenants: Vec<String>,
-    /// Names of the zones, by zone number.
+    /// Names of the zones, indexed by zone ID.
     pub zones: Vec<String>,
-    /// Names of the machine kinds, by kind number.
+    /// Names of the machine kinds, indexed by kind ID.
     pub kinds: Vec<String>,
     /// Longest time that a client of any class waits for its answer.
     pub longest_wait: Micros,
-    /// Time limit on establishing a connection; after it the connection counts as refused.
+    /// Time limit on establishing a connection; a connection that takes longer counts as refused.
     pub dial_timeout: Micros,
     /// Time after which idle connections are closed; 0: they stay open.
     pub idle_timeout: Micros,
-    /// Largest number of attempts in flight on one connection; at least 1.
+    /// Maximum number of attempts in flight on one connection; at least 1.
     pub max_streams: usize,
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reads the operators' settings for every host of the balancer.
 //!
-//! A [`SettingsTree`] contains settings by dotted path, read from pairs or from nested JSON.
+//! A [`SettingsTree`] maps dotted paths to settings, which are read from pairs or from nested JSON.
 //! [`read_settings`] converts it into the balancer's [`Settings`](eideryard::interface::Settings),
 //! [`read_host_settings`] into the additional settings of a host with network connections. This is
 //! the only package that uses the keys and values of the operators' settings. It contains no policy
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -2,8 +2,8 @@
 
 use eideryard::interface::LoadReport;
 
-/// Sets the figure of a load report that engines report under this name, one of `report.fields`;
-/// unknown names are ignored.
+/// Sets the figure of a load report that engines report under `name`, which is one of the names
+/// listed in the setting `report.fields`. Unknown names are ignored.
 pub fn set_reported_value(report: &mut LoadReport, name: &str, value: f64) {
     let figure = match name {
         "concurrent" => &mut report.in_flight,
--- a/crates/settings/src/number.rs
+++ b/crates/settings/src/number.rs
@@ -1,4 +1,5 @@
-//! Parses numbers and flags in settings. An integer may also be written with a fraction of zero.
+//! Parses numbers and flags in settings. An integer may also be written with a fractional part of
+//! zero.
 
 use crate::SettingsError;
 
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -7,8 +7,8 @@
 use crate::number::{parse_flag, parse_number, Number};
 use crate::SettingsError;
 
-/// A tree of settings, stored flat with each leaf under its dotted path. A list of trees has its
-/// length under `.count` and its items under `.0`, `.1` and so on.
+/// A tree of settings, stored flat with each leaf under its dotted path. A list of trees is stored
+/// with its length under `.count` and its items under `.0`, `.1` and so on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsTree {
     leaves: BTreeMap<String, Leaf>,
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Leaf {
-    /// A value as text, or a list of values joined with commas.
+    /// A single value as text, or a list of values joined with commas.
     Text(String),
     /// A list of plain values.
     List(Vec<String>),
@@ -34,7 +34,7 @@
         tree
     }
 
-    /// Builds a tree from nested JSON objects with JSON lists and numbers.
+    /// Builds a tree from nested JSON objects, whose values may be JSON lists and numbers.
     pub fn from_json(value: &Value) -> Self {
         let mut tree = SettingsTree::default();
         tree.insert_json("", value);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns the text of a setting; `None` if it is missing or a JSON list.
+    /// Returns the text of a setting; `None` if the setting is missing or is a JSON list.
     pub(crate) fn text(&self, path: &str) -> Option<&str> {
         match self.leaves.get(path)? {
             Leaf::Text(text) => Some(text),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns the number of a setting; `None` if it is missing.
+    /// Returns the value of a setting as a number; `None` if the setting is missing.
     pub(crate) fn optional<T: Number>(&self, path: &str) -> Result<Option<T>, SettingsError> {
         match self.leaves.get(path) {
             None => Ok(None),
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Returns the number of a setting, or `default` if it is missing.
+    /// Returns the value of a setting as a number, or `default` if the setting is missing.
     pub(crate) fn number_or<T: Number>(&self, path: &str, default: T) -> Result<T, SettingsError> {
         Ok(self.optional(path)?.unwrap_or(default))
     }
 
-    /// Returns the Boolean of a setting; false if it is missing.
+    /// Returns the value of a setting as a Boolean; false if the setting is missing.
     pub(crate) fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         match self.text(path) {
             None => Ok(false),
--- a/crates/settings/tests/words.rs
+++ b/crates/settings/tests/words.rs
@@ -45,7 +45,7 @@
     "tariffs.cross-zone",
 ];
 
-/// Keys whose values are numbers that only a host with network connections needs.
+/// Keys of settings that only a host with network connections needs. All values are numbers.
 const HOST_KEYS: [&str; 3] = [
     "limits.dial-timeout-us",
     "limits.conn-idle-us",
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -5,7 +5,7 @@
 use eideryard_settings::SettingsError;
 use thiserror::Error;
 
-/// An error that ends the adapter; its text is one line that names the place in the input.
+/// An error that ends the adapter. Its text is one line, which names the place in the input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Standard input can't be read.
@@ -22,7 +22,7 @@
     MalformedField {
         /// First word of the line.
         verb: String,
-        /// The word as written.
+        /// The malformed word, as it appears in the input.
         part: String,
     },
     /// An item of a load report is malformed.
@@ -30,7 +30,7 @@
     MalformedReportValue {
         /// First word of the line.
         verb: String,
-        /// The item as written.
+        /// The malformed item, as it appears in the input.
         part: String,
     },
     /// A required field is missing.
@@ -48,7 +48,7 @@
         verb: String,
         /// Name of the field.
         name: String,
-        /// The value as written.
+        /// The value, as it appears in the input.
         value: String,
     },
     /// A field has a value that the protocol doesn't define.
@@ -56,12 +56,12 @@
     UnknownValue {
         /// First word of the line.
         verb: String,
-        /// Meaning of the field.
+        /// What the field means, for the error text.
         field: &'static str,
-        /// The value as written.
+        /// The value, as it appears in the input.
         value: String,
     },
-    /// A list is followed by another line before all of its entries.
+    /// A list is followed by a different line before all of its entries have been sent.
     #[error("{verb}: expected ITEM, since the last MANIFEST still lacks entries")]
     IncompleteList {
         /// First word of the line.
@@ -76,7 +76,7 @@
     /// A batch begins inside another one.
     #[error("FRAME: the previous batch has not been ended by GO")]
     BatchNotEnded,
-    /// A line that belongs into a batch comes before its FRAME.
+    /// A line that belongs in a batch comes before the batch's FRAME line.
     #[error("{verb}: outside of a batch, which begins with FRAME")]
     OutsideBatch {
         /// First word of the line.
@@ -90,15 +90,15 @@
     UnknownInstance {
         /// First word of the line.
         verb: String,
-        /// Number of the gateway, field `who` of the line.
+        /// ID of the gateway, field `who` of the line.
         instance: u64,
     },
     /// A request has a class that the settings of its gateway don't define.
     #[error("CALL: class {class} is not in the settings of instance {instance}")]
     UnknownClass {
-        /// Number of the class, field `kind` of the line.
+        /// ID of the class, field `kind` of the line.
         class: usize,
-        /// Number of the gateway, field `who` of the line.
+        /// ID of the gateway, field `who` of the line.
         instance: u64,
     },
     /// The settings of a gateway are invalid.
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -10,11 +10,13 @@
 use crate::line::Line;
 use crate::lists::EndpointLists;
 
-/// Bit of `options` that marks the work estimate of a request as valid.
+/// Bit of the field `options` that marks the work estimate of a request as valid.
 const HAS_WORK_ESTIMATE: u64 = 1;
-/// `level` of a progress report whose query waits for a load of its table group.
+/// Value of the field `level` in a progress report from a query that is waiting for a load of its
+/// table group.
 const WAITS_FOR_LOAD_LEVEL: f64 = 2.0;
-/// `stats` is the work in milliseconds multiplied by this, plus the memory.
+/// The field `stats` is the work in milliseconds multiplied by this, plus the memory in units of
+/// `USAGE_MEMORY_UNIT_MB`.
 const USAGE_WORK_UNIT: u64 = 4096;
 /// Unit of the memory in `stats`, in megabytes.
 const USAGE_MEMORY_UNIT_MB: f64 = 4.0;
@@ -137,7 +139,8 @@
     }
 }
 
-/// Returns the resources that a query used; `None` for 0, an answer that doesn't report them.
+/// Returns the resources that a query used; `None` if the field is 0, which means that the answer
+/// doesn't report them.
 fn parse_usage(field: u64) -> Option<ResourceUsage> {
     (field > 0).then_some(ResourceUsage {
         work: (field / USAGE_WORK_UNIT) as f64 * 1e3,
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The gateways of this process and the batch of lines being read.
+//! The gateways in this process and the batch of lines that is being read.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// One gateway of this process.
 struct Instance {
     balancer: Balancer,
-    /// Number of request classes in its settings.
+    /// Number of request classes in the gateway's settings.
     class_count: usize,
 }
 
@@ -26,7 +26,8 @@
     number: u64,
 }
 
-/// All gateways of this process. They share only the endpoint lists that the simulator sends.
+/// All gateways in this process. The gateways share only the endpoint lists that the simulator
+/// sends.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
@@ -65,7 +66,7 @@
             "ENLIST" => self.add_instance(batch.now, &line)?,
             "TEARDOWN" => self.remove_instance(&line)?,
             verb if is_event(verb) => self.handle_event(batch.now, &line)?,
-            // Verbs that later versions of the protocol add are ignored.
+            // Unknown verbs are ignored, since later versions of the protocol may add verbs.
             _ => {}
         }
         Ok(None)
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -5,9 +5,9 @@
 
 use crate::error::AdapterError;
 
-/// A parsed line; verb and fields are slices of its text.
+/// A parsed line; verb and fields are slices of the line's text.
 pub struct Line<'a> {
-    /// First word of the line, which names its kind; empty if the line has no words.
+    /// First word of the line, which identifies the kind of line; empty if the line has no words.
     pub verb: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
@@ -62,7 +62,7 @@
         Ok(self.optional(name)?.unwrap_or(default))
     }
 
-    /// Parses a value; `name` is the name that an error gives it.
+    /// Parses a value; `name` is the field's name for the error text.
     pub fn parse_value<T: FromStr>(&self, name: &str, value: &str) -> Result<T, AdapterError> {
         value.parse().map_err(|_| AdapterError::InvalidField {
             verb: self.verb.to_string(),
--- a/crates/simulator-adapter/src/lists.rs
+++ b/crates/simulator-adapter/src/lists.rs
@@ -7,13 +7,13 @@
 use crate::error::AdapterError;
 use crate::line::Line;
 
-/// A list of which entries are still missing.
+/// A list that has missing entries.
 struct OpenList {
     number: u64,
     missing_entries: u64,
 }
 
-/// All endpoint lists received so far, by number.
+/// All endpoint lists received so far, by the ID that the simulator gave them.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: HashMap<u64, Vec<Endpoint>>,
@@ -21,7 +21,7 @@
 }
 
 impl EndpointLists {
-    /// Returns whether entries of the last list are still missing.
+    /// Returns whether entries of the list that was begun last are still missing.
     pub fn is_open(&self) -> bool {
         self.open.is_some()
     }
@@ -33,7 +33,7 @@
             .ok_or(AdapterError::UnknownList(number))
     }
 
-    /// Handles the first line of a list. The list replaces an earlier one of the same number.
+    /// Handles the first line of a list. The list replaces an earlier list with the same ID.
     pub fn begin(&mut self, line: &Line<'_>) -> Result<(), AdapterError> {
         let number = line.required("ref")?;
         let missing_entries: u64 = line.required("members-list")?;
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    /// Handles an entry of the last list.
+    /// Handles an entry of the list that was begun last.
     pub fn add_entry(&mut self, line: &Line<'_>) -> Result<(), AdapterError> {
         let Some(open) = &mut self.open else {
             return Err(AdapterError::UnexpectedEntry);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Answers every batch on standard input until its end.
+/// Answers every batch on standard input until the input ends.
 fn serve() -> Result<(), AdapterError> {
     let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -22,7 +22,7 @@
     rules.start-capacity=0.3 rules.warm-within-us=15000000 over-share-worth=0.5 tariffs.cross-zone=0.02 \
     tariffs.probe=0.01 tick-us=5000 zones=here,there";
 
-/// Time between two batches in microseconds.
+/// Time between two batches, in microseconds.
 const BATCH: u64 = 20_000;
 
 fn write_list(input: &mut String, rng: &mut Rng, who: u64, number: u64, now: u64) {
@@ -66,7 +66,7 @@
     .unwrap();
 }
 
-/// Returns the number of one of the last six requests.
+/// Returns the ID of a randomly chosen request from the last six.
 fn recent_request(rng: &mut Rng, ids: u64) -> u64 {
     rng.u64(ids.saturating_sub(6)..ids.max(1))
 }
@@ -101,7 +101,7 @@
     .unwrap();
 }
 
-/// Returns 300 batches for two gateways, one of which is among many peers.
+/// Returns 300 batches for two gateways, one of which has many peers.
 fn random_input() -> String {
     let (mut input, mut rng) = (String::new(), Rng::with_seed(45));
     let (mut ids, mut lists) = (0, 0);
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -209,7 +209,7 @@
         "PROBE_DONE who=3 engine=11 rc=delivered spent-us=700 report=concurrent:2,mood:1",
     ));
     assert!(sent.contains("TRANSMIT who=3 call=7 engine=11"), "{sent}");
-    // An answer of an engine that is no longer listed is ignored.
+    // An answer from an engine that is no longer listed is ignored.
     let unknown = run_to_reply(&input_with_answer(
         "PROBE_DONE who=3 engine=99 rc=delivered spent-us=700",
     ));
--- a/tests/admission_and_ranking.rs
+++ b/tests/admission_and_ranking.rs
@@ -53,8 +53,9 @@
     );
 }
 
-/// Latency of 1.2 times the best, which cached tables had made low, counted as pressure although
-/// load reports showed few threads: queries waited for seconds in front of engines with idle cores.
+/// Latency above 1.2 times the best latency, which cached tables had made low, counted as pressure
+/// even if load reports showed few threads. Queries then waited for seconds although engines had
+/// idle cores.
 #[test]
 fn load_report_of_few_threads_overrules_pressure_by_latency() {
     let reports_with = |in_flight: Option<f64>| {
@@ -282,8 +283,8 @@
     assert_eq!(run(), run());
 }
 
-/// A margin of two ticks was too short: a client may read an answer from its socket a tenth of a
-/// second late.
+/// A margin of two ticks before the client's deadline is too short: a client may read an answer
+/// from its socket a tenth of a second late.
 #[test]
 fn attempt_deadline_leaves_a_tenth_of_the_clients_wait_for_the_answer() {
     let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1)]);
@@ -301,8 +302,8 @@
     );
 }
 
-/// A long queue was scanned at every event, which took half of a gateway's CPU time. Now classes
-/// without room are skipped, which must not block the others.
+/// Scanning a long queue at every event took half of a gateway's CPU time, so classes without room
+/// are skipped. Skipping them must not block the other classes.
 #[test]
 fn class_without_room_does_not_block_other_classes() {
     let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1)]);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-/// Class numbers in `settings()`.
+/// IDs of the classes in `settings()`.
 pub const LOOKUP: usize = 0;
 pub const REPORT: usize = 1;
 pub const LOAD: usize = 2;
@@ -216,7 +216,7 @@
         })
     }
 
-    /// Moves the clock by `time` and returns the actions of the timers that fired.
+    /// Moves the clock by `time` and returns the actions that the fired timers led to.
     pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let until = self.now + time;
         let mut actions = Vec::new();
--- a/tests/constraints.rs
+++ b/tests/constraints.rs
@@ -1,4 +1,5 @@
-//! The rules on sending and on ending requests: each test fails without the check that it names.
+//! The rules for sending and for ending requests. Each test fails if the check that its name
+//! describes is removed.
 
 mod common;
 use common::*;
@@ -301,8 +302,8 @@
     );
 }
 
-/// Estimates from a checkpoint must lose weight with age, and those of an engine's earlier process
-/// must not apply to its present one.
+/// Estimates from a checkpoint must lose weight with age, and estimates for an engine's previous
+/// process must not apply to its current process.
 #[test]
 fn checkpoint_loses_weight_with_age_and_is_dropped_for_another_process() {
     let restored_state = |age, booted_at| {
--- a/tests/may_begin.rs
+++ b/tests/may_begin.rs
@@ -1,5 +1,5 @@
-//! The check just before the first byte of an attempt is sent, which may withdraw the attempt, and
-//! what a withdrawn attempt returns to the budgets.
+//! The check just before the first byte of an attempt is sent. It may withdraw the attempt, whose
+//! use of the budgets must then be undone.
 
 mod common;
 
@@ -72,11 +72,12 @@
     );
 }
 
-/// Sends of two windows wait for the same slow dial. If they counted in the window in which they
-/// were decided, all would begin at once and overload the cold engine.
+/// Sends that were decided in two windows wait for the same slow connection attempt. If each
+/// counted in the window in which it was decided, all would begin at once and overload the cold
+/// engine.
 #[test]
 fn delayed_attempts_count_in_the_slow_start_budget_when_they_begin() {
-    // The budget of a cold engine is then two lookups per window.
+    // With these settings the budget of a cold engine is two lookups per window.
     let settings = Settings {
         overload_multiple: 0.2,
         ..settings()
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -138,8 +138,8 @@
     );
 }
 
-/// Clients sent requests that no engine could execute. Each was retried on one engine after the
-/// other, and the errors put all of them into quarantine.
+/// Clients sent requests that no engine could execute. Each request was retried on one engine after
+/// the other, and the errors put all engines into quarantine.
 #[test]
 fn request_with_errors_on_two_engines_ends_and_counts_against_neither() {
     let mut gateway = TestGateway::new(
@@ -192,8 +192,8 @@
     );
 }
 
-/// A reset ends all attempts on its connection. Counted one by one, they would put the engine into
-/// quarantine for a single event.
+/// A reset ends all attempts on its connection. If each of these failures counted, a single event
+/// would put the engine into quarantine.
 #[test]
 fn broken_connection_counts_as_one_bad_outcome() {
     let mut gateway = TestGateway::new(
@@ -281,8 +281,8 @@
     }
     gateway.advance(2 * SECOND);
     answer_lookups(&mut gateway, 300, 60);
-    // It is used again, but within the slow-start budget: 2 times 0.3 of 8 cores for one second, in
-    // lookups of 0.1 s.
+    // The engine is used again, but only within the slow-start budget: 2 times 0.3 of 8 cores for
+    // one second, in lookups of 0.1 s.
     let deadline = gateway.now + 4 * SECOND;
     let sends = (500..700).flat_map(|id| {
         sent_attempts(&gateway.submit(Request {
@@ -388,8 +388,8 @@
 #[test]
 fn dead_engine_does_not_attract_the_queue_when_too_many_are_quarantined_to_add_it() {
     let mut gateway = TestGateway::new(settings(), &[ready_endpoint(1), ready_endpoint(2)]);
-    // One engine is quarantined. The other one fails as well, but can't be quarantined then, since
-    // half of the fleet already is.
+    // One engine is quarantined. The other engine fails as well, but can't be quarantined, since
+    // half of the fleet is already in quarantine.
     let mut attempts = 0;
     for id in 0..200 {
         let mut next = sent_attempts(&gateway.submit(Request {
--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -1,6 +1,6 @@
-//! Properties under random settings and events, checked by the events and actions only: order per
-//! key, retry budget, repeated effects, draining engines, and clients that have left. An attempt
-//! counts from its first byte, which some scenarios delay.
+//! Properties under random settings and events, checked using only the events and actions: order
+//! per key, retry budget, repeated effects, draining engines, and clients that have left. An
+//! attempt counts from its first byte, which some scenarios delay.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -127,7 +127,7 @@
         (NON_IDEMPOTENT, Some(Outcome::Broken), Refuse),
         // The earlier request with the same key is in flight.
         (LOAD, None, Send(2)),
-        // The earlier request with the same key may still run.
+        // The earlier request with the same key may still be running.
         (LOAD, Some(Outcome::TimedOut), Send(2)),
     ] {
         assert!(
@@ -137,7 +137,7 @@
     }
 }
 
-/// A checker that has seen one request without a key, and has no retry budget.
+/// Creates a checker that has seen one request without a key, and has no retry budget.
 fn checker_with_one_request() -> RuleChecker {
     let mut checker = RuleChecker::new(Settings {
         retry_budget: None,
@@ -147,7 +147,7 @@
     checker
 }
 
-/// Lets the latest attempt of the request begin and asserts that this is the first violation.
+/// Lets the latest attempt of the request begin and asserts that this causes the first violation.
 fn assert_first_byte_is_a_violation(mut checker: RuleChecker) {
     assert!(checker.violations.is_empty());
     let last = checker.requests[&1].attempts.len() - 1;
--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -10,14 +10,14 @@
     pub(super) key: Option<String>,
     pub(super) has_ended: bool,
     pub(super) deadline: Micros,
-    /// Outcome of each attempt; `None` while it is in flight.
+    /// Outcome of each attempt; `None` while the attempt is in flight.
     pub(super) attempts: Vec<Option<Outcome>>,
     pub(super) engines: Vec<EngineId>,
-    /// When the first byte of each attempt was sent; `None` before.
+    /// When the first byte of each attempt was sent; `None` if it has not been sent.
     pub(super) first_bytes: Vec<Option<Micros>>,
 }
 
-/// What the events and actions so far imply, and the violations found in them.
+/// The state that the events and actions so far imply, and the violations found.
 pub(super) struct RuleChecker {
     pub(super) settings: Settings,
     pub(super) request_times: Vec<Micros>,
--- a/tests/properties/scenario.rs
+++ b/tests/properties/scenario.rs
@@ -34,7 +34,7 @@
     settings
 }
 
-/// Requests of one scenario.
+/// Number of requests in one scenario.
 const REQUESTS: u64 = 250;
 const FAILURES: [Outcome; 5] = [
     Outcome::Error,
@@ -44,7 +44,7 @@
     Outcome::Broken,
 ];
 
-/// A request and the number of one of its attempts, from 0.
+/// A request and the index of one of its attempts, from 0.
 type AttemptKey = (RequestId, usize);
 
 /// A gateway with random settings, its rule checker and its attempts in flight.
@@ -57,7 +57,7 @@
     engines: Vec<Endpoint>,
     /// Share of attempts that fail.
     failure_rate: f64,
-    /// Share of attempts whose first byte is delayed, as by a slow dial.
+    /// Share of attempts whose first byte is delayed, as if connecting were slow.
     delayed_share: f64,
     in_flight: Vec<AttemptKey>,
     delayed: Vec<AttemptKey>,
@@ -191,8 +191,8 @@
             })
     }
 
-    /// Checks the actions in order and carries them out; the actions that result are added at the
-    /// end.
+    /// Checks the actions in order and carries them out. Actions that result from carrying them out
+    /// are appended to the queue.
     fn apply_actions(&mut self, actions: Vec<Action>) {
         let mut pending = VecDeque::from(actions);
         while let Some(action) = pending.pop_front() {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -5,8 +5,8 @@
 use common::*;
 use eideryard::interface::*;
 
-/// Returns the largest work in thread seconds that all gateways together send to a cold engine
-/// within one of several windows.
+/// Returns the maximum work, over several windows, that all gateways together send to a cold engine
+/// within one window, in thread seconds.
 fn max_work_sent_to_cold_engine(settings: &Settings) -> f64 {
     let start = 1_000 * SECOND;
     let cold = Endpoint {
@@ -24,7 +24,8 @@
             let now =
                 start + window * settings.overload_window + tick * settings.overload_window / 20;
             for (number, gateway) in gateways.iter_mut().enumerate() {
-                // Every gateway gets two requests per second, at different times.
+                // Each gateway gets two requests per second; the gateways' requests arrive at
+                // different times.
                 if !(number as u64 + tick).is_multiple_of(10) {
                     continue;
                 }
--- a/tests/small_shares.rs
+++ b/tests/small_shares.rs
@@ -29,9 +29,10 @@
     }
 }
 
-/// Gateways that start together would overload engines if each took engines without a report for
-/// idle. A new gateway assumes a load of other gateways there, which fades until a report arrives;
-/// if it may probe, it does so from the first request on.
+/// Gateways that start together would overload engines if each assumed that engines without a
+/// report are idle. A new gateway therefore assumes that other gateways load these engines. The
+/// assumed load decays until a report arrives. A gateway that may probe does so from its first
+/// request on.
 #[test]
 fn new_gateway_does_not_assume_engines_without_reports_are_idle() {
     let mut without_probes = Settings {
@@ -205,7 +206,7 @@
         1
     );
     gateway.now += 8 * SECOND;
-    // Eight seconds for one second of work: the engine is jammed, even if its cores are idle.
+    // Eight seconds for one second of work: the engine is saturated, even if its cores are idle.
     gateway.end_attempt(1, 0, Outcome::Answered, 8 * SECOND);
     let deadline = gateway.now + 20 * SECOND;
     let mut actions = gateway.submit(report_request(2, deadline, 10.0));
--- a/tests/subsetting.rs
+++ b/tests/subsetting.rs
@@ -122,7 +122,8 @@
 }
 
 /// Engines are far from full and take one to three times the ideal time at random. A gateway that
-/// avoided an engine after one slow answer would never correct this, and would refuse requests.
+/// avoided an engine after one slow answer would never learn that the engine is fast, and would
+/// refuse requests.
 #[test]
 fn low_load_is_served_without_load_reports() {
     let mut gateway = TestGateway::new(settings_without_reports(3), &fleet());
--- a/tests/visits.rs
+++ b/tests/visits.rs
@@ -1,5 +1,5 @@
-//! The number of engines that a decision visits doesn't grow with the fleet: it is counted in
-//! fleets of 80 to 4,100 engines, with gateways in proportion.
+//! The number of engines that a decision visits must not grow with the fleet. It is counted in
+//! fleets of 80 to 4,100 engines, with a proportional number of gateways.
 
 mod common;
 use common::*;
@@ -8,8 +8,8 @@
 /// Number of engines and of gateways: 2.4 engines per gateway.
 const FLEETS: [(u32, f64); 3] = [(80, 34.0), (800, 334.0), (4_100, 1_709.0)];
 const REQUESTS: u64 = 200;
-/// Largest ratio of two counts that count as equal: subsets are whole numbers of engines, and the
-/// number of waiting requests is random.
+/// Maximum ratio between two counts that are considered equal. The counts differ because a subset
+/// is a whole number of engines and the number of waiting requests is random.
 const MAX_RATIO: f64 = 1.25;
 
 fn new_gateway(engines: u32, peers: f64) -> TestGateway {
@@ -23,8 +23,8 @@
     TestGateway::new(settings, &all)
 }
 
-/// Returns the visits per request while engines answer, and while none answers, so that requests
-/// wait and are shed.
+/// Returns the number of visits per request while engines answer, and while no engine answers, in
+/// which case requests wait and are shed.
 fn visits_per_request(engines: u32, peers: f64) -> [f64; 2] {
     let mut gateway = new_gateway(engines, peers);
     let mut count = |answered: bool| {
