--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Closes the listener, so that no more connections are accepted.
+    /// Closes the listener, after which no more connections are accepted.
     pub fn stop_listening(&mut self) {
         self.listener = None;
     }
--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -90,7 +90,7 @@
     }
 
     /// Starts a segment with the names and the current state, so that the segment can be read
-    /// without earlier ones.
+    /// without previous ones.
     pub fn start_segment(&mut self, now: Micros, state: impl Iterator<Item = HostEvent>) {
         let Some(active) = &mut self.active else {
             return;
@@ -113,7 +113,7 @@
         active.recorder.next_flush_at()
     }
 
-    /// Passes recorded entries to the writer thread if they are due at `now`.
+    /// Passes recorded entries to the writer thread if the time to do so has come at `now`.
     pub fn flush(&mut self, now: Micros) {
         if let Some(active) = &mut self.active {
             active.recorder.flush(now);
--- a/crates/gateway/src/fingerprints/tests.rs
+++ b/crates/gateway/src/fingerprints/tests.rs
@@ -1,4 +1,4 @@
-//! Fingerprints, checkpoints and logged counters must stay as earlier versions wrote them, or else
+//! Fingerprints, checkpoints and logged counters must stay as previous versions wrote them, or else
 //! stored checkpoints are discarded, gateways of different versions reject each other, and scripts
 //! break.
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -40,7 +40,7 @@
 mod startup;
 
 /// Delay before the next attempt to accept connections, in microseconds, if no file descriptor was
-/// free. Connecting clients wait in the listen queue meanwhile.
+/// free. Until then, connecting clients wait in the listen queue.
 const ACCEPT_RETRY_DELAY: Micros = 20_000;
 
 /// The state of one gateway process: its components, and the queued events and actions.
--- a/crates/gateway/src/gateway/actions/durability_results.rs
+++ b/crates/gateway/src/gateway/actions/durability_results.rs
@@ -119,9 +119,9 @@
             .requests
             .get(request)
             .is_some_and(|state| state.attempts.len() == 1 && state.attempts[0].awaits_durability);
-        // The balancer must handle `ClientLeft` before the end of the attempt. Otherwise it would
-        // send another attempt of a request that no longer exists here, and would never get the
-        // outcome of that attempt.
+        // The balancer must handle `ClientLeft` before the end of the attempt. Otherwise the
+        // balancer would send another attempt of a request that no longer exists in this gateway's
+        // table, and would never get the outcome of that attempt.
         if is_only_attempt {
             self.events.push_back(Event::ClientLeft {
                 request: request.number(),
--- a/crates/gateway/src/gateway/actions/sends.rs
+++ b/crates/gateway/src/gateway/actions/sends.rs
@@ -1,5 +1,5 @@
-//! Sends attempts to engines. If an attempt needs an intent, no byte of it is sent before the
-//! intent is durable.
+//! Sends attempts to engines. If an attempt needs an intent, no byte of the attempt is sent before
+//! the intent is durable.
 
 use eideryard::interface::PriorAttempt;
 use eideryard_engine_protocol::ServeCommand;
--- a/crates/gateway/src/gateway/endpoint_updates.rs
+++ b/crates/gateway/src/gateway/endpoint_updates.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Reports engines that are not ready to peers. Marks engines as draining if a peer with a
+    /// Reports to peers which engines are not ready. Marks engines as draining if a peer with a
     /// newer endpoint list has reported that they drain. `number` is the sequence number of the
     /// discovery event that contained this list.
     fn exchange_drains(&mut self, number: u64, endpoints: &mut [Endpoint]) {
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -27,7 +27,7 @@
     }
 
     /// Records the current state if a new segment of the event log has begun, so that each segment
-    /// can be read without the earlier ones.
+    /// can be read without previous ones.
     pub(super) fn record_state(&mut self) {
         let now = self.clock.now();
         if !self.event_recorder.needs_segment(now) {
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -126,8 +126,8 @@
         false
     }
 
-    /// Returns earlier attempts of this request that may have run, or the reason why its intent
-    /// can't be made durable now.
+    /// Returns prior attempts of this request that may have run, or the reason why its intent can't
+    /// be made durable now.
     fn prior_attempts(&mut self, call: &Call) -> Result<Vec<PriorAttempt>, RejectReason> {
         let now = self.clock.now();
         match &mut self.intent_durability {
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -34,11 +34,12 @@
 pub enum SendPlan {
     /// Send now.
     Immediate,
-    /// Send once the intent is durable. From now on this attempt counts as one that may have run.
+    /// Send once the intent is durable. From then on this attempt counts as an attempt that may
+    /// have run.
     AfterWrite {
-        /// Number of the write, assigned by the store's worker in increasing order.
+        /// Ticket of the write, assigned by the store's worker in increasing order.
         ticket: u64,
-        /// Number of the claim that must be granted as well; `None` without a fleet.
+        /// ID of the claim that must be granted as well; `None` without a fleet.
         claim: Option<u64>,
         /// This attempt as a prior attempt, for later decisions on the request.
         prior_attempt: PriorAttempt,
@@ -52,9 +53,9 @@
 /// An attempt that is waiting until its intent is durable.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingSend {
-    /// Number of the write, assigned by the store's worker in increasing order.
+    /// Ticket of the write, assigned by the store's worker in increasing order.
     pub ticket: u64,
-    /// Number of the claim that must be granted as well; `None` without a fleet.
+    /// ID of the claim that must be granted as well; `None` without a fleet.
     pub claim: Option<u64>,
     /// Slot of the request in the request table.
     pub request: Key,
@@ -78,7 +79,7 @@
 pub struct SendWithPriorRuns {
     /// The send that waited.
     pub send: PendingSend,
-    /// The attempts of other gateways that may have run.
+    /// Other gateways' attempts that may have run.
     pub prior_attempts: Vec<PriorAttempt>,
 }
 
@@ -102,8 +103,8 @@
 }
 
 impl IntentDurability {
-    /// Checks a request on arrival. Returns its earlier attempts that may have run. `is_retry` is
-    /// whether the client marked the request as a retry.
+    /// Checks a request on arrival. Returns the request's prior attempts that may have run.
+    /// `is_retry` states whether the client marked the request as a retry.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -44,7 +44,7 @@
     pub ticket: u64,
     pub task: Task,
     pub token: FencingToken,
-    /// Outputs to carry out once the token is durable, and not before.
+    /// Outputs that must not be carried out until the token is durable.
     pub then: Vec<Output>,
 }
 
--- a/crates/gateway/src/requests/names.rs
+++ b/crates/gateway/src/requests/names.rs
@@ -13,7 +13,7 @@
 const MAX_WAIT_FACTOR: f64 = 2.0;
 /// The longest wait, in microseconds, if the settings contain none: a day.
 const DEFAULT_WAIT_US: f64 = 86_400e6;
-/// The largest memory of an engine, in MB, if the settings contain none: a terabyte.
+/// The memory of the largest engine, in MB, if the settings contain none: a terabyte.
 const DEFAULT_MEMORY_MB: f64 = 1e6;
 
 /// The names in the settings, each at the index by which the balancer refers to it, and limits that
--- a/crates/gateway/src/result_spool.rs
+++ b/crates/gateway/src/result_spool.rs
@@ -1,6 +1,6 @@
 //! Spooled results: connects the decisions of the `eideryard-result-spool` package to its disk
 //! worker. The gateway's main loop owns one [`ResultSpoolDriver`], which stores pages in memory,
-//! tracks those on disk, and finds the stored result when a client queries it later.
+//! tracks pages on disk, and finds the stored result when a client queries it later.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -148,7 +148,7 @@
         })
     }
 
-    /// Submits reads of those pages of a part that are on disk. Returns false if the disk worker's
+    /// Submits reads for the pages of a part that are on disk. Returns false if the disk worker's
     /// queue is full.
     fn submit_reads(&self, pending: &PendingPart) -> bool {
         let Some(worker) = &self.worker else {
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -87,7 +87,7 @@
     }
 
     /// Checks that the process exits before it may be killed, even if the open requests and
-    /// connections never end, and that it has taken all steps once and in order.
+    /// connections never end, and that the shutdown has taken all steps once and in order.
     fn check_end(&mut self) {
         let killed_at = self.signalled_at.unwrap() + 700_000 + self.longest_wait.min(3_000_000);
         for phase_start in self.shutdown.phase_starts() {
--- a/crates/simulator-adapter/src/lists.rs
+++ b/crates/simulator-adapter/src/lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists, each sent as a `MANIFEST` line with the number of the `ITEM` lines that follow.
+//! Endpoint lists, each sent as a `MANIFEST` line that states how many `ITEM` lines follow.
 
 use std::collections::HashMap;
 
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -14,10 +14,10 @@
 const START_MEMORY_MULTIPLE: f64 = 3.0;
 /// Bound on threads in flight before `bound_factor` reduces it, per core of this gateway's share.
 pub(super) const START_THREADS_PER_CORE: f64 = 2.0;
-/// Threads per core above which an engine counts as under pressure before latency shows it. Also
-/// the bound for dashboards where shares are below one query.
+/// Threads per core above which an engine counts as under pressure, even before its latency rises.
+/// Also the bound for dashboards if shares are below one query.
 const PRESSURE_THREADS_PER_CORE: f64 = 1.6;
-/// Bound on threads per core for reports and loads where shares are below one query.
+/// Bound on threads per core for reports and loads if shares are below one query.
 const SMALL_SHARE_THREADS_PER_CORE: f64 = 1.2;
 /// Threads that a gateway may have in flight across all engines, per core of its share of the
 /// engines.
--- a/src/balancer/affinity.rs
+++ b/src/balancer/affinity.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the number of engines that a group has an affinity to, out of `engine_count`. Where
+    /// Returns the number of engines that a group has an affinity to, out of `engine_count`. If
     /// shares are below one query, a hot group has more than `MIN_SUBSET`.
     fn affinity_count(&self, group: u64, engine_count: usize) -> usize {
         let arrivals = self.traffic.arrivals;
--- a/src/balancer/class_estimates.rs
+++ b/src/balancer/class_estimates.rs
@@ -15,8 +15,8 @@
     work_ratio: f64,
     /// Mean ratio of actual memory to the clients' estimates.
     memory_ratio: f64,
-    /// Mean corrected work of arrived requests, as time on one thread in microseconds; 0 before the
-    /// first request.
+    /// Mean corrected work of a request in microseconds of thread time, summed over its threads; 0
+    /// before the first request.
     mean_work: f64,
     /// Mean actual memory; `None` until an answer has reported it.
     mean_memory_mb: Option<f64>,
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Returns the mean corrected work of a class, as time on one thread in microseconds; 0 before
-    /// its first request.
+    /// Returns the mean corrected work of a class in microseconds of thread time, summed over the
+    /// threads of a request; 0 before the class's first request.
     pub(super) fn mean_work(&self, class: usize) -> f64 {
         self.classes[class].mean_work
     }
--- a/src/balancer/constraints.rs
+++ b/src/balancer/constraints.rs
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Returns whether the earlier attempts allow another one on this engine: a keyed request may
-    /// only be repeated in the scope that recognises its key, and without hedging only one attempt
-    /// may be in flight.
+    /// Returns whether the previous attempts of the request allow another one on this engine: a
+    /// keyed request may only be repeated in the scope that recognises its key, and without hedging
+    /// only one attempt may be in flight.
     fn is_allowed_by_effect(
         &self,
         pending: &PendingRequest,
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -38,10 +38,10 @@
         now < self.pressure_until || self.slowdown > SATURATION_SLOWDOWN * self.best_slowdown
     }
 
-    /// Updates the slowdown: time spent divided by ideal time, over recently ended attempts and
-    /// those in flight. Attempts in flight count because on a saturated engine few attempts end.
-    /// Without progress reports an attempt is assumed to have run at its ideal speed so far.
-    /// `time_constant` is in microseconds.
+    /// Updates the slowdown: time spent divided by ideal time, over attempts that ended recently
+    /// and attempts in flight. Attempts in flight count because few attempts end on a saturated
+    /// engine. Without progress reports an attempt is assumed to have run at its ideal speed so
+    /// far. `time_constant` is in microseconds.
     pub(super) fn update_slowdown(
         &mut self,
         now: Micros,
@@ -121,7 +121,7 @@
 pub(super) struct LoadEstimates {
     /// Time constant with which observed latency decays, in microseconds.
     latency_time_constant: f64,
-    /// Threads per core of other gateways, averaged over engines.
+    /// Threads per core that queries of other gateways occupy, averaged over engines.
     baseline_load: f64,
     /// Whether any report has contained the number of queries in flight.
     has_query_counts: bool,
@@ -148,7 +148,8 @@
         self.has_reports
     }
 
-    /// Returns the threads per core of other gateways, averaged over engines.
+    /// Returns the number of threads per core that queries of other gateways occupy, averaged over
+    /// engines.
     pub(super) fn baseline_load(&self) -> f64 {
         self.baseline_load
     }
--- a/src/balancer/load_shedding.rs
+++ b/src/balancer/load_shedding.rs
@@ -17,8 +17,8 @@
 /// random between the two.
 const MIN_RETRY_AFTER: f64 = 0.5;
 
-/// Selects the requests to refuse so that the others of a queue meet their objectives. `queue` is
-/// ordered by objective; `service_rate` is the work done per microsecond.
+/// Selects the requests to refuse so that the other requests in the queue meet their objectives.
+/// `queue` is ordered by objective; `service_rate` is the work done per microsecond.
 fn select_victims<'a>(
     queue: impl Iterator<Item = &'a PendingRequest>,
     service_rate: f64,
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -153,8 +153,8 @@
 
     /// Returns whether limits, deadline and overall engine health allow another attempt.
     fn may_retry(&self, pending: &PendingRequest) -> bool {
-        // The higher the share of bad outcomes, the fewer attempts, so that retries don't add to an
-        // overload. Attempts that this gateway cancelled don't count.
+        // The higher the share of bad outcomes, the fewer attempts are allowed, so that retries
+        // don't add to an overload. Attempts that this gateway cancelled don't count.
         let counted_attempts = pending
             .attempts
             .iter()
--- a/src/balancer/sampling.rs
+++ b/src/balancer/sampling.rs
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Sets the probes available before the first request or report: the maximum where shares are
-    /// below one query, else none.
+    /// Sets the number of probes that are available before the first request or report: the maximum
+    /// if shares are below one query, else none.
     pub(super) fn set_start_probes(&mut self, is_share_below_one_query: bool) {
         self.probe_tokens = if is_share_below_one_query {
             MAX_TOKENS
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Selects a different engine for each random number in [0, 1), as far as there are enough.
-    /// Only available engines are eligible, those with affinity to the request's group first.
+    /// Selects a different engine for each random number in [0, 1), as far as there are enough
+    /// engines. Only available engines are eligible. Engines that the request's group has an
+    /// affinity to come first.
     fn select_candidates(&self, id: RequestId, draws: &[f64]) -> Vec<EngineId> {
         let pending = &self.requests[&id];
         let order = self.affinity_order(pending);
@@ -151,8 +152,8 @@
                 .any(|id| self.engines.get(id).is_some_and(is_probed))
     }
 
-    /// Returns whether a request may be placed now: where shares are below one query, its
-    /// candidates must have been drawn and their probes must have ended.
+    /// Returns whether a request may be placed now: if shares are below one query, its candidates
+    /// must have been drawn and their probes must have ended.
     pub(super) fn is_ready_to_place(&self, pending: &PendingRequest) -> bool {
         !self.subsetting.is_share_below_one_query()
             || !pending.candidates.is_empty() && !self.is_waiting_for_probes(pending)
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: limits the work that is sent to a cold engine.
 //!
 //! A cold engine fails if it is sent more than a multiple of its current capacity within a window.
-//! Each gateway stays within its share of that budget. Where the share is below one query, each
+//! Each gateway stays within its share of that budget. If the share is below one query, each
 //! gateway admits requests at random, with a probability that keeps the sum over all gateways
 //! within the budget.
 
@@ -31,7 +31,7 @@
 /// A request that may be sent to a cold engine.
 pub(super) struct ColdCandidate<'a> {
     pub(super) request: RequestId,
-    /// Mean work of the request's class, as time on one thread in microseconds.
+    /// Mean work of the request's class, in microseconds of thread time summed over all threads.
     pub(super) mean_work: f64,
     pub(super) engine: &'a EngineState,
     /// Number of cores of the engine.
@@ -101,8 +101,9 @@
     ) -> bool {
         let mean_work = candidate.mean_work;
         let budget = self.budget(candidate.cores);
-        // The square root of the largest expected work whose sum stays within the budget by
-        // `CHANCE_DEVIATIONS` standard deviations, of sqrt(mean_work * expected work) each.
+        // The square root of the largest expected work for which the budget is at least the
+        // expected work plus `CHANCE_DEVIATIONS` standard deviations, each of which is
+        // sqrt(mean_work * expected work).
         let root = ((CHANCE_DEVIATIONS * CHANCE_DEVIATIONS * mean_work + 4.0 * budget).sqrt()
             - CHANCE_DEVIATIONS * mean_work.sqrt())
             / 2.0;
--- a/src/balancer/subsetting.rs
+++ b/src/balancer/subsetting.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns the fraction of an engine's capacity that this gateway's bounds are computed from; 1
-    /// where shares are below one query.
+    /// if shares are below one query.
     pub(super) fn engine_share(&self) -> f64 {
         self.engine_share
     }
--- a/src/engine_state.rs
+++ b/src/engine_state.rs
@@ -66,8 +66,8 @@
     pub(crate) ideal_sum: f64,
     /// When the decay of `spent_sum` and `ideal_sum` was last applied.
     pub(crate) observed_at: Micros,
-    /// Duration of attempts divided by their ideal duration, over those that ended recently and
-    /// those in flight.
+    /// Duration of attempts divided by their ideal duration, over attempts that ended recently and
+    /// attempts in flight.
     pub(crate) slowdown: f64,
     pub(crate) best_slowdown: f64,
     pub(crate) pressure_until: Micros,
--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -5,7 +5,7 @@
 //! * One [`Ring`] for each set of placement rules that classes have: the open engines that the
 //!   rules allow, ordered by hash.
 //! * The *active* engines: those whose state may change just because time passes. Every change
-//!   makes an engine active; it is removed from this index once it is at rest.
+//!   makes an engine active; the engine is removed from this index once it is at rest.
 //! * Sums over the engines at rest, which spare decisions a visit to each of them.
 
 use crate::engine_state::EngineState;
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -8,7 +8,7 @@
 /// An event that the host passes to the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The host has read a checkpoint that an earlier process of this gateway wrote.
+    /// The host has read a checkpoint that a previous process of this gateway wrote.
     CheckpointRestored {
         /// Estimates that the checkpoint contains.
         learned: LearnedState,
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -72,7 +72,7 @@
     pub outcome: Outcome,
     /// Time from sending the attempt to its end.
     pub spent: Micros,
-    /// Whether the client has received its final answer, so that the request has ended.
+    /// Whether the client has received its final answer, which ends the request.
     pub is_request_complete: bool,
     /// Whether this failure has the same cause as a failure that was already reported. A lost
     /// connection that ends several attempts counts once.
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -11,7 +11,7 @@
     request + 1
 }
 
-/// An attempt that an earlier process of this gateway, or another gateway, may have made for a
+/// An attempt that a previous process of this gateway, or another gateway, may have made for a
 /// request. If `since` is 0, neither the time nor the zone and cell of the attempt are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PriorAttempt {
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -10,7 +10,7 @@
     /// Carries an idempotency key: the engines in [`Class::scope`] drop a repeat within
     /// [`Class::window`].
     IdempotentWithKey,
-    /// Repeated only if every earlier attempt is known not to have run.
+    /// Repeated only if every previous attempt is known not to have run.
     NonIdempotent,
 }
 
@@ -42,8 +42,8 @@
     pub latency_objective: Micros,
     /// Factor on the work per thread, which is added to `latency_objective`.
     pub latency_objective_per_work: f64,
-    /// Value of a request that is answered in time, relative to other classes; load shedding keeps
-    /// the requests with the highest weight per work.
+    /// Value of a request that is answered in time, relative to other classes; load shedding
+    /// refuses the requests with the lowest weight per work first.
     pub priority_weight: f64,
     /// Whether requests may be repeated.
     pub effect: Effect,
--- a/src/request_state.rs
+++ b/src/request_state.rs
@@ -18,8 +18,8 @@
 pub(crate) struct Attempt {
     /// List entry of the engine when the attempt was sent.
     pub(crate) endpoint: Endpoint,
-    /// When the first byte was sent, if the host calls `Balancer::may_begin` before; else when the
-    /// balancer decided to send the attempt.
+    /// When the first byte was about to be sent, if the host calls `Balancer::may_begin` at that
+    /// time; else when the balancer decided to send the attempt.
     pub(crate) sent_at: Micros,
     pub(crate) state: AttemptState,
     pub(crate) is_cancelled: bool,
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -4,8 +4,8 @@
 use common::*;
 use eideryard::interface::*;
 
-/// Lets the engines answer `count` lookups at their ideal speed, so that their statistics are
-/// settled.
+/// Lets the engines answer `count` lookups at their ideal speed, so that the engines' statistics
+/// settle.
 fn answer_lookups(gateway: &mut TestGateway, first_id: RequestId, count: u64) {
     for id in first_id..first_id + count {
         gateway.submit(Request {
--- a/tests/properties/scenario.rs
+++ b/tests/properties/scenario.rs
@@ -50,7 +50,8 @@
 /// A gateway with random settings, its rule checker and its attempts in flight.
 pub(super) struct Scenario {
     rng: fastrand::Rng,
-    /// Source of the delays of first bytes, so that they don't change the other random choices.
+    /// Source of the delays of first bytes, separate so that the delays don't change the other
+    /// random choices.
     dial_rng: fastrand::Rng,
     gateway: TestGateway,
     checker: RuleChecker,
@@ -90,7 +91,8 @@
         for id in 0..REQUESTS {
             let actions = scenario.random_event(id);
             scenario.apply_actions(actions);
-            // In small steps, so that the checker sees the actions of timers at the right time.
+            // Time advances in small steps, so that the checker sees the timers' actions at the
+            // right time.
             for _ in 0..scenario.rng.u32(..40) {
                 let actions = scenario.gateway.advance(5 * MILLISECOND);
                 scenario.apply_actions(actions);
