--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -24,10 +24,10 @@
 mod events;
 mod reading;
 
-/// Time limit for the first request of a connection to arrive, and for the rest of a message of
-/// which a part has arrived. It guards against connections that send nothing or stop within a
-/// message: a client must get an answer or a close within 3 s of connecting. A client that has sent
-/// a request may stay idle.
+/// Time limit for the first request on a connection, and for the rest of a partly received message.
+/// The limit guards against connections that send nothing or stop within a message: a client must
+/// get an answer or a close within 3 s of connecting. A client that has sent a request may stay
+/// idle.
 const INPUT_TIMEOUT: Micros = 2_000_000;
 
 /// All client connections and the listener that accepts them.
@@ -114,12 +114,12 @@
         }
     }
 
-    /// Accepts all pending connections. Returns false if some are still pending because there is no
-    /// descriptor for them and no connection is idle.
+    /// Accepts all pending connections. Returns false if some are still pending because no
+    /// descriptor is free and no connection is idle.
     pub fn accept(&mut self, context: &mut ClientContext<'_>) -> bool {
         while self.listener.is_some() {
-            // There is one connection more than allowed. An idle connection is closed; if there is
-            // none, accepting pauses.
+            // The table contains one connection more than allowed. An idle connection is closed; if
+            // there is none, accepting pauses.
             let is_full = self.table.len() > self.max_connections;
             if is_full && !self.evict_longest_idle(context) {
                 return false;
--- a/crates/gateway/src/clients/reading.rs
+++ b/crates/gateway/src/clients/reading.rs
@@ -10,9 +10,9 @@
 use crate::table::Key;
 
 impl Clients {
-    /// Reads the available input. If there may be more after [`MAX_READS_PER_TURN`] reads, the
-    /// connection is added to [`Clients::unfinished_reads`], which makes the main loop read other
-    /// connections first.
+    /// Reads the available input. If there may be more after [`MAX_READS_PER_TURN`] reads, adds the
+    /// connection to [`Clients::unfinished_reads`], and the main loop reads other connections
+    /// first.
     pub fn read(&mut self, key: Key, context: &mut ClientContext<'_>) {
         for _ in 0..MAX_READS_PER_TURN {
             let Some(client) = self.table.get_mut(key) else {
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of the balancer and of the main loop: microseconds since the Unix epoch. The clock is
-//! set from the system's clock once at startup and is monotonic from then on. Unix times in
-//! messages can be compared with its time without a conversion.
+//! set from the system's clock once at startup and is monotonic from then on. Its times can be
+//! compared with Unix times in messages without a conversion.
 
 use eideryard::interface::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/gateway/src/engines/engine_connection.rs
+++ b/crates/gateway/src/engines/engine_connection.rs
@@ -179,8 +179,8 @@
         unsent.collect()
     }
 
-    /// Cancels an attempt of which no byte has been written, and removes its bytes from the output.
-    /// Returns false if the attempt isn't open or part of it has been written.
+    /// Cancels an attempt of which no byte has been written, and removes the attempt's bytes from
+    /// the output. Returns false if the attempt isn't open or part of it has been written.
     pub(super) fn cancel_unsent(&mut self, id: &str) -> bool {
         let written = self.stream.written;
         let Some(attempt) = self.open_attempts.get(id) else {
--- a/crates/gateway/src/engines/writing.rs
+++ b/crates/gateway/src/engines/writing.rs
@@ -35,7 +35,8 @@
         let Some(connection) = self.table.get_mut(key) else {
             return;
         };
-        // Once the connection is established, reading from it adds it to `unflushed` again.
+        // Once the connection is established, a read from it adds the connection to `unflushed`
+        // again.
         if !connection.stream.is_established() {
             return;
         }
--- a/crates/gateway/src/fingerprints.rs
+++ b/crates/gateway/src/fingerprints.rs
@@ -2,8 +2,8 @@
 //! settings.
 //!
 //! The fingerprints are part of two formats that other processes read: the checkpoint in the store
-//! and the handshake between gateways. Each is a hash of a text, so the names in that text are
-//! fixed here, independently of the names of types and fields.
+//! and the handshake between gateways. Each fingerprint is a hash of a text, so the names in that
+//! text are fixed here, independently of the names of types and fields.
 
 use std::fmt::{self, Debug, Formatter};
 use std::hash::Hasher;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's main loop. It turns input from sockets, deadlines and service discovery into
+//! The gateway's main loop, which turns input from sockets, deadlines and service discovery into
 //! events for the balancer, and carries out the balancer's actions in the order in which the
 //! balancer returns them. The balancer makes all scheduling decisions.
 //!
@@ -152,7 +152,8 @@
                     unfinished.push(wake);
                 }
             }
-            // Both are polled at the end of each [`Gateway::poll`], whatever woke the main loop.
+            // The result spool and the intent durability are polled at the end of each
+            // [`Gateway::poll`], whatever woke the main loop.
             WakeReason::ResultSpool | WakeReason::IntentDurability => {}
             WakeReason::Stop => self.begin_shutdown(),
             WakeReason::Reload => self.reload(),
--- a/crates/gateway/src/gateway/request_intake.rs
+++ b/crates/gateway/src/gateway/request_intake.rs
@@ -75,8 +75,8 @@
     }
 
     /// Attaches a call to an earlier run with the same key, if there is one. The call then gets
-    /// that run's result and needs neither a slot nor an attempt. Returns whether there is such a
-    /// run.
+    /// that run's result and needs neither a slot nor an attempt. Returns whether an earlier run
+    /// was found.
     fn attach_to_run(&mut self, call_id: CallId, call: &Call) -> bool {
         let (Some(key), Some(result_spool)) = (&call.key, &mut self.result_spool) else {
             return false;
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -57,8 +57,8 @@
     pub known: Vec<(EngineId, FencingToken)>,
 }
 
-/// Returns the identifier of this incarnation of the gateway in fencing tokens. It differs between
-/// starts, so no two incarnations share a token.
+/// Returns the identifier of this incarnation of the gateway in fencing tokens. The identifier
+/// differs between starts, so no two incarnations share a token.
 pub fn lease_owner(origin: Origin) -> u64 {
     origin.identity ^ origin.start.rotate_left(40)
 }
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -34,8 +34,8 @@
 pub use translation::prior_attempts;
 use translation::{known_location, prior_runs, replication_peer, transport_peer};
 
-/// Maximum number of peer events handled in one poll. It limits how long peers can delay clients
-/// and engines.
+/// Maximum number of peer events that are handled in one poll, which limits how long peers can
+/// delay clients and engines.
 const MAX_PEER_EVENTS: usize = 512;
 
 /// A message on a link between gateways. The order of the variants defines the wire format.
--- a/crates/gateway/src/replication/startup.rs
+++ b/crates/gateway/src/replication/startup.rs
@@ -130,8 +130,8 @@
     }
 }
 
-/// Returns whether this gateway may vote without catching up first. It may if its store contains
-/// everything that it ever promised as a voter.
+/// Returns whether this gateway may vote without catching up first. That requires that its store
+/// contains everything that it ever promised as a voter.
 fn may_vote_at_once(recovered: &RecoveredState) -> bool {
     let identity = recovered.origin.identity.to_be_bytes();
     recovered.is_complete && recovered.voter_identity.as_deref() == Some(&identity[..])
--- a/crates/gateway/src/requests.rs
+++ b/crates/gateway/src/requests.rs
@@ -35,8 +35,8 @@
     pub connection: Option<Key>,
     pub sent_at: Micros,
     pub deadline: Option<DeadlineKey>,
-    /// Whether the attempt is waiting until its intent is durable. No byte of it has been sent
-    /// then.
+    /// Whether the attempt is waiting until its intent is durable. If so, no byte of the attempt
+    /// has been sent.
     pub awaits_durability: bool,
     /// Whether the intent log contains an intent for the attempt and must be notified when the
     /// attempt ends.
@@ -61,9 +61,9 @@
     pub statement: Box<[u8]>,
     /// Whether the result goes to the result spool.
     pub is_spooled: bool,
-    /// The memory grant that the balancer has set, in MB; 0 until then.
+    /// The memory grant that the balancer has set, in MB; 0 until the balancer sets one.
     pub grant_mb: u64,
-    /// The rank that the balancer has set; `None` until then.
+    /// The rank that the balancer has set; `None` until the balancer sets one.
     pub rank: Option<u8>,
     /// Whether the client has received its final answer or no longer waits for one.
     pub is_answered: bool,
--- a/crates/gateway/src/result_spool/queries.rs
+++ b/crates/gateway/src/result_spool/queries.rs
@@ -58,8 +58,8 @@
     }
 
     /// Answers a query for the page that a token identifies. `name` is the ID of the client's
-    /// request. It authenticates the client, since only that client knows it. Returns `None` if the
-    /// page is being read from disk.
+    /// request, which authenticates the client because no other client knows this ID. Returns
+    /// `None` if the page is being read from disk.
     pub fn page_by_token(
         &mut self,
         token: &str,
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -49,7 +49,7 @@
 /// An action that the main loop must take once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
-    /// Accept the pending connections and then no more; half-close connections that are idle or
+    /// Accept the pending connections, then stop accepting; half-close connections that are idle or
     /// become idle later.
     CloseIdleConnections,
     /// Give all open requests their final answers.
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -165,8 +165,8 @@
         take_steps(&mut shutdown, START + 720_000, Remaining::default()),
         [ShutdownStep::Exit]
     );
-    // If the longest wait is so short that the kill follows closely after the last clients, there
-    // is still time to close.
+    // If the longest wait is so short that the kill follows shortly after the last client's
+    // request, closing must still have time.
     let mut shutdown = Shutdown::default();
     shutdown.begin(START, 100_000);
     assert_eq!(
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -85,8 +85,8 @@
 }
 
 impl Balancer {
-    /// Creates a gateway without engines, requests or learned estimates. It is deterministic: equal
-    /// settings, seeds, times and events lead to equal actions.
+    /// Creates a balancer without engines, requests or learned estimates. A balancer is
+    /// deterministic: equal settings, seeds, times and events lead to equal actions.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let ring_position = match settings.gateway_index {
@@ -239,8 +239,8 @@
         });
     }
 
-    /// Returns the number of accesses to engine states so far. It measures the cost of decisions
-    /// independently of the machine's speed.
+    /// Returns the number of accesses to engine states so far, a measure of the cost of decisions
+    /// that doesn't depend on the machine's speed.
     pub fn engine_visits(&self) -> u64 {
         self.engines.visits()
     }
--- a/src/balancer/arrival.rs
+++ b/src/balancer/arrival.rs
@@ -65,7 +65,8 @@
             work,
             ideal_duration,
             memory_mb: self.class_estimates.estimate_memory(&request),
-            // An answer after the client has given up has no value, so the objective ends there.
+            // An answer after the client has given up has no value, so the objective must not end
+            // later.
             objective_deadline: (self.now + objective).min(end_deadline),
             end_deadline,
             priority_weight: class.priority_weight * quota_weight,
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch: the only module that sends attempts. It computes their memory grants and ranks.
+//! Dispatch: the only module that sends attempts. Also computes the attempts' memory grants and
+//! ranks.
 
 use super::Balancer;
 use crate::engine_state::{ColdSend, EngineState, Reservation};
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns how long an engine is excluded after it was at capacity or a probe of it failed.
+    /// Returns how long an engine is excluded after it was at capacity or failed a probe.
     pub(super) fn engine_pause(&self) -> Micros {
         let latency_time_constant = self.load_estimates.latency_time_constant();
         // If shares are below one query, a gateway rarely learns that an engine is at capacity, so
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -14,7 +14,8 @@
 /// constant divided by this.
 const CAPACITY_PRESSURE_DIVISOR: Micros = 3;
 
-/// Returns whether an attempt with this outcome may have run, or may still run, on its engine.
+/// Returns whether an attempt with this outcome may have run, or may still be running, on its
+/// engine.
 fn execution_state_after(outcome: Outcome) -> AttemptState {
     match outcome {
         Outcome::AtCapacity | Outcome::NoConnection | Outcome::NotSent => AttemptState::NeverRan,
--- a/src/balancer/pending_queue.rs
+++ b/src/balancer/pending_queue.rs
@@ -1,4 +1,5 @@
-//! The queue of requests that wait to be sent, ordered by the end of their latency objectives.
+//! The queue of requests that are waiting to be sent, ordered by the end of their latency
+//! objectives.
 
 use crate::interface::{Micros, RequestId};
 use crate::request_state::PendingRequest;
--- a/src/balancer/progress.rs
+++ b/src/balancer/progress.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Records the load that blocks the attempt and cancels the attempt for a retry. It hasn't done
-    /// any work yet, so none is lost.
+    /// Records the load that blocks the attempt and cancels the attempt for a retry. The attempt
+    /// hasn't done any work yet, so no work is lost.
     fn on_waits_for_load(&mut self, engine: EngineId, id: RequestId, attempt: usize) {
         self.mark_waiting(engine, id, attempt);
         let Some(engine) = self.engines.get_mut(&engine) else {
--- a/src/balancer/queue_release.rs
+++ b/src/balancer/queue_release.rs
@@ -41,7 +41,7 @@
                 self.send(id, engine);
                 is_full = self.full_classes();
             } else if self.subsetting.is_share_below_one_query() {
-                // The request waits until new candidates are drawn for it.
+                // The request stays queued until new candidates are drawn for it.
                 if let Some(pending) = self.requests.get_mut(&id) {
                     pending.candidates.clear();
                 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -54,8 +54,8 @@
         booted_at + self.warm_up_duration
     }
 
-    /// Returns the fraction of its full capacity that an engine has now. It grows linearly from
-    /// `start_capacity` to 1 while the engine warms up.
+    /// Returns an engine's current capacity as a fraction of its full capacity. The fraction grows
+    /// linearly from `start_capacity` to 1 while the engine warms up.
     pub(super) fn capacity_fraction(&self, engine: &EngineState, now: Micros) -> f64 {
         let remaining_cold_time = engine.cold_until.saturating_sub(now) as f64;
         let cold_fraction = remaining_cold_time / self.warm_up_duration.max(1) as f64;
--- a/src/engine_state.rs
+++ b/src/engine_state.rs
@@ -91,7 +91,8 @@
     pub(crate) probation_left: u32,
     pub(crate) is_silent: bool,
     pub(crate) has_lost_connection: bool,
-    /// Table groups that a load locks on this engine, each with the time of the last report of it.
+    /// Table groups that a load locks on this engine, each with the time at which the load was last
+    /// reported.
     pub(crate) active_loads: BTreeMap<u64, Micros>,
     /// Time of the last response, or of the first send to an idle engine if that is later.
     pub(crate) last_activity: Micros,
--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -6,7 +6,7 @@
 //!   rules allow, ordered by hash.
 //! * The *active* engines: those whose state may change just because time passes. Every change
 //!   makes an engine active; the engine is removed from this index once it is at rest.
-//! * Sums over the engines at rest, which spare decisions a visit to each of them.
+//! * Sums over the engines at rest, so that a decision need not visit each of these engines.
 
 use crate::engine_state::EngineState;
 use crate::hash::mix;
--- a/tests/loads.rs
+++ b/tests/loads.rs
@@ -1,4 +1,5 @@
-//! A load locks its table group on its engine: requests that would wait for it go to other engines.
+//! A load locks its table group on its engine: requests that would have to wait for the load go to
+//! other engines.
 
 mod common;
 use common::*;
--- a/tests/may_begin.rs
+++ b/tests/may_begin.rs
@@ -1,5 +1,5 @@
-//! The check just before the first byte of an attempt is sent. It may withdraw the attempt, whose
-//! use of the budgets must then be undone.
+//! The check just before the first byte of an attempt is sent. The check may withdraw the attempt,
+//! whose use of the budgets must then be undone.
 
 mod common;
 
--- a/tests/visits.rs
+++ b/tests/visits.rs
@@ -1,5 +1,5 @@
-//! The number of engines that a decision visits must not grow with the fleet. It is counted in
-//! fleets of 80 to 4,100 engines, with a proportional number of gateways.
+//! The number of engines that a decision visits must not grow with the fleet. The visits are
+//! counted in fleets of 80 to 4,100 engines, with a proportional number of gateways.
 
 mod common;
 use common::*;
