--- a/crates/gateway/src/event_recorder.rs
+++ b/crates/gateway/src/event_recorder.rs
@@ -8,7 +8,7 @@
 use eideryard_event_log::{Config, HostEvent, Names, Recorder};
 use eideryard_operator_config::EventLogConfig;
 
-/// The recorder, with the names that are written at the start of each segment.
+/// The recorder, and the names that are written at the start of each segment.
 struct ActiveRecorder {
     recorder: Recorder,
     names: Names,
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Whether an event log is written; false if none is configured or it could not be started.
+    /// Returns whether an event log is written; false if none is configured or it could not be
+    /// started.
     pub fn is_enabled(&self) -> bool {
         self.active.is_some()
     }
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether it is time for [`EventRecorder::start_segment`].
+    /// Returns whether it is time for [`EventRecorder::start_segment`].
     pub fn needs_segment(&self, now: Micros) -> bool {
         match &self.active {
             Some(active) => active.recorder.needs_segment(now),
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Starts a segment with the names and the current state, so that it can be read on its own.
+    /// Starts a segment with the names and the current state, so that the segment can be read
+    /// without previous ones.
     pub fn start_segment(&mut self, now: Micros, state: impl Iterator<Item = HostEvent>) {
         let Some(active) = &mut self.active else {
             return;
@@ -104,13 +106,14 @@
         recorder.finish_state(now);
     }
 
-    /// When [`EventRecorder::flush`] must be called at the latest; `None` if it has nothing to do.
+    /// Returns the latest time at which [`EventRecorder::flush`] must be called; `None` if there is
+    /// nothing to flush.
     pub fn next_deadline(&self) -> Option<Micros> {
         let active = self.active.as_ref()?;
         active.recorder.next_flush_at()
     }
 
-    /// Passes recorded entries to the writer thread if they are due at `now`.
+    /// Passes recorded entries to the writer thread if the time to do so has come at `now`.
     pub fn flush(&mut self, now: Micros) {
         if let Some(active) = &mut self.active {
             active.recorder.flush(now);
--- a/crates/gateway/src/gateway/reporting.rs
+++ b/crates/gateway/src/gateway/reporting.rs
@@ -1,4 +1,5 @@
-//! Writes to the event log and to the program's log, and the last checkpoint at the end.
+//! Writes to the event log and to the program's log, and saves the last checkpoint at the end of
+//! the process.
 
 use eideryard::interface::EngineId;
 use eideryard_discovery::DiscoveryEvent;
@@ -26,7 +27,7 @@
     }
 
     /// Records the current state if a new segment of the event log has begun, so that each segment
-    /// can be read without the earlier ones.
+    /// can be read without previous ones.
     pub(super) fn record_state(&mut self) {
         let now = self.clock.now();
         if !self.event_recorder.needs_segment(now) {
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Records changes of the connection to service discovery since `before`, and the numbers of
-    /// the items that were received.
+    /// Records changes of the connection to service discovery since `before`, and the sequence
+    /// numbers of the received items.
     pub(super) fn record_discovery_changes(
         &mut self,
         before: &DiscoveryState,
@@ -157,7 +158,8 @@
             .record_host_event(self.clock.now(), &rejected);
     }
 
-    /// Saves the last checkpoint, and writes the last entries of the event log and of the log.
+    /// Saves the last checkpoint, and writes the last entries of the event log and of the program's
+    /// log.
     pub fn finish(&mut self) {
         let now = self.clock.now();
         if let Some(intent_durability) = &mut self.intent_durability {
@@ -199,8 +201,8 @@
         tracing::info!("counters: {counters}; tables {tables}{result_spool}{intents}");
     }
 
-    /// The size of each table whose length depends on the traffic, by the name that is logged. A
-    /// size that keeps growing through a long day is a leak.
+    /// Returns the size of each table whose length depends on the traffic, with the name under
+    /// which the size is logged. A size that keeps growing through a long day indicates a leak.
     fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         let (engines, connections) = self.engines.sizes();
         let (requests, ids) = self.requests.sizes();
@@ -223,7 +225,8 @@
     }
 }
 
-/// The properties of a request that the event log records in addition to the balancer's event.
+/// Returns the properties of a request that the event log records in addition to the balancer's
+/// event.
 fn client_request(key: Key, request: &Request) -> ClientRequest {
     let id = u64::from_str_radix(&request.id, 16).unwrap_or_default();
     ClientRequest {
--- a/crates/gateway/src/intent_durability/sends.rs
+++ b/crates/gateway/src/intent_durability/sends.rs
@@ -24,7 +24,7 @@
     pub key: Option<&'a str>,
     /// Engine that the balancer has chosen.
     pub engine: EngineId,
-    /// Time at which the attempt is cancelled if it has not ended.
+    /// Time at which the attempt is cancelled if it has not ended by then.
     pub attempt_deadline: Micros,
     /// Prior attempts of the request that the balancer already knows.
     pub prior_attempts: &'a [PriorAttempt],
@@ -34,27 +34,28 @@
 pub enum SendPlan {
     /// Send now.
     Immediate,
-    /// Send once the intent is durable. From now on this attempt counts as one that may have run.
+    /// Send once the intent is durable. From then on this attempt counts as an attempt that may
+    /// have run.
     AfterWrite {
-        /// Number of the write, assigned by the store's worker in increasing order.
+        /// Ticket of the write, assigned by the store's worker in increasing order.
         ticket: u64,
-        /// Number of the claim that must be granted as well; `None` without a fleet.
+        /// ID of the claim that must be granted as well; `None` without a fleet.
         claim: Option<u64>,
-        /// This attempt, in the form in which later attempts see it.
+        /// This attempt as a prior attempt, for later decisions on the request.
         prior_attempt: PriorAttempt,
     },
     /// Don't send: the store rejects writes because too many are queued.
     StoreFull,
-    /// Don't send: first the balancer must take this other attempt into account.
+    /// Don't send: the balancer must first consider this prior attempt.
     PriorAttemptFound(PriorAttempt),
 }
 
-/// An attempt that waits until its intent is durable.
+/// An attempt that is waiting until its intent is durable.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingSend {
-    /// Number of the write, assigned by the store's worker in increasing order.
+    /// Ticket of the write, assigned by the store's worker in increasing order.
     pub ticket: u64,
-    /// Number of the claim that must be granted as well; `None` without a fleet.
+    /// ID of the claim that must be granted as well; `None` without a fleet.
     pub claim: Option<u64>,
     /// Slot of the request in the request table.
     pub request: Key,
@@ -62,7 +63,7 @@
     pub attempt: usize,
     /// Engine that the attempt is sent to.
     pub engine: EngineId,
-    /// Time at which the attempt is cancelled if it has not ended.
+    /// Time at which the attempt is cancelled if it has not ended by then.
     pub attempt_deadline: Micros,
 }
 
@@ -70,43 +71,44 @@
 pub struct RefusedSend {
     /// The send that waited.
     pub send: PendingSend,
-    /// The reason, which the client gets if its request is refused.
+    /// The reason for the refusal, which is sent to the client if its request is refused.
     pub reason: RejectReason,
 }
 
-/// A send whose request other gateways may have run already.
+/// A send whose request other gateways may already have run.
 pub struct SendWithPriorRuns {
     /// The send that waited.
     pub send: PendingSend,
-    /// The attempts of other gateways that may have run.
+    /// Other gateways' attempts that may have run.
     pub prior_attempts: Vec<PriorAttempt>,
 }
 
-/// The results of waiting sends, in one poll.
+/// The results for waiting sends from one poll.
 #[derive(Default)]
 pub struct SendResults {
     /// Sends to carry out now.
     pub ready: Vec<PendingSend>,
-    /// Sends not to carry out. A request is refused if this is its only attempt.
+    /// Sends that must not be carried out. A request is refused if this is its only attempt.
     pub refused: Vec<RefusedSend>,
-    /// Sends not to carry out now: the balancer decides again with knowledge of the prior runs.
+    /// Sends that must not be carried out now: the balancer is notified of the prior runs and
+    /// decides again.
     pub with_prior_runs: Vec<SendWithPriorRuns>,
 }
 
 impl SendResults {
-    /// Whether there is no result.
+    /// Returns whether there is no result.
     pub fn is_empty(&self) -> bool {
         self.ready.is_empty() && self.refused.is_empty() && self.with_prior_runs.is_empty()
     }
 }
 
 impl IntentDurability {
-    /// Checks a request on arrival. Returns its earlier attempts that may have run. `is_retry` is
-    /// whether the client marked the request as a retry.
+    /// Checks a request on arrival. Returns the request's prior attempts that may have run.
+    /// `is_retry` states whether the client marked the request as a retry.
     ///
     /// # Errors
     ///
-    /// Returns the reason for which the request must be refused.
+    /// Returns the reason why the request must be refused.
     pub fn admit_request(
         &mut self,
         now: Micros,
@@ -163,7 +165,7 @@
         Ok(prior)
     }
 
-    /// The ticket of the last durable write; 0 if there is none.
+    /// Returns the ticket of the last durable write; 0 if there is none.
     fn durable_ticket(&self) -> u64 {
         self.worker.as_ref().map_or(0, Worker::durable_ticket)
     }
@@ -211,8 +213,8 @@
         }
     }
 
-    /// Claims the key of a send from the voters. Returns the number of the claim, or `None` without
-    /// a fleet.
+    /// Claims the key of a send at the voters. Returns the ID of the claim, or `None` without a
+    /// fleet.
     fn claim(
         &mut self,
         now: Micros,
@@ -232,7 +234,8 @@
         Some(replication.claim(now, &claim, worker))
     }
 
-    /// Whether a send that has waited is still within the retry window of all prior attempts.
+    /// Returns whether a send that has waited is still within the retry window of all prior
+    /// attempts.
     pub fn is_within_window(
         &self,
         now: Micros,
@@ -242,7 +245,7 @@
         is_within_window(now, self.retry_window(class), prior_attempts)
     }
 
-    /// Holds back a send until its intent is durable.
+    /// Delays a send until its intent is durable.
     pub fn add_pending_send(&mut self, now: Micros, send: PendingSend) {
         self.counters.waited += 1;
         self.pending_sends.push(now, send.ticket, send.claim, send);
@@ -265,7 +268,7 @@
         let Some(write) = self.intent_log.on_attempt_ended(now, attempt) else {
             return;
         };
-        // If the store rejects this write, the only effect is that the intent is kept for longer.
+        // If the store rejects this write, the only effect is that the intent is retained longer.
         self.write_intent(&write);
         let intent = write.intent.as_ref();
         if intent.is_some_and(|intent| intent.in_flight > 0) {
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Handles durable writes, messages of peers and expired deadlines. Returns the results of
+    /// Handles durable writes, messages of peers and expired deadlines. Returns the results for
     /// waiting sends.
     pub fn poll(&mut self, now: Micros) -> SendResults {
         for write in self.intent_log.expire(now) {
@@ -301,7 +304,7 @@
         results
     }
 
-    /// Applies the voters' verdicts on claims to the sends that wait for them.
+    /// Applies the voters' verdicts on claims to the sends that are waiting for them.
     fn apply_verdicts(&mut self, now: Micros, results: &mut SendResults) {
         let (Some(replication), Some(worker)) = (&mut self.replication, &mut self.worker) else {
             return;
@@ -337,7 +340,7 @@
     }
 }
 
-/// Converts an attempt to the form in which later attempts of the same key see it.
+/// Converts an attempt to the prior attempt that it is for later requests with the same key.
 fn as_prior_attempt(now: Micros, location: Location, intent: Option<&Intent>) -> PriorAttempt {
     PriorAttempt {
         zone: location.zone,
--- a/crates/gateway/src/requests/names.rs
+++ b/crates/gateway/src/requests/names.rs
@@ -4,14 +4,16 @@
 use eideryard::interface::{Effect, MachineKind, Settings};
 use eideryard_settings::HostSettings;
 
-/// A request is rejected if its estimate of work or memory exceeds by this factor what the largest
-/// engine can do in the longest wait, or its memory.
+/// A request is rejected if its work estimate exceeds the work that the largest engine can do in
+/// the longest wait by more than this factor, or its memory estimate exceeds that engine's memory
+/// by more than this factor.
 const MAX_ESTIMATE_FACTOR: f64 = 100.0;
-/// A request is rejected if its wait exceeds by this factor the longest wait in the settings.
+/// A request is rejected if its wait exceeds the longest wait in the settings by more than this
+/// factor.
 const MAX_WAIT_FACTOR: f64 = 2.0;
 /// The longest wait, in microseconds, if the settings contain none: a day.
 const DEFAULT_WAIT_US: f64 = 86_400e6;
-/// The largest memory of an engine, in MB, if the settings contain none: a terabyte.
+/// The memory of the largest engine, in MB, if the settings contain none: a terabyte.
 const DEFAULT_MEMORY_MB: f64 = 1e6;
 
 /// The names in the settings, each at the index by which the balancer refers to it, and limits that
@@ -24,18 +26,18 @@
     pub zones: Vec<String>,
     /// Machine kinds of engines.
     pub kinds: Vec<String>,
-    /// The number of threads on which a query runs, by the class's index.
+    /// The number of threads that a query runs on, by the class's index.
     pub(super) threads: Vec<f64>,
     /// The maximum wait of a request, in microseconds.
     pub(super) max_wait: f64,
-    /// The maximum work estimate of a request, in core microseconds.
+    /// The maximum work estimate of a request, in core-microseconds.
     pub(super) max_work: f64,
     /// The maximum memory estimate of a request, in MB.
     pub(super) max_memory_mb: f64,
 }
 
 impl Names {
-    /// Collects the names from the settings of the balancer and of the process around it.
+    /// Collects the names from the settings of the balancer and of the gateway process.
     pub fn new(settings: &Settings, host: &HostSettings) -> Self {
         let largest =
             |of: fn(&MachineKind) -> f64| settings.kinds.iter().map(of).fold(1.0, f64::max);
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The names as the event log stores them.
+    /// Returns the names as the event log stores them.
     pub fn for_event_log(&self) -> eideryard_event_log::Names {
         eideryard_event_log::Names {
             classes: self.classes.clone(),
@@ -68,7 +70,7 @@
     }
 }
 
-/// A setting, or `default` if the setting is not a positive finite number.
+/// Returns a setting, or `default` if the setting is not a positive finite number.
 fn positive_or(value: f64, default: f64) -> f64 {
     if value > 0.0 && value.is_finite() {
         value
@@ -77,7 +79,7 @@
     }
 }
 
-/// The index of a name in a list; `None` if the list doesn't contain it.
+/// Returns the index of a name in a list; `None` if the list doesn't contain it.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|other| other == name)
 }
--- a/crates/gateway/src/result_spool/maintenance.rs
+++ b/crates/gateway/src/result_spool/maintenance.rs
@@ -21,7 +21,8 @@
         deliveries
     }
 
-    /// The next time at which [`ResultSpoolDriver::poll`] must be called even if nothing arrives.
+    /// Returns the next time at which [`ResultSpoolDriver::poll`] must be called even if nothing
+    /// arrives.
     pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
         let deadlines = [
             self.expiry_timers.next_expiry(),
@@ -56,7 +57,7 @@
         match self.spool.expiry(id) {
             Some(expires_at) if expires_at <= now => self.drop_result(id, now),
             Some(_) => self.schedule_expiry(id),
-            // A remembered failure has expired.
+            // A stored failure has expired.
             None if !self.spool.contains(id) => self.drop_result(id, now),
             None => {}
         }
--- a/tests/properties/scenario.rs
+++ b/tests/properties/scenario.rs
@@ -34,7 +34,7 @@
     settings
 }
 
-/// Requests of one scenario.
+/// Number of requests in one scenario.
 const REQUESTS: u64 = 250;
 const FAILURES: [Outcome; 5] = [
     Outcome::Error,
@@ -44,20 +44,21 @@
     Outcome::Broken,
 ];
 
-/// A request and the number of one of its attempts, from 0.
+/// A request and the index of one of its attempts, from 0.
 type AttemptKey = (RequestId, usize);
 
 /// A gateway with random settings, its rule checker and its attempts in flight.
 pub(super) struct Scenario {
     rng: fastrand::Rng,
-    /// Source of the delays of first bytes, so that they don't change the other random choices.
+    /// Source of the delays of first bytes, separate so that the delays don't change the other
+    /// random choices.
     dial_rng: fastrand::Rng,
     gateway: TestGateway,
     checker: RuleChecker,
     engines: Vec<Endpoint>,
     /// Share of attempts that fail.
     failure_rate: f64,
-    /// Share of attempts whose first byte is delayed, as by a slow dial.
+    /// Share of attempts whose first byte is delayed, as if connecting were slow.
     delayed_share: f64,
     in_flight: Vec<AttemptKey>,
     delayed: Vec<AttemptKey>,
@@ -90,7 +91,8 @@
         for id in 0..REQUESTS {
             let actions = scenario.random_event(id);
             scenario.apply_actions(actions);
-            // In small steps, so that the checker sees the actions of timers at the right time.
+            // Time advances in small steps, so that the checker sees the timers' actions at the
+            // right time.
             for _ in 0..scenario.rng.u32(..40) {
                 let actions = scenario.gateway.advance(5 * MILLISECOND);
                 scenario.apply_actions(actions);
@@ -191,8 +193,8 @@
             })
     }
 
-    /// Checks the actions in order and carries them out; the actions that result are added at the
-    /// end.
+    /// Checks the actions in order and carries them out. Actions that result from carrying them out
+    /// are appended to the queue.
     fn apply_actions(&mut self, actions: Vec<Action>) {
         let mut pending = VecDeque::from(actions);
         while let Some(action) = pending.pop_front() {
