--- a/crates/fleet-test/src/check/records.rs
+++ b/crates/fleet-test/src/check/records.rs
@@ -20,7 +20,7 @@
     pub at: Micros,
     /// The id of the request's try, which its client chose.
     pub id: u64,
-    /// Event the gateway recorded: receipt, attempt or answer.
+    /// What the gateway recorded: receipt, attempt or answer.
     pub what: RequestEvent,
 }
 
--- a/crates/fleet-test/src/plan/draw.rs
+++ b/crates/fleet-test/src/plan/draw.rs
@@ -47,8 +47,8 @@
             .unwrap_or_default()
     }
 
-    /// Kills a gateway and starts it again with its directory `kept`, `wiped` or `old` (restored from
-    /// an earlier copy).
+    /// Kills a gateway and starts it again with its directory `kept`, `wiped` or `old` (restored
+    /// from an earlier copy).
     pub(super) fn add_kill_gateway(&mut self, directory: &str) {
         let (at, down) = (
             self.draw_time(),
--- a/crates/fleet-test/src/processes.rs
+++ b/crates/fleet-test/src/processes.rs
@@ -12,7 +12,7 @@
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::time::{sleep, Instant};
 
-/// TryOutcome long a gateway may take to listen after its start, and to end after the signal.
+/// How long a gateway may take to listen after its start, and to end after the signal.
 const TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -29,7 +29,7 @@
     pub directory: PathBuf,
 }
 
-/// TryOutcome one start of a gateway ended.
+/// How one start of a gateway ended.
 #[derive(Clone, Debug)]
 pub struct Ending {
     /// The gateway's name and the number of its start, as `g1#2`.
--- a/crates/fleet-test/src/run.rs
+++ b/crates/fleet-test/src/run.rs
@@ -32,7 +32,7 @@
     pub verdict: Verdict,
     /// The first breaks, each with the events that led to it as lines of text.
     pub stories: Vec<(Break, Vec<String>)>,
-    /// TryOutcome each start of a gateway ended, in the order of the ends.
+    /// How each start of a gateway ended, in the order of the ends.
     pub endings: Vec<Ending>,
 }
 
--- a/crates/fleet-test/src/scale/hollow_sweeps.rs
+++ b/crates/fleet-test/src/scale/hollow_sweeps.rs
@@ -96,8 +96,8 @@
         cost
     }
 
-    /// Measures memory and decisions of fleets with the target's proportions: with engines that keep
-    /// up, with overloaded ones, and with load known from probes only.
+    /// Measures memory and decisions of fleets with the target's proportions: with engines that
+    /// keep up, with overloaded ones, and with load known from probes only.
     pub(super) fn measure_hollow_in_proportion(
         &mut self,
         axis: Axis,
--- a/crates/fleet-test/src/world.rs
+++ b/crates/fleet-test/src/world.rs
@@ -36,11 +36,11 @@
 pub struct Played {
     /// Counts of the emulated clients and engines, and the history of events if it was recorded.
     pub ledger: Ledger,
-    /// TryOutcome each start of a gateway ended, in the order of the ends.
+    /// How each start of a gateway ended, in the order of the ends.
     pub endings: Vec<Ending>,
     /// Gateways that ended without being stopped, or didn't end when they were.
     pub crashed: Vec<String>,
-    /// TryOutcome long the voters' replicas took to become equal after the last request, in milliseconds;
+    /// How long the voters' replicas took to become equal after the last request, in milliseconds;
     /// `None` if they didn't, or if there is no fleet.
     pub agreed: Option<u64>,
 }
