--- a/crates/fleet-test/src/check/mod.rs
+++ b/crates/fleet-test/src/check/mod.rs
@@ -107,7 +107,7 @@
     pub rule: Rule,
     /// The object for which it was broken; selects the events of its story.
     pub subject: Subject,
-    /// Begin of the time in which it was broken, in Unix microseconds; 0 if it has no time.
+    /// Start of the time in which it was broken, in Unix microseconds; 0 if it has no time.
     pub from: Micros,
     /// End of that time, in Unix microseconds.
     pub to: Micros,
@@ -158,7 +158,7 @@
 /// The duration of a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Span {
-    /// Begin, in Unix microseconds.
+    /// Start, in Unix microseconds.
     pub from: Micros,
     /// End, in Unix microseconds; that of the last event if the fault outlasts the history.
     pub to: Micros,
--- a/crates/fleet-test/src/check/order.rs
+++ b/crates/fleet-test/src/check/order.rs
@@ -25,7 +25,7 @@
     let pause = ORDER_PAUSE.as_micros() as Micros;
     let mut starts: BTreeMap<Name, usize> = BTreeMap::new();
     let mut lanes: HashMap<u64, Lane> = HashMap::new();
-    // Running attempts by lane: id of the try, engine, begin.
+    // Running attempts by lane: id of the try, engine, start.
     let mut running: HashMap<Lane, Vec<(u64, Name, Micros)>> = HashMap::new();
     let mut waiting: HashMap<Lane, Vec<(Micros, u64)>> = HashMap::new();
     let mut runs = 0;
--- a/crates/fleet-test/src/check/service.rs
+++ b/crates/fleet-test/src/check/service.rs
@@ -28,7 +28,7 @@
     (within.len() >= MIN_FIRST_TRIES).then(|| served as f64 / within.len() as f64)
 }
 
-/// The time from `from` to the begin of the first window in which service has recovered.
+/// The time from `from` to the start of the first window in which service has recovered.
 fn recovery_time(firsts: &FirstTries, before: f64, from: Micros, last: Micros) -> Option<Micros> {
     let mut starts = (from..last.saturating_sub(WINDOW)).step_by(WINDOW as usize / 10);
     starts
--- a/crates/fleet-test/src/config.rs
+++ b/crates/fleet-test/src/config.rs
@@ -8,7 +8,7 @@
 use eideryard_emulators::scenario::{EngineSpec, Scenario, Scope};
 use serde_json::{json, Value};
 
-/// Capacity of an engine at the begin of its slow start, as a part of its full capacity.
+/// Capacity of an engine at the start of its slow start, as a part of its full capacity.
 pub const START_CAPACITY: f64 = 0.4;
 /// Work that an engine in slow start may be sent per [`FALL_WINDOW`], as a multiple of its present
 /// capacity.
--- a/crates/fleet-test/src/links.rs
+++ b/crates/fleet-test/src/links.rs
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Records the begin or the end of a fault in the history.
+    /// Records the start or the end of a fault in the history.
     fn record_fault(&self, from: &Name, to: &Name, fault: &'static str, begins: bool) {
         let (from, to) = (from.clone(), to.clone());
         self.ledger.borrow_mut().happened(|| What::Link {
--- a/crates/fleet-test/src/plan.rs
+++ b/crates/fleet-test/src/plan.rs
@@ -98,7 +98,7 @@
     rng: StdRng,
     gateways: Vec<String>,
     engines: Vec<String>,
-    /// Process faults drawn so far: the gateway or engine, begin and end in milliseconds.
+    /// Process faults drawn so far: the gateway or engine, start and end in milliseconds.
     process_faults: Vec<(String, u64, u64)>,
     /// Least milliseconds between two process faults of one gateway or engine.
     min_gap: u64,
--- a/crates/fleet-test/src/simulated.rs
+++ b/crates/fleet-test/src/simulated.rs
@@ -40,7 +40,7 @@
 const CELLS: u32 = 3;
 /// Interval at which gateways poll their core for timers.
 const POLL_INTERVAL: Micros = 250 * MS;
-/// Clients send requests up to this time after the begin of virtual time; faults begin in it, too.
+/// Clients send requests up to this time after the start of a run; faults begin within it, too.
 pub const ASKS: Micros = 20 * S;
 /// Time without new requests at the end, so that retries finish and replicas become equal.
 const RESTS: Micros = 14 * S;
--- a/crates/fleet-test/src/voters.rs
+++ b/crates/fleet-test/src/voters.rs
@@ -8,7 +8,7 @@
 
 use eideryard_emulators::scenario::GatewaySpec;
 
-/// The begin of a line of the operator file that names a voter.
+/// How a line of the operator file that names a voter begins.
 const KEEPER: &str = "keeper ";
 
 /// Gateways that are voters by their own operator files, all of which name the same voters.
