--- a/crates/event-log/src/codec/attempt.rs
+++ b/crates/event-log/src/codec/attempt.rs
@@ -1,5 +1,5 @@
-//! Encodes progress and ends of attempts, probes and load reports within events of the decision
-//! module.
+//! Encodes progress reports from attempts, ends of attempts, probes and load reports within events
+//! of the decision module.
 
 use eideryard::interface::{
     AttemptEnded, LoadReport, Outcome, ProbeEnded, Progress, ResourceUsage,
--- a/crates/event-log/src/codec/primitives.rs
+++ b/crates/event-log/src/codec/primitives.rs
@@ -281,7 +281,7 @@
         Ok(values)
     }
 
-    /// Reads optional floats and replaces absent ones by 0.
+    /// Reads optional floats and replaces absent ones with 0.
     pub(super) fn read_floats_or_zero<const N: usize>(&mut self) -> Decoded<[f64; N]> {
         let values = self.read_optional_floats::<N>()?;
         Ok(values.map(Option::unwrap_or_default))
@@ -348,7 +348,7 @@
     }
 }
 
-// ---- Ids ----
+// ---- IDs ----
 
 impl Encoder<'_> {
     pub fn put_engine(&mut self, engine: EngineId) {
--- a/crates/event-log/src/config.rs
+++ b/crates/event-log/src/config.rs
@@ -14,11 +14,11 @@
     /// When the gateway started, in microseconds since the Unix epoch. Identifies this run.
     pub epoch: Micros,
     /// Limit on the total size of all segments of this gateway, those of earlier runs included. The
-    /// oldest segments are removed to stay below it.
+    /// oldest segments are removed to stay below the limit.
     pub max_total_bytes: u64,
     /// Size in bytes at which the next segment starts.
     pub max_segment_bytes: u64,
-    /// Age in microseconds at which the next segment starts, whatever the size of this one.
+    /// Age in microseconds at which the next segment starts, whatever the size of the current one.
     pub max_segment_age: Micros,
     /// Time to wait after a file error before the writer retries.
     pub retry_delay: Duration,
--- a/crates/event-log/src/entry/fleet.rs
+++ b/crates/event-log/src/entry/fleet.rs
@@ -19,7 +19,7 @@
     },
     /// This gateway became a voter or stopped being one.
     VotingChanged {
-        /// True if it is a voter from now on.
+        /// True if this gateway is a voter from now on.
         is_voter: bool,
     },
     /// A majority of voters became reachable or unreachable.
--- a/crates/event-log/src/entry/host.rs
+++ b/crates/event-log/src/entry/host.rs
@@ -123,7 +123,7 @@
     ConnectionClosing {
         /// The ID of the connection.
         connection: u64,
-        /// Why the gateway closes it.
+        /// Why the gateway closes the connection.
         reason: CloseReason,
     },
     /// A connection is closed.
@@ -144,7 +144,7 @@
     },
     /// A client's message was rejected before it reached the decision module.
     RequestRejected {
-        /// Why it was rejected.
+        /// Why the message was rejected.
         reason: RejectReason,
         /// Index of the request's class; `None` if the message didn't state a valid one.
         class: Option<usize>,
@@ -161,7 +161,7 @@
         tenant: usize,
         /// How the request ended.
         kind: AnswerKind,
-        /// Whether it ended after the client's deadline.
+        /// Whether the request ended after the client's deadline.
         is_late: bool,
     },
     /// The connection to the discovery service was established or lost.
@@ -169,7 +169,7 @@
         /// True if it was established, false if it was lost.
         is_up: bool,
     },
-    /// A numbered event of the discovery service was applied.
+    /// An event from the discovery service was applied.
     DiscoveryEvent {
         /// The sequence number that the service gave the event.
         number: u64,
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! The gateway records entries through [`Recorder`], which runs on the event loop's thread, never
 //! blocks and owns the buffers. A writer thread owns the segment files. [`MergedReader`] merges the
-//! logs of any number of gateways in order of time and skips damaged parts.
+//! logs of any number of gateways, sorted by time, and skips damaged parts.
 //!
 //! - [`entry`]: the types of entries.
 //! - [`codec`] and [`frame`]: encode entries as bytes and put them into frames with checksums,
--- a/crates/event-log/src/reader/merged.rs
+++ b/crates/event-log/src/reader/merged.rs
@@ -1,4 +1,4 @@
-//! Merges all logs of some directories into one stream of entries in order of time.
+//! Merges all logs in some directories into one stream of entries, sorted by time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,7 +11,7 @@
 use super::{io_error, Problem, ReadContent, ReadEntry, ReadError, Source};
 use crate::frame::{find_frame, FrameSearch, FRAME_HEADER_BYTES};
 
-/// Reads all logs of some directories as one stream of entries in order of time.
+/// Reads all logs in some directories as one stream of entries, sorted by time.
 pub struct MergedReader {
     directories: Vec<PathBuf>,
     /// Whether the logs may still grow.
--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -6,8 +6,8 @@
 use crate::fencing_token::{candidate_weight, FencingToken, Task};
 use crate::{Micros, LEASE_DURATION, LEASE_MARGIN, RENEW_INTERVAL};
 
-/// Delay of the vote request of a candidate with the lowest weight, compared with one that has the
-/// highest weight. Because of the delay, candidates rarely compete.
+/// How much later a candidate with the lowest weight requests votes than a candidate with the
+/// highest weight. Because of the different delays, candidates rarely compete.
 const MAX_REQUEST_DELAY: Micros = 1_500_000;
 /// Time after which a candidate withdraws its request if no majority has voted for it.
 const VOTE_TIMEOUT: Micros = 400_000;
@@ -64,7 +64,7 @@
     /// has a higher token.
     Lost(FencingToken),
     /// The request for this token is withdrawn, because no majority was reached. The voters that
-    /// granted it may vote for other candidates at once.
+    /// granted the request may vote for other candidates at once.
     Withdrew(FencingToken),
 }
 
--- a/crates/leases/src/fencing_token.rs
+++ b/crates/leases/src/fencing_token.rs
@@ -25,8 +25,8 @@
     pub owner: u64,
 }
 
-/// Returns the weight of a gateway among the candidates for a task, from 0 up to but not including
-/// 1. The candidate with the highest weight requests votes first.
+/// Returns the weight of a gateway among the candidates for a task: at least 0 and less than 1. The
+/// candidate with the highest weight requests votes first.
 ///
 /// The weight is a hash of the task and the gateway, as in rendezvous hashing: no gateway needs a
 /// list of the others, and if a gateway leaves, only its own tasks move.
--- a/crates/leases/src/lease_core/messages.rs
+++ b/crates/leases/src/lease_core/messages.rs
@@ -41,7 +41,7 @@
         /// Token of that lease or vote request.
         token: FencingToken,
     },
-    /// Work of an owner. Voters forward the work that their fences admit.
+    /// Work from an owner. Voters forward the work that their fences admit.
     Work {
         /// Task that the work belongs to.
         task: Task,
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,4 +1,4 @@
-//! Leases: one gateway of a fleet at a time owns a task, and work of former owners is rejected.
+//! Leases: one gateway of a fleet at a time owns a task, and work from former owners is rejected.
 //!
 //! The package contains the protocol without I/O. It takes messages, the time and completed writes
 //! as input. It returns messages, writes and notifications as [`Output`]s, which the caller (the
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -22,9 +22,9 @@
     Handshake(Handshake),
     /// The sender rejects the receiver and closes the link; the text tells the operator why.
     Rejected(String),
-    /// Requests a [`Frame::HeartbeatReply`] with the same number.
+    /// Requests a [`Frame::HeartbeatReply`] with the same sequence number.
     Heartbeat(u64),
-    /// Replies to the heartbeat with this number.
+    /// Replies to the heartbeat with this sequence number.
     HeartbeatReply(u64),
     /// A message from the host, which the links carry without interpreting it.
     Message(M),
--- a/crates/peer-transport/src/handshake.rs
+++ b/crates/peer-transport/src/handshake.rs
@@ -24,7 +24,7 @@
     /// Fingerprint of the sender's request classes. Both ends must agree on it because replicas
     /// refer to a class by its index.
     pub classes_fingerprint: u64,
-    /// Identity of the sender's store; a new, damaged or copied store gets a new random one.
+    /// Identity of the sender's store; a new, damaged or copied store gets a new random identity.
     pub identity: u64,
     /// Number of times that the gateway was started with this store, this start included.
     pub start_number: u64,
--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -1,12 +1,12 @@
 //! Decides when a voter may vote, and bounds the bandwidth of state transfers.
 //!
 //! A voter that has all records that it ever acknowledged votes immediately. A voter that may have
-//! lost some, because its store is new, wiped, damaged or restored, first fetches the records of
+//! lost records, because its store is new, wiped, damaged or restored, first fetches the records of
 //! other voters, or waits until everything that this voter may have lost has expired.
 //!
 //! A write is acknowledged by a majority, M of N voters. A voter that lost such a write has it
 //! again once M other voting voters have sent all their records: at least M - 1 of the N - 1 others
-//! have the write, and any M - 1 and any M of N - 1 voters overlap in at least one.
+//! have the write, and any M - 1 and any M of N - 1 voters overlap in at least one voter.
 
 use std::collections::BTreeSet;
 
--- a/crates/replication/src/claims.rs
+++ b/crates/replication/src/claims.rs
@@ -1,7 +1,7 @@
 //! Claims that this gateway makes, and the records that it has written itself.
 //!
 //! Before a gateway sends a request to an engine, it claims the request's key at all voters. The
-//! claim is granted once a majority of the voters has stored it durably and none of them reports an
+//! claim is granted once a majority of the voters has stored it durably and none of these reports an
 //! earlier run of the key that the balancer does not know of. The claim and the query for earlier
 //! runs are one message, so a first attempt costs one round trip. A voter merges a claim before it
 //! replies, and two majorities have a voter in common, so of two claims on a key at least one
@@ -255,7 +255,7 @@
     /// Counts the vote of a voter that has stored a claim. Returns the verdict once there is one.
     ///
     /// A vote that is processed after the timeout, for example because the process was suspended,
-    /// doesn't grant the claim: voters may have dropped their record of it by then.
+    /// doesn't grant the claim: voters may have dropped the claim's record by then.
     pub fn on_accepted(
         &mut self,
         now: Micros,
--- a/crates/replication/src/drains.rs
+++ b/crates/replication/src/drains.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the drain that overrides a gateway's own endpoint list with number
+    /// Returns the drain that overrides a gateway's own endpoint list with sequence number
     /// `list_event_number`, in which the engine process that started at `booted_at` is ready.
     pub fn overriding(&self, engine: u32, booted_at: u64, list_event_number: u64) -> Option<Drain> {
         let drain = self.latest.get(&engine)?;
