--- a/crates/event-log/src/reader/mod.rs
+++ b/crates/event-log/src/reader/mod.rs
@@ -1,6 +1,6 @@
-//! Reads logs: the segments of any number of gateways and directories as one stream of entries in
-//! order of time, with one frame of each gateway in memory at a time. Damaged parts are skipped and
-//! reported as [`Problem`]s. No entry is returned twice.
+//! Reads logs: the segments of any number of gateways and directories as one stream of entries,
+//! sorted by time, with one frame of each gateway in memory at a time. Damaged parts are skipped
+//! and reported as [`Problem`]s. No entry is returned twice.
 //!
 //! [`MergedReader`] is the entry point. Below it, `stream` reads the segments of one run of one
 //! gateway and `segments` lists the files. A run lasts from the start of a gateway's process to its
--- a/crates/replication/src/claims.rs
+++ b/crates/replication/src/claims.rs
@@ -1,11 +1,11 @@
 //! Claims that this gateway makes, and the records that it has written itself.
 //!
 //! Before a gateway sends a request to an engine, it claims the request's key at all voters. The
-//! claim is granted once a majority of the voters has stored it durably and none of these reports an
-//! earlier run of the key that the balancer does not know of. The claim and the query for earlier
-//! runs are one message, so a first attempt costs one round trip. A voter merges a claim before it
-//! replies, and two majorities have a voter in common, so of two claims on a key at least one
-//! learns of the other.
+//! claim is granted once a majority of the voters has stored it durably and none of these voters
+//! reports an earlier run of the key that the balancer does not know of. The claim and the query
+//! for earlier runs are one message, so a first attempt costs one round trip. A voter merges a
+//! claim before it replies, and two majorities have a voter in common, so of two claims on a key,
+//! at least one claimant learns of the other claim.
 
 use std::collections::{BTreeMap, BTreeSet};
 
