--- a/crates/fleet-test/src/world/steps.rs
+++ b/crates/fleet-test/src/world/steps.rs
@@ -196,7 +196,7 @@
                 self.record_step(format!("the disk of {name} works again"));
             }
             Undo::ContinueGateway(name) => {
-                self.signal(&name, Signal::CONT, ProcessChange::Continued)
+                self.signal(&name, Signal::CONT, ProcessChange::Continued);
             }
         }
     }
