--- a/crates/result-spool/benches/choices.rs
+++ b/crates/result-spool/benches/choices.rs
@@ -20,8 +20,8 @@
     delivered_retention: 10_000_000,
 };
 const PAGE_BYTES: u64 = 6000;
-/// Rates in bytes per second: of an engine for one result, of a fast and of a slow client, and of
-/// the disk.
+/// Rates in bytes per second: at which an engine sends one result, at which a fast and a slow
+/// client read, and at which the disk writes.
 const ENGINE_RATE: f64 = 20e6;
 const FAST_CLIENT_RATE: f64 = 5e6;
 const SLOW_CLIENT_RATE: f64 = 50e3;
@@ -38,7 +38,7 @@
     /// Large results of tenants that don't flood.
     other_tenants: u64,
     other_tenants_served: u64,
-    /// Bytes of results that failed half way or were dropped before they were read.
+    /// Bytes of results that failed halfway or were dropped before a client had read them.
     wasted_bytes: u64,
     bytes: u64,
 }
--- a/crates/result-spool/src/limits.rs
+++ b/crates/result-spool/src/limits.rs
@@ -5,7 +5,7 @@
 /// Fraction of the total space that one tenant may claim while space is short: one tenant that
 /// floods the spool leaves the larger part to others, and two still leave some.
 pub const TENANT_SHARE: f64 = 0.4;
-/// The same for one client address.
+/// Fraction of the total space that one client address may claim while space is short.
 pub const ADDRESS_SHARE: f64 = 0.25;
 /// Shares are enforced only if more than this fraction of the total space would be claimed: with
 /// enough free space nobody gains from a rejection.
@@ -21,21 +21,21 @@
 pub const MOVE_HIGH_MARK: f64 = 0.8;
 /// Fraction of the memory down to which pages move to disk.
 pub const MOVE_LOW_MARK: f64 = 0.6;
-/// Number of pages that stay in memory ahead of a reader: as many as a fast client asks for within
+/// Number of pages that stay in memory ahead of a reader: as many as a fast client requests within
 /// one or two iterations of the event loop.
 pub const NEAR_PAGES: usize = 4;
 /// Time constant of the decaying average of the rate at which space is freed, in microseconds: long
 /// enough that a single large delivery doesn't dominate it.
 pub const DRAIN_TIME_CONSTANT: f64 = 5e6;
-/// Minimum advice to clients when to retry, in microseconds: earlier retries would be a storm.
+/// Minimum retry-after hint for clients, in microseconds. Shorter hints would cause a retry storm.
 pub const MIN_RETRY_AFTER: Micros = 100_000;
-/// Maximum advice to clients when to retry, in microseconds: the rate can't be predicted further
-/// ahead.
+/// Maximum retry-after hint for clients, in microseconds: the rate at which space is freed can't be
+/// predicted further ahead.
 pub const MAX_RETRY_AFTER: Micros = 30_000_000;
 /// Maximum number of results, whatever their sizes.
 pub const MAX_RESULTS: usize = 65_536;
-/// Minimum read-ahead, in bytes: a page must always be in transit, or the engine is idle between
-/// two pages.
+/// Minimum read-ahead, in bytes: a page must always be in transit, or else the engine is idle
+/// between two pages.
 pub const MIN_READ_AHEAD: u64 = 12_000;
 
 /// The space and retention times that the operator configures.
@@ -47,14 +47,15 @@
     pub disk: u64,
     /// Maximum size of a single result, in bytes.
     pub max_result_bytes: u64,
-    /// How long a result that no client has received completely is kept after its last use.
+    /// How long a result that no client has received completely is stored after its last use.
     pub unclaimed_retention: Micros,
-    /// How long a delivered result is kept after its last use, for a client that asks for it again.
+    /// How long a delivered result is stored after its last use, for a client that asks for it
+    /// again.
     pub delivered_retention: Micros,
 }
 
 impl Budget {
-    /// Bytes in memory and on disk.
+    /// Returns the total space for pages, in memory and on disk, in bytes.
     pub fn total(&self) -> u64 {
         self.memory + self.disk
     }
--- a/crates/result-spool/src/run_registry.rs
+++ b/crates/result-spool/src/run_registry.rs
@@ -1,20 +1,20 @@
-//! Finds the run of a request that is sent again: the request is attached to the run while it is in
-//! progress, gets the same answer after it, and an error once the answer was dropped. A second run
-//! is never started.
+//! Finds the run of a request that is resent. While the run is in progress, the request waits for
+//! its answer; after the run has ended, the request gets the stored answer, or an error once that
+//! was dropped. A second run is never started.
 
 use std::collections::{BTreeMap, VecDeque};
 
 /// The name of a run: the request's idempotency key, or else the id of the first request.
 pub type RunName = Box<str>;
 
-/// Maximum number of names that are remembered after their answers were dropped; then the oldest
-/// are forgotten.
+/// Maximum number of names that are retained after their answers were dropped. When it is exceeded,
+/// the oldest name is removed.
 const MAX_DROPPED_NAMES: usize = 65_536;
-/// Maximum number of requests that wait for one run. They are retries of one client, so more than a
-/// few are a fault of that client.
+/// Maximum number of requests that wait for one run. They are retries by one client, so more than a
+/// few indicate a fault in that client.
 const MAX_WAITERS: usize = 16;
 
-/// What becomes of a request that has arrived.
+/// How a request that has arrived is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Arrival<A> {
     /// The name is unknown: the request starts a new run.
@@ -25,23 +25,24 @@
     Answered(A),
     /// The run has ended and its answer was dropped: the request fails.
     Gone,
-    /// Too many requests wait for this run already: the request is rejected.
+    /// The maximum number of requests is waiting for this run: the request is rejected.
     TooManyWaiters,
 }
 
 enum Run<W, A> {
-    /// In progress, with those that wait for its answer.
+    /// In progress, with the requests that are waiting for its answer.
     Running(Vec<W>),
     Ended(A),
 }
 
 /// Runs by name. `W` identifies a waiting request; `A` is an answer, which is cloned and should be
-/// small, such as the number of a result.
+/// small, such as the ID of a result.
 pub struct RunRegistry<W, A> {
     runs: BTreeMap<RunName, Run<W, A>>,
     /// Names whose answers were dropped, with the value of `drop_count` at that time.
     dropped_names: BTreeMap<RunName, u64>,
-    /// The same, oldest first. A name that was dropped again later has an outdated entry as well.
+    /// The same names and values, oldest first. A name whose answer was dropped again later also
+    /// has an outdated entry here.
     drop_order: VecDeque<(RunName, u64)>,
     /// Number of answers dropped so far.
     drop_count: u64,
@@ -64,14 +65,14 @@
         }
     }
 
-    /// Number of runs in progress or with a kept answer, and number of remembered names whose
-    /// answers were dropped.
+    /// Returns the number of runs that are in progress or whose answer is still stored, and the
+    /// number of run names retained after their answers were dropped.
     pub fn len(&self) -> (usize, usize) {
         (self.runs.len(), self.dropped_names.len())
     }
 
-    /// Whether a name is known: its run is in progress, its answer is kept, or it is remembered
-    /// that the answer was dropped.
+    /// Returns whether a name is known: its run is in progress, its answer is stored, or the name
+    /// is retained after its answer was dropped.
     pub fn contains(&self, name: &str) -> bool {
         self.runs.contains_key(name) || self.dropped_names.contains_key(name)
     }
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Removes a waiting request. Returns true if the run is in progress and none waits for it now.
+    /// Removes a waiting request. Returns true if the run is in progress and no other request is
+    /// waiting for it.
     pub fn detach(&mut self, name: &str, waiter: &W) -> bool {
         match self.runs.get_mut(name) {
             Some(Run::Running(waiters)) => {
@@ -105,8 +107,8 @@
         }
     }
 
-    /// Ends a run with its answer. Returns all requests that wait for it; empty if the run wasn't
-    /// in progress.
+    /// Ends a run with its answer. Returns all requests that were waiting for the answer; empty if
+    /// the run wasn't in progress.
     pub fn finish(&mut self, name: &str, answer: A) -> Vec<W> {
         match self.runs.get_mut(name) {
             Some(run @ Run::Running(_)) => match std::mem::replace(run, Run::Ended(answer)) {
@@ -118,7 +120,7 @@
     }
 
     /// Removes a run that was rejected before anything ran, so that the name can be used again.
-    /// Returns all requests that wait for it.
+    /// Returns all requests that were waiting for the run.
     pub fn withdraw(&mut self, name: &str) -> Vec<W> {
         match self.runs.remove(name) {
             Some(Run::Running(waiters)) => waiters,
@@ -130,7 +132,8 @@
         }
     }
 
-    /// Drops the answer of a run that has ended. Its name is remembered as dropped.
+    /// Drops the answer of a run that has ended. The run's name is retained, so that the request
+    /// fails if it is resent.
     pub fn drop_answer(&mut self, name: &str) {
         if !matches!(self.runs.get(name), Some(Run::Ended(_))) {
             return;
@@ -145,7 +148,7 @@
             let Some((name, number)) = self.drop_order.pop_front() else {
                 return;
             };
-            // A different number means that the name was dropped again later.
+            // A different number means that an answer of the same name was dropped again later.
             if self.dropped_names.get(&name) == Some(&number) {
                 self.dropped_names.remove(&name);
             }
--- a/crates/result-spool/src/run_registry/tests.rs
+++ b/crates/result-spool/src/run_registry/tests.rs
@@ -1,4 +1,4 @@
-//! Guards against a second run of a request that is sent again, and against unbounded memory.
+//! Guards against a second run of a request that is resent, and against unbounded memory.
 
 use super::*;
 
--- a/crates/result-spool/src/segments.rs
+++ b/crates/result-spool/src/segments.rs
@@ -4,15 +4,15 @@
 
 use std::collections::BTreeMap;
 
-/// Size in bytes of the header before each page: magic bytes, checksum, result, page, length, and
-/// four zero bytes.
+/// Size in bytes of the header before each page: magic bytes, checksum, result ID, page index,
+/// length, and four zero bytes.
 pub const HEADER_BYTES: usize = 28;
 const MAGIC: [u8; 4] = [0x5b, 0x9e, 0xd1, 0x07];
 
 /// The position of a page on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PagePosition {
-    /// Number of the segment, from 1 in each start of the process.
+    /// ID of the segment, counted from 1 after each start of the process.
     pub segment: u64,
     /// Offset of the page's header in the segment, in bytes.
     pub offset: u64,
@@ -24,9 +24,10 @@
 pub struct Segments {
     max_bytes: u64,
     next_segment: u64,
-    /// The segment that is appended to, and its length.
+    /// ID and length in bytes of the segment that pages are appended to; `None` if the next page
+    /// starts a new segment.
     open_segment: Option<(u64, u64)>,
-    /// Bytes of pages not yet freed, by segment.
+    /// Bytes of pages that aren't freed yet, by segment ID.
     live_bytes: BTreeMap<u64, u64>,
 }
 
@@ -42,12 +43,12 @@
         }
     }
 
-    /// Number of segments.
+    /// Returns the number of segments that exist.
     pub fn len(&self) -> usize {
         self.live_bytes.len()
     }
 
-    /// Whether there are no segments.
+    /// Returns whether there are no segments.
     pub fn is_empty(&self) -> bool {
         self.live_bytes.is_empty()
     }
@@ -74,16 +75,16 @@
         (position, starts_segment)
     }
 
-    /// Closes the segment that is appended to, because a write to it failed and data after that
-    /// can't be relied on. Returns its number if it must be removed, as none of its pages is
-    /// needed.
+    /// Closes the segment that pages are appended to, because a write to it failed and data after
+    /// the failed write can't be relied on. Returns the segment's ID if the segment must be removed
+    /// because none of its pages is needed.
     pub fn abandon(&mut self) -> Option<u64> {
         let (segment, _) = self.open_segment.take()?;
         self.remove_if_unused(segment)
     }
 
-    /// Frees a page. Returns the number of its segment if that must be removed, as none of its
-    /// pages is needed any longer.
+    /// Frees a page. Returns the ID of its segment if the segment must be removed because none of
+    /// its pages is needed any longer.
     pub fn free(&mut self, position: PagePosition) -> Option<u64> {
         let live_bytes = self.live_bytes.get_mut(&position.segment)?;
         *live_bytes = live_bytes.saturating_sub(position.length as u64);
@@ -120,7 +121,7 @@
     hasher.finalize()
 }
 
-/// Returns the page after the header in `bytes`, or `None` if that isn't the given page or is
+/// Returns the page after the header in `bytes`, or `None` if the bytes contain another page or are
 /// damaged.
 pub fn verify_page(bytes: &[u8], result: u64, page: u32) -> Option<&[u8]> {
     let (actual_header, page_bytes) = bytes.split_at_checked(HEADER_BYTES)?;
--- a/crates/result-spool/src/size.rs
+++ b/crates/result-spool/src/size.rs
@@ -1,6 +1,6 @@
 //! Learns how large results are, by class and tenant, from completed results: a decaying histogram
-//! with bins of a quarter of an octave. The estimate is a high quantile, since a result that is
-//! larger than expected may fail half way.
+//! with four bins per octave. The estimate is a high quantile, since a result that is larger than
+//! expected may fail halfway.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,21 @@
 const BINS: usize = 124;
 /// Upper bound of the first bin, in bytes.
 const FIRST_BIN: f64 = 1024.0;
-/// Weight of each outcome relative to the one before, so that about the last two hundred outcomes
-/// determine the estimate.
+/// Weight of each outcome relative to the one before. With this factor, about the last two hundred
+/// outcomes determine the estimate.
 const WEIGHT_GROWTH: f64 = 1.005;
 /// All weights are scaled down when the weight of the next outcome exceeds this.
 const MAX_WEIGHT: f64 = 1e12;
 /// Fraction of results that are no larger than the estimate.
 const QUANTILE: f64 = 0.95;
-/// Minimum number of outcomes of a class, or of a class and tenant, for an estimate of its own.
+/// Minimum number of outcomes for a class, or for a class and tenant, before it gets its own
+/// estimate.
 const MIN_OUTCOMES: u32 = 8;
 /// One in this many rejections based on learned sizes is bypassed: sizes change, and the cost of a
 /// wrong guess is one result that fails.
 const REJECTIONS_PER_BYPASS: u64 = 16;
-/// Maximum number of pairs of class and tenant; the one unused for longest is dropped.
+/// Maximum number of pairs of class and tenant; when it is exceeded, the pair unused for longest is
+/// dropped.
 const MAX_PAIRS: usize = 1024;
 
 /// A histogram of result sizes.
@@ -110,8 +112,8 @@
     }
 
     /// Counts a rejection based on learned sizes and returns whether the request should be admitted
-    /// nevertheless. Rejected requests give no new outcomes, so without this the estimate could
-    /// never fall again.
+    /// nevertheless. Rejected requests give no new outcomes, so without these bypasses the estimate
+    /// could never fall again.
     pub fn should_bypass_rejection(&mut self) -> bool {
         self.rejections = (self.rejections + 1) % REJECTIONS_PER_BYPASS;
         self.rejections == 0
--- a/crates/result-spool/src/state.rs
+++ b/crates/result-spool/src/state.rs
@@ -6,16 +6,16 @@
 use crate::limits::*;
 use crate::Micros;
 
-/// The number of a result, assigned by the host.
+/// The ID of a result, assigned by the host.
 pub type ResultId = u64;
 
-/// The owner of a result, by whom the spool's space is divided into fair shares. Both numbers are
-/// assigned by the host.
+/// The owner of a result: the spool's space is divided fairly among tenants and among addresses.
+/// Both IDs are assigned by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Owner {
     /// The tenant of the request.
     pub tenant: u32,
-    /// The client's network address, mapped to a number.
+    /// The client's network address, mapped to an ID.
     pub address: u64,
 }
 
@@ -26,14 +26,15 @@
     TooLarge,
     /// All space is used, or claimed by results that are still being received.
     Full,
-    /// The tenant already claims its share while space is short; see [`TENANT_SHARE`].
+    /// Space is short, and the result would exceed the tenant's share; see [`TENANT_SHARE`].
     TenantsShare,
-    /// The client's address already claims its share while space is short; see [`ADDRESS_SHARE`].
+    /// Space is short, and the result would exceed the share of the client's address; see
+    /// [`ADDRESS_SHARE`].
     AddressShare,
 }
 
 impl RejectReason {
-    /// The reason as it is sent to clients.
+    /// Returns the reason as it is sent to clients.
     pub fn as_str(self) -> &'static str {
         match self {
             RejectReason::TooLarge => "too-large",
@@ -44,7 +45,7 @@
     }
 }
 
-/// Whether a new result may be stored.
+/// The decision whether a new result may be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// There is room once the host has dropped these results with [`Spool::drop_result`].
@@ -119,7 +120,7 @@
     owner: Owner,
     /// Expected size in bytes, claimed until the result has ended.
     expected: u64,
-    /// Size of the pages received so far.
+    /// Size of the pages received so far, in bytes.
     bytes: u64,
     /// The part of `bytes` that is in memory.
     in_memory: u64,
@@ -135,8 +136,8 @@
 }
 
 impl StoredResult {
-    /// Bytes counted against the budget: the expected size while pages arrive, if it is larger than
-    /// what has been received.
+    /// Returns the bytes counted against the budget: the expected size while pages are arriving, if
+    /// that is larger than the received size; otherwise the received size.
     fn claimed_bytes(&self) -> u64 {
         if self.state == State::Filling {
             self.expected.max(self.bytes)
@@ -172,13 +173,13 @@
     }
 }
 
-/// All stored results and the space that they use. The pages themselves are held by the host.
+/// All stored results and the space that they use. The host stores the pages themselves.
 pub struct Spool {
     budget: Budget,
     policy: Policy,
     results: BTreeMap<ResultId, StoredResult>,
-    /// Results that may be dropped, in the order in which they are: by whether they are
-    /// undelivered, then by the time of their last use.
+    /// Results that may be dropped, in the order of dropping: delivered ones before undelivered
+    /// ones, then by the time of their last use.
     drop_candidates: BTreeSet<(bool, Micros, ResultId)>,
     memory_used: u64,
     disk_used: u64,
@@ -232,28 +233,28 @@
         }
     }
 
-    /// Number of results, including those still being received.
+    /// Returns the number of results, including results that are still being received.
     pub fn len(&self) -> usize {
         self.results.len()
     }
 
-    /// Whether there are no results.
+    /// Returns whether there are no results.
     pub fn is_empty(&self) -> bool {
         self.results.is_empty()
     }
 
-    /// Whether a result is stored or being received.
+    /// Returns whether a result is stored or being received.
     pub fn contains(&self, id: ResultId) -> bool {
         self.results.contains_key(&id)
     }
 
-    /// Bytes used in memory, used on disk, and claimed in total.
+    /// Returns the bytes used in memory, used on disk, and claimed in total.
     pub fn used(&self) -> (u64, u64, u64) {
         (self.memory_used, self.disk_used, self.claimed)
     }
 
-    /// Total space in bytes. While writes to disk fail, only the part of the disk that is already
-    /// used counts.
+    /// Returns the total space in bytes. While writes to disk fail, only the disk space in use
+    /// counts.
     fn total(&self, now: Micros) -> u64 {
         match self.disk_fails_until {
             Some(until) if now < until => self.budget.memory + self.disk_used,
@@ -286,14 +287,14 @@
         if self.policy.enforces_shares && wanted as f64 > SHARE_PRESSURE * total as f64 {
             let share_excess = |sum: Option<&u64>, share: f64| {
                 let limit = (total as f64 * share) as u64;
-                // An owner that claims nothing yet may always store a single result.
+                // An owner that claims no space may always store a single result.
                 sum.map_or(0, |sum| (sum + expected).saturating_sub(limit))
             };
             let mut tenant_excess =
                 share_excess(self.claimed_by_tenant.get(&owner.tenant), TENANT_SHARE);
             let mut address_excess =
                 share_excess(self.claimed_by_address.get(&owner.address), ADDRESS_SHARE);
-            // The owner's own delivered results are dropped before it is rejected.
+            // The owner's own delivered results are dropped before its request is rejected.
             let delivered = self
                 .drop_candidates
                 .iter()
@@ -354,7 +355,8 @@
         Admission::Admitted { to_drop }
     }
 
-    /// Estimates how long it takes until the missing bytes are freed, from the recent rate.
+    /// Estimates how long it takes until the missing bytes are freed, from the recent rate at which
+    /// space was freed.
     fn estimate_retry_after(&self, missing: u64) -> Micros {
         let wait = missing as f64 / self.drain_rate.max(1e-9);
         (wait as Micros).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
@@ -392,9 +394,9 @@
 
     // ---- Pages ----
 
-    /// Bytes of further pages that may be requested from the engine now: the rest of the expected
-    /// size, but at most half of the free memory. Pages of slow readers move to disk meanwhile, so
-    /// that the engine is free long before the client has read its result.
+    /// Returns how many bytes of further pages may be requested from the engine now: the rest of
+    /// the expected size, but at most half of the free memory. Meanwhile, pages of slow readers
+    /// move to disk, so the engine is free long before the client has read its result.
     pub fn read_ahead_bytes(&self, id: ResultId) -> u64 {
         let Some(stored) = self
             .results
@@ -467,7 +469,7 @@
         self.add_drop_candidate(id);
     }
 
-    /// Adds a result to those that may be dropped, if it is one.
+    /// Adds a result to the drop candidates if it may be dropped.
     fn add_drop_candidate(&mut self, id: ResultId) {
         if let Some(stored) = self.results.get(&id).filter(|stored| stored.is_droppable()) {
             // Once its clients have been notified, a failed result isn't needed any longer, just
@@ -500,7 +502,7 @@
         true
     }
 
-    /// Removes a reader. `delivered`: it has received the whole result.
+    /// Removes a reader. `delivered` is true if the reader has received the whole result.
     pub fn close_reader(&mut self, id: ResultId, delivered: bool, now: Micros) {
         if let Some(stored) = self
             .results
@@ -517,8 +519,8 @@
         }
     }
 
-    /// Returns where a page is and notes that it is read now, which decides on the pages that stay
-    /// in memory.
+    /// Returns where a page is and records that it is being read. [`Spool::choose_moves`] leaves
+    /// the next [`NEAR_PAGES`] pages in memory.
     pub fn locate_page(&mut self, id: ResultId, page: usize, now: Micros) -> PageLocation {
         let Some(stored) = self.results.get_mut(&id) else {
             return PageLocation::Gone;
@@ -543,15 +545,15 @@
 
     // ---- Memory to disk ----
 
-    /// Chooses the pages to write to disk now: none up to [`MOVE_HIGH_MARK`], above it as many as
-    /// bring the memory down to [`MOVE_LOW_MARK`]. The order is: results without a reader except
-    /// for their first pages, the longest unused first; pages that readers have passed; pages
-    /// furthest ahead of a reader; the first pages of results without a reader. The next
-    /// [`NEAR_PAGES`] pages of a reader stay in memory.
+    /// Chooses the pages to write to disk now: none while memory use is at most [`MOVE_HIGH_MARK`],
+    /// above that mark as many as bring the use down to [`MOVE_LOW_MARK`]. The order is: results
+    /// without a reader except for their first pages, the longest unused first; pages that readers
+    /// have passed; pages furthest ahead of a reader; the first pages of results without a reader.
+    /// The next [`NEAR_PAGES`] pages of a reader stay in memory.
     pub fn choose_moves(&self, now: Micros) -> Vec<SpoolAction> {
         let mark = |part: f64| (self.budget.memory as f64 * part) as u64;
-        // Pages being written don't count, so that the pages are scanned once for many that arrive,
-        // not for each.
+        // Pages being written don't count. So the pages are scanned once for many arriving pages,
+        // not for each of them.
         let staying = self.memory_used - self.moving_bytes;
         if staying <= mark(MOVE_HIGH_MARK) || self.disk_fails_until.is_some_and(|until| now < until)
         {
@@ -628,7 +630,7 @@
         }
     }
 
-    /// Whether a page is being written to disk.
+    /// Returns whether a page is being written to disk.
     pub fn is_moving(&self, id: ResultId, page: usize) -> bool {
         let page = self
             .results
@@ -663,8 +665,8 @@
 
     // ---- Expiry ----
 
-    /// The time at which a result expires unless it is used before; `None` while it has readers or
-    /// is being received, or if it doesn't exist.
+    /// Returns the time at which a result expires unless it is used before that; `None` if the
+    /// result has readers, is being received or doesn't exist.
     pub fn expiry(&self, id: ResultId) -> Option<Micros> {
         let stored = self
             .results
--- a/crates/result-spool/src/token.rs
+++ b/crates/result-spool/src/token.rs
@@ -7,15 +7,17 @@
 
 const BODY_BYTES: usize = 8 + 8 + 4 + 8;
 const MAC_BYTES: usize = 16;
-/// Number of characters of a token, without padding, so that it can be used in a field unescaped.
+/// Number of characters in a token, which has no padding, so that it can be used in a field
+/// unescaped.
 pub const TOKEN_LENGTH: usize = (BODY_BYTES + MAC_BYTES).div_ceil(3) * 4 - 1;
 
 /// The content of a page token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// The number of the result.
+    /// The ID of the result.
     pub result: u64,
-    /// Time at which the gateway that issued the token started; results don't outlive its process.
+    /// Time at which the gateway that issued the token started; results don't outlive the gateway's
+    /// process.
     pub epoch: Micros,
     /// Index of the page in the result, from 0.
     pub page: u32,
@@ -29,10 +31,10 @@
     /// Not a token, signed with another key, or issued to another client.
     #[error("the token can't be used: it is no token of this service, or of another client")]
     Forged,
-    /// Past its time.
+    /// The token's time of expiry has passed.
     #[error("the token is too old")]
     Expired,
-    /// Issued by an earlier start of the gateway, whose results are gone.
+    /// Issued before the gateway was restarted, so the result no longer exists.
     #[error("the token is from before a restart; its result is gone")]
     Gone,
 }
@@ -82,7 +84,7 @@
     }
 
     /// Checks a token that a client has sent. Both keys are tried and the whole token is hashed
-    /// whatever the text is, so that the time taken reveals nothing.
+    /// whatever the text is, so that the time taken reveals nothing about the keys.
     ///
     /// # Errors
     ///
--- a/crates/result-spool/src/worker.rs
+++ b/crates/result-spool/src/worker.rs
@@ -1,6 +1,6 @@
 //! The thread that writes and reads pages, so that the event loop never waits for the disk. Jobs
-//! are passed over a bounded channel; their outcomes return over another one, and the event loop is
-//! woken for each.
+//! are passed over a bounded channel; their outcomes are returned over another one, and the event
+//! loop is woken for each.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -14,7 +14,7 @@
 use crate::segments::{encode_header, verify_page, PagePosition, HEADER_BYTES};
 use crate::state::ResultId;
 
-/// Maximum number of queued jobs; more are rejected, and the caller tries again later.
+/// Maximum number of queued jobs; further jobs are rejected, and the caller resubmits them later.
 const MAX_QUEUED_JOBS: usize = 256;
 const FILE_PREFIX: &str = "spool-";
 /// How long the process waits for the thread when it stops.
@@ -31,7 +31,8 @@
         page: u32,
         /// The position from [`Segments::allocate`](crate::segments::Segments::allocate).
         position: PagePosition,
-        /// The page is the first of its segment, whose file is created.
+        /// Set for the first page of a segment: the worker creates the segment's file before it
+        /// writes.
         starts_segment: bool,
         /// The page without its header.
         bytes: Vec<u8>,
@@ -47,7 +48,7 @@
     },
     /// Removes a segment's file. It is not reported as a [`FinishedJob`].
     Remove {
-        /// Number of the segment.
+        /// ID of the segment, from [`PagePosition::segment`].
         segment: u64,
     },
 }
@@ -61,7 +62,7 @@
         result: ResultId,
         /// Index of the page in the result, from 0.
         page: u32,
-        /// The position that the job named.
+        /// The position given in the job.
         position: PagePosition,
         /// The error if the write failed; part of the page may have been written then.
         outcome: io::Result<()>,
@@ -164,7 +165,7 @@
 
 impl Worker {
     /// Starts the thread. `name` is the gateway's name and `epoch` the time of its start: both are
-    /// part of file names, and files that an earlier start of the same name left behind are
+    /// part of file names, and files that an earlier process of the same gateway left behind are
     /// removed. `wake` is called after each finished job.
     ///
     /// # Errors
@@ -209,7 +210,7 @@
         })
     }
 
-    /// Returns the jobs that were finished since the last call.
+    /// Returns the outcomes of the jobs that were finished since the last call.
     pub fn finished_jobs(&self) -> impl Iterator<Item = FinishedJob> + '_ {
         self.finished.try_iter()
     }
@@ -219,7 +220,7 @@
 impl Drop for Worker {
     fn drop(&mut self) {
         self.jobs = None;
-        // Nobody receives outcomes any longer, so that the thread doesn't block on sending them.
+        // Closes the channel of outcomes, so that the thread doesn't block on sending them.
         self.finished = sync_channel(0).1;
         // A slow disk must not delay the end of the process any further.
         let (deadline, thread) = (Instant::now() + SHUTDOWN_TIMEOUT, self.thread.take());
@@ -300,7 +301,7 @@
         }
     }
 
-    /// Removes files of an earlier start, whose results are lost.
+    /// Removes files left behind by an earlier process of this gateway: their results are lost.
     fn remove_leftover_files(&mut self) {
         let names = self.disk.list().unwrap_or_default();
         let leftover_files: Vec<String> = names
--- a/crates/result-spool/tests/disk.rs
+++ b/crates/result-spool/tests/disk.rs
@@ -12,8 +12,8 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A directory whose writes fail from a certain one on, a certain number of times. A failed write
-/// leaves half of its bytes.
+/// A directory in which a given number of consecutive writes fail, beginning with a given write. A
+/// failed write leaves half of its bytes in the file.
 struct FailingDisk {
     inner: Directory,
     writes_before_failure: Arc<AtomicI64>,
@@ -134,7 +134,7 @@
         };
         assert_eq!(outcome.unwrap(), page_bytes(*result, *number));
     }
-    // Reading a page as one of another result must fail.
+    // Reading a page as a page of another result must fail.
     let position = positions[&(0, 0)];
     worker
         .submit(DiskJob::Read {
--- a/crates/result-spool/tests/model.rs
+++ b/crates/result-spool/tests/model.rs
@@ -276,7 +276,8 @@
         },
         100 * KB
     ));
-    // Its delivered results are dropped before it is rejected, but no more of them than necessary.
+    // The owner's delivered results are dropped before its request is rejected, but no more of them
+    // than necessary.
     let ids: Vec<u64> = (1..=claimed / (100 * KB))
         .map(|number| number * 100 * KB)
         .collect();
@@ -378,7 +379,7 @@
     assert!(!spool.choose_moves(1_000_001).is_empty());
 }
 
-/// Guards against retry advice that doesn't depend on how fast space is freed.
+/// Guards against retry-after hints that don't depend on how fast space is freed.
 #[test]
 fn retry_advice_follows_the_rate_at_which_space_is_freed() {
     let retry_after = |drained: u64| {
