--- a/crates/cli/benches/day.rs
+++ b/crates/cli/benches/day.rs
@@ -12,7 +12,7 @@
 
 const ENTRIES: u64 = 10_000_000;
 
-/// Peak resident memory of a process in MB, as the kernel reports it.
+/// Returns the peak resident memory of a process in MB, as reported by the kernel.
 fn peak_memory(process: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
@@ -64,7 +64,7 @@
         }
         number += 1;
         if number % 2000 == 0 {
-            // Lets the writer thread keep up, so that no entry is left out.
+            // Lets the writer thread keep up, so that no entry is dropped.
             std::thread::sleep(Duration::from_millis(4));
         }
     }
--- a/crates/cli/benches/spool.rs
+++ b/crates/cli/benches/spool.rs
@@ -75,7 +75,7 @@
 }
 
 /// Reads one result at a rate in bytes per second, or as fast as possible if `rate` is `None`,
-/// until the result ends or `stop` is set. Returns the bytes read.
+/// until the result ends or `stop` is set. Returns the number of bytes read.
 fn read_result(client: &mut Client, id: &str, rate: Option<f64>, stop: &AtomicBool) -> usize {
     let mut fields = fields(id, "15000");
     fields.push(("p", "1"));
@@ -154,7 +154,8 @@
     (median, p99)
 }
 
-/// Results per second that eight fast clients read, next to the given number of slow ones.
+/// Returns how many results per second eight fast clients read while the given number of slow
+/// clients also read.
 fn throughput(slow: usize) -> f64 {
     let directory = tempfile::tempdir().expect("a directory");
     let (gateway, _times, _bulletin) = start_gateway(20, directory.path());
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -109,8 +109,9 @@
     Ok(())
 }
 
-/// Line and column of the member whose path a message names in quotes. If the text contains only
-/// the first parts of the path, those of the last part found; if none, those of the beginning.
+/// Returns the line and column of the member whose path `message` contains in quotes. If the text
+/// contains only the first parts of the path, returns the position of the last part found; if it
+/// contains none, the beginning of the text.
 fn find_member(text: &str, message: &str) -> (usize, usize) {
     let path = message.split('\'').nth(1).unwrap_or("");
     let mut position = 0;
@@ -131,7 +132,7 @@
     line_and_column(text, found)
 }
 
-/// Line and column of a byte position, both from 1. Columns count characters.
+/// Returns the line and column of a byte position, both counted from 1. Columns count characters.
 fn line_and_column(text: &str, position: usize) -> (usize, usize) {
     let before = &text[..position];
     let line_start = before.rfind('\n').map_or(0, |end| end + 1);
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -46,13 +46,13 @@
         /// Why the file can't be read.
         problem: StatusFileProblem,
     },
-    /// Some gateways reach no majority of voters; their names.
+    /// Some gateways reach no majority of voters. Contains the names of these gateways.
     #[error(
         "no majority of keepers at {0}: keyed and unsafe requests are refused there, or sent at the risk \
          of a second effect"
     )]
     NoMajority(String),
-    /// Fewer than two voters were named, so that there are no replicas to compare.
+    /// Fewer than two voters were named, so there are no replicas to compare.
     #[error("copies are compared between keepers; expected the store-dir of two or more keepers")]
     TooFewVoters,
     /// A store can't be used.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -48,7 +48,7 @@
         self.0[name] == true
     }
 
-    /// The role of the gateway, as `fleet status` prints it.
+    /// Returns the gateway's role, as `fleet status` prints it.
     fn role(&self) -> &'static str {
         match (self.is_true("keeper"), self.is_true("votes")) {
             (false, _) => "asker",
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The age of the status file, as `fleet status` prints it.
+    /// Returns the age of the status file, as `fleet status` prints it.
     fn age(&self) -> String {
         let age_ms = now_ms().saturating_sub(self.number("at_ms"));
         if age_ms > MAX_STATUS_AGE_MS {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Names of the peers in the given state.
+    /// Returns the names of the peers in the given state.
     fn peers_in(&self, state: &str) -> Vec<&str> {
         let peers = self.0["peers"].as_object().into_iter().flatten();
         let peers = peers.filter(|(_, peer)| peer["state"] == state);
@@ -179,7 +179,7 @@
     Ok(())
 }
 
-/// For each task, the greatest term that any gateway knows, and the owner in that term.
+/// Returns, for each task, the highest term that any gateway knows, and the owner in that term.
 fn greatest_terms(statuses: &[Status]) -> BTreeMap<u64, (u64, u64)> {
     let mut greatest: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
     let terms = statuses
@@ -259,7 +259,7 @@
     ))
 }
 
-/// Bytes as hexadecimal digits.
+/// Formats bytes as lowercase hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/cli/src/logger.rs
+++ b/crates/cli/src/logger.rs
@@ -20,10 +20,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes of the longest line. A pipe that polls as writable takes a write of this length whole.
+/// Maximum length of a line, in bytes. A pipe that polls as writable accepts a whole write of this
+/// length.
 const MAX_LINE_BYTES: usize = 4096;
-/// Greatest number of lines per second, so that a repeating fault doesn't fill the disk that the
-/// log is stored on.
+/// Maximum number of lines per second, so that a repeating fault doesn't fill the disk that the log
+/// is stored on.
 const MAX_LINES_PER_SECOND: u64 = 200;
 
 /// Installs the logger. `environment` is the value of `EIDERYARD_LOG`: a level, or levels by target
@@ -129,9 +130,9 @@
     }
 }
 
-/// Destination of the log's lines.
+/// Where log lines are written to: standard error, or a substitute in tests.
 trait Sink {
-    /// Whether a line can be written without blocking.
+    /// Returns whether a line can be written without blocking.
     fn is_ready(&self) -> bool;
     fn write(&mut self, line: &[u8]) -> io::Result<()>;
 }
@@ -157,9 +158,9 @@
 
 /// Counts written and dropped lines, for all threads.
 struct LineCounts {
-    /// Lines dropped since the last notice about them.
+    /// Number of lines dropped since the last notice about dropped lines.
     dropped: AtomicU64,
-    /// The Unix second that `lines` counts.
+    /// The Unix second in which the lines counted by `lines` were written.
     second: AtomicU64,
     lines: AtomicU64,
 }
@@ -173,7 +174,8 @@
         }
     }
 
-    /// Counts a line of a Unix second, and returns whether it is within the limit.
+    /// Counts a line that is written in the Unix second `second`. Returns whether the line is
+    /// within the limit.
     fn count_line(&self, second: u64) -> bool {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
@@ -219,7 +221,7 @@
         text.into_bytes()
     }
 
-    /// The notice about dropped lines.
+    /// Returns the log line that reports how many lines were dropped.
     fn dropped_notice(&self, count: u64, second: u64) -> String {
         if self.json {
             format!(
@@ -232,7 +234,7 @@
 }
 
 impl<S: Sink> Write for LimitedWriter<S> {
-    /// The formatter calls this once for each event, with the whole line.
+    /// Writes one event: the formatter calls this once for each event, with the whole line.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let second = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -247,7 +249,7 @@
             out.extend(self.dropped_notice(count, second).bytes());
         }
         out.extend(self.limit_line(line));
-        // An error of the log itself can't be reported anywhere.
+        // An error in writing the log can't be reported anywhere.
         let _ = self.sink.write(&out);
         Ok(line.len())
     }
--- a/crates/cli/src/moment.rs
+++ b/crates/cli/src/moment.rs
@@ -5,13 +5,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Microseconds of a day.
+/// Length of a day, in microseconds.
 const DAY: u64 = 86_400_000_000;
-/// Upper bound of Unix times, in seconds; greater numbers are rejected as mistakes.
+/// Upper bound of Unix times, in seconds; greater values are rejected as mistakes.
 const MAX_UNIX_SECONDS: f64 = 1e11;
 
-/// A Unix time, or a time of day, to which the last day of the event logs is added; both in
-/// microseconds.
+/// A Unix time, or a time on the last day of the event logs; both in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Moment {
     /// Microseconds since 1970, UTC.
@@ -81,7 +80,8 @@
 }
 
 impl Moment {
-    /// The Unix time in microseconds. A time of day is taken on the day of `at`.
+    /// Returns the Unix time in microseconds. A time of day refers to the day of the Unix time
+    /// `at`.
     pub fn on_day_of(self, at: u64) -> u64 {
         match self {
             Moment::Unix(at) => at,
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -13,7 +13,7 @@
 
 use crate::error::CliError;
 
-/// Hexadecimal digits of the id that a client gives to a request.
+/// Number of hexadecimal digits in the id that a client gives to a request.
 const ID_DIGITS: usize = 16;
 
 /// Summary of the event log of one start of a gateway.
@@ -25,7 +25,7 @@
     missing_entries: u64,
     /// Part of the log couldn't be read, and no tally entry followed that restores the totals.
     is_damaged: bool,
-    /// The gateway's own counters at its end; absent if it was killed or still runs.
+    /// The gateway's own counters when it exited; `None` if it was killed or is still running.
     final_counters: Option<Vec<(String, u64)>>,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A line for each counter whose value differs between the gateway and its event log.
+    /// Returns a line for each counter whose value differs between the gateway and its event log.
     fn differences(&self) -> Vec<String> {
         let counters = self.final_counters.as_deref().unwrap_or_default();
         let mut differences = Vec::new();
@@ -177,8 +177,8 @@
     print(directories, |_, _| true)
 }
 
-/// Prints the entries about requests that clients gave an id, from their arrival to the end of
-/// their last attempt.
+/// Prints the entries about all requests to which clients gave the id `id`, from the arrival of
+/// each request to the end of its last attempt.
 ///
 /// # Errors
 ///
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// An intent as `eideryard store dump` prints it. Scripts read the names in this text.
+/// Formats an intent for `eideryard store dump`. Scripts read the names in this text.
 fn intent_text(intent: &Intent) -> String {
     let Intent {
         since,
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-/// How complete a store is. Scripts read the names in this text.
+/// Describes how complete a store is. Scripts read the names in this text.
 fn status_text(status: &RecoveryStatus) -> String {
     match status {
         RecoveryStatus::New => "New".into(),
--- a/crates/cli/src/view.rs
+++ b/crates/cli/src/view.rs
@@ -10,7 +10,8 @@
 use crate::error::CliError;
 use crate::moment::Moment;
 
-/// The Unix time of a moment, in microseconds. A time of day is on the last day of the logs.
+/// Returns the Unix time of a moment, in microseconds. A time of day refers to the last day of the
+/// logs.
 ///
 /// # Errors
 ///
--- a/crates/cli/tests/closing.rs
+++ b/crates/cli/tests/closing.rs
@@ -1,6 +1,6 @@
-//! Messages that cross the end of a client's connection: a shutdown, an eviction, a lack of
-//! descriptors. The process is stopped where it must find two events at once. Guards against lost
-//! requests and connection resets.
+//! Messages that cross the end of a client's connection, which is caused by a shutdown, an eviction
+//! or a lack of descriptors. Where the gateway must find two events in one poll, its process is
+//! paused until both have happened. Guards against lost requests and connection resets.
 
 mod common;
 
@@ -36,7 +36,8 @@
     client
         .call(2, "report", &fields(SECOND, "15000"), QUERY)
         .unwrap();
-    // The process still runs, so it reads the call, and the client still sees a regular end.
+    // The process is still running, so it reads the call, and the client still sees a regular end
+    // of the connection.
     gateway.wait_for_counter("bytes_in", sent_bytes());
     assert_eq!(end_kind(&mut client), ErrorKind::UnexpectedEof);
     drop(client);
@@ -48,7 +49,7 @@
     );
 }
 
-/// Bytes that the client of the test above has sent.
+/// Returns the number of bytes that the client in the test above has sent.
 fn sent_bytes() -> u64 {
     let calls = [(1, "0000000000000001"), (2, SECOND)];
     calls
@@ -93,8 +94,9 @@
     1 + 1 + 1 + 7 + 1 + 1
 }
 
-/// The rest of a long message arrives while the process is stopped for longer than a message may
-/// take. When the process is resumed, the whole message is there, more than it reads in one poll.
+/// The rest of a long message arrives while the process is paused for longer than a message may
+/// take. When the process is resumed, the whole message has arrived, which is more than the process
+/// reads in one poll.
 #[test]
 fn a_message_whose_rest_has_arrived_is_not_timed_out() {
     let (_bulletin, engines, mut gateway, mut client) = start_one();
@@ -105,7 +107,8 @@
     gateway.wait_for_counter("bytes_in", 1000);
     gateway.pause();
     client.write_raw(&call[1000..]).unwrap();
-    // The time limit for a message is built into the program, so the process is stopped for longer.
+    // The time limit for a message is built into the program, so the process is paused for longer
+    // than that limit.
     std::thread::sleep(std::time::Duration::from_millis(2500));
     gateway.resume();
     let mut end = engines[0].accept().unwrap();
@@ -118,8 +121,7 @@
     ));
 }
 
-/// SIGHUP and SIGTERM arrive together, in any order that a supervisor may send them, while a
-/// request is open.
+/// SIGHUP and SIGTERM arrive together, in either order, while a request is open.
 #[test]
 fn signals_that_arrive_together_lose_no_request() {
     const ORDERS: [&[Signal]; 4] = [
@@ -159,8 +161,8 @@
     }
 }
 
-/// The connection that would be evicted has sent a request that the gateway hasn't read yet, since
-/// it handles the new connection first.
+/// The connection that would be evicted has sent a request. The gateway hasn't read this request
+/// yet, since it handles the new connection first.
 #[test]
 fn a_connection_with_an_unread_request_is_not_evicted() {
     let (bulletin, mut engines) = start_emulators(1);
@@ -193,7 +195,7 @@
 }
 
 /// The connection of a client that doesn't read is half-closed. Bytes that the client sends
-/// meanwhile must not reset it.
+/// meanwhile must not reset the connection.
 #[test]
 fn a_client_that_does_not_read_is_half_closed_and_its_messages_are_ignored() {
     let (bulletin, mut engines) = start_emulators(1);
@@ -228,8 +230,8 @@
 }
 
 /// Idle clients use all descriptors that clients may use, the bulletin can't be reached, and the
-/// kernel grants no descriptor above the limit. Dials to engines and to the bulletin still get
-/// descriptors, and each client with a request is served.
+/// kernel grants no descriptor above the limit. Connections to engines and to the bulletin still
+/// get descriptors, and each client with a request is served.
 #[test]
 fn idle_clients_at_the_descriptor_limit_leave_descriptors_for_engines_and_the_bulletin() {
     const LIMIT: u64 = 64;
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -64,7 +64,7 @@
     config: PathBuf,
     pub address: SocketAddr,
     log: Receiver<String>,
-    /// The last line of counters, if a test has already taken it from the log.
+    /// The last line of counters, if a test has taken it from the log before the process ends.
     last_counters: Option<String>,
 }
 
@@ -138,8 +138,8 @@
         kill_process(pid, signal).expect("the gateway runs");
     }
 
-    /// Stops the process, so that it finds everything that happens meanwhile at once when it is
-    /// resumed.
+    /// Pauses the process (SIGSTOP), so that after it is resumed, it finds everything that has
+    /// happened meanwhile in one poll.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
@@ -215,8 +215,8 @@
     }
 }
 
-/// Each gateway of each test writes an event log. At its end, the tally of the log must have the
-/// same value as every counter.
+/// Each gateway of each test writes an event log. When the gateway exits, each value in the tally
+/// of the log must equal the counter of the same name.
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
         if std::thread::panicking() {
--- a/crates/cli/tests/drawn.rs
+++ b/crates/cli/tests/drawn.rs
@@ -1,7 +1,7 @@
 //! Runs the program on randomly drawn settings: names, numbers of classes, effects, windows shorter
-//! than a dial, deadlines of 100 ms to 20 s, no probes, reports or cancels, fleets of 1 to 300
-//! gateways. Guards against settings with which a request gets no answer or the gateway doesn't end
-//! cleanly.
+//! than connecting takes, deadlines of 100 ms to 20 s, no probes, reports or cancels, fleets of 1
+//! to 300 gateways. Guards against settings with which a request gets no answer or the gateway
+//! doesn't end cleanly.
 
 mod common;
 
--- a/crates/cli/tests/effects.rs
+++ b/crates/cli/tests/effects.rs
@@ -1,6 +1,6 @@
 //! Safe, keyed and unsafe requests, each with every way in which an attempt can fail. Guards
-//! against a second run of an unsafe request: it may reach an engine only once, unless none of its
-//! bytes was sent.
+//! against a second run of an unsafe request: once the first byte of an attempt was sent, there may
+//! be no second attempt.
 
 mod common;
 
@@ -48,8 +48,8 @@
         end
     }
 
-    /// Answers a second attempt, and asserts that the client is served and on the number of
-    /// attempts sent.
+    /// Answers a second attempt. Asserts that the client is served and that `sent` attempts were
+    /// sent.
     fn assert_repeated(mut self, sent: u64) {
         let mut end = self.accept_request();
         end.answer(ID, "OK", "count=1", "a\tb\tc\n").unwrap();
@@ -84,7 +84,7 @@
     }
 }
 
-/// The connection stays open, and an answer begins that is never completed.
+/// The connection stays open, and the engine sends only the beginning of an answer.
 #[test]
 fn an_unfinished_answer_repeats_all_but_unsafe_requests() {
     for class in CLASSES {
@@ -156,7 +156,8 @@
 }
 
 /// The engine doesn't answer within the request's deadline. The client gets one final answer, which
-/// invites a retry only if a second run does no harm. A later answer of the engine changes nothing.
+/// invites a retry only if a second run does no harm. A later answer from the engine changes
+/// nothing.
 #[test]
 fn an_engine_that_exceeds_the_deadline_causes_one_final_answer() {
     for (class, word) in [
@@ -254,8 +255,9 @@
     }
 }
 
-/// Cancels are forbidden, and an attempt times out. It is nevertheless cancelled at the engine
-/// before the next request of its order is sent, since the two would run concurrently otherwise.
+/// Cancels are forbidden, and an attempt times out. The attempt is nevertheless cancelled at the
+/// engine before the next request with the same order key is sent, since otherwise the two would
+/// run concurrently.
 #[test]
 fn a_timed_out_attempt_is_cancelled_before_the_next_of_its_order() {
     let (bulletin, engines) = start_emulators(1);
--- a/crates/cli/tests/first_byte.rs
+++ b/crates/cli/tests/first_byte.rs
@@ -1,5 +1,5 @@
-//! Changes between the decision to send an attempt and its first byte. A slow dial or a full socket
-//! buffer delays the byte until the change has happened. Guards against attempts that begin
+//! Changes between the decision to send an attempt and its first byte. Slow connecting or a full
+//! socket buffer delays this byte until the change has happened. Guards against attempts that begin
 //! although the request has ended or the engine may no longer be used.
 
 mod common;
@@ -14,8 +14,8 @@
 const FIRST: &str = "0000000000000001";
 const SECOND: &str = "0000000000000002";
 
-/// Starts a gateway whose dials to the first engine are held until the test releases them. Returns
-/// the other engines as well.
+/// Starts a gateway whose connection attempts to the first engine don't complete until the test
+/// frees that engine's queue. Also returns the other engines.
 fn start_with_held_dials(
     more: usize,
     change: impl Fn(&mut Value),
@@ -40,7 +40,7 @@
 }
 
 /// The client closes its connection or forgets the request, with and without permission to cancel.
-/// In each case, the first request that the engine receives is that of another client.
+/// In each case, the first request that the engine receives comes from another client.
 #[test]
 fn a_request_whose_client_disconnects_during_the_dial_is_never_sent() {
     for (may_cancel, closes_connection) in
@@ -85,8 +85,9 @@
     }
 }
 
-/// During the dial, service discovery lists the engine as draining, removed or with another
-/// address; another process may listen at the old one. The request goes to the listed engine.
+/// While the gateway is connecting, service discovery lists the engine as draining, as removed or
+/// with another address; another process may listen at the old address. The request goes to the
+/// listed engine.
 #[test]
 fn no_request_begins_at_an_engine_that_drained_was_removed_or_moved_during_the_dial() {
     for state in ["draining", "removed", "moved"] {
@@ -129,8 +130,8 @@
     }
 }
 
-/// The first attempt may have run. The window in which engines remember its key ends during the
-/// dial for the second attempt.
+/// The first attempt may have run. The window in which engines retain the key ends while the
+/// gateway is connecting for the second attempt.
 #[test]
 fn a_keyed_retry_does_not_begin_after_its_window() {
     let shorten_window = |configuration: &mut Value| {
@@ -148,7 +149,8 @@
     held.fill_queue().unwrap();
     drop(end);
     gateway.wait_for_counter("dials", 2);
-    // The dial takes at least a second: the kernel doesn't retransmit a SYN earlier.
+    // Connecting takes at least a second: the full queue dropped the first SYN, and the kernel
+    // doesn't retransmit a SYN sooner.
     held.free_queue().unwrap();
     let mut end = held.engine.accept().unwrap();
     let closed = end.command().map(|command| command.words);
@@ -163,8 +165,8 @@
     );
 }
 
-/// An unsafe request that is withdrawn before its first byte never ran and may be sent again. Once
-/// it has begun, it is neither refused nor sent a second time.
+/// An unsafe request that is withdrawn before its first byte was sent never ran and may be resent.
+/// Once its first byte was sent, the request is neither refused nor sent a second time.
 #[test]
 fn an_unsafe_request_is_sent_again_only_if_it_never_began() {
     let (bulletin, mut held, _, mut gateway) = start_with_held_dials(0, |_| ());
@@ -217,7 +219,7 @@
     drop(client);
     gateway.wait_for_counter("lost", SENT);
     let mut received = 0;
-    // Once this request arrives, the engine has read all requests before it.
+    // Once this request arrives, the engine has read all requests that were sent before this one.
     let mut after = Client::connect(gateway.address).unwrap();
     after
         .call(1, "report", &fields("00000000000000ff", "15000"), QUERY)
--- a/crates/cli/tests/gateway.rs
+++ b/crates/cli/tests/gateway.rs
@@ -190,7 +190,8 @@
             "a connection may have 32 open requests"
         );
     }
-    // The ids of an open request and, below, of an ended one are used again on another connection.
+    // The id of an open request and, below, the id of an ended one are reused on another
+    // connection.
     let mut other = gateway.client();
     other
         .call(
@@ -210,7 +211,7 @@
         .call(2, "report", &fields(serve.id(), "15000"), QUERY)
         .unwrap();
     assert!(is_invalid(&other.answer().unwrap(), 2));
-    // A request that arrives together with its forget message is never counted as taken.
+    // A request that arrives together with the `forget` message for it is never counted as taken.
     let call = scripted::call(3, "report", &fields(&id(41), "15000"), QUERY);
     other
         .write_raw(&[call, scripted::forget(3)].concat())
@@ -259,8 +260,8 @@
         .call(1, "report", &fields("0000000000000001", "20"), QUERY)
         .unwrap();
     assert!(is_refusal(&client.answer().unwrap()));
-    // Far more work than the engine can do in time: some requests are refused, with advice when to
-    // retry.
+    // More work than the engine can finish in time: some requests are rejected with a retry-after
+    // hint.
     let mut clients = vec![client];
     for number in 0..200u64 {
         let id = format!("{number:015x}f");
@@ -280,7 +281,7 @@
             .call(number, "report", &heavy, QUERY)
             .unwrap();
     }
-    // The last requests would wait longest, so they are refused.
+    // The last requests would wait longest, so they are rejected.
     let mut client = clients.pop().unwrap();
     let Answer::Error { word, fields, .. } = client.answer().unwrap() else {
         panic!("a refusal")
@@ -316,7 +317,7 @@
     let (mut end, serve) = send_query(&mut client, &engines[0]);
     client.forget(1).unwrap();
     assert_eq!(next_command(&mut end, "cancel").id(), serve.id());
-    // An answer that crosses the cancel on the wire is ignored, and its result is released.
+    // An answer that crosses the cancel on the wire is ignored, and the result is released.
     end.answer(serve.id(), "OK", "count=2", "a\tb\tc\n")
         .unwrap();
     assert_eq!(next_command(&mut end, "release").id(), serve.id());
@@ -668,8 +669,9 @@
         let line = gateway.wait_for_line("configuration not reloaded");
         assert!(line.contains(expected), "{line}");
     }
-    // The bulletin moves to an address where none listens, and at once to another. The new stream
-    // continues after the last event number, and the old connection is closed.
+    // The bulletin moves to an address at which nothing listens, and then at once to another
+    // address. The new stream continues after the last event number, and the old connection is
+    // closed.
     let (mut new, _) = start_emulators(0);
     for next in [scripted::unused_address(), new.address()] {
         configured["bulletin"] = json!(next.to_string());
@@ -715,8 +717,8 @@
     let mut stream = bulletin.accept().unwrap();
     let mut client = gateway.client();
     let (mut silent, _) = send_query(&mut client, &engines[0]);
-    // The engine's machine failed without closing its connections, and the engine runs again: its
-    // start time is later than that of the connection.
+    // The engine's machine failed without closing its connections, and the engine was restarted:
+    // its start time is later than the time at which the connection was opened.
     let mut again = host("s-0", engines[0].address(), "up");
     again["born_ms"] = json!(4_000_000_000_000u64);
     let item = json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": [again]}});
@@ -847,8 +849,9 @@
     );
 }
 
-/// Engines keep coming under new names, some at the address of a former one, and clients on new
-/// connections. Guards against tables that grow with all names and connections ever seen.
+/// New engines keep appearing under new names, some at the address of a former engine, and clients
+/// keep opening new connections. Guards against tables that grow with all names and connections
+/// ever seen.
 #[test]
 fn no_table_grows_with_the_number_of_former_engines_and_clients() {
     const GENERATIONS: u64 = 300;
@@ -912,7 +915,7 @@
     for engine in engines.into_iter() {
         engine.answer_all(1, "a\tb\tc\n".into());
     }
-    // An idle connection is closed in favour of one that is needed.
+    // An idle connection is closed to free its descriptor for a connection that is needed.
     for number in 1..=12u64 {
         let id = format!("{number:016x}");
         let statement = format!("SELECT * FROM sales_{number}.orders");
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -5,8 +5,8 @@
 
 use eideryard_emulators::golden;
 
-/// Standard output, standard error and exit code of the program, run in the directory of golden
-/// data.
+/// Runs the program in the directory of golden data. Returns its standard output, standard error
+/// and exit code as one text.
 fn run(arguments: &[&str]) -> Vec<u8> {
     let output = Command::new(env!("CARGO_BIN_EXE_eideryard"))
         .args(arguments)
--- a/crates/cli/tests/incident.rs
+++ b/crates/cli/tests/incident.rs
@@ -1,6 +1,6 @@
 //! Plays a scripted incident on loopback: two gateways and six engines, of which three are killed
 //! together, a flood of requests while the bulletin is down, and a gateway that is killed and
-//! started again. Event logs, the report and the gateways' own counters must agree exactly.
+//! restarted. Event logs, the report and the gateways' own counters must agree exactly.
 
 use eideryard_emulators::scenario::Scenario;
 use eideryard_fleet_test::processes::Programs;
@@ -41,7 +41,7 @@
     (played, records)
 }
 
-/// The rows of the report's table of gateways, each with its cells by column name.
+/// Returns the rows of the report's table of gateways, each as its cells by column name.
 fn table_rows(page: &str) -> Vec<BTreeMap<String, String>> {
     let table = page
         .split("Totals of each run of each gateway")
@@ -176,7 +176,7 @@
     let floods = page.matches(">flood<").count();
     assert_eq!(floods, 1, "one flood, not one for each symptom");
 
-    // The entries of one refused request can be found by its id.
+    // The entries about one rejected request can be found by the request's id.
     let section = page.split("id=\"asked\"").nth(1).unwrap();
     let id = section
         .split("class=\"id\">")
--- a/crates/cli/tests/mixed_fleet.rs
+++ b/crates/cli/tests/mixed_fleet.rs
@@ -8,7 +8,8 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// First byte of the answer's body: an accepted peer gets a handshake, a rejected one the reason.
+/// First byte of the answer's body if the peer is accepted and gets a handshake. A rejected peer
+/// gets the reason, with another first byte.
 const HANDSHAKE: u8 = 0;
 const REJECTED: u8 = 1;
 
@@ -47,7 +48,8 @@
     assert_eq!(rejected[0], REJECTED);
     let reason = String::from_utf8_lossy(&rejected[2..]);
     assert!(reason.contains("different classes"), "{reason}");
-    // The first handshake is accepted again, from a voter whose link has been lost meanwhile.
+    // The first handshake is accepted again: it comes from a voter whose link has been lost
+    // meanwhile.
     assert_eq!(
         answer_to_handshake(&address, "handshake-g2.bin")[0],
         HANDSHAKE
--- a/crates/cli/tests/outward_names.rs
+++ b/crates/cli/tests/outward_names.rs
@@ -60,7 +60,8 @@
 store worker
 ";
 
-/// Output of the program or texts that a decoder accepts, where a kind has them.
+/// Returns output of the program or texts that a decoder accepts, for kinds of names that have such
+/// a source; otherwise nothing.
 fn output(kind: &str) -> String {
     match kind.split([':', ' ']).next().unwrap_or_default() {
         "service" => accepted_discovery_names(),
@@ -73,7 +74,7 @@
     }
 }
 
-/// What the program prints on standard output, run in the directory of golden files.
+/// Runs the program in the directory of golden files. Returns its standard output.
 fn printed(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_eideryard"))
         .args(arguments)
@@ -84,7 +85,8 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Commands and options without their help texts, and the environment variables of the help.
+/// Returns the commands and options without their help texts, and the environment variables that
+/// the help names.
 fn command_line() -> String {
     let help = printed(&["--help"]);
     let words = help.split_whitespace();
@@ -92,7 +94,7 @@
     printed(&["completions", "bash"]) + &variables.join(" ")
 }
 
-/// What the `fleet` commands print of gateways in each role.
+/// Returns the output of the `fleet` commands for gateways in each role.
 fn fleet_commands() -> String {
     let directory = tempfile::tempdir().expect("a temporary directory");
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -111,7 +113,8 @@
     text
 }
 
-/// The fields and values of service discovery that the decoder distinguishes from misspelt ones.
+/// Returns the fields and values of service discovery that the decoder distinguishes from misspelt
+/// ones.
 fn accepted_discovery_names() -> String {
     let events = r#"{"no":1,"items":[{"no":2,"roster":{"seq":3,"whole":true,"hosts":[
         {"host":"A","dial":"B","site":"C","class":"D","block":4,"born_ms":5,"health":"up"},
@@ -128,7 +131,7 @@
     names.filter(is_accepted).collect::<Vec<_>>().join(" ")
 }
 
-/// The string literals of a line of [`SOURCES`], one a line.
+/// Returns the string literals in the files of a line of [`SOURCES`], one per line.
 fn string_literals(line: &str) -> String {
     let mut words = line.split(' ');
     let package = words.next().unwrap_or_default();
@@ -170,7 +173,7 @@
     character.is_ascii_alphanumeric() || character == '_'
 }
 
-/// Whether the adjacent text continues a word, directly or after a hyphen.
+/// Returns whether the adjacent text continues a word, directly or after a hyphen.
 fn continues_word(mut adjacent: impl Iterator<Item = char>) -> bool {
     match adjacent.next() {
         Some('-') => adjacent.next().is_some_and(is_word_character),
@@ -178,7 +181,8 @@
     }
 }
 
-/// Whether a text contains a name as a whole word with an accepted text before and after it.
+/// Returns whether a text contains a name as a whole word with accepted text before and after the
+/// name.
 fn has_word(text: &str, name: &str, accepts: impl Fn(&str, &str) -> bool) -> bool {
     text.match_indices(name).any(|(at, _)| {
         let (before, after) = (&text[..at], &text[at + name.len()..]);
@@ -187,8 +191,8 @@
     })
 }
 
-/// Whether a name is a literal of its own, begins one in capitals or stands in front of a value.
-/// Words of prose don't count.
+/// Returns whether a name is a whole literal, begins a literal in capitals or precedes a value.
+/// Words in prose don't count.
 fn is_in_literals(literals: &str, name: &str) -> bool {
     has_word(literals, name, |before, after| {
         let begins = before.is_empty() || before.ends_with('\n');
@@ -200,7 +204,7 @@
     })
 }
 
-/// The lines below each `[heading]`.
+/// Returns the lines below each `[heading]`, by heading.
 fn sections(text: &str) -> BTreeMap<&str, Vec<&str>> {
     let mut sections: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     let mut heading = "";
--- a/crates/cli/tests/spool.rs
+++ b/crates/cli/tests/spool.rs
@@ -1,6 +1,6 @@
 //! The result spool: engines are released as soon as their result is spooled, clients read pages by
 //! tokens, and a repeated request gets the result of the first run. Guards against lost, mixed or
-//! doubled results, and against engines that slow clients occupy.
+//! doubled results, and against engines that stay occupied by slow clients.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 const ID: &str = "0000000000000001";
 
-/// What an emulated engine has counted.
+/// Counts of what an emulated engine has done. Clones share the counts.
 #[derive(Clone, Default)]
 struct EngineCounts {
     runs: Arc<AtomicU64>,
@@ -248,7 +248,7 @@
             .all(|whole| *whole == expected_result("e", 1, 40)),
         "the same to the byte"
     );
-    // Once more after the run has ended and both clients have read the result.
+    // The request is sent once more after the run has ended and both clients have read the result.
     let mut late = gateway.client();
     late.ask(8, "again", &[("i", ID)]).unwrap();
     let (body, token, has_more) = read_part(&mut late);
@@ -267,7 +267,7 @@
         let mut fields = fields(&id, "15000");
         fields.extend([("p", "1"), ("k", KEY)]);
         client.call(1, "load", &fields, QUERY).unwrap();
-        // The third is sent after the first two have been served.
+        // The third request is sent after the first two have been served.
         while number == 1 && gateway.counters()["served"] < 2 {
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -377,7 +377,8 @@
     for number in 1..=9u64 {
         send_call(&mut client, number, &format!("{number:016x}"));
         let (word, why) = read_error(&mut client);
-        // Eight outcomes teach the gateway the size; later requests of it are not sent.
+        // After eight outcomes the gateway has learned the size; later requests with results of
+        // this size are not sent to the engine.
         let word_then = if number <= 8 { "Failed" } else { "TryLater" };
         assert_eq!(
             (word.as_str(), why.as_str()),
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -48,8 +48,8 @@
     }
 }
 
-/// Every optional feature is off by default: without an operator's file, `run` has no further
-/// threads, sockets and files open for writing.
+/// Every optional feature is off by default: without an operator's file, `run` has no threads,
+/// sockets or files open for writing for such features.
 #[test]
 #[expect(
     clippy::too_many_lines,
@@ -128,9 +128,9 @@
     child.wait().unwrap();
 }
 
-/// The gateway is killed while a keyed request runs. After the restart it sends a retry of the
-/// request only to the cell that may have run it, as only its engine knows the key, as long as the
-/// window of the class lasts.
+/// The gateway is killed while a keyed request runs. After the restart, as long as the window of
+/// the class lasts, the gateway sends a retry of the request only to the cell that may have run the
+/// request, because only that cell's engine knows the key.
 #[test]
 fn a_retry_after_a_kill_goes_only_to_the_engine_that_may_have_run_the_request() {
     let directory = tempfile::tempdir().unwrap();
@@ -198,8 +198,9 @@
     gateway.kill();
 }
 
-/// A gateway with an empty store doesn't know what ran before. A request that is marked as a retry
-/// fails, as it may have run; one that is not marked runs. Safe classes are not affected.
+/// A gateway with an empty store doesn't know what ran before it started. A request that is marked
+/// as a retry fails, since it may have run; a request that is not marked runs. Safe classes are not
+/// affected.
 #[test]
 fn a_gateway_with_a_wiped_store_fails_marked_retries() {
     let directory = tempfile::tempdir().unwrap();
--- a/crates/cli/tests/watch.rs
+++ b/crates/cli/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The stream of service discovery, when it stalls, breaks off or is replaced within an event.
+//! The stream from service discovery stalls, breaks off or is replaced in the middle of an event.
 //! Guards against a lost, doubled or outdated endpoint list.
 
 mod common;
@@ -27,8 +27,7 @@
     ));
 }
 
-/// The connection is accepted, but not even the head of a response arrives: the gateway connects
-/// again.
+/// The connection is accepted, but not even the head of a response arrives: the gateway reconnects.
 #[test]
 fn a_stream_without_a_response_is_replaced() {
     let (bulletin, engines) = start_emulators(1);
@@ -45,8 +44,8 @@
     expect_query_served_by(&gateway, &engines[0]);
 }
 
-/// Half an event arrives and the stream stalls. After the gateway has connected again, the rest
-/// arrives on the old stream, and the new stream sends the event with other content.
+/// Half an event arrives and the stream stalls. After the gateway has reconnected, the rest arrives
+/// on the old stream, and the new stream sends the event with other content.
 #[test]
 fn the_rest_of_a_stalled_event_is_not_read_from_the_old_stream() {
     let (bulletin, engines) = start_emulators(2);
