--- a/crates/emulators/src/bulletin.rs
+++ b/crates/emulators/src/bulletin.rs
@@ -1,5 +1,5 @@
 //! The bulletin (service discovery) on a socket: sends the numbered events of the endpoint list to
-//! each gateway that watches it, from the last event on that the gateway has received.
+//! each gateway that watches it, beginning after the last event that the gateway has received.
 
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -17,7 +17,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
-/// How service discovery responds.
+/// How service discovery responds to gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
     /// Connections are accepted and events are sent.
@@ -28,16 +28,16 @@
     Silent,
 }
 
-/// Service discovery: sends the endpoint list to gateways and keeps all of its events.
+/// Service discovery: sends the endpoint list to gateways and stores all events of the list.
 pub struct Bulletin {
-    /// The address at which it listens.
+    /// The address at which service discovery listens.
     pub address: SocketAddr,
     reserved_address: ReservedAddress,
-    /// The gateway that watches this bulletin, and the ledger in which the events sent to it are
-    /// recorded; `None` if they aren't.
+    /// The gateway that watches this bulletin, and the ledger in which the events sent to the
+    /// gateway are recorded; `None` if these events aren't recorded.
     reader: Option<(SharedName, ledger::SharedLedger)>,
     events: RefCell<Vec<Value>>,
-    /// Number of events that existed when it was reachable for the last time.
+    /// Number of events that existed when the bulletin was last reachable.
     reachable_events: Cell<usize>,
     event_count: watch::Sender<usize>,
     availability: Cell<Availability>,
@@ -46,7 +46,8 @@
 
 impl Bulletin {
     /// Listens at the requested address, or at a port that the system chooses. `reader` is the
-    /// gateway that watches it and the ledger for the events sent to it, if they are recorded.
+    /// gateway that watches this bulletin and the ledger for the events sent to the gateway; `None`
+    /// if these events aren't recorded.
     ///
     /// # Errors
     ///
@@ -82,8 +83,8 @@
         self.tasks.borrow_mut().push(task);
     }
 
-    /// Appends an event to the list and returns its number. `whole`: the event contains the whole
-    /// list, not only changes.
+    /// Appends an event to the list and returns its number. `whole` means that the event contains
+    /// the whole list, not only changes.
     #[expect(clippy::needless_pass_by_value, reason = "to be passed by reference")]
     pub fn publish(&self, whole: bool, hosts: Vec<Value>) -> usize {
         let mut events = self.events.borrow_mut();
@@ -97,8 +98,8 @@
         number
     }
 
-    /// The events that are part of the configuration of a gateway that starts now: those that
-    /// existed when the bulletin was reachable for the last time.
+    /// Returns the events that a gateway that starts now has in its configuration: those that
+    /// existed when the bulletin was last reachable.
     pub fn snapshot(&self) -> Value {
         let events = self.events.borrow();
         let reachable_events = self.reachable_events.get();
@@ -176,11 +177,11 @@
         }
     }
 
-    /// Changes how it responds.
+    /// Changes how service discovery responds.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't listen at its address again.
+    /// Returns an error if service discovery can't listen at its address again.
     pub async fn set_availability(self: &Rc<Self>, availability: Availability) -> io::Result<()> {
         let before = self.availability.replace(availability);
         if availability == Availability::Down {
--- a/crates/emulators/src/client.rs
+++ b/crates/emulators/src/client.rs
@@ -1,10 +1,10 @@
-//! Clients: one load of a scenario, with requests at random times drawn from its seed. Each answer
-//! is compared with the request, and errors are recorded in the ledger.
+//! Clients: one load of a scenario. It sends requests at random times drawn from a seed. Each
+//! answer is compared with the request, and errors are recorded in the ledger.
 //!
 //! Each request is sent to a randomly chosen gateway, as behind a simple balancer, on a connection
-//! that stays open. A rejected request is retried after the advised time, and one whose connection
-//! was lost is retried with the same key, as often as the scenario says. An unsafe request is never
-//! retried after a lost connection.
+//! that stays open. A rejected request is retried after the time given by the retry-after hint. A
+//! request whose connection was lost is retried with the same key. The scenario limits the number
+//! of retries. An unsafe request is never retried after a lost connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,34 +37,34 @@
 const ANSWER_GRACE: Duration = Duration::from_secs(2);
 /// Range of the random delay before a retry after a lost connection, in seconds.
 const RECONNECT_DELAY_S: (f64, f64) = (0.05, 0.5);
-/// How often a client that retries at the same gateway tries to connect until that has started
-/// again.
+/// Interval at which a client that retries at the same gateway tries to connect until the gateway
+/// has been restarted.
 const RECONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum number of these attempts.
+/// Maximum number of attempts to connect at [`RECONNECT_POLL_INTERVAL`].
 const RECONNECT_POLLS: usize = 60;
-/// Fraction of the advised time after which a hasty client retries.
+/// Fraction of the time given by the retry-after hint after which a hasty client retries.
 const HASTY_FRACTION: f64 = 0.3;
 /// How long after the class's window a late client retries.
 const LATE_DELAY: Duration = Duration::from_millis(500);
-/// Timeout for connecting to a gateway; then the next one is tried.
+/// Timeout for connecting to a gateway. After it, the client connects to the next gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay after which a client cancels a request, if it does.
+/// Delay after which a client cancels a request that it is to cancel; see [`LoadSpec::forgets`].
 const CANCEL_DELAY: Duration = Duration::from_millis(30);
 
 /// Addresses of the gateways that are running, by name.
 pub type GatewayAddresses = Rc<RefCell<BTreeMap<String, SocketAddr>>>;
 
-/// A request, from its first to its last try.
+/// A request, from its first to its last attempt (a `Try` in the history).
 struct PendingRequest {
-    /// New with every try.
+    /// The request's id on the wire, new with every attempt.
     id: String,
-    /// The same for all tries.
+    /// The idempotency key, the same for all attempts.
     key: String,
-    /// Number of rows of its result.
+    /// Number of rows in the expected result.
     rows: u64,
-    /// Number of earlier tries.
+    /// Number of attempts before the current one.
     tries: u64,
-    /// Whether this try is marked as a retry.
+    /// Whether the current attempt is marked as a retry.
     marked: bool,
     statement: String,
     /// Work in milliseconds on one core.
@@ -72,27 +72,27 @@
     memory_mb: f64,
 }
 
-/// The outcome of a try, as far as it decides on a retry.
+/// The outcome of an attempt, as far as it determines whether the request is retried.
 enum TryEnd {
-    /// With a result, an error, or cancelled: the request isn't retried.
+    /// The attempt ended with a result or an error, or was cancelled: the request isn't retried.
     Final,
-    /// Rejected, with the advised time until a retry in milliseconds, if there was one.
+    /// The attempt was rejected. Contains the retry-after hint in milliseconds, if there was one.
     Refused(Option<u64>),
     /// The connection was lost, or no answer arrived.
     Lost,
 }
 
-/// An open request: its id, the number of rows of its result, and the channel to its task.
+/// An open request: its id, the number of rows in its result, and the channel to its task.
 type OpenRequest = (String, u64, oneshot::Sender<TryEnd>);
 
 struct Connection {
     gateway: SharedName,
     write: tokio::sync::Mutex<OwnedWriteHalf>,
-    /// By the number of the call.
+    /// Open requests by call ID.
     open_requests: RefCell<BTreeMap<u64, OpenRequest>>,
     last_number: Cell<u64>,
     is_closed: Cell<bool>,
-    /// Numbers of cancelled and timed-out calls, whose answers may still arrive.
+    /// IDs of cancelled and timed-out calls, whose answers may still arrive.
     cancelled: RefCell<BTreeSet<u64>>,
 }
 
@@ -122,7 +122,7 @@
 }
 
 impl Load {
-    /// Creates the clients of a load. All random numbers are drawn from the seed.
+    /// Creates the clients of a load. All random numbers are drawn from `seed`.
     pub fn new(
         spec: LoadSpec,
         class: ClassSpec,
@@ -153,8 +153,8 @@
         })
     }
 
-    /// Sends requests from the load's begin to its end, at `until` at the latest, and waits until
-    /// all of them have ended. Times of the scenario are counted from `run_start`.
+    /// Sends requests from the load's begin to its end or to `until`, whichever is earlier, and
+    /// waits until all requests have ended. Times of the scenario are counted from `run_start`.
     pub async fn run(self: Rc<Self>, run_start: Instant, until: Duration) {
         let end = run_start + self.spec.end.unwrap_or(until).min(until);
         let Ok(intervals) = Exp::new(self.spec.rate) else {
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Sends a request and retries it until its last try has ended.
+    /// Sends a request and retries it until its last attempt has ended.
     #[expect(clippy::too_many_lines, reason = "to be divided by concern")]
     async fn run_request(self: Rc<Self>, mut request: PendingRequest) {
         let (mut refusals, mut losses) = (0, 0);
@@ -230,7 +230,7 @@
                 .filter(|_| losses > 0)
                 .map(|gateway| (gateway, self.spec.back));
             let mut connection = self.acquire_connection(retry_target.clone()).await;
-            // A client that retries at the same gateway waits until that has started again.
+            // A client that retries at the same gateway waits until the gateway has been restarted.
             let waits_for_gateway = matches!(retry_target, Some((_, RetryTarget::Same)));
             for _ in 0..if waits_for_gateway {
                 RECONNECT_POLLS
@@ -389,7 +389,7 @@
                 TryEnd::Lost
             }
             Err(_) => {
-                // A late answer must not count as one without a request.
+                // A late answer must not count as an answer without a request.
                 connection.open_requests.borrow_mut().remove(&number);
                 connection.cancelled.borrow_mut().insert(number);
                 let mut ledger = self.ledger.borrow_mut();
--- a/crates/emulators/src/client/connections.rs
+++ b/crates/emulators/src/client/connections.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Load {
-    /// The running gateways that the load may use, in the order in which they are tried.
+    /// Returns the running gateways that the load may use, in the order in which the client tries
+    /// to connect to them.
     pub(super) fn candidate_gateways(
         &self,
         retry_target: Option<(SharedName, RetryTarget)>,
@@ -33,7 +34,7 @@
     }
 
     /// Returns a connection that has room for a request, to a randomly chosen gateway. If a gateway
-    /// can't be reached, nothing was sent to it, and the next one is tried.
+    /// can't be reached, nothing was sent to it, and the client connects to the next one.
     pub(super) async fn acquire_connection(
         self: &Rc<Self>,
         retry_target: Option<(SharedName, RetryTarget)>,
--- a/crates/emulators/src/cores.rs
+++ b/crates/emulators/src/cores.rs
@@ -8,11 +8,11 @@
 pub struct Query {
     /// Remaining work, in seconds on one core.
     pub work: f64,
-    /// Number of threads, the maximum number of cores that it can use.
+    /// Number of threads, which is the maximum number of cores that the query can use.
     pub threads: f64,
-    /// Memory that it needs while it runs, in MB.
+    /// Memory that the query needs while it runs, in MB.
     pub memory_mb: f64,
-    /// Priority: with each rank the query's weight doubles when cores are contended. Ranks above 8
+    /// Priority: when cores are contended, each rank doubles the query's weight. Ranks above 8
     /// count as 8.
     pub rank: u8,
 }
@@ -21,7 +21,8 @@
 pub struct Cores {
     cores: f64,
     memory_mb: f64,
-    /// Fraction of the cores available at `started_at`; it grows to 1 within `warm_within` seconds.
+    /// Fraction of the cores available at `started_at`; this fraction grows to 1 within
+    /// `warm_within` seconds.
     cold_share: f64,
     warm_within: f64,
     started_at: f64,
@@ -31,8 +32,9 @@
 }
 
 impl Cores {
-    /// Creates an idle engine. `cold` is the fraction of its capacity that is available now, and
-    /// the seconds until all of it is; `None` if all of it is available.
+    /// Creates an idle engine. `cold` contains the fraction of its capacity that is available now,
+    /// and the number of seconds until all capacity is available; `None` if all capacity is
+    /// available now.
     pub fn new(cores: f64, memory_mb: f64, cold: Option<(f64, f64)>, now: f64) -> Self {
         let (cold_share, warm_within) = cold.unwrap_or((1.0, 0.0));
         let (running, waiting) = Default::default();
@@ -48,7 +50,8 @@
         }
     }
 
-    /// Capacity at this time, in cores; less than the number of cores while the engine warms up.
+    /// Returns the current capacity, in cores; less than the number of cores while the engine warms
+    /// up.
     pub fn capacity(&self) -> f64 {
         let age = self.now - self.started_at;
         let warm_fraction = if age >= self.warm_within {
@@ -59,28 +62,28 @@
         self.cores * (self.cold_share + (1.0 - self.cold_share) * warm_fraction)
     }
 
-    /// Number of running queries.
+    /// Returns the number of running queries.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Number of queries that wait for memory.
+    /// Returns the number of queries that are waiting for memory.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether a query waits for memory.
+    /// Returns whether a query is waiting for memory.
     pub fn is_waiting(&self, id: u64) -> bool {
         self.waiting.iter().any(|(other_id, _)| *other_id == id)
     }
 
-    /// Memory of the running queries, in MB.
+    /// Returns the memory used by the running queries, in MB.
     pub fn granted_mb(&self) -> f64 {
         self.running.values().map(|query| query.memory_mb).sum()
     }
 
-    /// Threads of the running queries divided by the capacity; above 1 the queries slow each other
-    /// down.
+    /// Returns the number of threads of the running queries divided by the capacity. Above 1, the
+    /// queries slow each other down.
     pub fn pressure(&self) -> f64 {
         self.running
             .values()
@@ -128,7 +131,7 @@
     }
 
     /// Distributes the capacity to the running queries by weight. No query gets more cores than it
-    /// has threads; what it can't use is distributed to the others.
+    /// has threads; the capacity that a query can't use is distributed to the others.
     fn shares(&self) -> Vec<(u64, f64)> {
         let mut unassigned: Vec<(u64, f64, f64)> = self
             .running
@@ -155,9 +158,9 @@
         }
     }
 
-    /// Advances to a time and returns the queries that have completed, in order. This is done in
-    /// steps, so that capacity freed by one query is used by the others and warming up takes
-    /// effect.
+    /// Advances to the time `to` and returns the IDs of the queries that have completed, in order.
+    /// Advances in steps, so that capacity freed by one query is used by the others and warming up
+    /// takes effect.
     pub fn advance(&mut self, to: f64) -> Vec<u64> {
         let mut completed = Vec::new();
         while self.now < to {
@@ -188,8 +191,9 @@
         completed
     }
 
-    /// The time at which [`Cores::advance`] should be called next: when the next query completes,
-    /// or at most 50 ms from now while the engine warms up. `None` if nothing is running.
+    /// Returns the time at which [`Cores::advance`] should be called next: when the next query
+    /// completes, or at most 50 ms from now while the engine warms up. `None` if nothing is
+    /// running.
     pub fn next(&self) -> Option<f64> {
         let end_times = self.shares().into_iter().filter(|(_, share)| *share > 0.0);
         let end_times = end_times.map(|(id, share)| self.now + self.running[&id].work / share);
--- a/crates/emulators/src/cores/tests.rs
+++ b/crates/emulators/src/cores/tests.rs
@@ -20,7 +20,7 @@
         [1, 2, 3, 4],
         "four queries on four cores take no longer than one"
     );
-    // Two queries of eight threads each: ranks 1 and 2 share 4 cores one to two.
+    // Two queries with eight threads each: ranks 1 and 2 share 4 cores in the ratio one to two.
     engine.add(5, query(8.0, 8.0, 10.0, 1));
     engine.add(6, query(8.0, 8.0, 10.0, 2));
     assert!(engine.advance(3.9).is_empty());
--- a/crates/emulators/src/engine.rs
+++ b/crates/emulators/src/engine.rs
@@ -22,20 +22,20 @@
 mod faults;
 mod queries;
 
-/// Interval of notes on active queries.
+/// Interval between progress reports on active queries.
 const NOTE_PERIOD: Duration = Duration::from_millis(500);
-/// Maximum number of queued answers on one connection; further ones are dropped.
+/// Maximum number of queued answers on one connection; further answers are dropped.
 const MAX_QUEUED_ANSWERS: usize = 4096;
 const MAX_STATEMENT_BYTES: usize = 1 << 20;
-/// Maximum size of a page of rows, unless a single row is larger.
+/// Maximum size of a page of rows, in bytes, unless a single row is larger.
 const PAGE_BYTES: usize = 6000;
-/// Maximum time that a query is expected to run. Keys are remembered for this long after their
-/// window, since a write may begin within the window and end later.
+/// Maximum time that a query is expected to run. Keys are retained for this long after their
+/// window, since a write may begin within the window and end after it.
 const MAX_QUERY_TIME: Duration = Duration::from_secs(60);
 /// Factor by which the work of a query grows if less memory is granted than it needs.
 const SPILL_FACTOR: f64 = 1.5;
 
-/// A group of engines that share the memory of idempotency keys.
+/// A group of engines that share their record of idempotency keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Group {
     All,
@@ -43,8 +43,8 @@
     Cell(u64),
 }
 
-/// The keys of writes that have taken effect, for all engines, by the group that shares them. They
-/// are stored with the data that was written, so that they outlive an engine's process.
+/// The keys of writes that have taken effect, for all engines, by the group that shares them. The
+/// keys are stored with the data that was written, so they outlive an engine's process.
 #[derive(Clone, Default)]
 pub struct KeyMemory(Rc<RefCell<Keys>>);
 
@@ -53,8 +53,9 @@
 type Keys = HashMap<(Group, String), (Instant, Duration)>;
 
 impl KeyMemory {
-    /// Whether a write that began at `began` takes effect, and if so remembers its key. It doesn't
-    /// if the window of an earlier write with the same key hadn't passed when it began.
+    /// Returns whether a write that began at `began` takes effect, and stores its key if it does.
+    /// It doesn't take effect if at `began` the window of an earlier write with the same key hadn't
+    /// passed.
     fn is_new(&self, group: Group, key: &str, window: Duration, began: Instant) -> bool {
         let mut entries = self.0.borrow_mut();
         entries.retain(|_, (at, window)| at.elapsed() < *window + MAX_QUERY_TIME);
@@ -69,9 +70,9 @@
     }
 }
 
-/// How the effect of a write is identified.
+/// How a write is identified, to detect repeats.
 enum Effect {
-    /// By its idempotency key: repeats within the window are dropped by the group.
+    /// By its idempotency key: the group of engines drops repeats within the window.
     Keyed(String, Group, Duration),
     /// By the id of the request, for writes without a key.
     Once(String),
@@ -87,9 +88,9 @@
     /// Work in milliseconds on one core.
     work: f64,
     memory_mb: f64,
-    /// Number of rows of its result.
+    /// Number of rows in the query's result.
     rows: u64,
-    /// Whether the query ends with an error.
+    /// Whether the query will end with an error instead of a result.
     fails: bool,
 }
 
@@ -97,7 +98,8 @@
 struct Faults {
     /// Until this time no query completes, no command is handled and no answer is written.
     stalled_until: Option<Instant>,
-    /// Until this time no command is handled and no answer is written, while queries go on.
+    /// Until this time no command is handled and no answer is written, while queries continue to
+    /// run.
     silent_until: Option<Instant>,
     /// Fraction of queries that end with an error until `errors_until`.
     error_share: f64,
@@ -114,7 +116,7 @@
     connections: BTreeMap<u64, mpsc::Sender<String>>,
     tasks: Vec<JoinHandle<()>>,
     faults: Faults,
-    /// Last number given to a connection or a query.
+    /// Last ID assigned to a connection or a query.
     last_number: u64,
     rng: rand::rngs::StdRng,
 }
@@ -123,7 +125,7 @@
 pub struct Engine {
     /// The engine's configuration in the scenario.
     pub spec: EngineSpec,
-    /// The address at which it listens.
+    /// The address at which the engine listens.
     pub address: SocketAddr,
     name: SharedName,
     reserved_address: ReservedAddress,
@@ -142,8 +144,8 @@
 }
 
 impl Engine {
-    /// Starts the engine at its address. `seed` determines which queries fail while it is to answer
-    /// some with errors.
+    /// Starts the engine at its address. `seed` determines which queries fail while the scenario
+    /// makes the engine answer a fraction of them with errors.
     ///
     /// # Errors
     ///
@@ -231,8 +233,8 @@
         }
     }
 
-    /// Serves a connection until it ends. Its queries are stopped then, unless the engine finishes
-    /// orphaned queries.
+    /// Serves a connection until it ends. The connection's queries are then stopped, unless the
+    /// engine finishes orphaned queries.
     async fn serve_connection(self: Rc<Self>, number: u64, stream: TcpStream) {
         // Closing sends a reset, as when a process is killed.
         let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
@@ -395,8 +397,8 @@
     }
 }
 
-/// A number from the comment of a statement, such as `/* work=80 ram=64 rows=4 */`; `None` if it
-/// contains none of that name.
+/// Returns the number called `name` in the comment in a statement, such as `/* work=80 ram=64
+/// rows=4 */`; `None` if the comment has no such name.
 fn statement_hint(statement: &str, name: &str) -> Option<f64> {
     let comment = statement.split("/*").nth(1)?.split("*/").next()?;
     let pair = comment.split_whitespace().find_map(|pair| {
@@ -406,8 +408,8 @@
     pair.and_then(|(_, value)| value.parse().ok())
 }
 
-/// The result of the request with this id, in pages of whole rows. Each row contains the id, so
-/// that clients can check that a result is theirs.
+/// Returns the result of the request with the id `id`, in pages of whole rows. Each row contains
+/// the id, so that a client can check that the result belongs to its request.
 pub fn pages(id: &str, rows: u64) -> Vec<String> {
     let mut pages = vec![String::new()];
     for number in 0..rows {
--- a/crates/emulators/src/engine/faults.rs
+++ b/crates/emulators/src/engine/faults.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Engine {
-    /// Ends the process: connections are reset and new ones refused. Queries and results are lost.
+    /// Ends the process: open connections are reset and new connections refused. Queries and
+    /// results are lost.
     pub fn kill(&self) {
         self.record_process_event(None);
         let mut state = self.state.borrow_mut();
@@ -22,12 +23,12 @@
         );
     }
 
-    /// Starts a new process at the same address, without queries or results. It has 40% of its
-    /// capacity at first if its warm-up time isn't zero.
+    /// Starts a new process at the same address, without queries or results. If the engine's
+    /// warm-up time isn't zero, it has 40% of its capacity at first.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't listen at its address.
+    /// Returns an error if the engine can't listen at its address.
     pub async fn restart(self: &Rc<Self>) -> io::Result<()> {
         self.kill();
         // Lets the aborted tasks close their sockets first.
@@ -48,7 +49,7 @@
         Ok(())
     }
 
-    /// Resets all connections; the process goes on.
+    /// Resets all connections; the process continues to run.
     pub fn reset(&self) {
         self.state.borrow_mut().connections.clear();
     }
@@ -59,8 +60,8 @@
         self.queries_changed.notify_one();
     }
 
-    /// Sends nothing and handles no command for a time, while connections stay open and queries go
-    /// on.
+    /// Sends nothing and handles no command for a time, while connections stay open and queries
+    /// continue to run.
     pub fn vanish(&self, duration: Duration) {
         self.state.borrow_mut().faults.silent_until = Some(Instant::now() + duration);
     }
--- a/crates/emulators/src/engine/queries.rs
+++ b/crates/emulators/src/engine/queries.rs
@@ -1,4 +1,4 @@
-//! Queries, from their start to their answer.
+//! Starting, running and answering queries.
 
 use super::*;
 
--- a/crates/emulators/src/golden.rs
+++ b/crates/emulators/src/golden.rs
@@ -1,17 +1,17 @@
-//! Golden data: bytes that an earlier version of the program wrote, kept in `tests/golden` of the
+//! Golden data: bytes that an earlier version of the program wrote, stored in `tests/golden` of the
 //! workspace.
 
 use std::path::{Path, PathBuf};
 
-/// The path of a golden file or directory.
+/// Returns the path of a golden file or directory.
 pub fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../tests/golden")
         .join(name)
 }
 
-/// Compares bytes with a golden file. Bytes that differ are written to the temporary directory, to
-/// be compared.
+/// Compares bytes with a golden file. If `actual` differs, it is written to the temporary
+/// directory, so that the two can be compared.
 ///
 /// # Panics
 ///
--- a/crates/emulators/src/history.rs
+++ b/crates/emulators/src/history.rs
@@ -1,5 +1,5 @@
 //! The history of a run: events of clients, engines, the bulletin, gateways' processes and links,
-//! in the order of time. It is recorded only if it is checked against rules afterwards.
+//! sorted by time. A history is recorded only if it is checked against rules after the run.
 
 use std::rc::Rc;
 
@@ -9,11 +9,11 @@
 /// since many events contain the same one.
 pub type SharedName = Rc<str>;
 
-/// Maximum number of events that are recorded. A run with more is too long to be checked, which is
-/// reported; see [`Ledger::events_not_kept`](crate::ledger::Ledger::events_not_kept).
+/// Maximum number of recorded events. A longer run can't be checked and is reported as such; see
+/// [`Ledger::events_not_kept`](crate::ledger::Ledger::events_not_kept).
 pub const MAX_EVENTS: usize = 4_000_000;
 
-/// An entry of the history.
+/// An event of the history with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedEvent {
     /// Unix time.
@@ -22,10 +22,10 @@
     pub event: Event,
 }
 
-/// One try of a request, as its client sent it.
+/// A try: one attempt by a client to get a request answered, as the client sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Try {
-    /// The load that sent it.
+    /// The load whose client sent the try.
     pub load: SharedName,
     /// The class of the request.
     pub class: SharedName,
@@ -34,11 +34,11 @@
     /// The idempotency key, the same for all tries of a request. In classes without keys it isn't
     /// sent and only connects the tries.
     pub key: SharedName,
-    /// The gateway to which it was sent.
+    /// The gateway to which the try was sent.
     pub gateway: SharedName,
-    /// Number of the try, from 0.
+    /// Index of the try among the tries of its request, from 0.
     pub number: u64,
-    /// Whether it is marked as a retry (field `r`).
+    /// Whether the try is marked as a retry (field `r`).
     pub marked: bool,
     /// The client's timeout.
     pub wait: Micros,
@@ -49,11 +49,11 @@
 pub enum TryOutcome {
     /// The result arrived.
     Served,
-    /// The gateway rejected it with `TryLater`.
+    /// The gateway rejected the try with `TryLater`.
     Refused,
     /// The gateway answered with another error.
     Failed,
-    /// The client cancelled it.
+    /// The client cancelled the try.
     Forgotten,
     /// The connection was lost before an answer arrived.
     ConnectionLost,
@@ -89,24 +89,26 @@
         id: u64,
         /// How it ended.
         outcome: TryOutcome,
-        /// The advice in a rejection: milliseconds after which the client may retry.
+        /// The retry-after hint in a rejection, in milliseconds; `None` if there was none.
         advice: Option<u64>,
     },
-    /// No gateway could be reached, so that the try was never sent.
+    /// No gateway could be reached, so the try was never sent.
     NoGatewayReachable {
         /// The load whose client tried to connect.
         load: SharedName,
         /// The key of the request.
         key: SharedName,
     },
-    /// A client received an answer for which it has no open request, such as a second one.
+    /// A client received an answer for which it has no open request, such as a second answer to the
+    /// same request.
     UnexpectedAnswer {
-        /// The load whose client received it.
+        /// The load whose client received the answer.
         load: SharedName,
-        /// The gateway that sent it.
+        /// The gateway that sent the answer.
         gateway: SharedName,
     },
-    /// A client received a result that differs from the one that engines produce for its request.
+    /// A client received a result that differs from the result that engines produce for the
+    /// request.
     WrongResult {
         /// The id of the try.
         id: u64,
@@ -142,7 +144,7 @@
         /// The key of the request, or the id if it was sent without a key.
         key: SharedName,
     },
-    /// An engine dropped a repeated write, because its key was remembered.
+    /// An engine dropped a repeated write because the key of the write was retained.
     RepeatDropped {
         /// The engine that received the repeat.
         engine: SharedName,
@@ -155,14 +157,15 @@
     Engine {
         /// The engine whose process it is.
         engine: SharedName,
-        /// If it started, the time until it has all of its capacity; `None` if it ended.
+        /// If the process started, the time until the engine has all of its capacity; `None` if the
+        /// process ended.
         begins: Option<Micros>,
     },
     /// The bulletin sent the state of an engine to a gateway.
     EngineAnnounced {
         /// The gateway that watches the bulletin.
         gateway: SharedName,
-        /// The engine in the event of the endpoint list.
+        /// The engine whose state the event contains.
         engine: SharedName,
         /// `up`, `draining` or `removed`.
         health: &'static str,
@@ -171,7 +174,7 @@
     Gateway {
         /// The gateway whose process it is.
         gateway: SharedName,
-        /// What became of the process.
+        /// The change in the state of the process.
         change: ProcessChange,
     },
     /// A fault of a link began or ended.
@@ -182,7 +185,7 @@
         to: SharedName,
         /// The name of the fault, such as `cut` or `delay`.
         fault: &'static str,
-        /// Whether it began.
+        /// Whether the fault began; false if it ended.
         begins: bool,
     },
     /// Another action of the fleet test.
--- a/crates/emulators/src/ledger.rs
+++ b/crates/emulators/src/ledger.rs
@@ -1,5 +1,5 @@
 //! Counts requests, answers and effects of one run of a scenario, and violations of rules that are
-//! detected at once.
+//! detected during the run.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -10,10 +10,10 @@
 
 use crate::history::{Event, TimedEvent, MAX_EVENTS};
 
-/// Numbers of requests of a load by their outcomes.
+/// Numbers of requests from a load, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
-    /// Requests sent, each retry counted anew.
+    /// Requests sent, with each retry counted as a request.
     pub asked: u64,
     /// Requests answered with their result.
     pub served: u64,
@@ -26,7 +26,7 @@
     pub lost: u64,
     /// Requests that the client cancelled.
     pub forgotten: u64,
-    /// Rejected requests whose answer contained advice when to retry.
+    /// Rejected requests whose answer contained a retry-after hint.
     pub advised: u64,
 }
 
@@ -44,8 +44,8 @@
     }
 }
 
-/// The start of a run by both clocks, so that times of the monotonic clock can be converted to Unix
-/// time that doesn't step within the run.
+/// The start of a run by the monotonic and the system clock. Unix times in the run are computed
+/// from monotonic times, so that they don't step within the run.
 #[derive(Clone, Copy, Debug)]
 struct RunStart {
     instant: Instant,
@@ -71,25 +71,26 @@
     run_start: RunStart,
     /// The recorded events, or `None` if none are recorded.
     pub history: Option<Vec<TimedEvent>>,
-    /// Events that weren't recorded because there were [`MAX_EVENTS`] already.
+    /// Number of events that weren't recorded because [`MAX_EVENTS`] events had been recorded
+    /// before.
     pub events_not_kept: u64,
     /// Outcomes of requests, by the name of the load.
     pub answers: BTreeMap<String, Answers>,
     /// How often a write took effect, by its idempotency key or its id.
     effects: HashMap<String, u32>,
-    /// Descriptions of the first violations.
+    /// Descriptions of the first violations, at most [`MAX_VIOLATION_TEXTS`].
     pub violations: Vec<String>,
-    /// Number of all violations.
+    /// Number of all violations, including those without a description.
     pub violation_count: u64,
     /// Number of queries started, by the name of the engine.
     pub queries_started: BTreeMap<String, u64>,
 }
 
-/// Maximum number of violations whose descriptions are kept.
+/// Maximum number of violations whose descriptions are stored.
 const MAX_VIOLATION_TEXTS: usize = 50;
 
 impl Ledger {
-    /// The current Unix time in microseconds.
+    /// Returns the current Unix time in microseconds.
     pub fn now(&self) -> u64 {
         self.run_start.unix_us + self.run_start.instant.elapsed().as_micros() as u64
     }
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Counts a violation of a rule and keeps its description.
+    /// Counts a violation of a rule and stores its description if there is room for it.
     pub fn record_violation(&mut self, text: String) {
         self.violation_count += 1;
         if self.violations.len() < MAX_VIOLATION_TEXTS {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Counts that a write took effect. The second time is a violation.
+    /// Counts that a write took effect. A second effect of the same write is a violation.
     pub fn record_effect(&mut self, key: &str, engine: &str) {
         let count = self.effects.entry(key.to_string()).or_default();
         *count += 1;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// The sum over all loads.
+    /// Returns the sum of the outcomes over all loads.
     pub fn total(&self) -> Answers {
         self.answers.values().copied().sum()
     }
--- a/crates/emulators/src/reserved_address.rs
+++ b/crates/emulators/src/reserved_address.rs
@@ -1,5 +1,5 @@
-//! Keeps an address reserved while nothing listens at it, so that a process that was killed can
-//! start again at the same address: meanwhile the system gives the port to no other socket.
+//! Keeps an address reserved while nothing listens at it, so that a process that was killed can be
+//! restarted at the same address: meanwhile the system gives the port to no other socket.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 use socket2::{Domain, SockAddr, Socket, Type};
 use tokio::net::TcpListener;
 
-/// Maximum number of connections that wait to be accepted.
+/// Maximum number of connections that are waiting to be accepted.
 const BACKLOG: i32 = 1024;
 
 /// An address at which a process can stop listening and start again.
 pub struct ReservedAddress {
-    /// Bound but never listening: it only reserves the port.
+    /// A socket that is bound but never listens: it only reserves the port.
     _reserving_socket: Socket,
     /// The reserved address.
     pub address: SocketAddr,
--- a/crates/emulators/src/scenario.rs
+++ b/crates/emulators/src/scenario.rs
@@ -22,7 +22,7 @@
 }
 
 impl Scenario {
-    /// Parses the text of a scenario. `file` is the name that errors contain.
+    /// Parses the text of a scenario. `file` is the file name that errors contain.
     ///
     /// # Errors
     ///
--- a/crates/emulators/src/scenario/specs.rs
+++ b/crates/emulators/src/scenario/specs.rs
@@ -1,5 +1,5 @@
-//! The parts of a scenario as they were read. A field whose directive is missing has the default
-//! that the table of directives states.
+//! The parts of a scenario, as parsed from its text. A field whose directive is missing has the
+//! default that the table of directives states.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -9,28 +9,30 @@
 pub struct EngineSpec {
     /// Name of the engine, unique in the scenario.
     pub name: String,
-    /// The address at which it listens; `None` for a port that the system chooses.
+    /// The address at which the engine listens; `None` for a port that the system chooses.
     pub listen: Option<SocketAddr>,
     /// Number of cores, shared by its queries.
     pub cores: u64,
     /// Memory for all running queries together, in MB.
     pub memory_mb: f64,
-    /// Maximum number of queries at a time; more are answered with `BUSY`.
+    /// Maximum number of queries at a time; further queries are answered with `BUSY`.
     pub sessions: usize,
-    /// Time from a start of its process until all cores are available; zero: at once.
+    /// Time from a start of the engine's process until all cores are available; zero if all cores
+    /// are available at once.
     pub warm_up: Duration,
     /// The machine kind in the endpoint list.
     pub kind: String,
     /// The zone in the endpoint list.
     pub zone: String,
-    /// The number of its cell: in classes with the scope `cell`, the engines of a cell share the
-    /// memory of idempotency keys.
+    /// The ID of the engine's cell: in classes with the scope `cell`, the engines of a cell share
+    /// their record of idempotency keys.
     pub cell: u64,
     /// Whether a query is finished after its connection has closed (`orphans finish`).
     pub finishes_orphans: bool,
 }
 
-/// The engines that share the memory of idempotency keys, and so drop each other's repeats.
+/// The engines that share their record of idempotency keys, and therefore drop each other's
+/// repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// All engines.
@@ -68,7 +70,7 @@
 pub struct LoadSpec {
     /// Name of the load, under which answers are counted.
     pub name: String,
-    /// The gateway to which it sends requests; `None` for all gateways.
+    /// The gateway to which the load sends requests; `None` for all gateways.
     pub gateway: Option<String>,
     /// The class of its requests.
     pub class: String,
@@ -76,9 +78,9 @@
     pub tenant: String,
     /// Average number of requests per second.
     pub rate: f64,
-    /// Time of the scenario at which it begins.
+    /// Time in the scenario at which the load begins.
     pub begin: Duration,
-    /// Time of the scenario at which it ends; `None` for the end of the scenario.
+    /// Time in the scenario at which the load ends; `None` for the end of the scenario.
     pub end: Option<Duration>,
     /// The clients' timeout.
     pub wait: Duration,
@@ -92,7 +94,7 @@
     pub rows: u64,
     /// Number of connections over which the requests are distributed.
     pub connections: usize,
-    /// The local address of its connections, one of 127.0.0.0/8.
+    /// The local address of the load's connections, in 127.0.0.0/8.
     pub from: IpAddr,
     /// Maximum number of retries after rejections.
     pub retries: u64,
@@ -104,7 +106,8 @@
     pub back: RetryTarget,
     /// Fraction of the retries that are marked as such.
     pub marked: f64,
-    /// Fraction of the retries after rejections that are sent before the advised time.
+    /// Fraction of the retries after rejections that are sent before the time given by the
+    /// retry-after hint.
     pub hasty: f64,
     /// Fraction of the retries that are sent after the class's window has passed.
     pub late: f64,
@@ -129,7 +132,7 @@
     pub is_load: bool,
     /// The engines that drop repeats of a key.
     pub scope: Scope,
-    /// How long engines remember a key.
+    /// How long engines retain a key.
     pub window: Duration,
     /// Whether requests with the same key run one at a time, in the order of their acceptance.
     pub ordered: bool,
@@ -144,16 +147,17 @@
     pub memory_mb: u64,
     /// The limit on file descriptors in its configuration.
     pub sockets: u64,
-    /// Time of the scenario at which it starts.
+    /// Time in the scenario at which the gateway starts.
     pub start: Duration,
-    /// Lines of its operator's file; `{directory}` stands for its own directory.
+    /// Lines of the gateway's operator's file; `{directory}` is replaced by the gateway's own
+    /// directory.
     pub operator: Vec<String>,
 }
 
 /// An action at a time of the scenario (`at`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Time of the scenario.
+    /// Time in the scenario at which the action happens.
     pub at: Duration,
     /// The name of the action's directive, such as `kill`.
     pub action: &'static str,
@@ -172,7 +176,7 @@
 }
 
 impl Step {
-    /// Creates a step with the defaults of the other fields: all queries, one hour, both
+    /// Creates a step; fields that are not passed get their defaults: all queries, one hour, both
     /// directions.
     pub fn new(at: Duration, action: &'static str, names: Vec<String>) -> Self {
         let (share, lasts, way) = (1.0, Duration::from_secs(3600), LinkDirection::Both);
@@ -194,11 +198,11 @@
 pub struct Scenario {
     /// The seed of all random numbers.
     pub seed: u64,
-    /// How long the loads run; zero: until the process is stopped.
+    /// How long the loads run; zero if they run until the process is stopped.
     pub time: Duration,
     /// The address of service discovery; `None` for a port that the system chooses.
     pub bulletin: Option<SocketAddr>,
-    /// Tenants and their quotas over all gateways, in requests per second.
+    /// Tenants and their quotas across all gateways, in requests per second.
     pub tenants: Vec<(String, f64)>,
     /// Classes of requests; at least one.
     pub classes: Vec<ClassSpec>,
--- a/crates/emulators/src/scripted.rs
+++ b/crates/emulators/src/scripted.rs
@@ -28,7 +28,7 @@
     Ok(stream)
 }
 
-/// Whether an error means that a read or an accept has timed out.
+/// Returns whether an error means that a read or an accept has timed out.
 pub fn is_timeout(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -61,24 +61,24 @@
 /// A command that a gateway has sent to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Command {
-    /// The words of its first line, separated by spaces.
+    /// The words in the first line of the command, without the spaces between them.
     pub words: Vec<String>,
     /// The bytes after the first line: the statement of a `serve`, empty otherwise.
     pub payload: Vec<u8>,
 }
 
 impl Command {
-    /// The first word, such as `serve` or `cancel`.
+    /// Returns the first word, such as `serve` or `cancel`.
     pub fn verb(&self) -> &str {
         &self.words[0]
     }
 
-    /// The id of the attempt.
+    /// Returns the id of the attempt that the command refers to.
     pub fn id(&self) -> &str {
         &self.words[1]
     }
 
-    /// The value of a field of a `serve`; `None` if it has no such field.
+    /// Returns the value of a field in a `serve`; `None` if the command has no such field.
     pub fn field(&self, name: &str) -> Option<&str> {
         let pairs = self
             .words
@@ -108,8 +108,8 @@
         Ok(Engine { listener })
     }
 
-    /// Creates an engine whose queue of new connections is full: dials to it succeed only after
-    /// [`FullQueueEngine::free_queue`].
+    /// Creates an engine whose queue of new connections is full: connecting to the engine succeeds
+    /// only after [`FullQueueEngine::free_queue`].
     ///
     /// # Errors
     ///
@@ -127,7 +127,7 @@
         Ok(full_queue_engine)
     }
 
-    /// The address at which it listens.
+    /// Returns the address at which the socket listens.
     pub fn address(&self) -> SocketAddr {
         self.listener
             .local_addr()
@@ -140,7 +140,8 @@
         self.answer_until(Arc::new(AtomicBool::new(true)), pages, page);
     }
 
-    /// The same, until no connection has arrived for [`PATIENCE`] and `stop` is set.
+    /// Answers all commands like [`Engine::answer_all`], but ends only when no connection has
+    /// arrived for [`PATIENCE`] and `stop` is set.
     pub fn answer_until(self, stop: Arc<AtomicBool>, pages: usize, page: String) {
         std::thread::spawn(move || loop {
             let mut end = match self.accept() {
@@ -166,7 +167,7 @@
     }
 }
 
-/// An engine whose queue of new connections is full, so that dials to it wait.
+/// An engine whose queue of new connections is full, so connection attempts to it wait.
 pub struct FullQueueEngine {
     /// The engine, which can accept connections once the queue is free.
     pub engine: Engine,
@@ -175,7 +176,7 @@
 }
 
 impl FullQueueEngine {
-    /// Fills the queue: from now on dials wait.
+    /// Fills the queue: from now on connection attempts wait.
     ///
     /// # Errors
     ///
@@ -185,7 +186,7 @@
         Ok(())
     }
 
-    /// Frees the queue: waiting dials succeed.
+    /// Frees the queue: waiting connection attempts succeed.
     ///
     /// # Errors
     ///
@@ -201,8 +202,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if none arrives within [`PATIENCE`] or it is malformed; an error of kind
-    /// `UnexpectedEof` means that the gateway has closed the connection.
+    /// Returns an error if no command arrives within [`PATIENCE`] or the command is malformed; an
+    /// error of kind `UnexpectedEof` means that the gateway has closed the connection.
     pub fn command(&mut self) -> io::Result<Command> {
         let mut line = String::new();
         if self.stream.read_line(&mut line)? == 0 {
@@ -258,7 +259,7 @@
     ///
     /// # Panics
     ///
-    /// If it doesn't within [`PATIENCE`] after a command.
+    /// If the gateway doesn't close the connection within [`PATIENCE`] after a command.
     pub fn until_closed(&mut self) {
         loop {
             if let Err(e) = self.command() {
@@ -295,7 +296,7 @@
         Ok(Bulletin { listener })
     }
 
-    /// The address at which it listens.
+    /// Returns the address at which the socket listens.
     pub fn address(&self) -> SocketAddr {
         self.listener
             .local_addr()
--- a/crates/emulators/src/scripted/client.rs
+++ b/crates/emulators/src/scripted/client.rs
@@ -15,14 +15,14 @@
 pub enum Answer {
     /// A complete result.
     Result {
-        /// The number of the call that it answers.
+        /// ID of the call that is answered.
         id: u64,
         /// The rows of the result.
         body: Vec<u8>,
     },
     /// A part of a result, with fields that say how to get the rest.
     Part {
-        /// The number of the call that it answers.
+        /// ID of the call that is answered.
         id: u64,
         /// The rows of the result.
         body: Vec<u8>,
@@ -31,7 +31,7 @@
     },
     /// An error instead of a result, such as a rejection.
     Error {
-        /// The number of the call that it answers.
+        /// ID of the call that is answered.
         id: u64,
         /// The kind of error, such as `TryLater`.
         word: String,
@@ -40,7 +40,7 @@
     },
     /// The answer to a health check.
     Health {
-        /// The number of the call that it answers.
+        /// ID of the call that is answered.
         id: u64,
         /// Whether the gateway is healthy.
         well: bool,
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Sends a query. `id` is the number of the call, `class` its class, `body` the statement.
+    /// Sends a query. `id` is the call ID, `class` the query's class, `body` the statement.
     ///
     /// # Errors
     ///
@@ -87,7 +87,8 @@
     ///
     /// # Panics
     ///
-    /// If it doesn't within [`PATIENCE`](super::PATIENCE) after an answer.
+    /// If the gateway doesn't close the connection within [`PATIENCE`](super::PATIENCE) after an
+    /// answer.
     pub fn until_closed(&mut self) -> Vec<Answer> {
         let mut answers = Vec::new();
         loop {
@@ -141,15 +142,16 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if none arrives within [`PATIENCE`](super::PATIENCE) or it is malformed; an
-    /// error of kind `UnexpectedEof` means that the gateway has closed the connection.
+    /// Returns an error if no answer arrives within [`PATIENCE`](super::PATIENCE) or it is
+    /// malformed; an error of kind `UnexpectedEof` means that the gateway has closed the
+    /// connection.
     pub fn answer(&mut self) -> io::Result<Answer> {
         read_answer(&mut self.stream)
     }
 }
 
-/// Parses the first answer in `bytes`. Returns it and its length in bytes, or `None` if it isn't
-/// complete yet.
+/// Parses the first answer in `bytes`. Returns the answer and its length in bytes, or `None` if the
+/// answer isn't complete yet.
 ///
 /// # Errors
 ///
--- a/crates/emulators/tests/scripted.rs
+++ b/crates/emulators/tests/scripted.rs
@@ -29,7 +29,8 @@
         && line.starts_with("7 UP")
 }
 
-/// Whether an engine still answers after ten times the patience without a connection.
+/// Returns whether an engine still answers after it had no connection for ten times
+/// [`SHORT_PATIENCE`].
 fn outlasts_patience(engine: Engine, stop: Option<Arc<AtomicBool>>) -> bool {
     let address = engine.address();
     match stop {
