--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use crate::error::{CliError, StatusFileProblem, StoreProblem};
 
-/// A gateway whose status file is older than this, in milliseconds, is taken as not running.
+/// Age of a status file, in milliseconds, above which its gateway is considered not running.
 const MAX_STATUS_AGE_MS: u64 = 3_000;
 /// Name of the status file in a gateway's store directory.
 const STATUS_FILE: &str = "STATUS";
--- a/crates/emulators/src/scripted/client.rs
+++ b/crates/emulators/src/scripted/client.rs
@@ -20,7 +20,7 @@
         /// The rows of the result.
         body: Vec<u8>,
     },
-    /// A part of a result, with fields that say how to get the rest.
+    /// A part of a result, with fields for requesting the rest.
     Part {
         /// ID of the call that is answered.
         id: u64,
--- a/crates/result-spool/src/lib.rs
+++ b/crates/result-spool/src/lib.rs
@@ -1,12 +1,12 @@
 //! Buffers results between engines and clients: pages are stored as they arrive from an engine and
-//! delivered as clients ask for them, so that an engine doesn't wait for a slow client.
+//! delivered as clients request them, so that an engine doesn't wait for a slow client.
 //!
 //! [`limits`] contains the budget and the constants; [`size`] learns how large results are;
 //! [`state`] tracks where pages are stored and decides which results are admitted, which pages move
 //! to disk, which results are dropped and how far an engine is read ahead; [`run_registry`] finds
-//! the run of a request that is sent again; [`token`] signs references to pages; [`segments`]
-//! allocates positions of pages on disk. None of these does I/O or reads a clock. [`worker`] is the
-//! thread that writes and reads pages.
+//! the run of a request that is resent; [`token`] signs references to pages; [`segments`] allocates
+//! positions of pages on disk. None of these does I/O or reads a clock. [`worker`] is the thread
+//! that writes and reads pages.
 
 pub mod limits;
 pub mod run_registry;
--- a/crates/result-spool/src/limits.rs
+++ b/crates/result-spool/src/limits.rs
@@ -49,7 +49,7 @@
     pub max_result_bytes: u64,
     /// How long a result that no client has received completely is stored after its last use.
     pub unclaimed_retention: Micros,
-    /// How long a delivered result is stored after its last use, for a client that asks for it
+    /// How long a delivered result is stored after its last use, for a client that requests it
     /// again.
     pub delivered_retention: Micros,
 }
--- a/crates/result-spool/src/state.rs
+++ b/crates/result-spool/src/state.rs
@@ -127,7 +127,7 @@
     pages: Vec<Page>,
     state: State,
     readers: u32,
-    /// Index of the page after the last one that a reader asked for; 0 if there is no reader.
+    /// Index of the page after the last one that a reader requested; 0 if there is no reader.
     next: usize,
     /// A reader has received the whole result.
     delivered: bool,
