--- a/crates/background-scheduler/src/scheduler.rs
+++ b/crates/background-scheduler/src/scheduler.rs
@@ -1,9 +1,9 @@
 //! Selection of the next background job.
 //!
 //! Each job has an urgency, and the most urgent job is next. Two budgets limit the work: time per
-//! round of the event loop, which is the longest that requests wait for it, and bytes per second,
-//! which leaves disk throughput to the requests. To prevent starvation, a job that has waited for
-//! too long goes before more urgent ones.
+//! round of the event loop, which limits how long requests wait for background work, and bytes per
+//! second, which leaves disk throughput to the requests. To prevent starvation, a job that has
+//! waited for too long is executed before more urgent ones.
 
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
 const MAX_QUEUED: usize = 65_536;
 /// Waiting time after which a job is next, whatever its urgency.
 const STARVATION_LIMIT: Micros = 10_000_000;
-/// Unused byte budget that can accumulate, in seconds of the budget.
+/// Maximum byte budget that can accumulate unused, in seconds of [`Budget::bytes_per_s`].
 const BURST_SECONDS: f64 = 0.25;
 
 /// The urgency of a job. The variants are ordered from the most urgent to the least.
@@ -66,10 +66,11 @@
     budget: Budget,
     /// One queue per urgency, in the order of [`Urgency::ALL`].
     queues: [VecDeque<Job<W>>; Urgency::ALL.len()],
-    /// Bytes that may be used now. At most one job can make it negative.
+    /// Number of bytes that jobs may use now. Only the job that exhausts the budget can make this
+    /// negative: no further job starts until it is refilled.
     available_bytes: f64,
     refilled_at: Micros,
-    /// Time used in the current round.
+    /// Microseconds used by jobs in the current round.
     used_time: Micros,
 }
 
--- a/crates/background-scheduler/src/wheel.rs
+++ b/crates/background-scheduler/src/wheel.rs
@@ -1,6 +1,6 @@
 //! A hierarchical timing wheel. Each level has 64 slots, and one slot spans as much time as all
-//! slots of the level below. The distance of a deadline determines its first level. The deadline
-//! moves down as its time approaches, at most six times.
+//! slots of the level below. The time left until a deadline determines its first level. The
+//! deadline moves down as its time approaches, at most six times.
 //!
 //! A deadline never expires early and at most one tick late. Deadlines of the same tick expire in
 //! the order in which they were set.
@@ -22,7 +22,7 @@
 /// Number of levels.
 const LEVELS: usize = 6;
 /// Number of ticks that the wheel spans, which is over two years. A later deadline is put into the
-/// last slot and linked again when that slot is reached.
+/// last slot and reinserted when that slot is reached.
 const SPAN_TICKS: u64 = 1 << (SLOT_BITS * LEVELS as u32);
 /// Marks the end of a list.
 const NONE: u32 = u32::MAX;
@@ -45,7 +45,7 @@
     generation: u32,
     /// The tick at which the deadline expires.
     tick: u64,
-    /// Sequence number, by which deadlines of the same tick are ordered.
+    /// Sequence number that orders deadlines of the same tick.
     order: u64,
     slot: Slot,
     previous: u32,
@@ -105,7 +105,7 @@
 
     /// Sets a deadline. If `at` is in the past, the deadline expires with the next tick.
     pub fn set(&mut self, at: Micros, payload: T) -> Timer {
-        // Rounds up, so that the deadline never expires early.
+        // Rounds up so that the deadline never expires early.
         let tick = at.div_ceil(1 << TICK_BITS).max(self.current_tick + 1);
         self.generation = self.generation.wrapping_add(1);
         self.set_count += 1;
@@ -133,8 +133,8 @@
         Some(self.entries.remove(timer.entry as usize).payload)
     }
 
-    /// Returns a time before which no deadline expires, or `None` if there is no deadline. It may
-    /// be earlier than the next deadline.
+    /// Returns a time before which no deadline expires, or `None` if there is no deadline. The
+    /// returned time may be earlier than the next deadline.
     pub fn next_expiry(&self) -> Option<Micros> {
         if !self.expired.is_empty() {
             return Some(self.current_tick << TICK_BITS);
@@ -223,8 +223,8 @@
     fn next_occupied_in(&self, level: usize) -> Option<(u64, Slot)> {
         let current_slot = self.current_tick >> (SLOT_BITS * level as u32);
         let current = current_slot % SLOTS as u64;
-        // Bit 0 is the slot of the current tick. It was emptied when its first tick was reached, so
-        // that it can only be occupied in the highest level, whose slots are used again for the
+        // Bit 0 is the slot of the current tick. This slot was emptied when its first tick was
+        // reached, so it can be occupied only in the highest level, whose slots are reused for the
         // next turn of the wheel.
         let from_current = self.occupied[level].rotate_right(current as u32);
         let ahead = match (from_current & !1, from_current & 1) {
--- a/crates/background-scheduler/tests/model.rs
+++ b/crates/background-scheduler/tests/model.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Sets a deadline at a distance from now.
+    /// Sets a deadline this many microseconds from now.
     Set(u64),
     /// Cancels the deadline at a position in the model, modulo its length.
     Cancel(usize),
--- a/crates/config-syntax/src/grammar.rs
+++ b/crates/config-syntax/src/grammar.rs
@@ -34,7 +34,7 @@
 /// A directive's name, its further words, and its block if it has one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// The words in the order of the line. There is at least one: the directive's name.
+    /// The words of the line in order. The first one is the directive's name and always exists.
     pub words: Vec<Word>,
     /// The statements of the block; `None` if there is no block.
     pub block: Option<Vec<Statement>>,
--- a/crates/config-syntax/src/include.rs
+++ b/crates/config-syntax/src/include.rs
@@ -6,7 +6,7 @@
 use crate::error::ConfigError;
 use crate::grammar::{self, Statement};
 
-/// Maximum depth of nested files, counting the first one. It also stops a file that includes
+/// Maximum depth of nested files, counting the first one. The limit also stops a file that includes
 /// itself.
 const MAX_DEPTH: usize = 8;
 /// Maximum number of files, counting the first one.
@@ -14,7 +14,8 @@
 
 /// The name and the text of an included file.
 pub struct IncludedFile {
-    /// Name of the file in errors. The paths of its own includes are relative to it.
+    /// Path of the file as shown in errors. Include directives in this file are resolved relative
+    /// to the directory of this path.
     pub name: String,
     /// Content of the file.
     pub text: String,
@@ -24,7 +25,8 @@
 /// include directive.
 pub type OpenInclude = dyn Fn(&str, &str) -> io::Result<IncludedFile>;
 
-/// Reads an included file from the file system. The path `name` is relative to the including file.
+/// Reads an included file from the file system. The path `name` is relative to the directory of the
+/// including file, `file`.
 ///
 /// # Errors
 ///
--- a/crates/config-syntax/src/reference.rs
+++ b/crates/config-syntax/src/reference.rs
@@ -3,11 +3,11 @@
 use crate::table::Directive;
 use crate::value::ValueKind;
 
-/// A directive that contains others, and the table of these.
+/// A directive that contains other directives, and the table of the contained ones.
 type InnerTable<'a> = (&'a Directive, &'a [Directive]);
 
-/// Returns the Markdown tables for a table of directives and then for those nested in it, level by
-/// level.
+/// Returns one Markdown table for `table`, followed by one for each nested table of directives,
+/// level by level.
 pub fn reference(table: &[Directive]) -> String {
     let mut page = String::new();
     let mut level = write_rows(table, &mut page);
--- a/crates/config-syntax/src/table.rs
+++ b/crates/config-syntax/src/table.rs
@@ -7,7 +7,7 @@
 /// A named option after a directive's values, and the kind of the option's value.
 pub type DirectiveOption = (&'static str, ValueKind);
 
-/// The definition of a directive: what it takes and what it is for.
+/// The definition of a directive: its arguments, its default and its purpose.
 #[derive(Debug)]
 pub struct Directive {
     /// The first word of the directive's statements.
@@ -18,7 +18,8 @@
     pub rest: Option<ValueKind>,
     /// Named options after the values, in any order. All are optional.
     pub options: &'static [DirectiveOption],
-    /// Table of the directives of which one must follow after the values; `None` if none follows.
+    /// Directives one of which must follow the values in the same statement; `None` if no directive
+    /// may follow.
     pub nested: Option<&'static [Directive]>,
     /// Table of the directives in the block; `None` if the directive has no block.
     pub block: Option<&'static [Directive]>,
@@ -57,7 +58,7 @@
         self
     }
 
-    /// Requires one or more further values after the others.
+    /// Requires one or more further values after the required ones.
     pub const fn rest(mut self, kind: ValueKind) -> Self {
         self.rest = Some(kind);
         self
@@ -114,11 +115,11 @@
     pub name: &'static str,
     /// Location of the directive's name.
     pub location: Location,
-    /// The required values, followed by the further ones.
+    /// The required values, followed by those that [`Directive::rest`] allows.
     pub values: Vec<Value>,
-    /// The given options in the order of the statement.
+    /// The given options, in the order in which the statement lists them.
     pub options: Vec<(&'static str, Value)>,
-    /// The directive after the values, if this one takes another.
+    /// The directive after the values; `None` if this directive doesn't take another.
     pub nested: Option<Box<Setting>>,
     /// The settings in the block; empty without a block.
     pub block: Vec<Setting>,
@@ -278,7 +279,8 @@
         Ok(options)
     }
 
-    /// Takes the directive after the values. The block of the statement then belongs to it.
+    /// Takes the directive after the values. If there is one, the statement's block belongs to that
+    /// directive.
     fn take_nested(&self, block: Option<&[Statement]>) -> Result<Option<Setting>, ConfigError> {
         match (self.directive.nested, self.remaining_words.first()) {
             (Some(table), Some(word)) => {
--- a/crates/config-syntax/src/value.rs
+++ b/crates/config-syntax/src/value.rs
@@ -7,16 +7,16 @@
 pub enum ValueKind {
     /// A size in bytes: `64MB`, `4KB`, `100B`. Each unit is 1,024 times the smaller one.
     Size {
-        /// The minimum.
+        /// Smallest allowed value in bytes.
         least: u64,
-        /// The maximum.
+        /// Largest allowed value in bytes.
         most: u64,
     },
     /// A time in microseconds: `250ms`, `1.5s`, `10m`, `24h`, `80us`.
     Time {
-        /// The minimum.
+        /// Smallest allowed value in microseconds.
         least: u64,
-        /// The maximum.
+        /// Largest allowed value in microseconds.
         most: u64,
     },
     /// A share from 0% to 100%, stored as 0.0 to 1.0: `20%`.
@@ -33,7 +33,7 @@
         /// The maximum.
         most: f64,
     },
-    /// One of these words.
+    /// One of the listed words.
     Choice(&'static [&'static str]),
     /// An IP address with a port.
     Address,
@@ -58,12 +58,12 @@
     Text(String),
 }
 
-/// Maximum length of a name.
+/// Maximum length of a name in characters, which are all ASCII.
 const MAX_NAME_LENGTH: usize = 64;
 /// Exclusive maximum of a size or time that is written with a fraction, so that the conversion from
 /// `f64` can't overflow.
 const MAX_SCALED: f64 = 1e18;
-/// Names of the units of size, with their bytes.
+/// Names of the units of size, with the number of bytes in each.
 const SIZES: [(&str, u64); 5] = [
     ("TB", 1 << 40),
     ("GB", 1 << 30),
@@ -71,7 +71,7 @@
     ("KB", 1 << 10),
     ("B", 1),
 ];
-/// Names of the units of time, with their microseconds.
+/// Names of the units of time, with the number of microseconds in each.
 const TIMES: [(&str, u64); 5] = [
     ("us", 1),
     ("ms", 1_000),
@@ -109,7 +109,7 @@
 }
 
 impl ValueKind {
-    /// Describes the expected value, as a part of an error message.
+    /// Returns a description of the expected value for use in an error message.
     pub fn expected(&self) -> String {
         match self {
             ValueKind::Size { least, most } => {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Returns the placeholder for such a value in the syntax of a directive.
+    /// Returns the placeholder for a value of this kind in the syntax of a directive.
     pub fn placeholder(&self) -> String {
         match self {
             ValueKind::Size { .. } => "SIZE".into(),
@@ -216,7 +216,7 @@
     }
 }
 
-/// Parses a number with one of the units, which only `0` may lack.
+/// Parses a number followed by one of the units. Only `0` may have no unit.
 fn parse_scaled(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     if text == "0" {
         return Some(0);
--- a/crates/console/src/draw/header.rs
+++ b/crates/console/src/draw/header.rs
@@ -1,4 +1,4 @@
-//! Draws the header: the time, the rates of requests, and the episodes that last.
+//! Draws the header: the time, the rates of requests, and the episodes that have not ended.
 
 use eideryard::interface::Micros;
 use eideryard_event_analysis::series::Bucket;
@@ -15,8 +15,8 @@
 use super::{bold, DisplayOptions};
 use crate::model::Model;
 
-/// If the logs have no new entry for longer than this, the header says so. A gateway writes at
-/// least one heartbeat a second.
+/// Time without a new entry in the logs after which the header says so. A gateway writes at least
+/// one heartbeat a second.
 const MAX_SILENCE: Micros = 5_000_000;
 
 pub(super) fn draw(
--- a/crates/console/src/draw/mod.rs
+++ b/crates/console/src/draw/mod.rs
@@ -25,7 +25,7 @@
 const KEYS: &str = "Tab page  ↑↓ row  Enter open  Esc back  s sort  Space pause  ←→ 1 s  \
      PgUp/PgDn 10 s  l live  q quit";
 
-/// Characters of a sparkline, from zero to the greatest value.
+/// Characters of a sparkline, from zero to the highest value.
 const BLOCK_MARKS: [char; 9] = [' ', '▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
 /// Characters of a sparkline for terminals without block characters.
 const ASCII_MARKS: [char; 9] = [' ', '.', ':', '-', '=', '+', '*', '%', '#'];
@@ -86,7 +86,7 @@
     Style::new().add_modifier(Modifier::BOLD)
 }
 
-/// Returns a line of characters whose heights show values relative to the greatest one.
+/// Returns a line of characters whose heights show the values relative to the highest one.
 fn sparkline(values: &[u64], options: DisplayOptions) -> String {
     let greatest = values.iter().copied().max().unwrap_or(0).max(1);
     let marks = if options.has_blocks {
--- a/crates/console/src/model/engine_rows.rs
+++ b/crates/console/src/model/engine_rows.rs
@@ -17,11 +17,11 @@
 pub struct EngineRow {
     /// Engine that the row shows.
     pub engine: EngineId,
-    /// Name of the engine, or its number if no log states the name.
+    /// Name of the engine, or its ID if no log states the name.
     pub name: String,
     /// State as one word: `up`, `draining`, `removed`, `missed` (down) or `quarantine`.
     pub state: &'static str,
-    /// Number of attempts that run on the engine.
+    /// Number of attempts that are running on the engine.
     pub in_flight: usize,
     /// Memory granted to the running attempts, in MB.
     pub granted_mb: f64,
--- a/crates/console/src/model/mod.rs
+++ b/crates/console/src/model/mod.rs
@@ -9,9 +9,9 @@
 
 pub use engine_rows::{answers_per_bucket, EngineRow, SPARKLINE_BUCKETS};
 
-/// Time by which [`Key::StepBack`] and [`Key::StepForward`] move.
+/// How far in time [`Key::StepBack`] and [`Key::StepForward`] move.
 pub const STEP: Micros = 1_000_000;
-/// Time by which [`Key::LeapBack`] and [`Key::LeapForward`] move.
+/// How far in time [`Key::LeapBack`] and [`Key::LeapForward`] move.
 pub const LEAP: Micros = 10_000_000;
 /// Maximum number of pages that [`Key::Back`] can return to.
 const MAX_PREVIOUS_PAGES: usize = 16;
@@ -31,7 +31,7 @@
     Requests,
     /// The details of one engine.
     Engine(EngineId),
-    /// The details of the request with this id, which its client chose.
+    /// The details of the request with this ID, which the client chose.
     Request(u64),
 }
 
@@ -152,7 +152,7 @@
     pub cursor: usize,
     /// Order of the table of engines.
     pub sort: Sort,
-    /// Shown time; `None` while the logs are followed.
+    /// Time at which the display is paused; `None` while the logs are followed.
     pub paused_at: Option<Micros>,
     /// Time since the last entry of all logs, by the local clock; set by the caller before drawing.
     pub silent_for: Micros,
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -17,7 +17,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of entries that are added before keys are read again.
 const MAX_ENTRIES_PER_POLL: usize = 200_000;
-/// Time before the shown time from which the logs are read, to build the state and the baselines.
+/// How long before the shown time reading of the logs begins, to build the state and the baselines.
 const READ_BEFORE: Micros = 600_000_000;
 
 /// Why the console can't start or continue.
@@ -39,7 +39,7 @@
     directories: Vec<PathBuf>,
     reader: MergedReader,
     view: View,
-    /// Entry that was read but is later than the shown time.
+    /// Entry that was read but is later than the shown time; it is added once that time is reached.
     pending: Option<ReadEntry>,
 }
 
@@ -144,7 +144,8 @@
     since_epoch.unwrap_or_default().as_micros() as Micros
 }
 
-/// Waits for a key that has a function, up to the timeout. Returns `None` if there is none.
+/// Waits up to `timeout` for a key press that is bound to a command. Returns `None` if there was
+/// none in that time.
 fn read_key(timeout: Duration) -> io::Result<Option<Key>> {
     if !event::poll(timeout)? {
         return Ok(None);
--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -1,5 +1,5 @@
 //! Compares screens of the console, drawn on a test terminal, with stored ones in `tests/screens`.
-//! With the environment variable `UPDATE_SCREENS=1`, the tests store them anew.
+//! With the environment variable `UPDATE_SCREENS=1`, the tests overwrite the stored screens.
 
 #[path = "../../event-analysis/tests/common/mod.rs"]
 mod common;
@@ -163,7 +163,7 @@
         model.on_key(Key::Open, &view),
         Command::ShowTime(first.peak_at.max(first.started_at) + 1_000_000)
     );
-    // Keys do nothing if the table has no rows and no page was shown before.
+    // Keys do nothing if the table has no rows and there is no page to return to.
     let empty = View::new();
     for page in [Page::Engines, Page::Episodes, Page::Requests] {
         let mut model = Model::new();
--- a/crates/discovery/src/http.rs
+++ b/crates/discovery/src/http.rs
@@ -49,7 +49,7 @@
 /// A line without its line end.
 struct Line {
     text: Vec<u8>,
-    /// Bytes of the last input that belong to the line, including the line end.
+    /// Number of bytes of the latest input that belong to the line, including the line end.
     used: usize,
 }
 
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Returns how many of `bytes` belong to the head, or `None` if the head is incomplete.
+    /// Returns the number of `bytes` that belong to the head, or `None` if the head is incomplete.
     fn read_head(&mut self, bytes: &[u8]) -> Result<Option<usize>, StreamError> {
         let buffered = self.buffer.len();
         let appended = bytes.len().min(MAX_HEAD + 1 - buffered);
--- a/crates/discovery/src/item.rs
+++ b/crates/discovery/src/item.rs
@@ -7,7 +7,7 @@
 /// One event of service discovery.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct DiscoveryEvent {
-    /// The event's number. Numbers increase by one from event to event.
+    /// Sequence number of the event, which increases by one from event to event.
     #[serde(rename = "no")]
     pub number: u64,
     /// Changes of the endpoint list; `None` if the event is about something else.
@@ -44,13 +44,13 @@
     /// Name of the kind of machine that the engine runs on.
     #[serde(rename = "class", default)]
     pub machine_kind: String,
-    /// Number of the cell: a group of engines that may share idempotency keys.
+    /// ID of the engine's cell, which is a group of engines that may share idempotency keys.
     #[serde(rename = "block", default)]
     pub cell: u32,
     /// Whether requests may be sent to the engine.
     pub health: EngineHealth,
-    /// Unix time in milliseconds at which the engine's process started; 0 if it started long ago,
-    /// so that it needs no slow start.
+    /// Unix time in milliseconds at which the engine's process started; 0 if it started so long
+    /// ago that it needs no slow start.
     #[serde(rename = "born_ms", default)]
     pub booted_at_ms: u64,
 }
@@ -75,7 +75,7 @@
     /// Number of the last event; the stream is requested from the next one on.
     #[serde(rename = "no", default)]
     pub last_number: u64,
-    /// The events in the order of their numbers.
+    /// The events, sorted by number.
     #[serde(rename = "items", default)]
     pub events: Vec<DiscoveryEvent>,
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -48,8 +48,9 @@
             .read(bytes, &mut |body| event_parser.read(body, events))
     }
 
-    /// Whether the response has ended by its own framing. A body without framing ends with the
-    /// connection, which the caller notices.
+    /// Returns whether the end of the body was reached according to `Content-Length` or the
+    /// chunks. A body without either ends when the connection is closed, which only the caller
+    /// notices.
     pub fn is_over(&self) -> bool {
         self.body.is_complete()
     }
--- a/crates/discovery/src/sse.rs
+++ b/crates/discovery/src/sse.rs
@@ -11,12 +11,13 @@
 pub enum StreamEvent {
     /// An event that has data.
     Event {
-        /// The event's number; `None` if the `id` field is missing or not a number.
+        /// Sequence number of the event; `None` if the `id` field is missing or not a number.
         id: Option<u64>,
         /// The values of the `data` fields, joined with line feeds.
         data: String,
     },
-    /// A comment line. The server sends them so that an idle connection isn't taken for dead.
+    /// A comment line. The server sends these as keep-alives, so that an idle connection isn't
+    /// considered dead.
     Comment,
 }
 
@@ -28,7 +29,7 @@
     /// Whether the last byte was a carriage return. A line feed after it is part of the same line
     /// end.
     ends_in_return: bool,
-    /// Whether a line was parsed. A byte order mark is only skipped in the first line.
+    /// Whether the first line was parsed. A byte order mark is skipped only in that line.
     has_begun: bool,
     id: Option<u64>,
     data: String,
--- a/crates/engine-protocol/src/answer.rs
+++ b/crates/engine-protocol/src/answer.rs
@@ -6,7 +6,7 @@
 
 /// Maximum length in bytes of the head of an answer.
 pub const MAX_HEAD: usize = 4096;
-/// Maximum length in bytes of a payload, which is also that of a page.
+/// Maximum length in bytes of a payload, and therefore of a page.
 pub const MAX_PAYLOAD: usize = 6000;
 /// The bytes after each head and each payload.
 const LINE_END: &[u8] = b"\r\n";
@@ -14,11 +14,11 @@
 /// An answer from an engine.
 #[derive(Debug, PartialEq)]
 pub struct Answer<'a> {
-    /// The id of the attempt, or the tag of the probe, that the engine answers.
+    /// ID of the attempt, or tag of the probe, that the engine answers.
     pub id: &'a str,
     /// What the answer reports, such as a result, progress or an error.
     pub kind: AnswerKind,
-    /// Named values whose meaning depends on the kind.
+    /// Named values, whose meaning depends on `kind`.
     pub fields: Fields<'a>,
     /// A page of the result; empty in an answer without rows.
     pub payload: &'a [u8],
--- a/crates/engine-protocol/src/command.rs
+++ b/crates/engine-protocol/src/command.rs
@@ -5,13 +5,13 @@
 /// The command that sends a query to an engine.
 #[derive(Debug)]
 pub struct ServeCommand<'a> {
-    /// Id of the attempt, which the engine's answers repeat.
+    /// ID of the attempt; the engine's answers repeat this ID.
     pub id: &'a str,
     /// Name of the request's class.
     pub class: &'a str,
     /// Milliseconds until the client stops waiting.
     pub wait_ms: u64,
-    /// The idempotency key, by which the engine detects a repeated request; `None` if the request
+    /// The idempotency key, which lets the engine detect a repeated request; `None` if the request
     /// has none.
     pub key: Option<&'a str>,
     /// The memory grant in megabytes; if 0, the engine decides.
@@ -52,7 +52,7 @@
     out.extend_from_slice(format!("cancel {id}\r\n").as_bytes());
 }
 
-/// Writes the command that changes the rank of a query that was sent before.
+/// Writes the command that changes the rank of a query that was already sent to the engine.
 pub fn write_rank_update(out: &mut Vec<u8>, id: &str, rank: u8) {
     out.extend_from_slice(format!("weigh {id} {rank}\r\n").as_bytes());
 }
--- a/crates/engine-protocol/src/lib.rs
+++ b/crates/engine-protocol/src/lib.rs
@@ -1,9 +1,10 @@
 //! The line protocol between a gateway and its engines. The codec decodes answers and encodes
 //! commands in byte buffers; the caller does the I/O.
 //!
-//! A head is a line of words that ends in CR LF. If its last word is a length, a payload of that
-//! many bytes and another CR LF follow. [`decode`] keeps no state between calls. The words of the
-//! protocol occur in this package and nowhere else.
+//! Each command and answer begins with a head: a line of fields, separated by spaces, that ends in
+//! CR LF. If the last field of the head is a length, a payload of that many bytes and another CR LF
+//! follow. [`decode`] keeps no state between calls. The keywords of the protocol occur in this
+//! package and nowhere else.
 //!
 //! ```
 //! use eideryard_engine_protocol::{decode, AnswerKind};
--- a/crates/event-analysis/src/episodes/discovery.rs
+++ b/crates/event-analysis/src/episodes/discovery.rs
@@ -15,7 +15,7 @@
 pub(super) struct DiscoveryOutage {
     /// Time at which each gateway without a connection lost it, by source.
     lost_since: BTreeMap<usize, Micros>,
-    /// Index of the episode while it lasts.
+    /// Index of the current episode; `None` if there is no outage.
     episode: Option<usize>,
 }
 
--- a/crates/event-analysis/src/episodes/engines.rs
+++ b/crates/event-analysis/src/episodes/engines.rs
@@ -38,9 +38,9 @@
 #[derive(Default)]
 pub(super) struct EngineHealth {
     unreachable: BTreeMap<EngineId, Unreachable>,
-    /// Last listed phase of each engine.
+    /// Phase of each engine that the discovery service listed last.
     phases: BTreeMap<EngineId, Phase>,
-    /// The group whose episode lasts, if any.
+    /// The group whose episode has not ended, if any.
     down: Option<DownGroup>,
 }
 
--- a/crates/event-analysis/src/episodes/episode_list.rs
+++ b/crates/event-analysis/src/episodes/episode_list.rs
@@ -1,4 +1,4 @@
-//! The list of episodes, including those that still last.
+//! The list of episodes, including those that have not ended.
 
 use std::collections::BTreeMap;
 
@@ -14,12 +14,12 @@
 #[derive(Default)]
 pub(super) struct EpisodeList {
     episodes: Vec<Episode>,
-    /// Episodes that still last, by kind, except those added with [`EpisodeList::push`], whose end
-    /// the caller sets.
+    /// Episodes that have not ended, by kind. Those added with [`EpisodeList::push`] are not
+    /// included, because the caller sets their end.
     open: BTreeMap<EpisodeKind, OpenEpisode>,
 }
 
-/// An episode that still lasts.
+/// An episode that has not ended.
 #[derive(Clone, Copy)]
 struct OpenEpisode {
     index: usize,
@@ -100,8 +100,8 @@
         Some(index)
     }
 
-    /// Ends the episodes whose symptoms have been absent for [`MAX_PAUSE`], with the time at which
-    /// they were last seen as the end.
+    /// Ends the episodes whose symptoms have been absent for [`MAX_PAUSE`]. An episode's end is the
+    /// time at which its symptom was last seen.
     pub fn end_absent(&mut self, now: Micros) {
         let mut absent = Vec::new();
         self.open.retain(|_, open| match open.last_seen {
--- a/crates/event-analysis/src/episodes/mod.rs
+++ b/crates/event-analysis/src/episodes/mod.rs
@@ -26,7 +26,7 @@
 const SECOND: Micros = 1_000_000;
 /// Length in seconds of the sliding window in which symptoms of traffic are detected.
 const WINDOW_SECONDS: usize = 3;
-/// Maximum number of episodes, and of gaps, that are kept.
+/// Maximum number of episodes, and of gaps, that are stored.
 const MAX_EPISODES: usize = 4096;
 /// Maximum number of client addresses, and of engines, that are tracked separately.
 const MAX_ADDRESSES: usize = 65_536;
@@ -81,9 +81,9 @@
     pub kind: EpisodeKind,
     /// Start of the episode.
     pub started_at: Micros,
-    /// Time of the peak.
+    /// Time at which the value in `peak` was reached.
     pub peak_at: Micros,
-    /// Greatest value during the episode. Depending on the kind, this is a number of engines or
+    /// Highest value during the episode. Depending on the kind, this is a number of engines or
     /// gateways, a rate per second, a share, milliseconds or seconds.
     pub peak: f64,
     /// End of the episode; `None` while it lasts.
@@ -123,11 +123,11 @@
 /// The interval in which two episodes overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overlap {
-    /// Index in [`Detector::episodes`] of the episode that comes first there.
+    /// Index in [`Detector::episodes`] of the overlapping episode that comes first in that list.
     pub first: usize,
     /// Index in [`Detector::episodes`] of the other episode.
     pub second: usize,
-    /// Start of the overlap.
+    /// Time from which both episodes last.
     pub from: Micros,
     /// End of the overlap.
     pub to: Micros,
--- a/crates/event-analysis/src/episodes/traffic.rs
+++ b/crates/event-analysis/src/episodes/traffic.rs
@@ -27,7 +27,7 @@
 const MIN_LATENCIES: u32 = 10;
 /// Minimum rate of a flood in requests a second.
 const MIN_FLOOD_RATE: f64 = 20.0;
-/// Minimum share of a flood in all requests.
+/// Minimum size of a flood as a fraction of all requests.
 const MIN_FLOOD_SHARE: f64 = 0.4;
 
 /// Compares the traffic of all gateways with its baselines, once a second.
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Detects floods by tenant. Returns whether there is one.
+    /// Detects floods from single tenants. Returns whether there is one.
     fn evaluate_tenants(
         &mut self,
         sums: &WindowSums,
@@ -127,8 +127,8 @@
         has_flood
     }
 
-    /// Detects floods by client address. None is reported while a tenant floods, so that the same
-    /// flood is not reported twice.
+    /// Detects floods from single client addresses. While there is a flood from a tenant, none is
+    /// reported, so that the same flood is not reported twice.
     fn evaluate_addresses(
         &mut self,
         sums: &WindowSums,
@@ -181,7 +181,7 @@
     }
 }
 
-/// A count as a part of a total.
+/// A count as a fraction of a total.
 #[derive(Clone, Copy)]
 struct Share {
     count: u32,
--- a/crates/event-analysis/src/episodes/window.rs
+++ b/crates/event-analysis/src/episodes/window.rs
@@ -1,4 +1,4 @@
-//! Sums of single seconds, and of the sliding window of the last [`WINDOW_SECONDS`].
+//! Sums over single seconds, and over the sliding window of the last [`WINDOW_SECONDS`].
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::IpAddr;
@@ -9,7 +9,7 @@
 use super::{MAX_ADDRESSES, WINDOW_SECONDS};
 use crate::series::LatencySketch;
 
-/// Sums of one second over all gateways.
+/// Sums over one second and all gateways.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SecondSums {
     received: u32,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The sums of each of the last [`WINDOW_SECONDS`] seconds.
+/// The sums for each of the last [`WINDOW_SECONDS`] seconds.
 #[derive(Default)]
 pub(super) struct Window {
     seconds: VecDeque<SecondSums>,
--- a/crates/event-analysis/src/lib.rs
+++ b/crates/event-analysis/src/lib.rs
@@ -52,7 +52,7 @@
     pub fleet: Fleet,
     /// Sums per time bucket, from [`View::from`] on.
     pub series: Series,
-    /// Detects incidents and keeps them.
+    /// Detects incidents and stores them as episodes.
     pub detector: Detector,
     /// Estimated differences between the gateways' clocks.
     pub skew: skew::ClockSkew,
--- a/crates/event-analysis/src/notable.rs
+++ b/crates/event-analysis/src/notable.rs
@@ -7,10 +7,10 @@
 
 use crate::state::{Attempt, Fact, TimedFact, MAX_SHOWN_ATTEMPTS};
 
-/// Number of requests kept from the start. Of all later ones, only the last [`MAX_LAST`] are kept
-/// and the others are counted.
+/// Number of requests stored from the start. Of all later ones, only the last [`MAX_LAST`] are
+/// stored; the others are only counted.
 const MAX_FIRST: usize = 1500;
-/// Number of requests kept at the end, besides the [`MAX_FIRST`] first ones.
+/// Number of requests stored from the end, in addition to the first [`MAX_FIRST`].
 const MAX_LAST: usize = 500;
 
 /// A request that was not served in time at the first attempt.
@@ -20,7 +20,7 @@
     pub source: usize,
     /// Time of the final answer, by the gateway's clock.
     pub at: Micros,
-    /// Id that the client gave to the request; `None` if the log lacks the request's arrival.
+    /// ID that the client gave to the request; `None` if the log lacks the request's arrival.
     pub id: Option<u64>,
     /// Index of the request's class.
     pub class: usize,
@@ -32,7 +32,7 @@
     pub is_late: bool,
     /// Time from arrival to final answer; `None` if the log lacks the request's arrival.
     pub duration: Option<Micros>,
-    /// Number of attempts made, which may exceed the number kept in [`NotableRequest::attempts`].
+    /// Number of attempts made; [`NotableRequest::attempts`] may return fewer.
     pub attempt_count: usize,
     last_attempts: [Option<Attempt>; MAX_SHOWN_ATTEMPTS],
 }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns the requests kept, in the order in which they were added.
+    /// Returns the stored requests, in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = &NotableRequest> {
         self.first.iter().chain(&self.last)
     }
--- a/crates/event-analysis/src/series.rs
+++ b/crates/event-analysis/src/series.rs
@@ -17,11 +17,11 @@
 pub const MAX_BUCKETS: usize = 720;
 /// Width of a bucket before any merge.
 const INITIAL_WIDTH: Micros = 1_000_000;
-/// Maximum number of classes, of tenants and of engines that one bucket keeps sums for; facts about
-/// further ones are not counted in it.
+/// Maximum number of classes, of tenants and of engines for which one bucket stores sums. The
+/// bucket doesn't count facts about any others.
 const MAX_GROUPS: usize = 256;
 
-/// Sums of the requests of one class in one bucket.
+/// Sums over the requests of one class in one bucket.
 #[derive(Clone, Debug, Default)]
 pub struct ClassBucket {
     /// Requests received, including those rejected before they reached the balancer.
@@ -53,7 +53,7 @@
     }
 }
 
-/// Sums of all gateways' attempts at one engine in one bucket.
+/// Sums over all gateways' attempts on one engine in one bucket.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineBucket {
     /// Attempts sent to the engine.
@@ -67,7 +67,7 @@
 /// Sums over one interval of time.
 #[derive(Clone, Debug, Default)]
 pub struct Bucket {
-    /// Sums by index of the class.
+    /// Sums for each class, by index of the class.
     pub classes: BTreeMap<usize, ClassBucket>,
     /// Sums by engine.
     pub engines: BTreeMap<EngineId, EngineBucket>,
@@ -177,8 +177,8 @@
     }
 }
 
-/// Returns the sums of a group, or `None` if the group is new and there are already
-/// [`MAX_GROUPS`] others.
+/// Returns the sums for a group, or `None` if the group is new and there are [`MAX_GROUPS`]
+/// others.
 fn group_mut<K: Ord, V: Default>(groups: &mut BTreeMap<K, V>, key: K) -> Option<&mut V> {
     if groups.len() >= MAX_GROUPS && !groups.contains_key(&key) {
         return None;
--- a/crates/event-analysis/src/series/sketch.rs
+++ b/crates/event-analysis/src/series/sketch.rs
@@ -2,13 +2,13 @@
 
 use eideryard::interface::Micros;
 
-/// Number of steps; latencies beyond the last step are counted in it.
+/// Number of steps; latencies beyond the last step are counted in the last step.
 const STEPS: usize = 32;
 /// Number of steps in which the latency doubles.
 const STEPS_PER_DOUBLING: f64 = 2.0;
 
-/// Histogram of latencies from 1 ms on, where each step is wider than the one before by the square
-/// root of two. The error of percentiles is therefore less than a fifth.
+/// Histogram of latencies from 1 ms on. Each step is wider than the previous one by a factor of the
+/// square root of two, so the error of percentiles is less than a fifth.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LatencySketch {
     counts: [u32; STEPS],
@@ -34,8 +34,8 @@
         self.counts.iter().sum()
     }
 
-    /// Returns the latency in milliseconds that a share (from 0 to 1) of all latencies doesn't
-    /// exceed, or `None` if none was added.
+    /// Returns the latency in milliseconds that a `share` (from 0 to 1) of all latencies doesn't
+    /// exceed, or `None` if no latency was added.
     pub fn percentile(&self, share: f64) -> Option<f64> {
         let total = self.count();
         if total == 0 {
--- a/crates/event-analysis/src/skew.rs
+++ b/crates/event-analysis/src/skew.rs
@@ -8,7 +8,7 @@
 
 use crate::state::{Fact, TimedFact};
 
-/// Maximum number of events of the discovery service that are kept; the oldest are dropped.
+/// Maximum number of events of the discovery service that are stored; the oldest are dropped.
 const MAX_EVENTS: usize = 256;
 /// Differences up to this are caused by delays of the network and the program rather than by the
 /// clocks.
@@ -37,8 +37,9 @@
     }
 
     /// Returns by how many microseconds the clock of `source` is ahead of the clock of `other`
-    /// (negative if it is behind), and the number of events that both applied. The result is the
-    /// median, so that single late events don't matter. `None` if there are too few common events.
+    /// (negative if it is behind), and the number of events that both applied. The difference is a
+    /// median, so single late events don't matter. Returns `None` if there are too few common
+    /// events.
     pub fn micros_ahead(&self, source: usize, other: usize) -> Option<(i64, usize)> {
         let mut differences = Vec::new();
         for times in self.events.values() {
--- a/crates/event-analysis/src/state/engine.rs
+++ b/crates/event-analysis/src/state/engine.rs
@@ -4,7 +4,7 @@
 
 use eideryard::interface::{Micros, Outcome, Phase};
 
-/// Maximum number of recent outcomes kept for each engine.
+/// Maximum number of recent outcomes stored for each engine.
 pub const MAX_RECENT_OUTCOMES: usize = 12;
 /// Number of ranks that are counted separately; higher ranks are counted as the highest of them.
 const RANKS: usize = 4;
@@ -20,7 +20,7 @@
     pub phase: Phase,
     /// Start time of the engine's process, as the discovery service lists it.
     pub booted_at: Micros,
-    /// Number of this gateway's attempts that run on the engine.
+    /// Number of this gateway's attempts that are running on the engine.
     pub in_flight: usize,
     /// Memory granted to the running attempts, in MB.
     pub granted_mb: f64,
@@ -44,7 +44,7 @@
     pub last_answer_at: Option<Micros>,
 }
 
-/// Resources of an engine that one running attempt uses.
+/// The engine's resources that one running attempt uses.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptLoad {
     pub rank: u8,
--- a/crates/event-analysis/src/state/fact.rs
+++ b/crates/event-analysis/src/state/fact.rs
@@ -28,9 +28,9 @@
     },
     /// The client of a request got the final answer.
     RequestEnded {
-        /// Id that the balancer uses for the request.
+        /// ID that the balancer uses for the request.
         request: RequestId,
-        /// Id that the client gave to the request; `None` if the log lacks the request's arrival.
+        /// ID that the client gave to the request; `None` if the log lacks the request's arrival.
         id: Option<u64>,
         /// Index of the request's class.
         class: usize,
@@ -60,7 +60,7 @@
         engine: EngineId,
         /// Index of the request's class.
         class: usize,
-        /// Whether the request had attempts before.
+        /// Whether the request had attempts before this one.
         is_retry: bool,
     },
     /// An attempt ended at its engine, or was given up or cancelled by the gateway.
@@ -72,16 +72,16 @@
     },
     /// The discovery service added or changed an endpoint.
     EndpointChanged {
-        /// Engine of the endpoint.
+        /// Engine that the endpoint belongs to.
         engine: EngineId,
         /// New phase of the engine.
         phase: Phase,
-        /// Whether the engine's process is a different one from before.
+        /// Whether the engine's process is not the same as before the change.
         is_restarted: bool,
     },
     /// The quarantine of an engine began or ended.
     QuarantineChanged {
-        /// Engine that the quarantine is for.
+        /// Engine that was put into quarantine or released from it.
         engine: EngineId,
         /// True if the quarantine began, false if it ended.
         is_quarantined: bool,
@@ -118,7 +118,7 @@
     pub source: usize,
     /// Time of the fact, by the gateway's clock.
     pub at: Micros,
-    /// The fact itself.
+    /// What happened at the gateway.
     pub fact: Fact,
 }
 
--- a/crates/event-analysis/src/state/fleet.rs
+++ b/crates/event-analysis/src/state/fleet.rs
@@ -41,8 +41,8 @@
         self.latest_runs().filter(|(_, run)| !run.has_ended())
     }
 
-    /// Returns an engine's name from the first run that knows it, or its number if none does. The
-    /// ids of engines are the same in all gateways.
+    /// Returns an engine's name from the first run that knows it, or its ID if none does. The
+    /// IDs of engines are the same in all gateways.
     pub fn engine_name(&self, engine: EngineId) -> String {
         let states = self.runs().filter_map(|(_, run)| run.engines.get(&engine));
         let mut names = states.map(|state| &state.name);
--- a/crates/event-analysis/src/state/host_entries.rs
+++ b/crates/event-analysis/src/state/host_entries.rs
@@ -17,7 +17,7 @@
 const LATENCY_DIGITS: u8 = 2;
 /// Maximum number of classes that have a histogram.
 const MAX_CLASSES: usize = 256;
-/// Maximum number of peers, of rejected peers and of leases kept for one gateway.
+/// Maximum number of peers, of rejected peers and of leases stored for one gateway.
 const MAX_PEERS: usize = 400;
 
 /// The final answer of a request, as [`HostEvent::Answered`] states it.
@@ -109,7 +109,7 @@
                 });
             }
             HostEvent::Fleet(event) => self.on_fleet_event(event),
-            // Other events change neither the state nor result in a fact.
+            // Other events neither change the state nor result in a fact.
             _ => {}
         }
     }
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Restores the answered requests whose attempts still run, because the state at the start of a
-    /// segment doesn't repeat them.
+    /// Restores the answered requests whose attempts are still running, because the state at the
+    /// start of a segment doesn't repeat these requests.
     fn on_state_complete(&mut self) {
         for (id, request) in std::mem::take(&mut self.previous_requests) {
             if !request.is_answered {
--- a/crates/event-analysis/src/state/request.rs
+++ b/crates/event-analysis/src/state/request.rs
@@ -8,13 +8,13 @@
 use super::engine::AttemptLoad;
 use super::fact::{Attempt, MAX_SHOWN_ATTEMPTS};
 
-/// Maximum number of attempts kept for one request; the oldest are dropped.
+/// Maximum number of attempts stored for one request; the oldest are dropped.
 const MAX_ATTEMPTS: usize = 32;
 
-/// A request without a final answer, or an answered one whose attempts still run.
+/// A request without a final answer, or an answered one whose attempts are still running.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Id that the client gave to the request.
+    /// ID that the client gave to the request.
     pub id: u64,
     /// Index of the request's class; 0 until the request reaches the balancer.
     pub class: usize,
@@ -75,7 +75,7 @@
         self.running_attempts().next().is_some()
     }
 
-    /// Returns an attempt by its number within the request, from 0; `None` if it is not kept.
+    /// Returns an attempt by its index within the request, from 0, or `None` if it was dropped.
     pub(super) fn attempt_mut(&mut self, number: usize) -> Option<&mut Attempt> {
         let index = number.checked_sub(self.earlier_attempts)?;
         self.attempts.get_mut(index)
@@ -109,5 +109,5 @@
     }
 }
 
-/// Requests by the balancer's id.
+/// Requests by the ID that the balancer uses.
 pub(super) type RequestTable = std::collections::HashMap<RequestId, Request>;
--- a/crates/event-analysis/src/state/run.rs
+++ b/crates/event-analysis/src/state/run.rs
@@ -14,8 +14,8 @@
 use super::request::{Request, RequestTable};
 use super::FactSink;
 
-/// Maximum number of open requests, and of client connections, kept for one gateway. The gateway's
-/// own limits are far lower.
+/// Maximum number of open requests, and of client connections, stored for one gateway. The limits
+/// in the gateway itself are far lower.
 pub(super) const MAX_OPEN: usize = 1 << 17;
 /// A run that did not shut down is marked as broken off if it logged nothing for longer than this.
 /// Gateways write heartbeats three times as often.
@@ -33,7 +33,7 @@
     pub running_tally: RunningTally,
     /// All engines that the log mentions, including removed ones.
     pub engines: BTreeMap<EngineId, Engine>,
-    /// Requests without a final answer, and answered ones whose attempts still run.
+    /// Requests without a final answer, and answered ones whose attempts are still running.
     pub open_requests: HashMap<RequestId, Request>,
     /// While the state at the start of a segment is read, the requests that were open before it.
     /// Requests that the state doesn't repeat have ended without an entry.
@@ -52,9 +52,9 @@
     pub has_majority: Option<bool>,
     /// Reasons why handshakes with peers were rejected, by name of the peer.
     pub rejected_peers: BTreeMap<String, String>,
-    /// Terms of the leases that the gateway has, by the engine that they are for.
+    /// Terms of the leases that the gateway holds, by the engine that each lease is for.
     pub leases: BTreeMap<EngineId, u64>,
-    /// Number of messages with work that the gateway rejected because of a stale fencing token.
+    /// Number of work messages that the gateway rejected because their fencing token was stale.
     pub rejected_work: u64,
     /// Whether the gateway has begun to shut down.
     pub is_stopping: bool,
@@ -64,14 +64,15 @@
     pub first_at: Micros,
     /// Time of the last entry read.
     pub last_at: Micros,
-    /// Whether the totals are exact, that is no part of the log was unreadable since the totals
-    /// were last logged.
+    /// Whether the totals are exact: no part of the log was unreadable since the totals were last
+    /// logged.
     pub are_totals_exact: bool,
     /// Number of entries that the gateway could not write.
     pub missing_entries: u64,
     /// Number of entries read.
     pub entries: u64,
-    /// Time of the last entry before damage that was not reported as a fact yet.
+    /// Time of the last entry before a damaged part of the log that no fact has reported yet;
+    /// `None` if there is no such part.
     pub(super) damaged_since: Option<Micros>,
     /// Whether the log ends without an orderly shutdown.
     pub is_broken_off: bool,
@@ -131,7 +132,7 @@
         name.unwrap_or_else(|| format!("tenant {tenant}"))
     }
 
-    /// Returns an engine's name, or its number if the log doesn't state the name.
+    /// Returns an engine's name, or its ID if the log doesn't state the name.
     pub fn engine_name(&self, engine: EngineId) -> String {
         match self.engines.get(&engine) {
             Some(state) if !state.name.is_empty() => state.name.clone(),
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Removes an answered request, unless one of its attempts still runs.
+    /// Removes an answered request, unless one of its attempts is still running.
     pub(super) fn close_request(&mut self, id: RequestId) {
         let request = self.open_requests.get(&id);
         if request.is_some_and(|request| !request.is_running()) {
--- a/crates/msgpack-rpc/src/cursor.rs
+++ b/crates/msgpack-rpc/src/cursor.rs
@@ -18,7 +18,7 @@
 pub(crate) struct Cursor<'a, 'n> {
     bytes: &'a [u8],
     position: usize,
-    /// Count of the values that this cursor and its clones have read.
+    /// Number of values that this cursor and its clones have read, which `MAX_VALUES` limits.
     visited_values: &'n Cell<usize>,
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Offset in bytes of the next value.
+    /// Returns the offset in bytes of the next value.
     pub(crate) fn position(&self) -> usize {
         self.position
     }
@@ -73,13 +73,13 @@
             .fold(0, |value, &byte| value << 8 | u64::from(byte)))
     }
 
-    /// Reads a length of `width` bytes and then as many bytes.
+    /// Reads a length field of `width` bytes, then the number of bytes that it states.
     fn read_sized(&mut self, width: usize) -> Result<&'a [u8], ReadError> {
         let count = self.read_big_endian(width)? as usize;
         self.read_bytes(count)
     }
 
-    /// Reads the next value. Of an array or map it reads only the head.
+    /// Reads the next value, or only the head if it is an array or a map.
     pub(crate) fn read_value(&mut self) -> Result<Value<'a>, ReadError> {
         self.visited_values.set(self.visited_values.get() + 1);
         if self.visited_values.get() > MAX_VALUES {
--- a/crates/msgpack-rpc/src/decode.rs
+++ b/crates/msgpack-rpc/src/decode.rs
@@ -20,7 +20,7 @@
 pub enum Message<'a> {
     /// A request with a statement to run.
     Call {
-        /// The client's number for the request; the response repeats it.
+        /// ID that the client chose for the request; the response repeats it.
         id: u32,
         /// Name of the class that the request belongs to.
         method: &'a str,
@@ -31,7 +31,7 @@
     },
     /// A request without a body, such as a health check.
     CallWithoutBody {
-        /// The client's number for the request; the response repeats it.
+        /// ID that the client chose for the request; the response repeats it.
         id: u32,
         /// Name of the method that is called.
         method: &'a str,
@@ -40,12 +40,12 @@
     },
     /// A notification that the client no longer waits for some requests.
     Cancel {
-        /// The client's numbers for these requests.
+        /// IDs that the client chose for these requests.
         ids: Vec<u32>,
     },
     /// A request whose parameters don't have the form that this protocol requires.
     InvalidRequest {
-        /// The client's number for the request, to be used in the error response.
+        /// ID that the client chose for the request; the error response repeats it.
         id: u32,
     },
     /// A valid message that needs no action: a notification with another name, or a response.
@@ -103,7 +103,7 @@
             return Err(ReadError::Malformed);
         };
         let id = id as u32;
-        // Finds the end of the request first, so that the next message can be decoded even if this
+        // Finds the end of the request first so that the next message can be decoded even if this
         // one has unsupported parameters.
         let mut end = self.clone();
         end.skip_value(0)?;
--- a/crates/msgpack-rpc/src/encode.rs
+++ b/crates/msgpack-rpc/src/encode.rs
@@ -1,5 +1,5 @@
-//! The encoder for responses. A response is an array of four values: the message type, the number
-//! of the request, the error or nil, and the result or nil. Writing to a vector cannot fail, so the
+//! The encoder for responses. A response is an array of four values: the message type, the ID of
+//! the request, the error or nil, and the result or nil. Writing to a vector cannot fail, so the
 //! results of the `rmp` functions are ignored.
 
 use rmp::encode;
--- a/crates/operator-config/src/directives.rs
+++ b/crates/operator-config/src/directives.rs
@@ -42,8 +42,8 @@
     ),
 ];
 
-/// The directives of the operator's file outside of blocks. Those of a block belong to its
-/// directive.
+/// The top-level directives of the operator's file. The directives in a block are listed with the
+/// directive that opens the block.
 pub const TABLE: &[Directive] = &[
     Directive::new(
         "record-dir",
--- a/crates/operator-config/src/event_log.rs
+++ b/crates/operator-config/src/event_log.rs
@@ -7,23 +7,23 @@
 use crate::directives::{MB, SECOND};
 use crate::settings::Settings;
 
-/// Default of `record-budget`, in bytes.
+/// Default for `record-budget`, in bytes.
 const DEFAULT_BUDGET: u64 = 256 * MB;
-/// Default of `record-segment`, in bytes, unless a quarter of the budget is less.
+/// Default for `record-segment`, in bytes, unless a quarter of the budget is less.
 const DEFAULT_SEGMENT: u64 = 8 * MB;
-/// Default of `record-segment-time`, in microseconds.
+/// Default for `record-segment-time`, in microseconds.
 const DEFAULT_SEGMENT_TIME: u64 = 600 * SECOND;
 
-/// Where the event log is written, and how much of it is kept.
+/// Where the event log is written, and how much of it is retained.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventLogConfig {
     /// Directory of the segments.
     pub directory: PathBuf,
-    /// Maximum size in bytes of all segments together.
+    /// Maximum total size in bytes of all segments.
     pub budget: u64,
-    /// Size in bytes at which a segment ends.
+    /// Size in bytes at which a new segment is started.
     pub segment: u64,
-    /// Time in microseconds after which a segment ends.
+    /// Time in microseconds after which a new segment is started.
     pub segment_time: u64,
 }
 
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -15,13 +15,13 @@
 pub struct FleetConfig {
     /// Name of the fleet.
     pub name: String,
-    /// Address for connections from other gateways. A voter needs one; `None`: the gateway accepts
-    /// none.
+    /// Address for connections from other gateways, which a voter must have. `None`: the gateway
+    /// accepts no such connections.
     pub listen: Option<SocketAddr>,
-    /// Name and address of each voter, sorted by name. The file calls them keepers.
+    /// Name and address of each voter, sorted by name. The operator's file calls voters keepers.
     pub voters: Vec<(String, SocketAddr)>,
     /// Whether keyed and unsafe requests are sent while no majority of voters is reachable, at the
-    /// risk that they take effect twice.
+    /// risk that a request takes effect twice.
     pub may_send_without_majority: bool,
     /// Whether one gateway at a time probes each engine for the whole fleet.
     pub has_shared_probes: bool,
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -60,7 +60,7 @@
     pub spool: Option<SpoolConfig>,
     /// The store for durable state; `None`: off.
     pub store: Option<StoreConfig>,
-    /// The fleet that this gateway is a member of; `None`: it works alone.
+    /// The fleet that this gateway is a member of; `None`: the gateway works alone.
     pub fleet: Option<FleetConfig>,
     /// Levels and format of the program's log on standard error.
     pub log: LogConfig,
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -2,7 +2,7 @@
 
 use eideryard_config_syntax::{table, ConfigError, Setting, Value};
 
-/// The settings of a file, which were already checked against the table of directives.
+/// The settings of a file, after the check against the table of directives.
 pub(crate) struct Settings<'a>(pub(crate) &'a [Setting]);
 
 impl<'a> Settings<'a> {
@@ -27,8 +27,8 @@
         Some(value.text().to_string())
     }
 
-    /// Returns an error if any directive begins with `prefix`. Used if the directive that would
-    /// turn this feature on is missing.
+    /// Returns an error if any directive begins with `prefix`. Used if the directive that enables
+    /// the feature with this prefix is missing.
     pub(crate) fn reject_prefix(
         &self,
         prefix: &str,
--- a/crates/operator-config/src/spool.rs
+++ b/crates/operator-config/src/spool.rs
@@ -10,31 +10,31 @@
 
 /// Minimum length in bytes of the secret for page tokens.
 const MIN_KEY_LENGTH: usize = 16;
-/// Default of `spool-disk`, in bytes, if `spool-dir` is given.
+/// Default for `spool-disk`, in bytes, if `spool-dir` is given.
 const DEFAULT_DISK: u64 = 1 << 30;
-/// Default of `spool-unclaimed`, in microseconds.
+/// Default for `spool-unclaimed`, in microseconds.
 const DEFAULT_UNCLAIMED: u64 = 60 * SECOND;
-/// Default of `spool-delivered`, in microseconds.
+/// Default for `spool-delivered`, in microseconds.
 const DEFAULT_DELIVERED: u64 = 15 * SECOND;
 
 /// Limits on the size and age of spooled results, and the secrets for page tokens.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SpoolConfig {
-    /// Maximum size in bytes of the results in memory together.
+    /// Maximum total size in bytes of the results in memory.
     pub memory: u64,
-    /// Directory of the spool's files; `None`: results are kept in memory only.
+    /// Directory of the spool's files; `None`: results are stored in memory only.
     pub directory: Option<PathBuf>,
-    /// Maximum size in bytes of the spool's files together; 0 without a directory.
+    /// Maximum total size in bytes of the spool's files; 0 without a directory.
     pub disk: u64,
     /// Maximum size in bytes of a single result.
     pub result: u64,
     /// Microseconds that a result waits for its client, counted from its last use.
     pub unclaimed: u64,
-    /// Microseconds that a delivered result is kept, in case the client requests it again.
+    /// Microseconds for which a delivered result is retained in case the client requests it again.
     pub delivered: u64,
-    /// The secret that page tokens are made with, at least 16 characters.
+    /// The secret with which page tokens are created, at least 16 characters.
     pub key: String,
-    /// The previous secret, whose tokens are still accepted; `None`: only tokens made with `key`
+    /// The previous secret, whose tokens are still accepted; `None`: only tokens created with `key`
     /// are accepted.
     pub previous_key: Option<String>,
 }
--- a/crates/operator-config/src/store.rs
+++ b/crates/operator-config/src/store.rs
@@ -7,15 +7,15 @@
 use crate::directives::MB;
 use crate::settings::Settings;
 
-/// Default of `store-budget`, in bytes.
+/// Default for `store-budget`, in bytes.
 const DEFAULT_BUDGET: u64 = 64 * MB;
 
 /// Where durable state is stored, and how much space it may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreConfig {
-    /// Directory of the store's files. Each gateway needs its own.
+    /// Directory of the store's files, which gateways must not share.
     pub directory: PathBuf,
-    /// Maximum size in bytes of the store's files together.
+    /// Maximum total size in bytes of the store's files.
     pub budget: u64,
 }
 
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`summary`] describes in sentences what the analysis found, [`plot`] draws SVG plots,
 //! [`mod@page`] builds the page from both, and [`format`](mod@format) formats times and numbers.
-//! Totals come from the tallies in the event logs, so that they equal the gateways' counters. The
+//! Totals come from the tallies in the event logs, so they equal the gateways' counters. The
 //! crate has no state; the command line writes the page to a file, and the console shows parts of
 //! the summary.
 //!
--- a/crates/report/src/page/engines.rs
+++ b/crates/report/src/page/engines.rs
@@ -21,7 +21,7 @@
     "cancelled",
     "unsent",
 ];
-/// Opacity of a bar without an answer. The bar with most answers has an opacity of 1.
+/// Opacity of a bar without an answer. The bar with the most answers has an opacity of 1.
 const MIN_OPACITY: f64 = 0.15;
 
 pub(super) fn section(view: &View, span: Span) -> Markup {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Returns the greatest number of answers of any engine in any bucket, at least 1.
+/// Returns the highest number of answers from any engine in any bucket, at least 1.
 fn most_answers(view: &View) -> u32 {
     let buckets = view.series.buckets.iter();
     let engines = buckets.flat_map(|bucket| bucket.engines.values());
@@ -69,7 +69,7 @@
     answers.max().unwrap_or(0).max(1)
 }
 
-/// Returns a bar for each bucket in which attempts at the engine were answered or failed.
+/// Returns a bar for each bucket in which attempts on the engine were answered or failed.
 fn bars(view: &View, engine: EngineId, most_answers: u32) -> Vec<Bar> {
     let mut bars = Vec::new();
     for (index, bucket) in view.series.buckets.iter().enumerate() {
--- a/crates/report/src/page/episodes.rs
+++ b/crates/report/src/page/episodes.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Returns the class of an episode's bars in the style sheet.
+/// Returns the class in the style sheet for an episode's bars.
 fn bar_style(kind: &EpisodeKind) -> &'static str {
     match kind {
         EpisodeKind::EnginesDown(_) => "bad",
--- a/crates/report/src/page/mod.rs
+++ b/crates/report/src/page/mod.rs
@@ -14,7 +14,8 @@
 use crate::summary;
 
 const STYLE: &str = include_str!("page.css");
-/// Filters the table of requests by id. If the browser runs no scripts, its text search remains.
+/// Filters the table of requests by ID. Without scripts, the reader can use the text search of the
+/// browser instead.
 const SCRIPT: &str = include_str!("page.js");
 /// Minimum length of the time that plots show.
 const MIN_SPAN_MICROS: u64 = 1_000_000;
--- a/crates/report/src/page/service.rs
+++ b/crates/report/src/page/service.rs
@@ -83,7 +83,7 @@
     plot::stacked(title, "a second", span, bands, &areas, view.series.width)
 }
 
-/// Returns the class of an area in the style sheet.
+/// Returns the class in the style sheet for the area of this kind of answer.
 fn answer_style(kind: AnswerKind) -> &'static str {
     match kind {
         AnswerKind::Served => "served",
@@ -136,7 +136,7 @@
     format!("s{number}")
 }
 
-/// Returns the [`MAX_LINES`] groups with most requests, the busiest first.
+/// Returns the [`MAX_LINES`] groups with the most requests, the busiest first.
 fn busiest(counts: impl Iterator<Item = (usize, u32)>) -> Vec<usize> {
     let mut sums: BTreeMap<usize, u64> = BTreeMap::new();
     for (group, count) in counts {
--- a/crates/report/src/plot/curves.rs
+++ b/crates/report/src/plot/curves.rs
@@ -11,7 +11,7 @@
 const LINES_HEIGHT: f64 = 200.0;
 const AREAS_HEIGHT: f64 = 220.0;
 
-/// Draws lines over time. `unit` follows the greatest value on the vertical axis.
+/// Draws lines over time. `unit` is shown after the highest value on the vertical axis.
 pub fn lines(title: &str, unit: &str, span: Span, bands: &[Band], lines: &[Line]) -> Markup {
     let points = lines.iter().flat_map(|line| &line.points);
     let highest = points.filter_map(|point| point.value).fold(0.0, f64::max);
--- a/crates/report/src/plot/frame.rs
+++ b/crates/report/src/plot/frame.rs
@@ -16,7 +16,7 @@
 const BOTTOM: f64 = 24.0;
 /// Vertical position at which bands and grid lines start.
 const TOP: f64 = 8.0;
-/// Vertical position of the greatest value.
+/// Vertical position of the highest value.
 const VALUE_TOP: f64 = 16.0;
 /// Maximum number of intervals between marks on the time axis.
 const MAX_TIME_MARKS: u64 = 8;
--- a/crates/report/src/plot/mod.rs
+++ b/crates/report/src/plot/mod.rs
@@ -38,7 +38,7 @@
     pub name: String,
     /// Class in the style sheet: `s0` to `s7`, or a class named for its meaning such as `served`.
     pub style: String,
-    /// Points in the order of time.
+    /// Points, sorted by time.
     pub points: Vec<Point>,
 }
 
--- a/crates/report/src/summary/caveats.rs
+++ b/crates/report/src/summary/caveats.rs
@@ -77,8 +77,8 @@
     )
 }
 
-/// Describes by how much clocks differ, for each gateway whose clock differs significantly from
-/// that of an earlier one in the list.
+/// Describes the difference between clocks for each gateway whose clock differs significantly from
+/// that of a gateway earlier in the list.
 fn clock_differences(view: &View) -> Vec<String> {
     let runs: Vec<(usize, &str)> = view
         .fleet
--- a/crates/report/src/summary/headline.rs
+++ b/crates/report/src/summary/headline.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of episodes that the headline describes.
 const MAX_DESCRIBED: usize = 2;
-/// Minimum weight of episodes that the headline mentions and whose times it covers.
+/// Minimum weight of an episode that the headline mentions and includes in the incident's time.
 const MIN_HEADLINE_WEIGHT: u8 = 2;
 /// Minimum weight of episodes that the headline counts in addition to the worst ones.
 const MIN_COUNTED_WEIGHT: u8 = 3;
@@ -68,7 +68,7 @@
 }
 
 /// Returns how much of an incident an episode explains, from 1 to 6: engines that are down explain
-/// most, then floods, outages of the discovery service, gaps, and finally symptoms.
+/// the most, followed by floods, outages of the discovery service, gaps, and finally symptoms.
 fn weight(episode: &Episode) -> u8 {
     match episode.kind {
         EpisodeKind::EnginesDown(_) => 6,
--- a/crates/report/src/summary/mod.rs
+++ b/crates/report/src/summary/mod.rs
@@ -36,8 +36,8 @@
     sums
 }
 
-/// Describes the refusals by reason that happened because an intent could not be made durable, or
-/// returns `None` if there are none.
+/// Describes, by reason, the requests that were refused because an intent could not be made
+/// durable. Returns `None` if there are none.
 pub fn intent_refusals(totals: &Totals) -> Option<String> {
     let reasons = [
         (totals.intent_log_full, RejectReason::IntentLogFull),
--- a/crates/sql-tables/src/lib.rs
+++ b/crates/sql-tables/src/lib.rs
@@ -15,7 +15,7 @@
 
 use tokens::{tokenize, Token};
 
-/// Prefix of schemas whose number is not a table group.
+/// Prefix of schemas that don't belong to a table group, even if a number follows the prefix.
 const STAGING_SCHEMA: &str = "staging";
 
 /// Returns the table group that the statement reads or writes, or `None` if it names none. If it
@@ -66,8 +66,8 @@
     path
 }
 
-/// Returns whether the names after a word are tables. Words other than the keywords below don't
-/// change that.
+/// Returns whether the names after `word` are tables. A word that is none of the keywords below
+/// leaves this as it was before the word.
 fn expects_tables_after(word: &str, expected_before: bool) -> bool {
     match word.to_ascii_lowercase().as_str() {
         "select" | "where" | "on" | "set" | "values" | "group" | "order" | "having" | "limit" => {
--- a/crates/sql-tables/src/tokens.rs
+++ b/crates/sql-tables/src/tokens.rs
@@ -78,7 +78,8 @@
         self.push_name(&self.text[begin..self.position]);
     }
 
-    /// Reads a number with its fraction, so that its dot isn't taken for that of a dotted name.
+    /// Reads a number with its fraction, so that the decimal point isn't taken for the dot of a
+    /// dotted name.
     fn read_number(&mut self) {
         let is_in_number = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'_');
         self.skip_while(is_in_number);
