--- a/crates/config-syntax/src/value.rs
+++ b/crates/config-syntax/src/value.rs
@@ -60,8 +60,8 @@
 
 /// Maximum length of a name in characters, which are all ASCII.
 const MAX_NAME_LENGTH: usize = 64;
-/// Exclusive maximum of a size or time that is written with a fraction, so that the conversion from
-/// `f64` can't overflow.
+/// Exclusive maximum for a size or time that is written with a fraction. It ensures that the
+/// conversion from `f64` can't overflow.
 const MAX_SCALED: f64 = 1e18;
 /// Names of the units of size, with the number of bytes in each.
 const SIZES: [(&str, u64); 5] = [
--- a/crates/engine-protocol/src/lib.rs
+++ b/crates/engine-protocol/src/lib.rs
@@ -2,9 +2,9 @@
 //! commands in byte buffers; the caller does the I/O.
 //!
 //! Each command and answer begins with a head: a line of fields, separated by spaces, that ends in
-//! CR LF. If the last field of the head is a length, a payload of that many bytes and another CR LF
-//! follow. [`decode`] keeps no state between calls. The keywords of the protocol occur in this
-//! package and nowhere else.
+//! CR LF. The head of an answer or of a [`ServeCommand`] ends with a length; a payload of that
+//! many bytes and another CR LF follow. Other commands have only a head. [`decode`] keeps no state
+//! between calls. The keywords of the protocol occur in this package and nowhere else.
 //!
 //! ```
 //! use eideryard_engine_protocol::{decode, AnswerKind};
--- a/crates/event-analysis/src/episodes/discovery.rs
+++ b/crates/event-analysis/src/episodes/discovery.rs
@@ -24,7 +24,7 @@
         self.lost_since.entry(source).or_insert(at);
     }
 
-    /// Must be called when a gateway is connected again, or when it ends and no longer needs a
+    /// Records that a gateway is connected again, or that it has ended and no longer needs a
     /// connection.
     pub fn on_restored(&mut self, source: usize, at: Micros, episodes: &mut EpisodeList) {
         self.lost_since.remove(&source);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Starts or extends the episode if a gateway is disconnected for long enough at the time
+    /// Starts or extends the episode if a gateway has been disconnected for long enough at the time
     /// `now`.
     pub fn evaluate(&mut self, now: Micros, episodes: &mut EpisodeList) {
         let mut lost = self.lost_since.clone();
--- a/crates/event-analysis/src/episodes/engines.rs
+++ b/crates/event-analysis/src/episodes/engines.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Starts or extends the episode of the engines that are down at the time `now`.
+    /// Starts or extends the episode for the engines that are down at the time `now`.
     pub fn evaluate(&mut self, now: Micros, episodes: &mut EpisodeList) {
         let mut down = self.unreachable.clone();
         down.retain(|_, unreachable| unreachable.is_down(now));
--- a/crates/event-analysis/src/episodes/episode_list.rs
+++ b/crates/event-analysis/src/episodes/episode_list.rs
@@ -100,8 +100,8 @@
         Some(index)
     }
 
-    /// Ends the episodes whose symptoms have been absent for [`MAX_PAUSE`]. An episode's end is the
-    /// time at which its symptom was last seen.
+    /// Ends the episodes whose symptoms have been absent for [`MAX_PAUSE`]. Each lasts
+    /// up to the first second of the last window that showed its symptom, but at least one second.
     pub fn end_absent(&mut self, now: Micros) {
         let mut absent = Vec::new();
         self.open.retain(|_, open| match open.last_seen {
--- a/crates/event-analysis/src/state/fleet.rs
+++ b/crates/event-analysis/src/state/fleet.rs
@@ -78,8 +78,8 @@
 
     // ---- Changes ----
 
-    /// Excludes what a source counted up to now from its totals, once, if its run began before
-    /// `from`.
+    /// Excludes what a source counted up to now from its totals if its run began before `from`.
+    /// Has no effect if the source has been given a baseline.
     pub(crate) fn set_baseline(&mut self, source: usize, from: Micros) {
         if let Some(Some(run)) = self.runs.get_mut(source) {
             run.set_baseline(from);
@@ -144,8 +144,8 @@
         });
     }
 
-    /// Must be called after the last entry of all logs. Marks the runs as broken off that did not
-    /// shut down and that logged nothing for a while before the end.
+    /// Marks the runs as broken off that did not shut down and that logged nothing for a while
+    /// before the end. Must be called after the last entry of all logs.
     pub fn finish(&mut self, receiver: &mut dyn FnMut(TimedFact)) {
         let now = self.now;
         for (source, run) in self.runs.iter_mut().enumerate() {
--- a/crates/event-analysis/src/state/run.rs
+++ b/crates/event-analysis/src/state/run.rs
@@ -154,8 +154,8 @@
 
     // ---- Changes ----
 
-    /// Excludes everything counted up to now from [`GatewayRun::tally`], once, if the run began
-    /// before `from`.
+    /// Excludes everything counted up to now from [`GatewayRun::tally`] if the run began before
+    /// `from`. Has no effect if there is a baseline.
     pub(super) fn set_baseline(&mut self, from: Micros) {
         if self.baseline.is_none() && self.first_at < from {
             self.baseline = Some(self.running_tally.tally.clone());
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Marks the run as broken off unless it shut down, and emits this as a fact together with the
-    /// time up to `now` in which entries are missing.
+    /// Marks the run as broken off unless it shut down. Emits one fact for this and one for the
+    /// entries that are missing from the last entry up to `now`.
     pub(super) fn break_off(
         &mut self,
         source: usize,
