--- a/crates/background-scheduler/src/lib.rs
+++ b/crates/background-scheduler/src/lib.rs
@@ -1,4 +1,4 @@
-//! Scheduling of background work in small jobs, so that it never delays requests.
+//! Scheduling of background work in small jobs, so that background work never delays requests.
 //!
 //! [`Scheduler`] selects the next job by urgency, within a time budget per round of the event loop
 //! and a byte budget per second. [`Wheel`] is a hierarchical timing wheel for deadlines: setting
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -77,7 +77,7 @@
         Ok(true)
     }
 
-    /// Goes back to an earlier time: opens the logs again at [`READ_BEFORE`] before it.
+    /// Goes back to an earlier time: reopens the logs at [`READ_BEFORE`] before that time.
     fn rewind(&mut self, time: Micros) -> Result<(), ReadError> {
         *self = LogPlayer::open(&self.directories, Some(time.saturating_sub(READ_BEFORE)))?;
         Ok(())
--- a/crates/discovery/src/item.rs
+++ b/crates/discovery/src/item.rs
@@ -69,7 +69,8 @@
     Removed,
 }
 
-/// The events that the configuration contains, so that a gateway knows engines at its start.
+/// The events that the configuration contains. They tell a gateway about engines before it is
+/// connected to service discovery.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct InitialEvents {
     /// Number of the last event; the stream is requested from the next one on.
--- a/crates/event-analysis/src/episodes/mod.rs
+++ b/crates/event-analysis/src/episodes/mod.rs
@@ -90,7 +90,7 @@
     pub ended_at: Option<Micros>,
     /// Usual value before the episode, in the unit of the peak; 0 for kinds without a baseline.
     pub baseline: f64,
-    /// Intervals within the episode in which a log has a gap, so that nothing is known about them.
+    /// Intervals within the episode in which a log has a gap. Nothing is known about these times.
     pub unknown: Vec<(Micros, Micros)>,
     /// Number of entries missing in a gap; `None` if it is not known or the episode is not a gap.
     pub missing_entries: Option<u64>,
--- a/crates/event-analysis/src/episodes/traffic.rs
+++ b/crates/event-analysis/src/episodes/traffic.rs
@@ -127,8 +127,8 @@
         has_flood
     }
 
-    /// Detects floods from single client addresses. While there is a flood from a tenant, none is
-    /// reported, so that the same flood is not reported twice.
+    /// Detects floods from single client addresses. None is reported during a
+    /// flood from a tenant, so that the same flood is not reported twice.
     fn evaluate_addresses(
         &mut self,
         sums: &WindowSums,
--- a/crates/event-analysis/src/state/fleet.rs
+++ b/crates/event-analysis/src/state/fleet.rs
@@ -11,7 +11,7 @@
 /// The runs of all gateways.
 #[derive(Default)]
 pub struct Fleet {
-    /// One element for each source, in the order of the sources; `None` before its first entry.
+    /// One element for each source, in the same order; `None` before the source's first entry.
     runs: Vec<Option<GatewayRun>>,
     /// Latest time of all entries added; 0 before the first.
     pub now: Micros,
--- a/crates/event-analysis/src/state/request.rs
+++ b/crates/event-analysis/src/state/request.rs
@@ -32,7 +32,7 @@
     pub attempts: Vec<Attempt>,
     /// Number of attempts before those in `attempts`.
     pub earlier_attempts: usize,
-    /// Whether the request has reached the balancer, so that class and tenant are known.
+    /// Whether the request has reached the balancer. From then on, its class and tenant are known.
     pub(super) has_arrived: bool,
     /// Whether the client got the final answer.
     pub(super) is_answered: bool,
--- a/crates/event-analysis/tests/common/mod.rs
+++ b/crates/event-analysis/tests/common/mod.rs
@@ -118,7 +118,7 @@
         );
     }
 
-    /// Adds a request that is received, granted memory and sent to an engine, and returns its id.
+    /// Adds a request that is received, granted memory and sent to an engine, and returns its ID.
     pub fn open_request(
         &mut self,
         source: usize,
--- a/crates/report/src/plot/frame.rs
+++ b/crates/report/src/plot/frame.rs
@@ -77,7 +77,7 @@
         bottom - value / self.greatest * (bottom - VALUE_TOP)
     }
 
-    /// Returns SVG lines and labels at zero, half the greatest value and the greatest value.
+    /// Returns SVG lines and labels at zero, half the highest value and the highest value.
     pub fn grid(&self) -> String {
         let mut grid = String::new();
         let bottom = self.height - BOTTOM;
--- a/crates/report/src/plot/mod.rs
+++ b/crates/report/src/plot/mod.rs
@@ -1,4 +1,4 @@
-//! SVG plots over time. Colours are defined in the page's style sheet, so that they adapt to light
+//! SVG plots over time. Colours are defined in the page's style sheet and therefore adapt to light
 //! and dark mode. Each line also has a dash pattern and a name, so that readers need not
 //! distinguish the colours.
 
