--- a/crates/event-analysis/src/episodes/engines.rs
+++ b/crates/event-analysis/src/episodes/engines.rs
@@ -38,9 +38,9 @@
 #[derive(Default)]
 pub(super) struct EngineHealth {
     unreachable: BTreeMap<EngineId, Unreachable>,
-    /// Last listed phase of each engine.
+    /// Phase of each engine that the discovery service listed last.
     phases: BTreeMap<EngineId, Phase>,
-    /// The group whose episode lasts, if any.
+    /// The group whose episode has not ended, if any.
     down: Option<DownGroup>,
 }
 
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Starts or extends the episode of the engines that are down at the time `now`.
+    /// Starts or extends the episode for the engines that are down at the time `now`.
     pub fn evaluate(&mut self, now: Micros, episodes: &mut EpisodeList) {
         let mut down = self.unreachable.clone();
         down.retain(|_, unreachable| unreachable.is_down(now));
--- a/crates/event-analysis/src/state/fleet.rs
+++ b/crates/event-analysis/src/state/fleet.rs
@@ -11,7 +11,7 @@
 /// The runs of all gateways.
 #[derive(Default)]
 pub struct Fleet {
-    /// One element for each source, in the order of the sources; `None` before its first entry.
+    /// One element for each source, in the same order; `None` before the source's first entry.
     runs: Vec<Option<GatewayRun>>,
     /// Latest time of all entries added; 0 before the first.
     pub now: Micros,
@@ -41,8 +41,8 @@
         self.latest_runs().filter(|(_, run)| !run.has_ended())
     }
 
-    /// Returns an engine's name from the first run that knows it, or its number if none does. The
-    /// ids of engines are the same in all gateways.
+    /// Returns an engine's name from the first run that knows it, or its ID if none does. The
+    /// IDs of engines are the same in all gateways.
     pub fn engine_name(&self, engine: EngineId) -> String {
         let states = self.runs().filter_map(|(_, run)| run.engines.get(&engine));
         let mut names = states.map(|state| &state.name);
@@ -78,8 +78,8 @@
 
     // ---- Changes ----
 
-    /// Excludes what a source counted up to now from its totals, once, if its run began before
-    /// `from`.
+    /// Excludes what a source counted up to now from its totals if its run began before `from`.
+    /// Has no effect if the source has been given a baseline.
     pub(crate) fn set_baseline(&mut self, source: usize, from: Micros) {
         if let Some(Some(run)) = self.runs.get_mut(source) {
             run.set_baseline(from);
@@ -144,8 +144,8 @@
         });
     }
 
-    /// Must be called after the last entry of all logs. Marks the runs as broken off that did not
-    /// shut down and that logged nothing for a while before the end.
+    /// Marks the runs as broken off that did not shut down and that logged nothing for a while
+    /// before the end. Must be called after the last entry of all logs.
     pub fn finish(&mut self, receiver: &mut dyn FnMut(TimedFact)) {
         let now = self.now;
         for (source, run) in self.runs.iter_mut().enumerate() {
--- a/crates/report/src/plot/frame.rs
+++ b/crates/report/src/plot/frame.rs
@@ -16,7 +16,7 @@
 const BOTTOM: f64 = 24.0;
 /// Vertical position at which bands and grid lines start.
 const TOP: f64 = 8.0;
-/// Vertical position of the greatest value.
+/// Vertical position of the highest value.
 const VALUE_TOP: f64 = 16.0;
 /// Maximum number of intervals between marks on the time axis.
 const MAX_TIME_MARKS: u64 = 8;
@@ -77,7 +77,7 @@
         bottom - value / self.greatest * (bottom - VALUE_TOP)
     }
 
-    /// Returns SVG lines and labels at zero, half the greatest value and the greatest value.
+    /// Returns SVG lines and labels at zero, half the highest value and the highest value.
     pub fn grid(&self) -> String {
         let mut grid = String::new();
         let bottom = self.height - BOTTOM;
--- a/crates/report/src/plot/mod.rs
+++ b/crates/report/src/plot/mod.rs
@@ -1,4 +1,4 @@
-//! SVG plots over time. Colours are defined in the page's style sheet, so that they adapt to light
+//! SVG plots over time. Colours are defined in the page's style sheet and therefore adapt to light
 //! and dark mode. Each line also has a dash pattern and a name, so that readers need not
 //! distinguish the colours.
 
@@ -38,7 +38,7 @@
     pub name: String,
     /// Class in the style sheet: `s0` to `s7`, or a class named for its meaning such as `served`.
     pub style: String,
-    /// Points in the order of time.
+    /// Points, sorted by time.
     pub points: Vec<Point>,
 }
 
