--- a/crates/event-log/tests/failures.rs
+++ b/crates/event-log/tests/failures.rs
@@ -10,6 +10,7 @@
 use fastrand::Rng;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
+use std::sync::atomic::Ordering;
 
 fn start_recorder(directory: &Path, max_segment_bytes: u64) -> Recorder {
     Recorder::start(
@@ -51,11 +52,12 @@
 fn all_entries_are_read_back_through_many_segments() {
     let directory = tempfile::tempdir().unwrap();
     let mut recorder = start_recorder(directory.path(), 64 << 10);
-    let counted = record_random_entries(&mut recorder, 3, 50_000);
+    let mut follower = LogFollower::new(directory.path(), START);
+    let counted = record_in_step_with_writer(&mut recorder, &mut follower, 3, 50_000);
     drop(recorder);
     assert!(segments(directory.path()).len() > 5);
     let read = read_log(directory.path()).unwrap();
-    // On a busy machine the writer may fall behind and leave gaps, which state what they lack.
+    // If the writer falls behind, gaps state what they lack.
     let missing_entries: u64 = read.gaps.iter().map(|(entries, _)| entries).sum();
     assert_eq!(
         (
@@ -81,7 +83,8 @@
     };
     let mut recorder =
         Recorder::start(config, Box::new(Directory(directory.path().into()))).unwrap();
-    let counted = record_random_entries(&mut recorder, 3, 100_000);
+    let mut follower = LogFollower::new(directory.path(), START);
+    let counted = record_in_step_with_writer(&mut recorder, &mut follower, 3, 100_000);
     drop(recorder);
     let sizes = segments(directory.path())
         .iter()
@@ -110,20 +113,30 @@
         for leaves_partial_writes in [false, true] {
             let directory = tempfile::tempdir().unwrap();
             let disk = FailingDisk::new(directory.path(), first, failures, leaves_partial_writes);
+            let until_failure = disk.until_failure.clone();
             let mut recorder = Recorder::start(config("g1", 64 << 10), Box::new(disk)).unwrap();
-            // Records until the writer's retry delay after a failure is over.
+            let mut follower = LogFollower::new(directory.path(), START);
+            // Records until the writer's retry delay after a failure is over. On a busy machine the
+            // failures may come later.
             let mut rng = Rng::with_seed(first as u64);
             let until = std::time::Instant::now() + std::time::Duration::from_millis(250);
             let mut at = START;
-            while std::time::Instant::now() < until {
-                for _ in 0..400 {
-                    at += 1000;
-                    start_segment_if_needed(&mut recorder, at);
-                    recorder.record(at, random_entry(&mut rng, at).as_ref());
-                    recorder.flush(at);
-                }
+            let failures_until = until + std::time::Duration::from_secs(60);
+            while std::time::Instant::now() < until
+                || until_failure.load(Ordering::Relaxed) > -failures
+            {
+                assert!(
+                    std::time::Instant::now() < failures_until,
+                    "call {first}: the writer has not made all calls that fail"
+                );
+                record_group(&mut recorder, &mut rng, &mut at, 400);
                 std::thread::sleep(std::time::Duration::from_millis(10));
             }
+            follower.catch_up(&mut recorder, at);
+            // These entries are left for the drop to write, so that the totals don't come from the
+            // start of a segment alone.
+            at += 1_000_000;
+            record_group(&mut recorder, &mut rng, &mut at, 100);
             let counted = recorder.tally().clone();
             drop(recorder);
             let read = read_log(directory.path()).unwrap();
@@ -147,6 +160,16 @@
     }
 }
 
+/// Records `count` random entries at intervals of a millisecond after `at` and advances `at`.
+fn record_group(recorder: &mut Recorder, rng: &mut Rng, at: &mut u64, count: u64) {
+    for _ in 0..count {
+        *at += 1000;
+        start_segment_if_needed(recorder, *at);
+        recorder.record(*at, random_entry(rng, *at).as_ref());
+        recorder.flush(*at);
+    }
+}
+
 /// The number of entries of a log that count, which excludes the state of each segment.
 fn counting_entries(read: &ReadLog) -> u64 {
     let mut counted = tally::RunningTally::default();
@@ -191,8 +214,9 @@
     // Far more entries than the buffers have room for, at once, then some more after the writer has
     // caught up.
     record_random_entries(&mut recorder, 5, 200_000);
-    std::thread::sleep(std::time::Duration::from_millis(300));
-    let counted = record_random_entries(&mut recorder, 6, 1000);
+    let mut follower = LogFollower::new(directory.path(), START);
+    follower.catch_up(&mut recorder, START + 200_000 * 1000);
+    let counted = record_in_step_with_writer(&mut recorder, &mut follower, 6, 1000);
     drop(recorder);
     let read = read_log(directory.path()).unwrap();
     assert!(!read.gaps.is_empty());
@@ -275,7 +299,8 @@
         };
         let mut recorder =
             Recorder::start(config, Box::new(Directory(directory.path().into()))).unwrap();
-        record_random_entries(&mut recorder, start, 5000);
+        let mut follower = LogFollower::new(directory.path(), epoch);
+        record_in_step_with_writer(&mut recorder, &mut follower, start, 5000);
     }
     let starts: BTreeSet<u64> = segments(directory.path())
         .iter()
@@ -324,6 +349,7 @@
         // Simulated time passes quickly; gives the writer real time to keep up.
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
+    LogFollower::new(directory.path(), START).wait_for_writer(&recorder, 0);
     drop(recorder);
     let bytes: u64 = segments(directory.path())
         .iter()
@@ -351,12 +377,7 @@
     let (mut entry_count, mut rng, mut at) = (0, Rng::with_seed(1), START);
     let mut counted = tally::RunningTally::default();
     for round in 0..40 {
-        for _ in 0..500 {
-            at += 1000;
-            start_segment_if_needed(&mut recorder, at);
-            recorder.record(at, random_entry(&mut rng, at).as_ref());
-            recorder.flush(at);
-        }
+        record_group(&mut recorder, &mut rng, &mut at, 500);
         at += 1_000_000;
         recorder.flush(at);
         // The writer thread may not have written all entries yet, so this waits for them.
@@ -405,7 +426,8 @@
 fn reading_from_a_time_starts_at_the_segment_before_it_with_exact_totals() {
     let directory = tempfile::tempdir().unwrap();
     let mut recorder = start_recorder(directory.path(), 64 << 10);
-    let counted = record_random_entries(&mut recorder, 3, 50_000);
+    let mut follower = LogFollower::new(directory.path(), START);
+    let counted = record_in_step_with_writer(&mut recorder, &mut follower, 3, 50_000);
     drop(recorder);
     let from = START + 40_000_000;
     let mut merged = MergedReader::open_from(&[directory.path().into()], from).unwrap();
